--- /dev/null
+++ b/internal/service/settings_test.go
@@ -0,0 +1,133 @@
+package service
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"crankhold/internal/platform"
+	"crankhold/internal/wire"
+	"crankhold/policy"
+)
+
+// derwentModule is what the module is told of testdata/deployments/derwent.json, field by field.
+var derwentModule = policy.Config{
+	Peers: 1,
+	Zone:  0,
+	Classes: []policy.Class{
+		{Aim: time.Second, Deadline: 3 * time.Second, Repeat: policy.Safe, Group: policy.GroupAll, Window: 5 * time.Second,
+			Worth: 3, LateWorth: 0.3},
+		{Aim: time.Second, Deadline: 2500 * time.Millisecond, Repeat: policy.Keyed, Group: policy.GroupAll, Window: 5 * time.Second,
+			Worth: 3, LateWorth: 0.1},
+		{Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Repeat: policy.Unsafe, Group: policy.GroupAll, Window: 5 * time.Second,
+			Worth: 2, LateWorth: 0.2},
+	},
+	Tenants:        []policy.Tenant{{PerSecond: 308}, {PerSecond: 70}, {PerSecond: 62}},
+	Tick:           2 * time.Millisecond,
+	ReportFields:   []string{"util", "queue", "x1", "x0"},
+	ReportInline:   true,
+	MaxAttempts:    5,
+	MayCancel:      true,
+	MayProbe:       true,
+	RetryAfter:     true,
+	MaxRetryAfter:  500 * time.Millisecond,
+	OverShareWorth: 0.2,
+	AskWithin:      10 * time.Second,
+	ColdFrom:       0.18,
+	ColdFor:        18 * time.Second,
+	FallMultiple:   4,
+	FallFor:        time.Second,
+	DrainGrace:     500 * time.Millisecond,
+	MayOrder:       true,
+	WarmNotes:      true,
+	CrowdNotes:     true,
+	KeepAlive:      10 * time.Second,
+	OrderTimeout:   10 * time.Second,
+	LoadWindow:     10 * time.Second,
+	LoadFree:       4,
+	LoadShare:      0.3,
+	MemoryPrice:    0.15,
+	WorkerMemoryMB: 7904,
+}
+
+// derwentNetwork is what the sockets are told of the same file, under the settings' own keys.
+const derwentNetwork = `{"failureDomains":["collins-st"],"kinds":["big-box","small-box"],` +
+	`"classes":[{"name":"quote"},{"name":"extend"},{"name":"charge"}],` +
+	`"accounts":[{"name":"hobart-city"},{"name":"launceston"},{"name":"devonport"}],` +
+	`"specifics":{"memoryMbByKind":[9088,6720]},` +
+	`"limits":{"dialTimeoutMs":250,"keepaliveMs":30000,"maxOpen":20000,"streamsPerConn":100}}`
+
+// flagSettings sets every key of the settings that Derwent leaves at its zero value, and nothing else.
+const flagSettings = `{"zone": 2, "countedBy": "work", "membershipMode": "subscribe", "limits": {"peers": true, "secondCopies": true},
+	"specifics": {"ifCold": "miss"}, "classes": [{"semantics": "safe", "group": "zone", "streamed": true, "aimStretch": 1.5},
+	{"semantics": "unsafe", "group": "cell"}, {"semantics": "keyed"}]}`
+
+// flagModule is what the module is told of flagSettings.
+var flagModule = policy.Config{
+	Zone:           2,
+	WorthByWork:    true,
+	ListByAsking:   true,
+	MayTell:        true,
+	SecondAttempts: true,
+	OverShareWorth: 1,
+	MissWhenCold:   true,
+	Classes: []policy.Class{
+		{Repeat: policy.Safe, Group: policy.GroupZone, Streamed: true, AimStretch: 1.5},
+		{Repeat: policy.Unsafe, Group: policy.GroupCell},
+		{Repeat: policy.Keyed, Group: policy.GroupCell},
+	},
+}
+
+// The settings are an interface: every key has to reach the field that it reached before, whatever the fields are
+// called.
+func TestEverySettingReachesItsField(t *testing.T) {
+	derwent, err := json.Marshal(deployments[1].settings(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name, settings string
+		want           policy.Config
+	}{{"derwent", string(derwent), derwentModule}, {"flags", flagSettings, flagModule}} {
+		t.Run(c.name, func(t *testing.T) {
+			got, err := wire.ParseSettings([]byte(c.settings))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(c.want, got); diff != "" {
+				t.Errorf("settings differ (-want +got):\n%s", diff)
+			}
+		})
+	}
+	var network platform.Network
+	if err := json.Unmarshal(derwent, &network); err != nil {
+		t.Fatal(err)
+	}
+	got, err := json.Marshal(network)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(derwentNetwork, string(got)); diff != "" {
+		t.Errorf("network settings differ (-want +got):\n%s", diff)
+	}
+}
+
+// A field that neither table sets would go unchecked: a setting that is read into it could be lost unseen.
+func TestTheTablesOfSettingsLeaveNoFieldOut(t *testing.T) {
+	checkFields(t, reflect.ValueOf(derwentModule), reflect.ValueOf(flagModule))
+	for _, class := range [][2]policy.Class{{derwentModule.Classes[1], flagModule.Classes[0]}} {
+		checkFields(t, reflect.ValueOf(class[0]), reflect.ValueOf(class[1]))
+	}
+}
+
+func checkFields(t *testing.T, a, b reflect.Value) {
+	t.Helper()
+	for i := range a.NumField() {
+		if a.Field(i).IsZero() && b.Field(i).IsZero() {
+			t.Errorf("%s.%s is set in neither table", a.Type().Name(), a.Type().Field(i).Name)
+		}
+	}
+}
