--- /dev/null
+++ b/internal/standin/golden.go
@@ -0,0 +1,90 @@
+package standin
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files of what the program sends; review them before they are committed")
+
+// Message is one whole message on a wire, with a label that says what it is.
+type Message struct {
+	Label string
+	Bytes []byte
+}
+
+// CompareGolden fails the test unless messages equal those of the golden file, byte by byte and in the same order.
+// With -update it writes the file instead. A missing file is a failure.
+func CompareGolden(t testing.TB, path string, messages []Message) {
+	t.Helper()
+	if *updateGolden {
+		writeGolden(t, path, messages)
+		return
+	}
+	want := ReadGolden(t, path)
+	if len(messages) != len(want) {
+		t.Errorf("%s: %d messages, want %d", path, len(messages), len(want))
+	}
+	for i := range min(len(messages), len(want)) {
+		got := messages[i]
+		if got.Label != want[i].Label || !bytes.Equal(got.Bytes, want[i].Bytes) {
+			t.Errorf("%s: message %d differs\n got %s\nwant %s", path, i+1, got.line(), want[i].line())
+		}
+	}
+}
+
+// ReadGolden returns the messages of a golden file. Each line is a label, a colon and a message as a Go string literal.
+func ReadGolden(t testing.TB, path string) []Message {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var messages []Message
+	for line := range strings.Lines(string(text)) {
+		label, literal, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		content, err := strconv.Unquote(literal)
+		if err != nil {
+			t.Fatalf("%s: %q: %v", path, label, err)
+		}
+		messages = append(messages, Message{label, []byte(content)})
+	}
+	return messages
+}
+
+// GoldenMessage returns the bytes of the message with the given label in a golden file.
+func GoldenMessage(t testing.TB, path, label string) []byte {
+	t.Helper()
+	for _, message := range ReadGolden(t, path) {
+		if message.Label == label {
+			return message.Bytes
+		}
+	}
+	t.Fatalf("%s has no message %q", path, label)
+	return nil
+}
+
+func writeGolden(t testing.TB, path string, messages []Message) {
+	t.Helper()
+	var text bytes.Buffer
+	for _, message := range messages {
+		text.WriteString(message.line() + "\n")
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// line is the message as it stands in a golden file.
+func (m Message) line() string {
+	return fmt.Sprintf("%s: %s", m.Label, strconv.QuoteToASCII(string(m.Bytes)))
+}
--- /dev/null
+++ b/internal/thrift/golden_test.go
@@ -0,0 +1,220 @@
+package thrift
+
+import (
+	"bytes"
+	"math"
+	"net/netip"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/internal/standin"
+	"crankhold/policy"
+)
+
+// The requests are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+const (
+	goldenRequests = "testdata/requests.txt"
+	goldenReplies  = "testdata/replies.txt"
+	goldenErrors   = "testdata/error_replies.txt"
+
+	completeCall = "call with every optional field"
+)
+
+var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
+
+func newGoldenClient() (*client, *core, *standin.Line) {
+	c, k, l := newClient()
+	c.peer = goldenPeer
+	return c, k, l
+}
+
+// Every form of a call is decoded to a request that is compared whole.
+func TestGoldenCallsAreDecoded(t *testing.T) {
+	minimal := router.Request{
+		Front:    router.Thrift,
+		ID:       "9b1f03aa5c7e2d41",
+		Class:    1,
+		Key:      "7f3a9c21e0b4d655",
+		Function: policy.FunctionID(0x7f3a9c21e0b4d655),
+		Body:     []byte("body"),
+		Deadline: time.Hour + 1460*time.Millisecond,
+		Client:   goldenPeer,
+	}
+	withProps := minimal
+	withProps.MemoryMB, withProps.Lanes, withProps.LoadTime = 512, 2, 640*time.Millisecond
+	withOnce := minimal
+	withOnce.Class, withOnce.Once = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	withTenant := minimal
+	withTenant.Tenant = "west"
+	complete := withProps
+	complete.Class, complete.Once, complete.Tenant = 2, withOnce.Once, "east"
+	fractions := minimal
+	fractions.Class, fractions.Deadline = 0, time.Hour+210500*time.Microsecond
+	fractions.MemoryMB, fractions.Lanes, fractions.LoadTime = 0.5, 0.25, 1500*time.Microsecond
+	withoutBody := minimal
+	withoutBody.Body = nil
+	emptyBody := minimal
+	emptyBody.Body = []byte{}
+	binaryBody := minimal
+	binaryBody.Body = []byte("\x00\r\n\xff\x80")
+
+	for _, test := range []struct {
+		label string
+		want  router.Request
+	}{
+		{"call with the required fields only", minimal},
+		{"call with props", withProps},
+		{"call with once", withOnce},
+		{"call with tenant", withTenant},
+		{completeCall, complete},
+		{"call with fractions in wait and props", fractions},
+		{"call without a body", withoutBody},
+		{"call with an empty body", emptyBody},
+		{"call with a binary body", binaryBody},
+		{"call with unknown map keys", minimal},
+		{"call with unknown fields of every type", minimal},
+		{"call with the fields in reverse order", minimal},
+	} {
+		t.Run(test.label, func(t *testing.T) {
+			c, k, l := newGoldenClient()
+			c.Data(standin.GoldenMessage(t, goldenRequests, test.label))
+			if len(k.taken) != 1 || l.HasClosed || l.Wrote.Len() > 0 {
+				t.Fatalf("%d requests, closed %v, wrote %q", len(k.taken), l.HasClosed, l.Wrote.String())
+			}
+			got := k.taken[0]
+			if got.Asker == nil {
+				t.Error("the request has nobody to answer")
+			}
+			if got.Asker = nil; !reflect.DeepEqual(got, test.want) {
+				t.Errorf("decoded\n%+v, want\n%+v", got, test.want)
+			}
+		})
+	}
+}
+
+// Both message kinds of interrupt give the open call up, and neither is answered.
+func TestGoldenInterruptsGiveTheCallUp(t *testing.T) {
+	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
+		c, k, l := newGoldenClient()
+		c.Data(standin.GoldenMessage(t, goldenRequests, completeCall))
+		c.Data(standin.GoldenMessage(t, goldenRequests, label))
+		if len(k.left) != 1 || k.left[0] != 1 || c.Busy() || l.HasClosed || l.Wrote.Len() > 0 {
+			t.Errorf("%s: left %v, busy %v, closed %v, wrote %q", label, k.left, c.Busy(), l.HasClosed, l.Wrote.String())
+		}
+	}
+}
+
+// Replies to calls that the core took, and to calls beyond the limit, which it turns away.
+func TestGoldenReplies(t *testing.T) {
+	var replies []standin.Message
+	for _, test := range []struct {
+		label  string
+		answer router.Answer
+	}{
+		{"served", router.Answer{Verdict: router.Served, Body: []byte("result")}},
+		{"served with an empty body", router.Answer{Verdict: router.Served}},
+		{"served with a binary body", router.Answer{Verdict: router.Served, Body: []byte("\x00\r\n\xff\x80")}},
+		{"refused without a time to retry after", router.Answer{Verdict: router.Refused}},
+		{"refused with a time to retry after", router.Answer{Verdict: router.Refused, RetryAfter: 1500 * time.Millisecond}},
+		{"refused with a fraction of a millisecond", router.Answer{Verdict: router.Refused, RetryAfter: 2*time.Millisecond + 1}},
+		{"failed", router.Answer{Verdict: router.Failed}},
+		{"failed and may have run", router.Answer{Verdict: router.Failed, MayHaveRun: true}},
+		{"failed when the time was over", router.Answer{Verdict: router.Failed, Overdue: true}},
+	} {
+		c, k, l := newGoldenClient()
+		c.Data(standin.GoldenMessage(t, goldenRequests, completeCall))
+		if len(k.taken) != 1 {
+			t.Fatalf("%s: %d requests", test.label, len(k.taken))
+		}
+		k.taken[0].Asker.Answered(test.answer)
+		replies = append(replies, standin.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
+	}
+	c, _, l := newGoldenClient()
+	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
+		c.Data(execute(seq+1, "", good...))
+	}
+	replies = append(replies, standin.Message{Label: "turned away beyond the limit of open calls", Bytes: l.Wrote.Bytes()})
+	standin.CompareGolden(t, goldenReplies, replies)
+}
+
+// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection closes.
+func TestGoldenErrorReplies(t *testing.T) {
+	var replies []standin.Message
+	for _, test := range []struct {
+		label  string
+		closes bool
+	}{
+		{"unknown class", false},
+		{"malformed id", false},
+		{"malformed key", false},
+		{"malformed once", false},
+		{"missing once of a keyed class", false},
+		{"unknown tenant", false},
+		{"malformed wait", false},
+		{"malformed props", false},
+		{"call without its map of fields", false},
+		{"unknown method as a call", false},
+		{"unknown method as a oneway message", false},
+		{"check", false},
+		{"check with an argument", false},
+		{"interrupt of a call that is not open", false},
+		{"sequence number zero", true},
+		{"sequence number above the positive range", true},
+		{"wrong version", true},
+		{"method name over 64 bytes", true},
+		{"method name longer than the frame", true},
+		{"unknown type of a field", true},
+		{"body longer than the frame", true},
+		{"map of fields with a value that is no string", true},
+		{"structs nested too deep", true},
+		{"empty frame", true},
+		{"execute as a oneway message", false},
+		{"execute as a reply", true},
+		{"execute as an exception", true},
+		{"length of a frame over the limit", true},
+	} {
+		c, k, l := newGoldenClient()
+		c.Data(standin.GoldenMessage(t, goldenRequests, test.label))
+		if len(k.taken) != 0 || l.HasClosed != test.closes {
+			t.Errorf("%s: %d requests, closed %v", test.label, len(k.taken), l.HasClosed)
+		}
+		replies = append(replies, standin.Message{Label: test.label, Bytes: bytes.Clone(l.Wrote.Bytes())})
+	}
+	c, _, l := newGoldenClient()
+	c.front.ready = func() bool { return false }
+	c.Data(standin.GoldenMessage(t, goldenRequests, "check"))
+	replies = append(replies, standin.Message{Label: "check when not ready", Bytes: l.Wrote.Bytes()})
+	standin.CompareGolden(t, goldenErrors, replies)
+}
+
+// The limits hold to the byte: what is at the limit is taken, and what is one over closes the connection. They stand
+// here as figures, so that a changed constant is noticed.
+func TestGoldenLimits(t *testing.T) {
+	var pairs []string
+	for range 64 - len(good)/2 {
+		pairs = append(pairs, "name", "value")
+	}
+	for _, test := range []struct {
+		label  string
+		within []byte
+		over   []byte
+	}{
+		{"body", execute(1, strings.Repeat("x", 16<<10), good...), execute(1, strings.Repeat("x", 16<<10+1), good...)},
+		{"map of fields", execute(1, "", append(pairs, good...)...), execute(1, "", append(pairs, append([]string{"one", "more"}, good...)...)...)},
+		{"sequence number", execute(math.MaxInt32, "", good...), execute(math.MaxInt32+1, "", good...)},
+	} {
+		for _, closes := range []bool{false, true} {
+			c, k, l := newGoldenClient()
+			message := test.within
+			if closes {
+				message = test.over
+			}
+			if c.Data(message); l.HasClosed != closes || (len(k.taken) == 1) == closes || l.Wrote.Len() > 0 {
+				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(k.taken), l.HasClosed, l.Wrote.String())
+			}
+		}
+	}
+}
