--- /dev/null
+++ b/internal/resp/golden_test.go
@@ -0,0 +1,280 @@
+package resp
+
+import (
+	"bytes"
+	"errors"
+	"reflect"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/internal/standin"
+	"crankhold/policy"
+)
+
+// The answers are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+const (
+	goldenAnswers  = "testdata/answers.txt"
+	goldenMessages = "testdata/messages.txt"
+)
+
+type holdAnswer struct {
+	tag     uint64
+	outcome policy.Outcome
+	count   int
+}
+
+type probeAnswer struct {
+	tag     uint64
+	outcome policy.Outcome
+	report  []float64
+}
+
+// recorder keeps all that answers decode to.
+type recorder struct {
+	attempts []router.Attempt
+	replies  []router.Reply
+	holds    []holdAnswer
+	probes   []probeAnswer
+}
+
+func (r *recorder) AttemptEnded(a router.Attempt, reply router.Reply) {
+	r.attempts = append(r.attempts, a)
+	r.replies = append(r.replies, reply)
+}
+
+func (r *recorder) HoldEnded(tag uint64, outcome policy.Outcome, count int) {
+	r.holds = append(r.holds, holdAnswer{tag, outcome, count})
+}
+
+func (r *recorder) Probed(tag uint64, outcome policy.Outcome, report []float64) {
+	r.probes = append(r.probes, probeAnswer{tag, outcome, report})
+}
+
+// newGoldenPool returns a pool whose answers are recorded, with workers that report two fields of use.
+func newGoldenPool() (*Pool, *recorder, *[]*line) {
+	p, _, lines := newPool()
+	record := &recorder{}
+	p.sink = record
+	p.cfg.ReportFields = []string{"inflight", "cpu"}
+	p.cfg.PerConn = 32
+	return p, record, lines
+}
+
+// All that is written to a worker.
+func TestGoldenMessagesToWorkers(t *testing.T) {
+	p, _, lines := newGoldenPool()
+	p.Probe(1, 1)
+	connection := (*lines)[0]
+	connection.h.Opened(nil)
+	var messages []standin.Message
+	sent := func(label string, send func()) {
+		connection.Wrote.Reset()
+		send()
+		messages = append(messages, standin.Message{Label: label, Bytes: bytes.Clone(connection.Wrote.Bytes())})
+	}
+	call := func(number int, r *router.Request, budget time.Duration) func() {
+		return func() { p.Run(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
+	}
+
+	sent("RUN", call(1, request("0000000000000001"), 1234900*time.Microsecond))
+	withOnce := request("0000000000000002")
+	withOnce.Once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	sent("RUN with uniq", call(2, withOnce, time.Second))
+	sent("RUN with less than a millisecond left", call(3, request("0000000000000003"), time.Microsecond))
+	sent("RUN with no time left", call(4, request("0000000000000004"), -time.Second))
+	emptyBody := request("0000000000000005")
+	emptyBody.Body = nil
+	sent("RUN with an empty body", call(5, emptyBody, time.Second))
+	binaryBody := request("0000000000000006")
+	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
+	sent("RUN with a binary body", call(6, binaryBody, time.Second))
+	sent("STOP", func() { p.Stop(1, router.Attempt{Request: 1}) })
+	sent("HOLD with a count", func() { p.Hold(1, 0x7f3a9c21e0b4d655, 12, 9) })
+	sent("HOLD with count 0", func() { p.Hold(1, 5, 0, 18446744073709551615) })
+	sent("FREE", func() { p.Free(1, 0xaa) })
+	sent("INFO", func() { p.Probe(1, 7) })
+	sent("NOOP", func() { p.Sweep(time.Second) })
+	if len(*lines) != 1 || connection.HasClosed {
+		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
+	}
+	messages = append(messages,
+		standin.Message{Label: "INFO sent again after a reset", Bytes: probeAfterReset()},
+		standin.Message{Label: "NOOP of a trial", Bytes: openedTrial(t).Wrote.Bytes()})
+	standin.CompareGolden(t, goldenMessages, messages)
+}
+
+// probeAfterReset returns what is written over the second connection of a probe whose first one broke.
+func probeAfterReset() []byte {
+	p, _, lines := newGoldenPool()
+	p.Probe(1, 7)
+	(*lines)[0].h.Opened(nil)
+	(*lines)[0].h.Closed(errors.New("reset"))
+	(*lines)[1].h.Opened(nil)
+	return (*lines)[1].Wrote.Bytes()
+}
+
+// openedTrial returns the connection of a trial that has come up.
+func openedTrial(t *testing.T) *line {
+	t.Helper()
+	p, _, lines, _ := newPaths()
+	p.Run(7, attempt, request(anID), time.Second)
+	(*lines)[0].h.Opened(errors.New("refused"))
+	(*lines)[1].h.Opened(nil)
+	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += SweepEvery {
+		p.Sweep(now)
+	}
+	if len(*lines) < 3 {
+		t.Fatal("no trial was begun")
+	}
+	(*lines)[2].h.Opened(nil)
+	return (*lines)[2]
+}
+
+// Every form of an answer to a call is decoded to a reply that is compared whole.
+func TestGoldenAnswersToCalls(t *testing.T) {
+	result := []byte("result")
+	for _, test := range []struct {
+		label string
+		want  router.Reply
+	}{
+		{"HIT with every field", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Crowd: 3, Body: result, Report: []float64{7, 0.25}}},
+		{"HIT without fields", router.Reply{Outcome: policy.Served, Body: result}},
+		{"HIT with an empty body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte{}}},
+		{"HIT with a binary body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte("\x00\r\n$3\r\n\xff")}},
+		{"HIT without a body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm}},
+		{"HIT of two words", router.Reply{Outcome: policy.Served}},
+		{"HIT after a load began", router.Reply{Outcome: policy.Served, Note: policy.BeganLoad, Body: result}},
+		{"HIT after waiting for a load", router.Reply{Outcome: policy.Served, Note: policy.AwaitedOne, Body: result}},
+		{"HIT with an unknown detail", router.Reply{Outcome: policy.Served, Body: result}},
+		{"HIT with a use report in another order", router.Reply{Outcome: policy.Served, Body: result, Report: []float64{2, 0.5}}},
+		{"HIT with a use report that lacks a field", router.Reply{Outcome: policy.Served, Body: result}},
+		{"HIT with a malformed use report", router.Reply{Outcome: policy.Served, Body: result}},
+		{"HIT with a crowd that is no number", router.Reply{Outcome: policy.Served, Body: result}},
+		{"HIT with the largest crowd", router.Reply{Outcome: policy.Served, Crowd: 1 << 20, Body: result}},
+		{"HIT with a crowd over the limit", router.Reply{Outcome: policy.Served, Body: result}},
+		{"NONE", router.Reply{Outcome: policy.Missed, Body: []byte{}, Report: []float64{1, 1}}},
+		{"SHED", router.Reply{Outcome: policy.Full, Crowd: 12, Body: []byte{}, Report: []float64{9, 0.75}}},
+		{"LATE", router.Reply{Outcome: policy.Moot, Body: []byte{}}},
+		{"FAULT", router.Reply{Outcome: policy.Errored, Note: policy.LoadFailed, Body: []byte("reason")}},
+	} {
+		t.Run(test.label, func(t *testing.T) {
+			p, record, lines := newGoldenPool()
+			p.Run(1, attempt, request(anID), time.Second)
+			connection := (*lines)[0]
+			connection.h.Opened(nil)
+			connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.Reply{test.want}}
+			if !reflect.DeepEqual(record, want) || connection.HasClosed {
+				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
+			}
+		})
+	}
+}
+
+// Every answer to an order to load.
+func TestGoldenAnswersToHolds(t *testing.T) {
+	for _, test := range []struct {
+		label string
+		want  holdAnswer
+	}{
+		{"HOLD answered by HIT", holdAnswer{9, policy.Served, 2}},
+		{"HOLD answered by HIT without a count", holdAnswer{9, policy.Served, 0}},
+		{"HOLD answered by SHED", holdAnswer{9, policy.Full, 1}},
+		{"HOLD answered by NONE", holdAnswer{9, policy.Missed, 0}},
+		{"HOLD answered by FAULT", holdAnswer{9, policy.Errored, 0}},
+		{"HOLD answered by LATE", holdAnswer{9, policy.Moot, 0}},
+	} {
+		p, record, lines := newGoldenPool()
+		p.Hold(1, 5, 2, 9)
+		connection := (*lines)[0]
+		connection.h.Opened(nil)
+		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		if want := (&recorder{holds: []holdAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
+		}
+	}
+}
+
+// Every answer to a health check.
+func TestGoldenAnswersToProbes(t *testing.T) {
+	for _, test := range []struct {
+		label string
+		want  probeAnswer
+	}{
+		{"INFO answered by PONG", probeAnswer{7, policy.Served, []float64{3, 0.5}}},
+		{"INFO answered by PONG of two words", probeAnswer{7, policy.Served, nil}},
+		{"INFO answered by PONG without a report", probeAnswer{7, policy.Served, nil}},
+		{"INFO answered by SICK", probeAnswer{7, policy.Errored, []float64{3, 1}}},
+		{"INFO answered by SICK without a report", probeAnswer{7, policy.Errored, nil}},
+	} {
+		p, record, lines := newGoldenPool()
+		p.Probe(1, 7)
+		connection := (*lines)[0]
+		connection.h.Opened(nil)
+		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		if want := (&recorder{probes: []probeAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
+		}
+	}
+}
+
+// The answer to a NOOP shows that its connection works, and ends nothing that is open there.
+func TestGoldenAnswersToNoops(t *testing.T) {
+	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
+		p, record, lines := newGoldenPool()
+		p.Run(1, attempt, request(anID), time.Second)
+		connection := (*lines)[0]
+		connection.h.Opened(nil)
+		p.Sweep(time.Second)
+		owner := p.workers[1].conns[0]
+		asked := owner.pinged
+		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, label))
+		if asked == 0 || owner.pinged != 0 || len(owner.open) != 1 {
+			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pinged, len(owner.open))
+		}
+		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed {
+			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.HasClosed)
+		}
+	}
+	connection := openedTrial(t)
+	worker := connection.h.(*trial).w
+	down := worker.paths.Down()
+	connection.h.Data(standin.GoldenMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
+	if down != 1 || worker.paths.Down() != 0 || !connection.HasClosed {
+		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Down(), connection.HasClosed)
+	}
+}
+
+// An answer that breaks the protocol closes its connection and ends no call; one to an unknown id is passed over.
+func TestGoldenMalformedAnswers(t *testing.T) {
+	for _, test := range []struct {
+		label  string
+		closes bool
+	}{
+		{"answer to an unknown id", false},
+		{"answer in lower case", true},
+		{"unknown word", true},
+		{"PONG to a call", true},
+		{"SICK to a call", true},
+		{"INFO answered by PONG", false}, // no probe is open here
+		{"answer of one word", true},
+		{"answer of no word", true},
+		{"answer of nine words", true},
+		{"answer without its mark", true},
+		{"length that is no number", true},
+		{"negative length", true},
+		{"line without a carriage return", true},
+		{"word that is longer than its length", true},
+		{"length over the limit", true},
+	} {
+		p, record, lines := newGoldenPool()
+		p.Run(1, attempt, request(anID), time.Second)
+		connection := (*lines)[0]
+		connection.h.Opened(nil)
+		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed != test.closes {
+			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
+		}
+	}
+}
