--- /dev/null
+++ b/internal/directory/golden_test.go
@@ -0,0 +1,156 @@
+package directory
+
+import (
+	"bytes"
+	"encoding/binary"
+	"net/netip"
+	"reflect"
+	"testing"
+
+	"crankhold/internal/path"
+	"crankhold/internal/standin"
+	"crankhold/policy"
+)
+
+// The answers are written by hand from RFC 1035 and RFC 2782, so that no code of this package builds what it reads.
+const (
+	goldenAnswers = "testdata/answers.txt"
+	goldenQueries = "testdata/queries.txt"
+
+	goldenID = 0x1234 // of all golden messages
+)
+
+// withID returns a copy of a message under another id.
+func withID(message []byte, id uint16) []byte {
+	out := bytes.Clone(message)
+	binary.BigEndian.PutUint16(out, id)
+	return out
+}
+
+// The query for the list of workers. A client draws its id at random, so only that is replaced before the comparison.
+func TestGoldenQueries(t *testing.T) {
+	d := newDesk(t)
+	connection := d.lines[0]
+	connection.Wrote.Reset()
+	d.Turn(d.next)
+	sent := connection.Wrote.Bytes()
+	if len(sent) < 2 || d.sock.pending[0] != binary.BigEndian.Uint16(sent) {
+		t.Fatalf("sent %x with %x pending", sent, d.sock.pending)
+	}
+	standin.CompareGolden(t, goldenQueries, []standin.Message{
+		{Label: "query with a fixed id", Bytes: query(goldenID, serviceName)},
+		{Label: "query of a client, its random id replaced", Bytes: withID(sent, goldenID)},
+	})
+}
+
+// addresses returns the decoded address records of one owner.
+func addresses(owner string, texts ...string) map[string][]netip.Addr {
+	records := map[string][]netip.Addr{}
+	for _, text := range texts {
+		records[owner] = append(records[owner], netip.MustParseAddr(text))
+	}
+	return records
+}
+
+// Every form of an answer is decoded to the records and then to the workers that it tells of, which are compared whole.
+func TestGoldenAnswersAreDecoded(t *testing.T) {
+	const target = "s-0.east.hosts"
+	noTexts := map[string][]string{}
+	service := srv{priority: 0, weight: 40, port: 10080, target: target}
+	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	described := plain
+	described.Kind, described.Cell, described.Started = "std", 2, 1700000000123
+	compressed := plain
+	compressed.Kind = "std"
+	severalTexts := plain
+	severalTexts.Kind, severalTexts.Cell, severalTexts.Started = "a=b", 7, -5
+	severalAddresses := plain
+	severalAddresses.Addrs = []path.Addr{{Network: path.TCP4, Addr: "10.1.0.0:10080"}, {Network: path.TCP4, Addr: "10.1.0.77:10080"},
+		{Network: path.TCP6, Addr: "[fd00::1]:10080"}}
+	withUnix := plain
+	withUnix.Addrs = []path.Addr{{Network: path.TCP4, Addr: "10.1.0.0:10080"}, {Network: path.Unix, Addr: "/run/w.sock"}}
+	draining := Worker{Name: "s-1", Addrs: at("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
+	second := Worker{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	highest := Worker{Name: "s-0", Addrs: at("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
+	bothAddresses := addresses(target, "10.1.0.0")
+	bothAddresses["s-1.west.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.1")}
+	strangerAddresses := addresses(target, "10.1.0.0")
+	strangerAddresses["s-7.east.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.7")}
+	unixTexts := map[string][]string{target: {"unix=/run/w.sock"}}
+
+	for _, test := range []struct {
+		label     string
+		unixInTXT bool
+		want      reply
+		workers   []Worker
+		partial   bool
+	}{
+		{"list without workers", false, reply{serial: 4, addrs: addresses(""), texts: noTexts}, []Worker{}, false},
+		{"one worker", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"),
+			texts: map[string][]string{target: {"kind=std", "cell=2", "started=1700000000123"}}}, []Worker{described}, false},
+		{"one worker with compressed names", false, reply{serial: 4, srv: []srv{{0, 40, 10080, "s-0.east.pool.lan"}},
+			addrs: addresses("s-0.east.pool.lan", "10.1.0.0"), texts: map[string][]string{"s-0.east.pool.lan": {"kind=std"}}},
+			[]Worker{compressed}, false},
+		{"one worker ready and one draining", false, reply{serial: 4, srv: []srv{service, {1, 5, 10081, "s-1.west.hosts"}},
+			addrs: bothAddresses, texts: map[string][]string{"s-1.west.hosts": {"kind=big"}}}, []Worker{plain, draining}, false},
+		{"names in mixed case", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: noTexts},
+			[]Worker{plain}, false},
+		{"several addresses of one worker", false, reply{serial: 4, srv: []srv{service},
+			addrs: addresses(target, "10.1.0.0", "10.1.0.77", "fd00::1", "ff02::1"), texts: noTexts}, []Worker{severalAddresses}, false},
+		{"Unix socket in a TXT record", true, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: unixTexts},
+			[]Worker{withUnix}, false},
+		{"Unix socket in a TXT record", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: unixTexts},
+			[]Worker{plain}, false},
+		{"several TXT records with unknown and malformed texts", false, reply{serial: 4, srv: []srv{service},
+			addrs: addresses(target, "10.1.0.0"), texts: map[string][]string{target: {"kind=std", "color=red", "", "cell=two", "started=-5",
+				"cell=7", "kind=a=b"}}}, []Worker{severalTexts}, false},
+		{"records of unknown types and owners", false, reply{serial: 4, srv: []srv{service}, addrs: strangerAddresses, texts: noTexts},
+			[]Worker{plain}, false},
+		{"worker without an address", false, reply{serial: 4, srv: []srv{service, {0, 40, 10080, "s-1.east.hosts"}},
+			addrs: addresses("s-1.east.hosts", "10.1.0.1"), texts: noTexts}, []Worker{second}, true},
+		{"highest weight, port and serial", false, reply{serial: 1<<31 - 1, srv: []srv{{65535, 65535, 65535, target}},
+			addrs: addresses(target, "10.1.0.0"), texts: noTexts}, []Worker{highest}, false},
+		{"answer without a question", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: noTexts},
+			[]Worker{plain}, false},
+	} {
+		t.Run(test.label, func(t *testing.T) {
+			message := standin.GoldenMessage(t, goldenAnswers, test.label)
+			id, got, err := parse(message)
+			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
+				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
+			}
+			d := newDesk(t)
+			d.UnixInTXT = test.unixInTXT
+			d.sock.Data(withID(message, d.ask()))
+			if !reflect.DeepEqual(d.list, test.workers) || d.serial != test.want.serial || d.partial != test.partial {
+				t.Errorf("serial %d, partial %v, list %+v, want %+v", d.serial, d.partial, d.list, test.workers)
+			}
+		})
+	}
+}
+
+// An answer that can't be used is an error and changes nothing.
+func TestGoldenAnswersThatAreRefused(t *testing.T) {
+	for _, label := range []string{
+		"query in place of an answer",
+		"truncated answer",
+		"answer with a failure code",
+		"answer without a serial",
+		"answer to a question for another name",
+		"answer to a question of another type",
+		"answer that ends within its last record",
+		"header only, with a record announced",
+		"header cut short",
+	} {
+		message := standin.GoldenMessage(t, goldenAnswers, label)
+		if _, _, err := parse(message); err == nil {
+			t.Errorf("%s: no error", label)
+		}
+		d := newDesk(t)
+		before, heard := d.list, d.Heard
+		d.sock.Data(withID(message, d.ask()))
+		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.Heard != heard {
+			t.Errorf("%s: serial %d, heard %d, list %+v", label, d.serial, d.Heard-heard, d.list)
+		}
+	}
+}
