--- /dev/null
+++ b/internal/ipfix/golden_test.go
@@ -0,0 +1,113 @@
+package ipfix
+
+import (
+	"encoding/hex"
+	"math"
+	"net/netip"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/golden"
+	"crankhold/internal/loop"
+)
+
+// datagramLine keeps each write by itself: over UDP it is a message of its own.
+type datagramLine struct{ sent [][]byte }
+
+func (l *datagramLine) Write(bufs ...[]byte) {
+	var datagram []byte
+	for _, b := range bufs {
+		datagram = append(datagram, b...)
+	}
+	l.sent = append(l.sent, datagram)
+}
+
+func (l *datagramLine) Close() {}
+
+// collector drives an exporter and formats what it sends.
+type collector struct {
+	exporter   *Exporter
+	line       *datagramLine
+	now        time.Duration
+	transcript string
+}
+
+func newCollector() *collector {
+	c := &collector{now: time.Hour}
+	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(loop.Dialled) Line {
+		c.line = &datagramLine{}
+		return c.line
+	})
+	return c
+}
+
+// connect opens the exporter's socket.
+func (c *collector) connect() {
+	c.exporter.Turn(c.now)
+	c.exporter.Opened(nil)
+}
+
+// export adds the flows, lets some time pass, and appends the messages that are sent to the transcript.
+func (c *collector) export(label string, after time.Duration, flows ...Flow) {
+	for _, f := range flows {
+		c.exporter.Add(f)
+	}
+	c.now += after
+	c.line.sent = nil
+	c.exporter.Turn(c.now)
+	for _, datagram := range c.line.sent {
+		c.transcript += label + ":\n" + hex.Dump(datagram) + "\n"
+	}
+	if len(c.line.sent) == 0 {
+		c.transcript += label + ":\n(no message)\n\n"
+	}
+}
+
+func flow(client, server, class string) Flow {
+	return Flow{Client: netip.MustParseAddrPort(client), Server: netip.MustParseAddrPort(server),
+		Start: noon, End: noon.Add(1500 * time.Millisecond), Octets: 16384, Class: class}
+}
+
+func repeated(f Flow, count int) []Flow {
+	var flows []Flow
+	for range count {
+		flows = append(flows, f)
+	}
+	return flows
+}
+
+// The bytes of each message are fixed: header, templates, records of each kind, and where one message ends.
+func TestGoldenMessages(t *testing.T) {
+	const (
+		client4, server4 = "192.0.2.7:4000", "198.51.100.1:10080"
+		client6, server6 = "[2001:db8::7]:4001", "[2001:db8::1]:10081"
+		mapped4          = "[::ffff:192.0.2.8]:4002"
+	)
+	ipv4 := flow(client4, server4, "dim-level")
+	ipv6 := flow(client6, server6, "repair-order")
+	largest := ipv4
+	largest.Octets = math.MaxUint64
+	c := newCollector()
+	c.connect()
+	c.export("templates, then an IPv4 record", flushEvery, ipv4)
+	c.export("IPv4 record", flushEvery, ipv4)
+	c.export("IPv6 record", flushEvery, ipv6)
+	c.export("IPv4 record of a mapped address", flushEvery, flow(mapped4, server4, "extend"))
+	c.export("record without a class", flushEvery, flow(client4, server4, ""))
+	c.export("record of a class of 65 bytes, cut to 64", flushEvery, flow(client4, server4, strings.Repeat("c", 64)+"x"))
+	c.export("record of the largest number of octets", flushEvery, largest)
+	c.export("records of both kinds in turn", flushEvery, ipv4, ipv4, ipv6, ipv6, ipv4)
+	c.export("records of mixed or unknown addresses, dropped", flushEvery, flow(client4, server6, "dim-level"), Flow{Server: ipv4.Server})
+	// Records of 43 bytes fill a message as far as it goes. Of those of 46 bytes a message could hold one more, but each
+	// record is counted with a set header of its own.
+	c.export("records of 43 bytes for two messages", flushEvery, repeated(flow(client4, server4, "load"), 33)...)
+	c.export("records of 46 bytes for two messages", flushEvery, repeated(flow(client4, server4, "inspect"), 31)...)
+	c.export("templates again after a minute", templateEvery, ipv6)
+	c.exporter.Closed(nil)
+	c.now += redialAfter
+	c.connect()
+	c.export("templates again on a new socket", flushEvery, ipv6)
+	golden.Compare(t, filepath.Join("testdata", "messages.txt"), []byte(c.transcript))
+}
