--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
+	"crankhold/internal/golden"
 	"crankhold/internal/path"
-	"crankhold/internal/standin"
 	"crankhold/policy"
 )
 
@@ -37,7 +37,7 @@
 	if len(sent) < 2 || d.sock.pending[0] != binary.BigEndian.Uint16(sent) {
 		t.Fatalf("sent %x with %x pending", sent, d.sock.pending)
 	}
-	standin.CompareGolden(t, goldenQueries, []standin.Message{
+	golden.CompareMessages(t, goldenQueries, []golden.Message{
 		{Label: "query with a fixed id", Bytes: query(goldenID, serviceName)},
 		{Label: "query of a client, its random id replaced", Bytes: withID(sent, goldenID)},
 	})
@@ -114,7 +114,7 @@
 			[]Worker{plain}, false},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			message := standin.GoldenMessage(t, goldenAnswers, test.label)
+			message := golden.FindMessage(t, goldenAnswers, test.label)
 			id, got, err := parse(message)
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
@@ -142,7 +142,7 @@
 		"header only, with a record announced",
 		"header cut short",
 	} {
-		message := standin.GoldenMessage(t, goldenAnswers, label)
+		message := golden.FindMessage(t, goldenAnswers, label)
 		if _, _, err := parse(message); err == nil {
 			t.Errorf("%s: no error", label)
 		}
--- a/internal/standin/golden.go
+++ b/internal/golden/messages.go
@@ -1,33 +1,29 @@
-package standin
+package golden
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"testing"
 )
 
-var updateGolden = flag.Bool("update", false, "write the golden files of what the program sends; review them before they are committed")
-
 // Message is one whole message on a wire, with a label that says what it is.
 type Message struct {
 	Label string
 	Bytes []byte
 }
 
-// CompareGolden fails the test unless messages equal those of the golden file, byte by byte and in the same order.
+// CompareMessages fails the test unless messages equal those of the golden file, byte by byte and in the same order.
 // With -update it writes the file instead. A missing file is a failure.
-func CompareGolden(t testing.TB, path string, messages []Message) {
+func CompareMessages(t testing.TB, path string, messages []Message) {
 	t.Helper()
-	if *updateGolden {
-		writeGolden(t, path, messages)
+	if *update {
+		writeMessages(t, path, messages)
 		return
 	}
-	want := ReadGolden(t, path)
+	want := ReadMessages(t, path)
 	if len(messages) != len(want) {
 		t.Errorf("%s: %d messages, want %d", path, len(messages), len(want))
 	}
@@ -39,8 +35,8 @@
 	}
 }
 
-// ReadGolden returns the messages of a golden file. Each line is a label, a colon and a message as a Go string literal.
-func ReadGolden(t testing.TB, path string) []Message {
+// ReadMessages returns the messages of a golden file. Each line is a label, a colon and a message as a Go string literal.
+func ReadMessages(t testing.TB, path string) []Message {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -58,10 +54,10 @@
 	return messages
 }
 
-// GoldenMessage returns the bytes of the message with the given label in a golden file.
-func GoldenMessage(t testing.TB, path, label string) []byte {
+// FindMessage returns the bytes of the message with the given label in a golden file.
+func FindMessage(t testing.TB, path, label string) []byte {
 	t.Helper()
-	for _, message := range ReadGolden(t, path) {
+	for _, message := range ReadMessages(t, path) {
 		if message.Label == label {
 			return message.Bytes
 		}
@@ -70,18 +66,13 @@
 	return nil
 }
 
-func writeGolden(t testing.TB, path string, messages []Message) {
+func writeMessages(t testing.TB, path string, messages []Message) {
 	t.Helper()
 	var text bytes.Buffer
 	for _, message := range messages {
 		text.WriteString(message.line() + "\n")
 	}
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, text.Bytes(), 0o644); err != nil {
-		t.Fatal(err)
-	}
+	write(t, path, text.Bytes())
 }
 
 // line is the message as it stands in a golden file.
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"crankhold/internal/golden"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
 	"crankhold/policy"
 )
 
@@ -67,11 +67,11 @@
 	p.Probe(1, 1)
 	connection := (*lines)[0]
 	connection.h.Opened(nil)
-	var messages []standin.Message
+	var messages []golden.Message
 	sent := func(label string, send func()) {
 		connection.Wrote.Reset()
 		send()
-		messages = append(messages, standin.Message{Label: label, Bytes: bytes.Clone(connection.Wrote.Bytes())})
+		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Wrote.Bytes())})
 	}
 	call := func(number int, r *router.Request, budget time.Duration) func() {
 		return func() { p.Run(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
@@ -99,9 +99,9 @@
 		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
 	}
 	messages = append(messages,
-		standin.Message{Label: "INFO sent again after a reset", Bytes: probeAfterReset()},
-		standin.Message{Label: "NOOP of a trial", Bytes: openedTrial(t).Wrote.Bytes()})
-	standin.CompareGolden(t, goldenMessages, messages)
+		golden.Message{Label: "INFO sent again after a reset", Bytes: probeAfterReset()},
+		golden.Message{Label: "NOOP of a trial", Bytes: openedTrial(t).Wrote.Bytes()})
+	golden.CompareMessages(t, goldenMessages, messages)
 }
 
 // probeAfterReset returns what is written over the second connection of a probe whose first one broke.
@@ -163,7 +163,7 @@
 			p.Run(1, attempt, request(anID), time.Second)
 			connection := (*lines)[0]
 			connection.h.Opened(nil)
-			connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+			connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.Reply{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.HasClosed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
@@ -189,7 +189,7 @@
 		p.Hold(1, 5, 2, 9)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
-		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&recorder{holds: []holdAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
@@ -212,7 +212,7 @@
 		p.Probe(1, 7)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
-		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&recorder{probes: []probeAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
@@ -229,7 +229,7 @@
 		p.Sweep(time.Second)
 		owner := p.workers[1].conns[0]
 		asked := owner.pinged
-		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, label))
+		connection.h.Data(golden.FindMessage(t, goldenAnswers, label))
 		if asked == 0 || owner.pinged != 0 || len(owner.open) != 1 {
 			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pinged, len(owner.open))
 		}
@@ -240,7 +240,7 @@
 	connection := openedTrial(t)
 	worker := connection.h.(*trial).w
 	down := worker.paths.Down()
-	connection.h.Data(standin.GoldenMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
+	connection.h.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
 	if down != 1 || worker.paths.Down() != 0 || !connection.HasClosed {
 		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Down(), connection.HasClosed)
 	}
@@ -272,7 +272,7 @@
 		p.Run(1, attempt, request(anID), time.Second)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
-		connection.h.Data(standin.GoldenMessage(t, goldenAnswers, test.label))
+		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
 		}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"crankhold/internal/golden"
 	"crankhold/internal/router"
 	"crankhold/internal/standin"
 	"crankhold/policy"
@@ -80,7 +81,7 @@
 	} {
 		t.Run(test.label, func(t *testing.T) {
 			c, k, l := newGoldenClient()
-			c.Data(standin.GoldenMessage(t, goldenRequests, test.label))
+			c.Data(golden.FindMessage(t, goldenRequests, test.label))
 			if len(k.taken) != 1 || l.HasClosed || l.Wrote.Len() > 0 {
 				t.Fatalf("%d requests, closed %v, wrote %q", len(k.taken), l.HasClosed, l.Wrote.String())
 			}
@@ -99,8 +100,8 @@
 func TestGoldenInterruptsGiveTheCallUp(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
 		c, k, l := newGoldenClient()
-		c.Data(standin.GoldenMessage(t, goldenRequests, completeCall))
-		c.Data(standin.GoldenMessage(t, goldenRequests, label))
+		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		c.Data(golden.FindMessage(t, goldenRequests, label))
 		if len(k.left) != 1 || k.left[0] != 1 || c.Busy() || l.HasClosed || l.Wrote.Len() > 0 {
 			t.Errorf("%s: left %v, busy %v, closed %v, wrote %q", label, k.left, c.Busy(), l.HasClosed, l.Wrote.String())
 		}
@@ -109,7 +110,7 @@
 
 // Replies to calls that the core took, and to calls beyond the limit, which it turns away.
 func TestGoldenReplies(t *testing.T) {
-	var replies []standin.Message
+	var replies []golden.Message
 	for _, test := range []struct {
 		label  string
 		answer router.Answer
@@ -125,24 +126,24 @@
 		{"failed when the time was over", router.Answer{Verdict: router.Failed, Overdue: true}},
 	} {
 		c, k, l := newGoldenClient()
-		c.Data(standin.GoldenMessage(t, goldenRequests, completeCall))
+		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
 		if len(k.taken) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(k.taken))
 		}
 		k.taken[0].Asker.Answered(test.answer)
-		replies = append(replies, standin.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
+		replies = append(replies, golden.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
 	}
 	c, _, l := newGoldenClient()
 	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
 		c.Data(execute(seq+1, "", good...))
 	}
-	replies = append(replies, standin.Message{Label: "turned away beyond the limit of open calls", Bytes: l.Wrote.Bytes()})
-	standin.CompareGolden(t, goldenReplies, replies)
+	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: l.Wrote.Bytes()})
+	golden.CompareMessages(t, goldenReplies, replies)
 }
 
 // Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection closes.
 func TestGoldenErrorReplies(t *testing.T) {
-	var replies []standin.Message
+	var replies []golden.Message
 	for _, test := range []struct {
 		label  string
 		closes bool
@@ -177,17 +178,17 @@
 		{"length of a frame over the limit", true},
 	} {
 		c, k, l := newGoldenClient()
-		c.Data(standin.GoldenMessage(t, goldenRequests, test.label))
+		c.Data(golden.FindMessage(t, goldenRequests, test.label))
 		if len(k.taken) != 0 || l.HasClosed != test.closes {
 			t.Errorf("%s: %d requests, closed %v", test.label, len(k.taken), l.HasClosed)
 		}
-		replies = append(replies, standin.Message{Label: test.label, Bytes: bytes.Clone(l.Wrote.Bytes())})
+		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(l.Wrote.Bytes())})
 	}
 	c, _, l := newGoldenClient()
 	c.front.ready = func() bool { return false }
-	c.Data(standin.GoldenMessage(t, goldenRequests, "check"))
-	replies = append(replies, standin.Message{Label: "check when not ready", Bytes: l.Wrote.Bytes()})
-	standin.CompareGolden(t, goldenErrors, replies)
+	c.Data(golden.FindMessage(t, goldenRequests, "check"))
+	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: l.Wrote.Bytes()})
+	golden.CompareMessages(t, goldenErrors, replies)
 }
 
 // The limits hold to the byte: what is at the limit is taken, and what is one over closes the connection. They stand
