--- a/cmd/drill/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command drill speaks the simulator's wire on standard input and output and hosts one
+// Command simulator-adapter speaks the simulator's wire on standard input and output and hosts one
 // policy.Policy for each instance.
 package main
 
@@ -8,13 +8,13 @@
 	"io"
 	"os"
 
-	"crankhold/internal/wire"
+	"crankhold/internal/simulator"
 	"crankhold/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,10 +23,10 @@
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint16]*policy.Policy{}
-	var reply wire.Reply
+	var reply simulator.Reply
 	var actions []policy.Action
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simulator.ReadBatch(r)
 		if err == io.EOF {
 			return nil
 		}
@@ -35,15 +35,15 @@
 		}
 		for _, rec := range batch.Records {
 			switch ev := rec.Event.(type) {
-			case wire.Init:
-				cfg, err := wire.ParseSettings(ev.Settings)
+			case simulator.Init:
+				cfg, err := simulator.ParseSettings(ev.Settings)
 				if err != nil {
 					return err
 				}
 				if instances[rec.Instance], err = policy.New(cfg, ev.Seed); err != nil {
 					return err
 				}
-			case wire.Kill:
+			case simulator.Kill:
 				delete(instances, rec.Instance)
 			case policy.Event:
 				if p := instances[rec.Instance]; p != nil {
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -20,7 +20,7 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 const (
@@ -53,11 +53,11 @@
 
 // serve goes on until it is interrupted. Every function counts as loaded.
 func serve() error {
-	var configs []fleet.WorkerConfig
+	var configs []fake.WorkerConfig
 	for i, addr := range workers {
-		configs = append(configs, fleet.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: addr, Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32})
+		configs = append(configs, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: addr, Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32})
 	}
-	site, err := fleet.NewSite(directory, configs, func(e fleet.Event) {
+	site, err := fake.NewSite(directory, configs, func(e fake.Event) {
 		log.Printf("%s: %s %s %s %s", e.Worker.Name, e.What, e.Class, e.Key, e.ID)
 	})
 	if err != nil {
@@ -69,12 +69,12 @@
 }
 
 func call() error {
-	c, err := fleet.Dial(front)
+	c, err := fake.Dial(front)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	a, err := c.Do(fleet.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", rand.Uint64()), Key: key, Wait: 1500 * time.Millisecond,
+	a, err := c.Do(fake.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", rand.Uint64()), Key: key, Wait: 1500 * time.Millisecond,
 		Props: "memory_mb:512;lanes:2;load_ms:640", Body: []byte("lamp 17 to 40%")})
 	if err == nil {
 		fmt.Printf("%s %q\n", a.Verdict, a.Body)
--- a/internal/arch/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package arch has no code of its own: its test holds the import graph to the design.
-package arch
--- a/internal/arch/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -1,4 +1,4 @@
-package arch
+package archtest
 
 import (
 	"go/ast"
@@ -14,7 +14,7 @@
 const module = "crankhold/"
 
 // pure are the packages that decide. They may import each other, and of the standard library what is listed.
-var pure = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/path": true}
+var pure = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true}
 
 // harmless is what of the standard library does no I/O and reads no clock by itself; time is for its types, and
 // its functions that read the clock are looked for by name.
@@ -22,8 +22,8 @@
 	"math/rand/v2", "slices", "sort", "strconv", "strings", "time", "unicode", "unicode/utf8", "net/netip"}
 
 // wires are what the core and the decisions may not know of.
-var wires = []string{"internal/loop", "internal/thrift", "internal/webhook", "internal/resp", "internal/directory", "internal/ipfix",
-	"internal/wire", "internal/service", "internal/platform", "internal/command"}
+var wires = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/workerclient", "internal/discovery", "internal/ipfix",
+	"internal/simulator", "internal/server", "internal/config", "internal/command"}
 
 // imports returns what the non-test files of a package import, and where they read the clock or print.
 func imports(t *testing.T, dir string) (list, clock []string) {
--- a/internal/arch/binary_test.go
+++ b/internal/archtest/binary_test.go
@@ -1,4 +1,4 @@
-package arch
+package archtest
 
 import (
 	"debug/elf"
--- a/internal/lab/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // Addresses measures workers with several addresses, of which each keeps one while the others fail at random.
@@ -99,19 +99,19 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{record: newRecord()}
-	var workers []fleet.WorkerConfig
+	var workers []fake.WorkerConfig
 	for i := range 12 {
-		workers = append(workers, fleet.WorkerConfig{Name: fmt.Sprintf("s-%02d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
+		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%02d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
 			More: []string{"tcp6:::1", fmt.Sprintf("unix:%s/w%d.sock", dir, i+1)},
 			Run:  20 * time.Millisecond, Load: 300 * time.Millisecond, Keep: 10 * time.Second, Lanes: 8, Queue: 64})
 	}
-	site, err := fleet.NewSite("127.0.0.1:0", workers, r.event)
+	site, err := fake.NewSite("127.0.0.1:0", workers, r.event)
 	if err != nil {
 		return nil, err
 	}
 	defer site.Close()
 	// Every third worker is listed twice, the second time with a Unix socket and the same address of IPv4.
-	entries := func(drains int) (list []fleet.Entry) {
+	entries := func(drains int) (list []fake.Entry) {
 		for i, e := range site.Entries() {
 			list = append(list, e)
 			if i%3 == 0 {
@@ -123,7 +123,7 @@
 		return list
 	}
 	site.Directory.Set(entries(-1))
-	listen, err := fleet.FreeAddr()
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -139,9 +139,9 @@
 		return nil, err
 	}
 	defer router.stop()
-	var clients []*fleet.Client
+	var clients []*fake.Client
 	for range 8 {
-		k, err := fleet.Dial(listen)
+		k, err := fake.Dial(listen)
 		if err != nil {
 			return nil, err
 		}
@@ -166,7 +166,7 @@
 	for n := 0; time.Since(begun) < a.Length; n++ {
 		time.Sleep(time.Until(begun.Add(time.Duration(n) * every)))
 		class := []string{"dim-level", "dim-level", "fault-check", "repair-order"}[random.IntN(4)]
-		r.call(clients[random.IntN(len(clients))], fleet.Call{Class: class, ID: fmt.Sprintf("%016x", random.Uint64()),
+		r.call(clients[random.IntN(len(clients))], fake.Call{Class: class, ID: fmt.Sprintf("%016x", random.Uint64()),
 			Key: fmt.Sprintf("%016x", uint64(1+random.IntN(12))*0x1111111111111111), Wait: labWaits[class], Props: "memory_mb:256;lanes:8;load_ms:300", Body: []byte("x")})
 	}
 	wait.Wait()
@@ -191,10 +191,10 @@
 }
 
 // disturb has addresses fail at random until a time; each worker keeps one. It returns how many faults it made.
-func disturb(site *fleet.Site, seed uint64, until time.Time) (faults int) {
+func disturb(site *fake.Site, seed uint64, until time.Time) (faults int) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	type fault struct {
-		p   *fleet.Port
+		p   *fake.Port
 		end time.Time
 	}
 	var on []fault
@@ -218,7 +218,7 @@
 		w := site.Workers[1+random.IntN(len(site.Workers)-1)]
 		ports := w.Ports()
 		p := ports[random.IntN(len(ports))]
-		mode := fleet.Modes[1+random.IntN(len(fleet.Modes)-1)]
+		mode := fake.Modes[1+random.IntN(len(fake.Modes)-1)]
 		last := time.Duration(300+random.IntN(3000)) * time.Millisecond
 		well := 0
 		for _, q := range ports {
@@ -242,7 +242,7 @@
 
 // drain has one entry of a worker that is listed twice drain, now and then, and counts what was sent to any address
 // of that worker more than a second after that was told.
-func drain(site *fleet.Site, r *run, entries func(int) []fleet.Entry, until time.Time) (drains, late int) {
+func drain(site *fake.Site, r *run, entries func(int) []fake.Entry, until time.Time) (drains, late int) {
 	for n := 0; time.Now().Add(5 * time.Second).Before(until); n++ {
 		time.Sleep(1500 * time.Millisecond)
 		w := n * 3 % len(site.Workers)
--- a/internal/lab/config.go
+++ b/internal/benchmark/config.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"testing/fstest"
 	"time"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 	"crankhold/internal/lang"
 	"crankhold/internal/route"
 )
@@ -101,7 +101,7 @@
 // settle is how long after the log says that a reload is done a message sent before it may still arrive.
 const settle = 50 * time.Millisecond
 
-func (p *pools) watch(e fleet.Event, r *record) {
+func (p *pools) watch(e fake.Event, r *record) {
 	s := r.calls[e.ID]
 	if s == nil {
 		return
@@ -240,18 +240,18 @@
 	}
 	p.fits = [2]func(class, kind string) bool{fits("small"), fits("spare")}
 	r.watch = p.watch
-	var workers []fleet.WorkerConfig
+	var workers []fake.WorkerConfig
 	for i := range 12 {
 		kind := []string{"large", "large", "small", "small", "spare"}[i%5]
-		workers = append(workers, fleet.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here",
+		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here",
 			Run: 20 * time.Millisecond, Load: 300 * time.Millisecond, Keep: 10 * time.Second, Lanes: 8, Queue: 64})
 	}
-	site, err := fleet.NewSite("127.0.0.1:0", workers, r.event)
+	site, err := fake.NewSite("127.0.0.1:0", workers, r.event)
 	if err != nil {
 		return err
 	}
 	defer site.Close()
-	listen, err := fleet.FreeAddr()
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		return err
 	}
@@ -275,9 +275,9 @@
 	defer router.stop()
 	p.since = time.Now()
 
-	var clients []*fleet.Client
+	var clients []*fake.Client
 	for range 8 {
-		k, err := fleet.Dial(listen)
+		k, err := fake.Dial(listen)
 		if err != nil {
 			return err
 		}
@@ -335,7 +335,7 @@
 			class, burst = "dim-level", 60 // more at once than the cap
 		}
 		for range burst {
-			r.call(clients[random.IntN(len(clients))], fleet.Call{Class: class, ID: fmt.Sprintf("%016x", random.Uint64()),
+			r.call(clients[random.IntN(len(clients))], fake.Call{Class: class, ID: fmt.Sprintf("%016x", random.Uint64()),
 				Key: fmt.Sprintf("%016x", uint64(1+random.IntN(12))*0x1111111111111111), Wait: labWaits[class], Props: "memory_mb:256;lanes:8;load_ms:300", Body: []byte("x")})
 		}
 	}
--- a/internal/lab/load.go
+++ b/internal/benchmark/load.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // Bounds on what the load tool will send, whatever it is asked for.
@@ -266,9 +266,9 @@
 		stop()
 		return nil, err
 	}
-	var clients []*fleet.Client
+	var clients []*fake.Client
 	for range l.Conns {
-		k, err := fleet.Dial(l.Addr)
+		k, err := fake.Dial(l.Addr)
 		if err != nil {
 			stop()
 			return nil, err
@@ -282,7 +282,7 @@
 		if b.Open() < a.Open() {
 			a = b
 		}
-		a.Go(fleet.Call{Class: l.Class, ID: id, Key: key, Wait: l.Wait, Props: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}, func(x fleet.Answer, err error) {
+		a.Go(fake.Call{Class: l.Class, ID: id, Key: key, Wait: l.Wait, Props: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}, func(x fake.Answer, err error) {
 			if err != nil {
 				x.Verdict = "lost"
 			}
@@ -307,17 +307,17 @@
 	if err != nil {
 		return "", nil, err
 	}
-	var workers []fleet.WorkerConfig
+	var workers []fake.WorkerConfig
 	for i := range 12 {
-		workers = append(workers, fleet.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
+		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
 			Run: time.Millisecond, Load: 100 * time.Millisecond, Keep: time.Minute, Lanes: 32, Queue: 256})
 	}
-	site, err := fleet.NewSite("127.0.0.1:0", workers, nil)
+	site, err := fake.NewSite("127.0.0.1:0", workers, nil)
 	if err != nil {
 		return "", nil, err
 	}
 	stop = func() { site.Close(); os.RemoveAll(dir) }
-	if addr, err = fleet.FreeAddr(); err == nil {
+	if addr, err = fake.FreeAddr(); err == nil {
 		config := filepath.Join(dir, "config.json")
 		if err = site.WriteConfig(config, addr); err == nil {
 			l.process, err = startRouter(path, addr, "EDGE_CONFIG="+config)
--- a/internal/lab/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"io"
--- a/internal/lab/record.go
+++ b/internal/benchmark/record.go
@@ -1,11 +1,11 @@
-package lab
+package benchmark
 
 import (
 	"sort"
 	"sync"
 	"time"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // sent is a call as its client and the workers saw it.
@@ -17,7 +17,7 @@
 	took    time.Duration // until the answer
 	late    bool          // answered after its time, or never
 	runs    int           // at workers
-	at1     *fleet.Worker // the last one
+	at1     *fake.Worker  // the last one
 }
 
 // record is what happened in an experiment.
@@ -25,14 +25,14 @@
 	mu     sync.Mutex
 	calls  map[string]*sent
 	order  []*sent
-	events []fleet.Event
-	watch  func(e fleet.Event, r *record) // called under the lock
+	events []fake.Event
+	watch  func(e fake.Event, r *record) // called under the lock
 }
 
 func newRecord() *record { return &record{calls: map[string]*sent{}} }
 
 // event takes in what a worker saw.
-func (r *record) event(e fleet.Event) {
+func (r *record) event(e fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
@@ -46,13 +46,13 @@
 }
 
 // call sends one and notes its answer.
-func (r *record) call(c *fleet.Client, call fleet.Call) *sent {
+func (r *record) call(c *fake.Client, call fake.Call) *sent {
 	s := &sent{class: call.Class, at: time.Now(), wait: call.Wait}
 	r.mu.Lock()
 	r.calls[call.ID] = s
 	r.order = append(r.order, s)
 	r.mu.Unlock()
-	c.Go(call, func(a fleet.Answer, err error) {
+	c.Go(call, func(a fake.Answer, err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		s.took = time.Since(s.at)
--- a/internal/lab/starts.go
+++ b/internal/benchmark/starts.go
@@ -1,4 +1,4 @@
-package lab
+package benchmark
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // Starts measures how long many routers take to be ready that are started at once, on one machine, while the directory
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	site, err := fleet.NewSite("127.0.0.1:0", []fleet.WorkerConfig{{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true}}, nil)
+	site, err := fake.NewSite("127.0.0.1:0", []fake.WorkerConfig{{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true}}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	}()
 	begun := time.Now()
 	for n := range s.Routers {
-		listen, err := fleet.FreeAddr()
+		listen, err := fake.FreeAddr()
 		if err != nil {
 			return nil, err
 		}
@@ -109,7 +109,7 @@
 }
 
 // writeStart writes the configuration of a router that knows the site's workers, or none.
-func writeStart(site *fleet.Site, path, listen string, empty bool) error {
+func writeStart(site *fake.Site, path, listen string, empty bool) error {
 	if !empty {
 		return site.WriteConfig(path, listen)
 	}
@@ -130,7 +130,7 @@
 // ready asks a router until it says that it takes calls, and tells when it did.
 func ready(p *process, limit time.Time) (time.Time, error) {
 	for time.Now().Before(limit) {
-		if k, err := fleet.Dial(p.listen); err == nil {
+		if k, err := fake.Dial(p.listen); err == nil {
 			good, err := k.Check()
 			k.Close()
 			if err == nil && good {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -16,9 +16,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"crankhold/internal/logs"
-	"crankhold/internal/platform"
-	"crankhold/internal/service"
+	"crankhold/internal/config"
+	"crankhold/internal/logging"
+	"crankhold/internal/server"
 	"crankhold/internal/signals"
 )
 
@@ -138,21 +138,21 @@
 
 // Run serves until a signal ends it.
 func (serveCmd) Run(c *cli, env Env) error {
-	level, err := logs.ParseLevel(c.LogLevel)
+	level, err := logging.ParseLevel(c.LogLevel)
 	if err != nil {
 		return unreadable(err)
 	}
-	slog.SetDefault(logs.New(env.Err, level))
-	read := func() (*platform.Config, error) { return platform.Read(env.Getenv) }
+	slog.SetDefault(logging.New(env.Err, level))
+	read := func() (*config.Config, error) { return config.Read(env.Getenv) }
 	p, err := read()
 	if err != nil {
 		return err
 	}
-	opts := service.Options{Signals: env.Signals, Webhook: chosen(env, 0), Export: chosen(env, 1), Addresses: chosen(env, 2), Routes: env.Getenv(routesVariable)}
+	opts := server.Options{Signals: env.Signals, Webhook: chosen(env, 0), Export: chosen(env, 1), Addresses: chosen(env, 2), Routes: env.Getenv(routesVariable)}
 	if opts.RoutesMay = opts.Routes == ""; opts.RoutesMay {
 		opts.Routes = routesFile
 	}
-	return service.Serve(p, opts, read)
+	return server.Serve(p, opts, read)
 }
 
 type versionCmd struct {
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"crankhold/internal/demo"
-	"crankhold/internal/logs"
+	"crankhold/internal/logging"
 )
 
 type demoCmd struct {
@@ -18,11 +18,11 @@
 	if level == "info" {
 		level = "warn"
 	}
-	l, err := logs.ParseLevel(level)
+	l, err := logging.ParseLevel(level)
 	if err != nil {
 		return unreadable(err)
 	}
-	slog.SetDefault(logs.New(env.Err, l))
+	slog.SetDefault(logging.New(env.Err, l))
 	stop := make(chan struct{})
 	if d.For > 0 {
 		time.AfterFunc(d.For, func() { close(stop) })
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -9,11 +9,11 @@
 	"slices"
 	"strings"
 
+	"crankhold/internal/config"
 	"crankhold/internal/lang"
 	"crankhold/internal/lang/syntax"
-	"crankhold/internal/platform"
 	"crankhold/internal/route"
-	"crankhold/internal/service"
+	"crankhold/internal/server"
 )
 
 // against is the flag that has files checked against the platform's settings too.
@@ -26,7 +26,7 @@
 	if a.Platform == "" {
 		return nil, nil
 	}
-	c, err := platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": a.Platform}[name] })
+	c, err := config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": a.Platform}[name] })
 	if err != nil {
 		return nil, unreadable(err)
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := service.CheckFile(file, p)
+	r, err := server.CheckFile(file, p)
 	if err != nil {
 		return nil, unreadable(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := service.CheckFile(shown(c.File), p)
+	r, err := server.CheckFile(shown(c.File), p)
 	if err != nil {
 		return unreadable(err)
 	}
--- a/internal/platform/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package platform reads what the platform tells a function router: the file that EDGE_CONFIG names. It may
+// Package config reads what the platform tells a function router: the file that EDGE_CONFIG names. It may
 // import the parsers of what that file holds; the service and the command line call it.
-package platform
+package config
 
 import (
 	"encoding/json"
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"crankhold/internal/directory"
+	"crankhold/internal/discovery"
 	"crankhold/internal/lang"
-	"crankhold/internal/wire"
+	"crankhold/internal/simulator"
 	"crankhold/policy"
 )
 
@@ -29,7 +29,7 @@
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
 	Names    string          `json:"names"`
-	Known    directory.Known `json:"known"`
+	Known    discovery.Known `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
 	Random  uint64 // Seed as a number
@@ -86,7 +86,7 @@
 	if c.Random, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("config %s: seed: %w", path, err)
 	}
-	if c.Module, err = wire.ParseSettings(c.Settings); err != nil {
+	if c.Module, err = simulator.ParseSettings(c.Settings); err != nil {
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	n := &c.Network
--- a/internal/platform/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,4 @@
-package platform
+package config
 
 import (
 	"fmt"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"crankhold/internal/fleet"
-	"crankhold/internal/platform"
-	"crankhold/internal/service"
+	"crankhold/internal/config"
+	"crankhold/internal/fake"
+	"crankhold/internal/server"
 )
 
 // Routes is the routes file that the demo serves by.
@@ -40,29 +40,29 @@
 	}
 	defer os.RemoveAll(dir)
 	t := &tally{by: map[string]int{}, runs: map[string]int{}}
-	var workers []fleet.WorkerConfig
+	var workers []fake.WorkerConfig
 	for i, kind := range []string{"large-worker", "large-worker", "small-worker"} {
-		workers = append(workers, fleet.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here", Cell: i,
+		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here", Cell: i,
 			Run: time.Duration(60+30*i) * time.Millisecond, Load: 600 * time.Millisecond, Keep: 10 * time.Second, Lanes: 2, Queue: 32})
 	}
-	site, err := fleet.NewSite("127.0.0.1:0", workers, t.event)
+	site, err := fake.NewSite("127.0.0.1:0", workers, t.event)
 	if err != nil {
 		return err
 	}
 	defer site.Close()
-	listen, err := fleet.FreeAddr()
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		return err
 	}
-	config, routes := filepath.Join(dir, "config.json"), filepath.Join(dir, "routes.crank")
-	if err := site.WriteConfig(config, listen); err != nil {
+	configPath, routes := filepath.Join(dir, "config.json"), filepath.Join(dir, "routes.crank")
+	if err := site.WriteConfig(configPath, listen); err != nil {
 		return err
 	}
 	if err := os.WriteFile(routes, Routes, 0o644); err != nil {
 		return err
 	}
-	read := func() (*platform.Config, error) {
-		return platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": config}[name] })
+	read := func() (*config.Config, error) {
+		return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": configPath}[name] })
 	}
 	c, err := read()
 	if err != nil {
@@ -72,10 +72,10 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go play(out, site, listen, t, ended)
-	return service.Serve(c, service.Options{Routes: routes, Stop: stop}, read)
+	return server.Serve(c, server.Options{Routes: routes, Stop: stop}, read)
 }
 
-func names(list []*fleet.Worker) string {
+func names(list []*fake.Worker) string {
 	var s []string
 	for _, w := range list {
 		s = append(s, w.Name+" ("+w.Kind+")")
@@ -90,7 +90,7 @@
 	runs map[string]int // by worker
 }
 
-func (t *tally) event(e fleet.Event) {
+func (t *tally) event(e fake.Event) {
 	if e.What == "run" || e.What == "hold" {
 		t.mu.Lock()
 		t.runs[e.Worker.Name+" "+e.What]++
@@ -105,7 +105,7 @@
 }
 
 // line words the last second and begins the next.
-func (t *tally) line(at time.Duration, site *fleet.Site) string {
+func (t *tally) line(at time.Duration, site *fake.Site) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := fmt.Sprintf("%4.0fs", at.Seconds())
@@ -125,11 +125,11 @@
 }
 
 // play sends calls, takes a worker down now and then, and writes a line a second.
-func play(out io.Writer, site *fleet.Site, listen string, t *tally, ended <-chan struct{}) {
+func play(out io.Writer, site *fake.Site, listen string, t *tally, ended <-chan struct{}) {
 	random := rand.New(rand.NewPCG(1, 2))
 	tick := time.NewTicker(callEvery)
 	defer tick.Stop()
-	var client *fleet.Client
+	var client *fake.Client
 	begun, lines, fault := time.Now(), 1, 0
 	for n := 0; ; n++ {
 		select {
@@ -142,12 +142,12 @@
 		}
 		since := time.Since(begun)
 		if client == nil {
-			client, _ = fleet.Dial(listen) // not yet, perhaps
+			client, _ = fake.Dial(listen) // not yet, perhaps
 			continue
 		}
 		c := classes[[]int{0, 0, 1, 2}[random.IntN(4)]]
-		client.Go(fleet.Call{Class: c.name, ID: fmt.Sprintf("%016x", random.Uint64()), Key: fmt.Sprintf("%016x", uint64(random.IntN(6))*0x1111111111111111),
-			Wait: c.wait, Props: "memory_mb:512;lanes:2;load_ms:600", Body: []byte("lamp 17")}, func(a fleet.Answer, err error) {
+		client.Go(fake.Call{Class: c.name, ID: fmt.Sprintf("%016x", random.Uint64()), Key: fmt.Sprintf("%016x", uint64(random.IntN(6))*0x1111111111111111),
+			Wait: c.wait, Props: "memory_mb:512;lanes:2;load_ms:600", Body: []byte("lamp 17")}, func(a fake.Answer, err error) {
 			if err == nil {
 				t.answer(c.name, a.Verdict)
 			}
--- a/internal/directory/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package directory
-
-import (
-	"testing"
-
-	"crankhold/internal/standin"
-)
-
-func TestMain(m *testing.M) { standin.Main(m) }
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,6 +1,6 @@
-// Package directory follows the list of workers: what the configuration holds of it at the start,
+// Package discovery follows the list of workers: what the configuration holds of it at the start,
 // and then what DNS over UDP tells.
-package directory
+package discovery
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/policy"
 )
 
@@ -35,7 +35,7 @@
 // Worker is one worker as the directory knows it.
 type Worker struct {
 	Name    string
-	Addrs   []path.Addr
+	Addrs   []endpoint.Addr
 	Zone    string
 	Kind    string
 	State   policy.WorkerState
@@ -77,7 +77,7 @@
 
 // Client asks the directory for the list, over and over.
 type Client struct {
-	dial    func(addr string, h loop.Dialled) Line
+	dial    func(addr string, h eventloop.Dialled) Line
 	changed func([]Worker)
 	addr    string
 	sock    *socket
@@ -113,7 +113,7 @@
 // work for a directory that all routers share, so there are no more than it takes: an event has its chances to be
 // heard of before that, though answers get lost or come old. Seed spreads the queries of many routers that start,
 // or are sent to another directory, at one time.
-func New(addr string, seed uint64, grace time.Duration, dial func(addr string, h loop.Dialled) Line, changed func([]Worker)) *Client {
+func New(addr string, seed uint64, grace time.Duration, dial func(addr string, h eventloop.Dialled) Line, changed func([]Worker)) *Client {
 	return &Client{addr: addr, dial: dial, changed: changed, workers: map[string]Worker{},
 		every: max((toldAfter+grace)/chances-wayBack, askAgain), rng: rand.New(rand.NewPCG(seed, 0x6469726563))}
 }
@@ -152,11 +152,11 @@
 			clear(c.workers)
 		}
 		for _, m := range e.Topology.Members {
-			addr, err := path.ParseHost(m.HostPort)
+			addr, err := endpoint.ParseHost(m.HostPort)
 			if err != nil {
 				return fmt.Errorf("known: worker %q: %w", m.ID, err)
 			}
-			w := Worker{Name: m.ID, Addrs: []path.Addr{addr}, Zone: m.Locality, Kind: m.Flavor, Weight: m.Size, Cell: m.Cell, Started: m.UpSince}
+			w := Worker{Name: m.ID, Addrs: []endpoint.Addr{addr}, Zone: m.Locality, Kind: m.Flavor, Weight: m.Size, Cell: m.Cell, Started: m.UpSince}
 			switch m.Phase {
 			case "Ready":
 				w.State = policy.Ready
@@ -316,7 +316,7 @@
 		w := Worker{State: policy.Ready, Weight: float64(s.weight) / 10}
 		for _, ip := range r.addrs[s.target] {
 			// One that nobody can connect to is passed over: others of the same worker may be good.
-			if addr, err := path.ParseHost(netip.AddrPortFrom(ip, s.port).String()); err == nil {
+			if addr, err := endpoint.ParseHost(netip.AddrPortFrom(ip, s.port).String()); err == nil {
 				w.Addrs = append(w.Addrs, addr)
 			}
 		}
@@ -332,7 +332,7 @@
 			case name == "kind":
 				w.Kind = value
 			case name == "unix" && c.UnixInTXT:
-				if addr, err := path.Parse(path.Unix, value); err == nil {
+				if addr, err := endpoint.Parse(endpoint.Unix, value); err == nil {
 					w.Addrs = append(w.Addrs, addr)
 				}
 			case name == "cell" && err == nil:
@@ -347,7 +347,7 @@
 				continue
 			}
 		}
-		w.Addrs = w.Addrs[:min(len(w.Addrs), path.MaxAddrs)]
+		w.Addrs = w.Addrs[:min(len(w.Addrs), endpoint.MaxAddrs)]
 		workers[w.Name] = w
 	}
 	if wrong != nil && r.serial == c.serial { // no better than what is held of it
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"encoding/binary"
@@ -11,9 +11,9 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
-	"crankhold/internal/standin"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
@@ -53,7 +53,7 @@
 type desk struct {
 	*Client
 	t     rapid.TB
-	lines []*standin.Line
+	lines []*testutil.Line
 	addrs []string
 	list  []Worker
 }
@@ -62,8 +62,8 @@
 
 func newSeededDesk(t rapid.TB, seed uint64) *desk {
 	d := &desk{t: t}
-	d.Client = New("old", seed, time.Second, func(addr string, _ loop.Dialled) Line {
-		d.lines, d.addrs = append(d.lines, &standin.Line{}), append(d.addrs, addr)
+	d.Client = New("old", seed, time.Second, func(addr string, _ eventloop.Dialled) Line {
+		d.lines, d.addrs = append(d.lines, &testutil.Line{}), append(d.addrs, addr)
 		return d.lines[len(d.lines)-1]
 	}, func(w []Worker) { d.list = w })
 	var known Known
@@ -92,7 +92,7 @@
 }
 
 // at is one address of IPv4.
-func at(addr string) []path.Addr { return []path.Addr{{Network: path.TCP4, Addr: addr}} }
+func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func TestListIsFollowed(t *testing.T) {
 	d := newDesk(t)
--- a/internal/directory/dns.go
+++ b/internal/discovery/dns.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"encoding/binary"
--- a/internal/directory/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
+	"crankhold/internal/endpoint"
 	"crankhold/internal/golden"
-	"crankhold/internal/path"
 	"crankhold/policy"
 )
 
@@ -65,10 +65,10 @@
 	severalTexts := plain
 	severalTexts.Kind, severalTexts.Cell, severalTexts.Started = "a=b", 7, -5
 	severalAddresses := plain
-	severalAddresses.Addrs = []path.Addr{{Network: path.TCP4, Addr: "10.1.0.0:10080"}, {Network: path.TCP4, Addr: "10.1.0.77:10080"},
-		{Network: path.TCP6, Addr: "[fd00::1]:10080"}}
+	severalAddresses.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.TCP4, Addr: "10.1.0.77:10080"},
+		{Network: endpoint.TCP6, Addr: "[fd00::1]:10080"}}
 	withUnix := plain
-	withUnix.Addrs = []path.Addr{{Network: path.TCP4, Addr: "10.1.0.0:10080"}, {Network: path.Unix, Addr: "/run/w.sock"}}
+	withUnix.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.Unix, Addr: "/run/w.sock"}}
 	draining := Worker{Name: "s-1", Addrs: at("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
 	second := Worker{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	highest := Worker{Name: "s-0", Addrs: at("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
--- a/internal/path/addr.go
+++ b/internal/endpoint/addr.go
@@ -1,4 +1,4 @@
-package path
+package endpoint
 
 import (
 	"fmt"
--- a/internal/path/path_test.go
+++ b/internal/endpoint/path_test.go
@@ -1,4 +1,4 @@
-package path
+package endpoint
 
 import (
 	"fmt"
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const ms = time.Millisecond
 
--- a/internal/loop/crossings_test.go
+++ b/internal/eventloop/crossings_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"io"
--- a/internal/loop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,9 @@
-// Package loop joins nbio's pollers to the one goroutine that owns all state.
+// Package eventloop joins nbio's pollers to the one goroutine that owns all state.
 //
 // nbio's callbacks only copy and queue. The goroutine in Run takes whatever is queued, hands it
 // to the connections' handlers, calls the turn function once, and then writes what came of it,
 // one gathered write for each connection.
-package loop
+package eventloop
 
 import (
 	"errors"
--- a/internal/fleet/port.go
+++ b/internal/fake/port.go
@@ -1,4 +1,4 @@
-package fleet
+package fake
 
 import (
 	"fmt"
--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"crankhold/internal/eventloop"
 	"crankhold/internal/golden"
-	"crankhold/internal/loop"
 )
 
 // datagramLine keeps each write by itself: over UDP it is a message of its own.
@@ -36,7 +36,7 @@
 
 func newCollector() *collector {
 	c := &collector{now: time.Hour}
-	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(loop.Dialled) Line {
+	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.Dialled) Line {
 		c.line = &datagramLine{}
 		return c.line
 	})
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 )
 
 const (
@@ -95,7 +95,7 @@
 // Exporter gathers records and sends them.
 type Exporter struct {
 	domain   uint32
-	dial     func(h loop.Dialled) Line
+	dial     func(h eventloop.Dialled) Line
 	wall     func() time.Time
 	line     Line
 	up       bool
@@ -114,7 +114,7 @@
 }
 
 // New returns an Exporter that opens its socket by dial.
-func New(c *Config, wall func() time.Time, dial func(h loop.Dialled) Line) *Exporter {
+func New(c *Config, wall func() time.Time, dial func(h eventloop.Dialled) Line) *Exporter {
 	return &Exporter{domain: c.Domain, dial: dial, wall: wall}
 }
 
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -10,11 +10,11 @@
 	"github.com/netsampler/goflow2/v2/decoders/netflow"
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/standin"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/testutil"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
@@ -22,8 +22,8 @@
 // sequence numbers that count the records before.
 func TestCollectorReadsWhatWasAdded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &standin.Line{}
-		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(loop.Dialled) Line { return l })
+		l := &testutil.Line{}
+		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.Dialled) Line { return l })
 		now := time.Hour
 		x.Turn(now)
 		x.Opened(nil)
@@ -90,7 +90,7 @@
 
 // What a collector that is away would have been sent is bounded, and what is dropped is counted.
 func TestWaitingRecordsAreBounded(t *testing.T) {
-	x := New(&Config{}, func() time.Time { return noon }, func(loop.Dialled) Line { return &standin.Line{} })
+	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.Dialled) Line { return &testutil.Line{} })
 	for range maxWaiting + 5 {
 		x.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
--- a/internal/lang/syntax/syntax_test.go
+++ b/internal/lang/syntax/syntax_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // drawEntries draws what a file or a block holds, with comments and empty lines everywhere.
 func drawEntries(t *rapid.T, depth int) (list []Entry, tail []Comment) {
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -1,24 +1,24 @@
 package lang
 
 import (
+	"crankhold/internal/endpoint"
 	"crankhold/internal/lang/syntax"
-	"crankhold/internal/path"
 	"crankhold/internal/route"
 )
 
 // workerKind adds to what the directory tells of a worker; what it says goes first.
 var workerKind = &kind{word: "worker", label: true, settings: map[string]setting{
 	"kind": {text, false}, "zone": {text, false}, "cell": {count(0), false}, "memory": {memory, false},
-	"unix": {address(path.Unix), true}, "tcp6": {address(path.TCP6), true}, "tcp4": {address(path.TCP4), true},
+	"unix": {address(endpoint.Unix), true}, "tcp6": {address(endpoint.TCP6), true}, "tcp4": {address(endpoint.TCP4), true},
 	"prefer": {oneOf("unix", "tcp6", "tcp4"), true}, "same-as": {text, false},
 }, blocks: []*kind{labelsKind}, build: buildWorker, check: checkWorkers}
 
 // address takes an address of a network.
-func address(n path.Network) reads {
+func address(n endpoint.Network) reads {
 	return func(v syntax.Value) (value, string) {
 		s, wrong := text(v)
 		if wrong == "" {
-			if _, err := path.Parse(n, s.text); err != nil {
+			if _, err := endpoint.Parse(n, s.text); err != nil {
 				wrong = "takes an address: " + err.Error()
 			}
 		}
@@ -35,16 +35,16 @@
 	if b.has("cell") {
 		w.Cell = b.one("cell").count
 	}
-	for n := path.Unix; n <= path.TCP4; n++ {
+	for n := endpoint.Unix; n <= endpoint.TCP4; n++ {
 		for _, v := range b.set[n.String()] {
-			a, _ := path.Parse(n, v.text) // checked when it was read
-			if w.Addrs = append(w.Addrs, a); len(w.Addrs) == path.MaxAddrs+1 {
-				c.fault(b, v.at, "worker %q has more than %d addresses", w.Name, path.MaxAddrs)
+			a, _ := endpoint.Parse(n, v.text) // checked when it was read
+			if w.Addrs = append(w.Addrs, a); len(w.Addrs) == endpoint.MaxAddrs+1 {
+				c.fault(b, v.at, "worker %q has more than %d addresses", w.Name, endpoint.MaxAddrs)
 			}
 		}
 	}
 	for _, v := range b.set["prefer"] {
-		n, _ := path.ParseNetwork(v.text)
+		n, _ := endpoint.ParseNetwork(v.text)
 		w.Prefer = append(w.Prefer, n)
 	}
 	w.Same = b.one("same-as").text
@@ -72,7 +72,7 @@
 		name string
 		at   syntax.Pos
 	}
-	claimed := map[path.Addr]claim{}
+	claimed := map[endpoint.Addr]claim{}
 	for _, w := range c.res.Spec.Workers {
 		b := c.names["worker"][w.Name]
 		if place(b.at) != w.At {
@@ -81,9 +81,9 @@
 		if w.Same == w.Name && w.Same != "" {
 			c.fault(b, b.one("same-as").at, "worker %q is the same as itself", w.Name)
 		}
-		for n := path.Unix; n <= path.TCP4; n++ {
+		for n := endpoint.Unix; n <= endpoint.TCP4; n++ {
 			for _, v := range b.set[n.String()] {
-				a, _ := path.Parse(n, v.text)
+				a, _ := endpoint.Parse(n, v.text)
 				if first, ok := claimed[a]; ok && first.name != w.Name && w.Same != first.name && c.names["worker"][first.name].one("same-as").text != w.Name {
 					c.fault(b, v.at, "%v is an address of worker %q too, at %v: say same-as where they are one", a, first.name, first.at)
 				}
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -1,7 +1,7 @@
-// Package logs sets the form of the program's log lines: log/slog's text handler, key=value, the time to the
+// Package logging sets the form of the program's log lines: log/slog's text handler, key=value, the time to the
 // microsecond and the message under the key event. It imports the standard library alone; whatever starts a
 // service calls it.
-package logs
+package logging
 
 import (
 	"fmt"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,9 +1,9 @@
-// Package explore is a small explicit-state checker: it runs real code over every interleaving of what may happen
+// Package modelcheck is a small explicit-state checker: it runs real code over every interleaving of what may happen
 // to it in a small scope, and stops at the first state that breaks a property, with the shortest way to it.
 //
 // Real code can't be copied half way, so a state is reached by running its steps again from the start; states that
 // are alike by their key are followed up once. It imports the standard library alone; tests and the lab call it.
-package explore
+package modelcheck
 
 import (
 	"crypto/sha256"
--- a/internal/explore/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"errors"
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,11 +9,11 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 var (
 	classes   = []string{"dim-level", "fault-check", "repair-order"}
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
 	"crankhold/policy"
 )
 
@@ -41,8 +41,8 @@
 	MemoryMB float64
 	Labels   map[string]string
 	// Addrs are further addresses of it, Prefer orders their networks, and Same names a worker that it is an alias of.
-	Addrs  []path.Addr
-	Prefer []path.Network
+	Addrs  []endpoint.Addr
+	Prefer []endpoint.Network
 	Same   string
 	At     string
 }
--- a/internal/service/counters.go
+++ b/internal/server/counters.go
@@ -1,16 +1,16 @@
-package service
+package server
 
 import (
 	"log/slog"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/resp"
+	"crankhold/internal/discovery"
 	"crankhold/internal/router"
+	"crankhold/internal/workerclient"
 	"crankhold/policy"
 )
 
 // printCounters logs what was taken, sent and answered.
-func printCounters(core *router.Core, pool *resp.Pool, d *directory.Client, h *hooks) {
+func printCounters(core *router.Core, pool *workerclient.Pool, d *discovery.Client, h *hooks) {
 	n := &core.Count
 	for f, name := range []string{"thrift", "webhook"} {
 		slog.Info("counters", "front", name, "taken", n.Taken[f], "served", n.Served[f], "refused", n.Refused[f], "failed", n.Failed[f],
--- a/internal/service/cuts_test.go
+++ b/internal/server/cuts_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"sync"
 	"testing"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // cutter is a worker that does to the first whole RUN of each call what it is told, and serves what comes later.
@@ -133,7 +133,7 @@
 	client := serveHere(t, config, listen)()
 	defer client.Close()
 	n := 0
-	do := func(class string) (fleet.Answer, int) {
+	do := func(class string) (fake.Answer, int) {
 		t.Helper()
 		n++
 		call := callOf(n)
--- a/internal/service/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"crankhold/internal/fleet"
-	"crankhold/internal/platform"
+	"crankhold/internal/config"
+	"crankhold/internal/fake"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -70,8 +70,8 @@
 
 // plant is a router in this process between two workers that do as they are told.
 type plant struct {
-	cfg     *platform.Config
-	client  *fleet.Client
+	cfg     *config.Config
+	client  *fake.Client
 	mu      sync.Mutex
 	runs    []ran
 	out     map[string]int // attempts of a call that are out
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { names.Close() })
-	listen, err := fleet.FreeAddr()
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if p.cfg, err = platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] }); err != nil {
+	if p.cfg, err = config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] }); err != nil {
 		t.Fatal(err)
 	}
 	stop, ended := make(chan struct{}), make(chan error, 1)
@@ -127,7 +127,7 @@
 		case err := <-ended:
 			t.Fatal(err)
 		default:
-			p.client, _ = fleet.Dial(listen)
+			p.client, _ = fake.Dial(listen)
 		}
 	}
 	t.Cleanup(func() {
@@ -188,7 +188,7 @@
 }
 
 // call sends one and returns its answer with the runs that it took.
-func (p *plant) call(t *testing.T, k fleet.Call, script func(n int) (word, fields string)) (fleet.Answer, []ran) {
+func (p *plant) call(t *testing.T, k fake.Call, script func(n int) (word, fields string)) (fake.Answer, []ran) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
@@ -230,9 +230,9 @@
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			fresh := func(class int) fleet.Call {
+			fresh := func(class int) fake.Call {
 				n++
-				k := fleet.Call{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), Key: fmt.Sprintf("%016x", 0x7f3a+n), Wait: 2 * time.Second,
+				k := fake.Call{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), Key: fmt.Sprintf("%016x", 0x7f3a+n), Wait: 2 * time.Second,
 					Props: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, More: []string{"later", "ignored"}}
 				if p.cfg.Module.Classes[class].Repeat == policy.Keyed {
 					k.Once = once
@@ -298,23 +298,23 @@
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			call := func(change func(*fleet.Call), fields string) (fleet.Answer, int) {
+			call := func(change func(*fake.Call), fields string) (fake.Answer, int) {
 				n++
-				k := fleet.Call{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), Key: "00000000000000aa", Wait: 2 * time.Second, Tenant: d.tenant, Once: "ab"}
+				k := fake.Call{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), Key: "00000000000000aa", Wait: 2 * time.Second, Tenant: d.tenant, Once: "ab"}
 				change(&k)
 				a, runs := p.call(t, k, func(int) (string, string) { return "HIT", fields })
 				return a, len(runs)
 			}
-			keep := func(*fleet.Call) {}
-			bad := map[string]func(*fleet.Call){
-				"a key that is too long": func(k *fleet.Call) { k.Once = strings.Repeat("a", router.MaxOnce+1) },
-				"a key that is not hex":  func(k *fleet.Call) { k.Once = "ab,queue=other" },
-				"a class that is not":    func(k *fleet.Call) { k.Class = "other" },
-				"a wait that is not":     func(k *fleet.Call) { k.More = []string{"wait", "soon"} },
+			keep := func(*fake.Call) {}
+			bad := map[string]func(*fake.Call){
+				"a key that is too long": func(k *fake.Call) { k.Once = strings.Repeat("a", router.MaxOnce+1) },
+				"a key that is not hex":  func(k *fake.Call) { k.Once = "ab,queue=other" },
+				"a class that is not":    func(k *fake.Call) { k.Class = "other" },
+				"a wait that is not":     func(k *fake.Call) { k.More = []string{"wait", "soon"} },
 			}
 			if d.tenant != "" {
-				bad["a tenant that is not"] = func(k *fleet.Call) { k.Tenant = "nobody" }
-				bad["a keyed call without its key"] = func(k *fleet.Call) { k.Once = "" }
+				bad["a tenant that is not"] = func(k *fake.Call) { k.Tenant = "nobody" }
+				bad["a keyed call without its key"] = func(k *fake.Call) { k.Once = "" }
 			}
 			for name, change := range bad {
 				if a, runs := call(change, "detail=hot"); a.Verdict != "failed" || runs != 0 {
--- a/internal/service/gone_test.go
+++ b/internal/server/gone_test.go
@@ -1,11 +1,11 @@
-package service
+package server
 
 import (
 	"slices"
 	"sync"
 	"testing"
 
-	"crankhold/internal/fleet"
+	"crankhold/internal/fake"
 )
 
 // Guards a client that goes, by closing or by an interrupt, while its call waits behind a dial that hangs: when the dial
@@ -15,15 +15,15 @@
 	for _, tt := range []struct {
 		name   string
 		cancel bool
-		goes   func(k *fleet.Client)
+		goes   func(k *fake.Client)
 	}{
-		{"closes", true, (*fleet.Client).Close}, {"closes, nothing may be called off", false, (*fleet.Client).Close},
-		{"interrupts, nothing may be called off", false, func(k *fleet.Client) { k.Interrupt(1) }},
+		{"closes", true, (*fake.Client).Close}, {"closes, nothing may be called off", false, (*fake.Client).Close},
+		{"interrupts, nothing may be called off", false, func(k *fake.Client) { k.Interrupt(1) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var mu sync.Mutex
 			var ran []string
-			site, listen, config := siteFor(t, 1, func(e fleet.Event) {
+			site, listen, config := siteFor(t, 1, func(e fake.Event) {
 				if e.What == "run" {
 					mu.Lock()
 					ran = append(ran, e.ID)
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			client := serveHere(t, config, listen)
-			check := func(k *fleet.Client) { // answered at the end of a turn, after all that came before it
+			check := func(k *fake.Client) { // answered at the end of a turn, after all that came before it
 				t.Helper()
 				if _, err := k.Check(); err != nil {
 					t.Fatal(err)
@@ -48,14 +48,14 @@
 			defer stays.Close()
 			gone, kept := callOf(1), callOf(2)
 			gone.Wait, kept.Wait = 20e9, 20e9
-			goes.Go(gone, func(fleet.Answer, error) {})
+			goes.Go(gone, func(fake.Answer, error) {})
 			check(goes) // the dial has begun
 			tt.goes(goes)
 			for range 3 {
 				check(stays) // the end, which came before, has been read
 			}
-			answer := make(chan fleet.Answer, 1)
-			stays.Go(kept, func(a fleet.Answer, _ error) { answer <- a })
+			answer := make(chan fake.Answer, 1)
+			stays.Go(kept, func(a fake.Answer, _ error) { answer <- a })
 			check(stays)
 			if err := port.Set("well"); err != nil {
 				t.Fatal(err)
--- a/internal/service/hooks.go
+++ b/internal/server/hooks.go
@@ -1,13 +1,13 @@
-package service
+package server
 
 import (
 	"log/slog"
 	"net/netip"
 	"time"
 
+	"crankhold/internal/config"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/ipfix"
-	"crankhold/internal/loop"
-	"crankhold/internal/platform"
 	"crankhold/internal/router"
 	"crankhold/internal/webhook"
 	"crankhold/policy"
@@ -23,7 +23,7 @@
 }
 
 // newHooks reads the files and joins what they turn on to the loop and the core.
-func newHooks(opts Options, c *platform.Config, lp *loop.Loop, core *router.Core) (*hooks, error) {
+func newHooks(opts Options, c *config.Config, lp *eventloop.Loop, core *router.Core) (*hooks, error) {
 	h := &hooks{}
 	h.servers[router.Thrift], _ = netip.ParseAddrPort(c.Listen) // checked when it was read
 	if path := opts.Webhook; path != "" {
@@ -37,7 +37,7 @@
 			return nil, err
 		}
 		if cfg.Enabled {
-			h.exporter = ipfix.New(cfg, time.Now, func(d loop.Dialled) ipfix.Line {
+			h.exporter = ipfix.New(cfg, time.Now, func(d eventloop.Dialled) ipfix.Line {
 				return lp.Dial("udp", cfg.Collector, time.Second, d)
 			})
 			slog.Info("export_on", "collector", cfg.Collector)
@@ -57,7 +57,7 @@
 }
 
 // addWebhooks turns on what the webhook file says.
-func (h *hooks) addWebhooks(path string, c *platform.Config, lp *loop.Loop, core *router.Core) error {
+func (h *hooks) addWebhooks(path string, c *config.Config, lp *eventloop.Loop, core *router.Core) error {
 	cfg, err := webhook.ReadConfig(path)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 		slog.Info("webhooks_on", "listen", cfg.Receiver.Listen, "path", cfg.Receiver.Path, "ledger", cfg.Receiver.Ledger.Path)
 	}
 	if cfg.Sender.Enabled {
-		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d loop.Dialled) webhook.Line {
+		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d eventloop.Dialled) webhook.Line {
 			return lp.Dial("tcp", addr, timeout, d)
 		})
 		if err != nil {
--- a/internal/service/process_test.go
+++ b/internal/server/process_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/fleet"
-	"crankhold/internal/platform"
+	"crankhold/internal/config"
+	"crankhold/internal/fake"
 )
 
 // built is the program, built once for the tests that need a process of its own.
@@ -112,11 +112,11 @@
 }
 
 // client connects once the program listens.
-func (p *program) client() (k *fleet.Client) {
+func (p *program) client() (k *fake.Client) {
 	p.t.Helper()
 	p.until(func() bool {
 		var err error
-		k, err = fleet.Dial(p.listen)
+		k, err = fake.Dial(p.listen)
 		return err == nil
 	}, "it listens")
 	p.t.Cleanup(k.Close)
@@ -130,18 +130,18 @@
 }
 
 // siteFor is a directory with warm workers, and a configuration for a router before them.
-func siteFor(t *testing.T, workers int, record func(fleet.Event)) (site *fleet.Site, listen string, config map[string]any) {
+func siteFor(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, config map[string]any) {
 	t.Helper()
-	var list []fleet.WorkerConfig
+	var list []fake.WorkerConfig
 	for i := range workers {
-		list = append(list, fleet.WorkerConfig{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 8, Queue: 64})
+		list = append(list, fake.WorkerConfig{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 8, Queue: 64})
 	}
-	site, err := fleet.NewSite("127.0.0.1:0", list, record)
+	site, err := fake.NewSite("127.0.0.1:0", list, record)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Close)
-	if listen, err = fleet.FreeAddr(); err != nil {
+	if listen, err = fake.FreeAddr(); err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(site.Config(listen), &config); err != nil {
@@ -150,9 +150,9 @@
 	return site, listen, config
 }
 
-func writeConfig(t *testing.T, path string, config map[string]any) {
+func writeConfig(t *testing.T, path string, document map[string]any) {
 	t.Helper()
-	text, err := json.Marshal(config)
+	text, err := json.Marshal(document)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,11 +162,11 @@
 }
 
 // serveHere runs a service in this process until the test ends, and returns what connects to it.
-func serveHere(t *testing.T, config map[string]any, listen string) (client func() *fleet.Client) {
+func serveHere(t *testing.T, document map[string]any, listen string) (client func() *fake.Client) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, config)
-	cfg, err := platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
+	writeConfig(t, path, document)
+	cfg, err := config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,16 +178,16 @@
 			t.Error(err)
 		}
 	})
-	return func() (k *fleet.Client) {
+	return func() (k *fake.Client) {
 		for k == nil {
-			k, _ = fleet.Dial(listen)
+			k, _ = fake.Dial(listen)
 		}
 		return k
 	}
 }
 
-func callOf(n int) fleet.Call {
-	return fleet.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", n), Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:8"}
+func callOf(n int) fake.Call {
+	return fake.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", n), Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:8"}
 }
 
 // Guards a start against the signals that meet it: the program is held while it reads its configuration, from a pipe
--- a/internal/service/routes.go
+++ b/internal/server/routes.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 	"path/filepath"
 	"strings"
 
+	"crankhold/internal/config"
 	"crankhold/internal/lang"
 	"crankhold/internal/lang/syntax"
-	"crankhold/internal/platform"
 	"crankhold/internal/route"
 	"crankhold/internal/router"
 )
@@ -31,7 +31,7 @@
 }
 
 // readRoutes makes a table out of the routes file, or none where there is no file.
-func readRoutes(opts Options, c *platform.Config) (*route.Table, error) {
+func readRoutes(opts Options, c *config.Config) (*route.Table, error) {
 	if opts.Routes == "" {
 		return nil, nil
 	}
@@ -53,7 +53,7 @@
 
 // swapRoutes puts a table in place of the one in force and logs what it changes. Calls that are open end under
 // the old one; a file with faults leaves it in force.
-func swapRoutes(core *router.Core, c *platform.Config, t *route.Table, wrong error) {
+func swapRoutes(core *router.Core, c *config.Config, t *route.Table, wrong error) {
 	old := core.Routes()
 	if wrong != nil {
 		for _, line := range faultLines(wrong) {
--- a/internal/service/routes_test.go
+++ b/internal/server/routes_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/fleet"
-	"crankhold/internal/platform"
+	"crankhold/internal/config"
+	"crankhold/internal/fake"
 )
 
 // From socket to socket: calls go to the pools that a routes file names, also after a SIGHUP with another one;
@@ -19,8 +19,8 @@
 func TestServesByRoutesAndReloadsThem(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]string{}
-	site, err := fleet.NewSite("127.0.0.1:0", []fleet.WorkerConfig{{Name: "s-1", Addr: "127.0.0.1:0", Kind: "large", Zone: "here", Warm: true},
-		{Name: "s-2", Addr: "127.0.0.1:0", Kind: "small", Zone: "here", Warm: true}}, func(e fleet.Event) {
+	site, err := fake.NewSite("127.0.0.1:0", []fake.WorkerConfig{{Name: "s-1", Addr: "127.0.0.1:0", Kind: "large", Zone: "here", Warm: true},
+		{Name: "s-2", Addr: "127.0.0.1:0", Kind: "small", Zone: "here", Warm: true}}, func(e fake.Event) {
 		if e.What == "run" {
 			mu.Lock()
 			ran[e.ID] = e.Worker.Name
@@ -31,13 +31,13 @@
 		t.Fatal(err)
 	}
 	defer site.Close()
-	listen, err := fleet.FreeAddr()
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	config, routes := filepath.Join(dir, "config.json"), filepath.Join(dir, "routes.crank")
-	if err := site.WriteConfig(config, listen); err != nil {
+	configPath, routes := filepath.Join(dir, "config.json"), filepath.Join(dir, "routes.crank")
+	if err := site.WriteConfig(configPath, listen); err != nil {
 		t.Fatal(err)
 	}
 	text := func(dims, rest string) string {
@@ -51,8 +51,8 @@
 	}
 	write(text("large", "small"))
 	reread := make(chan bool, 1)
-	read := func() (*platform.Config, error) {
-		return platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": config}[name] })
+	read := func() (*config.Config, error) {
+		return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": configPath}[name] })
 	}
 	c, err := read()
 	if err != nil {
@@ -60,18 +60,18 @@
 	}
 	stop, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
-		ended <- Serve(c, Options{Routes: routes, Stop: stop}, func() (*platform.Config, error) {
+		ended <- Serve(c, Options{Routes: routes, Stop: stop}, func() (*config.Config, error) {
 			defer func() { reread <- true }()
 			return read()
 		})
 	}()
-	var client *fleet.Client
+	var client *fake.Client
 	for client == nil {
 		select {
 		case err := <-ended:
 			t.Fatal(err)
 		default:
-			client, _ = fleet.Dial(listen)
+			client, _ = fake.Dial(listen)
 		}
 	}
 	defer client.Close()
@@ -79,7 +79,7 @@
 	call := func(class string) (verdict, worker string) {
 		n++
 		id := fmt.Sprintf("%016x", n)
-		a, err := client.Do(fleet.Call{Class: class, ID: id, Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:4"})
+		a, err := client.Do(fake.Call{Class: class, ID: id, Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:4"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/service/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/platform"
+	"crankhold/internal/config"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -110,8 +110,8 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	read := func() (*platform.Config, error) {
-		return platform.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
+	read := func() (*config.Config, error) {
+		return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 	}
 	cfg, err := read()
 	if err != nil {
@@ -120,7 +120,7 @@
 	ended := make(chan error, 1)
 	reread := make(chan error, 1)
 	go func() {
-		ended <- Serve(cfg, Options{}, func() (*platform.Config, error) {
+		ended <- Serve(cfg, Options{}, func() (*config.Config, error) {
 			fresh, err := read()
 			reread <- err
 			return fresh, err
--- a/internal/service/service.go
+++ b/internal/server/service.go
@@ -1,7 +1,7 @@
-// Package service puts the function router together and runs it: the core between its fronts, the workers'
+// Package server puts the function router together and runs it: the core between its fronts, the workers'
 // connections, the directory, and what reacts to signals. It imports the parts and decides nothing; the command
 // line calls it.
-package service
+package server
 
 import (
 	"log/slog"
@@ -11,14 +11,14 @@
 	"syscall"
 	"time"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/loop"
-	"crankhold/internal/platform"
-	"crankhold/internal/resp"
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/route"
 	"crankhold/internal/router"
 	"crankhold/internal/signals"
 	"crankhold/internal/thrift"
+	"crankhold/internal/workerclient"
 	"crankhold/policy"
 )
 
@@ -56,7 +56,7 @@
 
 // Serve runs the function router until a signal ends it. On SIGHUP it takes over what reread returns, and reads
 // the routes again.
-func Serve(c *platform.Config, opts Options, reread func() (*platform.Config, error)) error {
+func Serve(c *config.Config, opts Options, reread func() (*config.Config, error)) error {
 	if opts.Signals == nil {
 		opts.Signals = signals.Catch()
 		defer opts.Signals.Drop()
@@ -73,21 +73,21 @@
 		wanted = max(wanted, k.Aim)
 		calls.Classes = append(calls.Classes, thrift.Class{Name: c.Network.Classes[i].Name, Keyed: k.Repeat == policy.Keyed})
 	}
-	lp := loop.New(loop.Config{MaxAccepted: c.ClientConns(), MaxFiles: c.Limits.Sockets,
+	lp := eventloop.New(eventloop.Config{MaxAccepted: c.ClientConns(), MaxFiles: c.Limits.Sockets,
 		MaxQueued: c.Share(8 << 20), MaxUnread: c.Share(32 << 20)})
 	core := router.New(module, router.Limits{MaxOpen: c.MaxOpen(), MaxBytes: c.Share(24 << 20), RetryAfter: c.TurnedAway(),
 		MaxAttempts: c.Module.MaxAttempts, OrderTimeout: c.Module.OrderTimeout, ProbeTimeout: probeTimeout,
 		Tenants: c.TenantNames()})
-	pool := resp.New(resp.Config{Classes: c.ClassNames(), ReportFields: c.Module.ReportFields,
-		DialTimeout: platform.Millis(c.Network.Limits.DialTimeoutMs), KeepAlive: platform.Millis(c.Network.Limits.KeepaliveMs),
+	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Module.ReportFields,
+		DialTimeout: config.Millis(c.Network.Limits.DialTimeoutMs), KeepAlive: config.Millis(c.Network.Limits.KeepaliveMs),
 		Wanted: wanted, PerConn: c.Network.Limits.StreamsPerConn, MaxConns: c.WorkerConns(), MayStop: c.Module.MayCancel,
-		Seed: c.Random, Dial: func(network, addr string, timeout time.Duration, h loop.Dialled) resp.Line {
+		Seed: c.Random, Dial: func(network, addr string, timeout time.Duration, h eventloop.Dialled) workerclient.Line {
 			return lp.Dial(network, addr, timeout, h)
 		}}, core)
 	core.Use(pool)
 	staff := newStaff(lp, core, pool, c)
-	names := directory.New(c.Names, c.Random, c.Module.DrainGrace,
-		func(addr string, h loop.Dialled) directory.Line { return lp.Dial("udp", addr, time.Second, h) },
+	names := discovery.New(c.Names, c.Random, c.Module.DrainGrace,
+		func(addr string, h eventloop.Dialled) discovery.Line { return lp.Dial("udp", addr, time.Second, h) },
 		staff.follow)
 	addresses, err := readAddresses(opts.Addresses)
 	if err != nil {
@@ -128,7 +128,7 @@
 			select {
 			case <-opts.Signals.Reload: // the file is read and checked here, so that calls go on meanwhile
 				fresh, err := reread()
-				for n := 0; n < rereadTries && loop.NoDescriptor(err) && lp.MakeRoom(); n++ {
+				for n := 0; n < rereadTries && eventloop.NoDescriptor(err) && lp.MakeRoom(); n++ {
 					fresh, err = reread()
 				}
 				var routes *route.Table
@@ -167,7 +167,7 @@
 		pool.SetNow(now)
 	}, func(now time.Duration) time.Duration {
 		next := min(core.Turn(now), names.Turn(now), hooks.turn(now))
-		if now-looked >= resp.SweepEvery {
+		if now-looked >= workerclient.SweepEvery {
 			looked = now
 			pool.Sweep(now)
 		}
@@ -194,7 +194,7 @@
 
 // reload takes over what can change while the program runs: the directory's address and the routes. A file that
 // can't be used changes nothing; of two files one may be used and the other not.
-func reload(s *staff, names *directory.Client, fresh *platform.Config, err error, routes *route.Table, wrong error) {
+func reload(s *staff, names *discovery.Client, fresh *config.Config, err error, routes *route.Table, wrong error) {
 	if err != nil {
 		slog.Warn("reload_failed", "err", err)
 		return
--- a/internal/service/settings_test.go
+++ b/internal/server/settings_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"crankhold/internal/platform"
-	"crankhold/internal/wire"
+	"crankhold/internal/config"
+	"crankhold/internal/simulator"
 	"crankhold/policy"
 )
 
@@ -93,7 +93,7 @@
 		want           policy.Config
 	}{{"derwent", string(derwent), derwentModule}, {"flags", flagSettings, flagModule}} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := wire.ParseSettings([]byte(c.settings))
+			got, err := simulator.ParseSettings([]byte(c.settings))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -102,7 +102,7 @@
 			}
 		})
 	}
-	var network platform.Network
+	var network config.Network
 	if err := json.Unmarshal(derwent, &network); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/staff.go
+++ b/internal/server/staff.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 
 	"github.com/BurntSushi/toml"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
-	"crankhold/internal/platform"
-	"crankhold/internal/resp"
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/route"
 	"crankhold/internal/router"
+	"crankhold/internal/workerclient"
 	"crankhold/policy"
 )
 
@@ -47,16 +47,16 @@
 // staff brings the directory's list and what the routes file says of workers together, and hands it to those who
 // need it.
 type staff struct {
-	lp   *loop.Loop
+	lp   *eventloop.Loop
 	core *router.Core
-	pool *resp.Pool
-	c    *platform.Config
-	list []directory.Worker
+	pool *workerclient.Pool
+	c    *config.Config
+	list []discovery.Worker
 	left map[string]bool          // names that were listed and then were not: their processes have ended
 	back map[string]time.Duration // when a name of those was listed again
 }
 
-func newStaff(lp *loop.Loop, core *router.Core, pool *resp.Pool, c *platform.Config) *staff {
+func newStaff(lp *eventloop.Loop, core *router.Core, pool *workerclient.Pool, c *config.Config) *staff {
 	return &staff{lp: lp, core: core, pool: pool, c: c, left: map[string]bool{}, back: map[string]time.Duration{}}
 }
 
@@ -64,7 +64,7 @@
 const mostLeft = 4096
 
 // follow takes in a list of the directory's. One without any worker says nothing of the processes that it leaves out.
-func (s *staff) follow(list []directory.Worker) {
+func (s *staff) follow(list []discovery.Worker) {
 	if len(list) > 0 {
 		s.returned(list)
 	}
@@ -74,7 +74,7 @@
 
 // returned notes which names were left out of a list and are back. Such a name is another process's, and as cold as
 // any that starts, though the directory tells no start of it.
-func (s *staff) returned(list []directory.Worker) {
+func (s *staff) returned(list []discovery.Worker) {
 	if len(s.left) > mostLeft { // they left for good, as a rule: new processes have new names
 		clear(s.left)
 	}
@@ -94,7 +94,7 @@
 }
 
 // started is when a worker's process started, or 0 where it has been listed since the start and the list tells none.
-func (s *staff) started(w directory.Worker) time.Duration {
+func (s *staff) started(w discovery.Worker) time.Duration {
 	if w.Started == 0 {
 		return s.back[w.Name]
 	}
@@ -106,23 +106,23 @@
 // ended and what is left is another worker.
 func (s *staff) again() {
 	table := s.core.Routes()
-	members, static := make([]path.Member, len(s.list)), make([]route.Worker, len(s.list))
+	members, static := make([]endpoint.Member, len(s.list)), make([]route.Worker, len(s.list))
 	for i, w := range s.list {
 		if table != nil {
 			static[i], _ = table.Static(w.Name)
 		}
-		members[i] = path.Member{Name: w.Name, Addrs: slices.Concat(w.Addrs, static[i].Addrs), Same: static[i].Same}
+		members[i] = endpoint.Member{Name: w.Name, Addrs: slices.Concat(w.Addrs, static[i].Addrs), Same: static[i].Same}
 	}
 	l := policy.WorkerList{Kind: policy.ListWhole}
 	present := map[policy.WorkerID]bool{}
 	var labels []route.Worker
-	for _, group := range path.Groups(members) {
-		key := path.Key(members, group)
+	for _, group := range endpoint.Groups(members) {
+		key := endpoint.Key(members, group)
 		first := s.list[group[0]]
 		e := policy.WorkerEntry{Worker: workerID(key), State: first.State, Weight: first.Weight, Cell: first.Cell,
 			Zone: max(slices.Index(s.c.Network.FailureDomains, first.Zone), 0)}
-		var addrs []path.Addr
-		var prefer []path.Network
+		var addrs []endpoint.Addr
+		var prefer []endpoint.Network
 		for _, i := range group {
 			w := s.list[i]
 			if w.State != policy.Ready {
--- a/internal/service/staff_test.go
+++ b/internal/server/staff_test.go
@@ -1,18 +1,18 @@
-package service
+package server
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"crankhold/internal/directory"
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
-	"crankhold/internal/platform"
-	"crankhold/internal/resp"
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/route"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
+	"crankhold/internal/workerclient"
 	"crankhold/policy"
 )
 
@@ -20,8 +20,8 @@
 type post struct {
 	*staff
 	dialled []string
-	lines   []*standin.Line
-	opened  []loop.Dialled
+	lines   []*testutil.Line
+	opened  []eventloop.Dialled
 }
 
 func newPost(t *testing.T) *post {
@@ -32,21 +32,21 @@
 	}
 	p := &post{}
 	core := router.New(module, router.Limits{MaxOpen: 10, MaxBytes: 1 << 16})
-	pool := resp.New(resp.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, PerConn: 32, MaxConns: 100,
-		Dial: func(network, addr string, _ time.Duration, h loop.Dialled) resp.Line {
-			l := &standin.Line{}
+	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, PerConn: 32, MaxConns: 100,
+		Dial: func(network, addr string, _ time.Duration, h eventloop.Dialled) workerclient.Line {
+			l := &testutil.Line{}
 			p.dialled, p.lines, p.opened = append(p.dialled, network+" "+addr), append(p.lines, l), append(p.opened, h)
 			return l
 		}}, core)
 	core.Use(pool)
-	p.staff = newStaff(loop.New(loop.Config{}), core, pool, &platform.Config{})
+	p.staff = newStaff(eventloop.New(eventloop.Config{}), core, pool, &config.Config{})
 	return p
 }
 
-func entry(t *testing.T, name string, state policy.WorkerState, addrs ...string) directory.Worker {
-	w := directory.Worker{Name: name, State: state, Weight: 1}
+func entry(t *testing.T, name string, state policy.WorkerState, addrs ...string) discovery.Worker {
+	w := discovery.Worker{Name: name, State: state, Weight: 1}
 	for _, s := range addrs {
-		a, err := path.ParseHost(s)
+		a, err := endpoint.ParseHost(s)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 // is that worker, and what is left is another one that inherits nothing.
 func TestAliasesAreOneWorker(t *testing.T) {
 	p := newPost(t)
-	p.follow([]directory.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
+	p.follow([]discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
 	one := workerID("s-1+s-2")
 	if got := p.call(one, 0); got != "tcp6 [::1]:1" {
 		t.Fatalf("the worker of both is dialled over %q", got)
@@ -77,12 +77,12 @@
 	if got := p.call(workerID("s-1"), 1) + p.call(workerID("s-2"), 2); got != "" {
 		t.Errorf("the entries are workers of their own: %s", got)
 	}
-	p.follow([]directory.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), entry(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
+	p.follow([]discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), entry(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
 	p.opened[0].Opened(nil)
 	if got := p.call(one, 3); got != "" || p.lines[0].Wrote.Len() > 0 {
 		t.Errorf("a drain told under one name: dialled %q, wrote %q", got, p.lines[0].Wrote.String())
 	}
-	p.follow([]directory.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
+	p.follow([]discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
 	if got := p.call(one, 4); got != "" {
 		t.Errorf("the worker of both goes on without one: dialled %q", got)
 	}
@@ -94,17 +94,17 @@
 // An address that moves from an id that is gone to a new one inherits nothing; two ids that swap theirs stay two.
 func TestMovedAndSwappedAddresses(t *testing.T) {
 	p := newPost(t)
-	p.follow([]directory.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1")})
+	p.follow([]discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1")})
 	p.call(workerID("s-1"), 0)
-	p.follow([]directory.Worker{entry(t, "s-9", policy.Ready, "127.0.0.1:1")})
+	p.follow([]discovery.Worker{entry(t, "s-9", policy.Ready, "127.0.0.1:1")})
 	if !p.lines[0].HasClosed {
 		t.Error("the dial to the worker that is gone goes on")
 	}
 	if got := p.call(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
 		t.Errorf("the new worker is dialled over %q", got)
 	}
-	p.follow([]directory.Worker{entry(t, "a", policy.Ready, "127.0.0.1:1"), entry(t, "b", policy.Ready, "127.0.0.1:2")})
-	p.follow([]directory.Worker{entry(t, "a", policy.Ready, "127.0.0.1:2"), entry(t, "b", policy.Ready, "127.0.0.1:1")})
+	p.follow([]discovery.Worker{entry(t, "a", policy.Ready, "127.0.0.1:1"), entry(t, "b", policy.Ready, "127.0.0.1:2")})
+	p.follow([]discovery.Worker{entry(t, "a", policy.Ready, "127.0.0.1:2"), entry(t, "b", policy.Ready, "127.0.0.1:1")})
 	if got := p.call(workerID("a"), 2) + ", " + p.call(workerID("b"), 3); got != "tcp4 127.0.0.1:2, tcp4 127.0.0.1:1" {
 		t.Errorf("after a swap: %s", got)
 	}
@@ -113,13 +113,13 @@
 // What the routes file says of a worker counts: addresses, their order, and whose alias it is; pools pick a worker by
 // any of its names.
 func TestRoutesFileNamesAddresses(t *testing.T) {
-	sock, err := path.Parse(path.Unix, "/run/w.sock")
+	sock, err := endpoint.Parse(endpoint.Unix, "/run/w.sock")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newPost(t)
-	p.list = []directory.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:2"), entry(t, "s-3", policy.Ready, "127.0.0.1:3")}
-	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []path.Addr{sock}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []path.Network{path.TCP4}}},
+	p.list = []discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:2"), entry(t, "s-3", policy.Ready, "127.0.0.1:3")}
+	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []endpoint.Addr{sock}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []endpoint.Network{endpoint.TCP4}}},
 		Pools:  []route.PoolSpec{{Name: "a", Workers: []route.Selector{{IDs: []string{"s-3"}}}, Cap: route.Unset, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset}},
 		Routes: []route.RouteSpec{{Name: "r", Pool: "a"}}}, []string{"dim-level"})
 	if err != nil {
@@ -143,12 +143,12 @@
 func TestAWorkerThatReturnsIsCold(t *testing.T) {
 	p := newPost(t)
 	one, two := entry(t, "s-1", policy.Ready, "127.0.0.1:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:2")
-	lists := func(of ...[]directory.Worker) {
+	lists := func(of ...[]discovery.Worker) {
 		for _, list := range of {
 			p.follow(list)
 		}
 	}
-	both, alone := []directory.Worker{one, two}, []directory.Worker{two}
+	both, alone := []discovery.Worker{one, two}, []discovery.Worker{two}
 	lists(both, both)
 	if p.started(one) != 0 {
 		t.Error("a worker that was there all along counts as started")
--- a/internal/virtual/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
--- a/internal/virtual/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,7 +1,7 @@
-// Package virtual is a fleet in memory and in virtual time: many cores of the router, with the decision module in each,
+// Package simulation is a fleet in memory and in virtual time: many cores of the router, with the decision module in each,
 // before shared stand-in workers. Nothing in it waits or reads a clock, so that the sum of what hundreds of routers do is
 // looked at in a test, and equal seeds give equal runs. No program uses it.
-package virtual
+package simulation
 
 import (
 	"container/heap"
--- a/internal/wire/wire.go
+++ b/internal/simulator/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's frames and the types of package policy.
+// Package simulator translates between the simulator's frames and the types of package policy.
 // It only translates: every decision is taken by package policy.
-package wire
+package simulator
 
 import (
 	"encoding/binary"
--- a/internal/wire/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
--- a/internal/standin/standin.go
+++ b/internal/testutil/standin.go
@@ -1,5 +1,5 @@
-// Package standin holds what the tests of several packages share; no program uses it.
-package standin
+// Package testutil holds what the tests of several packages share; no program uses it.
+package testutil
 
 import (
 	"bytes"
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -83,7 +83,7 @@
 }
 
 // Accept serves a connection.
-func (f *Front) Accept(c *loop.Conn) loop.Accepted { return f.serve(c, c.Peer()) }
+func (f *Front) Accept(c *eventloop.Conn) eventloop.Accepted { return f.serve(c, c.Peer()) }
 
 func (f *Front) serve(line Line, peer netip.AddrPort) *client {
 	return &client{front: f, line: line, peer: peer, open: map[uint32]*call{}}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -11,7 +11,7 @@
 
 	"crankhold/internal/golden"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
@@ -26,7 +26,7 @@
 
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
 
-func newGoldenClient() (*client, *core, *standin.Line) {
+func newGoldenClient() (*client, *core, *testutil.Line) {
 	c, k, l := newClient()
 	c.peer = goldenPeer
 	return c, k, l
--- a/internal/thrift/main_test.go
+++ b/internal/thrift/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
@@ -32,8 +32,8 @@
 }
 func (c *core) Leave(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
 
-func newClient() (*client, *core, *standin.Line) {
-	c, l := &core{}, &standin.Line{}
+func newClient() (*client, *core, *testutil.Line) {
+	c, l := &core{}, &testutil.Line{}
 	f := New(c, Config{Classes: []Class{{Name: "dim-level"}, {Name: "repair-order"}, {Name: "extend", Keyed: true}}, Tenants: []string{"east", "west"}}, func() time.Duration { return time.Hour }, func() bool { return true })
 	return f.serve(l, netip.AddrPort{}), c, l
 }
@@ -49,7 +49,7 @@
 	"props", "memory_mb:512;lanes:2;load_ms:640"}
 
 // outcome reads the first frame of what was written: its sequence number and the result's field.
-func outcome(t rapid.TB, l *standin.Line) (seq uint32, field uint16) {
+func outcome(t rapid.TB, l *testutil.Line) (seq uint32, field uint16) {
 	b := l.Wrote.Bytes()
 	if len(b) < 4 || len(b) < 4+int(binary.BigEndian.Uint32(b)) {
 		t.Fatalf("wrote %x", b)
@@ -319,7 +319,7 @@
 
 // Where the settings know no tenants, a client that names one is served as before.
 func TestTenantsThatNoSettingsKnowAreIgnored(t *testing.T) {
-	k, l := &core{}, &standin.Line{}
+	k, l := &core{}, &testutil.Line{}
 	f := New(k, Config{Classes: []Class{{Name: "repair-order"}}}, func() time.Duration { return time.Hour }, func() bool { return true })
 	f.serve(l, netip.AddrPort{}).Data(execute(1, "", append([]string{"tenant", "anyone"}, good...)...))
 	if len(k.taken) != 1 || k.taken[0].Tenant != "" {
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
+	"crankhold/internal/eventloop"
 	"crankhold/internal/golden"
-	"crankhold/internal/loop"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
 // The golden files hold whole messages. Nothing in them is masked: the clocks are fixed, and fixRandom makes the
@@ -77,7 +77,7 @@
 	if x.prepare != nil {
 		x.prepare(receiver)
 	}
-	line := &standin.Line{}
+	line := &testutil.Line{}
 	client := receiver.serve(line, goldenClient)
 	transcript := ""
 	answered := 0
@@ -190,13 +190,13 @@
 	if err := os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var line *standin.Line
-	var handler loop.Dialled
+	var line *testutil.Line
+	var handler eventloop.Dialled
 	transcript := ""
 	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
-	dial := func(address string, timeout time.Duration, h loop.Dialled) Line {
+	dial := func(address string, timeout time.Duration, h eventloop.Dialled) Line {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
-		line, handler = &standin.Line{}, h
+		line, handler = &testutil.Line{}, h
 		return line
 	}
 	sender, err := NewSender(cfg, func() time.Time { return date }, dial)
@@ -298,7 +298,7 @@
 	receiver.wall = func() time.Time { return written }
 	for _, o := range ledgerOrders() {
 		for round := range max(1, len(o.answers)) {
-			receiver.serve(&standin.Line{}, goldenClient).Data(o.delivery(written))
+			receiver.serve(&testutil.Line{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.answers) > 0 {
 				calls.taken[len(calls.taken)-1].Asker.Answered(o.answers[round])
@@ -349,7 +349,7 @@
 		ledgerOrder{"expired", "repair-order", "2026-12-01T12:00:00Z", nil}) // an id that was forgotten
 	transcript := ""
 	for _, o := range orders {
-		line := &standin.Line{}
+		line := &testutil.Line{}
 		before := len(calls.taken)
 		client := receiver.serve(line, goldenClient)
 		transcript += golden.Quote("request", o.delivery(noon))
--- a/internal/webhook/main_test.go
+++ b/internal/webhook/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
-func TestMain(m *testing.M) { standin.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -14,7 +14,7 @@
 	"net/netip"
 	"time"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -142,7 +142,7 @@
 }
 
 // Accept serves a connection.
-func (v *Receiver) Accept(c *loop.Conn) loop.Accepted { return v.serve(c, c.Peer()) }
+func (v *Receiver) Accept(c *eventloop.Conn) eventloop.Accepted { return v.serve(c, c.Peer()) }
 
 func (v *Receiver) serve(line Line, peer netip.AddrPort) *client {
 	return &client{front: v, line: line, peer: peer}
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 )
 
@@ -30,7 +30,7 @@
 	url    *url.URL
 	addr   string
 	secret []byte
-	dial   func(addr string, timeout time.Duration, h loop.Dialled) Line
+	dial   func(addr string, timeout time.Duration, h eventloop.Dialled) Line
 	wall   func() time.Time
 	now    time.Duration
 	queue  []*notice // waiting for their time
@@ -50,7 +50,7 @@
 }
 
 // NewSender reads the key.
-func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h loop.Dialled) Line) (*Sender, error) {
+func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.Dialled) Line) (*Sender, error) {
 	u, err := url.Parse(cfg.Sender.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -22,9 +22,9 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
@@ -84,7 +84,7 @@
 }
 
 // statuses reads the answers written to a line.
-func statuses(t rapid.TB, l *standin.Line) (out []int) {
+func statuses(t rapid.TB, l *testutil.Line) (out []int) {
 	for in := bufio.NewReader(bytes.NewReader(l.Wrote.Bytes())); ; {
 		if _, err := in.Peek(1); err == io.EOF {
 			return out
@@ -151,7 +151,7 @@
 	} {
 		k := &core{}
 		v, _ := newReceiver(t, k, "")
-		l := &standin.Line{}
+		l := &testutil.Line{}
 		v.serve(l, netip.AddrPort{}).Data(c.bytes)
 		if got := statuses(t, l); len(got) != 1 || got[0] != c.status || len(k.taken) > 0 {
 			t.Errorf("%s: answers %v, want one %d; %d calls", name, got, c.status, len(k.taken))
@@ -169,7 +169,7 @@
 	for i, x := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none taken"}} {
 		body := bytes.Replace(call("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, x.tenant), 1)
 		before := len(c.taken)
-		l := &standin.Line{}
+		l := &testutil.Line{}
 		v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, fmt.Sprint("t", i), noon, body))
 		got := "none taken"
 		if len(c.taken) > before {
@@ -183,7 +183,7 @@
 
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k, l := &core{}, &standin.Line{}
+		k, l := &core{}, &testutil.Line{}
 		v, _ := newReceiver(t, k, "")
 		c := v.serve(l, netip.AddrPort{})
 		var want []int
@@ -297,7 +297,7 @@
 		"full":         func(l *ledger) { l.max = 10 },
 		"failed write": func(l *ledger) { l.file.Close() },
 	} {
-		k, l := &core{}, &standin.Line{}
+		k, l := &core{}, &testutil.Line{}
 		v, posts := newReceiver(t, k, path)
 		spoil(v.ledger)
 		for i := range 2 { // also the one after it
@@ -313,7 +313,7 @@
 	if _, _, err := openLedger(path, 1<<20, time.Hour, wall); err == nil {
 		t.Error("a damaged ledger was opened")
 	}
-	k, l := &core{}, &standin.Line{}
+	k, l := &core{}, &testutil.Line{}
 	v, _ := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 	v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, "old", noon, call("repair-order", "x", noon.Add(-72*time.Hour))))
 	if got := statuses(t, l); fmt.Sprint(got) != "[400]" || len(k.taken) > 0 {
@@ -330,7 +330,7 @@
 		calls  int
 		answer string
 	}{{1, "[]"}, {0, "[502]"}} {
-		k, l := &core{}, &standin.Line{}
+		k, l := &core{}, &testutil.Line{}
 		v, posts := newReceiver(t, k, path)
 		v.serve(l, netip.AddrPort{}).Data(b)
 		if round == 0 {
@@ -350,7 +350,7 @@
 	v, posts := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 	defer v.Close()
 	b := deliveryOf(secret, "m", noon, call("repair-order", "x", noon))
-	lines := []*standin.Line{{}, {}, {}}
+	lines := []*testutil.Line{{}, {}, {}}
 	first := v.serve(lines[0], netip.AddrPort{})
 	first.Data(b)
 	v.serve(lines[1], netip.AddrPort{}).Data(b) // before the ledger has answered
@@ -371,7 +371,7 @@
 // plant is the whole path but for the workers: sockets, receiver, core and module. Its workers end
 // each run at once and count them by body.
 type plant struct {
-	lp    *loop.Loop
+	lp    *eventloop.Loop
 	core  *router.Core
 	front *Receiver
 	addr  string
@@ -410,7 +410,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &plant{lp: loop.New(loop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
+	p := &plant{lp: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
 	p.core = router.New(module, router.Limits{MaxOpen: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
 	p.core.Use(p)
 	p.core.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
@@ -422,7 +422,7 @@
 	cfg.Sender.URL, cfg.Sender.Connect, cfg.Sender.Backoff = "http://hooks.example.org/notices", notices, time.Millisecond
 	cfg.Sender.Key = filepath.Join(t.TempDir(), "key")
 	os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)), 0o600)
-	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h loop.Dialled) Line {
+	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h eventloop.Dialled) Line {
 		return p.lp.Dial("tcp", addr, timeout, h)
 	}); err != nil {
 		t.Fatal(err)
@@ -615,10 +615,10 @@
 	path := filepath.Join(t.TempDir(), "key")
 	os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"), 0o600)
 	cfg.Sender.Key = path
-	var lines []*standin.Line
-	var handlers []loop.Dialled
-	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h loop.Dialled) Line {
-		lines, handlers = append(lines, &standin.Line{}), append(handlers, h)
+	var lines []*testutil.Line
+	var handlers []eventloop.Dialled
+	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h eventloop.Dialled) Line {
+		lines, handlers = append(lines, &testutil.Line{}), append(handlers, h)
 		return lines[len(lines)-1]
 	})
 	if err != nil {
@@ -686,7 +686,7 @@
 		v, posts := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 		for _, id := range []string{"a", "b"} {
 			for _, class := range []string{"dim-level", "repair-order", "extend"} {
-				v.serve(&standin.Line{}, netip.AddrPort{}).Data(deliveryOf(secret, class+id, noon, call(class, "x", noon)))
+				v.serve(&testutil.Line{}, netip.AddrPort{}).Data(deliveryOf(secret, class+id, noon, call(class, "x", noon)))
 				if class != "dim-level" {
 					(<-posts)()
 				}
--- a/internal/resp/dial.go
+++ b/internal/workerclient/dial.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"errors"
@@ -6,15 +6,15 @@
 	"slices"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/policy"
 )
 
 // dial is an attempt to connect over one address. It hands on what comes only where it won its connection's race.
 type dial struct {
 	conn *conn
-	addr path.Addr
+	addr endpoint.Addr
 	line Line
 	over bool
 }
@@ -23,7 +23,7 @@
 func (c *conn) dial() {
 	p := c.pool
 	for {
-		a, ok := c.race.Next(p.now, p.dials < path.MostDialsInAll && (len(c.dials) == 0 || p.room()))
+		a, ok := c.race.Next(p.now, p.dials < endpoint.MostDialsInAll && (len(c.dials) == 0 || p.room()))
 		if !ok {
 			return
 		}
@@ -53,7 +53,7 @@
 // restart has c, which is not up, begin anew with the addresses that its worker has now. What waits for it waits on.
 func (c *conn) restart() {
 	c.callOff()
-	c.race = path.NewRace(c.w.paths.Candidates(), c.pool.cfg.DialTimeout, 0)
+	c.race = endpoint.NewRace(c.w.paths.Candidates(), c.pool.cfg.DialTimeout, 0)
 	c.dial()
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		p.Count.DialsFailed++
 		slog.Warn("dial_failed", "addr", d.addr, "err", err)
-		if !loop.NoDescriptor(err) {
+		if !eventloop.NoDescriptor(err) {
 			w.paths.Failed(p.now, d.addr)
 		}
 		if c.race.Ended() {
@@ -110,7 +110,7 @@
 type trial struct {
 	pool  *Pool
 	w     *worker
-	addr  path.Addr
+	addr  endpoint.Addr
 	line  Line
 	begun time.Duration
 	over  bool
@@ -124,7 +124,7 @@
 		}
 		return
 	}
-	if !w.ready || p.dials >= path.MostDialsInAll || !p.room() {
+	if !w.ready || p.dials >= endpoint.MostDialsInAll || !p.room() {
 		return
 	}
 	a, ok := w.paths.Trial(p.now)
@@ -160,7 +160,7 @@
 	switch {
 	case err == nil:
 		t.w.paths.Up(t.pool.now, t.addr)
-	case loop.NoDescriptor(err):
+	case eventloop.NoDescriptor(err):
 		t.w.paths.Undecided(t.pool.now, t.addr)
 	default:
 		t.pool.Count.TrialsFailed++
--- a/internal/resp/main_test.go
+++ b/internal/workerclient/main_test.go
@@ -1,13 +1,13 @@
-package resp
+package workerclient
 
 import (
 	"log/slog"
 	"testing"
 
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 )
 
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler)) // the model check alone would write a million lines
-	standin.Main(m)
+	testutil.Main(m)
 }
--- a/internal/resp/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/explore"
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/modelcheck"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -34,7 +34,7 @@
 	m      *model
 	worker int
 	addr   string
-	h      loop.Dialled
+	h      eventloop.Dialled
 	state  string // dialling, up, shut (by us, its end is on the way), over
 	buf    []byte
 	at     int // parsed
@@ -133,7 +133,7 @@
 	}
 	m.core = router.New(p, router.Limits{MaxOpen: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
 	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, PerConn: 32, MaxConns: 100,
-		Dial: func(_, addr string, _ time.Duration, h loop.Dialled) Line {
+		Dial: func(_, addr string, _ time.Duration, h eventloop.Dialled) Line {
 			l := &wire{m: m, addr: addr, worker: int(addr[0] - '0'), h: h, state: "dialling"}
 			m.lines = append(m.lines, l)
 			return l
@@ -154,9 +154,9 @@
 func (m *model) list() {
 	l := policy.WorkerList{Kind: policy.ListWhole}
 	for w, state := range m.state {
-		var addrs []path.Addr
+		var addrs []endpoint.Addr
 		for i := range m.addrs {
-			addrs = append(addrs, path.Addr{Network: path.Network(i % 3), Addr: fmt.Sprintf("%d.%d", w, i)})
+			addrs = append(addrs, endpoint.Addr{Network: endpoint.Network(i % 3), Addr: fmt.Sprintf("%d.%d", w, i)})
 		}
 		m.pool.Set(policy.WorkerID(w+1), addrs, state)
 		l.Workers = append(l.Workers, policy.WorkerEntry{Worker: policy.WorkerID(w + 1), State: state, Weight: 1})
@@ -427,7 +427,7 @@
 func TestEveryInterleaving(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(scopes)) {
 		s := scopes[name]
-		r := explore.Search(func() explore.System { return newModel(s) }, s.most, runtime.GOMAXPROCS(0))
+		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.most, runtime.GOMAXPROCS(0))
 		t.Logf("%s: %v", name, r)
 		if r.Err != nil || !r.Whole || r.States < 1000 {
 			t.Errorf("%s: %v", name, r)
@@ -437,16 +437,16 @@
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
 var planted = []struct{ name, file, old, new string }{
-	{"calls that left whole are moved", "internal/resp/pool.go", "k.written && k.end > left && k.moved < mostMoves", "k.written && k.moved < mostMoves"},
-	{"calls are moved to a draining worker", "internal/resp/pool.go", "k.moved < mostMoves && w.ready", "k.moved < mostMoves"},
-	{"a drain leaves what waits behind a dial", "internal/resp/pool.go", "if c.dropQueue(); !c.up && len(c.queue) == 0 {", "if false {"},
-	{"a reset counts as a refused dial", "internal/resp/pool.go", "c.lost(policy.Reset)", "c.lost(policy.Unreachable)"},
-	{"an error counts as turned away", "internal/resp/pool.go", `"FAULT": policy.Errored`, `"FAULT": policy.Full`},
-	{"dials that lost the race go on", "internal/resp/dial.go", "\t\td.end()\n\t\td.line.Close()", "\t\td.end()"},
-	{"a trial's connection stays", "internal/resp/dial.go", "t.pool.dials--\n\tt.line.Close()", "t.pool.dials--"},
-	{"a call that was given up is sent all the same", "internal/resp/pool.go", "\tk.conn.unqueue(k)\n\treturn true", "\treturn true"},
-	{"the module repeats what must not be", "policy/policy.go", "return c.Repeat == Keyed && p.now", "return c.Repeat == Unsafe || c.Repeat == Keyed && p.now"},
-	{"a lost race is never told", "internal/path/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
+	{"calls that left whole are moved", "internal/workerclient/pool.go", "k.written && k.end > left && k.moved < mostMoves", "k.written && k.moved < mostMoves"},
+	{"calls are moved to a draining worker", "internal/workerclient/pool.go", "k.moved < mostMoves && w.ready", "k.moved < mostMoves"},
+	{"a drain leaves what waits behind a dial", "internal/workerclient/pool.go", "if c.dropQueue(); !c.up && len(c.queue) == 0 {", "if false {"},
+	{"a reset counts as a refused dial", "internal/workerclient/pool.go", "c.lost(policy.ConnectionReset)", "c.lost(policy.Unreachable)"},
+	{"an error counts as turned away", "internal/workerclient/pool.go", `"FAULT": policy.Failed`, `"FAULT": policy.Overloaded`},
+	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.end()\n\t\td.line.Close()", "\t\td.end()"},
+	{"a trial's connection stays", "internal/workerclient/dial.go", "t.pool.dials--\n\tt.line.Close()", "t.pool.dials--"},
+	{"a call that was given up is sent all the same", "internal/workerclient/pool.go", "\tk.conn.unqueue(k)\n\treturn true", "\treturn true"},
+	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
+	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
 }
 
 // Guards the check itself: each planted fault is found.
--- a/internal/resp/parse.go
+++ b/internal/workerclient/parse.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"bytes"
--- a/internal/resp/paths_test.go
+++ b/internal/workerclient/paths_test.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"errors"
@@ -7,19 +7,19 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
 
-var both = []path.Addr{{Network: path.Unix, Addr: "/run/w.sock"}, {Network: path.TCP4, Addr: "127.0.0.1:1"}}
+var both = []endpoint.Addr{{Network: endpoint.Unix, Addr: "/run/w.sock"}, {Network: endpoint.TCP4, Addr: "127.0.0.1:1"}}
 
 // newPaths is a pool with a worker of two addresses; dialled keeps where each line goes.
 func newPaths() (p *Pool, s *sink, lines *[]*line, dialled *[]string) {
 	p, s, lines = newPool()
 	dialled = new([]string)
-	p.cfg.Dial = func(_, addr string, _ time.Duration, h loop.Dialled) Line {
+	p.cfg.Dial = func(_, addr string, _ time.Duration, h eventloop.Dialled) Line {
 		*dialled = append(*dialled, addr)
 		*lines = append(*lines, &line{h: h})
 		return (*lines)[len(*lines)-1]
--- a/internal/resp/pool.go
+++ b/internal/workerclient/pool.go
@@ -1,6 +1,6 @@
-// Package resp speaks RESP with the workers: calls, orders to load and probes, many at a time on
+// Package workerclient speaks RESP with the workers: calls, orders to load and probes, many at a time on
 // each connection.
-package resp
+package workerclient
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"strconv"
 	"time"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -68,7 +68,7 @@
 	MaxConns     int           // to all workers together
 	MayStop      bool          // workers may be told that a call is given up
 	Seed         uint64        // spreads the back-offs of addresses that failed
-	Dial         func(network, addr string, timeout time.Duration, h loop.Dialled) Line
+	Dial         func(network, addr string, timeout time.Duration, h eventloop.Dialled) Line
 }
 
 // Pool holds the connections to all workers.
@@ -96,8 +96,8 @@
 
 type worker struct {
 	id    policy.WorkerID
-	paths *path.Set
-	addrs []path.Addr // as told last
+	paths *endpoint.Set
+	addrs []endpoint.Addr // as told last
 	ready bool
 	gone  bool
 	conns []*conn
@@ -133,11 +133,11 @@
 type conn struct {
 	pool    *Pool
 	w       *worker
-	race    *path.Race
+	race    *endpoint.Race
 	dials   []*dial
 	won     *dial // the one that came up
 	line    Line  // of it
-	addr    path.Addr
+	addr    endpoint.Addr
 	wrote   int // bytes
 	up      bool
 	closing bool             // closed by us, or retired: it takes nothing new
@@ -166,13 +166,13 @@
 
 // Set tells of a worker's addresses, none for those that it has, and whether it takes anything new. What waits
 // behind a dial to one that no longer does is ended unsent: its dial may come up after the time allowed for sends.
-func (p *Pool) Set(id policy.WorkerID, addrs []path.Addr, state policy.WorkerState, prefer ...path.Network) {
+func (p *Pool) Set(id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network) {
 	w := p.workers[id]
 	if w == nil {
 		if state == policy.Gone {
 			return
 		}
-		w = &worker{id: id, paths: path.New(p.cfg.Seed ^ uint64(id))}
+		w = &worker{id: id, paths: endpoint.New(p.cfg.Seed ^ uint64(id))}
 		p.workers[id] = w
 		p.order = append(p.order, w)
 	}
@@ -427,7 +427,7 @@
 	if rank > 1 || len(w.conns) >= maxConns || w.paths.Len() == 0 || !p.room() {
 		return best
 	}
-	c := &conn{pool: p, w: w, open: map[string]*call{}, used: p.now, race: path.NewRace(w.paths.Candidates(), p.cfg.DialTimeout, k.left)}
+	c := &conn{pool: p, w: w, open: map[string]*call{}, used: p.now, race: endpoint.NewRace(w.paths.Candidates(), p.cfg.DialTimeout, k.left)}
 	w.conns = append(w.conns, c)
 	c.dial()
 	return c
--- a/internal/resp/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"errors"
@@ -9,17 +9,17 @@
 
 	"pgregory.net/rapid"
 
-	"crankhold/internal/loop"
-	"crankhold/internal/path"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
-	"crankhold/internal/standin"
+	"crankhold/internal/testutil"
 	"crankhold/policy"
 )
 
 // line is a connection whose handler the test drives.
 type line struct {
-	standin.Line
-	h loop.Dialled
+	testutil.Line
+	h eventloop.Dialled
 }
 
 // sink keeps how attempts, orders and probes ended.
@@ -42,7 +42,7 @@
 	s := &sink{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]router.Reply{}}
 	var lines []*line
 	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
-		KeepAlive: 30 * time.Second, PerConn: 2, MaxConns: 100, MayStop: true, Dial: func(_, _ string, _ time.Duration, h loop.Dialled) Line {
+		KeepAlive: 30 * time.Second, PerConn: 2, MaxConns: 100, MayStop: true, Dial: func(_, _ string, _ time.Duration, h eventloop.Dialled) Line {
 			lines = append(lines, &line{h: h})
 			return lines[len(lines)-1]
 		}}, s)
@@ -51,7 +51,7 @@
 }
 
 // at is one address of IPv4.
-func at(addr string) []path.Addr { return []path.Addr{{Network: path.TCP4, Addr: addr}} }
+func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func request(id string) *router.Request {
 	return &router.Request{ID: id, Key: "00000000000000aa", Body: []byte("hello")}
--- a/internal/resp/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -1,4 +1,4 @@
-package resp
+package workerclient
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/loop"
+	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 )
 
@@ -77,7 +77,7 @@
 		p, _, lines := newPool()
 		p.Run(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
 		(*lines)[0].h.Opened(err)
-		if down := p.workers[1].paths.Down(); (down == 0) != loop.NoDescriptor(err) {
+		if down := p.workers[1].paths.Down(); (down == 0) != eventloop.NoDescriptor(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
 		}
 	}
