--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -55,12 +55,12 @@
 func (b *bench) Run(w policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
 	k := [2]uint64{uint64(w), uint64(r.Function)}
 	if b.until[k] < b.now {
-		b.after(time.Millisecond, func() { b.core.AttemptEnded(a, router.Reply{Outcome: policy.Missed}) })
+		b.after(time.Millisecond, func() { b.core.AttemptEnded(a, router.Reply{Outcome: policy.NotLoaded}) })
 		return
 	}
 	b.until[k] = b.now + 10*time.Second
 	b.after(80*time.Millisecond, func() {
-		b.core.AttemptEnded(a, router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Report: []float64{1}})
+		b.core.AttemptEnded(a, router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Report: []float64{1}})
 	})
 }
 func (b *bench) Stop(policy.WorkerID, router.Attempt)          {}
@@ -101,20 +101,20 @@
 }
 
 func coreCost(workers, calls int) (us, allocs, bytes float64, rate int, err error) {
-	module, err := policy.New(policy.Config{Peers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayOrder: true,
-		MissWhenCold: true, WarmNotes: true, SecondAttempts: true, RetryAfter: true, MaxRetryAfter: time.Second, OverShareWorth: 1,
-		KeepAlive: 10 * time.Second, OrderTimeout: 10 * time.Second, LoadWindow: 10 * time.Second, LoadFree: 4, LoadShare: 0.3,
-		DrainGrace: time.Second, ReportFields: []string{"inflight"}, ReportInline: true,
-		Classes: []policy.Class{{Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3}}}, 1)
+	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadOrdersSupported: true,
+		MissWhenNotLoaded: true, LoadStatusReported: true, HedgingAllowed: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1,
+		KeepAlive: 10 * time.Second, LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3,
+		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
+		Classes: []policy.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3}}}, 1)
 	if err != nil {
 		return 0, 0, 0, 0, err
 	}
 	core := router.New(module, router.Limits{MaxOpen: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
 	b := &bench{core: core, now: time.Hour, until: map[[2]uint64]time.Duration{}}
 	core.Use(b)
-	list := policy.WorkerList{Kind: policy.ListWhole}
+	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w := range workers {
-		list.Workers = append(list.Workers, policy.WorkerEntry{Worker: policy.WorkerID(w + 1), State: policy.Ready, Weight: 1})
+		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: policy.Ready, Weight: 1})
 	}
 	core.SetList(list)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -136,7 +136,7 @@
 
 // TurnedAway is what clients are told that there is no room for.
 func (c *Config) TurnedAway() time.Duration {
-	if !c.Module.RetryAfter {
+	if !c.Module.RetryAfterSupported {
 		return 0
 	}
 	return min(time.Second, c.Module.MaxRetryAfter)
@@ -188,7 +188,7 @@
 // Once tells of each class whether it must never run twice.
 func (c *Config) Once() (once []bool) {
 	for _, k := range c.Module.Classes {
-		once = append(once, k.Repeat == policy.Unsafe)
+		once = append(once, k.Idempotency == policy.NotIdempotent)
 	}
 	return once
 }
@@ -203,12 +203,12 @@
 
 // Routing returns what the settings say that routes may not contradict.
 func (c *Config) Routing() *lang.Platform {
-	p := &lang.Platform{MaxAttempts: c.Module.MaxAttempts, SecondCopies: c.Module.SecondAttempts, Kinds: c.Network.Kinds,
-		KindMemoryMB: map[string]float64{}, Zones: c.Network.FailureDomains, LoadWindow: c.Module.LoadWindow}
+	p := &lang.Platform{MaxAttempts: c.Module.MaxAttempts, SecondCopies: c.Module.HedgingAllowed, Kinds: c.Network.Kinds,
+		KindMemoryMB: map[string]float64{}, Zones: c.Network.FailureDomains, LoadWindow: c.Module.LoadBudgetWindow}
 	once := c.Once()
 	for i, name := range c.ClassNames() {
 		k := c.Module.Classes[i]
-		p.Classes = append(p.Classes, lang.Class{Name: name, Once: once[i], Deadline: k.Deadline, Aim: k.Aim})
+		p.Classes = append(p.Classes, lang.Class{Name: name, Once: once[i], Deadline: k.Deadline, Aim: k.LatencyObjective})
 	}
 	for _, k := range p.Kinds {
 		if mb := c.KindMemoryMB(k); mb > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,7 +92,7 @@
 	if c.TurnedAway() != 0 {
 		t.Error("advice where the settings allow none")
 	}
-	c.Module.RetryAfter, c.Module.MaxRetryAfter = true, 300*time.Millisecond
+	c.Module.RetryAfterSupported, c.Module.MaxRetryAfter = true, 300*time.Millisecond
 	if c.TurnedAway() != c.Module.MaxRetryAfter {
 		t.Errorf("advice %v", c.TurnedAway())
 	}
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -67,14 +67,14 @@
 	return pools, nil
 }
 
-// Has tells whether a worker is one of the pool's.
-func (p *Pool) Has(w policy.WorkerID) bool { return p.members[w] }
+// Contains tells whether a worker is one of the pool's.
+func (p *Pool) Contains(w policy.WorkerID) bool { return p.members[w] }
 
 // Size is how many workers of the list are the pool's.
 func (p *Pool) Size() int { return len(p.members) }
 
-// Room tells whether a further attempt may be in flight.
-func (p *Pool) Room() bool { return p.Spec.Cap == Unset || p.inFlight < p.Spec.Cap }
+// HasCapacity tells whether a further attempt may be in flight.
+func (p *Pool) HasCapacity() bool { return p.Spec.Cap == Unset || p.inFlight < p.Spec.Cap }
 
 // InFlight and Peak are how many attempts are out, and how many were at most.
 func (p *Pool) InFlight() int { return p.inFlight }
@@ -88,30 +88,30 @@
 	p.calls.add(now)
 }
 
-// Sent counts an attempt as in flight.
-func (p *Pool) Sent() {
+// AttemptStarted counts an attempt as in flight.
+func (p *Pool) AttemptStarted() {
 	p.inFlight++
 	p.peak = max(p.peak, p.inFlight)
 }
 
-// Ended takes back what Sent counted; each attempt ends once.
-func (p *Pool) Ended() { p.inFlight-- }
+// AttemptFinished takes back what Sent counted; each attempt ends once.
+func (p *Pool) AttemptFinished() { p.inFlight-- }
 
-// MayOrder tells whether a load order is within the pool's share of a ration of so many orders in the
+// MayLoad tells whether a load order is within the pool's share of a ration of so many orders in the
 // window of the ration.
-func (p *Pool) MayOrder(now time.Duration, ration float64) bool {
+func (p *Pool) MayLoad(now time.Duration, ration float64) bool {
 	return p.share >= 1 || float64(p.orders.most(now)+1) <= p.share*ration
 }
 
-// Ordered counts a load order.
-func (p *Pool) Ordered(now time.Duration) {
+// LoadStarted counts a load order.
+func (p *Pool) LoadStarted(now time.Duration) {
 	p.Loads++
 	p.orders.add(now)
 }
 
-// Spill returns where a call goes that the pool can't take, or nil where it has no fallback or its bound is
+// Overflow returns where a call goes that the pool can't take, or nil where it has no fallback or its bound is
 // reached. It counts the call.
-func (p *Pool) Spill(now time.Duration) policy.Pool {
+func (p *Pool) Overflow(now time.Duration) policy.Pool {
 	if p.next == nil {
 		return nil
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -354,9 +354,9 @@
 			now += time.Duration(rapid.SampledFrom([]int{0, 1000, 30_000, 99_999, 400_000, 15_000_000}).Draw(t, "passes")) * time.Microsecond
 			a.Routed(now)
 			came = append(came, now)
-			if a.Spill(now) != nil {
+			if a.Overflow(now) != nil {
 				left = append(left, now)
-				if b.Spill(now) != nil {
+				if b.Overflow(now) != nil {
 					on = append(on, now)
 				}
 			}
@@ -374,7 +374,7 @@
 	for i := range 1000 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		p.Routed(now)
-		if p.Spill(now) != nil {
+		if p.Overflow(now) != nil {
 			spilled++
 		}
 	}
@@ -399,8 +399,8 @@
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now += time.Duration(rapid.IntRange(0, 500_000).Draw(t, "passes")) * time.Microsecond
 			p := table.pools[rapid.IntRange(0, 3).Draw(t, "pool")]
-			if p.MayOrder(now, ration) {
-				p.Ordered(now)
+			if p.MayLoad(now, ration) {
+				p.LoadStarted(now)
 				by[p.Spec.Name]++
 				orders = append(orders, now)
 			}
@@ -416,7 +416,7 @@
 		}
 	})
 	table := newPools(t, PoolSpec{Name: "a", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset})
-	if !table.pool("a").MayOrder(0, 0) {
+	if !table.pool("a").MayLoad(0, 0) {
 		t.Error("a pool without a share, and none beside it, is bounded by the ration alone")
 	}
 }
@@ -433,10 +433,10 @@
 	old := newPools(t, named("a", 5), named("b", 7), named("c", 9))
 	for _, p := range old.pools {
 		for range p.Spec.Cap {
-			p.Sent()
+			p.AttemptStarted()
 		}
 	}
-	old.pool("a").Ordered(0)
+	old.pool("a").LoadStarted(0)
 	next := newPools(t, named("a", 2), named("renamed", 7), named("new", 3))
 	next.Adopt(old)
 	for name, want := range map[string]int{"a": 5, "renamed": 7, "new": 0} {
@@ -445,12 +445,12 @@
 		}
 	}
 	for range 4 {
-		old.pool("a").Ended() // they began under the old table
-		if next.pool("a").Room() && next.pool("a").InFlight() >= 2 {
+		old.pool("a").AttemptFinished() // they began under the old table
+		if next.pool("a").HasCapacity() && next.pool("a").InFlight() >= 2 {
 			t.Error("room over the lowered cap")
 		}
 	}
-	if !next.pool("a").Room() || next.pool("renamed").Room() || !next.pool("new").Room() {
+	if !next.pool("a").HasCapacity() || next.pool("renamed").HasCapacity() || !next.pool("new").HasCapacity() {
 		t.Error("room is not counted over the reload")
 	}
 	if got := next.pool("new").orders.most(0); got != 1 {
@@ -473,7 +473,7 @@
 		{ID: 3, Name: "t-9", Kind: "small", Cell: 3}})
 	for name, want := range map[string][]policy.WorkerID{"large": {1, 2}, "cell": {1, 2, 3}, "rack": {2}, "big": {1}, "id": {1, 3}, "both": {3}, "zone": {2}} {
 		for id := range policy.WorkerID(4) {
-			if table.pool(name).Has(id) != slices.Contains(want, id) {
+			if table.pool(name).Contains(id) != slices.Contains(want, id) {
 				t.Errorf("pool %s: worker %d", name, id)
 			}
 		}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -23,8 +23,8 @@
 	Spec   RouteSpec
 	Policy PolicySpec
 	Pool   *Pool // nil: its calls are refused
-	terms  policy.Terms
-	strict policy.Terms // for classes that must never run twice
+	terms  policy.RequestPolicy
+	strict policy.RequestPolicy // for classes that must never run twice
 }
 
 // Table finds the route of a call. Looking up allocates nothing.
@@ -137,9 +137,9 @@
 }
 
 // terms words a policy for the decision module.
-func (p PolicySpec) terms() policy.Terms {
-	return policy.Terms{Attempts: max(p.Attempts, 0), AgainIfRan: p.AgainIfRan, AgainIfUnrun: p.AgainIfUnrun,
-		Limit: p.AttemptTime, SecondAfter: p.SecondAfter, Aim: p.Aim}
+func (p PolicySpec) terms() policy.RequestPolicy {
+	return policy.RequestPolicy{MaxAttempts: max(p.Attempts, 0), RetriesAfterPossibleRun: p.AgainIfRan, RetriesAfterProvenNoRun: p.AgainIfUnrun,
+		AttemptTimeout: p.AttemptTime, HedgeDelay: p.SecondAfter, LatencyObjective: p.Aim}
 }
 
 // rules spells a route out.
@@ -276,7 +276,7 @@
 }
 
 // Terms returns what a route tightens for calls of a class.
-func (t *Table) Terms(r *Route, class int) *policy.Terms {
+func (t *Table) Terms(r *Route, class int) *policy.RequestPolicy {
 	if class < len(t.once) && t.once[class] {
 		return &r.strict
 	}
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -14,7 +14,7 @@
 	for _, mayCancel := range []bool{true, false} {
 		for _, end := range []string{"leaves", "times out"} {
 			c, w := newCoreThat(t, 1, mayCancel)
-			c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+			c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 			now := time.Hour
 			c.Turn(now)
 			k := &asker{core: c}
@@ -58,7 +58,7 @@
 func TestCallsTakenBackBehindADialWidenNoRation(t *testing.T) {
 	for _, back := range []int{0, 3} {
 		c, w := newCore(t, 1)
-		c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+		c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 		now, ids := time.Hour, uint64(0)
 		c.Turn(now)
 		take := func() policy.RequestID {
@@ -79,7 +79,7 @@
 			for n := 0; n < len(w.runs[id]); n++ { // it misses once, and is served where it goes next
 				a := w.runs[id][n]
 				delete(w.out, a)
-				c.AttemptEnded(a, Reply{Outcome: []policy.Outcome{policy.Missed, policy.Served}[min(n, 1)]})
+				c.AttemptEnded(a, Reply{Outcome: []policy.Outcome{policy.NotLoaded, policy.Served}[min(n, 1)]})
 				c.Turn(now)
 				for tag := range w.holds {
 					delete(w.holds, tag)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -120,7 +120,7 @@
 // Reply is how an attempt ended and what came with that.
 type Reply struct {
 	Outcome policy.Outcome
-	Note    policy.Note
+	Note    policy.LoadStatus
 	Crowd   int // calls of the function that the worker held
 	Body    []byte
 	Report  []float64 // in the order of the settings' fields; nil where none came
@@ -195,9 +195,9 @@
 	Taken, Served, Refused, Failed, Left, Turned [fronts]uint64
 	Unrouted                                     [fronts]uint64 // refused because no route, or one without a pool, matched
 	Sent, Orders, Probes, Unloads                uint64
-	Ended                                        [policy.Missed + 1]uint64 // attempts, by outcome
-	OrderEnded, ProbeEnded                       [policy.Missed + 1]uint64 // by outcome
-	Overdue                                      uint64                    // answered by the guard, not by the module
+	Ended                                        [policy.NotLoaded + 1]uint64 // attempts, by outcome
+	OrderEnded, ProbeEnded                       [policy.NotLoaded + 1]uint64 // by outcome
+	Overdue                                      uint64                       // answered by the guard, not by the module
 }
 
 type entry struct {
@@ -244,7 +244,7 @@
 func (c *Core) Open() int { return c.open }
 
 // SetList hands in a worker list.
-func (c *Core) SetList(l policy.WorkerList) { c.events = append(c.events, l) }
+func (c *Core) SetList(l policy.EndpointList) { c.events = append(c.events, l) }
 
 // SetLabels says what routes pick the workers of the list by.
 func (c *Core) SetLabels(list []route.Worker) {
@@ -285,7 +285,7 @@
 		r.Asker.Answered(Answer{Verdict: Failed})
 		return 0
 	}
-	var terms *policy.Terms
+	var terms *policy.RequestPolicy
 	if c.routes != nil {
 		call := route.Call{Front: route.Front(r.Front), Class: r.Class, Function: uint64(r.Function)}
 		if r.Front == Webhook {
@@ -312,8 +312,8 @@
 	if !ok {
 		tenant = policy.NoTenant
 	}
-	c.events = append(c.events, policy.Arrived{Request: c.last, Class: r.Class, Tenant: tenant, Function: r.Function, Lanes: r.Lanes,
-		MemoryMB: r.MemoryMB, LoadTime: r.LoadTime, Left: max(r.Deadline-c.now, 0), Terms: terms})
+	c.events = append(c.events, policy.RequestArrived{Request: c.last, Class: r.Class, Tenant: tenant, Function: r.Function, Lanes: r.Lanes,
+		MemoryMB: r.MemoryMB, LoadTime: r.LoadTime, Remaining: max(r.Deadline-c.now, 0), Policy: terms})
 	e.timeUp = c.after(r.Deadline, timer{kind: timeUp, request: c.last})
 	return c.last
 }
@@ -346,7 +346,7 @@
 			c.events[e.event] = nil
 			return
 		}
-		c.events = append(c.events, policy.Abandoned{Request: id})
+		c.events = append(c.events, policy.RequestCanceled{Request: id})
 		c.withdraw(id, e)
 	}
 }
@@ -379,8 +379,8 @@
 		e.Asker.Answered(Answer{Verdict: Served, Body: r.Body, MayHaveRun: true})
 		c.close(a.Request, e, "served")
 	}
-	c.events = append(c.events, policy.AttemptEnded{Request: a.Request, Attempt: a.Number, Worker: t.worker, Outcome: o,
-		Note: r.Note, Crowd: r.Crowd, Closed: e.done, Took: c.now - t.sent, Report: r.Report})
+	c.events = append(c.events, policy.AttemptCompleted{Request: a.Request, Attempt: a.Number, Worker: t.worker, Outcome: o,
+		LoadStatus: r.Note, Concurrency: r.Crowd, Closed: e.done, Took: c.now - t.sent, Report: r.Report})
 	if o == policy.Served {
 		c.withdraw(a.Request, e)
 	}
@@ -393,7 +393,7 @@
 		delete(c.asked, tag)
 		c.drop(q.limit)
 		c.Count.OrderEnded[o]++
-		c.events = append(c.events, policy.LoadEnded{Worker: q.worker, Function: q.function, Outcome: o,
+		c.events = append(c.events, policy.LoadCompleted{Worker: q.worker, Function: q.function, Outcome: o,
 			Took: c.now - q.sent, Count: count})
 	}
 }
@@ -404,7 +404,7 @@
 		delete(c.asked, tag)
 		c.drop(q.limit)
 		c.Count.ProbeEnded[o]++
-		c.events = append(c.events, policy.Probed{Worker: q.worker, Outcome: o, Took: c.now - q.sent, Report: report})
+		c.events = append(c.events, policy.HealthCheckCompleted{Worker: q.worker, Outcome: o, Took: c.now - q.sent, Report: report})
 	}
 }
 
@@ -444,29 +444,29 @@
 
 func (c *Core) carryOut(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.StartAttempt:
 		c.send(a)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		c.cancel(Attempt{a.Request, a.Attempt}, policy.Cancelled)
-	case policy.Refuse:
+	case policy.Reject:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
 			c.final(a.Request, e, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
 		}
-	case policy.Fail:
+	case policy.FailRequest:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
 			c.final(a.Request, e, Answer{Verdict: Failed})
 		}
-	case policy.OrderLoad:
+	case policy.Load:
 		c.Count.Orders++
 		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.OrderTimeout)
 		c.workers.Hold(a.Worker, a.Function, a.Count, tag)
-	case policy.Probe:
+	case policy.CheckHealth:
 		c.Count.Probes++
 		c.workers.Probe(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.ProbeTimeout))
 	case policy.Unload:
 		c.Count.Unloads++
 		c.workers.Free(a.Worker, a.Function)
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		c.workers.CloseIdle(a.Worker)
 	case policy.SetTimer:
 		c.module[a.Token] = c.after(c.now+max(a.After, 0), timer{kind: moduleTimer, token: a.Token})
@@ -479,7 +479,7 @@
 }
 
 // send starts an attempt.
-func (c *Core) send(a policy.Send) {
+func (c *Core) send(a policy.StartAttempt) {
 	e := c.reqs[a.Request]
 	if e == nil {
 		return
@@ -492,7 +492,7 @@
 		left = min(left, a.Limit)
 	}
 	if e.done || left <= 0 || c.limits.MaxAttempts > 0 && n >= c.limits.MaxAttempts {
-		c.AttemptEnded(id, Reply{Outcome: policy.Moot})
+		c.AttemptEnded(id, Reply{Outcome: policy.NotSent})
 		return
 	}
 	if a.Limit > 0 && left == a.Limit { // else the request's own timer does it
@@ -599,7 +599,7 @@
 				v = Refused
 			}
 			c.final(t.request, e, Answer{Verdict: v})
-			c.events = append(c.events, policy.Abandoned{Request: t.request})
+			c.events = append(c.events, policy.RequestCanceled{Request: t.request})
 		}
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -65,13 +65,13 @@
 func newCore(t rapid.TB, seed uint64) (*Core, *workers) { return newCoreThat(t, seed, true) }
 
 func newCoreThat(t rapid.TB, seed uint64, mayCancel bool) (*Core, *workers) {
-	p, err := policy.New(policy.Config{Peers: 1, Tick: 4 * ms, MaxAttempts: 3, MayCancel: mayCancel, MayProbe: true, MayOrder: true,
-		MissWhenCold: true, WarmNotes: true, SecondAttempts: true, RetryAfter: true, MaxRetryAfter: time.Second, OverShareWorth: 1,
-		KeepAlive: 10 * time.Second, OrderTimeout: 10 * time.Second, LoadWindow: 10 * time.Second, LoadFree: 4, LoadShare: 0.3,
-		DrainGrace: time.Second, ReportFields: []string{"inflight"}, ReportInline: true,
+	p, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * ms, MaxAttempts: 3, CancelSupported: mayCancel, HealthCheckSupported: true, LoadOrdersSupported: true,
+		MissWhenNotLoaded: true, LoadStatusReported: true, HedgingAllowed: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1,
+		KeepAlive: 10 * time.Second, LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3,
+		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
 		Classes: []policy.Class{
-			{Aim: 400 * ms, Deadline: 2 * time.Second, Repeat: policy.Safe, Group: policy.GroupAll, Worth: 3},
-			{Aim: 1200 * ms, Deadline: 3 * time.Second, Repeat: policy.Unsafe, Group: policy.GroupAll, Worth: 5}}}, seed)
+			{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Idempotency: policy.Idempotent, DeduplicationScope: policy.DeduplicatedEverywhere, PriorityWeight: 3},
+			{LatencyObjective: 1200 * ms, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, DeduplicationScope: policy.DeduplicatedEverywhere, PriorityWeight: 5}}}, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,9 +104,9 @@
 		now := time.Hour
 		states := []policy.WorkerState{policy.Ready, policy.Ready, policy.Draining, policy.Gone}
 		list := func() {
-			l := policy.WorkerList{Kind: policy.ListWhole}
+			l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 			for id := policy.WorkerID(1); id <= 4; id++ {
-				l.Workers = append(l.Workers, policy.WorkerEntry{Worker: id, State: rapid.SampledFrom(states).Draw(t, "state"), Weight: 1})
+				l.Workers = append(l.Workers, policy.Endpoint{Worker: id, State: rapid.SampledFrom(states).Draw(t, "state"), Weight: 1})
 			}
 			c.SetList(l)
 		}
@@ -146,14 +146,14 @@
 			},
 			"end": func(t *rapid.T) {
 				if a, ok := pick(t, w.out); ok {
-					end(a, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Errored, policy.Full, policy.Unreachable,
-						policy.Reset, policy.Moot, policy.Missed}).Draw(t, "outcome"))
+					end(a, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Failed, policy.Overloaded, policy.Unreachable,
+						policy.ConnectionReset, policy.NotSent, policy.NotLoaded}).Draw(t, "outcome"))
 				}
 			},
 			"load": func(t *rapid.T) {
 				if tag, ok := pick(t, w.holds); ok {
 					delete(w.holds, tag)
-					c.HoldEnded(tag, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Full, policy.Errored}).Draw(t, "o"), 1)
+					c.HoldEnded(tag, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Overloaded, policy.Failed}).Draw(t, "o"), 1)
 				}
 			},
 			"probe": func(t *rapid.T) {
@@ -207,9 +207,9 @@
 
 // Guards rule 2: an order whose connection was reset may have run, so it fails and is not resent.
 func TestOrderThatMayHaveRunFails(t *testing.T) {
-	for _, o := range []policy.Outcome{policy.Reset, policy.Errored, policy.TimedOut} {
+	for _, o := range []policy.Outcome{policy.ConnectionReset, policy.Failed, policy.TimedOut} {
 		c, w := newCore(t, 1)
-		c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready},
+		c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready},
 			{Worker: 2, State: policy.Ready}}})
 		k := &asker{core: c}
 		id := c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
@@ -228,8 +228,8 @@
 // Guards the time-outs: probes and orders that nobody answers end, and what comes later is ignored.
 func TestUnansweredQuestionsTimeOut(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.carryOut(policy.Probe{Worker: 1})
-	c.carryOut(policy.OrderLoad{Worker: 1, Function: 2, Count: 1})
+	c.carryOut(policy.CheckHealth{Worker: 1})
+	c.carryOut(policy.Load{Worker: 1, Function: 2, Count: 1})
 	c.Turn(time.Hour)
 	c.HoldEnded(2, policy.Served, 1)
 	c.Probed(1, policy.Served, nil)
@@ -242,12 +242,12 @@
 // Guards against an answer that comes in the turn in which the client left: it is owed to nobody.
 func TestAnswerBehindALeaveGoesNowhere(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	k := &asker{core: c}
 	id := c.Take(time.Hour, Request{Asker: k, Class: 0, Function: 7, Deadline: time.Hour + 2*time.Second})
 	c.Turn(time.Hour)
 	c.Leave(time.Hour+ms, id)
-	c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.WasWarm})
+	c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded})
 	c.Turn(time.Hour + ms)
 	if len(k.answers) != 0 || c.Count.Left[Thrift] != 1 || c.Count.Served[Thrift] != 0 || len(c.reqs) != 0 {
 		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Count, len(c.reqs))
@@ -261,7 +261,7 @@
 		c, w := newCore(t, 1)
 		k := &asker{core: c}
 		if sent == 1 {
-			c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+			c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 		}
 		id := c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
 		c.Turn(time.Hour)
@@ -286,7 +286,7 @@
 // Guards the planned stop: clients that go on sending get a refusal each, and don't hold it up.
 func TestDrainingCoreRefusesWhatComes(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	c.Draining = true
 	k := &asker{core: c}
 	c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
@@ -300,7 +300,7 @@
 // one fails and reaches no worker, and the id is free again once the first has ended.
 func TestIDOfAnOpenRequestIsNotTakenTwice(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	take := func(f Front, body string) (policy.RequestID, *asker) {
 		k := &asker{core: c}
 		return c.Take(time.Hour, Request{Front: f, Asker: k, ID: "00000000000000aa", Function: 7, Body: []byte(body),
@@ -314,7 +314,7 @@
 			t.Fatalf("request %d has answers %+v, %d open", id, other.answers, c.Open())
 		}
 	}
-	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte("done")})
+	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("done")})
 	c.Turn(time.Hour + ms)
 	if len(k.answers) != 1 || string(k.answers[0].Body) != "done" || len(w.runs) != 1 || len(c.ids)+len(c.reqs) != 0 {
 		t.Fatalf("answers %+v, %d requests sent, %d ids kept", k.answers, len(w.runs), len(c.ids))
@@ -329,7 +329,7 @@
 func TestACallTakenBackAtOnceNeverReachesTheModule(t *testing.T) {
 	c, w := newCore(t, 1)
 	now := time.Hour
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	c.Turn(now)
 	call := func(id int) Request {
 		return Request{Asker: &asker{core: c}, ID: fmt.Sprintf("%016x", id), Key: "00000000000000aa", Function: 0xaa, Deadline: now + time.Second}
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -31,7 +31,7 @@
 
 func routed(t *testing.T) (*Core, *workers) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	c.SetLabels([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
 	c.Turn(time.Hour)
 	return c, w
@@ -89,7 +89,7 @@
 	if n := next.Pools()[0].InFlight(); n != 2 {
 		t.Errorf("%d in flight go on, want 2", n)
 	}
-	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte("x")})
+	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("x")})
 	c.Turn(time.Hour)
 	if len(k.answers) != 1 || k.answers[0].Verdict != Served || next.Pools()[0].InFlight() != 1 {
 		t.Errorf("answers %+v, %d in flight", k.answers, next.Pools()[0].InFlight())
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -10,15 +10,15 @@
 // A tenant that floods is refused what is beyond its share, by its name as fronts word it; another is served, and who
 // names none of the settings' tenants has no share at all.
 func TestTenantsAreToldApartByName(t *testing.T) {
-	module, err := policy.New(policy.Config{Peers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, OverShareWorth: 0.2,
-		Tenants: []policy.Tenant{{PerSecond: 4}, {PerSecond: 1000}},
-		Classes: []policy.Class{{Aim: 100 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3}}}, 1)
+	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, OverQuotaWeight: 0.2,
+		Tenants: []policy.Tenant{{RequestsPerSecond: 4}, {RequestsPerSecond: 1000}},
+		Classes: []policy.Class{{LatencyObjective: 100 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, w := New(module, Limits{MaxOpen: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}}), &silentWorkers{}
 	c.Use(w)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	refused := map[string]int{}
 	n := uint64(0)
 	for range 40 {
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -12,7 +12,7 @@
 // module's, however long its client would have waited.
 func TestAnsweredCallsLeaveNoTimers(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}}})
+	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	now := time.Hour
 	c.Turn(now)
 	standing := len(c.timers)
@@ -21,7 +21,7 @@
 		id := c.Take(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
 		c.Turn(now)
 		if i%2 == 0 {
-			c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.WasWarm})
+			c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded})
 		} else {
 			c.Leave(now, id)
 		}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -32,7 +32,7 @@
 }
 
 // byOutcome lists the outcomes that occurred.
-func byOutcome(counts [policy.Missed + 1]uint64) (pairs []any) {
+func byOutcome(counts [policy.NotLoaded + 1]uint64) (pairs []any) {
 	for o, name := range []string{"served", "errored", "full", "timed_out", "unreachable", "reset", "cancelled", "moot", "missed"} {
 		if counts[o] > 0 {
 			pairs = append(pairs, name, counts[o])
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -31,7 +31,7 @@
 
 // told is what the module is to be told of settings, as far as deployments differ.
 type told struct {
-	Repeats        []policy.Repeat
+	Repeats        []policy.Idempotency
 	Tenants        []float64
 	Attempts       int
 	Second, Misses bool
@@ -44,14 +44,14 @@
 }
 
 var deployments = []deployment{
-	{"lanternfield", told{[]policy.Repeat{policy.Safe, policy.Safe, policy.Unsafe}, nil, 3, true, true, false,
+	{"lanternfield", told{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 3, true, true, false,
 		time.Second, time.Second, 2, []string{"inflight"}, 0.05, 8928}, "", "inflight:3"},
-	{"derwent", told{[]policy.Repeat{policy.Safe, policy.Keyed, policy.Unsafe}, []float64{308, 70, 62}, 5, false, false, true,
+	{"derwent", told{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{308, 70, 62}, 5, false, false, true,
 		500 * time.Millisecond, 500 * time.Millisecond, 4, []string{"util", "queue", "x1", "x0"}, 0.15, 7904},
 		"launceston", "util:0.5;queue:1;x1:0;x0:0.2"},
-	{"skerry-tides", told{[]policy.Repeat{policy.Safe, policy.Keyed, policy.Unsafe}, []float64{186, 99, 15}, 2, false, false, true,
+	{"skerry-tides", told{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{186, 99, 15}, 2, false, false, true,
 		600 * time.Millisecond, 800 * time.Millisecond, 1.5, []string{"queue", "x0"}, 0.2, 16384}, "islets", "queue:2;x0:0.3"},
-	{"lockgate", told{[]policy.Repeat{policy.Safe, policy.Safe, policy.Unsafe}, nil, 4, true, true, false,
+	{"lockgate", told{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 4, true, true, false,
 		1500 * time.Millisecond, 400 * time.Millisecond, 3, []string{"inflight"}, 0.03, 12544}, "", "inflight:1"},
 }
 
@@ -207,13 +207,13 @@
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			c := startDeployment(t, d).cfg.Module
-			got := told{Attempts: c.MaxAttempts, Second: c.SecondAttempts, Misses: c.MissWhenCold, Crowds: c.CrowdNotes, Grace: c.DrainGrace,
-				After: c.MaxRetryAfter, Fall: c.FallMultiple, Fields: c.ReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
+			got := told{Attempts: c.MaxAttempts, Second: c.HedgingAllowed, Misses: c.MissWhenNotLoaded, Crowds: c.ConcurrencyReported, Grace: c.DrainGracePeriod,
+				After: c.MaxRetryAfter, Fall: c.OverloadMultiple, Fields: c.LoadReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
 			for _, k := range c.Classes {
-				got.Repeats = append(got.Repeats, k.Repeat)
+				got.Repeats = append(got.Repeats, k.Idempotency)
 			}
 			for _, a := range c.Tenants {
-				got.Tenants = append(got.Tenants, a.PerSecond)
+				got.Tenants = append(got.Tenants, a.RequestsPerSecond)
 			}
 			if diff := cmp.Diff(d.want, got); diff != "" {
 				t.Error(diff)
@@ -234,7 +234,7 @@
 				n++
 				k := fake.Call{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), Key: fmt.Sprintf("%016x", 0x7f3a+n), Wait: 2 * time.Second,
 					Props: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, More: []string{"later", "ignored"}}
-				if p.cfg.Module.Classes[class].Repeat == policy.Keyed {
+				if p.cfg.Module.Classes[class].Idempotency == policy.IdempotentWithKey {
 					k.Once = once
 				}
 				return k
@@ -261,7 +261,7 @@
 				for _, tt := range []struct {
 					word   string
 					repeat bool
-				}{{"SHED", true}, {"FAULT", k.Repeat != policy.Unsafe}} {
+				}{{"SHED", true}, {"FAULT", k.Idempotency != policy.NotIdempotent}} {
 					sent := fresh(class)
 					a, runs := p.call(t, sent, func(n int) (string, string) {
 						if n == 1 {
@@ -284,7 +284,7 @@
 					}
 				}
 			}
-			if p.doubled > 0 && !p.cfg.Module.SecondAttempts {
+			if p.doubled > 0 && !p.cfg.Module.HedgingAllowed {
 				t.Errorf("%d attempts went out beside another of their call", p.doubled)
 			}
 		})
--- a/internal/server/hooks.go
+++ b/internal/server/hooks.go
@@ -44,7 +44,7 @@
 		}
 	}
 	core.Observe = func(now time.Duration, r *router.Request, end string) {
-		if h.sender != nil && c.Module.Classes[r.Class].Repeat == policy.Unsafe {
+		if h.sender != nil && c.Module.Classes[r.Class].Idempotency == policy.NotIdempotent {
 			h.sender.Notify(now, r, end)
 		}
 		if h.exporter != nil {
@@ -65,7 +65,7 @@
 	if cfg.Receiver.Enabled {
 		var classes []webhook.Class
 		for i, k := range c.Module.Classes {
-			classes = append(classes, webhook.Class{Name: c.Network.Classes[i].Name, Once: k.Repeat != policy.Safe, Keyed: k.Repeat == policy.Keyed, Longest: k.Deadline})
+			classes = append(classes, webhook.Class{Name: c.Network.Classes[i].Name, Once: k.Idempotency != policy.Idempotent, Keyed: k.Idempotency == policy.IdempotentWithKey, Longest: k.Deadline})
 		}
 		if h.receiver, err = webhook.NewReceiver(cfg, core, classes, c.Share(16<<20), lp.Now, time.Now, lp.Post); err != nil {
 			return err
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -70,23 +70,23 @@
 	wanted := time.Duration(0)
 	calls := thrift.Config{Tenants: c.TenantNames()}
 	for i, k := range c.Module.Classes {
-		wanted = max(wanted, k.Aim)
-		calls.Classes = append(calls.Classes, thrift.Class{Name: c.Network.Classes[i].Name, Keyed: k.Repeat == policy.Keyed})
+		wanted = max(wanted, k.LatencyObjective)
+		calls.Classes = append(calls.Classes, thrift.Class{Name: c.Network.Classes[i].Name, Keyed: k.Idempotency == policy.IdempotentWithKey})
 	}
 	lp := eventloop.New(eventloop.Config{MaxAccepted: c.ClientConns(), MaxFiles: c.Limits.Sockets,
 		MaxQueued: c.Share(8 << 20), MaxUnread: c.Share(32 << 20)})
 	core := router.New(module, router.Limits{MaxOpen: c.MaxOpen(), MaxBytes: c.Share(24 << 20), RetryAfter: c.TurnedAway(),
-		MaxAttempts: c.Module.MaxAttempts, OrderTimeout: c.Module.OrderTimeout, ProbeTimeout: probeTimeout,
+		MaxAttempts: c.Module.MaxAttempts, OrderTimeout: c.Module.LoadTimeout, ProbeTimeout: probeTimeout,
 		Tenants: c.TenantNames()})
-	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Module.ReportFields,
+	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Module.LoadReportFields,
 		DialTimeout: config.Millis(c.Network.Limits.DialTimeoutMs), KeepAlive: config.Millis(c.Network.Limits.KeepaliveMs),
-		Wanted: wanted, PerConn: c.Network.Limits.StreamsPerConn, MaxConns: c.WorkerConns(), MayStop: c.Module.MayCancel,
+		Wanted: wanted, PerConn: c.Network.Limits.StreamsPerConn, MaxConns: c.WorkerConns(), MayStop: c.Module.CancelSupported,
 		Seed: c.Random, Dial: func(network, addr string, timeout time.Duration, h eventloop.Dialled) workerclient.Line {
 			return lp.Dial(network, addr, timeout, h)
 		}}, core)
 	core.Use(pool)
 	staff := newStaff(lp, core, pool, c)
-	names := discovery.New(c.Names, c.Random, c.Module.DrainGrace,
+	names := discovery.New(c.Names, c.Random, c.Module.DrainGracePeriod,
 		func(addr string, h eventloop.Dialled) discovery.Line { return lp.Dial("udp", addr, time.Second, h) },
 		staff.follow)
 	addresses, err := readAddresses(opts.Addresses)
--- a/internal/server/staff.go
+++ b/internal/server/staff.go
@@ -113,13 +113,13 @@
 		}
 		members[i] = endpoint.Member{Name: w.Name, Addrs: slices.Concat(w.Addrs, static[i].Addrs), Same: static[i].Same}
 	}
-	l := policy.WorkerList{Kind: policy.ListWhole}
+	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	present := map[policy.WorkerID]bool{}
 	var labels []route.Worker
 	for _, group := range endpoint.Groups(members) {
 		key := endpoint.Key(members, group)
 		first := s.list[group[0]]
-		e := policy.WorkerEntry{Worker: workerID(key), State: first.State, Weight: first.Weight, Cell: first.Cell,
+		e := policy.Endpoint{Worker: workerID(key), State: first.State, Weight: first.Weight, Cell: first.Cell,
 			Zone: max(slices.Index(s.c.Network.FailureDomains, first.Zone), 0)}
 		var addrs []endpoint.Addr
 		var prefer []endpoint.Network
--- a/internal/server/staff_test.go
+++ b/internal/server/staff_test.go
@@ -26,7 +26,7 @@
 
 func newPost(t *testing.T) *post {
 	t.Helper()
-	module, err := policy.New(policy.Config{Peers: 1, MaxAttempts: 3, OverShareWorth: 1, Classes: []policy.Class{{Aim: time.Second, Deadline: 2 * time.Second}}}, 1)
+	module, err := policy.New(policy.Config{Replicas: 1, MaxAttempts: 3, OverQuotaWeight: 1, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 	if got := p.call(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
 		t.Errorf("aliases by the file: dialled %q", got)
 	}
-	if !table.Pools()[0].Has(workerID("s-2+s-3")) || table.Pools()[0].Has(workerID("s-1")) {
+	if !table.Pools()[0].Contains(workerID("s-2+s-3")) || table.Pools()[0].Contains(workerID("s-1")) {
 		t.Error("the pool does not pick the worker by its second name")
 	}
 }
--- a/internal/simulation/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -14,8 +14,8 @@
 // budget is how many calls of mean work a cold worker may get in the time that the settings name, from an age on.
 func (s *story) budget(age time.Duration) float64 {
 	c := s.cfg.Settings
-	capacity := c.ColdFrom + (1-c.ColdFrom)*min(1, float64(age)/float64(c.ColdFor))
-	return c.FallMultiple * capacity * float64(s.cfg.Slots) / s.cfg.Work.Seconds() * c.FallFor.Seconds()
+	capacity := c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*min(1, float64(age)/float64(c.SlowStartDuration))
+	return c.OverloadMultiple * capacity * float64(s.cfg.Slots) / s.cfg.Work.Seconds() * c.OverloadWindow.Seconds()
 }
 
 // excess is by how much the sum of all routers went over the budget of a cold worker, in units of the budget's root,
@@ -28,11 +28,11 @@
 		}
 		got := slices.Sorted(slices.Values(slices.Concat(w.Taken, w.Loads)))
 		for i, from := range got {
-			if from+s.cfg.Settings.FallFor > w.Born+s.cfg.Settings.ColdFor { // warm by then
+			if from+s.cfg.Settings.OverloadWindow > w.Born+s.cfg.Settings.SlowStartDuration { // warm by then
 				break
 			}
 			n, N := 0, s.budget(from-w.Born)
-			for n < len(got)-i && got[i+n] < from+s.cfg.Settings.FallFor {
+			for n < len(got)-i && got[i+n] < from+s.cfg.Settings.OverloadWindow {
 				n++
 			}
 			units = max(units, (float64(n)-N)/math.Sqrt(N))
@@ -45,7 +45,7 @@
 // coldFleet is a fleet of small workers, each of which does 90 calls a second, with thin and uneven traffic: six start
 // cold, told within 1.5 s, while others leave; a third of the routers is killed and comes back knowing nothing; after a
 // lull, in which all may have saved up, a crowd comes at once.
-func coldFleet(t *testing.T, routers int, seed uint64, tt day, told func(policy.WorkerEntry) policy.WorkerEntry) *story {
+func coldFleet(t *testing.T, routers int, seed uint64, tt day, told func(policy.Endpoint) policy.Endpoint) *story {
 	t.Helper()
 	s := &story{}
 	if err := s.routers(routers, 20, "answer misses"); err != nil {
@@ -53,7 +53,7 @@
 	}
 	s.cfg.Slots, s.cfg.Work, s.cfg.Load, s.cfg.Seed, s.cfg.Uneven = 9, 100*ms, 400*ms, seed, true
 	c := &s.cfg.Settings
-	c.FallMultiple, c.ColdFrom, c.ColdFor, c.SecondAttempts, c.DrainGrace = 2, 0.18, 17*time.Second, true, time.Second
+	c.OverloadMultiple, c.SlowStartInitialCapacity, c.SlowStartDuration, c.HedgingAllowed, c.DrainGracePeriod = 2, 0.18, 17*time.Second, true, time.Second
 	s.cfg.Routes = func() *route.Table {
 		table, err := route.Compile(&route.Spec{
 			Pools:    []route.PoolSpec{{Name: "all", Cap: route.Unset, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset}},
@@ -72,10 +72,10 @@
 	for i := range 10 { // half of the workers are replaced in steps
 		f.After(2*time.Second+time.Duration(i)*time.Second, func() {
 			w := f.StartWorker()
-			f.Tell(1500*ms, told(policy.WorkerEntry{Worker: w.ID, State: policy.Ready, Weight: 1, Started: f.Now()}))
+			f.Tell(1500*ms, told(policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: f.Now()}))
 		})
 		f.After(4*time.Second+time.Duration(i)*time.Second, func() {
-			f.Tell(1500*ms, policy.WorkerEntry{Worker: policy.WorkerID(i + 1), State: policy.Draining})
+			f.Tell(1500*ms, policy.Endpoint{Worker: policy.WorkerID(i + 1), State: policy.Draining})
 		})
 	}
 	for part := range 10 { // and all routers restarted, a tenth at a time
@@ -91,20 +91,20 @@
 	for _, at := range tt.gone {                                             // workers vanish together, and what they served is for the others
 		f.After(at, func() {
 			for id := policy.WorkerID(11); id <= 15; id++ {
-				f.Tell(400*ms, policy.WorkerEntry{Worker: id, State: policy.Gone})
+				f.Tell(400*ms, policy.Endpoint{Worker: id, State: policy.Gone})
 			}
 		})
 	}
 	if tt.lull > 0 { // after a day without calls, in which all may have saved up, a crowd comes at once
 		f.After(28*time.Second, func() {
 			w := f.StartWorker()
-			f.Tell(1500*ms, told(policy.WorkerEntry{Worker: w.ID, State: policy.Ready, Weight: 1, Started: f.Now()}))
+			f.Tell(1500*ms, told(policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: f.Now()}))
 			f.Traffic("", 0, 1000, 4*time.Second)
 		})
 		f.After(32*time.Second+tt.lull, func() {
 			f.Traffic("", 0, 2500, 3*time.Second)
 			for id := policy.WorkerID(16); id <= 20; id++ {
-				f.Tell(200*ms, policy.WorkerEntry{Worker: id, State: policy.Gone})
+				f.Tell(200*ms, policy.Endpoint{Worker: id, State: policy.Gone})
 			}
 		})
 		f.Run(12 * time.Second)
@@ -113,7 +113,7 @@
 	return s
 }
 
-func asTold(e policy.WorkerEntry) policy.WorkerEntry { return e }
+func asTold(e policy.Endpoint) policy.Endpoint { return e }
 
 // A worker that has just started falls under the sum of what all routers send it, however many they are: no more
 // comes than its budget and what is put down to chance.
@@ -153,7 +153,7 @@
 
 // Guards the check: routers that are not told of the start push the worker over.
 func TestTheSumAtColdWorkersFindsAnUntoldStart(t *testing.T) {
-	s := coldFleet(t, 30, 1, day{}, func(e policy.WorkerEntry) policy.WorkerEntry { e.Started = 0; return e })
+	s := coldFleet(t, 30, 1, day{}, func(e policy.Endpoint) policy.Endpoint { e.Started = 0; return e })
 	if _, over := s.excess(); over <= 0 {
 		t.Error("not found")
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -41,7 +41,7 @@
 	rng     *rand.Rand
 	Routers []*Router
 	Workers map[policy.WorkerID]*Worker
-	truth   map[policy.WorkerID]policy.WorkerEntry // what the directory has to tell beside the workers of the start
+	truth   map[policy.WorkerID]policy.Endpoint // what the directory has to tell beside the workers of the start
 	ids     uint64
 	Calls   []*Call
 	version map[policy.FunctionID]policy.FunctionID // of what is called, where it is not the first
@@ -55,7 +55,7 @@
 	share float64       // of the calls
 	turn  time.Duration // when the core is to be called next; earlier wakes than that are stale
 	told  map[policy.WorkerID]time.Duration
-	known map[policy.WorkerID]policy.WorkerEntry // what it was told beside the workers of the start
+	known map[policy.WorkerID]policy.Endpoint // what it was told beside the workers of the start
 	// LateSends counts calls and orders sent to a worker later than the grace after this router was told that it drains.
 	LateSends int
 	// Overdrawn counts orders beyond the ration, by what this process took and ordered in the window.
@@ -113,9 +113,9 @@
 
 // New returns a fleet at an hour past the clock's start, all its workers long since warm.
 func New(cfg Config) (*Fleet, error) {
-	cfg.Settings.Peers = cfg.Routers
+	cfg.Settings.Replicas = cfg.Routers
 	f := &Fleet{cfg: cfg, now: time.Hour, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), Workers: map[policy.WorkerID]*Worker{},
-		truth: map[policy.WorkerID]policy.WorkerEntry{}, version: map[policy.FunctionID]policy.FunctionID{}}
+		truth: map[policy.WorkerID]policy.Endpoint{}, version: map[policy.FunctionID]policy.FunctionID{}}
 	for i := range cfg.Workers {
 		f.addWorker(policy.WorkerID(i + 1))
 	}
@@ -141,7 +141,7 @@
 		return err
 	}
 	r.core = router.New(module, router.Limits{MaxOpen: 2000, MaxBytes: 1 << 20, MaxAttempts: f.cfg.Settings.MaxAttempts,
-		OrderTimeout: f.cfg.Settings.OrderTimeout, ProbeTimeout: 250 * time.Millisecond, Tenants: f.cfg.Tenants})
+		OrderTimeout: f.cfg.Settings.LoadTimeout, ProbeTimeout: 250 * time.Millisecond, Tenants: f.cfg.Tenants})
 	r.core.Use(r)
 	r.taken, r.ordered = nil, nil
 	r.told, r.known, r.Down, r.turn = map[policy.WorkerID]time.Duration{}, maps.Clone(f.truth), false, 0
@@ -176,12 +176,12 @@
 
 // list hands the router's core the whole list as it was told.
 func (r *Router) list() {
-	l := policy.WorkerList{Kind: policy.ListWhole}
+	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	labels := []route.Worker{}
 	for id := policy.WorkerID(1); int(id) <= len(r.fleet.Workers); id++ {
 		e, told := r.known[id]
 		if !told && int(id) <= r.fleet.cfg.Workers {
-			e = policy.WorkerEntry{Worker: id, State: policy.Ready, Weight: 1}
+			e = policy.Endpoint{Worker: id, State: policy.Ready, Weight: 1}
 		}
 		if e.State != policy.Gone {
 			l.Workers = append(l.Workers, e)
@@ -215,7 +215,7 @@
 }
 
 // Tell has each router told of a changed entry, at a time of its own within a span.
-func (f *Fleet) Tell(within time.Duration, e policy.WorkerEntry) {
+func (f *Fleet) Tell(within time.Duration, e policy.Endpoint) {
 	f.truth[e.Worker] = e
 	for _, r := range f.Routers {
 		f.After(time.Duration(f.rng.Int64N(int64(within)+1)), func() {
@@ -361,7 +361,7 @@
 }
 
 func (r *Router) late(w policy.WorkerID) {
-	if at, told := r.told[w]; told && r.fleet.now > at+r.fleet.cfg.Settings.DrainGrace {
+	if at, told := r.told[w]; told && r.fleet.now > at+r.fleet.cfg.Settings.DrainGracePeriod {
 		r.LateSends++
 	}
 }
@@ -375,22 +375,22 @@
 		stands, known := w.copies[fn]
 		switch {
 		case w.held >= 2*f.cfg.Slots:
-			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Full}) })
+			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Overloaded}) })
 			return
-		case !known && f.cfg.Settings.MissWhenCold:
-			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Missed}) })
+		case !known && f.cfg.Settings.MissWhenNotLoaded:
+			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.NotLoaded}) })
 			return
 		}
-		note, wait := policy.WasWarm, time.Duration(0)
+		note, wait := policy.AlreadyLoaded, time.Duration(0)
 		if !known {
 			if !w.room(f) {
-				r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Full}) })
+				r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Overloaded}) })
 				return
 			}
-			stands, note = f.now+f.cfg.Load, policy.BeganLoad
+			stands, note = f.now+f.cfg.Load, policy.StartedLoad
 			w.copies[fn] = stands
 		} else if stands > f.now {
-			note = policy.AwaitedOne
+			note = policy.WaitedForLoad
 		}
 		wait = max(stands-f.now, 0)
 		w.held++
@@ -411,19 +411,19 @@
 	w, f := r.fleet.Workers[id], r.fleet
 	if s := f.cfg.Settings; count > 0 {
 		within := func(list []time.Duration) (n float64) {
-			for i := len(list) - 1; i >= 0 && list[i] > f.now-s.LoadWindow; i-- {
+			for i := len(list) - 1; i >= 0 && list[i] > f.now-s.LoadBudgetWindow; i-- {
 				n++
 			}
 			return n
 		}
-		if r.ordered = append(r.ordered, f.now); within(r.ordered) > s.LoadFree+s.LoadShare*within(r.taken) {
+		if r.ordered = append(r.ordered, f.now); within(r.ordered) > s.LoadBudgetMinimum+s.LoadBudgetRatio*within(r.taken) {
 			r.Overdrawn++
 		}
 	}
 	f.After(time.Millisecond/2, func() {
 		if _, known := w.copies[fn]; !known && count > 0 {
 			if !w.room(f) {
-				r.answer(0, func() { r.core.HoldEnded(tag, policy.Full, 0) })
+				r.answer(0, func() { r.core.HoldEnded(tag, policy.Overloaded, 0) })
 				return
 			}
 			w.copies[fn] = f.now + f.cfg.Load
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -41,10 +41,10 @@
 
 func (s *story) routers(n, workers int, cold string) error {
 	s.cfg = Config{Routers: n, Workers: workers, Functions: 60, Work: 40 * ms, Slots: 12, Load: 400 * ms, Seed: 7,
-		Settings: policy.Config{Tick: 4 * ms, MaxAttempts: 5, MayCancel: true, MayProbe: true, OverShareWorth: 0.2, ColdFrom: 0.2, ColdFor: 10 * time.Second,
-			FallMultiple: 4, FallFor: time.Second, DrainGrace: 500 * ms, MissWhenCold: cold == "answer misses", MayOrder: true, WarmNotes: true,
-			KeepAlive: 10 * time.Second, OrderTimeout: 10 * time.Second, LoadWindow: 10 * time.Second, LoadFree: 4, LoadShare: 0.3,
-			Classes: []policy.Class{{Aim: time.Second, Deadline: 3 * time.Second, Worth: 3, LateWorth: 0.3}}}}
+		Settings: policy.Config{Tick: 4 * ms, MaxAttempts: 5, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 0.2, SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+			OverloadMultiple: 4, OverloadWindow: time.Second, DrainGracePeriod: 500 * ms, MissWhenNotLoaded: cold == "answer misses", LoadOrdersSupported: true, LoadStatusReported: true,
+			KeepAlive: 10 * time.Second, LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3,
+			Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 3, LatePriorityWeight: 0.3}}}}
 	if cold != "answer misses" && cold != "load by the way" {
 		return fmt.Errorf("workers can't %q", cold)
 	}
@@ -53,7 +53,7 @@
 
 func (s *story) allowances(a string, perA int, b string, perB int) error {
 	s.cfg.Tenants = []string{a, b}
-	s.cfg.Settings.Tenants = []policy.Tenant{{PerSecond: float64(perA)}, {PerSecond: float64(perB)}}
+	s.cfg.Settings.Tenants = []policy.Tenant{{RequestsPerSecond: float64(perA)}, {RequestsPerSecond: float64(perB)}}
 	return nil
 }
 
@@ -82,14 +82,14 @@
 }
 
 func (s *story) changed(after, worker int, state string, within int) error {
-	e := policy.WorkerEntry{Worker: policy.WorkerID(worker), Weight: 1, State: map[string]policy.WorkerState{"draining": policy.Draining, "gone": policy.Gone}[state]}
+	e := policy.Endpoint{Worker: policy.WorkerID(worker), Weight: 1, State: map[string]policy.WorkerState{"draining": policy.Draining, "gone": policy.Gone}[state]}
 	return s.when(after, func() { s.fleet.Tell(time.Duration(within)*ms, e) })
 }
 
 func (s *story) started(after, within int) error {
 	return s.when(after, func() {
 		s.worker = s.fleet.StartWorker()
-		s.fleet.Tell(time.Duration(within)*ms, policy.WorkerEntry{Worker: s.worker.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()})
+		s.fleet.Tell(time.Duration(within)*ms, policy.Endpoint{Worker: s.worker.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()})
 	})
 }
 
@@ -167,11 +167,11 @@
 	for i, from := range first {
 		n := 0
 		for _, at := range first[i:] {
-			if at < from+s.cfg.Settings.FallFor {
+			if at < from+s.cfg.Settings.OverloadWindow {
 				n++
 			}
 		}
-		if allowed := s.cfg.Settings.FallMultiple * s.cfg.Settings.ColdFrom * warm; float64(n) > allowed {
+		if allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warm; float64(n) > allowed {
 			return fmt.Errorf("%d calls within a second, %.0f allowed", n, allowed)
 		}
 	}
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -37,7 +37,7 @@
 		s := begin(80, 4, "load by the way")
 		if err := s.when(2, func() {
 			s.worker = s.fleet.StartWorker()
-			s.fleet.Tell(0, policy.WorkerEntry{Worker: s.worker.ID, State: policy.Ready, Weight: 1})
+			s.fleet.Tell(0, policy.Endpoint{Worker: s.worker.ID, State: policy.Ready, Weight: 1})
 		}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -78,71 +78,71 @@
 		return policy.Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c := policy.Config{
-		Peers:          s.PeersTotal,
-		Zone:           s.Zone,
-		WorthByWork:    s.CountedBy == "work",
-		Tick:           millis(s.GranularityMs),
-		ListByAsking:   s.MembershipMode == "subscribe",
-		ReportFields:   s.Report.Fields,
-		ReportInline:   s.Report.How == "inline",
-		MaxAttempts:    s.Limits.MaxAttempts,
-		MayCancel:      s.Limits.Cancel,
-		MayProbe:       s.Limits.MayProbe,
-		MayTell:        s.Limits.Peers,
-		SecondAttempts: s.Limits.SecondCopies,
-		RetryAfter:     s.Limits.RetryAfter,
-		MaxRetryAfter:  millis(s.Limits.MaxRetryAfterMs),
-		OverShareWorth: 1,
-		AskWithin:      millis(s.Rules.AskWithinMs),
-		ColdFrom:       s.Rules.ColdFrom,
-		ColdFor:        millis(s.Rules.ColdMs),
-		FallMultiple:   s.Rules.FallMultiple,
-		FallFor:        millis(s.Rules.FallMs),
-		DrainGrace:     millis(s.Rules.DrainGraceMs),
-		MissWhenCold:   s.Specifics.IfCold == "miss",
-		MayOrder:       s.Specifics.PlacementCalls,
-		WarmNotes:      s.Specifics.WarmNotes,
-		CrowdNotes:     s.Specifics.NotesPeersInHand,
-		KeepAlive:      millis(s.Specifics.LingerIdleMs),
-		OrderTimeout:   millis(s.Specifics.LoadWaitMs),
-		LoadWindow:     millis(s.Specifics.LoadsWithinMs),
-		LoadFree:       s.Specifics.LoadFree,
-		LoadShare:      s.Specifics.LoadPart,
-		MemoryPrice:    s.Specifics.MemoryPrice,
+		Replicas:                 s.PeersTotal,
+		Zone:                     s.Zone,
+		WeightByWork:             s.CountedBy == "work",
+		Tick:                     millis(s.GranularityMs),
+		EndpointsByPolling:       s.MembershipMode == "subscribe",
+		LoadReportFields:         s.Report.Fields,
+		InlineLoadReports:        s.Report.How == "inline",
+		MaxAttempts:              s.Limits.MaxAttempts,
+		CancelSupported:          s.Limits.Cancel,
+		HealthCheckSupported:     s.Limits.MayProbe,
+		GossipSupported:          s.Limits.Peers,
+		HedgingAllowed:           s.Limits.SecondCopies,
+		RetryAfterSupported:      s.Limits.RetryAfter,
+		MaxRetryAfter:            millis(s.Limits.MaxRetryAfterMs),
+		OverQuotaWeight:          1,
+		PollInterval:             millis(s.Rules.AskWithinMs),
+		SlowStartInitialCapacity: s.Rules.ColdFrom,
+		SlowStartDuration:        millis(s.Rules.ColdMs),
+		OverloadMultiple:         s.Rules.FallMultiple,
+		OverloadWindow:           millis(s.Rules.FallMs),
+		DrainGracePeriod:         millis(s.Rules.DrainGraceMs),
+		MissWhenNotLoaded:        s.Specifics.IfCold == "miss",
+		LoadOrdersSupported:      s.Specifics.PlacementCalls,
+		LoadStatusReported:       s.Specifics.WarmNotes,
+		ConcurrencyReported:      s.Specifics.NotesPeersInHand,
+		KeepAlive:                millis(s.Specifics.LingerIdleMs),
+		LoadTimeout:              millis(s.Specifics.LoadWaitMs),
+		LoadBudgetWindow:         millis(s.Specifics.LoadsWithinMs),
+		LoadBudgetMinimum:        s.Specifics.LoadFree,
+		LoadBudgetRatio:          s.Specifics.LoadPart,
+		MemoryPrice:              s.Specifics.MemoryPrice,
 	}
 	for _, m := range s.Specifics.MemoryMbByKind {
 		c.WorkerMemoryMB += m / float64(len(s.Specifics.MemoryMbByKind))
 	}
 	if s.OverShareWorth != nil {
-		c.OverShareWorth = *s.OverShareWorth
+		c.OverQuotaWeight = *s.OverShareWorth
 	}
 	for i, k := range s.Classes {
 		out := policy.Class{
-			Aim: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), Window: millis(k.WindowMs),
-			Streamed: k.Streamed, Worth: k.Worth, LateWorth: k.LateWorth, AimStretch: k.AimStretch,
+			LatencyObjective: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), DeduplicationWindow: millis(k.WindowMs),
+			Streamed: k.Streamed, PriorityWeight: k.Worth, LatePriorityWeight: k.LateWorth, ObjectiveStretch: k.AimStretch,
 		}
 		switch k.Semantics {
 		case "safe":
-			out.Repeat = policy.Safe
+			out.Idempotency = policy.Idempotent
 		case "keyed":
-			out.Repeat = policy.Keyed
+			out.Idempotency = policy.IdempotentWithKey
 		case "unsafe":
-			out.Repeat = policy.Unsafe
+			out.Idempotency = policy.NotIdempotent
 		default:
 			return policy.Config{}, fmt.Errorf("settings: class %d: unknown semantics %q", i, k.Semantics)
 		}
 		switch k.Group {
 		case "all":
-			out.Group = policy.GroupAll
+			out.DeduplicationScope = policy.DeduplicatedEverywhere
 		case "zone":
-			out.Group = policy.GroupZone
+			out.DeduplicationScope = policy.DeduplicatedInZone
 		default: // cell, or absent: the narrowest promise
-			out.Group = policy.GroupCell
+			out.DeduplicationScope = policy.DeduplicatedInCell
 		}
 		c.Classes = append(c.Classes, out)
 	}
 	for _, a := range s.Accounts {
-		c.Tenants = append(c.Tenants, policy.Tenant{PerSecond: a.AllowancePerS})
+		c.Tenants = append(c.Tenants, policy.Tenant{RequestsPerSecond: a.AllowancePerS})
 	}
 	return c, nil
 }
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -165,8 +165,8 @@
 	return append([]byte(nil), d.take(int(n))...)
 }
 
-var outcomes = [...]policy.Outcome{policy.Served, policy.Errored, policy.Full, policy.TimedOut,
-	policy.Unreachable, policy.Reset, policy.Cancelled, policy.Moot, policy.Missed}
+var outcomes = [...]policy.Outcome{policy.Served, policy.Failed, policy.Overloaded, policy.TimedOut,
+	policy.Unreachable, policy.ConnectionReset, policy.Cancelled, policy.NotSent, policy.NotLoaded}
 
 func (d *decoder) outcome() (policy.Outcome, error) {
 	if rc := d.u8(); int(rc) < len(outcomes) {
@@ -177,10 +177,10 @@
 }
 
 // note splits the info byte of an outcome into the note and the crowd.
-func note(info uint8) (policy.Note, int) {
-	n := policy.Note(info & 7)
+func note(info uint8) (policy.LoadStatus, int) {
+	n := policy.LoadStatus(info & 7)
 	if n > policy.LoadFailed {
-		n = policy.NoNote
+		n = policy.LoadStatusUnknown
 	}
 	return n, int(info >> 3)
 }
@@ -191,13 +191,13 @@
 	var err error
 	switch code {
 	case codeFirst:
-		e := policy.StreamBegan{Request: policy.RequestID(d.u32()), Attempt: int(d.u16())}
+		e := policy.ResponseStarted{Request: policy.RequestID(d.u32()), Attempt: int(d.u16())}
 		d.worker()
 		d.f64()
 		rec.Event = e
 	case codeOutcome:
-		e := policy.AttemptEnded{Request: policy.RequestID(d.u32()), Worker: d.worker()}
-		e.Note, e.Crowd = note(d.u8())
+		e := policy.AttemptCompleted{Request: policy.RequestID(d.u32()), Worker: d.worker()}
+		e.LoadStatus, e.Concurrency = note(d.u8())
 		e.Closed = d.u8() != 0
 		e.Outcome, err = d.outcome()
 		e.Attempt = int(d.u16())
@@ -205,11 +205,11 @@
 		e.Report = d.report()
 		rec.Event = e
 	case codeAborted:
-		rec.Event = policy.Abandoned{Request: policy.RequestID(d.u32())}
+		rec.Event = policy.RequestCanceled{Request: policy.RequestID(d.u32())}
 	case codeKill:
 		rec.Event = Kill{}
 	case codeHealth:
-		e := policy.Probed{Took: d.dur()}
+		e := policy.HealthCheckCompleted{Took: d.dur()}
 		e.Outcome, err = d.outcome()
 		e.Worker = d.worker()
 		e.Report = d.report()
@@ -219,7 +219,7 @@
 	case codeReminder:
 		rec.Event = policy.TimerFired{Token: d.u64()}
 	case codeMessage:
-		e := policy.Told{From: int(d.u16())}
+		e := policy.GossipReceived{From: int(d.u16())}
 		e.Data = d.bytes(uint32(d.u16()))
 		rec.Event = e
 	case codeInit:
@@ -227,19 +227,19 @@
 		e.Settings = d.bytes(d.u32())
 		rec.Event = e
 	case codeIncoming:
-		e := policy.Arrived{Request: policy.RequestID(d.u32()), Tenant: int(d.u16()), LoadTime: d.dur4()}
+		e := policy.RequestArrived{Request: policy.RequestID(d.u32()), Tenant: int(d.u16()), LoadTime: d.dur4()}
 		bits := d.u8()
-		e.Repeated = bits&2 != 0
+		e.IsRetry = bits&2 != 0
 		e.Function = policy.FunctionID(d.u64())
 		e.Lanes, e.MemoryMB = d.f32(), d.f32()
 		e.Class = int(d.u16())
 		if work := d.dur(); bits&1 != 0 {
 			e.Work = work
 		}
-		e.Left = d.dur()
+		e.Remaining = d.dur()
 		rec.Event = e
 	case codeReady:
-		e := policy.LoadEnded{Worker: d.worker(), Function: policy.FunctionID(d.u64())}
+		e := policy.LoadCompleted{Worker: d.worker(), Function: policy.FunctionID(d.u64())}
 		e.Outcome, err = d.outcome()
 		e.Took = d.dur()
 		e.Count = int(d.u8())
@@ -253,21 +253,21 @@
 	return rec, err
 }
 
-func (d *decoder) targets() (policy.WorkerList, error) {
+func (d *decoder) targets() (policy.EndpointList, error) {
 	const entryBytes = 24
 	mode := d.u8()
 	d.u32()
 	n := d.u32()
-	if mode > uint8(policy.ListFailed) {
-		return policy.WorkerList{}, fmt.Errorf("unknown list mode %d", mode)
+	if mode > uint8(policy.EndpointListFailed) {
+		return policy.EndpointList{}, fmt.Errorf("unknown list mode %d", mode)
 	}
 	if uint64(n)*entryBytes > uint64(len(d.b)) {
 		d.short = true
-		return policy.WorkerList{}, nil
+		return policy.EndpointList{}, nil
 	}
-	l := policy.WorkerList{Kind: policy.ListKind(mode)}
+	l := policy.EndpointList{Kind: policy.EndpointListKind(mode)}
 	for range n {
-		e := policy.WorkerEntry{Worker: d.worker(), Zone: int(d.u16())}
+		e := policy.Endpoint{Worker: d.worker(), Zone: int(d.u16())}
 		state := d.u8()
 		if state > uint8(policy.Draining) {
 			return l, fmt.Errorf("unknown worker state %d", state)
@@ -304,23 +304,23 @@
 	}
 	data := func(b []byte) { r.b = append(be.AppendUint16(r.b, uint16(len(b))), b...) }
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.StartAttempt:
 		head(codePlace)
 		u32(uint32(a.Request))
 		worker(a.Worker)
 		dur(a.Limit)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		head(codeStop)
 		u32(uint32(a.Request))
 		r.b = be.AppendUint16(r.b, uint16(a.Attempt))
-	case policy.Refuse:
+	case policy.Reject:
 		head(codeDecline)
 		u32(uint32(a.Request))
 		dur(a.RetryAfter)
-	case policy.Fail:
+	case policy.FailRequest:
 		head(codeDrop)
 		u32(uint32(a.Request))
-	case policy.OrderLoad:
+	case policy.Load:
 		head(codeMount)
 		r.b = append(r.b, uint8(a.Count))
 		u64(uint64(a.Function))
@@ -329,10 +329,10 @@
 		head(codeUnmount)
 		worker(a.Worker)
 		u64(uint64(a.Function))
-	case policy.Probe:
+	case policy.CheckHealth:
 		head(codeAskLoad)
 		worker(a.Worker)
-	case policy.Tell:
+	case policy.SendGossip:
 		head(codeTell)
 		if a.To < 0 {
 			u32(allPeers)
@@ -351,9 +351,9 @@
 			on = 1
 		}
 		r.b = append(r.b, on)
-	case policy.FetchList:
+	case policy.FetchEndpoints:
 		head(codeSnapshot)
-	case policy.CloseIdle:
+	case policy.CloseIdleConnections:
 		head(codeHangUp)
 		worker(a.Worker)
 	case policy.Log:
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	want := []Record{
-		{3, policy.Arrived{Request: 0x5d3a91c4, Function: 0x7c55d20a01, Lanes: 2, MemoryMB: 384,
-			LoadTime: 900 * time.Millisecond, Work: 12 * time.Millisecond, Left: 240 * time.Millisecond}},
+		{3, policy.RequestArrived{Request: 0x5d3a91c4, Function: 0x7c55d20a01, Lanes: 2, MemoryMB: 384,
+			LoadTime: 900 * time.Millisecond, Work: 12 * time.Millisecond, Remaining: 240 * time.Millisecond}},
 		{3, policy.TimerFired{Token: 77}},
-		{5, policy.Abandoned{Request: 0x0e6f2b19}},
+		{5, policy.RequestCanceled{Request: 0x0e6f2b19}},
 	}
 	if b.Seq != 12 || b.Now != 8412250*time.Microsecond || !reflect.DeepEqual(b.Records, want) {
 		t.Errorf("got %+v", b)
@@ -45,7 +45,7 @@
 
 func TestSampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, []policy.Action{policy.Send{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Limit: 80 * time.Millisecond},
+	r.Add(3, []policy.Action{policy.StartAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Limit: 80 * time.Millisecond},
 		policy.SetTimer{After: 500*time.Millisecond + 0, Token: 77}})
 	r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}})
 	want := unhex(t, `0000000c 0000003e 45 0003 5d3a91c4 0a124a07 232b 4054000000000000
@@ -59,18 +59,18 @@
 func TestOtherRecords(t *testing.T) {
 	const w = policy.WorkerID(0x0a9011f22354)
 	for text, want := range map[string]any{
-		"02 0003 5d3a91c4 0a9011f22354 0b 01 00 0002 4032800000000000 01 40000000": policy.AttemptEnded{
-			Request: 0x5d3a91c4, Attempt: 2, Worker: w, Note: policy.AwaitedOne, Crowd: 1, Closed: true,
+		"02 0003 5d3a91c4 0a9011f22354 0b 01 00 0002 4032800000000000 01 40000000": policy.AttemptCompleted{
+			Request: 0x5d3a91c4, Attempt: 2, Worker: w, LoadStatus: policy.WaitedForLoad, Concurrency: 1, Closed: true,
 			Took: 18500 * time.Microsecond, Report: []float64{2}},
-		"0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01": policy.LoadEnded{
+		"0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01": policy.LoadCompleted{
 			Worker: w, Function: 0x7c55d20a01, Took: 640 * time.Millisecond, Count: 1},
-		"01 0003 00000007 0001 0a9011f22354 0000000000000000": policy.StreamBegan{Request: 7, Attempt: 1},
-		"05 0003 4014000000000000 03 0a9011f22354 00":         policy.Probed{Worker: w, Outcome: policy.TimedOut, Took: 5 * time.Millisecond},
-		"08 0003 0002 0003 616263":                            policy.Told{From: 2, Data: []byte("abc")},
+		"01 0003 00000007 0001 0a9011f22354 0000000000000000": policy.ResponseStarted{Request: 7, Attempt: 1},
+		"05 0003 4014000000000000 03 0a9011f22354 00":         policy.HealthCheckCompleted{Worker: w, Outcome: policy.TimedOut, Took: 5 * time.Millisecond},
+		"08 0003 0002 0003 616263":                            policy.GossipReceived{From: 2, Data: []byte("abc")},
 		"04 0003":                                             Kill{},
 		"09 0003 0000000000000009 00000002 7b7d":              Init{Seed: 9, Settings: []byte("{}")},
-		"06 0003 02 00000029 00000001 0a9011f22354 0000 01 3fc00000 0000 00 40b7d40000000000": policy.WorkerList{
-			Kind: policy.ListCached, Workers: []policy.WorkerEntry{{Worker: w, State: policy.Ready, Weight: 1.5,
+		"06 0003 02 00000029 00000001 0a9011f22354 0000 01 3fc00000 0000 00 40b7d40000000000": policy.EndpointList{
+			Kind: policy.CachedEndpointSnapshot, Workers: []policy.Endpoint{{Worker: w, State: policy.Ready, Weight: 1.5,
 				Started: 6100 * time.Millisecond}}},
 	} {
 		d := decoder{b: unhex(t, text)}
@@ -86,16 +86,16 @@
 		action policy.Action
 		want   string
 	}{
-		{policy.Cancel{Request: 1, Attempt: 2}, "4c 0003 00000001 0002"},
-		{policy.Refuse{Request: 1}, "4e 0003 00000001 0000000000000000"},
-		{policy.Fail{Request: 1}, "43 0003 00000001"},
-		{policy.OrderLoad{Worker: 0x0a9011f22354, Function: 0x7c55d20a01, Count: 1}, "48 0003 01 0000007c55d20a01 0a9011f22354"},
+		{policy.CancelAttempt{Request: 1, Attempt: 2}, "4c 0003 00000001 0002"},
+		{policy.Reject{Request: 1}, "4e 0003 00000001 0000000000000000"},
+		{policy.FailRequest{Request: 1}, "43 0003 00000001"},
+		{policy.Load{Worker: 0x0a9011f22354, Function: 0x7c55d20a01, Count: 1}, "48 0003 01 0000007c55d20a01 0a9011f22354"},
 		{policy.Unload{Worker: 1, Function: 2}, "4a 0003 000000000001 0000000000000002"},
-		{policy.Probe{Worker: 1}, "49 0003 000000000001"},
-		{policy.Tell{To: -1, Data: []byte("hi 7")}, "46 0003 ffffffff 0004 68692037"},
+		{policy.CheckHealth{Worker: 1}, "49 0003 000000000001"},
+		{policy.SendGossip{To: -1, Data: []byte("hi 7")}, "46 0003 ffffffff 0004 68692037"},
 		{policy.Subscribe{On: true}, "47 0003 01"},
-		{policy.FetchList{}, "4d 0003"},
-		{policy.CloseIdle{Worker: 1}, "42 0003 000000000001"},
+		{policy.FetchEndpoints{}, "4d 0003"},
+		{policy.CloseIdleConnections{Worker: 1}, "42 0003 000000000001"},
 	} {
 		var r Reply
 		r.Add(3, []policy.Action{c.action})
@@ -131,8 +131,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Peers != 3 || !c.ListByAsking || !c.MissWhenCold || c.KeepAlive != 9200*time.Millisecond ||
-		c.Classes[0].Repeat != policy.Keyed || c.Classes[0].Window != 2500*time.Millisecond || c.OverShareWorth != 1 {
+	if c.Replicas != 3 || !c.EndpointsByPolling || !c.MissWhenNotLoaded || c.KeepAlive != 9200*time.Millisecond ||
+		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DeduplicationWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("got %+v", c)
 	}
 	for _, bad := range []string{`{`, `{"classes": [{"semantics": "maybe"}]}`} {
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -388,9 +388,9 @@
 	p.mu.Unlock()
 	o := policy.Served
 	if strings.HasSuffix(body, "7") {
-		o = policy.Reset // it may have run
+		o = policy.ConnectionReset // it may have run
 	}
-	p.core.AttemptEnded(a, router.Reply{Outcome: o, Note: policy.WasWarm, Body: []byte("done " + body)})
+	p.core.AttemptEnded(a, router.Reply{Outcome: o, Note: policy.AlreadyLoaded, Body: []byte("done " + body)})
 }
 func (p *plant) Stop(policy.WorkerID, router.Attempt)          {}
 func (p *plant) Withdraw(policy.WorkerID, router.Attempt) bool { return false }
@@ -403,17 +403,17 @@
 func (p *plant) CloseIdle(policy.WorkerID)               {}
 
 func startPlant(t *testing.T, ledger, notices string, runs map[string]int) *plant {
-	module, err := policy.New(policy.Config{Peers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, OverShareWorth: 1,
-		KeepAlive: 10 * time.Second, RetryAfter: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
-			{Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3},
-			{Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Repeat: policy.Unsafe, Worth: 5}}}, 1)
+	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
+		KeepAlive: 10 * time.Second, RetryAfterSupported: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
+			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
+			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &plant{lp: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
 	p.core = router.New(module, router.Limits{MaxOpen: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
 	p.core.Use(p)
-	p.core.SetList(policy.WorkerList{Kind: policy.ListWhole, Workers: []policy.WorkerEntry{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	p.core.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	if p.front, err = NewReceiver(testConfig(ledger), p.core, classes, 16<<20, p.lp.Now, wall, p.lp.Post); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/workerclient/fields_test.go
+++ b/internal/workerclient/fields_test.go
@@ -32,7 +32,7 @@
 		"detail=hot,crowd=3": 3, "crowd=0": 0, "-": 0, "detail=hot": 0, "crowd=1048576": 1 << 20,
 		"crowd=-1": 0, "crowd=": 0, "crowd=many": 0, "crowd=1.5": 0, "crowd=99999999999999999999": 0, "crowd=1048577": 0,
 	} {
-		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Full} {
+		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
 			p, s, lines := newPool()
 			a := router.Attempt{Request: 1}
 			p.Run(1, a, request("0123456789abcdef"), time.Second)
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -138,14 +138,14 @@
 		label string
 		want  router.Reply
 	}{
-		{"HIT with every field", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Crowd: 3, Body: result, Report: []float64{7, 0.25}}},
+		{"HIT with every field", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Crowd: 3, Body: result, Report: []float64{7, 0.25}}},
 		{"HIT without fields", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with an empty body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte{}}},
-		{"HIT with a binary body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm, Body: []byte("\x00\r\n$3\r\n\xff")}},
-		{"HIT without a body", router.Reply{Outcome: policy.Served, Note: policy.WasWarm}},
+		{"HIT with an empty body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte{}}},
+		{"HIT with a binary body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("\x00\r\n$3\r\n\xff")}},
+		{"HIT without a body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded}},
 		{"HIT of two words", router.Reply{Outcome: policy.Served}},
-		{"HIT after a load began", router.Reply{Outcome: policy.Served, Note: policy.BeganLoad, Body: result}},
-		{"HIT after waiting for a load", router.Reply{Outcome: policy.Served, Note: policy.AwaitedOne, Body: result}},
+		{"HIT after a load began", router.Reply{Outcome: policy.Served, Note: policy.StartedLoad, Body: result}},
+		{"HIT after waiting for a load", router.Reply{Outcome: policy.Served, Note: policy.WaitedForLoad, Body: result}},
 		{"HIT with an unknown detail", router.Reply{Outcome: policy.Served, Body: result}},
 		{"HIT with a use report in another order", router.Reply{Outcome: policy.Served, Body: result, Report: []float64{2, 0.5}}},
 		{"HIT with a use report that lacks a field", router.Reply{Outcome: policy.Served, Body: result}},
@@ -153,10 +153,10 @@
 		{"HIT with a crowd that is no number", router.Reply{Outcome: policy.Served, Body: result}},
 		{"HIT with the largest crowd", router.Reply{Outcome: policy.Served, Crowd: 1 << 20, Body: result}},
 		{"HIT with a crowd over the limit", router.Reply{Outcome: policy.Served, Body: result}},
-		{"NONE", router.Reply{Outcome: policy.Missed, Body: []byte{}, Report: []float64{1, 1}}},
-		{"SHED", router.Reply{Outcome: policy.Full, Crowd: 12, Body: []byte{}, Report: []float64{9, 0.75}}},
-		{"LATE", router.Reply{Outcome: policy.Moot, Body: []byte{}}},
-		{"FAULT", router.Reply{Outcome: policy.Errored, Note: policy.LoadFailed, Body: []byte("reason")}},
+		{"NONE", router.Reply{Outcome: policy.NotLoaded, Body: []byte{}, Report: []float64{1, 1}}},
+		{"SHED", router.Reply{Outcome: policy.Overloaded, Crowd: 12, Body: []byte{}, Report: []float64{9, 0.75}}},
+		{"LATE", router.Reply{Outcome: policy.NotSent, Body: []byte{}}},
+		{"FAULT", router.Reply{Outcome: policy.Failed, Note: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
 			p, record, lines := newGoldenPool()
@@ -180,10 +180,10 @@
 	}{
 		{"HOLD answered by HIT", holdAnswer{9, policy.Served, 2}},
 		{"HOLD answered by HIT without a count", holdAnswer{9, policy.Served, 0}},
-		{"HOLD answered by SHED", holdAnswer{9, policy.Full, 1}},
-		{"HOLD answered by NONE", holdAnswer{9, policy.Missed, 0}},
-		{"HOLD answered by FAULT", holdAnswer{9, policy.Errored, 0}},
-		{"HOLD answered by LATE", holdAnswer{9, policy.Moot, 0}},
+		{"HOLD answered by SHED", holdAnswer{9, policy.Overloaded, 1}},
+		{"HOLD answered by NONE", holdAnswer{9, policy.NotLoaded, 0}},
+		{"HOLD answered by FAULT", holdAnswer{9, policy.Failed, 0}},
+		{"HOLD answered by LATE", holdAnswer{9, policy.NotSent, 0}},
 	} {
 		p, record, lines := newGoldenPool()
 		p.Hold(1, 5, 2, 9)
@@ -205,8 +205,8 @@
 		{"INFO answered by PONG", probeAnswer{7, policy.Served, []float64{3, 0.5}}},
 		{"INFO answered by PONG of two words", probeAnswer{7, policy.Served, nil}},
 		{"INFO answered by PONG without a report", probeAnswer{7, policy.Served, nil}},
-		{"INFO answered by SICK", probeAnswer{7, policy.Errored, []float64{3, 1}}},
-		{"INFO answered by SICK without a report", probeAnswer{7, policy.Errored, nil}},
+		{"INFO answered by SICK", probeAnswer{7, policy.Failed, []float64{3, 1}}},
+		{"INFO answered by SICK without a report", probeAnswer{7, policy.Failed, nil}},
 	} {
 		p, record, lines := newGoldenPool()
 		p.Probe(1, 7)
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -124,10 +124,10 @@
 
 func newModel(s scope) *model {
 	m := &model{scope: s, now: time.Hour, ids: map[string]policy.RequestID{}}
-	p, err := policy.New(policy.Config{Peers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayOrder: true,
-		MissWhenCold: s.missing, WarmNotes: true, RetryAfter: true, MaxRetryAfter: time.Second, OverShareWorth: 1, KeepAlive: 10 * time.Second,
-		OrderTimeout: 10 * time.Second, LoadWindow: 10 * time.Second, LoadFree: 4, LoadShare: 0.3, DrainGrace: time.Second,
-		Classes: []policy.Class{{Aim: 1200 * time.Millisecond, Deadline: 3 * time.Second, Repeat: policy.Unsafe, Worth: 5}}}, 1)
+	p, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadOrdersSupported: true,
+		MissWhenNotLoaded: s.missing, LoadStatusReported: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1, KeepAlive: 10 * time.Second,
+		LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3, DrainGracePeriod: time.Second,
+		Classes: []policy.Class{{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
 	if err != nil {
 		panic(err)
 	}
@@ -152,14 +152,14 @@
 
 // list tells of the workers, as the service does.
 func (m *model) list() {
-	l := policy.WorkerList{Kind: policy.ListWhole}
+	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w, state := range m.state {
 		var addrs []endpoint.Addr
 		for i := range m.addrs {
 			addrs = append(addrs, endpoint.Addr{Network: endpoint.Network(i % 3), Addr: fmt.Sprintf("%d.%d", w, i)})
 		}
 		m.pool.Set(policy.WorkerID(w+1), addrs, state)
-		l.Workers = append(l.Workers, policy.WorkerEntry{Worker: policy.WorkerID(w + 1), State: state, Weight: 1})
+		l.Workers = append(l.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: state, Weight: 1})
 	}
 	m.core.SetList(l)
 }
--- a/internal/workerclient/paths_test.go
+++ b/internal/workerclient/paths_test.go
@@ -92,7 +92,7 @@
 		ends []policy.Outcome
 		on   []int
 	}{
-		"whole":             {0, []policy.Outcome{policy.Reset}, []int{0}},
+		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
 		"but its last byte": {1, nil, []int{0, 1}},
 		"not at all":        {100, nil, []int{0, 1}},
 	} {
@@ -147,7 +147,7 @@
 			t.Errorf("connection %d: wrote %q", i, l.Wrote.String())
 		}
 	}
-	if !slices.Equal(s.ended[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(s.asked[9], []policy.Outcome{policy.Full}) {
+	if !slices.Equal(s.ended[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(s.asked[9], []policy.Outcome{policy.Overloaded}) {
 		t.Errorf("ended %v and %v", s.ended, s.asked)
 	}
 }
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -509,7 +509,7 @@
 		}
 		c.take(k)
 		if k.kind == hold {
-			c.pool.end(k, policy.Full) // as a draining worker would have answered
+			c.pool.end(k, policy.Overloaded) // as a draining worker would have answered
 		} else {
 			c.pool.end(k, policy.Unreachable)
 		}
@@ -582,7 +582,7 @@
 	if c.heard == 0 && !c.shut {
 		c.w.paths.Failed(c.pool.now, c.addr) // it came up and was of no use
 	}
-	c.lost(policy.Reset)
+	c.lost(policy.ConnectionReset)
 }
 
 // mostMoves bounds the connections that may end under a call before it has left.
@@ -611,11 +611,11 @@
 			c.pool.move(w, k)
 			continue
 		}
-		if o == policy.Reset && k.kind < probe && k.written && k.end > left {
+		if o == policy.ConnectionReset && k.kind < probe && k.written && k.end > left {
 			c.pool.end(k, policy.Unreachable)
 			continue
 		}
-		if k.kind == probe && o == policy.Reset && k.broken < probeTries {
+		if k.kind == probe && o == policy.ConnectionReset && k.broken < probeTries {
 			// A connection that breaks tells nothing of its worker, which others may well be using. Over a
 			// new one a worker that died refuses, and one that is well answers.
 			again := &call{kind: probe, tag: k.tag, token: k.token, broken: k.broken + 1, head: array("INFO", k.token)}
@@ -723,12 +723,12 @@
 
 // outcomes reads an answer's word exactly: only NONE, SHED and LATE prove that a call never ran.
 var outcomes = map[string]policy.Outcome{
-	"HIT": policy.Served, "NONE": policy.Missed, "SHED": policy.Full, "FAULT": policy.Errored,
-	"LATE": policy.Moot, "PONG": policy.Served, "SICK": policy.Errored,
+	"HIT": policy.Served, "NONE": policy.NotLoaded, "SHED": policy.Overloaded, "FAULT": policy.Failed,
+	"LATE": policy.NotSent, "PONG": policy.Served, "SICK": policy.Failed,
 }
 
-var notes = map[string]policy.Note{
-	"hot": policy.WasWarm, "started": policy.BeganLoad, "waited": policy.AwaitedOne, "broken": policy.LoadFailed,
+var notes = map[string]policy.LoadStatus{
+	"hot": policy.AlreadyLoaded, "started": policy.StartedLoad, "waited": policy.WaitedForLoad, "broken": policy.LoadFailed,
 }
 
 // mostCrowd bounds what a crowd may say: no worker's queue holds so many.
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -197,7 +197,7 @@
 					if len(o) != 1 {
 						t.Fatalf("%v ended %v", a, o)
 					}
-					if o[0] == policy.Reset && len(wrote(id(a))) == 0 {
+					if o[0] == policy.ConnectionReset && len(wrote(id(a))) == 0 {
 						t.Fatalf("%v was never written but counts as reset", a)
 					}
 				}
@@ -212,7 +212,7 @@
 	p.Hold(1, 5, 1, 9)
 	p.Set(1, at("127.0.0.1:1"), policy.Draining)
 	(*lines)[0].h.Opened(nil)
-	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.Full {
+	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.Overloaded {
 		t.Errorf("wrote %q, ended %v", got, s.asked[9])
 	}
 }
@@ -331,7 +331,7 @@
 		if (*lines)[0].HasClosed != well {
 			t.Errorf("worker well: %v, silent connection closed: %v", well, (*lines)[0].HasClosed)
 		}
-		if (*lines)[0].h.Closed(nil); len(s.ended[a]) != 1 || s.ended[a][0] != policy.Reset {
+		if (*lines)[0].h.Closed(nil); len(s.ended[a]) != 1 || s.ended[a][0] != policy.ConnectionReset {
 			t.Errorf("ended %v", s.ended[a])
 		}
 	}
@@ -400,7 +400,7 @@
 	}{
 		"well":   {1, func(l *line) { l.h.Opened(nil); l.h.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
 		"died":   {1, func(l *line) { l.h.Opened(errors.New("refused")) }, policy.Unreachable},
-		"breaks": {probeTries, func(l *line) { l.h.Opened(nil); l.h.Closed(errors.New("reset")) }, policy.Reset},
+		"breaks": {probeTries, func(l *line) { l.h.Opened(nil); l.h.Closed(errors.New("reset")) }, policy.ConnectionReset},
 	} {
 		p, s, lines := newPool()
 		p.Probe(1, 7)
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -9,8 +9,8 @@
 // dear returns settings under which memory has a price and a call loads what it lacks.
 func dear() Config {
 	c := config()
-	c.MayOrder, c.MemoryPrice, c.WorkerMemoryMB = true, 0.15, 10_000
-	c.LoadWindow, c.LoadFree, c.LoadShare = 10*time.Second, 4, 0.3
+	c.LoadOrdersSupported, c.MemoryPrice, c.WorkerMemoryMB = true, 0.15, 10_000
+	c.LoadBudgetWindow, c.LoadBudgetMinimum, c.LoadBudgetRatio = 10*time.Second, 4, 0.3
 	return c
 }
 
@@ -20,13 +20,13 @@
 	b := newBed(t, c, 10)
 	for range 10 * n {
 		b.id++
-		acts := b.do(Arrived{Request: b.id, Function: 7, Lanes: 4, MemoryMB: memory, LoadTime: 500 * ms, Left: 4 * time.Second})
-		s, ok := first[Send](acts)
+		acts := b.do(RequestArrived{Request: b.id, Function: 7, Lanes: 4, MemoryMB: memory, LoadTime: 500 * ms, Remaining: 4 * time.Second})
+		s, ok := first[StartAttempt](acts)
 		if !ok {
 			t.Fatalf("not sent: %v", acts)
 		}
 		b.pass(20 * ms)
-		b.do(AttemptEnded{Request: b.id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 20 * ms})
+		b.do(AttemptCompleted{Request: b.id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 		b.pass(time.Second/time.Duration(n) - 20*ms)
 	}
 	for end := b.now; b.now < end+c.KeepAlive; {
@@ -57,8 +57,8 @@
 	for name, change := range map[string]func(*Config){
 		"memory is free":            func(c *Config) { c.MemoryPrice = 0 },
 		"no memory is told":         func(c *Config) { c.WorkerMemoryMB = 0 },
-		"orders are not allowed":    func(c *Config) { c.MayOrder = false },
-		"only rationed orders load": func(c *Config) { c.MissWhenCold = true },
+		"orders are not allowed":    func(c *Config) { c.LoadOrdersSupported = false },
+		"only rationed orders load": func(c *Config) { c.MissWhenNotLoaded = true },
 	} {
 		c := dear()
 		change(&c)
@@ -77,13 +77,13 @@
 		b := newBed(t, dear(), 1)
 		for range 200 {
 			b.id++
-			b.do(Arrived{Request: b.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Left: time.Hour})
+			b.do(RequestArrived{Request: b.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
 			if b.id < 200 || why == "draining" {
-				b.do(AttemptEnded{Request: b.id, Worker: 1, Outcome: Served, Note: WasWarm, Closed: true, Took: 20 * ms})
+				b.do(AttemptCompleted{Request: b.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 			}
 		}
 		if why == "draining" {
-			b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 1, State: Draining, Weight: 1}}})
+			b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Draining, Weight: 1}}})
 		}
 		for range 300 {
 			b.now += beat
@@ -100,8 +100,8 @@
 		b := newBed(t, dear(), 1)
 		for i := range 400 {
 			b.id++
-			b.do(Arrived{Request: b.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Left: time.Hour})
-			b.do(AttemptEnded{Request: b.id, Worker: 1, Outcome: Served, Note: WasWarm, Closed: true, Took: 20 * ms})
+			b.do(RequestArrived{Request: b.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
+			b.do(AttemptCompleted{Request: b.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 		}
 		for range 200 {
 			b.now += beat
@@ -135,23 +135,23 @@
 				took = 700 * ms
 			}
 			id, acts := b.arrive(0, FunctionID(i%4+1))
-			if s, ok := first[Send](acts); ok {
+			if s, ok := first[StartAttempt](acts); ok {
 				b.now += took
-				b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: took})
+				b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 			}
 		}
 		for i := 0; i < 200; {
 			id, acts := b.arrive(0, FunctionID(i%4+1))
-			s, ok := first[Send](acts)
+			s, ok := first[StartAttempt](acts)
 			if !ok {
 				continue // a first attempt that gives way
 			}
 			i++
-			acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Full, Took: ms})
-			if has[Refuse](acts) {
+			acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
+			if has[Reject](acts) {
 				n++
-			} else if s, ok = first[Send](acts); ok {
-				b.do(AttemptEnded{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 50 * ms})
+			} else if s, ok = first[StartAttempt](acts); ok {
+				b.do(AttemptCompleted{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 			}
 			b.now += 10 * ms
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -105,7 +105,7 @@
 type fit struct{ nn, ny float64 }
 
 type worker struct {
-	WorkerEntry
+	Endpoint
 	room, served         float64    // while cold: work that may go there now; work served to us of late
 	might, size          float64    // what it can do beside the others, and as much of it as ranks homes
 	out                  []*attempt // in the order of their sends
@@ -130,7 +130,7 @@
 }
 
 type request struct {
-	Arrived
+	RequestArrived
 	fn            *function
 	deadline      time.Duration
 	attempts      []*attempt
@@ -160,27 +160,27 @@
 		return nil, fmt.Errorf("policy: no request classes")
 	}
 	for i, c := range cfg.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 || c.Window < 0 || c.Repeat > Unsafe || c.Group > GroupCell {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 || c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
 			return nil, fmt.Errorf("policy: class %d is impossible: %+v", i, c)
 		}
 	}
-	for _, v := range []float64{cfg.ColdFrom, cfg.FallMultiple, cfg.LoadFree, cfg.LoadShare,
-		float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.ColdFor), float64(cfg.FallFor),
-		float64(cfg.KeepAlive), float64(cfg.LoadWindow)} {
-		if !(v >= 0) || math.IsInf(v, 1) || cfg.ColdFrom > 1 {
+	for _, v := range []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio,
+		float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration), float64(cfg.OverloadWindow),
+		float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)} {
+		if !(v >= 0) || math.IsInf(v, 1) || cfg.SlowStartInitialCapacity > 1 {
 			return nil, fmt.Errorf("policy: settings hold an impossible amount: %+v", cfg)
 		}
 	}
-	cfg.Peers = max(cfg.Peers, 1)
+	cfg.Replicas = max(cfg.Replicas, 1)
 	p := &Policy{cfg: cfg, self: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)), loadRatio: 1,
-		waiting: slices.Index(cfg.ReportFields, "queue"),
+		waiting: slices.Index(cfg.LoadReportFields, "queue"),
 		workers: map[WorkerID]*worker{}, reqs: map[RequestID]*request{}, funcs: map[FunctionID]*function{}}
 	for _, c := range cfg.Classes {
-		run := unheardRun * float64(c.Aim)
+		run := unheardRun * float64(c.LatencyObjective)
 		p.classes = append(p.classes, classState{c, run, 0, runPrior * run, runPrior * run})
 	}
 	for _, t := range cfg.Tenants {
-		rate := sane(t.PerSecond, 0, 1e9) / float64(cfg.Peers)
+		rate := sane(t.RequestsPerSecond, 0, 1e9) / float64(cfg.Replicas)
 		p.tenants = append(p.tenants, bucket{level: rate + 1, rate: rate})
 	}
 	return p, nil
@@ -203,25 +203,25 @@
 		p.emit(Subscribe{On: true})
 	}
 	switch e := ev.(type) {
-	case WorkerList:
+	case EndpointList:
 		p.list(e)
-	case Arrived:
+	case RequestArrived:
 		p.arrived(e)
-	case AttemptEnded:
+	case AttemptCompleted:
 		p.ended(e)
-	case LoadEnded:
+	case LoadCompleted:
 		p.loadEnded(e)
-	case Probed:
+	case HealthCheckCompleted:
 		p.probedBack(e)
-	case Told:
+	case GossipReceived:
 		p.told(e.Data)
-	case StreamBegan:
+	case ResponseStarted:
 		if r := p.reqs[e.Request]; r != nil {
 			r.stream = true
 		}
-	case Abandoned:
+	case RequestCanceled:
 		if r := p.reqs[e.Request]; r != nil && !r.done { // what was taken back widens no ration
-			p.arrivals.drop(r.deadline - r.Left)
+			p.arrivals.drop(r.deadline - r.Remaining)
 			p.close(r)
 		}
 	case TimerFired:
@@ -242,39 +242,39 @@
 func (p *Policy) emit(a Action) bool {
 	may := true
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		r, w := p.reqs[a.Request], p.workers[a.Worker]
-		may = r != nil && w != nil && p.mayGo(r) && w.State == Ready && r.pool.Has(w.Worker) &&
+		may = r != nil && w != nil && p.mayGo(r) && w.State == Ready && r.pool.Contains(w.Worker) &&
 			p.repeatable(r, w) && p.coldRoom(w)
-	case Refuse: // nothing may have run, or its repeat is harmless wherever it goes
+	case Reject: // nothing may have run, or its repeat is harmless wherever it goes
 		r := p.reqs[a.Request]
 		if r == nil || r.done {
 			return false
 		}
 		if c := &p.classes[r.Class]; (r.ran != nil || r.outstand > 0) &&
-			(c.Repeat == Unsafe || c.Repeat == Keyed && c.Group != GroupAll) {
-			p.out = append(p.out, Fail{Request: r.Request}) // promises nothing
+			(c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != DeduplicatedEverywhere) {
+			p.out = append(p.out, FailRequest{Request: r.Request}) // promises nothing
 			return true
 		}
-	case OrderLoad:
+	case Load:
 		w := p.workers[a.Worker]
-		if w == nil || !p.cfg.MayOrder || a.Count > 0 && w.State != Ready {
+		if w == nil || !p.cfg.LoadOrdersSupported || a.Count > 0 && w.State != Ready {
 			return false
 		}
-		if a.Count > 0 && p.cfg.LoadWindow > 0 {
-			if float64(p.orders.since(p.now-p.cfg.LoadWindow)+1) > p.ration() {
+		if a.Count > 0 && p.cfg.LoadBudgetWindow > 0 {
+			if float64(p.orders.since(p.now-p.cfg.LoadBudgetWindow)+1) > p.ration() {
 				return false
 			}
-			p.orders.add(p.now, p.cfg.LoadWindow)
+			p.orders.add(p.now, p.cfg.LoadBudgetWindow)
 		}
 	case Subscribe: // only where the list does not come by itself
-		may = p.cfg.ListByAsking && !p.subscribed
+		may = p.cfg.EndpointsByPolling && !p.subscribed
 	case Unload:
-		may = p.cfg.MayOrder && p.workers[a.Worker].State == Ready
-	case Probe:
-		may = p.cfg.MayProbe
-	case Cancel:
-		may = p.cfg.MayCancel
+		may = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready
+	case CheckHealth:
+		may = p.cfg.HealthCheckSupported
+	case CancelAttempt:
+		may = p.cfg.CancelSupported
 	}
 	if may {
 		p.out = append(p.out, a)
@@ -284,13 +284,13 @@
 
 // ration is how many load orders the window may hold now.
 func (p *Policy) ration() float64 {
-	return p.cfg.LoadFree + p.cfg.LoadShare*float64(p.arrivals.since(p.now-p.cfg.LoadWindow+1))
+	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*float64(p.arrivals.since(p.now-p.cfg.LoadBudgetWindow+1))
 }
 
 // mayGo tells whether r may go anywhere now: beside a first attempt only the copy that its terms ask for.
 func (p *Policy) mayGo(r *request) bool {
 	return !r.done && !r.stream && (r.outstand == 0 || r.outstand == 1 && r.copying) && p.now < r.deadline &&
-		r.pool.Room()
+		r.pool.HasCapacity()
 }
 
 // repeatable tells whether its class and attempts let r go to w; w nil: to a worker that may yet be listed.
@@ -298,17 +298,17 @@
 	if p.cfg.MaxAttempts > 0 && len(r.attempts) >= p.cfg.MaxAttempts {
 		return false
 	}
-	c, ran, t, n := &p.classes[r.Class], r.ran, r.Terms, len(r.attempts)
-	if t.Attempts > 0 && n >= t.Attempts || ran != nil && t.AgainIfRan >= 0 && r.again >= t.AgainIfRan ||
-		ran == nil && !r.copying && t.AgainIfUnrun >= 0 && n > t.AgainIfUnrun {
+	c, ran, t, n := &p.classes[r.Class], r.ran, r.Policy, len(r.attempts)
+	if t.MaxAttempts > 0 && n >= t.MaxAttempts || ran != nil && t.RetriesAfterPossibleRun >= 0 && r.again >= t.RetriesAfterPossibleRun ||
+		ran == nil && !r.copying && t.RetriesAfterProvenNoRun >= 0 && n > t.RetriesAfterProvenNoRun {
 		return false
 	}
-	if ran == nil || c.Repeat == Safe {
+	if ran == nil || c.Idempotency == Idempotent {
 		return true
 	}
-	return c.Repeat == Keyed && p.now < ran.sent+c.Window-p.cfg.Tick &&
-		(w == nil || c.Group == GroupAll || c.Group == GroupZone && w.Zone == ran.w.Zone ||
-			c.Group == GroupCell && w.Cell == ran.w.Cell)
+	return c.Idempotency == IdempotentWithKey && p.now < ran.sent+c.DeduplicationWindow-p.cfg.Tick &&
+		(w == nil || c.DeduplicationScope == DeduplicatedEverywhere || c.DeduplicationScope == DeduplicatedInZone && w.Zone == ran.w.Zone ||
+			c.DeduplicationScope == DeduplicatedInCell && w.Cell == ran.w.Cell)
 }
 
 // coldRoom guards a cold worker from all dispatchers together: each lets come on its part of what warm ones
@@ -321,7 +321,7 @@
 	power, work, might := 1+sane(p.speed.ny/(p.speed.nn+speedPrior), 0, 2), 0.0, 0.0
 	for _, w := range p.fleet {
 		w.might = math.Pow(cmp.Or(w.Weight, 1), power)
-		w.size = math.Pow(w.might, 1-1/float64(p.cfg.Peers))
+		w.size = math.Pow(w.might, 1-1/float64(p.cfg.Replicas))
 		if w.State == Ready && p.capacity(w) >= 1 {
 			work, might = work+w.served, might+w.might
 		}
@@ -333,21 +333,21 @@
 
 // capacity is the least share of its full capacity that w has now.
 func (p *Policy) capacity(w *worker) float64 {
-	if w.Started == 0 || p.cfg.ColdFor <= 0 || p.cfg.FallFor <= 0 || p.cfg.FallMultiple <= 0 {
+	if w.Started == 0 || p.cfg.SlowStartDuration <= 0 || p.cfg.OverloadWindow <= 0 || p.cfg.OverloadMultiple <= 0 {
 		return 1
 	}
-	age := sane(float64(p.now-w.Started)/float64(p.cfg.ColdFor), 0, 1)
-	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*age
+	age := sane(float64(p.now-w.Started)/float64(p.cfg.SlowStartDuration), 0, 1)
+	return p.cfg.SlowStartInitialCapacity + (1-p.cfg.SlowStartInitialCapacity)*age
 }
 
 // list follows the worker list.
-func (p *Policy) list(l WorkerList) {
-	if l.Kind == ListFailed {
+func (p *Policy) list(l EndpointList) {
+	if l.Kind == EndpointListFailed {
 		p.subscribed = false
-		p.emit(SetTimer{After: max(p.cfg.AskWithin/8, beat), Token: askToken})
+		p.emit(SetTimer{After: max(p.cfg.PollInterval/8, beat), Token: askToken})
 		return
 	}
-	p.subscribed = p.subscribed || l.Kind != ListCached
+	p.subscribed = p.subscribed || l.Kind != CachedEndpointSnapshot
 	named := map[WorkerID]bool{}
 	for _, e := range l.Workers {
 		named[e.Worker] = true
@@ -366,12 +366,12 @@
 			clear(w.fails)
 		}
 		e.Weight = sane(e.Weight, 0, 1e9) // 0: not told
-		w.WorkerEntry = e
+		w.Endpoint = e
 	}
 	p.ready, p.usual = 0, 0
 	for _, w := range p.fleet {
 		p.usual += cmp.Or(w.Weight, 1) / float64(len(p.fleet))
-		if l.Kind != ListChanges && !named[w.Worker] {
+		if l.Kind != EndpointDelta && !named[w.Worker] {
 			w.State = Gone
 		}
 		p.ready += int(w.State & Ready)
@@ -389,14 +389,14 @@
 	return i
 }
 
-func (p *Policy) arrived(e Arrived) {
+func (p *Policy) arrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.reqs[e.Request] != nil {
 		return
 	}
-	if p.cfg.LoadWindow > 0 {
-		p.arrivals.add(p.now, p.cfg.LoadWindow)
+	if p.cfg.LoadBudgetWindow > 0 {
+		p.arrivals.add(p.now, p.cfg.LoadBudgetWindow)
 	}
-	p.spare = min(p.spare+2, float64(p.cfg.Peers)) // a call pays for two receivers, at any size
+	p.spare = min(p.spare+2, float64(p.cfg.Replicas)) // a call pays for two receivers, at any size
 	f := p.funcs[e.Function]
 	if f == nil {
 		f = &function{id: e.Function, run: p.classes[e.Class].run}
@@ -405,11 +405,11 @@
 	f.calls *= math.Exp(-float64(p.now-f.used) / float64(rateSpan))
 	f.used = p.now
 	if f.loadTime = e.LoadTime; f.loadTime <= 0 || f.loadTime > time.Hour {
-		f.loadTime = p.classes[e.Class].Aim // not told: as long as an answer may take
+		f.loadTime = p.classes[e.Class].LatencyObjective // not told: as long as an answer may take
 	}
-	e.Left = max(e.Left, 0)
-	e.Terms = cmp.Or(e.Terms, &settingsAlone)
-	r := &request{Arrived: e, fn: f, deadline: p.now + e.Left, pool: e.Terms.Pool}
+	e.Remaining = max(e.Remaining, 0)
+	e.Policy = cmp.Or(e.Policy, &settingsAlone)
+	r := &request{RequestArrived: e, fn: f, deadline: p.now + e.Remaining, pool: e.Policy.Pool}
 	p.reqs[e.Request], f.keep = r, p.keep(r)
 	r.over = len(p.tenants) > 0
 	if e.Tenant >= 0 && e.Tenant < len(p.tenants) { // a second's worth may be saved up, and chance
@@ -417,7 +417,7 @@
 		b.level = min(b.level+b.rate*(p.now-b.at).Seconds(), b.rate+3*math.Sqrt(b.rate)+1)
 		b.at, r.over = p.now, b.level < 1
 	}
-	p.emit(SetTimer{After: max(e.Left-2*p.cfg.Tick, 0), Token: doneToken + uint64(e.Request)})
+	p.emit(SetTimer{After: max(e.Remaining-2*p.cfg.Tick, 0), Token: doneToken + uint64(e.Request)})
 	p.place(r)
 	f.calls++
 }
@@ -426,12 +426,12 @@
 // finds none, in calls. Who shares it sees only his, so keeps it longer; so do rationed orders, for good.
 func (p *Policy) keep(r *request) time.Duration {
 	c := &p.classes[r.Class]
-	held := float64(p.arrivals.since(p.now-p.cfg.LoadWindow+1)) * p.cfg.MemoryPrice * r.MemoryMB
-	if p.cfg.MissWhenCold || p.cfg.WorkerMemoryMB <= 0 || !(held > 0) {
+	held := float64(p.arrivals.since(p.now-p.cfg.LoadBudgetWindow+1)) * p.cfg.MemoryPrice * r.MemoryMB
+	if p.cfg.MissWhenNotLoaded || p.cfg.WorkerMemoryMB <= 0 || !(held > 0) {
 		return p.cfg.KeepAlive
 	}
-	lost := (1 - c.LateWorth) * min((p.loadTime(r.fn)+p.run(r))/float64(c.Aim), 1)
-	lost *= p.cfg.WorkerMemoryMB * float64(max(p.ready, 1)) * float64(p.cfg.LoadWindow)
+	lost := (1 - c.LatePriorityWeight) * min((p.loadTime(r.fn)+p.run(r))/float64(c.LatencyObjective), 1)
+	lost *= p.cfg.WorkerMemoryMB * float64(max(p.ready, 1)) * float64(p.cfg.LoadBudgetWindow)
 	return time.Duration(min(lost/held, float64(p.cfg.KeepAlive)))
 }
 
@@ -518,7 +518,7 @@
 // jams, as far as others carry it: ours show in flight. Each dispatcher keeps to one; others keep it warm.
 func (p *Policy) homeOf(r *request, cands []*worker) (at *worker, chance float64) {
 	f, run, slot, none := r.fn, p.run(r), 0, math.Inf(-1)
-	homes := 1 + int((1-1/float64(p.cfg.Peers))*max(f.calls*run*float64(p.ready)/max(p.rate, run), f.jams))
+	homes := 1 + int((1-1/float64(p.cfg.Replicas))*max(f.calls*run*float64(p.ready)/max(p.rate, run), f.jams))
 	for s, best := 1, home(f.id, WorkerID(p.self), 1, none); s < min(homes, p.ready); s++ {
 		if h := home(f.id+FunctionID(s), WorkerID(p.self), 1, best); h > best {
 			slot, best = s, h
@@ -532,9 +532,9 @@
 			at, rank = w, h
 		}
 	}
-	chance = min(likely, 0.2*float64(p.cfg.Peers+1)) // of a lone dispatcher only what it lost sight of
+	chance = min(likely, 0.2*float64(p.cfg.Replicas+1)) // of a lone dispatcher only what it lost sight of
 	if at != nil && rank == top {
-		others := f.calls * float64(p.cfg.Peers-1) / float64(homes)
+		others := f.calls * float64(p.cfg.Replicas-1) / float64(homes)
 		chance = max(chance, 1-math.Exp(-others*float64(p.cfg.KeepAlive)/float64(rateSpan)))
 	}
 	return at, chance
@@ -543,9 +543,9 @@
 // candidates are the workers that may take r, without those set aside and those that turned it away.
 func (p *Policy) candidates(r *request) []*worker {
 	p.cands = p.cands[:0]
-	anywhere, keyed := p.mayGo(r) && p.repeatable(r, nil), r.ran != nil && p.classes[r.Class].Repeat == Keyed
+	anywhere, keyed := p.mayGo(r) && p.repeatable(r, nil), r.ran != nil && p.classes[r.Class].Idempotency == IdempotentWithKey
 	for _, w := range p.fleet {
-		if anywhere && w.State == Ready && !p.looksBad(w) && r.pool.Has(w.Worker) &&
+		if anywhere && w.State == Ready && !p.looksBad(w) && r.pool.Contains(w.Worker) &&
 			!slices.Contains(r.shunned, w) && (!keyed || p.repeatable(r, w)) && p.coldRoom(w) {
 			p.cands = append(p.cands, w)
 		}
@@ -568,7 +568,7 @@
 
 // looksBad: w is set aside until a probe is answered or, without, for its spell, then on one trial at a time.
 func (p *Policy) looksBad(w *worker) bool {
-	return w.strikes > 0 && (p.cfg.MayProbe || p.now < w.aside || len(w.out) > 0)
+	return w.strikes > 0 && (p.cfg.HealthCheckSupported || p.now < w.aside || len(w.out) > 0)
 }
 
 // place sends r to the worker with the lowest predicted latency, or refuses or holds it.
@@ -578,7 +578,7 @@
 	}
 	cands, until := p.candidates(r), p.now
 	for len(cands) == 0 && p.repeatable(r, nil) { // its pool can't take it
-		next := r.pool.Spill(p.now)
+		next := r.pool.Overflow(p.now)
 		if next == nil {
 			break
 		}
@@ -594,7 +594,7 @@
 	}
 	if len(cands) == 0 {
 		for _, w := range p.fleet { // nobody else can take it: those set aside are looked at sooner
-			if w.strikes > 0 && r.pool.Has(w.Worker) {
+			if w.strikes > 0 && r.pool.Contains(w.Worker) {
 				w.aside = min(w.aside, max(p.now, w.probed+slowBeat/2))
 			}
 		}
@@ -633,7 +633,7 @@
 		sure -= p.loadLeft(w, r)
 	}
 	shed, wait := p.shed(r, w, sure)
-	if sure > float64(r.deadline-p.now) || r.over && best > float64(p.classes[r.Class].Aim) ||
+	if sure > float64(r.deadline-p.now) || r.over && best > float64(p.classes[r.Class].LatencyObjective) ||
 		r.ran == nil && shed {
 		if p.now-p.lastTrial < slowBeat || r.over {
 			p.finish(r, wait)
@@ -646,9 +646,9 @@
 
 // mayYet tells whether waiting may help r: a worker set aside or cold may take it later, or one be listed.
 func (p *Policy) mayYet(r *request) bool {
-	return r.pool.Room() && (p.ready == 0 && p.repeatable(r, nil) ||
+	return r.pool.HasCapacity() && (p.ready == 0 && p.repeatable(r, nil) ||
 		slices.ContainsFunc(p.fleet, func(w *worker) bool {
-			return w.State == Ready && r.pool.Has(w.Worker) && !slices.Contains(r.shunned, w) &&
+			return w.State == Ready && r.pool.Contains(w.Worker) && !slices.Contains(r.shunned, w) &&
 				p.repeatable(r, w)
 		}))
 }
@@ -658,44 +658,44 @@
 // The yardstick is the wanted time of classes worth as much or more; the wait is until the queue lets r in.
 func (p *Policy) shed(r *request, w *worker, score float64) (shed bool, wait float64) {
 	c := &p.classes[r.Class]
-	own := float64(min(c.Aim, cmp.Or(r.Terms.Aim, c.Aim)))
+	own := float64(min(c.LatencyObjective, cmp.Or(r.Policy.LatencyObjective, c.LatencyObjective)))
 	start, aim := 0.5, own
 	for i := range p.classes {
 		if o := &p.classes[i]; p.density(o) > 1.5*p.density(c) {
-			start, aim = 0.25, min(aim, float64(o.Aim))
+			start, aim = 0.25, min(aim, float64(o.LatencyObjective))
 		}
 	}
 	if r.over {
-		start = 0.15 * p.cfg.OverShareWorth
+		start = 0.15 * p.cfg.OverQuotaWeight
 	} else if score > own {
 		start = 0.15
 	}
-	others := (1 - 1/float64(p.cfg.Peers)) * w.delay.now(p.now) // what they queue at the best worker
+	others := (1 - 1/float64(p.cfg.Replicas)) * w.delay.now(p.now) // what they queue at the best worker
 	delay := max(p.standing, others)
 	return p.rng.Float64() < min(2*(delay/aim-start), 0.9), delay - start*aim
 }
 
 // density is the worth of a class for the work that it takes.
 func (p *Policy) density(c *classState) float64 {
-	if p.cfg.WorthByWork {
-		return c.Worth
+	if p.cfg.WeightByWork {
+		return c.PriorityWeight
 	}
-	return c.Worth / max(c.run, 1)
+	return c.PriorityWeight / max(c.run, 1)
 }
 
 func (p *Policy) send(r *request, w *worker, expected time.Duration, likely bool) {
 	load, i := p.loadLeft(w, r), p.instance(w, r.fn.id)
-	if !p.emit(Send{Request: r.Request, Worker: w.Worker, Limit: r.Terms.Limit}) {
+	if !p.emit(StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}) {
 		return
 	}
 	a := &attempt{req: r, number: len(r.attempts), w: w, pool: r.pool, sent: p.now, expected: expected,
 		inFlight: len(w.out), cold: load > 0, likely: likely}
 	r.attempts = append(r.attempts, a)
-	a.pool.Sent()
+	a.pool.AttemptStarted()
 	if r.ran != nil {
 		r.again++
 	}
-	if after := r.Terms.SecondAfter; after > 0 && a.number == 0 {
+	if after := r.Policy.HedgeDelay; after > 0 && a.number == 0 {
 		p.emit(SetTimer{After: after, Token: copyToken + uint64(r.Request)})
 	}
 	if !r.over && a.number == 0 && r.Tenant >= 0 && r.Tenant < len(p.tenants) {
@@ -705,7 +705,7 @@
 	w.out = append(w.out, a)
 	i.inFlight++
 	w.room -= p.classes[r.Class].run
-	if !p.cfg.MissWhenCold && load > 0 && i.loading == 0 {
+	if !p.cfg.MissWhenNotLoaded && load > 0 && i.loading == 0 {
 		i.loading = p.now + time.Duration(load)
 	}
 	if p.failed > 0 && load > 0 && p.now >= p.gate {
@@ -715,7 +715,7 @@
 
 // secondCopy sends r to another worker too, one that it need not load at, when the first is yet to answer.
 func (p *Policy) secondCopy(r *request) {
-	if r == nil || r.outstand != 1 || !p.cfg.SecondAttempts || p.classes[r.Class].Repeat != Safe {
+	if r == nil || r.outstand != 1 || !p.cfg.HedgingAllowed || p.classes[r.Class].Idempotency != Idempotent {
 		return
 	}
 	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.ended })].w
@@ -733,7 +733,7 @@
 }
 
 // ended takes in how an attempt ended and decides what follows.
-func (p *Policy) ended(e AttemptEnded) {
+func (p *Policy) ended(e AttemptCompleted) {
 	r := p.reqs[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
@@ -741,13 +741,13 @@
 	a := r.attempts[e.Attempt]
 	w, i := a.w, p.instance(a.w, r.fn.id)
 	a.ended, r.outstand, i.inFlight = true, r.outstand-1, i.inFlight-1
-	a.pool.Ended()
+	a.pool.AttemptFinished()
 	w.out = slices.DeleteFunc(w.out, func(o *attempt) bool { return o == a })
 	if !e.Outcome.NeverRan() && r.ran == nil {
 		r.ran = a
 	}
 	e.Took = min(max(e.Took, 0), time.Hour)
-	if e.Outcome != Reset || a.number > 0 { // a connection may break alone: its worker still has the copy
+	if e.Outcome != ConnectionReset || a.number > 0 { // a connection may break alone: its worker still has the copy
 		r.shunned = append(r.shunned, w) // read only if another attempt follows
 	}
 	switch e.Outcome {
@@ -756,31 +756,31 @@
 		w.fails[r.Class].see(p.now, 0)
 		p.rate, w.served = p.rate+p.classes[r.Class].run, w.served+p.classes[r.Class].run
 		p.learn(a, e)
-	case Errored, Full, Missed:
+	case Failed, Overloaded, NotLoaded:
 		p.alive(w)
-		if e.Outcome == Missed || e.Note == LoadFailed {
+		if e.Outcome == NotLoaded || e.LoadStatus == LoadFailed {
 			i.warmUntil, i.loading, i.lanes = 0, 0, 0
-		} else if e.Outcome == Full && i.inFlight == 0 && !i.ordered { // it began no load
+		} else if e.Outcome == Overloaded && i.inFlight == 0 && !i.ordered { // it began no load
 			i.loading = 0
 		}
 		switch {
-		case e.Note == LoadFailed:
+		case e.LoadStatus == LoadFailed:
 			p.loadFailed(1)
-		case e.Outcome == Errored:
+		case e.Outcome == Failed:
 			w.fails[r.Class].see(p.now, 1)
-		case e.Outcome == Full && (!a.cold || a.likely):
+		case e.Outcome == Overloaded && (!a.cold || a.likely):
 			p.jam(r.fn)
 			p.reported(w, e.Report)
 			w.delay.see(p.now, max(clip*p.run(r), w.delay.now(p.now)))
 		}
-	case Reset, Unreachable:
-		if e.Outcome == Reset && !w.probing { // one sign, however many calls were on the connection
+	case ConnectionReset, Unreachable:
+		if e.Outcome == ConnectionReset && !w.probing { // one sign, however many calls were on the connection
 			w.fails[r.Class].see(p.now, 1)
 		}
 		p.broken(w, e.Outcome)
 	case Cancelled, TimedOut: // it would have taken longer still; where others were answered, they tell
 		if over := float64(e.Took) - p.run(r); !a.cold && w.delay.at < a.sent && over > w.delay.now(p.now) {
-			w.delay.see(p.now, min(over, clip*float64(p.classes[r.Class].Aim)))
+			w.delay.see(p.now, min(over, clip*float64(p.classes[r.Class].LatencyObjective)))
 		}
 	}
 	if e.Closed {
@@ -788,8 +788,8 @@
 	}
 	switch {
 	case r.done || r.outstand > 0:
-	case e.Outcome == Missed && p.order(r, w, i):
-	case e.Outcome == Moot || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
+	case e.Outcome == NotLoaded && p.order(r, w, i):
+	case e.Outcome == NotSent || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
 		p.finish(r, 0)
 	default:
 		p.place(r)
@@ -798,31 +798,31 @@
 }
 
 // learn takes a served attempt into the estimates.
-func (p *Policy) learn(a *attempt, e AttemptEnded) {
+func (p *Policy) learn(a *attempt, e AttemptCompleted) {
 	r, w, f := a.req, a.w, a.req.fn
 	p.reported(w, e.Report)
 	i, c, took, base := p.instance(w, f.id), &p.classes[r.Class], float64(e.Took), p.run(r)
 	queue, at := p.queueing(w, a.inFlight), max(0, w.delay.now(p.now))
-	loaded := e.Note == BeganLoad || e.Note == AwaitedOne
-	if !p.cfg.WarmNotes && !p.cfg.MissWhenCold { // not told: a load shows in the time
+	loaded := e.LoadStatus == StartedLoad || e.LoadStatus == WaitedForLoad
+	if !p.cfg.LoadStatusReported && !p.cfg.MissWhenNotLoaded { // not told: a load shows in the time
 		loaded = took > base+queue+p.loadTime(f)/2
 	}
-	if !a.cold && e.Note <= WasWarm { // a guessed load may be a queue
+	if !a.cold && e.LoadStatus <= AlreadyLoaded { // a guessed load may be a queue
 		answers := 20.0 // slowly up to what took longer, fast down
 		if took < p.standing {
 			answers = 4
 		}
-		p.standing += (min(took, clip*float64(c.Aim)) - p.standing) / answers
+		p.standing += (min(took, clip*float64(c.LatencyObjective)) - p.standing) / answers
 	}
 	i.warmUntil, i.loading, i.lanes = p.now+p.cfg.KeepAlive, 0, max(i.lanes, i.inFlight+1)
 	p.tell(i, f)
-	if took < float64(c.Aim) {
+	if took < float64(c.LatencyObjective) {
 		f.jams *= fitKeep
-	} else if (!a.cold || a.likely) && e.Note <= WasWarm {
+	} else if (!a.cold || a.likely) && e.LoadStatus <= AlreadyLoaded {
 		p.jam(f)
 	}
-	if loaded || a.cold && p.cfg.MissWhenCold {
-		if e.Note == BeganLoad || e.Note == NoNote && a.cold && loaded {
+	if loaded || a.cold && p.cfg.MissWhenNotLoaded {
+		if e.LoadStatus == StartedLoad || e.LoadStatus == LoadStatusUnknown && a.cold && loaded {
 			p.sawLoad(took-base-queue, f)
 		}
 		return
@@ -831,7 +831,7 @@
 	for _, s := range []*fit{&w.slope, &p.slope} {
 		s.nn, s.ny = s.nn*fitKeep+n, s.ny*fitKeep+y
 	}
-	w.delay.see(p.now, min(took-base, clip*float64(c.Aim))-(queue-at))
+	w.delay.see(p.now, min(took-base, clip*float64(c.LatencyObjective))-(queue-at))
 	if q := p.queued(e.Report); q >= 0 {
 		p.pace.nn, p.pace.ny = p.pace.nn*fitKeep+q, p.pace.ny*fitKeep+max(y-(queue-at), 0)
 	}
@@ -861,7 +861,7 @@
 // reported takes a report, late and noisy, into w's constant as one answer: the delay such a queue meant.
 func (p *Policy) reported(w *worker, report []float64) {
 	if q := p.queued(report); q >= 0 {
-		w.delay.see(p.now, min(q*p.pace.ny/max(p.pace.nn, 1), clip*float64(p.classes[0].Aim)))
+		w.delay.see(p.now, min(q*p.pace.ny/max(p.pace.nn, 1), clip*float64(p.classes[0].LatencyObjective)))
 	}
 }
 
@@ -873,7 +873,7 @@
 
 // tell has few others know of an instance, renewed in its keep-alive: else each loads copies of its own.
 func (p *Policy) tell(i *instance, f *function) {
-	if p.cfg.MayTell && p.cfg.Peers > 1 && p.now-i.told > p.cfg.KeepAlive/4 {
+	if p.cfg.GossipSupported && p.cfg.Replicas > 1 && p.now-i.told > p.cfg.KeepAlive/4 {
 		i.told = p.now
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(i.w.Worker))
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(f.id))
@@ -902,11 +902,11 @@
 // order has a missing function loaded at w, with r to follow.
 func (p *Policy) order(r *request, w *worker, i *instance) bool {
 	if !i.ordered {
-		if p.cfg.LoadWindow > 0 && !r.pool.MayOrder(p.now, p.ration()) ||
-			!p.emit(OrderLoad{Worker: w.Worker, Function: r.Function, Count: 1}) {
+		if p.cfg.LoadBudgetWindow > 0 && !r.pool.MayLoad(p.now, p.ration()) ||
+			!p.emit(Load{Worker: w.Worker, Function: r.Function, Count: 1}) {
 			return false
 		}
-		r.pool.Ordered(p.now)
+		r.pool.LoadStarted(p.now)
 		w.orders++
 		i.ordered, i.loading = true, p.now+time.Duration(p.loadTime(r.fn))
 	}
@@ -915,7 +915,7 @@
 	return true
 }
 
-func (p *Policy) loadEnded(e LoadEnded) {
+func (p *Policy) loadEnded(e LoadCompleted) {
 	w, f := p.workers[e.Worker], p.funcs[e.Function]
 	if w == nil || f == nil || w.copies[f.id] == nil || !w.copies[f.id].ordered {
 		return
@@ -931,15 +931,15 @@
 		if e.Took > f.loadTime/5 { // else it stood, or nearly
 			p.sawLoad(float64(e.Took), f)
 		}
-	case Errored:
+	case Failed:
 		p.loadFailed(1)
-	case Reset, Unreachable:
+	case ConnectionReset, Unreachable:
 		p.broken(w, e.Outcome)
 	}
 	parked := i.parked
 	i.parked = nil
 	for _, r := range parked { // elsewhere, unless it stands
-		if e.Outcome != Served && e.Outcome != Reset {
+		if e.Outcome != Served && e.Outcome != ConnectionReset {
 			r.shunned = append(r.shunned, w)
 		}
 		p.place(r)
@@ -954,26 +954,26 @@
 }
 
 func (p *Policy) probe(w *worker) bool {
-	w.probing, w.probed = p.emit(Probe{Worker: w.Worker}), p.now
+	w.probing, w.probed = p.emit(CheckHealth{Worker: w.Worker}), p.now
 	return w.probing
 }
 
-func (p *Policy) probedBack(e Probed) {
+func (p *Policy) probedBack(e HealthCheckCompleted) {
 	w := p.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	w.probing = false
-	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != Reset {
+	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
 		p.alive(w)
 		p.reported(w, e.Report)
 	} else if w.heard < w.probed {
 		p.strike(w)
 		for _, a := range slices.Clone(w.out) { // what may be sent elsewhere is called off
 			r := a.req
-			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called && c.Repeat != Unsafe &&
-				(c.Repeat == Safe || p.now < a.sent+c.Window-2*p.cfg.Tick) {
-				a.called = p.emit(Cancel{Request: r.Request, Attempt: a.number})
+			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called && c.Idempotency != NotIdempotent &&
+				(c.Idempotency == Idempotent || p.now < a.sent+c.DeduplicationWindow-2*p.cfg.Tick) {
+				a.called = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
 			}
 		}
 	}
@@ -985,8 +985,8 @@
 	p.rate, p.span = fade*p.rate, fade*p.span+beat.Seconds()
 	for _, w := range p.fleet {
 		w.served *= fade
-		rate := coldMargin * p.cfg.FallMultiple * p.capacity(w) * p.taken * w.might
-		span := rate * p.cfg.FallFor.Seconds()
+		rate := coldMargin * p.cfg.OverloadMultiple * p.capacity(w) * p.taken * w.might
+		span := rate * p.cfg.OverloadWindow.Seconds()
 		if w.room = min(w.room+rate*beat.Seconds(), max(span/4, p.classes[0].run)); w.room > 3*span {
 			w.room -= p.classes[0].run // tokens expire: saved up, those of all dispatchers would meet
 		}
@@ -997,8 +997,8 @@
 		}
 	}
 	p.news = p.news[max(0, len(p.news)-16*newsBytes):]
-	if peers := float64(p.cfg.Peers - 1); len(p.news) > 0 && p.spare >= peers &&
-		p.emit(Tell{To: -1, Data: slices.Clone(p.news)}) {
+	if peers := float64(p.cfg.Replicas - 1); len(p.news) > 0 && p.spare >= peers &&
+		p.emit(SendGossip{To: -1, Data: slices.Clone(p.news)}) {
 		p.news, p.spare = p.news[:0], p.spare-peers
 	}
 	held := p.held
@@ -1033,8 +1033,8 @@
 
 // finish gives the final answer: a refusal where true, else a failure. Clients come back spread by chance.
 func (p *Policy) finish(r *request, wait float64) {
-	a := Refuse{Request: r.Request}
-	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfter && most > 0 {
+	a := Reject{Request: r.Request}
+	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfterSupported && most > 0 {
 		a.RetryAfter = time.Duration(sane(wait, float64(beat), most) * (1 - p.rng.Float64()/2))
 	}
 	if !r.done && p.emit(a) {
@@ -1048,7 +1048,7 @@
 	p.emit(ClearTimer{Token: doneToken + uint64(r.Request)})
 	for _, a := range r.attempts {
 		if !a.ended && !a.called {
-			a.called = p.emit(Cancel{Request: r.Request, Attempt: a.number})
+			a.called = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
 		}
 	}
 	p.release(r)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,13 +12,13 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Peers: 1, Tick: 2 * ms, MaxAttempts: 5, MayCancel: true, MayProbe: true, OverShareWorth: 1,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2, FallFor: 3 * time.Second,
-		DrainGrace: 500 * ms, KeepAlive: 10 * time.Second, WarmNotes: true, LoadFree: 1,
+	return Config{Replicas: 1, Tick: 2 * ms, MaxAttempts: 5, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
+		SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
+		DrainGracePeriod: 500 * ms, KeepAlive: 10 * time.Second, LoadStatusReported: true, LoadBudgetMinimum: 1,
 		Classes: []Class{
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Safe, Worth: 1, LateWorth: 0.2},
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Keyed, Group: GroupZone, Window: time.Second, Worth: 1},
-			{Aim: 400 * ms, Deadline: 4 * time.Second, Repeat: Unsafe, Worth: 5, LateWorth: 0.2},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: Idempotent, PriorityWeight: 1, LatePriorityWeight: 0.2},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: DeduplicatedInZone, DeduplicationWindow: time.Second, PriorityWeight: 1},
+			{LatencyObjective: 400 * ms, Deadline: 4 * time.Second, Idempotency: NotIdempotent, PriorityWeight: 5, LatePriorityWeight: 0.2},
 		}}
 }
 
@@ -38,10 +38,10 @@
 		t.Fatal(err)
 	}
 	b := &bed{t: t, p: p, now: time.Hour}
-	var l WorkerList
-	l.Kind = ListWhole
+	var l EndpointList
+	l.Kind = EndpointSnapshot
 	for i := range workers {
-		l.Workers = append(l.Workers, WorkerEntry{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
+		l.Workers = append(l.Workers, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
 	}
 	b.do(l)
 	return b
@@ -50,7 +50,7 @@
 func (b *bed) do(ev Event) []Action {
 	acts := b.p.Handle(b.now, ev, nil)
 	for _, a := range acts {
-		if s, ok := a.(Send); ok && s.Worker == 1 {
+		if s, ok := a.(StartAttempt); ok && s.Worker == 1 {
 			b.toFirst++
 		}
 	}
@@ -59,28 +59,28 @@
 
 func (b *bed) arrive(class int, f FunctionID) (RequestID, []Action) {
 	b.id++
-	return b.id, b.do(Arrived{Request: b.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Left: 4 * time.Second})
+	return b.id, b.do(RequestArrived{Request: b.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second})
 }
 
 // serve has one request of f arrive and served after took.
-func (b *bed) serve(f FunctionID, took time.Duration, note Note) WorkerID {
+func (b *bed) serve(f FunctionID, took time.Duration, note LoadStatus) WorkerID {
 	b.t.Helper()
 	id, acts := b.arrive(0, f)
-	s, ok := first[Send](acts)
+	s, ok := first[StartAttempt](acts)
 	if !ok {
 		b.t.Fatalf("request not sent: %v", acts)
 	}
 	b.now += took
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: note, Closed: true, Took: took})
+	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: note, Closed: true, Took: took})
 	return s.Worker
 }
 
 // serveInTime is serve from a warm copy, with the beats that the time brings.
 func (b *bed) serveInTime(f FunctionID, took time.Duration) {
 	id, acts := b.arrive(0, f)
-	s, _ := first[Send](acts)
+	s, _ := first[StartAttempt](acts)
 	b.pass(took)
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: took})
+	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 }
 
 // pass lets time go by, with its beats.
@@ -108,10 +108,10 @@
 	for name, spoil := range map[string]func(*Config){
 		"no classes":     func(c *Config) { c.Classes = nil },
 		"no deadline":    func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cold share":     func(c *Config) { c.ColdFrom = 1.5 },
-		"not a number":   func(c *Config) { c.FallMultiple = math.NaN() },
+		"cold share":     func(c *Config) { c.SlowStartInitialCapacity = 1.5 },
+		"not a number":   func(c *Config) { c.OverloadMultiple = math.NaN() },
 		"negative tick":  func(c *Config) { c.Tick = -1 },
-		"infinite loads": func(c *Config) { c.LoadFree = math.Inf(1) },
+		"infinite loads": func(c *Config) { c.LoadBudgetMinimum = math.Inf(1) },
 	} {
 		c := config()
 		spoil(&c)
@@ -123,9 +123,9 @@
 
 func TestSticksToTheWarmWorker(t *testing.T) {
 	b := newBed(t, config(), 6)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, StartedLoad)
 	for range 20 {
-		if got := b.serve(7, 80*ms, WasWarm); got != w {
+		if got := b.serve(7, 80*ms, AlreadyLoaded); got != w {
 			t.Fatalf("warm at %d, sent to %d", w, got)
 		}
 	}
@@ -141,15 +141,15 @@
 func TestCallsGoWhereALaneIsFree(t *testing.T) {
 	send := func(b *bed) (RequestID, WorkerID) {
 		b.id++
-		s, ok := first[Send](b.do(Arrived{Request: b.id, Function: 7, Lanes: 1, LoadTime: time.Second, Left: 4 * time.Second}))
+		s, ok := first[StartAttempt](b.do(RequestArrived{Request: b.id, Function: 7, Lanes: 1, LoadTime: time.Second, Remaining: 4 * time.Second}))
 		if !ok {
 			b.t.Fatal("not sent")
 		}
 		return b.id, s.Worker
 	}
-	served := func(b *bed, id RequestID, w WorkerID, note Note) {
+	served := func(b *bed, id RequestID, w WorkerID, note LoadStatus) {
 		b.now += 80 * ms
-		b.do(AttemptEnded{Request: id, Worker: w, Outcome: Served, Note: note, Closed: true, Took: 80 * ms})
+		b.do(AttemptCompleted{Request: id, Worker: w, Outcome: Served, LoadStatus: note, Closed: true, Took: 80 * ms})
 	}
 	b := newBed(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
@@ -161,8 +161,8 @@
 	if at1 != 1 || at2 != 2 {
 		t.Fatalf("sent to %d, then to %d", at1, at2)
 	}
-	served(b, one, at1, WasWarm)
-	served(b, two, at2, WasWarm)
+	served(b, one, at1, AlreadyLoaded)
+	served(b, two, at2, AlreadyLoaded)
 	b.p.instance(b.p.workers[1], 7).lanes = 2 // two were served at a time
 	b.p.workers[2].delay.see(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
@@ -172,7 +172,7 @@
 	if at2 != 1 {
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
-	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: Missed})
+	b.do(AttemptCompleted{Request: id, Worker: 1, Outcome: NotLoaded})
 	if n := b.p.instance(b.p.workers[1], 7).lanes; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
@@ -181,29 +181,29 @@
 // Guards against a load for each call whose connection broke: the worker that holds the copy is tried once
 // more, over another connection. Where that ends badly too the call goes elsewhere.
 func TestBrokenConnectionDoesNotSendACallToAColdWorker(t *testing.T) {
-	for _, again := range []Outcome{Reset, Unreachable} {
+	for _, again := range []Outcome{ConnectionReset, Unreachable} {
 		b := newBed(t, config(), 3)
-		w := b.serve(7, 1100*ms, BeganLoad)
+		w := b.serve(7, 1100*ms, StartedLoad)
 		for range 20 {
-			b.serve(7, 80*ms, WasWarm)
+			b.serve(7, 80*ms, AlreadyLoaded)
 		}
 		others, _ := b.arrive(0, 7) // on the same connection
 		id, acts := b.arrive(0, 7)
-		if s, _ := first[Send](acts); s.Worker != w {
+		if s, _ := first[StartAttempt](acts); s.Worker != w {
 			t.Fatalf("warm at %d, sent to %d", w, s.Worker)
 		}
 		b.now += 10 * ms
-		probes := b.do(AttemptEnded{Request: others, Worker: w, Outcome: Reset, Took: 10 * ms})
+		probes := b.do(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
 		n := b.p.workers[w].fails[0].n
-		acts = b.do(AttemptEnded{Request: id, Worker: w, Outcome: Reset, Took: 10 * ms})
-		if s, ok := first[Send](acts); !ok || s.Worker != w || !has[Probe](probes) || has[Probe](acts) {
+		acts = b.do(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
+		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](probes) || has[CheckHealth](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
 		if b.p.workers[w].fails[0].n != n {
 			t.Error("one broken connection counts as two failures")
 		}
-		acts = b.do(AttemptEnded{Request: id, Attempt: 1, Worker: w, Outcome: again})
-		if s, ok := first[Send](acts); !ok || s.Worker == w {
+		acts = b.do(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
+		if s, ok := first[StartAttempt](acts); !ok || s.Worker == w {
 			t.Errorf("after outcome %d of the second: %v", again, acts)
 		}
 	}
@@ -212,18 +212,18 @@
 // Guards a worker that is well against an order to load whose connection broke: a probe tells, and until
 // then neither is the worker set aside nor do the calls that wait for the load go elsewhere.
 func TestBrokenConnectionOfAnOrderSetsNoWorkerAside(t *testing.T) {
-	for _, o := range []Outcome{Reset, Unreachable} {
+	for _, o := range []Outcome{ConnectionReset, Unreachable} {
 		cfg := config()
-		cfg.MissWhenCold, cfg.MayOrder = true, true
+		cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported = true, true
 		b := newBed(t, cfg, 3)
 		id, acts := b.arrive(0, 7)
-		s, _ := first[Send](acts)
-		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Missed}); !has[OrderLoad](acts) {
+		s, _ := first[StartAttempt](acts)
+		if acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded}); !has[Load](acts) {
 			t.Fatalf("after a miss: %v", acts)
 		}
-		acts = b.do(LoadEnded{Worker: s.Worker, Function: 7, Outcome: o})
+		acts = b.do(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: o})
 		aside := b.p.looksBad(b.p.workers[s.Worker])
-		if next, ok := first[Send](acts); !ok || aside != (o == Unreachable) || has[Probe](acts) != (o == Reset) ||
+		if next, ok := first[StartAttempt](acts); !ok || aside != (o == Unreachable) || has[CheckHealth](acts) != (o == ConnectionReset) ||
 			o == Unreachable && next.Worker == s.Worker {
 			t.Errorf("after outcome %d of the order: %v, aside %v", o, acts, aside)
 		}
@@ -232,8 +232,8 @@
 
 func TestRestartEndsWarmBelief(t *testing.T) {
 	b := newBed(t, config(), 3)
-	w := b.serve(7, 1100*ms, BeganLoad)
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: w, State: Ready, Started: b.now}}})
+	w := b.serve(7, 1100*ms, StartedLoad)
+	b.do(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: b.now}}})
 	if b.p.workers[w].copies[7].warmUntil > b.now {
 		t.Error("a restarted worker is still thought warm")
 	}
@@ -241,19 +241,19 @@
 
 func TestNothingGoesToADrainingWorker(t *testing.T) {
 	b := newBed(t, config(), 1)
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: 1, State: Draining}}})
-	if _, acts := b.arrive(0, 7); has[Send](acts) {
+	b.do(EndpointList{Workers: []Endpoint{{Worker: 1, State: Draining}}})
+	if _, acts := b.arrive(0, 7); has[StartAttempt](acts) {
 		t.Error("sent to a draining worker")
 	}
 }
 
 func TestUnsafeThatMayHaveRunIsFailedNotRepeated(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, Reset, Cancelled} {
+	for _, o := range []Outcome{Failed, TimedOut, ConnectionReset, Cancelled} {
 		b := newBed(t, config(), 4)
 		id, acts := b.arrive(2, 7)
-		s, _ := first[Send](acts)
-		acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: o})
-		if has[Send](acts) || has[Refuse](acts) || !has[Fail](acts) {
+		s, _ := first[StartAttempt](acts)
+		acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: o})
+		if has[StartAttempt](acts) || has[Reject](acts) || !has[FailRequest](acts) {
 			t.Errorf("outcome %d: %v", o, acts)
 		}
 	}
@@ -263,10 +263,10 @@
 func TestEmissionGuardsUnsafeRepeats(t *testing.T) {
 	b := newBed(t, config(), 2)
 	id, acts := b.arrive(2, 7)
-	s, _ := first[Send](acts)
+	s, _ := first[StartAttempt](acts)
 	r := b.p.reqs[id]
 	r.outstand, r.ran = 0, r.attempts[0]
-	if b.p.emit(Send{Request: id, Worker: 3 - s.Worker}) {
+	if b.p.emit(StartAttempt{Request: id, Worker: 3 - s.Worker}) {
 		t.Error("a repeat of an unsafe request left")
 	}
 }
@@ -274,8 +274,8 @@
 func TestUnsafeThatNeverRanGoesElsewhere(t *testing.T) {
 	b := newBed(t, config(), 4)
 	id, acts := b.arrive(2, 7)
-	s, _ := first[Send](acts)
-	again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Full}))
+	s, _ := first[StartAttempt](acts)
+	again, ok := first[StartAttempt](b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded}))
 	if !ok || again.Worker == s.Worker {
 		t.Errorf("after full: %v %v", again, ok)
 	}
@@ -283,20 +283,20 @@
 
 func TestKeyedIsRepeatedOnlyInsideItsGroupAndWindow(t *testing.T) {
 	b := newBed(t, config(), 0)
-	b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 1, State: Ready, Zone: 0},
+	b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready, Zone: 0},
 		{Worker: 2, State: Ready, Zone: 1}, {Worker: 3, State: Ready, Zone: 1}}})
 	for range 20 {
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
+		s, _ := first[StartAttempt](acts)
 		b.now += 10 * ms
-		again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}))
+		again, ok := first[StartAttempt](b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}))
 		if ok && (again.Worker == 1) != (s.Worker == 1) {
 			t.Fatalf("sent to %d, then to %d of another group", s.Worker, again.Worker)
 		}
 		id, acts = b.arrive(1, 8)
-		s, _ = first[Send](acts)
+		s, _ = first[StartAttempt](acts)
 		b.now += 1100 * ms
-		if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); has[Send](acts) || has[Refuse](acts) {
+		if acts := b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); has[StartAttempt](acts) || has[Reject](acts) {
 			t.Fatal("repeated or refused outside the window")
 		}
 	}
@@ -310,44 +310,44 @@
 		t.Fatalf("no timer before the deadline: %v", acts)
 	}
 	b.now += timer.After
-	if acts := b.do(TimerFired{Token: timer.Token}); !has[Fail](acts) {
+	if acts := b.do(TimerFired{Token: timer.Token}); !has[FailRequest](acts) {
 		t.Errorf("no failure at the deadline: %v", acts)
 	}
 }
 
 func TestMissOrdersOneLoadAndTheRequestFollows(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder, cfg.WarmNotes = true, true, false
+	cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.LoadStatusReported = true, true, false
 	b := newBed(t, cfg, 4)
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
-	acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Missed})
-	if o, ok := first[OrderLoad](acts); !ok || o.Worker != s.Worker || o.Count != 1 || has[Send](acts) {
+	s, _ := first[StartAttempt](acts)
+	acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})
+	if o, ok := first[Load](acts); !ok || o.Worker != s.Worker || o.Count != 1 || has[StartAttempt](acts) {
 		t.Fatalf("after a miss: %v", acts)
 	}
 	b.now += time.Second
-	acts = b.do(LoadEnded{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
-	if again, ok := first[Send](acts); !ok || again.Worker != s.Worker {
+	acts = b.do(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
+	if again, ok := first[StartAttempt](acts); !ok || again.Worker != s.Worker {
 		t.Errorf("after the load: %v", acts)
 	}
 }
 
 func TestLoadOrdersAreRationed(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder, cfg.WarmNotes = true, true, false
-	cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = 10*time.Second, 2, 0.1
+	cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.LoadStatusReported = true, true, false
+	cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = 10*time.Second, 2, 0.1
 	b := newBed(t, cfg, 8)
 	orders := 0
 	for f := FunctionID(1); f <= 9; f++ {
 		id, acts := b.arrive(0, f)
-		s, ok := first[Send](acts)
+		s, ok := first[StartAttempt](acts)
 		for n := 0; ok; n++ {
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Missed})
-			if has[OrderLoad](acts) {
+			acts = b.do(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: NotLoaded})
+			if has[Load](acts) {
 				orders++
 				break
 			}
-			s, ok = first[Send](acts)
+			s, ok = first[StartAttempt](acts)
 		}
 	}
 	if orders != 2 {
@@ -374,12 +374,12 @@
 	t.Helper()
 	const routers, calls = 100, 40
 	cfg := config()
-	cfg.Peers, cfg.MissWhenCold, cfg.MayOrder = peers, true, true
+	cfg.Replicas, cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported = peers, true, true
 	sizes := []float64{6, 6, 6, 6, 4, 4, 4, 4}
-	var l WorkerList
-	l.Kind = ListWhole
+	var l EndpointList
+	l.Kind = EndpointSnapshot
 	for i, size := range sizes {
-		l.Workers = append(l.Workers, WorkerEntry{Worker: WorkerID(workerHash(i)), State: Ready, Weight: size})
+		l.Workers = append(l.Workers, Endpoint{Worker: WorkerID(workerHash(i)), State: Ready, Weight: size})
 	}
 	sent, homes := map[float64]float64{}, map[FunctionID]WorkerID{}
 	for seed := range uint64(routers) {
@@ -393,16 +393,16 @@
 			f := FunctionID(1 + rng.IntN(2000))
 			now := time.Hour + time.Duration(n)*time.Minute // nothing is remembered
 			id := RequestID(n + 1)
-			s, ok := first[Send](p.Handle(now, Arrived{Request: id, Function: f, LoadTime: time.Second, Left: 4 * time.Second}, nil))
+			s, ok := first[StartAttempt](p.Handle(now, RequestArrived{Request: id, Function: f, LoadTime: time.Second, Remaining: 4 * time.Second}, nil))
 			if !ok {
 				t.Fatal("not sent")
 			}
-			p.Handle(now, AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 50 * ms}, nil)
+			p.Handle(now, AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 50 * ms}, nil)
 			if at, known := homes[f]; known && at != s.Worker {
 				t.Fatalf("function %d has a home at %x and one at %x", f, at, s.Worker)
 			}
 			homes[f] = s.Worker
-			sent[l.Workers[slices.IndexFunc(l.Workers, func(e WorkerEntry) bool { return e.Worker == s.Worker })].Weight]++
+			sent[l.Workers[slices.IndexFunc(l.Workers, func(e Endpoint) bool { return e.Worker == s.Worker })].Weight]++
 		}
 	}
 	return sent[6], sent[4]
@@ -415,11 +415,11 @@
 // router that took 70 give 30 orders, where 25 were allowed.
 func TestCallsTakenBackDoNotWidenTheRation(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = true, 10*time.Second, 4, 0.3
+	cfg.MissWhenNotLoaded, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, 10*time.Second, 4, 0.3
 	b := newBed(t, cfg, 4)
 	for range 200 {
 		id, _ := b.arrive(0, 9)
-		b.do(Abandoned{Request: id})
+		b.do(RequestCanceled{Request: id})
 	}
 	if got := b.p.ration(); got != 4 {
 		t.Fatalf("200 calls that were taken back make a ration of %v, 4 wanted", got)
@@ -430,12 +430,12 @@
 		b.arrive(0, 9)
 	}
 	id, _ := b.arrive(0, 9)
-	b.do(Abandoned{Request: id})
+	b.do(RequestCanceled{Request: id})
 	if got := b.p.ration(); got != 4+0.3*4 {
 		t.Fatalf("four calls that stay make a ration of %v", got)
 	}
-	b.do(Abandoned{Request: kept})
-	b.do(Abandoned{Request: kept}) // twice counts once
+	b.do(RequestCanceled{Request: kept})
+	b.do(RequestCanceled{Request: kept}) // twice counts once
 	if got := b.p.ration(); got != 4+0.3*3 {
 		t.Fatalf("three calls that stay make a ration of %v", got)
 	}
@@ -447,17 +447,17 @@
 		b.serveInTime(FunctionID(b.now%50), 95*ms)
 		b.pass(5 * ms)
 	}
-	b.do(WorkerList{Workers: []WorkerEntry{{Worker: 1, State: Ready, Started: b.now}}})
+	b.do(EndpointList{Workers: []Endpoint{{Worker: 1, State: Ready, Started: b.now}}})
 	sent := 0
 	for f := FunctionID(1000); f < 1600; f++ {
 		b.pass(10 * ms)
 		id, acts := b.arrive(0, f)
-		s, ok := first[Send](acts)
+		s, ok := first[StartAttempt](acts)
 		for n := 0; ok; n++ {
 			if s.Worker == 1 {
 				sent++
 			}
-			s, ok = first[Send](b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Errored}))
+			s, ok = first[StartAttempt](b.do(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
 	// A share of 0.2 to 0.6 at a multiple of 2 allows 0.8 of the mean, 2 a second, on average: 9.6 in 6 s.
@@ -493,12 +493,12 @@
 // were away and while they come back cold, of twenty in a second for functions that stand nowhere.
 func coldSends(t *testing.T, seed uint64, started int) int {
 	cfg := config()
-	cfg.Peers = 100
+	cfg.Replicas = 100
 	b := newBed(t, cfg, 10)
 	b.p.rng = rand.New(rand.NewPCG(seed, 1))
-	gone, back := WorkerList{}, WorkerList{}
+	gone, back := EndpointList{}, EndpointList{}
 	for w := range started {
-		gone.Workers = append(gone.Workers, WorkerEntry{Worker: WorkerID(w + 1), State: Gone})
+		gone.Workers = append(gone.Workers, Endpoint{Worker: WorkerID(w + 1), State: Gone})
 	}
 	if started > 1 {
 		b.do(gone)
@@ -508,16 +508,16 @@
 		b.pass(33 * ms)
 	}
 	for w := range started {
-		back.Workers = append(back.Workers, WorkerEntry{Worker: WorkerID(w + 1), State: Ready, Started: b.now})
+		back.Workers = append(back.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Started: b.now})
 	}
 	b.do(back)
 	before := b.toFirst
 	for f := FunctionID(1000); f < 1060; f++ {
 		b.pass(50 * ms)
 		id, acts := b.arrive(0, f)
-		s, ok := first[Send](acts)
+		s, ok := first[StartAttempt](acts)
 		for try := 0; ok; try++ {
-			s, ok = first[Send](b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Errored}))
+			s, ok = first[StartAttempt](b.do(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
 	return b.toFirst - before
@@ -527,9 +527,9 @@
 // forgets that sends the next one there too, and loses it as well.
 func TestCallsCalledOffCountAsDelay(t *testing.T) {
 	b := newBed(t, config(), 2)
-	b.serve(7, 100*ms, WasWarm)
+	b.serve(7, 100*ms, AlreadyLoaded)
 	for range 30 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet { // both hold a copy
 		b.p.instance(w, 7).warmUntil = b.now + time.Hour
@@ -537,17 +537,17 @@
 	slow, lost := WorkerID(1), 0
 	for range 20 {
 		id, acts := b.arrive(0, 7)
-		s, ok := first[Send](acts)
+		s, ok := first[StartAttempt](acts)
 		switch {
 		case !ok:
 		case s.Worker == slow:
 			lost++
 			b.pass(4 * time.Second)
 			b.do(TimerFired{Token: doneToken + uint64(id)})
-			b.do(AttemptEnded{Request: id, Worker: slow, Outcome: Cancelled, Closed: true, Took: 4 * time.Second})
+			b.do(AttemptCompleted{Request: id, Worker: slow, Outcome: Cancelled, Closed: true, Took: 4 * time.Second})
 		default:
 			b.pass(100 * ms)
-			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 100 * ms})
+			b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
 		}
 	}
 	if lost < 1 || lost > 3 {
@@ -559,26 +559,26 @@
 // faster too, they are home to more functions than their sizes say, by most of that.
 func TestHomesFollowTheSpeedsOfSizes(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 80
+	cfg.Replicas = 80
 	for _, faster := range []float64{1, 1.6} { // workers of size 3 against those of size 2
 		var ratios []float64
 		for seed := range uint64(20) {
 			b := newBed(t, cfg, 0)
 			b.p.rng = rand.New(rand.NewPCG(seed, 7))
-			var l WorkerList
+			var l EndpointList
 			for w := range 20 {
-				l.Workers = append(l.Workers, WorkerEntry{Worker: WorkerID(w + 1), State: Ready, Weight: float64(2 + w%2)})
+				l.Workers = append(l.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Weight: float64(2 + w%2)})
 			}
 			b.do(l)
 			for range 150 {
 				id, acts := b.arrive(0, FunctionID(b.p.rng.IntN(60)))
-				s, _ := first[Send](acts)
+				s, _ := first[StartAttempt](acts)
 				took := 60 * ms * time.Duration(1000*b.p.rng.ExpFloat64()) / 1000
 				if s.Worker%2 == 0 {
 					took = time.Duration(float64(took) / faster)
 				}
 				b.pass(100 * ms)
-				b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: took})
+				b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 			}
 			homes := map[float64]float64{}
 			for f := range FunctionID(3000) {
@@ -600,19 +600,19 @@
 func TestExtrasCostTheSameACallAtAnySize(t *testing.T) {
 	perCall := func(peers, calls int) (probes, receivers float64) {
 		cfg := config()
-		cfg.Peers, cfg.MayTell = peers, true
+		cfg.Replicas, cfg.GossipSupported = peers, true
 		b := newBed(t, cfg, 40)
 		gap := 20 * time.Second / time.Duration(calls)
 		for n := range calls {
-			b.serve(FunctionID(n%30), 10*ms, WasWarm)
+			b.serve(FunctionID(n%30), 10*ms, AlreadyLoaded)
 			for left := gap - 10*ms; left > 0; left -= beat {
 				b.now += min(left, beat)
 				for _, a := range b.do(TimerFired{Token: beatToken}) {
 					switch a := a.(type) {
-					case Probe:
+					case CheckHealth:
 						probes++
-						b.do(Probed{Worker: a.Worker})
-					case Tell:
+						b.do(HealthCheckCompleted{Worker: a.Worker})
+					case SendGossip:
 						receivers += float64(peers - 1)
 					}
 				}
@@ -633,7 +633,7 @@
 // A hot function needs many workers, and no dispatcher sees more than a call of it now and then.
 func TestHotFunctionSpreadsAndRareOneStays(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 50
+	cfg.Replicas = 50
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newBed(t, cfg, 20)
@@ -644,14 +644,14 @@
 				f = 7 // a third of all work: a third of the fleet
 			}
 			b.now += 300 * ms
-			w := b.serve(f, 30*ms, WasWarm)
+			w := b.serve(f, 30*ms, AlreadyLoaded)
 			b.p.workers[w].copies[f].warmUntil = b.now // as a dispatcher that has just lost sight of it
 			if k > 15 && f == 7 {
 				hot[w] = true
 			}
 		}
 		b.now += time.Minute
-		rare[b.serve(9, 30*ms, WasWarm)] = true
+		rare[b.serve(9, 30*ms, AlreadyLoaded)] = true
 	}
 	if len(hot) < 4 || len(hot) > 14 {
 		t.Errorf("a third of all work went to %d of 20 workers", len(hot))
@@ -665,14 +665,14 @@
 func TestOthersQueuesShowInTheScore(t *testing.T) {
 	b := newBed(t, config(), 6)
 	for range 10 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, AlreadyLoaded)
 	}
-	w := b.serve(7, 100*ms, WasWarm)
-	b.serve(7, 900*ms, WasWarm)
-	b.serve(7, 900*ms, WasWarm)
+	w := b.serve(7, 100*ms, AlreadyLoaded)
+	b.serve(7, 900*ms, AlreadyLoaded)
+	b.serve(7, 900*ms, AlreadyLoaded)
 	other := b.p.workers[w%6+1]
 	b.p.instance(other, 7).warmUntil = b.now + time.Minute // a second copy stands
-	if got := b.serve(7, 100*ms, WasWarm); got != other.Worker {
+	if got := b.serve(7, 100*ms, AlreadyLoaded); got != other.Worker {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
 	before := b.p.queueing(b.p.workers[w], 0)
@@ -680,7 +680,7 @@
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	b.now += 20 * time.Second
-	b.do(Probed{Worker: w})
+	b.do(HealthCheckCompleted{Worker: w})
 	if after := b.p.queueing(b.p.workers[w], 0); after > before/10 {
 		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
 	}
@@ -689,11 +689,11 @@
 // Reports tell of others' queues even where no late answer did, and absurd ones tell nothing.
 func TestReportsShowOthersQueues(t *testing.T) {
 	cfg := config()
-	cfg.ReportFields, cfg.ReportInline = []string{"inflight", "queue"}, true
+	cfg.LoadReportFields, cfg.InlineLoadReports = []string{"inflight", "queue"}, true
 	b := newBed(t, cfg, 4)
 	for k := range 20 { // 10 waiting mean 300 ms
 		id, acts := b.arrive(0, 7)
-		s, ok := first[Send](acts)
+		s, ok := first[StartAttempt](acts)
 		if !ok {
 			t.Fatal("not sent")
 		}
@@ -703,29 +703,29 @@
 			took, queue = 400*ms, 10
 		}
 		b.now += took
-		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: took,
+		b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took,
 			Report: []float64{queue + 3, queue}})
 	}
 	b.now += time.Minute
-	b.do(Probed{Worker: 1, Report: []float64{33, 30}})
-	b.do(Probed{Worker: 2, Report: []float64{3, 0}})
+	b.do(HealthCheckCompleted{Worker: 1, Report: []float64{33, 30}})
+	b.do(HealthCheckCompleted{Worker: 2, Report: []float64{3, 0}})
 	full, idle := b.p.queueing(b.p.workers[1], 0), b.p.queueing(b.p.workers[2], 0)
 	if full < idle+float64(150*ms) {
 		t.Errorf("30 waiting predict %v, none %v", full, idle)
 	}
 	before := b.p.queueing(b.p.workers[3], 0)
 	for _, r := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
-		b.do(Probed{Worker: 3, Report: r})
+		b.do(HealthCheckCompleted{Worker: 3, Report: r})
 	}
 	if got := b.p.queueing(b.p.workers[3], 0); got != before {
 		t.Errorf("absurd reports predict %v", got)
 	}
-	b.do(Probed{Worker: 3, Report: []float64{1e300, 1e300}})
+	b.do(HealthCheckCompleted{Worker: 3, Report: []float64{1e300, 1e300}})
 	if got := b.p.queueing(b.p.workers[3], 0); got > clip*float64(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	b.now += time.Minute
-	b.do(Probed{Worker: 3, Report: []float64{3, 0}})
+	b.do(HealthCheckCompleted{Worker: 3, Report: []float64{3, 0}})
 	if got := b.p.queueing(b.p.workers[3], 0); got > float64(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
@@ -735,7 +735,7 @@
 // others, move their sum of sends off it within seconds and come back after.
 func TestCallsMoveOffAFullHomeAndBack(t *testing.T) {
 	cfg := config()
-	cfg.Peers, cfg.WarmNotes = 60, false
+	cfg.Replicas, cfg.LoadStatusReported = 60, false
 	var beds []*bed
 	for n := range uint64(60) {
 		b := newBed(t, cfg, 20)
@@ -755,7 +755,7 @@
 				b.do(TimerFired{Token: beatToken})
 				id, acts := b.arrive(0, f)
 				for try := 0; try < 3; try++ {
-					s, ok := first[Send](acts)
+					s, ok := first[StartAttempt](acts)
 					if !ok {
 						break
 					}
@@ -768,11 +768,11 @@
 					}
 					if f == 7 && full && s.Worker == home {
 						b.now += 5 * ms
-						acts = b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Full, Took: 5 * ms})
+						acts = b.do(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Overloaded, Took: 5 * ms})
 						continue
 					}
 					b.now += 60 * ms
-					b.do(AttemptEnded{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, Closed: true, Took: 60 * ms})
+					b.do(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, Closed: true, Took: 60 * ms})
 					break
 				}
 			}
@@ -810,34 +810,34 @@
 func TestOwnStallIsNotTheWorkersSilence(t *testing.T) {
 	b := newBed(t, config(), 4)
 	for range 8 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
+	s, _ := first[StartAttempt](acts)
 	due, _ := b.arrive(2, 7)
 	b.now += 3999 * ms // beyond the time to answer the second, whose worker has not
 	probes := 0
 	for _, a := range b.do(TimerFired{Token: beatToken}) {
-		if _, ok := a.(Probe); ok {
+		if _, ok := a.(CheckHealth); ok {
 			probes++
 		}
 	}
 	if probes > 4 {
 		t.Errorf("%d probes of 4 workers in one turn", probes)
 	}
-	if acts := b.do(TimerFired{Token: doneToken + uint64(due)}); !has[Fail](acts) {
+	if acts := b.do(TimerFired{Token: doneToken + uint64(due)}); !has[FailRequest](acts) {
 		t.Errorf("an unsafe call that may have run is not failed when due: %v", acts)
 	}
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 100 * ms})
+	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
 	for _, w := range b.p.fleet {
 		if w.probing {
-			b.do(Probed{Worker: w.Worker, Took: 2 * ms})
+			b.do(HealthCheckCompleted{Worker: w.Worker, Took: 2 * ms})
 		}
 		if b.p.looksBad(w) {
 			t.Errorf("worker %d is set aside", w.Worker)
 		}
 	}
-	if got := b.serve(7, 100*ms, WasWarm); got != s.Worker {
+	if got := b.serve(7, 100*ms, AlreadyLoaded); got != s.Worker {
 		t.Errorf("the warm worker %d is left for %d", s.Worker, got)
 	}
 }
@@ -846,8 +846,8 @@
 func TestFullAnswerBeganNoLoad(t *testing.T) {
 	b := newBed(t, config(), 3)
 	id, acts := b.arrive(0, 7)
-	s, _ := first[Send](acts)
-	b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Full, Took: ms})
+	s, _ := first[StartAttempt](acts)
+	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
 	if w := b.p.workers[s.Worker]; !b.p.cold(w, b.p.reqs[id]) {
 		t.Errorf("a load is thought under way: %v left", b.p.loadLeft(w, b.p.reqs[id]))
 	}
@@ -856,15 +856,15 @@
 // What others queue at the one worker that has the function makes less worthy calls give way there, and only there.
 func TestShedsWhereOthersQueue(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 50
+	cfg.Replicas = 50
 	b := newBed(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
 		b.p.instance(w, f).warmUntil = b.now + time.Minute
 		for range 100 {
 			id, acts := b.arrive(0, f)
-			if has[Send](acts) {
+			if has[StartAttempt](acts) {
 				n++
-				b.do(AttemptEnded{Request: id, Worker: w.Worker, Outcome: Cancelled, Closed: true})
+				b.do(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Cancelled, Closed: true})
 			}
 		}
 		return n
@@ -884,18 +884,18 @@
 
 // What no worker can take any more is answered in the same call, long before its deadline, not held.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	final := func(acts []Action) bool { return has[Refuse](acts) || has[Fail](acts) }
+	final := func(acts []Action) bool { return has[Reject](acts) || has[FailRequest](acts) }
 	t.Run("all turned it away", func(t *testing.T) {
 		b := newBed(t, config(), 3)
 		id, acts := b.arrive(0, 7)
 		for n := range 3 {
-			s, ok := first[Send](acts)
+			s, ok := first[StartAttempt](acts)
 			if !ok {
 				t.Fatalf("attempt %d not sent: %v", n, acts)
 			}
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Full})
+			acts = b.do(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Overloaded})
 		}
-		if !has[Refuse](acts) {
+		if !has[Reject](acts) {
 			t.Errorf("not refused: %v", acts)
 		}
 	})
@@ -903,41 +903,41 @@
 		b := newBed(t, config(), 9)
 		id, acts := b.arrive(0, 7)
 		for n := range 5 {
-			s, _ := first[Send](acts)
-			acts = b.do(AttemptEnded{Request: id, Attempt: n, Worker: s.Worker, Outcome: Full})
+			s, _ := first[StartAttempt](acts)
+			acts = b.do(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Overloaded})
 		}
-		if !has[Refuse](acts) {
+		if !has[Reject](acts) {
 			t.Errorf("not refused: %v", acts)
 		}
 	})
 	t.Run("keyed window past", func(t *testing.T) {
 		b := newBed(t, config(), 9)
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
+		s, _ := first[StartAttempt](acts)
 		b.now += 1200 * ms
-		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); !final(acts) {
+		if acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); !final(acts) {
 			t.Errorf("held: %v", acts)
 		}
 	})
 	t.Run("keyed window past, no worker listed", func(t *testing.T) {
 		b := newBed(t, config(), 1)
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
-		b.do(WorkerList{Kind: ListWhole})
+		s, _ := first[StartAttempt](acts)
+		b.do(EndpointList{Kind: EndpointSnapshot})
 		b.now += 1200 * ms
-		if acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored}); !final(acts) {
+		if acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); !final(acts) {
 			t.Errorf("held: %v", acts)
 		}
 	})
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newBed(t, config(), 3)
 		b.p.gate = b.now + 1500*ms
-		b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 9, State: Ready}}})
-		b.p.cfg.Peers = 1
-		if acts := b.do(Arrived{Request: 77, Function: 3, LoadTime: time.Second, Left: 1400 * ms}); !final(acts) {
+		b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
+		b.p.cfg.Replicas = 1
+		if acts := b.do(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
 			t.Errorf("held: %v", acts)
 		}
-		if acts := b.do(Arrived{Request: 78, Function: 3, LoadTime: time.Second, Left: 4 * time.Second}); final(acts) || has[Send](acts) {
+		if acts := b.do(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, Remaining: 4 * time.Second}); final(acts) || has[StartAttempt](acts) {
 			t.Errorf("not held though the gate opens in time: %v", acts)
 		}
 	})
@@ -947,9 +947,9 @@
 		if final(acts) {
 			t.Fatalf("not held: %v", acts)
 		}
-		b.do(WorkerList{Kind: ListWhole, Workers: []WorkerEntry{{Worker: 1, State: Ready}}})
+		b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready}}})
 		b.now += beat
-		if s, ok := first[Send](b.do(TimerFired{Token: beatToken})); !ok || s.Request != id {
+		if s, ok := first[StartAttempt](b.do(TimerFired{Token: beatToken})); !ok || s.Request != id {
 			t.Error("not sent once a worker is listed")
 		}
 	})
@@ -959,14 +959,14 @@
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		cfg := config()
-		cfg.RetryAfter, cfg.MaxRetryAfter = allowed, 300*ms
+		cfg.RetryAfterSupported, cfg.MaxRetryAfter = allowed, 300*ms
 		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
 			b := newBed(t, cfg, 3)
 			b.p.standing, b.p.lastTrial = float64(delay), b.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, acts := b.arrive(0, 7)
-				if r, ok := first[Refuse](acts); ok {
+				if r, ok := first[Reject](acts); ok {
 					waits[r.RetryAfter] = true
 					if allowed != (r.RetryAfter > 0) || r.RetryAfter > cfg.MaxRetryAfter {
 						t.Fatalf("allowed %v, delay %v: told to come back after %v", allowed, delay, r.RetryAfter)
@@ -983,19 +983,19 @@
 // One class failing at a worker that serves the rest: its calls go elsewhere, the others stay, and it is tried again.
 func TestFailuresOfOneClassMoveOnlyThatClass(t *testing.T) {
 	b := newBed(t, config(), 5)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, StartedLoad)
 	for range 2 {
 		id, acts := b.arrive(1, 7)
-		s, _ := first[Send](acts)
-		b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, Took: 5 * ms})
-		b.do(Abandoned{Request: id})
+		s, _ := first[StartAttempt](acts)
+		b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, Took: 5 * ms})
+		b.do(RequestCanceled{Request: id})
 	}
-	if _, acts := b.arrive(1, 7); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker == w {
+	if _, acts := b.arrive(1, 7); has[StartAttempt](acts) {
+		if s, _ := first[StartAttempt](acts); s.Worker == w {
 			t.Error("the failing class goes on at the worker")
 		}
 	}
-	if got := b.serve(7, 80*ms, WasWarm); got != w {
+	if got := b.serve(7, 80*ms, AlreadyLoaded); got != w {
 		t.Errorf("the other class left for %d", got)
 	}
 	b.now += 30 * time.Second
@@ -1005,8 +1005,8 @@
 			delete(x.copies, 7)
 		}
 	}
-	if _, acts := b.arrive(1, 7); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker != w {
+	if _, acts := b.arrive(1, 7); has[StartAttempt](acts) {
+		if s, _ := first[StartAttempt](acts); s.Worker != w {
 			t.Error("the worker is shut out for the class")
 		}
 	}
@@ -1016,12 +1016,12 @@
 func TestShortOfTimeIsSentToALikelyWarmHome(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
 		cfg := config()
-		cfg.Peers = 40
+		cfg.Replicas = 40
 		b := newBed(t, cfg, 5)
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, AlreadyLoaded)
 		b.p.lastTrial = b.now
-		acts := b.do(Arrived{Request: 99, Function: 8, LoadTime: time.Second, Left: left})
-		if has[Send](acts) != want {
+		acts := b.do(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, Remaining: left})
+		if has[StartAttempt](acts) != want {
 			t.Errorf("%v left: %v", left, acts)
 		}
 	}
@@ -1030,16 +1030,16 @@
 // While loads fail, what most likely stands at its home is served; only a further attempt may begin no load.
 func TestGateLetsLikelyWarmHomesPass(t *testing.T) {
 	cfg := config()
-	cfg.Peers = 40
+	cfg.Replicas = 40
 	b := newBed(t, cfg, 5)
-	b.serve(7, 100*ms, WasWarm)
+	b.serve(7, 100*ms, AlreadyLoaded)
 	b.p.failed, b.p.gate = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
-	s, ok := first[Send](acts)
+	s, ok := first[StartAttempt](acts)
 	if !ok {
 		t.Fatalf("a call to a likely warm home is held: %v", acts)
 	}
-	if acts := b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Errored, Note: LoadFailed}); has[Send](acts) {
+	if acts := b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed}); has[StartAttempt](acts) {
 		t.Error("a further attempt began another load")
 	}
 }
@@ -1047,21 +1047,21 @@
 // An answer lost by a reset is not a dead process.
 func TestResetCallsForAProbeAndEndsNoBelief(t *testing.T) {
 	b := newBed(t, config(), 5)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, StartedLoad)
 	id, _ := b.arrive(2, 7)
-	acts := b.do(AttemptEnded{Request: id, Worker: w, Outcome: Reset})
-	if pr, ok := first[Probe](acts); !ok || pr.Worker != w {
+	acts := b.do(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset})
+	if pr, ok := first[CheckHealth](acts); !ok || pr.Worker != w {
 		t.Fatalf("no probe of the worker: %v", acts)
 	}
-	b.do(Probed{Worker: w})
+	b.do(HealthCheckCompleted{Worker: w})
 	if b.p.looksBad(b.p.workers[w]) || b.p.workers[w].copies[7].warmUntil <= b.now {
 		t.Error("a living worker is set aside or thought empty")
 	}
 	b.now += ms
-	b.do(Probed{Worker: 999}) // the clock goes on
+	b.do(HealthCheckCompleted{Worker: 999}) // the clock goes on
 	b.p.probe(b.p.workers[w])
 	b.now += time.Second
-	b.do(Probed{Worker: w, Outcome: TimedOut})
+	b.do(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
 	if !b.p.looksBad(b.p.workers[w]) {
 		t.Error("a worker that answers no probe is still used")
 	}
@@ -1070,10 +1070,10 @@
 // A first answer to a call with a tiny hint must not multiply all later estimates.
 func TestHintsAreBelievedUntilAnswersAddUp(t *testing.T) {
 	b := newBed(t, config(), 3)
-	b.do(Arrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Left: 4 * time.Second})
+	b.do(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
 	r := b.p.reqs[99]
-	b.do(AttemptEnded{Request: 99, Worker: r.attempts[0].w.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 150 * ms})
-	if got := b.p.run(&request{Arrived: Arrived{Work: 100 * ms}, fn: r.fn}); got > float64(200*ms) {
+	b.do(AttemptCompleted{Request: 99, Worker: r.attempts[0].w.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
+	if got := b.p.run(&request{RequestArrived: RequestArrived{Work: 100 * ms}, fn: r.fn}); got > float64(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
@@ -1081,20 +1081,20 @@
 // A tenant within its share must not look beyond it by chance, however few calls of it a dispatcher gets.
 func TestTenantWithinItsShareIsNotOver(t *testing.T) {
 	cfg := config()
-	cfg.Peers, cfg.Tenants = 100, []Tenant{{PerSecond: 200}}
+	cfg.Replicas, cfg.Tenants = 100, []Tenant{{RequestsPerSecond: 200}}
 	b := newBed(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
 	over := func(rate float64) (n int) {
 		for range 300 {
 			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 			b.id++
-			b.do(Arrived{Request: b.id, Function: 7, LoadTime: time.Second, Left: 4 * time.Second})
+			b.do(RequestArrived{Request: b.id, Function: 7, LoadTime: time.Second, Remaining: 4 * time.Second})
 			r := b.p.reqs[b.id]
 			if r == nil || r.over {
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				b.do(AttemptEnded{Request: b.id, Worker: r.attempts[0].w.Worker, Note: WasWarm, Closed: true, Took: 50 * ms})
+				b.do(AttemptCompleted{Request: b.id, Worker: r.attempts[0].w.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 			}
 		}
 		return n
@@ -1110,9 +1110,9 @@
 // A silent worker gives no outcomes: the failed probe is the signal to call off what may be repeated.
 func TestSilentWorkerIsLeftAndItsSafeCallsRescued(t *testing.T) {
 	b := newBed(t, config(), 4)
-	w := b.serve(7, 1100*ms, BeganLoad)
+	w := b.serve(7, 1100*ms, StartedLoad)
 	id, acts := b.arrive(0, 7)
-	if s, _ := first[Send](acts); s.Worker != w {
+	if s, _ := first[StartAttempt](acts); s.Worker != w {
 		t.Fatal("not sent to the warm worker")
 	}
 	probed, called := false, false
@@ -1120,12 +1120,12 @@
 		b.now += beat
 		acts := b.do(TimerFired{Token: beatToken})
 		for _, a := range acts {
-			if pr, ok := a.(Probe); ok {
+			if pr, ok := a.(CheckHealth); ok {
 				o := Served
 				if pr.Worker == w {
 					probed, o = true, TimedOut
 				}
-				called = called || has[Cancel](b.do(Probed{Worker: pr.Worker, Outcome: o}))
+				called = called || has[CancelAttempt](b.do(HealthCheckCompleted{Worker: pr.Worker, Outcome: o}))
 			}
 		}
 		if called {
@@ -1135,12 +1135,12 @@
 	if !probed || !called {
 		t.Fatalf("probed %v, called off %v", probed, called)
 	}
-	again, ok := first[Send](b.do(AttemptEnded{Request: id, Worker: w, Outcome: Cancelled}))
+	again, ok := first[StartAttempt](b.do(AttemptCompleted{Request: id, Worker: w, Outcome: Cancelled}))
 	if !ok || again.Worker == w {
 		t.Errorf("rescued call: %v %v", again, ok)
 	}
-	if _, acts := b.arrive(2, 9); has[Send](acts) {
-		if s, _ := first[Send](acts); s.Worker == w {
+	if _, acts := b.arrive(2, 9); has[StartAttempt](acts) {
+		if s, _ := first[StartAttempt](acts); s.Worker == w {
 			t.Error("an unsafe call went to the silent worker")
 		}
 	}
@@ -1149,12 +1149,12 @@
 // A dispatcher that restarts knows only a list: the others tell it where instances stand.
 func TestToldInstancesAreUsed(t *testing.T) {
 	cfg := config()
-	cfg.MayTell, cfg.Peers = true, 2
+	cfg.GossipSupported, cfg.Replicas = true, 2
 	a, b := newBed(t, cfg, 8), newBed(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
-		w := a.serve(f, 1100*ms, BeganLoad)
+		w := a.serve(f, 1100*ms, StartedLoad)
 		a.now += beat
-		news, ok := first[Tell](a.do(TimerFired{Token: beatToken}))
+		news, ok := first[SendGossip](a.do(TimerFired{Token: beatToken}))
 		if !ok || len(news.Data) > 256 {
 			t.Fatalf("told %v %d", ok, len(news.Data))
 		}
@@ -1163,18 +1163,18 @@
 		}
 		w = w%8 + 1 // not where b would look by itself
 		news.Data[7] = byte(w)
-		b.do(Told{Data: news.Data})
-		if got := b.serve(f, 80*ms, WasWarm); got != w {
+		b.do(GossipReceived{Data: news.Data})
+		if got := b.serve(f, 80*ms, AlreadyLoaded); got != w {
 			t.Errorf("function %d stands at %d, sent to %d", f, w, got)
 		}
 	}
-	b.do(Told{Data: []byte("short and odd, not a whole number of entries")})
+	b.do(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
 }
 
 // In overload a call that must wait for a load is late at best and gives way before one that is warm.
 func TestLateAtBestGivesWayFirst(t *testing.T) {
 	b := newBed(t, config(), 4)
-	b.serve(7, 1100*ms, BeganLoad)
+	b.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
 		b.p.standing = float64(220 * ms)
@@ -1183,9 +1183,9 @@
 			f = FunctionID(1000 + n)
 		}
 		id, acts := b.arrive(2, f)
-		if s, ok := first[Send](acts); ok {
+		if s, ok := first[StartAttempt](acts); ok {
 			sent[min(f, 8)]++
-			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: BeganLoad, Closed: true, Took: 900 * ms})
+			b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 900 * ms})
 		}
 	}
 	if sent[7] < sent[8]+15 {
@@ -1204,10 +1204,10 @@
 			acts = append(acts, b.do(TimerFired{Token: beatToken})...)
 		}
 		for _, a := range acts {
-			if s, ok := a.(Send); ok {
+			if s, ok := a.(StartAttempt); ok {
 				begun++
 				n := len(b.p.reqs[s.Request].attempts) - 1
-				b.do(AttemptEnded{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Errored, Note: LoadFailed})
+				b.do(AttemptCompleted{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed})
 			}
 		}
 	}
@@ -1218,9 +1218,9 @@
 	b.do(TimerFired{Token: beatToken})
 	b.p.held = nil
 	b.now += 2 * time.Second
-	b.serve(500, time.Second, BeganLoad)
-	b.serve(501, time.Second, BeganLoad) // one success opens the gate
-	b.serve(502, time.Second, BeganLoad)
+	b.serve(500, time.Second, StartedLoad)
+	b.serve(501, time.Second, StartedLoad) // one success opens the gate
+	b.serve(502, time.Second, StartedLoad)
 }
 
 // In overload least worth gives way first, and all is let in again once the delay is gone.
@@ -1229,9 +1229,9 @@
 	count := func(class int) (sent int) {
 		for range 100 {
 			id, acts := b.arrive(class, 7)
-			if s, ok := first[Send](acts); ok {
+			if s, ok := first[StartAttempt](acts); ok {
 				sent++
-				b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: BeganLoad, Closed: true, Took: 10 * ms})
+				b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 10 * ms})
 			}
 		}
 		return sent
@@ -1243,8 +1243,8 @@
 	}
 	for range 200 {
 		id, acts := b.arrive(2, 7)
-		if s, ok := first[Send](acts); ok {
-			b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Served, Note: WasWarm, Closed: true, Took: 50 * ms})
+		if s, ok := first[StartAttempt](acts); ok {
+			b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 		}
 	}
 	if got := count(0); got < 95 {
@@ -1255,15 +1255,15 @@
 func TestAbsurdFiguresPoisonNothing(t *testing.T) {
 	b := newBed(t, config(), 3)
 	id := RequestID(99)
-	b.do(Arrived{Request: id, Function: 7, Lanes: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
-		Work: math.MaxInt64, Left: time.Second})
-	b.do(AttemptEnded{Request: id, Worker: 1, Outcome: Served, Took: -time.Hour, Report: []float64{math.NaN()}, Closed: true})
-	b.do(LoadEnded{Worker: 77, Function: 5})
-	b.do(Probed{Worker: 77})
-	b.do(AttemptEnded{Request: 5000, Attempt: -3})
-	b.do(Arrived{Request: 100, Class: 44, Tenant: -4})
+	b.do(RequestArrived{Request: id, Function: 7, Lanes: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
+		Work: math.MaxInt64, Remaining: time.Second})
+	b.do(AttemptCompleted{Request: id, Worker: 1, Outcome: Served, Took: -time.Hour, Report: []float64{math.NaN()}, Closed: true})
+	b.do(LoadCompleted{Worker: 77, Function: 5})
+	b.do(HealthCheckCompleted{Worker: 77})
+	b.do(AttemptCompleted{Request: 5000, Attempt: -3})
+	b.do(RequestArrived{Request: 100, Class: 44, Tenant: -4})
 	for range 5 {
-		b.serve(7, 100*ms, WasWarm)
+		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet {
 		if v := w.slope.ny + p0(b).run + b.p.loadRatio + b.p.standing; math.IsNaN(v) || math.IsInf(v, 0) {
@@ -1298,7 +1298,7 @@
 func (c *checker) look(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Send:
+		case StartAttempt:
 			r := c.reqs[a.Request]
 			class := c.cfg.Classes[r.class]
 			risky := r.ran || len(r.open) > 0
@@ -1307,41 +1307,41 @@
 				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
 			case c.state[a.Worker] != Ready:
 				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.state[a.Worker])
-			case risky && class.Repeat == Unsafe, len(r.open) > 0 && !c.cfg.SecondAttempts:
+			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.HedgingAllowed:
 				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.ran && class.Repeat == Keyed && now > r.mayRan+class.Window:
+			case r.ran && class.Idempotency == IdempotentWithKey && now > r.mayRan+class.DeduplicationWindow:
 				c.t.Fatalf("%v: keyed repeat outside the window", now)
 			case len(r.sent) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
 			r.open[len(r.sent)] = true
 			r.sent, r.sentAt = append(r.sent, a.Worker), append(r.sentAt, now)
-		case Refuse:
+		case Reject:
 			r := c.reqs[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Repeat == Unsafe ||
-				class.Repeat == Keyed && class.Group != GroupAll) {
+			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
+				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
 				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
 			}
 			c.end(now, r)
-		case Fail:
+		case FailRequest:
 			c.end(now, c.reqs[a.Request])
-		case OrderLoad:
+		case Load:
 			if c.state[a.Worker] != Ready {
 				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
 			}
 			c.order = append(c.order, now)
 			n, m := 0, 0
 			for _, at := range c.order {
-				if at >= now-c.cfg.LoadWindow {
+				if at >= now-c.cfg.LoadBudgetWindow {
 					n++
 				}
 			}
 			for _, at := range c.took {
-				if at > now-c.cfg.LoadWindow {
+				if at > now-c.cfg.LoadBudgetWindow {
 					m++
 				}
 			}
-			if float64(n) > c.cfg.LoadFree+c.cfg.LoadShare*float64(m) {
+			if float64(n) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(m) {
 				c.t.Fatalf("%v: %d orders with %d calls", now, n, m)
 			}
 		}
@@ -1365,9 +1365,9 @@
 func randomWorld(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder = seed%2 == 0, seed%3 != 0
-	cfg.SecondAttempts, cfg.MayTell = seed%5 == 0, seed%4 == 0
-	cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = 10*time.Second, 3, 0.2
+	cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported = seed%2 == 0, seed%3 != 0
+	cfg.HedgingAllowed, cfg.GossipSupported = seed%5 == 0, seed%4 == 0
+	cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = 10*time.Second, 3, 0.2
 	p, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -1379,7 +1379,7 @@
 		token uint64
 	}
 	var timers []timer
-	var loads []OrderLoad
+	var loads []Load
 	handle := func(ev Event) {
 		acts := p.Handle(now, ev, nil)
 		c.look(now, acts)
@@ -1387,15 +1387,15 @@
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, timer{now + a.After, a.Token})
-			case OrderLoad:
+			case Load:
 				loads = append(loads, a)
 			}
 		}
 	}
 	list := func() {
-		l := WorkerList{Kind: ListWhole}
+		l := EndpointList{Kind: EndpointSnapshot}
 		for w := WorkerID(1); w <= 6; w++ {
-			e := WorkerEntry{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
+			e := Endpoint{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
 			if rng.IntN(4) == 0 {
 				e.Started = now - time.Duration(rng.IntN(9000))*ms
 			}
@@ -1425,23 +1425,23 @@
 			left := time.Duration(rng.IntN(3000)) * ms
 			c.took = append(c.took, now)
 			c.reqs[next] = &seen{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(Arrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
-				LoadTime: 800 * ms, Left: left})
+			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
+				LoadTime: 800 * ms, Remaining: left})
 		case k == 9 && next > 0:
 			if r := c.reqs[1+RequestID(rng.IntN(int(next)))]; !r.final {
 				r.final = true
 				for id, o := range c.reqs {
 					if o == r {
-						handle(Abandoned{Request: id})
+						handle(RequestCanceled{Request: id})
 					}
 				}
 			}
 		case k == 10 && len(loads) > 0:
 			o := loads[0]
 			loads = loads[1:]
-			handle(LoadEnded{Worker: o.Worker, Function: o.Function, Outcome: Outcome(rng.IntN(6)), Took: 900 * ms, Count: rng.IntN(2)})
+			handle(LoadCompleted{Worker: o.Worker, Function: o.Function, Outcome: Outcome(rng.IntN(6)), Took: 900 * ms, Count: rng.IntN(2)})
 		case k == 11:
-			handle(Probed{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
+			handle(HealthCheckCompleted{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
 		default:
 			id := RequestID(0)
 			for try := range int(next) {
@@ -1458,14 +1458,14 @@
 				if !r.open[n] {
 					continue
 				}
-				o := []Outcome{Served, Served, Errored, Full, TimedOut, Unreachable, Reset, Cancelled, Moot, Missed}[rng.IntN(10)]
+				o := []Outcome{Served, Served, Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, NotSent, NotLoaded}[rng.IntN(10)]
 				delete(r.open, n)
 				if !o.NeverRan() && !r.ran {
 					r.ran, r.mayRan = true, r.sentAt[n]
 				}
 				closed := r.final || o == Served
 				r.final = closed
-				handle(AttemptEnded{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
+				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
 				break
 			}
 		}
@@ -1497,8 +1497,8 @@
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg := config()
-		cfg.MissWhenCold, cfg.MayOrder, cfg.MayTell, cfg.Peers = true, true, true, 3
-		cfg.LoadWindow, cfg.LoadShare, cfg.ListByAsking = time.Second, 0.5, len(data)%2 == 0
+		cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.GossipSupported, cfg.Replicas = true, true, true, 3
+		cfg.LoadBudgetWindow, cfg.LoadBudgetRatio, cfg.EndpointsByPolling = time.Second, 0.5, len(data)%2 == 0
 		p, err := New(cfg, 3)
 		if err != nil {
 			t.Fatal(err)
@@ -1512,28 +1512,28 @@
 			var ev Event
 			switch data[0] % 9 {
 			case 0:
-				ev = WorkerList{Kind: ListKind(a % 4), Workers: []WorkerEntry{{Worker: w, State: WorkerState(b % 3),
+				ev = EndpointList{Kind: EndpointListKind(a % 4), Workers: []Endpoint{{Worker: w, State: WorkerState(b % 3),
 					Started: time.Duration(c) * time.Minute}}}
 				known[w] = true
 			case 1:
-				ev = Arrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn, Lanes: math.NaN(),
+				ev = RequestArrived{Request: id, Class: int(a%4) - 1, Tenant: int(c) - 9, Function: fn, Lanes: math.NaN(),
 					LoadTime: time.Duration(int64(c)-3) * time.Second, Work: time.Duration(a) * time.Hour,
-					Left: time.Duration(int64(a)-9) * 40 * ms}
+					Remaining: time.Duration(int64(a)-9) * 40 * ms}
 			case 2:
-				ev = AttemptEnded{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), Note: Note(a % 5),
+				ev = AttemptCompleted{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), LoadStatus: LoadStatus(a % 5),
 					Closed: c%9 == 0, Took: time.Duration(int64(a)-9) * time.Second}
 			case 3:
-				ev = LoadEnded{Worker: w, Function: fn, Outcome: Outcome(b % 9), Took: -time.Second, Count: int(c) - 9}
+				ev = LoadCompleted{Worker: w, Function: fn, Outcome: Outcome(b % 9), Took: -time.Second, Count: int(c) - 9}
 			case 4:
-				ev = Probed{Worker: w, Outcome: Outcome(b % 9), Report: []float64{math.NaN(), -1}}
+				ev = HealthCheckCompleted{Worker: w, Outcome: Outcome(b % 9), Report: []float64{math.NaN(), -1}}
 			case 5:
 				ev = TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
 			case 6:
 				ev = TimerFired{Token: beatToken}
 			case 7:
-				ev = Told{From: int(a), Data: data}
+				ev = GossipReceived{From: int(a), Data: data}
 			case 8:
-				ev = Abandoned{Request: id}
+				ev = RequestCanceled{Request: id}
 			}
 			before := map[RequestID]bool{}
 			for id, r := range p.reqs {
@@ -1544,18 +1544,18 @@
 				var req RequestID
 				var to WorkerID
 				switch act := act.(type) {
-				case Send:
+				case StartAttempt:
 					req, to = act.Request, act.Worker
-				case Refuse:
+				case Reject:
 					req = act.Request
-				case Fail:
+				case FailRequest:
 					req = act.Request
-				case OrderLoad:
+				case Load:
 					to = act.Worker
-				case Probe:
+				case CheckHealth:
 					to = act.Worker
 				}
-				if arr, ok := ev.(Arrived); ok {
+				if arr, ok := ev.(RequestArrived); ok {
 					before[arr.Request] = true
 				}
 				if req != 0 && (!before[req] || over[req]) {
@@ -1565,7 +1565,7 @@
 					t.Fatalf("%T names unknown worker %d", act, to)
 				}
 				switch act.(type) {
-				case Refuse, Fail:
+				case Reject, FailRequest:
 					over[req] = true
 				}
 			}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -60,9 +60,9 @@
 	busy := map[WorkerID]int{}
 	function, attempts := map[RequestID]FunctionID{}, map[RequestID]int{}
 	over := map[string]bool{}
-	list := WorkerList{Kind: ListWhole}
+	list := EndpointList{Kind: EndpointSnapshot}
 	for w := range s.workers {
-		list.Workers = append(list.Workers, WorkerEntry{Worker: WorkerID(w*7919 + 1), State: Ready, Weight: 1})
+		list.Workers = append(list.Workers, Endpoint{Worker: WorkerID(w*7919 + 1), State: Ready, Weight: 1})
 	}
 	later(0, list)
 	var arrive func()
@@ -72,17 +72,17 @@
 		f := FunctionID(1 + int(float64(s.functions)*rng.Float64()*rng.Float64()))
 		class := rng.IntN(len(s.cfg.Classes))
 		function[next] = f
-		later(0, Arrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Left: s.cfg.Classes[class].Deadline})
+		later(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
 	}
 	for at := time.Duration(0); at < s.length; at += s.gap {
 		heap.Push(&todo, due{now + at, -1, nil})
 	}
-	ended := func(w WorkerID, r RequestID, n int, o Outcome, note Note, took time.Duration) {
+	ended := func(w WorkerID, r RequestID, n int, o Outcome, note LoadStatus, took time.Duration) {
 		key := fmt.Sprint(r, n)
 		if over[key] {
 			return
 		}
-		later(took, AttemptEnded{Request: r, Attempt: n, Worker: w, Outcome: o, Note: note, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
+		later(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: note, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
 	}
 	for len(todo) > 0 {
 		d := heap.Pop(&todo).(due)
@@ -97,7 +97,7 @@
 				} else {
 					e.State, e.Started = Ready, now
 				}
-				later(0, WorkerList{Kind: ListChanges, Workers: []WorkerEntry{*e}})
+				later(0, EndpointList{Kind: EndpointDelta, Workers: []Endpoint{*e}})
 			}
 			continue
 		}
@@ -105,16 +105,16 @@
 			break
 		}
 		switch e := d.ev.(type) {
-		case AttemptEnded:
+		case AttemptCompleted:
 			key := fmt.Sprint(e.Request, e.Attempt)
 			if over[key] {
 				continue
 			}
 			over[key] = true
 			busy[e.Worker]--
-		case Arrived:
+		case RequestArrived:
 			calls++
-		case LoadEnded:
+		case LoadCompleted:
 			loaded[place{e.Worker, e.Function}] = now
 		}
 		fmt.Fprintf(h, "%d", now)
@@ -124,7 +124,7 @@
 			}
 			record(t, h, a)
 			switch a := a.(type) {
-			case Send:
+			case StartAttempt:
 				sends++
 				n := attempts[a.Request]
 				attempts[a.Request]++
@@ -133,27 +133,27 @@
 				took := time.Duration(60+rng.IntN(40)+10*busy[a.Worker]) * ms
 				switch since, ok := loaded[at]; {
 				case s.faults && rng.IntN(40) == 0:
-					ended(a.Worker, a.Request, n, []Outcome{Errored, Full, Reset, TimedOut, Unreachable}[rng.IntN(5)], NoNote, took)
+					ended(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
 				case ok && now-since < 10*time.Second:
 					loaded[at] = now
-					ended(a.Worker, a.Request, n, Served, WasWarm, took)
+					ended(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
 				case loading[at] > now:
-					ended(a.Worker, a.Request, n, Served, AwaitedOne, loading[at]-now+took)
-				case s.cfg.MissWhenCold:
-					ended(a.Worker, a.Request, n, Missed, NoNote, ms)
+					ended(a.Worker, a.Request, n, Served, WaitedForLoad, loading[at]-now+took)
+				case s.cfg.MissWhenNotLoaded:
+					ended(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
 				default:
 					loaded[at] = now + 500*ms
-					ended(a.Worker, a.Request, n, Served, BeganLoad, 500*ms+took)
+					ended(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
 				}
-			case Cancel:
+			case CancelAttempt:
 				if key := fmt.Sprint(a.Request, a.Attempt); !over[key] {
-					later(0, AttemptEnded{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Cancelled})
+					later(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Cancelled})
 				}
-			case OrderLoad:
+			case Load:
 				loading[place{a.Worker, a.Function}] = now + 500*ms
-				later(500*ms, LoadEnded{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
-			case Probe:
-				later(ms, Probed{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
+				later(500*ms, LoadCompleted{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
+			case CheckHealth:
+				later(ms, HealthCheckCompleted{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
 			case SetTimer:
 				later(a.After, TimerFired{Token: a.Token})
 			}
@@ -167,19 +167,19 @@
 func record(t testing.TB, w io.Writer, a Action) {
 	t.Helper()
 	switch a := a.(type) {
-	case Send:
+	case StartAttempt:
 		fmt.Fprintf(w, "policy.Send{Request:%d Worker:%d Limit:%v}", a.Request, a.Worker, a.Limit)
-	case Cancel:
+	case CancelAttempt:
 		fmt.Fprintf(w, "policy.Cancel{Request:%d Attempt:%d}", a.Request, a.Attempt)
-	case Refuse:
+	case Reject:
 		fmt.Fprintf(w, "policy.Refuse{Request:%d RetryAfter:%v}", a.Request, a.RetryAfter)
-	case Fail:
+	case FailRequest:
 		fmt.Fprintf(w, "policy.Fail{Request:%d}", a.Request)
-	case OrderLoad:
+	case Load:
 		fmt.Fprintf(w, "policy.OrderLoad{Worker:%d Function:%d Count:%d}", a.Worker, a.Function, a.Count)
 	case Unload:
 		fmt.Fprintf(w, "policy.Unload{Worker:%d Function:%d}", a.Worker, a.Function)
-	case Probe:
+	case CheckHealth:
 		fmt.Fprintf(w, "policy.Probe{Worker:%d}", a.Worker)
 	case SetTimer:
 		fmt.Fprintf(w, "policy.SetTimer{After:%v Token:%d}", a.After, a.Token)
@@ -194,14 +194,14 @@
 func streams() map[string]stream {
 	load := func(miss bool) Config {
 		c := config()
-		c.Classes[0].Repeat = Safe
-		c.Peers, c.MayOrder, c.MissWhenCold, c.MaxAttempts = 2, miss, miss, 3
-		c.LoadWindow, c.LoadFree, c.LoadShare, c.ReportFields, c.ReportInline = 10*time.Second, 4, 0.3, []string{"inflight"}, true
-		c.RetryAfter, c.MaxRetryAfter = true, time.Second
+		c.Classes[0].Idempotency = Idempotent
+		c.Replicas, c.LoadOrdersSupported, c.MissWhenNotLoaded, c.MaxAttempts = 2, miss, miss, 3
+		c.LoadBudgetWindow, c.LoadBudgetMinimum, c.LoadBudgetRatio, c.LoadReportFields, c.InlineLoadReports = 10*time.Second, 4, 0.3, []string{"inflight"}, true
+		c.RetryAfterSupported, c.MaxRetryAfter = true, time.Second
 		return c
 	}
 	queue := load(false)
-	queue.ReportFields = []string{"queue"}
+	queue.LoadReportFields = []string{"queue"}
 	return map[string]stream{
 		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, load(true)},
 		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, load(true)},
