--- a/policy/terms_test.go
+++ b/policy/terms_test.go
@@ -19,13 +19,13 @@
 	spill, asked int
 }
 
-func (p *pool) Has(w WorkerID) bool                  { return p.members[w] }
-func (p *pool) Room() bool                           { return p.out < p.room }
-func (p *pool) Sent()                                { p.out++; p.most = max(p.most, p.out) }
-func (p *pool) Ended()                               { p.out--; p.ended++ }
-func (p *pool) MayOrder(time.Duration, float64) bool { return p.orders < p.may }
-func (p *pool) Ordered(time.Duration)                { p.orders++ }
-func (p *pool) Spill(time.Duration) Pool {
+func (p *pool) Contains(w WorkerID) bool            { return p.members[w] }
+func (p *pool) HasCapacity() bool                   { return p.out < p.room }
+func (p *pool) AttemptStarted()                     { p.out++; p.most = max(p.most, p.out) }
+func (p *pool) AttemptFinished()                    { p.out--; p.ended++ }
+func (p *pool) MayLoad(time.Duration, float64) bool { return p.orders < p.may }
+func (p *pool) LoadStarted(time.Duration)           { p.orders++ }
+func (p *pool) Overflow(time.Duration) Pool {
 	if p.asked++; p.next == nil || p.spill == 0 {
 		return nil
 	}
@@ -42,19 +42,21 @@
 }
 
 // under has a request arrive under terms.
-func (b *bed) under(class int, t Terms) (RequestID, []Action) {
+func (b *bed) under(class int, t RequestPolicy) (RequestID, []Action) {
 	b.id++
-	return b.id, b.do(Arrived{Request: b.id, Class: class, Function: 7, Lanes: 4, LoadTime: time.Second, Left: 4 * time.Second, Terms: &t})
+	return b.id, b.do(RequestArrived{Request: b.id, Class: class, Function: 7, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &t})
 }
 
-func open(p *pool) Terms { return Terms{Pool: p, AgainIfRan: -1, AgainIfUnrun: -1} }
+func open(p *pool) RequestPolicy {
+	return RequestPolicy{Pool: p, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}
+}
 
 func TestPoolBoundsTheWorkers(t *testing.T) {
 	b := newBed(t, config(), 4)
 	p := newPool(100, 3)
 	for range 30 {
 		_, acts := b.under(0, open(p))
-		if s, ok := first[Send](acts); !ok || s.Worker != 3 {
+		if s, ok := first[StartAttempt](acts); !ok || s.Worker != 3 {
 			t.Fatalf("%v, want worker 3", acts)
 		}
 	}
@@ -62,7 +64,7 @@
 		t.Errorf("%d attempts counted, 30 are out", p.out)
 	}
 	empty := newPool(100, 99)
-	if _, acts := b.under(0, open(empty)); !has[Refuse](acts) {
+	if _, acts := b.under(0, open(empty)); !has[Reject](acts) {
 		t.Errorf("a pool with no worker: %v, want a refusal at once", acts)
 	}
 }
@@ -72,16 +74,16 @@
 	b := newBed(t, config(), 4)
 	p := newPool(2, 1, 2)
 	one, acts := b.under(0, open(p))
-	s, _ := first[Send](acts)
+	s, _ := first[StartAttempt](acts)
 	b.under(0, open(p))
-	if _, acts := b.under(0, open(p)); !has[Refuse](acts) {
+	if _, acts := b.under(0, open(p)); !has[Reject](acts) {
 		t.Errorf("over the cap: %v, want a refusal at once", acts)
 	}
 	if len(b.p.held) > 0 {
 		t.Error("a call over the cap is held")
 	}
-	b.do(AttemptEnded{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
-	if _, acts := b.under(0, open(p)); !has[Send](acts) || p.most != 2 {
+	b.do(AttemptCompleted{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
+	if _, acts := b.under(0, open(p)); !has[StartAttempt](acts) || p.most != 2 {
 		t.Errorf("room again: %v, at most %d out", acts, p.most)
 	}
 }
@@ -92,10 +94,10 @@
 	p.next, p.spill = next, 1
 	b.under(0, open(p))
 	_, acts := b.under(0, open(p))
-	if s, ok := first[Send](acts); !ok || s.Worker != 4 || next.out != 1 || p.out != 1 {
+	if s, ok := first[StartAttempt](acts); !ok || s.Worker != 4 || next.out != 1 || p.out != 1 {
 		t.Errorf("a full pool's call: %v, want worker 4", acts)
 	}
-	if _, acts := b.under(0, open(p)); !has[Refuse](acts) {
+	if _, acts := b.under(0, open(p)); !has[Reject](acts) {
 		t.Errorf("beyond the spill: %v, want a refusal", acts)
 	}
 	// A call that may not be sent again has nothing to spill.
@@ -103,9 +105,9 @@
 	q := newPool(100, 2)
 	q.next, q.spill = next, 100
 	id, acts := b.under(2, open(q))
-	s, _ := first[Send](acts)
-	acts = b.do(AttemptEnded{Request: id, Worker: s.Worker, Outcome: Reset})
-	if !has[Fail](acts) || has[Send](acts) || q.asked > 0 || p.asked != asked {
+	s, _ := first[StartAttempt](acts)
+	acts = b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: ConnectionReset})
+	if !has[FailRequest](acts) || has[StartAttempt](acts) || q.asked > 0 || p.asked != asked {
 		t.Errorf("an order that may have run: %v, want a failure", acts)
 	}
 }
@@ -113,38 +115,38 @@
 // The two kinds of further attempts are counted apart: after one that may have run, and after those that never
 // ran, which alone an order gets.
 func TestFurtherAttemptsByKind(t *testing.T) {
-	run := func(class int, terms Terms, outcomes ...Outcome) (sends int, last []Action) {
+	run := func(class int, terms RequestPolicy, outcomes ...Outcome) (sends int, last []Action) {
 		b := newBed(t, config(), 6)
 		terms.Pool = newPool(100, 1, 2, 3, 4, 5, 6)
 		id, acts := b.under(class, terms)
 		for _, o := range outcomes {
-			s, ok := first[Send](acts)
+			s, ok := first[StartAttempt](acts)
 			if !ok {
 				break
 			}
 			sends++
-			acts = b.do(AttemptEnded{Request: id, Attempt: sends - 1, Worker: s.Worker, Outcome: o})
+			acts = b.do(AttemptCompleted{Request: id, Attempt: sends - 1, Worker: s.Worker, Outcome: o})
 		}
 		return sends, acts
 	}
-	free := Terms{AgainIfRan: -1, AgainIfUnrun: -1}
+	free := RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}
 	for _, c := range []struct {
 		name     string
 		class    int
-		terms    Terms
+		terms    RequestPolicy
 		outcomes []Outcome
 		sends    int
 	}{
-		{"as the settings allow", 0, free, []Outcome{Errored, Errored, Errored, Errored, Errored, Errored}, 5},
-		{"attempts", 0, Terms{Attempts: 2, AgainIfRan: -1, AgainIfUnrun: -1}, []Outcome{Errored, Errored, Errored}, 2},
-		{"attempts beyond the settings", 0, Terms{Attempts: 9, AgainIfRan: -1, AgainIfUnrun: -1}, []Outcome{Errored, Errored, Errored, Errored, Errored, Errored, Errored}, 5},
-		{"none if it may have run", 0, Terms{AgainIfRan: 0, AgainIfUnrun: -1}, []Outcome{Errored, Errored}, 1},
-		{"none if it may have run, after some that never ran", 0, Terms{AgainIfRan: 0, AgainIfUnrun: -1}, []Outcome{Full, Full, Errored, Full}, 3},
-		{"one if it may have run", 0, Terms{AgainIfRan: 1, AgainIfUnrun: -1}, []Outcome{Errored, Errored, Errored}, 2},
-		{"none if it never ran", 0, Terms{AgainIfRan: -1, AgainIfUnrun: 0}, []Outcome{Full, Full}, 1},
-		{"one if it never ran", 0, Terms{AgainIfRan: -1, AgainIfUnrun: 1}, []Outcome{Full, Full, Full}, 2},
-		{"an order that never ran goes again", 2, free, []Outcome{Full, Full, Full}, 3},
-		{"an order that may have run does not, whatever the terms", 2, Terms{AgainIfRan: 5, AgainIfUnrun: 5}, []Outcome{Full, Errored, Errored}, 2},
+		{"as the settings allow", 0, free, []Outcome{Failed, Failed, Failed, Failed, Failed, Failed}, 5},
+		{"attempts", 0, RequestPolicy{MaxAttempts: 2, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed}, 2},
+		{"attempts beyond the settings", 0, RequestPolicy{MaxAttempts: 9, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed, Failed, Failed, Failed, Failed}, 5},
+		{"none if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed}, 1},
+		{"none if it may have run, after some that never ran", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Overloaded, Overloaded, Failed, Overloaded}, 3},
+		{"one if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed}, 2},
+		{"none if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 0}, []Outcome{Overloaded, Overloaded}, 1},
+		{"one if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 1}, []Outcome{Overloaded, Overloaded, Overloaded}, 2},
+		{"an order that never ran goes again", 2, free, []Outcome{Overloaded, Overloaded, Overloaded}, 3},
+		{"an order that may have run does not, whatever the terms", 2, RequestPolicy{RetriesAfterPossibleRun: 5, RetriesAfterProvenNoRun: 5}, []Outcome{Overloaded, Failed, Failed}, 2},
 	} {
 		if got, acts := run(c.class, c.terms, c.outcomes...); got != c.sends {
 			t.Errorf("%s: %d sends, want %d; %v", c.name, got, c.sends, acts)
@@ -155,17 +157,17 @@
 // Guards second copies: after the time, to another worker, one that has the function; of a repeatable request
 // alone, and only where the settings allow two attempts at once.
 func TestSecondCopy(t *testing.T) {
-	start := func(class int, allowed bool) (*bed, RequestID, Send, uint64) {
+	start := func(class int, allowed bool) (*bed, RequestID, StartAttempt, uint64) {
 		cfg := config()
-		cfg.SecondAttempts = allowed
+		cfg.HedgingAllowed = allowed
 		b := newBed(t, cfg, 4)
 		for w := range WorkerID(4) {
 			b.p.instance(b.p.workers[w+1], 7).warmUntil = b.now + time.Hour
 		}
 		terms := open(newPool(100, 1, 2, 3, 4))
-		terms.SecondAfter = 100 * ms
+		terms.HedgeDelay = 100 * ms
 		id, acts := b.under(class, terms)
-		s, _ := first[Send](acts)
+		s, _ := first[StartAttempt](acts)
 		for _, a := range acts {
 			if k, ok := a.(SetTimer); ok && k.Token >= copyToken {
 				return b, id, s, k.Token
@@ -177,15 +179,15 @@
 	b, id, one, token := start(0, true)
 	b.now += 100 * ms
 	acts := b.do(TimerFired{Token: token})
-	two, ok := first[Send](acts)
+	two, ok := first[StartAttempt](acts)
 	if !ok || two.Worker == one.Worker {
 		t.Fatalf("%v beside worker %d, want another worker", acts, one.Worker)
 	}
-	if acts := b.do(TimerFired{Token: token}); has[Send](acts) {
+	if acts := b.do(TimerFired{Token: token}); has[StartAttempt](acts) {
 		t.Error("a third copy goes out")
 	}
-	acts = b.do(AttemptEnded{Request: id, Attempt: 1, Worker: two.Worker, Outcome: Served, Closed: true, Took: 50 * ms})
-	if c, ok := first[Cancel](acts); !ok || c.Attempt != 0 {
+	acts = b.do(AttemptCompleted{Request: id, Attempt: 1, Worker: two.Worker, Outcome: Served, Closed: true, Took: 50 * ms})
+	if c, ok := first[CancelAttempt](acts); !ok || c.Attempt != 0 {
 		t.Errorf("the copy is served: %v, want the first called off", acts)
 	}
 	for name, x := range map[string]struct {
@@ -194,7 +196,7 @@
 	}{"an order": {2, true}, "a keyed request": {1, true}, "settings that allow none": {0, false}} {
 		b, _, _, token := start(x.class, x.allowed)
 		b.now += 100 * ms
-		if acts := b.do(TimerFired{Token: token}); has[Send](acts) {
+		if acts := b.do(TimerFired{Token: token}); has[StartAttempt](acts) {
 			t.Errorf("%s gets a second copy: %v", name, acts)
 		}
 	}
@@ -202,21 +204,21 @@
 
 func TestAttemptLimitAndOrders(t *testing.T) {
 	cfg := config()
-	cfg.MissWhenCold, cfg.MayOrder, cfg.LoadWindow, cfg.LoadFree = true, true, 10*time.Second, 5
+	cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum = true, true, 10*time.Second, 5
 	b := newBed(t, cfg, 3)
 	p := newPool(100, 1, 2, 3)
 	p.may = 1
 	terms := open(p)
-	terms.Limit = 300 * ms
+	terms.AttemptTimeout = 300 * ms
 	orders := 0
 	for f := range FunctionID(3) {
 		b.id++
-		acts := b.do(Arrived{Request: b.id, Function: 20 + f, Lanes: 1, LoadTime: time.Second, Left: 4 * time.Second, Terms: &terms})
-		s, ok := first[Send](acts)
-		if !ok || s.Limit != terms.Limit {
-			t.Fatalf("%v, want a limit of %v", acts, terms.Limit)
+		acts := b.do(RequestArrived{Request: b.id, Function: 20 + f, Lanes: 1, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &terms})
+		s, ok := first[StartAttempt](acts)
+		if !ok || s.Limit != terms.AttemptTimeout {
+			t.Fatalf("%v, want a limit of %v", acts, terms.AttemptTimeout)
 		}
-		if has[OrderLoad](b.do(AttemptEnded{Request: b.id, Worker: s.Worker, Outcome: Missed})) {
+		if has[Load](b.do(AttemptCompleted{Request: b.id, Worker: s.Worker, Outcome: NotLoaded})) {
 			orders++
 		}
 	}
@@ -230,7 +232,7 @@
 func TestPoolCountsComeOut(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := config()
-		cfg.SecondAttempts = true
+		cfg.HedgingAllowed = true
 		b := newBed(t, cfg, 4)
 		pools := []*pool{newPool(3, 1, 2), newPool(2, 2, 3, 4)}
 		pools[0].next, pools[0].spill = pools[1], 1000
@@ -245,7 +247,7 @@
 		take := func(acts []Action) {
 			for _, a := range acts {
 				switch a := a.(type) {
-				case Send:
+				case StartAttempt:
 					outs = append(outs, out{a.Request, sent[a.Request], a.Worker})
 					sent[a.Request]++
 				case SetTimer:
@@ -261,7 +263,7 @@
 		end := func(i int, o Outcome) {
 			x := outs[i]
 			outs = append(outs[:i], outs[i+1:]...)
-			take(b.do(AttemptEnded{Request: x.id, Attempt: x.number, Worker: x.w, Outcome: o, Took: 10 * ms,
+			take(b.do(AttemptCompleted{Request: x.id, Attempt: x.number, Worker: x.w, Outcome: o, Took: 10 * ms,
 				Closed: o == Served}))
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -269,21 +271,21 @@
 			switch what := rapid.IntRange(0, 4).Draw(rt, "what"); {
 			case what <= 1:
 				terms := open(pools[rapid.IntRange(0, 1).Draw(rt, "pool")])
-				terms.SecondAfter = 100 * ms
+				terms.HedgeDelay = 100 * ms
 				_, acts := b.under(rapid.SampledFrom([]int{0, 0, 2}).Draw(rt, "class"), terms)
 				take(acts)
 			case what == 2 && len(outs) > 0:
-				o := rapid.SampledFrom([]Outcome{Served, Errored, Full, Reset, TimedOut, Cancelled, Missed, Moot}).Draw(rt, "end")
+				o := rapid.SampledFrom([]Outcome{Served, Failed, Overloaded, ConnectionReset, TimedOut, Cancelled, NotLoaded, NotSent}).Draw(rt, "end")
 				end(rapid.IntRange(0, len(outs)-1).Draw(rt, "which"), o)
 			case what == 3 && len(tokens) > 0:
 				take(b.do(TimerFired{Token: tokens[0]}))
 				tokens = tokens[1:]
 			case what == 4 && b.id > 0:
-				take(b.do(Abandoned{Request: RequestID(rapid.IntRange(1, int(b.id)).Draw(rt, "leaves"))}))
+				take(b.do(RequestCanceled{Request: RequestID(rapid.IntRange(1, int(b.id)).Draw(rt, "leaves"))}))
 			}
 		}
 		for id := range b.id {
-			take(b.do(Abandoned{Request: id + 1}))
+			take(b.do(RequestCanceled{Request: id + 1}))
 		}
 		for len(outs) > 0 {
 			end(0, Cancelled)
@@ -299,16 +301,16 @@
 func TestOpenTermsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := config()
-		cfg.MissWhenCold, cfg.MayOrder, cfg.LoadWindow, cfg.LoadFree, cfg.LoadShare = true, true, 10*time.Second, 4, 0.3
+		cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, true, 10*time.Second, 4, 0.3
 		plain, under := newBed(t, cfg, 4), newBed(t, cfg, 4)
 		terms := open(newPool(1<<30, 1, 2, 3, 4))
 		terms.Pool.(*pool).may = 1 << 30
-		var outs []Send
+		var outs []StartAttempt
 		number := map[RequestID]int{}
 		both := func(ev Event) {
 			a := plain.do(ev)
-			if e, ok := ev.(Arrived); ok {
-				e.Terms = &terms
+			if e, ok := ev.(RequestArrived); ok {
+				e.Policy = &terms
 				ev = e
 			}
 			b := under.do(ev)
@@ -316,7 +318,7 @@
 				rt.Fatalf("%+v: %v without terms, %v with open ones", ev, a, b)
 			}
 			for _, x := range a {
-				if s, ok := x.(Send); ok {
+				if s, ok := x.(StartAttempt); ok {
 					outs = append(outs, s)
 				}
 			}
@@ -326,13 +328,13 @@
 			plain.now, under.now = plain.now+pass, under.now+pass
 			switch what := rapid.IntRange(0, 3).Draw(rt, "what"); {
 			case what <= 1 || len(outs) == 0:
-				both(Arrived{Request: RequestID(i + 1), Class: rapid.IntRange(0, 2).Draw(rt, "class"), Function: FunctionID(rapid.IntRange(0, 3).Draw(rt, "function")),
-					Lanes: 1, LoadTime: time.Second, Left: 4 * time.Second})
+				both(RequestArrived{Request: RequestID(i + 1), Class: rapid.IntRange(0, 2).Draw(rt, "class"), Function: FunctionID(rapid.IntRange(0, 3).Draw(rt, "function")),
+					Lanes: 1, LoadTime: time.Second, Remaining: 4 * time.Second})
 			case what == 2:
 				s := outs[0]
 				outs = outs[1:]
-				o := rapid.SampledFrom([]Outcome{Served, Served, Errored, Full, Reset, TimedOut, Missed, Unreachable}).Draw(rt, "end")
-				both(AttemptEnded{Request: s.Request, Attempt: number[s.Request], Worker: s.Worker, Outcome: o, Note: WasWarm, Closed: o == Served, Took: 80 * ms})
+				o := rapid.SampledFrom([]Outcome{Served, Served, Failed, Overloaded, ConnectionReset, TimedOut, NotLoaded, Unreachable}).Draw(rt, "end")
+				both(AttemptCompleted{Request: s.Request, Attempt: number[s.Request], Worker: s.Worker, Outcome: o, LoadStatus: AlreadyLoaded, Closed: o == Served, Took: 80 * ms})
 				number[s.Request]++
 			default:
 				both(TimerFired{Token: beatToken})
