--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -52,34 +52,34 @@
 	heap.Push(&b.todo, later{b.now + d, b.seq, do})
 }
 
-func (b *bench) Run(w policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
+func (b *bench) StartAttempt(w policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
 	k := [2]uint64{uint64(w), uint64(r.Function)}
 	if b.until[k] < b.now {
-		b.after(time.Millisecond, func() { b.core.AttemptEnded(a, router.Reply{Outcome: policy.NotLoaded}) })
+		b.after(time.Millisecond, func() { b.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.NotLoaded}) })
 		return
 	}
 	b.until[k] = b.now + 10*time.Second
 	b.after(80*time.Millisecond, func() {
-		b.core.AttemptEnded(a, router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Report: []float64{1}})
+		b.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, LoadReport: []float64{1}})
 	})
 }
-func (b *bench) Stop(policy.WorkerID, router.Attempt)          {}
-func (b *bench) Withdraw(policy.WorkerID, router.Attempt) bool { return false }
-func (b *bench) Hold(w policy.WorkerID, f policy.FunctionID, _ int, tag uint64) {
+func (b *bench) CancelAttempt(policy.WorkerID, router.Attempt)       {}
+func (b *bench) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
+func (b *bench) Load(w policy.WorkerID, f policy.FunctionID, _ int, tag uint64) {
 	b.after(300*time.Millisecond, func() {
 		b.until[[2]uint64{uint64(w), uint64(f)}] = b.now + 10*time.Second
-		b.core.HoldEnded(tag, policy.Served, 1)
+		b.core.LoadCompleted(tag, policy.Served, 1)
 	})
 }
-func (b *bench) Forget(policy.WorkerID, uint64)          {}
-func (b *bench) Free(policy.WorkerID, policy.FunctionID) {}
-func (b *bench) Probe(_ policy.WorkerID, tag uint64) {
-	b.after(time.Millisecond, func() { b.core.Probed(tag, policy.Served, []float64{1}) })
+func (b *bench) AbandonCommand(policy.WorkerID, uint64)    {}
+func (b *bench) Unload(policy.WorkerID, policy.FunctionID) {}
+func (b *bench) CheckHealth(_ policy.WorkerID, tag uint64) {
+	b.after(time.Millisecond, func() { b.core.HealthCheckCompleted(tag, policy.Served, []float64{1}) })
 }
 func (b *bench) CloseIdle(policy.WorkerID) {}
 
-// Answered counts.
-func (b *bench) Answered(router.Answer) { b.ended++ }
+// Respond counts.
+func (b *bench) Respond(router.Response) { b.ended++ }
 
 // Run prints a row a size.
 func (c Core) Run(out io.Writer) error {
@@ -109,14 +109,14 @@
 	if err != nil {
 		return 0, 0, 0, 0, err
 	}
-	core := router.New(module, router.Limits{MaxOpen: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
+	core := router.New(module, router.Limits{MaxConcurrentRequests: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
 	b := &bench{core: core, now: time.Hour, until: map[[2]uint64]time.Duration{}}
 	core.Use(b)
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w := range workers {
 		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: policy.Ready, Weight: 1})
 	}
-	core.SetList(list)
+	core.SetEndpoints(list)
 	random := rand.New(rand.NewPCG(1, 2))
 	rate = 15 * workers
 	gap := time.Second / time.Duration(rate)
@@ -134,7 +134,7 @@
 			}
 			b.now = at
 			f := 1 + int(float64(3*workers)*random.Float64()*random.Float64())
-			core.Take(b.now, router.Request{Asker: b, ID: fmt.Sprint(i, b.now), Function: policy.FunctionID(f), Lanes: 2, LoadTime: 300 * time.Millisecond,
+			core.Accept(b.now, router.Request{Asker: b, ID: fmt.Sprint(i, b.now), Function: policy.FunctionID(f), Lanes: 2, LoadTime: 300 * time.Millisecond,
 				Deadline: b.now + 2*time.Second})
 			next = core.Turn(b.now)
 		}
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -14,19 +14,19 @@
 	for _, mayCancel := range []bool{true, false} {
 		for _, end := range []string{"leaves", "times out"} {
 			c, w := newCoreThat(t, 1, mayCancel)
-			c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+			c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 			now := time.Hour
 			c.Turn(now)
 			k := &asker{core: c}
 			w.dials = true
-			id := c.Take(now, Request{Asker: k, ID: "a", Key: "00000000000000aa", Function: 0xaa, Deadline: now + 2*time.Second})
+			id := c.Accept(now, Request{Asker: k, ID: "a", Key: "00000000000000aa", Function: 0xaa, Deadline: now + 2*time.Second})
 			c.Turn(now)
 			if len(w.queue) != 1 {
 				t.Fatalf("%d calls wait behind a dial", len(w.queue))
 			}
 			if end == "leaves" {
 				now += 10 * ms
-				c.Leave(now, id)
+				c.CancelRequest(now, id)
 			} else {
 				now += 3 * time.Second
 			}
@@ -41,7 +41,7 @@
 			if len(k.answers) != want || c.Open() != 0 || len(c.reqs) != 0 || len(c.ids) != 0 {
 				t.Errorf("may cancel %v: the client %s: answers %v, %d open, %d kept", mayCancel, end, k.answers, c.Open(), len(c.reqs))
 			}
-			if want == 1 && (k.answers[0].Verdict != Refused || k.answers[0].MayHaveRun) {
+			if want == 1 && (k.answers[0].Status != Rejected || k.answers[0].MayHaveRun) {
 				t.Errorf("a call that never left was answered %+v", k.answers[0])
 			}
 			for later := now; later < now+5*time.Second; later += 50 * ms {
@@ -58,12 +58,12 @@
 func TestCallsTakenBackBehindADialWidenNoRation(t *testing.T) {
 	for _, back := range []int{0, 3} {
 		c, w := newCore(t, 1)
-		c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+		c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 		now, ids := time.Hour, uint64(0)
 		c.Turn(now)
 		take := func() policy.RequestID {
 			ids++
-			id := c.Take(now, Request{Asker: &asker{core: c}, ID: idOf(ids), Key: idOf(ids), Function: policy.FunctionID(ids), Deadline: now + 2*time.Second})
+			id := c.Accept(now, Request{Asker: &asker{core: c}, ID: idOf(ids), Key: idOf(ids), Function: policy.FunctionID(ids), Deadline: now + 2*time.Second})
 			c.Turn(now)
 			return id
 		}
@@ -71,7 +71,7 @@
 			w.dials = true
 			for range back {
 				id := take()
-				c.Leave(now, id)
+				c.CancelRequest(now, id)
 				c.Turn(now)
 			}
 			w.dials = false
@@ -79,11 +79,11 @@
 			for n := 0; n < len(w.runs[id]); n++ { // it misses once, and is served where it goes next
 				a := w.runs[id][n]
 				delete(w.out, a)
-				c.AttemptEnded(a, Reply{Outcome: []policy.Outcome{policy.NotLoaded, policy.Served}[min(n, 1)]})
+				c.AttemptCompleted(a, AttemptResult{Outcome: []policy.Outcome{policy.NotLoaded, policy.Served}[min(n, 1)]})
 				c.Turn(now)
 				for tag := range w.holds {
 					delete(w.holds, tag)
-					c.HoldEnded(tag, policy.Served, 1)
+					c.LoadCompleted(tag, policy.Served, 1)
 				}
 				c.Turn(now)
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -18,27 +18,27 @@
 // seen to take 46 ms (99th percentile) to get through the program, and one answer came too late.
 const AnswerMargin = 40 * time.Millisecond
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// ResponseStatus is the kind of a final answer.
+type ResponseStatus uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota // with the body that a worker gave
-	Refused                // trying again is harmless
-	Failed                 // promises nothing
+	Served   ResponseStatus = iota // with the body that a worker gave
+	Rejected                       // trying again is harmless
+	Failed                         // promises nothing
 )
 
-// Answer is the final answer to a request.
-type Answer struct {
-	Verdict    Verdict
-	Body       []byte
-	RetryAfter time.Duration // Refused: how long to stay away
-	MayHaveRun bool          // not proven that no attempt ever ran
-	Overdue    bool          // the time was over
+// Response is the final answer to a request.
+type Response struct {
+	Status           ResponseStatus
+	Body             []byte
+	RetryAfter       time.Duration // Refused: how long to stay away
+	MayHaveRun       bool          // not proven that no attempt ever ran
+	DeadlineExceeded bool          // the time was over
 }
 
-// Asker is owed the final answer to a request.
-type Asker interface{ Answered(Answer) }
+// Responder is owed the final answer to a request.
+type Responder interface{ Respond(Response) }
 
 // Front names the front that a request came by.
 type Front uint8
@@ -52,23 +52,23 @@
 
 // Request is a call as a front took it.
 type Request struct {
-	Front    Front
-	Asker    Asker
-	ID       string // as the client worded it
-	Ref      string // the client's own name for it, where that is not the ID
-	Class    int
-	Key      string // the function, as the client worded it
-	Function policy.FunctionID
-	MemoryMB float64
-	Lanes    float64
-	LoadTime time.Duration
-	Body     []byte
-	Deadline time.Duration // the final answer must have left by then
-	Tenant   string        // who asks, where the front can tell for sure; "" else
-	Once     string        // the client's idempotency key, passed on as it is; "" for none
-
-	Client netip.AddrPort // for the record only
-	Taken  time.Duration  // set by Take
+	Front          Front
+	Asker          Responder
+	ID             string // as the client worded it
+	Ref            string // the client's own name for it, where that is not the ID
+	Class          int
+	Key            string // the function, as the client worded it
+	Function       policy.FunctionID
+	MemoryMB       float64
+	Lanes          float64
+	LoadTime       time.Duration
+	Body           []byte
+	Deadline       time.Duration // the final answer must have left by then
+	Tenant         string        // who asks, where the front can tell for sure; "" else
+	IdempotencyKey string        // the client's idempotency key, passed on as it is; "" for none
+
+	Client     netip.AddrPort // for the record only
+	AcceptedAt time.Duration  // set by Take
 }
 
 // ParseKey reads 16 hex digits in lower case, as keys and ids are worded. Any other wording of the same
@@ -117,13 +117,13 @@
 	return len(s) > 0 && len(s) <= MaxOnce
 }
 
-// Reply is how an attempt ended and what came with that.
-type Reply struct {
-	Outcome policy.Outcome
-	Note    policy.LoadStatus
-	Crowd   int // calls of the function that the worker held
-	Body    []byte
-	Report  []float64 // in the order of the settings' fields; nil where none came
+// AttemptResult is how an attempt ended and what came with that.
+type AttemptResult struct {
+	Outcome     policy.Outcome
+	LoadStatus  policy.LoadStatus
+	Concurrency int // calls of the function that the worker held
+	Body        []byte
+	LoadReport  []float64 // in the order of the settings' fields; nil where none came
 }
 
 // Attempt names an attempt to the Workers.
@@ -132,38 +132,38 @@
 	Number  int
 }
 
-// Workers carries messages to workers. Each Run, Hold and Probe is answered by one call of the
+// WorkerClient carries messages to workers. Each Run, Hold and Probe is answered by one call of the
 // Core's AttemptEnded, HoldEnded or Probed, at once or later.
-type Workers interface {
-	Run(w policy.WorkerID, a Attempt, r *Request, budget time.Duration)
+type WorkerClient interface {
+	StartAttempt(w policy.WorkerID, a Attempt, r *Request, budget time.Duration)
 	// Stop gives an attempt up; it is answered no more.
-	Stop(w policy.WorkerID, a Attempt)
+	CancelAttempt(w policy.WorkerID, a Attempt)
 	// Withdraw takes an attempt back of which nothing has left yet, and tells whether it could: then it never runs and
 	// is answered no more.
-	Withdraw(w policy.WorkerID, a Attempt) bool
-	Hold(w policy.WorkerID, f policy.FunctionID, count int, tag uint64)
+	WithdrawUnsent(w policy.WorkerID, a Attempt) bool
+	Load(w policy.WorkerID, f policy.FunctionID, count int, tag uint64)
 	// Forget drops interest in an order or a probe that took too long.
-	Forget(w policy.WorkerID, tag uint64)
-	Free(w policy.WorkerID, f policy.FunctionID)
-	Probe(w policy.WorkerID, tag uint64)
+	AbandonCommand(w policy.WorkerID, tag uint64)
+	Unload(w policy.WorkerID, f policy.FunctionID)
+	CheckHealth(w policy.WorkerID, tag uint64)
 	CloseIdle(w policy.WorkerID)
 }
 
 // Limits bounds a Core.
 type Limits struct {
-	MaxOpen      int           // requests open at once
-	MaxBytes     int           // their bodies together
-	RetryAfter   time.Duration // what those are told that are turned away; 0: nothing
-	MaxAttempts  int           // of a request
-	OrderTimeout time.Duration // an order with no answer by then has timed out
-	ProbeTimeout time.Duration
-	Tenants      []string // in the order in which the module counts them
+	MaxConcurrentRequests int           // requests open at once
+	MaxBytes              int           // their bodies together
+	RetryAfter            time.Duration // what those are told that are turned away; 0: nothing
+	MaxAttempts           int           // of a request
+	OrderTimeout          time.Duration // an order with no answer by then has timed out
+	ProbeTimeout          time.Duration
+	Tenants               []string // in the order in which the module counts them
 }
 
 // Core is the function router. It is not safe for concurrent use.
 type Core struct {
 	policy  *policy.Policy
-	workers Workers
+	workers WorkerClient
 	limits  Limits
 	now     time.Duration
 	events  []policy.Event
@@ -238,13 +238,13 @@
 }
 
 // Use sets the Workers; it is called once, before anything else.
-func (c *Core) Use(w Workers) { c.workers = w }
+func (c *Core) Use(w WorkerClient) { c.workers = w }
 
 // Open is how many requests are owed an answer.
 func (c *Core) Open() int { return c.open }
 
-// SetList hands in a worker list.
-func (c *Core) SetList(l policy.EndpointList) { c.events = append(c.events, l) }
+// SetEndpoints hands in a worker list.
+func (c *Core) SetEndpoints(l policy.EndpointList) { c.events = append(c.events, l) }
 
 // SetLabels says what routes pick the workers of the list by.
 func (c *Core) SetLabels(list []route.Worker) {
@@ -266,12 +266,12 @@
 // Routes returns the table in force, or nil.
 func (c *Core) Routes() *route.Table { return c.routes }
 
-// Take hands in a request. It returns its id; the answer may come before Take returns.
-func (c *Core) Take(now time.Duration, r Request) policy.RequestID {
+// Accept hands in a request. It returns its id; the answer may come before Accept returns.
+func (c *Core) Accept(now time.Duration, r Request) policy.RequestID {
 	c.now = max(c.now, now)
-	if c.Draining || c.open >= c.limits.MaxOpen || c.bytes+len(r.Body) > c.limits.MaxBytes {
+	if c.Draining || c.open >= c.limits.MaxConcurrentRequests || c.bytes+len(r.Body) > c.limits.MaxBytes {
 		// Bounds our memory, and lets a stop come to its end under clients that go on sending.
-		c.TurnAway(now, r)
+		c.RejectUnaccepted(now, r)
 		return 0
 	}
 	c.Count.Taken[r.Front]++
@@ -279,10 +279,10 @@
 		// Workers know a request by its id: under one id they would answer one request's body to the
 		// other. Which of the two a client means can't be told, so the later one fails.
 		c.Count.Failed[r.Front]++
-		if r.Taken = c.now; c.Observe != nil {
+		if r.AcceptedAt = c.now; c.Observe != nil {
 			c.Observe(c.now, &r, "failed")
 		}
-		r.Asker.Answered(Answer{Verdict: Failed})
+		r.Asker.Respond(Response{Status: Failed})
 		return 0
 	}
 	var terms *policy.RequestPolicy
@@ -302,7 +302,7 @@
 	}
 	for c.last++; c.last == 0 || c.reqs[c.last] != nil; c.last++ {
 	}
-	r.Taken = c.now
+	r.AcceptedAt = c.now
 	e := &entry{Request: r, turn: c.turns, event: len(c.events)}
 	c.reqs[c.last] = e
 	c.ids[r.ID] = struct{}{}
@@ -318,8 +318,8 @@
 	return c.last
 }
 
-// TurnAway refuses a request that we have no room for; the module never hears of it.
-func (c *Core) TurnAway(now time.Duration, r Request) {
+// RejectUnaccepted refuses a request that we have no room for; the module never hears of it.
+func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
 	c.now = max(c.now, now)
 	c.Count.Taken[r.Front]++
 	c.Count.Turned[r.Front]++
@@ -328,14 +328,14 @@
 
 // refuse answers a request that the module never hears of.
 func (c *Core) refuse(r Request) {
-	if r.Taken = c.now; c.Observe != nil {
+	if r.AcceptedAt = c.now; c.Observe != nil {
 		c.Observe(c.now, &r, "refused")
 	}
-	r.Asker.Answered(Answer{Verdict: Refused, RetryAfter: c.limits.RetryAfter})
+	r.Asker.Respond(Response{Status: Rejected, RetryAfter: c.limits.RetryAfter})
 }
 
-// Leave says that the client no longer waits for a request.
-func (c *Core) Leave(now time.Duration, id policy.RequestID) {
+// CancelRequest says that the client no longer waits for a request.
+func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
 	c.now = max(c.now, now)
 	if e := c.reqs[id]; e != nil && !e.done {
 		c.Count.Left[e.Front]++
@@ -355,15 +355,15 @@
 // settings let it, and what has not left needs nobody's leave.
 func (c *Core) withdraw(id policy.RequestID, e *entry) {
 	for n := range e.attempts {
-		if t := &e.attempts[n]; !t.ended && c.workers.Withdraw(t.worker, Attempt{id, n}) {
+		if t := &e.attempts[n]; !t.ended && c.workers.WithdrawUnsent(t.worker, Attempt{id, n}) {
 			// Not as moot: that it waited in vain tells the module of its worker's delay.
-			c.AttemptEnded(Attempt{id, n}, Reply{Outcome: policy.Cancelled})
+			c.AttemptCompleted(Attempt{id, n}, AttemptResult{Outcome: policy.Cancelled})
 		}
 	}
 }
 
-// AttemptEnded says how an attempt ended. Reports of one that has ended already are ignored.
-func (c *Core) AttemptEnded(a Attempt, r Reply) {
+// AttemptCompleted says how an attempt ended. Reports of one that has ended already are ignored.
+func (c *Core) AttemptCompleted(a Attempt, r AttemptResult) {
 	e := c.reqs[a.Request]
 	if e == nil || a.Number >= len(e.attempts) || e.attempts[a.Number].ended {
 		return
@@ -376,19 +376,19 @@
 	c.Count.Ended[o]++
 	if o == policy.Served && !e.done {
 		c.Count.Served[e.Front]++
-		e.Asker.Answered(Answer{Verdict: Served, Body: r.Body, MayHaveRun: true})
+		e.Asker.Respond(Response{Status: Served, Body: r.Body, MayHaveRun: true})
 		c.close(a.Request, e, "served")
 	}
 	c.events = append(c.events, policy.AttemptCompleted{Request: a.Request, Attempt: a.Number, Worker: t.worker, Outcome: o,
-		LoadStatus: r.Note, Concurrency: r.Crowd, Closed: e.done, Took: c.now - t.sent, Report: r.Report})
+		LoadStatus: r.LoadStatus, Concurrency: r.Concurrency, Closed: e.done, Took: c.now - t.sent, Report: r.LoadReport})
 	if o == policy.Served {
 		c.withdraw(a.Request, e)
 	}
 	c.release(a.Request, e)
 }
 
-// HoldEnded says how an order to load ended.
-func (c *Core) HoldEnded(tag uint64, o policy.Outcome, count int) {
+// LoadCompleted says how an order to load ended.
+func (c *Core) LoadCompleted(tag uint64, o policy.Outcome, count int) {
 	if q := c.asked[tag]; q != nil && !q.probe {
 		delete(c.asked, tag)
 		c.drop(q.limit)
@@ -398,8 +398,8 @@
 	}
 }
 
-// Probed says how a probe ended.
-func (c *Core) Probed(tag uint64, o policy.Outcome, report []float64) {
+// HealthCheckCompleted says how a probe ended.
+func (c *Core) HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64) {
 	if q := c.asked[tag]; q != nil && q.probe {
 		delete(c.asked, tag)
 		c.drop(q.limit)
@@ -450,22 +450,22 @@
 		c.cancel(Attempt{a.Request, a.Attempt}, policy.Cancelled)
 	case policy.Reject:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
-			c.final(a.Request, e, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+			c.final(a.Request, e, Response{Status: Rejected, RetryAfter: a.RetryAfter})
 		}
 	case policy.FailRequest:
 		if e := c.reqs[a.Request]; e != nil && !e.done {
-			c.final(a.Request, e, Answer{Verdict: Failed})
+			c.final(a.Request, e, Response{Status: Failed})
 		}
 	case policy.Load:
 		c.Count.Orders++
 		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.OrderTimeout)
-		c.workers.Hold(a.Worker, a.Function, a.Count, tag)
+		c.workers.Load(a.Worker, a.Function, a.Count, tag)
 	case policy.CheckHealth:
 		c.Count.Probes++
-		c.workers.Probe(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.ProbeTimeout))
+		c.workers.CheckHealth(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.ProbeTimeout))
 	case policy.Unload:
 		c.Count.Unloads++
-		c.workers.Free(a.Worker, a.Function)
+		c.workers.Unload(a.Worker, a.Function)
 	case policy.CloseIdleConnections:
 		c.workers.CloseIdle(a.Worker)
 	case policy.SetTimer:
@@ -492,41 +492,41 @@
 		left = min(left, a.Limit)
 	}
 	if e.done || left <= 0 || c.limits.MaxAttempts > 0 && n >= c.limits.MaxAttempts {
-		c.AttemptEnded(id, Reply{Outcome: policy.NotSent})
+		c.AttemptCompleted(id, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
 	if a.Limit > 0 && left == a.Limit { // else the request's own timer does it
 		e.attempts[n].limit = c.after(c.now+left, timer{kind: attemptUp, request: a.Request, number: n})
 	}
 	c.Count.Sent++
-	c.workers.Run(a.Worker, id, &e.Request, left)
+	c.workers.StartAttempt(a.Worker, id, &e.Request, left)
 }
 
 // cancel gives an attempt up. Whether the worker stops is up to the worker: it may have run, unless it never left
 // because the worker could not be reached.
 func (c *Core) cancel(a Attempt, o policy.Outcome) {
 	if e := c.reqs[a.Request]; e != nil && a.Number < len(e.attempts) && !e.attempts[a.Number].ended {
-		if w := e.attempts[a.Number].worker; !c.workers.Withdraw(w, a) {
-			c.workers.Stop(w, a)
+		if w := e.attempts[a.Number].worker; !c.workers.WithdrawUnsent(w, a) {
+			c.workers.CancelAttempt(w, a)
 		} else if o == policy.TimedOut {
 			o = policy.Unreachable
 		}
-		c.AttemptEnded(a, Reply{Outcome: o})
+		c.AttemptCompleted(a, AttemptResult{Outcome: o})
 	}
 }
 
 // final gives the answer that is not a worker's.
-func (c *Core) final(id policy.RequestID, e *entry, a Answer) {
+func (c *Core) final(id policy.RequestID, e *entry, a Response) {
 	a.MayHaveRun = e.mayRun || e.out > 0
-	a.Overdue = c.now >= e.Deadline-finalMargin
+	a.DeadlineExceeded = c.now >= e.Deadline-finalMargin
 	end := "failed"
-	if a.Verdict == Refused {
+	if a.Status == Rejected {
 		end = "refused"
 		c.Count.Refused[e.Front]++
 	} else {
 		c.Count.Failed[e.Front]++
 	}
-	e.Asker.Answered(a)
+	e.Asker.Respond(a)
 	c.close(id, e, end)
 	c.withdraw(id, e)
 }
@@ -576,11 +576,11 @@
 		if q == nil {
 			return
 		}
-		c.workers.Forget(q.worker, t.token)
+		c.workers.AbandonCommand(q.worker, t.token)
 		if q.probe {
-			c.Probed(t.token, policy.TimedOut, nil)
+			c.HealthCheckCompleted(t.token, policy.TimedOut, nil)
 		} else {
-			c.HoldEnded(t.token, policy.TimedOut, 0)
+			c.LoadCompleted(t.token, policy.TimedOut, 0)
 		}
 	case timeUp:
 		// The module ends every request before this. Should it not, the client still gets its one
@@ -596,9 +596,9 @@
 			c.Count.Overdue++
 			v := Failed
 			if !e.mayRun {
-				v = Refused
+				v = Rejected
 			}
-			c.final(t.request, e, Answer{Verdict: v})
+			c.final(t.request, e, Response{Status: v})
 			c.events = append(c.events, policy.RequestCanceled{Request: t.request})
 		}
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -25,7 +25,7 @@
 	dials bool             // what is sent from now on waits behind one
 }
 
-func (w *workers) Withdraw(_ policy.WorkerID, a Attempt) bool {
+func (w *workers) WithdrawUnsent(_ policy.WorkerID, a Attempt) bool {
 	waits := w.queue[a]
 	if waits {
 		delete(w.queue, a)
@@ -34,7 +34,7 @@
 	return waits
 }
 
-func (w *workers) Run(id policy.WorkerID, a Attempt, r *Request, budget time.Duration) {
+func (w *workers) StartAttempt(id policy.WorkerID, a Attempt, r *Request, budget time.Duration) {
 	if budget <= 0 || w.core.now+budget > r.Deadline {
 		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, w.core.now, r.Deadline))
 	}
@@ -44,21 +44,21 @@
 	}
 	w.runs[a.Request] = append(w.runs[a.Request], a)
 }
-func (w *workers) Stop(_ policy.WorkerID, a Attempt)                            { delete(w.out, a) }
-func (w *workers) Hold(_ policy.WorkerID, _ policy.FunctionID, _ int, t uint64) { w.holds[t] = true }
-func (w *workers) Probe(_ policy.WorkerID, t uint64)                            { w.asks[t] = true }
-func (w *workers) Forget(_ policy.WorkerID, t uint64)                           { delete(w.holds, t); delete(w.asks, t) }
-func (w *workers) Free(policy.WorkerID, policy.FunctionID)                      {}
+func (w *workers) CancelAttempt(_ policy.WorkerID, a Attempt)                   { delete(w.out, a) }
+func (w *workers) Load(_ policy.WorkerID, _ policy.FunctionID, _ int, t uint64) { w.holds[t] = true }
+func (w *workers) CheckHealth(_ policy.WorkerID, t uint64)                      { w.asks[t] = true }
+func (w *workers) AbandonCommand(_ policy.WorkerID, t uint64)                   { delete(w.holds, t); delete(w.asks, t) }
+func (w *workers) Unload(policy.WorkerID, policy.FunctionID)                    {}
 func (w *workers) CloseIdle(policy.WorkerID)                                    {}
 
 // asker counts answers.
 type asker struct {
-	answers []Answer
+	answers []Response
 	at      []time.Duration
 	core    *Core
 }
 
-func (k *asker) Answered(a Answer) {
+func (k *asker) Respond(a Response) {
 	k.answers, k.at = append(k.answers, a), append(k.at, k.core.now)
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(p, Limits{MaxOpen: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * ms})
+	c := New(p, Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * ms})
 	w := &workers{core: c, out: map[Attempt]policy.WorkerID{}, runs: map[policy.RequestID][]Attempt{},
 		holds: map[uint64]bool{}, asks: map[uint64]bool{}, queue: map[Attempt]bool{}}
 	c.Use(w)
@@ -108,7 +108,7 @@
 			for id := policy.WorkerID(1); id <= 4; id++ {
 				l.Workers = append(l.Workers, policy.Endpoint{Worker: id, State: rapid.SampledFrom(states).Draw(t, "state"), Weight: 1})
 			}
-			c.SetList(l)
+			c.SetEndpoints(l)
 		}
 		type model struct {
 			asker    *asker
@@ -124,8 +124,8 @@
 			if m := models[a.Request]; m != nil && !o.NeverRan() {
 				m.mayRun, m.sends = true, len(w.runs[a.Request])
 			}
-			c.AttemptEnded(a, Reply{Outcome: o, Body: []byte("done")})
-			c.AttemptEnded(a, Reply{Outcome: policy.Served, Body: []byte("again")}) // a second report changes nothing
+			c.AttemptCompleted(a, AttemptResult{Outcome: o, Body: []byte("done")})
+			c.AttemptCompleted(a, AttemptResult{Outcome: policy.Served, Body: []byte("again")}) // a second report changes nothing
 		}
 		list()
 		t.Repeat(map[string]func(*rapid.T){
@@ -133,11 +133,11 @@
 				m := &model{class: rapid.IntRange(0, 1).Draw(t, "class"), asker: &asker{core: c}}
 				m.deadline = now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait"))*ms
 				taken++
-				id := c.Take(now, Request{Asker: m.asker, ID: fmt.Sprintf("%016x", taken), Class: m.class, Key: "00000000000000aa",
+				id := c.Accept(now, Request{Asker: m.asker, ID: fmt.Sprintf("%016x", taken), Class: m.class, Key: "00000000000000aa",
 					Function: policy.FunctionID(rapid.IntRange(1, 3).Draw(t, "f")), Lanes: 1, LoadTime: 500 * ms,
 					Body: make([]byte, rapid.IntRange(0, 4000).Draw(t, "size")), Deadline: m.deadline})
 				if id == 0 { // turned away for want of room
-					if len(m.asker.answers) != 1 || m.asker.answers[0].Verdict != Refused {
+					if len(m.asker.answers) != 1 || m.asker.answers[0].Status != Rejected {
 						t.Fatal("turned away without a refusal")
 					}
 					return
@@ -153,19 +153,19 @@
 			"load": func(t *rapid.T) {
 				if tag, ok := pick(t, w.holds); ok {
 					delete(w.holds, tag)
-					c.HoldEnded(tag, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Overloaded, policy.Failed}).Draw(t, "o"), 1)
+					c.LoadCompleted(tag, rapid.SampledFrom([]policy.Outcome{policy.Served, policy.Overloaded, policy.Failed}).Draw(t, "o"), 1)
 				}
 			},
 			"probe": func(t *rapid.T) {
 				if tag, ok := pick(t, w.asks); ok {
 					delete(w.asks, tag)
-					c.Probed(tag, policy.Served, []float64{1})
+					c.HealthCheckCompleted(tag, policy.Served, []float64{1})
 				}
 			},
 			"leave": func(t *rapid.T) {
 				if id, ok := pick(t, models); ok && len(models[id].asker.answers) == 0 {
 					models[id].left = true
-					c.Leave(now, id)
+					c.CancelRequest(now, id)
 				}
 			},
 			"list": func(*rapid.T) { list() },
@@ -190,7 +190,7 @@
 					if m.class == 1 && m.mayRun && len(runs) > m.sends {
 						t.Fatalf("order %d was sent again though it may have run", id)
 					}
-					if n == 1 && m.asker.answers[0].Verdict == Refused && m.class == 1 && (m.mayRun || m.asker.answers[0].MayHaveRun) {
+					if n == 1 && m.asker.answers[0].Status == Rejected && m.class == 1 && (m.mayRun || m.asker.answers[0].MayHaveRun) {
 						t.Fatalf("order %d is refused though it may have run", id)
 					}
 					if n == 1 && m.mayRun && !m.asker.answers[0].MayHaveRun {
@@ -209,17 +209,17 @@
 func TestOrderThatMayHaveRunFails(t *testing.T) {
 	for _, o := range []policy.Outcome{policy.ConnectionReset, policy.Failed, policy.TimedOut} {
 		c, w := newCore(t, 1)
-		c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready},
+		c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready},
 			{Worker: 2, State: policy.Ready}}})
 		k := &asker{core: c}
-		id := c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
+		id := c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
 		c.Turn(time.Hour)
 		if len(w.runs[id]) != 1 {
 			t.Fatal("the order was not sent")
 		}
-		c.AttemptEnded(w.runs[id][0], Reply{Outcome: o})
+		c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: o})
 		c.Turn(time.Hour + ms)
-		if len(w.runs[id]) != 1 || len(k.answers) != 1 || k.answers[0].Verdict != Failed {
+		if len(w.runs[id]) != 1 || len(k.answers) != 1 || k.answers[0].Status != Failed {
 			t.Errorf("outcome %d: %d sends, answers %+v", o, len(w.runs[id]), k.answers)
 		}
 	}
@@ -231,8 +231,8 @@
 	c.carryOut(policy.CheckHealth{Worker: 1})
 	c.carryOut(policy.Load{Worker: 1, Function: 2, Count: 1})
 	c.Turn(time.Hour)
-	c.HoldEnded(2, policy.Served, 1)
-	c.Probed(1, policy.Served, nil)
+	c.LoadCompleted(2, policy.Served, 1)
+	c.HealthCheckCompleted(1, policy.Served, nil)
 	if c.Count.ProbeEnded[policy.TimedOut] != 1 || c.Count.OrderEnded[policy.TimedOut] != 1 ||
 		c.Count.OrderEnded[policy.Served]+c.Count.ProbeEnded[policy.Served] != 0 || len(w.holds)+len(w.asks) != 0 {
 		t.Errorf("counters %+v", c.Count)
@@ -242,12 +242,12 @@
 // Guards against an answer that comes in the turn in which the client left: it is owed to nobody.
 func TestAnswerBehindALeaveGoesNowhere(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	k := &asker{core: c}
-	id := c.Take(time.Hour, Request{Asker: k, Class: 0, Function: 7, Deadline: time.Hour + 2*time.Second})
+	id := c.Accept(time.Hour, Request{Asker: k, Class: 0, Function: 7, Deadline: time.Hour + 2*time.Second})
 	c.Turn(time.Hour)
-	c.Leave(time.Hour+ms, id)
-	c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded})
+	c.CancelRequest(time.Hour+ms, id)
+	c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
 	c.Turn(time.Hour + ms)
 	if len(k.answers) != 0 || c.Count.Left[Thrift] != 1 || c.Count.Served[Thrift] != 0 || len(c.reqs) != 0 {
 		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Count, len(c.reqs))
@@ -257,13 +257,13 @@
 // Guards the client's wait: a request that the module has not ended by its deadline is ended by the
 // core, as a refusal only where nothing was sent.
 func TestGuardEndsWhatTheModuleDidNot(t *testing.T) {
-	for sent, want := range []Verdict{Refused, Failed} {
+	for sent, want := range []ResponseStatus{Rejected, Failed} {
 		c, w := newCore(t, 1)
 		k := &asker{core: c}
 		if sent == 1 {
-			c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+			c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 		}
-		id := c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
+		id := c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
 		c.Turn(time.Hour)
 		guard := c.timers[len(c.timers)-1]
 		for _, t := range c.timers {
@@ -277,7 +277,7 @@
 		c.now = guard.due
 		c.fire(guard)
 		c.Turn(c.now)
-		if len(k.answers) != 1 || k.answers[0].Verdict != want || !k.answers[0].Overdue || c.Count.Overdue != 1 || len(w.out) != 0 {
+		if len(k.answers) != 1 || k.answers[0].Status != want || !k.answers[0].DeadlineExceeded || c.Count.Overdue != 1 || len(w.out) != 0 {
 			t.Errorf("answers %+v, want verdict %d", k.answers, want)
 		}
 	}
@@ -286,12 +286,12 @@
 // Guards the planned stop: clients that go on sending get a refusal each, and don't hold it up.
 func TestDrainingCoreRefusesWhatComes(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	c.Draining = true
 	k := &asker{core: c}
-	c.Take(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
+	c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
 	c.Turn(time.Hour)
-	if len(k.answers) != 1 || k.answers[0].Verdict != Refused || k.answers[0].MayHaveRun || c.Open() != 0 || len(w.out) != 0 {
+	if len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || c.Open() != 0 || len(w.out) != 0 {
 		t.Errorf("answers %+v, %d open", k.answers, c.Open())
 	}
 }
@@ -300,21 +300,21 @@
 // one fails and reaches no worker, and the id is free again once the first has ended.
 func TestIDOfAnOpenRequestIsNotTakenTwice(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	take := func(f Front, body string) (policy.RequestID, *asker) {
 		k := &asker{core: c}
-		return c.Take(time.Hour, Request{Front: f, Asker: k, ID: "00000000000000aa", Function: 7, Body: []byte(body),
+		return c.Accept(time.Hour, Request{Front: f, Asker: k, ID: "00000000000000aa", Function: 7, Body: []byte(body),
 			Deadline: time.Hour + 2*time.Second}), k
 	}
 	first, k := take(Thrift, "one")
 	c.Turn(time.Hour)
 	for _, f := range []Front{Thrift, Webhook} {
 		id, other := take(f, "other")
-		if c.Turn(time.Hour); id != 0 || len(other.answers) != 1 || other.answers[0].Verdict != Failed || c.Open() != 1 {
+		if c.Turn(time.Hour); id != 0 || len(other.answers) != 1 || other.answers[0].Status != Failed || c.Open() != 1 {
 			t.Fatalf("request %d has answers %+v, %d open", id, other.answers, c.Open())
 		}
 	}
-	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("done")})
+	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("done")})
 	c.Turn(time.Hour + ms)
 	if len(k.answers) != 1 || string(k.answers[0].Body) != "done" || len(w.runs) != 1 || len(c.ids)+len(c.reqs) != 0 {
 		t.Fatalf("answers %+v, %d requests sent, %d ids kept", k.answers, len(w.runs), len(c.ids))
@@ -329,24 +329,24 @@
 func TestACallTakenBackAtOnceNeverReachesTheModule(t *testing.T) {
 	c, w := newCore(t, 1)
 	now := time.Hour
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	c.Turn(now)
 	call := func(id int) Request {
 		return Request{Asker: &asker{core: c}, ID: fmt.Sprintf("%016x", id), Key: "00000000000000aa", Function: 0xaa, Deadline: now + time.Second}
 	}
 	stay := call(1)
-	c.Take(now, stay)
+	c.Accept(now, stay)
 	for i := range 200 {
-		c.Leave(now, c.Take(now, call(2+i)))
+		c.CancelRequest(now, c.Accept(now, call(2+i)))
 	}
 	c.Turn(now)
 	if c.Count.Sent != 1 || len(w.runs) != 1 || c.Open() != 1 || c.Count.Left[Thrift] != 200 {
 		t.Fatalf("sent %d, open %d, left %d", c.Count.Sent, c.Open(), c.Count.Left[Thrift])
 	}
 	now += ms // one that leaves later is called off as before
-	late := c.Take(now, call(300))
+	late := c.Accept(now, call(300))
 	c.Turn(now)
-	c.Leave(now, late)
+	c.CancelRequest(now, late)
 	c.Turn(now)
 	if c.Count.Sent != 2 || len(w.out) != 1 || c.Open() != 1 {
 		t.Fatalf("sent %d, out %d, open %d", c.Count.Sent, len(w.out), c.Open())
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -31,7 +31,7 @@
 
 func routed(t *testing.T) (*Core, *workers) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	c.SetLabels([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
 	c.Turn(time.Hour)
 	return c, w
@@ -54,10 +54,10 @@
 		{Thrift, 0, 1 << 60, "east", 1}, // a tenant by Thrift counts for shares alone
 	} {
 		k := &asker{core: c}
-		id := c.Take(time.Hour, Request{Front: x.front, Asker: k, ID: string(rune('a' + i)), Class: x.class, Function: x.function, Tenant: x.tenant, Deadline: time.Hour + 2*time.Second})
+		id := c.Accept(time.Hour, Request{Front: x.front, Asker: k, ID: string(rune('a' + i)), Class: x.class, Function: x.function, Tenant: x.tenant, Deadline: time.Hour + 2*time.Second})
 		c.Turn(time.Hour)
 		switch {
-		case x.worker == 0 && (len(k.answers) != 1 || k.answers[0].Verdict != Refused || k.answers[0].MayHaveRun || id != 0):
+		case x.worker == 0 && (len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || id != 0):
 			t.Errorf("%+v: answers %+v, want a refusal at once", x, k.answers)
 		case x.worker != 0 && (len(w.runs[id]) != 1 || w.out[w.runs[id][0]] != x.worker):
 			t.Errorf("%+v: runs %v of %v", x, w.runs[id], w.out)
@@ -75,7 +75,7 @@
 	c.SetRoutes(tableOf(t, 2))
 	take := func(id string) (policy.RequestID, *asker) {
 		k := &asker{core: c}
-		n := c.Take(time.Hour, Request{Asker: k, ID: id, Function: 7, Deadline: time.Hour + 2*time.Second})
+		n := c.Accept(time.Hour, Request{Asker: k, ID: id, Function: 7, Deadline: time.Hour + 2*time.Second})
 		c.Turn(time.Hour)
 		return n, k
 	}
@@ -83,15 +83,15 @@
 	take("b")
 	next := tableOf(t, 1)
 	c.SetRoutes(next)
-	if _, over := take("c"); len(over.answers) != 1 || over.answers[0].Verdict != Refused {
+	if _, over := take("c"); len(over.answers) != 1 || over.answers[0].Status != Rejected {
 		t.Errorf("over the new cap: %+v", over.answers)
 	}
 	if n := next.Pools()[0].InFlight(); n != 2 {
 		t.Errorf("%d in flight go on, want 2", n)
 	}
-	c.AttemptEnded(w.runs[first][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("x")})
+	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("x")})
 	c.Turn(time.Hour)
-	if len(k.answers) != 1 || k.answers[0].Verdict != Served || next.Pools()[0].InFlight() != 1 {
+	if len(k.answers) != 1 || k.answers[0].Status != Served || next.Pools()[0].InFlight() != 1 {
 		t.Errorf("answers %+v, %d in flight", k.answers, next.Pools()[0].InFlight())
 	}
 	c.SetLabels([]route.Worker{{ID: 2, Name: "s-2"}})
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -16,17 +16,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, w := New(module, Limits{MaxOpen: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}}), &silentWorkers{}
+	c, w := New(module, Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}}), &silentWorkers{}
 	c.Use(w)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	refused := map[string]int{}
 	n := uint64(0)
 	for range 40 {
 		for _, tenant := range []string{"small", "large", "nobody", ""} {
 			n++
-			c.Take(time.Second, Request{ID: idOf(n), Key: idOf(7), Function: 7, LoadTime: 200 * time.Millisecond, Tenant: tenant,
-				Deadline: 3 * time.Second, Asker: verdicts(func(a Answer) {
-					if a.Verdict == Refused {
+			c.Accept(time.Second, Request{ID: idOf(n), Key: idOf(7), Function: 7, LoadTime: 200 * time.Millisecond, Tenant: tenant,
+				Deadline: 3 * time.Second, Asker: verdicts(func(a Response) {
+					if a.Status == Rejected {
 						refused[tenant]++
 					}
 				})})
@@ -38,21 +38,21 @@
 	}
 }
 
-type verdicts func(Answer)
+type verdicts func(Response)
 
-func (v verdicts) Answered(a Answer) { v(a) }
+func (v verdicts) Respond(a Response) { v(a) }
 
 // silentWorkers answers nothing.
 type silentWorkers struct{}
 
-func (silentWorkers) Run(policy.WorkerID, Attempt, *Request, time.Duration) {}
-func (silentWorkers) Stop(policy.WorkerID, Attempt)                         {}
-func (silentWorkers) Withdraw(policy.WorkerID, Attempt) bool                { return false }
-func (silentWorkers) Hold(policy.WorkerID, policy.FunctionID, int, uint64)  {}
-func (silentWorkers) Forget(policy.WorkerID, uint64)                        {}
-func (silentWorkers) Free(policy.WorkerID, policy.FunctionID)               {}
-func (silentWorkers) Probe(policy.WorkerID, uint64)                         {}
-func (silentWorkers) CloseIdle(policy.WorkerID)                             {}
+func (silentWorkers) StartAttempt(policy.WorkerID, Attempt, *Request, time.Duration) {}
+func (silentWorkers) CancelAttempt(policy.WorkerID, Attempt)                         {}
+func (silentWorkers) WithdrawUnsent(policy.WorkerID, Attempt) bool                   { return false }
+func (silentWorkers) Load(policy.WorkerID, policy.FunctionID, int, uint64)           {}
+func (silentWorkers) AbandonCommand(policy.WorkerID, uint64)                         {}
+func (silentWorkers) Unload(policy.WorkerID, policy.FunctionID)                      {}
+func (silentWorkers) CheckHealth(policy.WorkerID, uint64)                            {}
+func (silentWorkers) CloseIdle(policy.WorkerID)                                      {}
 
 func idOf(n uint64) string {
 	const digits = "0123456789abcdef"
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -12,26 +12,26 @@
 // module's, however long its client would have waited.
 func TestAnsweredCallsLeaveNoTimers(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
+	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	now := time.Hour
 	c.Turn(now)
 	standing := len(c.timers)
 	for i := range 500 {
 		k := &asker{core: c}
-		id := c.Take(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
+		id := c.Accept(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
 		c.Turn(now)
 		if i%2 == 0 {
-			c.AttemptEnded(w.runs[id][0], Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded})
+			c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
 		} else {
-			c.Leave(now, id)
+			c.CancelRequest(now, id)
 		}
 		c.Turn(now)
 		for a := range w.out {
-			c.AttemptEnded(a, Reply{Outcome: policy.Cancelled})
+			c.AttemptCompleted(a, AttemptResult{Outcome: policy.Cancelled})
 			delete(w.out, a)
 		}
 		for tag := range w.asks {
-			c.Probed(tag, policy.Served, nil)
+			c.HealthCheckCompleted(tag, policy.Served, nil)
 			delete(w.asks, tag)
 		}
 		now += ms
--- a/internal/server/hooks.go
+++ b/internal/server/hooks.go
@@ -49,7 +49,7 @@
 		}
 		if h.exporter != nil {
 			wall := time.Now()
-			h.exporter.Add(ipfix.Flow{Client: r.Client, Server: h.servers[r.Front], Start: wall.Add(r.Taken - now), End: wall,
+			h.exporter.Add(ipfix.Flow{Client: r.Client, Server: h.servers[r.Front], Start: wall.Add(r.AcceptedAt - now), End: wall,
 				Octets: uint64(len(r.Body)), Class: c.Network.Classes[r.Class].Name})
 		}
 	}
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -75,7 +75,7 @@
 	}
 	lp := eventloop.New(eventloop.Config{MaxAccepted: c.ClientConns(), MaxFiles: c.Limits.Sockets,
 		MaxQueued: c.Share(8 << 20), MaxUnread: c.Share(32 << 20)})
-	core := router.New(module, router.Limits{MaxOpen: c.MaxOpen(), MaxBytes: c.Share(24 << 20), RetryAfter: c.TurnedAway(),
+	core := router.New(module, router.Limits{MaxConcurrentRequests: c.MaxOpen(), MaxBytes: c.Share(24 << 20), RetryAfter: c.TurnedAway(),
 		MaxAttempts: c.Module.MaxAttempts, OrderTimeout: c.Module.LoadTimeout, ProbeTimeout: probeTimeout,
 		Tenants: c.TenantNames()})
 	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Module.LoadReportFields,
--- a/internal/server/staff.go
+++ b/internal/server/staff.go
@@ -140,7 +140,7 @@
 		slog.Info("worker", "name", key, "addrs", fmt.Sprint(addrs), "state", e.State, "weight", e.Weight, "started", first.Started)
 	}
 	s.pool.Retain(present)
-	s.core.SetList(l)
+	s.core.SetEndpoints(l)
 	s.core.SetLabels(labels)
 }
 
--- a/internal/server/staff_test.go
+++ b/internal/server/staff_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	p := &post{}
-	core := router.New(module, router.Limits{MaxOpen: 10, MaxBytes: 1 << 16})
+	core := router.New(module, router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16})
 	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, PerConn: 32, MaxConns: 100,
 		Dial: func(network, addr string, _ time.Duration, h eventloop.Dialled) workerclient.Line {
 			l := &testutil.Line{}
@@ -58,7 +58,7 @@
 // call sends one call to a worker and tells over what it goes.
 func (p *post) call(w policy.WorkerID, n int) (dialled string) {
 	before := len(p.dialled)
-	p.pool.Run(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Key: "00000000000000aa"}, time.Second)
+	p.pool.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Key: "00000000000000aa"}, time.Second)
 	if len(p.dialled) == before {
 		return ""
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -82,7 +82,7 @@
 	New     bool // of a function that was released anew
 	At      time.Duration
 	Left    time.Duration
-	Answers []router.Answer
+	Answers []router.Response
 	Took    time.Duration // until the last of them
 	Late    bool          // the router that took it was told to end, and was past its linger
 	Killed  bool          // the router that took it was killed and may have owed its answer
@@ -90,8 +90,8 @@
 	fleet   *Fleet
 }
 
-// Answered notes an answer.
-func (c *Call) Answered(a router.Answer) {
+// Respond notes an answer.
+func (c *Call) Respond(a router.Response) {
 	c.Answers, c.Took = append(c.Answers, a), c.fleet.now-c.At
 }
 
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	r.core = router.New(module, router.Limits{MaxOpen: 2000, MaxBytes: 1 << 20, MaxAttempts: f.cfg.Settings.MaxAttempts,
+	r.core = router.New(module, router.Limits{MaxConcurrentRequests: 2000, MaxBytes: 1 << 20, MaxAttempts: f.cfg.Settings.MaxAttempts,
 		OrderTimeout: f.cfg.Settings.LoadTimeout, ProbeTimeout: 250 * time.Millisecond, Tenants: f.cfg.Tenants})
 	r.core.Use(r)
 	r.taken, r.ordered = nil, nil
@@ -188,7 +188,7 @@
 			labels = append(labels, route.Worker{ID: id, Name: fmt.Sprint("s-", id)})
 		}
 	}
-	r.core.SetList(l)
+	r.core.SetEndpoints(l)
 	r.core.SetLabels(labels)
 }
 
@@ -303,7 +303,7 @@
 		fn, c.New = v, true
 	}
 	r.taken = append(r.taken, f.now)
-	r.core.Take(f.now, router.Request{Asker: c, ID: fmt.Sprintf("%016x", f.ids), Class: class, Tenant: tenant, Function: fn,
+	r.core.Accept(f.now, router.Request{Asker: c, ID: fmt.Sprintf("%016x", f.ids), Class: class, Tenant: tenant, Function: fn,
 		Key: fmt.Sprintf("%016x", uint64(fn)), Lanes: 4, MemoryMB: 100, LoadTime: f.cfg.Load, Deadline: f.now + left - router.AnswerMargin})
 	r.wake()
 }
@@ -366,8 +366,8 @@
 	}
 }
 
-// Run carries a call to its worker.
-func (r *Router) Run(id policy.WorkerID, a router.Attempt, q *router.Request, _ time.Duration) {
+// StartAttempt carries a call to its worker.
+func (r *Router) StartAttempt(id policy.WorkerID, a router.Attempt, q *router.Request, _ time.Duration) {
 	r.late(id)
 	w, f, fn := r.fleet.Workers[id], r.fleet, q.Function
 	f.After(time.Millisecond/2, func() {
@@ -375,16 +375,16 @@
 		stands, known := w.copies[fn]
 		switch {
 		case w.held >= 2*f.cfg.Slots:
-			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Overloaded}) })
+			r.answer(0, func() { r.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Overloaded}) })
 			return
 		case !known && f.cfg.Settings.MissWhenNotLoaded:
-			r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.NotLoaded}) })
+			r.answer(0, func() { r.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.NotLoaded}) })
 			return
 		}
 		note, wait := policy.AlreadyLoaded, time.Duration(0)
 		if !known {
 			if !w.room(f) {
-				r.answer(0, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Overloaded}) })
+				r.answer(0, func() { r.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Overloaded}) })
 				return
 			}
 			stands, note = f.now+f.cfg.Load, policy.StartedLoad
@@ -401,12 +401,14 @@
 			w.held--
 			w.busy[fn]--
 		})
-		r.answer(took, func() { r.core.AttemptEnded(a, router.Reply{Outcome: policy.Served, Note: note, Body: []byte("done")}) })
+		r.answer(took, func() {
+			r.core.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Served, LoadStatus: note, Body: []byte("done")})
+		})
 	})
 }
 
-// Hold carries an order to load.
-func (r *Router) Hold(id policy.WorkerID, fn policy.FunctionID, count int, tag uint64) {
+// Load carries an order to load.
+func (r *Router) Load(id policy.WorkerID, fn policy.FunctionID, count int, tag uint64) {
 	r.late(id)
 	w, f := r.fleet.Workers[id], r.fleet
 	if s := f.cfg.Settings; count > 0 {
@@ -423,36 +425,36 @@
 	f.After(time.Millisecond/2, func() {
 		if _, known := w.copies[fn]; !known && count > 0 {
 			if !w.room(f) {
-				r.answer(0, func() { r.core.HoldEnded(tag, policy.Overloaded, 0) })
+				r.answer(0, func() { r.core.LoadCompleted(tag, policy.Overloaded, 0) })
 				return
 			}
 			w.copies[fn] = f.now + f.cfg.Load
 			w.Loads = append(w.Loads, f.now)
 		}
-		r.answer(max(w.copies[fn]-f.now, 0), func() { r.core.HoldEnded(tag, policy.Served, 1) })
+		r.answer(max(w.copies[fn]-f.now, 0), func() { r.core.LoadCompleted(tag, policy.Served, 1) })
 	})
 }
 
-// Free unloads a copy.
-func (r *Router) Free(id policy.WorkerID, fn policy.FunctionID) {
+// Unload unloads a copy.
+func (r *Router) Unload(id policy.WorkerID, fn policy.FunctionID) {
 	if w := r.fleet.Workers[id]; w.copies[fn] <= r.fleet.now {
 		delete(w.copies, fn)
 	}
 }
 
-// Probe asks whether a worker answers.
-func (r *Router) Probe(_ policy.WorkerID, tag uint64) {
-	r.answer(time.Millisecond/2, func() { r.core.Probed(tag, policy.Served, nil) })
+// CheckHealth asks whether a worker answers.
+func (r *Router) CheckHealth(_ policy.WorkerID, tag uint64) {
+	r.answer(time.Millisecond/2, func() { r.core.HealthCheckCompleted(tag, policy.Served, nil) })
 }
 
-// Stop gives an attempt up; the worker goes on with it.
-func (r *Router) Stop(policy.WorkerID, router.Attempt) {}
+// CancelAttempt gives an attempt up; the worker goes on with it.
+func (r *Router) CancelAttempt(policy.WorkerID, router.Attempt) {}
 
-// Withdraw has nothing to take back: whatever is sent leaves at once.
-func (r *Router) Withdraw(policy.WorkerID, router.Attempt) bool { return false }
+// WithdrawUnsent has nothing to take back: whatever is sent leaves at once.
+func (r *Router) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
 
-// Forget needs nothing here.
-func (r *Router) Forget(policy.WorkerID, uint64) {}
+// AbandonCommand needs nothing here.
+func (r *Router) AbandonCommand(policy.WorkerID, uint64) {}
 
 // CloseIdle needs nothing here.
 func (r *Router) CloseIdle(policy.WorkerID) {}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -141,7 +141,7 @@
 
 func servedIn(most time.Duration) func(*Call) bool {
 	return func(c *Call) bool {
-		return len(c.Answers) == 1 && c.Answers[0].Verdict == router.Served && c.Took <= most
+		return len(c.Answers) == 1 && c.Answers[0].Status == router.Served && c.Took <= most
 	}
 }
 
@@ -187,7 +187,7 @@
 
 func (s *story) lateRefused() error {
 	got, n := share(s.fleet.Calls, func(c *Call) bool { return c.Late },
-		func(c *Call) bool { return c.Answers[0].Verdict == router.Refused && c.Took == 0 })
+		func(c *Call) bool { return c.Answers[0].Status == router.Rejected && c.Took == 0 })
 	if got != 100 && n > 0 {
 		return fmt.Errorf("%d in 100 of %d calls past the linger were refused at once", got, n)
 	}
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -47,7 +47,7 @@
 	})
 	t.Run("a second answer, a late one and none", func(t *testing.T) {
 		for _, spoil := range []func(c *Call){
-			func(c *Call) { c.Answered(router.Answer{}) },
+			func(c *Call) { c.Respond(router.Response{}) },
 			func(c *Call) { c.Took = c.Left + time.Millisecond },
 			func(c *Call) { c.Answers = nil },
 		} {
@@ -88,7 +88,7 @@
 			t.Fatal(err)
 		}
 		for _, c := range s.fleet.Calls {
-			if took += c.Took; c.Answers[0].Verdict == router.Served {
+			if took += c.Took; c.Answers[0].Status == router.Served {
 				served++
 			}
 		}
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -23,9 +23,9 @@
 
 // Core is what the front hands requests to.
 type Core interface {
-	Take(now time.Duration, r router.Request) policy.RequestID
-	TurnAway(now time.Duration, r router.Request)
-	Leave(now time.Duration, id policy.RequestID)
+	Accept(now time.Duration, r router.Request) policy.RequestID
+	RejectUnaccepted(now time.Duration, r router.Request)
+	CancelRequest(now time.Duration, id policy.RequestID)
 }
 
 // Line is a connection to a client; a loop.Conn is one.
@@ -171,7 +171,7 @@
 	delete(k.client.open, k.seq)
 	if !k.done {
 		k.done = true
-		k.client.front.core.Leave(k.client.front.clock(), k.id)
+		k.client.front.core.CancelRequest(k.client.front.clock(), k.id)
 	}
 }
 
@@ -247,12 +247,12 @@
 	k := &call{client: c, seq: m.seq}
 	req.Asker, req.Client = k, c.peer
 	if len(c.open) >= maxOpen {
-		c.front.core.TurnAway(c.front.clock(), req)
+		c.front.core.RejectUnaccepted(c.front.clock(), req)
 		return nil
 	}
 	req.Body = bytes.Clone(body) // a large read is not kept for one small body in it
 	c.open[m.seq] = k
-	if id := c.front.core.Take(c.front.clock(), req); !k.done {
+	if id := c.front.core.Accept(c.front.clock(), req); !k.done {
 		k.id = id
 	}
 	return nil
@@ -273,7 +273,7 @@
 		return r, "key"
 	}
 	r.Function = policy.FunctionID(key)
-	if r.Once = string(fields["once"]); r.Once == "" && f.cfg.Classes[class].Keyed || r.Once != "" && !router.ParseOnce(r.Once) {
+	if r.IdempotencyKey = string(fields["once"]); r.IdempotencyKey == "" && f.cfg.Classes[class].Keyed || r.IdempotencyKey != "" && !router.ParseOnce(r.IdempotencyKey) {
 		// Without a key no worker can drop a repeat, and a call is not passed on otherwise than it came.
 		return r, "once"
 	}
@@ -308,18 +308,18 @@
 	return r, ""
 }
 
-// Answered writes the final answer. A client that has left is owed none.
-func (k *call) Answered(a router.Answer) {
+// Respond writes the final answer. A client that has left is owed none.
+func (k *call) Respond(a router.Response) {
 	if k.done {
 		return
 	}
 	k.done = true
 	delete(k.client.open, k.seq)
-	switch a.Verdict {
+	switch a.Status {
 	case router.Served:
 		head := answer("execute", k.seq, len(a.Body), true)
 		k.client.line.Write(head[0], a.Body, head[1])
-	case router.Refused:
+	case router.Rejected:
 		ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		k.client.line.Write(refused(k.seq, strconv.FormatInt(int64(ms), 10)))
 	default:
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -47,11 +47,11 @@
 	withProps := minimal
 	withProps.MemoryMB, withProps.Lanes, withProps.LoadTime = 512, 2, 640*time.Millisecond
 	withOnce := minimal
-	withOnce.Class, withOnce.Once = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	withOnce.Class, withOnce.IdempotencyKey = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	withTenant := minimal
 	withTenant.Tenant = "west"
 	complete := withProps
-	complete.Class, complete.Once, complete.Tenant = 2, withOnce.Once, "east"
+	complete.Class, complete.IdempotencyKey, complete.Tenant = 2, withOnce.IdempotencyKey, "east"
 	fractions := minimal
 	fractions.Class, fractions.Deadline = 0, time.Hour+210500*time.Microsecond
 	fractions.MemoryMB, fractions.Lanes, fractions.LoadTime = 0.5, 0.25, 1500*time.Microsecond
@@ -113,24 +113,24 @@
 	var replies []golden.Message
 	for _, test := range []struct {
 		label  string
-		answer router.Answer
+		answer router.Response
 	}{
-		{"served", router.Answer{Verdict: router.Served, Body: []byte("result")}},
-		{"served with an empty body", router.Answer{Verdict: router.Served}},
-		{"served with a binary body", router.Answer{Verdict: router.Served, Body: []byte("\x00\r\n\xff\x80")}},
-		{"refused without a time to retry after", router.Answer{Verdict: router.Refused}},
-		{"refused with a time to retry after", router.Answer{Verdict: router.Refused, RetryAfter: 1500 * time.Millisecond}},
-		{"refused with a fraction of a millisecond", router.Answer{Verdict: router.Refused, RetryAfter: 2*time.Millisecond + 1}},
-		{"failed", router.Answer{Verdict: router.Failed}},
-		{"failed and may have run", router.Answer{Verdict: router.Failed, MayHaveRun: true}},
-		{"failed when the time was over", router.Answer{Verdict: router.Failed, Overdue: true}},
+		{"served", router.Response{Status: router.Served, Body: []byte("result")}},
+		{"served with an empty body", router.Response{Status: router.Served}},
+		{"served with a binary body", router.Response{Status: router.Served, Body: []byte("\x00\r\n\xff\x80")}},
+		{"refused without a time to retry after", router.Response{Status: router.Rejected}},
+		{"refused with a time to retry after", router.Response{Status: router.Rejected, RetryAfter: 1500 * time.Millisecond}},
+		{"refused with a fraction of a millisecond", router.Response{Status: router.Rejected, RetryAfter: 2*time.Millisecond + 1}},
+		{"failed", router.Response{Status: router.Failed}},
+		{"failed and may have run", router.Response{Status: router.Failed, MayHaveRun: true}},
+		{"failed when the time was over", router.Response{Status: router.Failed, DeadlineExceeded: true}},
 	} {
 		c, k, l := newGoldenClient()
 		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
 		if len(k.taken) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(k.taken))
 		}
-		k.taken[0].Asker.Answered(test.answer)
+		k.taken[0].Asker.Respond(test.answer)
 		replies = append(replies, golden.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
 	}
 	c, _, l := newGoldenClient()
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -22,15 +22,15 @@
 	away  int
 }
 
-func (c *core) Take(_ time.Duration, r router.Request) policy.RequestID {
+func (c *core) Accept(_ time.Duration, r router.Request) policy.RequestID {
 	c.taken = append(c.taken, r)
 	return policy.RequestID(len(c.taken))
 }
-func (c *core) TurnAway(_ time.Duration, r router.Request) {
+func (c *core) RejectUnaccepted(_ time.Duration, r router.Request) {
 	c.away++
-	r.Asker.Answered(router.Answer{Verdict: router.Refused})
+	r.Asker.Respond(router.Response{Status: router.Rejected})
 }
-func (c *core) Leave(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
+func (c *core) CancelRequest(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
 
 func newClient() (*client, *core, *testutil.Line) {
 	c, l := &core{}, &testutil.Line{}
@@ -111,12 +111,12 @@
 				if !ok {
 					return
 				}
-				a := router.Answer{Verdict: router.Verdict(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
-				k.taken[open[s]].Asker.Answered(a)
-				k.taken[open[s]].Asker.Answered(a) // a second one goes nowhere
+				a := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
+				k.taken[open[s]].Asker.Respond(a)
+				k.taken[open[s]].Asker.Respond(a) // a second one goes nowhere
 				delete(open, s)
-				if got, field := outcome(t, l); got != s || field != uint16(a.Verdict) {
-					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Verdict, s)
+				if got, field := outcome(t, l); got != s || field != uint16(a.Status) {
+					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Status, s)
 				}
 			},
 			"interrupt": func(t *rapid.T) {
@@ -130,7 +130,7 @@
 				if len(k.left) == 0 || int(k.left[len(k.left)-1]) != open[s]+1 {
 					t.Fatalf("left %v", k.left)
 				}
-				k.taken[open[s]].Asker.Answered(router.Answer{})
+				k.taken[open[s]].Asker.Respond(router.Response{})
 				delete(open, s)
 			},
 			"bad": func(t *rapid.T) { // wrong fields are answered, with a failure
@@ -211,7 +211,7 @@
 			c, k, l := newClient()
 			c.Data(execute(2, "", good...))
 			if answered {
-				k.taken[0].Asker.Answered(router.Answer{})
+				k.taken[0].Asker.Respond(router.Response{})
 			}
 			c.Data(execute(again, "", good...))
 			c.Data(execute(5, "", good...))
@@ -237,7 +237,7 @@
 			t.Fatalf("answer to %d has field %d", seq, field)
 		}
 	}
-	k.taken[0].Asker.Answered(router.Answer{})
+	k.taken[0].Asker.Respond(router.Response{})
 	if c.Data(execute(201, "", good...)); len(k.taken) != maxOpen+1 {
 		t.Error("no room after an answer")
 	}
@@ -311,7 +311,7 @@
 			t.Errorf("%+v: not taken, answered %q", tt, l.Wrote.String())
 			continue
 		}
-		if r := k.taken[0]; r.Once != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
+		if r := k.taken[0]; r.IdempotencyKey != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
 			t.Errorf("%+v: taken as %+v", tt, r)
 		}
 	}
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -50,15 +50,15 @@
 func describeCall(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
-		r.Class, r.ID, r.Key, uint64(r.Function), r.Tenant, r.Once,
+		r.Class, r.ID, r.Key, uint64(r.Function), r.Tenant, r.IdempotencyKey,
 		r.Ref, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
 }
 
 // exchange is what a client sends on one connection, and what becomes of the calls in it.
 type exchange struct {
 	name     string
-	sent     [][]byte        // each part is sent when the one before has been handled
-	answers  []router.Answer // to the calls that reach the router, in turn
+	sent     [][]byte          // each part is sent when the one before has been handled
+	answers  []router.Response // to the calls that reach the router, in turn
 	noLedger bool
 	prepare  func(*Receiver)
 }
@@ -90,7 +90,7 @@
 				continue
 			}
 			transcript += describeCall(calls.taken[answered])
-			calls.taken[answered].Asker.Answered(x.answers[answered])
+			calls.taken[answered].Asker.Respond(x.answers[answered])
 			answered++
 		}
 		transcript += golden.Quote("response", line.Wrote.Bytes())
@@ -115,19 +115,19 @@
 	good := deliver("dim-level")
 	head, body, _ := bytes.Cut(replaced(good, "Host:", "Expect: 100-continue\r\nHost:"), []byte("\r\n\r\n"))
 	head = append(bytes.Clone(head), "\r\n\r\n"...)
-	served := router.Answer{Verdict: router.Served, Body: []byte("done \x00\xff\r\n")}
+	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
 	one := func(b []byte) [][]byte { return [][]byte{b} }
-	answer := func(a router.Answer) []router.Answer { return []router.Answer{a} }
+	answer := func(a router.Response) []router.Response { return []router.Response{a} }
 	return []exchange{
 		{name: "200-served", sent: one(good), answers: answer(served)},
-		{name: "200-empty-body", sent: one(good), answers: answer(router.Answer{Verdict: router.Served})},
+		{name: "200-empty-body", sent: one(good), answers: answer(router.Response{Status: router.Served})},
 		{name: "200-order", sent: one(deliver("repair-order")), answers: answer(served)},
 		{name: "200-keyed-order-with-all-fields", sent: one(signed(fullPayload)), answers: answer(served)},
 		{name: "200-connection-close", sent: one(replaced(good, "Host:", "Connection: close\r\nHost:")), answers: answer(served)},
 		{name: "200-after-100-continue", sent: [][]byte{head, body}, answers: answer(served)},
 		{name: "200-replayed", sent: [][]byte{good, deliveryOf(secret, "msg_1", noon.Add(time.Minute), call1)}, answers: answer(served)},
 		{name: "200-pipelined", sent: one(append(bytes.Clone(good), deliveryOf(secret, "msg_2", noon, call1)...)),
-			answers: []router.Answer{served, served}},
+			answers: []router.Response{served, served}},
 
 		{name: "400-unknown-class", sent: one(deliver("lift"))},
 		{name: "400-no-json", sent: one(signed("{"))},
@@ -146,21 +146,21 @@
 		{name: "431-many-headers", sent: one(replaced(good, "Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: "))},
 		{name: "431-long-head", sent: one(replaced(good, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHead/256)+"Host: "))},
 
-		{name: "502-failed", sent: one(good), answers: answer(router.Answer{Verdict: router.Failed})},
+		{name: "502-failed", sent: one(good), answers: answer(router.Response{Status: router.Failed})},
 		{name: "502-refused-but-may-have-run", sent: one(deliver("repair-order")),
-			answers: answer(router.Answer{Verdict: router.Refused, MayHaveRun: true})},
+			answers: answer(router.Response{Status: router.Rejected, MayHaveRun: true})},
 
-		{name: "503-refused-without-advice", sent: one(good), answers: answer(router.Answer{Verdict: router.Refused})},
+		{name: "503-refused-without-advice", sent: one(good), answers: answer(router.Response{Status: router.Rejected})},
 		{name: "503-refused-with-advice", sent: one(good),
-			answers: answer(router.Answer{Verdict: router.Refused, RetryAfter: 2500 * time.Millisecond})},
+			answers: answer(router.Response{Status: router.Rejected, RetryAfter: 2500 * time.Millisecond})},
 		{name: "503-order-refused-then-served", sent: [][]byte{deliver("repair-order"), deliver("repair-order")},
-			answers: []router.Answer{{Verdict: router.Refused}, served}},
+			answers: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
 		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.max = 1 }},
 		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.most = -1 }},
 
-		{name: "504-overdue-before-it-ran", sent: one(good), answers: answer(router.Answer{Verdict: router.Refused, Overdue: true})},
-		{name: "504-overdue", sent: one(good), answers: answer(router.Answer{Verdict: router.Failed, Overdue: true})},
+		{name: "504-overdue-before-it-ran", sent: one(good), answers: answer(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
+		{name: "504-overdue", sent: one(good), answers: answer(router.Response{Status: router.Failed, DeadlineExceeded: true})},
 	}
 }
 
@@ -247,7 +247,7 @@
 // ledgerOrder is an order that is delivered once for each of its answers, or once and never answered.
 type ledgerOrder struct {
 	id, class, timestamp string
-	answers              []router.Answer
+	answers              []router.Response
 }
 
 // delivery returns the order's bytes, signed at a time.
@@ -268,23 +268,23 @@
 // again at noon, with a retention of 72 hours.
 func ledgerOrders() []ledgerOrder {
 	const recent = "2026-12-01T10:00:00Z"
-	served := router.Answer{Verdict: router.Served, Body: []byte("done \x00\xff\r\n")}
-	refused := router.Answer{Verdict: router.Refused}
+	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
+	refused := router.Response{Status: router.Rejected}
 	return []ledgerOrder{
 		{"under-way", "repair-order", recent, nil},
-		{"served", "repair-order", recent, []router.Answer{served}},
-		{"served-empty", "repair-order", recent, []router.Answer{{Verdict: router.Served}}},
-		{"served-keyed", "extend", recent, []router.Answer{served}},
-		{"served-zoned", "repair-order", "2026-12-01T11:00:00.25+01:00", []router.Answer{served}},
-		{"served-<&>", "repair-order", recent, []router.Answer{served}},
-		{"failed", "repair-order", recent, []router.Answer{{Verdict: router.Failed}}},
-		{"failed-overdue", "repair-order", recent, []router.Answer{{Verdict: router.Failed, Overdue: true}}},
-		{"refused-may-have-run", "repair-order", recent, []router.Answer{{Verdict: router.Refused, MayHaveRun: true}}},
-		{"refused", "repair-order", recent, []router.Answer{refused}},
-		{"refused-overdue", "repair-order", recent, []router.Answer{{Verdict: router.Refused, Overdue: true}}},
-		{"refused-then-served", "repair-order", recent, []router.Answer{refused, served}},
-		{"at-retention", "repair-order", "2026-11-28T12:00:00Z", []router.Answer{served}},
-		{"expired", "repair-order", "2026-11-28T11:00:00Z", []router.Answer{served}},
+		{"served", "repair-order", recent, []router.Response{served}},
+		{"served-empty", "repair-order", recent, []router.Response{{Status: router.Served}}},
+		{"served-keyed", "extend", recent, []router.Response{served}},
+		{"served-zoned", "repair-order", "2026-12-01T11:00:00.25+01:00", []router.Response{served}},
+		{"served-<&>", "repair-order", recent, []router.Response{served}},
+		{"failed", "repair-order", recent, []router.Response{{Status: router.Failed}}},
+		{"failed-overdue", "repair-order", recent, []router.Response{{Status: router.Failed, DeadlineExceeded: true}}},
+		{"refused-may-have-run", "repair-order", recent, []router.Response{{Status: router.Rejected, MayHaveRun: true}}},
+		{"refused", "repair-order", recent, []router.Response{refused}},
+		{"refused-overdue", "repair-order", recent, []router.Response{{Status: router.Rejected, DeadlineExceeded: true}}},
+		{"refused-then-served", "repair-order", recent, []router.Response{refused, served}},
+		{"at-retention", "repair-order", "2026-11-28T12:00:00Z", []router.Response{served}},
+		{"expired", "repair-order", "2026-11-28T11:00:00Z", []router.Response{served}},
 		{"torn", "repair-order", recent, nil},
 	}
 }
@@ -301,7 +301,7 @@
 			receiver.serve(&testutil.Line{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.answers) > 0 {
-				calls.taken[len(calls.taken)-1].Asker.Answered(o.answers[round])
+				calls.taken[len(calls.taken)-1].Asker.Respond(o.answers[round])
 			}
 		}
 	}
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -28,7 +28,7 @@
 
 // Core is what the receiver hands calls to.
 type Core interface {
-	Take(now time.Duration, r router.Request) policy.RequestID
+	Accept(now time.Duration, r router.Request) policy.RequestID
 }
 
 // Line is a connection to a peer; a loop.Conn is one.
@@ -291,7 +291,7 @@
 	k := v.list[req.Class]
 	if k.Keyed {
 		name := sha256.Sum256([]byte(id))
-		req.Once = hex.EncodeToString(name[:16])
+		req.IdempotencyKey = hex.EncodeToString(name[:16])
 	}
 	if k.Once {
 		o.order = true
@@ -395,7 +395,7 @@
 
 func (v *Receiver) start(id string, o *outcome, req router.Request) {
 	req.Asker = &asker{v, id, o}
-	v.core.Take(v.clock(), req)
+	v.core.Accept(v.clock(), req)
 }
 
 type asker struct {
@@ -404,15 +404,15 @@
 	o     *outcome
 }
 
-// Answered settles the outcome and answers all that wait for it.
-func (k *asker) Answered(a router.Answer) {
+// Respond settles the outcome and answers all that wait for it.
+func (k *asker) Respond(a router.Response) {
 	v, o := k.front, k.o
-	if a.Verdict == router.Refused && !a.MayHaveRun { // proven unrun: the id may come again
+	if a.Status == router.Rejected && !a.MayHaveRun { // proven unrun: the id may come again
 		delete(v.outcomes, k.id)
 		if o.order {
 			v.ledger.settle(entry{ID: k.id, At: o.at, Sum: o.sum, State: freed})
 		}
-		if a.Overdue {
+		if a.DeadlineExceeded {
 			o.answer(504, nil, 0)
 		} else {
 			o.answer(503, nil, a.RetryAfter)
@@ -421,9 +421,9 @@
 	}
 	o.settled, o.since = true, v.clock()
 	switch {
-	case a.Verdict == router.Served:
+	case a.Status == router.Served:
 		o.status, o.body = 200, a.Body
-	case a.Overdue:
+	case a.DeadlineExceeded:
 		o.status = 504
 	default:
 		// Also a refusal of what may have run: coming again with this id brings nothing else.
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -41,7 +41,7 @@
 // core is a stand-in that keeps what it is handed.
 type core struct{ taken []router.Request }
 
-func (c *core) Take(_ time.Duration, r router.Request) policy.RequestID {
+func (c *core) Accept(_ time.Duration, r router.Request) policy.RequestID {
 	c.taken = append(c.taken, r)
 	return policy.RequestID(len(c.taken))
 }
@@ -206,20 +206,20 @@
 				if !c.Busy() || string(k.taken[len(k.taken)-1].Body) != id {
 					t.Fatal("the call did not reach the core")
 				}
-				a := router.Answer{Verdict: router.Verdict(rapid.IntRange(0, 2).Draw(t, "verdict")),
-					MayHaveRun: rapid.Bool().Draw(t, "ran"), Overdue: rapid.Bool().Draw(t, "overdue")}
-				status := map[router.Verdict]int{router.Served: 200, router.Refused: 502, router.Failed: 502}[a.Verdict]
-				if unrun := a.Verdict == router.Refused && !a.MayHaveRun; unrun {
+				a := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")),
+					MayHaveRun: rapid.Bool().Draw(t, "ran"), DeadlineExceeded: rapid.Bool().Draw(t, "overdue")}
+				status := map[router.ResponseStatus]int{router.Served: 200, router.Rejected: 502, router.Failed: 502}[a.Status]
+				if unrun := a.Status == router.Rejected && !a.MayHaveRun; unrun {
 					status = 503
 				}
-				if a.Overdue && a.Verdict != router.Served {
+				if a.DeadlineExceeded && a.Status != router.Served {
 					status = 504
 				}
-				if a.Verdict != router.Refused || a.MayHaveRun {
+				if a.Status != router.Rejected || a.MayHaveRun {
 					settled[id] = status
 				}
 				want = append(want, status)
-				k.taken[len(k.taken)-1].Asker.Answered(a)
+				k.taken[len(k.taken)-1].Asker.Respond(a)
 			},
 			"": func(t *rapid.T) {
 				if got := statuses(t, l); fmt.Sprint(got) != fmt.Sprint(want) || c.Busy() || l.HasClosed {
@@ -360,7 +360,7 @@
 	if len(k.taken) != 1 || k.taken[0].Ref != "m" {
 		t.Fatalf("the core has %+v", k.taken)
 	}
-	k.taken[0].Asker.Answered(router.Answer{Verdict: router.Served, Body: []byte("done")})
+	k.taken[0].Asker.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 	for i, want := range []string{"[]", "[200]", "[200]"} {
 		if got := statuses(t, lines[i]); fmt.Sprint(got) != want {
 			t.Errorf("client %d has answers %v, want %s", i, got, want)
@@ -381,7 +381,7 @@
 	sends *Sender
 }
 
-func (p *plant) Run(_ policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
+func (p *plant) StartAttempt(_ policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
 	body := string(r.Body)
 	p.mu.Lock()
 	p.runs[body]++
@@ -390,17 +390,19 @@
 	if strings.HasSuffix(body, "7") {
 		o = policy.ConnectionReset // it may have run
 	}
-	p.core.AttemptEnded(a, router.Reply{Outcome: o, Note: policy.AlreadyLoaded, Body: []byte("done " + body)})
+	p.core.AttemptCompleted(a, router.AttemptResult{Outcome: o, LoadStatus: policy.AlreadyLoaded, Body: []byte("done " + body)})
 }
-func (p *plant) Stop(policy.WorkerID, router.Attempt)          {}
-func (p *plant) Withdraw(policy.WorkerID, router.Attempt) bool { return false }
-func (p *plant) Hold(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
-	p.core.HoldEnded(tag, policy.Served, 1)
+func (p *plant) CancelAttempt(policy.WorkerID, router.Attempt)       {}
+func (p *plant) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
+func (p *plant) Load(_ policy.WorkerID, _ policy.FunctionID, _ int, tag uint64) {
+	p.core.LoadCompleted(tag, policy.Served, 1)
 }
-func (p *plant) Probe(_ policy.WorkerID, tag uint64)     { p.core.Probed(tag, policy.Served, nil) }
-func (p *plant) Forget(policy.WorkerID, uint64)          {}
-func (p *plant) Free(policy.WorkerID, policy.FunctionID) {}
-func (p *plant) CloseIdle(policy.WorkerID)               {}
+func (p *plant) CheckHealth(_ policy.WorkerID, tag uint64) {
+	p.core.HealthCheckCompleted(tag, policy.Served, nil)
+}
+func (p *plant) AbandonCommand(policy.WorkerID, uint64)    {}
+func (p *plant) Unload(policy.WorkerID, policy.FunctionID) {}
+func (p *plant) CloseIdle(policy.WorkerID)                 {}
 
 func startPlant(t *testing.T, ledger, notices string, runs map[string]int) *plant {
 	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
@@ -411,9 +413,9 @@
 		t.Fatal(err)
 	}
 	p := &plant{lp: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
-	p.core = router.New(module, router.Limits{MaxOpen: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
+	p.core = router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
 	p.core.Use(p)
-	p.core.SetList(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
+	p.core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	if p.front, err = NewReceiver(testConfig(ledger), p.core, classes, 16<<20, p.lp.Now, wall, p.lp.Post); err != nil {
 		t.Fatal(err)
 	}
@@ -694,7 +696,7 @@
 				if keys[name] == nil {
 					keys[name] = map[string]bool{}
 				}
-				keys[name][k.taken[len(k.taken)-1].Once] = true
+				keys[name][k.taken[len(k.taken)-1].IdempotencyKey] = true
 			}
 		}
 	}
--- a/internal/workerclient/fields_test.go
+++ b/internal/workerclient/fields_test.go
@@ -15,8 +15,8 @@
 	for _, once := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
 		p, _, lines := newPool()
 		r := request("0123456789abcdef")
-		r.Once = once
-		p.Run(1, router.Attempt{Request: 1}, r, time.Second)
+		r.IdempotencyKey = once
+		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
 		(*lines)[0].h.Opened(nil)
 		got := (*lines)[0].Wrote.String()
 		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
@@ -35,11 +35,11 @@
 		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
 			p, s, lines := newPool()
 			a := router.Attempt{Request: 1}
-			p.Run(1, a, request("0123456789abcdef"), time.Second)
+			p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 			l := (*lines)[0]
 			l.h.Opened(nil)
 			l.h.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
-			if len(s.ended[a]) != 1 || s.ended[a][0] != o || s.reply[a].Crowd != want || l.HasClosed {
+			if len(s.ended[a]) != 1 || s.ended[a][0] != o || s.reply[a].Concurrency != want || l.HasClosed {
 				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.ended[a], s.reply[a], l.HasClosed)
 			}
 		}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -33,21 +33,21 @@
 // recorder keeps all that answers decode to.
 type recorder struct {
 	attempts []router.Attempt
-	replies  []router.Reply
+	replies  []router.AttemptResult
 	holds    []holdAnswer
 	probes   []probeAnswer
 }
 
-func (r *recorder) AttemptEnded(a router.Attempt, reply router.Reply) {
+func (r *recorder) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
 	r.attempts = append(r.attempts, a)
 	r.replies = append(r.replies, reply)
 }
 
-func (r *recorder) HoldEnded(tag uint64, outcome policy.Outcome, count int) {
+func (r *recorder) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
 	r.holds = append(r.holds, holdAnswer{tag, outcome, count})
 }
 
-func (r *recorder) Probed(tag uint64, outcome policy.Outcome, report []float64) {
+func (r *recorder) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
 	r.probes = append(r.probes, probeAnswer{tag, outcome, report})
 }
 
@@ -64,7 +64,7 @@
 // All that is written to a worker.
 func TestGoldenMessagesToWorkers(t *testing.T) {
 	p, _, lines := newGoldenPool()
-	p.Probe(1, 1)
+	p.CheckHealth(1, 1)
 	connection := (*lines)[0]
 	connection.h.Opened(nil)
 	var messages []golden.Message
@@ -74,12 +74,12 @@
 		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Wrote.Bytes())})
 	}
 	call := func(number int, r *router.Request, budget time.Duration) func() {
-		return func() { p.Run(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
+		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
 	sent("RUN", call(1, request("0000000000000001"), 1234900*time.Microsecond))
 	withOnce := request("0000000000000002")
-	withOnce.Once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	sent("RUN with uniq", call(2, withOnce, time.Second))
 	sent("RUN with less than a millisecond left", call(3, request("0000000000000003"), time.Microsecond))
 	sent("RUN with no time left", call(4, request("0000000000000004"), -time.Second))
@@ -89,11 +89,11 @@
 	binaryBody := request("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
 	sent("RUN with a binary body", call(6, binaryBody, time.Second))
-	sent("STOP", func() { p.Stop(1, router.Attempt{Request: 1}) })
-	sent("HOLD with a count", func() { p.Hold(1, 0x7f3a9c21e0b4d655, 12, 9) })
-	sent("HOLD with count 0", func() { p.Hold(1, 5, 0, 18446744073709551615) })
-	sent("FREE", func() { p.Free(1, 0xaa) })
-	sent("INFO", func() { p.Probe(1, 7) })
+	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
+	sent("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
+	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
+	sent("FREE", func() { p.Unload(1, 0xaa) })
+	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Sweep(time.Second) })
 	if len(*lines) != 1 || connection.HasClosed {
 		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
@@ -107,7 +107,7 @@
 // probeAfterReset returns what is written over the second connection of a probe whose first one broke.
 func probeAfterReset() []byte {
 	p, _, lines := newGoldenPool()
-	p.Probe(1, 7)
+	p.CheckHealth(1, 7)
 	(*lines)[0].h.Opened(nil)
 	(*lines)[0].h.Closed(errors.New("reset"))
 	(*lines)[1].h.Opened(nil)
@@ -118,7 +118,7 @@
 func openedTrial(t *testing.T) *line {
 	t.Helper()
 	p, _, lines, _ := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(errors.New("refused"))
 	(*lines)[1].h.Opened(nil)
 	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += SweepEvery {
@@ -136,35 +136,35 @@
 	result := []byte("result")
 	for _, test := range []struct {
 		label string
-		want  router.Reply
+		want  router.AttemptResult
 	}{
-		{"HIT with every field", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Crowd: 3, Body: result, Report: []float64{7, 0.25}}},
-		{"HIT without fields", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with an empty body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte{}}},
-		{"HIT with a binary body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded, Body: []byte("\x00\r\n$3\r\n\xff")}},
-		{"HIT without a body", router.Reply{Outcome: policy.Served, Note: policy.AlreadyLoaded}},
-		{"HIT of two words", router.Reply{Outcome: policy.Served}},
-		{"HIT after a load began", router.Reply{Outcome: policy.Served, Note: policy.StartedLoad, Body: result}},
-		{"HIT after waiting for a load", router.Reply{Outcome: policy.Served, Note: policy.WaitedForLoad, Body: result}},
-		{"HIT with an unknown detail", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with a use report in another order", router.Reply{Outcome: policy.Served, Body: result, Report: []float64{2, 0.5}}},
-		{"HIT with a use report that lacks a field", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with a malformed use report", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with a crowd that is no number", router.Reply{Outcome: policy.Served, Body: result}},
-		{"HIT with the largest crowd", router.Reply{Outcome: policy.Served, Crowd: 1 << 20, Body: result}},
-		{"HIT with a crowd over the limit", router.Reply{Outcome: policy.Served, Body: result}},
-		{"NONE", router.Reply{Outcome: policy.NotLoaded, Body: []byte{}, Report: []float64{1, 1}}},
-		{"SHED", router.Reply{Outcome: policy.Overloaded, Crowd: 12, Body: []byte{}, Report: []float64{9, 0.75}}},
-		{"LATE", router.Reply{Outcome: policy.NotSent, Body: []byte{}}},
-		{"FAULT", router.Reply{Outcome: policy.Failed, Note: policy.LoadFailed, Body: []byte("reason")}},
+		{"HIT with every field", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Concurrency: 3, Body: result, LoadReport: []float64{7, 0.25}}},
+		{"HIT without fields", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"HIT with an empty body", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte{}}},
+		{"HIT with a binary body", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("\x00\r\n$3\r\n\xff")}},
+		{"HIT without a body", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded}},
+		{"HIT of two words", router.AttemptResult{Outcome: policy.Served}},
+		{"HIT after a load began", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.StartedLoad, Body: result}},
+		{"HIT after waiting for a load", router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.WaitedForLoad, Body: result}},
+		{"HIT with an unknown detail", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"HIT with a use report in another order", router.AttemptResult{Outcome: policy.Served, Body: result, LoadReport: []float64{2, 0.5}}},
+		{"HIT with a use report that lacks a field", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"HIT with a malformed use report", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"HIT with a crowd that is no number", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"HIT with the largest crowd", router.AttemptResult{Outcome: policy.Served, Concurrency: 1 << 20, Body: result}},
+		{"HIT with a crowd over the limit", router.AttemptResult{Outcome: policy.Served, Body: result}},
+		{"NONE", router.AttemptResult{Outcome: policy.NotLoaded, Body: []byte{}, LoadReport: []float64{1, 1}}},
+		{"SHED", router.AttemptResult{Outcome: policy.Overloaded, Concurrency: 12, Body: []byte{}, LoadReport: []float64{9, 0.75}}},
+		{"LATE", router.AttemptResult{Outcome: policy.NotSent, Body: []byte{}}},
+		{"FAULT", router.AttemptResult{Outcome: policy.Failed, LoadStatus: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
 			p, record, lines := newGoldenPool()
-			p.Run(1, attempt, request(anID), time.Second)
+			p.StartAttempt(1, attempt, request(anID), time.Second)
 			connection := (*lines)[0]
 			connection.h.Opened(nil)
 			connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.Reply{test.want}}
+			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.HasClosed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
 			}
@@ -186,7 +186,7 @@
 		{"HOLD answered by LATE", holdAnswer{9, policy.NotSent, 0}},
 	} {
 		p, record, lines := newGoldenPool()
-		p.Hold(1, 5, 2, 9)
+		p.Load(1, 5, 2, 9)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
@@ -209,7 +209,7 @@
 		{"INFO answered by SICK without a report", probeAnswer{7, policy.Failed, nil}},
 	} {
 		p, record, lines := newGoldenPool()
-		p.Probe(1, 7)
+		p.CheckHealth(1, 7)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
@@ -223,7 +223,7 @@
 func TestGoldenAnswersToNoops(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
 		p, record, lines := newGoldenPool()
-		p.Run(1, attempt, request(anID), time.Second)
+		p.StartAttempt(1, attempt, request(anID), time.Second)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
 		p.Sweep(time.Second)
@@ -269,7 +269,7 @@
 		{"length over the limit", true},
 	} {
 		p, record, lines := newGoldenPool()
-		p.Run(1, attempt, request(anID), time.Second)
+		p.StartAttempt(1, attempt, request(anID), time.Second)
 		connection := (*lines)[0]
 		connection.h.Opened(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -98,7 +98,7 @@
 	left     bool
 }
 
-func (a *answers) Answered(router.Answer) {
+func (a *answers) Respond(router.Response) {
 	a.n++
 	if a.left {
 		a.after++
@@ -108,18 +108,18 @@
 // log tells the core's events, and what the model asks of it, apart.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
-// AttemptEnded, HoldEnded and Probed hand on to the core.
-func (m *model) AttemptEnded(a router.Attempt, r router.Reply) {
+// AttemptCompleted, HoldEnded and Probed hand on to the core.
+func (m *model) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
-	m.core.AttemptEnded(a, r)
+	m.core.AttemptCompleted(a, r)
 }
-func (m *model) HoldEnded(tag uint64, o policy.Outcome, count int) {
+func (m *model) LoadCompleted(tag uint64, o policy.Outcome, count int) {
 	m.log("h%d=%d", tag, o)
-	m.core.HoldEnded(tag, o, count)
+	m.core.LoadCompleted(tag, o, count)
 }
-func (m *model) Probed(tag uint64, o policy.Outcome, report []float64) {
+func (m *model) HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64) {
 	m.log("p%d=%d", tag, o)
-	m.core.Probed(tag, o, report)
+	m.core.HealthCheckCompleted(tag, o, report)
 }
 
 func newModel(s scope) *model {
@@ -131,7 +131,7 @@
 	if err != nil {
 		panic(err)
 	}
-	m.core = router.New(p, router.Limits{MaxOpen: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
+	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
 	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, PerConn: 32, MaxConns: 100,
 		Dial: func(_, addr string, _ time.Duration, h eventloop.Dialled) Line {
 			l := &wire{m: m, addr: addr, worker: int(addr[0] - '0'), h: h, state: "dialling"}
@@ -161,7 +161,7 @@
 		m.pool.Set(policy.WorkerID(w+1), addrs, state)
 		l.Workers = append(l.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: state, Weight: 1})
 	}
-	m.core.SetList(l)
+	m.core.SetEndpoints(l)
 }
 
 func (m *model) turn() { m.core.Turn(m.now) }
@@ -224,7 +224,7 @@
 			m.asked = append(m.asked, k)
 			id := fmt.Sprintf("%016x", n+1)
 			m.log("take%d", n)
-			m.ids[id] = m.core.Take(m.now, router.Request{Asker: k, ID: id, Key: "00000000000000aa", Function: 0xaa, Lanes: 1,
+			m.ids[id] = m.core.Accept(m.now, router.Request{Asker: k, ID: id, Key: "00000000000000aa", Function: 0xaa, Lanes: 1,
 				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
 		}, "call %d comes", m.taken)
 	}
@@ -292,7 +292,7 @@
 					m.interrupts--
 					k.left = true
 					m.log("leave%d", n)
-					m.core.Leave(m.now, m.ids[fmt.Sprintf("%016x", n+1)])
+					m.core.CancelRequest(m.now, m.ids[fmt.Sprintf("%016x", n+1)])
 				}, "the client of %d leaves", n)
 			}
 		}
--- a/internal/workerclient/paths_test.go
+++ b/internal/workerclient/paths_test.go
@@ -35,7 +35,7 @@
 // A refused dial goes on to the next address at once; a call behind it never left, and is written once.
 func TestRefusedDialFallsBack(t *testing.T) {
 	p, s, lines, dialled := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(errors.New("connection refused"))
 	if !slices.Equal(*dialled, []string{"/run/w.sock", "127.0.0.1:1"}) || len(s.ended) != 0 {
 		t.Fatalf("dialled %v, ended %v", *dialled, s.ended)
@@ -44,7 +44,7 @@
 	if on := ran(*lines, anID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
-	p.Run(7, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
+	p.StartAttempt(7, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
 	if len(*dialled) != 2 {
 		t.Errorf("dialled %v with a connection up", *dialled)
 	}
@@ -54,7 +54,7 @@
 // over it.
 func TestHangingDialIsRaced(t *testing.T) {
 	p, _, lines, dialled := newPaths()
-	p.Run(7, attempt, request(anID), 2*time.Second)
+	p.StartAttempt(7, attempt, request(anID), 2*time.Second)
 	p.Sweep(100 * time.Millisecond)
 	if len(*dialled) != 1 {
 		t.Fatalf("dialled %v too soon", *dialled)
@@ -76,7 +76,7 @@
 // All addresses failed: the worker is out of reach, which is told once and proves that nothing ran.
 func TestAllAddressesFail(t *testing.T) {
 	p, s, lines, _ := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(errors.New("refused"))
 	(*lines)[1].h.Opened(errors.New("no route"))
 	if got := s.ended[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.workers[7].conns) != 0 || p.dials != 0 {
@@ -97,7 +97,7 @@
 		"not at all":        {100, nil, []int{0, 1}},
 	} {
 		p, s, lines, _ := newPaths()
-		p.Run(7, attempt, request(anID), time.Second)
+		p.StartAttempt(7, attempt, request(anID), time.Second)
 		(*lines)[0].h.Opened(nil)
 		(*lines)[0].Left = c.left
 		(*lines)[0].h.Closed(errors.New("reset"))
@@ -110,7 +110,7 @@
 	}
 	// It is not moved for ever, and not to a worker that drains.
 	p, s, lines, _ := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	for i := 0; i < len(*lines) && i < 20; i++ {
 		(*lines)[i].h.Opened(nil)
 		(*lines)[i].Left = 1
@@ -120,7 +120,7 @@
 		t.Errorf("ended %v after %d moves", got, p.Count.Moved)
 	}
 	p, s, lines, _ = newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(nil)
 	p.Set(7, nil, policy.Draining)
 	(*lines)[0].Left = 1
@@ -133,8 +133,8 @@
 // A drain stops all addresses at once: what waits behind their dials, trials under way.
 func TestDrainStopsAllAddresses(t *testing.T) {
 	p, s, lines, _ := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
-	p.Hold(7, 5, 1, 9)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
+	p.Load(7, 5, 1, 9)
 	p.Sweep(300 * time.Millisecond)
 	p.Set(7, nil, policy.Draining)
 	for _, l := range *lines {
@@ -156,7 +156,7 @@
 // answered; one that accepts and says nothing has not come back.
 func TestTrial(t *testing.T) {
 	p, _, lines, dialled := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(errors.New("refused"))
 	(*lines)[1].h.Opened(nil)
 	now := time.Duration(0)
@@ -190,7 +190,7 @@
 		p.Sweep(now)
 		(*lines)[1].h.Data(reply("n1", "PONG", "")) // a sign of life, where it is asked for one
 	}
-	p.Run(7, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
+	p.StartAttempt(7, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
 	if (*dialled)[len(*dialled)-1] != "/run/w.sock" || (*lines)[1].HasClosed {
 		t.Errorf("dialled %v, the old connection closed: %v", *dialled, (*lines)[1].HasClosed)
 	}
@@ -203,7 +203,7 @@
 // Out of descriptors nothing is learned about an address.
 func TestNoDescriptorIsNobodysFault(t *testing.T) {
 	p, s, lines, _ := newPaths()
-	p.Run(7, attempt, request(anID), time.Second)
+	p.StartAttempt(7, attempt, request(anID), time.Second)
 	(*lines)[0].h.Opened(syscall.EMFILE)
 	(*lines)[1].h.Opened(syscall.EMFILE)
 	if p.workers[7].paths.Down() != 0 || !slices.Equal(s.ended[attempt], []policy.Outcome{policy.Unreachable}) {
@@ -215,17 +215,17 @@
 func TestSilentAddressIsLeft(t *testing.T) {
 	p, _, lines, dialled := newPaths()
 	p.SetNow(time.Hour)
-	p.Run(7, attempt, request(anID), 2*time.Second)
+	p.StartAttempt(7, attempt, request(anID), 2*time.Second)
 	(*lines)[0].h.Opened(nil)
 	p.Sweep(time.Hour + 200*time.Millisecond)
-	p.Run(7, router.Attempt{Request: 2}, request("00000000000000ff"), 2*time.Second)
+	p.StartAttempt(7, router.Attempt{Request: 2}, request("00000000000000ff"), 2*time.Second)
 	if (*dialled)[len(*dialled)-1] != "127.0.0.1:1" {
 		t.Fatalf("dialled %v", *dialled)
 	}
 	(*lines)[1].h.Opened(nil)
 	p.SetNow(time.Hour + 250*time.Millisecond)
 	(*lines)[1].h.Data(reply("00000000000000ff", "HIT", ""))
-	p.Run(7, router.Attempt{Request: 3}, request("00000000000000fe"), 2*time.Second)
+	p.StartAttempt(7, router.Attempt{Request: 3}, request("00000000000000fe"), 2*time.Second)
 	p.SetNow(time.Hour + 300*time.Millisecond)
 	(*lines)[1].h.Data(reply("00000000000000fe", "HIT", ""))
 	if p.Sweep(time.Hour + 500*time.Millisecond); !(*lines)[0].HasClosed || p.workers[7].paths.Down() != 1 {
@@ -239,8 +239,8 @@
 	one, two := at("127.0.0.1:11"), at("127.0.0.1:12")
 	p.Set(8, one, policy.Ready)
 	p.Set(9, two, policy.Ready)
-	p.Run(8, attempt, request(anID), time.Second)
-	p.Run(9, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
+	p.StartAttempt(8, attempt, request(anID), time.Second)
+	p.StartAttempt(9, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
 	(*lines)[0].h.Opened(nil) // the other one is still being dialled
 	p.Set(8, two, policy.Ready)
 	p.Set(9, one, policy.Ready)
@@ -248,7 +248,7 @@
 		t.Fatalf("dialled %v, the old dial closed: %v", *dialled, (*lines)[1].HasClosed)
 	}
 	(*lines)[2].h.Opened(nil)
-	p.Run(8, router.Attempt{Request: 3}, request("00000000000000fe"), time.Second)
+	p.StartAttempt(8, router.Attempt{Request: 3}, request("00000000000000fe"), time.Second)
 	if (*dialled)[3] != "127.0.0.1:12" {
 		t.Errorf("dialled %v", *dialled)
 	}
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -43,9 +43,9 @@
 
 // Sink takes what came of calls, orders and probes; a router.Core is one.
 type Sink interface {
-	AttemptEnded(a router.Attempt, r router.Reply)
-	HoldEnded(tag uint64, o policy.Outcome, count int)
-	Probed(tag uint64, o policy.Outcome, report []float64)
+	AttemptCompleted(a router.Attempt, r router.AttemptResult)
+	LoadCompleted(tag uint64, o policy.Outcome, count int)
+	HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64)
 }
 
 // Line is a connection to a worker; a loop.Conn is one.
@@ -212,12 +212,12 @@
 	}
 }
 
-// Run sends a call.
-func (p *Pool) Run(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
+// StartAttempt sends a call.
+func (p *Pool) StartAttempt(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
 	k := &call{kind: run, attempt: a, token: r.ID, body: r.Body, left: budget}
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", p.cfg.Classes[r.Class], r.Key, max(budget.Milliseconds(), 1))
-	if r.Once != "" {
-		fields += ",uniq=" + r.Once
+	if r.IdempotencyKey != "" {
+		fields += ",uniq=" + r.IdempotencyKey
 	}
 	k.head = frame(len(r.Body), "RUN", r.ID, fields)
 	if w := p.workers[id]; w != nil && w.ready {
@@ -227,14 +227,14 @@
 			return
 		}
 	}
-	p.sink.AttemptEnded(a, router.Reply{Outcome: policy.Unreachable})
+	p.sink.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
-// Stop gives a call up that was written. Its connection does not carry its id again: an answer on its way must not
+// CancelAttempt gives a call up that was written. Its connection does not carry its id again: an answer on its way must not
 // end another attempt of the same request.
-func (p *Pool) Stop(id policy.WorkerID, a router.Attempt) {
+func (p *Pool) CancelAttempt(id policy.WorkerID, a router.Attempt) {
 	k := p.calls[a]
-	if k == nil || p.Withdraw(id, a) {
+	if k == nil || p.WithdrawUnsent(id, a) {
 		return
 	}
 	delete(p.calls, a)
@@ -244,9 +244,9 @@
 	}
 }
 
-// Withdraw takes back a call that waits behind a dial, and tells whether it did: then nothing of it has left, nor
+// WithdrawUnsent takes back a call that waits behind a dial, and tells whether it did: then nothing of it has left, nor
 // ever will.
-func (p *Pool) Withdraw(_ policy.WorkerID, a router.Attempt) bool {
+func (p *Pool) WithdrawUnsent(_ policy.WorkerID, a router.Attempt) bool {
 	k := p.calls[a]
 	if k == nil || k.written {
 		return false
@@ -256,15 +256,15 @@
 	return true
 }
 
-// Hold sends an order to load; a count of 0 only asks.
-func (p *Pool) Hold(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
+// Load sends an order to load; a count of 0 only asks.
+func (p *Pool) Load(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
 	k := &call{kind: hold, tag: tag, token: "h" + strconv.FormatUint(tag, 10)}
 	k.head = array("HOLD", k.token, fmt.Sprintf("path=%016x,count=%d", uint64(f), count))
 	p.ask(id, k, count > 0)
 }
 
-// Probe asks whether a worker answers, and for its load report.
-func (p *Pool) Probe(id policy.WorkerID, tag uint64) {
+// CheckHealth asks whether a worker answers, and for its load report.
+func (p *Pool) CheckHealth(id policy.WorkerID, tag uint64) {
 	k := &call{kind: probe, tag: tag, token: "p" + strconv.FormatUint(tag, 10)}
 	k.head = array("INFO", k.token)
 	p.ask(id, k, false)
@@ -280,8 +280,8 @@
 	p.end(k, policy.Unreachable)
 }
 
-// Forget drops interest in an order or a probe.
-func (p *Pool) Forget(id policy.WorkerID, tag uint64) {
+// AbandonCommand drops interest in an order or a probe.
+func (p *Pool) AbandonCommand(id policy.WorkerID, tag uint64) {
 	if w := p.workers[id]; w != nil {
 		for _, c := range w.conns {
 			for _, letter := range []string{"h", "p"} {
@@ -294,9 +294,9 @@
 	}
 }
 
-// Free has a worker unload the idle copies of a function. Without a connection there is nothing
+// Unload has a worker unload the idle copies of a function. Without a connection there is nothing
 // that is worth a dial: idle copies go by themselves.
-func (p *Pool) Free(id policy.WorkerID, f policy.FunctionID) {
+func (p *Pool) Unload(id policy.WorkerID, f policy.FunctionID) {
 	if w := p.workers[id]; w != nil {
 		for _, c := range w.conns {
 			if c.up {
@@ -560,11 +560,11 @@
 	switch k.kind {
 	case run:
 		delete(p.calls, k.attempt)
-		p.sink.AttemptEnded(k.attempt, router.Reply{Outcome: o})
+		p.sink.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o})
 	case hold:
-		p.sink.HoldEnded(k.tag, o, 0)
+		p.sink.LoadCompleted(k.tag, o, 0)
 	case probe:
-		p.sink.Probed(k.tag, o, nil)
+		p.sink.HealthCheckCompleted(k.tag, o, nil)
 	}
 }
 
@@ -710,13 +710,13 @@
 	case ping:
 	case hold:
 		count, _ := strconv.Atoi(string(field(fields, "count")))
-		c.pool.sink.HoldEnded(k.tag, o, count)
+		c.pool.sink.LoadCompleted(k.tag, o, count)
 	case probe:
-		c.pool.sink.Probed(k.tag, o, report)
+		c.pool.sink.HealthCheckCompleted(k.tag, o, report)
 	default:
 		delete(c.pool.calls, k.attempt)
-		c.pool.sink.AttemptEnded(k.attempt, router.Reply{Outcome: o, Note: notes[string(field(fields, "detail"))],
-			Crowd: c.crowd(field(fields, "crowd")), Body: bytes.Clone(body), Report: report})
+		c.pool.sink.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o, LoadStatus: notes[string(field(fields, "detail"))],
+			Concurrency: c.crowd(field(fields, "crowd")), Body: bytes.Clone(body), LoadReport: report})
 	}
 	return nil
 }
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -26,20 +26,22 @@
 type sink struct {
 	ended map[router.Attempt][]policy.Outcome
 	asked map[uint64][]policy.Outcome
-	reply map[router.Attempt]router.Reply
+	reply map[router.Attempt]router.AttemptResult
 }
 
-func (s *sink) AttemptEnded(a router.Attempt, r router.Reply) {
+func (s *sink) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	s.ended[a] = append(s.ended[a], r.Outcome)
 	s.reply[a] = r
 }
-func (s *sink) HoldEnded(tag uint64, o policy.Outcome, _ int) { s.asked[tag] = append(s.asked[tag], o) }
-func (s *sink) Probed(tag uint64, o policy.Outcome, _ []float64) {
+func (s *sink) LoadCompleted(tag uint64, o policy.Outcome, _ int) {
+	s.asked[tag] = append(s.asked[tag], o)
+}
+func (s *sink) HealthCheckCompleted(tag uint64, o policy.Outcome, _ []float64) {
 	s.asked[tag] = append(s.asked[tag], o)
 }
 
 func newPool() (*Pool, *sink, *[]*line) {
-	s := &sink{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]router.Reply{}}
+	s := &sink{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]router.AttemptResult{}}
 	var lines []*line
 	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
 		KeepAlive: 30 * time.Second, PerConn: 2, MaxConns: 100, MayStop: true, Dial: func(_, _ string, _ time.Duration, h eventloop.Dialled) Line {
@@ -61,7 +63,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p, s, lines := newPool()
 		a := router.Attempt{Request: 1}
-		p.Run(1, a, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
 		l.h.Opened(nil)
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
@@ -84,14 +86,14 @@
 func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, _, lines := newPool()
-		p.Probe(1, 1)
+		p.CheckHealth(1, 1)
 		l := (*lines)[0]
 		l.h.Opened(nil)
 		bits := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
 		l.h.Data([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
 	})
 	p, _, lines := newPool()
-	p.Probe(1, 1)
+	p.CheckHealth(1, 1)
 	l := (*lines)[0]
 	l.h.Opened(nil)
 	if l.h.Data([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
@@ -121,7 +123,7 @@
 			"run": func(t *rapid.T) {
 				next++
 				a := router.Attempt{Request: policy.RequestID(next)}
-				p.Run(1, a, request(id(a)), time.Second)
+				p.StartAttempt(1, a, request(id(a)), time.Second)
 				out = append(out, a)
 			},
 			"again": func(t *rapid.T) { // given up, and sent again to the same worker under the same id
@@ -137,10 +139,10 @@
 				for _, l := range *lines {
 					late[l] = runs(l, id(a)) > answered[l][id(a)]
 				}
-				p.Stop(1, a)
+				p.CancelAttempt(1, a)
 				drop(i)
 				b := router.Attempt{Request: a.Request, Number: a.Number + 1}
-				p.Run(1, b, request(id(b)), time.Second)
+				p.StartAttempt(1, b, request(id(b)), time.Second)
 				out = append(out, b)
 				for _, l := range *lines {
 					if late[l] && !l.HasClosed {
@@ -209,7 +211,7 @@
 // Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
 func TestOrderBehindADialIsNotSentToADrainingWorker(t *testing.T) {
 	p, s, lines := newPool()
-	p.Hold(1, 5, 1, 9)
+	p.Load(1, 5, 1, 9)
 	p.Set(1, at("127.0.0.1:1"), policy.Draining)
 	(*lines)[0].h.Opened(nil)
 	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.Overloaded {
@@ -220,10 +222,10 @@
 // Guards against a worker that took over the address of one that has gone.
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
 	p, _, lines := newPool()
-	p.Probe(1, 1)
+	p.CheckHealth(1, 1)
 	p.Retain(map[policy.WorkerID]bool{2: true})
 	p.Set(2, at("127.0.0.1:1"), policy.Ready)
-	p.Run(2, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
+	p.StartAttempt(2, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
 	if len(*lines) != 2 {
 		t.Errorf("%d connections", len(*lines))
 	}
@@ -249,11 +251,11 @@
 	p, s, lines := newPool()
 	const id = "0123456789abcdef"
 	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
-	p.Run(1, first, request(id), time.Second)
+	p.StartAttempt(1, first, request(id), time.Second)
 	l := (*lines)[0]
 	l.h.Opened(nil)
 	l.h.Data(reply(id, "NONE", ""))
-	p.Run(1, second, request(id), time.Second)
+	p.StartAttempt(1, second, request(id), time.Second)
 	l.h.Data(reply(id, "NONE", ""))
 	l.h.Data(reply("unknown", "HIT", "ahead"))
 	if len(s.ended[second]) != 0 || l.HasClosed || len(*lines) != 2 {
@@ -279,12 +281,12 @@
 func TestTakebacksCostNobodyElseAConnection(t *testing.T) {
 	p, s, lines := newPool()
 	stays := router.Attempt{Request: 9999}
-	p.Run(1, stays, request("00000000000000ff"), time.Second)
+	p.StartAttempt(1, stays, request("00000000000000ff"), time.Second)
 	(*lines)[0].h.Opened(nil)
 	for i := range rememberMost + 10 {
 		a := router.Attempt{Request: policy.RequestID(i)}
-		p.Run(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
-		p.Stop(1, a)
+		p.StartAttempt(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
+		p.CancelAttempt(1, a)
 	}
 	if (*lines)[0].HasClosed || len(s.ended[stays]) != 0 || len(*lines) != 2 {
 		t.Errorf("closed %v, ended %v, %d connections", (*lines)[0].HasClosed, s.ended[stays], len(*lines))
@@ -303,7 +305,7 @@
 		now := time.Hour
 		p.Sweep(now)
 		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.Run(1, a, request("00000000000000a1"), time.Second)
+		p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 		(*lines)[0].h.Opened(nil)
 		pass := func(d time.Duration) {
 			for end := now + d; now < end; {
@@ -316,7 +318,7 @@
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
 		pass(SweepEvery)
-		p.Run(1, b, request("00000000000000b2"), time.Second)
+		p.StartAttempt(1, b, request("00000000000000b2"), time.Second)
 		if on := ran(*lines, "00000000000000b2"); len(*lines) != 2 || len(on) != 0 {
 			t.Fatalf("a silent connection was chosen, of %d", len(*lines))
 		}
@@ -336,11 +338,11 @@
 		}
 	}
 	p, _, lines := newPool() // a sign of life makes it good again
-	p.Run(1, router.Attempt{Request: 1}, request("00000000000000a1"), time.Second)
+	p.StartAttempt(1, router.Attempt{Request: 1}, request("00000000000000a1"), time.Second)
 	(*lines)[0].h.Opened(nil)
 	p.Sweep(quietAfter + SweepEvery)
 	(*lines)[0].h.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	if p.Run(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
+	if p.StartAttempt(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
 		t.Error("a connection that answered was left")
 	}
 }
@@ -350,7 +352,7 @@
 func TestAnswerThatStopsShortIsNotWaitedFor(t *testing.T) {
 	p, s, lines := newPool()
 	a := router.Attempt{Request: 1}
-	p.Run(1, a, request("00000000000000a1"), time.Second)
+	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 	l := (*lines)[0]
 	l.h.Opened(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", 1000))
@@ -367,7 +369,7 @@
 	if len(s.ended[a]) != 0 {
 		t.Errorf("ended %v by what came after the close", s.ended[a])
 	}
-	p.Run(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second)
+	p.StartAttempt(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second)
 	if len(*lines) != 2 {
 		t.Error("a call went to a connection that we closed")
 	}
@@ -377,7 +379,7 @@
 func TestBeginningOfAnAnswerIsNotCopiedOver(t *testing.T) {
 	p, s, lines := newPool()
 	a := router.Attempt{Request: 1}
-	p.Run(1, a, request("00000000000000a1"), time.Second)
+	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 	(*lines)[0].h.Opened(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", maxBulk-64))
 	allocs := testing.AllocsPerRun(1, func() {
@@ -403,7 +405,7 @@
 		"breaks": {probeTries, func(l *line) { l.h.Opened(nil); l.h.Closed(errors.New("reset")) }, policy.ConnectionReset},
 	} {
 		p, s, lines := newPool()
-		p.Probe(1, 7)
+		p.CheckHealth(1, 7)
 		for i := range c.resets {
 			(*lines)[i].h.Opened(nil)
 			if (*lines)[i].h.Closed(errors.New("reset")); len(s.asked[7]) != 0 || len(*lines) != i+2 {
@@ -423,14 +425,14 @@
 	p.cfg.MaxConns = 3
 	for w := range policy.WorkerID(5) {
 		p.Set(w+1, at(fmt.Sprintf("127.0.0.1:%d", w+1)), policy.Ready)
-		p.Run(w+1, router.Attempt{Request: policy.RequestID(w)}, request(fmt.Sprintf("%016x", w)), time.Second)
+		p.StartAttempt(w+1, router.Attempt{Request: policy.RequestID(w)}, request(fmt.Sprintf("%016x", w)), time.Second)
 	}
 	if len(*lines) != 3 || s.ended[router.Attempt{Request: 4}][0] != policy.Unreachable {
 		t.Fatalf("%d connections, ended %v", len(*lines), s.ended)
 	}
 	(*lines)[0].h.Opened(nil)
 	(*lines)[0].h.Data(reply(fmt.Sprintf("%016x", 0), "HIT", ""))
-	p.Run(5, router.Attempt{Request: 9}, request("00000000000000ff"), time.Second)
+	p.StartAttempt(5, router.Attempt{Request: 9}, request("00000000000000ff"), time.Second)
 	if len(*lines) != 4 || !(*lines)[0].HasClosed {
 		t.Errorf("%d connections, idle one closed: %v", len(*lines), (*lines)[0].HasClosed)
 	}
@@ -446,15 +448,15 @@
 		p.Retain(map[policy.WorkerID]bool{w: true})
 		p.Set(w, at("127.0.0.1:1"), policy.Ready)
 		a := router.Attempt{Request: policy.RequestID(g)}
-		p.Run(w, a, request(fmt.Sprintf("%016x", g)), time.Second)
-		p.Hold(w, 7, 1, uint64(g))
+		p.StartAttempt(w, a, request(fmt.Sprintf("%016x", g)), time.Second)
+		p.Load(w, 7, 1, uint64(g))
 		l := (*lines)[len(*lines)-1]
 		if l.h.Opened(nil); g%2 == 0 {
 			l.h.Data(reply(fmt.Sprintf("%016x", g), "HIT", ""))
 		} else {
-			p.Stop(w, a)
+			p.CancelAttempt(w, a)
 		}
-		p.Forget(w, uint64(g))
+		p.AbandonCommand(w, uint64(g))
 		p.Retain(nil)
 		for range 3 {
 			now += SweepEvery
@@ -483,7 +485,7 @@
 			n++
 			id := fmt.Sprintf("%016x", n)
 			a := router.Attempt{Request: policy.RequestID(n)}
-			p.Run(1, a, request(id), time.Second)
+			p.StartAttempt(1, a, request(id), time.Second)
 			for _, l := range *lines {
 				if l.h != nil && l.Wrote.Len() == 0 && !l.HasClosed {
 					l.h.Opened(nil)
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -34,13 +34,13 @@
 			for range misses * min(n, 1) {
 				last++
 				id := fmt.Sprintf("%016x", 1<<20+last)
-				p.Run(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, request(id), 3*time.Second)
+				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, request(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
 				(*lines)[0].h.Data(reply(id, "NONE", ""))
 			}
 			id, a := fmt.Sprintf("%016x", n+1), router.Attempt{Request: policy.RequestID(n + 1)}
-			p.Run(1, a, request(id), 3*time.Second)
+			p.StartAttempt(1, a, request(id), 3*time.Second)
 			if n == 0 {
 				(*lines)[0].h.Opened(nil)
 			}
@@ -80,7 +80,7 @@
 		for n := range 100 {
 			id := fmt.Sprintf("%016x", n+1)
 			p.SetNow(now)
-			p.Run(1, router.Attempt{Request: policy.RequestID(n + 1)}, request(id), time.Second)
+			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, request(id), time.Second)
 			if n == 0 {
 				(*lines)[0].h.Opened(nil)
 			}
@@ -89,7 +89,7 @@
 			(*lines)[0].h.Data(reply(id, "HIT", ""))
 		}
 		asked, began := p.Count.Pings, now
-		p.Run(1, router.Attempt{Request: 999}, request("00000000000000ff"), 3*time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 999}, request("00000000000000ff"), 3*time.Second)
 		for p.Count.Pings == asked && now < began+3*time.Second {
 			now += SweepEvery / 5
 			p.Sweep(now)
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -17,16 +17,16 @@
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
 		p, s, lines := newPool()
 		gone, stays := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.Run(1, gone, request("0123456789abcdef"), time.Second)
-		p.Run(1, stays, request("fedcba9876543210"), time.Second)
-		if !p.Withdraw(1, gone) || p.Withdraw(1, gone) {
+		p.StartAttempt(1, gone, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, stays, request("fedcba9876543210"), time.Second)
+		if !p.WithdrawUnsent(1, gone) || p.WithdrawUnsent(1, gone) {
 			t.Fatalf("%s: not taken back once", end)
 		}
 		l := (*lines)[0]
 		switch end {
 		case "comes up":
 			l.h.Opened(nil)
-			if p.Withdraw(1, stays) {
+			if p.WithdrawUnsent(1, stays) {
 				t.Error("a call that was written was taken back")
 			}
 		case "fails":
@@ -57,14 +57,14 @@
 		p, _, lines := newPool()
 		p.cfg.MayStop = may
 		a := router.Attempt{Request: 1}
-		p.Run(1, a, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
 		l.h.Opened(nil)
-		p.Stop(1, a)
+		p.CancelAttempt(1, a)
 		if told := strings.Contains(l.Wrote.String(), "STOP\r\n"); told != may {
 			t.Errorf("may %v, told %v", may, told)
 		}
-		p.Run(1, router.Attempt{Request: 1, Number: 1}, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, request("0123456789abcdef"), time.Second)
 		if n := strings.Count(l.Wrote.String(), "RUN\r\n"); n != 1 || len(*lines) != 2 {
 			t.Errorf("the id went %d times over one connection of %d", n, len(*lines))
 		}
@@ -75,7 +75,7 @@
 func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
 		p, _, lines := newPool()
-		p.Run(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
 		(*lines)[0].h.Opened(err)
 		if down := p.workers[1].paths.Down(); (down == 0) != eventloop.NoDescriptor(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
@@ -92,11 +92,11 @@
 	}{{quietAfter, 1}, {quietAfter + time.Millisecond, 2}} {
 		p, _, lines := newPool()
 		p.SetNow(time.Hour)
-		p.Run(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
 		(*lines)[0].h.Opened(nil)
 		(*lines)[0].h.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
 		p.SetNow(time.Hour + tt.after)
-		p.Run(1, router.Attempt{Request: 2}, request("fedcba9876543210"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 2}, request("fedcba9876543210"), time.Second)
 		if len(*lines) != tt.lines {
 			t.Errorf("%v after an answer halted: %d connections", tt.after, len(*lines))
 		}
