--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -186,7 +186,7 @@
 	b := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range uint64(b.N) {
-			t.Match(route.Call{Front: route.Webhook, Function: i * 0x9e3779b97f4a7c15, Tenant: "t7"})
+			t.Match(route.Request{Front: route.Webhook, Function: i * 0x9e3779b97f4a7c15, Tenant: "t7"})
 		}
 	})
 	return float64(b.T.Nanoseconds()) / float64(b.N), b.AllocsPerOp()
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -109,9 +109,9 @@
 	if err != nil {
 		return 0, 0, 0, 0, err
 	}
-	core := router.New(module, router.Limits{MaxConcurrentRequests: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
+	core := router.New(module, router.Limits{MaxConcurrentRequests: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
 	b := &bench{core: core, now: time.Hour, until: map[[2]uint64]time.Duration{}}
-	core.Use(b)
+	core.SetWorkerClient(b)
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w := range workers {
 		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: policy.Ready, Weight: 1})
@@ -120,7 +120,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	rate = 15 * workers
 	gap := time.Second / time.Duration(rate)
-	next := core.Turn(b.now)
+	next := core.Process(b.now)
 	play := func(n int) {
 		for i := range n {
 			at := b.now + gap
@@ -130,13 +130,13 @@
 				for b.due() <= b.now {
 					heap.Pop(&b.todo).(later).do()
 				}
-				next = core.Turn(b.now)
+				next = core.Process(b.now)
 			}
 			b.now = at
 			f := 1 + int(float64(3*workers)*random.Float64()*random.Float64())
 			core.Accept(b.now, router.Request{Asker: b, ID: fmt.Sprint(i, b.now), Function: policy.FunctionID(f), Lanes: 2, LoadTime: 300 * time.Millisecond,
 				Deadline: b.now + 2*time.Second})
-			next = core.Turn(b.now)
+			next = core.Process(b.now)
 		}
 	}
 	play(max(calls, 15*workers)) // a second of load at least, so that copies stand
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -33,11 +33,11 @@
 type Env struct {
 	Out, Err io.Writer
 	Getenv   func(string) string
-	Signals  *signals.Caught // from the program's first moment on; nil: none are caught yet
+	Signals  *signals.Signals // from the program's first moment on; nil: none are caught yet
 }
 
 // System returns the process's own.
-func System() Env { return Env{os.Stdout, os.Stderr, os.Getenv, signals.Catch()} }
+func System() Env { return Env{os.Stdout, os.Stderr, os.Getenv, signals.Notify()} }
 
 // cli is the command line.
 type cli struct {
@@ -149,7 +149,7 @@
 		return err
 	}
 	opts := server.Options{Signals: env.Signals, Webhook: chosen(env, 0), Export: chosen(env, 1), Addresses: chosen(env, 2), Routes: env.Getenv(routesVariable)}
-	if opts.RoutesMay = opts.Routes == ""; opts.RoutesMay {
+	if opts.RoutesOptional = opts.Routes == ""; opts.RoutesOptional {
 		opts.Routes = routesFile
 	}
 	return server.Serve(p, opts, read)
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, unreadable(err)
 	}
-	return c.Routing(), nil
+	return c.RoutingPlatform(), nil
 }
 
 // load checks a file that a command needs in order. It prints the faults, and is an error where there are any.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := server.CheckFile(file, p)
+	r, err := server.CheckRoutesFile(file, p)
 	if err != nil {
 		return nil, unreadable(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := server.CheckFile(shown(c.File), p)
+	r, err := server.CheckRoutesFile(shown(c.File), p)
 	if err != nil {
 		return unreadable(err)
 	}
@@ -286,7 +286,7 @@
 	if err != nil {
 		return err
 	}
-	call := route.Call{Front: route.Thrift, Function: p.Prefix, Tenant: c.Tenant}
+	call := route.Request{Front: route.Thrift, Function: p.Prefix, Tenant: c.Tenant}
 	if c.Front == "webhook" {
 		call.Front = route.Webhook
 	} else if c.Tenant != "" {
@@ -326,7 +326,7 @@
 		once := slices.Contains(r.Once([]string{c.Class}), true)
 		means := "the closest match"
 		list = append(list, said{"route", to.Spec.Name, means, lines("route", to.Spec.Name)},
-			said{"pool", to.Pool.Spec.Name, to.Pool.Words(), lines("pool", to.Pool.Spec.Name)})
+			said{"pool", to.Pool.Spec.Name, to.Pool.Describe(), lines("pool", to.Pool.Spec.Name)})
 		policy := to.Policy.Effective(once).String()
 		if once {
 			policy += "; this class must never run twice"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -28,13 +28,13 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Names    string          `json:"names"`
-	Known    discovery.Known `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	DiscoveryAddr string             `json:"names"`
+	Known         discovery.Snapshot `json:"known"`
+	Settings      json.RawMessage    `json:"settings"`
 
-	Random  uint64 // Seed as a number
-	Module  policy.Config
-	Network Network
+	SeedValue uint64 // Seed as a number
+	Policy    policy.Config
+	Network   Network
 }
 
 // Network is what the sockets need of the settings and the module does not.
@@ -78,15 +78,15 @@
 			*to = v
 		}
 	}
-	for name, addr := range map[string]string{"listen": c.Listen, "names": c.Names} {
+	for name, addr := range map[string]string{"listen": c.Listen, "names": c.DiscoveryAddr} {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
 			return nil, fmt.Errorf("config %s: %s: %w", path, name, err)
 		}
 	}
-	if c.Random, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
+	if c.SeedValue, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("config %s: seed: %w", path, err)
 	}
-	if c.Module, err = simulator.ParseSettings(c.Settings); err != nil {
+	if c.Policy, err = simulator.ParseSettings(c.Settings); err != nil {
 		return nil, fmt.Errorf("config %s: %w", path, err)
 	}
 	n := &c.Network
@@ -119,27 +119,29 @@
 // listeners, the directory, notices, files, and an accepted connection that is yet to be turned away.
 const ownFiles = 32
 
-// ClientConns is how many accepted connections there may be: a third of the descriptors.
-func (c *Config) ClientConns() int { return c.Limits.Sockets / 3 }
+// MaxClientConnections is how many accepted connections there may be: a third of the descriptors.
+func (c *Config) MaxClientConnections() int { return c.Limits.Sockets / 3 }
 
-// WorkerConns is how many connections to workers there may be: what the clients' third leaves.
-func (c *Config) WorkerConns() int {
-	return c.Limits.Sockets - c.ClientConns() - min(ownFiles, c.Limits.Sockets/4)
+// MaxWorkerConnections is how many connections to workers there may be: what the clients' third leaves.
+func (c *Config) MaxWorkerConnections() int {
+	return c.Limits.Sockets - c.MaxClientConnections() - min(ownFiles, c.Limits.Sockets/4)
 }
 
-// Share scales a bound that is right for 192 MB to the memory that there is. The bounds on what is held for
+// ScaleToMemory scales a bound that is right for 192 MB to the memory that there is. The bounds on what is held for
 // peers come to 80 MiB of those 192 with the webhooks' outcomes, and keep that part of any smaller limit.
-func (c *Config) Share(bytes int) int { return bytes * min(c.Limits.MemoryMB, 192) / 192 }
+func (c *Config) ScaleToMemory(bytes int) int { return bytes * min(c.Limits.MemoryMB, 192) / 192 }
 
-// MaxOpen is how many requests may be open: at 2 KiB each, bodies aside, a sixteenth of the memory.
-func (c *Config) MaxOpen() int { return min(c.Network.Limits.MaxOpen, c.Limits.MemoryMB*32) }
+// MaxConcurrentRequests is how many requests may be open: at 2 KiB each, bodies aside, a sixteenth of the memory.
+func (c *Config) MaxConcurrentRequests() int {
+	return min(c.Network.Limits.MaxOpen, c.Limits.MemoryMB*32)
+}
 
-// TurnedAway is what clients are told that there is no room for.
-func (c *Config) TurnedAway() time.Duration {
-	if !c.Module.RetryAfterSupported {
+// RejectionRetryAfter is what clients are told that there is no room for.
+func (c *Config) RejectionRetryAfter() time.Duration {
+	if !c.Policy.RetryAfterSupported {
 		return 0
 	}
-	return min(time.Second, c.Module.MaxRetryAfter)
+	return min(time.Second, c.Policy.MaxRetryAfter)
 }
 
 // NeedsRestart names what fresh changes and a reload does not take over. The seed and the start's list
@@ -150,7 +152,7 @@
 		same bool
 	}{
 		{"name", c.Name == fresh.Name}, {"listen", c.Listen == fresh.Listen}, {"limits", c.Limits == fresh.Limits},
-		{"settings", reflect.DeepEqual(c.Module, fresh.Module) && reflect.DeepEqual(c.Network, fresh.Network)},
+		{"settings", reflect.DeepEqual(c.Policy, fresh.Policy) && reflect.DeepEqual(c.Network, fresh.Network)},
 	} {
 		if !part.same {
 			changed = append(changed, part.name)
@@ -185,9 +187,9 @@
 	return names
 }
 
-// Once tells of each class whether it must never run twice.
-func (c *Config) Once() (once []bool) {
-	for _, k := range c.Module.Classes {
+// NotIdempotent tells of each class whether it must never run twice.
+func (c *Config) NotIdempotent() (once []bool) {
+	for _, k := range c.Policy.Classes {
 		once = append(once, k.Idempotency == policy.NotIdempotent)
 	}
 	return once
@@ -201,14 +203,14 @@
 	return 0
 }
 
-// Routing returns what the settings say that routes may not contradict.
-func (c *Config) Routing() *lang.Platform {
-	p := &lang.Platform{MaxAttempts: c.Module.MaxAttempts, SecondCopies: c.Module.HedgingAllowed, Kinds: c.Network.Kinds,
-		KindMemoryMB: map[string]float64{}, Zones: c.Network.FailureDomains, LoadWindow: c.Module.LoadBudgetWindow}
-	once := c.Once()
+// RoutingPlatform returns what the settings say that routes may not contradict.
+func (c *Config) RoutingPlatform() *lang.Platform {
+	p := &lang.Platform{MaxAttempts: c.Policy.MaxAttempts, HedgingAllowed: c.Policy.HedgingAllowed, Kinds: c.Network.Kinds,
+		KindMemoryMB: map[string]float64{}, Zones: c.Network.FailureDomains, LoadWindow: c.Policy.LoadBudgetWindow}
+	once := c.NotIdempotent()
 	for i, name := range c.ClassNames() {
-		k := c.Module.Classes[i]
-		p.Classes = append(p.Classes, lang.Class{Name: name, Once: once[i], Deadline: k.Deadline, Aim: k.LatencyObjective})
+		k := c.Policy.Classes[i]
+		p.Classes = append(p.Classes, lang.Class{Name: name, NotIdempotent: once[i], Deadline: k.Deadline, LatencyObjective: k.LatencyObjective})
 	}
 	for _, k := range p.Kinds {
 		if mb := c.KindMemoryMB(k); mb > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	read := func(text string) (*Config, error) { return readText(path, text) }
 	c, err := read(goodConfig)
-	if err != nil || c.Name != "n4" || c.Random != 0x8c1f30d27a5be964 || c.Known.Offset != 3 ||
+	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Known.Offset != 3 ||
 		c.Network.Classes[0].Name != "repair-order" || c.Network.Limits.StreamsPerConn != 32 {
 		t.Errorf("read %+v, %v", c, err)
 	}
@@ -79,21 +79,21 @@
 		for _, sockets := range []int{64, 256, 1024} {
 			var c Config
 			c.Limits.MemoryMB, c.Limits.Sockets, c.Network.Limits.MaxOpen = memory, sockets, 20000
-			held := c.Share(8<<20) + c.Share(32<<20) + c.Share(24<<20) + c.Share(16<<20) + c.MaxOpen()*2048
-			if held > memory<<20/2 || c.Share(24<<20) < 1<<20 || c.MaxOpen() < 1000 {
-				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.MaxOpen())
+			held := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
+			if held > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
+				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.MaxConcurrentRequests())
 			}
-			if own := sockets - c.ClientConns() - c.WorkerConns(); c.ClientConns()*3 > sockets || own < 16 || c.WorkerConns() < 20 {
-				t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, c.ClientConns(), c.WorkerConns())
+			if own := sockets - c.MaxClientConnections() - c.MaxWorkerConnections(); c.MaxClientConnections()*3 > sockets || own < 16 || c.MaxWorkerConnections() < 20 {
+				t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, c.MaxClientConnections(), c.MaxWorkerConnections())
 			}
 		}
 	}
 	var c Config
-	if c.TurnedAway() != 0 {
+	if c.RejectionRetryAfter() != 0 {
 		t.Error("advice where the settings allow none")
 	}
-	c.Module.RetryAfterSupported, c.Module.MaxRetryAfter = true, 300*time.Millisecond
-	if c.TurnedAway() != c.Module.MaxRetryAfter {
-		t.Errorf("advice %v", c.TurnedAway())
+	c.Policy.RetryAfterSupported, c.Policy.MaxRetryAfter = true, 300*time.Millisecond
+	if c.RejectionRetryAfter() != c.Policy.MaxRetryAfter {
+		t.Errorf("advice %v", c.RejectionRetryAfter())
 	}
 }
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -37,10 +37,10 @@
 	if len(d.list) != 3 || d.serial != 6 {
 		t.Fatalf("serial %d, list %v", d.serial, d.list)
 	}
-	heard := d.Heard
+	heard := d.ResponsesRead
 	d.sock.Data(nameless(t, answer(d.ask(), 6, 0, 1, 0, 0), 3))
-	if len(d.list) != 3 || d.Heard != heard {
-		t.Errorf("the same spoilt list: heard %d, list %v", d.Heard-heard, d.list)
+	if len(d.list) != 3 || d.ResponsesRead != heard {
+		t.Errorf("the same spoilt list: heard %d, list %v", d.ResponsesRead-heard, d.list)
 	}
 	if d.sock.Data(answer(d.ask(), 6, 0, 1, 0, 0)); len(d.list) != 4 {
 		t.Errorf("the same list, whole: %v", d.list)
@@ -59,9 +59,9 @@
 	}{"counts anew": {2, true}, "is late, and current once in between": {50, false}} {
 		d := newDesk(t)
 		d.sock.Data(answer(d.ask(), 50, 0, 1))
-		d.Move(d.now, "new")
-		d.Turn(d.now)
-		d.sock.Opened(nil)
+		d.SetServer(d.now, "new")
+		d.Tick(d.now)
+		d.sock.DialCompleted(nil)
 		for begun := d.now; d.now < begun+renumberAfter-time.Second; {
 			serial := uint32(2)
 			if d.now-begun > 8*time.Second && d.now-begun < 9*time.Second {
@@ -99,22 +99,22 @@
 func TestAMoveKeepsItsDescriptorUntilTheNextIsOpen(t *testing.T) {
 	d := newDesk(t)
 	first := d.lines[0]
-	d.Move(d.now, "second")
-	d.Turn(d.now)
+	d.SetServer(d.now, "second")
+	d.Tick(d.now)
 	second := d.lines[1]
-	d.Move(d.now, "third")
+	d.SetServer(d.now, "third")
 	if !first.HasClosed || second.HasClosed {
 		t.Fatalf("closed: %v, %v", first.HasClosed, second.HasClosed)
 	}
-	d.Turn(d.now)
-	d.sock.Opened(errors.New("no descriptor"))
+	d.Tick(d.now)
+	d.sock.DialCompleted(errors.New("no descriptor"))
 	if !second.HasClosed || d.sock != nil {
 		t.Fatal("a dial that failed kept the descriptor that it needs")
 	}
-	if d.Turn(d.now + redialAfter); d.addrs[len(d.addrs)-1] != "third" || d.sock == nil {
+	if d.Tick(d.now + redialAfter); d.addrs[len(d.addrs)-1] != "third" || d.sock == nil {
 		t.Fatalf("dialled %v", d.addrs)
 	}
-	d.sock.Opened(nil)
+	d.sock.DialCompleted(nil)
 	if d.sock.Data(answer(d.ask(), 9, 0, 0)); len(d.list) != 2 {
 		t.Errorf("list %v", d.list)
 	}
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -44,8 +44,8 @@
 	Started int64 // Unix milliseconds of a late start, or 0
 }
 
-// Known is the start's list in the configuration.
-type Known struct {
+// Snapshot is the start's list in the configuration.
+type Snapshot struct {
 	Offset uint32  `json:"offset"`
 	Batch  []event `json:"batch"`
 }
@@ -69,15 +69,15 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Line is a socket to the directory; a loop.Conn is one.
-type Line interface {
+// Transport is a socket to the directory; a loop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
 // Client asks the directory for the list, over and over.
 type Client struct {
-	dial    func(addr string, h eventloop.Dialled) Line
+	dial    func(addr string, h eventloop.DialHandler) Transport
 	changed func([]Worker)
 	addr    string
 	sock    *socket
@@ -94,16 +94,16 @@
 	left    *socket // to the address before, until the one to its successor is open or has failed
 	silent  bool    // what goes wrong has been logged since the last good answer
 	// UnixInTXT takes unix=/path in a worker's TXT record as one more address of it, an extension of ours.
-	UnixInTXT bool
-	Asked     uint64 // queries sent
-	Heard     uint64 // answers that could be read
+	UnixInTXT     bool
+	QueriesSent   uint64 // queries sent
+	ResponsesRead uint64 // answers that could be read
 }
 
 // socket is one socket to the directory. Each has queries of its own: what comes late on one that was
 // given up, from a directory at an earlier address, answers nothing.
 type socket struct {
 	client  *Client
-	line    Line
+	line    Transport
 	up      bool
 	pending []uint16 // queries that have had no answer, the last one at the end
 }
@@ -113,7 +113,7 @@
 // work for a directory that all routers share, so there are no more than it takes: an event has its chances to be
 // heard of before that, though answers get lost or come old. Seed spreads the queries of many routers that start,
 // or are sent to another directory, at one time.
-func New(addr string, seed uint64, grace time.Duration, dial func(addr string, h eventloop.Dialled) Line, changed func([]Worker)) *Client {
+func New(addr string, seed uint64, grace time.Duration, dial func(addr string, h eventloop.DialHandler) Transport, changed func([]Worker)) *Client {
 	return &Client{addr: addr, dial: dial, changed: changed, workers: map[string]Worker{},
 		every: max((toldAfter+grace)/chances-wayBack, askAgain), rng: rand.New(rand.NewPCG(seed, 0x6469726563))}
 }
@@ -123,9 +123,9 @@
 	return most - time.Duration(c.rng.Int64N(int64(most/5)))
 }
 
-// Move goes over to a directory at another address, which is asked at once. The list and its number
+// SetServer goes over to a directory at another address, which is asked at once. The list and its number
 // stay: what the new one has to tell goes on from there.
-func (c *Client) Move(now time.Duration, addr string) {
+func (c *Client) SetServer(now time.Duration, addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// Start takes in the start's list.
-func (c *Client) Start(k Known) error {
+// LoadSnapshot takes in the start's list.
+func (c *Client) LoadSnapshot(k Snapshot) error {
 	for _, e := range k.Batch {
 		if e.Topology.Complete {
 			clear(c.workers)
@@ -187,11 +187,11 @@
 	c.changed(list)
 }
 
-// Size is how many workers are known.
-func (c *Client) Size() int { return len(c.workers) }
+// WorkerCount is how many workers are known.
+func (c *Client) WorkerCount() int { return len(c.workers) }
 
-// Turn asks when it is time to, and returns when that is next.
-func (c *Client) Turn(now time.Duration) time.Duration {
+// Tick asks when it is time to, and returns when that is next.
+func (c *Client) Tick(now time.Duration) time.Duration {
 	c.now = now
 	if now < c.next {
 		return c.next
@@ -219,12 +219,12 @@
 		id++
 	}
 	s.pending = append(s.pending[max(0, len(s.pending)+1-lateQueries):], id)
-	s.client.Asked++
+	s.client.QueriesSent++
 	s.line.Write(query(id, serviceName))
 }
 
-// Opened is the end of the dial.
-func (s *socket) Opened(err error) {
+// DialCompleted is the end of the dial.
+func (s *socket) DialCompleted(err error) {
 	if s.client.sock == s {
 		s.client.leave()
 	}
@@ -276,7 +276,7 @@
 		return
 	}
 	c.silent = false
-	c.Heard++
+	c.ResponsesRead++
 	if r.serial == c.serial && !c.partial { // an older one tells nothing of what holds now
 		c.missed = 0
 		c.next = max(c.now, c.asked+c.spread(c.every))
@@ -347,7 +347,7 @@
 				continue
 			}
 		}
-		w.Addrs = w.Addrs[:min(len(w.Addrs), endpoint.MaxAddrs)]
+		w.Addrs = w.Addrs[:min(len(w.Addrs), endpoint.MaxAddresses)]
 		workers[w.Name] = w
 	}
 	if wrong != nil && r.serial == c.serial { // no better than what is held of it
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -53,7 +53,7 @@
 type desk struct {
 	*Client
 	t     rapid.TB
-	lines []*testutil.Line
+	lines []*testutil.Transport
 	addrs []string
 	list  []Worker
 }
@@ -62,20 +62,20 @@
 
 func newSeededDesk(t rapid.TB, seed uint64) *desk {
 	d := &desk{t: t}
-	d.Client = New("old", seed, time.Second, func(addr string, _ eventloop.Dialled) Line {
-		d.lines, d.addrs = append(d.lines, &testutil.Line{}), append(d.addrs, addr)
+	d.Client = New("old", seed, time.Second, func(addr string, _ eventloop.DialHandler) Transport {
+		d.lines, d.addrs = append(d.lines, &testutil.Transport{}), append(d.addrs, addr)
 		return d.lines[len(d.lines)-1]
 	}, func(w []Worker) { d.list = w })
-	var known Known
+	var known Snapshot
 	known.Offset = 3
 	known.Batch = make([]event, 1)
 	known.Batch[0].Topology.Complete = true
 	known.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready", Size: 4}}
-	if err := d.Start(known); err != nil {
+	if err := d.LoadSnapshot(known); err != nil {
 		t.Fatal(err)
 	}
-	d.Turn(time.Hour)
-	d.sock.Opened(nil)
+	d.Tick(time.Hour)
+	d.sock.DialCompleted(nil)
 	return d
 }
 
@@ -83,7 +83,7 @@
 func (d *desk) ask() uint16 {
 	l := d.lines[len(d.lines)-1]
 	l.Wrote.Reset()
-	d.Turn(d.next)
+	d.Tick(d.next)
 	b := l.Wrote.Bytes()
 	if len(b) < 2 || string(b) != string(query(binary.BigEndian.Uint16(b), serviceName)) {
 		d.t.Fatalf("asked %x", b)
@@ -140,8 +140,8 @@
 	if d.sock.Closed(errors.New("refused")); d.sock != nil || d.next > d.now+redialAfter {
 		t.Error("a lost socket isn't opened again at once")
 	}
-	d.Turn(d.next)
-	d.sock.Opened(nil)
+	d.Tick(d.next)
+	d.sock.DialCompleted(nil)
 	if d.sock.Data(answer(d.ask(), 6, 0, 0)); len(d.list) != 2 {
 		t.Errorf("after a new socket the list is %v", d.list)
 	}
@@ -154,25 +154,25 @@
 		d := newDesk(t)
 		if !up {
 			d.sock.Closed(errors.New("refused"))
-			d.Turn(d.next)
+			d.Tick(d.next)
 		}
 		id, old, line := uint16(0), d.sock, d.lines[len(d.lines)-1]
 		if up {
 			id = d.ask()
 		}
-		d.Move(d.now+time.Millisecond, "new")
-		d.Turn(d.now + time.Millisecond)
+		d.SetServer(d.now+time.Millisecond, "new")
+		d.Tick(d.now + time.Millisecond)
 		if line.HasClosed || d.addrs[len(d.addrs)-1] != "new" || d.sock == old {
 			t.Fatalf("dialled %v, old closed %v", d.addrs, line.HasClosed) // its descriptor may be the last
 		}
 		fresh := d.sock
-		old.Opened(nil)
+		old.DialCompleted(nil)
 		old.Data(answer(id, 8, 0, 0))
 		old.Closed(errors.New("late"))
 		if d.sock != fresh || len(d.list) != 1 || d.serial != 3 {
 			t.Fatalf("the old socket changed the list to %v", d.list)
 		}
-		if fresh.Opened(nil); !line.HasClosed {
+		if fresh.DialCompleted(nil); !line.HasClosed {
 			t.Error("the old socket stays open beside the new one")
 		}
 		if d.next > d.now+askAgain {
@@ -186,8 +186,8 @@
 			t.Errorf("list %v", d.list)
 		}
 		dials := len(d.addrs)
-		d.Move(d.now, "new") // a repeated signal changes nothing
-		if d.Turn(d.now); d.sock != fresh || len(d.addrs) != dials {
+		d.SetServer(d.now, "new") // a repeated signal changes nothing
+		if d.Tick(d.now); d.sock != fresh || len(d.addrs) != dials {
 			t.Error("the same address was dialled again")
 		}
 	}
@@ -202,7 +202,7 @@
 		for now := d.now; now < start+until; now += time.Millisecond {
 			l := d.lines[len(d.lines)-1]
 			l.Wrote.Reset()
-			d.Turn(now)
+			d.Tick(now)
 			if b := l.Wrote.Bytes(); len(b) > 0 {
 				at = append(at, now-start)
 				if serial, ok := answered(len(at)); ok {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -32,7 +32,7 @@
 	d := newDesk(t)
 	connection := d.lines[0]
 	connection.Wrote.Reset()
-	d.Turn(d.next)
+	d.Tick(d.next)
 	sent := connection.Wrote.Bytes()
 	if len(sent) < 2 || d.sock.pending[0] != binary.BigEndian.Uint16(sent) {
 		t.Fatalf("sent %x with %x pending", sent, d.sock.pending)
@@ -147,10 +147,10 @@
 			t.Errorf("%s: no error", label)
 		}
 		d := newDesk(t)
-		before, heard := d.list, d.Heard
+		before, heard := d.list, d.ResponsesRead
 		d.sock.Data(withID(message, d.ask()))
-		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.Heard != heard {
-			t.Errorf("%s: serial %d, heard %d, list %+v", label, d.serial, d.Heard-heard, d.list)
+		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.ResponsesRead != heard {
+			t.Errorf("%s: serial %d, heard %d, list %+v", label, d.serial, d.ResponsesRead-heard, d.list)
 		}
 	}
 }
--- a/internal/endpoint/addr.go
+++ b/internal/endpoint/addr.go
@@ -47,9 +47,9 @@
 
 // Bounds on addresses.
 const (
-	MaxAddrs = 8   // of one worker
-	MaxUnix  = 107 // bytes of a socket's path; the kernel's field holds one more, for the end (unix(7))
-	maxZone  = 15  // bytes of an interface's name, as Linux has them
+	MaxAddresses      = 8   // of one worker
+	MaxUnixPathLength = 107 // bytes of a socket's path; the kernel's field holds one more, for the end (unix(7))
+	maxZone           = 15  // bytes of an interface's name, as Linux has them
 )
 
 // Parse reads an address of a network: host:port with a numeric host, or the path of a Unix socket. A zone is
@@ -59,8 +59,8 @@
 		switch {
 		case !strings.HasPrefix(s, "/"):
 			return Addr{}, fmt.Errorf("%q is no absolute path of a socket", s)
-		case len(s) > MaxUnix:
-			return Addr{}, fmt.Errorf("the path %.20q... has %d bytes, at most %d", s, len(s), MaxUnix)
+		case len(s) > MaxUnixPathLength:
+			return Addr{}, fmt.Errorf("the path %.20q... has %d bytes, at most %d", s, len(s), MaxUnixPathLength)
 		case strings.ContainsRune(s, 0):
 			return Addr{}, fmt.Errorf("the path %q holds a zero byte", s)
 		}
--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// Member is an entry of a list of workers.
-type Member struct {
+// Entry is an entry of a list of workers.
+type Entry struct {
 	Name  string
 	Addrs []Addr
 	Same  string // the name of an entry that is said to be the same worker; "" for none
 }
 
-// Groups sorts the entries into workers. Two entries that have an address in common lead to one process, as do
+// GroupAliases sorts the entries into workers. Two entries that have an address in common lead to one process, as do
 // those that are said to: they are one worker, with the addresses of both. Each group lists its entries in the
 // order of their names, and so do the groups.
 //
 // A group's key is made of all its names: where one of them leaves the list, the process that it named has ended,
 // and what is left is another worker, which inherits nothing.
-func Groups(list []Member) (groups [][]int) {
+func GroupAliases(list []Entry) (groups [][]int) {
 	parent := make([]int, len(list))
 	for i := range parent {
 		parent[i] = i
@@ -58,8 +58,8 @@
 	return groups
 }
 
-// Key is the name under which a group is known. That of a single entry is its own.
-func Key(list []Member, group []int) string {
+// GroupName is the name under which a group is known. That of a single entry is its own.
+func GroupName(list []Entry, group []int) string {
 	var names []string
 	for _, i := range group {
 		names = append(names, list[i].Name)
--- a/internal/endpoint/path_test.go
+++ b/internal/endpoint/path_test.go
@@ -54,45 +54,45 @@
 		{[]Network{TCP6, TCP4, Unix}, []Addr{six, four, six2, far, sock}},
 		{[]Network{TCP4, Unix, TCP4}, []Addr{four, six, far, six2, sock}},
 	} {
-		s := New(1, c.prefer...)
-		s.Put(0, []Addr{four, far, six, six2, sock, four})
+		s := NewAddressSet(1, c.prefer...)
+		s.Update(0, []Addr{four, far, six, six2, sock, four})
 		if got := s.Candidates(); !slices.Equal(got, c.want) {
 			t.Errorf("%v: %v, want %v", c.prefer, got, c.want)
 		}
 	}
-	s := New(1)
+	s := NewAddressSet(1)
 	var many []Addr
 	for i := range 20 {
 		many = append(many, Addr{TCP4, fmt.Sprintf("127.0.0.%d:80", i+1)})
 	}
-	if s.Put(0, many); s.Len() != MaxAddrs {
-		t.Errorf("%d addresses of one worker, at most %d", s.Len(), MaxAddrs)
+	if s.Update(0, many); s.Len() != MaxAddresses {
+		t.Errorf("%d addresses of one worker, at most %d", s.Len(), MaxAddresses)
 	}
 }
 
 // A failed address takes no calls until a trial has come up; all others come first, and where all have failed nothing
 // is lost by trying.
 func TestFailedAddressCountsAgainAfterATrial(t *testing.T) {
-	s := New(1)
-	s.Put(0, []Addr{sock, four})
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{sock, four})
 	s.Failed(0, sock)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{four}) {
 		t.Fatalf("candidates %v", got)
 	}
-	if a, ok := s.Trial(100 * ms); ok {
+	if a, ok := s.NextRecoveryDial(100 * ms); ok {
 		t.Fatalf("a trial of %v at once", a)
 	}
-	if a, ok := s.Trial(700 * ms); !ok || a != sock {
+	if a, ok := s.NextRecoveryDial(700 * ms); !ok || a != sock {
 		t.Fatalf("no trial: %v", a)
 	}
-	if _, ok := s.Trial(700 * ms); ok {
+	if _, ok := s.NextRecoveryDial(700 * ms); ok {
 		t.Fatal("two trials of one address at once")
 	}
 	if got := s.Candidates(); !slices.Equal(got, []Addr{four}) {
 		t.Fatalf("candidates %v under a trial", got)
 	}
-	s.Up(720*ms, sock)
-	if got := s.Candidates(); !slices.Equal(got, []Addr{sock, four}) || s.Down() != 0 {
+	s.Succeeded(720*ms, sock)
+	if got := s.Candidates(); !slices.Equal(got, []Addr{sock, four}) || s.Unavailable() != 0 {
 		t.Fatalf("candidates %v after a trial", got)
 	}
 	s.Failed(time.Second, four)
@@ -100,10 +100,10 @@
 	if got := s.Candidates(); !slices.Equal(got, []Addr{four, sock}) {
 		t.Errorf("all are down: %v, want the one whose back-off ends first", got)
 	}
-	one := New(1)
-	one.Put(0, []Addr{four})
+	one := NewAddressSet(1)
+	one.Update(0, []Addr{four})
 	one.Failed(0, four)
-	if _, ok := one.Trial(time.Hour); ok || len(one.Candidates()) != 1 {
+	if _, ok := one.NextRecoveryDial(time.Hour); ok || len(one.Candidates()) != 1 {
 		t.Error("a single address is tried by calls")
 	}
 }
@@ -111,34 +111,34 @@
 // Back-off doubles with each failure up to its most, spread by a quarter either way, and forgets after a time of
 // being well. Many connections that end together are one failure.
 func TestBackoff(t *testing.T) {
-	s := New(7)
-	s.Put(0, []Addr{sock, four})
+	s := NewAddressSet(7)
+	s.Update(0, []Addr{sock, four})
 	now, spread := time.Duration(0), map[time.Duration]bool{}
 	for i := range 9 {
 		for range 5 {
 			s.Failed(now, sock)
 		}
 		wait := min(firstBackoff<<i, mostBackoff)
-		if _, ok := s.Trial(now + wait*3/4 - ms); ok {
+		if _, ok := s.NextRecoveryDial(now + wait*3/4 - ms); ok {
 			t.Fatalf("failure %d: a trial too soon", i+1)
 		}
-		if _, ok := s.Trial(now + wait*5/4 + ms); !ok {
+		if _, ok := s.NextRecoveryDial(now + wait*5/4 + ms); !ok {
 			t.Fatalf("failure %d: no trial after %v", i+1, wait*5/4)
 		}
 		spread[s.find(sock).until-now-wait] = true
 		now += wait * 5 / 4
-		s.Up(now, sock)
+		s.Succeeded(now, sock)
 	}
 	if len(spread) < 6 {
 		t.Errorf("%d different spreads of 9", len(spread))
 	}
 	now += forgetAfter + time.Second
 	s.Failed(now, sock)
-	if _, ok := s.Trial(now + time.Second); !ok {
+	if _, ok := s.NextRecoveryDial(now + time.Second); !ok {
 		t.Error("failures are not forgotten")
 	}
-	s.Undecided(now+time.Second, sock)
-	if _, ok := s.Trial(now + time.Second + firstBackoff); !ok {
+	s.RecoveryInconclusive(now+time.Second, sock)
+	if _, ok := s.NextRecoveryDial(now + time.Second + firstBackoff); !ok {
 		t.Error("a trial that told nothing is not made again")
 	}
 }
@@ -146,38 +146,38 @@
 // Calls go back to a better address once it has been well for a time, so that a flapping one draws none; a silent
 // one is tried last and is no better.
 func TestGoingBack(t *testing.T) {
-	s := New(1)
-	s.Put(0, []Addr{sock, four})
-	if s.Better(time.Hour, sock) || !s.Better(time.Hour, four) {
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{sock, four})
+	if s.HasBetter(time.Hour, sock) || !s.HasBetter(time.Hour, four) {
 		t.Error("the better address is not the first one")
 	}
 	now := time.Hour
 	for range 200 { // fails every 100 ms
 		now += 100 * ms
 		s.Failed(now, sock)
-		if a, ok := s.Trial(now + 50*ms); ok {
-			s.Up(now+50*ms, a)
+		if a, ok := s.NextRecoveryDial(now + 50*ms); ok {
+			s.Succeeded(now+50*ms, a)
 		}
-		if s.Better(now+60*ms, four) {
+		if s.HasBetter(now+60*ms, four) {
 			t.Fatal("calls go back to a flapping address")
 		}
 	}
 	if s.find(sock).failures < 4 {
 		t.Errorf("%d failures counted over 20 s of flapping", s.find(sock).failures)
 	}
-	s.Up(now, sock)
-	if s.Better(now+4*time.Second, four) || !s.Better(now+6*time.Second, four) {
+	s.Succeeded(now, sock)
+	if s.HasBetter(now+4*time.Second, four) || !s.HasBetter(now+6*time.Second, four) {
 		t.Error("calls don't go back after 5 s of being well")
 	}
 	s.Suspect(now+6*time.Second, sock)
-	if s.Better(now+7*time.Second, four) || s.Candidates()[0] != four {
+	if s.HasBetter(now+7*time.Second, four) || s.Candidates()[0] != four {
 		t.Error("a silent address comes first")
 	}
-	if s.Heard(sock); s.Candidates()[0] != sock {
+	if s.Responded(sock); s.Candidates()[0] != sock {
 		t.Error("an address that was heard again is still suspected")
 	}
-	s.Put(now, []Addr{sock})
-	if !s.Better(now+time.Minute, four) {
+	s.Update(now, []Addr{sock})
+	if !s.HasBetter(now+time.Minute, four) {
 		t.Error("connections to an address that is no longer listed stay")
 	}
 }
@@ -185,16 +185,16 @@
 // What is known of an address stays with it over a new list, and goes with it: one that comes back, or comes to
 // another worker, inherits nothing.
 func TestStateGoesWithTheAddress(t *testing.T) {
-	s := New(1)
-	s.Put(0, []Addr{sock, four})
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{sock, four})
 	s.Failed(0, sock)
-	s.Put(0, []Addr{four, sock, six})
-	if s.Down() != 1 {
+	s.Update(0, []Addr{four, sock, six})
+	if s.Unavailable() != 1 {
 		t.Error("a failure is forgotten over a new list")
 	}
-	s.Put(0, []Addr{four})
-	s.Put(0, []Addr{four, sock})
-	if s.Down() != 0 {
+	s.Update(0, []Addr{four})
+	s.Update(0, []Addr{four, sock})
+	if s.Unavailable() != 0 {
 		t.Error("an address that comes anew inherits a failure")
 	}
 }
@@ -204,11 +204,11 @@
 func TestRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Addr
-		for i := range rapid.IntRange(1, MaxAddrs).Draw(t, "addresses") {
+		for i := range rapid.IntRange(1, MaxAddresses).Draw(t, "addresses") {
 			list = append(list, Addr{TCP4, fmt.Sprint(i)})
 		}
 		limit, left := 250*ms, time.Duration(rapid.IntRange(0, 3000).Draw(t, "left"))*ms
-		r, now := NewRace(list, limit, left), time.Duration(0)
+		r, now := NewDialRace(list, limit, left), time.Duration(0)
 		var tried []Addr
 		out, won, over, last := 0, 0, false, time.Duration(0)
 		for range 200 {
@@ -223,7 +223,7 @@
 			} else if out == 0 && won == 0 && len(tried) < len(list) {
 				t.Fatal("nothing is under way, addresses are left, and none is tried")
 			}
-			if out > MostDials || r.Out() != out {
+			if out > MaxDialsPerWorker || r.Out() != out {
 				t.Fatalf("%d dials under way, %d counted", out, r.Out())
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -256,23 +256,23 @@
 }
 
 func TestGroups(t *testing.T) {
-	words := func(list []Member) string {
+	words := func(list []Entry) string {
 		var out []string
-		for _, g := range Groups(list) {
-			out = append(out, Key(list, g))
+		for _, g := range GroupAliases(list) {
+			out = append(out, GroupName(list, g))
 		}
 		return strings.Join(out, " ")
 	}
 	for _, c := range []struct {
 		name, want string
-		list       []Member
+		list       []Entry
 	}{
-		{"apart", "a b", []Member{{"b", []Addr{four}, ""}, {"a", []Addr{six}, ""}}},
-		{"one address of two", "a+b c", []Member{{"b", []Addr{four, six}, ""}, {"a", []Addr{sock, four}, ""}, {"c", []Addr{far}, ""}}},
-		{"a chain", "a+b+c", []Member{{"a", []Addr{four}, ""}, {"c", []Addr{six}, ""}, {"b", []Addr{six, four}, ""}}},
-		{"by name", "a+b", []Member{{"a", []Addr{four}, ""}, {"b", []Addr{six}, "a"}}},
-		{"by a name that is not listed", "b", []Member{{"b", []Addr{six}, "a"}}},
-		{"swapped in one update", "a b", []Member{{"a", []Addr{six}, ""}, {"b", []Addr{four}, ""}}},
+		{"apart", "a b", []Entry{{"b", []Addr{four}, ""}, {"a", []Addr{six}, ""}}},
+		{"one address of two", "a+b c", []Entry{{"b", []Addr{four, six}, ""}, {"a", []Addr{sock, four}, ""}, {"c", []Addr{far}, ""}}},
+		{"a chain", "a+b+c", []Entry{{"a", []Addr{four}, ""}, {"c", []Addr{six}, ""}, {"b", []Addr{six, four}, ""}}},
+		{"by name", "a+b", []Entry{{"a", []Addr{four}, ""}, {"b", []Addr{six}, "a"}}},
+		{"by a name that is not listed", "b", []Entry{{"b", []Addr{six}, "a"}}},
+		{"swapped in one update", "a b", []Entry{{"a", []Addr{six}, ""}, {"b", []Addr{four}, ""}}},
 	} {
 		if got := words(c.list); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -11,9 +11,9 @@
 const (
 	// Stagger is how long a dial has before the next address is tried beside it (RFC 8305, section 5), where the
 	// time that a dial may take is longer.
-	Stagger = 250 * time.Millisecond
+	ConnectionAttemptDelay = 250 * time.Millisecond
 	// MostDials is how many dials to one worker may be under way at once, and MostDialsInAll to all.
-	MostDials, MostDialsInAll = 4, 64
+	MaxDialsPerWorker, MaxDials = 4, 64
 
 	firstBackoff = 500 * time.Millisecond // of a failed address; twice as long with each failure
 	mostBackoff  = 30 * time.Second
@@ -21,8 +21,8 @@
 	forgetAfter  = 30 * time.Second // of being well, earlier failures no longer count
 )
 
-// Set is the addresses of one worker with what is known of each.
-type Set struct {
+// AddressSet is the addresses of one worker with what is known of each.
+type AddressSet struct {
 	seed   uint64
 	prefer []Network
 	list   []*state
@@ -38,16 +38,16 @@
 	suspect  time.Duration // a connection over it has owed answers since; 0: none
 }
 
-// New returns a set without addresses. Prefer orders networks; those that it leaves out follow in their own
+// NewAddressSet returns a set without addresses. Prefer orders networks; those that it leaves out follow in their own
 // order. The spread of back-offs follows from seed.
-func New(seed uint64, prefer ...Network) *Set {
-	s := &Set{seed: seed}
+func NewAddressSet(seed uint64, prefer ...Network) *AddressSet {
+	s := &AddressSet{seed: seed}
 	s.Prefer(prefer...)
 	return s
 }
 
 // Prefer replaces the order of networks.
-func (s *Set) Prefer(prefer ...Network) {
+func (s *AddressSet) Prefer(prefer ...Network) {
 	s.prefer = nil
 	for _, n := range prefer {
 		if !slices.Contains(s.prefer, n) {
@@ -62,13 +62,13 @@
 	s.arrange()
 }
 
-// Put replaces the addresses, in the order of preference within each network. Those that were there keep what is
+// Update replaces the addresses, in the order of preference within each network. Those that were there keep what is
 // known of them; what is beyond MaxAddrs is left out.
-func (s *Set) Put(now time.Duration, list []Addr) {
+func (s *AddressSet) Update(now time.Duration, list []Addr) {
 	old := s.list
 	s.list = nil
 	for _, a := range list {
-		if len(s.list) >= MaxAddrs || s.find(a) != nil {
+		if len(s.list) >= MaxAddresses || s.find(a) != nil {
 			continue
 		}
 		st := &state{Addr: a, well: now}
@@ -84,7 +84,7 @@
 
 // arrange orders the addresses: by network, but IPv6 and IPv4 in turn, so that a broken one of the two does not
 // take the time of all its addresses (RFC 8305, section 4).
-func (s *Set) arrange() {
+func (s *AddressSet) arrange() {
 	by := map[Network][]*state{}
 	for _, st := range s.list {
 		by[st.Network] = append(by[st.Network], st)
@@ -112,7 +112,7 @@
 	s.list = out
 }
 
-func (s *Set) find(a Addr) *state {
+func (s *AddressSet) find(a Addr) *state {
 	for _, st := range s.list {
 		if st.Addr == a {
 			return st
@@ -122,15 +122,15 @@
 }
 
 // Has tells whether an address is in the set.
-func (s *Set) Has(a Addr) bool { return s.find(a) != nil }
+func (s *AddressSet) Has(a Addr) bool { return s.find(a) != nil }
 
 // Len is how many addresses there are.
-func (s *Set) Len() int { return len(s.list) }
+func (s *AddressSet) Len() int { return len(s.list) }
 
 // Candidates are the addresses that a connection for calls may be tried over, the first one first. Those that are
 // down are none; where all are, nothing is lost by trying, the one that has been down for longest first.
 // Addresses over which a connection owes answers come after those that are well.
-func (s *Set) Candidates() (list []Addr) {
+func (s *AddressSet) Candidates() (list []Addr) {
 	var doubtful []Addr
 	for _, st := range s.list {
 		switch {
@@ -154,7 +154,7 @@
 
 // Failed says that a dial over an address failed, or that a connection over it was of no use. It counts for
 // nothing until a trial comes up, which is held off for longer with each failure.
-func (s *Set) Failed(now time.Duration, a Addr) {
+func (s *AddressSet) Failed(now time.Duration, a Addr) {
 	st := s.find(a)
 	if st == nil || st.down && !st.trying && now < st.until {
 		return // one failure, however many dials and connections it ended
@@ -170,7 +170,7 @@
 }
 
 // draw spreads back-offs: a number that follows from the seed, the address and its failures.
-func (s *Set) draw(st *state) uint64 {
+func (s *AddressSet) draw(st *state) uint64 {
 	x := s.seed ^ uint64(st.failures)*0x9e3779b97f4a7c15
 	for _, c := range []byte(st.Addr.Addr) {
 		x = (x ^ uint64(c)) * 0x100000001b3
@@ -180,8 +180,8 @@
 	return x ^ x>>29
 }
 
-// Up says that a connection over an address came up.
-func (s *Set) Up(now time.Duration, a Addr) {
+// Succeeded says that a connection over an address came up.
+func (s *AddressSet) Succeeded(now time.Duration, a Addr) {
 	if st := s.find(a); st != nil && st.down {
 		st.down, st.trying, st.well = false, false, now
 	}
@@ -189,22 +189,22 @@
 
 // Suspect says that a connection over an address owes answers and is silent, and Heard that a whole answer came
 // over it.
-func (s *Set) Suspect(now time.Duration, a Addr) {
+func (s *AddressSet) Suspect(now time.Duration, a Addr) {
 	if st := s.find(a); st != nil && st.suspect == 0 {
 		st.suspect = now
 	}
 }
 
-// Heard ends a suspicion.
-func (s *Set) Heard(a Addr) {
+// Responded ends a suspicion.
+func (s *AddressSet) Responded(a Addr) {
 	if st := s.find(a); st != nil {
 		st.suspect = 0
 	}
 }
 
-// Trial returns an address that is down and may be tried by a connection that carries nothing. Its end is told by
+// NextRecoveryDial returns an address that is down and may be tried by a connection that carries nothing. Its end is told by
 // Up or Failed. A single address has no trials: its calls are.
-func (s *Set) Trial(now time.Duration) (Addr, bool) {
+func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
 	if len(s.list) > 1 {
 		for _, st := range s.list {
 			if st.down && !st.trying && now >= st.until {
@@ -216,16 +216,16 @@
 	return Addr{}, false
 }
 
-// Undecided says that a trial ended without telling of its address: there was no descriptor for it, say.
-func (s *Set) Undecided(now time.Duration, a Addr) {
+// RecoveryInconclusive says that a trial ended without telling of its address: there was no descriptor for it, say.
+func (s *AddressSet) RecoveryInconclusive(now time.Duration, a Addr) {
 	if st := s.find(a); st != nil && st.trying {
 		st.trying, st.until = false, now+firstBackoff
 	}
 }
 
-// Better tells whether calls should go back from an address to a better one, which has been well for long enough
+// HasBetter tells whether calls should go back from an address to a better one, which has been well for long enough
 // that a flapping one does not draw them to and fro.
-func (s *Set) Better(now time.Duration, than Addr) bool {
+func (s *AddressSet) HasBetter(now time.Duration, than Addr) bool {
 	for _, st := range s.list {
 		if st.Addr == than {
 			return false
@@ -238,7 +238,7 @@
 }
 
 // String words the set with what is known of each address.
-func (s *Set) String() string {
+func (s *AddressSet) String() string {
 	var parts []string
 	for _, st := range s.list {
 		part := st.Addr.String()
@@ -256,8 +256,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// Down is how many addresses count as failed.
-func (s *Set) Down() (n int) {
+// Unavailable is how many addresses count as failed.
+func (s *AddressSet) Unavailable() (n int) {
 	for _, st := range s.list {
 		if st.down {
 			n++
--- a/internal/eventloop/crossings_test.go
+++ b/internal/eventloop/crossings_test.go
@@ -29,8 +29,8 @@
 	}
 	defer ln.Close()
 	// The poller waits behind a byte.
-	l := startThat(t, Config{MaxAccepted: 4, MaxFiles: 256, MaxQueued: 1, MaxUnread: 32 << 20},
-		func(c *Conn) Accepted { return &echo{c: c, ends: make(chan error, 1)} })
+	l := startThat(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
+		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
 	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
 	made := make(chan *Conn, 1)
 	l.Post(func() { made <- l.Dial("tcp", ln.Addr().String(), time.Second, r) })
@@ -78,7 +78,7 @@
 	l.accepted[c] = struct{}{}
 	c.owe(3)
 	c.Write([]byte("four"), []byte("!"))
-	if n := l.Unwritten(); n != 8 {
+	if n := l.UnwrittenBytes(); n != 8 {
 		t.Errorf("%d bytes are unwritten, not 8", n)
 	}
 }
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	accepted := make(chan bool, 100)
-	l := start(t, 1000, func(c *Conn) Accepted {
+	l := start(t, 1000, func(c *Conn) AcceptedHandler {
 		accepted <- true
 		return &echo{c: c, ends: make(chan error, 1)}
 	})
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -51,7 +51,7 @@
 var errSlow = errors.New("peer does not read")
 
 // ErrTooMany closes an accepted connection beyond the limit on them.
-var ErrTooMany = errors.New("too many accepted connections")
+var ErrTooManyConnections = errors.New("too many accepted connections")
 
 // Handler takes what happens on a connection. All its methods run on the loop's goroutine.
 type Handler interface {
@@ -61,8 +61,8 @@
 	Closed(err error)
 }
 
-// Accepted is the handler of an accepted connection.
-type Accepted interface {
+// AcceptedHandler is the handler of an accepted connection.
+type AcceptedHandler interface {
 	Handler
 	// Busy tells whether the connection has open requests and must be left alone.
 	Busy() bool
@@ -70,19 +70,19 @@
 	Messages() (whole int, begun bool)
 }
 
-// Dialled is the handler of a connection that this program opens.
-type Dialled interface {
+// DialHandler is the handler of a connection that this program opens.
+type DialHandler interface {
 	Handler
 	// Opened tells how the dial ended. With an error it is the last call.
-	Opened(err error)
+	DialCompleted(err error)
 }
 
 // Config bounds a Loop.
 type Config struct {
-	MaxAccepted int // accepted connections at once
-	MaxFiles    int // descriptors of the process
-	MaxQueued   int // bytes queued for the loop; beyond it the pollers wait
-	MaxUnread   int // bytes that all peers together may leave unread
+	MaxAccepted    int // accepted connections at once
+	MaxDescriptors int // descriptors of the process
+	MaxQueuedBytes int // bytes queued for the loop; beyond it the pollers wait
+	MaxUnreadBytes int // bytes that all peers together may leave unread
 }
 
 // Loop owns the engine and the queue between it and the goroutine in Run.
@@ -90,7 +90,7 @@
 	cfg       Config
 	start     time.Time
 	engine    *nbio.Engine
-	listeners map[string]func(*Conn) Accepted
+	listeners map[string]func(*Conn) AcceptedHandler
 
 	mu     sync.Mutex
 	room   *sync.Cond
@@ -135,7 +135,7 @@
 type Conn struct {
 	loop   *Loop
 	nc     *nbio.Conn
-	accept func(*Conn) Accepted
+	accept func(*Conn) AcceptedHandler
 	h      Handler
 	out    [][]byte
 	unread atomic.Int64  // bytes that the peer has yet to take
@@ -150,7 +150,7 @@
 
 // New returns a Loop that listens nowhere yet.
 func New(cfg Config) *Loop {
-	l := &Loop{cfg: cfg, start: time.Now(), listeners: map[string]func(*Conn) Accepted{},
+	l := &Loop{cfg: cfg, start: time.Now(), listeners: map[string]func(*Conn) AcceptedHandler{},
 		wake: make(chan struct{}, 1), accepted: map[*Conn]struct{}{}}
 	l.room = sync.NewCond(&l.mu)
 	l.now = l.clock()
@@ -171,12 +171,12 @@
 }
 
 // Listen has connections to addr handled by what accept returns. It is called before Start.
-func (l *Loop) Listen(addr string, accept func(*Conn) Accepted) { l.listeners[addr] = accept }
+func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) { l.listeners[addr] = accept }
 
 // Start opens the listeners and begins to queue what happens.
 func (l *Loop) Start() error {
 	logging.SetLevel(logging.LevelNone) // its errors reach our log by the callbacks
-	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(l.cfg.MaxFiles, 1024)*2)
+	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(l.cfg.MaxDescriptors, 1024)*2)
 	bound := bindings{}
 	conf := nbio.Config{Network: "tcp", NPoller: 1, ReadBufferSize: readBuffer, MaxWriteBufferSize: maxUnwritten,
 		MaxConnReadTimesPerEventLoop: maxReads,
@@ -218,7 +218,7 @@
 	l.engine.OnAcceptError(func(err error) {
 		// Out of descriptors accept fails at once, and nbio would call it again without end.
 		slog.Warn("accept_failed", "err", err)
-		if NoDescriptor(err) {
+		if IsDescriptorExhausted(err) {
 			l.Post(func() { l.evict() })
 		}
 		time.Sleep(acceptPause)
@@ -230,11 +230,11 @@
 }
 
 // bindings finds the listener of a connection by the address that it was made to.
-type bindings map[string]func(*Conn) Accepted
+type bindings map[string]func(*Conn) AcceptedHandler
 
 // add enters a listener; one on all addresses is known by its port alone, since each of its
 // connections has the address that the peer chose.
-func (b bindings) add(addr net.Addr, accept func(*Conn) Accepted) {
+func (b bindings) add(addr net.Addr, accept func(*Conn) AcceptedHandler) {
 	if a, ok := addr.(*net.TCPAddr); ok && a.IP.IsUnspecified() {
 		b[fmt.Sprint(a.Port)] = accept
 		return
@@ -242,7 +242,7 @@
 	b[addr.String()] = accept
 }
 
-func (b bindings) find(addr net.Addr) func(*Conn) Accepted {
+func (b bindings) find(addr net.Addr) func(*Conn) AcceptedHandler {
 	if accept := b[addr.String()]; accept != nil {
 		return accept
 	}
@@ -260,7 +260,7 @@
 // the loop has not seen hold descriptors beyond the limit on them.
 func (l *Loop) push(it item) {
 	l.mu.Lock()
-	for l.queued > l.cfg.MaxQueued && it.kind == gotData || l.fresh >= maxAccepts && it.kind == gotConn {
+	for l.queued > l.cfg.MaxQueuedBytes && it.kind == gotData || l.fresh >= maxAccepts && it.kind == gotConn {
 		l.room.Wait()
 	}
 	if it.kind == gotConn {
@@ -346,7 +346,7 @@
 			it.err = errors.Join(it.err, net.ErrClosed)
 		}
 		c.isUp, c.closed = it.err == nil, it.err != nil
-		c.h.(Dialled).Opened(it.err)
+		c.h.(DialHandler).DialCompleted(it.err)
 	case gotData:
 		if c.h != nil && !c.closed {
 			c.h.Data(it.data)
@@ -368,7 +368,7 @@
 
 // listen notes what whole messages an accepted connection has brought.
 func (c *Conn) listen() {
-	a, ok := c.h.(Accepted)
+	a, ok := c.h.(AcceptedHandler)
 	if !ok {
 		return
 	}
@@ -418,18 +418,18 @@
 // owes tells whether an answer is owed on an accepted connection, or has been given and is yet to leave:
 // closing drops what is queued, and with it the only answer to a request.
 func (c *Conn) owes() bool {
-	return c.h.(Accepted).Busy() || len(c.out) > 0 || c.unread.Load() > 0
+	return c.h.(AcceptedHandler).Busy() || len(c.out) > 0 || c.unread.Load() > 0
 }
 
 func (l *Loop) sweep() {
 	l.swept = l.now
 	for c := range l.accepted {
-		if c.late() && !c.h.(Accepted).Busy() {
+		if c.late() && !c.h.(AcceptedHandler).Busy() {
 			c.Close()
 		}
 	}
 	if l.refused > 0 && l.now-l.complained > time.Second { // not once for each: a flood would fill the log
-		slog.Warn("connections_refused", "count", l.refused, "err", ErrTooMany)
+		slog.Warn("connections_refused", "count", l.refused, "err", ErrTooManyConnections)
 		l.refused, l.complained = 0, l.now
 	}
 }
@@ -450,11 +450,11 @@
 // Dial opens a connection and returns at once. A net.Dialer does it on a goroutine of its own: in
 // nbio 1.6.8 a refused DialAsync is first reported as connected, and one that connects at once
 // leaves its write event set, on which the poller then spins.
-func (l *Loop) Dial(network, addr string, timeout time.Duration, h Dialled) *Conn {
+func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
 	c := &Conn{loop: l, h: h}
 	go func() {
 		nc, err := connect(network, addr, timeout)
-		for n := 0; n < roomTries && NoDescriptor(err) && l.MakeRoom(); n++ {
+		for n := 0; n < roomTries && IsDescriptorExhausted(err) && l.CloseIdleClients(); n++ {
 			nc, err = connect(network, addr, timeout)
 		}
 		if err == nil {
@@ -479,14 +479,14 @@
 	return nc, err
 }
 
-// NoDescriptor tells whether an error is of this machine and says nothing of a peer: no descriptor or buffer is left.
-func NoDescriptor(err error) bool {
+// IsDescriptorExhausted tells whether an error is of this machine and says nothing of a peer: no descriptor or buffer is left.
+func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS)
 }
 
-// MakeRoom has an idle client's connection give up its descriptor, and tells whether there was one. Clients may hold
+// CloseIdleClients has an idle client's connection give up its descriptor, and tells whether there was one. Clients may hold
 // all that are left; the directory and the workers must be reached all the same. It is not for the loop's goroutine.
-func (l *Loop) MakeRoom() bool {
+func (l *Loop) CloseIdleClients() bool {
 	made := make(chan bool, 1)
 	l.Post(func() { made <- l.evict() })
 	select {
@@ -518,8 +518,8 @@
 	return nbio.NBConn(std)
 }
 
-// Peer is the address at the other end.
-func (c *Conn) Peer() netip.AddrPort {
+// RemoteAddr is the address at the other end.
+func (c *Conn) RemoteAddr() netip.AddrPort {
 	if a, ok := c.nc.RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort()
 	}
@@ -595,7 +595,7 @@
 			}
 		}
 	}
-	if c.unread.Load() > 0 && c.loop.unread.Load() > int64(c.loop.cfg.MaxUnread) {
+	if c.unread.Load() > 0 && c.loop.unread.Load() > int64(c.loop.cfg.MaxUnreadBytes) {
 		return errSlow
 	}
 	return nil
@@ -608,9 +608,9 @@
 	return n
 }
 
-// Unsent is how many of the last bytes that were written to a connection that has ended never left this program:
+// UnsentBytes is how many of the last bytes that were written to a connection that has ended never left this program:
 // the kernel did not take them. What it took may have reached the peer.
-func (c *Conn) Unsent() int { return c.unsent }
+func (c *Conn) UnsentBytes() int { return c.unsent }
 
 // owe counts bytes that the peer has yet to take; OnWrittenSize takes them off.
 func (c *Conn) owe(n int) {
@@ -618,8 +618,8 @@
 	c.loop.unread.Add(int64(n))
 }
 
-// Unwritten is how many bytes accepted peers have yet to take, what this turn queued for them included.
-func (l *Loop) Unwritten() int {
+// UnwrittenBytes is how many bytes accepted peers have yet to take, what this turn queued for them included.
+func (l *Loop) UnwrittenBytes() int {
 	sum := int64(0)
 	for c := range l.accepted {
 		sum += c.unread.Load() + int64(size(c.out))
@@ -635,8 +635,8 @@
 	}
 }
 
-// FlushClose writes what is queued and closes.
-func (c *Conn) FlushClose() {
+// CloseAfterFlush writes what is queued and closes.
+func (c *Conn) CloseAfterFlush() {
 	if !c.closed && c.isUp {
 		if err := c.gather(); err != nil {
 			c.fail(err)
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -33,15 +33,15 @@
 // dialled tells how a dial and its connection ended.
 type dialled struct{ opened, closed chan error }
 
-func (d *dialled) Data([]byte)      {}
-func (d *dialled) Opened(err error) { d.opened <- err }
-func (d *dialled) Closed(err error) { d.closed <- err }
+func (d *dialled) Data([]byte)             {}
+func (d *dialled) DialCompleted(err error) { d.opened <- err }
+func (d *dialled) Closed(err error)        { d.closed <- err }
 
-func start(t *testing.T, most int, accept func(*Conn) Accepted) *Loop {
-	return startThat(t, Config{MaxAccepted: most, MaxFiles: 256, MaxQueued: 8 << 20, MaxUnread: 32 << 20}, accept)
+func start(t *testing.T, most int, accept func(*Conn) AcceptedHandler) *Loop {
+	return startThat(t, Config{MaxAccepted: most, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
 }
 
-func startThat(t *testing.T, cfg Config, accept func(*Conn) Accepted) *Loop {
+func startThat(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
 	l := New(cfg)
 	l.Listen("127.0.0.1:0", accept)
 	if err := l.Start(); err != nil {
@@ -63,8 +63,8 @@
 // taken for nobody's.
 func TestConnectionsFindTheirListener(t *testing.T) {
 	which := ""
-	accept := func(name string) func(*Conn) Accepted {
-		return func(*Conn) Accepted { which = name; return nil }
+	accept := func(name string) func(*Conn) AcceptedHandler {
+		return func(*Conn) AcceptedHandler { which = name; return nil }
 	}
 	addr := func(text string) net.Addr { return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(text)) }
 	b := bindings{}
@@ -96,7 +96,7 @@
 func TestNothingIsLostInShortWrites(t *testing.T) {
 	e := &echo{times: 3000, ends: make(chan error, 1)}
 	wrote := make(chan struct{}, 1)
-	l := start(t, 10, func(c *Conn) Accepted {
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		// The kernel's buffer is made small, so that little is needed to fill it.
 		c.nc.SetWriteBuffer(4 << 10)
 		e.c = c
@@ -107,7 +107,7 @@
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	c.Write(text)
 	for behind := 0; behind == 0; { // until the loop has written, and more than the kernel holds
-		l.Post(func() { behind = l.Unwritten(); wrote <- struct{}{} })
+		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
@@ -116,14 +116,14 @@
 		t.Errorf("bytes differ, %v", err)
 	}
 	for behind := 1; behind != 0; { // the poller may still have to count its last write
-		l.Post(func() { behind = l.Unwritten(); wrote <- struct{}{} })
+		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 }
 
 func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
 	e := &echo{times: 40000, ends: make(chan error, 1)}
-	l := start(t, 10, func(c *Conn) Accepted {
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		c.nc.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
@@ -139,7 +139,7 @@
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
 	accepted := make(chan *echo, 10)
 	busy := true
-	l := start(t, 1, func(c *Conn) Accepted {
+	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		e := &echo{c: c, times: 1, busy: busy, ends: make(chan error, 1)}
 		accepted <- e
 		return e
@@ -158,7 +158,7 @@
 }
 
 func TestDialsEndOnceAndTruly(t *testing.T) {
-	l := start(t, 10, func(c *Conn) Accepted { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -282,7 +282,7 @@
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		l := start(t, 10, func(c *Conn) Accepted { return &echo{c: c, ends: make(chan error, 1)} })
+		l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
 		d := &dialled{make(chan error, 1), make(chan error, 1)}
 		made := make(chan *Conn, 1)
 		l.Post(func() { made <- l.Dial("tcp", ln.Addr().String(), time.Second, d) })
@@ -313,7 +313,7 @@
 		peer.Close()
 		<-d.closed
 		unsent := make(chan int)
-		l.Post(func() { unsent <- c.Unsent() })
+		l.Post(func() { unsent <- c.UnsentBytes() })
 		switch n := <-unsent; {
 		case size < 1000 && n != 0:
 			t.Errorf("%d bytes of %d never left, though %d arrived", n, size, got)
--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -36,7 +36,7 @@
 
 func newCollector() *collector {
 	c := &collector{now: time.Hour}
-	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.Dialled) Line {
+	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.DialHandler) Transport {
 		c.line = &datagramLine{}
 		return c.line
 	})
@@ -45,8 +45,8 @@
 
 // connect opens the exporter's socket.
 func (c *collector) connect() {
-	c.exporter.Turn(c.now)
-	c.exporter.Opened(nil)
+	c.exporter.Tick(c.now)
+	c.exporter.DialCompleted(nil)
 }
 
 // export adds the flows, lets some time pass, and appends the messages that are sent to the transcript.
@@ -56,7 +56,7 @@
 	}
 	c.now += after
 	c.line.sent = nil
-	c.exporter.Turn(c.now)
+	c.exporter.Tick(c.now)
 	for _, datagram := range c.line.sent {
 		c.transcript += label + ":\n" + hex.Dump(datagram) + "\n"
 	}
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -83,8 +83,8 @@
 	Class          string
 }
 
-// Line is a socket to the collector; a loop.Conn is one.
-type Line interface {
+// Transport is a socket to the collector; a loop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
@@ -95,9 +95,9 @@
 // Exporter gathers records and sends them.
 type Exporter struct {
 	domain   uint32
-	dial     func(h eventloop.Dialled) Line
+	dial     func(h eventloop.DialHandler) Transport
 	wall     func() time.Time
-	line     Line
+	line     Transport
 	up       bool
 	now      time.Duration
 	redial   time.Duration
@@ -105,7 +105,7 @@
 	template time.Duration
 	waiting  []record
 	sequence uint32 // records sent before, as each message tells
-	Count    Counters
+	Counters Counters
 }
 
 type record struct {
@@ -114,16 +114,16 @@
 }
 
 // New returns an Exporter that opens its socket by dial.
-func New(c *Config, wall func() time.Time, dial func(h eventloop.Dialled) Line) *Exporter {
+func New(c *Config, wall func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
 	return &Exporter{domain: c.Domain, dial: dial, wall: wall}
 }
 
 // Add takes a call in.
 func (x *Exporter) Add(f Flow) {
-	x.Count.Records++
+	x.Counters.Records++
 	client, server := f.Client.Addr().Unmap(), f.Server.Addr().Unmap()
 	if len(x.waiting) >= maxWaiting || !client.IsValid() || client.Is4() != server.Is4() {
-		x.Count.Dropped++
+		x.Counters.Dropped++
 		return
 	}
 	r := record{template: 256}
@@ -142,8 +142,8 @@
 	x.waiting = append(x.waiting, record{r.template, append(r.data, class...)})
 }
 
-// Turn sends what has gathered, and returns when it is to be called again.
-func (x *Exporter) Turn(now time.Duration) time.Duration {
+// Tick sends what has gathered, and returns when it is to be called again.
+func (x *Exporter) Tick(now time.Duration) time.Duration {
 	x.now = now
 	if x.line == nil {
 		if now < x.redial {
@@ -194,8 +194,8 @@
 	binary.BigEndian.PutUint32(b[8:], x.sequence)
 	binary.BigEndian.PutUint32(b[12:], x.domain)
 	x.sequence += uint32(sent)
-	x.Count.Sent += uint64(sent)
-	x.Count.Messages++
+	x.Counters.Sent += uint64(sent)
+	x.Counters.Messages++
 	return b
 }
 
@@ -214,8 +214,8 @@
 	return b
 }
 
-// Opened is the end of the dial. A new socket's collector knows no template.
-func (x *Exporter) Opened(err error) {
+// DialCompleted is the end of the dial. A new socket's collector knows no template.
+func (x *Exporter) DialCompleted(err error) {
 	if x.up = err == nil; !x.up {
 		x.Closed(err)
 		return
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -22,11 +22,11 @@
 // sequence numbers that count the records before.
 func TestCollectorReadsWhatWasAdded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &testutil.Line{}
-		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.Dialled) Line { return l })
+		l := &testutil.Transport{}
+		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return l })
 		now := time.Hour
-		x.Turn(now)
-		x.Opened(nil)
+		x.Tick(now)
+		x.DialCompleted(nil)
 		templates := netflow.CreateTemplateSystem()
 		var want, got []string
 		var records uint32
@@ -48,7 +48,7 @@
 					t.Skip("dropped some")
 				}
 				now += flushEvery
-				x.Turn(now)
+				x.Tick(now)
 				for l.Wrote.Len() > 0 {
 					size := int(l.Wrote.Bytes()[2])<<8 | int(l.Wrote.Bytes()[3])
 					if size > maxMessage {
@@ -90,11 +90,11 @@
 
 // What a collector that is away would have been sent is bounded, and what is dropped is counted.
 func TestWaitingRecordsAreBounded(t *testing.T) {
-	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.Dialled) Line { return &testutil.Line{} })
+	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &testutil.Transport{} })
 	for range maxWaiting + 5 {
 		x.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
-	if x.Count.Dropped != 5 || len(x.waiting) != maxWaiting {
-		t.Errorf("%d wait, counters %+v", len(x.waiting), x.Count)
+	if x.Counters.Dropped != 5 || len(x.waiting) != maxWaiting {
+		t.Errorf("%d wait, counters %+v", len(x.waiting), x.Counters)
 	}
 }
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -16,10 +16,10 @@
 
 // Class is a class of calls.
 type Class struct {
-	Name     string
-	Once     bool          // must never run twice
-	Deadline time.Duration // 0: not known
-	Aim      time.Duration // 0: not known
+	Name             string
+	NotIdempotent    bool          // must never run twice
+	Deadline         time.Duration // 0: not known
+	LatencyObjective time.Duration // 0: not known
 }
 
 // alwaysOnce is the class that must never run twice whatever a file or the settings say.
@@ -27,13 +27,13 @@
 
 // Platform is what the platform's settings say that a configuration may not contradict.
 type Platform struct {
-	Classes      []Class
-	MaxAttempts  int // 0: no limit
-	SecondCopies bool
-	Kinds        []string
-	KindMemoryMB map[string]float64
-	Zones        []string
-	LoadWindow   time.Duration
+	Classes        []Class
+	MaxAttempts    int // 0: no limit
+	HedgingAllowed bool
+	Kinds          []string
+	KindMemoryMB   map[string]float64
+	Zones          []string
+	LoadWindow     time.Duration
 }
 
 // Result is what became of a configuration.
@@ -306,7 +306,7 @@
 func (c *checker) listed() (list []Class, closed bool) {
 	if c.platform != nil {
 		for _, k := range c.platform.Classes {
-			k.Once = k.Once || k.Name == alwaysOnce || c.res.once(k.Name)
+			k.NotIdempotent = k.NotIdempotent || k.Name == alwaysOnce || c.res.once(k.Name)
 			list = append(list, k)
 		}
 		return list, true
@@ -321,14 +321,14 @@
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		list = append(list, Class{Name: n, Once: n == alwaysOnce})
+		list = append(list, Class{Name: n, NotIdempotent: n == alwaysOnce})
 	}
 	return list, false
 }
 
 // once tells whether a class block says that a class must never run twice.
 func (r *Result) once(name string) bool {
-	return slices.ContainsFunc(r.known, func(k Class) bool { return k.Name == name && k.Once })
+	return slices.ContainsFunc(r.known, func(k Class) bool { return k.Name == name && k.NotIdempotent })
 }
 
 // together checks what routes, pools and policies are as a whole.
@@ -351,7 +351,7 @@
 		}
 		return
 	}
-	reached := t.Reached()
+	reached := t.Reachable()
 	if closed {
 		for i := range reached {
 			reached[i] = reached[i][:len(classes)]
@@ -370,7 +370,7 @@
 		}
 	}
 	first := c.names["route"][t.Routes()[0].Spec.Name]
-	for _, h := range t.Holes(!closed) {
+	for _, h := range t.UnmatchedRegions(!closed) {
 		c.note(first, first.at, "no route takes %v; they are refused (%v)", h, h.Example)
 	}
 }
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -10,15 +10,15 @@
 }, build: buildClass}
 
 func buildClass(c *checker, b *block) {
-	k := Class{Name: b.label, Once: b.one("runs").text == "once", Deadline: b.one("deadline").time, Aim: b.one("aim").time}
+	k := Class{Name: b.label, NotIdempotent: b.one("runs").text == "once", Deadline: b.one("deadline").time, LatencyObjective: b.one("aim").time}
 	if k.Name == alwaysOnce {
 		if b.one("runs").text == "repeatable" {
 			c.fault(b, b.one("runs").at, "%s must never run twice: it can't be made repeatable", alwaysOnce)
 		}
-		k.Once = true
+		k.NotIdempotent = true
 	}
-	if k.Deadline > 0 && k.Aim > k.Deadline {
-		c.fault(b, b.one("aim").at, "the aim %v of class %q is beyond its deadline %v", k.Aim, k.Name, k.Deadline)
+	if k.Deadline > 0 && k.LatencyObjective > k.Deadline {
+		c.fault(b, b.one("aim").at, "the aim %v of class %q is beyond its deadline %v", k.LatencyObjective, k.Name, k.Deadline)
 	}
 	if p := c.platform; p != nil {
 		i := slices.IndexFunc(p.Classes, func(o Class) bool { return o.Name == k.Name })
@@ -31,18 +31,18 @@
 			return
 		}
 		o := p.Classes[i]
-		if o.Once && b.one("runs").text == "repeatable" {
+		if o.NotIdempotent && b.one("runs").text == "repeatable" {
 			c.fault(b, b.one("runs").at, "the platform's settings say that class %q must never run twice", k.Name)
 		}
 		if b.has("deadline") && o.Deadline > 0 && k.Deadline != o.Deadline {
 			c.fault(b, b.one("deadline").at, "the deadline of class %q is %v by the platform's settings", k.Name, o.Deadline)
 		}
-		if b.has("aim") && o.Aim > 0 && k.Aim != o.Aim {
-			c.fault(b, b.one("aim").at, "the aim of class %q is %v by the platform's settings", k.Name, o.Aim)
+		if b.has("aim") && o.LatencyObjective > 0 && k.LatencyObjective != o.LatencyObjective {
+			c.fault(b, b.one("aim").at, "the aim of class %q is %v by the platform's settings", k.Name, o.LatencyObjective)
 		}
 	}
 	c.res.known = append(c.res.known, k)
-	if k.Once {
-		c.res.Spec.Once = append(c.res.Spec.Once, k.Name)
+	if k.NotIdempotent {
+		c.res.Spec.NotIdempotentClasses = append(c.res.Spec.NotIdempotentClasses, k.Name)
 	}
 }
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -16,7 +16,7 @@
 var update = flag.Bool("update", false, "write what the broken files are told into testdata/broken.txt; read it before it is committed")
 
 // site is the settings that the cases with "platform" in their name are checked against.
-var site = &Platform{MaxAttempts: 3, SecondCopies: true, Kinds: []string{"large-worker", "small-worker"}, Zones: []string{"edinburgh-dc"},
+var site = &Platform{MaxAttempts: 3, HedgingAllowed: true, Kinds: []string{"large-worker", "small-worker"}, Zones: []string{"edinburgh-dc"},
 	KindMemoryMB: map[string]float64{"large-worker": 10240, "small-worker": 7616},
 	Classes: []Class{{"dim-level", false, 2 * time.Second, 400 * time.Millisecond}, {"fault-check", false, 2500 * time.Millisecond, 600 * time.Millisecond},
 		{"audit", true, 2 * time.Second, time.Second}, {"repair-order", true, 3 * time.Second, 1200 * time.Millisecond}}}
@@ -151,12 +151,12 @@
 		t.Fatalf("policies %+v", k)
 	}
 	for _, p := range k {
-		if p.Name == "quick" && (p.Attempts != 2 || p.AgainIfRan != 1 || p.AgainIfUnrun != -1 || p.AttemptTime != 300*time.Millisecond || p.SecondAfter != 100*time.Millisecond) {
+		if p.Name == "quick" && (p.MaxAttempts != 2 || p.RetriesAfterPossibleRun != 1 || p.RetriesAfterProvenNoRun != -1 || p.AttemptTimeout != 300*time.Millisecond || p.HedgeDelay != 100*time.Millisecond) {
 			t.Errorf("policy %+v", p)
 		}
 	}
 	for _, p := range r.Spec.Pools {
-		if p.Name == "fast" && (p.Cap != 40 || p.LoadOrders != 0.3 || p.SpillRate != 2 || len(p.Workers) != 2 || p.Workers[1].MemoryMB != 8*1073.741824) {
+		if p.Name == "fast" && (p.MaxInFlight != 40 || p.LoadShare != 0.3 || p.OverflowRate != 2 || len(p.Workers) != 2 || p.Workers[1].MemoryMB != 8*1073.741824) {
 			t.Errorf("pool %+v", p)
 		}
 	}
@@ -265,8 +265,8 @@
 	if err != nil || len(r.Faults) > 0 {
 		t.Fatal(err, r)
 	}
-	if fmt.Sprint(r.Spec.Once) != "[dim-level]" || fmt.Sprint(r.Once(r.Classes())) != "[true false true true]" {
-		t.Errorf("once: %v, %v", r.Spec.Once, r.Once(r.Classes()))
+	if fmt.Sprint(r.Spec.NotIdempotentClasses) != "[dim-level]" || fmt.Sprint(r.Once(r.Classes())) != "[true false true true]" {
+		t.Errorf("once: %v, %v", r.Spec.NotIdempotentClasses, r.Once(r.Classes()))
 	}
 }
 
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -82,23 +82,23 @@
 			*to = v.count
 		}
 	}
-	number("attempts", &s.Attempts)
-	number("again-if-ran", &s.AgainIfRan)
-	number("again-if-not-ran", &s.AgainIfUnrun)
-	s.AttemptTime, s.SecondAfter, s.Aim = p.set["attempt-time"].time, p.set["second-copy-after"].time, p.set["aim"].time
+	number("attempts", &s.MaxAttempts)
+	number("again-if-ran", &s.RetriesAfterPossibleRun)
+	number("again-if-not-ran", &s.RetriesAfterProvenNoRun)
+	s.AttemptTimeout, s.HedgeDelay, s.LatencyObjective = p.set["attempt-time"].time, p.set["second-copy-after"].time, p.set["aim"].time
 	c.res.Spec.Policies = append(c.res.Spec.Policies, s)
 
 	for _, name := range []string{"again-if-ran", "again-if-not-ran"} {
-		if v, ok := p.set[name]; ok && s.Attempts != route.Unset && v.count > s.Attempts-1 {
-			c.fault(p.from[name], v.at, "policy %q: %s = %d is more than attempts = %d leaves", p.label, name, v.count, s.Attempts)
+		if v, ok := p.set[name]; ok && s.MaxAttempts != route.Unset && v.count > s.MaxAttempts-1 {
+			c.fault(p.from[name], v.at, "policy %q: %s = %d is more than attempts = %d leaves", p.label, name, v.count, s.MaxAttempts)
 		}
 	}
 	if v, ok := p.set["second-copy-after"]; ok {
-		if s.Attempts == 1 {
+		if s.MaxAttempts == 1 {
 			c.fault(p.from["second-copy-after"], v.at, "policy %q: attempts = 1 leaves no room for a second copy", p.label)
 		}
-		if s.AttemptTime > 0 && v.time >= s.AttemptTime {
-			c.fault(p.from["second-copy-after"], v.at, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.label, s.AttemptTime, v.time)
+		if s.AttemptTimeout > 0 && v.time >= s.AttemptTimeout {
+			c.fault(p.from["second-copy-after"], v.at, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.label, s.AttemptTimeout, v.time)
 		}
 	}
 	if c.platform == nil {
@@ -107,7 +107,7 @@
 	if v, ok := p.set["attempts"]; ok && c.platform.MaxAttempts > 0 && v.count > c.platform.MaxAttempts {
 		c.fault(p.from["attempts"], v.at, "policy %q: attempts = %d is more than the platform's %d", p.label, v.count, c.platform.MaxAttempts)
 	}
-	if v, ok := p.set["second-copy-after"]; ok && !c.platform.SecondCopies {
+	if v, ok := p.set["second-copy-after"]; ok && !c.platform.HedgingAllowed {
 		c.fault(p.from["second-copy-after"], v.at, "policy %q: the platform allows no second copies", p.label)
 	}
 }
@@ -116,7 +116,7 @@
 func (c *checker) policyFits(by *block, name string, k Class) {
 	p := c.policies[name]
 	where := func(set string) (*block, syntax.Pos) { return p.from[set], p.set[set].at }
-	if k.Once {
+	if k.NotIdempotent {
 		if v, ok := p.set["again-if-ran"]; ok && v.count > 0 {
 			b, at := where("again-if-ran")
 			c.fault(b, at, "%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, and route %q at %s gives it to that class",
@@ -131,7 +131,7 @@
 		set  string
 		most time.Duration
 		what string
-	}{{"attempt-time", k.Deadline, "deadline"}, {"second-copy-after", k.Deadline, "deadline"}, {"aim", k.Aim, "aim"}} {
+	}{{"attempt-time", k.Deadline, "deadline"}, {"second-copy-after", k.Deadline, "deadline"}, {"aim", k.LatencyObjective, "aim"}} {
 		if v, ok := p.set[x.set]; ok && x.most > 0 && v.time > x.most {
 			b, at := where(x.set)
 			c.fault(b, at, "policy %q: %s = %v is beyond the %s %v of class %q, to which route %q at %s gives it",
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -19,19 +19,19 @@
 }, blocks: []*kind{labelsKind}}
 
 func buildPool(c *checker, b *block) {
-	p := route.PoolSpec{Name: b.label, Cap: route.Unset, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset,
+	p := route.PoolSpec{Name: b.label, MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset,
 		Fallback: b.one("fallback").text, At: place(b.at)}
 	if b.has("cap") {
-		p.Cap = b.one("cap").count
+		p.MaxInFlight = b.one("cap").count
 	}
 	if b.has("load-orders") {
-		p.LoadOrders = b.one("load-orders").num
+		p.LoadShare = b.one("load-orders").num
 	}
 	if b.has("spill") {
 		if v := b.one("spill"); v.rate {
-			p.SpillRate = v.num
+			p.OverflowRate = v.num
 		} else {
-			p.SpillShare = v.num
+			p.OverflowShare = v.num
 		}
 	}
 	for _, s := range b.blocks {
@@ -62,10 +62,10 @@
 		if place(b.at) != p.At {
 			continue // defined twice
 		}
-		if p.LoadOrders != route.Unset {
-			total += p.LoadOrders
-			shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadOrders))
-			if total > 1+1e-9 && total-p.LoadOrders <= 1+1e-9 {
+		if p.LoadShare != route.Unset {
+			total += p.LoadShare
+			shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadShare))
+			if total > 1+1e-9 && total-p.LoadShare <= 1+1e-9 {
 				c.fault(b, b.one("load-orders").at, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
 			}
 		}
@@ -108,7 +108,7 @@
 
 // matchesOne tells whether a pattern with or without a star is one of a list.
 func matchesOne(pattern string, list []string) bool {
-	return slices.ContainsFunc(list, func(s string) bool { return route.Selector{IDs: []string{pattern}}.Picks(route.Worker{Name: s}) })
+	return slices.ContainsFunc(list, func(s string) bool { return route.Selector{IDs: []string{pattern}}.Matches(route.Worker{Name: s}) })
 }
 
 // impossible tells why no worker can fit a selector, or "" where one may.
@@ -128,7 +128,7 @@
 		static[w.Name] = true
 		if r := c.clash(l, w); r == "" {
 			return ""
-		} else if len(l.IDs) > 0 && matchesOne(w.Name, []string{w.Name}) && (route.Selector{IDs: l.IDs}).Picks(w) {
+		} else if len(l.IDs) > 0 && matchesOne(w.Name, []string{w.Name}) && (route.Selector{IDs: l.IDs}).Matches(w) {
 			reason = fmt.Sprintf("worker %q %s", w.Name, r)
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 		most := 0.0
 		for kind, mb := range c.platform.KindMemoryMB {
-			if (route.Selector{Kinds: l.Kinds}).Picks(route.Worker{Kind: kind}) {
+			if (route.Selector{Kinds: l.Kinds}).Matches(route.Worker{Kind: kind}) {
 				most = max(most, mb)
 			}
 		}
@@ -162,22 +162,22 @@
 
 // clash tells what of a worker block a selector can't fit; what the block leaves open may fit.
 func (c *checker) clash(l route.Selector, w route.Worker) string {
-	if !(route.Selector{IDs: l.IDs}).Picks(w) {
+	if !(route.Selector{IDs: l.IDs}).Matches(w) {
 		return "has another id"
 	}
-	if w.Kind != "" && !(route.Selector{Kinds: l.Kinds}).Picks(w) {
+	if w.Kind != "" && !(route.Selector{Kinds: l.Kinds}).Matches(w) {
 		return fmt.Sprintf("is of kind %s", w.Kind)
 	}
-	if w.Zone != "" && !(route.Selector{Zones: l.Zones}).Picks(w) {
+	if w.Zone != "" && !(route.Selector{Zones: l.Zones}).Matches(w) {
 		return fmt.Sprintf("is in zone %s", w.Zone)
 	}
-	if w.Cell >= 0 && !(route.Selector{Cells: l.Cells}).Picks(w) {
+	if w.Cell >= 0 && !(route.Selector{Cells: l.Cells}).Matches(w) {
 		return fmt.Sprintf("is in cell %d", w.Cell)
 	}
 	if w.MemoryMB > 0 && w.MemoryMB < l.MemoryMB {
 		return fmt.Sprintf("has %.6gMB", w.MemoryMB)
 	}
-	if !(route.Selector{Labels: l.Labels}).Picks(w) {
+	if !(route.Selector{Labels: l.Labels}).Matches(w) {
 		return "has other labels"
 	}
 	return ""
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -38,8 +38,8 @@
 	for n := endpoint.Unix; n <= endpoint.TCP4; n++ {
 		for _, v := range b.set[n.String()] {
 			a, _ := endpoint.Parse(n, v.text) // checked when it was read
-			if w.Addrs = append(w.Addrs, a); len(w.Addrs) == endpoint.MaxAddrs+1 {
-				c.fault(b, v.at, "worker %q has more than %d addresses", w.Name, endpoint.MaxAddrs)
+			if w.Addrs = append(w.Addrs, a); len(w.Addrs) == endpoint.MaxAddresses+1 {
+				c.fault(b, v.at, "worker %q has more than %d addresses", w.Name, endpoint.MaxAddresses)
 			}
 		}
 	}
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -37,14 +37,14 @@
 // Effective is the policy without what has no effect on a class, of those that must never run twice or not:
 // whatever a policy says, these get no attempt after one that may have run.
 func (p PolicySpec) Effective(once bool) PolicySpec {
-	if p.Attempts != Unset && p.AgainIfRan >= p.Attempts-1 {
-		p.AgainIfRan = Unset
+	if p.MaxAttempts != Unset && p.RetriesAfterPossibleRun >= p.MaxAttempts-1 {
+		p.RetriesAfterPossibleRun = Unset
 	}
-	if p.Attempts != Unset && p.AgainIfUnrun >= p.Attempts-1 {
-		p.AgainIfUnrun = Unset
+	if p.MaxAttempts != Unset && p.RetriesAfterProvenNoRun >= p.MaxAttempts-1 {
+		p.RetriesAfterProvenNoRun = Unset
 	}
 	if once {
-		p.AgainIfRan, p.SecondAfter = 0, 0
+		p.RetriesAfterPossibleRun, p.HedgeDelay = 0, 0
 	}
 	return p
 }
@@ -57,17 +57,17 @@
 			parts = append(parts, fmt.Sprintf("%s %d", name, n))
 		}
 	}
-	count("attempts", p.Attempts)
-	count("again-if-ran", p.AgainIfRan)
-	count("again-if-not-ran", p.AgainIfUnrun)
-	if p.AttemptTime > 0 {
-		parts = append(parts, "attempt-time "+p.AttemptTime.String())
+	count("attempts", p.MaxAttempts)
+	count("again-if-ran", p.RetriesAfterPossibleRun)
+	count("again-if-not-ran", p.RetriesAfterProvenNoRun)
+	if p.AttemptTimeout > 0 {
+		parts = append(parts, "attempt-time "+p.AttemptTimeout.String())
 	}
-	if p.SecondAfter > 0 {
-		parts = append(parts, "second-copy-after "+p.SecondAfter.String())
+	if p.HedgeDelay > 0 {
+		parts = append(parts, "second-copy-after "+p.HedgeDelay.String())
 	}
-	if p.Aim > 0 {
-		parts = append(parts, "aim "+p.Aim.String())
+	if p.LatencyObjective > 0 {
+		parts = append(parts, "aim "+p.LatencyObjective.String())
 	}
 	if len(parts) == 0 {
 		return "attempts as the settings allow"
@@ -84,7 +84,7 @@
 	u := newUniverse(others, old, new)
 	type ends struct{ o, n *Route }
 	sample := map[string]ends{}
-	keys, regions := u.group(func(c Call) string {
+	keys, regions := u.group(func(c Request) string {
 		o, n := old.Match(c), new.Match(c)
 		must := c.Class < len(once) && once[c.Class]
 		before, after := "", ""
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -25,11 +25,11 @@
 
 // counts is what happened in a pool.
 type counts struct {
-	inFlight, peak       int
-	calls, spilled       *window
-	own                  *window // orders
-	Calls, Spills, Loads uint64
-	Turned               uint64 // times that the cap or the spill bound stood in the way
+	inFlight, peak             int
+	calls, spilled             *window
+	own                        *window // orders
+	Requests, Overflows, Loads uint64
+	CapacityExceeded           uint64 // times that the cap or the spill bound stood in the way
 }
 
 // spillSpan is the time over which the bound on what spills is kept.
@@ -43,15 +43,15 @@
 			return nil, fmt.Errorf("pool %q is there twice", s.Name)
 		}
 		pools[s.Name] = &Pool{Spec: s, counts: &counts{calls: newWindow(spillSpan), spilled: newWindow(spillSpan), own: newWindow(loads)}}
-		rest -= max(s.LoadOrders, 0)
+		rest -= max(s.LoadShare, 0)
 	}
 	if rest < -1e-9 {
 		return nil, fmt.Errorf("the pools' shares of the load orders come to %.4g%%", 100*(1-rest))
 	}
 	for _, p := range pools {
 		p.orders, p.share = shared, max(rest, 0)
-		if p.Spec.LoadOrders != Unset {
-			p.orders, p.share = p.own, p.Spec.LoadOrders
+		if p.Spec.LoadShare != Unset {
+			p.orders, p.share = p.own, p.Spec.LoadShare
 		}
 		if p.Spec.Fallback != "" {
 			if p.next = pools[p.Spec.Fallback]; p.next == nil {
@@ -74,7 +74,9 @@
 func (p *Pool) Size() int { return len(p.members) }
 
 // HasCapacity tells whether a further attempt may be in flight.
-func (p *Pool) HasCapacity() bool { return p.Spec.Cap == Unset || p.inFlight < p.Spec.Cap }
+func (p *Pool) HasCapacity() bool {
+	return p.Spec.MaxInFlight == Unset || p.inFlight < p.Spec.MaxInFlight
+}
 
 // InFlight and Peak are how many attempts are out, and how many were at most.
 func (p *Pool) InFlight() int { return p.inFlight }
@@ -82,9 +84,9 @@
 // Peak is the most attempts that were in flight at once.
 func (p *Pool) Peak() int { return p.peak }
 
-// Routed counts a call that a route sends to the pool.
-func (p *Pool) Routed(now time.Duration) {
-	p.Calls++
+// RequestRouted counts a call that a route sends to the pool.
+func (p *Pool) RequestRouted(now time.Duration) {
+	p.Requests++
 	p.calls.add(now)
 }
 
@@ -116,19 +118,19 @@
 		return nil
 	}
 	most := math.Inf(1)
-	if p.Spec.SpillShare != Unset {
-		most = p.Spec.SpillShare * float64(p.calls.least(now))
+	if p.Spec.OverflowShare != Unset {
+		most = p.Spec.OverflowShare * float64(p.calls.least(now))
 	}
-	if p.Spec.SpillRate != Unset {
-		most = min(most, p.Spec.SpillRate*spillSpan.Seconds())
+	if p.Spec.OverflowRate != Unset {
+		most = min(most, p.Spec.OverflowRate*spillSpan.Seconds())
 	}
 	if float64(p.spilled.most(now)+1) > most {
-		p.Turned++
+		p.CapacityExceeded++
 		return nil
 	}
-	p.Spills++
+	p.Overflows++
 	p.spilled.add(now)
-	p.next.Routed(now)
+	p.next.RequestRouted(now)
 	return p.next
 }
 
@@ -169,11 +171,11 @@
 }
 
 func (s PoolSpec) picks(w Worker) bool {
-	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, func(l Selector) bool { return l.Picks(w) })
+	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, func(l Selector) bool { return l.Matches(w) })
 }
 
-// Picks tells whether the selector fits a worker.
-func (l Selector) Picks(w Worker) bool {
+// Matches tells whether the selector fits a worker.
+func (l Selector) Matches(w Worker) bool {
 	for _, want := range l.Labels {
 		v, ok := w.Labels[want.Name]
 		if !ok || !slices.Contains(want.Values, v) {
@@ -192,15 +194,15 @@
 	})
 }
 
-// Adopt has the pools of t go on with the counts of those of old that they replace: of the same figures, or
+// CarryOver has the pools of t go on with the counts of those of old that they replace: of the same figures, or
 // else of the same name. Calls that are open end under old, and are counted in both.
-func (t *Table) Adopt(old *Table) {
+func (t *Table) CarryOver(old *Table) {
 	if len(t.pools) == 0 || len(old.pools) == 0 {
 		return
 	}
 	before, shared := pair(old.pools, t.pools), (*window)(nil)
 	for _, o := range old.pools {
-		if o.Spec.LoadOrders == Unset {
+		if o.Spec.LoadShare == Unset {
 			shared = o.orders
 		}
 	}
@@ -208,7 +210,7 @@
 		if o := before[p]; o != nil {
 			p.counts = o.counts
 		}
-		if p.Spec.LoadOrders != Unset {
+		if p.Spec.LoadShare != Unset {
 			p.orders = p.own
 		} else if shared != nil {
 			p.orders = shared
@@ -289,23 +291,23 @@
 // bounds words what a pool may use.
 func (s PoolSpec) bounds() string {
 	parts := []string{"no cap", "load orders of the rest"}
-	if s.Cap != Unset {
-		parts[0] = fmt.Sprintf("cap %d", s.Cap)
+	if s.MaxInFlight != Unset {
+		parts[0] = fmt.Sprintf("cap %d", s.MaxInFlight)
 	}
-	if s.LoadOrders != Unset {
-		parts[1] = fmt.Sprintf("load orders %.6g%%", 100*s.LoadOrders)
+	if s.LoadShare != Unset {
+		parts[1] = fmt.Sprintf("load orders %.6g%%", 100*s.LoadShare)
 	}
-	if s.Fallback != "" && s.SpillShare != Unset {
-		parts = append(parts, fmt.Sprintf("spill %.6g%%", 100*s.SpillShare))
+	if s.Fallback != "" && s.OverflowShare != Unset {
+		parts = append(parts, fmt.Sprintf("spill %.6g%%", 100*s.OverflowShare))
 	}
-	if s.Fallback != "" && s.SpillRate != Unset {
-		parts = append(parts, fmt.Sprintf("spill %.6g/s", s.SpillRate))
+	if s.Fallback != "" && s.OverflowRate != Unset {
+		parts = append(parts, fmt.Sprintf("spill %.6g/s", s.OverflowRate))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// Words words what the pool does, and what takes its calls where it can't.
-func (p *Pool) Words() string {
+// Describe words what the pool does, and what takes its calls where it can't.
+func (p *Pool) Describe() string {
 	text := p.Spec.figures()
 	if p.next != nil {
 		text += ", then pool " + p.next.Spec.Name
--- a/internal/route/region.go
+++ b/internal/route/region.go
@@ -31,7 +31,7 @@
 const OtherClass = "(any other class)"
 
 // Has tells whether a call of a class of this name is in the region.
-func (r Region) Has(c Call, class string) bool {
+func (r Region) Has(c Request, class string) bool {
 	tenant := r.AnyTenant || slices.Contains(r.Tenants, c.Tenant) || r.OtherTenant && !slices.Contains(r.NotTenants, c.Tenant)
 	return tenant && slices.Contains(r.Fronts, c.Front) && slices.Contains(r.Classes, class) &&
 		slices.ContainsFunc(r.Functions, func(f Functions) bool {
@@ -77,7 +77,7 @@
 
 // Example is a call of a region, worded as the arguments of explain.
 type Example struct {
-	Call  Call
+	Call  Request
 	Class string
 }
 
@@ -132,8 +132,8 @@
 // point is a call of the universe by its coordinates; tenant len(tenants) is any other.
 type point struct{ front, class, pattern, tenant int }
 
-func (u *universe) call(p point) Call {
-	c := Call{Front: Front(p.front), Class: p.class, Function: u.keys[p.pattern]}
+func (u *universe) call(p point) Request {
+	c := Request{Front: Front(p.front), Class: p.class, Function: u.keys[p.pattern]}
 	if p.tenant < len(u.tenants) {
 		c.Tenant = u.tenants[p.tenant]
 	}
@@ -149,7 +149,7 @@
 
 // group sorts the calls of the universe by what key says of them, "" for those that don't matter, and returns
 // the groups in the order of their first call, as regions.
-func (u *universe) group(key func(Call) string) (keys []string, regions [][]Region) {
+func (u *universe) group(key func(Request) string) (keys []string, regions [][]Region) {
 	points := map[string][]point{}
 	classes := len(u.classes)
 	if u.others {
@@ -246,11 +246,11 @@
 	return list
 }
 
-// Holes returns the calls that no route matches, and that are refused; others tells whether calls of classes
+// UnmatchedRegions returns the calls that no route matches, and that are refused; others tells whether calls of classes
 // that the table does not list are to be expected.
-func (t *Table) Holes(others bool) (holes []Region) {
+func (t *Table) UnmatchedRegions(others bool) (holes []Region) {
 	u := newUniverse(others, t)
-	_, regions := u.group(func(c Call) string {
+	_, regions := u.group(func(c Request) string {
 		if t.Match(c) == nil {
 			return "hole"
 		}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -26,16 +26,16 @@
 func drawSpec(t *rapid.T) *Spec {
 	s := &Spec{Policies: []PolicySpec{NoPolicy, NoPolicy}}
 	for i, name := range []string{"a", "b", "c"} {
-		p := PoolSpec{Name: name, Cap: 10 + i, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}
+		p := PoolSpec{Name: name, MaxInFlight: 10 + i, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}
 		if i > 0 && rapid.Bool().Draw(t, "fallback") {
-			p.Fallback, p.SpillShare = s.Pools[i-1].Name, 0.1
+			p.Fallback, p.OverflowShare = s.Pools[i-1].Name, 0.1
 		}
 		s.Pools = append(s.Pools, p)
 	}
 	for i := range s.Policies {
 		s.Policies[i].Name = fmt.Sprint("p", i)
-		s.Policies[i].Attempts = rapid.IntRange(1, 2).Draw(t, "attempts")
-		s.Policies[i].AgainIfRan = rapid.IntRange(Unset, 1).Draw(t, "again")
+		s.Policies[i].MaxAttempts = rapid.IntRange(1, 2).Draw(t, "attempts")
+		s.Policies[i].RetriesAfterPossibleRun = rapid.IntRange(Unset, 1).Draw(t, "again")
 	}
 	patterns := []string{"*", "7*", "7f*", "7f3a*", "7f3a9c21e0b4d655", "8*"}
 	for i := range rapid.IntRange(1, 5).Draw(t, "routes") {
@@ -60,7 +60,7 @@
 
 // plain is the rule of precedence as the pages word it, one route after the other. It returns the route, -1
 // for none, and whether another one is as close.
-func plain(s *Spec, c Call, class string) (best int, tie bool) {
+func plain(s *Spec, c Request, class string) (best int, tie bool) {
 	best = -1
 	var at [4]int
 	for i, r := range s.Routes {
@@ -105,7 +105,7 @@
 }
 
 // calls calls f with each call of the small universe and its class's name.
-func calls(f func(Call, string)) {
+func calls(f func(Request, string)) {
 	for front := range Fronts {
 		for class := range len(classes) + 1 {
 			for _, key := range functions {
@@ -117,7 +117,7 @@
 					if class < len(classes) {
 						name = classes[class]
 					}
-					f(Call{front, class, key, tenant}, name)
+					f(Request{front, class, key, tenant}, name)
 				}
 			}
 		}
@@ -131,7 +131,7 @@
 		s := drawSpec(t)
 		table, err := Compile(s, classes)
 		ties := false
-		calls(func(c Call, class string) {
+		calls(func(c Request, class string) {
 			_, tie := plain(s, c, class)
 			ties = ties || tie
 		})
@@ -144,13 +144,13 @@
 		if ties {
 			t.Fatal("two routes are equally close and the table takes one of them")
 		}
-		reached := table.Reached()
+		reached := table.Reachable()
 		seen := make([][]bool, len(s.Routes))
 		for i := range seen {
 			seen[i] = make([]bool, len(classes)+1)
 		}
-		holes := table.Holes(true)
-		calls(func(c Call, class string) {
+		holes := table.UnmatchedRegions(true)
+		calls(func(c Request, class string) {
 			want, _ := plain(s, c, class)
 			got := table.Match(c)
 			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
@@ -177,7 +177,7 @@
 // Guards what Reached says the other way: a route that closer ones cover is not reached, also where it takes all
 // sixteen prefixes together to cover it.
 func TestCoveredRoutesAreNotReached(t *testing.T) {
-	s := &Spec{Pools: []PoolSpec{{Name: "a", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}}}
+	s := &Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}
 	all := RouteSpec{Name: "all", Pool: "a"}
 	s.Routes = append(s.Routes, all)
 	for d := range 16 {
@@ -187,14 +187,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := table.Reached(); slices.Contains(r[0], true) || slices.Contains(r[16], false) {
+	if r := table.Reachable(); slices.Contains(r[0], true) || slices.Contains(r[16], false) {
 		t.Errorf("reached: %v and %v", r[0], r[16])
 	}
 	s.Routes = append(s.Routes[:16:16], RouteSpec{Name: "front", Pool: "a", Fronts: []Front{Thrift}, Functions: []Pattern{{Prefix: 0xf << 60, Digits: 1}}})
 	if table, err = Compile(s, classes); err != nil {
 		t.Fatal(err)
 	}
-	if r := table.Reached(); slices.Contains(r[0], false) {
+	if r := table.Reachable(); slices.Contains(r[0], false) {
 		t.Errorf("the last sixteenth by webhook is left to the first route: %v", r[0])
 	}
 }
@@ -224,11 +224,11 @@
 			}
 		case 1:
 			refigured = rapid.IntRange(0, 2).Draw(t, "pool")
-			next.Pools[refigured].Cap += 20
+			next.Pools[refigured].MaxInFlight += 20
 		case 2:
-			next.Policies[0].Attempts = 3 - next.Policies[0].Attempts
+			next.Policies[0].MaxAttempts = 3 - next.Policies[0].MaxAttempts
 		case 3:
-			next.Policies[1].AgainIfRan = rapid.IntRange(Unset, 1).Draw(t, "again")
+			next.Policies[1].RetriesAfterPossibleRun = rapid.IntRange(Unset, 1).Draw(t, "again")
 		case 4:
 			i := rapid.IntRange(0, len(next.Routes)-1).Draw(t, "route")
 			next.Routes[i].Pool = rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "pool")
@@ -261,23 +261,23 @@
 			}
 			return NoPolicy
 		}
-		outcome := func(s *Spec, names [3]string, c Call, class string) string {
+		outcome := func(s *Spec, names [3]string, c Request, class string) string {
 			i, _ := plain(s, c, class)
 			if i < 0 || s.Routes[i].Pool == "" {
 				return "refused"
 			}
 			p := policies(s, s.Routes[i].Policy)
-			again := p.AgainIfRan
-			if again >= p.Attempts-1 && p.Attempts != Unset {
+			again := p.RetriesAfterPossibleRun
+			if again >= p.MaxAttempts-1 && p.MaxAttempts != Unset {
 				again = Unset
 			}
 			if class == "repair-order" {
 				again = 0
 			}
-			return fmt.Sprint(slices.Index(names[:], s.Routes[i].Pool), p.Attempts, again)
+			return fmt.Sprint(slices.Index(names[:], s.Routes[i].Pool), p.MaxAttempts, again)
 		}
 		some := false
-		calls(func(c Call, class string) {
+		calls(func(c Request, class string) {
 			was, is := outcome(old, [3]string{"a", "b", "c"}, c, class), outcome(next, name, c, class)
 			told := slices.ContainsFunc(diff, func(d Change) bool {
 				return slices.ContainsFunc(d.Regions, func(r Region) bool { return r.Has(c, class) })
@@ -334,9 +334,9 @@
 func TestSpillKeepsItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", Cap: Unset, LoadOrders: Unset, Fallback: "b", SpillShare: share, SpillRate: Unset},
-			{Name: "b", Cap: Unset, LoadOrders: Unset, Fallback: "c", SpillShare: Unset, SpillRate: 2.5},
-			{Name: "c", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}}}, classes)
+		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, Fallback: "b", OverflowShare: share, OverflowRate: Unset},
+			{Name: "b", MaxInFlight: Unset, LoadShare: Unset, Fallback: "c", OverflowShare: Unset, OverflowRate: 2.5},
+			{Name: "c", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}, classes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -352,7 +352,7 @@
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.SampledFrom([]int{0, 1000, 30_000, 99_999, 400_000, 15_000_000}).Draw(t, "passes")) * time.Microsecond
-			a.Routed(now)
+			a.RequestRouted(now)
 			came = append(came, now)
 			if a.Overflow(now) != nil {
 				left = append(left, now)
@@ -368,17 +368,17 @@
 			}
 		}
 	})
-	p := newPools(t, PoolSpec{Name: "a", Cap: Unset, LoadOrders: Unset, Fallback: "b", SpillShare: 0.5, SpillRate: Unset},
-		PoolSpec{Name: "b", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}).pool("a")
+	p := newPools(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, Fallback: "b", OverflowShare: 0.5, OverflowRate: Unset},
+		PoolSpec{Name: "b", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}).pool("a")
 	spilled := 0
 	for i := range 1000 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		p.Routed(now)
+		p.RequestRouted(now)
 		if p.Overflow(now) != nil {
 			spilled++
 		}
 	}
-	if spilled < 480 || p.Spills != uint64(spilled) || p.Turned != uint64(1000-spilled) {
+	if spilled < 480 || p.Overflows != uint64(spilled) || p.CapacityExceeded != uint64(1000-spilled) {
 		t.Errorf("%d of 1000 calls spilled, half may", spilled)
 	}
 }
@@ -387,9 +387,9 @@
 // asks for and when.
 func TestSharesOfOrdersStayWithinTheRation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", Cap: Unset, LoadOrders: 0.5, SpillShare: Unset, SpillRate: Unset},
-			{Name: "b", Cap: Unset, LoadOrders: 0.2, SpillShare: Unset, SpillRate: Unset}, {Name: "c", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset},
-			{Name: "d", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}}}, classes)
+		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: 0.5, OverflowShare: Unset, OverflowRate: Unset},
+			{Name: "b", MaxInFlight: Unset, LoadShare: 0.2, OverflowShare: Unset, OverflowRate: Unset}, {Name: "c", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset},
+			{Name: "d", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}, classes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -415,7 +415,7 @@
 			}
 		}
 	})
-	table := newPools(t, PoolSpec{Name: "a", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset})
+	table := newPools(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset})
 	if !table.pool("a").MayLoad(0, 0) {
 		t.Error("a pool without a share, and none beside it, is bounded by the ration alone")
 	}
@@ -424,21 +424,21 @@
 // Guards a reload: counts of a pool go on under its name or, renamed, by its figures; a lowered cap holds for what
 // is still out; the orders of pools without a share go on being one sum.
 func TestCountsGoOnOverAReload(t *testing.T) {
-	free := PoolSpec{Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}
+	free := PoolSpec{MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}
 	named := func(name string, limit int) PoolSpec {
 		p := free
-		p.Name, p.Cap = name, limit
+		p.Name, p.MaxInFlight = name, limit
 		return p
 	}
 	old := newPools(t, named("a", 5), named("b", 7), named("c", 9))
 	for _, p := range old.pools {
-		for range p.Spec.Cap {
+		for range p.Spec.MaxInFlight {
 			p.AttemptStarted()
 		}
 	}
 	old.pool("a").LoadStarted(0)
 	next := newPools(t, named("a", 2), named("renamed", 7), named("new", 3))
-	next.Adopt(old)
+	next.CarryOver(old)
 	for name, want := range map[string]int{"a": 5, "renamed": 7, "new": 0} {
 		if got := next.pool(name).InFlight(); got != want {
 			t.Errorf("pool %s goes on with %d in flight, want %d", name, got, want)
@@ -463,7 +463,7 @@
 	s := &Spec{Workers: []Worker{{Name: "s-2", Kind: "large", Cell: -1, Labels: map[string]string{"rack": "r1"}}}}
 	for name, l := range map[string]Selector{"large": {Kinds: []string{"lar*"}}, "cell": {Cells: []int{3}}, "rack": {Labels: []Label{{"rack", []string{"r1", "r2"}}}},
 		"big": {MemoryMB: 9000}, "id": {IDs: []string{"s-1", "t-*"}}, "both": {Kinds: []string{"small"}, Cells: []int{3}}, "zone": {Zones: []string{"east"}}} {
-		s.Pools = append(s.Pools, PoolSpec{Name: name, Workers: []Selector{l}, Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset})
+		s.Pools = append(s.Pools, PoolSpec{Name: name, Workers: []Selector{l}, MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset})
 	}
 	table, err := Compile(s, classes)
 	if err != nil {
@@ -482,7 +482,7 @@
 
 func TestCompileRefuses(t *testing.T) {
 	p := func(name, fallback string, orders float64) PoolSpec {
-		return PoolSpec{Name: name, Cap: Unset, LoadOrders: orders, Fallback: fallback, SpillShare: 0.1, SpillRate: Unset}
+		return PoolSpec{Name: name, MaxInFlight: Unset, LoadShare: orders, Fallback: fallback, OverflowShare: 0.1, OverflowRate: Unset}
 	}
 	for want, s := range map[string]*Spec{
 		`pool "a" is there twice`:                           {Pools: []PoolSpec{p("a", "", Unset), p("a", "", Unset)}},
@@ -501,7 +501,7 @@
 
 // bigTable has n routes: exact functions, prefixes of all lengths, tenants and classes.
 func bigTable(t testing.TB, n int) *Table {
-	s := &Spec{Pools: []PoolSpec{{Name: "a", Cap: Unset, LoadOrders: Unset, SpillShare: Unset, SpillRate: Unset}}}
+	s := &Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}
 	for i := range n {
 		r := RouteSpec{Name: fmt.Sprint(i), Pool: "a"}
 		key := uint64(i+1) * 0x9e3779b97f4a7c15
@@ -532,7 +532,7 @@
 	table, i := bigTable(t, 1000), uint64(0)
 	if n := testing.AllocsPerRun(1000, func() {
 		i += 0x9e3779b97f4a7c15
-		if table.Match(Call{Webhook, int(i % 3), i, "t7"}) == nil {
+		if table.Match(Request{Webhook, int(i % 3), i, "t7"}) == nil {
 			t.Fatal("no route")
 		}
 	}); n > 0 {
@@ -546,7 +546,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range uint64(b.N) {
-				table.Match(Call{Webhook, int(i % 3), i * 0x9e3779b97f4a7c15, "t7"})
+				table.Match(Request{Webhook, int(i % 3), i * 0x9e3779b97f4a7c15, "t7"})
 			}
 		})
 	}
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -22,11 +22,11 @@
 
 // Spec is what a checked configuration says. Places (At) are file:line, for those who ask why.
 type Spec struct {
-	Workers  []Worker
-	Pools    []PoolSpec
-	Policies []PolicySpec
-	Routes   []RouteSpec
-	Once     []string // classes that must never run twice, beside those that the decision module knows of
+	Workers              []Worker
+	Pools                []PoolSpec
+	Policies             []PolicySpec
+	Routes               []RouteSpec
+	NotIdempotentClasses []string // classes that must never run twice, beside those that the decision module knows of
 	// LoadWindow is the window of the ration of load orders; 0: ten seconds.
 	LoadWindow time.Duration
 }
@@ -66,26 +66,26 @@
 
 // PoolSpec says which workers are a pool's and what it may use.
 type PoolSpec struct {
-	Name       string
-	Workers    []Selector // any of them; none: all workers
-	Cap        int        // attempts in flight; Unset: no cap
-	LoadOrders float64    // share of the ration of load orders; Unset: with the others, what is left
-	Fallback   string     // pool that takes what this one can't; "": none
-	SpillShare float64    // of its calls of the last ten seconds that may go there; Unset: see SpillRate
-	SpillRate  float64    // calls a second that may go there; Unset: see SpillShare
-	At         string
+	Name          string
+	Workers       []Selector // any of them; none: all workers
+	MaxInFlight   int        // attempts in flight; Unset: no cap
+	LoadShare     float64    // share of the ration of load orders; Unset: with the others, what is left
+	Fallback      string     // pool that takes what this one can't; "": none
+	OverflowShare float64    // of its calls of the last ten seconds that may go there; Unset: see SpillRate
+	OverflowRate  float64    // calls a second that may go there; Unset: see SpillShare
+	At            string
 }
 
 // PolicySpec tightens what the platform's settings allow.
 type PolicySpec struct {
-	Name         string
-	Attempts     int           // in all; Unset: as the settings allow
-	AgainIfRan   int           // further ones after one that may have run
-	AgainIfUnrun int           // further ones after one that provably never ran
-	AttemptTime  time.Duration // 0: until the client gives up
-	SecondAfter  time.Duration // a second copy goes out then; 0: none
-	Aim          time.Duration // 0: the class's
-	At           string
+	Name                    string
+	MaxAttempts             int           // in all; Unset: as the settings allow
+	RetriesAfterPossibleRun int           // further ones after one that may have run
+	RetriesAfterProvenNoRun int           // further ones after one that provably never ran
+	AttemptTimeout          time.Duration // 0: until the client gives up
+	HedgeDelay              time.Duration // a second copy goes out then; 0: none
+	LatencyObjective        time.Duration // 0: the class's
+	At                      string
 }
 
 // RouteSpec sends the calls that it matches to a pool. What it leaves empty matches all.
@@ -101,4 +101,4 @@
 }
 
 // NoPolicy is the policy of a route that names none.
-var NoPolicy = PolicySpec{Attempts: Unset, AgainIfRan: Unset, AgainIfUnrun: Unset}
+var NoPolicy = PolicySpec{MaxAttempts: Unset, RetriesAfterPossibleRun: Unset, RetriesAfterProvenNoRun: Unset}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,8 +10,8 @@
 	"crankhold/policy"
 )
 
-// Call is what a route is chosen by.
-type Call struct {
+// Request is what a route is chosen by.
+type Request struct {
 	Front    Front
 	Class    int // by the table's list
 	Function uint64
@@ -77,7 +77,7 @@
 func Compile(s *Spec, classes []string) (*Table, error) {
 	t := &Table{classes: classes, labels: map[string]Worker{}, exact: map[uint64]*bucket{}}
 	for _, c := range classes {
-		t.once = append(t.once, slices.Contains(s.Once, c))
+		t.once = append(t.once, slices.Contains(s.NotIdempotentClasses, c))
 	}
 	for _, w := range s.Workers {
 		t.labels[w.Name] = w
@@ -138,8 +138,8 @@
 
 // terms words a policy for the decision module.
 func (p PolicySpec) terms() policy.RequestPolicy {
-	return policy.RequestPolicy{MaxAttempts: max(p.Attempts, 0), RetriesAfterPossibleRun: p.AgainIfRan, RetriesAfterProvenNoRun: p.AgainIfUnrun,
-		AttemptTimeout: p.AttemptTime, HedgeDelay: p.SecondAfter, LatencyObjective: p.Aim}
+	return policy.RequestPolicy{MaxAttempts: max(p.MaxAttempts, 0), RetriesAfterPossibleRun: p.RetriesAfterPossibleRun, RetriesAfterProvenNoRun: p.RetriesAfterProvenNoRun,
+		AttemptTimeout: p.AttemptTimeout, HedgeDelay: p.HedgeDelay, LatencyObjective: p.LatencyObjective}
 }
 
 // rules spells a route out.
@@ -243,7 +243,7 @@
 }
 
 // Match returns the route of a call, or nil where none matches.
-func (t *Table) Match(c Call) *Route {
+func (t *Table) Match(c Request) *Route {
 	at := min(c.Class, len(t.classes))*int(Fronts) + int(c.Front)
 	if b := t.exact[c.Function]; b != nil {
 		if r := b.match(c.Tenant, at); r >= 0 {
@@ -269,14 +269,14 @@
 	return b.any.resolved[at]
 }
 
-// Static returns what the files say of a worker, for one of that name.
-func (t *Table) Static(name string) (Worker, bool) {
+// StaticWorker returns what the files say of a worker, for one of that name.
+func (t *Table) StaticWorker(name string) (Worker, bool) {
 	w, ok := t.labels[name]
 	return w, ok
 }
 
-// Terms returns what a route tightens for calls of a class.
-func (t *Table) Terms(r *Route, class int) *policy.RequestPolicy {
+// RequestPolicy returns what a route tightens for calls of a class.
+func (t *Table) RequestPolicy(r *Route, class int) *policy.RequestPolicy {
 	if class < len(t.once) && t.once[class] {
 		return &r.strict
 	}
@@ -292,9 +292,9 @@
 // Classes returns the names that a call's class counts in.
 func (t *Table) Classes() []string { return t.classes }
 
-// Reached returns for each route by which classes some call takes it; the last one stands for classes that
+// Reachable returns for each route by which classes some call takes it; the last one stands for classes that
 // the table does not list.
-func (t *Table) Reached() [][]bool {
+func (t *Table) Reachable() [][]bool {
 	reached := make([][]bool, len(t.routes))
 	for i, r := range t.routes {
 		reached[i] = make([]bool, len(t.classes)+1)
@@ -305,7 +305,7 @@
 						continue
 					}
 					for c := range len(t.classes) + 1 {
-						if (k.class < 0 || c == k.class) && !reached[i][c] && t.Match(Call{f, c, key, k.tenant}) == r {
+						if (k.class < 0 || c == k.class) && !reached[i][c] && t.Match(Request{f, c, key, k.tenant}) == r {
 							reached[i][c] = true
 						}
 					}
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -16,11 +16,11 @@
 			c, w := newCoreThat(t, 1, mayCancel)
 			c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 			now := time.Hour
-			c.Turn(now)
+			c.Process(now)
 			k := &asker{core: c}
 			w.dials = true
-			id := c.Accept(now, Request{Asker: k, ID: "a", Key: "00000000000000aa", Function: 0xaa, Deadline: now + 2*time.Second})
-			c.Turn(now)
+			id := c.Accept(now, Request{Asker: k, ID: "a", FunctionKey: "00000000000000aa", Function: 0xaa, Deadline: now + 2*time.Second})
+			c.Process(now)
 			if len(w.queue) != 1 {
 				t.Fatalf("%d calls wait behind a dial", len(w.queue))
 			}
@@ -30,7 +30,7 @@
 			} else {
 				now += 3 * time.Second
 			}
-			c.Turn(now)
+			c.Process(now)
 			if len(w.queue) != 0 || len(w.out) != 0 {
 				t.Errorf("may cancel %v: after the client %s, %d calls wait behind a dial and %d are out", mayCancel, end, len(w.queue), len(w.out))
 			}
@@ -38,14 +38,14 @@
 			if end == "times out" {
 				want = 1
 			}
-			if len(k.answers) != want || c.Open() != 0 || len(c.reqs) != 0 || len(c.ids) != 0 {
-				t.Errorf("may cancel %v: the client %s: answers %v, %d open, %d kept", mayCancel, end, k.answers, c.Open(), len(c.reqs))
+			if len(k.answers) != want || c.OpenRequests() != 0 || len(c.reqs) != 0 || len(c.ids) != 0 {
+				t.Errorf("may cancel %v: the client %s: answers %v, %d open, %d kept", mayCancel, end, k.answers, c.OpenRequests(), len(c.reqs))
 			}
 			if want == 1 && (k.answers[0].Status != Rejected || k.answers[0].MayHaveRun) {
 				t.Errorf("a call that never left was answered %+v", k.answers[0])
 			}
 			for later := now; later < now+5*time.Second; later += 50 * ms {
-				if c.Turn(later); len(w.runs[id]) != 1 {
+				if c.Process(later); len(w.runs[id]) != 1 {
 					t.Fatalf("sent %d times", len(w.runs[id]))
 				}
 			}
@@ -60,11 +60,11 @@
 		c, w := newCore(t, 1)
 		c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 		now, ids := time.Hour, uint64(0)
-		c.Turn(now)
+		c.Process(now)
 		take := func() policy.RequestID {
 			ids++
-			id := c.Accept(now, Request{Asker: &asker{core: c}, ID: idOf(ids), Key: idOf(ids), Function: policy.FunctionID(ids), Deadline: now + 2*time.Second})
-			c.Turn(now)
+			id := c.Accept(now, Request{Asker: &asker{core: c}, ID: idOf(ids), FunctionKey: idOf(ids), Function: policy.FunctionID(ids), Deadline: now + 2*time.Second})
+			c.Process(now)
 			return id
 		}
 		for range 200 {
@@ -72,7 +72,7 @@
 			for range back {
 				id := take()
 				c.CancelRequest(now, id)
-				c.Turn(now)
+				c.Process(now)
 			}
 			w.dials = false
 			id := take()
@@ -80,16 +80,16 @@
 				a := w.runs[id][n]
 				delete(w.out, a)
 				c.AttemptCompleted(a, AttemptResult{Outcome: []policy.Outcome{policy.NotLoaded, policy.Served}[min(n, 1)]})
-				c.Turn(now)
+				c.Process(now)
 				for tag := range w.holds {
 					delete(w.holds, tag)
 					c.LoadCompleted(tag, policy.Served, 1)
 				}
-				c.Turn(now)
+				c.Process(now)
 			}
 			now += 5 * ms
 		}
-		if orders := c.Count.Orders; orders != 64 {
+		if orders := c.Counters.LoadsOrdered; orders != 64 {
 			t.Errorf("%d calls taken back for each that stays: %d orders of 64 = 4 + 30 in 100 of 200", back, orders)
 		}
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -16,7 +16,7 @@
 // AnswerMargin is how long before a client's wait runs out a front sets a request's deadline. The way
 // back takes a millisecond; the rest is for a machine that stalls: on a crowded one requests were
 // seen to take 46 ms (99th percentile) to get through the program, and one answer came too late.
-const AnswerMargin = 40 * time.Millisecond
+const ResponseMargin = 40 * time.Millisecond
 
 // ResponseStatus is the kind of a final answer.
 type ResponseStatus uint8
@@ -52,28 +52,28 @@
 
 // Request is a call as a front took it.
 type Request struct {
-	Front          Front
-	Asker          Responder
-	ID             string // as the client worded it
-	Ref            string // the client's own name for it, where that is not the ID
-	Class          int
-	Key            string // the function, as the client worded it
-	Function       policy.FunctionID
-	MemoryMB       float64
-	Lanes          float64
-	LoadTime       time.Duration
-	Body           []byte
-	Deadline       time.Duration // the final answer must have left by then
-	Tenant         string        // who asks, where the front can tell for sure; "" else
-	IdempotencyKey string        // the client's idempotency key, passed on as it is; "" for none
+	Front           Front
+	Asker           Responder
+	ID              string // as the client worded it
+	ClientReference string // the client's own name for it, where that is not the ID
+	Class           int
+	FunctionKey     string // the function, as the client worded it
+	Function        policy.FunctionID
+	MemoryMB        float64
+	Lanes           float64
+	LoadTime        time.Duration
+	Body            []byte
+	Deadline        time.Duration // the final answer must have left by then
+	Tenant          string        // who asks, where the front can tell for sure; "" else
+	IdempotencyKey  string        // the client's idempotency key, passed on as it is; "" for none
 
 	Client     netip.AddrPort // for the record only
 	AcceptedAt time.Duration  // set by Take
 }
 
-// ParseKey reads 16 hex digits in lower case, as keys and ids are worded. Any other wording of the same
+// ParseFunctionKey reads 16 hex digits in lower case, as keys and ids are worded. Any other wording of the same
 // number is refused: workers compare these as text, and an order to load names its function in this one.
-func ParseKey(s string) (uint64, bool) {
+func ParseFunctionKey(s string) (uint64, bool) {
 	if len(s) != 16 {
 		return 0, false
 	}
@@ -101,20 +101,20 @@
 	MaxWaitMs   = 600_000
 )
 
-// Within tells whether a figure is a number from 0 to most.
-func Within(v, most float64) bool { return v >= 0 && v <= most }
+// InRange tells whether a figure is a number from 0 to most.
+func InRange(v, most float64) bool { return v >= 0 && v <= most }
 
 // MaxOnce is the longest idempotency key that is passed on; what the platform sends has 32 digits.
-const MaxOnce = 64
+const MaxIdempotencyKeyLength = 64
 
-// ParseOnce tells whether an idempotency key can be passed on: hex digits, MaxOnce at most.
-func ParseOnce(s string) bool {
+// ParseIdempotencyKey tells whether an idempotency key can be passed on: hex digits, MaxOnce at most.
+func ParseIdempotencyKey(s string) bool {
 	for _, d := range []byte(s) {
 		if !(d >= '0' && d <= '9' || d >= 'a' && d <= 'f' || d >= 'A' && d <= 'F') {
 			return false
 		}
 	}
-	return len(s) > 0 && len(s) <= MaxOnce
+	return len(s) > 0 && len(s) <= MaxIdempotencyKeyLength
 }
 
 // AttemptResult is how an attempt ended and what came with that.
@@ -155,49 +155,49 @@
 	MaxBytes              int           // their bodies together
 	RetryAfter            time.Duration // what those are told that are turned away; 0: nothing
 	MaxAttempts           int           // of a request
-	OrderTimeout          time.Duration // an order with no answer by then has timed out
-	ProbeTimeout          time.Duration
+	LoadTimeout           time.Duration // an order with no answer by then has timed out
+	HealthCheckTimeout    time.Duration
 	Tenants               []string // in the order in which the module counts them
 }
 
 // Core is the function router. It is not safe for concurrent use.
 type Core struct {
-	policy  *policy.Policy
-	workers WorkerClient
-	limits  Limits
-	now     time.Duration
-	events  []policy.Event
-	spare   []policy.Event
-	turns   int // batches of events that the module was handed
-	actions []policy.Action
-	timers  timers
-	module  map[uint64]*timer // of the module's, by token, the last one set
-	seq     uint64
-	reqs    map[policy.RequestID]*entry
-	ids     map[string]struct{} // what their clients call them
-	tenants map[string]int
-	last    policy.RequestID
-	routes  *route.Table // nil: every call may go to every worker
-	listed  []route.Worker
-	open    int
-	bytes   int
-	asked   map[uint64]*question
-	tag     uint64
-	Count   Counters
+	policy   *policy.Policy
+	workers  WorkerClient
+	limits   Limits
+	now      time.Duration
+	events   []policy.Event
+	spare    []policy.Event
+	turns    int // batches of events that the module was handed
+	actions  []policy.Action
+	timers   timers
+	module   map[uint64]*timer // of the module's, by token, the last one set
+	seq      uint64
+	reqs     map[policy.RequestID]*entry
+	ids      map[string]struct{} // what their clients call them
+	tenants  map[string]int
+	last     policy.RequestID
+	routes   *route.Table // nil: every call may go to every worker
+	listed   []route.Worker
+	open     int
+	bytes    int
+	asked    map[uint64]*question
+	tag      uint64
+	Counters Counters
 	// Draining has what comes from now on refused: the program is about to end.
 	Draining bool
 	// Observe, where set, is told how each request ended: served, refused, failed or abandoned.
-	Observe func(now time.Duration, r *Request, end string)
+	OnCompleted func(now time.Duration, r *Request, end string)
 }
 
 // Counters tells what the core took, sent and answered.
 type Counters struct {
-	Taken, Served, Refused, Failed, Left, Turned [fronts]uint64
-	Unrouted                                     [fronts]uint64 // refused because no route, or one without a pool, matched
-	Sent, Orders, Probes, Unloads                uint64
-	Ended                                        [policy.NotLoaded + 1]uint64 // attempts, by outcome
-	OrderEnded, ProbeEnded                       [policy.NotLoaded + 1]uint64 // by outcome
-	Overdue                                      uint64                       // answered by the guard, not by the module
+	Accepted, Served, Rejected, Failed, Canceled, RejectedUnaccepted [fronts]uint64
+	RejectedUnrouted                                                 [fronts]uint64 // refused because no route, or one without a pool, matched
+	AttemptsStarted, LoadsOrdered, HealthChecks, Unloads             uint64
+	AttemptsByOutcome                                                [policy.NotLoaded + 1]uint64 // attempts, by outcome
+	LoadsByOutcome, HealthChecksByOutcome                            [policy.NotLoaded + 1]uint64 // by outcome
+	DeadlineExceeded                                                 uint64                       // answered by the guard, not by the module
 }
 
 type entry struct {
@@ -237,17 +237,17 @@
 	return c
 }
 
-// Use sets the Workers; it is called once, before anything else.
-func (c *Core) Use(w WorkerClient) { c.workers = w }
+// SetWorkerClient sets the Workers; it is called once, before anything else.
+func (c *Core) SetWorkerClient(w WorkerClient) { c.workers = w }
 
-// Open is how many requests are owed an answer.
-func (c *Core) Open() int { return c.open }
+// OpenRequests is how many requests are owed an answer.
+func (c *Core) OpenRequests() int { return c.open }
 
 // SetEndpoints hands in a worker list.
 func (c *Core) SetEndpoints(l policy.EndpointList) { c.events = append(c.events, l) }
 
-// SetLabels says what routes pick the workers of the list by.
-func (c *Core) SetLabels(list []route.Worker) {
+// SetRouteWorkers says what routes pick the workers of the list by.
+func (c *Core) SetRouteWorkers(list []route.Worker) {
 	if c.listed = list; c.routes != nil {
 		c.routes.SetWorkers(list)
 	}
@@ -256,7 +256,7 @@
 // SetRoutes has calls go by t from now on; those that are open end under the table they began with.
 func (c *Core) SetRoutes(t *route.Table) {
 	if c.routes != nil && t != nil {
-		t.Adopt(c.routes)
+		t.CarryOver(c.routes)
 	}
 	if c.routes = t; t != nil {
 		t.SetWorkers(c.listed)
@@ -274,31 +274,31 @@
 		c.RejectUnaccepted(now, r)
 		return 0
 	}
-	c.Count.Taken[r.Front]++
+	c.Counters.Accepted[r.Front]++
 	if _, open := c.ids[r.ID]; open {
 		// Workers know a request by its id: under one id they would answer one request's body to the
 		// other. Which of the two a client means can't be told, so the later one fails.
-		c.Count.Failed[r.Front]++
-		if r.AcceptedAt = c.now; c.Observe != nil {
-			c.Observe(c.now, &r, "failed")
+		c.Counters.Failed[r.Front]++
+		if r.AcceptedAt = c.now; c.OnCompleted != nil {
+			c.OnCompleted(c.now, &r, "failed")
 		}
 		r.Asker.Respond(Response{Status: Failed})
 		return 0
 	}
 	var terms *policy.RequestPolicy
 	if c.routes != nil {
-		call := route.Call{Front: route.Front(r.Front), Class: r.Class, Function: uint64(r.Function)}
+		call := route.Request{Front: route.Front(r.Front), Class: r.Class, Function: uint64(r.Function)}
 		if r.Front == Webhook {
 			call.Tenant = r.Tenant // as the language promises: by Thrift tenants count for their shares alone
 		}
 		to := c.routes.Match(call)
 		if to == nil || to.Pool == nil {
-			c.Count.Unrouted[r.Front]++
+			c.Counters.RejectedUnrouted[r.Front]++
 			c.refuse(r)
 			return 0
 		}
-		to.Pool.Routed(c.now)
-		terms = c.routes.Terms(to, r.Class)
+		to.Pool.RequestRouted(c.now)
+		terms = c.routes.RequestPolicy(to, r.Class)
 	}
 	for c.last++; c.last == 0 || c.reqs[c.last] != nil; c.last++ {
 	}
@@ -321,15 +321,15 @@
 // RejectUnaccepted refuses a request that we have no room for; the module never hears of it.
 func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
 	c.now = max(c.now, now)
-	c.Count.Taken[r.Front]++
-	c.Count.Turned[r.Front]++
+	c.Counters.Accepted[r.Front]++
+	c.Counters.RejectedUnaccepted[r.Front]++
 	c.refuse(r)
 }
 
 // refuse answers a request that the module never hears of.
 func (c *Core) refuse(r Request) {
-	if r.AcceptedAt = c.now; c.Observe != nil {
-		c.Observe(c.now, &r, "refused")
+	if r.AcceptedAt = c.now; c.OnCompleted != nil {
+		c.OnCompleted(c.now, &r, "refused")
 	}
 	r.Asker.Respond(Response{Status: Rejected, RetryAfter: c.limits.RetryAfter})
 }
@@ -338,7 +338,7 @@
 func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
 	c.now = max(c.now, now)
 	if e := c.reqs[id]; e != nil && !e.done {
-		c.Count.Left[e.Front]++
+		c.Counters.Canceled[e.Front]++
 		c.close(id, e, "abandoned")
 		if e.turn == c.turns {
 			// The module has not heard of it and never will: nothing was asked of it, so nothing, the ration of
@@ -373,9 +373,9 @@
 	c.drop(t.limit)
 	e.out--
 	e.mayRun = e.mayRun || !o.NeverRan()
-	c.Count.Ended[o]++
+	c.Counters.AttemptsByOutcome[o]++
 	if o == policy.Served && !e.done {
-		c.Count.Served[e.Front]++
+		c.Counters.Served[e.Front]++
 		e.Asker.Respond(Response{Status: Served, Body: r.Body, MayHaveRun: true})
 		c.close(a.Request, e, "served")
 	}
@@ -392,7 +392,7 @@
 	if q := c.asked[tag]; q != nil && !q.probe {
 		delete(c.asked, tag)
 		c.drop(q.limit)
-		c.Count.OrderEnded[o]++
+		c.Counters.LoadsByOutcome[o]++
 		c.events = append(c.events, policy.LoadCompleted{Worker: q.worker, Function: q.function, Outcome: o,
 			Took: c.now - q.sent, Count: count})
 	}
@@ -403,7 +403,7 @@
 	if q := c.asked[tag]; q != nil && q.probe {
 		delete(c.asked, tag)
 		c.drop(q.limit)
-		c.Count.ProbeEnded[o]++
+		c.Counters.HealthChecksByOutcome[o]++
 		c.events = append(c.events, policy.HealthCheckCompleted{Worker: q.worker, Outcome: o, Took: c.now - q.sent, Report: report})
 	}
 }
@@ -411,9 +411,9 @@
 // SetNow moves the clock on before what happened in a turn is handed in.
 func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
 
-// Turn hands the module all that was gathered, carries out what it answers, and returns when it
+// Process hands the module all that was gathered, carries out what it answers, and returns when it
 // is to be called again at the latest.
-func (c *Core) Turn(now time.Duration) (next time.Duration) {
+func (c *Core) Process(now time.Duration) (next time.Duration) {
 	c.SetNow(now)
 	for {
 		for len(c.timers) > 0 && c.timers[0].due <= c.now {
@@ -457,14 +457,14 @@
 			c.final(a.Request, e, Response{Status: Failed})
 		}
 	case policy.Load:
-		c.Count.Orders++
-		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.OrderTimeout)
+		c.Counters.LoadsOrdered++
+		tag := c.ask(question{worker: a.Worker, function: a.Function}, c.limits.LoadTimeout)
 		c.workers.Load(a.Worker, a.Function, a.Count, tag)
 	case policy.CheckHealth:
-		c.Count.Probes++
-		c.workers.CheckHealth(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.ProbeTimeout))
+		c.Counters.HealthChecks++
+		c.workers.CheckHealth(a.Worker, c.ask(question{worker: a.Worker, probe: true}, c.limits.HealthCheckTimeout))
 	case policy.Unload:
-		c.Count.Unloads++
+		c.Counters.Unloads++
 		c.workers.Unload(a.Worker, a.Function)
 	case policy.CloseIdleConnections:
 		c.workers.CloseIdle(a.Worker)
@@ -498,7 +498,7 @@
 	if a.Limit > 0 && left == a.Limit { // else the request's own timer does it
 		e.attempts[n].limit = c.after(c.now+left, timer{kind: attemptUp, request: a.Request, number: n})
 	}
-	c.Count.Sent++
+	c.Counters.AttemptsStarted++
 	c.workers.StartAttempt(a.Worker, id, &e.Request, left)
 }
 
@@ -522,9 +522,9 @@
 	end := "failed"
 	if a.Status == Rejected {
 		end = "refused"
-		c.Count.Refused[e.Front]++
+		c.Counters.Rejected[e.Front]++
 	} else {
-		c.Count.Failed[e.Front]++
+		c.Counters.Failed[e.Front]++
 	}
 	e.Asker.Respond(a)
 	c.close(id, e, end)
@@ -537,8 +537,8 @@
 
 func (c *Core) close(id policy.RequestID, e *entry, end string) {
 	e.done = true
-	if c.Observe != nil {
-		c.Observe(c.now, &e.Request, end)
+	if c.OnCompleted != nil {
+		c.OnCompleted(c.now, &e.Request, end)
 	}
 	c.open--
 	c.bytes -= len(e.Body)
@@ -593,7 +593,7 @@
 			c.cancel(Attempt{t.request, n}, policy.TimedOut)
 		}
 		if !e.done {
-			c.Count.Overdue++
+			c.Counters.DeadlineExceeded++
 			v := Failed
 			if !e.mayRun {
 				v = Rejected
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -75,10 +75,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := New(p, Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * ms})
+	c := New(p, Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * ms})
 	w := &workers{core: c, out: map[Attempt]policy.WorkerID{}, runs: map[policy.RequestID][]Attempt{},
 		holds: map[uint64]bool{}, asks: map[uint64]bool{}, queue: map[Attempt]bool{}}
-	c.Use(w)
+	c.SetWorkerClient(w)
 	return c, w
 }
 
@@ -133,7 +133,7 @@
 				m := &model{class: rapid.IntRange(0, 1).Draw(t, "class"), asker: &asker{core: c}}
 				m.deadline = now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait"))*ms
 				taken++
-				id := c.Accept(now, Request{Asker: m.asker, ID: fmt.Sprintf("%016x", taken), Class: m.class, Key: "00000000000000aa",
+				id := c.Accept(now, Request{Asker: m.asker, ID: fmt.Sprintf("%016x", taken), Class: m.class, FunctionKey: "00000000000000aa",
 					Function: policy.FunctionID(rapid.IntRange(1, 3).Draw(t, "f")), Lanes: 1, LoadTime: 500 * ms,
 					Body: make([]byte, rapid.IntRange(0, 4000).Draw(t, "size")), Deadline: m.deadline})
 				if id == 0 { // turned away for want of room
@@ -171,7 +171,7 @@
 			"list": func(*rapid.T) { list() },
 			"time": func(t *rapid.T) { now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms },
 			"": func(t *rapid.T) {
-				next := c.Turn(now)
+				next := c.Process(now)
 				if next <= now {
 					t.Fatalf("turn at %v wants another at %v", now, next)
 				}
@@ -197,8 +197,8 @@
 						t.Fatalf("request %d: the answer denies a run", id)
 					}
 				}
-				if c.Open() != open {
-					t.Fatalf("%d open, the model has %d", c.Open(), open)
+				if c.OpenRequests() != open {
+					t.Fatalf("%d open, the model has %d", c.OpenRequests(), open)
 				}
 			},
 		})
@@ -213,12 +213,12 @@
 			{Worker: 2, State: policy.Ready}}})
 		k := &asker{core: c}
 		id := c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
-		c.Turn(time.Hour)
+		c.Process(time.Hour)
 		if len(w.runs[id]) != 1 {
 			t.Fatal("the order was not sent")
 		}
 		c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: o})
-		c.Turn(time.Hour + ms)
+		c.Process(time.Hour + ms)
 		if len(w.runs[id]) != 1 || len(k.answers) != 1 || k.answers[0].Status != Failed {
 			t.Errorf("outcome %d: %d sends, answers %+v", o, len(w.runs[id]), k.answers)
 		}
@@ -230,12 +230,12 @@
 	c, w := newCore(t, 1)
 	c.carryOut(policy.CheckHealth{Worker: 1})
 	c.carryOut(policy.Load{Worker: 1, Function: 2, Count: 1})
-	c.Turn(time.Hour)
+	c.Process(time.Hour)
 	c.LoadCompleted(2, policy.Served, 1)
 	c.HealthCheckCompleted(1, policy.Served, nil)
-	if c.Count.ProbeEnded[policy.TimedOut] != 1 || c.Count.OrderEnded[policy.TimedOut] != 1 ||
-		c.Count.OrderEnded[policy.Served]+c.Count.ProbeEnded[policy.Served] != 0 || len(w.holds)+len(w.asks) != 0 {
-		t.Errorf("counters %+v", c.Count)
+	if c.Counters.HealthChecksByOutcome[policy.TimedOut] != 1 || c.Counters.LoadsByOutcome[policy.TimedOut] != 1 ||
+		c.Counters.LoadsByOutcome[policy.Served]+c.Counters.HealthChecksByOutcome[policy.Served] != 0 || len(w.holds)+len(w.asks) != 0 {
+		t.Errorf("counters %+v", c.Counters)
 	}
 }
 
@@ -245,12 +245,12 @@
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	k := &asker{core: c}
 	id := c.Accept(time.Hour, Request{Asker: k, Class: 0, Function: 7, Deadline: time.Hour + 2*time.Second})
-	c.Turn(time.Hour)
+	c.Process(time.Hour)
 	c.CancelRequest(time.Hour+ms, id)
 	c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
-	c.Turn(time.Hour + ms)
-	if len(k.answers) != 0 || c.Count.Left[Thrift] != 1 || c.Count.Served[Thrift] != 0 || len(c.reqs) != 0 {
-		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Count, len(c.reqs))
+	c.Process(time.Hour + ms)
+	if len(k.answers) != 0 || c.Counters.Canceled[Thrift] != 1 || c.Counters.Served[Thrift] != 0 || len(c.reqs) != 0 {
+		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Counters, len(c.reqs))
 	}
 }
 
@@ -264,7 +264,7 @@
 			c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 		}
 		id := c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
-		c.Turn(time.Hour)
+		c.Process(time.Hour)
 		guard := c.timers[len(c.timers)-1]
 		for _, t := range c.timers {
 			if t.kind == timeUp {
@@ -276,8 +276,8 @@
 		}
 		c.now = guard.due
 		c.fire(guard)
-		c.Turn(c.now)
-		if len(k.answers) != 1 || k.answers[0].Status != want || !k.answers[0].DeadlineExceeded || c.Count.Overdue != 1 || len(w.out) != 0 {
+		c.Process(c.now)
+		if len(k.answers) != 1 || k.answers[0].Status != want || !k.answers[0].DeadlineExceeded || c.Counters.DeadlineExceeded != 1 || len(w.out) != 0 {
 			t.Errorf("answers %+v, want verdict %d", k.answers, want)
 		}
 	}
@@ -290,9 +290,9 @@
 	c.Draining = true
 	k := &asker{core: c}
 	c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
-	c.Turn(time.Hour)
-	if len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || c.Open() != 0 || len(w.out) != 0 {
-		t.Errorf("answers %+v, %d open", k.answers, c.Open())
+	c.Process(time.Hour)
+	if len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || c.OpenRequests() != 0 || len(w.out) != 0 {
+		t.Errorf("answers %+v, %d open", k.answers, c.OpenRequests())
 	}
 }
 
@@ -307,15 +307,15 @@
 			Deadline: time.Hour + 2*time.Second}), k
 	}
 	first, k := take(Thrift, "one")
-	c.Turn(time.Hour)
+	c.Process(time.Hour)
 	for _, f := range []Front{Thrift, Webhook} {
 		id, other := take(f, "other")
-		if c.Turn(time.Hour); id != 0 || len(other.answers) != 1 || other.answers[0].Status != Failed || c.Open() != 1 {
-			t.Fatalf("request %d has answers %+v, %d open", id, other.answers, c.Open())
+		if c.Process(time.Hour); id != 0 || len(other.answers) != 1 || other.answers[0].Status != Failed || c.OpenRequests() != 1 {
+			t.Fatalf("request %d has answers %+v, %d open", id, other.answers, c.OpenRequests())
 		}
 	}
 	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("done")})
-	c.Turn(time.Hour + ms)
+	c.Process(time.Hour + ms)
 	if len(k.answers) != 1 || string(k.answers[0].Body) != "done" || len(w.runs) != 1 || len(c.ids)+len(c.reqs) != 0 {
 		t.Fatalf("answers %+v, %d requests sent, %d ids kept", k.answers, len(w.runs), len(c.ids))
 	}
@@ -330,37 +330,37 @@
 	c, w := newCore(t, 1)
 	now := time.Hour
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
-	c.Turn(now)
+	c.Process(now)
 	call := func(id int) Request {
-		return Request{Asker: &asker{core: c}, ID: fmt.Sprintf("%016x", id), Key: "00000000000000aa", Function: 0xaa, Deadline: now + time.Second}
+		return Request{Asker: &asker{core: c}, ID: fmt.Sprintf("%016x", id), FunctionKey: "00000000000000aa", Function: 0xaa, Deadline: now + time.Second}
 	}
 	stay := call(1)
 	c.Accept(now, stay)
 	for i := range 200 {
 		c.CancelRequest(now, c.Accept(now, call(2+i)))
 	}
-	c.Turn(now)
-	if c.Count.Sent != 1 || len(w.runs) != 1 || c.Open() != 1 || c.Count.Left[Thrift] != 200 {
-		t.Fatalf("sent %d, open %d, left %d", c.Count.Sent, c.Open(), c.Count.Left[Thrift])
+	c.Process(now)
+	if c.Counters.AttemptsStarted != 1 || len(w.runs) != 1 || c.OpenRequests() != 1 || c.Counters.Canceled[Thrift] != 200 {
+		t.Fatalf("sent %d, open %d, left %d", c.Counters.AttemptsStarted, c.OpenRequests(), c.Counters.Canceled[Thrift])
 	}
 	now += ms // one that leaves later is called off as before
 	late := c.Accept(now, call(300))
-	c.Turn(now)
+	c.Process(now)
 	c.CancelRequest(now, late)
-	c.Turn(now)
-	if c.Count.Sent != 2 || len(w.out) != 1 || c.Open() != 1 {
-		t.Fatalf("sent %d, out %d, open %d", c.Count.Sent, len(w.out), c.Open())
+	c.Process(now)
+	if c.Counters.AttemptsStarted != 2 || len(w.out) != 1 || c.OpenRequests() != 1 {
+		t.Fatalf("sent %d, out %d, open %d", c.Counters.AttemptsStarted, len(w.out), c.OpenRequests())
 	}
 }
 
 func TestParseKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Uint64().Draw(t, "n")
-		if got, ok := ParseKey(fmt.Sprintf("%016x", n)); !ok || got != n {
+		if got, ok := ParseFunctionKey(fmt.Sprintf("%016x", n)); !ok || got != n {
 			t.Fatalf("read %x, %v", got, ok)
 		}
 		text := rapid.StringN(0, 20, 20).Draw(t, "text")
-		if got, ok := ParseKey(text); ok && fmt.Sprintf("%016x", got) != text {
+		if got, ok := ParseFunctionKey(text); ok && fmt.Sprintf("%016x", got) != text {
 			t.Fatalf("read %q as %x", text, got)
 		}
 	})
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -13,7 +13,7 @@
 func tableOf(t *testing.T, limit int) *route.Table {
 	t.Helper()
 	pool := func(name, id string, limit int) route.PoolSpec {
-		return route.PoolSpec{Name: name, Workers: []route.Selector{{IDs: []string{id}}}, Cap: limit, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset}
+		return route.PoolSpec{Name: name, Workers: []route.Selector{{IDs: []string{id}}}, MaxInFlight: limit, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}
 	}
 	prefix, err := route.ParsePattern("00*")
 	if err != nil {
@@ -32,8 +32,8 @@
 func routed(t *testing.T) (*Core, *workers) {
 	c, w := newCore(t, 1)
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
-	c.SetLabels([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
-	c.Turn(time.Hour)
+	c.SetRouteWorkers([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
+	c.Process(time.Hour)
 	return c, w
 }
 
@@ -55,7 +55,7 @@
 	} {
 		k := &asker{core: c}
 		id := c.Accept(time.Hour, Request{Front: x.front, Asker: k, ID: string(rune('a' + i)), Class: x.class, Function: x.function, Tenant: x.tenant, Deadline: time.Hour + 2*time.Second})
-		c.Turn(time.Hour)
+		c.Process(time.Hour)
 		switch {
 		case x.worker == 0 && (len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || id != 0):
 			t.Errorf("%+v: answers %+v, want a refusal at once", x, k.answers)
@@ -63,8 +63,8 @@
 			t.Errorf("%+v: runs %v of %v", x, w.runs[id], w.out)
 		}
 	}
-	if c.Count.Unrouted != [fronts]uint64{1, 2} || c.Open() != 6 {
-		t.Errorf("unrouted %v, %d open", c.Count.Unrouted, c.Open())
+	if c.Counters.RejectedUnrouted != [fronts]uint64{1, 2} || c.OpenRequests() != 6 {
+		t.Errorf("unrouted %v, %d open", c.Counters.RejectedUnrouted, c.OpenRequests())
 	}
 }
 
@@ -76,7 +76,7 @@
 	take := func(id string) (policy.RequestID, *asker) {
 		k := &asker{core: c}
 		n := c.Accept(time.Hour, Request{Asker: k, ID: id, Function: 7, Deadline: time.Hour + 2*time.Second})
-		c.Turn(time.Hour)
+		c.Process(time.Hour)
 		return n, k
 	}
 	first, k := take("a")
@@ -90,11 +90,11 @@
 		t.Errorf("%d in flight go on, want 2", n)
 	}
 	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("x")})
-	c.Turn(time.Hour)
+	c.Process(time.Hour)
 	if len(k.answers) != 1 || k.answers[0].Status != Served || next.Pools()[0].InFlight() != 1 {
 		t.Errorf("answers %+v, %d in flight", k.answers, next.Pools()[0].InFlight())
 	}
-	c.SetLabels([]route.Worker{{ID: 2, Name: "s-2"}})
+	c.SetRouteWorkers([]route.Worker{{ID: 2, Name: "s-2"}})
 	if next.Pools()[0].Size() != 0 || next.Pools()[1].Size() != 1 {
 		t.Error("a later list is not sorted into the pools")
 	}
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -17,21 +17,21 @@
 		t.Fatal(err)
 	}
 	c, w := New(module, Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}}), &silentWorkers{}
-	c.Use(w)
+	c.SetWorkerClient(w)
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	refused := map[string]int{}
 	n := uint64(0)
 	for range 40 {
 		for _, tenant := range []string{"small", "large", "nobody", ""} {
 			n++
-			c.Accept(time.Second, Request{ID: idOf(n), Key: idOf(7), Function: 7, LoadTime: 200 * time.Millisecond, Tenant: tenant,
+			c.Accept(time.Second, Request{ID: idOf(n), FunctionKey: idOf(7), Function: 7, LoadTime: 200 * time.Millisecond, Tenant: tenant,
 				Deadline: 3 * time.Second, Asker: verdicts(func(a Response) {
 					if a.Status == Rejected {
 						refused[tenant]++
 					}
 				})})
 		}
-		c.Turn(time.Second)
+		c.Process(time.Second)
 	}
 	if refused["large"] != 0 || refused["small"] < 20 || refused["nobody"] != 40 || refused[""] != 40 {
 		t.Errorf("refused %v", refused)
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -14,18 +14,18 @@
 	c, w := newCore(t, 1)
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	now := time.Hour
-	c.Turn(now)
+	c.Process(now)
 	standing := len(c.timers)
 	for i := range 500 {
 		k := &asker{core: c}
 		id := c.Accept(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
-		c.Turn(now)
+		c.Process(now)
 		if i%2 == 0 {
 			c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
 		} else {
 			c.CancelRequest(now, id)
 		}
-		c.Turn(now)
+		c.Process(now)
 		for a := range w.out {
 			c.AttemptCompleted(a, AttemptResult{Outcome: policy.Cancelled})
 			delete(w.out, a)
@@ -35,7 +35,7 @@
 			delete(w.asks, tag)
 		}
 		now += ms
-		c.Turn(now)
+		c.Process(now)
 	}
 	if len(c.timers) > standing+2 || len(c.module) > standing+2 || len(c.reqs) > 0 {
 		t.Errorf("%d timers, %d of the module's and %d requests stay; %d timers stood at the start", len(c.timers), len(c.module), len(c.reqs), standing)
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -11,24 +11,24 @@
 
 // printCounters logs what was taken, sent and answered.
 func printCounters(core *router.Core, pool *workerclient.Pool, d *discovery.Client, h *hooks) {
-	n := &core.Count
+	n := &core.Counters
 	for f, name := range []string{"thrift", "webhook"} {
-		slog.Info("counters", "front", name, "taken", n.Taken[f], "served", n.Served[f], "refused", n.Refused[f], "failed", n.Failed[f],
-			"left", n.Left[f], "turned_away", n.Turned[f], "unrouted", n.Unrouted[f])
+		slog.Info("counters", "front", name, "taken", n.Accepted[f], "served", n.Served[f], "refused", n.Rejected[f], "failed", n.Failed[f],
+			"left", n.Canceled[f], "turned_away", n.RejectedUnaccepted[f], "unrouted", n.RejectedUnrouted[f])
 	}
-	slog.Info("counters", append([]any{"sent", n.Sent, "overdue", n.Overdue}, byOutcome(n.Ended)...)...)
-	slog.Info("counters", append([]any{"orders", n.Orders, "unloads", n.Unloads}, byOutcome(n.OrderEnded)...)...)
-	slog.Info("counters", append([]any{"probes", n.Probes}, byOutcome(n.ProbeEnded)...)...)
-	k := pool.Count
-	slog.Info("counters", "dials", k.Dials, "dials_failed", k.DialsFailed, "trials", k.Trials, "trials_failed", k.TrialsFailed, "moved", k.Moved, "pings", k.Pings)
+	slog.Info("counters", append([]any{"sent", n.AttemptsStarted, "overdue", n.DeadlineExceeded}, byOutcome(n.AttemptsByOutcome)...)...)
+	slog.Info("counters", append([]any{"orders", n.LoadsOrdered, "unloads", n.Unloads}, byOutcome(n.LoadsByOutcome)...)...)
+	slog.Info("counters", append([]any{"probes", n.HealthChecks}, byOutcome(n.HealthChecksByOutcome)...)...)
+	k := pool.Counters
+	slog.Info("counters", "dials", k.Dials, "dials_failed", k.DialsFailed, "trials", k.RecoveryDials, "trials_failed", k.RecoveryDialsFailed, "moved", k.CallsResent, "pings", k.Pings)
 	if t := core.Routes(); t != nil {
 		for _, p := range t.Pools() {
-			slog.Info("counters", "pool", p.Spec.Name, "workers", p.Size(), "calls", p.Calls, "in_flight", p.InFlight(), "peak", p.Peak(),
-				"spilled", p.Spills, "spill_denied", p.Turned, "orders", p.Loads)
+			slog.Info("counters", "pool", p.Spec.Name, "workers", p.Size(), "calls", p.Requests, "in_flight", p.InFlight(), "peak", p.Peak(),
+				"spilled", p.Overflows, "spill_denied", p.CapacityExceeded, "orders", p.Loads)
 		}
 	}
 	h.print()
-	slog.Info("counters", "directory_asked", d.Asked, "directory_heard", d.Heard)
+	slog.Info("counters", "directory_asked", d.QueriesSent, "directory_heard", d.ResponsesRead)
 }
 
 // byOutcome lists the outcomes that occurred.
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -206,7 +206,7 @@
 func TestDeploymentsSettingsReachTheModule(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
-			c := startDeployment(t, d).cfg.Module
+			c := startDeployment(t, d).cfg.Policy
 			got := told{Attempts: c.MaxAttempts, Second: c.HedgingAllowed, Misses: c.MissWhenNotLoaded, Crowds: c.ConcurrencyReported, Grace: c.DrainGracePeriod,
 				After: c.MaxRetryAfter, Fall: c.OverloadMultiple, Fields: c.LoadReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
 			for _, k := range c.Classes {
@@ -234,13 +234,13 @@
 				n++
 				k := fake.Call{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), Key: fmt.Sprintf("%016x", 0x7f3a+n), Wait: 2 * time.Second,
 					Props: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, More: []string{"later", "ignored"}}
-				if p.cfg.Module.Classes[class].Idempotency == policy.IdempotentWithKey {
+				if p.cfg.Policy.Classes[class].Idempotency == policy.IdempotentWithKey {
 					k.Once = once
 				}
 				return k
 			}
 			good := func(int) (string, string) { return "HIT", "detail=hot,crowd=2,use=" + d.reports + ",later=1" }
-			for class, k := range p.cfg.Module.Classes {
+			for class, k := range p.cfg.Policy.Classes {
 				sent := fresh(class)
 				a, runs := p.call(t, sent, good)
 				if a.Verdict != "served" || string(a.Body) != "done lamp" || len(runs) != 1 {
@@ -284,7 +284,7 @@
 					}
 				}
 			}
-			if p.doubled > 0 && !p.cfg.Module.HedgingAllowed {
+			if p.doubled > 0 && !p.cfg.Policy.HedgingAllowed {
 				t.Errorf("%d attempts went out beside another of their call", p.doubled)
 			}
 		})
@@ -307,7 +307,7 @@
 			}
 			keep := func(*fake.Call) {}
 			bad := map[string]func(*fake.Call){
-				"a key that is too long": func(k *fake.Call) { k.Once = strings.Repeat("a", router.MaxOnce+1) },
+				"a key that is too long": func(k *fake.Call) { k.Once = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
 				"a key that is not hex":  func(k *fake.Call) { k.Once = "ab,queue=other" },
 				"a class that is not":    func(k *fake.Call) { k.Class = "other" },
 				"a wait that is not":     func(k *fake.Call) { k.More = []string{"wait", "soon"} },
--- a/internal/server/hooks.go
+++ b/internal/server/hooks.go
@@ -37,14 +37,14 @@
 			return nil, err
 		}
 		if cfg.Enabled {
-			h.exporter = ipfix.New(cfg, time.Now, func(d eventloop.Dialled) ipfix.Line {
+			h.exporter = ipfix.New(cfg, time.Now, func(d eventloop.DialHandler) ipfix.Transport {
 				return lp.Dial("udp", cfg.Collector, time.Second, d)
 			})
 			slog.Info("export_on", "collector", cfg.Collector)
 		}
 	}
-	core.Observe = func(now time.Duration, r *router.Request, end string) {
-		if h.sender != nil && c.Module.Classes[r.Class].Idempotency == policy.NotIdempotent {
+	core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
+		if h.sender != nil && c.Policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 			h.sender.Notify(now, r, end)
 		}
 		if h.exporter != nil {
@@ -64,10 +64,10 @@
 	}
 	if cfg.Receiver.Enabled {
 		var classes []webhook.Class
-		for i, k := range c.Module.Classes {
-			classes = append(classes, webhook.Class{Name: c.Network.Classes[i].Name, Once: k.Idempotency != policy.Idempotent, Keyed: k.Idempotency == policy.IdempotentWithKey, Longest: k.Deadline})
+		for i, k := range c.Policy.Classes {
+			classes = append(classes, webhook.Class{Name: c.Network.Classes[i].Name, NotIdempotent: k.Idempotency != policy.Idempotent, RequiresIdempotencyKey: k.Idempotency == policy.IdempotentWithKey, MaxWait: k.Deadline})
 		}
-		if h.receiver, err = webhook.NewReceiver(cfg, core, classes, c.Share(16<<20), lp.Now, time.Now, lp.Post); err != nil {
+		if h.receiver, err = webhook.NewReceiver(cfg, core, classes, c.ScaleToMemory(16<<20), lp.Now, time.Now, lp.Post); err != nil {
 			return err
 		}
 		h.servers[router.Webhook], _ = netip.ParseAddrPort(cfg.Receiver.Listen) // so was this
@@ -75,7 +75,7 @@
 		slog.Info("webhooks_on", "listen", cfg.Receiver.Listen, "path", cfg.Receiver.Path, "ledger", cfg.Receiver.Ledger.Path)
 	}
 	if cfg.Sender.Enabled {
-		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d eventloop.Dialled) webhook.Line {
+		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d eventloop.DialHandler) webhook.Transport {
 			return lp.Dial("tcp", addr, timeout, d)
 		})
 		if err != nil {
@@ -89,10 +89,10 @@
 func (h *hooks) turn(now time.Duration) time.Duration {
 	next := now + time.Hour
 	if h.sender != nil {
-		next = min(next, h.sender.Turn(now))
+		next = min(next, h.sender.Tick(now))
 	}
 	if h.exporter != nil {
-		next = min(next, h.exporter.Turn(now))
+		next = min(next, h.exporter.Tick(now))
 	}
 	return next
 }
@@ -109,7 +109,7 @@
 	if h.sender == nil {
 		return 0
 	}
-	return h.sender.Open()
+	return h.sender.Pending()
 }
 
 // close ends what must be written before the program ends.
@@ -124,13 +124,13 @@
 // print logs the counters of what is on.
 func (h *hooks) print() {
 	if r := h.receiver; r != nil {
-		slog.Info("counters", "deliveries", r.Count.Deliveries, "unauthorized", r.Count.Unauthorized, "malformed", r.Count.Malformed, "replayed", r.Count.Replayed, "joined", r.Count.Joined, "ledger_refused", r.Count.LedgerRefused)
+		slog.Info("counters", "deliveries", r.Counters.Deliveries, "unauthorized", r.Counters.Unauthorized, "malformed", r.Counters.Malformed, "replayed", r.Counters.Replayed, "joined", r.Counters.Joined, "ledger_refused", r.Counters.LedgerRefused)
 	}
 	if s := h.sender; s != nil {
-		n := s.Sent
+		n := s.Counters
 		slog.Info("counters", "notices_queued", n.Queued, "dropped", n.Dropped, "delivered", n.Delivered, "retried", n.Retried, "given_up", n.GivenUp, "open", h.open())
 	}
 	if x := h.exporter; x != nil {
-		slog.Info("counters", "flow_records", x.Count.Records, "sent", x.Count.Sent, "dropped", x.Count.Dropped, "messages", x.Count.Messages)
+		slog.Info("counters", "flow_records", x.Counters.Records, "sent", x.Counters.Sent, "dropped", x.Counters.Dropped, "messages", x.Counters.Messages)
 	}
 }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -15,9 +15,9 @@
 	"crankhold/internal/router"
 )
 
-// CheckFile reads and checks a routes file and all that it includes; p may be nil. Includes can't leave the
+// CheckRoutesFile reads and checks a routes file and all that it includes; p may be nil. Includes can't leave the
 // folder of the first file, by links either.
-func CheckFile(name string, p *lang.Platform) (*lang.Result, error) {
+func CheckRoutesFile(name string, p *lang.Platform) (*lang.Result, error) {
 	dir, file := filepath.Split(name)
 	if dir == "" {
 		dir = "."
@@ -35,8 +35,8 @@
 	if opts.Routes == "" {
 		return nil, nil
 	}
-	r, err := CheckFile(opts.Routes, c.Routing())
-	if opts.RoutesMay && errors.Is(err, fs.ErrNotExist) {
+	r, err := CheckRoutesFile(opts.Routes, c.RoutingPlatform())
+	if opts.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
@@ -71,7 +71,7 @@
 		putInForce(core, t)
 		return
 	}
-	changes := route.Diff(old, t, c.Once(), false)
+	changes := route.Diff(old, t, c.NotIdempotent(), false)
 	core.SetRoutes(t)
 	slog.Info("routes_reloaded", "changes", len(changes), "routes", len(t.Routes()))
 	for _, d := range changes {
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -48,53 +48,55 @@
 	// Addresses names the file that says how workers' addresses are found.
 	Addresses string
 	// RoutesMay has a routes file that isn't there count as none, at a start and at a reload.
-	RoutesMay bool
-	Stop      <-chan struct{} // has it stop as SIGTERM does; may be nil
+	RoutesOptional bool
+	Stop           <-chan struct{} // has it stop as SIGTERM does; may be nil
 	// Signals are those that were caught since the program began; nil: Serve catches them.
-	Signals *signals.Caught
+	Signals *signals.Signals
 }
 
 // Serve runs the function router until a signal ends it. On SIGHUP it takes over what reread returns, and reads
 // the routes again.
 func Serve(c *config.Config, opts Options, reread func() (*config.Config, error)) error {
 	if opts.Signals == nil {
-		opts.Signals = signals.Catch()
-		defer opts.Signals.Drop()
+		opts.Signals = signals.Notify()
+		defer opts.Signals.Close()
 	}
 	runtime.GOMAXPROCS(procs)
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
-	module, err := policy.New(c.Module, c.Random)
+	module, err := policy.New(c.Policy, c.SeedValue)
 	if err != nil {
 		return err
 	}
 	wanted := time.Duration(0)
 	calls := thrift.Config{Tenants: c.TenantNames()}
-	for i, k := range c.Module.Classes {
+	for i, k := range c.Policy.Classes {
 		wanted = max(wanted, k.LatencyObjective)
-		calls.Classes = append(calls.Classes, thrift.Class{Name: c.Network.Classes[i].Name, Keyed: k.Idempotency == policy.IdempotentWithKey})
+		calls.Classes = append(calls.Classes, thrift.Class{Name: c.Network.Classes[i].Name, RequiresIdempotencyKey: k.Idempotency == policy.IdempotentWithKey})
 	}
-	lp := eventloop.New(eventloop.Config{MaxAccepted: c.ClientConns(), MaxFiles: c.Limits.Sockets,
-		MaxQueued: c.Share(8 << 20), MaxUnread: c.Share(32 << 20)})
-	core := router.New(module, router.Limits{MaxConcurrentRequests: c.MaxOpen(), MaxBytes: c.Share(24 << 20), RetryAfter: c.TurnedAway(),
-		MaxAttempts: c.Module.MaxAttempts, OrderTimeout: c.Module.LoadTimeout, ProbeTimeout: probeTimeout,
+	lp := eventloop.New(eventloop.Config{MaxAccepted: c.MaxClientConnections(), MaxDescriptors: c.Limits.Sockets,
+		MaxQueuedBytes: c.ScaleToMemory(8 << 20), MaxUnreadBytes: c.ScaleToMemory(32 << 20)})
+	core := router.New(module, router.Limits{MaxConcurrentRequests: c.MaxConcurrentRequests(), MaxBytes: c.ScaleToMemory(24 << 20), RetryAfter: c.RejectionRetryAfter(),
+		MaxAttempts: c.Policy.MaxAttempts, LoadTimeout: c.Policy.LoadTimeout, HealthCheckTimeout: probeTimeout,
 		Tenants: c.TenantNames()})
-	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Module.LoadReportFields,
+	pool := workerclient.New(workerclient.Config{Classes: c.ClassNames(), ReportFields: c.Policy.LoadReportFields,
 		DialTimeout: config.Millis(c.Network.Limits.DialTimeoutMs), KeepAlive: config.Millis(c.Network.Limits.KeepaliveMs),
-		Wanted: wanted, PerConn: c.Network.Limits.StreamsPerConn, MaxConns: c.WorkerConns(), MayStop: c.Module.CancelSupported,
-		Seed: c.Random, Dial: func(network, addr string, timeout time.Duration, h eventloop.Dialled) workerclient.Line {
+		SlowestObjective: wanted, MaxCallsPerConnection: c.Network.Limits.StreamsPerConn, MaxConnections: c.MaxWorkerConnections(), CancelSupported: c.Policy.CancelSupported,
+		Seed: c.SeedValue, Dial: func(network, addr string, timeout time.Duration, h eventloop.DialHandler) workerclient.Transport {
 			return lp.Dial(network, addr, timeout, h)
 		}}, core)
-	core.Use(pool)
+	core.SetWorkerClient(pool)
 	staff := newStaff(lp, core, pool, c)
-	names := discovery.New(c.Names, c.Random, c.Module.DrainGracePeriod,
-		func(addr string, h eventloop.Dialled) discovery.Line { return lp.Dial("udp", addr, time.Second, h) },
+	names := discovery.New(c.DiscoveryAddr, c.SeedValue, c.Policy.DrainGracePeriod,
+		func(addr string, h eventloop.DialHandler) discovery.Transport {
+			return lp.Dial("udp", addr, time.Second, h)
+		},
 		staff.follow)
 	addresses, err := readAddresses(opts.Addresses)
 	if err != nil {
 		return err
 	}
 	names.UnixInTXT = addresses.UnixInTXT
-	if err := names.Start(c.Known); err != nil {
+	if err := names.LoadSnapshot(c.Known); err != nil {
 		return err
 	}
 	routes, err := readRoutes(opts, c)
@@ -113,7 +115,7 @@
 	// Good once there is a worker to send to or no word of one is to be waited for, and no longer once we stop.
 	begun := lp.Now()
 	front := thrift.New(core, calls, lp.Now, func() bool {
-		return stopping == 0 && (names.Size() > 0 || names.Heard > 0 || lp.Now()-begun >= listWithin)
+		return stopping == 0 && (names.WorkerCount() > 0 || names.ResponsesRead > 0 || lp.Now()-begun >= listWithin)
 	})
 	lp.Listen(c.Listen, front.Accept)
 	if err := lp.Start(); err != nil {
@@ -128,7 +130,7 @@
 			select {
 			case <-opts.Signals.Reload: // the file is read and checked here, so that calls go on meanwhile
 				fresh, err := reread()
-				for n := 0; n < rereadTries && eventloop.NoDescriptor(err) && lp.MakeRoom(); n++ {
+				for n := 0; n < rereadTries && eventloop.IsDescriptorExhausted(err) && lp.CloseIdleClients(); n++ {
 					fresh, err = reread()
 				}
 				var routes *route.Table
@@ -166,10 +168,10 @@
 		core.SetNow(now)
 		pool.SetNow(now)
 	}, func(now time.Duration) time.Duration {
-		next := min(core.Turn(now), names.Turn(now), hooks.turn(now))
-		if now-looked >= workerclient.SweepEvery {
+		next := min(core.Process(now), names.Tick(now), hooks.turn(now))
+		if now-looked >= workerclient.MaintenanceInterval {
 			looked = now
-			pool.Sweep(now)
+			pool.Maintain(now)
 		}
 		if now-swept >= time.Second {
 			swept = now
@@ -178,7 +180,7 @@
 		if stopping > 0 {
 			since := now - stopping
 			core.Draining = since >= lingerFor
-			done := core.Open() == 0 && (lp.Unwritten() == 0 && hooks.open() == 0 || since >= flushFor)
+			done := core.OpenRequests() == 0 && (lp.UnwrittenBytes() == 0 && hooks.open() == 0 || since >= flushFor)
 			if since >= lingerFor && done {
 				lp.Stop()
 			}
@@ -199,8 +201,8 @@
 		slog.Warn("reload_failed", "err", err)
 		return
 	}
-	slog.Info("reloaded", "names", fresh.Names)
-	names.Move(s.lp.Now(), fresh.Names)
+	slog.Info("reloaded", "names", fresh.DiscoveryAddr)
+	names.SetServer(s.lp.Now(), fresh.DiscoveryAddr)
 	if changed := s.c.NeedsRestart(fresh); len(changed) > 0 {
 		slog.Warn("restart_needed", "settings", changed)
 	}
--- a/internal/server/staff.go
+++ b/internal/server/staff.go
@@ -106,18 +106,18 @@
 // ended and what is left is another worker.
 func (s *staff) again() {
 	table := s.core.Routes()
-	members, static := make([]endpoint.Member, len(s.list)), make([]route.Worker, len(s.list))
+	members, static := make([]endpoint.Entry, len(s.list)), make([]route.Worker, len(s.list))
 	for i, w := range s.list {
 		if table != nil {
-			static[i], _ = table.Static(w.Name)
+			static[i], _ = table.StaticWorker(w.Name)
 		}
-		members[i] = endpoint.Member{Name: w.Name, Addrs: slices.Concat(w.Addrs, static[i].Addrs), Same: static[i].Same}
+		members[i] = endpoint.Entry{Name: w.Name, Addrs: slices.Concat(w.Addrs, static[i].Addrs), Same: static[i].Same}
 	}
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	present := map[policy.WorkerID]bool{}
 	var labels []route.Worker
-	for _, group := range endpoint.Groups(members) {
-		key := endpoint.Key(members, group)
+	for _, group := range endpoint.GroupAliases(members) {
+		key := endpoint.GroupName(members, group)
 		first := s.list[group[0]]
 		e := policy.Endpoint{Worker: workerID(key), State: first.State, Weight: first.Weight, Cell: first.Cell,
 			Zone: max(slices.Index(s.c.Network.FailureDomains, first.Zone), 0)}
@@ -135,13 +135,13 @@
 			labels = append(labels, route.Worker{ID: e.Worker, Name: w.Name, Kind: w.Kind, Zone: w.Zone, Cell: w.Cell, MemoryMB: s.c.KindMemoryMB(w.Kind)})
 		}
 		present[e.Worker] = true
-		s.pool.Set(e.Worker, addrs, e.State, prefer...)
+		s.pool.SetWorker(e.Worker, addrs, e.State, prefer...)
 		l.Workers = append(l.Workers, e)
 		slog.Info("worker", "name", key, "addrs", fmt.Sprint(addrs), "state", e.State, "weight", e.Weight, "started", first.Started)
 	}
-	s.pool.Retain(present)
+	s.pool.RetainWorkers(present)
 	s.core.SetEndpoints(l)
-	s.core.SetLabels(labels)
+	s.core.SetRouteWorkers(labels)
 }
 
 // workerID returns a worker's id for the module, the same at every router: it is made of the name.
--- a/internal/server/staff_test.go
+++ b/internal/server/staff_test.go
@@ -20,8 +20,8 @@
 type post struct {
 	*staff
 	dialled []string
-	lines   []*testutil.Line
-	opened  []eventloop.Dialled
+	lines   []*testutil.Transport
+	opened  []eventloop.DialHandler
 }
 
 func newPost(t *testing.T) *post {
@@ -32,13 +32,13 @@
 	}
 	p := &post{}
 	core := router.New(module, router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16})
-	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, PerConn: 32, MaxConns: 100,
-		Dial: func(network, addr string, _ time.Duration, h eventloop.Dialled) workerclient.Line {
-			l := &testutil.Line{}
+	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxCallsPerConnection: 32, MaxConnections: 100,
+		Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
+			l := &testutil.Transport{}
 			p.dialled, p.lines, p.opened = append(p.dialled, network+" "+addr), append(p.lines, l), append(p.opened, h)
 			return l
 		}}, core)
-	core.Use(pool)
+	core.SetWorkerClient(pool)
 	p.staff = newStaff(eventloop.New(eventloop.Config{}), core, pool, &config.Config{})
 	return p
 }
@@ -58,7 +58,7 @@
 // call sends one call to a worker and tells over what it goes.
 func (p *post) call(w policy.WorkerID, n int) (dialled string) {
 	before := len(p.dialled)
-	p.pool.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Key: "00000000000000aa"}, time.Second)
+	p.pool.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), FunctionKey: "00000000000000aa"}, time.Second)
 	if len(p.dialled) == before {
 		return ""
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("the entries are workers of their own: %s", got)
 	}
 	p.follow([]discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), entry(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
-	p.opened[0].Opened(nil)
+	p.opened[0].DialCompleted(nil)
 	if got := p.call(one, 3); got != "" || p.lines[0].Wrote.Len() > 0 {
 		t.Errorf("a drain told under one name: dialled %q, wrote %q", got, p.lines[0].Wrote.String())
 	}
@@ -120,7 +120,7 @@
 	p := newPost(t)
 	p.list = []discovery.Worker{entry(t, "s-1", policy.Ready, "127.0.0.1:1"), entry(t, "s-2", policy.Ready, "127.0.0.1:2"), entry(t, "s-3", policy.Ready, "127.0.0.1:3")}
 	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []endpoint.Addr{sock}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []endpoint.Network{endpoint.TCP4}}},
-		Pools:  []route.PoolSpec{{Name: "a", Workers: []route.Selector{{IDs: []string{"s-3"}}}, Cap: route.Unset, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset}},
+		Pools:  []route.PoolSpec{{Name: "a", Workers: []route.Selector{{IDs: []string{"s-3"}}}, MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
 		Routes: []route.RouteSpec{{Name: "r", Pool: "a"}}}, []string{"dim-level"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,32 +8,32 @@
 	"syscall"
 )
 
-// Caught holds what has come and nobody has taken yet.
-type Caught struct {
+// Signals holds what has come and nobody has taken yet.
+type Signals struct {
 	// Stop has the signals that end a program or ask for its counters, and Reload those that ask it to read its files
 	// again. They are apart, so that hang-ups in a row can't crowd out a SIGTERM. A hang-up that comes while another
 	// waits adds nothing.
 	Stop, Reload chan os.Signal
 }
 
-// Catch begins to catch.
-func Catch() *Caught {
-	c := &Caught{Stop: make(chan os.Signal, 4), Reload: make(chan os.Signal, 1)}
+// Notify begins to catch.
+func Notify() *Signals {
+	c := &Signals{Stop: make(chan os.Signal, 4), Reload: make(chan os.Signal, 1)}
 	signal.Notify(c.Stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	signal.Notify(c.Reload, syscall.SIGHUP)
 	return c
 }
 
-// Drop ends that, and forgets what has come: it was meant for what has ended.
-func (c *Caught) Drop() {
+// Close ends that, and forgets what has come: it was meant for what has ended.
+func (c *Signals) Close() {
 	signal.Stop(c.Stop)
 	signal.Stop(c.Reload)
 }
 
 // Release ends it too, and has signals do again what they do to any program, those that have come and were not taken
 // among them.
-func (c *Caught) Release() {
-	c.Drop()
+func (c *Signals) Release() {
+	c.Close()
 	for {
 		select {
 		case s := <-c.Stop:
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -10,8 +10,8 @@
 
 // What has come is kept until it is taken, hang-ups apart from what ends a program; none ends it meanwhile.
 func TestCaughtSignalsWait(t *testing.T) {
-	c := Catch()
-	defer c.Drop()
+	c := Notify()
+	defer c.Close()
 	for range 3 {
 		syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
 	}
@@ -27,7 +27,7 @@
 // A program that releases a signal that has come ends by it, as if it had never been caught; one that drops it does not.
 func TestReleasedSignalsDoWhatTheyDo(t *testing.T) {
 	if way := os.Getenv("CRANKHOLD_SIGNAL"); way != "" {
-		c := Catch()
+		c := Notify()
 		syscall.Kill(syscall.Getpid(), syscall.SIGTERM)
 		for len(c.Stop) == 0 {
 			time.Sleep(time.Millisecond)
@@ -36,7 +36,7 @@
 			c.Release()
 			time.Sleep(10 * time.Second) // it has ended long before
 		}
-		c.Drop()
+		c.Close()
 		return
 	}
 	for way, ends := range map[string]bool{"release": true, "drop": false} {
--- a/internal/simulation/cold_test.go
+++ b/internal/simulation/cold_test.go
@@ -56,8 +56,8 @@
 	c.OverloadMultiple, c.SlowStartInitialCapacity, c.SlowStartDuration, c.HedgingAllowed, c.DrainGracePeriod = 2, 0.18, 17*time.Second, true, time.Second
 	s.cfg.Routes = func() *route.Table {
 		table, err := route.Compile(&route.Spec{
-			Pools:    []route.PoolSpec{{Name: "all", Cap: route.Unset, LoadOrders: route.Unset, SpillShare: route.Unset, SpillRate: route.Unset}},
-			Policies: []route.PolicySpec{{Name: "twice", Attempts: route.Unset, AgainIfRan: route.Unset, AgainIfUnrun: route.Unset, SecondAfter: 250 * ms}},
+			Pools:    []route.PoolSpec{{Name: "all", MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
+			Policies: []route.PolicySpec{{Name: "twice", MaxAttempts: route.Unset, RetriesAfterPossibleRun: route.Unset, RetriesAfterProvenNoRun: route.Unset, HedgeDelay: 250 * ms}},
 			Routes:   []route.RouteSpec{{Name: "all", Pool: "all", Policy: "twice"}}}, []string{"dim-level"})
 		if err != nil {
 			panic(err)
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -141,8 +141,8 @@
 		return err
 	}
 	r.core = router.New(module, router.Limits{MaxConcurrentRequests: 2000, MaxBytes: 1 << 20, MaxAttempts: f.cfg.Settings.MaxAttempts,
-		OrderTimeout: f.cfg.Settings.LoadTimeout, ProbeTimeout: 250 * time.Millisecond, Tenants: f.cfg.Tenants})
-	r.core.Use(r)
+		LoadTimeout: f.cfg.Settings.LoadTimeout, HealthCheckTimeout: 250 * time.Millisecond, Tenants: f.cfg.Tenants})
+	r.core.SetWorkerClient(r)
 	r.taken, r.ordered = nil, nil
 	r.told, r.known, r.Down, r.turn = map[policy.WorkerID]time.Duration{}, maps.Clone(f.truth), false, 0
 	if f.cfg.Routes != nil {
@@ -189,7 +189,7 @@
 		}
 	}
 	r.core.SetEndpoints(l)
-	r.core.SetLabels(labels)
+	r.core.SetRouteWorkers(labels)
 }
 
 // Now is the virtual time.
@@ -304,7 +304,7 @@
 	}
 	r.taken = append(r.taken, f.now)
 	r.core.Accept(f.now, router.Request{Asker: c, ID: fmt.Sprintf("%016x", f.ids), Class: class, Tenant: tenant, Function: fn,
-		Key: fmt.Sprintf("%016x", uint64(fn)), Lanes: 4, MemoryMB: 100, LoadTime: f.cfg.Load, Deadline: f.now + left - router.AnswerMargin})
+		FunctionKey: fmt.Sprintf("%016x", uint64(fn)), Lanes: 4, MemoryMB: 100, LoadTime: f.cfg.Load, Deadline: f.now + left - router.ResponseMargin})
 	r.wake()
 }
 
@@ -318,7 +318,7 @@
 }
 
 func (r *Router) end() {
-	if r.core.Open() == 0 {
+	if r.core.OpenRequests() == 0 {
 		r.Down = true
 		return
 	}
@@ -326,7 +326,7 @@
 }
 
 // Open is how many answers the router owes.
-func (r *Router) Open() int { return r.core.Open() }
+func (r *Router) Open() int { return r.core.OpenRequests() }
 
 // wake has the core take its turn at this time, after all that happens at it.
 func (r *Router) wake() { r.at(r.fleet.now) }
@@ -342,7 +342,7 @@
 		}
 		r.turn = 0
 		if !r.Down { // a router that was killed and is back has set a turn of its own
-			r.at(max(r.core.Turn(r.fleet.now), r.fleet.now+time.Microsecond))
+			r.at(max(r.core.Process(r.fleet.now), r.fleet.now+time.Microsecond))
 		}
 	})
 }
--- a/internal/testutil/standin.go
+++ b/internal/testutil/standin.go
@@ -9,28 +9,28 @@
 	"testing"
 )
 
-// Line stands in for a connection: it keeps what is written to it.
-type Line struct {
+// Transport stands in for a connection: it keeps what is written to it.
+type Transport struct {
 	Wrote     bytes.Buffer
 	HasClosed bool
-	Left      int // of the last bytes that were written, what never left
+	Unsent    int // of the last bytes that were written, what never left
 }
 
 // Write keeps bufs.
-func (l *Line) Write(bufs ...[]byte) {
+func (l *Transport) Write(bufs ...[]byte) {
 	for _, b := range bufs {
 		l.Wrote.Write(b)
 	}
 }
 
-// Unsent is what the test says.
-func (l *Line) Unsent() int { return l.Left }
+// UnsentBytes is what the test says.
+func (l *Transport) UnsentBytes() int { return l.Unsent }
 
 // Close notes that the line is closed.
-func (l *Line) Close() { l.HasClosed = true }
+func (l *Transport) Close() { l.HasClosed = true }
 
-// FlushClose is Close: what was written is kept.
-func (l *Line) FlushClose() { l.Close() }
+// CloseAfterFlush is Close: what was written is kept.
+func (l *Transport) CloseAfterFlush() { l.Close() }
 
 // Main runs a package's tests with fixed random steps, so that each run gives the same verdict.
 func Main(m *testing.M) {
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -28,8 +28,8 @@
 	CancelRequest(now time.Duration, id policy.RequestID)
 }
 
-// Line is a connection to a client; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a client; a loop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
@@ -47,8 +47,8 @@
 
 // Class is a class of calls.
 type Class struct {
-	Name  string
-	Keyed bool // a call names an idempotency key, by which workers drop its repeats
+	Name                   string
+	RequiresIdempotencyKey bool // a call names an idempotency key, by which workers drop its repeats
 }
 
 // Config is what the settings say of calls.
@@ -83,15 +83,17 @@
 }
 
 // Accept serves a connection.
-func (f *Front) Accept(c *eventloop.Conn) eventloop.Accepted { return f.serve(c, c.Peer()) }
+func (f *Front) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
+	return f.serve(c, c.RemoteAddr())
+}
 
-func (f *Front) serve(line Line, peer netip.AddrPort) *client {
+func (f *Front) serve(line Transport, peer netip.AddrPort) *client {
 	return &client{front: f, line: line, peer: peer, open: map[uint32]*call{}}
 }
 
 type client struct {
 	front *Front
-	line  Line
+	line  Transport
 	peer  netip.AddrPort
 	part  []byte // the beginning of a frame
 	open  map[uint32]*call
@@ -264,16 +266,16 @@
 	if !ok {
 		return r, "class"
 	}
-	r = router.Request{Front: router.Thrift, Class: class, ID: string(fields["id"]), Key: string(fields["key"])}
-	if _, ok := router.ParseKey(r.ID); !ok {
+	r = router.Request{Front: router.Thrift, Class: class, ID: string(fields["id"]), FunctionKey: string(fields["key"])}
+	if _, ok := router.ParseFunctionKey(r.ID); !ok {
 		return r, "id"
 	}
-	key, ok := router.ParseKey(r.Key)
+	key, ok := router.ParseFunctionKey(r.FunctionKey)
 	if !ok {
 		return r, "key"
 	}
 	r.Function = policy.FunctionID(key)
-	if r.IdempotencyKey = string(fields["once"]); r.IdempotencyKey == "" && f.cfg.Classes[class].Keyed || r.IdempotencyKey != "" && !router.ParseOnce(r.IdempotencyKey) {
+	if r.IdempotencyKey = string(fields["once"]); r.IdempotencyKey == "" && f.cfg.Classes[class].RequiresIdempotencyKey || r.IdempotencyKey != "" && !router.ParseIdempotencyKey(r.IdempotencyKey) {
 		// Without a key no worker can drop a repeat, and a call is not passed on otherwise than it came.
 		return r, "once"
 	}
@@ -283,10 +285,10 @@
 		}
 	}
 	wait, err := strconv.ParseFloat(string(fields["wait"]), 64)
-	if err != nil || !router.Within(wait, router.MaxWaitMs) {
+	if err != nil || !router.InRange(wait, router.MaxWaitMs) {
 		return r, "wait"
 	}
-	r.Deadline = f.clock() + time.Duration(wait*1e6) - router.AnswerMargin
+	r.Deadline = f.clock() + time.Duration(wait*1e6) - router.ResponseMargin
 	for text := string(fields["props"]); text != ""; {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
@@ -301,7 +303,7 @@
 		case "load_ms":
 			r.LoadTime, most = time.Duration(v*1e6), router.MaxLoadMs
 		}
-		if err != nil || !router.Within(v, most) {
+		if err != nil || !router.InRange(v, most) {
 			return r, "props"
 		}
 	}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -26,7 +26,7 @@
 
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
 
-func newGoldenClient() (*client, *core, *testutil.Line) {
+func newGoldenClient() (*client, *core, *testutil.Transport) {
 	c, k, l := newClient()
 	c.peer = goldenPeer
 	return c, k, l
@@ -35,14 +35,14 @@
 // Every form of a call is decoded to a request that is compared whole.
 func TestGoldenCallsAreDecoded(t *testing.T) {
 	minimal := router.Request{
-		Front:    router.Thrift,
-		ID:       "9b1f03aa5c7e2d41",
-		Class:    1,
-		Key:      "7f3a9c21e0b4d655",
-		Function: policy.FunctionID(0x7f3a9c21e0b4d655),
-		Body:     []byte("body"),
-		Deadline: time.Hour + 1460*time.Millisecond,
-		Client:   goldenPeer,
+		Front:       router.Thrift,
+		ID:          "9b1f03aa5c7e2d41",
+		Class:       1,
+		FunctionKey: "7f3a9c21e0b4d655",
+		Function:    policy.FunctionID(0x7f3a9c21e0b4d655),
+		Body:        []byte("body"),
+		Deadline:    time.Hour + 1460*time.Millisecond,
+		Client:      goldenPeer,
 	}
 	withProps := minimal
 	withProps.MemoryMB, withProps.Lanes, withProps.LoadTime = 512, 2, 640*time.Millisecond
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -32,9 +32,9 @@
 }
 func (c *core) CancelRequest(_ time.Duration, id policy.RequestID) { c.left = append(c.left, id) }
 
-func newClient() (*client, *core, *testutil.Line) {
-	c, l := &core{}, &testutil.Line{}
-	f := New(c, Config{Classes: []Class{{Name: "dim-level"}, {Name: "repair-order"}, {Name: "extend", Keyed: true}}, Tenants: []string{"east", "west"}}, func() time.Duration { return time.Hour }, func() bool { return true })
+func newClient() (*client, *core, *testutil.Transport) {
+	c, l := &core{}, &testutil.Transport{}
+	f := New(c, Config{Classes: []Class{{Name: "dim-level"}, {Name: "repair-order"}, {Name: "extend", RequiresIdempotencyKey: true}}, Tenants: []string{"east", "west"}}, func() time.Duration { return time.Hour }, func() bool { return true })
 	return f.serve(l, netip.AddrPort{}), c, l
 }
 
@@ -49,7 +49,7 @@
 	"props", "memory_mb:512;lanes:2;load_ms:640"}
 
 // outcome reads the first frame of what was written: its sequence number and the result's field.
-func outcome(t rapid.TB, l *testutil.Line) (seq uint32, field uint16) {
+func outcome(t rapid.TB, l *testutil.Transport) (seq uint32, field uint16) {
 	b := l.Wrote.Bytes()
 	if len(b) < 4 || len(b) < 4+int(binary.BigEndian.Uint32(b)) {
 		t.Fatalf("wrote %x", b)
@@ -102,7 +102,7 @@
 				r := k.taken[len(k.taken)-1]
 				if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
 					r.Lanes != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
-					r.Deadline != time.Hour+1500*time.Millisecond-router.AnswerMargin {
+					r.Deadline != time.Hour+1500*time.Millisecond-router.ResponseMargin {
 					t.Fatalf("took %+v", r)
 				}
 			},
@@ -282,7 +282,7 @@
 		{"extend", "-", "west", "once"},
 		{"extend", "", "west", "once"},
 		{"extend", "5c0f,path=0", "west", "once"},
-		{"extend", strings.Repeat("5", router.MaxOnce+1), "west", "once"},
+		{"extend", strings.Repeat("5", router.MaxIdempotencyKeyLength+1), "west", "once"},
 		{"dim-level", once, "west", ""},
 		{"dim-level", "-", "west", ""},
 		{"dim-level", "x", "west", "once"},
@@ -319,7 +319,7 @@
 
 // Where the settings know no tenants, a client that names one is served as before.
 func TestTenantsThatNoSettingsKnowAreIgnored(t *testing.T) {
-	k, l := &core{}, &testutil.Line{}
+	k, l := &core{}, &testutil.Transport{}
 	f := New(k, Config{Classes: []Class{{Name: "repair-order"}}}, func() time.Duration { return time.Hour }, func() bool { return true })
 	f.serve(l, netip.AddrPort{}).Data(execute(1, "", append([]string{"tenant", "anyone"}, good...)...))
 	if len(k.taken) != 1 || k.taken[0].Tenant != "" {
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -50,8 +50,8 @@
 func describeCall(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
-		r.Class, r.ID, r.Key, uint64(r.Function), r.Tenant, r.IdempotencyKey,
-		r.Ref, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
+		r.Class, r.ID, r.FunctionKey, uint64(r.Function), r.Tenant, r.IdempotencyKey,
+		r.ClientReference, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
 }
 
 // exchange is what a client sends on one connection, and what becomes of the calls in it.
@@ -77,7 +77,7 @@
 	if x.prepare != nil {
 		x.prepare(receiver)
 	}
-	line := &testutil.Line{}
+	line := &testutil.Transport{}
 	client := receiver.serve(line, goldenClient)
 	transcript := ""
 	answered := 0
@@ -190,13 +190,13 @@
 	if err := os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var line *testutil.Line
-	var handler eventloop.Dialled
+	var line *testutil.Transport
+	var handler eventloop.DialHandler
 	transcript := ""
 	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
-	dial := func(address string, timeout time.Duration, h eventloop.Dialled) Line {
+	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
-		line, handler = &testutil.Line{}, h
+		line, handler = &testutil.Transport{}, h
 		return line
 	}
 	sender, err := NewSender(cfg, func() time.Time { return date }, dial)
@@ -206,12 +206,12 @@
 	now := time.Hour
 	sender.Notify(now, &n.request, n.outcome)
 	for _, reply := range n.replies {
-		sender.Turn(now)
-		handler.Opened(nil)
+		sender.Tick(now)
+		handler.DialCompleted(nil)
 		transcript += golden.Quote("request", line.Wrote.Bytes())
 		transcript += golden.Quote("reply", []byte(reply))
 		handler.Data([]byte(reply))
-		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", line.HasClosed, sender.Open())
+		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", line.HasClosed, sender.Pending())
 		now += backoffMost
 		date = date.Add(90 * time.Second)
 	}
@@ -224,15 +224,15 @@
 		plainURL = "http://hooks.example.org/notices"
 		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
 	)
-	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Ref: "msg_1", Key: "7f3a9c21e0b4d655"}
-	byOther := router.Request{ID: "order-17", Key: "7f3a9c21e0b4d655"}
+	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", ClientReference: "msg_1", FunctionKey: "7f3a9c21e0b4d655"}
+	byOther := router.Request{ID: "order-17", FunctionKey: "7f3a9c21e0b4d655"}
 	for _, n := range []noticeCase{
 		{"served", plainURL, "served", byWebhook, []string{accepted}},
 		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
 		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
 		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
 		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
-		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, Ref: "msg_<&>", Key: "é"}, []string{accepted}},
+		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, ClientReference: "msg_<&>", FunctionKey: "é"}, []string{accepted}},
 		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
 		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
 		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
@@ -298,7 +298,7 @@
 	receiver.wall = func() time.Time { return written }
 	for _, o := range ledgerOrders() {
 		for round := range max(1, len(o.answers)) {
-			receiver.serve(&testutil.Line{}, goldenClient).Data(o.delivery(written))
+			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.answers) > 0 {
 				calls.taken[len(calls.taken)-1].Asker.Respond(o.answers[round])
@@ -349,7 +349,7 @@
 		ledgerOrder{"expired", "repair-order", "2026-12-01T12:00:00Z", nil}) // an id that was forgotten
 	transcript := ""
 	for _, o := range orders {
-		line := &testutil.Line{}
+		line := &testutil.Transport{}
 		before := len(calls.taken)
 		client := receiver.serve(line, goldenClient)
 		transcript += golden.Quote("request", o.delivery(noon))
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -31,19 +31,19 @@
 	Accept(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Line is a connection to a peer; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a peer; a loop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
-	FlushClose()
+	CloseAfterFlush()
 }
 
 // Class is a class of calls as the receiver needs to know it.
 type Class struct {
-	Name    string
-	Once    bool          // must never run twice: it goes through the ledger
-	Keyed   bool          // workers drop its repeats, by a key that is made of the webhook-id
-	Longest time.Duration // a call may wait
+	Name                   string
+	NotIdempotent          bool          // must never run twice: it goes through the ledger
+	RequiresIdempotencyKey bool          // workers drop its repeats, by a key that is made of the webhook-id
+	MaxWait                time.Duration // a call may wait
 }
 
 // Counters tells what became of deliveries.
@@ -66,7 +66,7 @@
 	bytes    int
 	most     int           // bytes of answers' bodies that are remembered; beyond it new deliveries are refused
 	quiet    time.Duration // no complaint is logged before
-	Count    Counters
+	Counters Counters
 }
 
 // outcome is what is known of a webhook-id.
@@ -142,16 +142,18 @@
 }
 
 // Accept serves a connection.
-func (v *Receiver) Accept(c *eventloop.Conn) eventloop.Accepted { return v.serve(c, c.Peer()) }
+func (v *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
+	return v.serve(c, c.RemoteAddr())
+}
 
-func (v *Receiver) serve(line Line, peer netip.AddrPort) *client {
+func (v *Receiver) serve(line Transport, peer netip.AddrPort) *client {
 	return &client{front: v, line: line, peer: peer}
 }
 
 // client is a connection. It has one request at a time; what follows it waits in buf.
 type client struct {
 	front   *Receiver
-	line    Line
+	line    Transport
 	peer    netip.AddrPort
 	buf     []byte
 	req     *request // its head has come, its body has not; it points into head
@@ -193,7 +195,7 @@
 		if c.req == nil {
 			r, size, status := parseHead(c.buf)
 			if status != 0 {
-				c.front.Count.Malformed++
+				c.front.Counters.Malformed++
 				c.last = true // where its body ends is unknown
 				c.answer(status, nil, 0)
 				return
@@ -242,7 +244,7 @@
 	if c.last {
 		c.gone, c.buf, c.req = true, nil, nil
 		if whole {
-			c.line.FlushClose()
+			c.line.CloseAfterFlush()
 		}
 		// Else closing on what is still being sent would reset the connection, and the answer with
 		// it: the client closes, or maxDrain or the idle limit does.
@@ -252,19 +254,19 @@
 // handle answers r or has its call run. Nothing has any effect before the signature is verified.
 func (v *Receiver) handle(c *client, r *request, body []byte) {
 	if string(r.target) != v.cfg.Receiver.Path {
-		v.Count.Malformed++
+		v.Counters.Malformed++
 		c.answer(404, nil, 0)
 		return
 	}
 	if string(r.method) != "POST" {
-		v.Count.Malformed++
+		v.Counters.Malformed++
 		c.answer(405, nil, 0)
 		return
 	}
-	v.Count.Deliveries++
+	v.Counters.Deliveries++
 	id, err := verify(r, body, v.keys, v.wall(), v.cfg.Receiver.Tolerance)
 	if err != nil {
-		v.Count.Unauthorized++
+		v.Counters.Unauthorized++
 		v.complain("delivery_refused", err)
 		c.answer(401, nil, 0)
 		return
@@ -277,7 +279,7 @@
 	}
 	req, at, err := v.read(body)
 	if err != nil {
-		v.Count.Malformed++
+		v.Counters.Malformed++
 		v.complain("delivery_malformed", err)
 		c.answer(400, nil, 0)
 		return
@@ -286,17 +288,17 @@
 		c.answer(503, nil, refusedFor)
 		return
 	}
-	req.Client, req.Ref = c.peer, id
+	req.Client, req.ClientReference = c.peer, id
 	o := &outcome{sum: sum, at: at, waiting: []*client{c}}
 	k := v.list[req.Class]
-	if k.Keyed {
+	if k.RequiresIdempotencyKey {
 		name := sha256.Sum256([]byte(id))
 		req.IdempotencyKey = hex.EncodeToString(name[:16])
 	}
-	if k.Once {
+	if k.NotIdempotent {
 		o.order = true
 		if v.ledger == nil {
-			v.Count.LedgerRefused++
+			v.Counters.LedgerRefused++
 			c.answer(503, nil, refusedFor)
 			return
 		}
@@ -323,15 +325,15 @@
 func (v *Receiver) again(c *client, o *outcome, sum string) {
 	switch {
 	case o.sum != sum: // a sender may not give an id to another payload
-		v.Count.Malformed++
+		v.Counters.Malformed++
 		c.answer(400, nil, 0)
 	case o.settled:
-		v.Count.Replayed++
+		v.Counters.Replayed++
 		c.answer(o.status, o.body, 0)
 	case len(o.waiting) >= 16:
 		c.answer(503, nil, refusedFor)
 	default:
-		v.Count.Joined++
+		v.Counters.Joined++
 		o.waiting = append(o.waiting, c)
 	}
 }
@@ -353,26 +355,26 @@
 	case len(p.Data.Body) > maxCall:
 		return r, at, errors.New("body is too long")
 	}
-	f, ok := router.ParseKey(p.Data.Key)
+	f, ok := router.ParseFunctionKey(p.Data.Key)
 	if !ok {
 		return r, at, errors.New("key is not 16 hex digits in lower case")
 	}
-	if !router.Within(p.Data.WaitMs, router.MaxWaitMs) || !router.Within(p.Data.MemoryMB, router.MaxMemoryMB) ||
-		!router.Within(p.Data.Lanes, router.MaxLanes) || !router.Within(p.Data.LoadMs, router.MaxLoadMs) {
+	if !router.InRange(p.Data.WaitMs, router.MaxWaitMs) || !router.InRange(p.Data.MemoryMB, router.MaxMemoryMB) ||
+		!router.InRange(p.Data.Lanes, router.MaxLanes) || !router.InRange(p.Data.LoadMs, router.MaxLoadMs) {
 		return r, at, errors.New("a figure is out of range")
 	}
 	k, l := v.list[class], v.cfg.Receiver.Ledger
 	// What is older than the ledger reaches may have run and been forgotten.
-	if age := v.wall().Sub(p.Timestamp); k.Once && (age > l.Retention-2*v.cfg.Receiver.Tolerance || age < -v.cfg.Receiver.Tolerance) {
+	if age := v.wall().Sub(p.Timestamp); k.NotIdempotent && (age > l.Retention-2*v.cfg.Receiver.Tolerance || age < -v.cfg.Receiver.Tolerance) {
 		return r, at, errors.New("the order's timestamp is outside the ledger's retention")
 	}
 	wait := time.Duration(p.Data.WaitMs * 1e6)
-	if wait == 0 || wait > k.Longest {
-		wait = k.Longest
+	if wait == 0 || wait > k.MaxWait {
+		wait = k.MaxWait
 	}
-	return router.Request{Front: router.Webhook, Class: class, ID: newID(), Key: p.Data.Key, Function: policy.FunctionID(f), Tenant: p.Data.Tenant,
+	return router.Request{Front: router.Webhook, Class: class, ID: newID(), FunctionKey: p.Data.Key, Function: policy.FunctionID(f), Tenant: p.Data.Tenant,
 		MemoryMB: p.Data.MemoryMB, Lanes: p.Data.Lanes, LoadTime: time.Duration(p.Data.LoadMs * 1e6),
-		Body: p.Data.Body, Deadline: v.clock() + wait - router.AnswerMargin}, p.Timestamp, nil
+		Body: p.Data.Body, Deadline: v.clock() + wait - router.ResponseMargin}, p.Timestamp, nil
 }
 
 // newID returns a request id for the workers; they know nothing of webhook-ids.
@@ -385,7 +387,7 @@
 // entered goes on once the ledger has answered for an order.
 func (v *Receiver) entered(id string, o *outcome, req router.Request, err error) {
 	if err != nil {
-		v.Count.LedgerRefused++
+		v.Counters.LedgerRefused++
 		delete(v.outcomes, id)
 		o.answer(503, nil, refusedFor)
 		return
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -26,17 +26,17 @@
 // Sender sends a signed notice of what became of each order. It is never in a request's way: what
 // its queue has no room for is dropped and counted.
 type Sender struct {
-	cfg    *Config
-	url    *url.URL
-	addr   string
-	secret []byte
-	dial   func(addr string, timeout time.Duration, h eventloop.Dialled) Line
-	wall   func() time.Time
-	now    time.Duration
-	queue  []*notice // waiting for their time
-	out    int
-	flying []*delivery
-	Sent   SenderCounters
+	cfg      *Config
+	url      *url.URL
+	addr     string
+	secret   []byte
+	dial     func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+	wall     func() time.Time
+	now      time.Duration
+	queue    []*notice // waiting for their time
+	out      int
+	flying   []*delivery
+	Counters SenderCounters
 }
 
 // SenderCounters tells what became of notices.
@@ -50,7 +50,7 @@
 }
 
 // NewSender reads the key.
-func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.Dialled) Line) (*Sender, error) {
+func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
 	u, err := url.Parse(cfg.Sender.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
@@ -71,7 +71,7 @@
 func (s *Sender) Notify(now time.Duration, r *router.Request, what string) {
 	s.now = max(s.now, now)
 	if len(s.queue)+s.out >= s.cfg.Sender.Queue {
-		s.Sent.Dropped++
+		s.Counters.Dropped++
 		return
 	}
 	type data struct {
@@ -83,22 +83,22 @@
 		Type      string    `json:"type"`
 		Timestamp time.Time `json:"timestamp"`
 		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.Ref, r.Key}})
+	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
 	if err != nil {
-		s.Sent.Dropped++
+		s.Counters.Dropped++
 		return
 	}
 	var id [16]byte
 	crand.Read(id[:]) // never fails
-	s.Sent.Queued++
+	s.Counters.Queued++
 	s.queue = append(s.queue, &notice{id: "msg_" + base64.RawURLEncoding.EncodeToString(id[:]), body: body, due: s.now})
 }
 
-// Open is how many notices have not come to their end.
-func (s *Sender) Open() int { return len(s.queue) + s.out }
+// Pending is how many notices have not come to their end.
+func (s *Sender) Pending() int { return len(s.queue) + s.out }
 
-// Turn sends what is due, and returns when it is to be called again.
-func (s *Sender) Turn(now time.Duration) time.Duration {
+// Tick sends what is due, and returns when it is to be called again.
+func (s *Sender) Tick(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	next := now + time.Hour
 	keep := s.queue[:0]
@@ -137,14 +137,14 @@
 type delivery struct {
 	sender *Sender
 	n      *notice
-	line   Line
+	line   Transport
 	until  time.Duration
 	reply  []byte
 	done   bool
 }
 
-// Opened sends the notice, signed with the time of this try.
-func (d *delivery) Opened(err error) {
+// DialCompleted sends the notice, signed with the time of this try.
+func (d *delivery) DialCompleted(err error) {
 	if err != nil {
 		d.finish(0, err)
 		return
@@ -208,15 +208,15 @@
 	s, n := d.sender, d.n
 	s.out--
 	if n.tries++; status >= 200 && status < 300 {
-		s.Sent.Delivered++
+		s.Counters.Delivered++
 		return
 	}
 	slog.Warn("notice_not_delivered", "id", n.id, "try", n.tries, "status", status, "err", err)
 	if n.tries >= s.cfg.Sender.Attempts || status == 410 {
-		s.Sent.GivenUp++
+		s.Counters.GivenUp++
 		return
 	}
-	s.Sent.Retried++
+	s.Counters.Retried++
 	wait := min(s.cfg.Sender.Backoff<<(2*min(n.tries-1, 10)), backoffMost)
 	n.due = s.now + wait/2 + jitter(wait/2)
 	s.queue = append(s.queue, n)
