--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -32,8 +32,8 @@
 	noon    = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 	secret  = bytes.Repeat([]byte("active"), 5)
 	retired = bytes.Repeat([]byte("retire"), 5)
-	classes = []Class{{Name: "dim-level", Longest: 2 * time.Second}, {Name: "repair-order", Once: true, Longest: 3 * time.Second},
-		{Name: "extend", Once: true, Keyed: true, Longest: 3 * time.Second}}
+	classes = []Class{{Name: "dim-level", MaxWait: 2 * time.Second}, {Name: "repair-order", NotIdempotent: true, MaxWait: 3 * time.Second},
+		{Name: "extend", NotIdempotent: true, RequiresIdempotencyKey: true, MaxWait: 3 * time.Second}}
 )
 
 func wall() time.Time { return noon }
@@ -84,7 +84,7 @@
 }
 
 // statuses reads the answers written to a line.
-func statuses(t rapid.TB, l *testutil.Line) (out []int) {
+func statuses(t rapid.TB, l *testutil.Transport) (out []int) {
 	for in := bufio.NewReader(bytes.NewReader(l.Wrote.Bytes())); ; {
 		if _, err := in.Peek(1); err == io.EOF {
 			return out
@@ -151,7 +151,7 @@
 	} {
 		k := &core{}
 		v, _ := newReceiver(t, k, "")
-		l := &testutil.Line{}
+		l := &testutil.Transport{}
 		v.serve(l, netip.AddrPort{}).Data(c.bytes)
 		if got := statuses(t, l); len(got) != 1 || got[0] != c.status || len(k.taken) > 0 {
 			t.Errorf("%s: answers %v, want one %d; %d calls", name, got, c.status, len(k.taken))
@@ -169,7 +169,7 @@
 	for i, x := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none taken"}} {
 		body := bytes.Replace(call("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, x.tenant), 1)
 		before := len(c.taken)
-		l := &testutil.Line{}
+		l := &testutil.Transport{}
 		v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, fmt.Sprint("t", i), noon, body))
 		got := "none taken"
 		if len(c.taken) > before {
@@ -183,7 +183,7 @@
 
 func TestConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k, l := &core{}, &testutil.Line{}
+		k, l := &core{}, &testutil.Transport{}
 		v, _ := newReceiver(t, k, "")
 		c := v.serve(l, netip.AddrPort{})
 		var want []int
@@ -297,7 +297,7 @@
 		"full":         func(l *ledger) { l.max = 10 },
 		"failed write": func(l *ledger) { l.file.Close() },
 	} {
-		k, l := &core{}, &testutil.Line{}
+		k, l := &core{}, &testutil.Transport{}
 		v, posts := newReceiver(t, k, path)
 		spoil(v.ledger)
 		for i := range 2 { // also the one after it
@@ -313,7 +313,7 @@
 	if _, _, err := openLedger(path, 1<<20, time.Hour, wall); err == nil {
 		t.Error("a damaged ledger was opened")
 	}
-	k, l := &core{}, &testutil.Line{}
+	k, l := &core{}, &testutil.Transport{}
 	v, _ := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 	v.serve(l, netip.AddrPort{}).Data(deliveryOf(secret, "old", noon, call("repair-order", "x", noon.Add(-72*time.Hour))))
 	if got := statuses(t, l); fmt.Sprint(got) != "[400]" || len(k.taken) > 0 {
@@ -330,7 +330,7 @@
 		calls  int
 		answer string
 	}{{1, "[]"}, {0, "[502]"}} {
-		k, l := &core{}, &testutil.Line{}
+		k, l := &core{}, &testutil.Transport{}
 		v, posts := newReceiver(t, k, path)
 		v.serve(l, netip.AddrPort{}).Data(b)
 		if round == 0 {
@@ -350,14 +350,14 @@
 	v, posts := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 	defer v.Close()
 	b := deliveryOf(secret, "m", noon, call("repair-order", "x", noon))
-	lines := []*testutil.Line{{}, {}, {}}
+	lines := []*testutil.Transport{{}, {}, {}}
 	first := v.serve(lines[0], netip.AddrPort{})
 	first.Data(b)
 	v.serve(lines[1], netip.AddrPort{}).Data(b) // before the ledger has answered
 	(<-posts)()
 	v.serve(lines[2], netip.AddrPort{}).Data(b) // and after
 	first.Closed(nil)
-	if len(k.taken) != 1 || k.taken[0].Ref != "m" {
+	if len(k.taken) != 1 || k.taken[0].ClientReference != "m" {
 		t.Fatalf("the core has %+v", k.taken)
 	}
 	k.taken[0].Asker.Respond(router.Response{Status: router.Served, Body: []byte("done")})
@@ -412,9 +412,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &plant{lp: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxFiles: 1024}), runs: runs, done: make(chan struct{})}
-	p.core = router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, ProbeTimeout: time.Second})
-	p.core.Use(p)
+	p := &plant{lp: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxDescriptors: 1024}), runs: runs, done: make(chan struct{})}
+	p.core = router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second})
+	p.core.SetWorkerClient(p)
 	p.core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	if p.front, err = NewReceiver(testConfig(ledger), p.core, classes, 16<<20, p.lp.Now, wall, p.lp.Post); err != nil {
 		t.Fatal(err)
@@ -424,12 +424,12 @@
 	cfg.Sender.URL, cfg.Sender.Connect, cfg.Sender.Backoff = "http://hooks.example.org/notices", notices, time.Millisecond
 	cfg.Sender.Key = filepath.Join(t.TempDir(), "key")
 	os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)), 0o600)
-	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h eventloop.Dialled) Line {
+	if p.sends, err = NewSender(cfg, wall, func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		return p.lp.Dial("tcp", addr, timeout, h)
 	}); err != nil {
 		t.Fatal(err)
 	}
-	p.core.Observe = func(now time.Duration, r *router.Request, end string) {
+	p.core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
 		if notices != "" {
 			p.sends.Notify(now, r, end)
 		}
@@ -440,7 +440,7 @@
 	}
 	p.addr = p.lp.Addrs()[0]
 	go func() {
-		p.lp.Run(p.core.SetNow, func(now time.Duration) time.Duration { return min(p.core.Turn(now), p.sends.Turn(now)) })
+		p.lp.Run(p.core.SetNow, func(now time.Duration) time.Duration { return min(p.core.Process(now), p.sends.Tick(now)) })
 		close(p.done)
 	}()
 	return p
@@ -617,24 +617,24 @@
 	path := filepath.Join(t.TempDir(), "key")
 	os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"), 0o600)
 	cfg.Sender.Key = path
-	var lines []*testutil.Line
-	var handlers []eventloop.Dialled
-	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h eventloop.Dialled) Line {
-		lines, handlers = append(lines, &testutil.Line{}), append(handlers, h)
+	var lines []*testutil.Transport
+	var handlers []eventloop.DialHandler
+	s, err := NewSender(cfg, wall, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
+		lines, handlers = append(lines, &testutil.Transport{}), append(handlers, h)
 		return lines[len(lines)-1]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", Key: "7f3a9c21e0b4d655"}, "served")
+		s.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, "served")
 	}
 	ids := map[string]int{}
 	now := time.Hour
-	for try := 0; s.Open() > 0; try++ {
-		next := s.Turn(now)
+	for try := 0; s.Pending() > 0; try++ {
+		next := s.Tick(now)
 		for i, h := range handlers {
-			h.Opened(nil)
+			h.DialCompleted(nil)
 			r, err := http.ReadRequest(bufio.NewReader(&lines[i].Wrote))
 			if err != nil || r.Host != "hooks.example.org" || r.URL.Path != "/n" {
 				t.Fatalf("request %v: %v", r, err)
@@ -660,8 +660,8 @@
 		lines, handlers = nil, nil
 		now = max(next, now+10*time.Minute)
 	}
-	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, GivenUp: 1}); s.Sent != want || len(ids) != 2 {
-		t.Errorf("counters %+v, want %+v; ids %v", s.Sent, want, ids)
+	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, GivenUp: 1}); s.Counters != want || len(ids) != 2 {
+		t.Errorf("counters %+v, want %+v; ids %v", s.Counters, want, ids)
 	}
 	for id, n := range ids {
 		if n != 3 {
@@ -688,7 +688,7 @@
 		v, posts := newReceiver(t, k, filepath.Join(t.TempDir(), "ledger"))
 		for _, id := range []string{"a", "b"} {
 			for _, class := range []string{"dim-level", "repair-order", "extend"} {
-				v.serve(&testutil.Line{}, netip.AddrPort{}).Data(deliveryOf(secret, class+id, noon, call(class, "x", noon)))
+				v.serve(&testutil.Transport{}, netip.AddrPort{}).Data(deliveryOf(secret, class+id, noon, call(class, "x", noon)))
 				if class != "dim-level" {
 					(<-posts)()
 				}
@@ -707,7 +707,7 @@
 		}
 	}
 	for key := range keys["extenda"] {
-		if !router.ParseOnce(key) || keys["extendb"][key] {
+		if !router.ParseIdempotencyKey(key) || keys["extendb"][key] {
 			t.Errorf("key %q", key)
 		}
 	}
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -15,7 +15,7 @@
 type dial struct {
 	conn *conn
 	addr endpoint.Addr
-	line Line
+	line Transport
 	over bool
 }
 
@@ -23,14 +23,14 @@
 func (c *conn) dial() {
 	p := c.pool
 	for {
-		a, ok := c.race.Next(p.now, p.dials < endpoint.MostDialsInAll && (len(c.dials) == 0 || p.room()))
+		a, ok := c.race.Next(p.now, p.dials < endpoint.MaxDials && (len(c.dials) == 0 || p.room()))
 		if !ok {
 			return
 		}
 		d := &dial{conn: c, addr: a}
 		c.dials = append(c.dials, d)
 		p.dials++
-		p.Count.Dials++
+		p.Counters.Dials++
 		d.line = p.cfg.Dial(a.Network.String(), a.Addr, p.cfg.DialTimeout, d)
 	}
 }
@@ -53,13 +53,13 @@
 // restart has c, which is not up, begin anew with the addresses that its worker has now. What waits for it waits on.
 func (c *conn) restart() {
 	c.callOff()
-	c.race = endpoint.NewRace(c.w.paths.Candidates(), c.pool.cfg.DialTimeout, 0)
+	c.race = endpoint.NewDialRace(c.w.paths.Candidates(), c.pool.cfg.DialTimeout, 0)
 	c.dial()
 }
 
-// Opened is the end of the dial. A refused or late one proves that nothing ran; only when the last one has failed
+// DialCompleted is the end of the dial. A refused or late one proves that nothing ran; only when the last one has failed
 // is the worker out of reach.
-func (d *dial) Opened(err error) {
+func (d *dial) DialCompleted(err error) {
 	if d.over {
 		if err == nil {
 			d.line.Close()
@@ -70,9 +70,9 @@
 	c := d.conn
 	p, w := c.pool, c.w
 	if err != nil {
-		p.Count.DialsFailed++
+		p.Counters.DialsFailed++
 		slog.Warn("dial_failed", "addr", d.addr, "err", err)
-		if !eventloop.NoDescriptor(err) {
+		if !eventloop.IsDescriptorExhausted(err) {
 			w.paths.Failed(p.now, d.addr)
 		}
 		if c.race.Ended() {
@@ -82,7 +82,7 @@
 		}
 		return
 	}
-	w.paths.Up(p.now, d.addr)
+	w.paths.Succeeded(p.now, d.addr)
 	if !c.race.Won() {
 		d.line.Close()
 		return
@@ -111,7 +111,7 @@
 	pool  *Pool
 	w     *worker
 	addr  endpoint.Addr
-	line  Line
+	line  Transport
 	begun time.Duration
 	over  bool
 }
@@ -124,24 +124,24 @@
 		}
 		return
 	}
-	if !w.ready || p.dials >= endpoint.MostDialsInAll || !p.room() {
+	if !w.ready || p.dials >= endpoint.MaxDials || !p.room() {
 		return
 	}
-	a, ok := w.paths.Trial(p.now)
+	a, ok := w.paths.NextRecoveryDial(p.now)
 	if !ok {
 		return
 	}
 	t := &trial{pool: p, w: w, addr: a, begun: p.now}
 	w.trial = t
 	p.dials++
-	p.Count.Trials++
+	p.Counters.RecoveryDials++
 	t.line = p.cfg.Dial(a.Network.String(), a.Addr, p.cfg.DialTimeout, t)
 }
 
 // endTrial calls a trial off; it told nothing.
 func (w *worker) endTrial() {
 	if t := w.trial; t != nil {
-		w.paths.Undecided(t.pool.now, t.addr)
+		w.paths.RecoveryInconclusive(t.pool.now, t.addr)
 		t.close()
 	}
 }
@@ -159,18 +159,18 @@
 	}
 	switch {
 	case err == nil:
-		t.w.paths.Up(t.pool.now, t.addr)
-	case eventloop.NoDescriptor(err):
-		t.w.paths.Undecided(t.pool.now, t.addr)
+		t.w.paths.Succeeded(t.pool.now, t.addr)
+	case eventloop.IsDescriptorExhausted(err):
+		t.w.paths.RecoveryInconclusive(t.pool.now, t.addr)
 	default:
-		t.pool.Count.TrialsFailed++
+		t.pool.Counters.RecoveryDialsFailed++
 		t.w.paths.Failed(t.pool.now, t.addr)
 	}
 	t.close()
 }
 
-// Opened asks for a sign of life: an address that accepts and says nothing has not come back.
-func (t *trial) Opened(err error) {
+// DialCompleted asks for a sign of life: an address that accepts and says nothing has not come back.
+func (t *trial) DialCompleted(err error) {
 	switch {
 	case t.over:
 		if err == nil {
--- a/internal/workerclient/fields_test.go
+++ b/internal/workerclient/fields_test.go
@@ -17,7 +17,7 @@
 		r := request("0123456789abcdef")
 		r.IdempotencyKey = once
 		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
-		(*lines)[0].h.Opened(nil)
+		(*lines)[0].h.DialCompleted(nil)
 		got := (*lines)[0].Wrote.String()
 		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
 			t.Errorf("key %q: wrote %q", once, got)
@@ -37,7 +37,7 @@
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 			l := (*lines)[0]
-			l.h.Opened(nil)
+			l.h.DialCompleted(nil)
 			l.h.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
 			if len(s.ended[a]) != 1 || s.ended[a][0] != o || s.reply[a].Concurrency != want || l.HasClosed {
 				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.ended[a], s.reply[a], l.HasClosed)
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -57,7 +57,7 @@
 	record := &recorder{}
 	p.sink = record
 	p.cfg.ReportFields = []string{"inflight", "cpu"}
-	p.cfg.PerConn = 32
+	p.cfg.MaxCallsPerConnection = 32
 	return p, record, lines
 }
 
@@ -66,7 +66,7 @@
 	p, _, lines := newGoldenPool()
 	p.CheckHealth(1, 1)
 	connection := (*lines)[0]
-	connection.h.Opened(nil)
+	connection.h.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
 		connection.Wrote.Reset()
@@ -94,7 +94,7 @@
 	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
-	sent("NOOP", func() { p.Sweep(time.Second) })
+	sent("NOOP", func() { p.Maintain(time.Second) })
 	if len(*lines) != 1 || connection.HasClosed {
 		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
 	}
@@ -108,9 +108,9 @@
 func probeAfterReset() []byte {
 	p, _, lines := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*lines)[0].h.Opened(nil)
+	(*lines)[0].h.DialCompleted(nil)
 	(*lines)[0].h.Closed(errors.New("reset"))
-	(*lines)[1].h.Opened(nil)
+	(*lines)[1].h.DialCompleted(nil)
 	return (*lines)[1].Wrote.Bytes()
 }
 
@@ -119,15 +119,15 @@
 	t.Helper()
 	p, _, lines, _ := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(errors.New("refused"))
-	(*lines)[1].h.Opened(nil)
-	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += SweepEvery {
-		p.Sweep(now)
+	(*lines)[0].h.DialCompleted(errors.New("refused"))
+	(*lines)[1].h.DialCompleted(nil)
+	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += MaintenanceInterval {
+		p.Maintain(now)
 	}
 	if len(*lines) < 3 {
 		t.Fatal("no trial was begun")
 	}
-	(*lines)[2].h.Opened(nil)
+	(*lines)[2].h.DialCompleted(nil)
 	return (*lines)[2]
 }
 
@@ -162,7 +162,7 @@
 			p, record, lines := newGoldenPool()
 			p.StartAttempt(1, attempt, request(anID), time.Second)
 			connection := (*lines)[0]
-			connection.h.Opened(nil)
+			connection.h.DialCompleted(nil)
 			connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.HasClosed {
@@ -188,7 +188,7 @@
 		p, record, lines := newGoldenPool()
 		p.Load(1, 5, 2, 9)
 		connection := (*lines)[0]
-		connection.h.Opened(nil)
+		connection.h.DialCompleted(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&recorder{holds: []holdAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
@@ -211,7 +211,7 @@
 		p, record, lines := newGoldenPool()
 		p.CheckHealth(1, 7)
 		connection := (*lines)[0]
-		connection.h.Opened(nil)
+		connection.h.DialCompleted(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&recorder{probes: []probeAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
@@ -225,8 +225,8 @@
 		p, record, lines := newGoldenPool()
 		p.StartAttempt(1, attempt, request(anID), time.Second)
 		connection := (*lines)[0]
-		connection.h.Opened(nil)
-		p.Sweep(time.Second)
+		connection.h.DialCompleted(nil)
+		p.Maintain(time.Second)
 		owner := p.workers[1].conns[0]
 		asked := owner.pinged
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, label))
@@ -239,10 +239,10 @@
 	}
 	connection := openedTrial(t)
 	worker := connection.h.(*trial).w
-	down := worker.paths.Down()
+	down := worker.paths.Unavailable()
 	connection.h.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.paths.Down() != 0 || !connection.HasClosed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Down(), connection.HasClosed)
+	if down != 1 || worker.paths.Unavailable() != 0 || !connection.HasClosed {
+		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Unavailable(), connection.HasClosed)
 	}
 }
 
@@ -271,7 +271,7 @@
 		p, record, lines := newGoldenPool()
 		p.StartAttempt(1, attempt, request(anID), time.Second)
 		connection := (*lines)[0]
-		connection.h.Opened(nil)
+		connection.h.DialCompleted(nil)
 		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -34,7 +34,7 @@
 	m      *model
 	worker int
 	addr   string
-	h      eventloop.Dialled
+	h      eventloop.DialHandler
 	state  string // dialling, up, shut (by us, its end is on the way), over
 	buf    []byte
 	at     int // parsed
@@ -76,7 +76,7 @@
 	}
 }
 
-func (l *wire) Unsent() int { return l.left }
+func (l *wire) UnsentBytes() int { return l.left }
 
 // model is the real core, module, pool and paths, with a world of a few workers around them.
 type model struct {
@@ -131,14 +131,14 @@
 	if err != nil {
 		panic(err)
 	}
-	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, OrderTimeout: 10 * time.Second, ProbeTimeout: 250 * time.Millisecond})
-	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, PerConn: 32, MaxConns: 100,
-		Dial: func(_, addr string, _ time.Duration, h eventloop.Dialled) Line {
+	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
+	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxCallsPerConnection: 32, MaxConnections: 100,
+		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
 			l := &wire{m: m, addr: addr, worker: int(addr[0] - '0'), h: h, state: "dialling"}
 			m.lines = append(m.lines, l)
 			return l
 		}}, m)
-	m.core.Use(m.pool)
+	m.core.SetWorkerClient(m.pool)
 	m.core.SetNow(m.now)
 	m.pool.SetNow(m.now)
 	m.state = make([]policy.WorkerState, s.workers)
@@ -158,13 +158,13 @@
 		for i := range m.addrs {
 			addrs = append(addrs, endpoint.Addr{Network: endpoint.Network(i % 3), Addr: fmt.Sprintf("%d.%d", w, i)})
 		}
-		m.pool.Set(policy.WorkerID(w+1), addrs, state)
+		m.pool.SetWorker(policy.WorkerID(w+1), addrs, state)
 		l.Workers = append(l.Workers, policy.Endpoint{Worker: policy.WorkerID(w + 1), State: state, Weight: 1})
 	}
 	m.core.SetEndpoints(l)
 }
 
-func (m *model) turn() { m.core.Turn(m.now) }
+func (m *model) turn() { m.core.Process(m.now) }
 
 func (m *model) violate(format string, args ...any) {
 	if m.broken == nil {
@@ -224,15 +224,15 @@
 			m.asked = append(m.asked, k)
 			id := fmt.Sprintf("%016x", n+1)
 			m.log("take%d", n)
-			m.ids[id] = m.core.Accept(m.now, router.Request{Asker: k, ID: id, Key: "00000000000000aa", Function: 0xaa, Lanes: 1,
+			m.ids[id] = m.core.Accept(m.now, router.Request{Asker: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
 				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
 		}, "call %d comes", m.taken)
 	}
 	for i, l := range m.lines {
 		switch l.state {
 		case "dialling":
-			add(func() { l.state = "up"; l.h.Opened(nil) }, "dial %d over %s comes up", i, l.addr)
-			bad(func() { l.state = "over"; l.h.Opened(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
+			add(func() { l.state = "up"; l.h.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
+			bad(func() { l.state = "over"; l.h.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
 		case "up", "shut":
 			// The last message may not have left whole, unless it was answered.
 			cut := 0
@@ -303,7 +303,7 @@
 			m.now += 650 * time.Millisecond
 			m.log("tick")
 			m.core.SetNow(m.now)
-			m.pool.Sweep(m.now)
+			m.pool.Maintain(m.now)
 		}, "650 ms pass")
 	}
 	return list
@@ -372,7 +372,7 @@
 	for range 50 {
 		m.now += 100 * time.Millisecond
 		m.core.SetNow(m.now)
-		m.pool.Sweep(m.now)
+		m.pool.Maintain(m.now)
 		m.turn()
 	}
 	for n, k := range m.asked {
--- a/internal/workerclient/paths_test.go
+++ b/internal/workerclient/paths_test.go
@@ -19,12 +19,12 @@
 func newPaths() (p *Pool, s *sink, lines *[]*line, dialled *[]string) {
 	p, s, lines = newPool()
 	dialled = new([]string)
-	p.cfg.Dial = func(_, addr string, _ time.Duration, h eventloop.Dialled) Line {
+	p.cfg.Dial = func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
 		*dialled = append(*dialled, addr)
 		*lines = append(*lines, &line{h: h})
 		return (*lines)[len(*lines)-1]
 	}
-	p.Set(7, both, policy.Ready)
+	p.SetWorker(7, both, policy.Ready)
 	return p, s, lines, dialled
 }
 
@@ -36,11 +36,11 @@
 func TestRefusedDialFallsBack(t *testing.T) {
 	p, s, lines, dialled := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(errors.New("connection refused"))
+	(*lines)[0].h.DialCompleted(errors.New("connection refused"))
 	if !slices.Equal(*dialled, []string{"/run/w.sock", "127.0.0.1:1"}) || len(s.ended) != 0 {
 		t.Fatalf("dialled %v, ended %v", *dialled, s.ended)
 	}
-	(*lines)[1].h.Opened(nil)
+	(*lines)[1].h.DialCompleted(nil)
 	if on := ran(*lines, anID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
@@ -55,19 +55,19 @@
 func TestHangingDialIsRaced(t *testing.T) {
 	p, _, lines, dialled := newPaths()
 	p.StartAttempt(7, attempt, request(anID), 2*time.Second)
-	p.Sweep(100 * time.Millisecond)
+	p.Maintain(100 * time.Millisecond)
 	if len(*dialled) != 1 {
 		t.Fatalf("dialled %v too soon", *dialled)
 	}
-	p.Sweep(300 * time.Millisecond)
+	p.Maintain(300 * time.Millisecond)
 	if len(*dialled) != 2 || p.dials != 2 {
 		t.Fatalf("dialled %v, %d under way", *dialled, p.dials)
 	}
-	(*lines)[1].h.Opened(nil)
+	(*lines)[1].h.DialCompleted(nil)
 	if !(*lines)[0].HasClosed || p.dials != 0 {
 		t.Error("the dial that lost goes on")
 	}
-	(*lines)[0].h.Opened(nil) // it came up all the same
+	(*lines)[0].h.DialCompleted(nil) // it came up all the same
 	if on := ran(*lines, anID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
@@ -77,8 +77,8 @@
 func TestAllAddressesFail(t *testing.T) {
 	p, s, lines, _ := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(errors.New("refused"))
-	(*lines)[1].h.Opened(errors.New("no route"))
+	(*lines)[0].h.DialCompleted(errors.New("refused"))
+	(*lines)[1].h.DialCompleted(errors.New("no route"))
 	if got := s.ended[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.workers[7].conns) != 0 || p.dials != 0 {
 		t.Errorf("ended %v, %d connections, %d dials", got, len(p.workers[7].conns), p.dials)
 	}
@@ -98,11 +98,11 @@
 	} {
 		p, s, lines, _ := newPaths()
 		p.StartAttempt(7, attempt, request(anID), time.Second)
-		(*lines)[0].h.Opened(nil)
-		(*lines)[0].Left = c.left
+		(*lines)[0].h.DialCompleted(nil)
+		(*lines)[0].Unsent = c.left
 		(*lines)[0].h.Closed(errors.New("reset"))
 		if len(*lines) > 1 {
-			(*lines)[1].h.Opened(nil)
+			(*lines)[1].h.DialCompleted(nil)
 		}
 		if on := ran(*lines, anID); !slices.Equal(on, c.on) || !slices.Equal(s.ended[attempt], c.ends) {
 			t.Errorf("%s: written over %v, ended %v", name, on, s.ended[attempt])
@@ -112,18 +112,18 @@
 	p, s, lines, _ := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
 	for i := 0; i < len(*lines) && i < 20; i++ {
-		(*lines)[i].h.Opened(nil)
-		(*lines)[i].Left = 1
+		(*lines)[i].h.DialCompleted(nil)
+		(*lines)[i].Unsent = 1
 		(*lines)[i].h.Closed(errors.New("reset"))
 	}
-	if got := s.ended[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Count.Moved != mostMoves {
-		t.Errorf("ended %v after %d moves", got, p.Count.Moved)
+	if got := s.ended[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Counters.CallsResent != mostMoves {
+		t.Errorf("ended %v after %d moves", got, p.Counters.CallsResent)
 	}
 	p, s, lines, _ = newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(nil)
-	p.Set(7, nil, policy.Draining)
-	(*lines)[0].Left = 1
+	(*lines)[0].h.DialCompleted(nil)
+	p.SetWorker(7, nil, policy.Draining)
+	(*lines)[0].Unsent = 1
 	(*lines)[0].h.Closed(errors.New("reset"))
 	if got := s.ended[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(*lines) != 1 {
 		t.Errorf("at a draining worker: ended %v on %d connections", got, len(*lines))
@@ -135,11 +135,11 @@
 	p, s, lines, _ := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
 	p.Load(7, 5, 1, 9)
-	p.Sweep(300 * time.Millisecond)
-	p.Set(7, nil, policy.Draining)
+	p.Maintain(300 * time.Millisecond)
+	p.SetWorker(7, nil, policy.Draining)
 	for _, l := range *lines {
 		if !l.HasClosed {
-			l.h.Opened(nil)
+			l.h.DialCompleted(nil)
 		}
 	}
 	for i, l := range *lines {
@@ -157,14 +157,14 @@
 func TestTrial(t *testing.T) {
 	p, _, lines, dialled := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(errors.New("refused"))
-	(*lines)[1].h.Opened(nil)
+	(*lines)[0].h.DialCompleted(errors.New("refused"))
+	(*lines)[1].h.DialCompleted(nil)
 	now := time.Duration(0)
 	until := func(n int) {
 		t.Helper()
 		for len(*lines) < n && now < time.Minute {
-			now += SweepEvery
-			p.Sweep(now)
+			now += MaintenanceInterval
+			p.Maintain(now)
 		}
 		if len(*lines) < n {
 			t.Fatalf("no trial: dialled %v", *dialled)
@@ -172,22 +172,22 @@
 	}
 	until(3)
 	mute := (*lines)[2]
-	mute.h.Opened(nil)
+	mute.h.DialCompleted(nil)
 	if got := mute.Wrote.String(); got != string(array("NOOP", "t")) {
 		t.Fatalf("wrote %q", got)
 	}
 	until(4) // it said nothing
-	if !mute.HasClosed || p.Count.TrialsFailed != 1 || p.workers[7].paths.Down() != 1 {
-		t.Fatalf("%+v, closed %v", p.Count, mute.HasClosed)
+	if !mute.HasClosed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].paths.Unavailable() != 1 {
+		t.Fatalf("%+v, closed %v", p.Counters, mute.HasClosed)
 	}
-	(*lines)[3].h.Opened(nil)
+	(*lines)[3].h.DialCompleted(nil)
 	(*lines)[3].h.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
-	if p.workers[7].paths.Down() != 0 || !(*lines)[3].HasClosed || p.dials != 0 {
+	if p.workers[7].paths.Unavailable() != 0 || !(*lines)[3].HasClosed || p.dials != 0 {
 		t.Error("the trial was answered and the address is still down")
 	}
 	// Calls go back to the better address, after a time; the old connection ends once its call has.
-	for end := now + 7*time.Second; now < end; now += SweepEvery {
-		p.Sweep(now)
+	for end := now + 7*time.Second; now < end; now += MaintenanceInterval {
+		p.Maintain(now)
 		(*lines)[1].h.Data(reply("n1", "PONG", "")) // a sign of life, where it is asked for one
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
@@ -195,7 +195,7 @@
 		t.Errorf("dialled %v, the old connection closed: %v", *dialled, (*lines)[1].HasClosed)
 	}
 	(*lines)[1].h.Data(reply(anID, "HIT", ""))
-	if p.Sweep(now); !(*lines)[1].HasClosed {
+	if p.Maintain(now); !(*lines)[1].HasClosed {
 		t.Error("the old connection stays")
 	}
 }
@@ -204,10 +204,10 @@
 func TestNoDescriptorIsNobodysFault(t *testing.T) {
 	p, s, lines, _ := newPaths()
 	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.Opened(syscall.EMFILE)
-	(*lines)[1].h.Opened(syscall.EMFILE)
-	if p.workers[7].paths.Down() != 0 || !slices.Equal(s.ended[attempt], []policy.Outcome{policy.Unreachable}) {
-		t.Errorf("%d addresses are down, ended %v", p.workers[7].paths.Down(), s.ended[attempt])
+	(*lines)[0].h.DialCompleted(syscall.EMFILE)
+	(*lines)[1].h.DialCompleted(syscall.EMFILE)
+	if p.workers[7].paths.Unavailable() != 0 || !slices.Equal(s.ended[attempt], []policy.Outcome{policy.Unreachable}) {
+		t.Errorf("%d addresses are down, ended %v", p.workers[7].paths.Unavailable(), s.ended[attempt])
 	}
 }
 
@@ -216,20 +216,20 @@
 	p, _, lines, dialled := newPaths()
 	p.SetNow(time.Hour)
 	p.StartAttempt(7, attempt, request(anID), 2*time.Second)
-	(*lines)[0].h.Opened(nil)
-	p.Sweep(time.Hour + 200*time.Millisecond)
+	(*lines)[0].h.DialCompleted(nil)
+	p.Maintain(time.Hour + 200*time.Millisecond)
 	p.StartAttempt(7, router.Attempt{Request: 2}, request("00000000000000ff"), 2*time.Second)
 	if (*dialled)[len(*dialled)-1] != "127.0.0.1:1" {
 		t.Fatalf("dialled %v", *dialled)
 	}
-	(*lines)[1].h.Opened(nil)
+	(*lines)[1].h.DialCompleted(nil)
 	p.SetNow(time.Hour + 250*time.Millisecond)
 	(*lines)[1].h.Data(reply("00000000000000ff", "HIT", ""))
 	p.StartAttempt(7, router.Attempt{Request: 3}, request("00000000000000fe"), 2*time.Second)
 	p.SetNow(time.Hour + 300*time.Millisecond)
 	(*lines)[1].h.Data(reply("00000000000000fe", "HIT", ""))
-	if p.Sweep(time.Hour + 500*time.Millisecond); !(*lines)[0].HasClosed || p.workers[7].paths.Down() != 1 {
-		t.Errorf("the silent connection is closed: %v, %d addresses down", (*lines)[0].HasClosed, p.workers[7].paths.Down())
+	if p.Maintain(time.Hour + 500*time.Millisecond); !(*lines)[0].HasClosed || p.workers[7].paths.Unavailable() != 1 {
+		t.Errorf("the silent connection is closed: %v, %d addresses down", (*lines)[0].HasClosed, p.workers[7].paths.Unavailable())
 	}
 }
 
@@ -237,17 +237,17 @@
 func TestSwappedAddresses(t *testing.T) {
 	p, _, lines, dialled := newPaths()
 	one, two := at("127.0.0.1:11"), at("127.0.0.1:12")
-	p.Set(8, one, policy.Ready)
-	p.Set(9, two, policy.Ready)
+	p.SetWorker(8, one, policy.Ready)
+	p.SetWorker(9, two, policy.Ready)
 	p.StartAttempt(8, attempt, request(anID), time.Second)
 	p.StartAttempt(9, router.Attempt{Request: 2}, request("00000000000000ff"), time.Second)
-	(*lines)[0].h.Opened(nil) // the other one is still being dialled
-	p.Set(8, two, policy.Ready)
-	p.Set(9, one, policy.Ready)
+	(*lines)[0].h.DialCompleted(nil) // the other one is still being dialled
+	p.SetWorker(8, two, policy.Ready)
+	p.SetWorker(9, one, policy.Ready)
 	if !(*lines)[1].HasClosed || (*dialled)[2] != "127.0.0.1:11" {
 		t.Fatalf("dialled %v, the old dial closed: %v", *dialled, (*lines)[1].HasClosed)
 	}
-	(*lines)[2].h.Opened(nil)
+	(*lines)[2].h.DialCompleted(nil)
 	p.StartAttempt(8, router.Attempt{Request: 3}, request("00000000000000fe"), time.Second)
 	if (*dialled)[3] != "127.0.0.1:12" {
 		t.Errorf("dialled %v", *dialled)
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -39,64 +39,64 @@
 )
 
 // SweepEvery is how often Sweep is to be called.
-const SweepEvery = 50 * time.Millisecond
+const MaintenanceInterval = 50 * time.Millisecond
 
-// Sink takes what came of calls, orders and probes; a router.Core is one.
-type Sink interface {
+// ResultHandler takes what came of calls, orders and probes; a router.Core is one.
+type ResultHandler interface {
 	AttemptCompleted(a router.Attempt, r router.AttemptResult)
 	LoadCompleted(tag uint64, o policy.Outcome, count int)
 	HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64)
 }
 
-// Line is a connection to a worker; a loop.Conn is one.
-type Line interface {
+// Transport is a connection to a worker; a loop.Conn is one.
+type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 	// Unsent is how many of the last bytes that were written never left this program. It is for a line that has
 	// ended: what a kernel took may have arrived.
-	Unsent() int
+	UnsentBytes() int
 }
 
 // Config holds the deployment's figures.
 type Config struct {
-	Classes      []string // their names
-	ReportFields []string
-	DialTimeout  time.Duration
-	KeepAlive    time.Duration // a worker closes a connection that is idle for so long
-	Wanted       time.Duration // within which the slowest class wants its answers
-	PerConn      int           // calls at a time on one connection
-	MaxConns     int           // to all workers together
-	MayStop      bool          // workers may be told that a call is given up
-	Seed         uint64        // spreads the back-offs of addresses that failed
-	Dial         func(network, addr string, timeout time.Duration, h eventloop.Dialled) Line
+	Classes               []string // their names
+	ReportFields          []string
+	DialTimeout           time.Duration
+	KeepAlive             time.Duration // a worker closes a connection that is idle for so long
+	SlowestObjective      time.Duration // within which the slowest class wants its answers
+	MaxCallsPerConnection int           // calls at a time on one connection
+	MaxConnections        int           // to all workers together
+	CancelSupported       bool          // workers may be told that a call is given up
+	Seed                  uint64        // spreads the back-offs of addresses that failed
+	Dial                  func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
 // Pool holds the connections to all workers.
 type Pool struct {
-	cfg     Config
-	sink    Sink
-	now     time.Duration
-	workers map[policy.WorkerID]*worker
-	order   []*worker // the same, as they came: equal runs must do equal things
-	calls   map[router.Attempt]*call
-	pings   uint64
-	silence silence
-	dials   int // under way
-	odd     int // fields of answers that were passed over since the log told
-	oddTold time.Duration
-	Count   Counters
+	cfg      Config
+	sink     ResultHandler
+	now      time.Duration
+	workers  map[policy.WorkerID]*worker
+	order    []*worker // the same, as they came: equal runs must do equal things
+	calls    map[router.Attempt]*call
+	pings    uint64
+	silence  silence
+	dials    int // under way
+	odd      int // fields of answers that were passed over since the log told
+	oddTold  time.Duration
+	Counters Counters
 }
 
 // Counters tells what became of connections.
 type Counters struct {
-	Dials, DialsFailed, Trials, TrialsFailed uint64
-	Moved                                    uint64 // calls that never left one connection and went to another
-	Pings                                    uint64 // connections asked for a sign of life
+	Dials, DialsFailed, RecoveryDials, RecoveryDialsFailed uint64
+	CallsResent                                            uint64 // calls that never left one connection and went to another
+	Pings                                                  uint64 // connections asked for a sign of life
 }
 
 type worker struct {
 	id    policy.WorkerID
-	paths *endpoint.Set
+	paths *endpoint.AddressSet
 	addrs []endpoint.Addr // as told last
 	ready bool
 	gone  bool
@@ -133,10 +133,10 @@
 type conn struct {
 	pool    *Pool
 	w       *worker
-	race    *endpoint.Race
+	race    *endpoint.DialRace
 	dials   []*dial
-	won     *dial // the one that came up
-	line    Line  // of it
+	won     *dial     // the one that came up
+	line    Transport // of it
 	addr    endpoint.Addr
 	wrote   int // bytes
 	up      bool
@@ -156,23 +156,23 @@
 }
 
 // New returns a Pool that knows no worker.
-func New(cfg Config, sink Sink) *Pool {
+func New(cfg Config, sink ResultHandler) *Pool {
 	return &Pool{cfg: cfg, sink: sink, workers: map[policy.WorkerID]*worker{}, calls: map[router.Attempt]*call{},
-		silence: silence{peak: cfg.Wanted}}
+		silence: silence{peak: cfg.SlowestObjective}}
 }
 
 // SetNow moves the clock on.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
-// Set tells of a worker's addresses, none for those that it has, and whether it takes anything new. What waits
+// SetWorker tells of a worker's addresses, none for those that it has, and whether it takes anything new. What waits
 // behind a dial to one that no longer does is ended unsent: its dial may come up after the time allowed for sends.
-func (p *Pool) Set(id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network) {
+func (p *Pool) SetWorker(id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network) {
 	w := p.workers[id]
 	if w == nil {
 		if state == policy.Gone {
 			return
 		}
-		w = &worker{id: id, paths: endpoint.New(p.cfg.Seed ^ uint64(id))}
+		w = &worker{id: id, paths: endpoint.NewAddressSet(p.cfg.Seed ^ uint64(id))}
 		p.workers[id] = w
 		p.order = append(p.order, w)
 	}
@@ -180,7 +180,7 @@
 	if len(addrs) > 0 && !slices.Equal(addrs, w.addrs) {
 		// It restarted elsewhere, or has fewer addresses; whatever listens at an old one may be another worker.
 		w.addrs = slices.Clone(addrs)
-		w.paths.Put(p.now, addrs)
+		w.paths.Update(p.now, addrs)
 		for _, c := range slices.Clone(w.conns) {
 			if c.up && !w.paths.Has(c.addr) {
 				c.retire()
@@ -203,11 +203,11 @@
 	}
 }
 
-// Retain takes every worker that is not present for gone.
-func (p *Pool) Retain(present map[policy.WorkerID]bool) {
+// RetainWorkers takes every worker that is not present for gone.
+func (p *Pool) RetainWorkers(present map[policy.WorkerID]bool) {
 	for _, w := range p.order {
 		if !present[w.id] {
-			p.Set(w.id, nil, policy.Gone)
+			p.SetWorker(w.id, nil, policy.Gone)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 // StartAttempt sends a call.
 func (p *Pool) StartAttempt(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
 	k := &call{kind: run, attempt: a, token: r.ID, body: r.Body, left: budget}
-	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", p.cfg.Classes[r.Class], r.Key, max(budget.Milliseconds(), 1))
+	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", p.cfg.Classes[r.Class], r.FunctionKey, max(budget.Milliseconds(), 1))
 	if r.IdempotencyKey != "" {
 		fields += ",uniq=" + r.IdempotencyKey
 	}
@@ -239,7 +239,7 @@
 	}
 	delete(p.calls, a)
 	k.conn.take(k)
-	if p.cfg.MayStop {
+	if p.cfg.CancelSupported {
 		k.conn.put(array("STOP", k.token))
 	}
 }
@@ -318,10 +318,10 @@
 	}
 }
 
-// Sweep closes what has been idle for nearly as long as workers allow, before they do: a call that
+// Maintain closes what has been idle for nearly as long as workers allow, before they do: a call that
 // crossed their close would count as one that may have run. It also ends connections that have died
 // without a word.
-func (p *Pool) Sweep(now time.Duration) {
+func (p *Pool) Maintain(now time.Duration) {
 	p.SetNow(now)
 	for _, w := range p.order {
 		for _, c := range slices.Clone(w.conns) {
@@ -329,7 +329,7 @@
 			switch {
 			case !c.up:
 				c.dial() // another address, where it is time
-			case !c.closing && (c.ended.full() || w.paths.Better(now, c.addr)):
+			case !c.closing && (c.ended.full() || w.paths.HasBetter(now, c.addr)):
 				c.retire() // one that can remember no more ids takes no calls, and would keep its place for seconds
 			case c.closing && !c.idle():
 			case c.idle() && (c.closing || now-c.used > time.Duration(idleMargin*float64(p.cfg.KeepAlive))):
@@ -360,7 +360,7 @@
 	}
 	if c.pinged == 0 {
 		c.pinged = now
-		c.pool.Count.Pings++
+		c.pool.Counters.Pings++
 		c.w.paths.Suspect(now, c.addr)
 		c.pool.pings++
 		k := &call{kind: ping, token: "n" + strconv.FormatUint(c.pool.pings, 10)}
@@ -411,7 +411,7 @@
 	rank := 0
 	for _, c := range w.conns {
 		if c.closing || c.open[k.token] != nil || k.kind == run &&
-			(c.runs >= p.cfg.PerConn || c.ended.has(k.token) || c.ended.full()) {
+			(c.runs >= p.cfg.MaxCallsPerConnection || c.ended.has(k.token) || c.ended.full()) {
 			continue
 		}
 		r := 2
@@ -427,7 +427,7 @@
 	if rank > 1 || len(w.conns) >= maxConns || w.paths.Len() == 0 || !p.room() {
 		return best
 	}
-	c := &conn{pool: p, w: w, open: map[string]*call{}, used: p.now, race: endpoint.NewRace(w.paths.Candidates(), p.cfg.DialTimeout, k.left)}
+	c := &conn{pool: p, w: w, open: map[string]*call{}, used: p.now, race: endpoint.NewDialRace(w.paths.Candidates(), p.cfg.DialTimeout, k.left)}
 	w.conns = append(w.conns, c)
 	c.dial()
 	return c
@@ -448,11 +448,11 @@
 			}
 		}
 	}
-	if n >= p.cfg.MaxConns && idle != nil {
+	if n >= p.cfg.MaxConnections && idle != nil {
 		idle.close()
 		return true
 	}
-	return n < p.cfg.MaxConns
+	return n < p.cfg.MaxConnections
 }
 
 func (c *conn) idle() bool { return len(c.open) == 0 }
@@ -520,7 +520,7 @@
 // move sends a call that never left over another connection.
 func (p *Pool) move(w *worker, k *call) {
 	k.written, k.moved = false, k.moved+1
-	p.Count.Moved++
+	p.Counters.CallsResent++
 	if c := p.pick(w, k); c != nil {
 		c.send(k)
 		return
@@ -594,7 +594,7 @@
 func (c *conn) lost(o policy.Outcome) {
 	left := c.wrote
 	if c.line != nil {
-		left -= c.line.Unsent()
+		left -= c.line.UnsentBytes()
 	}
 	w := c.w
 	for i, other := range w.conns {
@@ -685,7 +685,7 @@
 		c.called = c.pool.now
 	}
 	c.heard, c.pinged = c.pool.now, 0
-	c.w.paths.Heard(c.addr)
+	c.w.paths.Responded(c.addr)
 	if k == nil {
 		return nil // a second copy, or of a call that was given up
 	}
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -18,8 +18,8 @@
 
 // line is a connection whose handler the test drives.
 type line struct {
-	testutil.Line
-	h eventloop.Dialled
+	testutil.Transport
+	h eventloop.DialHandler
 }
 
 // sink keeps how attempts, orders and probes ended.
@@ -44,11 +44,11 @@
 	s := &sink{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]router.AttemptResult{}}
 	var lines []*line
 	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
-		KeepAlive: 30 * time.Second, PerConn: 2, MaxConns: 100, MayStop: true, Dial: func(_, _ string, _ time.Duration, h eventloop.Dialled) Line {
+		KeepAlive: 30 * time.Second, MaxCallsPerConnection: 2, MaxConnections: 100, CancelSupported: true, Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) Transport {
 			lines = append(lines, &line{h: h})
 			return lines[len(lines)-1]
 		}}, s)
-	p.Set(1, at("127.0.0.1:1"), policy.Ready)
+	p.SetWorker(1, at("127.0.0.1:1"), policy.Ready)
 	return p, s, &lines
 }
 
@@ -56,7 +56,7 @@
 func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func request(id string) *router.Request {
-	return &router.Request{ID: id, Key: "00000000000000aa", Body: []byte("hello")}
+	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
 }
 
 func TestAnswersAreReadHoweverTheyAreSplit(t *testing.T) {
@@ -65,7 +65,7 @@
 		a := router.Attempt{Request: 1}
 		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
-		l.h.Opened(nil)
+		l.h.DialCompleted(nil)
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
 		if got := l.Wrote.String(); got != want {
 			t.Fatalf("wrote %q", got)
@@ -88,14 +88,14 @@
 		p, _, lines := newPool()
 		p.CheckHealth(1, 1)
 		l := (*lines)[0]
-		l.h.Opened(nil)
+		l.h.DialCompleted(nil)
 		bits := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
 		l.h.Data([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
 	})
 	p, _, lines := newPool()
 	p.CheckHealth(1, 1)
 	l := (*lines)[0]
-	l.h.Opened(nil)
+	l.h.DialCompleted(nil)
 	if l.h.Data([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
 		t.Error("a bulk string over the cap was waited for")
 	}
@@ -163,9 +163,9 @@
 						up[l] = true
 						if rapid.Bool().Draw(t, "fails") {
 							l.HasClosed = true
-							l.h.Opened(errors.New("refused"))
+							l.h.DialCompleted(errors.New("refused"))
 						} else {
-							l.h.Opened(nil)
+							l.h.DialCompleted(nil)
 						}
 						return
 					}
@@ -181,13 +181,13 @@
 				}
 			},
 			"drain": func(t *rapid.T) { // what waits behind a dial ends unsent at once
-				p.Set(1, at("127.0.0.1:1"), policy.Draining)
+				p.SetWorker(1, at("127.0.0.1:1"), policy.Draining)
 				for _, a := range out {
 					if len(s.ended[a]) == 0 && len(wrote(id(a))) == 0 {
 						t.Fatalf("%v still waits to be sent to a draining worker", a)
 					}
 				}
-				p.Set(1, at("127.0.0.1:1"), policy.Ready)
+				p.SetWorker(1, at("127.0.0.1:1"), policy.Ready)
 			},
 			"": func(t *rapid.T) {
 				for _, l := range *lines {
@@ -212,8 +212,8 @@
 func TestOrderBehindADialIsNotSentToADrainingWorker(t *testing.T) {
 	p, s, lines := newPool()
 	p.Load(1, 5, 1, 9)
-	p.Set(1, at("127.0.0.1:1"), policy.Draining)
-	(*lines)[0].h.Opened(nil)
+	p.SetWorker(1, at("127.0.0.1:1"), policy.Draining)
+	(*lines)[0].h.DialCompleted(nil)
 	if got := (*lines)[0].Wrote.String(); got != "" || len(s.asked[9]) != 1 || s.asked[9][0] != policy.Overloaded {
 		t.Errorf("wrote %q, ended %v", got, s.asked[9])
 	}
@@ -223,8 +223,8 @@
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
 	p, _, lines := newPool()
 	p.CheckHealth(1, 1)
-	p.Retain(map[policy.WorkerID]bool{2: true})
-	p.Set(2, at("127.0.0.1:1"), policy.Ready)
+	p.RetainWorkers(map[policy.WorkerID]bool{2: true})
+	p.SetWorker(2, at("127.0.0.1:1"), policy.Ready)
 	p.StartAttempt(2, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
 	if len(*lines) != 2 {
 		t.Errorf("%d connections", len(*lines))
@@ -253,7 +253,7 @@
 	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
 	p.StartAttempt(1, first, request(id), time.Second)
 	l := (*lines)[0]
-	l.h.Opened(nil)
+	l.h.DialCompleted(nil)
 	l.h.Data(reply(id, "NONE", ""))
 	p.StartAttempt(1, second, request(id), time.Second)
 	l.h.Data(reply(id, "NONE", ""))
@@ -261,13 +261,13 @@
 	if len(s.ended[second]) != 0 || l.HasClosed || len(*lines) != 2 {
 		t.Fatalf("second attempt ended %v on %d connections", s.ended[second], len(*lines))
 	}
-	(*lines)[1].h.Opened(nil)
+	(*lines)[1].h.DialCompleted(nil)
 	(*lines)[1].h.Data(reply(id, "HIT", "done"))
 	if len(s.ended[second]) != 1 || string(s.reply[second].Body) != "done" || len(ran(*lines, id)) != 2 {
 		t.Errorf("second attempt ended %v with %q", s.ended[second], s.reply[second].Body)
 	}
-	for now := time.Duration(0); now <= 3*rememberFor; now += SweepEvery {
-		p.Sweep(now)
+	for now := time.Duration(0); now <= 3*rememberFor; now += MaintenanceInterval {
+		p.Maintain(now)
 	}
 	for _, c := range p.workers[1].conns {
 		if len(c.ended.now)+len(c.ended.before)+len(c.open) != 0 {
@@ -282,7 +282,7 @@
 	p, s, lines := newPool()
 	stays := router.Attempt{Request: 9999}
 	p.StartAttempt(1, stays, request("00000000000000ff"), time.Second)
-	(*lines)[0].h.Opened(nil)
+	(*lines)[0].h.DialCompleted(nil)
 	for i := range rememberMost + 10 {
 		a := router.Attempt{Request: policy.RequestID(i)}
 		p.StartAttempt(1, a, request(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
@@ -303,33 +303,33 @@
 	for _, well := range []bool{true, false} {
 		p, s, lines := newPool()
 		now := time.Hour
-		p.Sweep(now)
+		p.Maintain(now)
 		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
 		p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
-		(*lines)[0].h.Opened(nil)
+		(*lines)[0].h.DialCompleted(nil)
 		pass := func(d time.Duration) {
 			for end := now + d; now < end; {
-				now += SweepEvery
-				p.Sweep(now)
+				now += MaintenanceInterval
+				p.Maintain(now)
 			}
 		}
-		pass(quietAfter + SweepEvery)
+		pass(quietAfter + MaintenanceInterval)
 		if got := (*lines)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
-		pass(SweepEvery)
+		pass(MaintenanceInterval)
 		p.StartAttempt(1, b, request("00000000000000b2"), time.Second)
 		if on := ran(*lines, "00000000000000b2"); len(*lines) != 2 || len(on) != 0 {
 			t.Fatalf("a silent connection was chosen, of %d", len(*lines))
 		}
-		(*lines)[1].h.Opened(nil)
-		if pass(SweepEvery); well {
+		(*lines)[1].h.DialCompleted(nil)
+		if pass(MaintenanceInterval); well {
 			(*lines)[1].h.Data(reply("00000000000000b2", "HIT", ""))
 		}
 		if (*lines)[0].HasClosed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
-		pass(deadAfter + SweepEvery)
+		pass(deadAfter + MaintenanceInterval)
 		if (*lines)[0].HasClosed != well {
 			t.Errorf("worker well: %v, silent connection closed: %v", well, (*lines)[0].HasClosed)
 		}
@@ -339,8 +339,8 @@
 	}
 	p, _, lines := newPool() // a sign of life makes it good again
 	p.StartAttempt(1, router.Attempt{Request: 1}, request("00000000000000a1"), time.Second)
-	(*lines)[0].h.Opened(nil)
-	p.Sweep(quietAfter + SweepEvery)
+	(*lines)[0].h.DialCompleted(nil)
+	p.Maintain(quietAfter + MaintenanceInterval)
 	(*lines)[0].h.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	if p.StartAttempt(1, router.Attempt{Request: 2}, request("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
 		t.Error("a connection that answered was left")
@@ -354,10 +354,10 @@
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
 	l := (*lines)[0]
-	l.h.Opened(nil)
+	l.h.DialCompleted(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", 1000))
-	for i := range int(stuckAfter/SweepEvery) + 2 {
-		p.Sweep(time.Hour + time.Duration(i)*SweepEvery)
+	for i := range int(stuckAfter/MaintenanceInterval) + 2 {
+		p.Maintain(time.Hour + time.Duration(i)*MaintenanceInterval)
 		if !l.HasClosed {
 			l.h.Data(whole[i*3 : i*3+3])
 		}
@@ -365,7 +365,7 @@
 	if !l.HasClosed {
 		t.Fatal("the rest of an answer is still waited for")
 	}
-	l.h.Data(whole[3*(int(stuckAfter/SweepEvery)+2):]) // too late: nothing that follows counts
+	l.h.Data(whole[3*(int(stuckAfter/MaintenanceInterval)+2):]) // too late: nothing that follows counts
 	if len(s.ended[a]) != 0 {
 		t.Errorf("ended %v by what came after the close", s.ended[a])
 	}
@@ -380,7 +380,7 @@
 	p, s, lines := newPool()
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, request("00000000000000a1"), time.Second)
-	(*lines)[0].h.Opened(nil)
+	(*lines)[0].h.DialCompleted(nil)
 	whole := reply("00000000000000a1", "HIT", strings.Repeat("x", maxBulk-64))
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
@@ -400,14 +400,14 @@
 		last   func(l *line)
 		want   policy.Outcome
 	}{
-		"well":   {1, func(l *line) { l.h.Opened(nil); l.h.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
-		"died":   {1, func(l *line) { l.h.Opened(errors.New("refused")) }, policy.Unreachable},
-		"breaks": {probeTries, func(l *line) { l.h.Opened(nil); l.h.Closed(errors.New("reset")) }, policy.ConnectionReset},
+		"well":   {1, func(l *line) { l.h.DialCompleted(nil); l.h.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n")) }, policy.Served},
+		"died":   {1, func(l *line) { l.h.DialCompleted(errors.New("refused")) }, policy.Unreachable},
+		"breaks": {probeTries, func(l *line) { l.h.DialCompleted(nil); l.h.Closed(errors.New("reset")) }, policy.ConnectionReset},
 	} {
 		p, s, lines := newPool()
 		p.CheckHealth(1, 7)
 		for i := range c.resets {
-			(*lines)[i].h.Opened(nil)
+			(*lines)[i].h.DialCompleted(nil)
 			if (*lines)[i].h.Closed(errors.New("reset")); len(s.asked[7]) != 0 || len(*lines) != i+2 {
 				t.Fatalf("%s: ended %v on %d connections", name, s.asked[7], len(*lines))
 			}
@@ -422,15 +422,15 @@
 // Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
 	p, s, lines := newPool()
-	p.cfg.MaxConns = 3
+	p.cfg.MaxConnections = 3
 	for w := range policy.WorkerID(5) {
-		p.Set(w+1, at(fmt.Sprintf("127.0.0.1:%d", w+1)), policy.Ready)
+		p.SetWorker(w+1, at(fmt.Sprintf("127.0.0.1:%d", w+1)), policy.Ready)
 		p.StartAttempt(w+1, router.Attempt{Request: policy.RequestID(w)}, request(fmt.Sprintf("%016x", w)), time.Second)
 	}
 	if len(*lines) != 3 || s.ended[router.Attempt{Request: 4}][0] != policy.Unreachable {
 		t.Fatalf("%d connections, ended %v", len(*lines), s.ended)
 	}
-	(*lines)[0].h.Opened(nil)
+	(*lines)[0].h.DialCompleted(nil)
 	(*lines)[0].h.Data(reply(fmt.Sprintf("%016x", 0), "HIT", ""))
 	p.StartAttempt(5, router.Attempt{Request: 9}, request("00000000000000ff"), time.Second)
 	if len(*lines) != 4 || !(*lines)[0].HasClosed {
@@ -445,22 +445,22 @@
 	now := time.Duration(0)
 	for g := range 200 {
 		w := policy.WorkerID(g + 2)
-		p.Retain(map[policy.WorkerID]bool{w: true})
-		p.Set(w, at("127.0.0.1:1"), policy.Ready)
+		p.RetainWorkers(map[policy.WorkerID]bool{w: true})
+		p.SetWorker(w, at("127.0.0.1:1"), policy.Ready)
 		a := router.Attempt{Request: policy.RequestID(g)}
 		p.StartAttempt(w, a, request(fmt.Sprintf("%016x", g)), time.Second)
 		p.Load(w, 7, 1, uint64(g))
 		l := (*lines)[len(*lines)-1]
-		if l.h.Opened(nil); g%2 == 0 {
+		if l.h.DialCompleted(nil); g%2 == 0 {
 			l.h.Data(reply(fmt.Sprintf("%016x", g), "HIT", ""))
 		} else {
 			p.CancelAttempt(w, a)
 		}
 		p.AbandonCommand(w, uint64(g))
-		p.Retain(nil)
+		p.RetainWorkers(nil)
 		for range 3 {
-			now += SweepEvery
-			p.Sweep(now)
+			now += MaintenanceInterval
+			p.Maintain(now)
 			for _, l := range *lines {
 				if l.HasClosed && l.h != nil {
 					l.h.Closed(nil)
@@ -478,7 +478,7 @@
 // that thousands of calls a second go on over a bounded number of connections.
 func TestFullConnectionsGiveTheirPlace(t *testing.T) {
 	p, s, lines := newPool()
-	p.cfg.PerConn = 32
+	p.cfg.MaxCallsPerConnection = 32
 	now, n := time.Hour, 0
 	for range 600 { // 30 s at 2,000 calls/s
 		for range 100 {
@@ -488,7 +488,7 @@
 			p.StartAttempt(1, a, request(id), time.Second)
 			for _, l := range *lines {
 				if l.h != nil && l.Wrote.Len() == 0 && !l.HasClosed {
-					l.h.Opened(nil)
+					l.h.DialCompleted(nil)
 				}
 			}
 			for _, l := range *lines {
@@ -502,8 +502,8 @@
 				t.Fatalf("call %d at %v ended %v on %d connections", n, now-time.Hour, s.ended[a], len(p.workers[1].conns))
 			}
 		}
-		now += SweepEvery
-		p.Sweep(now)
+		now += MaintenanceInterval
+		p.Maintain(now)
 		for _, l := range *lines {
 			if l.HasClosed && l.h != nil {
 				l.h.Closed(nil)
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -30,7 +30,7 @@
 		now, asked := time.Hour, uint64(0)
 		for n := range calls {
 			now += time.Second
-			p.Sweep(now)
+			p.Maintain(now)
 			for range misses * min(n, 1) {
 				last++
 				id := fmt.Sprintf("%016x", 1<<20+last)
@@ -42,13 +42,13 @@
 			id, a := fmt.Sprintf("%016x", n+1), router.Attempt{Request: policy.RequestID(n + 1)}
 			p.StartAttempt(1, a, request(id), 3*time.Second)
 			if n == 0 {
-				(*lines)[0].h.Opened(nil)
+				(*lines)[0].h.DialCompleted(nil)
 			}
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
-				now = min(now+SweepEvery, end)
-				p.Sweep(now)
-				if p.Count.Pings > asked { // the worker is well
-					asked = p.Count.Pings
+				now = min(now+MaintenanceInterval, end)
+				p.Maintain(now)
+				if p.Counters.Pings > asked { // the worker is well
+					asked = p.Counters.Pings
 					(*lines)[0].h.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pings)), p.pings)))
 				}
 			}
@@ -57,7 +57,7 @@
 				t.Fatalf("call %d ended %v", n, s.ended[a])
 			}
 		}
-		pings += p.Count.Pings
+		pings += p.Counters.Pings
 	}
 	if most := routers * uint64(calls) / 20; pings > most {
 		t.Errorf("%d misses between: %d signs of life for %d calls, %d at most", misses, pings, routers*uint64(calls), most)
@@ -72,7 +72,7 @@
 		usual, least time.Duration
 		most         time.Duration
 	}{
-		{"dense", 5 * time.Millisecond, quietAfter, quietAfter + 2*SweepEvery},
+		{"dense", 5 * time.Millisecond, quietAfter, quietAfter + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
 	} {
 		p, _, lines := newPool()
@@ -82,17 +82,17 @@
 			p.SetNow(now)
 			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, request(id), time.Second)
 			if n == 0 {
-				(*lines)[0].h.Opened(nil)
+				(*lines)[0].h.DialCompleted(nil)
 			}
 			now += c.usual
 			p.SetNow(now)
 			(*lines)[0].h.Data(reply(id, "HIT", ""))
 		}
-		asked, began := p.Count.Pings, now
+		asked, began := p.Counters.Pings, now
 		p.StartAttempt(1, router.Attempt{Request: 999}, request("00000000000000ff"), 3*time.Second)
-		for p.Count.Pings == asked && now < began+3*time.Second {
-			now += SweepEvery / 5
-			p.Sweep(now)
+		for p.Counters.Pings == asked && now < began+3*time.Second {
+			now += MaintenanceInterval / 5
+			p.Maintain(now)
 		}
 		if after := now - began; after < c.least || after > c.most {
 			t.Errorf("%s: asked for a sign of life after %v, wanted from %v to %v", c.name, after, c.least, c.most)
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -25,17 +25,17 @@
 		l := (*lines)[0]
 		switch end {
 		case "comes up":
-			l.h.Opened(nil)
+			l.h.DialCompleted(nil)
 			if p.WithdrawUnsent(1, stays) {
 				t.Error("a call that was written was taken back")
 			}
 		case "fails":
-			l.h.Opened(errors.New("refused"))
+			l.h.DialCompleted(errors.New("refused"))
 		case "ends under it":
-			l.h.Opened(nil)
-			l.Left = l.Wrote.Len() // none of it left
+			l.h.DialCompleted(nil)
+			l.Unsent = l.Wrote.Len() // none of it left
 			l.h.Closed(errors.New("reset"))
-			(*lines)[1].h.Opened(nil)
+			(*lines)[1].h.DialCompleted(nil)
 		}
 		for _, l := range *lines {
 			if strings.Contains(l.Wrote.String(), "0123456789abcdef") {
@@ -55,11 +55,11 @@
 func TestNoWorkerIsToldOfAnEndWhereItMayNot(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		p, _, lines := newPool()
-		p.cfg.MayStop = may
+		p.cfg.CancelSupported = may
 		a := router.Attempt{Request: 1}
 		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
-		l.h.Opened(nil)
+		l.h.DialCompleted(nil)
 		p.CancelAttempt(1, a)
 		if told := strings.Contains(l.Wrote.String(), "STOP\r\n"); told != may {
 			t.Errorf("may %v, told %v", may, told)
@@ -76,8 +76,8 @@
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
 		p, _, lines := newPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
-		(*lines)[0].h.Opened(err)
-		if down := p.workers[1].paths.Down(); (down == 0) != eventloop.NoDescriptor(err) {
+		(*lines)[0].h.DialCompleted(err)
+		if down := p.workers[1].paths.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
 		}
 	}
@@ -93,7 +93,7 @@
 		p, _, lines := newPool()
 		p.SetNow(time.Hour)
 		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
-		(*lines)[0].h.Opened(nil)
+		(*lines)[0].h.DialCompleted(nil)
 		(*lines)[0].h.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
 		p.SetNow(time.Hour + tt.after)
 		p.StartAttempt(1, router.Attempt{Request: 2}, request("fedcba9876543210"), time.Second)
