--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -101,7 +101,7 @@
 }
 
 func coreCost(workers, calls int) (us, allocs, bytes float64, rate int, err error) {
-	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadOrdersSupported: true,
+	module, err := policy.New(policy.Config{Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadOrdersSupported: true,
 		MissWhenNotLoaded: true, LoadStatusReported: true, HedgingAllowed: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1,
 		KeepAlive: 10 * time.Second, LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3,
 		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -65,7 +65,7 @@
 func newCore(t rapid.TB, seed uint64) (*Core, *workers) { return newCoreThat(t, seed, true) }
 
 func newCoreThat(t rapid.TB, seed uint64, mayCancel bool) (*Core, *workers) {
-	p, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * ms, MaxAttempts: 3, CancelSupported: mayCancel, HealthCheckSupported: true, LoadOrdersSupported: true,
+	p, err := policy.New(policy.Config{Routers: 1, Tick: 4 * ms, MaxAttempts: 3, CancelSupported: mayCancel, HealthCheckSupported: true, LoadOrdersSupported: true,
 		MissWhenNotLoaded: true, LoadStatusReported: true, HedgingAllowed: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1,
 		KeepAlive: 10 * time.Second, LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3,
 		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
--- a/internal/router/tenants_test.go
+++ b/internal/router/tenants_test.go
@@ -10,7 +10,7 @@
 // A tenant that floods is refused what is beyond its share, by its name as fronts word it; another is served, and who
 // names none of the settings' tenants has no share at all.
 func TestTenantsAreToldApartByName(t *testing.T) {
-	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, OverQuotaWeight: 0.2,
+	module, err := policy.New(policy.Config{Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, OverQuotaWeight: 0.2,
 		Tenants: []policy.Tenant{{RequestsPerSecond: 4}, {RequestsPerSecond: 1000}},
 		Classes: []policy.Class{{LatencyObjective: 100 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3}}}, 1)
 	if err != nil {
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -15,8 +15,8 @@
 
 // derwentModule is what the module is told of testdata/deployments/derwent.json, field by field.
 var derwentModule = policy.Config{
-	Replicas: 1,
-	Zone:     0,
+	Routers: 1,
+	Zone:    0,
 	Classes: []policy.Class{
 		{LatencyObjective: time.Second, Deadline: 3 * time.Second, Idempotency: policy.Idempotent, DeduplicationScope: policy.DeduplicatedEverywhere, DeduplicationWindow: 5 * time.Second,
 			PriorityWeight: 3, LatePriorityWeight: 0.3},
--- a/internal/server/staff_test.go
+++ b/internal/server/staff_test.go
@@ -26,7 +26,7 @@
 
 func newPost(t *testing.T) *post {
 	t.Helper()
-	module, err := policy.New(policy.Config{Replicas: 1, MaxAttempts: 3, OverQuotaWeight: 1, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
+	module, err := policy.New(policy.Config{Routers: 1, MaxAttempts: 3, OverQuotaWeight: 1, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -113,7 +113,7 @@
 
 // New returns a fleet at an hour past the clock's start, all its workers long since warm.
 func New(cfg Config) (*Fleet, error) {
-	cfg.Settings.Replicas = cfg.Routers
+	cfg.Settings.Routers = cfg.Routers
 	f := &Fleet{cfg: cfg, now: time.Hour, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), Workers: map[policy.WorkerID]*Worker{},
 		truth: map[policy.WorkerID]policy.Endpoint{}, version: map[policy.FunctionID]policy.FunctionID{}}
 	for i := range cfg.Workers {
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -78,7 +78,7 @@
 		return policy.Config{}, fmt.Errorf("settings: %w", err)
 	}
 	c := policy.Config{
-		Replicas:                 s.PeersTotal,
+		Routers:                  s.PeersTotal,
 		Zone:                     s.Zone,
 		WeightByWork:             s.CountedBy == "work",
 		Tick:                     millis(s.GranularityMs),
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Replicas != 3 || !c.EndpointsByPolling || !c.MissWhenNotLoaded || c.KeepAlive != 9200*time.Millisecond ||
+	if c.Routers != 3 || !c.EndpointsByPolling || !c.MissWhenNotLoaded || c.KeepAlive != 9200*time.Millisecond ||
 		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DeduplicationWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("got %+v", c)
 	}
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -405,7 +405,7 @@
 func (p *plant) CloseIdle(policy.WorkerID)                 {}
 
 func startPlant(t *testing.T, ledger, notices string, runs map[string]int) *plant {
-	module, err := policy.New(policy.Config{Replicas: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
+	module, err := policy.New(policy.Config{Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
 		KeepAlive: 10 * time.Second, RetryAfterSupported: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
 			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
 			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
--- a/policy/api.go
+++ b/policy/api.go
@@ -57,10 +57,10 @@
 
 // Config is what a dispatcher is told when it starts.
 type Config struct {
-	Replicas int // dispatchers, this one included; at least 1
-	Zone     int // this dispatcher's zone
-	Classes  []Class
-	Tenants  []Tenant
+	Routers int // dispatchers, this one included; at least 1
+	Zone    int // this dispatcher's zone
+	Classes []Class
+	Tenants []Tenant
 	// WorthByWork says that a request's worth grows with its work.
 	WeightByWork bool
 	Tick         time.Duration // events come at most this often
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,7 +10,7 @@
 // A dispatcher feeds events in as they happen and carries out the actions it gets back.
 func Example() {
 	cfg := policy.Config{
-		Replicas: 1, Tick: 2 * time.Millisecond, MaxAttempts: 3, KeepAlive: 10 * time.Second, OverQuotaWeight: 1,
+		Routers: 1, Tick: 2 * time.Millisecond, MaxAttempts: 3, KeepAlive: 10 * time.Second, OverQuotaWeight: 1,
 		Classes: []policy.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: 4 * time.Second, Idempotency: policy.Idempotent, PriorityWeight: 1}},
 	}
 	p, err := policy.New(cfg, 42)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -171,7 +171,7 @@
 			return nil, fmt.Errorf("policy: settings hold an impossible amount: %+v", cfg)
 		}
 	}
-	cfg.Replicas = max(cfg.Replicas, 1)
+	cfg.Routers = max(cfg.Routers, 1)
 	p := &Policy{cfg: cfg, self: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)), loadRatio: 1,
 		waiting: slices.Index(cfg.LoadReportFields, "queue"),
 		workers: map[WorkerID]*worker{}, reqs: map[RequestID]*request{}, funcs: map[FunctionID]*function{}}
@@ -180,7 +180,7 @@
 		p.classes = append(p.classes, classState{c, run, 0, runPrior * run, runPrior * run})
 	}
 	for _, t := range cfg.Tenants {
-		rate := sane(t.RequestsPerSecond, 0, 1e9) / float64(cfg.Replicas)
+		rate := sane(t.RequestsPerSecond, 0, 1e9) / float64(cfg.Routers)
 		p.tenants = append(p.tenants, bucket{level: rate + 1, rate: rate})
 	}
 	return p, nil
@@ -321,7 +321,7 @@
 	power, work, might := 1+sane(p.speed.ny/(p.speed.nn+speedPrior), 0, 2), 0.0, 0.0
 	for _, w := range p.fleet {
 		w.might = math.Pow(cmp.Or(w.Weight, 1), power)
-		w.size = math.Pow(w.might, 1-1/float64(p.cfg.Replicas))
+		w.size = math.Pow(w.might, 1-1/float64(p.cfg.Routers))
 		if w.State == Ready && p.capacity(w) >= 1 {
 			work, might = work+w.served, might+w.might
 		}
@@ -396,7 +396,7 @@
 	if p.cfg.LoadBudgetWindow > 0 {
 		p.arrivals.add(p.now, p.cfg.LoadBudgetWindow)
 	}
-	p.spare = min(p.spare+2, float64(p.cfg.Replicas)) // a call pays for two receivers, at any size
+	p.spare = min(p.spare+2, float64(p.cfg.Routers)) // a call pays for two receivers, at any size
 	f := p.funcs[e.Function]
 	if f == nil {
 		f = &function{id: e.Function, run: p.classes[e.Class].run}
@@ -518,7 +518,7 @@
 // jams, as far as others carry it: ours show in flight. Each dispatcher keeps to one; others keep it warm.
 func (p *Policy) homeOf(r *request, cands []*worker) (at *worker, chance float64) {
 	f, run, slot, none := r.fn, p.run(r), 0, math.Inf(-1)
-	homes := 1 + int((1-1/float64(p.cfg.Replicas))*max(f.calls*run*float64(p.ready)/max(p.rate, run), f.jams))
+	homes := 1 + int((1-1/float64(p.cfg.Routers))*max(f.calls*run*float64(p.ready)/max(p.rate, run), f.jams))
 	for s, best := 1, home(f.id, WorkerID(p.self), 1, none); s < min(homes, p.ready); s++ {
 		if h := home(f.id+FunctionID(s), WorkerID(p.self), 1, best); h > best {
 			slot, best = s, h
@@ -532,9 +532,9 @@
 			at, rank = w, h
 		}
 	}
-	chance = min(likely, 0.2*float64(p.cfg.Replicas+1)) // of a lone dispatcher only what it lost sight of
+	chance = min(likely, 0.2*float64(p.cfg.Routers+1)) // of a lone dispatcher only what it lost sight of
 	if at != nil && rank == top {
-		others := f.calls * float64(p.cfg.Replicas-1) / float64(homes)
+		others := f.calls * float64(p.cfg.Routers-1) / float64(homes)
 		chance = max(chance, 1-math.Exp(-others*float64(p.cfg.KeepAlive)/float64(rateSpan)))
 	}
 	return at, chance
@@ -670,7 +670,7 @@
 	} else if score > own {
 		start = 0.15
 	}
-	others := (1 - 1/float64(p.cfg.Replicas)) * w.delay.now(p.now) // what they queue at the best worker
+	others := (1 - 1/float64(p.cfg.Routers)) * w.delay.now(p.now) // what they queue at the best worker
 	delay := max(p.standing, others)
 	return p.rng.Float64() < min(2*(delay/aim-start), 0.9), delay - start*aim
 }
@@ -873,7 +873,7 @@
 
 // tell has few others know of an instance, renewed in its keep-alive: else each loads copies of its own.
 func (p *Policy) tell(i *instance, f *function) {
-	if p.cfg.GossipSupported && p.cfg.Replicas > 1 && p.now-i.told > p.cfg.KeepAlive/4 {
+	if p.cfg.GossipSupported && p.cfg.Routers > 1 && p.now-i.told > p.cfg.KeepAlive/4 {
 		i.told = p.now
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(i.w.Worker))
 		p.news = binary.BigEndian.AppendUint64(p.news, uint64(f.id))
@@ -997,7 +997,7 @@
 		}
 	}
 	p.news = p.news[max(0, len(p.news)-16*newsBytes):]
-	if peers := float64(p.cfg.Replicas - 1); len(p.news) > 0 && p.spare >= peers &&
+	if peers := float64(p.cfg.Routers - 1); len(p.news) > 0 && p.spare >= peers &&
 		p.emit(SendGossip{To: -1, Data: slices.Clone(p.news)}) {
 		p.news, p.spare = p.news[:0], p.spare-peers
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,7 +12,7 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Replicas: 1, Tick: 2 * ms, MaxAttempts: 5, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
+	return Config{Routers: 1, Tick: 2 * ms, MaxAttempts: 5, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
 		SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
 		DrainGracePeriod: 500 * ms, KeepAlive: 10 * time.Second, LoadStatusReported: true, LoadBudgetMinimum: 1,
 		Classes: []Class{
@@ -374,7 +374,7 @@
 	t.Helper()
 	const routers, calls = 100, 40
 	cfg := config()
-	cfg.Replicas, cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported = peers, true, true
+	cfg.Routers, cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported = peers, true, true
 	sizes := []float64{6, 6, 6, 6, 4, 4, 4, 4}
 	var l EndpointList
 	l.Kind = EndpointSnapshot
@@ -493,7 +493,7 @@
 // were away and while they come back cold, of twenty in a second for functions that stand nowhere.
 func coldSends(t *testing.T, seed uint64, started int) int {
 	cfg := config()
-	cfg.Replicas = 100
+	cfg.Routers = 100
 	b := newBed(t, cfg, 10)
 	b.p.rng = rand.New(rand.NewPCG(seed, 1))
 	gone, back := EndpointList{}, EndpointList{}
@@ -559,7 +559,7 @@
 // faster too, they are home to more functions than their sizes say, by most of that.
 func TestHomesFollowTheSpeedsOfSizes(t *testing.T) {
 	cfg := config()
-	cfg.Replicas = 80
+	cfg.Routers = 80
 	for _, faster := range []float64{1, 1.6} { // workers of size 3 against those of size 2
 		var ratios []float64
 		for seed := range uint64(20) {
@@ -600,7 +600,7 @@
 func TestExtrasCostTheSameACallAtAnySize(t *testing.T) {
 	perCall := func(peers, calls int) (probes, receivers float64) {
 		cfg := config()
-		cfg.Replicas, cfg.GossipSupported = peers, true
+		cfg.Routers, cfg.GossipSupported = peers, true
 		b := newBed(t, cfg, 40)
 		gap := 20 * time.Second / time.Duration(calls)
 		for n := range calls {
@@ -633,7 +633,7 @@
 // A hot function needs many workers, and no dispatcher sees more than a call of it now and then.
 func TestHotFunctionSpreadsAndRareOneStays(t *testing.T) {
 	cfg := config()
-	cfg.Replicas = 50
+	cfg.Routers = 50
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newBed(t, cfg, 20)
@@ -735,7 +735,7 @@
 // others, move their sum of sends off it within seconds and come back after.
 func TestCallsMoveOffAFullHomeAndBack(t *testing.T) {
 	cfg := config()
-	cfg.Replicas, cfg.LoadStatusReported = 60, false
+	cfg.Routers, cfg.LoadStatusReported = 60, false
 	var beds []*bed
 	for n := range uint64(60) {
 		b := newBed(t, cfg, 20)
@@ -856,7 +856,7 @@
 // What others queue at the one worker that has the function makes less worthy calls give way there, and only there.
 func TestShedsWhereOthersQueue(t *testing.T) {
 	cfg := config()
-	cfg.Replicas = 50
+	cfg.Routers = 50
 	b := newBed(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
 		b.p.instance(w, f).warmUntil = b.now + time.Minute
@@ -933,7 +933,7 @@
 		b := newBed(t, config(), 3)
 		b.p.gate = b.now + 1500*ms
 		b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
-		b.p.cfg.Replicas = 1
+		b.p.cfg.Routers = 1
 		if acts := b.do(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
 			t.Errorf("held: %v", acts)
 		}
@@ -1016,7 +1016,7 @@
 func TestShortOfTimeIsSentToALikelyWarmHome(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
 		cfg := config()
-		cfg.Replicas = 40
+		cfg.Routers = 40
 		b := newBed(t, cfg, 5)
 		b.serve(7, 100*ms, AlreadyLoaded)
 		b.p.lastTrial = b.now
@@ -1030,7 +1030,7 @@
 // While loads fail, what most likely stands at its home is served; only a further attempt may begin no load.
 func TestGateLetsLikelyWarmHomesPass(t *testing.T) {
 	cfg := config()
-	cfg.Replicas = 40
+	cfg.Routers = 40
 	b := newBed(t, cfg, 5)
 	b.serve(7, 100*ms, AlreadyLoaded)
 	b.p.failed, b.p.gate = 1, b.now+time.Second
@@ -1081,7 +1081,7 @@
 // A tenant within its share must not look beyond it by chance, however few calls of it a dispatcher gets.
 func TestTenantWithinItsShareIsNotOver(t *testing.T) {
 	cfg := config()
-	cfg.Replicas, cfg.Tenants = 100, []Tenant{{RequestsPerSecond: 200}}
+	cfg.Routers, cfg.Tenants = 100, []Tenant{{RequestsPerSecond: 200}}
 	b := newBed(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
 	over := func(rate float64) (n int) {
@@ -1149,7 +1149,7 @@
 // A dispatcher that restarts knows only a list: the others tell it where instances stand.
 func TestToldInstancesAreUsed(t *testing.T) {
 	cfg := config()
-	cfg.GossipSupported, cfg.Replicas = true, 2
+	cfg.GossipSupported, cfg.Routers = true, 2
 	a, b := newBed(t, cfg, 8), newBed(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
 		w := a.serve(f, 1100*ms, StartedLoad)
@@ -1497,7 +1497,7 @@
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg := config()
-		cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.GossipSupported, cfg.Replicas = true, true, true, 3
+		cfg.MissWhenNotLoaded, cfg.LoadOrdersSupported, cfg.GossipSupported, cfg.Routers = true, true, true, 3
 		cfg.LoadBudgetWindow, cfg.LoadBudgetRatio, cfg.EndpointsByPolling = time.Second, 0.5, len(data)%2 == 0
 		p, err := New(cfg, 3)
 		if err != nil {
