--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -69,7 +69,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Transport is a socket to the directory; a loop.Conn is one.
+// Transport is a socket to the directory; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -241,7 +241,7 @@
 	if c.sock != s {
 		return // left behind by Move
 	}
-	c.complain("directory_lost", err)
+	c.complain("discovery_connection_lost", err)
 	c.sock, c.next = nil, c.now+redialAfter
 }
 
@@ -272,7 +272,7 @@
 		}
 	}
 	if err != nil {
-		c.complain("directory_answer_unread", err)
+		c.complain("discovery_response_invalid", err)
 		return
 	}
 	c.silent = false
@@ -298,7 +298,7 @@
 	if c.now-c.behind < renumberAfter {
 		return false
 	}
-	slog.Warn("directory_renumbered", "addr", c.addr, "before", c.serial, "serial", serial)
+	slog.Warn("discovery_serial_reset", "addr", c.addr, "before", c.serial, "serial", serial)
 	c.behind = 0
 	return true
 }
--- a/internal/endpoint/path_test.go
+++ b/internal/endpoint/path_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// The model of a race: at most MostDials at once, each address once, the next at once when one fails, a lost race told
+// The model of a race: at most MaxDialsPerWorker at once, each address once, the next at once when one fails, a lost race told
 // once and only when nothing is left, one winner.
 func TestRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -12,7 +12,7 @@
 	// Stagger is how long a dial has before the next address is tried beside it (RFC 8305, section 5), where the
 	// time that a dial may take is longer.
 	ConnectionAttemptDelay = 250 * time.Millisecond
-	// MostDials is how many dials to one worker may be under way at once, and MostDialsInAll to all.
+	// MaxDialsPerWorker is how many dials to one worker may be under way at once, and MaxDials to all.
 	MaxDialsPerWorker, MaxDials = 4, 64
 
 	firstBackoff = 500 * time.Millisecond // of a failed address; twice as long with each failure
@@ -63,7 +63,7 @@
 }
 
 // Update replaces the addresses, in the order of preference within each network. Those that were there keep what is
-// known of them; what is beyond MaxAddrs is left out.
+// known of them; what is beyond MaxAddresses is left out.
 func (s *AddressSet) Update(now time.Duration, list []Addr) {
 	old := s.list
 	s.list = nil
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -50,7 +50,7 @@
 // errSlow closes a peer that does not read while there is too much to be read by all.
 var errSlow = errors.New("peer does not read")
 
-// ErrTooMany closes an accepted connection beyond the limit on them.
+// ErrTooManyConnections closes an accepted connection beyond the limit on them.
 var ErrTooManyConnections = errors.New("too many accepted connections")
 
 // Handler takes what happens on a connection. All its methods run on the loop's goroutine.
@@ -429,7 +429,7 @@
 		}
 	}
 	if l.refused > 0 && l.now-l.complained > time.Second { // not once for each: a flood would fill the log
-		slog.Warn("connections_refused", "count", l.refused, "err", ErrTooManyConnections)
+		slog.Warn("client_connections_rejected", "count", l.refused, "err", ErrTooManyConnections)
 		l.refused, l.complained = 0, l.now
 	}
 }
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -83,7 +83,7 @@
 	Class          string
 }
 
-// Transport is a socket to the collector; a loop.Conn is one.
+// Transport is a socket to the collector; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -231,6 +231,6 @@
 	if err == nil {
 		err = errors.New("closed")
 	}
-	slog.Warn("collector_lost", "err", err)
+	slog.Warn("collector_connection_lost", "err", err)
 	x.line, x.up, x.redial = nil, false, x.now+redialAfter
 }
--- a/internal/logging/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -13,8 +13,8 @@
 	var out bytes.Buffer
 	l := New(&out, slog.LevelInfo)
 	l.Debug("unseen")
-	l.Warn("dial_failed", "addr", "127.0.0.1:1", "err", errors.New("connection refused"))
-	want := `^time=\d\d:\d\d:\d\d\.\d{6} level=WARN event=dial_failed addr=127\.0\.0\.1:1 err="connection refused"\n$`
+	l.Warn("worker_dial_failed", "addr", "127.0.0.1:1", "err", errors.New("connection refused"))
+	want := `^time=\d\d:\d\d:\d\d\.\d{6} level=WARN event=worker_dial_failed addr=127\.0\.0\.1:1 err="connection refused"\n$`
 	if !regexp.MustCompile(want).MatchString(out.String()) {
 		t.Errorf("%q, want %s", out.String(), want)
 	}
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -27,7 +27,7 @@
 	Policies             []PolicySpec
 	Routes               []RouteSpec
 	NotIdempotentClasses []string // classes that must never run twice, beside those that the decision module knows of
-	// LoadWindow is the window of the ration of load orders; 0: ten seconds.
+	// LoadBudgetWindow is the window of the ration of load orders; 0: ten seconds.
 	LoadWindow time.Duration
 }
 
@@ -71,8 +71,8 @@
 	MaxInFlight   int        // attempts in flight; Unset: no cap
 	LoadShare     float64    // share of the ration of load orders; Unset: with the others, what is left
 	Fallback      string     // pool that takes what this one can't; "": none
-	OverflowShare float64    // of its calls of the last ten seconds that may go there; Unset: see SpillRate
-	OverflowRate  float64    // calls a second that may go there; Unset: see SpillShare
+	OverflowShare float64    // of its calls of the last ten seconds that may go there; Unset: see OverflowRate
+	OverflowRate  float64    // calls a second that may go there; Unset: see OverflowShare
 	At            string
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -13,7 +13,7 @@
 	"crankhold/policy"
 )
 
-// AnswerMargin is how long before a client's wait runs out a front sets a request's deadline. The way
+// ResponseMargin is how long before a client's wait runs out a front sets a request's deadline. The way
 // back takes a millisecond; the rest is for a machine that stalls: on a crowded one requests were
 // seen to take 46 ms (99th percentile) to get through the program, and one answer came too late.
 const ResponseMargin = 40 * time.Millisecond
@@ -104,10 +104,10 @@
 // InRange tells whether a figure is a number from 0 to most.
 func InRange(v, most float64) bool { return v >= 0 && v <= most }
 
-// MaxOnce is the longest idempotency key that is passed on; what the platform sends has 32 digits.
+// MaxIdempotencyKeyLength is the longest idempotency key that is passed on; what the platform sends has 32 digits.
 const MaxIdempotencyKeyLength = 64
 
-// ParseIdempotencyKey tells whether an idempotency key can be passed on: hex digits, MaxOnce at most.
+// ParseIdempotencyKey tells whether an idempotency key can be passed on: hex digits, MaxIdempotencyKeyLength at most.
 func ParseIdempotencyKey(s string) bool {
 	for _, d := range []byte(s) {
 		if !(d >= '0' && d <= '9' || d >= 'a' && d <= 'f' || d >= 'A' && d <= 'F') {
@@ -133,7 +133,7 @@
 }
 
 // WorkerClient carries messages to workers. Each Run, Hold and Probe is answered by one call of the
-// Core's AttemptEnded, HoldEnded or Probed, at once or later.
+// Core's AttemptCompleted, LoadCompleted or Probed, at once or later.
 type WorkerClient interface {
 	StartAttempt(w policy.WorkerID, a Attempt, r *Request, budget time.Duration)
 	// Stop gives an attempt up; it is answered no more.
@@ -474,7 +474,7 @@
 		c.drop(c.module[a.Token])
 		delete(c.module, a.Token)
 	}
-	// Subscribe, FetchList and Tell ask for what this deployment does not have: the list comes
+	// Subscribe, FetchEndpoints and Tell ask for what this deployment does not have: the list comes
 	// by itself, and the settings allow no peers. Log lines are of no use to the operators here.
 }
 
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -13,22 +13,22 @@
 func printCounters(core *router.Core, pool *workerclient.Pool, d *discovery.Client, h *hooks) {
 	n := &core.Counters
 	for f, name := range []string{"thrift", "webhook"} {
-		slog.Info("counters", "front", name, "taken", n.Accepted[f], "served", n.Served[f], "refused", n.Rejected[f], "failed", n.Failed[f],
+		slog.Info("counters_reported", "front", name, "taken", n.Accepted[f], "served", n.Served[f], "refused", n.Rejected[f], "failed", n.Failed[f],
 			"left", n.Canceled[f], "turned_away", n.RejectedUnaccepted[f], "unrouted", n.RejectedUnrouted[f])
 	}
-	slog.Info("counters", append([]any{"sent", n.AttemptsStarted, "overdue", n.DeadlineExceeded}, byOutcome(n.AttemptsByOutcome)...)...)
-	slog.Info("counters", append([]any{"orders", n.LoadsOrdered, "unloads", n.Unloads}, byOutcome(n.LoadsByOutcome)...)...)
-	slog.Info("counters", append([]any{"probes", n.HealthChecks}, byOutcome(n.HealthChecksByOutcome)...)...)
+	slog.Info("counters_reported", append([]any{"sent", n.AttemptsStarted, "overdue", n.DeadlineExceeded}, byOutcome(n.AttemptsByOutcome)...)...)
+	slog.Info("counters_reported", append([]any{"orders", n.LoadsOrdered, "unloads", n.Unloads}, byOutcome(n.LoadsByOutcome)...)...)
+	slog.Info("counters_reported", append([]any{"probes", n.HealthChecks}, byOutcome(n.HealthChecksByOutcome)...)...)
 	k := pool.Counters
-	slog.Info("counters", "dials", k.Dials, "dials_failed", k.DialsFailed, "trials", k.RecoveryDials, "trials_failed", k.RecoveryDialsFailed, "moved", k.CallsResent, "pings", k.Pings)
+	slog.Info("counters_reported", "dials", k.Dials, "dials_failed", k.DialsFailed, "trials", k.RecoveryDials, "trials_failed", k.RecoveryDialsFailed, "moved", k.CallsResent, "pings", k.Pings)
 	if t := core.Routes(); t != nil {
 		for _, p := range t.Pools() {
-			slog.Info("counters", "pool", p.Spec.Name, "workers", p.Size(), "calls", p.Requests, "in_flight", p.InFlight(), "peak", p.Peak(),
+			slog.Info("counters_reported", "pool", p.Spec.Name, "workers", p.Size(), "calls", p.Requests, "in_flight", p.InFlight(), "peak", p.Peak(),
 				"spilled", p.Overflows, "spill_denied", p.CapacityExceeded, "orders", p.Loads)
 		}
 	}
 	h.print()
-	slog.Info("counters", "directory_asked", d.QueriesSent, "directory_heard", d.ResponsesRead)
+	slog.Info("counters_reported", "directory_asked", d.QueriesSent, "directory_heard", d.ResponsesRead)
 }
 
 // byOutcome lists the outcomes that occurred.
--- a/internal/server/hooks.go
+++ b/internal/server/hooks.go
@@ -40,7 +40,7 @@
 			h.exporter = ipfix.New(cfg, time.Now, func(d eventloop.DialHandler) ipfix.Transport {
 				return lp.Dial("udp", cfg.Collector, time.Second, d)
 			})
-			slog.Info("export_on", "collector", cfg.Collector)
+			slog.Info("export_enabled", "collector", cfg.Collector)
 		}
 	}
 	core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
@@ -72,7 +72,7 @@
 		}
 		h.servers[router.Webhook], _ = netip.ParseAddrPort(cfg.Receiver.Listen) // so was this
 		lp.Listen(cfg.Receiver.Listen, h.receiver.Accept)
-		slog.Info("webhooks_on", "listen", cfg.Receiver.Listen, "path", cfg.Receiver.Path, "ledger", cfg.Receiver.Ledger.Path)
+		slog.Info("webhooks_enabled", "listen", cfg.Receiver.Listen, "path", cfg.Receiver.Path, "ledger", cfg.Receiver.Ledger.Path)
 	}
 	if cfg.Sender.Enabled {
 		h.sender, err = webhook.NewSender(cfg, time.Now, func(addr string, timeout time.Duration, d eventloop.DialHandler) webhook.Transport {
@@ -116,7 +116,7 @@
 func (h *hooks) close() {
 	if h.receiver != nil {
 		if err := h.receiver.Close(); err != nil {
-			slog.Error("ledger_not_closed", "err", err)
+			slog.Error("ledger_close_failed", "err", err)
 		}
 	}
 }
@@ -124,13 +124,13 @@
 // print logs the counters of what is on.
 func (h *hooks) print() {
 	if r := h.receiver; r != nil {
-		slog.Info("counters", "deliveries", r.Counters.Deliveries, "unauthorized", r.Counters.Unauthorized, "malformed", r.Counters.Malformed, "replayed", r.Counters.Replayed, "joined", r.Counters.Joined, "ledger_refused", r.Counters.LedgerRefused)
+		slog.Info("counters_reported", "deliveries", r.Counters.Deliveries, "unauthorized", r.Counters.Unauthorized, "malformed", r.Counters.Malformed, "replayed", r.Counters.Replayed, "joined", r.Counters.Joined, "ledger_refused", r.Counters.LedgerRefused)
 	}
 	if s := h.sender; s != nil {
 		n := s.Counters
-		slog.Info("counters", "notices_queued", n.Queued, "dropped", n.Dropped, "delivered", n.Delivered, "retried", n.Retried, "given_up", n.GivenUp, "open", h.open())
+		slog.Info("counters_reported", "notices_queued", n.Queued, "dropped", n.Dropped, "delivered", n.Delivered, "retried", n.Retried, "given_up", n.GivenUp, "open", h.open())
 	}
 	if x := h.exporter; x != nil {
-		slog.Info("counters", "flow_records", x.Counters.Records, "sent", x.Counters.Sent, "dropped", x.Counters.Dropped, "messages", x.Counters.Messages)
+		slog.Info("counters_reported", "flow_records", x.Counters.Records, "sent", x.Counters.Sent, "dropped", x.Counters.Dropped, "messages", x.Counters.Messages)
 	}
 }
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -222,14 +222,14 @@
 				}
 				return
 			}
-			p.await("event=started") // it has read the file once, to its end
+			p.await("event=server_started") // it has read the file once, to its end
 			again, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			again.Write(text)
 			again.Close()
-			p.await("event=reloaded")
+			p.await("event=config_reloaded")
 			if a, err := p.client().Do(callOf(1)); err != nil || a.Verdict != "served" {
 				t.Errorf("answer %+v, %v", a, err)
 			}
@@ -286,7 +286,7 @@
 	writeConfig(t, path, config)
 	crowd()
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.await("event=reloaded")
+	p.await("event=config_reloaded")
 	crowd()
 	p.await("name=s-1")
 	site.Workers[0].Kill()
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	for _, n := range r.Notes {
-		slog.Warn("routes_note", "at", n.Pos.String(), "note", n.Msg)
+		slog.Warn("routes_warned", "at", n.Pos.String(), "note", n.Msg)
 	}
 	if err := r.Err(); err != nil {
 		return nil, err
@@ -57,13 +57,13 @@
 	old := core.Routes()
 	if wrong != nil {
 		for _, line := range faultLines(wrong) {
-			slog.Error("routes_refused", "err", line)
+			slog.Error("routes_rejected", "err", line)
 		}
 		return
 	}
 	switch {
 	case t == nil && old != nil: // whoever wants none in force says so by a restart
-		slog.Error("routes_refused", "err", "the file is gone; the routes that it held stay in force")
+		slog.Error("routes_rejected", "err", "the file is gone; the routes that it held stay in force")
 		return
 	case t == nil:
 		return
@@ -75,14 +75,14 @@
 	core.SetRoutes(t)
 	slog.Info("routes_reloaded", "changes", len(changes), "routes", len(t.Routes()))
 	for _, d := range changes {
-		slog.Info("routes_changed", "of", d.Subject(), "before", d.Before, "after", d.After)
+		slog.Info("route_changed", "of", d.Subject(), "before", d.Before, "after", d.After)
 	}
 }
 
 // putInForce has calls go by a first table.
 func putInForce(core *router.Core, t *route.Table) {
 	core.SetRoutes(t)
-	slog.Info("routes_on", "routes", len(t.Routes()), "pools", len(t.Pools()))
+	slog.Info("routes_enabled", "routes", len(t.Routes()), "pools", len(t.Pools()))
 }
 
 // faultLines parts an error into its faults.
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -47,7 +47,7 @@
 	Routes  string
 	// Addresses names the file that says how workers' addresses are found.
 	Addresses string
-	// RoutesMay has a routes file that isn't there count as none, at a start and at a reload.
+	// RoutesOptional has a routes file that isn't there count as none, at a start and at a reload.
 	RoutesOptional bool
 	Stop           <-chan struct{} // has it stop as SIGTERM does; may be nil
 	// Signals are those that were caught since the program began; nil: Serve catches them.
@@ -121,7 +121,7 @@
 	if err := lp.Start(); err != nil {
 		return err
 	}
-	slog.Info("started", "name", c.Name, "listen", c.Listen)
+	slog.Info("server_started", "name", c.Name, "listen", c.Listen)
 
 	ended := make(chan struct{})
 	defer close(ended)
@@ -158,7 +158,7 @@
 				printCounters(core, pool, names, hooks)
 				if s != syscall.SIGUSR1 && stopping == 0 {
 					stopping = lp.Now()
-					slog.Info("stopping", "signal", s)
+					slog.Info("server_draining", "signal", s)
 				}
 			})
 		}
@@ -190,7 +190,7 @@
 	})
 	hooks.close()
 	printCounters(core, pool, names, hooks)
-	slog.Info("stopped")
+	slog.Info("server_stopped")
 	return nil
 }
 
@@ -198,13 +198,13 @@
 // can't be used changes nothing; of two files one may be used and the other not.
 func reload(s *staff, names *discovery.Client, fresh *config.Config, err error, routes *route.Table, wrong error) {
 	if err != nil {
-		slog.Warn("reload_failed", "err", err)
+		slog.Warn("config_reload_failed", "err", err)
 		return
 	}
-	slog.Info("reloaded", "names", fresh.DiscoveryAddr)
+	slog.Info("config_reloaded", "names", fresh.DiscoveryAddr)
 	names.SetServer(s.lp.Now(), fresh.DiscoveryAddr)
 	if changed := s.c.NeedsRestart(fresh); len(changed) > 0 {
-		slog.Warn("restart_needed", "settings", changed)
+		slog.Warn("config_restart_required", "settings", changed)
 	}
 	swapRoutes(s.core, s.c, routes, wrong)
 	s.again()
--- a/internal/server/staff.go
+++ b/internal/server/staff.go
@@ -137,7 +137,7 @@
 		present[e.Worker] = true
 		s.pool.SetWorker(e.Worker, addrs, e.State, prefer...)
 		l.Workers = append(l.Workers, e)
-		slog.Info("worker", "name", key, "addrs", fmt.Sprint(addrs), "state", e.State, "weight", e.Weight, "started", first.Started)
+		slog.Info("worker_updated", "name", key, "addrs", fmt.Sprint(addrs), "state", e.State, "weight", e.Weight, "started", first.Started)
 	}
 	s.pool.RetainWorkers(present)
 	s.core.SetEndpoints(l)
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -28,7 +28,7 @@
 	CancelRequest(now time.Duration, id policy.RequestID)
 }
 
-// Transport is a connection to a client; a loop.Conn is one.
+// Transport is a connection to a client; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -153,7 +153,7 @@
 func (c *client) reject(err error) {
 	f := c.front
 	if n := f.closed.add(f.clock()); n > 0 {
-		slog.Warn("clients_closed", "front", "thrift", "count", n, "err", err)
+		slog.Warn("client_connections_closed", "front", "thrift", "count", n, "err", err)
 	}
 	c.line.Close()
 	c.leave()
@@ -241,7 +241,7 @@
 	if reason != "" {
 		if n := c.front.unread.add(c.front.clock()); n > 0 {
 			v := fields[reason]
-			slog.Warn("call_field_unread", "front", "thrift", "field", reason, "value", string(v[:min(len(v), 64)]), "count", n)
+			slog.Warn("client_request_field_rejected", "front", "thrift", "field", reason, "value", string(v[:min(len(v), 64)]), "count", n)
 		}
 		c.line.Write(lost(m.seq, "reason", reason))
 		return nil
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -204,7 +204,7 @@
 	select {
 	case l.work <- job{e: e}:
 	default:
-		slog.Warn("ledger_line_dropped", "id", e.ID, "state", e.State)
+		slog.Warn("ledger_entry_dropped", "id", e.ID, "state", e.State)
 	}
 }
 
@@ -246,7 +246,7 @@
 	}
 	for i, j := range batch {
 		if errs[i] != nil {
-			slog.Error("ledger_refused", "id", j.e.ID, "err", errs[i])
+			slog.Error("ledger_write_failed", "id", j.e.ID, "err", errs[i])
 		}
 		if j.done != nil {
 			j.done(errs[i])
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -31,7 +31,7 @@
 	Accept(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Transport is a connection to a peer; a loop.Conn is one.
+// Transport is a connection to a peer; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -267,7 +267,7 @@
 	id, err := verify(r, body, v.keys, v.wall(), v.cfg.Receiver.Tolerance)
 	if err != nil {
 		v.Counters.Unauthorized++
-		v.complain("delivery_refused", err)
+		v.complain("webhook_delivery_rejected", err)
 		c.answer(401, nil, 0)
 		return
 	}
@@ -280,7 +280,7 @@
 	req, at, err := v.read(body)
 	if err != nil {
 		v.Counters.Malformed++
-		v.complain("delivery_malformed", err)
+		v.complain("webhook_delivery_malformed", err)
 		c.answer(400, nil, 0)
 		return
 	}
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -211,7 +211,7 @@
 		s.Counters.Delivered++
 		return
 	}
-	slog.Warn("notice_not_delivered", "id", n.id, "try", n.tries, "status", status, "err", err)
+	slog.Warn("webhook_notice_failed", "id", n.id, "try", n.tries, "status", status, "err", err)
 	if n.tries >= s.cfg.Sender.Attempts || status == 410 {
 		s.Counters.GivenUp++
 		return
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -71,7 +71,7 @@
 	p, w := c.pool, c.w
 	if err != nil {
 		p.Counters.DialsFailed++
-		slog.Warn("dial_failed", "addr", d.addr, "err", err)
+		slog.Warn("worker_dial_failed", "addr", d.addr, "err", err)
 		if !eventloop.IsDescriptorExhausted(err) {
 			w.paths.Failed(p.now, d.addr)
 		}
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -108,7 +108,7 @@
 // log tells the core's events, and what the model asks of it, apart.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
-// AttemptCompleted, HoldEnded and Probed hand on to the core.
+// AttemptCompleted, LoadCompleted and Probed hand on to the core.
 func (m *model) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
 	m.core.AttemptCompleted(a, r)
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -38,7 +38,7 @@
 	errSilent = errors.New("connection is silent while others to the worker are not")
 )
 
-// SweepEvery is how often Sweep is to be called.
+// MaintenanceInterval is how often Sweep is to be called.
 const MaintenanceInterval = 50 * time.Millisecond
 
 // ResultHandler takes what came of calls, orders and probes; a router.Core is one.
@@ -48,7 +48,7 @@
 	HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64)
 }
 
-// Transport is a connection to a worker; a loop.Conn is one.
+// Transport is a connection to a worker; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -390,7 +390,7 @@
 
 // fault ends a connection that is of no further use.
 func (c *conn) fault(err error) {
-	slog.Warn("worker_closed", "addr", c.addr, "err", err)
+	slog.Warn("worker_connection_closed", "addr", c.addr, "err", err)
 	c.close()
 }
 
@@ -752,7 +752,7 @@
 func (c *conn) odd(name string, text []byte) {
 	p := c.pool
 	if p.odd++; p.oddTold == 0 || p.now-p.oddTold > time.Second {
-		slog.Warn("answer_field_unread", "addr", c.addr, "field", name, "value", string(text[:min(len(text), 32)]), "count", p.odd)
+		slog.Warn("worker_response_field_ignored", "addr", c.addr, "field", name, "value", string(text[:min(len(text), 32)]), "count", p.odd)
 		p.odd, p.oddTold = 0, p.now
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -46,7 +46,7 @@
 	Streamed            bool
 	PriorityWeight      float64
 	LatePriorityWeight  float64
-	// AimStretch lengthens Aim by this many times the request's own work; 0 where unused.
+	// ObjectiveStretch lengthens Aim by this many times the request's own work; 0 where unused.
 	ObjectiveStretch float64
 }
 
@@ -61,11 +61,11 @@
 	Zone    int // this dispatcher's zone
 	Classes []Class
 	Tenants []Tenant
-	// WorthByWork says that a request's worth grows with its work.
+	// WeightByWork says that a request's worth grows with its work.
 	WeightByWork bool
 	Tick         time.Duration // events come at most this often
 
-	EndpointsByPolling bool     // the worker list comes only after Subscribe or FetchList
+	EndpointsByPolling bool     // the worker list comes only after Subscribe or FetchEndpoints
 	LoadReportFields   []string // names of the values in a load report
 	InlineLoadReports  bool     // reports come with answers as well as with probes
 
@@ -78,7 +78,7 @@
 	MaxRetryAfter        time.Duration
 	OverQuotaWeight      float64 // worth of a request beyond its tenant's share; 1 where unused
 
-	PollInterval             time.Duration // ListByAsking: an unasked list counts as told after this
+	PollInterval             time.Duration // EndpointsByPolling: an unasked list counts as told after this
 	SlowStartInitialCapacity float64       // a worker starts at this share of its capacity or more
 	SlowStartDuration        time.Duration // and is warm after this at the latest
 	OverloadMultiple         float64       // sent more than this many times its present capacity
@@ -86,7 +86,7 @@
 	DrainGracePeriod         time.Duration
 
 	MissWhenNotLoaded   bool          // a worker without the function answers Missed instead of loading it
-	LoadOrdersSupported bool          // OrderLoad and Unload are allowed
+	LoadOrdersSupported bool          // Load and Unload are allowed
 	LoadStatusReported  bool          // answers tell whether an instance stood loaded
 	ConcurrencyReported bool          // answers tell how many requests of the function the worker held
 	KeepAlive           time.Duration // an idle instance stays this long at least
@@ -152,7 +152,7 @@
 	Started time.Duration // clock time of its last start; 0: long ago
 }
 
-// EndpointListKind is the kind of a WorkerList.
+// EndpointListKind is the kind of a EndpointList.
 type EndpointListKind uint8
 
 // The list kinds.
@@ -240,7 +240,7 @@
 	Worker  WorkerID
 	Outcome Outcome
 	Took    time.Duration
-	Report  []float64 // in the order of Config.ReportFields; empty where none came
+	Report  []float64 // in the order of Config.LoadReportFields; empty where none came
 }
 
 // GossipReceived is a message of another dispatcher.
@@ -249,7 +249,7 @@
 	Data []byte
 }
 
-// LoadCompleted is the answer to an OrderLoad.
+// LoadCompleted is the answer to an Load.
 type LoadCompleted struct {
 	Worker   WorkerID
 	Function FunctionID
@@ -271,7 +271,7 @@
 	Worker      WorkerID
 	Outcome     Outcome
 	LoadStatus  LoadStatus
-	Concurrency int  // requests of the function that the worker held, with CrowdNotes
+	Concurrency int  // requests of the function that the worker held, with ConcurrencyReported
 	Closed      bool // the request is over
 	Took        time.Duration
 	Report      []float64
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -73,7 +73,7 @@
 	failed               int           // loads that failed since one succeeded
 	gate                 time.Duration // no load begins before, while they fail
 
-	arrivals, orders times   // within LoadWindow
+	arrivals, orders times   // within LoadBudgetWindow
 	believed         holders // by function
 	scratch
 	news                []byte  // of instances, for the other dispatchers
