--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -48,7 +48,6 @@
 	held   int
 	hangs  bool
 	fails  func(id string) bool
-	closed bool
 }
 
 // model is the copy of a function at a worker.
--- a/internal/lang/syntax/syntax_test.go
+++ b/internal/lang/syntax/syntax_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"strings"
 	"testing"
 
@@ -178,7 +177,7 @@
 		}
 		for _, x := range faults {
 			if !x.Pos.Valid() || x.Msg == "" {
-				t.Fatal(fmt.Sprintf("a fault without a place: %+v", x))
+				t.Fatalf("a fault without a place: %+v", x)
 			}
 		}
 	})
--- a/internal/lang/values.go
+++ b/internal/lang/values.go
@@ -118,7 +118,7 @@
 
 // shareOrRate takes a share, or calls a time.
 func shareOrRate(v syntax.Value) (value, string) {
-	n, unitName, wrong := split(v)
+	_, unitName, wrong := split(v)
 	switch {
 	case wrong != "":
 		return value{}, wrong
@@ -127,7 +127,7 @@
 	case !strings.HasPrefix(unitName, "/"):
 		return value{}, fmt.Sprintf("takes a share (30%%) or a rate (120/s, 120/m, 120/h), found %s", v.Raw)
 	}
-	n, wrong = scaled(v, "a rate", []unit{{"/s", 1}, {"/m", 1. / 60}, {"/h", 1. / 3600}})
+	n, wrong := scaled(v, "a rate", []unit{{"/s", 1}, {"/m", 1. / 60}, {"/h", 1. / 3600}})
 	if wrong == "" && n > 1e6 {
 		wrong = fmt.Sprintf("is too large: %s, at most 1000000/s", v.Raw)
 	}
