--- /dev/null
+++ b/internal/archtest/drawing_test.go
@@ -0,0 +1,213 @@
+package archtest
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// architecturePage is the page whose drawings and function names are checked.
+const architecturePage = "docs/architecture.md"
+
+var (
+	drawnNode = regexp.MustCompile(`^\s*(\w+)\["([^"]+)"\]$`)
+	drawnEdge = regexp.MustCompile(`^\s*(\w+) --> (.+)$`)
+	// pageName is a function or type of a package, as the page writes it: `router.Core.Process`.
+	pageName = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*)(?:\\.(\\w+))?`")
+)
+
+// readPage returns the text of the architecture page.
+func readPage(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(architecturePage)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// drawnImports returns the packages that the page draws, each with the packages that its arrows lead to.
+func drawnImports(t *testing.T, page string) map[string][]string {
+	t.Helper()
+	packages := map[string]string{}
+	imports := map[string][]string{}
+	for line := range strings.Lines(page) {
+		if m := drawnNode.FindStringSubmatch(strings.TrimRight(line, "\n")); m != nil {
+			packages[m[1]] = m[2]
+			imports[m[2]] = []string{}
+		}
+	}
+	for line := range strings.Lines(page) {
+		m := drawnEdge.FindStringSubmatch(strings.TrimRight(line, "\n"))
+		if m == nil {
+			continue
+		}
+		from := packages[m[1]]
+		for _, id := range strings.Split(m[2], " & ") {
+			if packages[id] == "" || from == "" {
+				t.Errorf("%s: an arrow from %q to %q names no package", architecturePage, m[1], id)
+			}
+			imports[from] = append(imports[from], packages[id])
+		}
+	}
+	for _, list := range imports {
+		slices.Sort(list)
+	}
+	return imports
+}
+
+// moduleImports returns the module's packages, each with those of the module that its non-test files import.
+func moduleImports(t *testing.T) map[string][]string {
+	t.Helper()
+	root := filepath.Join("..", "..")
+	found := map[string][]string{}
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") {
+			return err
+		}
+		relative, err := filepath.Rel(root, filepath.Dir(name))
+		if err != nil {
+			return err
+		}
+		dir := filepath.ToSlash(relative)
+		if found[dir] == nil {
+			found[dir] = []string{}
+		}
+		if strings.HasSuffix(name, "_test.go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.ImportsOnly)
+		if err != nil {
+			return err
+		}
+		for _, spec := range file.Imports {
+			own, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
+			if ok && !slices.Contains(found[dir], own) {
+				found[dir] = append(found[dir], own)
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, list := range found {
+		slices.Sort(list)
+	}
+	return found
+}
+
+// The drawings show every package and exactly the imports that there are: a newcomer can rely on a missing arrow.
+func TestDrawingsShowTheImports(t *testing.T) {
+	if diff := cmp.Diff(moduleImports(t), drawnImports(t, readPage(t))); diff != "" {
+		t.Errorf("%s and the packages' imports differ (-imports +drawing):\n%s", architecturePage, diff)
+	}
+}
+
+// The functions and types that the page names exist, so that its step-by-step descriptions can be followed in the code.
+func TestNamesOnThePageExist(t *testing.T) {
+	folders := map[string]string{}
+	for dir := range moduleImports(t) {
+		folders[path.Base(dir)] = dir
+	}
+	names := pageName.FindAllStringSubmatch(readPage(t), -1)
+	if len(names) < 20 {
+		t.Errorf("%s names %d functions; it tells the way of a request by at least 20", architecturePage, len(names))
+	}
+	for _, m := range names {
+		folder, ok := folders[m[1]]
+		if !ok {
+			t.Errorf("%s: %s names no package", architecturePage, m[0])
+			continue
+		}
+		if declared := declarations(t, folder); !declared[strings.Trim(m[0], "`")[len(m[1])+1:]] {
+			t.Errorf("%s: %s is not declared in %s", architecturePage, m[0], folder)
+		}
+	}
+}
+
+// declarations returns the names that a package's non-test files declare: functions and types, and methods and fields
+// behind the name of their type.
+func declarations(t *testing.T, folder string) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(folder), "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, declaration := range file.Decls {
+			declare(names, declaration)
+		}
+	}
+	return names
+}
+
+// declare adds what one declaration declares.
+func declare(names map[string]bool, declaration ast.Decl) {
+	switch d := declaration.(type) {
+	case *ast.FuncDecl:
+		names[receiver(d)+d.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			if s, ok := spec.(*ast.TypeSpec); ok {
+				names[s.Name.Name] = true
+				declareMembers(names, s)
+			}
+		}
+	}
+}
+
+// declareMembers adds the fields or the methods of a struct or an interface.
+func declareMembers(names map[string]bool, spec *ast.TypeSpec) {
+	var members *ast.FieldList
+	switch typ := spec.Type.(type) {
+	case *ast.StructType:
+		members = typ.Fields
+	case *ast.InterfaceType:
+		members = typ.Methods
+	default:
+		return
+	}
+	for _, member := range members.List {
+		for _, name := range member.Names {
+			names[spec.Name.Name+"."+name.Name] = true
+		}
+	}
+}
+
+// receiver is the name of a method's type and a dot, or empty for a function.
+func receiver(d *ast.FuncDecl) string {
+	if d.Recv == nil || len(d.Recv.List) == 0 {
+		return ""
+	}
+	typ := d.Recv.List[0].Type
+	if star, ok := typ.(*ast.StarExpr); ok {
+		typ = star.X
+	}
+	if generic, ok := typ.(*ast.IndexExpr); ok {
+		typ = generic.X
+	}
+	name, ok := typ.(*ast.Ident)
+	if !ok {
+		return ""
+	}
+	return name.Name + "."
+}
