--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -4,8 +4,8 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -13,77 +13,77 @@
 
 const module = "crankhold/"
 
-// pure are the packages that decide. They may import each other, and of the standard library what is listed.
-var pure = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true}
+// decisionPackages decide and do no I/O. They may import each other, and of the standard library what purePackages lists.
+var decisionPackages = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true, "internal/timerheap": true}
 
-// harmless is what of the standard library does no I/O and reads no clock by itself; time is for its types, and
-// its functions that read the clock are looked for by name.
-var harmless = []string{"bytes", "cmp", "container/heap", "encoding/binary", "errors", "fmt", "iter", "maps", "math", "math/bits",
+// purePackages are those of the standard library that do no I/O and read no clock by themselves. Package time is among
+// them for its types; its functions that read the clock are looked for by name.
+var purePackages = []string{"bytes", "cmp", "container/heap", "encoding/binary", "errors", "fmt", "iter", "maps", "math", "math/bits",
 	"math/rand/v2", "slices", "sort", "strconv", "strings", "time", "unicode", "unicode/utf8", "net/netip"}
 
-// wires are what the core and the decisions may not know of.
-var wires = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/workerclient", "internal/discovery", "internal/ipfix",
+// transportPackages know sockets, files or the platform; the core and the decisions may not import them.
+var transportPackages = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/workerclient", "internal/discovery", "internal/ipfix",
 	"internal/simulator", "internal/server", "internal/config", "internal/command"}
 
-// imports returns what the non-test files of a package import, and where they read the clock or print.
-func imports(t *testing.T, dir string) (list, clock []string) {
+// inspectPackage returns what the non-test files of a package import, and the impure calls that they make.
+func inspectPackage(t *testing.T, dir string) (imports, impure []string) {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
-	if err != nil || len(files) == 0 {
+	names, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
+	if err != nil || len(names) == 0 {
 		t.Fatalf("%s: no files, %v", dir, err)
 	}
-	for _, name := range files {
+	for _, name := range names {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		text, err := os.ReadFile(name)
+		files := token.NewFileSet()
+		file, err := parser.ParseFile(files, name, nil, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := token.NewFileSet()
-		f, err := parser.ParseFile(set, name, text, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, s := range f.Imports {
-			path, _ := strconv.Unquote(s.Path.Value)
-			list = append(list, path)
-		}
-		ast.Inspect(f, func(n ast.Node) bool {
-			if s, ok := n.(*ast.SelectorExpr); ok {
-				if x, ok := s.X.(*ast.Ident); ok {
-					switch x.Name + "." + s.Sel.Name {
-					case "time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc", "time.Tick", "time.NewTimer",
-						"time.NewTicker", "fmt.Print", "fmt.Println", "fmt.Printf", "fmt.Scan", "fmt.Scanln", "fmt.Scanf",
-						"rand.Int", "rand.IntN", "rand.Float64", "rand.Uint64", "rand.Shuffle", "rand.Perm", "rand.N":
-						clock = append(clock, set.Position(s.Pos()).String()+" "+s.Sel.Name)
-					}
-				}
+		for _, spec := range file.Imports {
+			path, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				t.Fatal(err)
 			}
-			return true
-		})
+			imports = append(imports, path)
+		}
+		impure = append(impure, findImpureCalls(files, file)...)
 	}
-	return list, clock
+	return imports, impure
+}
+
+// impureCalls read a clock, wait, print, or draw from the shared random source.
+var impureCalls = []string{
+	"time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc", "time.Tick", "time.NewTimer", "time.NewTicker",
+	"fmt.Print", "fmt.Println", "fmt.Printf", "fmt.Scan", "fmt.Scanln", "fmt.Scanf",
+	"rand.Int", "rand.IntN", "rand.Float64", "rand.Uint64", "rand.Shuffle", "rand.Perm", "rand.N",
 }
 
-func contains(list []string, s string) bool {
-	for _, x := range list {
-		if x == s {
+// findImpureCalls returns where a file makes one of impureCalls.
+func findImpureCalls(files *token.FileSet, file *ast.File) (found []string) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		selector, ok := node.(*ast.SelectorExpr)
+		if !ok {
 			return true
 		}
-	}
-	return false
+		if x, ok := selector.X.(*ast.Ident); ok && slices.Contains(impureCalls, x.Name+"."+selector.Sel.Name) {
+			found = append(found, files.Position(selector.Pos()).String()+" "+selector.Sel.Name)
+		}
+		return true
+	})
+	return found
 }
 
-// Guards the decisions against I/O, clocks, shared random numbers and wires, by whatever package.
+// Equal events must lead to equal decisions: no I/O, no clock, no shared random numbers, no transport, by whatever package.
 func TestDecisionsArePure(t *testing.T) {
-	for dir := range pure {
-		list, clock := imports(t, dir)
-		if len(clock) > 0 {
-			t.Errorf("%s reads a clock, prints, or draws from the shared random source: %v", dir, clock)
+	for dir := range decisionPackages {
+		imports, impure := inspectPackage(t, dir)
+		if len(impure) > 0 {
+			t.Errorf("%s reads a clock, prints, or draws from the shared random source: %v", dir, impure)
 		}
-		for _, path := range list {
-			if own, ok := strings.CutPrefix(path, module); ok && pure[own] || contains(harmless, path) {
+		for _, path := range imports {
+			if own, ok := strings.CutPrefix(path, module); ok && decisionPackages[own] || slices.Contains(purePackages, path) {
 				continue
 			}
 			t.Errorf("%s imports %s", dir, path)
@@ -91,15 +91,15 @@
 	}
 }
 
-// Guards the core: it knows decisions, and neither wires nor what runs them.
-func TestTheCoreKnowsNoWire(t *testing.T) {
+// The core and the routes know decisions, and neither transports nor what runs them.
+func TestCoreImportsNoTransport(t *testing.T) {
 	for _, dir := range []string{"internal/router", "internal/lang", "internal/route", "policy"} {
-		list, clock := imports(t, dir)
-		if len(clock) > 0 {
-			t.Errorf("%s reads a clock: %v", dir, clock)
+		imports, impure := inspectPackage(t, dir)
+		if len(impure) > 0 {
+			t.Errorf("%s reads a clock: %v", dir, impure)
 		}
-		for _, path := range list {
-			if own, ok := strings.CutPrefix(path, module); ok && contains(wires, own) {
+		for _, path := range imports {
+			if own, ok := strings.CutPrefix(path, module); ok && slices.Contains(transportPackages, own) {
 				t.Errorf("%s imports %s", dir, path)
 			}
 			if path == "net" || path == "os" || path == "net/http" || strings.Contains(path, "nbio") {
@@ -109,10 +109,10 @@
 	}
 }
 
-// Guards main: it wires.
-func TestMainOnlyWires(t *testing.T) {
-	list, _ := imports(t, "cmd/crankhold")
-	for _, path := range list {
+// The program itself only starts the command line.
+func TestProgramOnlyStartsTheCommandLine(t *testing.T) {
+	imports, _ := inspectPackage(t, "cmd/crankhold")
+	for _, path := range imports {
 		if path != "os" && path != module+"internal/command" {
 			t.Errorf("cmd/crankhold imports %s", path)
 		}
--- a/internal/archtest/binary_test.go
+++ b/internal/archtest/binary_test.go
@@ -12,10 +12,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Guards what the platform asks of build and run: run ends in one process by exec, and that program is linked
-// dynamically against the C library. A Go program that is linked by Go alone would start and serve elsewhere and
-// fail there.
-func TestTheDeployedProgramIsLinkedAgainstTheCLibrary(t *testing.T) {
+// The platform needs run to end in one process by exec, and that program to be linked dynamically against the C library:
+// a program that is linked by Go alone serves on other machines and fails there.
+func TestDeployedProgramIsLinkedAgainstTheCLibrary(t *testing.T) {
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	if err != nil {
 		t.Fatal(err)
