--- /dev/null
+++ b/internal/router/core.go
@@ -0,0 +1,151 @@
+package router
+
+import (
+	"time"
+
+	"crankhold/internal/route"
+	"crankhold/internal/timerheap"
+	"crankhold/policy"
+)
+
+// idleInterval is how long Process may go uncalled where no timer is set.
+const idleInterval = time.Hour
+
+// Limits bounds a Core.
+type Limits struct {
+	MaxConcurrentRequests int           // requests that are open at the same time
+	MaxBytes              int           // bytes in the bodies of all open requests together
+	RetryAfter            time.Duration // Retry-After of requests that the core rejects itself; 0 for none
+	MaxAttempts           int           // attempts of one request; 0 for no limit
+	LoadTimeout           time.Duration // a load that is not answered within it has timed out
+	HealthCheckTimeout    time.Duration // a health check that is not answered within it has timed out
+	Tenants               []string      // tenant names, in the order of policy.Config.Tenants
+}
+
+// Core is the function router. It belongs to one goroutine and is not safe for concurrent use.
+type Core struct {
+	policy  *policy.Policy
+	workers WorkerClient
+	limits  Limits
+	now     time.Duration
+
+	events  eventQueue
+	actions []policy.Action // reused by each batch
+
+	timers       timerheap.Heap[timer]
+	policyTimers map[uint64]*timerEntry // by the module's token, the last one set under it
+
+	requests      map[policy.RequestID]*trackedRequest
+	clientIDs     map[string]struct{} // Request.ID of each tracked request
+	lastRequestID policy.RequestID
+	openRequests  int // tracked requests that are owed a response
+	openBytes     int // bytes of their bodies
+
+	commands      map[uint64]*pendingCommand
+	lastCommandID uint64
+
+	tenants      map[string]int // index in the module's configuration, by name
+	routes       *route.Table   // nil: every request may go to every worker
+	routeWorkers []route.Worker
+
+	// Counters counts what the core has accepted, sent and completed.
+	Counters Counters
+	// Draining has the core reject every request from now on, because the program is about to exit.
+	Draining bool
+	// OnCompleted, where set, is called once for each request that was handed in, when it completes.
+	OnCompleted func(now time.Duration, r *Request, completion string)
+}
+
+// New returns a Core that acts on the decisions of p. SetWorkerClient must be called before it is used.
+func New(p *policy.Policy, limits Limits) *Core {
+	c := &Core{
+		policy:       p,
+		limits:       limits,
+		policyTimers: map[uint64]*timerEntry{},
+		requests:     map[policy.RequestID]*trackedRequest{},
+		clientIDs:    map[string]struct{}{},
+		commands:     map[uint64]*pendingCommand{},
+		tenants:      map[string]int{},
+	}
+	for i, name := range limits.Tenants {
+		c.tenants[name] = i
+	}
+	return c
+}
+
+// SetWorkerClient sets the client that carries messages to workers. It is called once, before anything else.
+func (c *Core) SetWorkerClient(w WorkerClient) { c.workers = w }
+
+// OpenRequests returns the number of requests that are owed a response.
+func (c *Core) OpenRequests() int { return c.openRequests }
+
+// SetEndpoints hands in the endpoint list, or a change of it.
+func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
+
+// SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
+// the present one changes nothing.
+func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
+
+// Process fires the timers that are due, hands the gathered events to the decision module and carries out its actions,
+// until nothing is left to do. It returns the time by which it has to be called again.
+func (c *Core) Process(now time.Duration) (next time.Duration) {
+	c.SetNow(now)
+	for {
+		c.fireDueTimers()
+		if c.events.empty() {
+			break
+		}
+		c.handleEvents()
+		c.executeActions()
+	}
+	if due, ok := c.timers.Next(); ok {
+		return due
+	}
+	return now + idleInterval
+}
+
+// handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
+func (c *Core) handleEvents() {
+	c.actions = c.actions[:0]
+	batch := c.events.take()
+	for _, event := range batch {
+		if event != nil {
+			c.actions = c.policy.Handle(c.now, event, c.actions)
+		}
+	}
+	c.events.recycle(batch)
+}
+
+// executeActions carries out the actions of the last batch, in order.
+func (c *Core) executeActions() {
+	for _, action := range c.actions {
+		c.execute(action)
+	}
+}
+
+// execute carries out one action. Actions that are not listed ask for what this deployment does not have: endpoint
+// lists arrive without a subscription, and the settings allow no gossip. The module's log lines are dropped.
+func (c *Core) execute(action policy.Action) {
+	switch a := action.(type) {
+	case policy.StartAttempt:
+		c.startAttempt(a)
+	case policy.CancelAttempt:
+		c.cancelAttempt(Attempt{Request: a.Request, Number: a.Attempt}, policy.Cancelled)
+	case policy.Reject:
+		c.respondUnserved(a.Request, Response{Status: Rejected, RetryAfter: a.RetryAfter})
+	case policy.FailRequest:
+		c.respondUnserved(a.Request, Response{Status: Failed})
+	case policy.Load:
+		c.load(a)
+	case policy.CheckHealth:
+		c.checkHealth(a)
+	case policy.Unload:
+		c.unload(a)
+	case policy.CloseIdleConnections:
+		c.workers.CloseIdle(a.Worker)
+	case policy.SetTimer:
+		c.setPolicyTimer(a)
+	case policy.ClearTimer:
+		c.clearPolicyTimer(a)
+	}
+}
--- a/internal/router/leave_test.go
+++ b/internal/router/leave_test.go
@@ -38,8 +38,8 @@
 			if end == "times out" {
 				want = 1
 			}
-			if len(k.answers) != want || c.OpenRequests() != 0 || len(c.reqs) != 0 || len(c.ids) != 0 {
-				t.Errorf("may cancel %v: the client %s: answers %v, %d open, %d kept", mayCancel, end, k.answers, c.OpenRequests(), len(c.reqs))
+			if len(k.answers) != want || c.OpenRequests() != 0 || len(c.requests) != 0 || len(c.clientIDs) != 0 {
+				t.Errorf("may cancel %v: the client %s: answers %v, %d open, %d kept", mayCancel, end, k.answers, c.OpenRequests(), len(c.requests))
 			}
 			if want == 1 && (k.answers[0].Status != Rejected || k.answers[0].MayHaveRun) {
 				t.Errorf("a call that never left was answered %+v", k.answers[0])
--- /dev/null
+++ b/internal/router/responses.go
@@ -0,0 +1,49 @@
+package router
+
+import (
+	"time"
+
+	"crankhold/policy"
+)
+
+// deadlineTolerance is how close to its deadline a request without a response counts as out of time. The module ends
+// requests two of its ticks before, 8 ms with this deployment's settings.
+const deadlineTolerance = 10 * time.Millisecond
+
+// respondServed gives a request the response of its worker.
+func (c *Core) respondServed(tracked *trackedRequest, body []byte) {
+	c.Counters.Served[tracked.request.Front]++
+	tracked.request.Asker.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
+	c.complete(tracked, "served")
+}
+
+// respondUnserved gives an open request a response that is not a worker's: it is rejected, or has failed.
+func (c *Core) respondUnserved(id policy.RequestID, response Response) {
+	tracked := c.openRequest(id)
+	if tracked == nil {
+		return
+	}
+	response.MayHaveRun = tracked.mayHaveRun || tracked.inFlight > 0
+	response.DeadlineExceeded = c.now >= tracked.request.Deadline-deadlineTolerance
+	completion := c.countUnserved(tracked.request.Front, response.Status)
+	tracked.request.Asker.Respond(response)
+	c.complete(tracked, completion)
+	c.withdrawUnsentAttempts(tracked)
+}
+
+// countUnserved counts a response that is not a worker's, and returns the completion that it stands for.
+func (c *Core) countUnserved(front Front, status ResponseStatus) string {
+	if status == Rejected {
+		c.Counters.Rejected[front]++
+		return "refused"
+	}
+	c.Counters.Failed[front]++
+	return "failed"
+}
+
+// respondUntracked responds to a request that never enters the table and that the module does not see.
+func (c *Core) respondUntracked(r Request, completion string, response Response) {
+	r.AcceptedAt = c.now
+	c.notifyCompleted(&r, completion)
+	r.Asker.Respond(response)
+}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -228,8 +228,8 @@
 // Guards the time-outs: probes and orders that nobody answers end, and what comes later is ignored.
 func TestUnansweredQuestionsTimeOut(t *testing.T) {
 	c, w := newCore(t, 1)
-	c.carryOut(policy.CheckHealth{Worker: 1})
-	c.carryOut(policy.Load{Worker: 1, Function: 2, Count: 1})
+	c.execute(policy.CheckHealth{Worker: 1})
+	c.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
 	c.Process(time.Hour)
 	c.LoadCompleted(2, policy.Served, 1)
 	c.HealthCheckCompleted(1, policy.Served, nil)
@@ -249,8 +249,8 @@
 	c.CancelRequest(time.Hour+ms, id)
 	c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
 	c.Process(time.Hour + ms)
-	if len(k.answers) != 0 || c.Counters.Canceled[Thrift] != 1 || c.Counters.Served[Thrift] != 0 || len(c.reqs) != 0 {
-		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Counters, len(c.reqs))
+	if len(k.answers) != 0 || c.Counters.Canceled[Thrift] != 1 || c.Counters.Served[Thrift] != 0 || len(c.requests) != 0 {
+		t.Errorf("answers %v, counters %+v, %d requests kept", k.answers, c.Counters, len(c.requests))
 	}
 }
 
@@ -265,16 +265,16 @@
 		}
 		id := c.Accept(time.Hour, Request{Asker: k, Class: 1, Function: 7, Deadline: time.Hour + 3*time.Second})
 		c.Process(time.Hour)
-		guard := c.timers[len(c.timers)-1]
-		for _, t := range c.timers {
-			if t.kind == timeUp {
-				guard = t
-			}
-		}
-		if len(w.runs[id]) != sent || guard.kind != timeUp || guard.due != time.Hour+3*time.Second {
+		guard := c.requests[id].deadline
+		if len(w.runs[id]) != sent || guard.Value.kind != requestDeadline || guard.Due() != time.Hour+3*time.Second {
 			t.Fatalf("%d sends, guard %+v", len(w.runs[id]), guard)
 		}
-		c.now = guard.due
+		set := c.timers.Len()
+		c.timers.Remove(guard) // as PopDue does; a timer that is not in the heap would never fire
+		if c.timers.Len() != set-1 {
+			t.Fatal("the deadline timer is not set")
+		}
+		c.now = guard.Due()
 		c.fire(guard)
 		c.Process(c.now)
 		if len(k.answers) != 1 || k.answers[0].Status != want || !k.answers[0].DeadlineExceeded || c.Counters.DeadlineExceeded != 1 || len(w.out) != 0 {
@@ -316,8 +316,8 @@
 	}
 	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("done")})
 	c.Process(time.Hour + ms)
-	if len(k.answers) != 1 || string(k.answers[0].Body) != "done" || len(w.runs) != 1 || len(c.ids)+len(c.reqs) != 0 {
-		t.Fatalf("answers %+v, %d requests sent, %d ids kept", k.answers, len(w.runs), len(c.ids))
+	if len(k.answers) != 1 || string(k.answers[0].Body) != "done" || len(w.runs) != 1 || len(c.clientIDs)+len(c.requests) != 0 {
+		t.Fatalf("answers %+v, %d requests sent, %d ids kept", k.answers, len(w.runs), len(c.clientIDs))
 	}
 	if id, _ := take(Thrift, "again"); id == 0 {
 		t.Error("the id of a request that has ended is still taken")
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("%+v: runs %v of %v", x, w.runs[id], w.out)
 		}
 	}
-	if c.Counters.RejectedUnrouted != [fronts]uint64{1, 2} || c.OpenRequests() != 6 {
+	if c.Counters.RejectedUnrouted != [frontCount]uint64{1, 2} || c.OpenRequests() != 6 {
 		t.Errorf("unrouted %v, %d open", c.Counters.RejectedUnrouted, c.OpenRequests())
 	}
 }
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -15,7 +15,7 @@
 	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
 	now := time.Hour
 	c.Process(now)
-	standing := len(c.timers)
+	standing := c.timers.Len()
 	for i := range 500 {
 		k := &asker{core: c}
 		id := c.Accept(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
@@ -37,7 +37,7 @@
 		now += ms
 		c.Process(now)
 	}
-	if len(c.timers) > standing+2 || len(c.module) > standing+2 || len(c.reqs) > 0 {
-		t.Errorf("%d timers, %d of the module's and %d requests stay; %d timers stood at the start", len(c.timers), len(c.module), len(c.reqs), standing)
+	if c.timers.Len() > standing+2 || len(c.policyTimers) > standing+2 || len(c.requests) > 0 {
+		t.Errorf("%d timers, %d of the module's and %d requests stay; %d timers stood at the start", c.timers.Len(), len(c.policyTimers), len(c.requests), standing)
 	}
 }
--- /dev/null
+++ b/internal/router/validate.go
@@ -0,0 +1,71 @@
+package router
+
+// The limits of a request's figures. A function beyond them is none that a worker could hold, and would spoil the
+// decision module's estimates.
+const (
+	MaxMemoryMB = 1 << 20
+	MaxLanes    = 1024
+	MaxLoadMs   = 600_000
+	MaxWaitMs   = 600_000
+)
+
+// MaxIdempotencyKeyLength is the length in bytes of the longest idempotency key that is passed on. Those of the
+// platform have 32 digits.
+const MaxIdempotencyKeyLength = 64
+
+// functionKeyLength is the number of hex digits in a function key.
+const functionKeyLength = 16
+
+// InRange reports whether a figure is a number from 0 to limit. NaN is not.
+func InRange(figure, limit float64) bool { return figure >= 0 && figure <= limit }
+
+// ParseFunctionKey parses a function key or request ID: 16 hex digits in lower case. It returns false for any other
+// text of the same number, because workers compare keys as text, and a load names its function in this form.
+func ParseFunctionKey(text string) (key uint64, ok bool) {
+	if len(text) != functionKeyLength {
+		return 0, false
+	}
+	for _, char := range []byte(text) {
+		digit, ok := lowerHexDigit(char)
+		if !ok {
+			return 0, false
+		}
+		key = key<<4 | uint64(digit)
+	}
+	return key, true
+}
+
+// ParseIdempotencyKey reports whether an idempotency key can be passed on: hex digits of either case, at least one and
+// at most MaxIdempotencyKeyLength.
+func ParseIdempotencyKey(text string) bool {
+	if len(text) == 0 || len(text) > MaxIdempotencyKeyLength {
+		return false
+	}
+	for _, char := range []byte(text) {
+		if !isHexDigit(char) {
+			return false
+		}
+	}
+	return true
+}
+
+// lowerHexDigit returns the value of a decimal digit or a letter from a to f.
+func lowerHexDigit(char byte) (value byte, ok bool) {
+	switch {
+	case char >= '0' && char <= '9':
+		return char - '0', true
+	case char >= 'a' && char <= 'f':
+		return char - 'a' + 10, true
+	default:
+		return 0, false
+	}
+}
+
+// isHexDigit reports whether char is a hex digit of either case.
+func isHexDigit(char byte) bool {
+	if char >= 'A' && char <= 'F' {
+		return true
+	}
+	_, ok := lowerHexDigit(char)
+	return ok
+}
