--- /dev/null
+++ b/internal/server/build.go
@@ -0,0 +1,115 @@
+package server
+
+import (
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/thrift"
+	"crankhold/internal/workerclient"
+	"crankhold/policy"
+)
+
+const (
+	healthCheckTimeout   = 250 * time.Millisecond
+	discoveryDialTimeout = time.Second
+)
+
+// Bounds on what is held for peers, in bytes, for the memory limit at which config.Config.ScaleToMemory returns them unchanged.
+const (
+	maxQueuedBytes         = 8 << 20  // read from peers and queued for the event loop
+	maxUnreadBytes         = 32 << 20 // written and not yet read by peers
+	maxRequestBytes        = 24 << 20 // bodies of open requests
+	maxWebhookOutcomeBytes = 16 << 20 // outcomes that webhook senders may come back for
+)
+
+// New builds a server from the configuration. It opens no socket.
+func New(cfg *config.Config, options Options, reread func() (*config.Config, error)) (*Server, error) {
+	scheduler, err := policy.New(cfg.Policy, cfg.SeedValue)
+	if err != nil {
+		return nil, err
+	}
+	s := &Server{config: cfg, options: options, reread: reread, closed: make(chan struct{})}
+	s.loop = newEventLoop(cfg)
+	s.core = newCore(cfg, scheduler)
+	s.workers = newWorkerClient(cfg, s.loop, s.core)
+	s.core.SetWorkerClient(s.workers)
+	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
+	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
+	addresses, err := readAddresses(options.Addresses)
+	if err != nil {
+		return nil, err
+	}
+	s.discovery.UnixInTXT = addresses.UnixInTXT
+	return s, nil
+}
+
+func newEventLoop(cfg *config.Config) *eventloop.Loop {
+	return eventloop.New(eventloop.Config{
+		MaxAccepted:    cfg.MaxClientConnections(),
+		MaxDescriptors: cfg.Limits.Sockets,
+		MaxQueuedBytes: cfg.ScaleToMemory(maxQueuedBytes),
+		MaxUnreadBytes: cfg.ScaleToMemory(maxUnreadBytes),
+	})
+}
+
+func newCore(cfg *config.Config, scheduler *policy.Policy) *router.Core {
+	return router.New(scheduler, router.Limits{
+		MaxConcurrentRequests: cfg.MaxConcurrentRequests(),
+		MaxBytes:              cfg.ScaleToMemory(maxRequestBytes),
+		RetryAfter:            cfg.RejectionRetryAfter(),
+		MaxAttempts:           cfg.Policy.MaxAttempts,
+		LoadTimeout:           cfg.Policy.LoadTimeout,
+		HealthCheckTimeout:    healthCheckTimeout,
+		Tenants:               cfg.TenantNames(),
+	})
+}
+
+func newWorkerClient(cfg *config.Config, loop *eventloop.Loop, results workerclient.ResultHandler) *workerclient.Pool {
+	limits := cfg.Network.Limits
+	return workerclient.New(workerclient.Config{
+		Classes:               cfg.ClassNames(),
+		ReportFields:          cfg.Policy.LoadReportFields,
+		DialTimeout:           config.Millis(limits.DialTimeoutMs),
+		KeepAlive:             config.Millis(limits.KeepaliveMs),
+		SlowestObjective:      slowestObjective(cfg.Policy.Classes),
+		MaxCallsPerConnection: limits.StreamsPerConn,
+		MaxConnections:        cfg.MaxWorkerConnections(),
+		CancelSupported:       cfg.Policy.CancelSupported,
+		Seed:                  cfg.SeedValue,
+		Dial: func(network, addr string, timeout time.Duration, handler eventloop.DialHandler) workerclient.Transport {
+			return loop.Dial(network, addr, timeout, handler)
+		},
+	}, results)
+}
+
+// slowestObjective returns the longest latency objective of all classes.
+func slowestObjective(classes []policy.Class) time.Duration {
+	slowest := time.Duration(0)
+	for _, class := range classes {
+		slowest = max(slowest, class.LatencyObjective)
+	}
+	return slowest
+}
+
+func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, changed func([]discovery.Worker)) *discovery.Client {
+	dial := func(addr string, handler eventloop.DialHandler) discovery.Transport {
+		return loop.Dial("udp", addr, discoveryDialTimeout, handler)
+	}
+	return discovery.New(cfg.DiscoveryAddr, cfg.SeedValue, cfg.Policy.DrainGracePeriod, dial, changed)
+}
+
+// thriftConfig returns what the Thrift front checks requests against.
+func thriftConfig(cfg *config.Config) thrift.Config {
+	front := thrift.Config{Tenants: cfg.TenantNames()}
+	names := cfg.ClassNames()
+	for i, class := range cfg.Policy.Classes {
+		front.Classes = append(front.Classes, thrift.Class{
+			Name:                   names[i],
+			RequiresIdempotencyKey: class.Idempotency == policy.IdempotentWithKey,
+		})
+	}
+	return front
+}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -1,42 +1,106 @@
 package server
 
 import (
+	"context"
 	"log/slog"
 
-	"crankhold/internal/discovery"
 	"crankhold/internal/router"
-	"crankhold/internal/workerclient"
 	"crankhold/policy"
 )
 
-// printCounters logs what was taken, sent and answered.
-func printCounters(core *router.Core, pool *workerclient.Pool, d *discovery.Client, h *hooks) {
-	n := &core.Counters
-	for f, name := range []string{"thrift", "webhook"} {
-		slog.Info("counters_reported", "front", name, "taken", n.Accepted[f], "served", n.Served[f], "refused", n.Rejected[f], "failed", n.Failed[f],
-			"left", n.Canceled[f], "turned_away", n.RejectedUnaccepted[f], "unrouted", n.RejectedUnrouted[f])
+// frontNames are the values of the attribute front, in the order of router.Front.
+var frontNames = [...]string{router.Thrift: "thrift", router.Webhook: "webhook"}
+
+// outcomeNames are the attributes under which attempts, loads and health checks are counted by outcome. Operators'
+// queries rest on them, so they stay as they are when outcomes are renamed in the code.
+var outcomeNames = [...]string{
+	policy.Served:          "served",
+	policy.Failed:          "errored",
+	policy.Overloaded:      "full",
+	policy.TimedOut:        "timed_out",
+	policy.Unreachable:     "unreachable",
+	policy.ConnectionReset: "reset",
+	policy.Cancelled:       "cancelled",
+	policy.NotSent:         "moot",
+	policy.NotLoaded:       "missed",
+}
+
+// logCounters logs what was accepted, forwarded and answered since the start.
+func (s *Server) logCounters() {
+	s.logRequestCounters()
+	s.logWorkerCounters()
+	s.logPoolCounters()
+	s.integrations.logCounters()
+	logCounterLine(slog.Uint64("directory_asked", s.discovery.QueriesSent), slog.Uint64("directory_heard", s.discovery.ResponsesRead))
+}
+
+// logCounterLine logs one line of counters.
+func logCounterLine(attributes ...slog.Attr) {
+	slog.LogAttrs(context.Background(), slog.LevelInfo, "counters_reported", attributes...)
+}
+
+// logRequestCounters logs one line for each front.
+func (s *Server) logRequestCounters() {
+	counters := &s.core.Counters
+	for front, name := range frontNames {
+		logCounterLine(
+			slog.String("front", name),
+			slog.Uint64("taken", counters.Accepted[front]),
+			slog.Uint64("served", counters.Served[front]),
+			slog.Uint64("refused", counters.Rejected[front]),
+			slog.Uint64("failed", counters.Failed[front]),
+			slog.Uint64("left", counters.Canceled[front]),
+			slog.Uint64("turned_away", counters.RejectedUnaccepted[front]),
+			slog.Uint64("unrouted", counters.RejectedUnrouted[front]))
 	}
-	slog.Info("counters_reported", append([]any{"sent", n.AttemptsStarted, "overdue", n.DeadlineExceeded}, byOutcome(n.AttemptsByOutcome)...)...)
-	slog.Info("counters_reported", append([]any{"orders", n.LoadsOrdered, "unloads", n.Unloads}, byOutcome(n.LoadsByOutcome)...)...)
-	slog.Info("counters_reported", append([]any{"probes", n.HealthChecks}, byOutcome(n.HealthChecksByOutcome)...)...)
-	k := pool.Counters
-	slog.Info("counters_reported", "dials", k.Dials, "dials_failed", k.DialsFailed, "trials", k.RecoveryDials, "trials_failed", k.RecoveryDialsFailed, "moved", k.CallsResent, "pings", k.Pings)
-	if t := core.Routes(); t != nil {
-		for _, p := range t.Pools() {
-			slog.Info("counters_reported", "pool", p.Spec.Name, "workers", p.Size(), "calls", p.Requests, "in_flight", p.InFlight(), "peak", p.Peak(),
-				"spilled", p.Overflows, "spill_denied", p.CapacityExceeded, "orders", p.Loads)
-		}
+}
+
+// logWorkerCounters logs what went to the workers, and what became of the connections to them.
+func (s *Server) logWorkerCounters() {
+	counters := &s.core.Counters
+	attempts := []slog.Attr{slog.Uint64("sent", counters.AttemptsStarted), slog.Uint64("overdue", counters.DeadlineExceeded)}
+	logCounterLine(append(attempts, outcomeAttributes(counters.AttemptsByOutcome)...)...)
+	loads := []slog.Attr{slog.Uint64("orders", counters.LoadsOrdered), slog.Uint64("unloads", counters.Unloads)}
+	logCounterLine(append(loads, outcomeAttributes(counters.LoadsByOutcome)...)...)
+	healthChecks := []slog.Attr{slog.Uint64("probes", counters.HealthChecks)}
+	logCounterLine(append(healthChecks, outcomeAttributes(counters.HealthChecksByOutcome)...)...)
+
+	connections := s.workers.Counters
+	logCounterLine(
+		slog.Uint64("dials", connections.Dials),
+		slog.Uint64("dials_failed", connections.DialsFailed),
+		slog.Uint64("trials", connections.RecoveryDials),
+		slog.Uint64("trials_failed", connections.RecoveryDialsFailed),
+		slog.Uint64("moved", connections.CallsResent),
+		slog.Uint64("pings", connections.Pings))
+}
+
+// logPoolCounters logs one line for each pool of the routes in force.
+func (s *Server) logPoolCounters() {
+	table := s.core.Routes()
+	if table == nil {
+		return
+	}
+	for _, pool := range table.Pools() {
+		logCounterLine(
+			slog.String("pool", pool.Spec.Name),
+			slog.Int("workers", pool.Size()),
+			slog.Uint64("calls", pool.Requests),
+			slog.Int("in_flight", pool.InFlight()),
+			slog.Int("peak", pool.Peak()),
+			slog.Uint64("spilled", pool.Overflows),
+			slog.Uint64("spill_denied", pool.CapacityExceeded),
+			slog.Uint64("orders", pool.Loads))
 	}
-	h.print()
-	slog.Info("counters_reported", "directory_asked", d.QueriesSent, "directory_heard", d.ResponsesRead)
 }
 
-// byOutcome lists the outcomes that occurred.
-func byOutcome(counts [policy.NotLoaded + 1]uint64) (pairs []any) {
-	for o, name := range []string{"served", "errored", "full", "timed_out", "unreachable", "reset", "cancelled", "moot", "missed"} {
-		if counts[o] > 0 {
-			pairs = append(pairs, name, counts[o])
+// outcomeAttributes returns a count for each outcome that occurred.
+func outcomeAttributes(counts [policy.NotLoaded + 1]uint64) []slog.Attr {
+	var attributes []slog.Attr
+	for outcome, name := range outcomeNames {
+		if counts[outcome] > 0 {
+			attributes = append(attributes, slog.Uint64(name, counts[outcome]))
 		}
 	}
-	return pairs
+	return attributes
 }
--- a/internal/server/cuts_test.go
+++ b/internal/server/cuts_test.go
@@ -125,13 +125,11 @@
 	faults = append(faults, fault{"an answer that does not go on", 0, cut(whole/2, stays), false})
 
 	w := &cutter{runs: map[string]int{}}
-	_, listen, config := siteFor(t, 2, nil)
-	members := config["known"].(map[string]any)["batch"].([]any)[0].(map[string]any)["topology"].(map[string]any)["members"].([]any)
-	for _, m := range members {
-		m.(map[string]any)["host_port"] = w.listen(t)
+	_, _, document := siteFor(t, 2, nil)
+	for _, member := range firstTopology(document)["members"].([]any) {
+		member.(map[string]any)["host_port"] = w.listen(t)
 	}
-	client := serveHere(t, config, listen)()
-	defer client.Close()
+	client := startServer(t, document, Options{}).dial()
 	n := 0
 	do := func(class string) (fake.Answer, int) {
 		t.Helper()
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -23,29 +23,27 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var mu sync.Mutex
 			var ran []string
-			site, listen, config := siteFor(t, 1, func(e fake.Event) {
+			site, _, document := siteFor(t, 1, func(e fake.Event) {
 				if e.What == "run" {
 					mu.Lock()
 					ran = append(ran, e.ID)
 					mu.Unlock()
 				}
 			})
-			limits := config["settings"].(map[string]any)["limits"].(map[string]any)
+			limits := document["settings"].(map[string]any)["limits"].(map[string]any)
 			limits["cancel"], limits["dialTimeoutMs"] = tt.cancel, 20000
 			port := site.Workers[0].Ports()[0]
 			if err := port.Set("full"); err != nil {
 				t.Fatal(err)
 			}
-			client := serveHere(t, config, listen)
+			server := startServer(t, document, Options{})
 			check := func(k *fake.Client) { // answered at the end of a turn, after all that came before it
 				t.Helper()
 				if _, err := k.Check(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			goes, stays := client(), client()
-			defer goes.Close()
-			defer stays.Close()
+			goes, stays := server.dial(), server.dial()
 			gone, kept := callOf(1), callOf(2)
 			gone.Wait, kept.Wait = 20e9, 20e9
 			goes.Go(gone, func(fake.Answer, error) {})
--- /dev/null
+++ b/internal/server/goroutines_test.go
@@ -0,0 +1,87 @@
+package server
+
+import (
+	"fmt"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+)
+
+// ownGoroutines returns the stacks of the goroutines that this program's packages have started, but for those that the tests'
+// own functions run in. The pollers of nbio belong to package eventloop and stay until the process ends.
+func ownGoroutines() []string {
+	buffer := make([]byte, 1<<20)
+	buffer = buffer[:runtime.Stack(buffer, true)]
+	var own []string
+	for stack := range strings.SplitSeq(string(buffer), "\n\n") {
+		_, creator, found := strings.Cut(stack, "created by ")
+		if found && strings.HasPrefix(creator, "crankhold/internal/") && !strings.Contains(creator, "_test.go") && !strings.Contains(stack, "/internal/fake/") {
+			own = append(own, stack)
+		}
+	}
+	return own
+}
+
+// waitForNoOwnGoroutines fails the test if goroutines of this program are left after ten seconds. One that is between its
+// last statement and its end is still listed, so the first look may be too early.
+func waitForNoOwnGoroutines(t *testing.T) {
+	t.Helper()
+	deadline := time.Now().Add(10 * time.Second)
+	for {
+		left := ownGoroutines()
+		if len(left) == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("%d goroutines are left:\n%s", len(left), strings.Join(left, "\n\n"))
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// Each goroutine of a server ends with it: after Serve has returned none is left, also where requests were served and
+// the configuration was reloaded.
+func TestNoGoroutineIsLeftAfterServe(t *testing.T) {
+	waitForNoOwnGoroutines(t)
+	_, _, document := siteFor(t, 2, nil)
+	server := startServer(t, document, Options{})
+	client := server.dial()
+	for n := range 3 {
+		if answer, err := client.Do(callOf(n + 1)); err != nil || answer.Verdict != "served" {
+			t.Fatalf("answer %+v, %v", answer, err)
+		}
+	}
+	if len(ownGoroutines()) < 2 {
+		t.Error("the goroutines of a server that runs aren't found")
+	}
+	if err := server.reload(); err != nil {
+		t.Error(err)
+	}
+	client.Close()
+	server.drain()
+	waitForNoOwnGoroutines(t)
+}
+
+// A server that could not start leaves no goroutine behind either.
+func TestNoGoroutineIsLeftAfterAFailedStart(t *testing.T) {
+	waitForNoOwnGoroutines(t)
+	_, _, document := siteFor(t, 1, nil)
+	document["listen"] = "192.0.2.1:1" // reserved for documentation: not an address of this machine
+	dir := t.TempDir()
+	path := filepath.Join(dir, "config.json")
+	writeConfig(t, path, document)
+	cfg, err := readConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	webhookFile := filepath.Join(dir, "webhook.toml")
+	writeText(t, filepath.Join(dir, "hook.key"), "whsec_"+strings.Repeat("aaaa", 16)+"\n")
+	writeText(t, webhookFile, fmt.Sprintf("[receiver]\nenabled = true\nlisten = \"127.0.0.1:0\"\nkeys = [{ file = %q }]\n[receiver.ledger]\npath = %q\n",
+		filepath.Join(dir, "hook.key"), filepath.Join(dir, "orders.ledger")))
+	if err := Serve(cfg, Options{Webhook: webhookFile}, nil); err == nil || !strings.HasPrefix(err.Error(), "listen: ") {
+		t.Fatalf("a server listens on an address that isn't this machine's: %v", err)
+	}
+	waitForNoOwnGoroutines(t)
+}
--- /dev/null
+++ b/internal/server/harness_test.go
@@ -0,0 +1,148 @@
+package server
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/fake"
+)
+
+// siteFor starts a fake discovery server with warm workers, and returns the configuration document of a router before them.
+func siteFor(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, document map[string]any) {
+	t.Helper()
+	var list []fake.WorkerConfig
+	for i := range workers {
+		list = append(list, fake.WorkerConfig{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 8, Queue: 64})
+	}
+	site, err := fake.NewSite("127.0.0.1:0", list, record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(site.Close)
+	if listen, err = fake.FreeAddr(); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(site.Config(listen), &document); err != nil {
+		t.Fatal(err)
+	}
+	return site, listen, document
+}
+
+// firstTopology returns the endpoint list that a configuration document holds, to be changed in place.
+func firstTopology(document map[string]any) map[string]any {
+	batch := document["known"].(map[string]any)["batch"].([]any)
+	return batch[0].(map[string]any)["topology"].(map[string]any)
+}
+
+func writeConfig(t *testing.T, path string, document map[string]any) {
+	t.Helper()
+	text, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeText(t, path, string(text))
+}
+
+func writeText(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readConfig reads a configuration as the program does.
+func readConfig(path string) (*config.Config, error) {
+	return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
+}
+
+// testServer is a server that runs in this process until the test ends.
+type testServer struct {
+	t       *testing.T
+	path    string // of its configuration
+	listen  string
+	rereads chan error // one value for each time that the configuration has been read again
+	stop    func()     // closes Options.Stop; further calls have no effect
+	ended   chan error // what Serve returned
+}
+
+// startServer runs a server by a configuration document, and ends it with the test.
+func startServer(t *testing.T, document map[string]any, options Options) *testServer {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, document)
+	return startServerByFile(t, path, options)
+}
+
+// startServerByFile runs a server by a configuration file, and ends it with the test.
+func startServerByFile(t *testing.T, path string, options Options) *testServer {
+	t.Helper()
+	cfg, err := readConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopping := make(chan struct{})
+	s := &testServer{t: t, path: path, listen: cfg.Listen, rereads: make(chan error, 1), ended: make(chan error, 1)}
+	s.stop = sync.OnceFunc(func() { close(stopping) })
+	options.Stop = stopping
+	reread := func() (*config.Config, error) {
+		fresh, err := readConfig(path)
+		s.rereads <- err
+		return fresh, err
+	}
+	go func() {
+		s.ended <- Serve(cfg, options, reread)
+		close(s.ended)
+	}()
+	t.Cleanup(func() {
+		s.stop()
+		if err := <-s.ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return s
+}
+
+// dial connects a client once the server listens.
+func (s *testServer) dial() *fake.Client {
+	s.t.Helper()
+	for {
+		select {
+		case err := <-s.ended:
+			s.t.Fatalf("the server ended before it listened: %v", err)
+		default:
+		}
+		if client, err := fake.Dial(s.listen); err == nil {
+			s.t.Cleanup(client.Close)
+			return client
+		}
+	}
+}
+
+// reload sends SIGHUP and returns what reading the configuration again came to. The reload is applied a turn later.
+func (s *testServer) reload() error {
+	s.t.Helper()
+	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
+		s.t.Fatal(err)
+	}
+	return <-s.rereads
+}
+
+// drain ends the server and waits for the end.
+func (s *testServer) drain() {
+	s.t.Helper()
+	s.stop()
+	if err := <-s.ended; err != nil {
+		s.t.Error(err)
+	}
+}
+
+func callOf(n int) fake.Call {
+	return fake.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", n), Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:8"}
+}
--- /dev/null
+++ b/internal/server/membership_test.go
@@ -0,0 +1,176 @@
+package server
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/route"
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+	"crankhold/internal/workerclient"
+	"crankhold/policy"
+)
+
+// testMembership is a membership whose worker client opens no sockets; the test completes its dials.
+type testMembership struct {
+	*membership
+	dialled    []string
+	transports []*testutil.Transport
+	handlers   []eventloop.DialHandler
+}
+
+func newTestMembership(t *testing.T) *testMembership {
+	t.Helper()
+	module, err := policy.New(policy.Config{Routers: 1, MaxAttempts: 3, OverQuotaWeight: 1, Classes: []policy.Class{{LatencyObjective: time.Second, Deadline: 2 * time.Second}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := &testMembership{}
+	core := router.New(module, router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16})
+	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxCallsPerConnection: 32, MaxConnections: 100,
+		Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
+			transport := &testutil.Transport{}
+			m.dialled = append(m.dialled, network+" "+addr)
+			m.transports = append(m.transports, transport)
+			m.handlers = append(m.handlers, h)
+			return transport
+		}}, core)
+	core.SetWorkerClient(pool)
+	m.membership = newMembership(eventloop.New(eventloop.Config{}), core, pool, &config.Config{})
+	return m
+}
+
+// listed returns an entry of the endpoint list.
+func listed(t *testing.T, name string, state policy.WorkerState, addrs ...string) discovery.Worker {
+	t.Helper()
+	w := discovery.Worker{Name: name, State: state, Weight: 1}
+	for _, s := range addrs {
+		a, err := endpoint.ParseHost(s)
+		if err != nil {
+			t.Fatal(err)
+		}
+		w.Addrs = append(w.Addrs, a)
+	}
+	return w
+}
+
+// send starts an attempt at a worker and returns the address that was dialled for it, or "" where none was.
+func (m *testMembership) send(w policy.WorkerID, n int) (dialled string) {
+	before := len(m.dialled)
+	m.workers.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), FunctionKey: "00000000000000aa"}, time.Second)
+	if len(m.dialled) == before {
+		return ""
+	}
+	return m.dialled[before]
+}
+
+// Two entries with an address in common are one worker, which drains as soon as one of them does. When one entry leaves the list
+// that worker is gone, and the entry that is left is another worker, which inherits nothing.
+func TestAliasesAreOneWorker(t *testing.T) {
+	m := newTestMembership(t)
+	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
+	one := workerID("s-1+s-2")
+	if got := m.send(one, 0); got != "tcp6 [::1]:1" {
+		t.Fatalf("the worker of both is dialled over %q", got)
+	}
+	if got := m.send(workerID("s-1"), 1) + m.send(workerID("s-2"), 2); got != "" {
+		t.Errorf("the entries are workers of their own: %s", got)
+	}
+	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
+	m.handlers[0].DialCompleted(nil)
+	if got := m.send(one, 3); got != "" || m.transports[0].Wrote.Len() > 0 {
+		t.Errorf("a drain told under one name: dialled %q, wrote %q", got, m.transports[0].Wrote.String())
+	}
+	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
+	if got := m.send(one, 4); got != "" {
+		t.Errorf("the worker of both goes on without one: dialled %q", got)
+	}
+	if got := m.send(workerID("s-1"), 5); got != "tcp6 [::1]:1" {
+		t.Errorf("what is left is dialled over %q", got)
+	}
+}
+
+// A new worker at the address of one that is gone inherits nothing, and two workers that swap addresses stay two.
+func TestMovedAndSwappedAddresses(t *testing.T) {
+	m := newTestMembership(t)
+	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1")})
+	m.send(workerID("s-1"), 0)
+	m.update([]discovery.Worker{listed(t, "s-9", policy.Ready, "127.0.0.1:1")})
+	if !m.transports[0].HasClosed {
+		t.Error("the dial to the worker that is gone goes on")
+	}
+	if got := m.send(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
+		t.Errorf("the new worker is dialled over %q", got)
+	}
+	m.update([]discovery.Worker{listed(t, "a", policy.Ready, "127.0.0.1:1"), listed(t, "b", policy.Ready, "127.0.0.1:2")})
+	m.update([]discovery.Worker{listed(t, "a", policy.Ready, "127.0.0.1:2"), listed(t, "b", policy.Ready, "127.0.0.1:1")})
+	if got := m.send(workerID("a"), 2) + ", " + m.send(workerID("b"), 3); got != "tcp4 127.0.0.1:2, tcp4 127.0.0.1:1" {
+		t.Errorf("after a swap: %s", got)
+	}
+}
+
+// The routes file may add addresses of a worker, order its networks and declare aliases; pools select a worker by any of
+// its names.
+func TestRoutesFileAddsAddressesAndAliases(t *testing.T) {
+	sock, err := endpoint.Parse(endpoint.Unix, "/run/w.sock")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := newTestMembership(t)
+	m.list = []discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:2"), listed(t, "s-3", policy.Ready, "127.0.0.1:3")}
+	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []endpoint.Addr{sock}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []endpoint.Network{endpoint.TCP4}}},
+		Pools:  []route.PoolSpec{{Name: "a", Workers: []route.Selector{{IDs: []string{"s-3"}}}, MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
+		Routes: []route.RouteSpec{{Name: "r", Pool: "a"}}}, []string{"dim-level"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.core.SetRoutes(table)
+	m.publish()
+	if got := m.send(workerID("s-1"), 0); got != "unix /run/w.sock" {
+		t.Errorf("a socket of the file's: dialled %q", got)
+	}
+	if got := m.send(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
+		t.Errorf("aliases by the file: dialled %q", got)
+	}
+	if !table.Pools()[0].Contains(workerID("s-2+s-3")) || table.Pools()[0].Contains(workerID("s-1")) {
+		t.Error("the pool does not pick the worker by its second name")
+	}
+}
+
+// A name that had left the list and is back is a new process, which goes through slow start although discovery reports no
+// start of it. A start time that discovery reports takes precedence, and a list without any worker proves of none that it ended.
+func TestReturningWorkerGoesThroughSlowStart(t *testing.T) {
+	m := newTestMembership(t)
+	one, two := listed(t, "s-1", policy.Ready, "127.0.0.1:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:2")
+	lists := func(of ...[]discovery.Worker) {
+		for _, list := range of {
+			m.update(list)
+		}
+	}
+	both, alone := []discovery.Worker{one, two}, []discovery.Worker{two}
+	lists(both, both)
+	if m.startTime(one) != 0 {
+		t.Error("a worker that was there all along counts as started")
+	}
+	lists(nil, both)
+	if m.startTime(one) != 0 {
+		t.Error("an empty list made all workers cold")
+	}
+	lists(alone, both)
+	if at := m.startTime(one); at != m.loop.Now() || m.startTime(two) != 0 {
+		t.Errorf("the one that returned counts as started at %v, the other at %v", at, m.startTime(two))
+	}
+	lists(both)
+	if m.startTime(one) != m.loop.Now() {
+		t.Error("a further list forgot the start")
+	}
+	one.Started = time.Now().Add(-time.Second).UnixMilli()
+	if at := m.startTime(one); at >= m.loop.Now() {
+		t.Errorf("a start that is told counts as %v", at)
+	}
+}
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -15,7 +15,6 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/config"
 	"crankhold/internal/fake"
 )
 
@@ -129,67 +128,6 @@
 	return <-p.ended
 }
 
-// siteFor is a directory with warm workers, and a configuration for a router before them.
-func siteFor(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, config map[string]any) {
-	t.Helper()
-	var list []fake.WorkerConfig
-	for i := range workers {
-		list = append(list, fake.WorkerConfig{Name: fmt.Sprint("s-", i), Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 8, Queue: 64})
-	}
-	site, err := fake.NewSite("127.0.0.1:0", list, record)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(site.Close)
-	if listen, err = fake.FreeAddr(); err != nil {
-		t.Fatal(err)
-	}
-	if err := json.Unmarshal(site.Config(listen), &config); err != nil {
-		t.Fatal(err)
-	}
-	return site, listen, config
-}
-
-func writeConfig(t *testing.T, path string, document map[string]any) {
-	t.Helper()
-	text, err := json.Marshal(document)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// serveHere runs a service in this process until the test ends, and returns what connects to it.
-func serveHere(t *testing.T, document map[string]any, listen string) (client func() *fake.Client) {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, document)
-	cfg, err := config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
-	if err != nil {
-		t.Fatal(err)
-	}
-	stop, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- Serve(cfg, Options{Stop: stop}, nil) }()
-	t.Cleanup(func() {
-		close(stop)
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
-	return func() (k *fake.Client) {
-		for k == nil {
-			k, _ = fake.Dial(listen)
-		}
-		return k
-	}
-}
-
-func callOf(n int) fake.Call {
-	return fake.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", n), Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:8"}
-}
-
 // Guards a start against the signals that meet it: the program is held while it reads its configuration, from a pipe
 // that nobody has written to yet. A hang-up has it read the file once more and not die; SIGTERM has it end in order.
 func TestSignalsWhileItStarts(t *testing.T) {
@@ -254,7 +192,7 @@
 	dead.Close()
 	moved := site.Directory.Addr()
 	config["names"], config["limits"] = silent, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
-	known := config["known"].(map[string]any)["batch"].([]any)[0].(map[string]any)["topology"].(map[string]any)
+	known := firstTopology(config)
 	known["members"] = known["members"].([]any)[:1] // of the second worker only the directory tells
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, config)
@@ -314,7 +252,7 @@
 func TestReadyWithAnEmptyListAndNoDirectory(t *testing.T) {
 	site, listen, config := siteFor(t, 1, nil)
 	site.Directory.Close()
-	known := config["known"].(map[string]any)["batch"].([]any)[0].(map[string]any)["topology"].(map[string]any)
+	known := firstTopology(config)
 	known["members"] = []any{}
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, config)
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -12,12 +12,11 @@
 	"crankhold/internal/lang"
 	"crankhold/internal/lang/syntax"
 	"crankhold/internal/route"
-	"crankhold/internal/router"
 )
 
-// CheckRoutesFile reads and checks a routes file and all that it includes; p may be nil. Includes can't leave the
-// folder of the first file, by links either.
-func CheckRoutesFile(name string, p *lang.Platform) (*lang.Result, error) {
+// CheckRoutesFile reads and checks a routes file and all that it includes; platform may be nil. Includes can't leave the
+// folder of the first file, not through symbolic links either.
+func CheckRoutesFile(name string, platform *lang.Platform) (*lang.Result, error) {
 	dir, file := filepath.Split(name)
 	if dir == "" {
 		dir = "."
@@ -27,69 +26,83 @@
 		return nil, err
 	}
 	defer root.Close()
-	return lang.Check(root.FS(), file, filepath.ToSlash(filepath.Clean(dir)), p)
+	return lang.Check(root.FS(), file, filepath.ToSlash(filepath.Clean(dir)), platform)
 }
 
-// readRoutes makes a table out of the routes file, or none where there is no file.
-func readRoutes(opts Options, c *config.Config) (*route.Table, error) {
-	if opts.Routes == "" {
+// readRoutes compiles the routes file, and logs the checker's warnings. It returns nil where there is no file.
+func readRoutes(options Options, cfg *config.Config) (*route.Table, error) {
+	if options.Routes == "" {
 		return nil, nil
 	}
-	r, err := CheckRoutesFile(opts.Routes, c.RoutingPlatform())
-	if opts.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
+	result, err := CheckRoutesFile(options.Routes, cfg.RoutingPlatform())
+	if options.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	for _, n := range r.Notes {
-		slog.Warn("routes_warned", "at", n.Pos.String(), "note", n.Msg)
+	for _, note := range result.Notes {
+		slog.Warn("routes_warned", slog.String("at", note.Pos.String()), slog.String("note", note.Msg))
 	}
-	if err := r.Err(); err != nil {
+	if err := result.Err(); err != nil {
 		return nil, err
 	}
-	return route.Compile(&r.Spec, c.ClassNames())
+	return route.Compile(&result.Spec, cfg.ClassNames())
 }
 
-// swapRoutes puts a table in place of the one in force and logs what it changes. Calls that are open end under
-// the old one; a file with faults leaves it in force.
-func swapRoutes(core *router.Core, c *config.Config, t *route.Table, wrong error) {
-	old := core.Routes()
-	if wrong != nil {
-		for _, line := range faultLines(wrong) {
-			slog.Error("routes_rejected", "err", line)
-		}
-		return
+// loadFirstRoutes reads the routes file at the start and enables its routes.
+func (s *Server) loadFirstRoutes() error {
+	table, err := readRoutes(s.options, s.config)
+	if err != nil || table == nil {
+		return err
 	}
+	s.enableRoutes(table)
+	s.membership.publish()
+	return nil
+}
+
+// enableRoutes puts a first table in force.
+func (s *Server) enableRoutes(table *route.Table) {
+	s.core.SetRoutes(table)
+	slog.Info("routes_enabled", slog.Int("routes", len(table.Routes())), slog.Int("pools", len(table.Pools())))
+}
+
+// replaceRoutes puts the table of a reload in force and logs what it changes. Open requests end under the old one.
+// Where the file is gone (fresh is nil) the routes in force stay: to turn routes off takes a restart.
+func (s *Server) replaceRoutes(fresh *route.Table) {
+	current := s.core.Routes()
 	switch {
-	case t == nil && old != nil: // whoever wants none in force says so by a restart
-		slog.Error("routes_rejected", "err", "the file is gone; the routes that it held stay in force")
-		return
-	case t == nil:
-		return
-	case old == nil:
-		putInForce(core, t)
-		return
+	case fresh == nil && current == nil:
+	case fresh == nil:
+		slog.Error("routes_rejected", slog.String("err", "the file is gone; the routes that it held stay in force"))
+	case current == nil:
+		s.enableRoutes(fresh)
+	default:
+		s.swapRoutes(current, fresh)
 	}
-	changes := route.Diff(old, t, c.NotIdempotent(), false)
-	core.SetRoutes(t)
-	slog.Info("routes_reloaded", "changes", len(changes), "routes", len(t.Routes()))
-	for _, d := range changes {
-		slog.Info("route_changed", "of", d.Subject(), "before", d.Before, "after", d.After)
+}
+
+func (s *Server) swapRoutes(current, fresh *route.Table) {
+	changes := route.Diff(current, fresh, s.config.NotIdempotent(), false)
+	s.core.SetRoutes(fresh)
+	slog.Info("routes_reloaded", slog.Int("changes", len(changes)), slog.Int("routes", len(fresh.Routes())))
+	for _, change := range changes {
+		slog.Info("route_changed", slog.String("of", change.Subject()), slog.String("before", change.Before), slog.String("after", change.After))
 	}
 }
 
-// putInForce has calls go by a first table.
-func putInForce(core *router.Core, t *route.Table) {
-	core.SetRoutes(t)
-	slog.Info("routes_enabled", "routes", len(t.Routes()), "pools", len(t.Pools()))
+// logRejectedRoutes logs each fault of a routes file that can't be used.
+func logRejectedRoutes(err error) {
+	for _, line := range faultLines(err) {
+		slog.Error("routes_rejected", slog.String("err", line))
+	}
 }
 
-// faultLines parts an error into its faults.
+// faultLines splits an error into the text of its faults.
 func faultLines(err error) []string {
-	var list syntax.Faults
-	if !errors.As(err, &list) {
+	var faults syntax.Faults
+	if !errors.As(err, &faults) {
 		return []string{err.Error()}
 	}
-	return strings.Split(list.Error(), "\n")
+	return strings.Split(faults.Error(), "\n")
 }
--- /dev/null
+++ b/internal/server/server.go
@@ -0,0 +1,155 @@
+package server
+
+import (
+	"log/slog"
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/discovery"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/signals"
+	"crankhold/internal/thrift"
+	"crankhold/internal/workerclient"
+)
+
+const (
+	// processors is the limit on running goroutines. It is above the cores of a router, so that a poller that is
+	// asleep in the kernel does not hold up the event loop.
+	processors = 4
+
+	// goMemoryPercent is the part of the memory limit that the Go runtime aims to stay within. The rest is for
+	// the kernel's buffers and the runtime's own overhead.
+	goMemoryPercent = 60
+
+	// firstListTimeout is how long a router that starts with an empty endpoint list waits for discovery before it
+	// reports itself ready all the same. Requests then wait for a worker: the discovery server may be down for
+	// longer than a start may take.
+	firstListTimeout = 2 * time.Second
+
+	// sweepInterval is the time between removals of expired webhook outcomes.
+	sweepInterval = time.Second
+)
+
+// Server is one function router with all its connections. Its fields are owned by the goroutine that calls Run, except
+// where a method says otherwise.
+type Server struct {
+	config  *config.Config
+	options Options
+	reread  func() (*config.Config, error)
+
+	loop         *eventloop.Loop
+	core         *router.Core
+	workers      *workerclient.Pool
+	membership   *membership
+	discovery    *discovery.Client
+	integrations *integrations
+
+	startedAt       time.Duration
+	drainingSince   time.Duration // 0 while the server is not draining
+	lastMaintenance time.Duration
+	lastSweep       time.Duration
+
+	closed chan struct{} // ends the goroutines that wait for signals
+}
+
+// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. On
+// SIGHUP it applies the configuration that reread returns, and reads the routes again.
+func Serve(cfg *config.Config, options Options, reread func() (*config.Config, error)) error {
+	if options.Signals == nil {
+		options.Signals = signals.Notify()
+		defer options.Signals.Close()
+	}
+	limitRuntime(cfg)
+	server, err := New(cfg, options, reread)
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	if err := server.Start(); err != nil {
+		return err
+	}
+	server.Run()
+	return nil
+}
+
+// limitRuntime sets the limits of the Go runtime, which hold for the whole process.
+func limitRuntime(cfg *config.Config) {
+	runtime.GOMAXPROCS(processors)
+	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * goMemoryPercent / 100)
+}
+
+// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens.
+func (s *Server) Start() error {
+	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
+		return err
+	}
+	if err := s.loadFirstRoutes(); err != nil {
+		return err
+	}
+	integrations, err := newIntegrations(s.options, s.config, s.loop, s.core)
+	if err != nil {
+		return err
+	}
+	s.integrations = integrations
+	s.startedAt = s.loop.Now()
+	front := thrift.New(s.core, thriftConfig(s.config), s.loop.Now, s.ready)
+	s.loop.Listen(s.config.Listen, front.Accept)
+	if err := s.loop.Start(); err != nil {
+		s.integrations.close()
+		return err
+	}
+	slog.Info("server_started", slog.String("name", s.config.Name), slog.String("listen", s.config.Listen))
+	return nil
+}
+
+// ready reports whether clients should send requests: there is a worker to send them to, or no news of one to wait
+// for, and the server is not draining.
+func (s *Server) ready() bool {
+	if s.drainingSince > 0 {
+		return false
+	}
+	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 || s.loop.Now()-s.startedAt >= firstListTimeout
+}
+
+// Run serves until a drain has ended. It is called once, after Start.
+func (s *Server) Run() {
+	go s.watchReloadSignals()
+	go s.watchStopSignals()
+	s.loop.Run(s.beginTurn, s.endTurn)
+	s.integrations.close()
+	s.logCounters()
+	slog.Info("server_stopped")
+}
+
+// beginTurn sets the clocks before the handlers of a turn are called.
+func (s *Server) beginTurn(now time.Duration) {
+	s.core.SetNow(now)
+	s.workers.SetNow(now)
+}
+
+// endTurn does the work that is due after the handlers of a turn, and returns when it wants to be called again at the
+// latest. The order matters: the core's decisions go out before discovery is polled.
+func (s *Server) endTurn(now time.Duration) time.Duration {
+	next := s.core.Process(now)
+	next = min(next, s.discovery.Tick(now))
+	next = min(next, s.integrations.tick(now))
+	if now-s.lastMaintenance >= workerclient.MaintenanceInterval {
+		s.lastMaintenance = now
+		s.workers.Maintain(now)
+	}
+	if now-s.lastSweep >= sweepInterval {
+		s.lastSweep = now
+		s.integrations.sweep(now)
+	}
+	if s.drainingSince > 0 {
+		next = min(next, s.continueDrain(now))
+	}
+	return next
+}
+
+// Close ends the goroutines that wait for signals. It does not wait for a reload that is reading its files: they may be
+// pipes, and what is read has no effect any more. Close is called once, by the goroutine that called Run or on its behalf.
+func (s *Server) Close() { close(s.closed) }
