--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -13,10 +13,10 @@
 	"crankhold/internal/golden"
 )
 
-// datagramLine keeps each write by itself: over UDP it is a message of its own.
-type datagramLine struct{ sent [][]byte }
+// datagramTransport keeps each write by itself: over UDP it is a message of its own.
+type datagramTransport struct{ sent [][]byte }
 
-func (l *datagramLine) Write(bufs ...[]byte) {
+func (l *datagramTransport) Write(bufs ...[]byte) {
 	var datagram []byte
 	for _, b := range bufs {
 		datagram = append(datagram, b...)
@@ -24,43 +24,43 @@
 	l.sent = append(l.sent, datagram)
 }
 
-func (l *datagramLine) Close() {}
+func (l *datagramTransport) Close() {}
 
-// collector drives an exporter and formats what it sends.
-type collector struct {
+// fakeCollector drives an exporter and formats what it sends.
+type fakeCollector struct {
 	exporter   *Exporter
-	line       *datagramLine
+	transport  *datagramTransport
 	now        time.Duration
 	transcript string
 }
 
-func newCollector() *collector {
-	c := &collector{now: time.Hour}
+func newFakeCollector() *fakeCollector {
+	c := &fakeCollector{now: time.Hour}
 	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.DialHandler) Transport {
-		c.line = &datagramLine{}
-		return c.line
+		c.transport = &datagramTransport{}
+		return c.transport
 	})
 	return c
 }
 
 // connect opens the exporter's socket.
-func (c *collector) connect() {
+func (c *fakeCollector) connect() {
 	c.exporter.Tick(c.now)
 	c.exporter.DialCompleted(nil)
 }
 
 // export adds the flows, lets some time pass, and appends the messages that are sent to the transcript.
-func (c *collector) export(label string, after time.Duration, flows ...Flow) {
+func (c *fakeCollector) export(label string, after time.Duration, flows ...Flow) {
 	for _, f := range flows {
 		c.exporter.Add(f)
 	}
 	c.now += after
-	c.line.sent = nil
+	c.transport.sent = nil
 	c.exporter.Tick(c.now)
-	for _, datagram := range c.line.sent {
+	for _, datagram := range c.transport.sent {
 		c.transcript += label + ":\n" + hex.Dump(datagram) + "\n"
 	}
-	if len(c.line.sent) == 0 {
+	if len(c.transport.sent) == 0 {
 		c.transcript += label + ":\n(no message)\n\n"
 	}
 }
@@ -89,25 +89,25 @@
 	ipv6 := flow(client6, server6, "repair-order")
 	largest := ipv4
 	largest.Octets = math.MaxUint64
-	c := newCollector()
+	c := newFakeCollector()
 	c.connect()
-	c.export("templates, then an IPv4 record", flushEvery, ipv4)
-	c.export("IPv4 record", flushEvery, ipv4)
-	c.export("IPv6 record", flushEvery, ipv6)
-	c.export("IPv4 record of a mapped address", flushEvery, flow(mapped4, server4, "extend"))
-	c.export("record without a class", flushEvery, flow(client4, server4, ""))
-	c.export("record of a class of 65 bytes, cut to 64", flushEvery, flow(client4, server4, strings.Repeat("c", 64)+"x"))
-	c.export("record of the largest number of octets", flushEvery, largest)
-	c.export("records of both kinds in turn", flushEvery, ipv4, ipv4, ipv6, ipv6, ipv4)
-	c.export("records of mixed or unknown addresses, dropped", flushEvery, flow(client4, server6, "dim-level"), Flow{Server: ipv4.Server})
+	c.export("templates, then an IPv4 record", flushInterval, ipv4)
+	c.export("IPv4 record", flushInterval, ipv4)
+	c.export("IPv6 record", flushInterval, ipv6)
+	c.export("IPv4 record of a mapped address", flushInterval, flow(mapped4, server4, "extend"))
+	c.export("record without a class", flushInterval, flow(client4, server4, ""))
+	c.export("record of a class of 65 bytes, cut to 64", flushInterval, flow(client4, server4, strings.Repeat("c", 64)+"x"))
+	c.export("record of the largest number of octets", flushInterval, largest)
+	c.export("records of both kinds in turn", flushInterval, ipv4, ipv4, ipv6, ipv6, ipv4)
+	c.export("records of mixed or unknown addresses, dropped", flushInterval, flow(client4, server6, "dim-level"), Flow{Server: ipv4.Server})
 	// Records of 43 bytes fill a message as far as it goes. Of those of 46 bytes a message could hold one more, but each
 	// record is counted with a set header of its own.
-	c.export("records of 43 bytes for two messages", flushEvery, repeated(flow(client4, server4, "load"), 33)...)
-	c.export("records of 46 bytes for two messages", flushEvery, repeated(flow(client4, server4, "inspect"), 31)...)
-	c.export("templates again after a minute", templateEvery, ipv6)
+	c.export("records of 43 bytes for two messages", flushInterval, repeated(flow(client4, server4, "load"), 33)...)
+	c.export("records of 46 bytes for two messages", flushInterval, repeated(flow(client4, server4, "inspect"), 31)...)
+	c.export("templates again after a minute", templateInterval, ipv6)
 	c.exporter.Closed(nil)
-	c.now += redialAfter
+	c.now += redialDelay
 	c.connect()
-	c.export("templates again on a new socket", flushEvery, ipv6)
+	c.export("templates again on a new socket", flushInterval, ipv6)
 	golden.Compare(t, filepath.Join("testdata", "messages.txt"), []byte(c.transcript))
 }
--- a/internal/ipfix/ipfix.go
+++ b/internal/ipfix/ipfix.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	version       = 10
-	templateSet   = 2
-	headerBytes   = 16
-	setBytes      = 4
-	maxMessage    = 1400 // under an Ethernet frame, so that no message is fragmented
-	maxWaiting    = 1024 // records; what comes beyond is dropped and counted
-	flushEvery    = time.Second
-	templateEvery = time.Minute // UDP may lose one, and collectors forget them
-	redialAfter   = 5 * time.Second
-	maxClass      = 64
-	variable      = 65535
+	protocolVersion    = 10
+	templateSetID      = 2
+	messageHeaderBytes = 16
+	setHeaderBytes     = 4
+	maxMessageBytes    = 1400 // under an Ethernet frame, so that no message is fragmented
+	maxQueuedRecords   = 1024 // records; what comes beyond is dropped and counted
+	flushInterval      = time.Second
+	templateInterval   = time.Minute // UDP may lose one, and collectors forget them
+	redialDelay        = 5 * time.Second
+	maxClassBytes      = 64
+	variableLength     = 65535
 )
 
 // The information elements of a record, from IANA's registry, and their lengths.
 var (
-	common = []element{{152, 8}, {153, 8}, {7, 2}, {11, 2}, {4, 1}, {1, 8}, {136, 1}, {96, variable}}
+	common = []fieldSpecifier{{152, 8}, {153, 8}, {7, 2}, {11, 2}, {4, 1}, {1, 8}, {136, 1}, {96, variableLength}}
 	// flowStartMilliseconds, flowEndMilliseconds, ports, protocolIdentifier, octetDeltaCount,
 	// flowEndReason and applicationName, behind sourceIPv4Address and destinationIPv4Address or
 	// the same of IPv6.
-	templates = map[uint16][]element{
-		256: append([]element{{8, 4}, {12, 4}}, common...),
-		257: append([]element{{27, 16}, {28, 16}}, common...),
+	templates = map[uint16][]fieldSpecifier{
+		256: append([]fieldSpecifier{{8, 4}, {12, 4}}, common...),
+		257: append([]fieldSpecifier{{27, 16}, {28, 16}}, common...),
 	}
 )
 
-type element struct{ id, length uint16 }
+type fieldSpecifier struct{ id, length uint16 }
 
 const (
-	tcp       = 6
-	endOfFlow = 3 // flowEndReason: the end was seen
+	protocolTCP       = 6
+	endOfFlowDetected = 3 // flowEndReason: the end was seen
 )
 
 // Config is the export file.
@@ -94,18 +94,18 @@
 
 // Exporter gathers records and sends them.
 type Exporter struct {
-	domain   uint32
-	dial     func(h eventloop.DialHandler) Transport
-	wall     func() time.Time
-	line     Transport
-	up       bool
-	now      time.Duration
-	redial   time.Duration
-	flush    time.Duration
-	template time.Duration
-	waiting  []record
-	sequence uint32 // records sent before, as each message tells
-	Counters Counters
+	domain        uint32
+	dial          func(h eventloop.DialHandler) Transport
+	wallClock     func() time.Time
+	transport     Transport
+	connected     bool
+	now           time.Duration
+	nextDial      time.Duration
+	nextFlush     time.Duration
+	nextTemplates time.Duration
+	queue         []record
+	sequence      uint32 // records sent before, as each message tells
+	Counters      Counters
 }
 
 type record struct {
@@ -115,14 +115,14 @@
 
 // New returns an Exporter that opens its socket by dial.
 func New(c *Config, wall func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
-	return &Exporter{domain: c.Domain, dial: dial, wall: wall}
+	return &Exporter{domain: c.Domain, dial: dial, wallClock: wall}
 }
 
 // Add takes a call in.
 func (x *Exporter) Add(f Flow) {
 	x.Counters.Records++
 	client, server := f.Client.Addr().Unmap(), f.Server.Addr().Unmap()
-	if len(x.waiting) >= maxWaiting || !client.IsValid() || client.Is4() != server.Is4() {
+	if len(x.queue) >= maxQueuedRecords || !client.IsValid() || client.Is4() != server.Is4() {
 		x.Counters.Dropped++
 		return
 	}
@@ -135,47 +135,47 @@
 	r.data = binary.BigEndian.AppendUint64(r.data, uint64(f.End.UnixMilli()))
 	r.data = binary.BigEndian.AppendUint16(r.data, f.Client.Port())
 	r.data = binary.BigEndian.AppendUint16(r.data, f.Server.Port())
-	r.data = append(r.data, tcp)
+	r.data = append(r.data, protocolTCP)
 	r.data = binary.BigEndian.AppendUint64(r.data, f.Octets)
-	class := f.Class[:min(len(f.Class), maxClass)]
-	r.data = append(r.data, endOfFlow, byte(len(class)))
-	x.waiting = append(x.waiting, record{r.template, append(r.data, class...)})
+	class := f.Class[:min(len(f.Class), maxClassBytes)]
+	r.data = append(r.data, endOfFlowDetected, byte(len(class)))
+	x.queue = append(x.queue, record{r.template, append(r.data, class...)})
 }
 
 // Tick sends what has gathered, and returns when it is to be called again.
 func (x *Exporter) Tick(now time.Duration) time.Duration {
 	x.now = now
-	if x.line == nil {
-		if now < x.redial {
-			return x.redial
+	if x.transport == nil {
+		if now < x.nextDial {
+			return x.nextDial
 		}
-		x.redial = now + redialAfter
-		x.line = x.dial(x)
+		x.nextDial = now + redialDelay
+		x.transport = x.dial(x)
 	}
-	if !x.up {
-		return x.redial
+	if !x.connected {
+		return x.nextDial
 	}
-	if now < x.flush {
-		return x.flush
+	if now < x.nextFlush {
+		return x.nextFlush
 	}
-	x.flush = now + flushEvery
-	for len(x.waiting) > 0 {
-		x.line.Write(x.message())
+	x.nextFlush = now + flushInterval
+	for len(x.queue) > 0 {
+		x.transport.Write(x.nextMessage())
 	}
-	return x.flush
+	return x.nextFlush
 }
 
-// message takes as many records as fit in one message, each run of one template a set.
-func (x *Exporter) message() []byte {
-	b := make([]byte, headerBytes, maxMessage)
-	if x.template <= x.now {
-		x.template = x.now + templateEvery
+// nextMessage takes as many records as fit in one nextMessage, each run of one template a set.
+func (x *Exporter) nextMessage() []byte {
+	b := make([]byte, messageHeaderBytes, maxMessageBytes)
+	if x.nextTemplates <= x.now {
+		x.nextTemplates = x.now + templateInterval
 		b = appendTemplates(b)
 	}
 	set, sent := 0, 0
 	var last uint16
-	for _, r := range x.waiting {
-		if len(b)+setBytes+len(r.data) > maxMessage {
+	for _, r := range x.queue {
+		if len(b)+setHeaderBytes+len(r.data) > maxMessageBytes {
 			break
 		}
 		if r.template != last {
@@ -187,10 +187,10 @@
 		binary.BigEndian.PutUint16(b[set+2:], uint16(len(b)-set))
 		sent++
 	}
-	x.waiting = append(x.waiting[:0], x.waiting[sent:]...)
-	binary.BigEndian.PutUint16(b, version)
+	x.queue = append(x.queue[:0], x.queue[sent:]...)
+	binary.BigEndian.PutUint16(b, protocolVersion)
 	binary.BigEndian.PutUint16(b[2:], uint16(len(b)))
-	binary.BigEndian.PutUint32(b[4:], uint32(x.wall().Unix()))
+	binary.BigEndian.PutUint32(b[4:], uint32(x.wallClock().Unix()))
 	binary.BigEndian.PutUint32(b[8:], x.sequence)
 	binary.BigEndian.PutUint32(b[12:], x.domain)
 	x.sequence += uint32(sent)
@@ -201,7 +201,7 @@
 
 func appendTemplates(b []byte) []byte {
 	from := len(b)
-	b = append(b, 0, templateSet, 0, 0)
+	b = append(b, 0, templateSetID, 0, 0)
 	for id := uint16(256); id <= 257; id++ {
 		b = binary.BigEndian.AppendUint16(b, id)
 		b = binary.BigEndian.AppendUint16(b, uint16(len(templates[id])))
@@ -216,11 +216,11 @@
 
 // DialCompleted is the end of the dial. A new socket's collector knows no template.
 func (x *Exporter) DialCompleted(err error) {
-	if x.up = err == nil; !x.up {
+	if x.connected = err == nil; !x.connected {
 		x.Closed(err)
 		return
 	}
-	x.template = 0
+	x.nextTemplates = 0
 }
 
 // Data ignores what a collector says: IPFIX has no answers.
@@ -232,5 +232,5 @@
 		err = errors.New("closed")
 	}
 	slog.Warn("collector_connection_lost", "err", err)
-	x.line, x.up, x.redial = nil, false, x.now+redialAfter
+	x.transport, x.connected, x.nextDial = nil, false, x.now+redialDelay
 }
--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/ipfix_test.go
@@ -20,7 +20,7 @@
 
 // Whatever is added is what an independent decoder reads, in order, with the templates it needs and
 // sequence numbers that count the records before.
-func TestCollectorReadsWhatWasAdded(t *testing.T) {
+func TestCollectorDecodesAddedFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &testutil.Transport{}
 		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return l })
@@ -44,14 +44,14 @@
 				}
 			},
 			"send": func(t *rapid.T) {
-				if len(want)-len(got) > maxWaiting {
+				if len(want)-len(got) > maxQueuedRecords {
 					t.Skip("dropped some")
 				}
-				now += flushEvery
+				now += flushInterval
 				x.Tick(now)
 				for l.Wrote.Len() > 0 {
 					size := int(l.Wrote.Bytes()[2])<<8 | int(l.Wrote.Bytes()[3])
-					if size > maxMessage {
+					if size > maxMessageBytes {
 						t.Fatalf("a message of %d bytes", size)
 					}
 					var p netflow.IPFIXPacket
@@ -89,12 +89,12 @@
 }
 
 // What a collector that is away would have been sent is bounded, and what is dropped is counted.
-func TestWaitingRecordsAreBounded(t *testing.T) {
+func TestQueuedRecordsAreBounded(t *testing.T) {
 	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &testutil.Transport{} })
-	for range maxWaiting + 5 {
+	for range maxQueuedRecords + 5 {
 		x.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
-	if x.Counters.Dropped != 5 || len(x.waiting) != maxWaiting {
-		t.Errorf("%d wait, counters %+v", len(x.waiting), x.Counters)
+	if x.Counters.Dropped != 5 || len(x.queue) != maxQueuedRecords {
+		t.Errorf("%d wait, counters %+v", len(x.queue), x.Counters)
 	}
 }
--- a/internal/thrift/codec.go
+++ b/internal/thrift/codec.go
@@ -7,70 +7,70 @@
 
 // The strict binary protocol's types and message kinds.
 const (
-	typeStop   = 0
-	typeBool   = 2
-	typeByte   = 3
-	typeDouble = 4
-	typeI16    = 6
-	typeI32    = 8
-	typeI64    = 10
-	typeString = 11
-	typeStruct = 12
-	typeMap    = 13
-	typeSet    = 14
-	typeList   = 15
-
-	kindCall      = 1
-	kindReply     = 2
-	kindException = 3
-	kindOneway    = 4
-
-	version = 0x80010000
+	wireStop   = 0
+	wireBool   = 2
+	wireByte   = 3
+	wireDouble = 4
+	wireI16    = 6
+	wireI32    = 8
+	wireI64    = 10
+	wireString = 11
+	wireStruct = 12
+	wireMap    = 13
+	wireSet    = 14
+	wireList   = 15
+
+	messageCall      = 1
+	messageReply     = 2
+	messageException = 3
+	messageOneway    = 4
+
+	strictVersion = 0x80010000
 )
 
 const (
-	maxBody   = 16 << 10
-	maxFrame  = maxBody + 4<<10 // a body and its fields
-	maxFields = 64              // in the map of a request
-	maxDepth  = 8
-	maxCount  = 1024 // elements of what is skipped
+	maxBody            = 16 << 10
+	maxFrame           = maxBody + 4<<10 // a body and its fields
+	maxMapEntries      = 64              // in the map of a request
+	maxNesting         = 8
+	maxSkippedElements = 1024 // elements of what is skipped
 )
 
-// errSyntax says that a client broke the protocol.
-var errSyntax = errors.New("malformed message")
+// errMalformedMessage says that a client broke the protocol.
+var errMalformedMessage = errors.New("malformed message")
 
-// reader takes values off the front of b, in place. The first shortage sticks in bad.
-type reader struct {
-	b   []byte
-	bad bool
+// decoder takes values off the front of b, in place. The first shortage sticks in bad.
+type decoder struct {
+	remaining []byte
+	malformed bool
 }
 
-func (r *reader) take(n int) []byte {
-	if n < 0 || n > len(r.b) {
-		r.bad = true
-		r.b = nil
+func (r *decoder) take(n int) []byte {
+	if n < 0 || n > len(r.remaining) {
+		r.malformed = true
+		r.remaining = nil
 		return nil
 	}
-	out := r.b[:n:n]
-	r.b = r.b[n:]
+	out := r.remaining[:n:n]
+	r.remaining = r.remaining[n:]
 	return out
 }
 
-func (r *reader) u8() byte {
+func (r *decoder) u8() byte {
 	if b := r.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) u16() uint16 {
+func (r *decoder) u16() uint16 {
 	if b := r.take(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (r *reader) u32() uint32 {
+func (r *decoder) u32() uint32 {
 	if b := r.take(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
@@ -78,116 +78,116 @@
 }
 
 // bytes takes a string; one longer than what is left is bad before anything is allocated.
-func (r *reader) bytes() []byte { return r.take(int(int32(r.u32()))) }
+func (r *decoder) bytes() []byte { return r.take(int(int32(r.u32()))) }
 
 // skip passes over a value of any type.
-func (r *reader) skip(typ byte, depth int) {
-	if depth > maxDepth {
-		r.bad = true
+func (r *decoder) skip(typ byte, depth int) {
+	if depth > maxNesting {
+		r.malformed = true
 	}
-	if r.bad {
+	if r.malformed {
 		return
 	}
 	switch typ {
-	case typeBool, typeByte:
+	case wireBool, wireByte:
 		r.take(1)
-	case typeI16:
+	case wireI16:
 		r.take(2)
-	case typeI32:
+	case wireI32:
 		r.take(4)
-	case typeI64, typeDouble:
+	case wireI64, wireDouble:
 		r.take(8)
-	case typeString:
+	case wireString:
 		r.bytes()
-	case typeStruct:
-		for !r.bad {
+	case wireStruct:
+		for !r.malformed {
 			t := r.u8()
-			if t == typeStop {
+			if t == wireStop {
 				return
 			}
 			r.u16()
 			r.skip(t, depth+1)
 		}
-	case typeMap:
+	case wireMap:
 		k, v := r.u8(), r.u8()
-		for range r.count() {
+		for range r.elementCount() {
 			r.skip(k, depth+1)
 			r.skip(v, depth+1)
 		}
-	case typeSet, typeList:
+	case wireSet, wireList:
 		t := r.u8()
-		for range r.count() {
+		for range r.elementCount() {
 			r.skip(t, depth+1)
 		}
 	default:
-		r.bad = true
+		r.malformed = true
 	}
 }
 
-func (r *reader) count() int {
+func (r *decoder) elementCount() int {
 	n := r.u32()
-	if n > maxCount {
-		r.bad = true
+	if n > maxSkippedElements {
+		r.malformed = true
 		return 0
 	}
 	return int(n)
 }
 
-// message is the head of a message; its arguments are left in the reader.
-type message struct {
-	kind byte
-	name string
-	seq  uint32
+// messageHeader is the head of a messageHeader; its arguments are left in the reader.
+type messageHeader struct {
+	kind     byte
+	name     string
+	sequence uint32
 }
 
-func (r *reader) message() (message, error) {
+func (r *decoder) messageHeader() (messageHeader, error) {
 	v := r.u32()
-	m := message{kind: byte(v)}
+	m := messageHeader{kind: byte(v)}
 	name := r.bytes()
-	m.seq = r.u32()
-	if r.bad || v&0xffffff00 != version || len(name) > 64 {
-		return m, errSyntax
+	m.sequence = r.u32()
+	if r.malformed || v&0xffffff00 != strictVersion || len(name) > 64 {
+		return m, errMalformedMessage
 	}
 	m.name = string(name)
 	return m, nil
 }
 
-// fields calls f for each field of the struct that comes next; f takes the value off, or returns
+// structFields calls f for each field of the struct that comes next; f takes the value off, or returns
 // false to have it skipped.
-func (r *reader) fields(f func(typ byte, id uint16) bool) error {
-	for !r.bad {
+func (r *decoder) structFields(f func(typ byte, id uint16) bool) error {
+	for !r.malformed {
 		typ := r.u8()
-		if typ == typeStop && !r.bad {
+		if typ == wireStop && !r.malformed {
 			return nil
 		}
 		if id := r.u16(); !f(typ, id) {
 			r.skip(typ, 1)
 		}
 	}
-	return errSyntax
+	return errMalformedMessage
 }
 
-// strings takes a map of strings. The values point into the message.
-func (r *reader) strings() map[string][]byte {
+// stringMap takes a map of stringMap. The values point into the message.
+func (r *decoder) stringMap() map[string][]byte {
 	k, v, n := r.u8(), r.u8(), r.u32()
-	if n > maxFields || n > 0 && (k != typeString || v != typeString) {
-		r.bad = true
+	if n > maxMapEntries || n > 0 && (k != wireString || v != wireString) {
+		r.malformed = true
 		return nil
 	}
 	out := make(map[string][]byte, n)
 	for range n {
 		key := r.bytes()
-		if out[string(key)] = r.bytes(); r.bad {
+		if out[string(key)] = r.bytes(); r.malformed {
 			return nil
 		}
 	}
 	return out
 }
 
-// appendMessage begins a frame: room for its length, and the message's head.
-func appendMessage(b []byte, kind byte, name string, seq uint32) []byte {
+// appendMessageHeader begins a frame: room for its length, and the message's head.
+func appendMessageHeader(b []byte, kind byte, name string, seq uint32) []byte {
 	b = append(b, 0, 0, 0, 0)
-	b = binary.BigEndian.AppendUint32(b, version|uint32(kind))
+	b = binary.BigEndian.AppendUint32(b, strictVersion|uint32(kind))
 	b = appendString(b, name)
 	return binary.BigEndian.AppendUint32(b, seq)
 }
@@ -200,17 +200,17 @@
 	return binary.BigEndian.AppendUint16(append(b, typ), id)
 }
 
-// appendStrings appends a map of strings, given as names and values in turn.
-func appendStrings(b []byte, pairs ...string) []byte {
-	b = binary.BigEndian.AppendUint32(append(b, typeString, typeString), uint32(len(pairs)/2))
+// appendStringMap appends a map of strings, given as names and values in turn.
+func appendStringMap(b []byte, pairs ...string) []byte {
+	b = binary.BigEndian.AppendUint32(append(b, wireString, wireString), uint32(len(pairs)/2))
 	for _, s := range pairs {
 		b = appendString(b, s)
 	}
 	return b
 }
 
-// seal writes the frame's length: what b holds and more bytes that follow it.
-func seal(b []byte, more int) []byte {
+// finishFrame writes the frame's length: what b holds and more bytes that follow it.
+func finishFrame(b []byte, more int) []byte {
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4+more))
 	return b
 }
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -17,9 +17,9 @@
 	"crankhold/policy"
 )
 
-// maxOpen is how many calls one connection may have open. Clients keep to 32, but may not have heard
+// maxOpenRequests is how many calls one connection may have open. Clients keep to 32, but may not have heard
 // of an end yet. What goes beyond is refused, so that one that sends hundreds at once leaves room.
-const maxOpen = 64
+const maxOpenRequests = 64
 
 // Core is what the front hands requests to.
 type Core interface {
@@ -36,13 +36,13 @@
 
 // Front serves Thrift clients.
 type Front struct {
-	core    Core
-	cfg     Config
-	classes map[string]int
-	clock   func() time.Duration
-	ready   func() bool
-	closed  sums // for breaking the protocol
-	unread  sums // calls with a field that can't be used
+	core              Core
+	config            Config
+	classIndex        map[string]int
+	clock             func() time.Duration
+	ready             func() bool
+	closedConnections rateLimitedCount // for breaking the protocol
+	rejectedRequests  rateLimitedCount // calls with a field that can't be used
 }
 
 // Class is a class of calls.
@@ -57,27 +57,27 @@
 	Tenants []string // none: who asks is not told apart
 }
 
-// sums counts what is logged at most once a second: whoever can connect could fill the log otherwise.
-type sums struct {
-	count int
-	told  time.Duration
+// rateLimitedCount counts what is logged at most once a second: whoever can connect could fill the log otherwise.
+type rateLimitedCount struct {
+	count      int
+	reportedAt time.Duration
 }
 
 // add counts one more and returns how many there were since the log last told, or 0 where it is not to tell yet.
-func (s *sums) add(now time.Duration) int {
-	if s.count++; s.told > 0 && now-s.told <= time.Second {
+func (s *rateLimitedCount) add(now time.Duration) int {
+	if s.count++; s.reportedAt > 0 && now-s.reportedAt <= time.Second {
 		return 0
 	}
 	n := s.count
-	s.count, s.told = 0, now
+	s.count, s.reportedAt = 0, now
 	return n
 }
 
 // New returns a Front. Ready tells what check answers.
 func New(core Core, cfg Config, clock func() time.Duration, ready func() bool) *Front {
-	f := &Front{core: core, cfg: cfg, classes: map[string]int{}, clock: clock, ready: ready}
+	f := &Front{core: core, config: cfg, classIndex: map[string]int{}, clock: clock, ready: ready}
 	for i, k := range cfg.Classes {
-		f.classes[k.Name] = i
+		f.classIndex[k.Name] = i
 	}
 	return f
 }
@@ -87,49 +87,49 @@
 	return f.serve(c, c.RemoteAddr())
 }
 
-func (f *Front) serve(line Transport, peer netip.AddrPort) *client {
-	return &client{front: f, line: line, peer: peer, open: map[uint32]*call{}}
+func (f *Front) serve(line Transport, peer netip.AddrPort) *connection {
+	return &connection{front: f, transport: line, peer: peer, open: map[uint32]*openRequest{}}
 }
 
-type client struct {
-	front *Front
-	line  Transport
-	peer  netip.AddrPort
-	part  []byte // the beginning of a frame
-	open  map[uint32]*call
-	last  uint32 // the highest sequence number of a call
-	whole int    // messages
-	gone  bool
+type connection struct {
+	front        *Front
+	transport    Transport
+	peer         netip.AddrPort
+	partial      []byte // the beginning of a frame
+	open         map[uint32]*openRequest
+	lastSequence uint32 // the highest sequence number of a call
+	messageCount int    // messages
+	closed       bool
 }
 
-type call struct {
-	client *client
-	seq    uint32
-	id     policy.RequestID
-	done   bool
+type openRequest struct {
+	connection *connection
+	sequence   uint32
+	id         policy.RequestID
+	completed  bool
 }
 
 // Busy tells whether answers are owed.
-func (c *client) Busy() bool { return len(c.open) > 0 }
+func (c *connection) Busy() bool { return len(c.open) > 0 }
 
 // Messages is how many whole ones have come, and whether the beginning of another has.
-func (c *client) Messages() (whole int, begun bool) { return c.whole, len(c.part) > 0 }
+func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, len(c.partial) > 0 }
 
 // Data takes in frames, split in any way. The beginning of one stays in a buffer that grows with it, so
 // that a frame that comes a few bytes at a time is not copied anew for each of them.
-func (c *client) Data(b []byte) {
-	if c.gone {
+func (c *connection) Data(b []byte) {
+	if c.closed {
 		return
 	}
-	if len(c.part) > 0 {
-		c.part = append(c.part, b...)
-		b = c.part
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, b...)
+		b = c.partial
 	}
-	whole := c.whole
-	for len(b) >= 4 && !c.gone {
+	whole := c.messageCount
+	for len(b) >= 4 && !c.closed {
 		size := binary.BigEndian.Uint32(b)
 		if size > maxFrame {
-			c.reject(errSyntax)
+			c.closeMalformed(errMalformedMessage)
 			return
 		}
 		if len(b)-4 < int(size) {
@@ -137,92 +137,92 @@
 		}
 		frame := b[4 : 4+size]
 		b = b[4+size:]
-		c.whole++
-		if err := c.message(frame); err != nil {
-			c.reject(err)
+		c.messageCount++
+		if err := c.handleMessage(frame); err != nil {
+			c.closeMalformed(err)
 			return
 		}
 	}
-	if c.gone || len(c.part) > 0 && c.whole == whole {
+	if c.closed || len(c.partial) > 0 && c.messageCount == whole {
 		return
 	}
-	c.part = append([]byte(nil), b...) // a copy, so that a large read is not kept for its tail
+	c.partial = append([]byte(nil), b...) // a copy, so that a large read is not kept for its tail
 }
 
-// reject closes the connection of a client that broke the protocol.
-func (c *client) reject(err error) {
+// closeMalformed closes the connection of a client that broke the protocol.
+func (c *connection) closeMalformed(err error) {
 	f := c.front
-	if n := f.closed.add(f.clock()); n > 0 {
+	if n := f.closedConnections.add(f.clock()); n > 0 {
 		slog.Warn("client_connections_closed", "front", "thrift", "count", n, "err", err)
 	}
-	c.line.Close()
-	c.leave()
+	c.transport.Close()
+	c.cancelAll()
 }
 
 // Closed gives up all that is open: nobody waits for it.
-func (c *client) Closed(error) { c.leave() }
+func (c *connection) Closed(error) { c.cancelAll() }
 
-func (c *client) leave() {
-	c.gone, c.part = true, nil
+func (c *connection) cancelAll() {
+	c.closed, c.partial = true, nil
 	for _, k := range c.open {
-		k.leave()
+		k.cancel()
 	}
 }
 
-func (k *call) leave() {
-	delete(k.client.open, k.seq)
-	if !k.done {
-		k.done = true
-		k.client.front.core.CancelRequest(k.client.front.clock(), k.id)
+func (k *openRequest) cancel() {
+	delete(k.connection.open, k.sequence)
+	if !k.completed {
+		k.completed = true
+		k.connection.front.core.CancelRequest(k.connection.front.clock(), k.id)
 	}
 }
 
-func (c *client) message(frame []byte) error {
-	r := reader{b: frame}
-	m, err := r.message()
+func (c *connection) handleMessage(frame []byte) error {
+	r := decoder{remaining: frame}
+	m, err := r.messageHeader()
 	if err != nil {
 		return err
 	}
 	switch {
-	case m.name == "execute" && m.kind == kindCall:
+	case m.name == "execute" && m.kind == messageCall:
 		return c.execute(&r, m)
-	case m.name == "interrupt" && (m.kind == kindOneway || m.kind == kindCall):
+	case m.name == "interrupt" && (m.kind == messageOneway || m.kind == messageCall):
 		var seq uint32
-		err := r.fields(func(typ byte, id uint16) bool {
-			if id != 1 || typ != typeI32 {
+		err := r.structFields(func(typ byte, id uint16) bool {
+			if id != 1 || typ != wireI32 {
 				return false
 			}
 			seq = r.u32()
 			return true
 		})
 		if k := c.open[seq]; err == nil && k != nil {
-			k.leave()
+			k.cancel()
 		}
 		return err
-	case m.name == "check" && m.kind == kindCall:
-		if err := r.fields(func(byte, uint16) bool { return false }); err != nil {
+	case m.name == "check" && m.kind == messageCall:
+		if err := r.structFields(func(byte, uint16) bool { return false }); err != nil {
 			return err
 		}
-		c.line.Write(answer("check", m.seq, 0, c.front.ready())...)
+		c.transport.Write(encodeResult("check", m.sequence, 0, c.front.ready())...)
 		return nil
-	case m.kind == kindCall:
-		c.line.Write(unknown(m.name, m.seq))
+	case m.kind == messageCall:
+		c.transport.Write(encodeUnknownMethod(m.name, m.sequence))
 		return nil
-	case m.kind == kindOneway:
+	case m.kind == messageOneway:
 		return nil
 	}
-	return errSyntax
+	return errMalformedMessage
 }
 
 // execute hands a call to the core. Whatever is wrong with it, short of its form, is answered.
-func (c *client) execute(r *reader, m message) error {
+func (c *connection) execute(r *decoder, m messageHeader) error {
 	var fields map[string][]byte
 	var body []byte
-	err := r.fields(func(typ byte, id uint16) bool {
+	err := r.structFields(func(typ byte, id uint16) bool {
 		switch {
-		case id == 1 && typ == typeMap:
-			fields = r.strings()
-		case id == 2 && typ == typeString:
+		case id == 1 && typ == wireMap:
+			fields = r.stringMap()
+		case id == 2 && typ == wireString:
 			body = r.bytes()
 		default:
 			return false
@@ -233,36 +233,36 @@
 		return err
 	}
 	// Numbers climb. Under one that was used before, an answer could be taken for the other call's.
-	if m.seq <= c.last || m.seq > math.MaxInt32 || len(body) > maxBody {
-		return errSyntax
+	if m.sequence <= c.lastSequence || m.sequence > math.MaxInt32 || len(body) > maxBody {
+		return errMalformedMessage
 	}
-	c.last = m.seq
-	req, reason := c.front.request(fields)
+	c.lastSequence = m.sequence
+	req, reason := c.front.decodeRequest(fields)
 	if reason != "" {
-		if n := c.front.unread.add(c.front.clock()); n > 0 {
+		if n := c.front.rejectedRequests.add(c.front.clock()); n > 0 {
 			v := fields[reason]
 			slog.Warn("client_request_field_rejected", "front", "thrift", "field", reason, "value", string(v[:min(len(v), 64)]), "count", n)
 		}
-		c.line.Write(lost(m.seq, "reason", reason))
+		c.transport.Write(encodeLost(m.sequence, "reason", reason))
 		return nil
 	}
-	k := &call{client: c, seq: m.seq}
+	k := &openRequest{connection: c, sequence: m.sequence}
 	req.Asker, req.Client = k, c.peer
-	if len(c.open) >= maxOpen {
+	if len(c.open) >= maxOpenRequests {
 		c.front.core.RejectUnaccepted(c.front.clock(), req)
 		return nil
 	}
 	req.Body = bytes.Clone(body) // a large read is not kept for one small body in it
-	c.open[m.seq] = k
-	if id := c.front.core.Accept(c.front.clock(), req); !k.done {
+	c.open[m.sequence] = k
+	if id := c.front.core.Accept(c.front.clock(), req); !k.completed {
 		k.id = id
 	}
 	return nil
 }
 
-// request reads the fields; reason says what is wrong with them.
-func (f *Front) request(fields map[string][]byte) (r router.Request, reason string) {
-	class, ok := f.classes[string(fields["class"])]
+// decodeRequest reads the fields; reason says what is wrong with them.
+func (f *Front) decodeRequest(fields map[string][]byte) (r router.Request, reason string) {
+	class, ok := f.classIndex[string(fields["class"])]
 	if !ok {
 		return r, "class"
 	}
@@ -275,12 +275,12 @@
 		return r, "key"
 	}
 	r.Function = policy.FunctionID(key)
-	if r.IdempotencyKey = string(fields["once"]); r.IdempotencyKey == "" && f.cfg.Classes[class].RequiresIdempotencyKey || r.IdempotencyKey != "" && !router.ParseIdempotencyKey(r.IdempotencyKey) {
+	if r.IdempotencyKey = string(fields["once"]); r.IdempotencyKey == "" && f.config.Classes[class].RequiresIdempotencyKey || r.IdempotencyKey != "" && !router.ParseIdempotencyKey(r.IdempotencyKey) {
 		// Without a key no worker can drop a repeat, and a call is not passed on otherwise than it came.
 		return r, "once"
 	}
-	if name, told := fields["tenant"]; told && len(f.cfg.Tenants) > 0 {
-		if r.Tenant = string(name); !slices.Contains(f.cfg.Tenants, r.Tenant) {
+	if name, told := fields["tenant"]; told && len(f.config.Tenants) > 0 {
+		if r.Tenant = string(name); !slices.Contains(f.config.Tenants, r.Tenant) {
 			return r, "tenant"
 		}
 	}
@@ -311,58 +311,60 @@
 }
 
 // Respond writes the final answer. A client that has left is owed none.
-func (k *call) Respond(a router.Response) {
-	if k.done {
+func (k *openRequest) Respond(a router.Response) {
+	if k.completed {
 		return
 	}
-	k.done = true
-	delete(k.client.open, k.seq)
+	k.completed = true
+	delete(k.connection.open, k.sequence)
 	switch a.Status {
 	case router.Served:
-		head := answer("execute", k.seq, len(a.Body), true)
-		k.client.line.Write(head[0], a.Body, head[1])
+		head := encodeResult("execute", k.sequence, len(a.Body), true)
+		k.connection.transport.Write(head[0], a.Body, head[1])
 	case router.Rejected:
 		ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond
-		k.client.line.Write(refused(k.seq, strconv.FormatInt(int64(ms), 10)))
+		k.connection.transport.Write(encodeBackoff(k.sequence, strconv.FormatInt(int64(ms), 10)))
 	default:
-		k.client.line.Write(lost(k.seq))
+		k.connection.transport.Write(encodeLost(k.sequence))
 	}
 }
 
-// answer returns an Answer's frame as what comes before its body and what comes after.
-func answer(name string, seq uint32, body int, good bool) [][]byte {
-	b := appendMessage(make([]byte, 0, 64), kindReply, name, seq)
-	b = appendField(b, typeStruct, 0)
-	b = appendField(b, typeString, 1)
+// encodeResult returns an Answer's frame as what comes before its body and what comes after.
+func encodeResult(name string, seq uint32, body int, good bool) [][]byte {
+	b := appendMessageHeader(make([]byte, 0, 64), messageReply, name, seq)
+	b = appendField(b, wireStruct, 0)
+	b = appendField(b, wireString, 1)
 	b = binary.BigEndian.AppendUint32(b, uint32(body))
-	tail := appendStrings(appendField(nil, typeMap, 2))
-	tail = appendField(tail, typeBool, 3)
+	tail := appendStringMap(appendField(nil, wireMap, 2))
+	tail = appendField(tail, wireBool, 3)
 	if good {
 		tail = append(tail, 1)
 	} else {
 		tail = append(tail, 0)
 	}
-	tail = append(tail, typeStop, typeStop)
-	return [][]byte{seal(b, body+len(tail)), tail}
+	tail = append(tail, wireStop, wireStop)
+	return [][]byte{finishFrame(b, body+len(tail)), tail}
 }
 
-// refused returns the frame of a Backoff.
-func refused(seq uint32, after string) []byte { return exception(seq, 1, "after", after) }
+// encodeBackoff returns the frame of a Backoff.
+func encodeBackoff(seq uint32, after string) []byte {
+	return encodeDeclaredException(seq, 1, "after", after)
+}
 
-// lost returns the frame of a Lost.
-func lost(seq uint32, pairs ...string) []byte { return exception(seq, 2, pairs...) }
+// encodeLost returns the frame of a Lost.
+func encodeLost(seq uint32, pairs ...string) []byte { return encodeDeclaredException(seq, 2, pairs...) }
 
-func exception(seq uint32, id uint16, pairs ...string) []byte {
-	b := appendMessage(make([]byte, 0, 64), kindReply, "execute", seq)
-	b = appendField(b, typeStruct, id)
-	b = appendStrings(appendField(b, typeMap, 1), pairs...)
-	return seal(append(b, typeStop, typeStop), 0)
+func encodeDeclaredException(seq uint32, id uint16, pairs ...string) []byte {
+	b := appendMessageHeader(make([]byte, 0, 64), messageReply, "execute", seq)
+	b = appendField(b, wireStruct, id)
+	b = appendStringMap(appendField(b, wireMap, 1), pairs...)
+	return finishFrame(append(b, wireStop, wireStop), 0)
 }
 
-// unknown returns the application exception for a method that there is not.
-func unknown(name string, seq uint32) []byte {
-	b := appendMessage(nil, kindException, name, seq)
-	b = appendString(appendField(b, typeString, 1), "unknown method")
-	b = binary.BigEndian.AppendUint32(appendField(b, typeI32, 2), 1)
-	return seal(append(b, typeStop), 0)
+// encodeUnknownMethod returns the application exception for a method that there is not.
+func encodeUnknownMethod(name string, seq uint32) []byte {
+	b := appendMessageHeader(nil, messageException, name, seq)
+	b = appendString(appendField(b, wireString, 1), "unknown method")
+	b = binary.BigEndian.AppendUint32(appendField(b, wireI32, 2), 1)
+	return finishFrame(append(b, wireStop), 0)
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -26,8 +26,8 @@
 
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
 
-func newGoldenClient() (*client, *core, *testutil.Transport) {
-	c, k, l := newClient()
+func newGoldenConnection() (*connection, *fakeCore, *testutil.Transport) {
+	c, k, l := newTestConnection()
 	c.peer = goldenPeer
 	return c, k, l
 }
@@ -80,12 +80,12 @@
 		{"call with the fields in reverse order", minimal},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			c, k, l := newGoldenClient()
+			c, k, l := newGoldenConnection()
 			c.Data(golden.FindMessage(t, goldenRequests, test.label))
-			if len(k.taken) != 1 || l.HasClosed || l.Wrote.Len() > 0 {
-				t.Fatalf("%d requests, closed %v, wrote %q", len(k.taken), l.HasClosed, l.Wrote.String())
+			if len(k.accepted) != 1 || l.HasClosed || l.Wrote.Len() > 0 {
+				t.Fatalf("%d requests, closed %v, wrote %q", len(k.accepted), l.HasClosed, l.Wrote.String())
 			}
-			got := k.taken[0]
+			got := k.accepted[0]
 			if got.Asker == nil {
 				t.Error("the request has nobody to answer")
 			}
@@ -97,13 +97,13 @@
 }
 
 // Both message kinds of interrupt give the open call up, and neither is answered.
-func TestGoldenInterruptsGiveTheCallUp(t *testing.T) {
+func TestGoldenInterruptsCancelTheRequest(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
-		c, k, l := newGoldenClient()
+		c, k, l := newGoldenConnection()
 		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
 		c.Data(golden.FindMessage(t, goldenRequests, label))
-		if len(k.left) != 1 || k.left[0] != 1 || c.Busy() || l.HasClosed || l.Wrote.Len() > 0 {
-			t.Errorf("%s: left %v, busy %v, closed %v, wrote %q", label, k.left, c.Busy(), l.HasClosed, l.Wrote.String())
+		if len(k.canceled) != 1 || k.canceled[0] != 1 || c.Busy() || l.HasClosed || l.Wrote.Len() > 0 {
+			t.Errorf("%s: left %v, busy %v, closed %v, wrote %q", label, k.canceled, c.Busy(), l.HasClosed, l.Wrote.String())
 		}
 	}
 }
@@ -125,17 +125,17 @@
 		{"failed and may have run", router.Response{Status: router.Failed, MayHaveRun: true}},
 		{"failed when the time was over", router.Response{Status: router.Failed, DeadlineExceeded: true}},
 	} {
-		c, k, l := newGoldenClient()
+		c, k, l := newGoldenConnection()
 		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
-		if len(k.taken) != 1 {
-			t.Fatalf("%s: %d requests", test.label, len(k.taken))
+		if len(k.accepted) != 1 {
+			t.Fatalf("%s: %d requests", test.label, len(k.accepted))
 		}
-		k.taken[0].Asker.Respond(test.answer)
+		k.accepted[0].Asker.Respond(test.answer)
 		replies = append(replies, golden.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
 	}
-	c, _, l := newGoldenClient()
+	c, _, l := newGoldenConnection()
 	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
-		c.Data(execute(seq+1, "", good...))
+		c.Data(executeFrame(seq+1, "", validFields...))
 	}
 	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: l.Wrote.Bytes()})
 	golden.CompareMessages(t, goldenReplies, replies)
@@ -177,14 +177,14 @@
 		{"execute as an exception", true},
 		{"length of a frame over the limit", true},
 	} {
-		c, k, l := newGoldenClient()
+		c, k, l := newGoldenConnection()
 		c.Data(golden.FindMessage(t, goldenRequests, test.label))
-		if len(k.taken) != 0 || l.HasClosed != test.closes {
-			t.Errorf("%s: %d requests, closed %v", test.label, len(k.taken), l.HasClosed)
+		if len(k.accepted) != 0 || l.HasClosed != test.closes {
+			t.Errorf("%s: %d requests, closed %v", test.label, len(k.accepted), l.HasClosed)
 		}
 		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(l.Wrote.Bytes())})
 	}
-	c, _, l := newGoldenClient()
+	c, _, l := newGoldenConnection()
 	c.front.ready = func() bool { return false }
 	c.Data(golden.FindMessage(t, goldenRequests, "check"))
 	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: l.Wrote.Bytes()})
@@ -195,7 +195,7 @@
 // here as figures, so that a changed constant is noticed.
 func TestGoldenLimits(t *testing.T) {
 	var pairs []string
-	for range 64 - len(good)/2 {
+	for range 64 - len(validFields)/2 {
 		pairs = append(pairs, "name", "value")
 	}
 	for _, test := range []struct {
@@ -203,18 +203,18 @@
 		within []byte
 		over   []byte
 	}{
-		{"body", execute(1, strings.Repeat("x", 16<<10), good...), execute(1, strings.Repeat("x", 16<<10+1), good...)},
-		{"map of fields", execute(1, "", append(pairs, good...)...), execute(1, "", append(pairs, append([]string{"one", "more"}, good...)...)...)},
-		{"sequence number", execute(math.MaxInt32, "", good...), execute(math.MaxInt32+1, "", good...)},
+		{"body", executeFrame(1, strings.Repeat("x", 16<<10), validFields...), executeFrame(1, strings.Repeat("x", 16<<10+1), validFields...)},
+		{"map of fields", executeFrame(1, "", append(pairs, validFields...)...), executeFrame(1, "", append(pairs, append([]string{"one", "more"}, validFields...)...)...)},
+		{"sequence number", executeFrame(math.MaxInt32, "", validFields...), executeFrame(math.MaxInt32+1, "", validFields...)},
 	} {
 		for _, closes := range []bool{false, true} {
-			c, k, l := newGoldenClient()
+			c, k, l := newGoldenConnection()
 			message := test.within
 			if closes {
 				message = test.over
 			}
-			if c.Data(message); l.HasClosed != closes || (len(k.taken) == 1) == closes || l.Wrote.Len() > 0 {
-				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(k.taken), l.HasClosed, l.Wrote.String())
+			if c.Data(message); l.HasClosed != closes || (len(k.accepted) == 1) == closes || l.Wrote.Len() > 0 {
+				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(k.accepted), l.HasClosed, l.Wrote.String())
 			}
 		}
 	}
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -71,7 +71,7 @@
 	if x.noLedger {
 		ledgerPath = ""
 	}
-	calls := &core{}
+	calls := &fakeCore{}
 	receiver, posts := newReceiver(t, calls, ledgerPath)
 	defer receiver.Close()
 	if x.prepare != nil {
@@ -85,12 +85,12 @@
 		transcript += golden.Quote("request", part)
 		client.Data(bytes.Clone(part))
 		for client.Busy() {
-			if len(calls.taken) == answered { // the ledger has to confirm the order first
+			if len(calls.accepted) == answered { // the ledger has to confirm the order first
 				(<-posts)()
 				continue
 			}
-			transcript += describeCall(calls.taken[answered])
-			calls.taken[answered].Asker.Respond(x.answers[answered])
+			transcript += describeCall(calls.accepted[answered])
+			calls.accepted[answered].Asker.Respond(x.answers[answered])
 			answered++
 		}
 		transcript += golden.Quote("response", line.Wrote.Bytes())
@@ -107,11 +107,11 @@
 	`"key":"7f3a9c21e0b4d655","tenant":"east","wait_ms":1500,"memory_mb":128.5,"lanes":2,"load_ms":250.25,"body":"AP9hYmM="}}`
 
 func exchanges() []exchange {
-	call1 := call("dim-level", "run 1", noon)
+	call1 := callPayload("dim-level", "run 1", noon)
 	deliver := func(class string) []byte {
-		return deliveryOf(secret, "msg_1", noon, call(class, "run 1", noon))
+		return signedDelivery(activeSecret, "msg_1", noon, callPayload(class, "run 1", noon))
 	}
-	signed := func(payload string) []byte { return deliveryOf(secret, "msg_1", noon, []byte(payload)) }
+	signed := func(payload string) []byte { return signedDelivery(activeSecret, "msg_1", noon, []byte(payload)) }
 	good := deliver("dim-level")
 	head, body, _ := bytes.Cut(replaced(good, "Host:", "Expect: 100-continue\r\nHost:"), []byte("\r\n\r\n"))
 	head = append(bytes.Clone(head), "\r\n\r\n"...)
@@ -125,18 +125,18 @@
 		{name: "200-keyed-order-with-all-fields", sent: one(signed(fullPayload)), answers: answer(served)},
 		{name: "200-connection-close", sent: one(replaced(good, "Host:", "Connection: close\r\nHost:")), answers: answer(served)},
 		{name: "200-after-100-continue", sent: [][]byte{head, body}, answers: answer(served)},
-		{name: "200-replayed", sent: [][]byte{good, deliveryOf(secret, "msg_1", noon.Add(time.Minute), call1)}, answers: answer(served)},
-		{name: "200-pipelined", sent: one(append(bytes.Clone(good), deliveryOf(secret, "msg_2", noon, call1)...)),
+		{name: "200-replayed", sent: [][]byte{good, signedDelivery(activeSecret, "msg_1", noon.Add(time.Minute), call1)}, answers: answer(served)},
+		{name: "200-pipelined", sent: one(append(bytes.Clone(good), signedDelivery(activeSecret, "msg_2", noon, call1)...)),
 			answers: []router.Response{served, served}},
 
 		{name: "400-unknown-class", sent: one(deliver("lift"))},
 		{name: "400-no-json", sent: one(signed("{"))},
 		{name: "400-two-lengths", sent: one(replaced(good, "Content-Length", "Content-Length: 3\r\nContent-Length"))},
 		{name: "400-id-of-another-payload", sent: [][]byte{good, deliver("repair-order")}, answers: answer(served)},
-		{name: "400-order-too-old", sent: one(deliveryOf(secret, "msg_1", noon, call("repair-order", "run 1", noon.Add(-72*time.Hour))))},
+		{name: "400-order-too-old", sent: one(signedDelivery(activeSecret, "msg_1", noon, callPayload("repair-order", "run 1", noon.Add(-72*time.Hour))))},
 
-		{name: "401-retired-key", sent: one(deliveryOf(retired, "msg_1", noon, call1))},
-		{name: "401-stale", sent: one(deliveryOf(secret, "msg_1", noon.Add(-6*time.Minute), call1))},
+		{name: "401-retired-key", sent: one(signedDelivery(retiredSecret, "msg_1", noon, call1))},
+		{name: "401-stale", sent: one(signedDelivery(activeSecret, "msg_1", noon.Add(-6*time.Minute), call1))},
 		{name: "401-unsigned", sent: one(replaced(good, "webhook-signature", "x-signature"))},
 
 		{name: "404-other-path", sent: one(replaced(good, "/hooks", "/hook"))},
@@ -144,7 +144,7 @@
 		{name: "405-then-200", sent: [][]byte{replaced(good, "POST", "PUT"), good}, answers: answer(served)},
 		{name: "413-long-body", sent: one(replaced(good, "Content-Length: ", "Content-Length: 99"))},
 		{name: "431-many-headers", sent: one(replaced(good, "Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: "))},
-		{name: "431-long-head", sent: one(replaced(good, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHead/256)+"Host: "))},
+		{name: "431-long-head", sent: one(replaced(good, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHeadBytes/256)+"Host: "))},
 
 		{name: "502-failed", sent: one(good), answers: answer(router.Response{Status: router.Failed})},
 		{name: "502-refused-but-may-have-run", sent: one(deliver("repair-order")),
@@ -156,8 +156,8 @@
 		{name: "503-order-refused-then-served", sent: [][]byte{deliver("repair-order"), deliver("repair-order")},
 			answers: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
-		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.max = 1 }},
-		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.most = -1 }},
+		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.maxBytes = 1 }},
+		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.maxOutcomeBytes = -1 }},
 
 		{name: "504-overdue-before-it-ran", sent: one(good), answers: answer(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
 		{name: "504-overdue", sent: one(good), answers: answer(router.Response{Status: router.Failed, DeadlineExceeded: true})},
@@ -187,7 +187,7 @@
 	cfg := testConfig("")
 	cfg.Sender.URL = n.url
 	cfg.Sender.Key = filepath.Join(t.TempDir(), "key")
-	if err := os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var line *testutil.Transport
@@ -212,7 +212,7 @@
 		transcript += golden.Quote("reply", []byte(reply))
 		handler.Data([]byte(reply))
 		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", line.HasClosed, sender.Pending())
-		now += backoffMost
+		now += maxBackoff
 		date = date.Add(90 * time.Second)
 	}
 	return transcript
@@ -254,7 +254,7 @@
 func (o ledgerOrder) delivery(at time.Time) []byte {
 	payload := fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":%q,"key":"7f3a9c21e0b4d655","body":%q}}`,
 		o.timestamp, o.class, base64.StdEncoding.EncodeToString([]byte("run "+o.id)))
-	return deliveryOf(secret, o.id, at, []byte(payload))
+	return signedDelivery(activeSecret, o.id, at, []byte(payload))
 }
 
 const (
@@ -293,15 +293,15 @@
 func writeLedger(t *testing.T, path string) {
 	t.Helper()
 	written := noon.Add(-2 * time.Hour)
-	calls := &core{}
+	calls := &fakeCore{}
 	receiver, posts := newReceiver(t, calls, path)
-	receiver.wall = func() time.Time { return written }
+	receiver.wallClock = func() time.Time { return written }
 	for _, o := range ledgerOrders() {
 		for round := range max(1, len(o.answers)) {
 			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.answers) > 0 {
-				calls.taken[len(calls.taken)-1].Asker.Respond(o.answers[round])
+				calls.accepted[len(calls.accepted)-1].Asker.Respond(o.answers[round])
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	if err := os.WriteFile(path, readFile(t, ledgerFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	calls := &core{}
+	calls := &fakeCore{}
 	receiver, posts := newReceiver(t, calls, path)
 	golden.Compare(t, compactFile, readFile(t, path))
 
@@ -350,14 +350,14 @@
 	transcript := ""
 	for _, o := range orders {
 		line := &testutil.Transport{}
-		before := len(calls.taken)
+		before := len(calls.accepted)
 		client := receiver.serve(line, goldenClient)
 		transcript += golden.Quote("request", o.delivery(noon))
 		client.Data(o.delivery(noon))
 		if client.Busy() {
 			(<-posts)()
 		}
-		for _, r := range calls.taken[before:] {
+		for _, r := range calls.accepted[before:] {
 			transcript += describeCall(r)
 		}
 		transcript += golden.Quote("response", line.Wrote.Bytes()) + "\n"
--- a/internal/webhook/http.go
+++ b/internal/webhook/http.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	maxHead    = 8 << 10  // request line and header lines
-	maxHeaders = 64       // of them
-	maxCall    = 16 << 10 // a call's body, once decoded
-	maxBody    = 24 << 10 // a request's body: a call's body in base64 and the fields round it
+	maxHeadBytes    = 8 << 10  // request line and header lines
+	maxHeaders      = 64       // of them
+	maxRequestBody  = 16 << 10 // a call's body, once decoded
+	maxDeliveryBody = 24 << 10 // a request's body: a call's body in base64 and the fields round it
 )
 
-// request is an HTTP request whose head has been read. Its parts point into the bytes read.
-type request struct {
-	method, target []byte
-	headers        []header
-	length         int  // of the body
-	last           bool // the client asked for the connection to be closed
-	waits          bool // the client waits for 100 Continue
+// httpRequest is an HTTP httpRequest whose head has been read. Its parts point into the bytes read.
+type httpRequest struct {
+	method, target  []byte
+	headers         []header
+	bodyLength      int  // of the body
+	closeRequested  bool // the client asked for the connection to be closed
+	expectsContinue bool // the client waits for 100 Continue
 }
 
 type header struct{ name, value []byte }
 
-// get returns the value of a header, and how many there are of that name.
-func (r *request) get(name string) (value []byte, n int) {
+// header returns the value of a header, and how many there are of that name.
+func (r *httpRequest) header(name string) (value []byte, n int) {
 	for _, h := range r.headers {
 		if len(h.name) == len(name) && bytes.EqualFold(h.name, []byte(name)) {
 			value = h.value
@@ -37,10 +37,10 @@
 // parseHead reads the head at the front of b, in place. It returns how long the head is, 0 while
 // it is not whole, and a status other than 0 for a request that is refused as it stands: where its
 // body would end is then unknown, so the connection can't be used any further.
-func parseHead(b []byte) (r request, size, status int) {
-	end := bytes.Index(b[:min(len(b), maxHead)], []byte("\r\n\r\n"))
+func parseHead(b []byte) (r httpRequest, size, status int) {
+	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(b) >= maxHead {
+		if len(b) >= maxHeadBytes {
 			return r, 0, 431
 		}
 		// A line end that is not CRLF would have us wait for an end that others have seen.
@@ -67,14 +67,14 @@
 		}
 		r.headers = append(r.headers, header{name, value})
 	}
-	if _, n := r.get("Host"); n != 1 {
+	if _, n := r.header("Host"); n != 1 {
 		return r, 0, 400
 	}
 	// Two lengths, or a length and chunks, are how one request is passed off as two: never guess.
-	if _, n := r.get("Transfer-Encoding"); n > 0 {
+	if _, n := r.header("Transfer-Encoding"); n > 0 {
 		return r, 0, 400
 	}
-	length, n := r.get("Content-Length")
+	length, n := r.header("Content-Length")
 	if n > 1 || n == 0 && string(r.method) == "POST" {
 		return r, 0, 400
 	}
@@ -83,14 +83,14 @@
 			return r, 0, status
 		}
 	}
-	connection, _ := r.get("Connection")
-	r.last = bytes.EqualFold(connection, []byte("close"))
-	expect, _ := r.get("Expect")
-	r.waits = bytes.EqualFold(expect, []byte("100-continue"))
+	connection, _ := r.header("Connection")
+	r.closeRequested = bytes.EqualFold(connection, []byte("close"))
+	expect, _ := r.header("Expect")
+	r.expectsContinue = bytes.EqualFold(expect, []byte("100-continue"))
 	return r, end + 4, 0
 }
 
-func (r *request) setLength(text []byte) (status int) {
+func (r *httpRequest) setLength(text []byte) (status int) {
 	for _, d := range text {
 		if d < '0' || d > '9' { // no sign, no list
 			return 400
@@ -100,10 +100,10 @@
 	switch {
 	case len(text) == 0:
 		return 400
-	case err != nil || n > maxBody:
+	case err != nil || n > maxDeliveryBody:
 		return 413
 	}
-	r.length = n
+	r.bodyLength = n
 	return 0
 }
 
@@ -137,17 +137,17 @@
 	return true
 }
 
-var reasons = map[int]string{
+var statusText = map[int]string{
 	200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
 	413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
 	503: "Service Unavailable", 504: "Gateway Timeout",
 }
 
-// response returns the head of an answer; its body is written behind it.
-func response(status, length int, last bool, extra string) []byte {
+// appendResponseHead returns the head of an answer; its body is written behind it.
+func appendResponseHead(status, length int, last bool, extra string) []byte {
 	b := append(make([]byte, 0, 192), "HTTP/1.1 "...)
 	b = append(strconv.AppendInt(b, int64(status), 10), ' ')
-	b = append(append(b, reasons[status]...), "\r\nContent-Length: "...)
+	b = append(append(b, statusText[status]...), "\r\nContent-Length: "...)
 	b = append(strconv.AppendInt(b, int64(length), 10), "\r\n"...)
 	if length > 0 {
 		b = append(b, "Content-Type: application/octet-stream\r\n"...)
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -18,58 +18,58 @@
 
 // Why an order can't be entered.
 var (
-	errFull   = errors.New("ledger is full")
-	errBroken = errors.New("ledger is out of use after a failed write")
+	errLedgerFull   = errors.New("ledger is full")
+	errLedgerBroken = errors.New("ledger is out of use after a failed write")
 )
 
-// entry is a line of the ledger: what became of an order.
-type entry struct {
-	ID     string    `json:"id"`
-	At     time.Time `json:"at"`    // when the order's event happened
-	Sum    string    `json:"sum"`   // of the payload
-	State  string    `json:"state"` // begun, ended or freed
-	Status int       `json:"status,omitempty"`
-	Body   []byte    `json:"body,omitempty"`
+// ledgerEntry is a line of the ledger: what became of an order.
+type ledgerEntry struct {
+	ID         string    `json:"id"`
+	EventTime  time.Time `json:"at"`    // when the order's event happened
+	BodyDigest string    `json:"sum"`   // of the payload
+	State      string    `json:"state"` // begun, ended or freed
+	Status     int       `json:"status,omitempty"`
+	Body       []byte    `json:"body,omitempty"`
 }
 
 const (
-	begun = "begun" // it may run from now on
-	ended = "ended" // with this outcome
-	freed = "freed" // it is proven that it never ran
+	stateBegun = "begun" // it may run from now on
+	stateEnded = "ended" // with this outcome
+	stateFreed = "freed" // it is proven that it never ran
 )
 
 // ledger is the append-only record of orders that survives a restart. A begun line is on the disk
 // before the order's first send; an order whose line is missing has never been sent. One goroutine
 // writes it, off the loop. A line is a checksum, a space, JSON and a line end.
 type ledger struct {
-	path      string
-	max       int64
-	retention time.Duration
-	wall      func() time.Time
-	file      *os.File
-	lock      *os.File
-	size      int64
-	rewritten time.Time
-	broken    bool
-	work      chan job
-	idle      chan struct{} // closed when the last line is written
+	path        string
+	maxBytes    int64
+	retention   time.Duration
+	wallClock   func() time.Time
+	file        *os.File
+	lock        *os.File
+	size        int64
+	compactedAt time.Time
+	broken      bool
+	jobs        chan appendJob
+	drained     chan struct{} // closed when the last line is written
 }
 
-// job is a line to write; where done is set it is synced first.
-type job struct {
-	e    entry
-	done func(error)
+// appendJob is a line to write; where done is set it is synced first.
+type appendJob struct {
+	entry ledgerEntry
+	done  func(error)
 }
 
 const (
-	ledgerQueue  = 256
-	maxLine      = 64 << 10
-	rewriteEvery = time.Minute
+	ledgerQueue        = 256
+	maxLedgerLine      = 64 << 10
+	compactionInterval = time.Minute
 )
 
 // openLedger reads the ledger at path and writes it anew without what is older than retention.
-func openLedger(path string, max int64, retention time.Duration, wall func() time.Time) (*ledger, []entry, error) {
-	l := &ledger{path: path, max: max, retention: retention, wall: wall, work: make(chan job, ledgerQueue), idle: make(chan struct{})}
+func openLedger(path string, max int64, retention time.Duration, wall func() time.Time) (*ledger, []ledgerEntry, error) {
+	l := &ledger{path: path, maxBytes: max, retention: retention, wallClock: wall, jobs: make(chan appendJob, ledgerQueue), drained: make(chan struct{})}
 	var err error
 	if l.lock, err = os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, nil, fmt.Errorf("ledger: %w", err)
@@ -80,7 +80,7 @@
 		l.lock.Close()
 		return nil, nil, fmt.Errorf("ledger %s is in use: %w", path, err)
 	}
-	entries, err := l.rewrite()
+	entries, err := l.compact()
 	if err != nil {
 		l.lock.Close()
 		return nil, nil, fmt.Errorf("ledger: %w", err)
@@ -89,12 +89,12 @@
 	return l, entries, nil
 }
 
-// rewrite replaces the file by one with only the last line of each order that is still retained.
-func (l *ledger) rewrite() ([]entry, error) {
-	last, order := map[string]entry{}, []string(nil)
+// compact replaces the file by one with only the last line of each order that is still retained.
+func (l *ledger) compact() ([]ledgerEntry, error) {
+	last, order := map[string]ledgerEntry{}, []string(nil)
 	switch f, err := os.Open(l.path); {
 	case err == nil:
-		err = read(f, func(e entry) {
+		err = readEntries(f, func(e ledgerEntry) {
 			if _, known := last[e.ID]; !known {
 				order = append(order, e.ID)
 			}
@@ -107,12 +107,12 @@
 	case !errors.Is(err, fs.ErrNotExist):
 		return nil, err
 	}
-	var kept []entry
+	var kept []ledgerEntry
 	var text []byte
 	for _, id := range order {
-		if e := last[id]; e.State != freed && l.wall().Sub(e.At) <= l.retention {
+		if e := last[id]; e.State != stateFreed && l.wallClock().Sub(e.EventTime) <= l.retention {
 			kept = append(kept, e)
-			text = append(text, encode(e)...)
+			text = append(text, encodeEntry(e)...)
 		}
 	}
 	fresh, err := os.OpenFile(l.path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
@@ -135,7 +135,7 @@
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.size, l.rewritten = fresh, int64(len(text)), l.wall()
+	l.file, l.size, l.compactedAt = fresh, int64(len(text)), l.wallClock()
 	return kept, nil
 }
 
@@ -148,7 +148,7 @@
 	return d.Sync()
 }
 
-func encode(e entry) []byte {
+func encodeEntry(e ledgerEntry) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // of strings, numbers and bytes: it can't fail
@@ -156,10 +156,10 @@
 	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-// read calls f for each line. A last line that was cut short was never synced, so nothing was sent
+// readEntries calls f for each line. A last line that was cut short was never synced, so nothing was sent
 // for it; damage anywhere else leaves it open which orders ran, and is an error.
-func read(r io.Reader, f func(entry)) error {
-	in := bufio.NewReaderSize(r, maxLine)
+func readEntries(r io.Reader, f func(ledgerEntry)) error {
+	in := bufio.NewReaderSize(r, maxLedgerLine)
 	for n := 1; ; n++ {
 		text, err := in.ReadSlice('\n')
 		if err == io.EOF {
@@ -169,7 +169,7 @@
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		var crc [4]byte
-		var e entry
+		var e ledgerEntry
 		if len(text) < 10 {
 			return fmt.Errorf("line %d: damaged", n)
 		}
@@ -189,20 +189,20 @@
 }
 
 // begin enters an order; done is called off the loop once it is on the disk, or can't be.
-func (l *ledger) begin(e entry, done func(error)) {
-	e.State = begun
+func (l *ledger) begin(e ledgerEntry, done func(error)) {
+	e.State = stateBegun
 	select {
-	case l.work <- job{e: e, done: done}:
+	case l.jobs <- appendJob{entry: e, done: done}:
 	default:
-		done(errFull)
+		done(errLedgerFull)
 	}
 }
 
 // settle enters what became of an order. Should it be lost, the order counts as one that may have
 // run, and is never run again.
-func (l *ledger) settle(e entry) {
+func (l *ledger) settle(e ledgerEntry) {
 	select {
-	case l.work <- job{e: e}:
+	case l.jobs <- appendJob{entry: e}:
 	default:
 		slog.Warn("ledger_entry_dropped", "id", e.ID, "state", e.State)
 	}
@@ -210,13 +210,13 @@
 
 // run writes what has been entered, as many lines as there are with one sync.
 func (l *ledger) run() {
-	defer close(l.idle)
-	var batch []job
-	for j := range l.work {
+	defer close(l.drained)
+	var batch []appendJob
+	for j := range l.jobs {
 		batch = append(batch[:0], j)
 		for more := true; more; {
 			select {
-			case j, more = <-l.work:
+			case j, more = <-l.jobs:
 				if more {
 					batch = append(batch, j)
 				}
@@ -229,11 +229,11 @@
 }
 
 // write appends a batch and then tells each who waits how its line fared.
-func (l *ledger) write(batch []job) {
+func (l *ledger) write(batch []appendJob) {
 	errs := make([]error, len(batch))
 	sync := false
 	for i, j := range batch {
-		errs[i] = l.append(j.e)
+		errs[i] = l.append(j.entry)
 		sync = sync || errs[i] == nil && j.done != nil
 	}
 	if sync {
@@ -246,7 +246,7 @@
 	}
 	for i, j := range batch {
 		if errs[i] != nil {
-			slog.Error("ledger_write_failed", "id", j.e.ID, "err", errs[i])
+			slog.Error("ledger_write_failed", "id", j.entry.ID, "err", errs[i])
 		}
 		if j.done != nil {
 			j.done(errs[i])
@@ -254,22 +254,22 @@
 	}
 }
 
-func (l *ledger) append(e entry) error {
+func (l *ledger) append(e ledgerEntry) error {
 	if l.broken {
-		return errBroken
+		return errLedgerBroken
 	}
-	text := encode(e)
-	if l.size+int64(len(text)) > l.max {
+	text := encodeEntry(e)
+	if l.size+int64(len(text)) > l.maxBytes {
 		// Not at each order that finds it full: that would have the whole file written every time.
-		if l.wall().Sub(l.rewritten) < rewriteEvery {
-			return errFull
+		if l.wallClock().Sub(l.compactedAt) < compactionInterval {
+			return errLedgerFull
 		}
-		if _, err := l.rewrite(); err != nil {
+		if _, err := l.compact(); err != nil {
 			l.broken = true
 			return err
 		}
-		if l.size+int64(len(text)) > l.max {
-			return errFull
+		if l.size+int64(len(text)) > l.maxBytes {
+			return errLedgerFull
 		}
 	}
 	if _, err := l.file.Write(text); err != nil {
@@ -282,8 +282,8 @@
 
 // close writes what was entered, and lets others open the ledger.
 func (l *ledger) close() error {
-	close(l.work)
-	<-l.idle
+	close(l.jobs)
+	<-l.drained
 	err := l.file.Sync()
 	return errors.Join(err, l.file.Close(), l.lock.Close())
 }
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -18,35 +18,35 @@
 )
 
 const (
-	sendersAtOnce = 4
-	maxReply      = 8 << 10 // of a receiver's answer that is read
-	backoffMost   = 10 * time.Minute
+	maxConcurrentAttempts = 4
+	maxNoticeResponse     = 8 << 10 // of a receiver's answer that is read
+	maxBackoff            = 10 * time.Minute
 )
 
 // Sender sends a signed notice of what became of each order. It is never in a request's way: what
 // its queue has no room for is dropped and counted.
 type Sender struct {
-	cfg      *Config
-	url      *url.URL
-	addr     string
-	secret   []byte
-	dial     func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
-	wall     func() time.Time
-	now      time.Duration
-	queue    []*notice // waiting for their time
-	out      int
-	flying   []*delivery
-	Counters SenderCounters
+	cfg       *Config
+	url       *url.URL
+	address   string
+	secret    []byte
+	dial      func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+	wallClock func() time.Time
+	now       time.Duration
+	queue     []*notice // waiting for their time
+	inFlight  int
+	attempts  []*noticeAttempt
+	Counters  SenderCounters
 }
 
 // SenderCounters tells what became of notices.
 type SenderCounters struct{ Queued, Dropped, Delivered, Retried, GivenUp uint64 }
 
 type notice struct {
-	id    string // the same in each delivery
-	body  []byte
-	tries int
-	due   time.Duration
+	id       string // the same in each delivery
+	body     []byte
+	attempts int
+	due      time.Duration
 }
 
 // NewSender reads the key.
@@ -55,10 +55,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
 	}
-	s := &Sender{cfg: cfg, url: u, addr: cfg.Sender.Connect, dial: dial, wall: wall}
-	if s.addr == "" {
-		if s.addr = u.Host; u.Port() == "" {
-			s.addr += ":80"
+	s := &Sender{cfg: cfg, url: u, address: cfg.Sender.Connect, dial: dial, wallClock: wall}
+	if s.address == "" {
+		if s.address = u.Host; u.Port() == "" {
+			s.address += ":80"
 		}
 	}
 	if s.secret, err = readKey(cfg.Sender.Key); err != nil {
@@ -70,7 +70,7 @@
 // Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
 func (s *Sender) Notify(now time.Duration, r *router.Request, what string) {
 	s.now = max(s.now, now)
-	if len(s.queue)+s.out >= s.cfg.Sender.Queue {
+	if len(s.queue)+s.inFlight >= s.cfg.Sender.Queue {
 		s.Counters.Dropped++
 		return
 	}
@@ -83,7 +83,7 @@
 		Type      string    `json:"type"`
 		Timestamp time.Time `json:"timestamp"`
 		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
+	}{"repair-order." + what, s.wallClock().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
 	if err != nil {
 		s.Counters.Dropped++
 		return
@@ -95,7 +95,7 @@
 }
 
 // Pending is how many notices have not come to their end.
-func (s *Sender) Pending() int { return len(s.queue) + s.out }
+func (s *Sender) Pending() int { return len(s.queue) + s.inFlight }
 
 // Tick sends what is due, and returns when it is to be called again.
 func (s *Sender) Tick(now time.Duration) time.Duration {
@@ -103,73 +103,73 @@
 	next := now + time.Hour
 	keep := s.queue[:0]
 	for _, n := range s.queue {
-		if n.due <= now && s.out < sendersAtOnce {
-			s.out++
-			d := &delivery{sender: s, n: n}
-			d.line = s.dial(s.addr, s.cfg.Sender.Timeout, d)
-			d.until = now + s.cfg.Sender.Timeout
-			s.flying = append(s.flying, d)
+		if n.due <= now && s.inFlight < maxConcurrentAttempts {
+			s.inFlight++
+			d := &noticeAttempt{sender: s, notice: n}
+			d.transport = s.dial(s.address, s.cfg.Sender.Timeout, d)
+			d.deadline = now + s.cfg.Sender.Timeout
+			s.attempts = append(s.attempts, d)
 			continue
 		}
-		if s.out < sendersAtOnce {
+		if s.inFlight < maxConcurrentAttempts {
 			next = min(next, n.due)
 		}
 		keep = append(keep, n)
 	}
 	clear(s.queue[len(keep):])
 	s.queue = keep
-	flying := s.flying[:0]
-	for _, d := range s.flying {
-		if !d.done && d.until <= now {
-			d.finish(0, errors.New("no answer in time"))
+	flying := s.attempts[:0]
+	for _, d := range s.attempts {
+		if !d.done && d.deadline <= now {
+			d.complete(0, errors.New("no answer in time"))
 		}
 		if !d.done {
-			next = min(next, d.until)
+			next = min(next, d.deadline)
 			flying = append(flying, d)
 		}
 	}
-	clear(s.flying[len(flying):])
-	s.flying = flying
+	clear(s.attempts[len(flying):])
+	s.attempts = flying
 	return next
 }
 
-// delivery is one try to deliver a notice, on a connection of its own.
-type delivery struct {
-	sender *Sender
-	n      *notice
-	line   Transport
-	until  time.Duration
-	reply  []byte
-	done   bool
+// noticeAttempt is one try to deliver a notice, on a connection of its own.
+type noticeAttempt struct {
+	sender    *Sender
+	notice    *notice
+	transport Transport
+	deadline  time.Duration
+	response  []byte
+	done      bool
 }
 
 // DialCompleted sends the notice, signed with the time of this try.
-func (d *delivery) DialCompleted(err error) {
+func (d *noticeAttempt) DialCompleted(err error) {
 	if err != nil {
-		d.finish(0, err)
+		d.complete(0, err)
 		return
 	}
 	if d.done {
 		return
 	}
-	s, n := d.sender, d.n
-	stamp := strconv.FormatInt(s.wall().Unix(), 10)
+	s, n := d.sender, d.notice
+	stamp := strconv.FormatInt(s.wallClock().Unix(), 10)
 	head := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"+
 		"webhook-id: %s\r\nwebhook-timestamp: %s\r\nwebhook-signature: %s\r\nConnection: close\r\n\r\n",
 		s.url.RequestURI(), s.url.Host, len(n.body), n.id, stamp, sign(s.secret, n.id, stamp, n.body))
-	d.line.Write(head, n.body)
+	d.transport.Write(head, n.body)
 }
 
 // Data reads the status line; nothing else of the answer matters.
-func (d *delivery) Data(b []byte) {
+func (d *noticeAttempt) Data(b []byte) {
 	if d.done {
 		return
 	}
-	d.reply = append(d.reply, b...)
-	line, _, whole := bytes.Cut(d.reply[:min(len(d.reply), maxReply)], []byte("\r\n"))
+	d.response = append(d.response, b...)
+	line, _, whole := bytes.Cut(d.response[:min(len(d.response), maxNoticeResponse)], []byte("\r\n"))
 	if !whole {
-		if len(d.reply) >= maxReply {
-			d.finish(0, errors.New("malformed answer"))
+		if len(d.response) >= maxNoticeResponse {
+			d.complete(0, errors.New("malformed answer"))
 		}
 		return
 	}
@@ -179,45 +179,45 @@
 		status, _ = strconv.Atoi(string(words[1]))
 	}
 	if status >= 100 && status < 200 { // an interim answer; the one that counts follows
-		if end := bytes.Index(d.reply, []byte("\r\n\r\n")); end >= 0 {
-			rest := d.reply[end+4:]
-			d.reply = nil
+		if end := bytes.Index(d.response, []byte("\r\n\r\n")); end >= 0 {
+			rest := d.response[end+4:]
+			d.response = nil
 			d.Data(rest)
 		}
 		return
 	}
-	d.finish(status, nil)
+	d.complete(status, nil)
 }
 
 // Closed without an answer is a try that failed.
-func (d *delivery) Closed(err error) {
+func (d *noticeAttempt) Closed(err error) {
 	if err == nil {
 		err = errors.New("closed without an answer")
 	}
-	d.finish(0, err)
+	d.complete(0, err)
 }
 
-// finish ends the try. What was not taken comes again, later each time, until its tries are used
+// complete ends the try. What was not taken comes again, later each time, until its tries are used
 // up; 410 says that it is never to come again.
-func (d *delivery) finish(status int, err error) {
+func (d *noticeAttempt) complete(status int, err error) {
 	if d.done {
 		return
 	}
 	d.done = true
-	d.line.Close()
-	s, n := d.sender, d.n
-	s.out--
-	if n.tries++; status >= 200 && status < 300 {
+	d.transport.Close()
+	s, n := d.sender, d.notice
+	s.inFlight--
+	if n.attempts++; status >= 200 && status < 300 {
 		s.Counters.Delivered++
 		return
 	}
-	slog.Warn("webhook_notice_failed", "id", n.id, "try", n.tries, "status", status, "err", err)
-	if n.tries >= s.cfg.Sender.Attempts || status == 410 {
+	slog.Warn("webhook_notice_failed", "id", n.id, "try", n.attempts, "status", status, "err", err)
+	if n.attempts >= s.cfg.Sender.Attempts || status == 410 {
 		s.Counters.GivenUp++
 		return
 	}
 	s.Counters.Retried++
-	wait := min(s.cfg.Sender.Backoff<<(2*min(n.tries-1, 10)), backoffMost)
+	wait := min(s.cfg.Sender.Backoff<<(2*min(n.attempts-1, 10)), maxBackoff)
 	n.due = s.now + wait/2 + jitter(wait/2)
 	s.queue = append(s.queue, n)
 }
--- a/internal/webhook/sign.go
+++ b/internal/webhook/sign.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	secretPrefix  = "whsec_"
-	minSecret     = 24 // bytes, as the Standard Webhooks specification has it
-	maxSecret     = 64
-	maxSignatures = 16  // in one header
-	maxID         = 128 // bytes of a webhook-id
+	secretPrefix   = "whsec_"
+	minSecretBytes = 24 // bytes, as the Standard Webhooks specification has it
+	maxSecretBytes = 64
+	maxSignatures  = 16  // in one header
+	maxDeliveryID  = 128 // bytes of a webhook-id
 )
 
 // Why a delivery is not let in.
 var (
-	errUnsigned = errors.New("unsigned or malformed signature headers")
-	errStale    = errors.New("timestamp is out of tolerance")
-	errKey      = errors.New("no active key made this signature")
+	errUnsigned      = errors.New("unsigned or malformed signature headers")
+	errStale         = errors.New("timestamp is out of tolerance")
+	errNoMatchingKey = errors.New("no active key made this signature")
 )
 
-// key signs and verifies until its end.
-type key struct {
+// signingKey signs and verifies until its end.
+type signingKey struct {
 	secret []byte
 	until  time.Time // retired from then on; zero: never
 }
@@ -48,14 +48,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("key %s: not base64", path) // the error would show parts of the key
 	}
-	if len(secret) < minSecret || len(secret) > maxSecret {
-		return nil, fmt.Errorf("key %s: %d bytes; %d to %d are allowed", path, len(secret), minSecret, maxSecret)
+	if len(secret) < minSecretBytes || len(secret) > maxSecretBytes {
+		return nil, fmt.Errorf("key %s: %d bytes; %d to %d are allowed", path, len(secret), minSecretBytes, maxSecretBytes)
 	}
 	return secret, nil
 }
 
-// sum is the signature of id.timestamp.body.
-func sum(secret []byte, id, timestamp string, body []byte) []byte {
+// signature is the signature of id.timestamp.body.
+func signature(secret []byte, id, timestamp string, body []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(id + "." + timestamp + "."))
 	h.Write(body)
@@ -64,18 +64,18 @@
 
 // sign returns the value of webhook-signature.
 func sign(secret []byte, id, timestamp string, body []byte) string {
-	return "v1," + base64.StdEncoding.EncodeToString(sum(secret, id, timestamp, body))
+	return "v1," + base64.StdEncoding.EncodeToString(signature(secret, id, timestamp, body))
 }
 
 // verify tells whether an active key signed the delivery not long ago, and returns its id. Each
 // signature is compared with each key's, whatever was found before, so that the time taken tells
 // nothing of them.
-func verify(r *request, body []byte, keys []key, now time.Time, tolerance time.Duration) (id string, err error) {
-	rawID, ids := r.get("webhook-id")
-	stamp, stamps := r.get("webhook-timestamp")
-	list, lists := r.get("webhook-signature")
+func verify(r *httpRequest, body []byte, keys []signingKey, now time.Time, tolerance time.Duration) (id string, err error) {
+	rawID, ids := r.header("webhook-id")
+	stamp, stamps := r.header("webhook-timestamp")
+	list, lists := r.header("webhook-signature")
 	// A dot in an id would let one signed text be read as two different deliveries.
-	if ids != 1 || stamps != 1 || lists != 1 || len(rawID) == 0 || len(rawID) > maxID || bytes.IndexByte(rawID, '.') >= 0 {
+	if ids != 1 || stamps != 1 || lists != 1 || len(rawID) == 0 || len(rawID) > maxDeliveryID || bytes.IndexByte(rawID, '.') >= 0 {
 		return "", errUnsigned
 	}
 	seconds, err := strconv.ParseInt(string(stamp), 10, 64)
@@ -91,7 +91,7 @@
 		if !k.until.IsZero() && !now.Before(k.until) {
 			continue
 		}
-		want := sum(k.secret, string(rawID), string(stamp), body)
+		want := signature(k.secret, string(rawID), string(stamp), body)
 		for _, s := range signatures {
 			encoded, ok := bytes.CutPrefix(s, []byte("v1,"))
 			if !ok {
@@ -104,7 +104,7 @@
 		}
 	}
 	if !good {
-		return "", errKey
+		return "", errNoMatchingKey
 	}
 	if age := now.Sub(time.Unix(seconds, 0)); age > tolerance || age < -tolerance {
 		return "", errStale
