--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -340,7 +340,7 @@
 	}
 	t, err := route.Compile(&c.res.Spec, c.res.Classes())
 	if err != nil {
-		if a := (*route.Ambiguous)(nil); errors.As(err, &a) {
+		if a := (*route.AmbiguousRoutesError)(nil); errors.As(err, &a) {
 			b := c.names["route"][a.Second.Name]
 			c.fault(b, b.at, "%v", err)
 			return
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -80,8 +80,8 @@
 // tells which of them must never run twice. Names, places and the order of things have no effect and make
 // no difference.
 func Diff(old, new *Table, once []bool, others bool) (changes []Change) {
-	pairs := pair(old.pools, new.pools)
-	u := newUniverse(others, old, new)
+	pairs := matchPools(old.pools, new.pools)
+	u := newRequestSpace(others, old, new)
 	type ends struct{ o, n *Route }
 	sample := map[string]ends{}
 	keys, regions := u.group(func(c Request) string {
@@ -112,13 +112,13 @@
 	for i, k := range keys {
 		c := Change{Regions: regions[i]}
 		c.Before, c.After, _ = strings.Cut(k, "\x00")
-		c.Lines = [2]string{sample[k].o.place(), sample[k].n.place()}
+		c.Lines = [2]string{sample[k].o.position(), sample[k].n.position()}
 		changes = append(changes, c)
 	}
 	return append(changes, poolChanges(old, new, pairs)...)
 }
 
-func (r *Route) place() string {
+func (r *Route) position() string {
 	if r == nil {
 		return ""
 	}
@@ -129,15 +129,15 @@
 func poolChanges(old, new *Table, pairs map[*Pool]*Pool) (changes []Change) {
 	kept := map[*Pool]bool{}
 	back := func(p *Pool, pairing func(*Pool) *Pool) string {
-		if p.next == nil {
+		if p.fallback == nil {
 			return "no fallback"
 		}
-		if q := pairing(p.next); q != nil {
+		if q := pairing(p.fallback); q != nil {
 			return "fallback " + q.Spec.Name
 		}
-		return "fallback " + p.next.Spec.Name
+		return "fallback " + p.fallback.Spec.Name
 	}
-	describe := func(p *Pool, pairing func(*Pool) *Pool) string { return p.Spec.figures() + ", " + back(p, pairing) }
+	describe := func(p *Pool, pairing func(*Pool) *Pool) string { return p.Spec.description() + ", " + back(p, pairing) }
 	for _, n := range new.pools {
 		o := pairs[n]
 		if o == nil {
--- a/internal/route/pattern.go
+++ b/internal/route/pattern.go
@@ -60,38 +60,38 @@
 	return Pattern{p.Prefix | uint64(d)<<(60-4*p.Digits), p.Digits + 1}
 }
 
-// patterns is a set of them; the empty one, which matches all, is always in it.
-type patterns struct {
-	set   map[Pattern]bool
-	inner map[Pattern]bool // all that have a longer one of the set below
-	order []Pattern        // by prefix, shorter ones first: what is within one comes right behind it
+// patternSet is a set of them; the empty one, which matches all, is always in it.
+type patternSet struct {
+	members   map[Pattern]bool
+	ancestors map[Pattern]bool // all that have a longer one of the set below
+	sorted    []Pattern        // by prefix, shorter ones first: what is within one comes right behind it
 }
 
-func newPatterns(list []Pattern) *patterns {
-	ps := &patterns{set: map[Pattern]bool{{}: true}, inner: map[Pattern]bool{}}
+func newPatternSet(list []Pattern) *patternSet {
+	ps := &patternSet{members: map[Pattern]bool{{}: true}, ancestors: map[Pattern]bool{}}
 	for _, p := range list {
-		ps.set[p] = true
+		ps.members[p] = true
 		for p.Digits > 0 {
 			p.Digits--
 			p.Prefix &= p.mask()
-			if ps.inner[p] {
+			if ps.ancestors[p] {
 				break
 			}
-			ps.inner[p] = true
+			ps.ancestors[p] = true
 		}
 	}
-	ps.order = slices.SortedFunc(maps.Keys(ps.set), compare)
+	ps.sorted = slices.SortedFunc(maps.Keys(ps.members), comparePatterns)
 	return ps
 }
 
-// rest returns a function of p that no longer pattern of the set matches; such patterns may leave none.
-func (ps *patterns) rest(p Pattern) (key uint64, ok bool) {
-	if !ps.inner[p] {
+// functionOf returns a function of p that no longer pattern of the set matches; such patterns may leave none.
+func (ps *patternSet) functionOf(p Pattern) (key uint64, ok bool) {
+	if !ps.ancestors[p] {
 		return p.Prefix, true
 	}
 	for d := range 16 {
-		if c := p.child(d); !ps.set[c] {
-			if key, ok := ps.rest(c); ok {
+		if c := p.child(d); !ps.members[c] {
+			if key, ok := ps.functionOf(c); ok {
 				return key, true
 			}
 		}
@@ -99,19 +99,19 @@
 	return 0, false
 }
 
-func compare(a, b Pattern) int {
+func comparePatterns(a, b Pattern) int {
 	return cmp.Or(cmp.Compare(a.Prefix, b.Prefix), cmp.Compare(a.Digits, b.Digits))
 }
 
-// below returns the set's patterns that are longer than p, within it, and wanted; of those within each other the
+// outermostWithin returns the set's patterns that are longer than p, within it, and wanted; of those within each other the
 // outermost alone.
-func (ps *patterns) below(p Pattern, wanted func(Pattern) bool) (list []Pattern) {
-	i, found := slices.BinarySearchFunc(ps.order, p, compare)
+func (ps *patternSet) outermostWithin(p Pattern, wanted func(Pattern) bool) (list []Pattern) {
+	i, found := slices.BinarySearchFunc(ps.sorted, p, comparePatterns)
 	if found {
 		i++
 	}
-	for ; i < len(ps.order) && ps.order[i].within(p); i++ {
-		if q := ps.order[i]; wanted(q) && (len(list) == 0 || !q.within(list[len(list)-1])) {
+	for ; i < len(ps.sorted) && ps.sorted[i].within(p); i++ {
+		if q := ps.sorted[i]; wanted(q) && (len(list) == 0 || !q.within(list[len(list)-1])) {
 			list = append(list, q)
 		}
 	}
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -13,52 +13,52 @@
 // Pool is a pool of workers, as the decision module sees it: whom a call may go to, and whether a further
 // attempt, order or spilled call is within its bounds. A table that replaces another takes the counts over.
 type Pool struct {
-	Spec    PoolSpec
-	next    *Pool
-	members map[policy.WorkerID]bool
-	share   float64 // of the ration of load orders
-	*counts
-	orders *window // of its own, or of all pools without a share
+	Spec      PoolSpec
+	fallback  *Pool
+	members   map[policy.WorkerID]bool
+	loadShare float64 // of the ration of load orders
+	*poolCounters
+	loads *slidingWindow // of its own, or of all pools without a share
 }
 
 var _ policy.Pool = (*Pool)(nil)
 
-// counts is what happened in a pool.
-type counts struct {
+// poolCounters is what happened in a pool.
+type poolCounters struct {
 	inFlight, peak             int
-	calls, spilled             *window
-	own                        *window // orders
+	requests, overflows        *slidingWindow
+	ownLoads                   *slidingWindow // orders
 	Requests, Overflows, Loads uint64
 	CapacityExceeded           uint64 // times that the cap or the spill bound stood in the way
 }
 
-// spillSpan is the time over which the bound on what spills is kept.
-const spillSpan = 10 * time.Second
+// overflowWindow is the time over which the bound on what spills is kept.
+const overflowWindow = 10 * time.Second
 
 // compilePools makes the pools of a spec and joins them to their fallbacks.
 func compilePools(specs []PoolSpec, loads time.Duration) (map[string]*Pool, error) {
-	pools, shared, rest := map[string]*Pool{}, newWindow(loads), 1.0
+	pools, shared, rest := map[string]*Pool{}, newSlidingWindow(loads), 1.0
 	for _, s := range specs {
 		if pools[s.Name] != nil {
 			return nil, fmt.Errorf("pool %q is there twice", s.Name)
 		}
-		pools[s.Name] = &Pool{Spec: s, counts: &counts{calls: newWindow(spillSpan), spilled: newWindow(spillSpan), own: newWindow(loads)}}
+		pools[s.Name] = &Pool{Spec: s, poolCounters: &poolCounters{requests: newSlidingWindow(overflowWindow), overflows: newSlidingWindow(overflowWindow), ownLoads: newSlidingWindow(loads)}}
 		rest -= max(s.LoadShare, 0)
 	}
 	if rest < -1e-9 {
 		return nil, fmt.Errorf("the pools' shares of the load orders come to %.4g%%", 100*(1-rest))
 	}
 	for _, p := range pools {
-		p.orders, p.share = shared, max(rest, 0)
+		p.loads, p.loadShare = shared, max(rest, 0)
 		if p.Spec.LoadShare != Unset {
-			p.orders, p.share = p.own, p.Spec.LoadShare
+			p.loads, p.loadShare = p.ownLoads, p.Spec.LoadShare
 		}
 		if p.Spec.Fallback != "" {
-			if p.next = pools[p.Spec.Fallback]; p.next == nil {
+			if p.fallback = pools[p.Spec.Fallback]; p.fallback == nil {
 				return nil, fmt.Errorf("pool %q: no pool %q", p.Spec.Name, p.Spec.Fallback)
 			}
 		}
-		for q, n := p.next, 0; q != nil; q = q.next {
+		for q, n := p.fallback, 0; q != nil; q = q.fallback {
 			if n++; n > len(pools) {
 				return nil, fmt.Errorf("pool %q falls back in a circle", p.Spec.Name)
 			}
@@ -87,7 +87,7 @@
 // RequestRouted counts a call that a route sends to the pool.
 func (p *Pool) RequestRouted(now time.Duration) {
 	p.Requests++
-	p.calls.add(now)
+	p.requests.add(now)
 }
 
 // AttemptStarted counts an attempt as in flight.
@@ -102,36 +102,36 @@
 // MayLoad tells whether a load order is within the pool's share of a ration of so many orders in the
 // window of the ration.
 func (p *Pool) MayLoad(now time.Duration, ration float64) bool {
-	return p.share >= 1 || float64(p.orders.most(now)+1) <= p.share*ration
+	return p.loadShare >= 1 || float64(p.loads.upperBound(now)+1) <= p.loadShare*ration
 }
 
 // LoadStarted counts a load order.
 func (p *Pool) LoadStarted(now time.Duration) {
 	p.Loads++
-	p.orders.add(now)
+	p.loads.add(now)
 }
 
 // Overflow returns where a call goes that the pool can't take, or nil where it has no fallback or its bound is
 // reached. It counts the call.
 func (p *Pool) Overflow(now time.Duration) policy.Pool {
-	if p.next == nil {
+	if p.fallback == nil {
 		return nil
 	}
 	most := math.Inf(1)
 	if p.Spec.OverflowShare != Unset {
-		most = p.Spec.OverflowShare * float64(p.calls.least(now))
+		most = p.Spec.OverflowShare * float64(p.requests.lowerBound(now))
 	}
 	if p.Spec.OverflowRate != Unset {
-		most = min(most, p.Spec.OverflowRate*spillSpan.Seconds())
+		most = min(most, p.Spec.OverflowRate*overflowWindow.Seconds())
 	}
-	if float64(p.spilled.most(now)+1) > most {
+	if float64(p.overflows.upperBound(now)+1) > most {
 		p.CapacityExceeded++
 		return nil
 	}
 	p.Overflows++
-	p.spilled.add(now)
-	p.next.RequestRouted(now)
-	return p.next
+	p.overflows.add(now)
+	p.fallback.RequestRouted(now)
+	return p.fallback
 }
 
 // SetWorkers tells the table which workers there are.
@@ -140,17 +140,17 @@
 		p.members = map[policy.WorkerID]bool{}
 	}
 	for _, w := range list {
-		w = w.with(t.labels[w.Name])
+		w = w.withStatic(t.staticWorkers[w.Name])
 		for _, p := range t.pools {
-			if p.Spec.picks(w) {
+			if p.Spec.selects(w) {
 				p.members[w.ID] = true
 			}
 		}
 	}
 }
 
-// with returns w with what a static entry says of it, which goes first.
-func (w Worker) with(s Worker) Worker {
+// withStatic returns w withStatic what a static entry says of it, which goes first.
+func (w Worker) withStatic(s Worker) Worker {
 	if s.Name == "" {
 		return w
 	}
@@ -170,7 +170,7 @@
 	return w
 }
 
-func (s PoolSpec) picks(w Worker) bool {
+func (s PoolSpec) selects(w Worker) bool {
 	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, func(l Selector) bool { return l.Matches(w) })
 }
 
@@ -182,12 +182,12 @@
 			return false
 		}
 	}
-	return fits(l.IDs, w.Name) && fits(l.Kinds, w.Kind) && fits(l.Zones, w.Zone) && w.MemoryMB >= l.MemoryMB &&
+	return matchesAny(l.IDs, w.Name) && matchesAny(l.Kinds, w.Kind) && matchesAny(l.Zones, w.Zone) && w.MemoryMB >= l.MemoryMB &&
 		(len(l.Cells) == 0 || slices.Contains(l.Cells, w.Cell))
 }
 
-// fits tells whether one of the patterns is the name, or with a star the beginning of it; none fits all.
-func fits(list []string, name string) bool {
+// matchesAny tells whether one of the patterns is the name, or with a star the beginning of it; none matchesAny all.
+func matchesAny(list []string, name string) bool {
 	return len(list) == 0 || slices.ContainsFunc(list, func(s string) bool {
 		prefix, star := strings.CutSuffix(s, "*")
 		return s == name || star && strings.HasPrefix(name, prefix)
@@ -200,27 +200,27 @@
 	if len(t.pools) == 0 || len(old.pools) == 0 {
 		return
 	}
-	before, shared := pair(old.pools, t.pools), (*window)(nil)
+	before, shared := matchPools(old.pools, t.pools), (*slidingWindow)(nil)
 	for _, o := range old.pools {
 		if o.Spec.LoadShare == Unset {
-			shared = o.orders
+			shared = o.loads
 		}
 	}
 	for _, p := range t.pools {
 		if o := before[p]; o != nil {
-			p.counts = o.counts
+			p.poolCounters = o.poolCounters
 		}
 		if p.Spec.LoadShare != Unset {
-			p.orders = p.own
+			p.loads = p.ownLoads
 		} else if shared != nil {
-			p.orders = shared
+			p.loads = shared
 		}
 	}
 }
 
-// pair finds for each new pool the old one that it replaces: one of the same figures, by the same name where
+// matchPools finds for each new pool the old one that it replaces: one of the same figures, by the same name where
 // there is one, or else the one of the same name. A pool that is only renamed stays the same pool.
-func pair(old, new []*Pool) map[*Pool]*Pool {
+func matchPools(old, new []*Pool) map[*Pool]*Pool {
 	pairs, taken := map[*Pool]*Pool{}, map[*Pool]bool{}
 	find := func(fit func(o, n *Pool) bool) {
 		for _, n := range new {
@@ -232,28 +232,28 @@
 		}
 	}
 	name := func(o, n *Pool) bool { return o.Spec.Name == n.Spec.Name }
-	find(func(o, n *Pool) bool { return name(o, n) && o.figures() == n.figures() })
-	find(func(o, n *Pool) bool { return o.figures() == n.figures() })
+	find(func(o, n *Pool) bool { return name(o, n) && o.fallbackChain() == n.fallbackChain() })
+	find(func(o, n *Pool) bool { return o.fallbackChain() == n.fallbackChain() })
 	find(name)
 	return pairs
 }
 
-// figures words all that a pool does, its name aside.
-func (p *Pool) figures() string {
-	text := p.Spec.figures()
-	for q := p.next; q != nil; q = q.next {
-		text += " then " + q.Spec.figures()
+// fallbackChain words all that a pool does, its name aside.
+func (p *Pool) fallbackChain() string {
+	text := p.Spec.description()
+	for q := p.fallback; q != nil; q = q.fallback {
+		text += " then " + q.Spec.description()
 	}
 	return text
 }
 
-func (s PoolSpec) figures() string {
+func (s PoolSpec) description() string {
 	var picks []string
 	for _, l := range s.Workers {
 		picks = append(picks, l.String())
 	}
 	slices.Sort(picks)
-	return fmt.Sprintf("workers %s, %s", strings.Join(slices.Compact(picks), " or "), s.bounds())
+	return fmt.Sprintf("workers %s, %s", strings.Join(slices.Compact(picks), " or "), s.limits())
 }
 
 // String words a selector in one way, however it was written.
@@ -288,8 +288,8 @@
 	return strings.Join(parts, " and ")
 }
 
-// bounds words what a pool may use.
-func (s PoolSpec) bounds() string {
+// limits words what a pool may use.
+func (s PoolSpec) limits() string {
 	parts := []string{"no cap", "load orders of the rest"}
 	if s.MaxInFlight != Unset {
 		parts[0] = fmt.Sprintf("cap %d", s.MaxInFlight)
@@ -308,9 +308,9 @@
 
 // Describe words what the pool does, and what takes its calls where it can't.
 func (p *Pool) Describe() string {
-	text := p.Spec.figures()
-	if p.next != nil {
-		text += ", then pool " + p.next.Spec.Name
+	text := p.Spec.description()
+	if p.fallback != nil {
+		text += ", then pool " + p.fallback.Spec.Name
 	}
 	return text
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -16,10 +16,10 @@
 func TestMain(m *testing.M) { testutil.Main(m) }
 
 var (
-	classes   = []string{"dim-level", "fault-check", "repair-order"}
-	once      = []bool{false, false, true}
-	functions = []uint64{0, 0x7 << 60, 0x7f << 56, 0x7f3a << 48, 0x7f3a9c21e0b4d655, 0x7f3a9c21e0b4d656, 0x80 << 56, 1}
-	tenants   = []string{"", "east", "west", "nobody"}
+	classes       = []string{"dim-level", "fault-check", "repair-order"}
+	notIdempotent = []bool{false, false, true}
+	functions     = []uint64{0, 0x7 << 60, 0x7f << 56, 0x7f3a << 48, 0x7f3a9c21e0b4d655, 0x7f3a9c21e0b4d656, 0x80 << 56, 1}
+	tenants       = []string{"", "east", "west", "nobody"}
 )
 
 // drawSpec draws up to five routes over three pools, whose caps tell them apart, and two policies.
@@ -58,9 +58,9 @@
 	return s
 }
 
-// plain is the rule of precedence as the pages word it, one route after the other. It returns the route, -1
+// matchByRule is the rule of precedence as the pages word it, one route after the other. It returns the route, -1
 // for none, and whether another one is as close.
-func plain(s *Spec, c Request, class string) (best int, tie bool) {
+func matchByRule(s *Spec, c Request, class string) (best int, tie bool) {
 	best = -1
 	var at [4]int
 	for i, r := range s.Routes {
@@ -104,9 +104,9 @@
 	return best, tie
 }
 
-// calls calls f with each call of the small universe and its class's name.
-func calls(f func(Request, string)) {
-	for front := range Fronts {
+// forEachRequest forEachRequest f with each call of the small universe and its class's name.
+func forEachRequest(f func(Request, string)) {
+	for front := range frontCount {
 		for class := range len(classes) + 1 {
 			for _, key := range functions {
 				for _, tenant := range tenants {
@@ -126,17 +126,17 @@
 
 // Guards the table against the rule as it is worded: the same route for every call, a tie where and only where
 // two routes are as close, every route that can be reached and every hole.
-func TestTableFollowsTheRule(t *testing.T) {
+func TestMatchFollowsThePrecedenceRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSpec(t)
 		table, err := Compile(s, classes)
 		ties := false
-		calls(func(c Request, class string) {
-			_, tie := plain(s, c, class)
+		forEachRequest(func(c Request, class string) {
+			_, tie := matchByRule(s, c, class)
 			ties = ties || tie
 		})
 		if err != nil {
-			if a := (*Ambiguous)(nil); !errors.As(err, &a) {
+			if a := (*AmbiguousRoutesError)(nil); !errors.As(err, &a) {
 				t.Fatal(err)
 			}
 			return
@@ -150,13 +150,13 @@
 			seen[i] = make([]bool, len(classes)+1)
 		}
 		holes := table.UnmatchedRegions(true)
-		calls(func(c Request, class string) {
-			want, _ := plain(s, c, class)
+		forEachRequest(func(c Request, class string) {
+			want, _ := matchByRule(s, c, class)
 			got := table.Match(c)
 			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
 				t.Fatalf("%+v goes by %+v, want route %d", c, got, want)
 			}
-			hole := slices.ContainsFunc(holes, func(h Region) bool { return h.Has(c, class) })
+			hole := slices.ContainsFunc(holes, func(h Region) bool { return h.Contains(c, class) })
 			if hole != (got == nil) {
 				t.Fatalf("%+v: hole %v, route %+v", c, hole, got)
 			}
@@ -176,7 +176,7 @@
 
 // Guards what Reached says the other way: a route that closer ones cover is not reached, also where it takes all
 // sixteen prefixes together to cover it.
-func TestCoveredRoutesAreNotReached(t *testing.T) {
+func TestCoveredRoutesAreUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}
 	all := RouteSpec{Name: "all", Pool: "a"}
 	s.Routes = append(s.Routes, all)
@@ -201,7 +201,7 @@
 
 // Guards the diff against a plain evaluation of each call under both specs: nothing missed, nothing false, and
 // no difference for names, order or repetition. Pools keep their identity by their figures or their names.
-func TestDiffIsWhatChanges(t *testing.T) {
+func TestDiffReportsExactlyTheChangedRequests(t *testing.T) {
 	changed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		old := drawSpec(t)
@@ -251,7 +251,7 @@
 		if err != nil {
 			return
 		}
-		diff := Diff(o, n, once, true)
+		diff := Diff(o, n, notIdempotent, true)
 		policies := func(s *Spec, name string) PolicySpec {
 			for _, p := range s.Policies {
 				if p.Name == name {
@@ -262,7 +262,7 @@
 			return NoPolicy
 		}
 		outcome := func(s *Spec, names [3]string, c Request, class string) string {
-			i, _ := plain(s, c, class)
+			i, _ := matchByRule(s, c, class)
 			if i < 0 || s.Routes[i].Pool == "" {
 				return "refused"
 			}
@@ -277,10 +277,10 @@
 			return fmt.Sprint(slices.Index(names[:], s.Routes[i].Pool), p.MaxAttempts, again)
 		}
 		some := false
-		calls(func(c Request, class string) {
+		forEachRequest(func(c Request, class string) {
 			was, is := outcome(old, [3]string{"a", "b", "c"}, c, class), outcome(next, name, c, class)
 			told := slices.ContainsFunc(diff, func(d Change) bool {
-				return slices.ContainsFunc(d.Regions, func(r Region) bool { return r.Has(c, class) })
+				return slices.ContainsFunc(d.Regions, func(r Region) bool { return r.Contains(c, class) })
 			})
 			if told != (was != is) {
 				t.Fatalf("%+v %s: %s, then %s; told: %v of %+v", c, class, was, is, told, diff)
@@ -299,7 +299,7 @@
 		if (pools > 0) != (refigured >= 0) {
 			t.Fatalf("pools changed: %d, told: %+v", refigured, diff)
 		}
-		if again := Diff(n, n, once, true); len(again) > 0 {
+		if again := Diff(n, n, notIdempotent, true); len(again) > 0 {
 			t.Fatalf("a table differs from itself: %+v", again)
 		}
 	})
@@ -308,7 +308,7 @@
 	}
 }
 
-func newPools(t testing.TB, specs ...PoolSpec) *Table {
+func compilePoolSpecs(t testing.TB, specs ...PoolSpec) *Table {
 	s := &Spec{Pools: specs}
 	for _, p := range specs {
 		s.Routes = append(s.Routes, RouteSpec{Name: p.Name, Pool: p.Name, Tenants: []string{p.Name}})
@@ -331,7 +331,7 @@
 
 // Guards the bounds on what spills, over any history: at no instant do more than the share of the last ten
 // seconds' calls, or the rate over them, go to the fallback, by exact counts.
-func TestSpillKeepsItsBound(t *testing.T) {
+func TestOverflowStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, Fallback: "b", OverflowShare: share, OverflowRate: Unset},
@@ -344,7 +344,7 @@
 		var came, left, on []time.Duration
 		recent := func(list []time.Duration) (n int) {
 			for _, at := range list {
-				if at > now-spillSpan {
+				if at > now-overflowWindow {
 					n++
 				}
 			}
@@ -368,7 +368,7 @@
 			}
 		}
 	})
-	p := newPools(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, Fallback: "b", OverflowShare: 0.5, OverflowRate: Unset},
+	p := compilePoolSpecs(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, Fallback: "b", OverflowShare: 0.5, OverflowRate: Unset},
 		PoolSpec{Name: "b", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}).pool("a")
 	spilled := 0
 	for i := range 1000 {
@@ -385,7 +385,7 @@
 
 // Guards the ration: what pools may order by their shares together is never more than the ration, whatever each
 // asks for and when.
-func TestSharesOfOrdersStayWithinTheRation(t *testing.T) {
+func TestLoadSharesStayWithinTheLoadBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, err := Compile(&Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: 0.5, OverflowShare: Unset, OverflowRate: Unset},
 			{Name: "b", MaxInFlight: Unset, LoadShare: 0.2, OverflowShare: Unset, OverflowRate: Unset}, {Name: "c", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset},
@@ -406,7 +406,7 @@
 			}
 			n := 0
 			for _, at := range orders {
-				if at > now-spillSpan {
+				if at > now-overflowWindow {
 					n++
 				}
 			}
@@ -415,7 +415,7 @@
 			}
 		}
 	})
-	table := newPools(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset})
+	table := compilePoolSpecs(t, PoolSpec{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset})
 	if !table.pool("a").MayLoad(0, 0) {
 		t.Error("a pool without a share, and none beside it, is bounded by the ration alone")
 	}
@@ -423,21 +423,21 @@
 
 // Guards a reload: counts of a pool go on under its name or, renamed, by its figures; a lowered cap holds for what
 // is still out; the orders of pools without a share go on being one sum.
-func TestCountsGoOnOverAReload(t *testing.T) {
+func TestCarryOverKeepsPoolCounters(t *testing.T) {
 	free := PoolSpec{MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}
 	named := func(name string, limit int) PoolSpec {
 		p := free
 		p.Name, p.MaxInFlight = name, limit
 		return p
 	}
-	old := newPools(t, named("a", 5), named("b", 7), named("c", 9))
+	old := compilePoolSpecs(t, named("a", 5), named("b", 7), named("c", 9))
 	for _, p := range old.pools {
 		for range p.Spec.MaxInFlight {
 			p.AttemptStarted()
 		}
 	}
 	old.pool("a").LoadStarted(0)
-	next := newPools(t, named("a", 2), named("renamed", 7), named("new", 3))
+	next := compilePoolSpecs(t, named("a", 2), named("renamed", 7), named("new", 3))
 	next.CarryOver(old)
 	for name, want := range map[string]int{"a": 5, "renamed": 7, "new": 0} {
 		if got := next.pool(name).InFlight(); got != want {
@@ -453,13 +453,13 @@
 	if !next.pool("a").HasCapacity() || next.pool("renamed").HasCapacity() || !next.pool("new").HasCapacity() {
 		t.Error("room is not counted over the reload")
 	}
-	if got := next.pool("new").orders.most(0); got != 1 {
+	if got := next.pool("new").loads.upperBound(0); got != 1 {
 		t.Errorf("%d orders of the pools without a share, want 1", got)
 	}
 }
 
 // Guards membership: labels of the files go before the list's, memory counts, and draining is the module's affair.
-func TestPoolsPickWorkers(t *testing.T) {
+func TestPoolsSelectWorkers(t *testing.T) {
 	s := &Spec{Workers: []Worker{{Name: "s-2", Kind: "large", Cell: -1, Labels: map[string]string{"rack": "r1"}}}}
 	for name, l := range map[string]Selector{"large": {Kinds: []string{"lar*"}}, "cell": {Cells: []int{3}}, "rack": {Labels: []Label{{"rack", []string{"r1", "r2"}}}},
 		"big": {MemoryMB: 9000}, "id": {IDs: []string{"s-1", "t-*"}}, "both": {Kinds: []string{"small"}, Cells: []int{3}}, "zone": {Zones: []string{"east"}}} {
@@ -480,7 +480,7 @@
 	}
 }
 
-func TestCompileRefuses(t *testing.T) {
+func TestCompileRejectsInvalidSpecs(t *testing.T) {
 	p := func(name, fallback string, orders float64) PoolSpec {
 		return PoolSpec{Name: name, MaxInFlight: Unset, LoadShare: orders, Fallback: fallback, OverflowShare: 0.1, OverflowRate: Unset}
 	}
@@ -499,8 +499,8 @@
 	}
 }
 
-// bigTable has n routes: exact functions, prefixes of all lengths, tenants and classes.
-func bigTable(t testing.TB, n int) *Table {
+// tableOfSize has n routes: exact functions, prefixes of all lengths, tenants and classes.
+func tableOfSize(t testing.TB, n int) *Table {
 	s := &Spec{Pools: []PoolSpec{{Name: "a", MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}}}
 	for i := range n {
 		r := RouteSpec{Name: fmt.Sprint(i), Pool: "a"}
@@ -529,7 +529,7 @@
 
 // Guards the hot path: a look-up among a thousand routes allocates nothing.
 func TestMatchAllocatesNothing(t *testing.T) {
-	table, i := bigTable(t, 1000), uint64(0)
+	table, i := tableOfSize(t, 1000), uint64(0)
 	if n := testing.AllocsPerRun(1000, func() {
 		i += 0x9e3779b97f4a7c15
 		if table.Match(Request{Webhook, int(i % 3), i, "t7"}) == nil {
@@ -542,7 +542,7 @@
 
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000} {
-		table := bigTable(b, n)
+		table := tableOfSize(b, n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range uint64(b.N) {
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -14,7 +14,7 @@
 const (
 	Thrift Front = iota
 	Webhook
-	Fronts // how many there are
+	frontCount // how many there are
 )
 
 // String returns the front's name as configurations word it.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -20,42 +20,42 @@
 
 // Route is a route of a table.
 type Route struct {
-	Spec   RouteSpec
-	Policy PolicySpec
-	Pool   *Pool // nil: its calls are refused
-	terms  policy.RequestPolicy
-	strict policy.RequestPolicy // for classes that must never run twice
+	Spec                RouteSpec
+	Policy              PolicySpec
+	Pool                *Pool // nil: its calls are refused
+	requestPolicy       policy.RequestPolicy
+	notIdempotentPolicy policy.RequestPolicy // for classes that must never run twice
 }
 
 // Table finds the route of a call. Looking up allocates nothing.
 type Table struct {
-	classes []string // a call's class beyond them is some other one
-	once    []bool   // by class: must never run twice
-	routes  []*Route
-	pools   []*Pool // by name
-	labels  map[string]Worker
-	exact   map[uint64]*bucket
-	lengths []int // of the prefixes, longest first
-	prefix  [keyDigits]map[uint64]*bucket
-	seen    *patterns
-	tenants []string // that routes name
+	classes       []string // a call's class beyond them is some other one
+	notIdempotent []bool   // by class: must never run twice
+	routes        []*Route
+	pools         []*Pool // by name
+	staticWorkers map[string]Worker
+	exact         map[uint64]*patternRoutes
+	prefixLengths []int // of the prefixes, longest first
+	prefixes      [keyDigits]map[uint64]*patternRoutes
+	patterns      *patternSet
+	tenants       []string // that routes name
 }
 
-// bucket holds the rules of one pattern.
-type bucket struct {
-	tenants map[string]*grid
-	any     *grid
+// patternRoutes holds the rules of one pattern.
+type patternRoutes struct {
+	byTenant  map[string]*classFrontRoutes
+	anyTenant *classFrontRoutes
 }
 
-// grid holds the routes of one pattern and tenant by class and front, as the rules give them and as the
+// classFrontRoutes holds the routes of one pattern and tenant by class and front, as the rules give them and as the
 // precedence of a class over a front resolves them.
-type grid struct {
-	given    []int32 // (class + 1) x (front + 1), 0 for any; the route, or -1
+type classFrontRoutes struct {
+	declared []int32 // (class + 1) x (front + 1), 0 for any; the route, or -1
 	resolved []int32 // class x front
 }
 
-// rule is one combination of what a route names.
-type rule struct {
+// matchRule is one combination of what a route names.
+type matchRule struct {
 	pattern Pattern
 	tenant  string
 	class   int // -1: any
@@ -63,11 +63,11 @@
 	route   int
 }
 
-// Ambiguous tells of two routes that match the same calls with the same precedence.
-type Ambiguous struct{ First, Second RouteSpec }
+// AmbiguousRoutesError tells of two routes that match the same calls with the same precedence.
+type AmbiguousRoutesError struct{ First, Second RouteSpec }
 
 // Error names both.
-func (a *Ambiguous) Error() string {
+func (a *AmbiguousRoutesError) Error() string {
 	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match", a.Second.Name, a.First.Name, a.First.At)
 }
 
@@ -75,14 +75,14 @@
 // the closest match is taken: first by function (exact, then the longest prefix), then one that names the
 // tenant, then one that names the class, then one that names the front. The order in the files has no effect.
 func Compile(s *Spec, classes []string) (*Table, error) {
-	t := &Table{classes: classes, labels: map[string]Worker{}, exact: map[uint64]*bucket{}}
+	t := &Table{classes: classes, staticWorkers: map[string]Worker{}, exact: map[uint64]*patternRoutes{}}
 	for _, c := range classes {
-		t.once = append(t.once, slices.Contains(s.NotIdempotentClasses, c))
+		t.notIdempotent = append(t.notIdempotent, slices.Contains(s.NotIdempotentClasses, c))
 	}
 	for _, w := range s.Workers {
-		t.labels[w.Name] = w
+		t.staticWorkers[w.Name] = w
 	}
-	pools, err := compilePools(s.Pools, cmp.Or(s.LoadWindow, spillSpan))
+	pools, err := compilePools(s.Pools, cmp.Or(s.LoadWindow, overflowWindow))
 	if err != nil {
 		return nil, err
 	}
@@ -106,13 +106,13 @@
 			if c.Pool = pools[r.Pool]; c.Pool == nil {
 				return nil, fmt.Errorf("route %q: no pool %q", r.Name, r.Pool)
 			}
-			c.terms, c.strict = c.Policy.terms(), c.Policy.Effective(true).terms()
-			c.terms.Pool, c.strict.Pool = c.Pool, c.Pool
+			c.requestPolicy, c.notIdempotentPolicy = c.Policy.requestPolicy(), c.Policy.Effective(true).requestPolicy()
+			c.requestPolicy.Pool, c.notIdempotentPolicy.Pool = c.Pool, c.Pool
 		}
 		t.routes = append(t.routes, c)
-		for _, k := range r.rules(classes, i) {
-			if first := t.add(k); first >= 0 && first != i {
-				return nil, &Ambiguous{s.Routes[first], r}
+		for _, k := range r.matchRules(classes, i) {
+			if first := t.addRule(k); first >= 0 && first != i {
+				return nil, &AmbiguousRoutesError{s.Routes[first], r}
 			}
 			named = append(named, k.pattern)
 			if k.tenant != "" {
@@ -120,30 +120,30 @@
 			}
 		}
 	}
-	t.seen = newPatterns(named)
+	t.patterns = newPatternSet(named)
 	t.tenants = slices.Sorted(maps.Keys(tenants))
 	for n := keyDigits - 1; n >= 0; n-- {
-		if t.prefix[n] != nil {
-			t.lengths = append(t.lengths, n)
+		if t.prefixes[n] != nil {
+			t.prefixLengths = append(t.prefixLengths, n)
 		}
 	}
-	t.each(func(b *bucket) {
-		for _, g := range b.tenants {
+	t.forEachPattern(func(b *patternRoutes) {
+		for _, g := range b.byTenant {
 			g.resolve(len(classes))
 		}
-		b.any.resolve(len(classes))
+		b.anyTenant.resolve(len(classes))
 	})
 	return t, nil
 }
 
-// terms words a policy for the decision module.
-func (p PolicySpec) terms() policy.RequestPolicy {
+// requestPolicy words a policy for the decision module.
+func (p PolicySpec) requestPolicy() policy.RequestPolicy {
 	return policy.RequestPolicy{MaxAttempts: max(p.MaxAttempts, 0), RetriesAfterPossibleRun: p.RetriesAfterPossibleRun, RetriesAfterProvenNoRun: p.RetriesAfterProvenNoRun,
 		AttemptTimeout: p.AttemptTimeout, HedgeDelay: p.HedgeDelay, LatencyObjective: p.LatencyObjective}
 }
 
-// rules spells a route out.
-func (r RouteSpec) rules(classes []string, index int) (list []rule) {
+// matchRules spells a route out.
+func (r RouteSpec) matchRules(classes []string, index int) (list []matchRule) {
 	all, none, fronts := r.Functions, r.Tenants, r.Fronts
 	if len(all) == 0 {
 		all = []Pattern{{}}
@@ -152,7 +152,7 @@
 		none = []string{""}
 	}
 	if len(fronts) == 0 {
-		fronts = []Front{Fronts}
+		fronts = []Front{frontCount}
 	}
 	var numbers []int
 	for _, c := range r.Classes {
@@ -167,7 +167,7 @@
 		for _, tenant := range none {
 			for _, c := range numbers {
 				for _, f := range fronts {
-					list = append(list, rule{pattern: p, tenant: tenant, class: c, front: f, route: index})
+					list = append(list, matchRule{pattern: p, tenant: tenant, class: c, front: f, route: index})
 				}
 			}
 		}
@@ -175,67 +175,67 @@
 	return list
 }
 
-// add puts a rule in its place and returns the route that had it, or -1.
-func (t *Table) add(k rule) int {
+// addRule puts a rule in its place and returns the route that had it, or -1.
+func (t *Table) addRule(k matchRule) int {
 	m := &t.exact
 	if k.pattern.Digits < keyDigits {
-		m = &t.prefix[k.pattern.Digits]
+		m = &t.prefixes[k.pattern.Digits]
 		if *m == nil {
-			*m = map[uint64]*bucket{}
+			*m = map[uint64]*patternRoutes{}
 		}
 	}
 	b := (*m)[k.pattern.Prefix]
 	if b == nil {
-		b = &bucket{tenants: map[string]*grid{}, any: newGrid(len(t.classes))}
+		b = &patternRoutes{byTenant: map[string]*classFrontRoutes{}, anyTenant: newClassFrontRoutes(len(t.classes))}
 		(*m)[k.pattern.Prefix] = b
 	}
-	g := b.any
+	g := b.anyTenant
 	if k.tenant != "" {
-		if g = b.tenants[k.tenant]; g == nil {
-			g = newGrid(len(t.classes))
-			b.tenants[k.tenant] = g
+		if g = b.byTenant[k.tenant]; g == nil {
+			g = newClassFrontRoutes(len(t.classes))
+			b.byTenant[k.tenant] = g
 		}
 	}
-	at := &g.given[(k.class+1)*(int(Fronts)+1)+(int(k.front)+1)%(int(Fronts)+1)]
+	at := &g.declared[(k.class+1)*(int(frontCount)+1)+(int(k.front)+1)%(int(frontCount)+1)]
 	before := int(*at)
 	*at = int32(k.route)
 	return before
 }
 
-func newGrid(classes int) *grid {
-	g := &grid{given: make([]int32, (classes+1)*(int(Fronts)+1))}
-	for i := range g.given {
-		g.given[i] = -1
+func newClassFrontRoutes(classes int) *classFrontRoutes {
+	g := &classFrontRoutes{declared: make([]int32, (classes+1)*(int(frontCount)+1))}
+	for i := range g.declared {
+		g.declared[i] = -1
 	}
 	return g
 }
 
 // resolve fills in what each class, and one that the table does not list, gets by each front.
-func (g *grid) resolve(classes int) {
-	const w = int(Fronts) + 1
-	g.resolved = make([]int32, (classes+1)*int(Fronts))
+func (g *classFrontRoutes) resolve(classes int) {
+	const w = int(frontCount) + 1
+	g.resolved = make([]int32, (classes+1)*int(frontCount))
 	for c := range classes + 1 {
 		row := (c + 1) * w
 		if c == classes {
 			row = 0 // only what names no class fits
 		}
-		for f := range int(Fronts) {
+		for f := range int(frontCount) {
 			r := int32(-1)
 			for _, at := range []int{row + f + 1, row, f + 1, 0} {
 				if r < 0 {
-					r = g.given[at]
+					r = g.declared[at]
 				}
 			}
-			g.resolved[c*int(Fronts)+f] = r
+			g.resolved[c*int(frontCount)+f] = r
 		}
 	}
 }
 
-func (t *Table) each(f func(*bucket)) {
+func (t *Table) forEachPattern(f func(*patternRoutes)) {
 	for _, b := range t.exact {
 		f(b)
 	}
-	for _, m := range t.prefix {
+	for _, m := range t.prefixes {
 		for _, b := range m {
 			f(b)
 		}
@@ -244,14 +244,14 @@
 
 // Match returns the route of a call, or nil where none matches.
 func (t *Table) Match(c Request) *Route {
-	at := min(c.Class, len(t.classes))*int(Fronts) + int(c.Front)
+	at := min(c.Class, len(t.classes))*int(frontCount) + int(c.Front)
 	if b := t.exact[c.Function]; b != nil {
 		if r := b.match(c.Tenant, at); r >= 0 {
 			return t.routes[r]
 		}
 	}
-	for _, n := range t.lengths {
-		if b := t.prefix[n][c.Function&(Pattern{Digits: n}).mask()]; b != nil {
+	for _, n := range t.prefixLengths {
+		if b := t.prefixes[n][c.Function&(Pattern{Digits: n}).mask()]; b != nil {
 			if r := b.match(c.Tenant, at); r >= 0 {
 				return t.routes[r]
 			}
@@ -260,27 +260,27 @@
 	return nil
 }
 
-func (b *bucket) match(tenant string, at int) int32 {
+func (b *patternRoutes) match(tenant string, at int) int32 {
 	if tenant != "" {
-		if g := b.tenants[tenant]; g != nil && g.resolved[at] >= 0 {
+		if g := b.byTenant[tenant]; g != nil && g.resolved[at] >= 0 {
 			return g.resolved[at]
 		}
 	}
-	return b.any.resolved[at]
+	return b.anyTenant.resolved[at]
 }
 
 // StaticWorker returns what the files say of a worker, for one of that name.
 func (t *Table) StaticWorker(name string) (Worker, bool) {
-	w, ok := t.labels[name]
+	w, ok := t.staticWorkers[name]
 	return w, ok
 }
 
 // RequestPolicy returns what a route tightens for calls of a class.
 func (t *Table) RequestPolicy(r *Route, class int) *policy.RequestPolicy {
-	if class < len(t.once) && t.once[class] {
-		return &r.strict
+	if class < len(t.notIdempotent) && t.notIdempotent[class] {
+		return &r.notIdempotentPolicy
 	}
-	return &r.terms
+	return &r.requestPolicy
 }
 
 // Pools returns the pools by name.
@@ -298,10 +298,10 @@
 	reached := make([][]bool, len(t.routes))
 	for i, r := range t.routes {
 		reached[i] = make([]bool, len(t.classes)+1)
-		for _, k := range r.Spec.rules(t.classes, i) {
-			for _, key := range t.seen.representatives(k.pattern) {
-				for f := range Fronts {
-					if k.front != Fronts && f != k.front || f == Thrift && k.tenant != "" {
+		for _, k := range r.Spec.matchRules(t.classes, i) {
+			for _, key := range t.patterns.representatives(k.pattern) {
+				for f := range frontCount {
+					if k.front != frontCount && f != k.front || f == Thrift && k.tenant != "" {
 						continue
 					}
 					for c := range len(t.classes) + 1 {
@@ -317,11 +317,11 @@
 }
 
 // representatives returns functions of p, such that a route of p that takes any function takes one of them.
-func (ps *patterns) representatives(p Pattern) (keys []uint64) {
-	if key, ok := ps.rest(p); ok {
+func (ps *patternSet) representatives(p Pattern) (keys []uint64) {
+	if key, ok := ps.functionOf(p); ok {
 		return []uint64{key} // whatever matches it matches all others of p too
 	}
-	for _, q := range ps.below(p, func(Pattern) bool { return true }) {
+	for _, q := range ps.outermostWithin(p, func(Pattern) bool { return true }) {
 		keys = append(keys, ps.representatives(q)...)
 	}
 	return keys
