--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -235,7 +235,7 @@
 		}
 		list := []change{}
 		for _, d := range changes {
-			k := change{Of: d.Subject(), Before: d.Before, After: d.After, Lines: d.Lines[:]}
+			k := change{Of: d.Subject(), Before: d.Before, After: d.After, Lines: []string{d.BeforeAt, d.AfterAt}}
 			if len(d.Regions) > 0 {
 				k.Example = d.Regions[0].Example.String()
 			}
@@ -247,7 +247,7 @@
 	} else {
 		for _, d := range changes {
 			fmt.Fprintln(env.Out, d.Subject())
-			fmt.Fprintf(env.Out, "  - %s%s\n  + %s%s\n", d.Before, at(d.Lines[0]), d.After, at(d.Lines[1]))
+			fmt.Fprintf(env.Out, "  - %s%s\n  + %s%s\n", d.Before, at(d.BeforeAt), d.After, at(d.AfterAt))
 			if len(d.Regions) > 0 {
 				fmt.Fprintf(env.Out, "  such as %v\n", d.Regions[0].Example)
 			}
--- /dev/null
+++ b/internal/route/compilepools.go
@@ -0,0 +1,71 @@
+package route
+
+import "time"
+
+// shareTolerance is what rounding may add to shares that make up the whole.
+const shareTolerance = 1e-9
+
+// compilePools makes the pools of a spec and joins them to their fallbacks.
+func compilePools(specs []PoolSpec, loadWindow time.Duration) (map[string]*Pool, error) {
+	pools := map[string]*Pool{}
+	for _, spec := range specs {
+		if pools[spec.Name] != nil {
+			return nil, &DuplicatePoolError{Name: spec.Name, At: spec.At}
+		}
+		pools[spec.Name] = &Pool{Spec: spec, poolCounters: newPoolCounters(loadWindow)}
+	}
+	if err := distributeLoadBudget(specs, pools, loadWindow); err != nil {
+		return nil, err
+	}
+	if err := joinFallbacks(specs, pools); err != nil {
+		return nil, err
+	}
+	return pools, nil
+}
+
+// distributeLoadBudget gives each pool its share of the load budget. Pools without one have together what the others
+// leave, and count their loads in one window.
+func distributeLoadBudget(specs []PoolSpec, pools map[string]*Pool, loadWindow time.Duration) error {
+	remaining := 1.0
+	for _, spec := range specs {
+		remaining -= max(spec.LoadShare, 0)
+	}
+	if remaining < -shareTolerance {
+		return &LoadShareError{Total: 1 - remaining}
+	}
+	sharedLoads := newSlidingWindow(loadWindow)
+	for _, p := range pools {
+		if p.Spec.LoadShare == Unset {
+			p.loads = sharedLoads
+			p.loadShare = max(remaining, 0)
+			continue
+		}
+		p.loads = p.ownLoads
+		p.loadShare = p.Spec.LoadShare
+	}
+	return nil
+}
+
+// joinFallbacks joins the pools to their fallbacks and rejects cycles.
+func joinFallbacks(specs []PoolSpec, pools map[string]*Pool) error {
+	for _, spec := range specs {
+		if spec.Fallback == "" {
+			continue
+		}
+		fallback := pools[spec.Fallback]
+		if fallback == nil {
+			return &UndefinedReferenceError{PoolBlock, spec.Name, spec.At, PoolBlock, spec.Fallback}
+		}
+		pools[spec.Name].fallback = fallback
+	}
+	for _, spec := range specs {
+		length := 0
+		for p := pools[spec.Name].fallback; p != nil; p = p.fallback {
+			length++
+			if length > len(pools) {
+				return &FallbackCycleError{Name: spec.Name, At: spec.At}
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/route/describe.go
@@ -0,0 +1,60 @@
+package route
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Describe says which workers the pool has, what they may use, and what takes its requests where they can't.
+func (p *Pool) Describe() string {
+	text := p.Spec.description()
+	if p.fallback != nil {
+		text += ", then pool " + p.fallback.Spec.Name
+	}
+	return text
+}
+
+// fallbackChain describes the pool and all of its fallbacks without their names. Pools of the same chain behave the
+// same.
+func (p *Pool) fallbackChain() string {
+	text := p.Spec.description()
+	for next := p.fallback; next != nil; next = next.fallback {
+		text += " then " + next.Spec.description()
+	}
+	return text
+}
+
+// selects reports whether a worker belongs to the pool.
+func (s PoolSpec) selects(w Worker) bool {
+	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, func(selector Selector) bool { return selector.Matches(w) })
+}
+
+// description describes the workers and the limits, in canonical order and without any names of pools.
+func (s PoolSpec) description() string {
+	var selectors []string
+	for _, selector := range s.Workers {
+		selectors = append(selectors, selector.String())
+	}
+	return fmt.Sprintf("workers %s, %s", strings.Join(sortedUnique(selectors), " or "), s.limits())
+}
+
+// limits describes what the pool may use.
+func (s PoolSpec) limits() string {
+	capacity := "no cap"
+	if s.MaxInFlight != Unset {
+		capacity = fmt.Sprintf("cap %d", s.MaxInFlight)
+	}
+	loads := "load orders of the rest"
+	if s.LoadShare != Unset {
+		loads = fmt.Sprintf("load orders %.6g%%", 100*s.LoadShare)
+	}
+	parts := []string{capacity, loads}
+	if s.Fallback != "" && s.OverflowShare != Unset {
+		parts = append(parts, fmt.Sprintf("spill %.6g%%", 100*s.OverflowShare))
+	}
+	if s.Fallback != "" && s.OverflowRate != Unset {
+		parts = append(parts, fmt.Sprintf("spill %.6g/s", s.OverflowRate))
+	}
+	return strings.Join(parts, ", ")
+}
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,8 +1,15 @@
-// Package route decides by which route a call goes, to which pool of workers, and under which terms. It
-// compiles what a configuration says into a Table, keeps the state of the pools (attempts in flight, what
-// spilled, load orders), and tells how two tables differ in behaviour.
+// Package route decides which route a request takes, which pool of workers serves it, and under which request
+// policy. Compile turns a Spec into a Table; Table.Match looks requests up in it without allocating; a Pool counts
+// what is in flight, what overflowed and what was loaded; Diff reports how two tables differ in behaviour.
 //
-// It is free of I/O, clock and wire and imports package policy alone: that module still decides which
-// worker takes a call, when to try again and what to turn away, and asks a call's Pool what it may choose
-// from. The router's core looks calls up; package lang makes Specs out of files.
+// The package does no I/O, reads no clock and knows no wire; it imports packages policy and endpoint alone. The
+// decision module, package policy, still chooses the worker, retries and rejects: it asks a request's Pool which
+// workers are eligible. The router's core looks requests up, and package lang makes Specs out of files.
+//
+// Where to find what:
+//
+//   - spec.go, worker.go, selector.go, policy.go, pattern.go: what a configuration says
+//   - compile.go, precedence.go, table.go: the table and the look-up
+//   - pool.go, overflow.go, loads.go, window.go, carryover.go: the state of the pools
+//   - space.go, region.go, merge.go, diff.go, pooldiff.go, unmatched.go, reachable.go: what is said of tables
 package route
--- /dev/null
+++ b/internal/route/patternset.go
@@ -0,0 +1,66 @@
+package route
+
+import (
+	"maps"
+	"slices"
+)
+
+// patternSet is a set of patterns. The empty pattern, which matches all functions, is always in it.
+type patternSet struct {
+	members   map[Pattern]bool
+	ancestors map[Pattern]bool // all patterns that have a longer member within them
+	sorted    []Pattern        // the members; those within a pattern follow right behind it
+}
+
+func newPatternSet(list []Pattern) *patternSet {
+	s := &patternSet{members: map[Pattern]bool{{}: true}, ancestors: map[Pattern]bool{}}
+	for _, p := range list {
+		s.members[p] = true
+		for p.Digits > 0 {
+			p = p.parent()
+			if s.ancestors[p] {
+				break
+			}
+			s.ancestors[p] = true
+		}
+	}
+	s.sorted = slices.SortedFunc(maps.Keys(s.members), comparePatterns)
+	return s
+}
+
+// functionOf returns a function of p that no longer member matches; ok is false where such members cover all of p.
+func (s *patternSet) functionOf(p Pattern) (function uint64, ok bool) {
+	if !s.ancestors[p] {
+		return p.Prefix, true
+	}
+	for digit := range len(hexDigits) {
+		child := p.child(digit)
+		if s.members[child] {
+			continue
+		}
+		if function, ok := s.functionOf(child); ok {
+			return function, true
+		}
+	}
+	return 0, false
+}
+
+// outermostWithin returns the wanted members that are longer than p and within it, without those that are within
+// another one of the result.
+func (s *patternSet) outermostWithin(p Pattern, wanted func(Pattern) bool) []Pattern {
+	first, found := slices.BinarySearchFunc(s.sorted, p, comparePatterns)
+	if found {
+		first++
+	}
+	var outermost []Pattern
+	for _, q := range s.sorted[first:] {
+		if !q.within(p) {
+			break
+		}
+		covered := len(outermost) > 0 && q.within(outermost[len(outermost)-1])
+		if wanted(q) && !covered {
+			outermost = append(outermost, q)
+		}
+	}
+	return outermost
+}
--- /dev/null
+++ b/internal/route/policy.go
@@ -0,0 +1,80 @@
+package route
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"crankhold/policy"
+)
+
+// PolicySpec tightens what the platform's settings allow.
+type PolicySpec struct {
+	Name                    string
+	MaxAttempts             int           // in all; Unset: as the settings allow
+	RetriesAfterPossibleRun int           // retries after an attempt that may have run; Unset: as the settings allow
+	RetriesAfterProvenNoRun int           // retries after an attempt that provably never ran; Unset: as the settings allow
+	AttemptTimeout          time.Duration // 0: until the client gives up
+	HedgeDelay              time.Duration // delay of the hedged request; 0: none is sent
+	LatencyObjective        time.Duration // 0: the class's
+	At                      string
+}
+
+// NoPolicy is the policy of a route that names none.
+var NoPolicy = PolicySpec{MaxAttempts: Unset, RetriesAfterPossibleRun: Unset, RetriesAfterProvenNoRun: Unset}
+
+// Effective returns the policy without the settings that have no effect on requests of a class. A class that is not
+// idempotent gets no retry after an attempt that may have run and no hedged request, whatever the policy says.
+func (p PolicySpec) Effective(notIdempotent bool) PolicySpec {
+	if p.MaxAttempts != Unset {
+		maxRetries := p.MaxAttempts - 1
+		if p.RetriesAfterPossibleRun >= maxRetries {
+			p.RetriesAfterPossibleRun = Unset
+		}
+		if p.RetriesAfterProvenNoRun >= maxRetries {
+			p.RetriesAfterProvenNoRun = Unset
+		}
+	}
+	if notIdempotent {
+		p.RetriesAfterPossibleRun = 0
+		p.HedgeDelay = 0
+	}
+	return p
+}
+
+// requestPolicy returns the policy in the decision module's form.
+func (p PolicySpec) requestPolicy() policy.RequestPolicy {
+	return policy.RequestPolicy{
+		MaxAttempts:             max(p.MaxAttempts, 0),
+		RetriesAfterPossibleRun: p.RetriesAfterPossibleRun,
+		RetriesAfterProvenNoRun: p.RetriesAfterProvenNoRun,
+		AttemptTimeout:          p.AttemptTimeout,
+		HedgeDelay:              p.HedgeDelay,
+		LatencyObjective:        p.LatencyObjective,
+	}
+}
+
+// String lists what the policy tightens, in the words of the configuration language.
+func (p PolicySpec) String() string {
+	var parts []string
+	addCount := func(name string, count int) {
+		if count != Unset {
+			parts = append(parts, fmt.Sprintf("%s %d", name, count))
+		}
+	}
+	addTime := func(name string, span time.Duration) {
+		if span > 0 {
+			parts = append(parts, name+" "+span.String())
+		}
+	}
+	addCount("attempts", p.MaxAttempts)
+	addCount("again-if-ran", p.RetriesAfterPossibleRun)
+	addCount("again-if-not-ran", p.RetriesAfterProvenNoRun)
+	addTime("attempt-time", p.AttemptTimeout)
+	addTime("second-copy-after", p.HedgeDelay)
+	addTime("aim", p.LatencyObjective)
+	if len(parts) == 0 {
+		return "attempts as the settings allow"
+	}
+	return strings.Join(parts, ", ")
+}
--- /dev/null
+++ b/internal/route/precedence.go
@@ -0,0 +1,163 @@
+package route
+
+import "slices"
+
+// noRoute is the index of a route where there is none.
+const noRoute int32 = -1
+
+// anyClass is the class of a rule that fits all classes.
+const anyClass = -1
+
+// matchRule is one combination of the pattern, tenant, class and front that a route names.
+type matchRule struct {
+	pattern Pattern
+	tenant  string // "": any
+	class   int    // index into the table's classes, or anyClass
+	front   Front  // or anyFront
+	route   int
+}
+
+// matchRules returns all combinations of what the route names. Classes that the table does not list are left out.
+func (s RouteSpec) matchRules(classes []string, route int) []matchRule {
+	var rules []matchRule
+	for _, pattern := range orWildcard(s.Functions, Pattern{}) {
+		for _, tenant := range orWildcard(s.Tenants, "") {
+			for _, class := range s.classIndexes(classes) {
+				for _, front := range orWildcard(s.Fronts, anyFront) {
+					rules = append(rules, matchRule{pattern, tenant, class, front, route})
+				}
+			}
+		}
+	}
+	return rules
+}
+
+// classIndexes returns the indexes of the route's classes in the list.
+func (s RouteSpec) classIndexes(classes []string) []int {
+	if len(s.Classes) == 0 {
+		return []int{anyClass}
+	}
+	var indexes []int
+	for _, name := range s.Classes {
+		if index := slices.Index(classes, name); index >= 0 {
+			indexes = append(indexes, index)
+		}
+	}
+	return indexes
+}
+
+// orWildcard returns the list, or the wildcard alone where the list is empty.
+func orWildcard[T any](list []T, wildcard T) []T {
+	if len(list) == 0 {
+		return []T{wildcard}
+	}
+	return list
+}
+
+// patternRoutes holds the routes of one pattern.
+type patternRoutes struct {
+	byTenant  map[string]*classFrontRoutes
+	anyTenant *classFrontRoutes
+}
+
+func newPatternRoutes(classCount int) *patternRoutes {
+	return &patternRoutes{byTenant: map[string]*classFrontRoutes{}, anyTenant: newClassFrontRoutes(classCount)}
+}
+
+// ofTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
+func (p *patternRoutes) ofTenant(tenant string, classCount int) *classFrontRoutes {
+	if tenant == "" {
+		return p.anyTenant
+	}
+	routes := p.byTenant[tenant]
+	if routes == nil {
+		routes = newClassFrontRoutes(classCount)
+		p.byTenant[tenant] = routes
+	}
+	return routes
+}
+
+// match returns the route of a tenant's requests of the class and front that the index stands for.
+func (p *patternRoutes) match(tenant string, resolvedIndex int) int32 {
+	if tenant != "" {
+		if routes := p.byTenant[tenant]; routes != nil && routes.resolved[resolvedIndex] != noRoute {
+			return routes.resolved[resolvedIndex]
+		}
+	}
+	return p.anyTenant.resolved[resolvedIndex]
+}
+
+// resolve applies the precedence of classes and fronts to all tenants' routes.
+func (p *patternRoutes) resolve(classCount int) {
+	p.anyTenant.resolve(classCount)
+	for _, routes := range p.byTenant {
+		routes.resolve(classCount)
+	}
+}
+
+// classFrontRoutes holds the routes of one pattern and tenant by class and front: as the rules declare them, and with
+// the precedence of a class over a front applied.
+type classFrontRoutes struct {
+	declared []int32 // by declaredIndex
+	resolved []int32 // by resolvedIndex
+}
+
+func newClassFrontRoutes(classCount int) *classFrontRoutes {
+	declared := make([]int32, (classCount+1)*(int(frontCount)+1))
+	for i := range declared {
+		declared[i] = noRoute
+	}
+	return &classFrontRoutes{declared: declared}
+}
+
+// declaredIndex is the place of a class and a front in classFrontRoutes.declared, where row and column 0 are for any.
+func declaredIndex(class int, front Front) int {
+	row := class + 1 // anyClass is row 0
+	column := int(front) + 1
+	if front == anyFront {
+		column = 0
+	}
+	return row*(int(frontCount)+1) + column
+}
+
+// resolvedIndex is the place of a class and a front in classFrontRoutes.resolved. The class behind the listed ones
+// stands for all others.
+func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
+
+// declare sets the route of a rule's class and front and returns the route that was there before.
+func (c *classFrontRoutes) declare(rule matchRule) int32 {
+	index := declaredIndex(rule.class, rule.front)
+	before := c.declared[index]
+	c.declared[index] = int32(rule.route)
+	return before
+}
+
+// resolve fills in the route of each class, and of one that the table does not list, by each front.
+func (c *classFrontRoutes) resolve(classCount int) {
+	c.resolved = make([]int32, (classCount+1)*int(frontCount))
+	for class := range classCount + 1 {
+		declaredClass := class
+		if class == classCount {
+			declaredClass = anyClass // only rules without a class fit a class that is not listed
+		}
+		for front := range frontCount {
+			c.resolved[resolvedIndex(class, front)] = c.closest(declaredClass, front)
+		}
+	}
+}
+
+// closest returns the route of the closest rule: one that names the class goes before one that names the front.
+func (c *classFrontRoutes) closest(class int, front Front) int32 {
+	candidates := [...]int{
+		declaredIndex(class, front),
+		declaredIndex(class, anyFront),
+		declaredIndex(anyClass, front),
+		declaredIndex(anyClass, anyFront),
+	}
+	for _, index := range candidates {
+		if route := c.declared[index]; route != noRoute {
+			return route
+		}
+	}
+	return noRoute
+}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -509,7 +509,7 @@
 		case i == 0:
 		default:
 			p := Pattern{Prefix: key, Digits: max(digits, 4)}
-			p.Prefix &= p.mask()
+			p.Prefix &= prefixMask(p.Digits)
 			r.Functions = []Pattern{p}
 			if i%3 == 0 {
 				r.Tenants = []string{fmt.Sprint("t", i%50)}
--- /dev/null
+++ b/internal/route/selector.go
@@ -0,0 +1,87 @@
+package route
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Selector selects the workers that meet all of its conditions. Each condition is a list of which any value fits; an
+// empty list fits all workers. A value of IDs, Kinds and Zones that ends in * is a prefix.
+type Selector struct {
+	IDs, Kinds, Zones []string
+	Cells             []int
+	MemoryMB          float64 // at least
+	Labels            []Label
+}
+
+// Label is a label's name and the values that fit.
+type Label struct {
+	Name   string
+	Values []string
+}
+
+// Matches reports whether the worker meets all conditions.
+func (s Selector) Matches(w Worker) bool {
+	for _, label := range s.Labels {
+		value, ok := w.Labels[label.Name]
+		if !ok || !slices.Contains(label.Values, value) {
+			return false
+		}
+	}
+	return matchesAny(s.IDs, w.Name) &&
+		matchesAny(s.Kinds, w.Kind) &&
+		matchesAny(s.Zones, w.Zone) &&
+		w.MemoryMB >= s.MemoryMB &&
+		(len(s.Cells) == 0 || slices.Contains(s.Cells, w.Cell))
+}
+
+// matchesAny reports whether one of the patterns is the name, or, with a star at its end, a prefix of it. An empty
+// list matches every name.
+func matchesAny(patterns []string, name string) bool {
+	if len(patterns) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(patterns, func(pattern string) bool {
+		prefix, star := strings.CutSuffix(pattern, "*")
+		return pattern == name || star && strings.HasPrefix(name, prefix)
+	})
+}
+
+// String returns the selector's conditions in canonical order, so that selectors that mean the same read the same.
+func (s Selector) String() string {
+	var parts []string
+	add := func(name string, values []string) {
+		if len(values) > 0 {
+			parts = append(parts, name+" "+strings.Join(sortedUnique(values), "|"))
+		}
+	}
+	add("id", s.IDs)
+	add("kind", s.Kinds)
+	add("zone", s.Zones)
+	var cells []string
+	for _, cell := range s.Cells {
+		cells = append(cells, strconv.Itoa(cell))
+	}
+	add("cell", cells)
+	if s.MemoryMB > 0 {
+		parts = append(parts, fmt.Sprintf("memory at least %.6g MB", s.MemoryMB))
+	}
+	labels := slices.Clone(s.Labels)
+	slices.SortFunc(labels, func(a, b Label) int { return strings.Compare(a.Name, b.Name) })
+	for _, label := range labels {
+		add("label "+label.Name, label.Values)
+	}
+	if len(parts) == 0 {
+		return "any"
+	}
+	return strings.Join(parts, " and ")
+}
+
+// sortedUnique returns a sorted copy of the list without repetitions.
+func sortedUnique(list []string) []string {
+	list = slices.Clone(list)
+	slices.Sort(list)
+	return slices.Compact(list)
+}
--- /dev/null
+++ b/internal/route/space.go
@@ -0,0 +1,120 @@
+package route
+
+import "slices"
+
+// axis is one of the properties of a request by which tables tell requests apart.
+type axis int
+
+const (
+	frontAxis axis = iota
+	classAxis
+	patternAxis // the longest pattern that matches the function
+	tenantAxis
+	axisCount
+)
+
+// requestPoint is a request of a requestSpace by its index on each axis.
+type requestPoint [axisCount]int
+
+// requestSpace has one point for each kind of requests that some tables can tell apart. Requests of one kind take the
+// same route in each of the tables.
+type requestSpace struct {
+	classes      []string
+	otherClasses bool // classes beyond the listed ones exist
+	patternSet   *patternSet
+	patterns     []Pattern // those that match some function that no longer pattern matches
+	functions    []uint64  // one such function of each pattern
+	tenants      []string  // that routes name; the index behind them stands for any other
+}
+
+// newRequestSpace returns the space of tables that list the same classes.
+func newRequestSpace(otherClasses bool, tables ...*Table) *requestSpace {
+	s := &requestSpace{classes: slices.Clone(tables[0].classes), otherClasses: otherClasses}
+	var patterns []Pattern
+	for _, t := range tables {
+		patterns = append(patterns, t.patterns.sorted...)
+		s.tenants = append(s.tenants, t.tenants...)
+	}
+	s.tenants = sortedUnique(s.tenants)
+	s.patternSet = newPatternSet(patterns)
+	for _, p := range s.patternSet.sorted {
+		function, ok := s.patternSet.functionOf(p)
+		if !ok {
+			continue
+		}
+		s.patterns = append(s.patterns, p)
+		s.functions = append(s.functions, function)
+	}
+	return s
+}
+
+// classCount returns how many classes the space tells apart; all that are not listed count as one.
+func (s *requestSpace) classCount() int {
+	if s.otherClasses {
+		return len(s.classes) + 1
+	}
+	return len(s.classes)
+}
+
+func (s *requestSpace) className(class int) string {
+	if class < len(s.classes) {
+		return s.classes[class]
+	}
+	return OtherClass
+}
+
+// anyOtherTenant returns the index of all tenants that no route names, and of requests without a tenant.
+func (s *requestSpace) anyOtherTenant() int { return len(s.tenants) }
+
+// request returns the request of a point.
+func (s *requestSpace) request(p requestPoint) Request {
+	r := Request{Front: Front(p[frontAxis]), Class: p[classAxis], Function: s.functions[p[patternAxis]]}
+	if tenant := p[tenantAxis]; tenant != s.anyOtherTenant() {
+		r.Tenant = s.tenants[tenant]
+	}
+	return r
+}
+
+// points returns all points by pattern, tenant, class and front. Requests by Thrift name no tenant.
+func (s *requestSpace) points() []requestPoint {
+	var points []requestPoint
+	for pattern := range s.patterns {
+		for tenant := s.anyOtherTenant(); tenant >= 0; tenant-- {
+			for class := range s.classCount() {
+				if tenant == s.anyOtherTenant() {
+					points = append(points, requestPoint{int(Thrift), class, pattern, tenant})
+				}
+				points = append(points, requestPoint{int(Webhook), class, pattern, tenant})
+			}
+		}
+	}
+	return points
+}
+
+// regionGroup is the requests of which a classification says the same.
+type regionGroup[K comparable] struct {
+	key     K
+	regions []Region
+}
+
+// groupRequests groups the requests of a space by what classify returns for them, leaving out those for which it
+// returns false. The groups are in the order of their first requests.
+func groupRequests[K comparable](s *requestSpace, classify func(Request) (K, bool)) []regionGroup[K] {
+	var keys []K
+	points := map[K][]requestPoint{}
+	for _, p := range s.points() {
+		key, ok := classify(s.request(p))
+		if !ok {
+			continue
+		}
+		if points[key] == nil {
+			keys = append(keys, key)
+		}
+		points[key] = append(points[key], p)
+	}
+	var groups []regionGroup[K]
+	for _, key := range keys {
+		groups = append(groups, regionGroup[K]{key, s.regions(points[key])})
+	}
+	return groups
+}
--- /dev/null
+++ b/internal/route/unmatched.go
@@ -0,0 +1,12 @@
+package route
+
+// UnmatchedRegions returns the requests that no route matches, which are rejected. otherClasses says whether requests
+// of classes that the table does not list are to be expected.
+func (t *Table) UnmatchedRegions(otherClasses bool) []Region {
+	isUnmatched := func(r Request) (unmatched, ok bool) { return true, t.Match(r) == nil }
+	var regions []Region
+	for _, group := range groupRequests(newRequestSpace(otherClasses, t), isUnmatched) {
+		regions = append(regions, group.regions...)
+	}
+	return regions
+}
--- a/internal/route/window.go
+++ b/internal/route/window.go
@@ -2,16 +2,19 @@
 
 import "time"
 
-// slots is how many parts a window is counted in.
+// windowSlots is how many slots the span of a sliding window is counted in.
 const windowSlots = 100
 
-// slidingWindow counts what happened in the last span, in parts of it. Within one part it can't tell what is still
-// inside: most counts it all, and least none of it, so that a bound that compares the two is kept at every
-// instant.
+// ringSlots is how many slots are kept: those of the span, and the one that is partly within it.
+const ringSlots = windowSlots + 1
+
+// slidingWindow counts events of the last span, by slots. Of the oldest slot it can't tell which events are still
+// within the span: upperBound counts them all and lowerBound none, so that a limit that compares the two holds at
+// every instant.
 type slidingWindow struct {
 	slotLength time.Duration
-	latestSlot int64 // the number of the latest part
-	slotCounts [windowSlots + 1]int
+	latestSlot int64 // number of the latest slot since time 0
+	slotCounts [ringSlots]int
 	total      int
 }
 
@@ -19,34 +22,39 @@
 	return &slidingWindow{slotLength: span / windowSlots}
 }
 
-// advance empties the parts that are older than the span.
+// advance clears the slots that are older than the span.
 func (w *slidingWindow) advance(now time.Duration) {
-	at := int64(now / w.slotLength)
-	for ; w.latestSlot < at; w.latestSlot++ {
-		if at-w.latestSlot > windowSlots+1 {
-			w.slotCounts, w.total, w.latestSlot = [windowSlots + 1]int{}, 0, at-1
-			continue
-		}
-		old := &w.slotCounts[(w.latestSlot+1)%(windowSlots+1)]
-		w.total -= *old
-		*old = 0
+	slot := int64(now / w.slotLength)
+	if slot-w.latestSlot > ringSlots {
+		w.slotCounts = [ringSlots]int{}
+		w.total = 0
+		w.latestSlot = slot
+		return
+	}
+	for w.latestSlot < slot {
+		w.latestSlot++
+		expired := &w.slotCounts[w.latestSlot%ringSlots]
+		w.total -= *expired
+		*expired = 0
 	}
 }
 
+// add counts one event.
 func (w *slidingWindow) add(now time.Duration) {
 	w.advance(now)
-	w.slotCounts[w.latestSlot%(windowSlots+1)]++
+	w.slotCounts[w.latestSlot%ringSlots]++
 	w.total++
 }
 
-// upperBound is how many there were in the span, or a few more.
+// upperBound returns how many events there were within the span, or a few more.
 func (w *slidingWindow) upperBound(now time.Duration) int {
 	w.advance(now)
 	return w.total
 }
 
-// lowerBound is how many there were in the span, or a few less.
+// lowerBound returns how many events there were within the span, or a few less.
 func (w *slidingWindow) lowerBound(now time.Duration) int {
 	w.advance(now)
-	return w.total - w.slotCounts[(w.latestSlot+1)%(windowSlots+1)]
+	oldest := w.slotCounts[(w.latestSlot+1)%ringSlots]
+	return w.total - oldest
 }
