--- /dev/null
+++ b/internal/simulation/checks.go
@@ -0,0 +1,54 @@
+package simulation
+
+import (
+	"time"
+
+	"crankhold/policy"
+)
+
+// Violations counts messages that a router sent and should not have.
+type Violations struct {
+	// SentAfterDrain counts requests and load orders that left for a worker after the drain grace period, which
+	// begins when this router is notified that the worker drains.
+	SentAfterDrain int
+	// LoadsOverBudget counts load orders beyond the load budget.
+	LoadsOverBudget int
+}
+
+// checkDrain counts a message that leaves now for a worker.
+func (r *Router) checkDrain(id policy.WorkerID) {
+	notified, draining := r.drainNotified[id]
+	if draining && r.fleet.now > notified+r.fleet.cfg.Settings.DrainGracePeriod {
+		r.Violations.SentAfterDrain++
+	}
+}
+
+// loadBudget counts what one incarnation of a router accepted and ordered, independently of the decision module.
+type loadBudget struct {
+	accepted []time.Duration
+	ordered  []time.Duration
+}
+
+func (b *loadBudget) requestAccepted(now time.Duration) {
+	b.accepted = append(b.accepted, now)
+}
+
+// checkLoadBudget counts a load order that leaves now.
+func (r *Router) checkLoadBudget() {
+	settings := r.fleet.cfg.Settings
+	r.budget.ordered = append(r.budget.ordered, r.fleet.now)
+	since := r.fleet.now - settings.LoadBudgetWindow
+	ordered := float64(countAfter(r.budget.ordered, since))
+	accepted := float64(countAfter(r.budget.accepted, since))
+	if ordered > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
+		r.Violations.LoadsOverBudget++
+	}
+}
+
+// countAfter returns how many of the times, which are in ascending order, are after a time.
+func countAfter(times []time.Duration, after time.Duration) (n int) {
+	for i := len(times) - 1; i >= 0 && times[i] > after; i-- {
+		n++
+	}
+	return n
+}
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -8,94 +8,95 @@
 	"crankhold/policy"
 )
 
-// Guards the stories' checks: with a fault planted where each looks, it says so.
-func TestPlantedFaultsAreFound(t *testing.T) {
-	begin := func(routers, workers int, cold string) *story {
-		s := &story{}
-		if err := s.routers(routers, workers, cold); err != nil {
-			t.Fatal(err)
-		}
-		if err := s.traffic(1500, 6); err != nil {
-			t.Fatal(err)
-		}
-		return s
+// newStory returns a story with traffic, before its fleet is built.
+func newStory(t *testing.T, routers, workers int, notLoaded string, rate, seconds int) *story {
+	t.Helper()
+	s := &story{}
+	if err := s.givenFleet(routers, workers, notLoaded); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.givenTraffic(rate, seconds); err != nil {
+		t.Fatal(err)
 	}
-	t.Run("a drain that routers don't follow", func(t *testing.T) {
-		s := begin(80, 36, "answer misses")
+	return s
+}
+
+// Guards the stories' checks: each reports the fault that is planted where it looks.
+func TestPlantedFaultsAreFound(t *testing.T) {
+	t.Run("a drain that routers do not follow", func(t *testing.T) {
+		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
 		if err := s.when(2, func() {
 			for _, r := range s.fleet.Routers {
-				r.told[5] = s.fleet.now
+				r.drainNotified[5] = s.fleet.now
 			}
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if s.drainKept(5) == nil {
+		if s.thenDrainIsFollowed(5) == nil {
 			t.Error("not found")
 		}
 	})
 	t.Run("a start that counts as long ago", func(t *testing.T) {
-		s := begin(80, 4, "load by the way")
+		s := newStory(t, 80, 4, loadOnDemand, 1500, 6)
 		if err := s.when(2, func() {
-			s.worker = s.fleet.StartWorker()
-			s.fleet.Tell(0, policy.Endpoint{Worker: s.worker.ID, State: policy.Ready, Weight: 1})
+			s.started = s.fleet.StartWorker()
+			s.fleet.Notify(0, policy.Endpoint{Worker: s.started.ID, State: policy.Ready, Weight: 1})
 		}); err != nil {
 			t.Fatal(err)
 		}
-		if s.notPushedOver() == nil {
+		if s.thenNotOverloaded() == nil {
 			t.Error("not found")
 		}
 	})
-	t.Run("a second answer, a late one and none", func(t *testing.T) {
-		for _, spoil := range []func(c *Call){
-			func(c *Call) { c.Respond(router.Response{}) },
-			func(c *Call) { c.Took = c.Left + time.Millisecond },
-			func(c *Call) { c.Answers = nil },
-		} {
-			s := begin(2, 12, "load by the way")
-			if err := s.pass(6); err != nil {
+	for name, plant := range map[string]func(*Request){
+		"a second response": func(r *Request) { r.Respond(router.Response{}) },
+		"a late response":   func(r *Request) { r.Latency = r.Timeout + time.Millisecond },
+		"no response":       func(r *Request) { r.Responses = nil },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newStory(t, 2, 12, loadOnDemand, 1500, 6)
+			if err := s.whenTimePasses(6); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.oneAnswer(); err != nil {
+			if err := s.thenEachRequestHasOneResponse(); err != nil {
 				t.Fatal(err)
 			}
-			spoil(s.fleet.Calls[500])
-			if s.oneAnswer() == nil {
+			plant(s.fleet.Requests[500])
+			if s.thenEachRequestHasOneResponse() == nil {
 				t.Error("not found")
 			}
-		}
-	})
-	t.Run("a router that takes calls past its linger", func(t *testing.T) {
-		s := begin(80, 36, "answer misses")
-		if err := s.terminated(2); err != nil {
+		})
+	}
+	t.Run("a router that serves requests past its linger", func(t *testing.T) {
+		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
+		if err := s.whenRoutersAreTerminated(2); err != nil {
 			t.Fatal(err)
 		}
-		s.fleet.Calls[500].Late = true // it was served
-		if s.lateRefused() == nil {
+		s.fleet.Requests[500].SentWhileDraining = true // it was served
+		if s.thenLateRequestsAreRejected() == nil {
 			t.Error("not found")
 		}
 	})
 }
 
-// Equal seeds give equal runs, to the answer.
+// Equal seeds give equal runs, to the response.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
-	run := func() (served int, took time.Duration) {
-		s := &story{}
-		if err := s.routers(40, 12, "load by the way"); err != nil {
-			t.Fatal(err)
-		}
-		s.traffic(1000, 3)
-		if err := s.started(1, 200); err != nil {
+	run := func() (served int, latencies time.Duration) {
+		s := newStory(t, 40, 12, loadOnDemand, 1000, 3)
+		if err := s.whenWorkerStarts(1, 200); err != nil {
 			t.Fatal(err)
 		}
-		for _, c := range s.fleet.Calls {
-			if took += c.Took; c.Answers[0].Status == router.Served {
+		for _, r := range s.fleet.Requests {
+			latencies += r.Latency
+			if r.Responses[0].Status == router.Served {
 				served++
 			}
 		}
-		return served, took
+		return served, latencies
 	}
-	a, x := run()
-	if b, y := run(); a != b || x != y || a == 0 {
-		t.Errorf("%d served in %v, then %d in %v", a, x, b, y)
+	served, latencies := run()
+	servedAgain, latenciesAgain := run()
+	if served != servedAgain || latencies != latenciesAgain || served == 0 {
+		t.Errorf("%d served in %v, then %d in %v", served, latencies, servedAgain, latenciesAgain)
 	}
 }
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// released is a quiet day before workers whose memory is full, on which four in ten functions are called in a new
-// version from the fourth second on.
-func released(t *testing.T, routers int, stays bool) *story {
+// runRelease runs a fleet at little load whose workers' memory is full. From the fourth second on, a new version is
+// requested of four in ten functions.
+func runRelease(t *testing.T, routers int, keepIdleReplicas bool) *story {
 	t.Helper()
 	s := &story{}
-	if err := s.routers(routers, 20, "answer misses"); err != nil {
+	if err := s.givenFleet(routers, 20, rejectNotLoaded); err != nil {
 		t.Fatal(err)
 	}
-	s.cfg.Functions, s.cfg.Copies, s.cfg.Stays = 100, 6, stays
+	s.cfg.Functions = 100
+	s.cfg.ReplicasPerWorker = 6
+	s.cfg.KeepIdleReplicas = keepIdleReplicas
 	if err := s.build(); err != nil {
 		t.Fatal(err)
 	}
@@ -24,38 +26,41 @@
 	return s
 }
 
-// early is how many in a hundred calls for a new version were served in time, of those in its first four seconds.
-func (s *story) early() (hundredths, n int) {
-	return share(s.fleet.Calls, func(c *Call) bool { return c.New && c.At < time.Hour+8*time.Second }, servedIn(time.Second))
+// newVersionsServed returns how many in a hundred requests for new versions were served in time, of those in their
+// first four seconds.
+func (s *story) newVersionsServed() (percent, n int) {
+	early := func(r *Request) bool { return r.NewVersion && r.SentAt < time.Hour+8*time.Second }
+	return percentOf(s.fleet.Requests, early, servedWithin(time.Second))
 }
 
-// A new version of what is called finds a way early: idle copies of the old one make room, and the orders that it takes
-// stay within each router's ration, counted anew here.
-func TestNewVersionsFindAWayOnAQuietDay(t *testing.T) {
+// New versions are served soon after their release: idle replicas of old ones make room, and the load orders that it
+// takes stay within each router's load budget, counted anew here.
+func TestNewVersionsAreServedSoonAfterRelease(t *testing.T) {
 	for _, routers := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
-			s := released(t, routers, false)
-			got, n := s.early()
-			t.Logf("%d in 100 of %d early calls for new versions were served in time", got, n)
-			if got < 70 || n < 100 {
-				t.Errorf("%d in 100 of %d early calls for new versions were served in time", got, n)
+			s := runRelease(t, routers, false)
+			percent, n := s.newVersionsServed()
+			t.Logf("%d in 100 of %d early requests for new versions were served in time", percent, n)
+			if percent < 70 || n < 100 {
+				t.Errorf("%d in 100 of %d early requests for new versions were served in time", percent, n)
 			}
 			for i, r := range s.fleet.Routers {
-				if r.Overdrawn > 0 || len(r.ordered) == 0 && routers < 100 {
-					t.Errorf("router %d ordered %d loads, %d beyond its ration", i, len(r.ordered), r.Overdrawn)
+				ordered := len(r.budget.ordered)
+				if r.Violations.LoadsOverBudget > 0 || ordered == 0 && routers < 100 {
+					t.Errorf("router %d ordered %d loads, %d over its budget", i, ordered, r.Violations.LoadsOverBudget)
 				}
 			}
-			if err := s.oneAnswer(); err != nil {
+			if err := s.thenEachRequestHasOneResponse(); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// Guards the check: where old copies don't make room, new versions find none.
+// Guards the check: where idle replicas do not make room, new versions are not served.
 func TestNewVersionsWithoutRoomAreNotServed(t *testing.T) {
-	s := released(t, 30, true)
-	if got, n := s.early(); got >= 70 {
-		t.Errorf("%d in 100 of %d early calls were served where no copy made room", got, n)
+	s := runRelease(t, 30, true)
+	if percent, n := s.newVersionsServed(); percent >= 70 {
+		t.Errorf("%d in 100 of %d early requests were served where no replica made room", percent, n)
 	}
 }
--- /dev/null
+++ b/internal/simulation/router.go
@@ -0,0 +1,242 @@
+package simulation
+
+import (
+	"fmt"
+	"maps"
+	"time"
+
+	"crankhold/internal/route"
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// Limits of each simulated router that no scenario varies.
+const (
+	maxConcurrentRequests = 2000
+	maxRequestBytes       = 1 << 20
+	healthCheckTimeout    = 250 * time.Millisecond
+)
+
+// drainPollInterval is how often a draining router looks whether it has sent all its responses.
+const drainPollInterval = 10 * time.Millisecond
+
+// Router is one router of the fleet: a core, and the worker client that carries its messages to the simulated workers.
+type Router struct {
+	// Down tells that the router's process has ended.
+	Down bool
+	// Violations counts what the router sent against the rules.
+	Violations Violations
+
+	fleet         *Fleet
+	index         int
+	trafficWeight float64 // share of the traffic, relative to the other routers
+	core          *router.Core
+
+	// incarnation changes whenever the process ends or starts, so that responses to an earlier one are dropped.
+	incarnation uint64
+	// nextTurn is when the core takes its next turn. Events set for an earlier plan are stale.
+	nextTurn time.Duration
+	// endpoints are the changes that this incarnation was notified of or found at its start.
+	endpoints map[policy.WorkerID]policy.Endpoint
+	// drainNotified is when this incarnation was notified that a worker drains or is gone.
+	drainNotified map[policy.WorkerID]time.Duration
+	budget        loadBudget
+}
+
+// start begins an incarnation of the router. It knows the endpoint list of discovery and nothing else.
+func (r *Router) start() error {
+	f := r.fleet
+	r.incarnation++
+	module, err := policy.New(f.cfg.Settings, f.cfg.Seed<<16+uint64(r.index)+r.incarnation<<32)
+	if err != nil {
+		return err
+	}
+	r.core = router.New(module, router.Limits{
+		MaxConcurrentRequests: maxConcurrentRequests,
+		MaxBytes:              maxRequestBytes,
+		MaxAttempts:           f.cfg.Settings.MaxAttempts,
+		LoadTimeout:           f.cfg.Settings.LoadTimeout,
+		HealthCheckTimeout:    healthCheckTimeout,
+		Tenants:               f.cfg.Tenants,
+	})
+	r.core.SetWorkerClient(r)
+	r.Down = false
+	r.nextTurn = 0
+	r.endpoints = maps.Clone(f.endpoints)
+	r.drainNotified = map[policy.WorkerID]time.Duration{}
+	r.budget = loadBudget{}
+	if f.cfg.Routes != nil {
+		r.core.SetRoutes(f.cfg.Routes())
+	}
+	r.applyEndpoints()
+	r.wake()
+	return nil
+}
+
+// Kill ends the router's process at once; after a time it starts again and knows nothing of before. The responses
+// that it owed are lost.
+func (r *Router) Kill(downtime time.Duration) {
+	r.Down = true
+	r.incarnation++
+	for _, request := range r.fleet.Requests {
+		if request.router == r && len(request.Responses) == 0 {
+			request.RouterKilled = true
+		}
+	}
+	r.fleet.After(downtime, func() {
+		if err := r.start(); err != nil {
+			panic(fmt.Sprintf("simulation: a router that has started before does not start: %v", err))
+		}
+	})
+}
+
+// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for the linger, then rejects them,
+// and ends once it has sent all its responses.
+func (r *Router) Terminate(linger time.Duration) {
+	r.fleet.After(linger, func() {
+		r.core.Draining = true
+		r.endWhenDrained()
+	})
+}
+
+func (r *Router) endWhenDrained() {
+	if r.OpenRequests() == 0 {
+		r.Down = true
+		return
+	}
+	r.fleet.After(drainPollInterval, r.endWhenDrained)
+}
+
+// OpenRequests returns how many responses the router owes.
+func (r *Router) OpenRequests() int { return r.core.OpenRequests() }
+
+// endpointChanged notifies the router of a changed endpoint.
+func (r *Router) endpointChanged(endpoint policy.Endpoint) {
+	if r.Down {
+		return
+	}
+	if endpoint.State != policy.Ready {
+		r.drainNotified[endpoint.Worker] = r.fleet.now
+	}
+	r.endpoints[endpoint.Worker] = endpoint
+	r.core.SetNow(r.fleet.now)
+	r.applyEndpoints()
+	r.wake()
+}
+
+// applyEndpoints hands the core the whole endpoint list as this incarnation knows it.
+func (r *Router) applyEndpoints() {
+	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
+	labels := []route.Worker{}
+	for id := policy.WorkerID(1); int(id) <= len(r.fleet.Workers); id++ {
+		endpoint := r.endpoint(id)
+		if endpoint.State == policy.Gone {
+			continue
+		}
+		list.Workers = append(list.Workers, endpoint)
+		labels = append(labels, route.Worker{ID: id, Name: fmt.Sprint("s-", id)})
+	}
+	r.core.SetEndpoints(list)
+	r.core.SetRouteWorkers(labels)
+}
+
+// endpoint returns what the router knows of a worker: the zero Endpoint, which is gone, where it knows nothing.
+func (r *Router) endpoint(id policy.WorkerID) policy.Endpoint {
+	endpoint, known := r.endpoints[id]
+	if !known && int(id) <= r.fleet.cfg.Workers {
+		return policy.Endpoint{Worker: id, State: policy.Ready, Weight: 1}
+	}
+	return endpoint
+}
+
+// accept hands a client's request to the core.
+func (r *Router) accept(request router.Request) {
+	r.budget.requestAccepted(r.fleet.now)
+	r.core.Accept(r.fleet.now, request)
+	r.wake()
+}
+
+// wake has the core take a turn at the present time, after everything that is already due at it.
+func (r *Router) wake() { r.scheduleTurn(r.fleet.now) }
+
+// scheduleTurn has the core take a turn at a time, unless it takes an earlier one, which will schedule the next.
+func (r *Router) scheduleTurn(due time.Duration) {
+	if r.nextTurn > r.fleet.now && r.nextTurn <= due {
+		return
+	}
+	r.nextTurn = due
+	r.fleet.After(due-r.fleet.now, r.takeTurn)
+}
+
+// takeTurn has the core do what is due. The core is not called more than once a microsecond on its own account.
+func (r *Router) takeTurn() {
+	if r.nextTurn != r.fleet.now {
+		return
+	}
+	r.nextTurn = 0
+	if r.Down { // a router that was killed schedules its own turn once it starts again
+		return
+	}
+	next := r.core.Process(r.fleet.now)
+	r.scheduleTurn(max(next, r.fleet.now+time.Microsecond))
+}
+
+// receive has a worker's response reach the router: deliver is called after a time and the way back, unless the
+// process that sent the request has ended by then.
+func (r *Router) receive(after time.Duration, deliver func()) {
+	incarnation := r.incarnation
+	r.fleet.After(after+networkDelay, func() {
+		if r.incarnation != incarnation {
+			return
+		}
+		r.core.SetNow(r.fleet.now)
+		deliver()
+		r.wake()
+	})
+}
+
+// StartAttempt implements router.WorkerClient: it carries a request to its worker.
+func (r *Router) StartAttempt(id policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
+	r.checkDrain(id)
+	worker := r.fleet.Workers[id]
+	function := request.Function
+	r.fleet.After(networkDelay, func() {
+		result, after := worker.execute(function)
+		r.receive(after, func() { r.core.AttemptCompleted(attempt, result) })
+	})
+}
+
+// Load implements router.WorkerClient: it carries an order to load replicas.
+func (r *Router) Load(id policy.WorkerID, function policy.FunctionID, count int, tag uint64) {
+	r.checkDrain(id)
+	if count > 0 {
+		r.checkLoadBudget()
+	}
+	worker := r.fleet.Workers[id]
+	r.fleet.After(networkDelay, func() {
+		outcome, replicas, after := worker.load(function, count)
+		r.receive(after, func() { r.core.LoadCompleted(tag, outcome, replicas) })
+	})
+}
+
+// Unload implements router.WorkerClient: a worker drops a loaded replica.
+func (r *Router) Unload(id policy.WorkerID, function policy.FunctionID) {
+	r.fleet.Workers[id].unload(function)
+}
+
+// CheckHealth implements router.WorkerClient: every worker responds.
+func (r *Router) CheckHealth(_ policy.WorkerID, tag uint64) {
+	r.receive(networkDelay, func() { r.core.HealthCheckCompleted(tag, policy.Served, nil) })
+}
+
+// CancelAttempt implements router.WorkerClient. The worker finishes what it has begun.
+func (r *Router) CancelAttempt(policy.WorkerID, router.Attempt) {}
+
+// WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw, for messages leave at once.
+func (r *Router) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
+
+// AbandonCommand implements router.WorkerClient. Nothing is kept of a command.
+func (r *Router) AbandonCommand(policy.WorkerID, uint64) {}
+
+// CloseIdle implements router.WorkerClient. There are no connections.
+func (r *Router) CloseIdle(policy.WorkerID) {}
--- /dev/null
+++ b/internal/simulation/slowstart_test.go
@@ -0,0 +1,205 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"crankhold/internal/route"
+	"crankhold/policy"
+)
+
+// slowStartBudget is how many requests of mean work a worker in slow start may receive in the overload window that
+// begins at an age.
+func (s *story) slowStartBudget(age time.Duration) float64 {
+	c := s.cfg.Settings
+	capacity := c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*min(1, float64(age)/float64(c.SlowStartDuration))
+	return c.OverloadMultiple * capacity * float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds() * c.OverloadWindow.Seconds()
+}
+
+// excess is by how much the sum of all routers exceeded the budget N of a worker in slow start, at the worst: in units
+// of the root of N, and beyond what is put down to chance, N + 2 root N + 2. Loads count like requests.
+func (s *story) excess() (units, over float64) {
+	units = math.Inf(-1)
+	over = math.Inf(-1)
+	settings := s.cfg.Settings
+	for _, w := range s.fleet.Workers {
+		if w.Started == 0 {
+			continue
+		}
+		received := slices.Sorted(slices.Values(slices.Concat(w.Received, w.Loads)))
+		for i, from := range received {
+			end := from + settings.OverloadWindow
+			if end > w.Started+settings.SlowStartDuration {
+				break
+			}
+			n := 0
+			for i+n < len(received) && received[i+n] < end {
+				n++
+			}
+			budget := s.slowStartBudget(from - w.Started)
+			units = max(units, (float64(n)-budget)/math.Sqrt(budget))
+			over = max(over, float64(n)-budget-2*math.Sqrt(budget)-2)
+		}
+	}
+	return units, over
+}
+
+// receivedByStarted is how many requests the workers that started in the run received.
+func (s *story) receivedByStarted() (n int) {
+	for _, w := range s.fleet.Workers {
+		if w.Started > 0 {
+			n += len(w.Received)
+		}
+	}
+	return n
+}
+
+// slowStartRun is what happens beside the replacement of workers.
+type slowStartRun struct {
+	name string
+	lost []time.Duration // when five workers are gone together
+	lull time.Duration   // without requests, before many come at once
+}
+
+// hedgingRoutes has every request hedged.
+func hedgingRoutes() *route.Table {
+	table, err := route.Compile(&route.Spec{
+		Pools:    []route.PoolSpec{{Name: "all", MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
+		Policies: []route.PolicySpec{{Name: "twice", MaxAttempts: route.Unset, RetriesAfterPossibleRun: route.Unset, RetriesAfterProvenNoRun: route.Unset, HedgeDelay: 250 * ms}},
+		Routes:   []route.RouteSpec{{Name: "all", Pool: "all", Policy: "twice"}}}, []string{"dim-level"})
+	if err != nil {
+		panic(err)
+	}
+	return table
+}
+
+// replaceWorkers starts ten workers in steps, and drains ten others. What discovery says of a start passes through listed.
+func (s *story) replaceWorkers(listed func(policy.Endpoint) policy.Endpoint) {
+	for i := range 10 {
+		step := time.Duration(i) * time.Second
+		s.fleet.After(2*time.Second+step, func() { s.startListed(listed) })
+		s.fleet.After(4*time.Second+step, func() {
+			s.fleet.Notify(1500*ms, policy.Endpoint{Worker: policy.WorkerID(i + 1), State: policy.Draining})
+		})
+	}
+}
+
+func (s *story) startListed(listed func(policy.Endpoint) policy.Endpoint) {
+	w := s.fleet.StartWorker()
+	s.fleet.Notify(1500*ms, listed(policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()}))
+}
+
+// restartRouters kills all routers, a tenth at a time; they come back knowing nothing. One router alone stays.
+func (s *story) restartRouters() {
+	for part := range 10 {
+		s.fleet.After(3*time.Second+time.Duration(part)*1500*ms, func() {
+			for i, r := range s.fleet.Routers {
+				if i%10 == part && len(s.fleet.Routers) > 1 {
+					r.Kill(time.Second)
+				}
+			}
+		})
+	}
+}
+
+// loseWorkers has five workers be gone at once, so that the others get what they served.
+func (s *story) loseWorkers(first policy.WorkerID, within time.Duration) {
+	for id := first; id < first+5; id++ {
+		s.fleet.Notify(within, policy.Endpoint{Worker: id, State: policy.Gone})
+	}
+}
+
+// burstAfterLull starts a worker before a time without requests, in which all routers may save up budget, and then
+// sends many at once.
+func (s *story) burstAfterLull(lull time.Duration, listed func(policy.Endpoint) policy.Endpoint) {
+	f := s.fleet
+	f.After(28*time.Second, func() {
+		s.startListed(listed)
+		f.Traffic("", 0, 1000, 4*time.Second)
+	})
+	f.After(32*time.Second+lull, func() {
+		f.Traffic("", 0, 2500, 3*time.Second)
+		s.loseWorkers(16, 200*ms)
+	})
+	f.Run(12 * time.Second)
+}
+
+// runSlowStart runs a fleet of small workers, each of which serves 90 requests a second, with little and uneven
+// traffic, while workers and routers are replaced.
+func runSlowStart(t *testing.T, routers int, seed uint64, run slowStartRun, listed func(policy.Endpoint) policy.Endpoint) *story {
+	t.Helper()
+	s := &story{}
+	if err := s.givenFleet(routers, 20, rejectNotLoaded); err != nil {
+		t.Fatal(err)
+	}
+	s.cfg.Slots = 9
+	s.cfg.ServiceTime = 100 * ms
+	s.cfg.LoadTime = 400 * ms
+	s.cfg.Seed = seed
+	s.cfg.UnevenTraffic = true
+	s.cfg.Routes = hedgingRoutes
+	settings := &s.cfg.Settings
+	settings.OverloadMultiple = 2
+	settings.SlowStartInitialCapacity = 0.18
+	settings.SlowStartDuration = 17 * time.Second
+	settings.HedgingAllowed = true
+	settings.DrainGracePeriod = time.Second
+	if err := s.build(); err != nil {
+		t.Fatal(err)
+	}
+	f := s.fleet
+	f.Traffic("", 0, 1000, 24*time.Second)
+	s.replaceWorkers(listed)
+	s.restartRouters()
+	f.After(11*time.Second, func() { f.Traffic("", 0, 500, 6*time.Second) }) // half as much again
+	for _, at := range run.lost {
+		f.After(at, func() { s.loseWorkers(11, 400*ms) })
+	}
+	if run.lull > 0 {
+		s.burstAfterLull(run.lull, listed)
+	}
+	f.Run(28 * time.Second)
+	return s
+}
+
+// asStarted leaves what discovery says of a started worker as it is.
+func asStarted(e policy.Endpoint) policy.Endpoint { return e }
+
+// A worker in slow start is not overloaded by the sum of what all routers send it, however many they are: it receives
+// no more than its budget and what is put down to chance.
+func TestWorkersInSlowStartAreNotOverloadedByTheSum(t *testing.T) {
+	for _, run := range []slowStartRun{{name: "replaced"}, {name: "lost", lost: []time.Duration{9 * time.Second}}, {name: "lull", lull: 6 * time.Second}} {
+		for _, routers := range []int{1, 2, 20, 30, 300} {
+			t.Run(fmt.Sprintf("%s, %d routers", run.name, routers), func(t *testing.T) {
+				t.Parallel()
+				for seed := uint64(1); seed <= 2; seed++ {
+					s := runSlowStart(t, routers, seed, run, asStarted)
+					units, over := s.excess()
+					received := s.receivedByStarted()
+					t.Logf("%d routers, seed %d: largest excess %.1f roots of N; %d requests at started workers", routers, seed, units, received)
+					if over > 0 {
+						t.Errorf("seed %d: %.0f requests beyond N + 2 root N + 2", seed, over)
+					}
+					if received < 600 {
+						t.Errorf("seed %d: started workers received %d requests in all", seed, received)
+					}
+				}
+			})
+		}
+	}
+}
+
+// Guards the check: routers that are not notified of the start overload the worker.
+func TestSumAtStartedWorkersFindsAnUnlistedStart(t *testing.T) {
+	unlisted := func(e policy.Endpoint) policy.Endpoint {
+		e.Started = 0
+		return e
+	}
+	s := runSlowStart(t, 30, 1, slowStartRun{}, unlisted)
+	if _, over := s.excess(); over <= 0 {
+		t.Error("not found")
+	}
+}
--- /dev/null
+++ b/internal/simulation/traffic.go
@@ -0,0 +1,92 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// Resources that every request asks for.
+const (
+	requestLanes    = 4
+	requestMemoryMB = 100
+)
+
+// Request is a client's request and what became of it.
+type Request struct {
+	Tenant     string
+	NewVersion bool          // the function was released anew during the run
+	SentAt     time.Duration // virtual time
+	Timeout    time.Duration // after SentAt
+	Responses  []router.Response
+	Latency    time.Duration // until the last response
+	// SentWhileDraining tells that the router was past its linger when the request came, and had to reject it.
+	SentWhileDraining bool
+	// RouterKilled tells that the router was killed while it owed the response.
+	RouterKilled bool
+
+	router *Router
+	fleet  *Fleet
+}
+
+// Respond implements router.Asker: it records a response.
+func (r *Request) Respond(response router.Response) {
+	r.Responses = append(r.Responses, response)
+	r.Latency = r.fleet.now - r.SentAt
+}
+
+// Traffic plans requests of a tenant at random times, with the given mean rate per second over all routers, from now
+// until d has passed.
+func (f *Fleet) Traffic(tenant string, class int, rate float64, d time.Duration) {
+	for at := time.Duration(0); at < d; {
+		f.After(at, func() { f.send(f.pickRouter(), tenant, class) })
+		at += time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
+	}
+}
+
+// pickRouter draws a router that is up, by the routers' traffic weights.
+func (f *Fleet) pickRouter() *Router {
+	sum := 0.0
+	for _, r := range f.Routers {
+		if !r.Down {
+			sum += r.trafficWeight
+		}
+	}
+	rest := f.random.Float64() * sum
+	for _, r := range f.Routers {
+		if r.Down {
+			continue
+		}
+		rest -= r.trafficWeight
+		if rest <= 0 {
+			return r
+		}
+	}
+	return f.Routers[0]
+}
+
+// send has a client of a router request a random function.
+func (f *Fleet) send(r *Router, tenant string, class int) {
+	timeout := f.cfg.Settings.Classes[class].Deadline
+	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.core.Draining, router: r, fleet: f}
+	f.Requests = append(f.Requests, request)
+	function := policy.FunctionID(f.random.IntN(f.cfg.Functions) + 1)
+	if version, released := f.versions[function]; released {
+		function = version
+		request.NewVersion = true
+	}
+	r.accept(router.Request{
+		Asker:       request,
+		ID:          fmt.Sprintf("%016x", len(f.Requests)),
+		Class:       class,
+		Tenant:      tenant,
+		Function:    function,
+		FunctionKey: fmt.Sprintf("%016x", uint64(function)),
+		Lanes:       requestLanes,
+		MemoryMB:    requestMemoryMB,
+		LoadTime:    f.cfg.LoadTime,
+		Deadline:    f.now + timeout - router.ResponseMargin,
+	})
+}
