--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -14,7 +14,8 @@
 const module = "crankhold/"
 
 // pure are the packages that decide. They may import each other, and of the standard library what is listed.
-var pure = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true}
+var pure = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true,
+	"internal/stats": true}
 
 // harmless is what of the standard library does no I/O and reads no clock by itself; time is for its types, and
 // its functions that read the clock are looked for by name.
--- /dev/null
+++ b/internal/stats/mean.go
@@ -0,0 +1,51 @@
+package stats
+
+import (
+	"math"
+	"time"
+)
+
+// DecayingMean is a mean whose observations lose weight exponentially with time. It also counts one observation of zero,
+// which doesn't decay: without recent observations it returns to zero.
+type DecayingMean struct {
+	// Span is the time in which an observation's weight falls to 1/e.
+	Span time.Duration
+	// Few is the number of observations below which they decay more slowly, in proportion to their number.
+	Few float64
+
+	sum, weight float64
+	updated     time.Duration
+}
+
+// Observe adds a value that was observed now.
+func (m *DecayingMean) Observe(now time.Duration, value float64) {
+	retained := m.retained(now)
+	m.sum = m.sum*retained + value
+	m.weight = m.weight*retained + 1
+	m.updated = now
+}
+
+// Mean returns the mean as of now.
+func (m *DecayingMean) Mean(now time.Duration) float64 {
+	if m.sum == 0 { // at any time
+		return 0
+	}
+	retained := m.retained(now)
+	return m.sum * retained / (m.weight*retained + 1)
+}
+
+// Weight returns the number of observations, decayed, as of the last one.
+func (m *DecayingMean) Weight() float64 { return m.weight }
+
+// Updated returns the time of the last observation, and 0 where there is none.
+func (m *DecayingMean) Updated() time.Duration { return m.updated }
+
+// Reset forgets all observations.
+func (m *DecayingMean) Reset() {
+	m.sum, m.weight, m.updated = 0, 0, 0
+}
+
+// retained is the part of the weight at the last observation that is left now.
+func (m *DecayingMean) retained(now time.Duration) float64 {
+	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
+}
--- /dev/null
+++ b/internal/stats/stats_test.go
@@ -0,0 +1,113 @@
+package stats
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func Example() {
+	// Queueing delay in milliseconds, over the requests that were in flight.
+	var delay Regression
+	for _, inFlight := range []float64{1, 2, 4} {
+		delay.Observe(inFlight, 10*inFlight, 0.9)
+	}
+	fmt.Printf("3 in flight: %.0f ms\n", delay.Predict(3, 1))
+
+	// Whether requests fail. Long after the last failure, the mean is near zero again.
+	failures := DecayingMean{Span: 3 * time.Second, Few: 1}
+	failures.Observe(0, 1)
+	fmt.Printf("failing: %.2f, a minute later: %.2f\n", failures.Mean(0), failures.Mean(time.Minute))
+
+	// Two requests per second, up to three at once.
+	quota := TokenBucket{Capacity: 3, Rate: 2}
+	quota.Refill(time.Second)
+	fmt.Println("tokens:", quota.Tokens)
+
+	// Events of the last ten seconds.
+	var events SlidingWindow
+	for at := range 20 {
+		events.Add(time.Duration(at)*time.Second, 10*time.Second)
+	}
+	fmt.Println("events:", events.CountSince(10*time.Second))
+	// Output:
+	// 3 in flight: 30 ms
+	// failing: 0.50, a minute later: 0.00
+	// tokens: 2
+	// events: 10
+}
+
+func near(t *testing.T, what string, got, want float64) {
+	t.Helper()
+	if math.Abs(got-want) > 1e-9 {
+		t.Errorf("%s is %v, want %v", what, got, want)
+	}
+}
+
+func TestDecayingMean(t *testing.T) {
+	mean := DecayingMean{Span: time.Second, Few: 2}
+	near(t, "the mean of nothing", mean.Mean(time.Hour), 0)
+	mean.Observe(0, 6)
+	near(t, "the mean of 6 and the zero", mean.Mean(0), 3)
+	// One observation is few: it decays half as fast.
+	retained := math.Exp(-0.5)
+	near(t, "the mean a second later", mean.Mean(time.Second), 6*retained/(retained+1))
+	mean.Observe(0, 9)
+	near(t, "the mean of 6, 9 and the zero", mean.Mean(0), 5)
+	retained = math.Exp(-1)
+	near(t, "the mean of two a second later", mean.Mean(time.Second), 15*retained/(2*retained+1))
+	mean.Observe(time.Second, 0)
+	near(t, "the weight", mean.Weight(), 2*retained+1)
+	if mean.Updated() != time.Second {
+		t.Errorf("updated at %v", mean.Updated())
+	}
+	mean.Reset()
+	if mean != (DecayingMean{Span: time.Second, Few: 2}) {
+		t.Errorf("after a reset: %+v", mean)
+	}
+}
+
+func TestRegression(t *testing.T) {
+	var line Regression
+	near(t, "a prediction from nothing", line.Predict(5, 1), 0)
+	line.Observe(0.25, 1, 0.5)
+	near(t, "a prediction from less than the minimum", line.Predict(5, 1), 5)
+	line.Observe(3.875, 7.5, 0.5)
+	near(t, "a prediction", line.Predict(5, 1), 10)
+}
+
+func TestTokenBucket(t *testing.T) {
+	bucket := TokenBucket{Tokens: -1, Capacity: 4, Rate: 2}
+	for _, step := range []struct {
+		at   time.Duration
+		want float64
+	}{{time.Second, 1}, {1500 * time.Millisecond, 2}, {time.Minute, 4}, {time.Minute, 4}} {
+		bucket.Refill(step.at)
+		near(t, fmt.Sprint("level at ", step.at), bucket.Tokens, step.want)
+	}
+	bucket.Tokens--
+	bucket.Add(0.5)
+	near(t, "level after one was taken and half a one added", bucket.Tokens, 3.5)
+}
+
+func TestSlidingWindow(t *testing.T) {
+	var window SlidingWindow
+	const span = 10 * time.Second
+	for at := time.Duration(0); at < 1000; at++ {
+		window.Add(at*time.Second, span)
+		want := min(int(at)+1, 11)
+		if got := window.CountSince(at*time.Second - span); got != want {
+			t.Fatalf("%d events at %v, want %d", got, at*time.Second, want)
+		}
+	}
+	if len(window.times) > 2*compactAfter+11 {
+		t.Errorf("%d times are kept", len(window.times))
+	}
+	window.Remove(995 * time.Second)
+	window.Remove(995 * time.Second) // there is none any more
+	window.Remove(time.Second)       // no longer in the window
+	if got := window.CountSince(990 * time.Second); got != 9 {
+		t.Errorf("%d events after a removal, want 9", got)
+	}
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,6 +11,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"crankhold/internal/stats"
 )
 
 // Tuned values. None is fitted to one deployment; each has its reason beside it.
@@ -110,8 +112,8 @@
 	might, size          float64    // what it can do beside the others, and as much of it as ranks homes
 	out                  []*attempt // in the order of their sends
 	slope                fit
-	fails                []drift // by class, whether calls go unserved there
-	delay                drift   // the fit's constant: what others queue there beyond the average
+	fails                []stats.DecayingMean // by class, whether calls go unserved there
+	delay                stats.DecayingMean   // the fit's constant: what others queue there
 	probing              bool
 	strikes, orders      int           // signs of trouble since it was heard; orders of ours that are out
 	heard, probed, aside time.Duration // last sign of life, last probe, set aside until then
@@ -160,13 +162,14 @@
 		return nil, fmt.Errorf("policy: no request classes")
 	}
 	for i, c := range cfg.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 || c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
+			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
 			return nil, fmt.Errorf("policy: class %d is impossible: %+v", i, c)
 		}
 	}
-	for _, v := range []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio,
-		float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration), float64(cfg.OverloadWindow),
-		float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)} {
+	for _, v := range []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
+		cfg.LoadBudgetRatio, float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration),
+		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)} {
 		if !(v >= 0) || math.IsInf(v, 1) || cfg.SlowStartInitialCapacity > 1 {
 			return nil, fmt.Errorf("policy: settings hold an impossible amount: %+v", cfg)
 		}
@@ -252,7 +255,8 @@
 			return false
 		}
 		if c := &p.classes[r.Class]; (r.ran != nil || r.outstand > 0) &&
-			(c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope != DeduplicatedEverywhere) {
+			(c.Idempotency == NotIdempotent ||
+				c.Idempotency == IdempotentWithKey && c.DeduplicationScope != DeduplicatedEverywhere) {
 			p.out = append(p.out, FailRequest{Request: r.Request}) // promises nothing
 			return true
 		}
@@ -284,7 +288,8 @@
 
 // ration is how many load orders the window may hold now.
 func (p *Policy) ration() float64 {
-	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*float64(p.arrivals.since(p.now-p.cfg.LoadBudgetWindow+1))
+	taken := p.arrivals.since(p.now - p.cfg.LoadBudgetWindow + 1)
+	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*float64(taken)
 }
 
 // mayGo tells whether r may go anywhere now: beside a first attempt only the copy that its terms ask for.
@@ -299,7 +304,8 @@
 		return false
 	}
 	c, ran, t, n := &p.classes[r.Class], r.ran, r.Policy, len(r.attempts)
-	if t.MaxAttempts > 0 && n >= t.MaxAttempts || ran != nil && t.RetriesAfterPossibleRun >= 0 && r.again >= t.RetriesAfterPossibleRun ||
+	if t.MaxAttempts > 0 && n >= t.MaxAttempts ||
+		ran != nil && t.RetriesAfterPossibleRun >= 0 && r.again >= t.RetriesAfterPossibleRun ||
 		ran == nil && !r.copying && t.RetriesAfterProvenNoRun >= 0 && n > t.RetriesAfterProvenNoRun {
 		return false
 	}
@@ -307,7 +313,8 @@
 		return true
 	}
 	return c.Idempotency == IdempotentWithKey && p.now < ran.sent+c.DeduplicationWindow-p.cfg.Tick &&
-		(w == nil || c.DeduplicationScope == DeduplicatedEverywhere || c.DeduplicationScope == DeduplicatedInZone && w.Zone == ran.w.Zone ||
+		(w == nil || c.DeduplicationScope == DeduplicatedEverywhere ||
+			c.DeduplicationScope == DeduplicatedInZone && w.Zone == ran.w.Zone ||
 			c.DeduplicationScope == DeduplicatedInCell && w.Cell == ran.w.Cell)
 }
 
@@ -333,7 +340,8 @@
 
 // capacity is the least share of its full capacity that w has now.
 func (p *Policy) capacity(w *worker) float64 {
-	if w.Started == 0 || p.cfg.SlowStartDuration <= 0 || p.cfg.OverloadWindow <= 0 || p.cfg.OverloadMultiple <= 0 {
+	if w.Started == 0 || p.cfg.SlowStartDuration <= 0 || p.cfg.OverloadWindow <= 0 ||
+		p.cfg.OverloadMultiple <= 0 {
 		return 1
 	}
 	age := sane(float64(p.now-w.Started)/float64(p.cfg.SlowStartDuration), 0, 1)
@@ -353,7 +361,7 @@
 		named[e.Worker] = true
 		w, known := p.workers[e.Worker]
 		if !known {
-			w = &worker{copies: map[FunctionID]*instance{}, fails: make([]drift, len(p.classes))}
+			w = &worker{copies: map[FunctionID]*instance{}, fails: make([]stats.DecayingMean, len(p.classes))}
 			p.workers[e.Worker] = w
 			p.fleet = append(p.fleet, w)
 		}
@@ -362,8 +370,10 @@
 				i.warmUntil, i.loading, i.lanes = 0, 0, 0
 			}
 			w.strikes, w.aside, w.served, w.room = 0, 0, 0, -p.rng.Float64()*p.classes[0].run
-			w.slope, w.delay = fit{}, drift{}
-			clear(w.fails)
+			w.slope, w.delay = fit{}, stats.DecayingMean{Span: delaySpan, Few: fewAnswers}
+			for c := range w.fails {
+				w.fails[c] = w.delay
+			}
 		}
 		e.Weight = sane(e.Weight, 0, 1e9) // 0: not told
 		w.Endpoint = e
@@ -438,30 +448,7 @@
 // queueing predicts the delay at w with n requests of ours in flight there.
 func (p *Policy) queueing(w *worker, n int) float64 {
 	ny := w.slope.ny + fitPrior*p.slope.ny/max(p.slope.nn, 1)
-	return max(0, ny)/(w.slope.nn+fitPrior)*float64(n) + max(0, w.delay.now(p.now))
-}
-
-// drift is the mean of what was seen of late and, as one value among those, of nothing out of the ordinary.
-type drift struct {
-	sum, n float64
-	at     time.Duration
-}
-
-func (d *drift) keep(now time.Duration) float64 {
-	return math.Exp(-float64(now-d.at) / float64(delaySpan) * min(1, max(1, d.n)/fewAnswers))
-}
-
-func (d *drift) now(now time.Duration) float64 {
-	if d.sum == 0 { // at any time
-		return 0
-	}
-	keep := d.keep(now)
-	return d.sum * keep / (d.n*keep + 1)
-}
-
-func (d *drift) see(now time.Duration, v float64) {
-	keep := d.keep(now)
-	d.sum, d.n, d.at = d.sum*keep+v, d.n*keep+1, now
+	return max(0, ny)/(w.slope.nn+fitPrior)*float64(n) + max(0, w.delay.Mean(p.now))
 }
 
 // run predicts the time of r's own work at a usual worker.
@@ -492,7 +479,7 @@
 // predict is the design's score: the latency that r must expect at w if it goes there now.
 func (p *Policy) predict(w *worker, r *request) float64 {
 	score := p.queueing(w, len(w.out)) + p.run(r) + p.loadLeft(w, r) +
-		w.fails[r.Class].now(p.now)*float64(r.deadline-p.now) // who is not served waits in vain
+		w.fails[r.Class].Mean(p.now)*float64(r.deadline-p.now) // who is not served waits in vain
 	if i := p.believed.at(w, r.fn.id); i != nil && float64(i.inFlight) >= max(r.Lanes, 1, float64(i.lanes)) {
 		score += laneLoad * p.loadTime(r.fn) // no lane is free, as far as we know: w may begin a further copy
 	}
@@ -543,7 +530,8 @@
 // candidates are the workers that may take r, without those set aside and those that turned it away.
 func (p *Policy) candidates(r *request) []*worker {
 	p.cands = p.cands[:0]
-	anywhere, keyed := p.mayGo(r) && p.repeatable(r, nil), r.ran != nil && p.classes[r.Class].Idempotency == IdempotentWithKey
+	anywhere := p.mayGo(r) && p.repeatable(r, nil)
+	keyed := r.ran != nil && p.classes[r.Class].Idempotency == IdempotentWithKey
 	for _, w := range p.fleet {
 		if anywhere && w.State == Ready && !p.looksBad(w) && r.pool.Contains(w.Worker) &&
 			!slices.Contains(r.shunned, w) && (!keyed || p.repeatable(r, w)) && p.coldRoom(w) {
@@ -670,7 +658,7 @@
 	} else if score > own {
 		start = 0.15
 	}
-	others := (1 - 1/float64(p.cfg.Routers)) * w.delay.now(p.now) // what they queue at the best worker
+	others := (1 - 1/float64(p.cfg.Routers)) * w.delay.Mean(p.now) // what they queue at the best worker
 	delay := max(p.standing, others)
 	return p.rng.Float64() < min(2*(delay/aim-start), 0.9), delay - start*aim
 }
@@ -747,13 +735,13 @@
 		r.ran = a
 	}
 	e.Took = min(max(e.Took, 0), time.Hour)
-	if e.Outcome != ConnectionReset || a.number > 0 { // a connection may break alone: its worker still has the copy
+	if e.Outcome != ConnectionReset || a.number > 0 { // it may break alone: its worker still has the copy
 		r.shunned = append(r.shunned, w) // read only if another attempt follows
 	}
 	switch e.Outcome {
 	case Served:
 		p.alive(w)
-		w.fails[r.Class].see(p.now, 0)
+		w.fails[r.Class].Observe(p.now, 0)
 		p.rate, w.served = p.rate+p.classes[r.Class].run, w.served+p.classes[r.Class].run
 		p.learn(a, e)
 	case Failed, Overloaded, NotLoaded:
@@ -767,20 +755,21 @@
 		case e.LoadStatus == LoadFailed:
 			p.loadFailed(1)
 		case e.Outcome == Failed:
-			w.fails[r.Class].see(p.now, 1)
+			w.fails[r.Class].Observe(p.now, 1)
 		case e.Outcome == Overloaded && (!a.cold || a.likely):
 			p.jam(r.fn)
 			p.reported(w, e.Report)
-			w.delay.see(p.now, max(clip*p.run(r), w.delay.now(p.now)))
+			w.delay.Observe(p.now, max(clip*p.run(r), w.delay.Mean(p.now)))
 		}
 	case ConnectionReset, Unreachable:
 		if e.Outcome == ConnectionReset && !w.probing { // one sign, however many calls were on the connection
-			w.fails[r.Class].see(p.now, 1)
+			w.fails[r.Class].Observe(p.now, 1)
 		}
 		p.broken(w, e.Outcome)
 	case Cancelled, TimedOut: // it would have taken longer still; where others were answered, they tell
-		if over := float64(e.Took) - p.run(r); !a.cold && w.delay.at < a.sent && over > w.delay.now(p.now) {
-			w.delay.see(p.now, min(over, clip*float64(p.classes[r.Class].LatencyObjective)))
+		over := float64(e.Took) - p.run(r)
+		if !a.cold && w.delay.Updated() < a.sent && over > w.delay.Mean(p.now) {
+			w.delay.Observe(p.now, min(over, clip*float64(p.classes[r.Class].LatencyObjective)))
 		}
 	}
 	if e.Closed {
@@ -802,7 +791,7 @@
 	r, w, f := a.req, a.w, a.req.fn
 	p.reported(w, e.Report)
 	i, c, took, base := p.instance(w, f.id), &p.classes[r.Class], float64(e.Took), p.run(r)
-	queue, at := p.queueing(w, a.inFlight), max(0, w.delay.now(p.now))
+	queue, at := p.queueing(w, a.inFlight), max(0, w.delay.Mean(p.now))
 	loaded := e.LoadStatus == StartedLoad || e.LoadStatus == WaitedForLoad
 	if !p.cfg.LoadStatusReported && !p.cfg.MissWhenNotLoaded { // not told: a load shows in the time
 		loaded = took > base+queue+p.loadTime(f)/2
@@ -831,7 +820,7 @@
 	for _, s := range []*fit{&w.slope, &p.slope} {
 		s.nn, s.ny = s.nn*fitKeep+n, s.ny*fitKeep+y
 	}
-	w.delay.see(p.now, min(took-base, clip*float64(c.LatencyObjective))-(queue-at))
+	w.delay.Observe(p.now, min(took-base, clip*float64(c.LatencyObjective))-(queue-at))
 	if q := p.queued(e.Report); q >= 0 {
 		p.pace.nn, p.pace.ny = p.pace.nn*fitKeep+q, p.pace.ny*fitKeep+max(y-(queue-at), 0)
 	}
@@ -861,7 +850,8 @@
 // reported takes a report, late and noisy, into w's constant as one answer: the delay such a queue meant.
 func (p *Policy) reported(w *worker, report []float64) {
 	if q := p.queued(report); q >= 0 {
-		w.delay.see(p.now, min(q*p.pace.ny/max(p.pace.nn, 1), clip*float64(p.classes[0].LatencyObjective)))
+		delay := q * p.pace.ny / max(p.pace.nn, 1)
+		w.delay.Observe(p.now, min(delay, clip*float64(p.classes[0].LatencyObjective)))
 	}
 }
 
@@ -971,7 +961,8 @@
 		p.strike(w)
 		for _, a := range slices.Clone(w.out) { // what may be sent elsewhere is called off
 			r := a.req
-			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called && c.Idempotency != NotIdempotent &&
+			if c := &p.classes[r.Class]; !r.done && !r.stream && !a.called &&
+				c.Idempotency != NotIdempotent &&
 				(c.Idempotency == Idempotent || p.now < a.sent+c.DeduplicationWindow-2*p.cfg.Tick) {
 				a.called = p.emit(CancelAttempt{Request: r.Request, Attempt: a.number})
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -154,7 +154,7 @@
 	b := newBed(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
 		b.p.instance(b.p.workers[w], 7).warmUntil = b.now + 10*time.Second
-		b.p.workers[w].delay.see(b.now, float64(w-1)*float64(20*ms))
+		b.p.workers[w].delay.Observe(b.now, float64(w-1)*float64(20*ms))
 	}
 	one, at1 := send(b)
 	two, at2 := send(b)
@@ -164,7 +164,7 @@
 	served(b, one, at1, AlreadyLoaded)
 	served(b, two, at2, AlreadyLoaded)
 	b.p.instance(b.p.workers[1], 7).lanes = 2 // two were served at a time
-	b.p.workers[2].delay.see(b.now, float64(100*ms))
+	b.p.workers[2].delay.Observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
 	}
@@ -194,12 +194,12 @@
 		}
 		b.now += 10 * ms
 		probes := b.do(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		n := b.p.workers[w].fails[0].n
+		n := b.p.workers[w].fails[0].Weight()
 		acts = b.do(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
 		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](probes) || has[CheckHealth](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
-		if b.p.workers[w].fails[0].n != n {
+		if b.p.workers[w].fails[0].Weight() != n {
 			t.Error("one broken connection counts as two failures")
 		}
 		acts = b.do(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
@@ -871,7 +871,7 @@
 	}
 	busy, idle := b.p.workers[1], b.p.workers[2]
 	for range 10 {
-		busy.delay.see(b.now, float64(250*ms))
+		busy.delay.Observe(b.now, float64(250*ms))
 	}
 	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
 		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
