--- /dev/null
+++ b/internal/router/accept_test.go
@@ -0,0 +1,129 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// A draining core rejects each new request, so that clients that go on sending don't hold up the program's exit.
+func TestDrainingCoreRejectsNewRequests(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	core.SetEndpoints(readyWorkers(1))
+	core.Draining = true
+	responder := &recordingResponder{}
+	core.Accept(start, Request{Asker: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+	core.Process(start)
+	wantResponses(t, responder, 1)
+	if responder.responses[0].Status != Rejected || responder.responses[0].MayHaveRun {
+		t.Errorf("response %+v", responder.responses[0])
+	}
+	if core.OpenRequests() != 0 || len(workers.inFlight) != 0 {
+		t.Errorf("%d requests open, %d attempts in flight, want none", core.OpenRequests(), len(workers.inFlight))
+	}
+}
+
+// A second request under the ID of an open one fails and reaches no worker, whatever fronts the two arrive by. The ID
+// is free again once the first has ended.
+func TestDuplicateOfAnOpenRequestFails(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	core.SetEndpoints(readyWorkers(1))
+	send := func(front Front, body string) (policy.RequestID, *recordingResponder) {
+		responder := &recordingResponder{}
+		id := core.Accept(start, Request{Front: front, Asker: responder, ID: "00000000000000aa", Function: 7, Body: []byte(body),
+			Deadline: start + 2*time.Second})
+		return id, responder
+	}
+	first, firstResponder := send(Thrift, "one")
+	core.Process(start)
+	for _, front := range []Front{Thrift, Webhook} {
+		duplicate, responder := send(front, "other")
+		core.Process(start)
+		wantResponses(t, responder, 1)
+		if duplicate != 0 || responder.responses[0].Status != Failed || core.OpenRequests() != 1 {
+			t.Fatalf("duplicate by %v: request %d, response %+v, %d open", front, duplicate, responder.responses[0], core.OpenRequests())
+		}
+	}
+
+	core.AttemptCompleted(workers.started[first][0],
+		AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("done")})
+	core.Process(start + ms)
+	wantResponses(t, firstResponder, 1)
+	if body := string(firstResponder.responses[0].Body); body != "done" {
+		t.Fatalf("the first request got the body %q", body)
+	}
+	if len(workers.started) != 1 || len(core.clientIDs) != 0 || len(core.requests) != 0 {
+		t.Fatalf("%d requests sent, %d IDs reserved, %d requests tracked", len(workers.started), len(core.clientIDs), len(core.requests))
+	}
+	if again, _ := send(Thrift, "again"); again == 0 {
+		t.Error("the ID of a request that has ended is still reserved")
+	}
+}
+
+// The module does not see requests that are canceled before the next Process, so a client that sends hundreds and
+// cancels each at once neither enlarges the load budget nor costs any scheduling.
+func TestRequestCanceledAtOnceNeverReachesTheModule(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	now := start
+	core.SetEndpoints(readyWorkers(1))
+	core.Process(now)
+	send := func(n uint64) policy.RequestID {
+		return core.Accept(now, Request{Asker: &recordingResponder{}, ID: hexID(n), FunctionKey: "00000000000000aa", Function: 0xaa,
+			Deadline: now + time.Second})
+	}
+	send(1) // this one stays
+	for n := range uint64(200) {
+		core.CancelRequest(now, send(2+n))
+	}
+	core.Process(now)
+	if core.Counters.AttemptsStarted != 1 || len(workers.started) != 1 {
+		t.Fatalf("%d attempts for %d requests, want 1 for 1", core.Counters.AttemptsStarted, len(workers.started))
+	}
+	if core.OpenRequests() != 1 || core.Counters.Canceled[Thrift] != 200 {
+		t.Fatalf("%d requests open, %d canceled, want 1 and 200", core.OpenRequests(), core.Counters.Canceled[Thrift])
+	}
+
+	now += ms // one that is canceled later is sent, and its attempt canceled
+	late := send(300)
+	core.Process(now)
+	core.CancelRequest(now, late)
+	core.Process(now)
+	if core.Counters.AttemptsStarted != 2 || len(workers.inFlight) != 1 || core.OpenRequests() != 1 {
+		t.Fatalf("%d attempts started, %d in flight, %d requests open",
+			core.Counters.AttemptsStarted, len(workers.inFlight), core.OpenRequests())
+	}
+}
+
+// Tenants are identified by name. One that floods is rejected beyond its quota while another is served, and requests
+// that name none of the configured tenants are beyond every quota.
+func TestTenantsAreIdentifiedByName(t *testing.T) {
+	module, err := policy.New(policy.Config{Routers: 1, Tick: 4 * ms, MaxAttempts: 3, OverQuotaWeight: 0.2,
+		Tenants: []policy.Tenant{{RequestsPerSecond: 4}, {RequestsPerSecond: 1000}},
+		Classes: []policy.Class{{LatencyObjective: 100 * ms, Deadline: 2 * time.Second, PriorityWeight: 3}}}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	core := New(module, Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}})
+	core.SetWorkerClient(newFakeWorkerClient(core))
+	core.SetEndpoints(readyWorkers(1))
+	now := time.Second
+	rejected := map[string]int{}
+	sent := uint64(0)
+	for range 40 {
+		for _, tenant := range []string{"small", "large", "nobody", ""} {
+			sent++
+			countRejected := responderFunc(func(response Response) {
+				if response.Status == Rejected {
+					rejected[tenant]++
+				}
+			})
+			core.Accept(now, Request{ID: hexID(sent), FunctionKey: hexID(7), Function: 7, LoadTime: 200 * ms, Tenant: tenant,
+				Deadline: 3 * time.Second, Asker: countRejected})
+		}
+		core.Process(now)
+	}
+	if rejected["large"] != 0 || rejected["small"] < 20 || rejected["nobody"] != 40 || rejected[""] != 40 {
+		t.Errorf("rejected %v", rejected)
+	}
+}
--- /dev/null
+++ b/internal/router/attempts_test.go
@@ -0,0 +1,174 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// An attempt that waits for a dial is withdrawn as soon as its request is canceled or out of time, also where the
+// settings don't let the module cancel attempts, and nothing is sent for it later.
+func TestUnsentAttemptsAreWithdrawnWhenTheirRequestEnds(t *testing.T) {
+	for _, test := range []struct {
+		name            string
+		cancelSupported bool
+		end             func(core *Core, id policy.RequestID) (now time.Duration)
+		wantResponses   int
+	}{
+		{"canceled, cancel supported", true, cancelAfter10ms, 0},
+		{"deadline exceeded, cancel supported", true, letDeadlinePass, 1},
+		{"canceled, cancel not supported", false, cancelAfter10ms, 0},
+		{"deadline exceeded, cancel not supported", false, letDeadlinePass, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			config := testPolicyConfig()
+			config.CancelSupported = test.cancelSupported
+			core, workers := newTestCoreWith(t, config, 1)
+			core.SetEndpoints(readyWorkers(1))
+			core.Process(start)
+			workers.dialing = true
+			responder := &recordingResponder{}
+			id := core.Accept(start, Request{Asker: responder, ID: "a", FunctionKey: "00000000000000aa", Function: 0xaa,
+				Deadline: start + 2*time.Second})
+			core.Process(start)
+			if len(workers.unsent) != 1 {
+				t.Fatalf("%d attempts wait for a dial, want 1", len(workers.unsent))
+			}
+
+			now := test.end(core, id)
+			core.Process(now)
+			if len(workers.unsent) != 0 || len(workers.inFlight) != 0 {
+				t.Errorf("%d attempts wait for a dial and %d are in flight, want none", len(workers.unsent), len(workers.inFlight))
+			}
+			if core.OpenRequests() != 0 || len(core.requests) != 0 || len(core.clientIDs) != 0 {
+				t.Errorf("%d requests open, %d tracked, %d IDs reserved, want none",
+					core.OpenRequests(), len(core.requests), len(core.clientIDs))
+			}
+			wantResponses(t, responder, test.wantResponses)
+			for _, response := range responder.responses {
+				if response.Status != Rejected || response.MayHaveRun {
+					t.Errorf("response %+v to a request that was never sent", response)
+				}
+			}
+			for later := now; later < now+5*time.Second; later += 50 * ms {
+				core.Process(later)
+				if len(workers.started[id]) != 1 {
+					t.Fatalf("%d attempts started, want 1", len(workers.started[id]))
+				}
+			}
+		})
+	}
+}
+
+func cancelAfter10ms(core *Core, id policy.RequestID) time.Duration {
+	now := start + 10*ms
+	core.CancelRequest(now, id)
+	return now
+}
+
+func letDeadlinePass(*Core, policy.RequestID) time.Duration { return start + 3*time.Second }
+
+// The load budget grows with requests that stay. Those that are canceled while their attempts wait for a dial don't
+// enlarge it.
+func TestCanceledUnsentRequestsDoNotEnlargeTheLoadBudget(t *testing.T) {
+	for _, canceledPerRequest := range []int{0, 3} {
+		t.Run(fmt.Sprintf("%d canceled for each that stays", canceledPerRequest), func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			core.SetEndpoints(readyWorkers(1, 2))
+			now := start
+			core.Process(now)
+			sent := uint64(0)
+			send := func() policy.RequestID {
+				sent++
+				id := core.Accept(now, Request{Asker: &recordingResponder{}, ID: hexID(sent), FunctionKey: hexID(sent),
+					Function: policy.FunctionID(sent), Deadline: now + 2*time.Second})
+				core.Process(now)
+				return id
+			}
+			for range 200 {
+				workers.dialing = true
+				for range canceledPerRequest {
+					core.CancelRequest(now, send())
+					core.Process(now)
+				}
+				workers.dialing = false
+				missOnceThenServe(core, workers, now, send())
+				now += 5 * ms
+			}
+			const wantLoads = 64 // LoadBudgetMinimum 4, and LoadBudgetRatio 0.3 of 200
+			if core.Counters.LoadsOrdered != wantLoads {
+				t.Errorf("%d loads ordered, want %d", core.Counters.LoadsOrdered, wantLoads)
+			}
+		})
+	}
+}
+
+// missOnceThenServe has the first attempt of a request find its function not loaded, and the next ones served. All
+// loads succeed.
+func missOnceThenServe(core *Core, workers *fakeWorkerClient, now time.Duration, id policy.RequestID) {
+	for number := 0; number < len(workers.started[id]); number++ {
+		attempt := workers.started[id][number]
+		outcome := policy.Served
+		if number == 0 {
+			outcome = policy.NotLoaded
+		}
+		delete(workers.inFlight, attempt)
+		core.AttemptCompleted(attempt, AttemptResult{Outcome: outcome})
+		core.Process(now)
+		for commandID := range workers.loads {
+			delete(workers.loads, commandID)
+			core.LoadCompleted(commandID, policy.Served, 1)
+		}
+		core.Process(now)
+	}
+}
+
+// A request that is not idempotent fails and is not sent again after an attempt that may have run.
+func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		outcome policy.Outcome
+	}{
+		{"connection reset", policy.ConnectionReset},
+		{"failed", policy.Failed},
+		{"timed out", policy.TimedOut},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			core.SetEndpoints(readyWorkers(1, 2))
+			responder := &recordingResponder{}
+			id := core.Accept(start, Request{Asker: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+			core.Process(start)
+			if len(workers.started[id]) != 1 {
+				t.Fatal("the request was not sent")
+			}
+			core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: test.outcome})
+			core.Process(start + ms)
+			wantResponses(t, responder, 1)
+			if len(workers.started[id]) != 1 || responder.responses[0].Status != Failed {
+				t.Errorf("%d attempts, responses %+v", len(workers.started[id]), responder.responses)
+			}
+		})
+	}
+}
+
+// A worker's response that arrives in the turn in which the client canceled the request is dropped.
+func TestResponseBehindACancellationIsDropped(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	core.SetEndpoints(readyWorkers(1))
+	responder := &recordingResponder{}
+	id := core.Accept(start, Request{Asker: responder, Class: 0, Function: 7, Deadline: start + 2*time.Second})
+	core.Process(start)
+	core.CancelRequest(start+ms, id)
+	core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
+	core.Process(start + ms)
+	wantResponses(t, responder, 0)
+	if core.Counters.Canceled[Thrift] != 1 || core.Counters.Served[Thrift] != 0 {
+		t.Errorf("counters %+v", core.Counters)
+	}
+	if len(core.requests) != 0 {
+		t.Errorf("%d requests tracked, want none", len(core.requests))
+	}
+}
--- /dev/null
+++ b/internal/router/example_test.go
@@ -0,0 +1,98 @@
+package router_test
+
+import (
+	"fmt"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// printingFront stands for a front. It prints the response that it would send to its client.
+type printingFront struct{}
+
+// Respond implements router.Responder.
+func (printingFront) Respond(response router.Response) {
+	fmt.Printf("response: %v, %q\n", response.Status, response.Body)
+}
+
+// printingWorkerClient stands for the client that carries messages to workers. It prints what it would send, and keeps
+// the last attempt, to be completed when the worker responds.
+type printingWorkerClient struct{ attempt router.Attempt }
+
+func (c *printingWorkerClient) StartAttempt(worker policy.WorkerID, attempt router.Attempt, r *router.Request, budget time.Duration) {
+	c.attempt = attempt
+	fmt.Printf("attempt %d: request %s to worker %d, %v left\n", attempt.Number, r.ID, worker, budget)
+}
+func (c *printingWorkerClient) CancelAttempt(policy.WorkerID, router.Attempt)             {}
+func (c *printingWorkerClient) WithdrawUnsent(policy.WorkerID, router.Attempt) bool       { return false }
+func (c *printingWorkerClient) Load(policy.WorkerID, policy.FunctionID, int, uint64)      {}
+func (c *printingWorkerClient) AbandonCommand(policy.WorkerID, uint64)                    {}
+func (c *printingWorkerClient) Unload(worker policy.WorkerID, function policy.FunctionID) {}
+func (c *printingWorkerClient) CheckHealth(worker policy.WorkerID, commandID uint64)      {}
+func (c *printingWorkerClient) CloseIdle(worker policy.WorkerID)                          {}
+
+// A core serves one request: a front hands it in, the core forwards it to a worker, and the worker's response becomes
+// the final response.
+func Example() {
+	// The decision module, with one class of requests.
+	module, err := policy.New(policy.Config{
+		Routers:         1,
+		Tick:            4 * time.Millisecond,
+		MaxAttempts:     3,
+		KeepAlive:       10 * time.Second,
+		OverQuotaWeight: 1,
+		Classes: []policy.Class{{
+			LatencyObjective: 400 * time.Millisecond,
+			Deadline:         2 * time.Second,
+			Idempotency:      policy.Idempotent,
+			PriorityWeight:   1,
+		}},
+	}, 42)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+
+	// The core around it, with a client for the workers and one worker.
+	workers := &printingWorkerClient{}
+	core := router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3})
+	core.SetWorkerClient(workers)
+	core.OnCompleted = func(_ time.Duration, r *router.Request, completion string) {
+		fmt.Printf("completed: request %s, %s\n", r.ID, completion)
+	}
+	core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{
+		{Worker: 7, State: policy.Ready},
+	}})
+
+	// A front hands in a request. Process has the module choose a worker, and forwards the request to it.
+	now := time.Duration(0) // the event loop's clock
+	core.Accept(now, router.Request{
+		Front:       router.Thrift,
+		Asker:       printingFront{},
+		ID:          "9b1f03aa5c7e2d41",
+		FunctionKey: "7f3a9c21e0b4d655",
+		Function:    0x7f3a9c21e0b4d655,
+		Lanes:       4,
+		LoadTime:    time.Second,
+		Body:        []byte("in"),
+		Deadline:    now + 2*time.Second,
+	})
+	core.Process(now)
+
+	// The worker responds 80 ms later.
+	now += 80 * time.Millisecond
+	core.SetNow(now)
+	core.AttemptCompleted(workers.attempt, router.AttemptResult{
+		Outcome:    policy.Served,
+		LoadStatus: policy.StartedLoad,
+		Body:       []byte("out"),
+	})
+	core.Process(now)
+	fmt.Println("open requests:", core.OpenRequests())
+	// Output:
+	// attempt 0: request 9b1f03aa5c7e2d41 to worker 7, 2s left
+	// response: served, "out"
+	// completed: request 9b1f03aa5c7e2d41, served
+	// open requests: 0
+}
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -8,98 +8,149 @@
 	"crankhold/policy"
 )
 
-// tableOf makes a table of two pools with a worker each, to which routes send dim-level calls by front, tenant
-// and function; orders have no route.
-func tableOf(t *testing.T, limit int) *route.Table {
+// newTestRoutes compiles a table of two pools with a worker each, s-1 in "one" and s-2 in "two". Requests of class
+// dim-level go to "one"; those of the tenant "east" go to "two", and those by webhook for functions whose keys begin
+// with 00 are rejected. Requests of class repair-order have no route.
+func newTestRoutes(t *testing.T, maxInFlightOfOne int) *route.Table {
 	t.Helper()
-	pool := func(name, id string, limit int) route.PoolSpec {
-		return route.PoolSpec{Name: name, Workers: []route.Selector{{IDs: []string{id}}}, MaxInFlight: limit, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}
+	pool := func(name, worker string, maxInFlight int) route.PoolSpec {
+		return route.PoolSpec{
+			Name:          name,
+			Workers:       []route.Selector{{IDs: []string{worker}}},
+			MaxInFlight:   maxInFlight,
+			LoadShare:     route.Unset,
+			OverflowShare: route.Unset,
+			OverflowRate:  route.Unset,
+		}
 	}
 	prefix, err := route.ParsePattern("00*")
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := route.Compile(&route.Spec{Pools: []route.PoolSpec{pool("one", "s-1", limit), pool("two", "s-2", route.Unset)},
-		Routes: []route.RouteSpec{{Name: "rest", Classes: []string{"dim-level"}, Pool: "one"},
-			{Name: "east", Classes: []string{"dim-level"}, Tenants: []string{"east"}, Pool: "two"},
-			{Name: "none", Classes: []string{"dim-level"}, Functions: []route.Pattern{prefix}, Fronts: []route.Front{route.Webhook}}}}, []string{"dim-level", "repair-order"})
+	dimLevel := []string{"dim-level"}
+	spec := &route.Spec{
+		Pools: []route.PoolSpec{pool("one", "s-1", maxInFlightOfOne), pool("two", "s-2", route.Unset)},
+		Routes: []route.RouteSpec{
+			{Name: "rest", Classes: dimLevel, Pool: "one"},
+			{Name: "east", Classes: dimLevel, Tenants: []string{"east"}, Pool: "two"},
+			{Name: "none", Classes: dimLevel, Functions: []route.Pattern{prefix}, Fronts: []route.Front{route.Webhook}},
+		},
+	}
+	table, err := route.Compile(spec, []string{"dim-level", "repair-order"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return table
 }
 
-func routed(t *testing.T) (*Core, *workers) {
-	c, w := newCore(t, 1)
-	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
-	c.SetRouteWorkers([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
-	c.Process(time.Hour)
-	return c, w
+// newRoutedCore returns a core with the workers s-1 and s-2, ready.
+func newRoutedCore(t *testing.T) (*Core, *fakeWorkerClient) {
+	t.Helper()
+	core, workers := newTestCore(t, 1)
+	core.SetEndpoints(readyWorkers(1, 2))
+	core.SetRouteWorkers([]route.Worker{{ID: 1, Name: "s-1"}, {ID: 2, Name: "s-2"}})
+	core.Process(start)
+	return core, workers
 }
 
-// Calls of both fronts go where their routes say; what none matches, and what one refuses, is answered at once
-// and no worker hears of it.
-func TestRoutesDecideOnBothFronts(t *testing.T) {
-	c, w := routed(t)
-	c.SetRoutes(tableOf(t, route.Unset))
-	for i, x := range []struct {
+// Requests of both fronts go where their routes lead. Those that no route matches, or one that rejects them, are
+// rejected at once and reach no worker.
+func TestRoutesApplyToBothFronts(t *testing.T) {
+	core, workers := newRoutedCore(t)
+	core.SetRoutes(newTestRoutes(t, route.Unset))
+	const (
+		dimLevel    = 0
+		repairOrder = 1
+		key00       = policy.FunctionID(7)       // its key begins with 00
+		key10       = policy.FunctionID(1 << 60) // its key begins with 10
+		rejected    = policy.WorkerID(0)
+	)
+	for _, test := range []struct {
+		name     string
 		front    Front
 		class    int
 		function policy.FunctionID
 		tenant   string
-		worker   policy.WorkerID // 0: refused
+		want     policy.WorkerID
 	}{
-		{Thrift, 0, 7, "", 1}, {Thrift, 0, 1 << 60, "", 1}, {Webhook, 0, 1 << 60, "", 1}, {Webhook, 0, 1 << 60, "east", 2}, {Webhook, 0, 1 << 60, "west", 1},
-		{Webhook, 0, 7, "", 0}, {Webhook, 0, 7, "east", 0}, {Thrift, 1, 7, "", 0},
-		{Thrift, 0, 1 << 60, "east", 1}, // a tenant by Thrift counts for shares alone
+		{"thrift, key 00", Thrift, dimLevel, key00, "", 1},
+		{"thrift, key 10", Thrift, dimLevel, key10, "", 1},
+		{"webhook, key 10", Webhook, dimLevel, key10, "", 1},
+		{"webhook, key 10, tenant with a route", Webhook, dimLevel, key10, "east", 2},
+		{"webhook, key 10, other tenant", Webhook, dimLevel, key10, "west", 1},
+		{"webhook, key 00", Webhook, dimLevel, key00, "", rejected},
+		{"webhook, key 00, tenant with a route", Webhook, dimLevel, key00, "east", rejected},
+		{"class without a route", Thrift, repairOrder, key00, "", rejected},
+		{"thrift, tenant counts for its quota alone", Thrift, dimLevel, key10, "east", 1},
 	} {
-		k := &asker{core: c}
-		id := c.Accept(time.Hour, Request{Front: x.front, Asker: k, ID: string(rune('a' + i)), Class: x.class, Function: x.function, Tenant: x.tenant, Deadline: time.Hour + 2*time.Second})
-		c.Process(time.Hour)
-		switch {
-		case x.worker == 0 && (len(k.answers) != 1 || k.answers[0].Status != Rejected || k.answers[0].MayHaveRun || id != 0):
-			t.Errorf("%+v: answers %+v, want a refusal at once", x, k.answers)
-		case x.worker != 0 && (len(w.runs[id]) != 1 || w.out[w.runs[id][0]] != x.worker):
-			t.Errorf("%+v: runs %v of %v", x, w.runs[id], w.out)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			responder := &recordingResponder{}
+			id := core.Accept(start, Request{Front: test.front, Asker: responder, ID: test.name, Class: test.class,
+				Function: test.function, Tenant: test.tenant, Deadline: start + 2*time.Second})
+			core.Process(start)
+			if test.want == rejected {
+				wantResponses(t, responder, 1)
+				response := responder.responses[0]
+				if response.Status != Rejected || response.MayHaveRun || id != 0 {
+					t.Errorf("request %d, response %+v, want a rejection at once", id, response)
+				}
+				return
+			}
+			started := workers.started[id]
+			if len(started) != 1 || workers.inFlight[started[0]] != test.want {
+				t.Errorf("attempts %v, in flight %v", started, workers.inFlight)
+			}
+		})
 	}
-	if c.Counters.RejectedUnrouted != [frontCount]uint64{1, 2} || c.OpenRequests() != 6 {
-		t.Errorf("unrouted %v, %d open", c.Counters.RejectedUnrouted, c.OpenRequests())
+	if core.Counters.RejectedUnrouted != [frontCount]uint64{1, 2} || core.OpenRequests() != 6 {
+		t.Errorf("unrouted %v, %d open", core.Counters.RejectedUnrouted, core.OpenRequests())
 	}
 }
 
-// A table is swapped whole: a call that is open ends under the table it began with and stays counted, new ones go
-// by the new one, and a list that comes later is sorted into its pools.
-func TestOpenCallsEndUnderTheirTable(t *testing.T) {
-	c, w := routed(t)
-	c.SetRoutes(tableOf(t, 2))
-	take := func(id string) (policy.RequestID, *asker) {
-		k := &asker{core: c}
-		n := c.Accept(time.Hour, Request{Asker: k, ID: id, Function: 7, Deadline: time.Hour + 2*time.Second})
-		c.Process(time.Hour)
-		return n, k
+// SetRoutes swaps the table whole: open requests end under the table that they began with and stay counted, new ones
+// go by the new table, and workers that are listed later are sorted into its pools.
+func TestOpenRequestsEndUnderTheirRouteTable(t *testing.T) {
+	core, workers := newRoutedCore(t)
+	core.SetRoutes(newTestRoutes(t, 2))
+	send := func(clientID string) (policy.RequestID, *recordingResponder) {
+		responder := &recordingResponder{}
+		id := core.Accept(start, Request{Asker: responder, ID: clientID, Function: 7, Deadline: start + 2*time.Second})
+		core.Process(start)
+		return id, responder
 	}
-	first, k := take("a")
-	take("b")
-	next := tableOf(t, 1)
-	c.SetRoutes(next)
-	if _, over := take("c"); len(over.answers) != 1 || over.answers[0].Status != Rejected {
-		t.Errorf("over the new cap: %+v", over.answers)
+	first, firstResponder := send("a")
+	send("b")
+	newTable := newTestRoutes(t, 1)
+	poolOne, poolTwo := newTable.Pools()[0], newTable.Pools()[1]
+
+	core.SetRoutes(newTable)
+	if poolOne.InFlight() != 2 {
+		t.Errorf("%d requests in flight under the new table, want 2", poolOne.InFlight())
 	}
-	if n := next.Pools()[0].InFlight(); n != 2 {
-		t.Errorf("%d in flight go on, want 2", n)
+	_, overLimit := send("c")
+	wantResponses(t, overLimit, 1)
+	if overLimit.responses[0].Status != Rejected {
+		t.Errorf("over the new limit: %+v", overLimit.responses[0])
 	}
-	c.AttemptCompleted(w.runs[first][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("x")})
-	c.Process(time.Hour)
-	if len(k.answers) != 1 || k.answers[0].Status != Served || next.Pools()[0].InFlight() != 1 {
-		t.Errorf("answers %+v, %d in flight", k.answers, next.Pools()[0].InFlight())
+	if poolOne.InFlight() != 2 {
+		t.Errorf("%d requests in flight after a rejection, want 2", poolOne.InFlight())
 	}
-	c.SetRouteWorkers([]route.Worker{{ID: 2, Name: "s-2"}})
-	if next.Pools()[0].Size() != 0 || next.Pools()[1].Size() != 1 {
+
+	core.AttemptCompleted(workers.started[first][0],
+		AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, Body: []byte("x")})
+	core.Process(start)
+	wantResponses(t, firstResponder, 1)
+	if firstResponder.responses[0].Status != Served || poolOne.InFlight() != 1 {
+		t.Errorf("response %+v, %d in flight", firstResponder.responses[0], poolOne.InFlight())
+	}
+
+	core.SetRouteWorkers([]route.Worker{{ID: 2, Name: "s-2"}})
+	if poolOne.Size() != 0 || poolTwo.Size() != 1 {
 		t.Error("a later list is not sorted into the pools")
 	}
-	c.SetRoutes(nil)
-	if id, _ := take("d"); len(w.runs[id]) != 1 {
-		t.Error("without a table a call is not sent")
+
+	core.SetRoutes(nil)
+	if id, _ := send("d"); len(workers.started[id]) != 1 {
+		t.Error("without a table a request is not sent")
 	}
 }
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -8,36 +8,89 @@
 	"crankhold/policy"
 )
 
-// Guards memory under long waits: a call that has been answered leaves no timer behind, of the core's or of the
-// module's, however long its client would have waited.
-func TestAnsweredCallsLeaveNoTimers(t *testing.T) {
-	c, w := newCore(t, 1)
-	c.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}}})
-	now := time.Hour
-	c.Process(now)
-	standing := c.timers.Len()
+// A request that the module has not ended by its deadline is ended by the core: rejected only where nothing was sent.
+func TestDeadlineEndsRequestsThatTheModuleDidNot(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		endpoints    policy.EndpointList
+		wantAttempts int
+		wantStatus   ResponseStatus
+	}{
+		{"never sent", policy.EndpointList{}, 0, Rejected},
+		{"sent", readyWorkers(1), 1, Failed},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			if len(test.endpoints.Workers) > 0 {
+				core.SetEndpoints(test.endpoints)
+			}
+			responder := &recordingResponder{}
+			id := core.Accept(start, Request{Asker: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+			core.Process(start)
+			if len(workers.started[id]) != test.wantAttempts {
+				t.Fatalf("%d attempts, want %d", len(workers.started[id]), test.wantAttempts)
+			}
+
+			deadline := core.requests[id].deadline
+			if deadline.Value.kind != requestDeadline || deadline.Due() != start+3*time.Second {
+				t.Fatalf("deadline timer %+v", deadline)
+			}
+			fireBeforeTheModule(t, core, deadline)
+			core.Process(core.now)
+			wantResponses(t, responder, 1)
+			response := responder.responses[0]
+			if response.Status != test.wantStatus || !response.DeadlineExceeded {
+				t.Errorf("response %+v, want status %v", response, test.wantStatus)
+			}
+			if core.Counters.DeadlineExceeded != 1 || len(workers.inFlight) != 0 {
+				t.Errorf("%d deadlines exceeded, %d attempts in flight", core.Counters.DeadlineExceeded, len(workers.inFlight))
+			}
+		})
+	}
+}
+
+// fireBeforeTheModule fires a timer that is set, ahead of those of the module that are due before it.
+func fireBeforeTheModule(t *testing.T, core *Core, entry *timerEntry) {
+	t.Helper()
+	set := core.timers.Len()
+	core.timers.Remove(entry)
+	if core.timers.Len() != set-1 {
+		t.Fatal("the timer is not set")
+	}
+	core.now = entry.Due()
+	core.fire(entry)
+}
+
+// A completed request leaves no timer behind, of the core or of the module, however far its deadline. This bounds the
+// memory that clients with long deadlines take.
+func TestCompletedRequestsLeaveNoTimers(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	core.SetEndpoints(readyWorkers(1))
+	now := start
+	core.Process(now)
+	timersAtStart := core.timers.Len()
 	for i := range 500 {
-		k := &asker{core: c}
-		id := c.Accept(now, Request{Asker: k, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
-		c.Process(now)
+		id := core.Accept(now, Request{Asker: &recordingResponder{}, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
+		core.Process(now)
 		if i%2 == 0 {
-			c.AttemptCompleted(w.runs[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
+			core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
 		} else {
-			c.CancelRequest(now, id)
+			core.CancelRequest(now, id)
 		}
-		c.Process(now)
-		for a := range w.out {
-			c.AttemptCompleted(a, AttemptResult{Outcome: policy.Cancelled})
-			delete(w.out, a)
+		core.Process(now)
+		for attempt := range workers.inFlight {
+			core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Cancelled})
+			delete(workers.inFlight, attempt)
 		}
-		for tag := range w.asks {
-			c.HealthCheckCompleted(tag, policy.Served, nil)
-			delete(w.asks, tag)
+		for commandID := range workers.healthChecks {
+			core.HealthCheckCompleted(commandID, policy.Served, nil)
+			delete(workers.healthChecks, commandID)
 		}
 		now += ms
-		c.Process(now)
+		core.Process(now)
 	}
-	if c.timers.Len() > standing+2 || len(c.policyTimers) > standing+2 || len(c.requests) > 0 {
-		t.Errorf("%d timers, %d of the module's and %d requests stay; %d timers stood at the start", c.timers.Len(), len(c.policyTimers), len(c.requests), standing)
+	if core.timers.Len() > timersAtStart+2 || len(core.policyTimers) > timersAtStart+2 || len(core.requests) > 0 {
+		t.Errorf("%d timers, %d of them the module's, and %d requests are left; there were %d timers at the start",
+			core.timers.Len(), len(core.policyTimers), len(core.requests), timersAtStart)
 	}
 }
