--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -49,7 +49,7 @@
 		return
 	}
 	c.Counters.Canceled[tracked.request.Front]++
-	c.complete(tracked, "abandoned")
+	c.complete(tracked, CompletionCanceled)
 	if c.events.withdraw(tracked.arrival) {
 		// The module has not seen the request and never will. Nothing was asked of it, so nothing may grow by a client
 		// that sends requests and cancels them, the load budget least of all.
@@ -71,12 +71,12 @@
 // the response of one to the other; it is not known which of the two the client means.
 func (c *Core) failDuplicate(r Request) {
 	c.Counters.Failed[r.Front]++
-	c.respondUntracked(r, "failed", Response{Status: Failed})
+	c.respondUntracked(r, CompletionFailed, Response{Status: Failed})
 }
 
 // reject rejects a request that the core does not track.
 func (c *Core) reject(r Request) {
-	c.respondUntracked(r, "refused", Response{Status: Rejected, RetryAfter: c.limits.RetryAfter})
+	c.respondUntracked(r, CompletionRejected, Response{Status: Rejected, RetryAfter: c.limits.RetryAfter})
 }
 
 // announce hands the arrival of a tracked request to the decision module.
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -53,7 +53,7 @@
 	// Draining has the core reject every request from now on, because the program is about to exit.
 	Draining bool
 	// OnCompleted, where set, is called once for each request that was handed in, when it completes.
-	OnCompleted func(now time.Duration, r *Request, completion string)
+	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
 // New returns a Core that acts on the decisions of p. SetWorkerClient must be called before it is used.
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -58,7 +58,7 @@
 	workers := &printingWorkerClient{}
 	core := router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3})
 	core.SetWorkerClient(workers)
-	core.OnCompleted = func(_ time.Duration, r *router.Request, completion string) {
+	core.OnCompleted = func(_ time.Duration, r *router.Request, completion router.Completion) {
 		fmt.Printf("completed: request %s, %s\n", r.ID, completion)
 	}
 	core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -93,3 +93,15 @@
 		return "unknown"
 	}
 }
+
+// Completion is how a request ended. Its text is part of the type of webhook notices ("repair-order.refused"), so it
+// keeps the words of the operators' pages and must not change.
+type Completion string
+
+// The completions.
+const (
+	CompletionServed   Completion = "served"    // with a worker's response
+	CompletionRejected Completion = "refused"   // with a response of status Rejected
+	CompletionFailed   Completion = "failed"    // with a response of status Failed
+	CompletionCanceled Completion = "abandoned" // by its client, without a response
+)
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -49,7 +49,7 @@
 }
 
 // complete ends a request that has its response, or that was canceled.
-func (c *Core) complete(tracked *trackedRequest, completion string) {
+func (c *Core) complete(tracked *trackedRequest, completion Completion) {
 	tracked.completed = true
 	c.notifyCompleted(&tracked.request, completion)
 	c.openRequests--
@@ -60,7 +60,7 @@
 }
 
 // notifyCompleted calls OnCompleted, where one is set.
-func (c *Core) notifyCompleted(r *Request, completion string) {
+func (c *Core) notifyCompleted(r *Request, completion Completion) {
 	if c.OnCompleted != nil {
 		c.OnCompleted(c.now, r, completion)
 	}
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -14,7 +14,7 @@
 func (c *Core) respondServed(tracked *trackedRequest, body []byte) {
 	c.Counters.Served[tracked.request.Front]++
 	tracked.request.Asker.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
-	c.complete(tracked, "served")
+	c.complete(tracked, CompletionServed)
 }
 
 // respondUnserved gives an open request a response that is not a worker's: it is rejected, or has failed.
@@ -32,17 +32,17 @@
 }
 
 // countUnserved counts a response that is not a worker's, and returns the completion that it stands for.
-func (c *Core) countUnserved(front Front, status ResponseStatus) string {
+func (c *Core) countUnserved(front Front, status ResponseStatus) Completion {
 	if status == Rejected {
 		c.Counters.Rejected[front]++
-		return "refused"
+		return CompletionRejected
 	}
 	c.Counters.Failed[front]++
-	return "failed"
+	return CompletionFailed
 }
 
 // respondUntracked responds to a request that never enters the table and that the module does not see.
-func (c *Core) respondUntracked(r Request, completion string, response Response) {
+func (c *Core) respondUntracked(r Request, completion Completion, response Response) {
 	r.AcceptedAt = c.now
 	c.notifyCompleted(&r, completion)
 	r.Asker.Respond(response)
--- a/internal/server/hooks.go
+++ b/internal/server/hooks.go
@@ -43,7 +43,7 @@
 			slog.Info("export_enabled", "collector", cfg.Collector)
 		}
 	}
-	core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
+	core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
 		if h.sender != nil && c.Policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 			h.sender.Notify(now, r, end)
 		}
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	sender.Notify(now, &n.request, n.outcome)
+	sender.Notify(now, &n.request, router.Completion(n.outcome))
 	for _, reply := range n.replies {
 		sender.Tick(now)
 		handler.DialCompleted(nil)
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -68,7 +68,7 @@
 }
 
 // Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
-func (s *Sender) Notify(now time.Duration, r *router.Request, what string) {
+func (s *Sender) Notify(now time.Duration, r *router.Request, what router.Completion) {
 	s.now = max(s.now, now)
 	if len(s.queue)+s.out >= s.cfg.Sender.Queue {
 		s.Counters.Dropped++
@@ -83,7 +83,7 @@
 		Type      string    `json:"type"`
 		Timestamp time.Time `json:"timestamp"`
 		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
+	}{"repair-order." + string(what), s.wall().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
 	if err != nil {
 		s.Counters.Dropped++
 		return
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -429,7 +429,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	p.core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
+	p.core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
 		if notices != "" {
 			p.sends.Notify(now, r, end)
 		}
