--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,3 @@
-// Package golden compares what a test has produced with committed files, byte by byte. Only tests use it.
 package golden
 
 import (
@@ -15,7 +14,7 @@
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them; read the difference before it is committed")
 
 // Compare fails the test unless the file at path holds exactly the bytes of got. A missing file is a failure, so that
-// a golden file can't be lost unnoticed.
+// a golden file can't be lost unnoticed. With -update it writes the file instead.
 func Compare(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if *update {
@@ -29,8 +28,8 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	gotLine, wantLine, number := firstDifference(string(got), string(want))
-	t.Errorf("%s: line %d differs\n got: %q\nwant: %q", path, number, gotLine, wantLine)
+	first := firstDifference(string(got), string(want))
+	t.Errorf("%s: line %d differs\n got: %q\nwant: %q", path, first.line, first.got, first.want)
 }
 
 // Quote formats a message for a golden text file: a label, then each line of the message as a quoted Go string, which
@@ -49,6 +48,7 @@
 	return text.String()
 }
 
+// write replaces a golden file, in a folder that need not exist yet.
 func write(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -59,14 +59,22 @@
 	}
 }
 
-// firstDifference returns the first line that is not the same in both texts, and its number.
-func firstDifference(got, want string) (gotLine, wantLine string, number int) {
-	for number = 1; ; number++ {
-		var gotMore, wantMore bool
-		gotLine, got, gotMore = strings.Cut(got, "\n")
-		wantLine, want, wantMore = strings.Cut(want, "\n")
+// difference is a line that two texts don't have in common.
+type difference struct {
+	line      int // its number, from 1
+	got, want string
+}
+
+// firstDifference returns the first line that is not the same in both texts. A text that ends earlier counts as different
+// from one that goes on with an empty line.
+func firstDifference(got, want string) difference {
+	for line := 1; ; line++ {
+		gotLine, gotRest, gotMore := strings.Cut(got, "\n")
+		wantLine, wantRest, wantMore := strings.Cut(want, "\n")
 		if gotLine != wantLine || gotMore != wantMore || !gotMore {
-			return gotLine, wantLine, number
+			return difference{line: line, got: gotLine, want: wantLine}
 		}
+		got = gotRest
+		want = wantRest
 	}
 }
--- /dev/null
+++ b/internal/golden/golden_test.go
@@ -0,0 +1,42 @@
+package golden
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestFirstDifference(t *testing.T) {
+	for _, test := range []struct {
+		name, got, want string
+		difference      difference
+	}{
+		{"a line differs", "a\nb\nc", "a\nx\nc", difference{2, "b", "x"}},
+		{"got goes on", "a\nb", "a", difference{1, "a", "a"}},
+		{"want goes on", "a", "a\nb", difference{1, "a", "a"}},
+		{"line end at the end", "a\n", "a", difference{1, "a", "a"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if found := firstDifference(test.got, test.want); found != test.difference {
+				t.Errorf("found %+v, want %+v", found, test.difference)
+			}
+		})
+	}
+}
+
+func TestMessagesAreReadAsTheyWereWritten(t *testing.T) {
+	path := t.TempDir() + "/folder/messages.txt"
+	messages := []Message{{"request", []byte("a\x00\r\n")}, {"response", []byte("é: \xff")}}
+	writeMessages(t, path, messages)
+	CompareMessages(t, path, messages)
+	if got := string(FindMessage(t, path, "response")); got != "é: \xff" {
+		t.Errorf("read %q", got)
+	}
+}
+
+func ExampleQuote() {
+	fmt.Print(Quote("request", []byte("GET / HTTP/1.1\r\n\r\n")))
+	// Output:
+	// request:
+	// 	"GET / HTTP/1.1\r\n"
+	// 	"\r\n"
+}
--- a/internal/golden/messages.go
+++ b/internal/golden/messages.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Message is one whole message on a wire, with a label that says what it is.
+// Message is one complete message of a wire protocol, with a label that says what it is.
 type Message struct {
 	Label string
 	Bytes []byte
@@ -66,6 +66,7 @@
 	return nil
 }
 
+// writeMessages replaces a golden file of messages.
 func writeMessages(t testing.TB, path string, messages []Message) {
 	t.Helper()
 	var text bytes.Buffer
@@ -75,7 +76,7 @@
 	write(t, path, text.Bytes())
 }
 
-// line is the message as it stands in a golden file.
+// line returns the message as a line of a golden file, without the line end.
 func (m Message) line() string {
 	return fmt.Sprintf("%s: %s", m.Label, strconv.QuoteToASCII(string(m.Bytes)))
 }
