--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -126,7 +126,7 @@
 }
 
 // requestCompleted sends a notice of what must not run twice, and exports a flow.
-func (n *integrations) requestCompleted(now time.Duration, r *router.Request, end string) {
+func (n *integrations) requestCompleted(now time.Duration, r *router.Request, end router.Completion) {
 	if n.sender != nil && n.config.Policy.Classes[r.Class].Idempotency == policy.NotIdempotent {
 		n.sender.Notify(now, r, end)
 	}
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -429,7 +429,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	p.core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
+	p.core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
 		if notices != "" {
 			p.sender.Notify(now, r, end)
 		}
