--- a/internal/workerclient/fields_test.go
+++ b/internal/workerclient/fields_test.go
@@ -14,10 +14,10 @@
 func TestIdempotencyKeysGoToTheWorker(t *testing.T) {
 	for _, once := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
 		p, _, lines := newPool()
-		r := request("0123456789abcdef")
+		r := newRequest("0123456789abcdef")
 		r.IdempotencyKey = once
 		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
-		(*lines)[0].h.DialCompleted(nil)
+		(*lines)[0].handler.DialCompleted(nil)
 		got := (*lines)[0].Wrote.String()
 		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
 			t.Errorf("key %q: wrote %q", once, got)
@@ -35,12 +35,12 @@
 		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
 			p, s, lines := newPool()
 			a := router.Attempt{Request: 1}
-			p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
+			p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
 			l := (*lines)[0]
-			l.h.DialCompleted(nil)
-			l.h.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
-			if len(s.ended[a]) != 1 || s.ended[a][0] != o || s.reply[a].Concurrency != want || l.HasClosed {
-				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.ended[a], s.reply[a], l.HasClosed)
+			l.handler.DialCompleted(nil)
+			l.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
+			if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != o || s.results[a].Concurrency != want || l.HasClosed {
+				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.outcomes[a], s.results[a], l.HasClosed)
 			}
 		}
 	}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -18,44 +18,44 @@
 	goldenMessages = "testdata/messages.txt"
 )
 
-type holdAnswer struct {
+type loadResult struct {
 	tag     uint64
 	outcome policy.Outcome
 	count   int
 }
 
-type probeAnswer struct {
+type healthCheckResult struct {
 	tag     uint64
 	outcome policy.Outcome
 	report  []float64
 }
 
-// recorder keeps all that answers decode to.
-type recorder struct {
-	attempts []router.Attempt
-	replies  []router.AttemptResult
-	holds    []holdAnswer
-	probes   []probeAnswer
+// decodedResults keeps all that answers decode to.
+type decodedResults struct {
+	attempts     []router.Attempt
+	results      []router.AttemptResult
+	loads        []loadResult
+	healthChecks []healthCheckResult
 }
 
-func (r *recorder) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
+func (r *decodedResults) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
 	r.attempts = append(r.attempts, a)
-	r.replies = append(r.replies, reply)
+	r.results = append(r.results, reply)
 }
 
-func (r *recorder) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
-	r.holds = append(r.holds, holdAnswer{tag, outcome, count})
+func (r *decodedResults) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
+	r.loads = append(r.loads, loadResult{tag, outcome, count})
 }
 
-func (r *recorder) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
-	r.probes = append(r.probes, probeAnswer{tag, outcome, report})
+func (r *decodedResults) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
+	r.healthChecks = append(r.healthChecks, healthCheckResult{tag, outcome, report})
 }
 
 // newGoldenPool returns a pool whose answers are recorded, with workers that report two fields of use.
-func newGoldenPool() (*Pool, *recorder, *[]*line) {
+func newGoldenPool() (*Pool, *decodedResults, *[]*fakeTransport) {
 	p, _, lines := newPool()
-	record := &recorder{}
-	p.sink = record
+	record := &decodedResults{}
+	p.results = record
 	p.cfg.ReportFields = []string{"inflight", "cpu"}
 	p.cfg.MaxCallsPerConnection = 32
 	return p, record, lines
@@ -66,7 +66,7 @@
 	p, _, lines := newGoldenPool()
 	p.CheckHealth(1, 1)
 	connection := (*lines)[0]
-	connection.h.DialCompleted(nil)
+	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
 		connection.Wrote.Reset()
@@ -77,16 +77,16 @@
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", call(1, request("0000000000000001"), 1234900*time.Microsecond))
-	withOnce := request("0000000000000002")
+	sent("RUN", call(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	withOnce := newRequest("0000000000000002")
 	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	sent("RUN with uniq", call(2, withOnce, time.Second))
-	sent("RUN with less than a millisecond left", call(3, request("0000000000000003"), time.Microsecond))
-	sent("RUN with no time left", call(4, request("0000000000000004"), -time.Second))
-	emptyBody := request("0000000000000005")
+	sent("RUN with less than a millisecond left", call(3, newRequest("0000000000000003"), time.Microsecond))
+	sent("RUN with no time left", call(4, newRequest("0000000000000004"), -time.Second))
+	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
 	sent("RUN with an empty body", call(5, emptyBody, time.Second))
-	binaryBody := request("0000000000000006")
+	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
 	sent("RUN with a binary body", call(6, binaryBody, time.Second))
 	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
@@ -99,35 +99,35 @@
 		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
 	}
 	messages = append(messages,
-		golden.Message{Label: "INFO sent again after a reset", Bytes: probeAfterReset()},
-		golden.Message{Label: "NOOP of a trial", Bytes: openedTrial(t).Wrote.Bytes()})
+		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
+		golden.Message{Label: "NOOP of a trial", Bytes: openRecoveryDial(t).Wrote.Bytes()})
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
-// probeAfterReset returns what is written over the second connection of a probe whose first one broke.
-func probeAfterReset() []byte {
+// healthCheckAfterReset returns what is written over the second connection of a probe whose first one broke.
+func healthCheckAfterReset() []byte {
 	p, _, lines := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*lines)[0].h.DialCompleted(nil)
-	(*lines)[0].h.Closed(errors.New("reset"))
-	(*lines)[1].h.DialCompleted(nil)
+	(*lines)[0].handler.DialCompleted(nil)
+	(*lines)[0].handler.Closed(errors.New("reset"))
+	(*lines)[1].handler.DialCompleted(nil)
 	return (*lines)[1].Wrote.Bytes()
 }
 
-// openedTrial returns the connection of a trial that has come up.
-func openedTrial(t *testing.T) *line {
+// openRecoveryDial returns the connection of a trial that has come up.
+func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
-	p, _, lines, _ := newPaths()
-	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.DialCompleted(errors.New("refused"))
-	(*lines)[1].h.DialCompleted(nil)
+	p, _, lines, _ := newPoolWithTwoAddresses()
+	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
+	(*lines)[0].handler.DialCompleted(errors.New("refused"))
+	(*lines)[1].handler.DialCompleted(nil)
 	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += MaintenanceInterval {
 		p.Maintain(now)
 	}
 	if len(*lines) < 3 {
 		t.Fatal("no trial was begun")
 	}
-	(*lines)[2].h.DialCompleted(nil)
+	(*lines)[2].handler.DialCompleted(nil)
 	return (*lines)[2]
 }
 
@@ -160,11 +160,11 @@
 	} {
 		t.Run(test.label, func(t *testing.T) {
 			p, record, lines := newGoldenPool()
-			p.StartAttempt(1, attempt, request(anID), time.Second)
+			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 			connection := (*lines)[0]
-			connection.h.DialCompleted(nil)
-			connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.AttemptResult{test.want}}
+			connection.handler.DialCompleted(nil)
+			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.HasClosed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
 			}
@@ -176,21 +176,21 @@
 func TestGoldenAnswersToHolds(t *testing.T) {
 	for _, test := range []struct {
 		label string
-		want  holdAnswer
+		want  loadResult
 	}{
-		{"HOLD answered by HIT", holdAnswer{9, policy.Served, 2}},
-		{"HOLD answered by HIT without a count", holdAnswer{9, policy.Served, 0}},
-		{"HOLD answered by SHED", holdAnswer{9, policy.Overloaded, 1}},
-		{"HOLD answered by NONE", holdAnswer{9, policy.NotLoaded, 0}},
-		{"HOLD answered by FAULT", holdAnswer{9, policy.Failed, 0}},
-		{"HOLD answered by LATE", holdAnswer{9, policy.NotSent, 0}},
+		{"HOLD answered by HIT", loadResult{9, policy.Served, 2}},
+		{"HOLD answered by HIT without a count", loadResult{9, policy.Served, 0}},
+		{"HOLD answered by SHED", loadResult{9, policy.Overloaded, 1}},
+		{"HOLD answered by NONE", loadResult{9, policy.NotLoaded, 0}},
+		{"HOLD answered by FAULT", loadResult{9, policy.Failed, 0}},
+		{"HOLD answered by LATE", loadResult{9, policy.NotSent, 0}},
 	} {
 		p, record, lines := newGoldenPool()
 		p.Load(1, 5, 2, 9)
 		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&recorder{holds: []holdAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
 	}
@@ -200,20 +200,20 @@
 func TestGoldenAnswersToProbes(t *testing.T) {
 	for _, test := range []struct {
 		label string
-		want  probeAnswer
+		want  healthCheckResult
 	}{
-		{"INFO answered by PONG", probeAnswer{7, policy.Served, []float64{3, 0.5}}},
-		{"INFO answered by PONG of two words", probeAnswer{7, policy.Served, nil}},
-		{"INFO answered by PONG without a report", probeAnswer{7, policy.Served, nil}},
-		{"INFO answered by SICK", probeAnswer{7, policy.Failed, []float64{3, 1}}},
-		{"INFO answered by SICK without a report", probeAnswer{7, policy.Failed, nil}},
+		{"INFO answered by PONG", healthCheckResult{7, policy.Served, []float64{3, 0.5}}},
+		{"INFO answered by PONG of two words", healthCheckResult{7, policy.Served, nil}},
+		{"INFO answered by PONG without a report", healthCheckResult{7, policy.Served, nil}},
+		{"INFO answered by SICK", healthCheckResult{7, policy.Failed, []float64{3, 1}}},
+		{"INFO answered by SICK without a report", healthCheckResult{7, policy.Failed, nil}},
 	} {
 		p, record, lines := newGoldenPool()
 		p.CheckHealth(1, 7)
 		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&recorder{probes: []probeAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
 	}
@@ -223,26 +223,26 @@
 func TestGoldenAnswersToNoops(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
 		p, record, lines := newGoldenPool()
-		p.StartAttempt(1, attempt, request(anID), time.Second)
+		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
+		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
-		owner := p.workers[1].conns[0]
-		asked := owner.pinged
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, label))
-		if asked == 0 || owner.pinged != 0 || len(owner.open) != 1 {
-			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pinged, len(owner.open))
+		owner := p.workers[1].connections[0]
+		asked := owner.pingedAt
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
+		if asked == 0 || owner.pingedAt != 0 || len(owner.inFlight) != 1 {
+			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pingedAt, len(owner.inFlight))
 		}
-		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed {
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.HasClosed)
 		}
 	}
-	connection := openedTrial(t)
-	worker := connection.h.(*trial).w
-	down := worker.paths.Unavailable()
-	connection.h.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.paths.Unavailable() != 0 || !connection.HasClosed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Unavailable(), connection.HasClosed)
+	connection := openRecoveryDial(t)
+	worker := connection.handler.(*recoveryDial).worker
+	down := worker.addresses.Unavailable()
+	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
+	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.HasClosed {
+		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.HasClosed)
 	}
 }
 
@@ -269,11 +269,11 @@
 		{"length over the limit", true},
 	} {
 		p, record, lines := newGoldenPool()
-		p.StartAttempt(1, attempt, request(anID), time.Second)
+		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed != test.closes {
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
 		}
 	}
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -23,51 +23,51 @@
 // scope bounds what may happen in a model check.
 type scope struct {
 	workers, addrs, calls     int
-	bad                       int // refused dials, resets, misses and faults, together
+	faults                    int // refused dials, resets, misses and faults, together
 	drains, ticks, interrupts int
-	missing                   bool // functions must be ordered first
-	most                      int  // states
+	loadsRequired             bool // functions must be ordered first
+	maxStates                 int  // states
 }
 
-// wire is a connection of the model, or a dial that is under way.
-type wire struct {
-	m      *model
-	worker int
-	addr   string
-	h      eventloop.DialHandler
-	state  string // dialling, up, shut (by us, its end is on the way), over
-	buf    []byte
-	at     int // parsed
-	frames []*message
-	left   int
+// modelTransport is a connection of the model, or a dial that is under way.
+type modelTransport struct {
+	model    *model
+	worker   int
+	addr     string
+	handler  eventloop.DialHandler
+	state    string // dialling, up, shut (by us, its end is on the way), over
+	written  []byte
+	decoded  int // parsed
+	messages []*modelMessage
+	unsent   int
 }
 
-// message is one that was written over a wire.
-type message struct {
-	word, id string
-	end      int
-	answered bool
-	unrun    bool // proven never to have run
+// modelMessage is one that was written over a wire.
+type modelMessage struct {
+	name, id  string
+	endOffset int
+	answered  bool
+	notRun    bool // proven never to have run
 }
 
-func (l *wire) Write(bufs ...[]byte) {
+func (l *modelTransport) Write(bufs ...[]byte) {
 	for _, b := range bufs {
-		l.buf = append(l.buf, b...)
+		l.written = append(l.written, b...)
 	}
 	for {
-		var room [maxWords][]byte
-		words, n, err := next(l.buf[l.at:], room[:0])
+		var room [maxElements][]byte
+		words, n, err := decodeArray(l.written[l.decoded:], room[:0])
 		if err != nil || n == 0 {
 			break
 		}
-		l.at += n
-		f := &message{word: string(words[0]), id: string(words[1]), end: l.at}
-		l.m.written(l, f)
-		l.frames = append(l.frames, f)
+		l.decoded += n
+		f := &modelMessage{name: string(words[0]), id: string(words[1]), endOffset: l.decoded}
+		l.model.written(l, f)
+		l.messages = append(l.messages, f)
 	}
 }
 
-func (l *wire) Close() {
+func (l *modelTransport) Close() {
 	switch l.state {
 	case "dialling":
 		l.state = "over" // called off: nobody hears of it again
@@ -76,32 +76,32 @@
 	}
 }
 
-func (l *wire) UnsentBytes() int { return l.left }
+func (l *modelTransport) UnsentBytes() int { return l.unsent }
 
 // model is the real core, module, pool and paths, with a world of a few workers around them.
 type model struct {
 	scope
-	core    *router.Core
-	pool    *Pool
-	now     time.Duration
-	lines   []*wire
-	history strings.Builder // all that the core was told, in its order
-	taken   int
-	ids     map[string]policy.RequestID
-	asked   []*answers
-	state   []policy.WorkerState
-	broken  error
+	core         *router.Core
+	pool         *Pool
+	now          time.Duration
+	transports   []*modelTransport
+	history      strings.Builder // all that the core was told, in its order
+	arrived      int
+	ids          map[string]policy.RequestID
+	requests     []*modelRequest
+	workerStates []policy.WorkerState
+	violation    error
 }
 
-type answers struct {
-	n, after int
-	left     bool
+type modelRequest struct {
+	responses, responsesAfterLeaving int
+	left                             bool
 }
 
-func (a *answers) Respond(router.Response) {
-	a.n++
+func (a *modelRequest) Respond(router.Response) {
+	a.responses++
 	if a.left {
-		a.after++
+		a.responsesAfterLeaving++
 	}
 }
 
@@ -125,7 +125,7 @@
 func newModel(s scope) *model {
 	m := &model{scope: s, now: time.Hour, ids: map[string]policy.RequestID{}}
 	p, err := policy.New(policy.Config{Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadOrdersSupported: true,
-		MissWhenNotLoaded: s.missing, LoadStatusReported: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1, KeepAlive: 10 * time.Second,
+		MissWhenNotLoaded: s.loadsRequired, LoadStatusReported: true, RetryAfterSupported: true, MaxRetryAfter: time.Second, OverQuotaWeight: 1, KeepAlive: 10 * time.Second,
 		LoadTimeout: 10 * time.Second, LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 4, LoadBudgetRatio: 0.3, DrainGracePeriod: time.Second,
 		Classes: []policy.Class{{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
 	if err != nil {
@@ -134,16 +134,16 @@
 	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
 	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxCallsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
-			l := &wire{m: m, addr: addr, worker: int(addr[0] - '0'), h: h, state: "dialling"}
-			m.lines = append(m.lines, l)
+			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: "dialling"}
+			m.transports = append(m.transports, l)
 			return l
 		}}, m)
 	m.core.SetWorkerClient(m.pool)
 	m.core.SetNow(m.now)
 	m.pool.SetNow(m.now)
-	m.state = make([]policy.WorkerState, s.workers)
-	for w := range m.state {
-		m.state[w] = policy.Ready
+	m.workerStates = make([]policy.WorkerState, s.workers)
+	for w := range m.workerStates {
+		m.workerStates[w] = policy.Ready
 	}
 	m.list()
 	m.turn()
@@ -153,7 +153,7 @@
 // list tells of the workers, as the service does.
 func (m *model) list() {
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
-	for w, state := range m.state {
+	for w, state := range m.workerStates {
 		var addrs []endpoint.Addr
 		for i := range m.addrs {
 			addrs = append(addrs, endpoint.Addr{Network: endpoint.Network(i % 3), Addr: fmt.Sprintf("%d.%d", w, i)})
@@ -167,34 +167,34 @@
 func (m *model) turn() { m.core.Process(m.now) }
 
 func (m *model) violate(format string, args ...any) {
-	if m.broken == nil {
-		m.broken = fmt.Errorf(format, args...)
+	if m.violation == nil {
+		m.violation = fmt.Errorf(format, args...)
 	}
 }
 
 // written checks what a message may not be: a call that may have run and is written again, or anything new to a
 // worker that was told to drain.
-func (m *model) written(l *wire, f *message) {
-	if f.word != "RUN" && f.word != "HOLD" {
+func (m *model) written(l *modelTransport, f *modelMessage) {
+	if f.name != "RUN" && f.name != "HOLD" {
 		return
 	}
 	if l.state != "up" {
 		return // it never leaves
 	}
-	if m.state[l.worker] != policy.Ready {
-		m.violate("%s %s goes to worker %d, which was told to drain", f.word, f.id, l.worker)
+	if m.workerStates[l.worker] != policy.Ready {
+		m.violate("%s %s goes to worker %d, which was told to drain", f.name, f.id, l.worker)
 	}
-	if f.word != "RUN" {
+	if f.name != "RUN" {
 		return
 	}
-	for n, k := range m.asked {
-		if fmt.Sprintf("%016x", n+1) == f.id && (k.left || k.n > 0) {
+	for n, k := range m.requests {
+		if fmt.Sprintf("%016x", n+1) == f.id && (k.left || k.responses > 0) {
 			m.violate("%s is written, which is over", f.id)
 		}
 	}
-	for _, o := range m.lines {
-		for _, g := range o.frames {
-			if g.word == "RUN" && g.id == f.id && !g.unrun && !(o.state == "over" && g.end > len(o.buf)-o.left) {
+	for _, o := range m.transports {
+		for _, g := range o.messages {
+			if g.name == "RUN" && g.id == f.id && !g.notRun && !(o.state == "over" && g.endOffset > len(o.written)-o.unsent) {
 				m.violate("the order %s, which may have run over %s, is written again over %s", f.id, o.addr, l.addr)
 			}
 		}
@@ -212,35 +212,35 @@
 		list = append(list, step{fmt.Sprintf(format, args...), do})
 	}
 	bad := func(do func(), format string, args ...any) {
-		if m.bad > 0 {
-			add(func() { m.bad--; do() }, format, args...)
+		if m.faults > 0 {
+			add(func() { m.faults--; do() }, format, args...)
 		}
 	}
-	if m.taken < m.calls {
+	if m.arrived < m.calls {
 		add(func() {
-			n := m.taken
-			m.taken++
-			k := &answers{}
-			m.asked = append(m.asked, k)
+			n := m.arrived
+			m.arrived++
+			k := &modelRequest{}
+			m.requests = append(m.requests, k)
 			id := fmt.Sprintf("%016x", n+1)
 			m.log("take%d", n)
 			m.ids[id] = m.core.Accept(m.now, router.Request{Asker: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
 				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
-		}, "call %d comes", m.taken)
+		}, "call %d comes", m.arrived)
 	}
-	for i, l := range m.lines {
+	for i, l := range m.transports {
 		switch l.state {
 		case "dialling":
-			add(func() { l.state = "up"; l.h.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
-			bad(func() { l.state = "over"; l.h.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
+			add(func() { l.state = "up"; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
+			bad(func() { l.state = "over"; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
 		case "up", "shut":
 			// The last message may not have left whole, unless it was answered.
 			cut := 0
-			if n := len(l.frames); n > 0 && !l.frames[n-1].answered {
+			if n := len(l.messages); n > 0 && !l.messages[n-1].answered {
 				cut = 1
 			}
 			end := func(left int) func() {
-				return func() { l.state, l.left = "over", left; l.h.Closed(errors.New("reset")) }
+				return func() { l.state, l.unsent = "over", left; l.handler.Closed(errors.New("reset")) }
 			}
 			if l.state == "shut" {
 				add(end(0), "the end of %d over %s", i, l.addr)
@@ -253,14 +253,14 @@
 			if cut > 0 {
 				bad(end(cut), "a reset of %d over %s, its last message cut", i, l.addr)
 			}
-			for _, f := range l.frames {
-				if f.answered || f.word == "STOP" || f.word == "FREE" {
+			for _, f := range l.messages {
+				if f.answered || f.name == "STOP" || f.name == "FREE" {
 					continue
 				}
 				answer := func(word string, unrun bool) func() {
-					return func() { f.answered, f.unrun = true, unrun; l.h.Data(reply(f.id, word, "")) }
+					return func() { f.answered, f.notRun = true, unrun; l.handler.Data(encodeResponse(f.id, word, "")) }
 				}
-				switch f.word {
+				switch f.name {
 				case "RUN":
 					add(answer("HIT", false), "HIT for %s over %s", f.id, l.addr)
 					bad(answer("FAULT", false), "FAULT for %s over %s", f.id, l.addr)
@@ -274,11 +274,11 @@
 		}
 	}
 	if m.drains > 0 {
-		for w, state := range m.state {
+		for w, state := range m.workerStates {
 			if state == policy.Ready {
 				add(func() {
 					m.drains--
-					m.state[w] = policy.Draining
+					m.workerStates[w] = policy.Draining
 					m.log("drain%d", w)
 					m.list()
 				}, "worker %d drains", w)
@@ -286,8 +286,8 @@
 		}
 	}
 	if m.interrupts > 0 {
-		for n, k := range m.asked {
-			if !k.left && k.n == 0 {
+		for n, k := range m.requests {
+			if !k.left && k.responses == 0 {
 				add(func() {
 					m.interrupts--
 					k.left = true
@@ -324,7 +324,7 @@
 // Check tells what does not hold now.
 func (m *model) Check() error {
 	dialling, conns := 0, 0
-	for _, l := range m.lines {
+	for _, l := range m.transports {
 		switch l.state {
 		case "dialling":
 			dialling++
@@ -332,35 +332,35 @@
 			conns++
 		}
 	}
-	if dialling != m.pool.dials-m.trialsUp() {
-		return fmt.Errorf("%d dials are under way, the pool counts %d", dialling, m.pool.dials)
+	if dialling != m.pool.dialsInProgress-m.recoveryConnections() {
+		return fmt.Errorf("%d dials are under way, the pool counts %d", dialling, m.pool.dialsInProgress)
 	}
 	held := 0
 	for _, w := range m.pool.workers {
-		for _, c := range w.conns {
+		for _, c := range w.connections {
 			if c.up && !c.shut {
 				held++
 			}
 			if !c.up && !c.closing && len(c.dials) == 0 {
-				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.queue))
+				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.queued))
 			}
 		}
 	}
-	if conns != held+m.trialsUp() {
+	if conns != held+m.recoveryConnections() {
 		return fmt.Errorf("%d connections are open, the pool holds %d", conns, held)
 	}
-	for n, k := range m.asked {
-		if k.n > 1 || k.after > 0 {
-			return fmt.Errorf("call %d has %d answers, %d of them after its client left", n, k.n, k.after)
+	for n, k := range m.requests {
+		if k.responses > 1 || k.responsesAfterLeaving > 0 {
+			return fmt.Errorf("call %d has %d answers, %d of them after its client left", n, k.responses, k.responsesAfterLeaving)
 		}
 	}
-	return m.broken
+	return m.violation
 }
 
-// trialsUp is how many trials are past their dial.
-func (m *model) trialsUp() (n int) {
+// recoveryConnections is how many trials are past their dial.
+func (m *model) recoveryConnections() (n int) {
 	for _, w := range m.pool.workers {
-		if w.trial != nil && w.trial.line.(*wire).state == "up" {
+		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == "up" {
 			n++
 		}
 	}
@@ -375,9 +375,9 @@
 		m.pool.Maintain(m.now)
 		m.turn()
 	}
-	for n, k := range m.asked {
-		if k.n != 1 && !k.left {
-			return fmt.Errorf("call %d has %d answers at the end", n, k.n)
+	for n, k := range m.requests {
+		if k.responses != 1 && !k.left {
+			return fmt.Errorf("call %d has %d answers at the end", n, k.responses)
 		}
 	}
 	return m.Check()
@@ -386,40 +386,40 @@
 // Key is what the module was told, in its order, and the state of all connections and paths.
 func (m *model) Key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.bad, m.drains, m.ticks, m.interrupts, m.state)
-	for _, l := range m.lines {
-		fmt.Fprintf(&b, "%s %s %d[", l.addr, l.state, l.left)
-		for _, f := range l.frames {
-			fmt.Fprintf(&b, "%s %s %v %v,", f.word, f.id, f.answered, f.unrun)
+	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.interrupts, m.workerStates)
+	for _, l := range m.transports {
+		fmt.Fprintf(&b, "%s %s %d[", l.addr, l.state, l.unsent)
+		for _, f := range l.messages {
+			fmt.Fprintf(&b, "%s %s %v %v,", f.name, f.id, f.answered, f.notRun)
 		}
 		b.WriteByte(']')
 	}
-	for w := range m.state {
+	for w := range m.workerStates {
 		p := m.pool.workers[policy.WorkerID(w+1)]
 		if p == nil {
 			continue
 		}
-		fmt.Fprintf(&b, "{%v", p.paths)
-		for _, c := range p.conns {
-			fmt.Fprintf(&b, "(%v %v %v %v %d %v", c.addr, c.up, c.closing, c.shut, c.race.Out(), c.pinged)
-			for _, k := range c.queue {
+		fmt.Fprintf(&b, "{%v", p.addresses)
+		for _, c := range p.connections {
+			fmt.Fprintf(&b, "(%v %v %v %v %d %v", c.addr, c.up, c.closing, c.shut, c.race.Out(), c.pingedAt)
+			for _, k := range c.queued {
 				fmt.Fprintf(&b, " q%s", k.token)
 			}
-			for _, k := range c.sorted() {
-				fmt.Fprintf(&b, " o%s %d %v", k.token, k.moved, k.written)
+			for _, k := range c.commandsInOrder() {
+				fmt.Fprintf(&b, " o%s %d %v", k.token, k.resends, k.written)
 			}
 			b.WriteByte(')')
 		}
-		fmt.Fprintf(&b, "%v}", p.trial != nil)
+		fmt.Fprintf(&b, "%v}", p.recoveryDial != nil)
 	}
 	return b.String()
 }
 
 // scopes are what CI goes through whole.
 var scopes = map[string]scope{
-	"one call":    {workers: 2, addrs: 2, calls: 1, bad: 2, drains: 1, ticks: 1, interrupts: 1, most: 200_000},
-	"two calls":   {workers: 2, addrs: 2, calls: 2, bad: 2, drains: 1, ticks: 0, interrupts: 0, most: 200_000},
-	"load orders": {workers: 2, addrs: 2, calls: 1, bad: 2, drains: 1, ticks: 1, interrupts: 0, missing: true, most: 200_000},
+	"one call":    {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
+	"two calls":   {workers: 2, addrs: 2, calls: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
+	"load orders": {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
 }
 
 // Every interleaving of a small scope, by the real code: an order that may have run is never written again, each
@@ -427,7 +427,7 @@
 func TestEveryInterleaving(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(scopes)) {
 		s := scopes[name]
-		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.most, runtime.GOMAXPROCS(0))
+		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.maxStates, runtime.GOMAXPROCS(0))
 		t.Logf("%s: %v", name, r)
 		if r.Err != nil || !r.Whole || r.States < 1000 {
 			t.Errorf("%s: %v", name, r)
@@ -437,14 +437,14 @@
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
 var planted = []struct{ name, file, old, new string }{
-	{"calls that left whole are moved", "internal/workerclient/pool.go", "k.written && k.end > left && k.moved < mostMoves", "k.written && k.moved < mostMoves"},
-	{"calls are moved to a draining worker", "internal/workerclient/pool.go", "k.moved < mostMoves && w.ready", "k.moved < mostMoves"},
-	{"a drain leaves what waits behind a dial", "internal/workerclient/pool.go", "if c.dropQueue(); !c.up && len(c.queue) == 0 {", "if false {"},
-	{"a reset counts as a refused dial", "internal/workerclient/pool.go", "c.lost(policy.ConnectionReset)", "c.lost(policy.Unreachable)"},
+	{"calls that left whole are moved", "internal/workerclient/pool.go", "k.written && k.endOffset > left && k.resends < maxResends", "k.written && k.resends < maxResends"},
+	{"calls are moved to a draining worker", "internal/workerclient/pool.go", "k.resends < maxResends && w.ready", "k.resends < maxResends"},
+	{"a drain leaves what waits behind a dial", "internal/workerclient/pool.go", "if c.failQueued(); !c.up && len(c.queued) == 0 {", "if false {"},
+	{"a reset counts as a refused dial", "internal/workerclient/pool.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
 	{"an error counts as turned away", "internal/workerclient/pool.go", `"FAULT": policy.Failed`, `"FAULT": policy.Overloaded`},
-	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.end()\n\t\td.line.Close()", "\t\td.end()"},
-	{"a trial's connection stays", "internal/workerclient/dial.go", "t.pool.dials--\n\tt.line.Close()", "t.pool.dials--"},
-	{"a call that was given up is sent all the same", "internal/workerclient/pool.go", "\tk.conn.unqueue(k)\n\treturn true", "\treturn true"},
+	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.finish()\n\t\td.transport.Close()", "\t\td.finish()"},
+	{"a trial's connection stays", "internal/workerclient/dial.go", "t.pool.dialsInProgress--\n\tt.transport.Close()", "t.pool.dialsInProgress--"},
+	{"a call that was given up is sent all the same", "internal/workerclient/pool.go", "\tk.conn.dequeue(k)\n\treturn true", "\treturn true"},
 	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
 	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
 }
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	maxConns   = 10  // to one worker
-	idleMargin = 0.8 // part of the told keep-alive after which we close an idle connection
+	maxConnectionsPerWorker = 10  // to one worker
+	idleCloseRatio          = 0.8 // part of the told keep-alive after which we close an idle connection
 
-	// A connection with calls out on which no whole answer came for quietAfter, and for longer than is usual,
+	// A connection with calls out on which no whole answer came for minSilenceBeforePing, and for longer than is usual,
 	// is asked for a sign of life and takes nothing new meanwhile. It ends once it has given none for
-	// deadAfter though the worker has answered, on another one, what was sent after that.
-	quietAfter = 150 * time.Millisecond
-	deadAfter  = 250 * time.Millisecond
-	stuckAfter = 600 * time.Millisecond // the rest of an answer that has begun is not waited for any longer
+	// pingTimeout though the worker has answered, on another one, what was sent after that.
+	minSilenceBeforePing   = 150 * time.Millisecond
+	pingTimeout            = 250 * time.Millisecond
+	partialResponseTimeout = 600 * time.Millisecond // the rest of an answer that has begun is not waited for any longer
 
-	probeTries = 2 // times that a probe is sent again after its connection broke
+	maxHealthCheckResends = 2 // times that a probe is sent again after its connection broke
 
 	partKept = 4 << 10 // a larger buffer is let go once it is empty
 )
 
 var (
-	errStuck  = errors.New("answer does not go on")
-	errSilent = errors.New("connection is silent while others to the worker are not")
+	errResponseStalled = errors.New("answer does not go on")
+	errSilent          = errors.New("connection is silent while others to the worker are not")
 )
 
 // MaintenanceInterval is how often Sweep is to be called.
@@ -73,18 +73,18 @@
 
 // Pool holds the connections to all workers.
 type Pool struct {
-	cfg      Config
-	sink     ResultHandler
-	now      time.Duration
-	workers  map[policy.WorkerID]*worker
-	order    []*worker // the same, as they came: equal runs must do equal things
-	calls    map[router.Attempt]*call
-	pings    uint64
-	silence  silence
-	dials    int // under way
-	odd      int // fields of answers that were passed over since the log told
-	oddTold  time.Duration
-	Counters Counters
+	cfg                   Config
+	results               ResultHandler
+	now                   time.Duration
+	workers               map[policy.WorkerID]*worker
+	workersInOrder        []*worker // the same, as they came: equal runs must do equal things
+	attempts              map[router.Attempt]*command
+	pingSequence          uint64
+	silence               silenceEstimate
+	dialsInProgress       int // under way
+	ignoredFields         int // fields of answers that were passed over since the log told
+	ignoredFieldsLoggedAt time.Duration
+	Counters              Counters
 }
 
 // Counters tells what became of connections.
@@ -95,70 +95,70 @@
 }
 
 type worker struct {
-	id    policy.WorkerID
-	paths *endpoint.AddressSet
-	addrs []endpoint.Addr // as told last
-	ready bool
-	gone  bool
-	conns []*conn
-	trial *trial
-}
-
-// call is a RUN, a HOLD, a probe or a ping.
-type call struct {
-	kind    kind
-	attempt router.Attempt
-	tag     uint64
-	token   string
-	head    []byte
-	body    []byte
-	conn    *conn
-	written bool
-	broken  int // probe: connections that ended under it
-	moved   int // connections that ended before it had left whole
-	end     int // where it ends in what was written to its connection
-	left    time.Duration
-	sent    time.Duration
-}
-
-type kind uint8
+	id           policy.WorkerID
+	addresses    *endpoint.AddressSet
+	listed       []endpoint.Addr // as told last
+	ready        bool
+	gone         bool
+	connections  []*conn
+	recoveryDial *recoveryDial
+}
+
+// command is a RUN, a HOLD, a probe or a ping.
+type command struct {
+	kind            commandKind
+	attempt         router.Attempt
+	tag             uint64
+	token           string
+	header          []byte
+	body            []byte
+	conn            *conn
+	written         bool
+	lostConnections int // probe: connections that ended under it
+	resends         int // connections that ended before it had left whole
+	endOffset       int // where it ends in what was written to its connection
+	budget          time.Duration
+	sentAt          time.Duration
+}
+
+type commandKind uint8
 
 const (
-	run kind = iota
-	hold
-	probe
-	ping // a connection's own probe, of which nobody else hears
+	runCommand commandKind = iota
+	loadCommand
+	healthCheckCommand
+	pingCommand // a connection's own probe, of which nobody else hears
 )
 
 type conn struct {
-	pool    *Pool
-	w       *worker
-	race    *endpoint.DialRace
-	dials   []*dial
-	won     *dial     // the one that came up
-	line    Transport // of it
-	addr    endpoint.Addr
-	wrote   int // bytes
-	up      bool
-	closing bool             // closed by us, or retired: it takes nothing new
-	shut    bool             // closed by us: what still comes counts for nothing
-	open    map[string]*call // by token
-	ended   recent           // ids of calls that are no longer open
-	queue   []*call          // behind the dial
-	runs    int
-	used    time.Duration
-	heard   time.Duration // when the last whole answer came
-	called  time.Duration // when the last one to a call did
-	proved  time.Duration // when the latest of the calls was sent that have been answered
-	pinged  time.Duration // when it was asked for a sign of life that hasn't come; 0: it was not
-	part    []byte        // the beginning of an answer
-	begun   time.Duration // when that came
+	pool            *Pool
+	worker          *worker
+	race            *endpoint.DialRace
+	dials           []*dial
+	winner          *dial     // the one that came up
+	transport       Transport // of it
+	addr            endpoint.Addr
+	bytesWritten    int // bytes
+	up              bool
+	closing         bool                // closed by us, or retired: it takes nothing new
+	shut            bool                // closed by us: what still comes counts for nothing
+	inFlight        map[string]*command // by token
+	recentIDs       idHistory           // ids of calls that are no longer open
+	queued          []*command          // behind the dial
+	runsInFlight    int
+	lastUsed        time.Duration
+	lastResponse    time.Duration // when the last whole answer came
+	lastRunResponse time.Duration // when the last one to a call did
+	latestAnswered  time.Duration // when the latest of the calls was sent that have been answered
+	pingedAt        time.Duration // when it was asked for a sign of life that hasn't come; 0: it was not
+	partial         []byte        // the beginning of an answer
+	partialSince    time.Duration // when that came
 }
 
 // New returns a Pool that knows no worker.
 func New(cfg Config, sink ResultHandler) *Pool {
-	return &Pool{cfg: cfg, sink: sink, workers: map[policy.WorkerID]*worker{}, calls: map[router.Attempt]*call{},
-		silence: silence{peak: cfg.SlowestObjective}}
+	return &Pool{cfg: cfg, results: sink, workers: map[policy.WorkerID]*worker{}, attempts: map[router.Attempt]*command{},
+		silence: silenceEstimate{peak: cfg.SlowestObjective}}
 }
 
 // SetNow moves the clock on.
@@ -172,31 +172,31 @@
 		if state == policy.Gone {
 			return
 		}
-		w = &worker{id: id, paths: endpoint.NewAddressSet(p.cfg.Seed ^ uint64(id))}
+		w = &worker{id: id, addresses: endpoint.NewAddressSet(p.cfg.Seed ^ uint64(id))}
 		p.workers[id] = w
-		p.order = append(p.order, w)
+		p.workersInOrder = append(p.workersInOrder, w)
 	}
-	w.paths.Prefer(prefer...)
-	if len(addrs) > 0 && !slices.Equal(addrs, w.addrs) {
+	w.addresses.Prefer(prefer...)
+	if len(addrs) > 0 && !slices.Equal(addrs, w.listed) {
 		// It restarted elsewhere, or has fewer addresses; whatever listens at an old one may be another worker.
-		w.addrs = slices.Clone(addrs)
-		w.paths.Update(p.now, addrs)
-		for _, c := range slices.Clone(w.conns) {
-			if c.up && !w.paths.Has(c.addr) {
-				c.retire()
+		w.listed = slices.Clone(addrs)
+		w.addresses.Update(p.now, addrs)
+		for _, c := range slices.Clone(w.connections) {
+			if c.up && !w.addresses.Has(c.addr) {
+				c.drain()
 			} else if !c.up {
-				c.restart()
+				c.redial()
 			}
 		}
-		w.endTrial()
+		w.cancelRecoveryDial()
 	}
 	if w.ready = state == policy.Ready; !w.ready {
-		for _, c := range slices.Clone(w.conns) {
-			if c.dropQueue(); !c.up && len(c.queue) == 0 {
-				c.retire() // nobody waits for this dial
+		for _, c := range slices.Clone(w.connections) {
+			if c.failQueued(); !c.up && len(c.queued) == 0 {
+				c.drain() // nobody waits for this dial
 			}
 		}
-		w.endTrial()
+		w.cancelRecoveryDial()
 	}
 	if w.gone = state == policy.Gone; w.gone {
 		p.CloseIdle(id)
@@ -205,7 +205,7 @@
 
 // RetainWorkers takes every worker that is not present for gone.
 func (p *Pool) RetainWorkers(present map[policy.WorkerID]bool) {
-	for _, w := range p.order {
+	for _, w := range p.workersInOrder {
 		if !present[w.id] {
 			p.SetWorker(w.id, nil, policy.Gone)
 		}
@@ -214,80 +214,80 @@
 
 // StartAttempt sends a call.
 func (p *Pool) StartAttempt(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
-	k := &call{kind: run, attempt: a, token: r.ID, body: r.Body, left: budget}
+	k := &command{kind: runCommand, attempt: a, token: r.ID, body: r.Body, budget: budget}
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", p.cfg.Classes[r.Class], r.FunctionKey, max(budget.Milliseconds(), 1))
 	if r.IdempotencyKey != "" {
 		fields += ",uniq=" + r.IdempotencyKey
 	}
-	k.head = frame(len(r.Body), "RUN", r.ID, fields)
+	k.header = encodeHeader(len(r.Body), "RUN", r.ID, fields)
 	if w := p.workers[id]; w != nil && w.ready {
-		if c := p.pick(w, k); c != nil {
-			p.calls[a] = k
+		if c := p.pickConnection(w, k); c != nil {
+			p.attempts[a] = k
 			c.send(k)
 			return
 		}
 	}
-	p.sink.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Unreachable})
+	p.results.AttemptCompleted(a, router.AttemptResult{Outcome: policy.Unreachable})
 }
 
 // CancelAttempt gives a call up that was written. Its connection does not carry its id again: an answer on its way must not
 // end another attempt of the same request.
 func (p *Pool) CancelAttempt(id policy.WorkerID, a router.Attempt) {
-	k := p.calls[a]
+	k := p.attempts[a]
 	if k == nil || p.WithdrawUnsent(id, a) {
 		return
 	}
-	delete(p.calls, a)
-	k.conn.take(k)
+	delete(p.attempts, a)
+	k.conn.remove(k)
 	if p.cfg.CancelSupported {
-		k.conn.put(array("STOP", k.token))
+		k.conn.write(encodeArray("STOP", k.token))
 	}
 }
 
 // WithdrawUnsent takes back a call that waits behind a dial, and tells whether it did: then nothing of it has left, nor
 // ever will.
 func (p *Pool) WithdrawUnsent(_ policy.WorkerID, a router.Attempt) bool {
-	k := p.calls[a]
+	k := p.attempts[a]
 	if k == nil || k.written {
 		return false
 	}
-	delete(p.calls, a)
-	k.conn.unqueue(k)
+	delete(p.attempts, a)
+	k.conn.dequeue(k)
 	return true
 }
 
 // Load sends an order to load; a count of 0 only asks.
 func (p *Pool) Load(id policy.WorkerID, f policy.FunctionID, count int, tag uint64) {
-	k := &call{kind: hold, tag: tag, token: "h" + strconv.FormatUint(tag, 10)}
-	k.head = array("HOLD", k.token, fmt.Sprintf("path=%016x,count=%d", uint64(f), count))
+	k := &command{kind: loadCommand, tag: tag, token: "h" + strconv.FormatUint(tag, 10)}
+	k.header = encodeArray("HOLD", k.token, fmt.Sprintf("path=%016x,count=%d", uint64(f), count))
 	p.ask(id, k, count > 0)
 }
 
 // CheckHealth asks whether a worker answers, and for its load report.
 func (p *Pool) CheckHealth(id policy.WorkerID, tag uint64) {
-	k := &call{kind: probe, tag: tag, token: "p" + strconv.FormatUint(tag, 10)}
-	k.head = array("INFO", k.token)
+	k := &command{kind: healthCheckCommand, tag: tag, token: "p" + strconv.FormatUint(tag, 10)}
+	k.header = encodeArray("INFO", k.token)
 	p.ask(id, k, false)
 }
 
-func (p *Pool) ask(id policy.WorkerID, k *call, onlyReady bool) {
+func (p *Pool) ask(id policy.WorkerID, k *command, onlyReady bool) {
 	if w := p.workers[id]; w != nil && (w.ready || !onlyReady) {
-		if c := p.pick(w, k); c != nil {
+		if c := p.pickConnection(w, k); c != nil {
 			c.send(k)
 			return
 		}
 	}
-	p.end(k, policy.Unreachable)
+	p.fail(k, policy.Unreachable)
 }
 
 // AbandonCommand drops interest in an order or a probe.
 func (p *Pool) AbandonCommand(id policy.WorkerID, tag uint64) {
 	if w := p.workers[id]; w != nil {
-		for _, c := range w.conns {
+		for _, c := range w.connections {
 			for _, letter := range []string{"h", "p"} {
-				if k := c.open[letter+strconv.FormatUint(tag, 10)]; k != nil {
-					c.unqueue(k)
-					c.take(k)
+				if k := c.inFlight[letter+strconv.FormatUint(tag, 10)]; k != nil {
+					c.dequeue(k)
+					c.remove(k)
 				}
 			}
 		}
@@ -298,9 +298,9 @@
 // that is worth a dial: idle copies go by themselves.
 func (p *Pool) Unload(id policy.WorkerID, f policy.FunctionID) {
 	if w := p.workers[id]; w != nil {
-		for _, c := range w.conns {
+		for _, c := range w.connections {
 			if c.up {
-				c.put(array("FREE", fmt.Sprintf("%016x", uint64(f))))
+				c.write(encodeArray("FREE", fmt.Sprintf("%016x", uint64(f))))
 				return
 			}
 		}
@@ -310,7 +310,7 @@
 // CloseIdle closes the connections to a worker on which nothing is open.
 func (p *Pool) CloseIdle(id policy.WorkerID) {
 	if w := p.workers[id]; w != nil {
-		for _, c := range w.conns {
+		for _, c := range w.connections {
 			if c.up && c.idle() {
 				c.close()
 			}
@@ -323,73 +323,75 @@
 // without a word.
 func (p *Pool) Maintain(now time.Duration) {
 	p.SetNow(now)
-	for _, w := range p.order {
-		for _, c := range slices.Clone(w.conns) {
-			c.ended.sweep(now)
+	for _, w := range p.workersInOrder {
+		for _, c := range slices.Clone(w.connections) {
+			c.recentIDs.rotate(now)
 			switch {
 			case !c.up:
-				c.dial() // another address, where it is time
-			case !c.closing && (c.ended.full() || w.paths.HasBetter(now, c.addr)):
-				c.retire() // one that can remember no more ids takes no calls, and would keep its place for seconds
+				c.startDials() // another address, where it is time
+			case !c.closing && (c.recentIDs.full() || w.addresses.HasBetter(now, c.addr)):
+				c.drain() // one that can remember no more ids takes no calls, and would keep its place for seconds
 			case c.closing && !c.idle():
-			case c.idle() && (c.closing || now-c.used > time.Duration(idleMargin*float64(p.cfg.KeepAlive))):
+			case c.idle() && (c.closing || now-c.lastUsed > time.Duration(idleCloseRatio*float64(p.cfg.KeepAlive))):
 				c.close()
 			default:
-				c.watch()
+				c.checkLiveness()
 			}
 		}
-		p.try(w)
-		if w.gone && len(w.conns) == 0 {
+		p.maintainRecoveryDial(w)
+		if w.gone && len(w.connections) == 0 {
 			delete(p.workers, w.id)
 		}
 	}
-	p.order = slices.DeleteFunc(p.order, func(w *worker) bool { return p.workers[w.id] != w })
+	p.workersInOrder = slices.DeleteFunc(p.workersInOrder, func(w *worker) bool { return p.workers[w.id] != w })
 }
 
-// watch looks after a connection that owes answers. One that is cut off stays open and says nothing,
+// checkLiveness looks after a connection that owes answers. One that is cut off stays open and says nothing,
 // while others to the same worker may be well: the worker as a whole is then no reason to go elsewhere.
 // Bytes prove nothing here, only whole answers do.
-func (c *conn) watch() {
+func (c *conn) checkLiveness() {
 	now := c.pool.now
-	if len(c.part) > 0 && now-c.begun > stuckAfter {
-		c.fault(errStuck)
+	if len(c.partial) > 0 && now-c.partialSince > partialResponseTimeout {
+		c.closeWithError(errResponseStalled)
 		return
 	}
-	if quiet, owes := c.quiet(c.heard); !owes || quiet <= max(quietAfter, c.pool.silence.usual()) {
+	if quiet, owes := c.silentFor(c.lastResponse); !owes || quiet <= max(minSilenceBeforePing, c.pool.silence.typicalMaximum()) {
 		return
 	}
-	if c.pinged == 0 {
-		c.pinged = now
+	if c.pingedAt == 0 {
+		c.pingedAt = now
 		c.pool.Counters.Pings++
-		c.w.paths.Suspect(now, c.addr)
-		c.pool.pings++
-		k := &call{kind: ping, token: "n" + strconv.FormatUint(c.pool.pings, 10)}
-		k.head = array("NOOP", k.token)
+		c.worker.addresses.Suspect(now, c.addr)
+		c.pool.pingSequence++
+		k := &command{kind: pingCommand, token: "n" + strconv.FormatUint(c.pool.pingSequence, 10)}
+		k.header = encodeArray("NOOP", k.token)
 		c.send(k)
 		return
 	}
-	if now-c.pinged > deadAfter && slices.ContainsFunc(c.w.conns, func(o *conn) bool { return o.proved > c.pinged }) {
-		c.w.paths.Failed(now, c.addr)
-		c.fault(errSilent)
+	if now-c.pingedAt > pingTimeout && slices.ContainsFunc(c.worker.connections, func(o *conn) bool { return o.latestAnswered > c.pingedAt }) {
+		c.worker.addresses.Failed(now, c.addr)
+		c.closeWithError(errSilent)
 	}
 }
 
-// quiet is for how long c has owed the answer to a call and, since heard, brought none. Owes is false where it owes
+// silentFor is for how long c has owed the answer to a call and, since heard, brought none. Owes is false where it owes
 // none.
-func (c *conn) quiet(heard time.Duration) (since time.Duration, owes bool) {
-	for _, k := range c.open {
-		if k.kind == run && k.written && (!owes || k.sent < since) {
-			since, owes = k.sent, true
+func (c *conn) silentFor(heard time.Duration) (since time.Duration, owes bool) {
+	for _, k := range c.inFlight {
+		if k.kind == runCommand && k.written && (!owes || k.sentAt < since) {
+			since, owes = k.sentAt, true
 		}
 	}
 	return c.pool.now - max(since, heard), owes
 }
 
-// halts tells whether an answer has begun on c and does not go on: what is sent there now would be lost with it.
-func (c *conn) halts() bool { return len(c.part) > 0 && c.pool.now-c.begun > quietAfter }
+// stalled tells whether an answer has begun on c and does not go on: what is sent there now would be lost with it.
+func (c *conn) stalled() bool {
+	return len(c.partial) > 0 && c.pool.now-c.partialSince > minSilenceBeforePing
+}
 
-// fault ends a connection that is of no further use.
-func (c *conn) fault(err error) {
+// closeWithError ends a connection that is of no further use.
+func (c *conn) closeWithError(err error) {
 	slog.Warn("worker_connection_closed", "addr", c.addr, "err", err)
 	c.close()
 }
@@ -397,25 +399,25 @@
 // close ends the connection; Closed follows. Nothing new goes to it: it would count as written.
 func (c *conn) close() {
 	c.closing, c.shut = true, true
-	if c.line != nil {
-		c.line.Close()
+	if c.transport != nil {
+		c.transport.Close()
 	}
-	c.callOff()
+	c.cancelDials()
 }
 
-// pick returns the connection for k: one that is up, else one that is being dialled, else a new
+// pickConnection returns the connection for k: one that is up, else one that is being dialled, else a new
 // one, and a quiet one only where no more may be opened. None has carried another call of k's id, and
 // none holds more calls than a worker takes on one.
-func (p *Pool) pick(w *worker, k *call) *conn {
+func (p *Pool) pickConnection(w *worker, k *command) *conn {
 	var best *conn
 	rank := 0
-	for _, c := range w.conns {
-		if c.closing || c.open[k.token] != nil || k.kind == run &&
-			(c.runs >= p.cfg.MaxCallsPerConnection || c.ended.has(k.token) || c.ended.full()) {
+	for _, c := range w.connections {
+		if c.closing || c.inFlight[k.token] != nil || k.kind == runCommand &&
+			(c.runsInFlight >= p.cfg.MaxCallsPerConnection || c.recentIDs.has(k.token) || c.recentIDs.full()) {
 			continue
 		}
 		r := 2
-		if c.pinged > 0 || c.halts() {
+		if c.pingedAt > 0 || c.stalled() {
 			r = 1
 		} else if c.up {
 			r = 3
@@ -424,26 +426,26 @@
 			best, rank = c, r
 		}
 	}
-	if rank > 1 || len(w.conns) >= maxConns || w.paths.Len() == 0 || !p.room() {
+	if rank > 1 || len(w.connections) >= maxConnectionsPerWorker || w.addresses.Len() == 0 || !p.ensureCapacity() {
 		return best
 	}
-	c := &conn{pool: p, w: w, open: map[string]*call{}, used: p.now, race: endpoint.NewDialRace(w.paths.Candidates(), p.cfg.DialTimeout, k.left)}
-	w.conns = append(w.conns, c)
-	c.dial()
+	c := &conn{pool: p, worker: w, inFlight: map[string]*command{}, lastUsed: p.now, race: endpoint.NewDialRace(w.addresses.Candidates(), p.cfg.DialTimeout, k.budget)}
+	w.connections = append(w.connections, c)
+	c.startDials()
 	return c
 }
 
-// room tells whether one more connection may be opened. At the limit the one that has been idle for
+// ensureCapacity tells whether one more connection may be opened. At the limit the one that has been idle for
 // longest gives way, so that workers that come late get theirs.
-func (p *Pool) room() bool {
+func (p *Pool) ensureCapacity() bool {
 	n, idle := 0, (*conn)(nil)
-	for _, w := range p.order {
-		if w.trial != nil {
+	for _, w := range p.workersInOrder {
+		if w.recoveryDial != nil {
 			n++
 		}
-		for _, c := range w.conns {
+		for _, c := range w.connections {
 			n += max(len(c.dials), 1)
-			if c.up && !c.closing && c.idle() && (idle == nil || c.used < idle.used) {
+			if c.up && !c.closing && c.idle() && (idle == nil || c.lastUsed < idle.lastUsed) {
 				idle = c
 			}
 		}
@@ -455,181 +457,181 @@
 	return n < p.cfg.MaxConnections
 }
 
-func (c *conn) idle() bool { return len(c.open) == 0 }
+func (c *conn) idle() bool { return len(c.inFlight) == 0 }
 
-func (c *conn) send(k *call) {
-	k.conn, c.open[k.token] = c, k
-	if k.kind == run {
-		c.runs++
+func (c *conn) send(k *command) {
+	k.conn, c.inFlight[k.token] = c, k
+	if k.kind == runCommand {
+		c.runsInFlight++
 	}
 	if !c.up {
-		c.queue = append(c.queue, k)
+		c.queued = append(c.queued, k)
 		return
 	}
-	c.write(k)
+	c.writeCommand(k)
 }
 
-func (c *conn) write(k *call) {
-	k.written, k.sent, c.used = true, c.pool.now, c.pool.now
-	if k.kind == run {
-		c.put(k.head, k.body, lineEnd)
+func (c *conn) writeCommand(k *command) {
+	k.written, k.sentAt, c.lastUsed = true, c.pool.now, c.pool.now
+	if k.kind == runCommand {
+		c.write(k.header, k.body, lineEnd)
 	} else {
-		c.put(k.head)
+		c.write(k.header)
 	}
-	k.end = c.wrote
+	k.endOffset = c.bytesWritten
 }
 
-// put writes to the connection and counts.
-func (c *conn) put(bufs ...[]byte) {
+// write writes to the connection and counts.
+func (c *conn) write(bufs ...[]byte) {
 	for _, b := range bufs {
-		c.wrote += len(b)
+		c.bytesWritten += len(b)
 	}
-	c.line.Write(bufs...)
+	c.transport.Write(bufs...)
 }
 
 var lineEnd = []byte("\r\n")
 
-func (c *conn) unqueue(k *call) {
-	for i, q := range c.queue {
+func (c *conn) dequeue(k *command) {
+	for i, q := range c.queued {
 		if q == k {
-			c.queue = append(c.queue[:i], c.queue[i+1:]...)
-			c.take(k)
+			c.queued = append(c.queued[:i], c.queued[i+1:]...)
+			c.remove(k)
 			return
 		}
 	}
 }
 
-// dropQueue ends what waits behind the dial, probes aside: it never left.
-func (c *conn) dropQueue() {
-	var keep []*call
-	for _, k := range c.queue {
-		if k.kind == probe {
+// failQueued ends what waits behind the dial, probes aside: it never left.
+func (c *conn) failQueued() {
+	var keep []*command
+	for _, k := range c.queued {
+		if k.kind == healthCheckCommand {
 			keep = append(keep, k)
 			continue
 		}
-		c.take(k)
-		if k.kind == hold {
-			c.pool.end(k, policy.Overloaded) // as a draining worker would have answered
+		c.remove(k)
+		if k.kind == loadCommand {
+			c.pool.fail(k, policy.Overloaded) // as a draining worker would have answered
 		} else {
-			c.pool.end(k, policy.Unreachable)
+			c.pool.fail(k, policy.Unreachable)
 		}
 	}
-	c.queue = keep
+	c.queued = keep
 }
 
-// move sends a call that never left over another connection.
-func (p *Pool) move(w *worker, k *call) {
-	k.written, k.moved = false, k.moved+1
+// resend sends a call that never left over another connection.
+func (p *Pool) resend(w *worker, k *command) {
+	k.written, k.resends = false, k.resends+1
 	p.Counters.CallsResent++
-	if c := p.pick(w, k); c != nil {
+	if c := p.pickConnection(w, k); c != nil {
 		c.send(k)
 		return
 	}
-	p.end(k, policy.Unreachable)
+	p.fail(k, policy.Unreachable)
 }
 
-// retire has c take nothing new; it closes once its calls have ended.
-func (c *conn) retire() {
+// drain has c take nothing new; it closes once its calls have ended.
+func (c *conn) drain() {
 	if !c.up || c.idle() {
 		c.close()
 		if !c.up {
-			c.lost(policy.Unreachable)
+			c.terminate(policy.Unreachable)
 		}
 		return
 	}
 	c.closing = true
 }
 
-// take removes k from what is open, if it still is. The id of a call that was written is not used here
+// remove removes k from what is open, if it still is. The id of a call that was written is not used here
 // again.
-func (c *conn) take(k *call) {
-	if c.open[k.token] != k {
+func (c *conn) remove(k *command) {
+	if c.inFlight[k.token] != k {
 		return
 	}
-	delete(c.open, k.token)
-	if k.kind == run {
-		c.runs--
+	delete(c.inFlight, k.token)
+	if k.kind == runCommand {
+		c.runsInFlight--
 		if k.written {
-			c.ended.add(k.token)
+			c.recentIDs.add(k.token)
 		}
 	}
 }
 
-// end reports an end that no answer told.
-func (p *Pool) end(k *call, o policy.Outcome) {
+// fail reports an fail that no answer told.
+func (p *Pool) fail(k *command, o policy.Outcome) {
 	switch k.kind {
-	case run:
-		delete(p.calls, k.attempt)
-		p.sink.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o})
-	case hold:
-		p.sink.LoadCompleted(k.tag, o, 0)
-	case probe:
-		p.sink.HealthCheckCompleted(k.tag, o, nil)
+	case runCommand:
+		delete(p.attempts, k.attempt)
+		p.results.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o})
+	case loadCommand:
+		p.results.LoadCompleted(k.tag, o, 0)
+	case healthCheckCommand:
+		p.results.HealthCheckCompleted(k.tag, o, nil)
 	}
 }
 
-// begin hands over what waited for the connection to come up.
-func (c *conn) begin() {
-	queue := c.queue
-	c.queue = nil
+// writeQueued hands over what waited for the connection to come up.
+func (c *conn) writeQueued() {
+	queue := c.queued
+	c.queued = nil
 	for _, k := range queue {
-		c.write(k)
+		c.writeCommand(k)
 	}
 }
 
 // Closed is the end of the connection: what left whole may have run.
 func (c *conn) Closed(error) {
-	if c.heard == 0 && !c.shut {
-		c.w.paths.Failed(c.pool.now, c.addr) // it came up and was of no use
+	if c.lastResponse == 0 && !c.shut {
+		c.worker.addresses.Failed(c.pool.now, c.addr) // it came up and was of no use
 	}
-	c.lost(policy.ConnectionReset)
+	c.terminate(policy.ConnectionReset)
 }
 
-// mostMoves bounds the connections that may end under a call before it has left.
-const mostMoves = 3
+// maxResends bounds the connections that may end under a call before it has left.
+const maxResends = 3
 
-// lost ends all that is open on c. What waits for a dial never left, nor did a call of which some byte is still
+// terminate ends all that is open on c. What waits for a dial never left, nor did a call of which some byte is still
 // here: a worker counts what has come whole, so it goes to another connection of the same worker. Any
 // other may have run.
-func (c *conn) lost(o policy.Outcome) {
-	left := c.wrote
-	if c.line != nil {
-		left -= c.line.UnsentBytes()
+func (c *conn) terminate(o policy.Outcome) {
+	left := c.bytesWritten
+	if c.transport != nil {
+		left -= c.transport.UnsentBytes()
 	}
-	w := c.w
-	for i, other := range w.conns {
+	w := c.worker
+	for i, other := range w.connections {
 		if other == c {
-			w.conns = append(w.conns[:i], w.conns[i+1:]...)
+			w.connections = append(w.connections[:i], w.connections[i+1:]...)
 			break
 		}
 	}
-	open := c.sorted()
-	clear(c.open)
-	c.queue = nil
+	open := c.commandsInOrder()
+	clear(c.inFlight)
+	c.queued = nil
 	for _, k := range open {
-		if k.kind < probe && k.written && k.end > left && k.moved < mostMoves && w.ready {
-			c.pool.move(w, k)
+		if k.kind < healthCheckCommand && k.written && k.endOffset > left && k.resends < maxResends && w.ready {
+			c.pool.resend(w, k)
 			continue
 		}
-		if o == policy.ConnectionReset && k.kind < probe && k.written && k.end > left {
-			c.pool.end(k, policy.Unreachable)
+		if o == policy.ConnectionReset && k.kind < healthCheckCommand && k.written && k.endOffset > left {
+			c.pool.fail(k, policy.Unreachable)
 			continue
 		}
-		if k.kind == probe && o == policy.ConnectionReset && k.broken < probeTries {
+		if k.kind == healthCheckCommand && o == policy.ConnectionReset && k.lostConnections < maxHealthCheckResends {
 			// A connection that breaks tells nothing of its worker, which others may well be using. Over a
 			// new one a worker that died refuses, and one that is well answers.
-			again := &call{kind: probe, tag: k.tag, token: k.token, broken: k.broken + 1, head: array("INFO", k.token)}
+			again := &command{kind: healthCheckCommand, tag: k.tag, token: k.token, lostConnections: k.lostConnections + 1, header: encodeArray("INFO", k.token)}
 			c.pool.ask(w.id, again, false)
 			continue
 		}
-		c.pool.end(k, o)
+		c.pool.fail(k, o)
 	}
 }
 
-// sorted returns the open calls in a fixed order: equal runs must hand the module equal events.
-func (c *conn) sorted() []*call {
-	out := make([]*call, 0, len(c.open))
-	for _, k := range c.open {
+// commandsInOrder returns the open calls in a fixed order: equal runs must hand the module equal events.
+func (c *conn) commandsInOrder() []*command {
+	out := make([]*command, 0, len(c.inFlight))
+	for _, k := range c.inFlight {
 		out = append(out, k)
 	}
 	sortCalls(out)
@@ -642,20 +644,20 @@
 	if c.shut {
 		return
 	}
-	if len(c.part) > 0 {
-		c.part = append(c.part, b...)
-		b = c.part
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, b...)
+		b = c.partial
 	}
 	whole := false
-	var room [maxWords][]byte
+	var room [maxElements][]byte
 	for len(b) > 0 {
-		words, n, err := next(b, room[:0])
+		words, n, err := decodeArray(b, room[:0])
 		if err == nil && n > 0 {
-			err = c.answer(words)
+			err = c.handleResponse(words)
 		}
 		if err != nil {
-			c.part = nil
-			c.fault(err)
+			c.partial = nil
+			c.closeWithError(err)
 			return
 		}
 		if n == 0 {
@@ -663,29 +665,29 @@
 		}
 		b, whole = b[n:], true
 	}
-	if len(b) > 0 && (whole || len(c.part) == 0) {
-		c.begun = c.pool.now
+	if len(b) > 0 && (whole || len(c.partial) == 0) {
+		c.partialSince = c.pool.now
 	}
-	if c.part = append(c.part[:0], b...); len(b) == 0 && cap(c.part) > partKept {
-		c.part = nil
+	if c.partial = append(c.partial[:0], b...); len(b) == 0 && cap(c.partial) > partKept {
+		c.partial = nil
 	}
 }
 
-// answer takes in one: ID WORD FIELDS BODY, or TAG PONG.
-func (c *conn) answer(words [][]byte) error {
+// handleResponse takes in one: ID WORD FIELDS BODY, or TAG PONG.
+func (c *conn) handleResponse(words [][]byte) error {
 	if len(words) < 2 {
-		return errSyntax
+		return errMalformedResponse
 	}
-	k := c.open[string(words[0])]
-	if k != nil && k.kind == run {
+	k := c.inFlight[string(words[0])]
+	if k != nil && k.kind == runCommand {
 		if string(words[1]) == "HIT" { // a miss comes at once and tells of no call that runs
-			quiet, _ := c.quiet(c.called) // signs of life don't count: they were asked for because it was long
-			c.pool.silence.see(quiet)
+			quiet, _ := c.silentFor(c.lastRunResponse) // signs of life don't count: they were asked for because it was long
+			c.pool.silence.observe(quiet)
 		}
-		c.called = c.pool.now
+		c.lastRunResponse = c.pool.now
 	}
-	c.heard, c.pinged = c.pool.now, 0
-	c.w.paths.Responded(c.addr)
+	c.lastResponse, c.pingedAt = c.pool.now, 0
+	c.worker.addresses.Responded(c.addr)
 	if k == nil {
 		return nil // a second copy, or of a call that was given up
 	}
@@ -696,27 +698,27 @@
 	if len(words) > 3 {
 		body = words[3]
 	}
-	word, report := string(words[1]), c.pool.report(field(fields, "use"))
+	word, report := string(words[1]), c.pool.report(findField(fields, "use"))
 	o, known := outcomes[word]
 	switch {
-	case !known || k.kind >= probe != (word == "PONG" || word == "SICK"):
-		return errSyntax
+	case !known || k.kind >= healthCheckCommand != (word == "PONG" || word == "SICK"):
+		return errMalformedResponse
 	case !k.written:
-		return errSyntax // answered before it was sent
+		return errMalformedResponse // answered before it was sent
 	}
-	c.take(k)
-	c.used, c.proved = c.pool.now, max(c.proved, k.sent)
+	c.remove(k)
+	c.lastUsed, c.latestAnswered = c.pool.now, max(c.latestAnswered, k.sentAt)
 	switch k.kind {
-	case ping:
-	case hold:
-		count, _ := strconv.Atoi(string(field(fields, "count")))
-		c.pool.sink.LoadCompleted(k.tag, o, count)
-	case probe:
-		c.pool.sink.HealthCheckCompleted(k.tag, o, report)
+	case pingCommand:
+	case loadCommand:
+		count, _ := strconv.Atoi(string(findField(fields, "count")))
+		c.pool.results.LoadCompleted(k.tag, o, count)
+	case healthCheckCommand:
+		c.pool.results.HealthCheckCompleted(k.tag, o, report)
 	default:
-		delete(c.pool.calls, k.attempt)
-		c.pool.sink.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o, LoadStatus: notes[string(field(fields, "detail"))],
-			Concurrency: c.crowd(field(fields, "crowd")), Body: bytes.Clone(body), LoadReport: report})
+		delete(c.pool.attempts, k.attempt)
+		c.pool.results.AttemptCompleted(k.attempt, router.AttemptResult{Outcome: o, LoadStatus: notes[string(findField(fields, "detail"))],
+			Concurrency: c.concurrency(findField(fields, "crowd")), Body: bytes.Clone(body), LoadReport: report})
 	}
 	return nil
 }
@@ -731,29 +733,29 @@
 	"hot": policy.AlreadyLoaded, "started": policy.StartedLoad, "waited": policy.WaitedForLoad, "broken": policy.LoadFailed,
 }
 
-// mostCrowd bounds what a crowd may say: no worker's queue holds so many.
-const mostCrowd = 1 << 20
+// maxConcurrency bounds what a crowd may say: no worker's queue holds so many.
+const maxConcurrency = 1 << 20
 
-// crowd reads how many calls of the function the worker held; absent is none. One that can't be is passed over: the
+// concurrency reads how many calls of the function the worker held; absent is none. One that can't be is passed over: the
 // answer is good all the same.
-func (c *conn) crowd(text []byte) int {
+func (c *conn) concurrency(text []byte) int {
 	if len(text) == 0 {
 		return 0
 	}
 	n, err := strconv.Atoi(string(text))
-	if err != nil || n < 0 || n > mostCrowd {
-		c.odd("crowd", text)
+	if err != nil || n < 0 || n > maxConcurrency {
+		c.logIgnoredField("crowd", text)
 		return 0
 	}
 	return n
 }
 
-// odd logs a field of an answer that is passed over, at most once a second: a worker could fill the log otherwise.
-func (c *conn) odd(name string, text []byte) {
+// logIgnoredField logs a field of an answer that is passed over, at most once a second: a worker could fill the log otherwise.
+func (c *conn) logIgnoredField(name string, text []byte) {
 	p := c.pool
-	if p.odd++; p.oddTold == 0 || p.now-p.oddTold > time.Second {
-		slog.Warn("worker_response_field_ignored", "addr", c.addr, "field", name, "value", string(text[:min(len(text), 32)]), "count", p.odd)
-		p.odd, p.oddTold = 0, p.now
+	if p.ignoredFields++; p.ignoredFieldsLoggedAt == 0 || p.now-p.ignoredFieldsLoggedAt > time.Second {
+		slog.Warn("worker_response_field_ignored", "addr", c.addr, "field", name, "value", string(text[:min(len(text), 32)]), "count", p.ignoredFields)
+		p.ignoredFields, p.ignoredFieldsLoggedAt = 0, p.now
 	}
 }
 
--- a/internal/workerclient/recent.go
+++ b/internal/workerclient/recent.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	rememberFor  = 8 * time.Second // at least, and twice that at most: longer than any call lasts
-	rememberMost = 2048            // ids on one connection; one with more takes no new calls
+	idHistoryPeriod  = 8 * time.Second // at least, and twice that at most: longer than any call lasts
+	maxRememberedIDs = 2048            // ids on one connection; one with more takes no new calls
 )
 
-// recent remembers the ids of the calls that ended on a connection, so that the connection carries none
+// idHistory remembers the ids of the calls that ended on a connection, so that the connection carries none
 // of them again: a second copy of an answer, or one that comes after its call was given up, must not end
 // a later attempt of the same request. It forgets by whole generations.
-type recent struct {
-	now, before map[string]struct{}
-	turned      time.Duration
+type idHistory struct {
+	current, previous map[string]struct{}
+	rotatedAt         time.Duration
 }
 
-func (r *recent) add(id string) {
-	if r.now == nil {
-		r.now = map[string]struct{}{}
+func (r *idHistory) add(id string) {
+	if r.current == nil {
+		r.current = map[string]struct{}{}
 	}
-	r.now[id] = struct{}{}
+	r.current[id] = struct{}{}
 }
 
-func (r *recent) has(id string) bool {
-	_, now := r.now[id]
-	_, before := r.before[id]
+func (r *idHistory) has(id string) bool {
+	_, now := r.current[id]
+	_, before := r.previous[id]
 	return now || before
 }
 
-func (r *recent) full() bool { return len(r.now)+len(r.before) >= rememberMost }
+func (r *idHistory) full() bool { return len(r.current)+len(r.previous) >= maxRememberedIDs }
 
-// sweep forgets what was added before the last turn of generations.
-func (r *recent) sweep(now time.Duration) {
-	if now-r.turned >= rememberFor {
-		r.now, r.before, r.turned = nil, r.now, now
+// rotate forgets what was added before the last turn of generations.
+func (r *idHistory) rotate(now time.Duration) {
+	if now-r.rotatedAt >= idHistoryPeriod {
+		r.current, r.previous, r.rotatedAt = nil, r.current, now
 	}
 }
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -34,27 +34,27 @@
 			for range misses * min(n, 1) {
 				last++
 				id := fmt.Sprintf("%016x", 1<<20+last)
-				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, request(id), 3*time.Second)
+				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, newRequest(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
-				(*lines)[0].h.Data(reply(id, "NONE", ""))
+				(*lines)[0].handler.Data(encodeResponse(id, "NONE", ""))
 			}
 			id, a := fmt.Sprintf("%016x", n+1), router.Attempt{Request: policy.RequestID(n + 1)}
-			p.StartAttempt(1, a, request(id), 3*time.Second)
+			p.StartAttempt(1, a, newRequest(id), 3*time.Second)
 			if n == 0 {
-				(*lines)[0].h.DialCompleted(nil)
+				(*lines)[0].handler.DialCompleted(nil)
 			}
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
 				if p.Counters.Pings > asked { // the worker is well
 					asked = p.Counters.Pings
-					(*lines)[0].h.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pings)), p.pings)))
+					(*lines)[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
-			(*lines)[0].h.Data(reply(id, "HIT", ""))
-			if len(s.ended[a]) != 1 {
-				t.Fatalf("call %d ended %v", n, s.ended[a])
+			(*lines)[0].handler.Data(encodeResponse(id, "HIT", ""))
+			if len(s.outcomes[a]) != 1 {
+				t.Fatalf("call %d ended %v", n, s.outcomes[a])
 			}
 		}
 		pings += p.Counters.Pings
@@ -65,14 +65,14 @@
 }
 
 // Guards what signs of life are for: where answers come close on each other, a connection that falls silent is
-// asked after quietAfter as before; and one that carries few calls is asked in the end too.
+// asked after minSilenceBeforePing as before; and one that carries few calls is asked in the end too.
 func TestSilenceIsNoticedByWhatIsUsual(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		usual, least time.Duration
 		most         time.Duration
 	}{
-		{"dense", 5 * time.Millisecond, quietAfter, quietAfter + 2*MaintenanceInterval},
+		{"dense", 5 * time.Millisecond, minSilenceBeforePing, minSilenceBeforePing + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
 	} {
 		p, _, lines := newPool()
@@ -80,16 +80,16 @@
 		for n := range 100 {
 			id := fmt.Sprintf("%016x", n+1)
 			p.SetNow(now)
-			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, request(id), time.Second)
+			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, newRequest(id), time.Second)
 			if n == 0 {
-				(*lines)[0].h.DialCompleted(nil)
+				(*lines)[0].handler.DialCompleted(nil)
 			}
 			now += c.usual
 			p.SetNow(now)
-			(*lines)[0].h.Data(reply(id, "HIT", ""))
+			(*lines)[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
 		asked, began := p.Counters.Pings, now
-		p.StartAttempt(1, router.Attempt{Request: 999}, request("00000000000000ff"), 3*time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
 		for p.Counters.Pings == asked && now < began+3*time.Second {
 			now += MaintenanceInterval / 5
 			p.Maintain(now)
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -17,33 +17,33 @@
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
 		p, s, lines := newPool()
 		gone, stays := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.StartAttempt(1, gone, request("0123456789abcdef"), time.Second)
-		p.StartAttempt(1, stays, request("fedcba9876543210"), time.Second)
+		p.StartAttempt(1, gone, newRequest("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, stays, newRequest("fedcba9876543210"), time.Second)
 		if !p.WithdrawUnsent(1, gone) || p.WithdrawUnsent(1, gone) {
 			t.Fatalf("%s: not taken back once", end)
 		}
 		l := (*lines)[0]
 		switch end {
 		case "comes up":
-			l.h.DialCompleted(nil)
+			l.handler.DialCompleted(nil)
 			if p.WithdrawUnsent(1, stays) {
 				t.Error("a call that was written was taken back")
 			}
 		case "fails":
-			l.h.DialCompleted(errors.New("refused"))
+			l.handler.DialCompleted(errors.New("refused"))
 		case "ends under it":
-			l.h.DialCompleted(nil)
+			l.handler.DialCompleted(nil)
 			l.Unsent = l.Wrote.Len() // none of it left
-			l.h.Closed(errors.New("reset"))
-			(*lines)[1].h.DialCompleted(nil)
+			l.handler.Closed(errors.New("reset"))
+			(*lines)[1].handler.DialCompleted(nil)
 		}
 		for _, l := range *lines {
 			if strings.Contains(l.Wrote.String(), "0123456789abcdef") {
 				t.Errorf("%s: written all the same: %q", end, l.Wrote.String())
 			}
 		}
-		if len(s.ended[gone]) != 0 {
-			t.Errorf("%s: ended as %v", end, s.ended[gone])
+		if len(s.outcomes[gone]) != 0 {
+			t.Errorf("%s: ended as %v", end, s.outcomes[gone])
 		}
 		if sent := strings.Contains((*lines)[len(*lines)-1].Wrote.String(), "fedcba9876543210"); sent == (end == "fails") {
 			t.Errorf("%s: the other call was sent: %v", end, sent)
@@ -57,14 +57,14 @@
 		p, _, lines := newPool()
 		p.cfg.CancelSupported = may
 		a := router.Attempt{Request: 1}
-		p.StartAttempt(1, a, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
 		l := (*lines)[0]
-		l.h.DialCompleted(nil)
+		l.handler.DialCompleted(nil)
 		p.CancelAttempt(1, a)
 		if told := strings.Contains(l.Wrote.String(), "STOP\r\n"); told != may {
 			t.Errorf("may %v, told %v", may, told)
 		}
-		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, request("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
 		if n := strings.Count(l.Wrote.String(), "RUN\r\n"); n != 1 || len(*lines) != 2 {
 			t.Errorf("the id went %d times over one connection of %d", n, len(*lines))
 		}
@@ -75,9 +75,9 @@
 func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
 		p, _, lines := newPool()
-		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
-		(*lines)[0].h.DialCompleted(err)
-		if down := p.workers[1].paths.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
+		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
+		(*lines)[0].handler.DialCompleted(err)
+		if down := p.workers[1].addresses.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
 		}
 	}
@@ -89,14 +89,14 @@
 	for _, tt := range []struct {
 		after time.Duration
 		lines int
-	}{{quietAfter, 1}, {quietAfter + time.Millisecond, 2}} {
+	}{{minSilenceBeforePing, 1}, {minSilenceBeforePing + time.Millisecond, 2}} {
 		p, _, lines := newPool()
 		p.SetNow(time.Hour)
-		p.StartAttempt(1, router.Attempt{Request: 1}, request("0123456789abcdef"), time.Second)
-		(*lines)[0].h.DialCompleted(nil)
-		(*lines)[0].h.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
+		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
+		(*lines)[0].handler.DialCompleted(nil)
+		(*lines)[0].handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
 		p.SetNow(time.Hour + tt.after)
-		p.StartAttempt(1, router.Attempt{Request: 2}, request("fedcba9876543210"), time.Second)
+		p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("fedcba9876543210"), time.Second)
 		if len(*lines) != tt.lines {
 			t.Errorf("%v after an answer halted: %d connections", tt.after, len(*lines))
 		}
