--- /dev/null
+++ b/internal/workerclient/bench_test.go
@@ -0,0 +1,71 @@
+package workerclient_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/workerclient"
+	"crankhold/policy"
+)
+
+// discardTransport drops what is written to it.
+type discardTransport struct{}
+
+func (discardTransport) Write(...[]byte)  {}
+func (discardTransport) Close()           {}
+func (discardTransport) UnsentBytes() int { return 0 }
+
+// discardResults drops results.
+type discardResults struct{}
+
+func (discardResults) AttemptCompleted(router.Attempt, router.AttemptResult)  {}
+func (discardResults) LoadCompleted(uint64, policy.Outcome, int)              {}
+func (discardResults) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
+
+// BenchmarkRequest sends a request over a connection that is up and takes in its response.
+func BenchmarkRequest(b *testing.B) {
+	var handler eventloop.DialHandler
+	pool := workerclient.New(workerclient.Config{
+		Classes: []string{"dim-level"}, ReportFields: []string{"inflight", "cpu"}, DialTimeout: time.Second,
+		KeepAlive: time.Hour, MaxCallsPerConnection: 32, MaxConnections: 100,
+		Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
+			handler = h
+			return discardTransport{}
+		},
+	}, discardResults{})
+	pool.SetWorker(1, []endpoint.Addr{{Network: endpoint.TCP4, Addr: "127.0.0.1:1"}}, policy.Ready)
+	pool.CheckHealth(1, 1)
+	handler.DialCompleted(nil)
+	handler.Data([]byte("*2\r\n$2\r\np1\r\n$4\r\nPONG\r\n"))
+	const ids = 1000 // distinct, since a connection carries each id once
+	var requests [ids]*router.Request
+	var responses [ids][]byte
+	for i := range ids {
+		id := fmt.Sprintf("%016x", i)
+		requests[i] = &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: make([]byte, 1000)}
+		responses[i] = []byte("*4\r\n$16\r\n" + id + "\r\n$3\r\nHIT\r\n$40\r\ndetail=hot,crowd=3,use=inflight:7;cpu:0.5\r\n$6\r\nresult\r\n")
+	}
+	b.ReportAllocs()
+	now := time.Hour
+	for n := 0; b.Loop(); n++ {
+		i := n % ids
+		if i == 0 {
+			now = forgetIDs(pool, now)
+		}
+		pool.StartAttempt(1, router.Attempt{Request: policy.RequestID(i)}, requests[i], time.Second)
+		handler.Data(responses[i])
+	}
+}
+
+// forgetIDs moves a pool's time on until its connections carry the ids of earlier requests again.
+func forgetIDs(pool *workerclient.Pool, now time.Duration) time.Duration {
+	for range 2 {
+		now += 10 * time.Second
+		pool.Maintain(now)
+	}
+	return now
+}
--- /dev/null
+++ b/internal/workerclient/errors_test.go
@@ -0,0 +1,40 @@
+package workerclient
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/endpoint"
+	"crankhold/internal/router"
+)
+
+func TestConnectionErrorTellsAddressAndReason(t *testing.T) {
+	addr := endpoint.Addr{Network: endpoint.TCP4, Addr: "192.0.2.1:80"}
+	for _, reason := range []error{ErrMalformedResponse, ErrResponseStalled, ErrConnectionSilent} {
+		var err error = &ConnectionError{Addr: addr, Reason: reason}
+		var typed *ConnectionError
+		if !errors.Is(err, reason) || !errors.As(err, &typed) || typed.Addr != addr || err.Error() != reason.Error() {
+			t.Errorf("%v is not %v at %v", err, reason, addr)
+		}
+	}
+}
+
+// The log line of a connection that is given up names the address and the reason, each in its own attribute.
+func TestGivenUpConnectionIsLogged(t *testing.T) {
+	var log bytes.Buffer
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	p, _, transports := newPool()
+	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest(requestID), time.Second)
+	(*transports)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.Data([]byte("no response\r\n"))
+	const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed answer"`
+	if !strings.Contains(log.String(), want) {
+		t.Errorf("logged %q, want %q", log.String(), want)
+	}
+}
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -338,10 +338,10 @@
 	held := 0
 	for _, w := range m.pool.workers {
 		for _, c := range w.connections {
-			if c.up && !c.shut {
+			if c.state == ready || c.state == draining {
 				held++
 			}
-			if !c.up && !c.closing && len(c.dials) == 0 {
+			if c.state == connecting && len(c.dials) == 0 {
 				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.queued))
 			}
 		}
@@ -401,12 +401,12 @@
 		}
 		fmt.Fprintf(&b, "{%v", p.addresses)
 		for _, c := range p.connections {
-			fmt.Fprintf(&b, "(%v %v %v %v %d %v", c.addr, c.up, c.closing, c.shut, c.race.Out(), c.pingedAt)
+			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.race.Out(), c.pingedAt)
 			for _, k := range c.queued {
-				fmt.Fprintf(&b, " q%s", k.token)
+				fmt.Fprintf(&b, " q%s", k.id)
 			}
 			for _, k := range c.commandsInOrder() {
-				fmt.Fprintf(&b, " o%s %d %v", k.token, k.resends, k.written)
+				fmt.Fprintf(&b, " o%s %d %v", k.id, k.resends, k.written)
 			}
 			b.WriteByte(')')
 		}
@@ -437,14 +437,14 @@
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
 var planted = []struct{ name, file, old, new string }{
-	{"calls that left whole are moved", "internal/workerclient/pool.go", "k.written && k.endOffset > left && k.resends < maxResends", "k.written && k.resends < maxResends"},
-	{"calls are moved to a draining worker", "internal/workerclient/pool.go", "k.resends < maxResends && w.ready", "k.resends < maxResends"},
-	{"a drain leaves what waits behind a dial", "internal/workerclient/pool.go", "if c.failQueued(); !c.up && len(c.queued) == 0 {", "if false {"},
-	{"a reset counts as a refused dial", "internal/workerclient/pool.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
-	{"an error counts as turned away", "internal/workerclient/pool.go", `"FAULT": policy.Failed`, `"FAULT": policy.Overloaded`},
+	{"calls that left whole are moved", "internal/workerclient/dispatch.go", "case neverArrived && cmd.resends < maxResends", "case !cmd.kind.isHealthQuery() && cmd.written && cmd.resends < maxResends"},
+	{"calls are moved to a draining worker", "internal/workerclient/dispatch.go", "cmd.resends < maxResends && w.ready()", "cmd.resends < maxResends"},
+	{"a drain leaves what waits behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.queued) == 0 {", "if false {"},
+	{"a reset counts as a refused dial", "internal/workerclient/conn.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
+	{"an error counts as turned away", "internal/workerclient/response.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
 	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.finish()\n\t\td.transport.Close()", "\t\td.finish()"},
-	{"a trial's connection stays", "internal/workerclient/dial.go", "t.pool.dialsInProgress--\n\tt.transport.Close()", "t.pool.dialsInProgress--"},
-	{"a call that was given up is sent all the same", "internal/workerclient/pool.go", "\tk.conn.dequeue(k)\n\treturn true", "\treturn true"},
+	{"a trial's connection stays", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
+	{"a call that was given up is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
 	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
 	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
 }
--- /dev/null
+++ b/internal/workerclient/recovery.go
@@ -0,0 +1,106 @@
+package workerclient
+
+import (
+	"errors"
+	"time"
+
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+)
+
+// recoveryDial is a connection that carries nothing but a NOOP, by which an address that failed shows that it works
+// again.
+type recoveryDial struct {
+	pool      *Pool
+	worker    *worker
+	addr      endpoint.Addr
+	transport Transport
+	startedAt time.Duration
+	finished  bool
+}
+
+// maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that takes
+// too long: the time of a dial, and as much again for the response.
+func (w *worker) maintainRecoveryDial() {
+	p, r := w.pool, w.recoveryDial
+	switch {
+	case r == nil:
+		w.startRecoveryDial()
+	case p.now-r.startedAt > 2*p.cfg.DialTimeout:
+		r.finish(ErrConnectionSilent)
+	}
+}
+
+func (w *worker) startRecoveryDial() {
+	p := w.pool
+	if !w.ready() || p.dialsInProgress >= endpoint.MaxDials || !p.ensureCapacity() {
+		return
+	}
+	addr, ok := w.addresses.NextRecoveryDial(p.now)
+	if !ok {
+		return
+	}
+	r := &recoveryDial{pool: p, worker: w, addr: addr, startedAt: p.now}
+	w.recoveryDial = r
+	p.Counters.RecoveryDials++
+	r.transport = p.dial(addr, r)
+}
+
+// cancelRecoveryDial ends a recovery dial that has told nothing.
+func (w *worker) cancelRecoveryDial() {
+	r := w.recoveryDial
+	if r != nil {
+		w.addresses.RecoveryInconclusive(w.pool.now, r.addr)
+		r.close()
+	}
+}
+
+func (r *recoveryDial) close() {
+	r.finished = true
+	r.worker.recoveryDial = nil
+	r.pool.dialsInProgress--
+	r.transport.Close()
+}
+
+// finish takes in how the recovery dial ended; nil is for an address that works.
+func (r *recoveryDial) finish(err error) {
+	if r.finished {
+		return
+	}
+	now, addresses := r.pool.now, r.worker.addresses
+	switch {
+	case err == nil:
+		addresses.Succeeded(now, r.addr)
+	case eventloop.IsDescriptorExhausted(err):
+		addresses.RecoveryInconclusive(now, r.addr)
+	default:
+		r.pool.Counters.RecoveryDialsFailed++
+		addresses.Failed(now, r.addr)
+	}
+	r.close()
+}
+
+// DialCompleted asks for a sign of life: an address that accepts and says nothing does not work.
+func (r *recoveryDial) DialCompleted(err error) {
+	switch {
+	case r.finished:
+		if err == nil {
+			r.transport.Close()
+		}
+	case err != nil:
+		r.finish(err)
+	default:
+		r.transport.Write(encodeNoop(recoveryPingID))
+	}
+}
+
+// Data takes in the response.
+func (r *recoveryDial) Data(data []byte) {
+	response, size, err := decodeResponse(data)
+	if err == nil && size > 0 && string(response.id) == recoveryPingID {
+		r.finish(nil)
+	}
+}
+
+// Closed handles the end of the connection.
+func (r *recoveryDial) Closed(err error) { r.finish(errors.Join(ErrConnectionSilent, err)) }
--- /dev/null
+++ b/internal/workerclient/response.go
@@ -0,0 +1,176 @@
+package workerclient
+
+import (
+	"bytes"
+	"strconv"
+
+	"crankhold/policy"
+)
+
+// maxConcurrency bounds what a response may say of concurrency: no worker's queue holds so many requests.
+const maxConcurrency = 1 << 20
+
+// responseStatus is the second element of a response.
+type responseStatus uint8
+
+const (
+	statusUnknown responseStatus = iota
+	statusHit                    // ran, or loaded
+	statusNone                   // not loaded; nothing ran
+	statusShed                   // overloaded; nothing ran
+	statusFault                  // failed, and may have run
+	statusLate                   // its budget was used up before it began; nothing ran
+	statusPong                   // alive and well
+	statusSick                   // alive, and not well
+)
+
+// statusesByName are read exactly, in upper case: NONE, SHED and LATE prove that a request never ran.
+var statusesByName = map[string]responseStatus{
+	"HIT": statusHit, "NONE": statusNone, "SHED": statusShed, "FAULT": statusFault, "LATE": statusLate,
+	"PONG": statusPong, "SICK": statusSick,
+}
+
+// outcomes are what the statuses, the unknown one aside, mean for the decision module.
+var outcomes = [...]policy.Outcome{
+	statusHit:   policy.Served,
+	statusNone:  policy.NotLoaded,
+	statusShed:  policy.Overloaded,
+	statusFault: policy.Failed,
+	statusLate:  policy.NotSent,
+	statusPong:  policy.Served,
+	statusSick:  policy.Failed,
+}
+
+// String returns the name of the status as it is on the wire.
+func (s responseStatus) String() string {
+	for name, status := range statusesByName {
+		if status == s {
+			return name
+		}
+	}
+	return "unknown"
+}
+
+// answersHealthQuery reports whether the status belongs to INFO and NOOP, and to no other command.
+func (s responseStatus) answersHealthQuery() bool { return s == statusPong || s == statusSick }
+
+// response is what a worker says to a command. Its slices point into the bytes that it was decoded from.
+type response struct {
+	id     []byte
+	status responseStatus
+	fields responseFields
+	body   []byte
+}
+
+// decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
+// returns the response's size in bytes, 0 while it is incomplete.
+func decodeResponse(data []byte) (r response, size int, err error) {
+	var space [maxElements][]byte
+	elements, size, err := decodeArray(data, space[:0])
+	if err != nil || size == 0 {
+		return response{}, 0, err
+	}
+	if len(elements) < 2 {
+		return response{}, 0, ErrMalformedResponse
+	}
+	r.id = elements[0]
+	r.status = statusesByName[string(elements[1])]
+	if len(elements) > 2 {
+		r.fields = elements[2]
+	}
+	if len(elements) > 3 {
+		r.body = elements[3]
+	}
+	return r, size, nil
+}
+
+// responseFields is a list name=value,name=value; "-" is an empty one.
+type responseFields []byte
+
+// The names of the fields of responses.
+const (
+	fieldDetail = "detail" // how the replica came to be loaded
+	fieldCrowd  = "crowd"  // requests for the function that the worker had
+	fieldUse    = "use"    // the load report
+	fieldCount  = "count"  // replicas that were loaded
+)
+
+// loadStatuses are the values of the field detail.
+var loadStatuses = map[string]policy.LoadStatus{
+	"hot": policy.AlreadyLoaded, "started": policy.StartedLoad, "waited": policy.WaitedForLoad, "broken": policy.LoadFailed,
+}
+
+// get returns the value of a field, nil where there is none of that name.
+func (f responseFields) get(name string) []byte {
+	list := []byte(f)
+	for len(list) > 0 {
+		var pair []byte
+		pair, list, _ = bytes.Cut(list, []byte{','})
+		key, value, ok := bytes.Cut(pair, []byte{'='})
+		if ok && string(key) == name {
+			return value
+		}
+	}
+	return nil
+}
+
+// loadStatus returns what the field detail says; absent and unknown values say nothing.
+func (f responseFields) loadStatus() policy.LoadStatus {
+	return loadStatuses[string(f.get(fieldDetail))]
+}
+
+// replicas returns how many replicas a HOLD found or loaded, 0 where the response does not say.
+func (f responseFields) replicas() int {
+	count, _ := strconv.Atoi(string(f.get(fieldCount)))
+	return count
+}
+
+// concurrency returns how many requests for the function the worker had, 0 where the response does not say. It returns
+// false for a number that can't be.
+func (f responseFields) concurrency() (count int, ok bool) {
+	text := f.get(fieldCrowd)
+	if len(text) == 0 {
+		return 0, true
+	}
+	count, err := strconv.Atoi(string(text))
+	if err != nil || count < 0 || count > maxConcurrency {
+		return 0, false
+	}
+	return count, true
+}
+
+// loadReport returns the values of the field use, name:value;name:value, in the order of names. A report that lacks one
+// of the names says nothing: the result is nil.
+func (f responseFields) loadReport(names []string) []float64 {
+	text := f.get(fieldUse)
+	if len(text) == 0 {
+		return nil
+	}
+	report := make([]float64, len(names))
+	found := 0
+	for len(text) > 0 {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte{';'})
+		name, value, _ := bytes.Cut(pair, []byte{':'})
+		found += setReportValue(report, names, name, value)
+	}
+	if found < len(report) {
+		return nil
+	}
+	return report
+}
+
+// setReportValue sets the value of a name in report and returns how many values it set.
+func setReportValue(report []float64, names []string, name, value []byte) (set int) {
+	for i := range names {
+		if string(name) != names[i] {
+			continue
+		}
+		number, err := strconv.ParseFloat(string(value), 64)
+		if err == nil {
+			report[i] = number
+			set++
+		}
+	}
+	return set
+}
--- a/internal/workerclient/silence.go
+++ b/internal/workerclient/silence.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// silenceEstimate estimates how long connections that owe answers to calls may well be quiet until one comes. Where many
-// calls share a connection that is a few milliseconds; where few do it is as long as calls take, and a sign of life
-// asked for after a fixed time would be asked for with every call that takes longer than others, at a price to
-// a fleet of routers that adds up. So the longest of late counts, which every further one that a call has run to its end
-// in lets fade: a mean with its deviation, as TCP takes of its round trips, is exceeded by many where lengths vary as
-// calls' do. It begins with the time in which answers are wanted.
-type silenceEstimate struct{ peak time.Duration }
-
-// silenceDecay is how many silences it takes for a long one to count half: about one in so many exceeds it.
+// silenceDecay is the number of observations after which a long silence counts half: about one in so many exceeds the
+// estimate.
 const silenceDecay = 64
 
-// observe takes in one silence that has ended.
-func (s *silenceEstimate) observe(d time.Duration) { s.peak = max(d, s.peak-s.peak/silenceDecay) }
+// silenceEstimate estimates how long a connection on which responses are due may be silent before that is unusual.
+// Where many requests share a connection that is a few milliseconds; where few do it is as long as requests take, and a
+// keepalive ping after a fixed time would be sent for each request that takes longer than others, at a price that adds
+// up over a fleet of routers. So the estimate is the longest recent silence, which decays with each further one that a
+// request ended which ran: a mean with its deviation, as TCP keeps of its round trips, is exceeded often where lengths
+// vary as those of requests do. It begins with the slowest latency objective.
+type silenceEstimate struct{ peak time.Duration }
+
+// observe takes in the length of a silence that has ended.
+func (s *silenceEstimate) observe(length time.Duration) {
+	s.peak = max(length, s.peak-s.peak/silenceDecay)
+}
 
-// typicalMaximum is a length that few silences exceed; before any has been seen, what it began with.
+// typicalMaximum is a length that few silences exceed; before any was observed it is what the estimate began with.
 func (s *silenceEstimate) typicalMaximum() time.Duration { return s.peak }
--- /dev/null
+++ b/internal/workerclient/worker.go
@@ -0,0 +1,90 @@
+package workerclient
+
+import (
+	"slices"
+	"time"
+
+	"crankhold/internal/endpoint"
+	"crankhold/policy"
+)
+
+// worker is a worker with its addresses and connections.
+type worker struct {
+	pool         *Pool
+	id           policy.WorkerID
+	state        policy.WorkerState
+	listed       []endpoint.Addr // as discovery listed them last
+	addresses    *endpoint.AddressSet
+	connections  []*conn
+	recoveryDial *recoveryDial // under way, or nil
+}
+
+// ready reports whether the worker takes new requests and loads.
+func (w *worker) ready() bool { return w.state == policy.Ready }
+
+// setAddresses takes in the listed addresses, where they changed: the worker restarted elsewhere, or has fewer
+// addresses, and whatever listens at an old one may be another worker.
+func (w *worker) setAddresses(listed []endpoint.Addr) {
+	if len(listed) == 0 || slices.Equal(listed, w.listed) {
+		return
+	}
+	w.listed = slices.Clone(listed)
+	w.addresses.Update(w.pool.now, listed)
+	for _, c := range slices.Clone(w.connections) {
+		switch {
+		case !c.connected():
+			c.redial()
+		case !w.addresses.Has(c.addr):
+			c.drain()
+		}
+	}
+	w.cancelRecoveryDial()
+}
+
+// setState takes in whether the worker takes anything new. What is queued behind a dial to one that does not ends
+// unsent: the dial may come up after the time in which the worker may still be sent requests.
+func (w *worker) setState(state policy.WorkerState) {
+	w.state = state
+	if !w.ready() {
+		for _, c := range slices.Clone(w.connections) {
+			c.failQueued()
+			if c.state == connecting && len(c.queued) == 0 {
+				c.drain() // nobody waits for this dial
+			}
+		}
+		w.cancelRecoveryDial()
+	}
+	if state == policy.Gone {
+		w.closeIdle()
+	}
+}
+
+// closeIdle closes the connections on which nothing is in flight.
+func (w *worker) closeIdle() {
+	for _, c := range w.connections {
+		if c.connected() && c.idle() {
+			c.close()
+		}
+	}
+}
+
+// maintain looks after the worker's connections and addresses.
+func (w *worker) maintain() {
+	for _, c := range slices.Clone(w.connections) {
+		c.maintain()
+	}
+	w.maintainRecoveryDial()
+}
+
+// respondedSince reports whether the worker responded to something that was sent after an instant, over any of its
+// connections.
+func (w *worker) respondedSince(instant time.Duration) bool {
+	return slices.ContainsFunc(w.connections, func(c *conn) bool { return c.latestAnswered > instant })
+}
+
+func (w *worker) removeConnection(c *conn) {
+	i := slices.Index(w.connections, c)
+	if i >= 0 {
+		w.connections = slices.Delete(w.connections, i, i+1)
+	}
+}
