--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,7 +12,7 @@
 	"crankhold/policy"
 )
 
-// The answers are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The responses are written by hand from the protocol's definition, so that no code of this package builds what it reads.
 const (
 	goldenAnswers  = "testdata/answers.txt"
 	goldenMessages = "testdata/messages.txt"
@@ -30,7 +30,7 @@
 	report  []float64
 }
 
-// decodedResults keeps all that answers decode to.
+// decodedResults keeps all that responses decode to.
 type decodedResults struct {
 	attempts     []router.Attempt
 	results      []router.AttemptResult
@@ -51,21 +51,21 @@
 	r.healthChecks = append(r.healthChecks, healthCheckResult{tag, outcome, report})
 }
 
-// newGoldenPool returns a pool whose answers are recorded, with workers that report two fields of use.
+// newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
 func newGoldenPool() (*Pool, *decodedResults, *[]*fakeTransport) {
-	p, _, lines := newPool()
+	p, _, transports := newPool()
 	record := &decodedResults{}
 	p.results = record
 	p.cfg.ReportFields = []string{"inflight", "cpu"}
 	p.cfg.MaxCallsPerConnection = 32
-	return p, record, lines
+	return p, record, transports
 }
 
 // All that is written to a worker.
 func TestGoldenMessagesToWorkers(t *testing.T) {
-	p, _, lines := newGoldenPool()
+	p, _, transports := newGoldenPool()
 	p.CheckHealth(1, 1)
-	connection := (*lines)[0]
+	connection := (*transports)[0]
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
@@ -95,8 +95,8 @@
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Maintain(time.Second) })
-	if len(*lines) != 1 || connection.HasClosed {
-		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
+	if len(*transports) != 1 || connection.HasClosed {
+		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.HasClosed)
 	}
 	messages = append(messages,
 		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
@@ -104,34 +104,34 @@
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
-// healthCheckAfterReset returns what is written over the second connection of a probe whose first one broke.
+// healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
 func healthCheckAfterReset() []byte {
-	p, _, lines := newGoldenPool()
+	p, _, transports := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*lines)[0].handler.DialCompleted(nil)
-	(*lines)[0].handler.Closed(errors.New("reset"))
-	(*lines)[1].handler.DialCompleted(nil)
-	return (*lines)[1].Wrote.Bytes()
+	(*transports)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.Closed(errors.New("reset"))
+	(*transports)[1].handler.DialCompleted(nil)
+	return (*transports)[1].Wrote.Bytes()
 }
 
-// openRecoveryDial returns the connection of a trial that has come up.
+// openRecoveryDial returns the connection of a recovery dial that has come up.
 func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
-	p, _, lines, _ := newPoolWithTwoAddresses()
+	p, _, transports, _ := newPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*lines)[0].handler.DialCompleted(errors.New("refused"))
-	(*lines)[1].handler.DialCompleted(nil)
-	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += MaintenanceInterval {
+	(*transports)[0].handler.DialCompleted(errors.New("refused"))
+	(*transports)[1].handler.DialCompleted(nil)
+	for now := time.Duration(0); len(*transports) < 3 && now < time.Minute; now += MaintenanceInterval {
 		p.Maintain(now)
 	}
-	if len(*lines) < 3 {
+	if len(*transports) < 3 {
 		t.Fatal("no trial was begun")
 	}
-	(*lines)[2].handler.DialCompleted(nil)
-	return (*lines)[2]
+	(*transports)[2].handler.DialCompleted(nil)
+	return (*transports)[2]
 }
 
-// Every form of an answer to a call is decoded to a reply that is compared whole.
+// Every form of a response to a request is decoded to a reply that is compared whole.
 func TestGoldenAnswersToCalls(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -159,9 +159,9 @@
 		{"FAULT", router.AttemptResult{Outcome: policy.Failed, LoadStatus: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			p, record, lines := newGoldenPool()
+			p, record, transports := newGoldenPool()
 			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-			connection := (*lines)[0]
+			connection := (*transports)[0]
 			connection.handler.DialCompleted(nil)
 			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
@@ -172,7 +172,7 @@
 	}
 }
 
-// Every answer to an order to load.
+// Every response to a load.
 func TestGoldenAnswersToHolds(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -185,9 +185,9 @@
 		{"HOLD answered by FAULT", loadResult{9, policy.Failed, 0}},
 		{"HOLD answered by LATE", loadResult{9, policy.NotSent, 0}},
 	} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.Load(1, 5, 2, 9)
-		connection := (*lines)[0]
+		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
@@ -196,7 +196,7 @@
 	}
 }
 
-// Every answer to a health check.
+// Every response to a health check.
 func TestGoldenAnswersToProbes(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -208,9 +208,9 @@
 		{"INFO answered by SICK", healthCheckResult{7, policy.Failed, []float64{3, 1}}},
 		{"INFO answered by SICK without a report", healthCheckResult{7, policy.Failed, nil}},
 	} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.CheckHealth(1, 7)
-		connection := (*lines)[0]
+		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
@@ -219,12 +219,12 @@
 	}
 }
 
-// The answer to a NOOP shows that its connection works, and ends nothing that is open there.
+// The response to a NOOP shows that its connection works, and ends nothing that is open there.
 func TestGoldenAnswersToNoops(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*lines)[0]
+		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
@@ -246,7 +246,7 @@
 	}
 }
 
-// An answer that breaks the protocol closes its connection and ends no call; one to an unknown id is passed over.
+// A response that breaks the protocol closes its connection and ends no request; one to an unknown id is passed over.
 func TestGoldenMalformedAnswers(t *testing.T) {
 	for _, test := range []struct {
 		label  string
@@ -257,7 +257,7 @@
 		{"unknown word", true},
 		{"PONG to a call", true},
 		{"SICK to a call", true},
-		{"INFO answered by PONG", false}, // no probe is open here
+		{"INFO answered by PONG", false}, // no health check is open here
 		{"answer of one word", true},
 		{"answer of no word", true},
 		{"answer of nine words", true},
@@ -268,9 +268,9 @@
 		{"word that is longer than its length", true},
 		{"length over the limit", true},
 	} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*lines)[0]
+		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed != test.closes {
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -108,7 +108,7 @@
 // log tells the core's events, and what the model asks of it, apart.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
-// AttemptCompleted, LoadCompleted and Probed hand on to the core.
+// AttemptCompleted, LoadCompleted and HealthCheckCompleted hand on to the core.
 func (m *model) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
 	m.core.AttemptCompleted(a, r)
@@ -172,8 +172,8 @@
 	}
 }
 
-// written checks what a message may not be: a call that may have run and is written again, or anything new to a
-// worker that was told to drain.
+// written checks what a message may not be: a request that may have run and is written again, or anything new to a
+// worker that is draining.
 func (m *model) written(l *modelTransport, f *modelMessage) {
 	if f.name != "RUN" && f.name != "HOLD" {
 		return
@@ -234,7 +234,7 @@
 			add(func() { l.state = "up"; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
 			bad(func() { l.state = "over"; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
 		case "up", "shut":
-			// The last message may not have left whole, unless it was answered.
+			// The last message may not have left whole, unless it has its response.
 			cut := 0
 			if n := len(l.messages); n > 0 && !l.messages[n-1].answered {
 				cut = 1
@@ -357,7 +357,7 @@
 	return m.violation
 }
 
-// recoveryConnections is how many trials are past their dial.
+// recoveryConnections is how many recovery dials are past their dial.
 func (m *model) recoveryConnections() (n int) {
 	for _, w := range m.pool.workers {
 		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == "up" {
@@ -367,7 +367,7 @@
 	return n
 }
 
-// End lets the time of all calls run out: each has one answer, whose client has not left.
+// End lets the time of all requests run out: each has one response, whose client has not left.
 func (m *model) End() error {
 	for range 50 {
 		m.now += 100 * time.Millisecond
@@ -423,7 +423,7 @@
 }
 
 // Every interleaving of a small scope, by the real code: an order that may have run is never written again, each
-// call has one answer, nothing new goes to a worker that was told to drain, and no dial or connection leaks.
+// request has one response, nothing new goes to a worker that is draining, and no dial or connection leaks.
 func TestEveryInterleaving(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(scopes)) {
 		s := scopes[name]
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/pool_test.go
@@ -22,7 +22,7 @@
 	handler eventloop.DialHandler
 }
 
-// resultRecorder keeps how attempts, orders and probes ended.
+// resultRecorder keeps how attempts, orders and health checks ended.
 type resultRecorder struct {
 	outcomes        map[router.Attempt][]policy.Outcome
 	commandOutcomes map[uint64][]policy.Outcome
@@ -42,14 +42,14 @@
 
 func newPool() (*Pool, *resultRecorder, *[]*fakeTransport) {
 	s := &resultRecorder{map[router.Attempt][]policy.Outcome{}, map[uint64][]policy.Outcome{}, map[router.Attempt]router.AttemptResult{}}
-	var lines []*fakeTransport
+	var transports []*fakeTransport
 	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
 		KeepAlive: 30 * time.Second, MaxCallsPerConnection: 2, MaxConnections: 100, CancelSupported: true, Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) Transport {
-			lines = append(lines, &fakeTransport{handler: h})
-			return lines[len(lines)-1]
+			transports = append(transports, &fakeTransport{handler: h})
+			return transports[len(transports)-1]
 		}}, s)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
-	return p, s, &lines
+	return p, s, &transports
 }
 
 // tcp4 is one address of IPv4.
@@ -61,10 +61,10 @@
 
 func TestAnswersAreReadHoweverTheyAreSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		a := router.Attempt{Request: 1}
 		p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
-		l := (*lines)[0]
+		l := (*transports)[0]
 		l.handler.DialCompleted(nil)
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
 		if got := l.Wrote.String(); got != want {
@@ -85,31 +85,31 @@
 
 func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		p.CheckHealth(1, 1)
-		l := (*lines)[0]
+		l := (*transports)[0]
 		l.handler.DialCompleted(nil)
 		bits := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
 		l.handler.Data([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
 	})
-	p, _, lines := newPool()
+	p, _, transports := newPool()
 	p.CheckHealth(1, 1)
-	l := (*lines)[0]
+	l := (*transports)[0]
 	l.handler.DialCompleted(nil)
 	if l.handler.Data([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
 		t.Error("a bulk string over the cap was waited for")
 	}
 }
 
-// The model of a connection: every call ends once, with Reset only if it was written, and never by
-// an answer to an attempt before it that was given up.
+// The model of a connection: every request ends once, with Reset only if it was written, and never by
+// a response to an attempt before it that was cancelled.
 func TestCallsEndOnceAndTruly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		next, out, up := 0, []router.Attempt{}, map[*fakeTransport]bool{}
 		drop := func(i int) { out = append(out[:i], out[i+1:]...) }
 		wrote := func(id string) (on []*fakeTransport) {
-			for _, l := range *lines {
+			for _, l := range *transports {
 				if strings.Contains(l.Wrote.String(), id) {
 					on = append(on, l)
 				}
@@ -126,7 +126,7 @@
 				p.StartAttempt(1, a, newRequest(id(a)), time.Second)
 				out = append(out, a)
 			},
-			"again": func(t *rapid.T) { // given up, and sent again to the same worker under the same id
+			"again": func(t *rapid.T) { // cancelled, and sent again to the same worker under the same id
 				if len(out) == 0 {
 					return
 				}
@@ -135,8 +135,8 @@
 				if len(s.outcomes[a]) > 0 {
 					return
 				}
-				late := map[*fakeTransport]bool{} // connections on which an answer to an earlier attempt is due
-				for _, l := range *lines {
+				late := map[*fakeTransport]bool{} // connections on which a response to an earlier attempt is due
+				for _, l := range *transports {
 					late[l] = runs(l, id(a)) > answered[l][id(a)]
 				}
 				p.CancelAttempt(1, a)
@@ -144,7 +144,7 @@
 				b := router.Attempt{Request: a.Request, Number: a.Number + 1}
 				p.StartAttempt(1, b, newRequest(id(b)), time.Second)
 				out = append(out, b)
-				for _, l := range *lines {
+				for _, l := range *transports {
 					if late[l] && !l.HasClosed {
 						if answered[l] == nil {
 							answered[l] = map[string]int{}
@@ -158,7 +158,7 @@
 				}
 			},
 			"dial": func(t *rapid.T) {
-				for _, l := range *lines {
+				for _, l := range *transports {
 					if !up[l] && !l.HasClosed {
 						up[l] = true
 						if rapid.Bool().Draw(t, "fails") {
@@ -172,7 +172,7 @@
 				}
 			},
 			"reset": func(t *rapid.T) {
-				for _, l := range *lines {
+				for _, l := range *transports {
 					if up[l] && !l.HasClosed {
 						l.HasClosed = true
 						l.handler.Closed(errors.New("reset"))
@@ -190,7 +190,7 @@
 				p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
 			},
 			"": func(t *rapid.T) {
-				for _, l := range *lines {
+				for _, l := range *transports {
 					if text := l.Wrote.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
 						t.Fatalf("gave up what was never sent: %q", text)
 					}
@@ -210,24 +210,24 @@
 
 // Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
 func TestOrderBehindADialIsNotSentToADrainingWorker(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	p.Load(1, 5, 1, 9)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
-	(*lines)[0].handler.DialCompleted(nil)
-	if got := (*lines)[0].Wrote.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
+	(*transports)[0].handler.DialCompleted(nil)
+	if got := (*transports)[0].Wrote.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
 		t.Errorf("wrote %q, ended %v", got, s.commandOutcomes[9])
 	}
 }
 
 // Guards against a worker that took over the address of one that has gone.
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
-	p, _, lines := newPool()
+	p, _, transports := newPool()
 	p.CheckHealth(1, 1)
 	p.RetainWorkers(map[policy.WorkerID]bool{2: true})
 	p.SetWorker(2, tcp4("127.0.0.1:1"), policy.Ready)
 	p.StartAttempt(2, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-	if len(*lines) != 2 {
-		t.Errorf("%d connections", len(*lines))
+	if len(*transports) != 2 {
+		t.Errorf("%d connections", len(*transports))
 	}
 }
 
@@ -236,8 +236,8 @@
 }
 
 // transportsWithRun tells on which connections an id was sent.
-func transportsWithRun(lines []*fakeTransport, id string) (on []int) {
-	for i, l := range lines {
+func transportsWithRun(transports []*fakeTransport, id string) (on []int) {
+	for i, l := range transports {
 		if strings.Contains(l.Wrote.String(), "RUN\r\n$16\r\n"+id) {
 			on = append(on, i)
 		}
@@ -245,25 +245,25 @@
 	return on
 }
 
-// Guards against a second copy of an answer: of a miss, say, which would have the next attempt of the
+// Guards against a second copy of a response: of a miss, say, which would have the next attempt of the
 // same request count as one that never ran, and an order be sent once more.
 func TestSecondCopyEndsNoLaterAttempt(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	const id = "0123456789abcdef"
 	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
 	p.StartAttempt(1, first, newRequest(id), time.Second)
-	l := (*lines)[0]
+	l := (*transports)[0]
 	l.handler.DialCompleted(nil)
 	l.handler.Data(encodeResponse(id, "NONE", ""))
 	p.StartAttempt(1, second, newRequest(id), time.Second)
 	l.handler.Data(encodeResponse(id, "NONE", ""))
 	l.handler.Data(encodeResponse("unknown", "HIT", "ahead"))
-	if len(s.outcomes[second]) != 0 || l.HasClosed || len(*lines) != 2 {
-		t.Fatalf("second attempt ended %v on %d connections", s.outcomes[second], len(*lines))
+	if len(s.outcomes[second]) != 0 || l.HasClosed || len(*transports) != 2 {
+		t.Fatalf("second attempt ended %v on %d connections", s.outcomes[second], len(*transports))
 	}
-	(*lines)[1].handler.DialCompleted(nil)
-	(*lines)[1].handler.Data(encodeResponse(id, "HIT", "done"))
-	if len(s.outcomes[second]) != 1 || string(s.results[second].Body) != "done" || len(transportsWithRun(*lines, id)) != 2 {
+	(*transports)[1].handler.DialCompleted(nil)
+	(*transports)[1].handler.Data(encodeResponse(id, "HIT", "done"))
+	if len(s.outcomes[second]) != 1 || string(s.results[second].Body) != "done" || len(transportsWithRun(*transports, id)) != 2 {
 		t.Errorf("second attempt ended %v with %q", s.outcomes[second], s.results[second].Body)
 	}
 	for now := time.Duration(0); now <= 3*idHistoryPeriod; now += MaintenanceInterval {
@@ -276,20 +276,20 @@
 	}
 }
 
-// Guards against a flood of takebacks: the ids that a connection remembers are bounded, and one that is
-// full gives way to another without a reset for the calls that are open on it.
+// Guards against a flood of cancelled requests: the ids that a connection remembers are bounded, and one that is
+// full gives way to another without a reset for the requests that are open on it.
 func TestTakebacksCostNobodyElseAConnection(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	stays := router.Attempt{Request: 9999}
 	p.StartAttempt(1, stays, newRequest("00000000000000ff"), time.Second)
-	(*lines)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.DialCompleted(nil)
 	for i := range maxRememberedIDs + 10 {
 		a := router.Attempt{Request: policy.RequestID(i)}
 		p.StartAttempt(1, a, newRequest(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
 		p.CancelAttempt(1, a)
 	}
-	if (*lines)[0].HasClosed || len(s.outcomes[stays]) != 0 || len(*lines) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", (*lines)[0].HasClosed, s.outcomes[stays], len(*lines))
+	if (*transports)[0].HasClosed || len(s.outcomes[stays]) != 0 || len(*transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", (*transports)[0].HasClosed, s.outcomes[stays], len(*transports))
 	}
 	if n := len(p.workers[1].connections[0].recentIDs.current); n != maxRememberedIDs {
 		t.Errorf("%d ids are remembered", n)
@@ -301,12 +301,12 @@
 // connections, for that is for the module to judge.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	for _, well := range []bool{true, false} {
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		now := time.Hour
 		p.Maintain(now)
 		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
 		p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
-		(*lines)[0].handler.DialCompleted(nil)
+		(*transports)[0].handler.DialCompleted(nil)
 		pass := func(d time.Duration) {
 			for end := now + d; now < end; {
 				now += MaintenanceInterval
@@ -314,46 +314,46 @@
 			}
 		}
 		pass(minSilenceBeforePing + MaintenanceInterval)
-		if got := (*lines)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
+		if got := (*transports)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
 		pass(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
-		if on := transportsWithRun(*lines, "00000000000000b2"); len(*lines) != 2 || len(on) != 0 {
-			t.Fatalf("a silent connection was chosen, of %d", len(*lines))
+		if on := transportsWithRun(*transports, "00000000000000b2"); len(*transports) != 2 || len(on) != 0 {
+			t.Fatalf("a silent connection was chosen, of %d", len(*transports))
 		}
-		(*lines)[1].handler.DialCompleted(nil)
+		(*transports)[1].handler.DialCompleted(nil)
 		if pass(MaintenanceInterval); well {
-			(*lines)[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
+			(*transports)[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
-		if (*lines)[0].HasClosed {
+		if (*transports)[0].HasClosed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
 		pass(pingTimeout + MaintenanceInterval)
-		if (*lines)[0].HasClosed != well {
-			t.Errorf("worker well: %v, silent connection closed: %v", well, (*lines)[0].HasClosed)
+		if (*transports)[0].HasClosed != well {
+			t.Errorf("worker well: %v, silent connection closed: %v", well, (*transports)[0].HasClosed)
 		}
-		if (*lines)[0].handler.Closed(nil); len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.ConnectionReset {
+		if (*transports)[0].handler.Closed(nil); len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.ConnectionReset {
 			t.Errorf("ended %v", s.outcomes[a])
 		}
 	}
-	p, _, lines := newPool() // a sign of life makes it good again
+	p, _, transports := newPool() // a response to a ping makes it good again
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("00000000000000a1"), time.Second)
-	(*lines)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.DialCompleted(nil)
 	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
-	(*lines)[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(*lines) != 1 || (*lines)[0].HasClosed {
+	(*transports)[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
+	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(*transports) != 1 || (*transports)[0].HasClosed {
 		t.Error("a connection that answered was left")
 	}
 }
 
-// Guards against an answer that stops short on an open connection: no more bytes, or a few now and then
+// Guards against a response that stops short on an open connection: no more bytes, or a few now and then
 // that never make it whole.
 func TestAnswerThatStopsShortIsNotWaitedFor(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
-	l := (*lines)[0]
+	l := (*transports)[0]
 	l.handler.DialCompleted(nil)
 	whole := encodeResponse("00000000000000a1", "HIT", strings.Repeat("x", 1000))
 	for i := range int(partialResponseTimeout/MaintenanceInterval) + 2 {
@@ -370,21 +370,21 @@
 		t.Errorf("ended %v by what came after the close", s.outcomes[a])
 	}
 	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second)
-	if len(*lines) != 2 {
+	if len(*transports) != 2 {
 		t.Error("a call went to a connection that we closed")
 	}
 }
 
-// Guards against copying the beginning of an answer anew for each of its bytes.
+// Guards against copying the beginning of a response anew for each of its bytes.
 func TestBeginningOfAnAnswerIsNotCopiedOver(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
-	(*lines)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.DialCompleted(nil)
 	whole := encodeResponse("00000000000000a1", "HIT", strings.Repeat("x", maxBulkString-64))
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
-			(*lines)[0].handler.Data(whole[i : i+1])
+			(*transports)[0].handler.Data(whole[i : i+1])
 		}
 	})
 	if len(s.outcomes[a]) != 1 || allocs > 60 {
@@ -392,7 +392,7 @@
 	}
 }
 
-// Guards workers that are well against connections that break under a probe: it goes over another one, so
+// Guards workers that are well against connections that break under a health check: it goes over another one, so
 // that only a worker that refuses, or breaks them all, counts as having failed it.
 func TestProbeOutlivesItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -407,44 +407,44 @@
 		"died":   {1, func(l *fakeTransport) { l.handler.DialCompleted(errors.New("refused")) }, policy.Unreachable},
 		"breaks": {maxHealthCheckResends, func(l *fakeTransport) { l.handler.DialCompleted(nil); l.handler.Closed(errors.New("reset")) }, policy.ConnectionReset},
 	} {
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		p.CheckHealth(1, 7)
 		for i := range c.resets {
-			(*lines)[i].handler.DialCompleted(nil)
-			if (*lines)[i].handler.Closed(errors.New("reset")); len(s.commandOutcomes[7]) != 0 || len(*lines) != i+2 {
-				t.Fatalf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*lines))
+			(*transports)[i].handler.DialCompleted(nil)
+			if (*transports)[i].handler.Closed(errors.New("reset")); len(s.commandOutcomes[7]) != 0 || len(*transports) != i+2 {
+				t.Fatalf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*transports))
 			}
 		}
-		c.last((*lines)[c.resets])
-		if len(s.commandOutcomes[7]) != 1 || s.commandOutcomes[7][0] != c.want || len(*lines) != c.resets+1 {
-			t.Errorf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*lines))
+		c.last((*transports)[c.resets])
+		if len(s.commandOutcomes[7]) != 1 || s.commandOutcomes[7][0] != c.want || len(*transports) != c.resets+1 {
+			t.Errorf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*transports))
 		}
 	}
 }
 
 // Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	p.cfg.MaxConnections = 3
 	for w := range policy.WorkerID(5) {
 		p.SetWorker(w+1, tcp4(fmt.Sprintf("127.0.0.1:%d", w+1)), policy.Ready)
 		p.StartAttempt(w+1, router.Attempt{Request: policy.RequestID(w)}, newRequest(fmt.Sprintf("%016x", w)), time.Second)
 	}
-	if len(*lines) != 3 || s.outcomes[router.Attempt{Request: 4}][0] != policy.Unreachable {
-		t.Fatalf("%d connections, ended %v", len(*lines), s.outcomes)
+	if len(*transports) != 3 || s.outcomes[router.Attempt{Request: 4}][0] != policy.Unreachable {
+		t.Fatalf("%d connections, ended %v", len(*transports), s.outcomes)
 	}
-	(*lines)[0].handler.DialCompleted(nil)
-	(*lines)[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
+	(*transports)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
 	p.StartAttempt(5, router.Attempt{Request: 9}, newRequest("00000000000000ff"), time.Second)
-	if len(*lines) != 4 || !(*lines)[0].HasClosed {
-		t.Errorf("%d connections, idle one closed: %v", len(*lines), (*lines)[0].HasClosed)
+	if len(*transports) != 4 || !(*transports)[0].HasClosed {
+		t.Errorf("%d connections, idle one closed: %v", len(*transports), (*transports)[0].HasClosed)
 	}
 }
 
 // Guards the long day: generations of workers come and go, some at an address that was another's, and
 // nothing about those that are gone stays.
 func TestNothingStaysOfGoneWorkers(t *testing.T) {
-	p, _, lines := newPool()
+	p, _, transports := newPool()
 	now := time.Duration(0)
 	for g := range 200 {
 		w := policy.WorkerID(g + 2)
@@ -453,7 +453,7 @@
 		a := router.Attempt{Request: policy.RequestID(g)}
 		p.StartAttempt(w, a, newRequest(fmt.Sprintf("%016x", g)), time.Second)
 		p.Load(w, 7, 1, uint64(g))
-		l := (*lines)[len(*lines)-1]
+		l := (*transports)[len(*transports)-1]
 		if l.handler.DialCompleted(nil); g%2 == 0 {
 			l.handler.Data(encodeResponse(fmt.Sprintf("%016x", g), "HIT", ""))
 		} else {
@@ -464,7 +464,7 @@
 		for range 3 {
 			now += MaintenanceInterval
 			p.Maintain(now)
-			for _, l := range *lines {
+			for _, l := range *transports {
 				if l.HasClosed && l.handler != nil {
 					l.handler.Closed(nil)
 					l.handler = nil
@@ -478,23 +478,23 @@
 }
 
 // Guards a busy worker: a connection that has as many ids to remember as it may gives its place to a fresh one, so
-// that thousands of calls a second go on over a bounded number of connections.
+// that thousands of requests a second go on over a bounded number of connections.
 func TestFullConnectionsGiveTheirPlace(t *testing.T) {
-	p, s, lines := newPool()
+	p, s, transports := newPool()
 	p.cfg.MaxCallsPerConnection = 32
 	now, n := time.Hour, 0
-	for range 600 { // 30 s at 2,000 calls/s
+	for range 600 { // 30 s at 2,000 requests/s
 		for range 100 {
 			n++
 			id := fmt.Sprintf("%016x", n)
 			a := router.Attempt{Request: policy.RequestID(n)}
 			p.StartAttempt(1, a, newRequest(id), time.Second)
-			for _, l := range *lines {
+			for _, l := range *transports {
 				if l.handler != nil && l.Wrote.Len() == 0 && !l.HasClosed {
 					l.handler.DialCompleted(nil)
 				}
 			}
-			for _, l := range *lines {
+			for _, l := range *transports {
 				if l.handler != nil && !l.HasClosed && strings.Contains(l.Wrote.String(), id) {
 					l.handler.Data(encodeResponse(id, "HIT", ""))
 					l.Wrote.Reset()
@@ -507,7 +507,7 @@
 		}
 		now += MaintenanceInterval
 		p.Maintain(now)
-		for _, l := range *lines {
+		for _, l := range *transports {
 			if l.HasClosed && l.handler != nil {
 				l.handler.Closed(nil)
 				l.handler = nil
--- a/internal/workerclient/fields_test.go
+++ b/internal/workerclient/response_test.go
@@ -13,30 +13,30 @@
 // The idempotency key goes to the worker as it came, and no field of that name where there is none.
 func TestIdempotencyKeysGoToTheWorker(t *testing.T) {
 	for _, once := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		r := newRequest("0123456789abcdef")
 		r.IdempotencyKey = once
 		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
-		(*lines)[0].handler.DialCompleted(nil)
-		got := (*lines)[0].Wrote.String()
+		(*transports)[0].handler.DialCompleted(nil)
+		got := (*transports)[0].Wrote.String()
 		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
 			t.Errorf("key %q: wrote %q", once, got)
 		}
 	}
 }
 
-// A crowd is read from whatever answer holds it. One that can't be true is passed over: the answer, which is good,
-// ends its call, and the connection goes on.
+// A crowd is read from whatever response holds it. One that can't be true is passed over: the response, which is good,
+// ends its request, and the connection goes on.
 func TestCrowdsAreReadOrPassedOver(t *testing.T) {
 	for fields, want := range map[string]int{
 		"detail=hot,crowd=3": 3, "crowd=0": 0, "-": 0, "detail=hot": 0, "crowd=1048576": 1 << 20,
 		"crowd=-1": 0, "crowd=": 0, "crowd=many": 0, "crowd=1.5": 0, "crowd=99999999999999999999": 0, "crowd=1048577": 0,
 	} {
 		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
-			p, s, lines := newPool()
+			p, s, transports := newPool()
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
-			l := (*lines)[0]
+			l := (*transports)[0]
 			l.handler.DialCompleted(nil)
 			l.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
 			if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != o || s.results[a].Concurrency != want || l.HasClosed {
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -11,12 +11,12 @@
 	"crankhold/policy"
 )
 
-// Guards the sum over a fleet of routers: each sends a worker a call now and then, of a length that varies as
-// calls' lengths do, over connections that carry hardly more than one at a time. Signs of life, which
-// are paid for like probes, were asked for with each call that took longer than 150 ms.
+// Guards the sum over a fleet of routers: each sends a worker a request now and then, of a length that varies as
+// requests' lengths do, over connections that carry hardly more than one at a time. Keepalive pings, which
+// are paid for like health checks, were sent with each request that took longer than 150 ms.
 func TestThinTrafficAsksForFewSignsOfLife(t *testing.T) {
 	const routers, calls = 20, 300
-	for _, misses := range []int{0, 1, 3} { // a call that is answered at once between two that run, as a miss is
+	for _, misses := range []int{0, 1, 3} { // a request that has its response at once between two that run, as a miss is
 		thinTraffic(t, routers, calls, misses)
 	}
 }
@@ -25,7 +25,7 @@
 	pings, last := uint64(0), 0
 	for seed := range routers {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		p.silence.peak = 500 * time.Millisecond
 		now, asked := time.Hour, uint64(0)
 		for n := range calls {
@@ -37,22 +37,22 @@
 				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, newRequest(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
-				(*lines)[0].handler.Data(encodeResponse(id, "NONE", ""))
+				(*transports)[0].handler.Data(encodeResponse(id, "NONE", ""))
 			}
 			id, a := fmt.Sprintf("%016x", n+1), router.Attempt{Request: policy.RequestID(n + 1)}
 			p.StartAttempt(1, a, newRequest(id), 3*time.Second)
 			if n == 0 {
-				(*lines)[0].handler.DialCompleted(nil)
+				(*transports)[0].handler.DialCompleted(nil)
 			}
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
 				if p.Counters.Pings > asked { // the worker is well
 					asked = p.Counters.Pings
-					(*lines)[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
+					(*transports)[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
-			(*lines)[0].handler.Data(encodeResponse(id, "HIT", ""))
+			(*transports)[0].handler.Data(encodeResponse(id, "HIT", ""))
 			if len(s.outcomes[a]) != 1 {
 				t.Fatalf("call %d ended %v", n, s.outcomes[a])
 			}
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards what signs of life are for: where answers come close on each other, a connection that falls silent is
-// asked after minSilenceBeforePing as before; and one that carries few calls is asked in the end too.
+// Guards what keepalive pings are for: where responses come close on each other, a connection that falls silent is
+// pinged after minSilenceBeforePing as before; and one that carries few requests is pinged in the end too.
 func TestSilenceIsNoticedByWhatIsUsual(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -75,18 +75,18 @@
 		{"dense", 5 * time.Millisecond, minSilenceBeforePing, minSilenceBeforePing + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
 	} {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		now := time.Hour
 		for n := range 100 {
 			id := fmt.Sprintf("%016x", n+1)
 			p.SetNow(now)
 			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, newRequest(id), time.Second)
 			if n == 0 {
-				(*lines)[0].handler.DialCompleted(nil)
+				(*transports)[0].handler.DialCompleted(nil)
 			}
 			now += c.usual
 			p.SetNow(now)
-			(*lines)[0].handler.Data(encodeResponse(id, "HIT", ""))
+			(*transports)[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
 		asked, began := p.Counters.Pings, now
 		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -11,18 +11,18 @@
 	"crankhold/internal/router"
 )
 
-// Guards clients that leave while their call waits for a connection: what is taken back is not written when the dial
-// comes up, nor moved to the next connection, and nobody is told of its end. What was written can't be taken back.
+// Guards clients that leave while their request waits for a connection: what is withdrawn is not written when the dial
+// comes up, nor moved to the next connection, and nobody is told of its end. What was written can't be withdrawn.
 func TestACallBehindADialIsTakenBack(t *testing.T) {
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
-		p, s, lines := newPool()
+		p, s, transports := newPool()
 		gone, stays := router.Attempt{Request: 1}, router.Attempt{Request: 2}
 		p.StartAttempt(1, gone, newRequest("0123456789abcdef"), time.Second)
 		p.StartAttempt(1, stays, newRequest("fedcba9876543210"), time.Second)
 		if !p.WithdrawUnsent(1, gone) || p.WithdrawUnsent(1, gone) {
 			t.Fatalf("%s: not taken back once", end)
 		}
-		l := (*lines)[0]
+		l := (*transports)[0]
 		switch end {
 		case "comes up":
 			l.handler.DialCompleted(nil)
@@ -35,9 +35,9 @@
 			l.handler.DialCompleted(nil)
 			l.Unsent = l.Wrote.Len() // none of it left
 			l.handler.Closed(errors.New("reset"))
-			(*lines)[1].handler.DialCompleted(nil)
+			(*transports)[1].handler.DialCompleted(nil)
 		}
-		for _, l := range *lines {
+		for _, l := range *transports {
 			if strings.Contains(l.Wrote.String(), "0123456789abcdef") {
 				t.Errorf("%s: written all the same: %q", end, l.Wrote.String())
 			}
@@ -45,28 +45,28 @@
 		if len(s.outcomes[gone]) != 0 {
 			t.Errorf("%s: ended as %v", end, s.outcomes[gone])
 		}
-		if sent := strings.Contains((*lines)[len(*lines)-1].Wrote.String(), "fedcba9876543210"); sent == (end == "fails") {
+		if sent := strings.Contains((*transports)[len(*transports)-1].Wrote.String(), "fedcba9876543210"); sent == (end == "fails") {
 			t.Errorf("%s: the other call was sent: %v", end, sent)
 		}
 	}
 }
 
-// Guards workers that may not be told of calls that are given up: they are not, and the id is not used again there.
+// Guards workers that may not be told of requests that are cancelled: they are not, and the id is not used again there.
 func TestNoWorkerIsToldOfAnEndWhereItMayNot(t *testing.T) {
 	for _, may := range []bool{true, false} {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		p.cfg.CancelSupported = may
 		a := router.Attempt{Request: 1}
 		p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
-		l := (*lines)[0]
+		l := (*transports)[0]
 		l.handler.DialCompleted(nil)
 		p.CancelAttempt(1, a)
 		if told := strings.Contains(l.Wrote.String(), "STOP\r\n"); told != may {
 			t.Errorf("may %v, told %v", may, told)
 		}
 		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
-		if n := strings.Count(l.Wrote.String(), "RUN\r\n"); n != 1 || len(*lines) != 2 {
-			t.Errorf("the id went %d times over one connection of %d", n, len(*lines))
+		if n := strings.Count(l.Wrote.String(), "RUN\r\n"); n != 1 || len(*transports) != 2 {
+			t.Errorf("the id went %d times over one connection of %d", n, len(*transports))
 		}
 	}
 }
@@ -74,31 +74,31 @@
 // A worker that can't be dialled because no descriptor is left here is no worse for it.
 func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-		(*lines)[0].handler.DialCompleted(err)
+		(*transports)[0].handler.DialCompleted(err)
 		if down := p.workers[1].addresses.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
 		}
 	}
 }
 
-// Guards other calls against an answer that has begun and does not go on: what comes then goes over another connection,
+// Guards other requests against a response that has begun and does not go on: what comes then goes over another connection,
 // while one that is only in parts for a moment is used on.
 func TestAnAnswerThatHaltsTakesNoOtherCallWithIt(t *testing.T) {
 	for _, tt := range []struct {
-		after time.Duration
-		lines int
+		after      time.Duration
+		transports int
 	}{{minSilenceBeforePing, 1}, {minSilenceBeforePing + time.Millisecond, 2}} {
-		p, _, lines := newPool()
+		p, _, transports := newPool()
 		p.SetNow(time.Hour)
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-		(*lines)[0].handler.DialCompleted(nil)
-		(*lines)[0].handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
+		(*transports)[0].handler.DialCompleted(nil)
+		(*transports)[0].handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
 		p.SetNow(time.Hour + tt.after)
 		p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("fedcba9876543210"), time.Second)
-		if len(*lines) != tt.lines {
-			t.Errorf("%v after an answer halted: %d connections", tt.after, len(*lines))
+		if len(*transports) != tt.transports {
+			t.Errorf("%v after an answer halted: %d connections", tt.after, len(*transports))
 		}
 	}
 }
