--- a/internal/server/cuts_test.go
+++ b/internal/server/cuts_test.go
@@ -11,19 +11,21 @@
 	"crankhold/internal/fake"
 )
 
-// cutter is a worker that does to the first whole RUN of each call what it is told, and serves what comes later.
-type cutter struct {
-	mu   sync.Mutex
-	runs map[string]int // whole ones that came, by id
-	does func(c *net.TCPConn, id string)
-	part int // above 0: so many bytes of the first RUN on a connection are read, and the connection is reset
+// faultyWorker does to the first RUN of each request what a test injects, and serves the later ones.
+type faultyWorker struct {
+	mu      sync.Mutex
+	runs    map[string]int // RUN commands that were read whole, by id
+	inject  func(c *net.TCPConn, id string)
+	partial int // if above 0, the next connection is reset after this many bytes have been read
 }
 
-func answerTo(id string) string {
+// responseTo is the response of a loaded function to the request of that id.
+func responseTo(id string) string {
 	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$3\r\nHIT\r\n$10\r\ndetail=hot\r\n$4\r\ndone\r\n", len(id), id)
 }
 
-func (w *cutter) listen(t *testing.T) string {
+func (w *faultyWorker) listen(t *testing.T) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +43,15 @@
 	return ln.Addr().String()
 }
 
-func (w *cutter) serve(c *net.TCPConn) {
+func (w *faultyWorker) serve(c *net.TCPConn) {
 	defer c.Close()
 	w.mu.Lock()
-	part := w.part
-	w.part = 0
+	partial := w.partial
+	w.partial = 0
 	w.mu.Unlock()
-	if part > 0 {
+	if partial > 0 {
 		c.SetLinger(0)
-		for b := make([]byte, 1); part > 0; part-- {
+		for b := make([]byte, 1); partial > 0; partial-- {
 			if _, err := c.Read(b); err != nil {
 				return
 			}
@@ -65,12 +67,13 @@
 		case "RUN":
 			w.mu.Lock()
 			w.runs[words[1]]++
-			first, does := w.runs[words[1]] == 1, w.does
+			first := w.runs[words[1]] == 1
+			inject := w.inject
 			w.mu.Unlock()
-			if first && does != nil {
-				does(c, words[1])
+			if first && inject != nil {
+				inject(c, words[1])
 			} else {
-				fmt.Fprint(c, answerTo(words[1]))
+				fmt.Fprint(c, responseTo(words[1]))
 			}
 		case "HOLD":
 			fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$3\r\nHIT\r\n$7\r\ncount=1\r\n$0\r\n\r\n", len(words[1]), words[1])
@@ -80,14 +83,14 @@
 	}
 }
 
-// From socket to socket: whatever a worker's connection does to a call, at whichever byte, its client gets one answer; what
-// may be repeated is served elsewhere, what must not runs once at the most, and an answer that came whole counts though
-// the connection ends behind it.
+// From socket to socket: wherever a worker's connection breaks, the client gets exactly one response. An idempotent request is
+// served by a retry, one that is not idempotent runs at most once, and a response that came whole counts although the
+// connection ended after it.
 func TestConnectionsThatEndAtAnyByte(t *testing.T) {
-	whole := len(answerTo("0000000000000001"))
+	whole := len(responseTo("0000000000000001"))
 	cut := func(at int, end func(*net.TCPConn)) func(*net.TCPConn, string) {
 		return func(c *net.TCPConn, id string) {
-			c.Write([]byte(answerTo(id)[:at]))
+			c.Write([]byte(responseTo(id)[:at]))
 			end(c)
 		}
 	}
@@ -96,10 +99,10 @@
 	reset := func(c *net.TCPConn) { c.SetLinger(0); c.Close() }
 	stays := func(*net.TCPConn) {}
 	type fault struct {
-		name string
-		part int
-		does func(*net.TCPConn, string)
-		kept bool // the first answer counts
+		name    string
+		partial int
+		inject  func(*net.TCPConn, string)
+		counts  bool // the first response counts
 	}
 	faults := []fault{
 		{"half a call is read, then a reset", 40, nil, false},
@@ -107,15 +110,15 @@
 		{"a whole answer, then a half-close", 0, cut(whole, half), true},
 		{"a whole answer a byte at a time", 0, func(c *net.TCPConn, id string) {
 			c.SetNoDelay(true)
-			for _, b := range []byte(answerTo(id)) {
+			for _, b := range []byte(responseTo(id)) {
 				c.Write([]byte{b})
 			}
 		}, true},
-		{"a whole answer twice", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, answerTo(id), answerTo(id)) }, true},
-		{"a whole answer behind one to nobody", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, answerTo("00000000000000ff"), answerTo(id)) }, true},
-		{"a whole answer, then nonsense", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, answerTo(id), "*-4\r\n") }, true},
+		{"a whole answer twice", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, responseTo(id), responseTo(id)) }, true},
+		{"a whole answer behind one to nobody", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, responseTo("00000000000000ff"), responseTo(id)) }, true},
+		{"a whole answer, then nonsense", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, responseTo(id), "*-4\r\n") }, true},
 		{"nonsense", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, "+OK\r\n") }, false},
-		{"an answer of a word that there is not", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, strings.Replace(answerTo(id), "HIT", "HAT", 1)) }, false},
+		{"an answer of a word that there is not", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, strings.Replace(responseTo(id), "HIT", "HAT", 1)) }, false},
 	}
 	for _, at := range []int{0, 1, 4, 20, whole / 2, whole - 3, whole - 1} {
 		faults = append(faults, fault{fmt.Sprintf("%d bytes of an answer, then a close", at), 0, cut(at, closed), false},
@@ -124,7 +127,7 @@
 	}
 	faults = append(faults, fault{"an answer that does not go on", 0, cut(whole/2, stays), false})
 
-	w := &cutter{runs: map[string]int{}}
+	w := &faultyWorker{runs: map[string]int{}}
 	_, _, document := siteFor(t, 2, nil)
 	for _, member := range firstTopology(document)["members"].([]any) {
 		member.(map[string]any)["host_port"] = w.listen(t)
@@ -144,24 +147,25 @@
 		defer w.mu.Unlock()
 		return a, w.runs[call.ID]
 	}
-	set := func(part int, does func(*net.TCPConn, string)) {
+	set := func(partial int, inject func(*net.TCPConn, string)) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.part, w.does = part, does
+		w.partial = partial
+		w.inject = inject
 	}
 	for _, f := range faults {
 		for _, class := range []string{"dim-level", "repair-order"} {
-			set(f.part, f.does)
+			set(f.partial, f.inject)
 			a, runs := do(class)
-			served := f.kept || class == "dim-level"
+			served := f.counts || class == "dim-level"
 			switch {
-			case f.part > 0 && class == "repair-order": // it may go on over a connection that stands, or be cut itself
+			case f.partial > 0 && class == "repair-order": // it may go on over a connection that stands, or be cut itself
 				if runs > 1 {
 					t.Errorf("%s, %s: ran %d times", f.name, class, runs)
 				}
 			case served && (a.Verdict != "served" || string(a.Body) != "done"), !served && a.Verdict != "failed":
 				t.Errorf("%s, %s: %s %q after %d runs", f.name, class, a.Verdict, a.Body, runs)
-			case (f.kept || class == "repair-order") && runs != 1:
+			case (f.counts || class == "repair-order") && runs != 1:
 				t.Errorf("%s, %s: ran %d times", f.name, class, runs)
 			}
 			set(0, nil)
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -24,34 +24,36 @@
 // deployment is one operator's. A further one is a further row, with its settings under testdata/deployments.
 type deployment struct {
 	name    string
-	want    told
+	want    expectedPolicy
 	tenant  string // one of its tenants; "" where it has none
 	reports string // a load report of the fields that its settings name
 }
 
-// told is what the module is to be told of settings, as far as deployments differ.
-type told struct {
-	Repeats        []policy.Idempotency
-	Tenants        []float64
-	Attempts       int
-	Second, Misses bool
-	Crowds         bool
-	Grace, After   time.Duration
-	Fall           float64
-	Fields         []string
-	MemoryPrice    float64
-	MemoryMB       float64
+// expectedPolicy is what the policy must be configured with, as far as deployments differ.
+type expectedPolicy struct {
+	Idempotency         []policy.Idempotency
+	TenantRates         []float64
+	MaxAttempts         int
+	HedgingAllowed      bool
+	MissWhenNotLoaded   bool
+	ConcurrencyReported bool
+	DrainGracePeriod    time.Duration
+	MaxRetryAfter       time.Duration
+	OverloadMultiple    float64
+	LoadReportFields    []string
+	MemoryPrice         float64
+	MemoryMB            float64
 }
 
 var deployments = []deployment{
-	{"lanternfield", told{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 3, true, true, false,
+	{"lanternfield", expectedPolicy{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 3, true, true, false,
 		time.Second, time.Second, 2, []string{"inflight"}, 0.05, 8928}, "", "inflight:3"},
-	{"derwent", told{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{308, 70, 62}, 5, false, false, true,
+	{"derwent", expectedPolicy{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{308, 70, 62}, 5, false, false, true,
 		500 * time.Millisecond, 500 * time.Millisecond, 4, []string{"util", "queue", "x1", "x0"}, 0.15, 7904},
 		"launceston", "util:0.5;queue:1;x1:0;x0:0.2"},
-	{"skerry-tides", told{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{186, 99, 15}, 2, false, false, true,
+	{"skerry-tides", expectedPolicy{[]policy.Idempotency{policy.Idempotent, policy.IdempotentWithKey, policy.NotIdempotent}, []float64{186, 99, 15}, 2, false, false, true,
 		600 * time.Millisecond, 800 * time.Millisecond, 1.5, []string{"queue", "x0"}, 0.2, 16384}, "islets", "queue:2;x0:0.3"},
-	{"lockgate", told{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 4, true, true, false,
+	{"lockgate", expectedPolicy{[]policy.Idempotency{policy.Idempotent, policy.Idempotent, policy.NotIdempotent}, nil, 4, true, true, false,
 		1500 * time.Millisecond, 400 * time.Millisecond, 3, []string{"inflight"}, 0.03, 12544}, "", "inflight:1"},
 }
 
@@ -68,25 +70,25 @@
 	return s
 }
 
-// plant is a router in this process between two workers that do as they are told.
-type plant struct {
+// scriptedDeployment is a server in this process with two workers whose responses a test scripts.
+type scriptedDeployment struct {
 	cfg     *config.Config
 	client  *fake.Client
 	mu      sync.Mutex
-	runs    []ran
-	out     map[string]int // attempts of a call that are out
-	doubled int            // calls of which two were
+	runs    []receivedRun
+	out     map[string]int // attempts of a request that are in flight
+	doubled int            // times that a request had two attempts in flight
 	script  func(n int) (word, fields string)
 }
 
-// ran is a RUN as a worker read it.
-type ran struct {
+// receivedRun is a RUN as a worker read it.
+type receivedRun struct {
 	ID, Body string
 	Fields   map[string]string
 }
 
-func startDeployment(t *testing.T, d deployment) *plant {
-	p := &plant{out: map[string]int{}}
+func startDeployment(t *testing.T, d deployment) *scriptedDeployment {
+	p := &scriptedDeployment{out: map[string]int{}}
 	var members []any
 	for i := range 2 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +99,7 @@
 		go p.accept(ln)
 		members = append(members, map[string]any{"id": fmt.Sprint("s-", i), "host_port": ln.Addr().String(), "phase": "Ready", "size": 1})
 	}
-	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a directory that never answers
+	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,41 +108,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(map[string]any{"name": "n1", "listen": listen, "seed": "8c1f30d27a5be964", "names": names.LocalAddr().String(),
+	server := startServer(t, map[string]any{"name": "n1", "listen": listen, "seed": "8c1f30d27a5be964", "names": names.LocalAddr().String(),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384},
 		"known":    map[string]any{"offset": 1, "batch": []any{map[string]any{"offset": 1, "topology": map[string]any{"complete": true, "members": members}}}},
-		"settings": d.settings(t)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if p.cfg, err = config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] }); err != nil {
+		"settings": d.settings(t)}, Options{})
+	p.client = server.dial()
+	if p.cfg, err = readConfig(server.path); err != nil {
 		t.Fatal(err)
 	}
-	stop, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- Serve(p.cfg, Options{Stop: stop}, nil) }()
-	for p.client == nil {
-		select {
-		case err := <-ended:
-			t.Fatal(err)
-		default:
-			p.client, _ = fake.Dial(listen)
-		}
-	}
-	t.Cleanup(func() {
-		p.client.Close()
-		close(stop)
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-	})
 	return p
 }
 
-func (p *plant) accept(ln net.Listener) {
+func (p *scriptedDeployment) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
@@ -150,7 +129,7 @@
 	}
 }
 
-func (p *plant) serve(c net.Conn) {
+func (p *scriptedDeployment) serve(c net.Conn) {
 	defer c.Close()
 	answer := func(words ...string) {
 		fmt.Fprintf(c, "*%d\r\n", len(words))
@@ -165,7 +144,7 @@
 		}
 		switch {
 		case len(words) == 4 && words[0] == "RUN":
-			r := ran{ID: words[1], Body: words[3], Fields: map[string]string{}}
+			r := receivedRun{ID: words[1], Body: words[3], Fields: map[string]string{}}
 			for pair := range strings.SplitSeq(words[2], ",") {
 				name, value, _ := strings.Cut(pair, "=")
 				r.Fields[name] = value
@@ -188,7 +167,7 @@
 }
 
 // call sends one and returns its answer with the runs that it took.
-func (p *plant) call(t *testing.T, k fake.Call, script func(n int) (word, fields string)) (fake.Answer, []ran) {
+func (p *scriptedDeployment) call(t *testing.T, k fake.Call, script func(n int) (word, fields string)) (fake.Answer, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
@@ -202,18 +181,18 @@
 	return a, p.runs
 }
 
-// What the settings say of a deployment reaches the module, whatever else they hold.
-func TestDeploymentsSettingsReachTheModule(t *testing.T) {
+// The settings of each deployment reach the policy's configuration, whatever other keys the file holds.
+func TestDeploymentsSettingsReachThePolicy(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			c := startDeployment(t, d).cfg.Policy
-			got := told{Attempts: c.MaxAttempts, Second: c.HedgingAllowed, Misses: c.MissWhenNotLoaded, Crowds: c.ConcurrencyReported, Grace: c.DrainGracePeriod,
-				After: c.MaxRetryAfter, Fall: c.OverloadMultiple, Fields: c.LoadReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
+			got := expectedPolicy{MaxAttempts: c.MaxAttempts, HedgingAllowed: c.HedgingAllowed, MissWhenNotLoaded: c.MissWhenNotLoaded, ConcurrencyReported: c.ConcurrencyReported, DrainGracePeriod: c.DrainGracePeriod,
+				MaxRetryAfter: c.MaxRetryAfter, OverloadMultiple: c.OverloadMultiple, LoadReportFields: c.LoadReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
 			for _, k := range c.Classes {
-				got.Repeats = append(got.Repeats, k.Idempotency)
+				got.Idempotency = append(got.Idempotency, k.Idempotency)
 			}
 			for _, a := range c.Tenants {
-				got.Tenants = append(got.Tenants, a.RequestsPerSecond)
+				got.TenantRates = append(got.TenantRates, a.RequestsPerSecond)
 			}
 			if diff := cmp.Diff(d.want, got); diff != "" {
 				t.Error(diff)
@@ -222,8 +201,9 @@
 	}
 }
 
-// From a client's socket to a worker's and back, each class of each deployment: what is passed on is what the client
-// sent, what never ran goes elsewhere under the same names, and what may have run is repeated as far as its class allows.
+// From a client's socket to a worker's and back, for each class of each deployment: a request is forwarded as the client sent
+// it, one that never ran is retried at another worker under the same id and key, and one that may have run is retried as far as
+// its class allows.
 func TestDeploymentsClassesFromSocketToSocket(t *testing.T) {
 	const once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, d := range deployments {
@@ -251,7 +231,7 @@
 					t.Errorf("class %d: budget %q", class, runs[0].Fields["budget"])
 				}
 				delete(runs[0].Fields, "budget")
-				want := ran{sent.ID, "lamp", map[string]string{"queue": sent.Class, "path": sent.Key}}
+				want := receivedRun{sent.ID, "lamp", map[string]string{"queue": sent.Class, "path": sent.Key}}
 				if sent.Once != "" {
 					want.Fields["uniq"] = sent.Once
 				}
@@ -291,8 +271,8 @@
 	}
 }
 
-// What is wrong with a field is answered as failed, reaches no worker and costs no other call its answer; odd fields of an
-// answer are passed over.
+// A request with an unusable field fails, reaches no worker and affects no other request; unusable fields of a response are
+// ignored.
 func TestDeploymentsBadFields(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -2,20 +2,17 @@
 
 import (
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
-	"crankhold/internal/config"
 	"crankhold/internal/fake"
 )
 
-// From socket to socket: calls go to the pools that a routes file names, also after a SIGHUP with another one;
-// one with faults leaves the old one in force; what no route takes is refused at once.
+// From socket to socket: requests go to the pools that a routes file names, also after a reload of another file. A file with
+// faults leaves the routes in force, and a request that no route matches is rejected at once.
 func TestServesByRoutesAndReloadsThem(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]string{}
@@ -44,37 +41,9 @@
 		return fmt.Sprintf("pool \"large\" { workers { kind = \"large\" } }\npool \"small\" { workers { kind = \"small\" } }\n"+
 			"route \"dims\" {\n\tclass = \"dim-level\"\n\tpool = %q\n}\nroute \"checks\" {\n\tclass = \"fault-check\"\n\tpool = %q\n}\n", dims, rest)
 	}
-	write := func(s string) {
-		if err := os.WriteFile(routes, []byte(s), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(text("large", "small"))
-	reread := make(chan bool, 1)
-	read := func() (*config.Config, error) {
-		return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": configPath}[name] })
-	}
-	c, err := read()
-	if err != nil {
-		t.Fatal(err)
-	}
-	stop, ended := make(chan struct{}), make(chan error, 1)
-	go func() {
-		ended <- Serve(c, Options{Routes: routes, Stop: stop}, func() (*config.Config, error) {
-			defer func() { reread <- true }()
-			return read()
-		})
-	}()
-	var client *fake.Client
-	for client == nil {
-		select {
-		case err := <-ended:
-			t.Fatal(err)
-		default:
-			client, _ = fake.Dial(listen)
-		}
-	}
-	defer client.Close()
+	writeText(t, routes, text("large", "small"))
+	server := startServerByFile(t, configPath, Options{Routes: routes})
+	client := server.dial()
 	n := 0
 	call := func(class string) (verdict, worker string) {
 		n++
@@ -87,17 +56,18 @@
 		defer mu.Unlock()
 		return a.Verdict, ran[id]
 	}
-	// reload returns once calls go where they should: the swap follows the reading by a turn.
+	// reload returns once requests go where they should: the routes are replaced a turn after they have been read.
 	reload := func(s, dims string) {
-		write(s)
-		syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
-		<-reread
+		writeText(t, routes, s)
+		if err := server.reload(); err != nil {
+			t.Fatal(err)
+		}
 		for range 1000 {
 			if _, w := call("dim-level"); w == dims {
 				return
 			}
 		}
-		t.Fatalf("calls don't go to %s after a reload", dims)
+		t.Fatalf("requests don't go to %s after a reload", dims)
 	}
 	expect := func(class, verdict, worker string) {
 		t.Helper()
@@ -112,8 +82,5 @@
 	expect("fault-check", "served", "s-1")
 	reload(strings.Replace(text("large", "small"), "kind", "kinds", 1), "s-2") // a fault: nothing changes
 	expect("fault-check", "served", "s-1")
-	close(stop)
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
+	server.drain()
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -14,15 +13,16 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/config"
+	"crankhold/internal/fake"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
-// worker answers each RUN with what it was sent, behind the word done, and counts them.
-func worker(t *testing.T) (addr string, runs chan string) {
+// echoWorker starts a worker that answers each RUN with the body that it was sent, behind the word done.
+func echoWorker(t *testing.T) (addr string, runs chan string) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	return ln.Addr().String(), runs
 }
 
-// readWords reads an array of bulk strings, as the router words them.
+// readWords reads a RESP array of bulk strings.
 func readWords(in *bufio.Reader) (words []string, err error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -75,8 +75,8 @@
 	return words, nil
 }
 
-// call writes one call by Thrift.
-func call(c net.Conn, seq uint32, id, body string) {
+// writeRequest writes one execute call by Thrift.
+func writeRequest(c net.Conn, seq uint32, id, body string) {
 	text := func(b []byte, s string) []byte { return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...) }
 	b := text([]byte{0, 0, 0, 0, 0x80, 1, 0, 1}, "execute")
 	b = append(binary.BigEndian.AppendUint32(b, seq), 13, 0, 1, 11, 11, 0, 0, 0, 4)
@@ -88,82 +88,56 @@
 	c.Write(b)
 }
 
-// From socket to socket: a call is answered, also after SIGHUP with a file that moves the directory, with
-// one that can't be used, and on an open connection after SIGTERM; the program then ends by itself and
-// without an error.
+// From socket to socket: a request is answered, also after a reload of a file that names another discovery server, after one of
+// a file that can't be used, and on an open connection after SIGTERM. Serve then returns by itself and without an error.
 func TestServesAndStops(t *testing.T) {
-	addr, runs := worker(t)
-	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a directory that never answers
+	addr, runs := echoWorker(t)
+	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer names.Close()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listen, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen := free.Addr().String()
-	free.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.NewReplacer("127.0.0.1:10080", listen, "127.0.0.1:1053", names.LocalAddr().String(), `"members":[]`,
 		fmt.Sprintf(`"members":[{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]`, addr)).Replace(goodConfig)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	read := func() (*config.Config, error) {
-		return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
-	}
-	cfg, err := read()
-	if err != nil {
-		t.Fatal(err)
-	}
-	ended := make(chan error, 1)
-	reread := make(chan error, 1)
-	go func() {
-		ended <- Serve(cfg, Options{}, func() (*config.Config, error) {
-			fresh, err := read()
-			reread <- err
-			return fresh, err
-		})
-	}()
-	moved, err := net.ListenPacket("udp", "127.0.0.1:0") // the directory at its next address
+	writeText(t, path, text)
+	server := startServerByFile(t, path, Options{})
+	moved, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server at its next address
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer moved.Close()
 	moved.SetDeadline(time.Now().Add(20 * time.Second))
-	hangUp := func(text string, wantErr bool) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
-		if err := <-reread; (err != nil) != wantErr {
+	reload := func(text string, wantErr bool) {
+		writeText(t, path, text)
+		if err := server.reload(); (err != nil) != wantErr {
 			t.Errorf("read again: %v", err)
 		}
 	}
-	var conn net.Conn
-	for conn == nil { // until it listens
-		select {
-		case err := <-ended:
-			t.Fatal(err)
-		default:
-			conn, _ = net.Dial("tcp", listen)
-		}
+	server.dial().Close() // it listens
+	conn, err := net.Dial("tcp", listen)
+	if err != nil {
+		t.Fatal(err)
 	}
+	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	for i, body := range []string{"before", "moved", "unread", "after"} {
 		switch body {
 		case "moved":
-			hangUp(strings.Replace(text, names.LocalAddr().String(), moved.LocalAddr().String(), 1), false)
+			reload(strings.Replace(text, names.LocalAddr().String(), moved.LocalAddr().String(), 1), false)
 			if _, _, err := moved.ReadFrom(make([]byte, 512)); err != nil {
-				t.Fatalf("the new directory was not asked: %v", err)
+				t.Fatalf("the new discovery server was not asked: %v", err)
 			}
 		case "unread":
-			hangUp(text[:len(text)/2], true)
+			reload(text[:len(text)/2], true)
 		case "after":
 			syscall.Kill(syscall.Getpid(), syscall.SIGTERM)
 		}
-		call(conn, uint32(i+1), fmt.Sprintf("%016x", i), body)
+		writeRequest(conn, uint32(i+1), fmt.Sprintf("%016x", i), body)
 		var size [4]byte
 		if _, err := io.ReadFull(conn, size[:]); err != nil {
 			t.Fatal(err)
@@ -176,7 +150,7 @@
 			t.Errorf("ran %q", ran)
 		}
 	}
-	if err := <-ended; err != nil {
+	if err := <-server.ended; err != nil {
 		t.Error(err)
 	}
 }
