--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,116 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// Newer lists replace the current one, and a response with whatever fault changes nothing.
+func TestNewerListsAreApplied(t *testing.T) {
+	d := newTestClient(t)
+	if len(d.list) != 1 {
+		t.Fatalf("list %v", d.list)
+	}
+	d.socket.Data(responseTo(d.query(), 4, 0, 1))
+	want := []Worker{{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
+		{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
+	if fmt.Sprint(d.list) != fmt.Sprint(want) {
+		t.Fatalf("list %v, want %v", d.list, want)
+	}
+	// A response with a fault changes nothing.
+	d.socket.Data(responseTo(d.query(), 3)) // outdated
+	id := d.query()
+	d.socket.Data(responseTo(id+1, 9, 0)) // to no query of this client
+	answered := d.query()
+	d.socket.Data(responseTo(answered, 4, 0, 1))
+	d.socket.Data(responseTo(answered, 9, 0)) // to one that has been answered
+	for name, damage := range map[string]func(b []byte) []byte{
+		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
+		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
+		"a query":   func(b []byte) []byte { b[2] &^= 0x80; return b },
+		"other":     func(b []byte) []byte { b[13] = 'x'; return b },
+	} {
+		if d.socket.Data(damage(responseTo(d.query(), 9, 0))); fmt.Sprint(d.list) != fmt.Sprint(want) {
+			t.Errorf("%s: list became %v", name, d.list)
+		}
+	}
+	whole := responseTo(0, 9, 0)
+	for cut := range whole {
+		id := d.query()
+		b := responseTo(id, 9, 0)[:cut]
+		if d.socket.Data(b); fmt.Sprint(d.list) != fmt.Sprint(want) {
+			t.Fatalf("cut at %d of %d: list became %v", cut, len(whole), d.list)
+		}
+	}
+	late := d.query()
+	for range 3 { // a response counts although further queries were sent
+		d.query()
+	}
+	if d.socket.Data(responseTo(late, 5, 0)); len(d.list) != 1 {
+		t.Errorf("after a late response the list is %v", d.list)
+	}
+	if d.socket.Closed(errors.New("refused")); d.socket != nil || d.nextTick > d.now+redialDelay {
+		t.Error("a lost socket isn't opened again at once")
+	}
+	d.Tick(d.nextTick)
+	d.socket.DialCompleted(nil)
+	if d.socket.Data(responseTo(d.query(), 6, 0, 0)); len(d.list) != 2 {
+		t.Errorf("after a new socket the list is %v", d.list)
+	}
+}
+
+// Queries are few, since all routers share one discovery server; they are spread over time; and three of them fall into the 2.5 s
+// after which nothing new may be sent to a worker that drains, however many are lost.
+func TestPollsAreFewAndJitteredAndThreeFollowAnEvent(t *testing.T) {
+	run := func(seed uint64, until time.Duration, answered func(n int) (serial uint32, ok bool)) (at []time.Duration) {
+		d := newSeededTestClient(t, seed)
+		start := d.now
+		for now := d.now; now < start+until; now += time.Millisecond {
+			l := d.transports[len(d.transports)-1]
+			l.Wrote.Reset()
+			d.Tick(now)
+			if b := l.Wrote.Bytes(); len(b) > 0 {
+				at = append(at, now-start)
+				if serial, ok := answered(len(at)); ok {
+					d.socket.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
+				}
+			}
+		}
+		return at
+	}
+	first := map[time.Duration]int{}
+	for seed := range uint64(40) {
+		well := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
+		if len(well) > 18 {
+			t.Fatalf("%d queries in 10 s though each was answered", len(well))
+		}
+		first[well[0]]++
+		if well[0] > initialBackoff {
+			t.Fatalf("the first query came after %v", well[0])
+		}
+		for i := 3; i < len(well); i++ {
+			if gap := well[i] - well[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
+				t.Fatalf("three queries took %v", gap)
+			}
+		}
+		// After a lost or an outdated response the query is repeated soon, and then with backoff.
+		for name, damage := range map[string]func(int) (uint32, bool){
+			"lost": func(int) (uint32, bool) { return 0, false }, "old": func(int) (uint32, bool) { return 2, true }} {
+			bad := run(seed, 10*time.Second, damage)
+			if gap := bad[1] - bad[0]; gap > initialBackoff {
+				t.Fatalf("%s: repeated after %v", name, gap)
+			}
+			if len(bad) > 20 {
+				t.Fatalf("%s: %d queries in 10 s", name, len(bad))
+			}
+		}
+	}
+	if len(first) < 20 {
+		t.Fatalf("40 routers send their first query at %d different times", len(first))
+	}
+}
--- /dev/null
+++ b/internal/discovery/example_test.go
@@ -0,0 +1,56 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"fmt"
+	"time"
+
+	"crankhold/internal/eventloop"
+	"crankhold/internal/testutil"
+)
+
+// A client reports the list of the configuration first, and then each newer list that the discovery server sends.
+func Example() {
+	// In the program the transport is a UDP socket of the event loop; here it records what is sent.
+	transport := &testutil.Transport{}
+	var server eventloop.DialHandler // what the event loop calls back
+	dial := func(addr string, handler eventloop.DialHandler) Transport {
+		fmt.Println("dial", addr)
+		server = handler
+		return transport
+	}
+	changed := func(list []Worker) {
+		for _, worker := range list {
+			fmt.Println("  ", worker.Name, worker.Addrs)
+		}
+	}
+	client := New("127.0.0.1:53", 1, time.Second, dial, changed)
+
+	fmt.Println("snapshot")
+	snapshot := Snapshot{Batch: make([]event, 1)}
+	snapshot.Batch[0].Topology.Complete = true
+	snapshot.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready"}}
+	if err := client.LoadSnapshot(snapshot); err != nil {
+		fmt.Println(err)
+	}
+
+	// Each Tick does what is due. The first dials; once that is completed, the second queries.
+	now := time.Hour
+	client.Tick(now)
+	server.DialCompleted(nil)
+	client.Tick(now + time.Second)
+
+	fmt.Println("response")
+	queryID := binary.BigEndian.Uint16(transport.Wrote.Bytes())
+	server.Data(responseTo(queryID, 4, 0, 0)) // serial number 4, two workers that are ready
+	fmt.Println(client.QueriesSent, "query,", client.ResponsesRead, "response")
+
+	// Output:
+	// snapshot
+	//    s-9 [10.1.0.9:10080]
+	// dial 127.0.0.1:53
+	// response
+	//    s-0 [10.1.0.0:10080]
+	//    s-1 [10.1.0.1:10080]
+	// 1 query, 1 response
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,10 +12,10 @@
 	"crankhold/policy"
 )
 
-// The answers are written by hand from RFC 1035 and RFC 2782, so that no code of this package builds what it reads.
+// The responses are written by hand from RFC 1035 and RFC 2782, so that no code of this package builds what it parses.
 const (
-	goldenAnswers = "testdata/answers.txt"
-	goldenQueries = "testdata/queries.txt"
+	goldenResponses = "testdata/answers.txt"
+	goldenQueries   = "testdata/queries.txt"
 
 	goldenID = 0x1234 // of all golden messages
 )
@@ -29,16 +29,16 @@
 
 // The query for the list of workers. A client draws its id at random, so only that is replaced before the comparison.
 func TestGoldenQueries(t *testing.T) {
-	d := newDesk(t)
-	connection := d.lines[0]
+	d := newTestClient(t)
+	connection := d.transports[0]
 	connection.Wrote.Reset()
-	d.Tick(d.next)
+	d.Tick(d.nextTick)
 	sent := connection.Wrote.Bytes()
-	if len(sent) < 2 || d.sock.pending[0] != binary.BigEndian.Uint16(sent) {
-		t.Fatalf("sent %x with %x pending", sent, d.sock.pending)
+	if len(sent) < 2 || d.socket.pending[0] != binary.BigEndian.Uint16(sent) {
+		t.Fatalf("sent %x with %x pending", sent, d.socket.pending)
 	}
 	golden.CompareMessages(t, goldenQueries, []golden.Message{
-		{Label: "query with a fixed id", Bytes: query(goldenID, serviceName)},
+		{Label: "query with a fixed id", Bytes: encodeQuery(goldenID, serviceName)},
 		{Label: "query of a client, its random id replaced", Bytes: withID(sent, goldenID)},
 	})
 }
@@ -52,11 +52,11 @@
 	return records
 }
 
-// Every form of an answer is decoded to the records and then to the workers that it tells of, which are compared whole.
-func TestGoldenAnswersAreDecoded(t *testing.T) {
+// Each form of a response is parsed to records and joined to workers, which are compared whole.
+func TestGoldenResponsesAreParsed(t *testing.T) {
 	const target = "s-0.east.hosts"
 	noTexts := map[string][]string{}
-	service := srv{priority: 0, weight: 40, port: 10080, target: target}
+	service := serviceRecord{priority: 0, weight: 40, port: 10080, target: target}
 	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	described := plain
 	described.Kind, described.Cell, described.Started = "std", 2, 1700000000123
@@ -79,58 +79,58 @@
 	unixTexts := map[string][]string{target: {"unix=/run/w.sock"}}
 
 	for _, test := range []struct {
-		label     string
-		unixInTXT bool
-		want      reply
-		workers   []Worker
-		partial   bool
+		label      string
+		unixInTXT  bool
+		want       response
+		workers    []Worker
+		incomplete bool
 	}{
-		{"list without workers", false, reply{serial: 4, addrs: addresses(""), texts: noTexts}, []Worker{}, false},
-		{"one worker", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"),
+		{"list without workers", false, response{serial: 4, addresses: addresses(""), texts: noTexts}, []Worker{}, false},
+		{"one worker", false, response{serial: 4, services: []serviceRecord{service}, addresses: addresses(target, "10.1.0.0"),
 			texts: map[string][]string{target: {"kind=std", "cell=2", "started=1700000000123"}}}, []Worker{described}, false},
-		{"one worker with compressed names", false, reply{serial: 4, srv: []srv{{0, 40, 10080, "s-0.east.pool.lan"}},
-			addrs: addresses("s-0.east.pool.lan", "10.1.0.0"), texts: map[string][]string{"s-0.east.pool.lan": {"kind=std"}}},
+		{"one worker with compressed names", false, response{serial: 4, services: []serviceRecord{{0, 40, 10080, "s-0.east.pool.lan"}},
+			addresses: addresses("s-0.east.pool.lan", "10.1.0.0"), texts: map[string][]string{"s-0.east.pool.lan": {"kind=std"}}},
 			[]Worker{compressed}, false},
-		{"one worker ready and one draining", false, reply{serial: 4, srv: []srv{service, {1, 5, 10081, "s-1.west.hosts"}},
-			addrs: bothAddresses, texts: map[string][]string{"s-1.west.hosts": {"kind=big"}}}, []Worker{plain, draining}, false},
-		{"names in mixed case", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: noTexts},
+		{"one worker ready and one draining", false, response{serial: 4, services: []serviceRecord{service, {1, 5, 10081, "s-1.west.hosts"}},
+			addresses: bothAddresses, texts: map[string][]string{"s-1.west.hosts": {"kind=big"}}}, []Worker{plain, draining}, false},
+		{"names in mixed case", false, response{serial: 4, services: []serviceRecord{service}, addresses: addresses(target, "10.1.0.0"), texts: noTexts},
 			[]Worker{plain}, false},
-		{"several addresses of one worker", false, reply{serial: 4, srv: []srv{service},
-			addrs: addresses(target, "10.1.0.0", "10.1.0.77", "fd00::1", "ff02::1"), texts: noTexts}, []Worker{severalAddresses}, false},
-		{"Unix socket in a TXT record", true, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: unixTexts},
+		{"several addresses of one worker", false, response{serial: 4, services: []serviceRecord{service},
+			addresses: addresses(target, "10.1.0.0", "10.1.0.77", "fd00::1", "ff02::1"), texts: noTexts}, []Worker{severalAddresses}, false},
+		{"Unix socket in a TXT record", true, response{serial: 4, services: []serviceRecord{service}, addresses: addresses(target, "10.1.0.0"), texts: unixTexts},
 			[]Worker{withUnix}, false},
-		{"Unix socket in a TXT record", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: unixTexts},
+		{"Unix socket in a TXT record", false, response{serial: 4, services: []serviceRecord{service}, addresses: addresses(target, "10.1.0.0"), texts: unixTexts},
 			[]Worker{plain}, false},
-		{"several TXT records with unknown and malformed texts", false, reply{serial: 4, srv: []srv{service},
-			addrs: addresses(target, "10.1.0.0"), texts: map[string][]string{target: {"kind=std", "color=red", "", "cell=two", "started=-5",
+		{"several TXT records with unknown and malformed texts", false, response{serial: 4, services: []serviceRecord{service},
+			addresses: addresses(target, "10.1.0.0"), texts: map[string][]string{target: {"kind=std", "color=red", "", "cell=two", "started=-5",
 				"cell=7", "kind=a=b"}}}, []Worker{severalTexts}, false},
-		{"records of unknown types and owners", false, reply{serial: 4, srv: []srv{service}, addrs: strangerAddresses, texts: noTexts},
+		{"records of unknown types and owners", false, response{serial: 4, services: []serviceRecord{service}, addresses: strangerAddresses, texts: noTexts},
 			[]Worker{plain}, false},
-		{"worker without an address", false, reply{serial: 4, srv: []srv{service, {0, 40, 10080, "s-1.east.hosts"}},
-			addrs: addresses("s-1.east.hosts", "10.1.0.1"), texts: noTexts}, []Worker{second}, true},
-		{"highest weight, port and serial", false, reply{serial: 1<<31 - 1, srv: []srv{{65535, 65535, 65535, target}},
-			addrs: addresses(target, "10.1.0.0"), texts: noTexts}, []Worker{highest}, false},
-		{"answer without a question", false, reply{serial: 4, srv: []srv{service}, addrs: addresses(target, "10.1.0.0"), texts: noTexts},
+		{"worker without an address", false, response{serial: 4, services: []serviceRecord{service, {0, 40, 10080, "s-1.east.hosts"}},
+			addresses: addresses("s-1.east.hosts", "10.1.0.1"), texts: noTexts}, []Worker{second}, true},
+		{"highest weight, port and serial", false, response{serial: 1<<31 - 1, services: []serviceRecord{{65535, 65535, 65535, target}},
+			addresses: addresses(target, "10.1.0.0"), texts: noTexts}, []Worker{highest}, false},
+		{"answer without a question", false, response{serial: 4, services: []serviceRecord{service}, addresses: addresses(target, "10.1.0.0"), texts: noTexts},
 			[]Worker{plain}, false},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			message := golden.FindMessage(t, goldenAnswers, test.label)
-			id, got, err := parse(message)
+			message := golden.FindMessage(t, goldenResponses, test.label)
+			id, got, err := parseResponse(message)
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
 			}
-			d := newDesk(t)
+			d := newTestClient(t)
 			d.UnixInTXT = test.unixInTXT
-			d.sock.Data(withID(message, d.ask()))
-			if !reflect.DeepEqual(d.list, test.workers) || d.serial != test.want.serial || d.partial != test.partial {
-				t.Errorf("serial %d, partial %v, list %+v, want %+v", d.serial, d.partial, d.list, test.workers)
+			d.socket.Data(withID(message, d.query()))
+			if !reflect.DeepEqual(d.list, test.workers) || d.serial != test.want.serial || d.incomplete != test.incomplete {
+				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.serial, d.incomplete, d.list, test.workers)
 			}
 		})
 	}
 }
 
-// An answer that can't be used is an error and changes nothing.
-func TestGoldenAnswersThatAreRefused(t *testing.T) {
+// A response that can't be used is an error and changes nothing.
+func TestGoldenResponsesThatAreRejected(t *testing.T) {
 	for _, label := range []string{
 		"query in place of an answer",
 		"truncated answer",
@@ -142,15 +142,15 @@
 		"header only, with a record announced",
 		"header cut short",
 	} {
-		message := golden.FindMessage(t, goldenAnswers, label)
-		if _, _, err := parse(message); err == nil {
+		message := golden.FindMessage(t, goldenResponses, label)
+		if _, _, err := parseResponse(message); err == nil {
 			t.Errorf("%s: no error", label)
 		}
-		d := newDesk(t)
-		before, heard := d.list, d.ResponsesRead
-		d.sock.Data(withID(message, d.ask()))
-		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.ResponsesRead != heard {
-			t.Errorf("%s: serial %d, heard %d, list %+v", label, d.serial, d.ResponsesRead-heard, d.list)
+		d := newTestClient(t)
+		before, read := d.list, d.ResponsesRead
+		d.socket.Data(withID(message, d.query()))
+		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.ResponsesRead != read {
+			t.Errorf("%s: serial %d, read %d, list %+v", label, d.serial, d.ResponsesRead-read, d.list)
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/message_test.go
@@ -0,0 +1,67 @@
+package discovery
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Arbitrary bytes are parsed or rejected; pointer loops and names that are too long are rejected.
+func TestParserSurvivesAnyBytes(t *testing.T) {
+	loops := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that points at itself
+	if _, _, err := parseResponse(loops); err == nil {
+		t.Error("a loop of pointers was read")
+	}
+	if _, _, err := readName([]byte(strings.Repeat("\x3f"+strings.Repeat("x", 63), 5)+"\x00"), 0); err == nil {
+		t.Error("a name over 255 bytes was read")
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		b := responseTo(1, 9, 0, 1, 0)
+		for range rapid.IntRange(1, 5).Draw(t, "changes") {
+			b[rapid.IntRange(2, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
+		}
+		_, r, err := parseResponse(b[:rapid.IntRange(0, len(b)).Draw(t, "cut")])
+		if err == nil && len(r.services) > 3 {
+			t.Fatalf("read %d services", len(r.services))
+		}
+	})
+}
+
+// What is wrong with a response can be told apart, and where it stands is reported.
+func TestParseErrors(t *testing.T) {
+	valid := func() []byte { return responseTo(1, 9, 0) }
+	for _, test := range []struct {
+		name    string
+		message []byte
+		offset  int
+		reason  error
+		text    string
+	}{
+		{"short header", valid()[:5], 5, errMalformed, "malformed DNS message"},
+		{"query", encodeQuery(1, serviceName), flagsOffset, errNotResponse, "not an answer"},
+		{"truncated", withByte(valid(), flagsOffset, flagResponse|flagTruncated), flagsOffset, errTruncated, "answer is truncated"},
+		{"failure", withByte(valid(), codeOffset, 2), codeOffset, responseCodeError(2), "answer has code 2"},
+		{"other question", withByte(valid(), headerSize+1, 'x'), headerSize, errOtherQuestion, "answer to another question"},
+		{"no records", withByte(withByte(encodeQuery(1, serviceName), flagsOffset, flagResponse), codeOffset, 0), 37, errNoSerial, "answer has no serial"},
+		{"cut short", valid()[:40], 39, errMalformed, "malformed DNS message"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, _, err := parseResponse(test.message)
+			var parseError *ParseError
+			if !errors.As(err, &parseError) || !errors.Is(err, test.reason) {
+				t.Fatalf("error %v, want %v", err, test.reason)
+			}
+			if parseError.Offset != test.offset || err.Error() != test.text {
+				t.Errorf("error %q at %d, want %q at %d", err, parseError.Offset, test.text, test.offset)
+			}
+		})
+	}
+}
+
+// withByte returns a message with one byte replaced.
+func withByte(message []byte, offset int, value byte) []byte {
+	message[offset] = value
+	return message
+}
--- /dev/null
+++ b/internal/discovery/setserver_test.go
@@ -0,0 +1,81 @@
+package discovery
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// SetServer polls the new server at once and keeps the list and its serial number. Nothing that comes late on the
+// socket to the former address counts, in whatever order dials and closes end.
+func TestSetServerSwitchesToTheNewAddress(t *testing.T) {
+	for _, connected := range []bool{true, false} { // the old socket is connected, or its dial has not ended
+		d := newTestClient(t)
+		if !connected {
+			d.socket.Closed(errors.New("refused"))
+			d.Tick(d.nextTick)
+		}
+		id := uint16(0)
+		old := d.socket
+		transport := d.transports[len(d.transports)-1]
+		if connected {
+			id = d.query()
+		}
+		d.SetServer(d.now+time.Millisecond, "new")
+		d.Tick(d.now + time.Millisecond)
+		if transport.HasClosed || d.dialled[len(d.dialled)-1] != "new" || d.socket == old {
+			t.Fatalf("dialled %v, old closed %v", d.dialled, transport.HasClosed) // its descriptor may be the last
+		}
+		fresh := d.socket
+		old.DialCompleted(nil)
+		old.Data(responseTo(id, 8, 0, 0))
+		old.Closed(errors.New("late"))
+		if d.socket != fresh || len(d.list) != 1 || d.serial != 3 {
+			t.Fatalf("the old socket changed the list to %v", d.list)
+		}
+		if fresh.DialCompleted(nil); !transport.HasClosed {
+			t.Error("the old socket stays open beside the new one")
+		}
+		if d.nextTick > d.now+initialBackoff {
+			t.Error("the new server isn't polled soon")
+		}
+		fresh.Data(responseTo(d.query(), 2, 0, 0)) // outdated
+		if d.serial != 3 {
+			t.Errorf("the serial number fell to %d", d.serial)
+		}
+		if fresh.Data(responseTo(d.query(), 4, 0, 0)); len(d.list) != 2 {
+			t.Errorf("list %v", d.list)
+		}
+		dials := len(d.dialled)
+		d.SetServer(d.now, "new") // a repeated signal changes nothing
+		if d.Tick(d.now); d.socket != fresh || len(d.dialled) != dials {
+			t.Error("the same address was dialled again")
+		}
+	}
+}
+
+// After SetServer the old socket keeps its descriptor until the dial to the new address has ended, and a further switch leaves no
+// socket behind.
+func TestSetServerKeepsTheDescriptorUntilTheNextIsOpen(t *testing.T) {
+	d := newTestClient(t)
+	first := d.transports[0]
+	d.SetServer(d.now, "second")
+	d.Tick(d.now)
+	second := d.transports[1]
+	d.SetServer(d.now, "third")
+	if !first.HasClosed || second.HasClosed {
+		t.Fatalf("closed: %v, %v", first.HasClosed, second.HasClosed)
+	}
+	d.Tick(d.now)
+	d.socket.DialCompleted(errors.New("no descriptor"))
+	if !second.HasClosed || d.socket != nil {
+		t.Fatal("a dial that failed kept the descriptor that it needs")
+	}
+	if d.Tick(d.now + redialDelay); d.dialled[len(d.dialled)-1] != "third" || d.socket == nil {
+		t.Fatalf("dialled %v", d.dialled)
+	}
+	d.socket.DialCompleted(nil)
+	if d.socket.Data(responseTo(d.query(), 9, 0, 0)); len(d.list) != 2 {
+		t.Errorf("list %v", d.list)
+	}
+}
--- /dev/null
+++ b/internal/discovery/snapshot_test.go
@@ -0,0 +1,36 @@
+package discovery
+
+import (
+	"errors"
+	"testing"
+
+	"crankhold/internal/eventloop"
+)
+
+// A worker of the configuration that can't be used is reported with its id and the field.
+func TestSnapshotErrors(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		member member
+		field  string
+		text   string
+	}{
+		{"phase", member{ID: "s-1", HostPort: "10.1.0.1:80", Phase: "Leaving"}, "phase", `known: worker "s-1": unknown phase "Leaving"`},
+		{"no phase", member{ID: "s-2", HostPort: "10.1.0.1:80"}, "phase", `known: worker "s-2": unknown phase ""`},
+		{"address", member{ID: "s-3", HostPort: "nowhere", Phase: "Ready"}, "host_port", ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			snapshot := Snapshot{Batch: make([]event, 1)}
+			snapshot.Batch[0].Topology.Members = []member{test.member}
+			client := New("127.0.0.1:53", 1, 0, func(string, eventloop.DialHandler) Transport { return nil }, func([]Worker) {})
+			err := client.LoadSnapshot(snapshot)
+			var snapshotError *SnapshotError
+			if !errors.As(err, &snapshotError) || snapshotError.Worker != test.member.ID || snapshotError.Field != test.field {
+				t.Fatalf("error %v", err)
+			}
+			if test.text != "" && err.Error() != test.text {
+				t.Errorf("error %q, want %q", err, test.text)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/discovery/testclient_test.go
@@ -0,0 +1,96 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"fmt"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/testutil"
+)
+
+// responseTo builds the response to a query, with a worker for each priority. Its names are compressed (RFC 1035,
+// section 4.1.4).
+func responseTo(id uint16, serial uint32, priorities ...uint16) []byte {
+	b := encodeQuery(id, serviceName)
+	b[2] |= 0x80
+	record := func(section int, name []byte, typ uint16, data []byte) {
+		binary.BigEndian.PutUint16(b[section:], binary.BigEndian.Uint16(b[section:])+1)
+		b = append(b, name...)
+		b = binary.BigEndian.AppendUint16(b, typ)
+		b = append(b, 0, classIN, 0, 0, 0, 0)
+		b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
+	}
+	service := []byte{0xc0, 12}
+	label := func(s string) []byte { return append([]byte{byte(len(s))}, s...) }
+	var targets [][]byte
+	for i, p := range priorities {
+		data := binary.BigEndian.AppendUint16(nil, p)
+		data = append(data, 0, 40, 0x27, 0x60) // weight 40, port 10080
+		target := len(b) + len(service) + 10 + len(data)
+		data = append(data, label(fmt.Sprintf("s-%d", i))...)
+		data = append(append(data, label("east")...), label("hosts")...)
+		record(6, service, typeSRV, append(data, 0))
+		targets = append(targets, binary.BigEndian.AppendUint16(nil, 0xc000|uint16(target)))
+	}
+	soa := append([]byte{0xc0, 12, 0xc0, 12}, binary.BigEndian.AppendUint32(nil, serial)...)
+	record(8, service, typeSOA, append(soa, make([]byte, 16)...))
+	for i, name := range targets {
+		record(10, name, typeA, []byte{10, 1, 0, byte(i)})
+		record(10, name, typeTXT, append(label("kind=std"), append(label("cell=2"), label("started=5")...)...))
+	}
+	return b
+}
+
+// testClient is a Client whose sockets are fakes. It records what is dialled and the latest list.
+type testClient struct {
+	*Client
+	t          rapid.TB
+	transports []*testutil.Transport
+	dialled    []string
+	list       []Worker
+}
+
+// newTestClient returns a client with a snapshot of one worker under serial number 3 and a connected socket.
+func newTestClient(t rapid.TB) *testClient { return newSeededTestClient(t, 1) }
+
+func newSeededTestClient(t rapid.TB, seed uint64) *testClient {
+	t.Helper()
+	d := &testClient{t: t}
+	d.Client = New("old", seed, time.Second, func(addr string, _ eventloop.DialHandler) Transport {
+		transport := &testutil.Transport{}
+		d.transports = append(d.transports, transport)
+		d.dialled = append(d.dialled, addr)
+		return transport
+	}, func(w []Worker) { d.list = w })
+	var known Snapshot
+	known.Offset = 3
+	known.Batch = make([]event, 1)
+	known.Batch[0].Topology.Complete = true
+	known.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready", Size: 4}}
+	if err := d.LoadSnapshot(known); err != nil {
+		t.Fatal(err)
+	}
+	d.Tick(time.Hour)
+	d.socket.DialCompleted(nil)
+	return d
+}
+
+// query has the client send its next query, and returns the id.
+func (d *testClient) query() uint16 {
+	d.t.Helper()
+	l := d.transports[len(d.transports)-1]
+	l.Wrote.Reset()
+	d.Tick(d.nextTick)
+	b := l.Wrote.Bytes()
+	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
+		d.t.Fatalf("queried %x", b)
+	}
+	return binary.BigEndian.Uint16(b)
+}
+
+// at returns a list of one IPv4 address.
+func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
