--- a/internal/webhook/config.go
+++ b/internal/webhook/config.go
@@ -13,31 +13,21 @@
 
 // Config is the webhook file.
 type Config struct {
-	Receiver struct {
-		Enabled   bool          `toml:"enabled"`
-		Listen    string        `toml:"listen"`
-		Path      string        `toml:"path"`
-		Keys      []KeyConfig   `toml:"keys"`
-		Tolerance time.Duration `toml:"tolerance"`
-		// DedupeFor is how long the outcome of a call other than a repair-order is remembered.
-		DedupeFor time.Duration `toml:"dedupe_for"`
-		Ledger    struct {
-			Path      string        `toml:"path"`
-			MaxBytes  int64         `toml:"max_bytes"`
-			Retention time.Duration `toml:"retention"`
-		} `toml:"ledger"`
-	} `toml:"receiver"`
-	Sender struct {
-		Enabled bool   `toml:"enabled"`
-		URL     string `toml:"url"`
-		// Connect is the address to connect to, where it is not the URL's host.
-		Connect  string        `toml:"connect"`
-		Key      string        `toml:"key"`
-		Queue    int           `toml:"queue"`
-		Attempts int           `toml:"attempts"`
-		Backoff  time.Duration `toml:"backoff"`
-		Timeout  time.Duration `toml:"timeout"`
-	} `toml:"sender"`
+	Receiver ReceiverConfig `toml:"receiver"`
+	Sender   SenderConfig   `toml:"sender"`
+}
+
+// ReceiverConfig configures the front that takes requests from webhooks.
+type ReceiverConfig struct {
+	Enabled bool        `toml:"enabled"`
+	Listen  string      `toml:"listen"`
+	Path    string      `toml:"path"`
+	Keys    []KeyConfig `toml:"keys"`
+	// Tolerance is how far a delivery's timestamp may be from the time at which it arrives.
+	Tolerance time.Duration `toml:"tolerance"`
+	// DedupeFor is how long the outcome of a request that is no order is kept.
+	DedupeFor time.Duration `toml:"dedupe_for"`
+	Ledger    LedgerConfig  `toml:"ledger"`
 }
 
 // KeyConfig names a key file and, where the key is being retired, until when it is active.
@@ -46,62 +36,136 @@
 	Until time.Time `toml:"until"`
 }
 
-// ReadConfig reads and checks a webhook file.
+// LedgerConfig configures the ledger of orders. Without a path there is none, and orders are rejected.
+type LedgerConfig struct {
+	Path     string `toml:"path"`
+	MaxBytes int64  `toml:"max_bytes"`
+	// Retention is how long an order is kept, from the timestamp of its event.
+	Retention time.Duration `toml:"retention"`
+}
+
+// SenderConfig configures the sender of notices.
+type SenderConfig struct {
+	Enabled bool   `toml:"enabled"`
+	URL     string `toml:"url"`
+	// Connect is the address to connect to, where it is not the URL's host.
+	Connect string `toml:"connect"`
+	Key     string `toml:"key"`
+	// Queue is how many notices may wait to be delivered.
+	Queue int `toml:"queue"`
+	// Attempts is how often the delivery of a notice is attempted.
+	Attempts int           `toml:"attempts"`
+	Backoff  time.Duration `toml:"backoff"`
+	// Timeout is how long an attempt may take.
+	Timeout time.Duration `toml:"timeout"`
+}
+
+// The limits of settings.
+const (
+	minTolerance             = time.Second
+	minDedupeTolerances      = 2
+	minRetentionTolerances   = 4
+	minLedgerBytes           = 1 << 17
+	maxNoticeQueue           = 1 << 16
+	maxNoticeAttempts        = 20
+	defaultLedgerBytes       = 64 << 20
+	defaultNoticeQueueLength = 256
+)
+
+// defaultConfig returns what holds for settings that the file leaves out.
+func defaultConfig() *Config {
+	return &Config{
+		Receiver: ReceiverConfig{
+			Path:      "/hooks",
+			Tolerance: 5 * time.Minute,
+			DedupeFor: 15 * time.Minute,
+			Ledger:    LedgerConfig{MaxBytes: defaultLedgerBytes, Retention: 72 * time.Hour},
+		},
+		Sender: SenderConfig{
+			Queue:    defaultNoticeQueueLength,
+			Attempts: 6,
+			Backoff:  time.Second,
+			Timeout:  10 * time.Second,
+		},
+	}
+}
+
+// ReadConfig reads and checks a webhook file. Its errors are ConfigErrors.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("webhook file: %w", err)
+		return nil, &ConfigError{File: path, Err: err}
 	}
 	return parseConfig(path, string(text))
 }
 
 func parseConfig(path, text string) (*Config, error) {
-	c := &Config{}
-	r, s := &c.Receiver, &c.Sender
-	r.Path, r.Tolerance, r.DedupeFor = "/hooks", 5*time.Minute, 15*time.Minute
-	r.Ledger.MaxBytes, r.Ledger.Retention = 64<<20, 72*time.Hour
-	s.Queue, s.Attempts, s.Backoff, s.Timeout = 256, 6, time.Second, 10*time.Second
-	meta, err := toml.Decode(text, c)
+	config := defaultConfig()
+	meta, err := toml.Decode(text, config)
 	if err != nil {
-		return nil, fmt.Errorf("webhook file %s: %w", path, err)
+		return nil, &ConfigError{File: path, Err: err}
 	}
-	if odd := meta.Undecoded(); len(odd) > 0 {
-		return nil, fmt.Errorf("webhook file %s: unknown setting %s", path, odd[0])
+	if unknown := meta.Undecoded(); len(unknown) > 0 {
+		key := unknown[0].String()
+		return nil, &ConfigError{File: path, Key: key, Err: errors.New("unknown setting " + key)}
 	}
-	if err := c.check(); err != nil {
-		return nil, fmt.Errorf("webhook file %s: %w", path, err)
+	if problem := config.check(); problem != nil {
+		return nil, &ConfigError{File: path, Key: problem.key, Err: problem.err}
 	}
-	return c, nil
+	return config, nil
 }
 
-func (c *Config) check() error {
-	if r := &c.Receiver; r.Enabled {
-		if _, err := netip.ParseAddrPort(r.Listen); err != nil {
-			return fmt.Errorf("receiver.listen: %w", err)
-		}
-		switch {
-		case len(r.Path) == 0 || r.Path[0] != '/' || !isTarget([]byte(r.Path)):
-			return errors.New("receiver.path is no path")
-		case len(r.Keys) == 0:
-			return errors.New("receiver.keys is empty")
-		case r.Tolerance < time.Second || r.DedupeFor < 2*r.Tolerance:
-			return errors.New("receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
-		case r.Ledger.Path != "" && (r.Ledger.Retention < 4*r.Tolerance || r.Ledger.MaxBytes < 1<<17):
-			return errors.New("receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
+// settingProblem is a setting that can't be used.
+type settingProblem struct {
+	key string
+	err error // its text names the setting
+}
+
+func newProblem(key, text string) *settingProblem {
+	return &settingProblem{key, errors.New(text)}
+}
+
+// check checks what is turned on.
+func (c *Config) check() *settingProblem {
+	if c.Receiver.Enabled {
+		if problem := c.Receiver.check(); problem != nil {
+			return problem
 		}
 	}
-	if s := &c.Sender; s.Enabled {
-		u, err := url.Parse(s.URL)
-		switch {
-		case err != nil:
-			return fmt.Errorf("sender.url: %w", err)
-		case u.Scheme != "http" || u.Host == "" || u.User != nil:
-			return errors.New("sender.url must be http://HOST/PATH; TLS is a local proxy's work")
-		case s.Key == "":
-			return errors.New("sender.key is missing")
-		case s.Queue < 1 || s.Queue > 1<<16 || s.Attempts < 1 || s.Attempts > 20 || s.Backoff <= 0 || s.Timeout <= 0:
-			return errors.New("sender: queue, attempts, backoff or timeout is out of range")
-		}
+	if c.Sender.Enabled {
+		return c.Sender.check()
+	}
+	return nil
+}
+
+func (c *ReceiverConfig) check() *settingProblem {
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return &settingProblem{"receiver.listen", fmt.Errorf("receiver.listen: %w", err)}
+	}
+	switch {
+	case len(c.Path) == 0 || c.Path[0] != '/' || !isTarget([]byte(c.Path)):
+		return newProblem("receiver.path", "receiver.path is no path")
+	case len(c.Keys) == 0:
+		return newProblem("receiver.keys", "receiver.keys is empty")
+	case c.Tolerance < minTolerance || c.DedupeFor < minDedupeTolerances*c.Tolerance:
+		return newProblem("receiver.tolerance", "receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
+	case c.Ledger.Path != "" && (c.Ledger.Retention < minRetentionTolerances*c.Tolerance || c.Ledger.MaxBytes < minLedgerBytes):
+		return newProblem("receiver.ledger", "receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
+	}
+	return nil
+}
+
+func (c *SenderConfig) check() *settingProblem {
+	target, err := url.Parse(c.URL)
+	switch {
+	case err != nil:
+		return &settingProblem{"sender.url", fmt.Errorf("sender.url: %w", err)}
+	case target.Scheme != "http" || target.Host == "" || target.User != nil:
+		return newProblem("sender.url", "sender.url must be http://HOST/PATH; TLS is a local proxy's work")
+	case c.Key == "":
+		return newProblem("sender.key", "sender.key is missing")
+	case c.Queue < 1 || c.Queue > maxNoticeQueue || c.Attempts < 1 || c.Attempts > maxNoticeAttempts || c.Backoff <= 0 || c.Timeout <= 0:
+		return newProblem("sender", "sender: queue, attempts, backoff or timeout is out of range")
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/webhook/connection.go
@@ -0,0 +1,147 @@
+package webhook
+
+import "net/netip"
+
+// maxDrainedBytes is how much is read and dropped behind a malformed request before its connection is closed.
+const maxDrainedBytes = 256 << 10
+
+// Transport is a connection to a peer; an eventloop.Conn is one.
+type Transport interface {
+	Write(bufs ...[]byte)
+	Close()
+	CloseAfterFlush()
+}
+
+// connection is a client's connection. It has one request in flight at a time; what follows it waits in buffer.
+type connection struct {
+	receiver           *Receiver
+	transport          Transport
+	peer               netip.AddrPort
+	buffer             []byte       // what was received and not handled yet
+	partialRequest     *httpRequest // a request whose head was received and whose body is not complete; nil: none
+	closed             bool         // nothing more is handled
+	responsePending    bool         // a response is owed
+	closeAfterResponse bool
+	requestCount       int // complete requests received
+	drainedBytes       int // bytes read and dropped after closed
+}
+
+// Busy reports whether a response is owed.
+func (c *connection) Busy() bool { return c.responsePending }
+
+// Messages returns how many complete requests were received, and whether the beginning of another was. What a client
+// sends after the last response counts as the beginning of one.
+func (c *connection) Messages() (whole int, begun bool) {
+	return c.requestCount, c.closed || c.partialRequest != nil || len(c.buffer) > 0
+}
+
+// Data takes in requests, split in any way.
+func (c *connection) Data(b []byte) {
+	if c.closed {
+		c.drain(len(b))
+		return
+	}
+	c.buffer = append(c.buffer, b...)
+	if c.responsePending && len(c.buffer) > maxHeadBytes+maxDeliveryBody {
+		c.close() // the client goes on sending and does not wait for its response
+		return
+	}
+	c.handleBuffered()
+}
+
+// drain counts bytes that are dropped, and closes the connection when there are too many.
+func (c *connection) drain(size int) {
+	c.drainedBytes += size
+	if c.drainedBytes > maxDrainedBytes {
+		c.transport.Close()
+	}
+}
+
+// handleBuffered handles complete requests until one of them is in flight.
+func (c *connection) handleBuffered() {
+	for !c.responsePending && !c.closed && len(c.buffer) > 0 {
+		if c.partialRequest == nil && !c.readHead() {
+			return
+		}
+		if len(c.buffer) < c.partialRequest.bodyLength {
+			return
+		}
+		request, body := c.takeRequest()
+		c.closeAfterResponse = request.closeRequested
+		c.responsePending = true
+		c.requestCount++
+		c.receiver.handle(c, request, body)
+	}
+}
+
+// readHead reads a request's head from the buffer into partialRequest. It returns false where the head is not complete
+// or was rejected.
+func (c *connection) readHead() bool {
+	request, size, status := parseHead(c.buffer)
+	if status != statusNone {
+		c.receiver.Counters.Malformed++
+		c.closeAfterResponse = true // where the request's body ends is unknown
+		c.respond(httpResponse{status: status})
+		return false
+	}
+	if size == 0 {
+		return false
+	}
+	c.partialRequest = request
+	c.buffer = c.buffer[size:]
+	if request.expectsContinue && len(c.buffer) < request.bodyLength {
+		c.transport.Write([]byte(continueResponse))
+	}
+	return true
+}
+
+// takeRequest removes the request whose head and body are complete from the buffer. What follows it is copied, so that
+// it does not keep the request's bytes in memory.
+func (c *connection) takeRequest() (request *httpRequest, body []byte) {
+	request = c.partialRequest
+	length := request.bodyLength
+	body = c.buffer[:length:length]
+	c.partialRequest = nil
+	c.buffer = append([]byte(nil), c.buffer[length:]...)
+	return request, body
+}
+
+// Closed forgets the client. The request in flight goes on: its sender comes again for the outcome.
+func (c *connection) Closed(error) { c.stop() }
+
+// close gives the connection up at once.
+func (c *connection) close() {
+	c.stop()
+	c.transport.Close()
+}
+
+// stop has nothing more handled.
+func (c *connection) stop() {
+	c.closed = true
+	c.buffer = nil
+	c.partialRequest = nil
+}
+
+// respond writes the one response to a request.
+func (c *connection) respond(response httpResponse) {
+	requestComplete := c.responsePending
+	c.responsePending = false
+	if c.closed {
+		return
+	}
+	disposition := keepConnection
+	if c.closeAfterResponse {
+		disposition = closeConnection
+	}
+	head := response.appendHead(make([]byte, 0, responseHeadCapacity), disposition)
+	c.transport.Write(head, response.body)
+	if !c.closeAfterResponse {
+		return
+	}
+	c.stop()
+	if requestComplete {
+		c.transport.CloseAfterFlush()
+	}
+	// Else the client is still sending, and closing now would reset the connection and lose the response with it. The
+	// client closes it, or maxDrainedBytes or the limit on idle connections does.
+}
--- /dev/null
+++ b/internal/webhook/errors.go
@@ -0,0 +1,136 @@
+package webhook
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+)
+
+// ConfigError is a webhook file that can't be read or used.
+type ConfigError struct {
+	File string
+	Key  string // the setting; "" where the file as a whole can't be read
+	Err  error  // what is wrong, with the setting's name
+}
+
+// Error names the file and the setting.
+func (e *ConfigError) Error() string {
+	if isReadError(e.Err) {
+		return "webhook file: " + e.Err.Error()
+	}
+	return fmt.Sprintf("webhook file %s: %v", e.File, e.Err)
+}
+
+// Unwrap returns what is wrong.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// KeyError is a key file that can't be read or used. Its text never holds any part of the key.
+type KeyError struct {
+	File string
+	Err  error
+}
+
+// Error names the file.
+func (e *KeyError) Error() string {
+	if isReadError(e.Err) {
+		return "key: " + e.Err.Error()
+	}
+	return fmt.Sprintf("key %s: %v", e.File, e.Err)
+}
+
+// Unwrap returns what is wrong.
+func (e *KeyError) Unwrap() error { return e.Err }
+
+// isReadError reports whether err is the system's error for a file that can't be read; its text names the file.
+func isReadError(err error) bool {
+	var pathError *fs.PathError
+	return errors.As(err, &pathError)
+}
+
+// AuthenticationReason says why a delivery was not authenticated.
+type AuthenticationReason uint8
+
+// The reasons, in the order in which they are checked.
+const (
+	Unsigned       AuthenticationReason = iota // a signature header is missing, repeated or malformed
+	NoMatchingKey                              // no active key made any of the signatures
+	StaleTimestamp                             // the timestamp is out of tolerance
+)
+
+// String returns the reason as it is logged.
+func (r AuthenticationReason) String() string {
+	return [...]string{
+		Unsigned:       "unsigned or malformed signature headers",
+		NoMatchingKey:  "no active key made this signature",
+		StaleTimestamp: "timestamp is out of tolerance",
+	}[r]
+}
+
+// AuthenticationError is a delivery that was not authenticated; it is answered with 401.
+type AuthenticationError struct{ Reason AuthenticationReason }
+
+// Error returns the reason.
+func (e *AuthenticationError) Error() string { return e.Reason.String() }
+
+// MalformedDeliveryError is an authenticated delivery whose payload can't be used; it is answered with 400.
+type MalformedDeliveryError struct {
+	Field string // the payload's field, as data.class; "" where the payload is not JSON
+	Err   error  // what is wrong with it
+}
+
+// Error says what is wrong.
+func (e *MalformedDeliveryError) Error() string { return e.Err.Error() }
+
+// Unwrap returns what is wrong.
+func (e *MalformedDeliveryError) Unwrap() error { return e.Err }
+
+// malformedField returns the error of a field that can't be used.
+func malformedField(field, problem string) error {
+	return &MalformedDeliveryError{Field: field, Err: errors.New(problem)}
+}
+
+// LedgerError is a ledger file that can't be read or written.
+type LedgerError struct {
+	Path string
+	Line int // counted from 1; 0 where no line is to blame
+	Err  error
+}
+
+// Error names the line, if there is one. The system's errors name the file.
+func (e *LedgerError) Error() string {
+	if e.Line > 0 {
+		return fmt.Sprintf("line %d: %v", e.Line, e.Err)
+	}
+	return e.Err.Error()
+}
+
+// Unwrap returns the cause.
+func (e *LedgerError) Unwrap() error { return e.Err }
+
+// LedgerInUseError is a ledger that another process has open.
+type LedgerInUseError struct {
+	Path string
+	Err  error
+}
+
+// Error names the file.
+func (e *LedgerInUseError) Error() string {
+	return fmt.Sprintf("ledger %s is in use: %v", e.Path, e.Err)
+}
+
+// Unwrap returns the system's error.
+func (e *LedgerInUseError) Unwrap() error { return e.Err }
+
+// Why an order can't be recorded in the ledger, and what damage its file may have.
+var (
+	errLedgerFull   = errors.New("ledger is full")
+	errLedgerBroken = errors.New("ledger is out of use after a failed write")
+	errDamagedLine  = errors.New("damaged")
+)
+
+// Why an attempt to deliver a notice failed.
+var (
+	errNoticeTimeout           = errors.New("no answer in time")
+	errNoticeResponseMalformed = errors.New("malformed answer")
+	errNoticeUnanswered        = errors.New("closed without an answer")
+)
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -157,7 +157,7 @@
 			answers: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
 		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.maxBytes = 1 }},
-		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.maxOutcomeBytes = -1 }},
+		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
 
 		{name: "504-overdue-before-it-ran", sent: one(good), answers: answer(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
 		{name: "504-overdue", sent: one(good), answers: answer(router.Response{Status: router.Failed, DeadlineExceeded: true})},
--- a/internal/webhook/http.go
+++ b/internal/webhook/http.go
@@ -7,106 +7,151 @@
 
 const (
 	maxHeadBytes    = 8 << 10  // request line and header lines
-	maxHeaders      = 64       // of them
-	maxRequestBody  = 16 << 10 // a call's body, once decoded
-	maxDeliveryBody = 24 << 10 // a request's body: a call's body in base64 and the fields round it
+	maxHeaders      = 64       // header lines
+	maxRequestBody  = 16 << 10 // the body of the request in a payload, once decoded
+	maxDeliveryBody = 24 << 10 // an HTTP request's body: a request's body in base64 and the fields around it
 )
 
-// httpRequest is an HTTP httpRequest whose head has been read. Its parts point into the bytes read.
+var (
+	lineEnd = []byte("\r\n")
+	headEnd = []byte("\r\n\r\n")
+)
+
+// httpRequest is an HTTP request whose head has been read. Its parts point into the bytes read.
 type httpRequest struct {
 	method, target  []byte
 	headers         []header
-	bodyLength      int  // of the body
-	closeRequested  bool // the client asked for the connection to be closed
-	expectsContinue bool // the client waits for 100 Continue
+	bodyLength      int
+	closeRequested  bool // by "Connection: close"
+	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 }
 
 type header struct{ name, value []byte }
 
-// header returns the value of a header, and how many there are of that name.
-func (r *httpRequest) header(name string) (value []byte, n int) {
+// header returns the value of the last header of a name, and how many there are of that name.
+func (r *httpRequest) header(name string) (value []byte, count int) {
 	for _, h := range r.headers {
 		if len(h.name) == len(name) && bytes.EqualFold(h.name, []byte(name)) {
 			value = h.value
-			n++
+			count++
 		}
 	}
-	return value, n
+	return value, count
+}
+
+// hasHeaderValue reports whether a header's value is the given one, in any case.
+func (r *httpRequest) hasHeaderValue(name, want string) bool {
+	value, _ := r.header(name)
+	return bytes.EqualFold(value, []byte(want))
 }
 
-// parseHead reads the head at the front of b, in place. It returns how long the head is, 0 while
-// it is not whole, and a status other than 0 for a request that is refused as it stands: where its
-// body would end is then unknown, so the connection can't be used any further.
-func parseHead(b []byte) (r httpRequest, size, status int) {
-	end := bytes.Index(b[:min(len(b), maxHeadBytes)], []byte("\r\n\r\n"))
+// parseHead reads the head at the front of b, in place. Size is how long the head is, 0 while it is not complete. A
+// status other than statusNone rejects the request as it stands: where its body would end is then unknown, so the
+// connection can't be used any further.
+func parseHead(b []byte) (request *httpRequest, size int, status httpStatus) {
+	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
 	if end < 0 {
-		if len(b) >= maxHeadBytes {
-			return r, 0, 431
-		}
-		// A line end that is not CRLF would have us wait for an end that others have seen.
-		if i := bytes.IndexByte(b, '\n'); i == 0 || i > 0 && b[i-1] != '\r' {
-			return r, 0, 400
-		}
-		return r, 0, 0
+		return nil, 0, checkPartialHead(b)
+	}
+	request = &httpRequest{}
+	requestLine, headerLines, _ := bytes.Cut(b[:end+len(lineEnd)], lineEnd)
+	if status := request.parseRequestLine(requestLine); status != statusNone {
+		return nil, 0, status
+	}
+	if status := request.parseHeaders(headerLines); status != statusNone {
+		return nil, 0, status
 	}
-	line, rest, _ := bytes.Cut(b[:end+2], []byte("\r\n"))
+	if status := request.parseFraming(); status != statusNone {
+		return nil, 0, status
+	}
+	request.closeRequested = request.hasHeaderValue("Connection", "close")
+	request.expectsContinue = request.hasHeaderValue("Expect", "100-continue")
+	return request, end + len(headEnd), statusNone
+}
+
+// checkPartialHead rejects the beginning of a head that can't become a valid one.
+func checkPartialHead(b []byte) httpStatus {
+	if len(b) >= maxHeadBytes {
+		return statusHeaderFieldsTooLarge
+	}
+	// A line end other than CRLF would have the receiver wait for an end that others have already seen.
+	i := bytes.IndexByte(b, '\n')
+	if i == 0 || i > 0 && b[i-1] != '\r' {
+		return statusBadRequest
+	}
+	return statusNone
+}
+
+// parseRequestLine reads the method and the target (RFC 9112, section 3).
+func (r *httpRequest) parseRequestLine(line []byte) httpStatus {
 	words := bytes.Split(line, []byte{' '})
 	if len(words) != 3 || string(words[2]) != "HTTP/1.1" || !isToken(words[0]) || !isTarget(words[1]) {
-		return r, 0, 400
+		return statusBadRequest
 	}
-	r.method, r.target = words[0], words[1]
-	for len(rest) > 0 {
-		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
-		name, value, ok := bytes.Cut(line, []byte{':'})
+	r.method = words[0]
+	r.target = words[1]
+	return statusNone
+}
+
+// parseHeaders reads header lines (RFC 9112, section 5), each with its line end. Folded lines and spaces before the
+// colon are rejected, as the RFC asks.
+func (r *httpRequest) parseHeaders(lines []byte) httpStatus {
+	for len(lines) > 0 {
+		var line []byte
+		line, lines, _ = bytes.Cut(lines, lineEnd)
+		name, value, found := bytes.Cut(line, []byte{':'})
 		value = bytes.Trim(value, " \t")
-		if !ok || !isToken(name) || !isText(value) { // no folded lines, no space before the colon
-			return r, 0, 400
+		if !found || !isToken(name) || !isText(value) {
+			return statusBadRequest
 		}
 		if len(r.headers) == maxHeaders {
-			return r, 0, 431
+			return statusHeaderFieldsTooLarge
 		}
 		r.headers = append(r.headers, header{name, value})
 	}
-	if _, n := r.header("Host"); n != 1 {
-		return r, 0, 400
-	}
-	// Two lengths, or a length and chunks, are how one request is passed off as two: never guess.
-	if _, n := r.header("Transfer-Encoding"); n > 0 {
-		return r, 0, 400
+	return statusNone
+}
+
+// parseFraming reads how long the body is (RFC 9112, section 6). Two lengths, or a length and chunks, are how one
+// request is passed off as two, so nothing is guessed.
+func (r *httpRequest) parseFraming() httpStatus {
+	if _, hosts := r.header("Host"); hosts != 1 {
+		return statusBadRequest
 	}
-	length, n := r.header("Content-Length")
-	if n > 1 || n == 0 && string(r.method) == "POST" {
-		return r, 0, 400
+	if _, codings := r.header("Transfer-Encoding"); codings > 0 {
+		return statusBadRequest
 	}
-	if n == 1 {
-		if status := r.setLength(length); status != 0 {
-			return r, 0, status
-		}
+	length, lengths := r.header("Content-Length")
+	switch {
+	case lengths > 1:
+		return statusBadRequest
+	case lengths == 1:
+		return r.parseBodyLength(length)
+	case string(r.method) == "POST":
+		return statusBadRequest
 	}
-	connection, _ := r.header("Connection")
-	r.closeRequested = bytes.EqualFold(connection, []byte("close"))
-	expect, _ := r.header("Expect")
-	r.expectsContinue = bytes.EqualFold(expect, []byte("100-continue"))
-	return r, end + 4, 0
+	return statusNone
 }
 
-func (r *httpRequest) setLength(text []byte) (status int) {
-	for _, d := range text {
-		if d < '0' || d > '9' { // no sign, no list
-			return 400
+// parseBodyLength reads a Content-Length: digits alone, neither a sign nor a list.
+func (r *httpRequest) parseBodyLength(text []byte) httpStatus {
+	for _, digit := range text {
+		if digit < '0' || digit > '9' {
+			return statusBadRequest
 		}
 	}
-	n, err := strconv.Atoi(string(text))
-	switch {
-	case len(text) == 0:
-		return 400
-	case err != nil || n > maxDeliveryBody:
-		return 413
+	if len(text) == 0 {
+		return statusBadRequest
 	}
-	r.bodyLength = n
-	return 0
+	length, err := strconv.Atoi(string(text))
+	if err != nil || length > maxDeliveryBody {
+		return statusContentTooLarge
+	}
+	r.bodyLength = length
+	return statusNone
 }
 
+// isToken reports whether b is a token (RFC 9110, section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -119,6 +164,7 @@
 	return len(b) > 0
 }
 
+// isTarget reports whether b consists of visible ASCII characters.
 func isTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -128,6 +174,7 @@
 	return len(b) > 0
 }
 
+// isText reports whether b has no control characters but tabs.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -136,24 +183,3 @@
 	}
 	return true
 }
-
-var statusText = map[int]string{
-	200: "OK", 400: "Bad Request", 401: "Unauthorized", 404: "Not Found", 405: "Method Not Allowed",
-	413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-	503: "Service Unavailable", 504: "Gateway Timeout",
-}
-
-// appendResponseHead returns the head of an answer; its body is written behind it.
-func appendResponseHead(status, length int, last bool, extra string) []byte {
-	b := append(make([]byte, 0, 192), "HTTP/1.1 "...)
-	b = append(strconv.AppendInt(b, int64(status), 10), ' ')
-	b = append(append(b, statusText[status]...), "\r\nContent-Length: "...)
-	b = append(strconv.AppendInt(b, int64(length), 10), "\r\n"...)
-	if length > 0 {
-		b = append(b, "Content-Type: application/octet-stream\r\n"...)
-	}
-	if last {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	return append(append(b, extra...), "\r\n"...)
-}
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -1,194 +1,84 @@
 package webhook
 
 import (
-	"bufio"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
-	"io"
-	"io/fs"
 	"log/slog"
 	"os"
-	"path/filepath"
 	"syscall"
 	"time"
 )
 
-// Why an order can't be entered.
-var (
-	errLedgerFull   = errors.New("ledger is full")
-	errLedgerBroken = errors.New("ledger is out of use after a failed write")
-)
-
-// ledgerEntry is a line of the ledger: what became of an order.
-type ledgerEntry struct {
-	ID         string    `json:"id"`
-	EventTime  time.Time `json:"at"`    // when the order's event happened
-	BodyDigest string    `json:"sum"`   // of the payload
-	State      string    `json:"state"` // begun, ended or freed
-	Status     int       `json:"status,omitempty"`
-	Body       []byte    `json:"body,omitempty"`
-}
-
 const (
-	stateBegun = "begun" // it may run from now on
-	stateEnded = "ended" // with this outcome
-	stateFreed = "freed" // it is proven that it never ran
+	ledgerQueueLength  = 256         // entries that wait to be written
+	compactionInterval = time.Minute // the least time between two compactions of a full ledger
 )
 
-// ledger is the append-only record of orders that survives a restart. A begun line is on the disk
-// before the order's first send; an order whose line is missing has never been sent. One goroutine
-// writes it, off the loop. A line is a checksum, a space, JSON and a line end.
+// ledger is the append-only record of orders that survives a restart. An order's first entry is on the disk before the
+// order is first forwarded, so an order without an entry has never been forwarded. One goroutine writes the file, from
+// openLedger until close.
 type ledger struct {
-	path        string
-	maxBytes    int64
-	retention   time.Duration
-	wallClock   func() time.Time
+	path      string
+	maxBytes  int64
+	retention time.Duration
+	wallClock func() time.Time
+	lock      *os.File
+	jobs      chan appendJob
+	stopped   chan struct{} // closed when the last entry is written
+
+	// Owned by the goroutine that writes.
 	file        *os.File
-	lock        *os.File
 	size        int64
 	compactedAt time.Time
-	broken      bool
-	jobs        chan appendJob
-	drained     chan struct{} // closed when the last line is written
+	broken      bool // what the file holds is unknown, so nothing more is written
 }
 
-// appendJob is a line to write; where done is set it is synced first.
+// appendJob is an entry to write. Where done is set the entry is synced, and done is called on the writing goroutine.
 type appendJob struct {
 	entry ledgerEntry
 	done  func(error)
 }
 
-const (
-	ledgerQueue        = 256
-	maxLedgerLine      = 64 << 10
-	compactionInterval = time.Minute
-)
-
-// openLedger reads the ledger at path and writes it anew without what is older than retention.
-func openLedger(path string, max int64, retention time.Duration, wall func() time.Time) (*ledger, []ledgerEntry, error) {
-	l := &ledger{path: path, maxBytes: max, retention: retention, wallClock: wall, jobs: make(chan appendJob, ledgerQueue), drained: make(chan struct{})}
-	var err error
-	if l.lock, err = os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600); err != nil {
-		return nil, nil, fmt.Errorf("ledger: %w", err)
+// openLedger locks the ledger at path, recovers its entries and compacts it.
+func openLedger(path string, maxBytes int64, retention time.Duration, wallClock func() time.Time) (*ledger, []ledgerEntry, error) {
+	lock, err := lockLedger(path)
+	if err != nil {
+		return nil, nil, err
 	}
-	// Two programs on one ledger would not see each other's orders. The lock has a file of its own,
-	// since the ledger's is replaced when it is written anew.
-	if err = syscall.Flock(int(l.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		l.lock.Close()
-		return nil, nil, fmt.Errorf("ledger %s is in use: %w", path, err)
+	l := &ledger{
+		path:      path,
+		maxBytes:  maxBytes,
+		retention: retention,
+		wallClock: wallClock,
+		lock:      lock,
+		jobs:      make(chan appendJob, ledgerQueueLength),
+		stopped:   make(chan struct{}),
 	}
 	entries, err := l.compact()
 	if err != nil {
-		l.lock.Close()
+		lock.Close()
 		return nil, nil, fmt.Errorf("ledger: %w", err)
 	}
 	go l.run()
 	return l, entries, nil
 }
 
-// compact replaces the file by one with only the last line of each order that is still retained.
-func (l *ledger) compact() ([]ledgerEntry, error) {
-	last, order := map[string]ledgerEntry{}, []string(nil)
-	switch f, err := os.Open(l.path); {
-	case err == nil:
-		err = readEntries(f, func(e ledgerEntry) {
-			if _, known := last[e.ID]; !known {
-				order = append(order, e.ID)
-			}
-			last[e.ID] = e
-		})
-		f.Close()
-		if err != nil {
-			return nil, err
-		}
-	case !errors.Is(err, fs.ErrNotExist):
-		return nil, err
-	}
-	var kept []ledgerEntry
-	var text []byte
-	for _, id := range order {
-		if e := last[id]; e.State != stateFreed && l.wallClock().Sub(e.EventTime) <= l.retention {
-			kept = append(kept, e)
-			text = append(text, encodeEntry(e)...)
-		}
-	}
-	fresh, err := os.OpenFile(l.path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// lockLedger takes the lock that keeps two processes from using one ledger: they would not see each other's orders. It
+// is a file of its own, since compaction replaces the ledger's.
+func lockLedger(path string) (*os.File, error) {
+	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("ledger: %w", &LedgerError{Path: path, Err: err})
 	}
-	if _, err = fresh.Write(text); err == nil {
-		err = fresh.Sync()
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, &LedgerInUseError{Path: path, Err: err}
 	}
-	if err == nil {
-		err = os.Rename(l.path+".new", l.path)
-	}
-	if err == nil {
-		err = syncDir(filepath.Dir(l.path))
-	}
-	if err != nil {
-		fresh.Close()
-		return nil, err
-	}
-	if l.file != nil {
-		l.file.Close()
-	}
-	l.file, l.size, l.compactedAt = fresh, int64(len(text)), l.wallClock()
-	return kept, nil
+	return lock, nil
 }
 
-func syncDir(dir string) error {
-	d, err := os.Open(dir)
-	if err != nil {
-		return err
-	}
-	defer d.Close()
-	return d.Sync()
-}
-
-func encodeEntry(e ledgerEntry) []byte {
-	text, err := json.Marshal(e)
-	if err != nil {
-		panic(err) // of strings, numbers and bytes: it can't fail
-	}
-	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)
-}
-
-// readEntries calls f for each line. A last line that was cut short was never synced, so nothing was sent
-// for it; damage anywhere else leaves it open which orders ran, and is an error.
-func readEntries(r io.Reader, f func(ledgerEntry)) error {
-	in := bufio.NewReaderSize(r, maxLedgerLine)
-	for n := 1; ; n++ {
-		text, err := in.ReadSlice('\n')
-		if err == io.EOF {
-			return nil
-		}
-		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
-		}
-		var crc [4]byte
-		var e ledgerEntry
-		if len(text) < 10 {
-			return fmt.Errorf("line %d: damaged", n)
-		}
-		_, err = hex.Decode(crc[:], text[:8])
-		body := text[9 : len(text)-1]
-		if err == nil && fmt.Sprintf("%x", crc) != fmt.Sprintf("%08x", crc32.ChecksumIEEE(body)) {
-			err = errors.New("damaged")
-		}
-		if err == nil {
-			err = json.Unmarshal(body, &e)
-		}
-		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
-		}
-		f(e)
-	}
-}
-
-// begin enters an order; done is called off the loop once it is on the disk, or can't be.
+// begin records an order that is about to be forwarded. Done is called, on any goroutine, when the entry is on the disk
+// or can't be.
 func (l *ledger) begin(e ledgerEntry, done func(error)) {
 	e.State = stateBegun
 	select {
@@ -198,92 +88,112 @@
 	}
 }
 
-// settle enters what became of an order. Should it be lost, the order counts as one that may have
-// run, and is never run again.
-func (l *ledger) settle(e ledgerEntry) {
+// update records what became of an order. Should the entry be lost, the order counts as one that may have run, and is
+// never run again.
+func (l *ledger) update(e ledgerEntry) {
 	select {
 	case l.jobs <- appendJob{entry: e}:
 	default:
-		slog.Warn("ledger_entry_dropped", "id", e.ID, "state", e.State)
+		slog.Warn("ledger_entry_dropped", slog.String("id", e.ID), slog.String("state", string(e.State)))
 	}
 }
 
-// run writes what has been entered, as many lines as there are with one sync.
+// run writes entries until the ledger is closed, as many as there are with one sync.
 func (l *ledger) run() {
-	defer close(l.drained)
+	defer close(l.stopped)
 	var batch []appendJob
-	for j := range l.jobs {
-		batch = append(batch[:0], j)
-		for more := true; more; {
-			select {
-			case j, more = <-l.jobs:
-				if more {
-					batch = append(batch, j)
-				}
-			default:
-				more = false
+	for job := range l.jobs {
+		batch = append(batch[:0], job)
+		batch = l.appendQueued(batch)
+		l.writeBatch(batch)
+	}
+}
+
+// appendQueued appends the jobs that are queued already.
+func (l *ledger) appendQueued(batch []appendJob) []appendJob {
+	for {
+		select {
+		case job, open := <-l.jobs:
+			if !open {
+				return batch
 			}
+			batch = append(batch, job)
+		default:
+			return batch
 		}
-		l.write(batch)
 	}
 }
 
-// write appends a batch and then tells each who waits how its line fared.
-func (l *ledger) write(batch []appendJob) {
+// writeBatch appends a batch of entries, syncs them if somebody waits for one of them, and reports how each fared.
+func (l *ledger) writeBatch(batch []appendJob) {
 	errs := make([]error, len(batch))
-	sync := false
-	for i, j := range batch {
-		errs[i] = l.append(j.entry)
-		sync = sync || errs[i] == nil && j.done != nil
+	syncNeeded := false
+	for i, job := range batch {
+		errs[i] = l.writeEntry(job.entry)
+		if errs[i] == nil && job.done != nil {
+			syncNeeded = true
+		}
 	}
-	if sync {
+	if syncNeeded {
 		if err := l.file.Sync(); err != nil { // what is on the disk is unknown from here on
 			l.broken = true
 			for i := range errs {
-				errs[i] = errors.Join(errs[i], err)
+				errs[i] = errors.Join(errs[i], &LedgerError{Path: l.path, Err: err})
 			}
 		}
 	}
-	for i, j := range batch {
+	for i, job := range batch {
 		if errs[i] != nil {
-			slog.Error("ledger_write_failed", "id", j.entry.ID, "err", errs[i])
+			slog.Error("ledger_write_failed", slog.String("id", job.entry.ID), slog.Any("err", errs[i]))
 		}
-		if j.done != nil {
-			j.done(errs[i])
+		if job.done != nil {
+			job.done(errs[i])
 		}
 	}
 }
 
-func (l *ledger) append(e ledgerEntry) error {
+// writeEntry appends an entry to the file, without a sync. A full ledger is compacted first.
+func (l *ledger) writeEntry(e ledgerEntry) error {
 	if l.broken {
 		return errLedgerBroken
 	}
-	text := encodeEntry(e)
-	if l.size+int64(len(text)) > l.maxBytes {
-		// Not at each order that finds it full: that would have the whole file written every time.
-		if l.wallClock().Sub(l.compactedAt) < compactionInterval {
-			return errLedgerFull
-		}
-		if _, err := l.compact(); err != nil {
-			l.broken = true
+	line := encodeEntry(e)
+	if !l.hasRoom(line) {
+		if err := l.makeRoom(line); err != nil {
 			return err
 		}
-		if l.size+int64(len(text)) > l.maxBytes {
-			return errLedgerFull
-		}
 	}
-	if _, err := l.file.Write(text); err != nil {
+	if _, err := l.file.Write(line); err != nil {
+		l.broken = true
+		return &LedgerError{Path: l.path, Err: err}
+	}
+	l.size += int64(len(line))
+	return nil
+}
+
+func (l *ledger) hasRoom(line []byte) bool {
+	return l.size+int64(len(line)) <= l.maxBytes
+}
+
+// makeRoom compacts the ledger, though not for each order that finds it full: the whole file would be written every time.
+func (l *ledger) makeRoom(line []byte) error {
+	if l.wallClock().Sub(l.compactedAt) < compactionInterval {
+		return errLedgerFull
+	}
+	if _, err := l.compact(); err != nil {
 		l.broken = true
 		return err
 	}
-	l.size += int64(len(text))
+	if !l.hasRoom(line) {
+		return errLedgerFull
+	}
 	return nil
 }
 
-// close writes what was entered, and lets others open the ledger.
+// close ends the goroutine when all entries are written, and lets others open the ledger.
 func (l *ledger) close() error {
 	close(l.jobs)
-	<-l.drained
+	<-l.stopped
 	err := l.file.Sync()
 	return errors.Join(err, l.file.Close(), l.lock.Close())
 }
--- /dev/null
+++ b/internal/webhook/payload.go
@@ -0,0 +1,155 @@
+package webhook
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// requestEventType is the type of an event that asks for a request to be run.
+const requestEventType = "call.requested"
+
+// maxTenantLength is the longest name of a tenant, in bytes.
+const maxTenantLength = 128
+
+// payload is the JSON of a delivery. It holds all that matters, since nothing else is signed.
+type payload struct {
+	Type      string    `json:"type"`
+	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
+	Data      struct {
+		Class    string  `json:"class"`
+		Key      string  `json:"key"`
+		Tenant   string  `json:"tenant"`
+		WaitMs   float64 `json:"wait_ms"`
+		MemoryMB float64 `json:"memory_mb"`
+		Lanes    float64 `json:"lanes"`
+		LoadMs   float64 `json:"load_ms"`
+		Body     []byte  `json:"body"`
+	} `json:"data"`
+}
+
+// parsePayload reads the payload and checks what can be checked without the settings. Its errors are
+// MalformedDeliveryErrors.
+func parsePayload(body []byte) (*payload, error) {
+	var p payload
+	if err := json.Unmarshal(body, &p); err != nil {
+		malformed := &MalformedDeliveryError{Err: err}
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			malformed.Field = wrongType.Field
+		}
+		return nil, malformed
+	}
+	if p.Type != requestEventType {
+		return nil, malformedField("type", "type is not "+requestEventType)
+	}
+	return &p, nil
+}
+
+// checkSizes checks the fields whose length is bounded.
+func (p *payload) checkSizes() error {
+	switch {
+	case len(p.Data.Tenant) > maxTenantLength:
+		return malformedField("data.tenant", "tenant is too long")
+	case len(p.Data.Body) > maxRequestBody:
+		return malformedField("data.body", "body is too long")
+	}
+	return nil
+}
+
+// checkNumbers checks the fields that are numbers. What is beyond the limits is nothing that a worker could hold.
+func (p *payload) checkNumbers() error {
+	for _, number := range []struct {
+		field      string
+		value, max float64
+	}{
+		{"data.wait_ms", p.Data.WaitMs, router.MaxWaitMs},
+		{"data.memory_mb", p.Data.MemoryMB, router.MaxMemoryMB},
+		{"data.lanes", p.Data.Lanes, router.MaxLanes},
+		{"data.load_ms", p.Data.LoadMs, router.MaxLoadMs},
+	} {
+		if !router.InRange(number.value, number.max) {
+			return malformedField(number.field, "a figure is out of range")
+		}
+	}
+	return nil
+}
+
+// wait returns how long the request may wait for its response: as long as its class allows, unless it says less.
+func (p *payload) wait(class Class) time.Duration {
+	wait := milliseconds(p.Data.WaitMs)
+	if wait == 0 || wait > class.MaxWait {
+		return class.MaxWait
+	}
+	return wait
+}
+
+// decodeRequest reads and checks the payload of an authenticated delivery. It returns the request in it, to which the
+// caller adds what is known of the delivery, and when the event happened. Its errors are MalformedDeliveryErrors.
+func (r *Receiver) decodeRequest(body []byte) (request router.Request, eventTime time.Time, err error) {
+	p, err := parsePayload(body)
+	if err != nil {
+		return request, eventTime, err
+	}
+	classIndex, known := r.classIndex[p.Data.Class]
+	if !known {
+		return request, eventTime, malformedField("data.class", "unknown class")
+	}
+	if err := p.checkSizes(); err != nil {
+		return request, eventTime, err
+	}
+	function, ok := router.ParseFunctionKey(p.Data.Key)
+	if !ok {
+		return request, eventTime, malformedField("data.key", "key is not 16 hex digits in lower case")
+	}
+	if err := p.checkNumbers(); err != nil {
+		return request, eventTime, err
+	}
+	class := r.classes[classIndex]
+	if class.NotIdempotent {
+		if err := r.checkRetention(p.Timestamp); err != nil {
+			return request, eventTime, err
+		}
+	}
+	request = router.Request{
+		Front:       router.Webhook,
+		Class:       classIndex,
+		ID:          newRequestID(),
+		FunctionKey: p.Data.Key,
+		Function:    policy.FunctionID(function),
+		Tenant:      p.Data.Tenant,
+		MemoryMB:    p.Data.MemoryMB,
+		Lanes:       p.Data.Lanes,
+		LoadTime:    milliseconds(p.Data.LoadMs),
+		Body:        p.Data.Body,
+		Deadline:    r.clock() + p.wait(class) - router.ResponseMargin,
+	}
+	return request, p.Timestamp, nil
+}
+
+// checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten.
+func (r *Receiver) checkRetention(eventTime time.Time) error {
+	tolerance := r.config.Receiver.Tolerance
+	maxAge := r.config.Receiver.Ledger.Retention - 2*tolerance
+	age := r.wallClock().Sub(eventTime)
+	if age > maxAge || age < -tolerance {
+		return malformedField("timestamp", "the order's timestamp is outside the ledger's retention")
+	}
+	return nil
+}
+
+// milliseconds returns a JSON number of milliseconds as a duration, cut to whole nanoseconds.
+func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
+
+// newRequestID returns a request id for the workers, which know nothing of webhook-ids.
+func newRequestID() string {
+	var b [8]byte
+	rand.Read(b[:]) // never fails
+	return fmt.Sprintf("%016x", binary.BigEndian.Uint64(b[:]))
+}
--- /dev/null
+++ b/internal/webhook/response.go
@@ -0,0 +1,110 @@
+package webhook
+
+import (
+	"fmt"
+	"strconv"
+	"time"
+)
+
+// httpStatus is the status code of an HTTP response (RFC 9110, section 15; 431: RFC 6585).
+type httpStatus int
+
+// The status codes that the receiver sends. net/http has them too, but the program would then hold all of that package
+// for the sake of these numbers.
+const (
+	statusNone                 httpStatus = 0 // nothing is wrong so far
+	statusOK                   httpStatus = 200
+	statusBadRequest           httpStatus = 400
+	statusUnauthorized         httpStatus = 401
+	statusNotFound             httpStatus = 404
+	statusMethodNotAllowed     httpStatus = 405
+	statusContentTooLarge      httpStatus = 413
+	statusHeaderFieldsTooLarge httpStatus = 431
+	statusBadGateway           httpStatus = 502
+	statusServiceUnavailable   httpStatus = 503
+	statusGatewayTimeout       httpStatus = 504
+)
+
+// statusGone is how a receiver of notices says that it wants a notice never again.
+const statusGone httpStatus = 410
+
+// continueResponse is the interim response to "Expect: 100-continue".
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+// responseHeadCapacity is room for the usual response head, in bytes.
+const responseHeadCapacity = 192
+
+// reason returns the reason phrase of a status that the receiver sends.
+func (s httpStatus) reason() string {
+	switch s {
+	case statusOK:
+		return "OK"
+	case statusBadRequest:
+		return "Bad Request"
+	case statusUnauthorized:
+		return "Unauthorized"
+	case statusNotFound:
+		return "Not Found"
+	case statusMethodNotAllowed:
+		return "Method Not Allowed"
+	case statusContentTooLarge:
+		return "Content Too Large"
+	case statusHeaderFieldsTooLarge:
+		return "Request Header Fields Too Large"
+	case statusBadGateway:
+		return "Bad Gateway"
+	case statusServiceUnavailable:
+		return "Service Unavailable"
+	case statusGatewayTimeout:
+		return "Gateway Timeout"
+	}
+	return ""
+}
+
+// isInformational reports whether it is the status of an interim response, which a final one follows.
+func (s httpStatus) isInformational() bool { return s >= 100 && s < 200 }
+
+func (s httpStatus) isSuccess() bool { return s >= 200 && s < 300 }
+
+// httpResponse is the response to a delivery.
+type httpResponse struct {
+	status     httpStatus
+	body       []byte
+	retryAfter time.Duration // with 503 alone; rounded up to whole seconds, one at least
+}
+
+// appendHead appends the response's head; the body follows it.
+func (r httpResponse) appendHead(b []byte, disposition connectionDisposition) []byte {
+	b = append(b, "HTTP/1.1 "...)
+	b = strconv.AppendInt(b, int64(r.status), 10)
+	b = append(b, ' ')
+	b = append(b, r.status.reason()...)
+	b = append(b, "\r\nContent-Length: "...)
+	b = strconv.AppendInt(b, int64(len(r.body)), 10)
+	b = append(b, "\r\n"...)
+	if len(r.body) > 0 {
+		b = append(b, "Content-Type: application/octet-stream\r\n"...)
+	}
+	if disposition == closeConnection {
+		b = append(b, "Connection: close\r\n"...)
+	}
+	switch r.status {
+	case statusServiceUnavailable:
+		b = fmt.Appendf(b, "Retry-After: %d\r\n", r.retryAfterSeconds())
+	case statusMethodNotAllowed:
+		b = append(b, "Allow: POST\r\n"...)
+	}
+	return append(b, "\r\n"...)
+}
+
+func (r httpResponse) retryAfterSeconds() int64 {
+	return max(1, int64((r.retryAfter+time.Second-1)/time.Second))
+}
+
+// connectionDisposition says what becomes of a connection after a response.
+type connectionDisposition uint8
+
+const (
+	keepConnection connectionDisposition = iota
+	closeConnection
+)
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -1,16 +1,13 @@
 package webhook
 
 import (
-	"bytes"
-	crand "crypto/rand"
+	"crypto/rand"
 	"encoding/base64"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
+	mathrand "math/rand/v2"
 	"net/url"
-	"strconv"
 	"time"
 
 	"crankhold/internal/eventloop"
@@ -19,210 +16,200 @@
 
 const (
 	maxConcurrentAttempts = 4
-	maxNoticeResponse     = 8 << 10 // of a receiver's answer that is read
 	maxBackoff            = 10 * time.Minute
+	maxBackoffSteps       = 10        // after them the delay grows no more, whatever the configured backoff
+	idleTickInterval      = time.Hour // when Tick asks to be called again although nothing is due
+
+	noticeTypePrefix = "repair-order."
+	noticeIDPrefix   = "msg_"
+	noticeIDBytes    = 16
+	defaultHTTPPort  = ":80"
 )
 
-// Sender sends a signed notice of what became of each order. It is never in a request's way: what
-// its queue has no room for is dropped and counted.
+// Dial begins to open a connection to an address. The handler hears how the dial ended.
+type Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+
+// Sender sends a signed notice of what became of each order. It never delays a request: a notice that its queue has no
+// room for is dropped and counted.
 type Sender struct {
-	cfg       *Config
+	config    *SenderConfig
 	url       *url.URL
-	address   string
+	address   string // to connect to
 	secret    []byte
-	dial      func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+	dial      Dial
 	wallClock func() time.Time
 	now       time.Duration
-	queue     []*notice // waiting for their time
-	inFlight  int
+	queue     []*notice // waiting until they are due
+	inFlight  int       // attempts that have not ended
 	attempts  []*noticeAttempt
 	Counters  SenderCounters
 }
 
-// SenderCounters tells what became of notices.
+// SenderCounters counts notices by what became of them, and the retries of their attempts.
 type SenderCounters struct{ Queued, Dropped, Delivered, Retried, GivenUp uint64 }
 
+// notice is a message that is delivered until its receiver accepts it or its attempts are used up.
 type notice struct {
-	id       string // the same in each delivery
+	id       string // the same in each attempt
 	body     []byte
-	attempts int
-	due      time.Duration
+	attempts int           // that have ended
+	due      time.Duration // when the next attempt may begin
+}
+
+// noticePayload is the JSON of a notice.
+type noticePayload struct {
+	Type      string     `json:"type"`
+	Timestamp time.Time  `json:"timestamp"`
+	Data      noticeData `json:"data"`
+}
+
+type noticeData struct {
+	ID        string `json:"id"`
+	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that the order came in
+	Key       string `json:"key"`
 }
 
-// NewSender reads the key.
-func NewSender(cfg *Config, wall func() time.Time, dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport) (*Sender, error) {
-	u, err := url.Parse(cfg.Sender.URL)
+// NewSender reads the key that cfg names.
+func NewSender(cfg *Config, wallClock func() time.Time, dial Dial) (*Sender, error) {
+	config := &cfg.Sender
+	target, err := url.Parse(config.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
 	}
-	s := &Sender{cfg: cfg, url: u, address: cfg.Sender.Connect, dial: dial, wallClock: wall}
-	if s.address == "" {
-		if s.address = u.Host; u.Port() == "" {
-			s.address += ":80"
-		}
-	}
-	if s.secret, err = readKey(cfg.Sender.Key); err != nil {
+	secret, err := readKey(config.Key)
+	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	return &Sender{
+		config:    config,
+		url:       target,
+		address:   connectAddress(config, target),
+		secret:    secret,
+		dial:      dial,
+		wallClock: wallClock,
+	}, nil
+}
+
+// connectAddress returns the address that notices are sent to: the configured one, else the URL's.
+func connectAddress(config *SenderConfig, target *url.URL) string {
+	switch {
+	case config.Connect != "":
+		return config.Connect
+	case target.Port() == "":
+		return target.Host + defaultHTTPPort
+	}
+	return target.Host
 }
 
 // Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
-func (s *Sender) Notify(now time.Duration, r *router.Request, what string) {
+func (s *Sender) Notify(now time.Duration, r *router.Request, outcome string) {
 	s.now = max(s.now, now)
-	if len(s.queue)+s.inFlight >= s.cfg.Sender.Queue {
+	if s.Pending() >= s.config.Queue {
 		s.Counters.Dropped++
 		return
 	}
-	type data struct {
-		ID  string `json:"id"`
-		Ref string `json:"webhook_id,omitempty"` // of the delivery that the order came by
-		Key string `json:"key"`
-	}
-	body, err := json.Marshal(struct {
-		Type      string    `json:"type"`
-		Timestamp time.Time `json:"timestamp"`
-		Data      data      `json:"data"`
-	}{"repair-order." + what, s.wallClock().UTC(), data{r.ID, r.ClientReference, r.FunctionKey}})
+	body, err := json.Marshal(noticePayload{
+		Type:      noticeTypePrefix + outcome,
+		Timestamp: s.wallClock().UTC(),
+		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
+	})
 	if err != nil {
 		s.Counters.Dropped++
 		return
 	}
-	var id [16]byte
-	crand.Read(id[:]) // never fails
 	s.Counters.Queued++
-	s.queue = append(s.queue, &notice{id: "msg_" + base64.RawURLEncoding.EncodeToString(id[:]), body: body, due: s.now})
+	s.queue = append(s.queue, &notice{id: newNoticeID(), body: body, due: s.now})
+}
+
+func newNoticeID() string {
+	var id [noticeIDBytes]byte
+	rand.Read(id[:]) // never fails
+	return noticeIDPrefix + base64.RawURLEncoding.EncodeToString(id[:])
 }
 
-// Pending is how many notices have not come to their end.
+// Pending returns how many notices are queued or being delivered.
 func (s *Sender) Pending() int { return len(s.queue) + s.inFlight }
 
-// Tick sends what is due, and returns when it is to be called again.
+// Tick begins the attempts that are due and ends those that took too long. It returns when it is to be called again.
 func (s *Sender) Tick(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
-	next := now + time.Hour
-	keep := s.queue[:0]
+	nextDue := s.startDue(now)
+	nextTimeout := s.expireAttempts(now)
+	return min(nextDue, nextTimeout)
+}
+
+// startDue begins an attempt for each notice that is due, as far as attempts are free. It returns when the next notice
+// is due; a notice that waits for a free attempt does not count, since the end of an attempt calls for a Tick anyway.
+func (s *Sender) startDue(now time.Duration) (next time.Duration) {
+	next = now + idleTickInterval
+	waiting := s.queue[:0]
 	for _, n := range s.queue {
-		if n.due <= now && s.inFlight < maxConcurrentAttempts {
-			s.inFlight++
-			d := &noticeAttempt{sender: s, notice: n}
-			d.transport = s.dial(s.address, s.cfg.Sender.Timeout, d)
-			d.deadline = now + s.cfg.Sender.Timeout
-			s.attempts = append(s.attempts, d)
+		if s.inFlight >= maxConcurrentAttempts {
+			waiting = append(waiting, n)
 			continue
 		}
-		if s.inFlight < maxConcurrentAttempts {
+		if n.due > now {
 			next = min(next, n.due)
+			waiting = append(waiting, n)
+			continue
 		}
-		keep = append(keep, n)
-	}
-	clear(s.queue[len(keep):])
-	s.queue = keep
-	flying := s.attempts[:0]
-	for _, d := range s.attempts {
-		if !d.done && d.deadline <= now {
-			d.complete(0, errors.New("no answer in time"))
-		}
-		if !d.done {
-			next = min(next, d.deadline)
-			flying = append(flying, d)
-		}
+		s.startAttempt(n, now)
 	}
-	clear(s.attempts[len(flying):])
-	s.attempts = flying
+	clear(s.queue[len(waiting):])
+	s.queue = waiting
 	return next
 }
 
-// noticeAttempt is one try to deliver a notice, on a connection of its own.
-type noticeAttempt struct {
-	sender    *Sender
-	notice    *notice
-	transport Transport
-	deadline  time.Duration
-	response  []byte
-	done      bool
-}
-
-// DialCompleted sends the notice, signed with the time of this try.
-func (d *noticeAttempt) DialCompleted(err error) {
-	if err != nil {
-		d.complete(0, err)
-		return
-	}
-	if d.done {
-		return
-	}
-	s, n := d.sender, d.notice
-	stamp := strconv.FormatInt(s.wallClock().Unix(), 10)
-	head := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"+
-		"webhook-id: %s\r\nwebhook-timestamp: %s\r\nwebhook-signature: %s\r\nConnection: close\r\n\r\n",
-		s.url.RequestURI(), s.url.Host, len(n.body), n.id, stamp, sign(s.secret, n.id, stamp, n.body))
-	d.transport.Write(head, n.body)
+// startAttempt begins an attempt to deliver a notice.
+func (s *Sender) startAttempt(n *notice, now time.Duration) {
+	attempt := &noticeAttempt{sender: s, notice: n, deadline: now + s.config.Timeout}
+	s.inFlight++
+	s.attempts = append(s.attempts, attempt)
+	attempt.transport = s.dial(s.address, s.config.Timeout, attempt)
 }
 
-// Data reads the status line; nothing else of the answer matters.
-func (d *noticeAttempt) Data(b []byte) {
-	if d.done {
-		return
-	}
-	d.response = append(d.response, b...)
-	line, _, whole := bytes.Cut(d.response[:min(len(d.response), maxNoticeResponse)], []byte("\r\n"))
-	if !whole {
-		if len(d.response) >= maxNoticeResponse {
-			d.complete(0, errors.New("malformed answer"))
+// expireAttempts ends attempts that took too long and forgets those that have ended. It returns the next deadline.
+func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
+	next = now + idleTickInterval
+	open := s.attempts[:0]
+	for _, attempt := range s.attempts {
+		if !attempt.done && attempt.deadline <= now {
+			attempt.fail(errNoticeTimeout)
 		}
-		return
-	}
-	words := bytes.SplitN(line, []byte{' '}, 3)
-	status := 0
-	if len(words) >= 2 && bytes.HasPrefix(words[0], []byte("HTTP/1.")) && len(words[1]) == 3 {
-		status, _ = strconv.Atoi(string(words[1]))
-	}
-	if status >= 100 && status < 200 { // an interim answer; the one that counts follows
-		if end := bytes.Index(d.response, []byte("\r\n\r\n")); end >= 0 {
-			rest := d.response[end+4:]
-			d.response = nil
-			d.Data(rest)
+		if !attempt.done {
+			next = min(next, attempt.deadline)
+			open = append(open, attempt)
 		}
-		return
-	}
-	d.complete(status, nil)
-}
-
-// Closed without an answer is a try that failed.
-func (d *noticeAttempt) Closed(err error) {
-	if err == nil {
-		err = errors.New("closed without an answer")
 	}
-	d.complete(0, err)
+	clear(s.attempts[len(open):])
+	s.attempts = open
+	return next
 }
 
-// complete ends the try. What was not taken comes again, later each time, until its tries are used
-// up; 410 says that it is never to come again.
-func (d *noticeAttempt) complete(status int, err error) {
-	if d.done {
-		return
-	}
-	d.done = true
-	d.transport.Close()
-	s, n := d.sender, d.notice
+// attemptCompleted counts a notice that its receiver accepted, and has one that it did not retried later, until its
+// attempts are used up. A receiver that answers with 410 wants it never again. Status is 0 where err is set.
+func (s *Sender) attemptCompleted(n *notice, status httpStatus, err error) {
 	s.inFlight--
-	if n.attempts++; status >= 200 && status < 300 {
+	n.attempts++
+	if status.isSuccess() {
 		s.Counters.Delivered++
 		return
 	}
-	slog.Warn("webhook_notice_failed", "id", n.id, "try", n.attempts, "status", status, "err", err)
-	if n.attempts >= s.cfg.Sender.Attempts || status == 410 {
+	slog.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("try", n.attempts),
+		slog.Int("status", int(status)), slog.Any("err", err))
+	if n.attempts >= s.config.Attempts || status == statusGone {
 		s.Counters.GivenUp++
 		return
 	}
 	s.Counters.Retried++
-	wait := min(s.cfg.Sender.Backoff<<(2*min(n.attempts-1, 10)), maxBackoff)
-	n.due = s.now + wait/2 + jitter(wait/2)
+	n.due = s.now + retryDelay(s.config.Backoff, n.attempts)
 	s.queue = append(s.queue, n)
 }
 
-// jitter returns a time below most, so that notices that failed together come apart.
-func jitter(most time.Duration) time.Duration {
-	return rand.N(most + 1)
+// retryDelay is the delay before the next attempt: the backoff, four times as long after each further failure, up to
+// maxBackoff. Half of it is random, so that notices that failed together are not retried together.
+func retryDelay(backoff time.Duration, failures int) time.Duration {
+	steps := min(failures-1, maxBackoffSteps)
+	delay := min(backoff<<(2*steps), maxBackoff)
+	return delay/2 + mathrand.N(delay/2+1)
 }
--- a/internal/webhook/webhook_test.go
+++ b/internal/webhook/webhook_test.go
@@ -68,7 +68,7 @@
 
 func callPayload(class, body string, at time.Time) []byte {
 	var p payload
-	p.Type, p.Timestamp = callType, at
+	p.Type, p.Timestamp = requestEventType, at
 	p.Data.Class, p.Data.Key, p.Data.Body = class, "7f3a9c21e0b4d655", []byte(body)
 	text, err := json.Marshal(p)
 	if err != nil {
@@ -266,7 +266,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
 				enter(ledgerEntry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
-					State: rapid.SampledFrom([]string{stateBegun, stateEnded, stateFreed}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
+					State: rapid.SampledFrom([]entryState{stateBegun, stateEnded, stateFreed}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
 			},
 			"crash": func(t *rapid.T) {
 				torn := encodeEntry(ledgerEntry{ID: "torn", EventTime: noon, State: stateBegun})
