--- /dev/null
+++ b/internal/webhook/delivery_test.go
@@ -0,0 +1,116 @@
+package webhook
+
+import (
+	"bytes"
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+)
+
+// A delivery that is rejected gets one response and reaches nobody.
+func TestRejectedDeliveriesHaveNoEffect(t *testing.T) {
+	body := callPayload("dim-level", "x", noon)
+	good := string(signedDelivery(activeSecret, "m", noon, body))
+	change := func(old, new string) []byte { return []byte(strings.Replace(good, old, new, 1)) }
+	for name, test := range map[string]struct {
+		status int
+		bytes  []byte
+	}{
+		"retired key":              {401, signedDelivery(retiredSecret, "m", noon, body)},
+		"unknown key":              {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
+		"stale":                    {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
+		"from the future":          {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
+		"other id":                 {401, change("webhook-id: m", "webhook-id: n")},
+		"other time":               {401, change("webhook-timestamp: 1", "webhook-timestamp: 01")},
+		"other body":               {401, change(`"dim-level"`, `"dim-levex"`)},
+		"dotted id":                {401, signedDelivery(activeSecret, "m.1", noon, body)},
+		"no signature":             {401, change("webhook-signature", "x-signature")},
+		"two ids":                  {401, change("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
+		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, callPayload("lift", "x", noon))},
+		"no JSON":                  {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
+		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, callPayload("dim-level", strings.Repeat("x", maxRequestBody+1), noon))},
+		"two lengths":              {400, change("Content-Length", "Content-Length: 3\r\nContent-Length")},
+		"length and chunks":        {400, change("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
+		"signed length":            {400, change("Content-Length: ", "Content-Length: +")},
+		"no length":                {400, change("Content-Length", "X-Length")},
+		"no host":                  {400, change("Host", "X-Host")},
+		"bare line feed":           {400, change("\r\n", "\n")},
+		"folded line":              {400, change("webhook-id: m", "webhook-id: m\r\n x")},
+		"space before ':'":         {400, change("Host:", "Host :")},
+		"old version":              {400, change("HTTP/1.1", "HTTP/1.0")},
+		"other path":               {404, change("/hooks", "/hook")},
+		"other method":             {405, change("POST", "PUT")},
+		"long body":                {413, change("Content-Length: ", "Content-Length: 99")},
+		"long head":                {431, change("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
+		"many headers":             {431, change("Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: ")},
+		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))},
+	} {
+		core := &fakeCore{}
+		receiver, _ := newReceiver(t, core, "")
+		transport := &testutil.Transport{}
+		receiver.serve(transport, netip.AddrPort{}).Data(test.bytes)
+		if got := statuses(t, transport); len(got) != 1 || got[0] != test.status || len(core.accepted) > 0 {
+			t.Errorf("%s: responses %v, want one %d; %d requests", name, got, test.status, len(core.accepted))
+		}
+	}
+}
+
+// The tenant comes from the signed body, and routes go by it; one that is too long is rejected.
+func TestTenantIsTakenFromSignedBody(t *testing.T) {
+	core := &fakeCore{}
+	receiver, _ := newReceiver(t, core, "")
+	for i, x := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none accepted"}} {
+		body := bytes.Replace(callPayload("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, x.tenant), 1)
+		before := len(core.accepted)
+		transport := &testutil.Transport{}
+		receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, fmt.Sprint("t", i), noon, body))
+		got := "none accepted"
+		if len(core.accepted) > before {
+			got = core.accepted[before].Tenant
+		}
+		if got != x.want {
+			t.Errorf("tenant %.20q: %q, want %q; %s", x.tenant, got, x.want, transport.Wrote.String())
+		}
+	}
+}
+
+// A request of a class that requires an idempotency key carries one key through all redeliveries, derived from the
+// webhook-id, so that workers drop repeats. Other requests carry none.
+func TestIdempotencyKeyIsDerivedFromDeliveryID(t *testing.T) {
+	keys := map[string]map[string]bool{}
+	for range 2 { // two receivers, as after a restart with a lost ledger
+		core := &fakeCore{}
+		receiver, posts := newReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+		defer receiver.Close()
+		for _, id := range []string{"a", "b"} {
+			for _, class := range []string{"dim-level", "repair-order", "extend"} {
+				receiver.serve(&testutil.Transport{}, netip.AddrPort{}).Data(signedDelivery(activeSecret, class+id, noon, callPayload(class, "x", noon)))
+				if class != "dim-level" {
+					(<-posts)()
+				}
+				name := class + id
+				if keys[name] == nil {
+					keys[name] = map[string]bool{}
+				}
+				keys[name][core.accepted[len(core.accepted)-1].IdempotencyKey] = true
+			}
+		}
+	}
+	for name, got := range keys {
+		wantKey := strings.HasPrefix(name, "extend")
+		if len(got) != 1 || got[""] == wantKey {
+			t.Errorf("%s: keys %v", name, got)
+		}
+	}
+	for key := range keys["extenda"] {
+		if !router.ParseIdempotencyKey(key) || keys["extendb"][key] {
+			t.Errorf("key %q", key)
+		}
+	}
+}
--- /dev/null
+++ b/internal/webhook/errors_test.go
@@ -0,0 +1,147 @@
+package webhook
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Errors carry what they concern as fields, and their texts are the ones that operators know.
+func TestConfigErrorsCarryTheSetting(t *testing.T) {
+	const (
+		receiver = "[receiver]\nenabled = true\nlisten = \"127.0.0.1:1\"\n"
+		keys     = "keys = [{ file = \"k\" }]\n"
+		sender   = "[sender]\nenabled = true\nurl = \"http://hooks.example.org\"\n"
+	)
+	for _, test := range []struct{ text, key, message string }{
+		{"[receiver]\nfoo = 1", "receiver.foo", "webhook file f: unknown setting receiver.foo"},
+		{"[receiver]\nenabled = true\nlisten = \"nowhere\"", "receiver.listen", `webhook file f: receiver.listen: not an ip:port`},
+		{receiver + "path = \"hooks\"", "receiver.path", "webhook file f: receiver.path is no path"},
+		{receiver, "receiver.keys", "webhook file f: receiver.keys is empty"},
+		{receiver + keys + "tolerance = \"1ms\"", "receiver.tolerance", "webhook file f: receiver.tolerance must be a second or more, and dedupe_for twice as long or more"},
+		{receiver + keys + "ledger = { path = \"l\", max_bytes = 1 }", "receiver.ledger", "webhook file f: receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed"},
+		{"[sender]\nenabled = true\nurl = \"https://hooks.example.org\"", "sender.url", "webhook file f: sender.url must be http://HOST/PATH; TLS is a local proxy's work"},
+		{sender, "sender.key", "webhook file f: sender.key is missing"},
+		{sender + "key = \"k\"\nqueue = 0", "sender", "webhook file f: sender: queue, attempts, backoff or timeout is out of range"},
+	} {
+		_, err := parseConfig("f", test.text)
+		var config *ConfigError
+		if !errors.As(err, &config) || config.File != "f" || config.Key != test.key {
+			t.Errorf("%q: %#v, want a ConfigError of %s", test.text, err, test.key)
+			continue
+		}
+		if err.Error() != test.message {
+			t.Errorf("%q: %q, want %q", test.text, err, test.message)
+		}
+	}
+	missing := filepath.Join(t.TempDir(), "missing")
+	_, err := ReadConfig(missing)
+	if want := "webhook file: open " + missing + ": no such file or directory"; err == nil || err.Error() != want || !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a missing file: %v, want %s", err, want)
+	}
+}
+
+func TestKeyErrorsCarryTheFileAndNoPartOfTheKey(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "key")
+	for _, test := range []struct{ text, message string }{
+		{"MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", "key " + path + ": does not begin with whsec_"},
+		{"whsec_MfKQ9r8G!", "key " + path + ": not base64"},
+		{"whsec_MfKQ9r8G", "key " + path + ": 6 bytes; 24 to 64 are allowed"},
+	} {
+		if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := readKey(path)
+		var key *KeyError
+		if !errors.As(err, &key) || key.File != path || err.Error() != test.message {
+			t.Errorf("%q: %v, want %s", test.text, err, test.message)
+		}
+	}
+	missing := path + ".missing"
+	_, err := readKey(missing)
+	if want := "key: open " + missing + ": no such file or directory"; err == nil || err.Error() != want {
+		t.Errorf("a missing file: %v, want %s", err, want)
+	}
+}
+
+func TestAuthenticationErrorsCarryTheReason(t *testing.T) {
+	body := callPayload("dim-level", "x", noon)
+	keys := []signingKey{{secret: activeSecret}}
+	for _, test := range []struct {
+		reason  AuthenticationReason
+		message string
+		bytes   []byte
+	}{
+		{Unsigned, "unsigned or malformed signature headers", signedDelivery(activeSecret, "m.1", noon, body)},
+		{NoMatchingKey, "no active key made this signature", signedDelivery(retiredSecret, "m", noon, body)},
+		{StaleTimestamp, "timestamp is out of tolerance", signedDelivery(activeSecret, "m", noon.Add(-time.Hour), body)},
+	} {
+		request, size, _ := parseHead(test.bytes)
+		_, err := authenticate(request, test.bytes[size:], keys, noon, time.Minute)
+		var authentication *AuthenticationError
+		if !errors.As(err, &authentication) || authentication.Reason != test.reason || err.Error() != test.message {
+			t.Errorf("%v, want %s", err, test.message)
+		}
+	}
+}
+
+func TestMalformedDeliveryErrorsCarryTheField(t *testing.T) {
+	receiver, _ := newReceiver(t, &fakeCore{}, "")
+	valid := string(callPayload("dim-level", "x", noon))
+	for _, test := range []struct{ old, new, field, message string }{
+		{"{", "", "", "invalid character ':' after top-level value"},
+		{`"wait_ms":0`, `"wait_ms":"soon"`, "data.wait_ms", "json: cannot unmarshal string into Go struct field .data.wait_ms of type float64"},
+		{requestEventType, "other", "type", "type is not call.requested"},
+		{"dim-level", "lift", "data.class", "unknown class"},
+		{`"tenant":""`, `"tenant":"` + strings.Repeat("x", maxTenantLength+1) + `"`, "data.tenant", "tenant is too long"},
+		{"7f3a9c21e0b4d655", "7F3A9C21E0B4D655", "data.key", "key is not 16 hex digits in lower case"},
+		{`"lanes":0`, `"lanes":-1`, "data.lanes", "a figure is out of range"},
+		{"dim-level", "repair-order", "timestamp", "the order's timestamp is outside the ledger's retention"},
+	} {
+		body := strings.Replace(valid, test.old, test.new, 1)
+		if test.field == "timestamp" {
+			body = strings.Replace(body, "2026-12-01", "2026-11-01", 1)
+		}
+		_, _, err := receiver.decodeRequest([]byte(body))
+		var malformed *MalformedDeliveryError
+		if !errors.As(err, &malformed) || malformed.Field != test.field || err.Error() != test.message {
+			t.Errorf("%s: %#v, want %q of field %q", body, err, test.message, test.field)
+		}
+	}
+}
+
+func TestLedgerErrorsCarryThePathAndLine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	valid := string(encodeEntry(ledgerEntry{ID: "a", EventTime: noon, State: stateBegun}))
+	for _, test := range []struct{ content, message string }{
+		{valid + "short\n", "ledger: line 2: damaged"},
+		{valid + "00000000 {}\n", "ledger: line 2: damaged"},
+		{valid + "0000000x {}\n", "ledger: line 2: encoding/hex: invalid byte: U+0078 'x'"},
+		{valid + strings.Repeat("x", maxLedgerLine) + "\n", "ledger: line 2: bufio: buffer full"},
+	} {
+		if err := os.WriteFile(path, []byte(test.content), ledgerFileMode); err != nil {
+			t.Fatal(err)
+		}
+		_, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+		var damaged *LedgerError
+		if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 2 || err.Error() != test.message {
+			t.Errorf("%v, want %s", err, test.message)
+		}
+	}
+	if err := os.Remove(path); err != nil {
+		t.Fatal(err)
+	}
+	open, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer open.close()
+	_, _, err = openLedger(path, 1<<20, time.Hour, wallAtNoon)
+	var inUse *LedgerInUseError
+	if want := "ledger " + path + " is in use: resource temporarily unavailable"; !errors.As(err, &inUse) || inUse.Path != path || err.Error() != want {
+		t.Errorf("a ledger in use: %v, want %s", err, want)
+	}
+}
--- /dev/null
+++ b/internal/webhook/helpers_test.go
@@ -0,0 +1,94 @@
+package webhook
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+	"crankhold/policy"
+)
+
+var (
+	noon          = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	activeSecret  = bytes.Repeat([]byte("active"), 5)
+	retiredSecret = bytes.Repeat([]byte("retire"), 5)
+	classes       = []Class{{Name: "dim-level", MaxWait: 2 * time.Second}, {Name: "repair-order", NotIdempotent: true, MaxWait: 3 * time.Second},
+		{Name: "extend", NotIdempotent: true, RequiresIdempotencyKey: true, MaxWait: 3 * time.Second}}
+)
+
+// wallAtNoon is a wall clock that stands still.
+func wallAtNoon() time.Time { return noon }
+
+// fakeCore keeps the requests that it is handed.
+type fakeCore struct{ accepted []router.Request }
+
+func (c *fakeCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
+	c.accepted = append(c.accepted, r)
+	return policy.RequestID(len(c.accepted))
+}
+
+// testConfig returns the default configuration with a ledger; "" for none.
+func testConfig(ledger string) *Config {
+	config, err := parseConfig("test", `receiver.path = "/hooks"`)
+	if err != nil {
+		panic(err)
+	}
+	config.Receiver.Ledger.Path = ledger
+	return config
+}
+
+// newReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
+func newReceiver(t rapid.TB, core Core, ledger string) (*Receiver, chan func()) {
+	t.Helper()
+	posts := make(chan func(), 100)
+	receiver, err := NewReceiver(testConfig(ledger), core, classes, 16<<20, func() time.Duration { return time.Hour }, wallAtNoon, func(f func()) { posts <- f })
+	if err != nil {
+		t.Fatal(err)
+	}
+	receiver.keys = []signingKey{{secret: activeSecret}, {retiredSecret, noon}}
+	return receiver, posts
+}
+
+// callPayload returns the payload of a request.
+func callPayload(class, body string, at time.Time) []byte {
+	var p payload
+	p.Type, p.Timestamp = requestEventType, at
+	p.Data.Class, p.Data.Key, p.Data.Body = class, "7f3a9c21e0b4d655", []byte(body)
+	text, err := json.Marshal(p)
+	if err != nil {
+		panic(err)
+	}
+	return text
+}
+
+// signedDelivery returns the bytes of a delivery that is signed at a time.
+func signedDelivery(secret []byte, id string, at time.Time, body []byte) []byte {
+	timestamp := strconv.FormatInt(at.Unix(), 10)
+	return append(fmt.Appendf(nil, "POST /hooks HTTP/1.1\r\nHost: hooks.example.org\r\nContent-Length: %d\r\nwebhook-id: %s\r\n"+
+		"webhook-timestamp: %s\r\nwebhook-signature: v1a,other %s\r\n\r\n", len(body), id, timestamp, sign(secret, id, timestamp, body)), body...)
+}
+
+// statuses returns the statuses of the responses that were written.
+func statuses(t rapid.TB, transport *testutil.Transport) (out []int) {
+	t.Helper()
+	for in := bufio.NewReader(bytes.NewReader(transport.Wrote.Bytes())); ; {
+		if _, err := in.Peek(1); err == io.EOF {
+			return out
+		}
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatalf("%v in %q", err, transport.Wrote.String())
+		}
+		io.Copy(io.Discard, r.Body)
+		out = append(out, r.StatusCode)
+	}
+}
--- /dev/null
+++ b/internal/webhook/outcome_test.go
@@ -0,0 +1,36 @@
+package webhook
+
+import (
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"testing"
+
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+)
+
+// A redelivery that arrives while the first is being recorded or run gets the same response, also when the first one's
+// client has left meanwhile.
+func TestRedeliveryJoinsRequestInFlight(t *testing.T) {
+	core := &fakeCore{}
+	receiver, posts := newReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+	defer receiver.Close()
+	delivery := signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))
+	transports := []*testutil.Transport{{}, {}, {}}
+	first := receiver.serve(transports[0], netip.AddrPort{})
+	first.Data(delivery)
+	receiver.serve(transports[1], netip.AddrPort{}).Data(delivery) // before the order is in the ledger
+	(<-posts)()
+	receiver.serve(transports[2], netip.AddrPort{}).Data(delivery) // and after
+	first.Closed(nil)
+	if len(core.accepted) != 1 || core.accepted[0].ClientReference != "m" {
+		t.Fatalf("the core has %+v", core.accepted)
+	}
+	core.accepted[0].Asker.Respond(router.Response{Status: router.Served, Body: []byte("done")})
+	for i, want := range []string{"[]", "[200]", "[200]"} {
+		if got := statuses(t, transports[i]); fmt.Sprint(got) != want {
+			t.Errorf("client %d has responses %v, want %s", i, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/webhook/sender_test.go
@@ -0,0 +1,83 @@
+package webhook
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+)
+
+// Notices are signed, keep their id over all attempts, are attempted a bounded number of times, and are dropped and
+// counted where the queue is full.
+func TestNoticesAreSignedRetriedAndBounded(t *testing.T) {
+	config := testConfig("")
+	config.Sender.URL = "http://hooks.example.org/n"
+	config.Sender.Queue = 2
+	config.Sender.Attempts = 3
+	path := filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	config.Sender.Key = path
+	var transports []*testutil.Transport
+	var handlers []eventloop.DialHandler
+	sender, err := NewSender(config, wallAtNoon, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
+		transports = append(transports, &testutil.Transport{})
+		handlers = append(handlers, h)
+		return transports[len(transports)-1]
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 3 {
+		sender.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, "served")
+	}
+	ids := map[string]int{}
+	now := time.Hour
+	for attempt := 0; sender.Pending() > 0; attempt++ {
+		next := sender.Tick(now)
+		for i, handler := range handlers {
+			handler.DialCompleted(nil)
+			request, err := http.ReadRequest(bufio.NewReader(&transports[i].Wrote))
+			if err != nil || request.Host != "hooks.example.org" || request.URL.Path != "/n" {
+				t.Fatalf("request %v: %v", request, err)
+			}
+			body, _ := io.ReadAll(request.Body)
+			id, timestamp := request.Header.Get("webhook-id"), request.Header.Get("webhook-timestamp")
+			if got := request.Header.Get("webhook-signature"); got != sign(sender.secret, id, timestamp, body) || !bytes.Contains(body, []byte(`"repair-order.served"`)) {
+				t.Fatalf("signature %q, body %s", got, body)
+			}
+			ids[id]++
+			status := "500 Sorry"
+			if attempt == 2 && i == 0 {
+				status = "204 No Content"
+			}
+			for _, b := range []byte("HTTP/1.1 " + status + "\r\n\r\n") {
+				handler.Data([]byte{b})
+			}
+			handler.Closed(nil)
+			if !transports[i].HasClosed {
+				t.Error("the connection was left open")
+			}
+		}
+		transports = nil
+		handlers = nil
+		now = max(next, now+10*time.Minute)
+	}
+	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, GivenUp: 1}); sender.Counters != want || len(ids) != 2 {
+		t.Errorf("counters %+v, want %+v; ids %v", sender.Counters, want, ids)
+	}
+	for id, n := range ids {
+		if n != 3 {
+			t.Errorf("notice %s was sent %d times", id, n)
+		}
+	}
+}
