--- /dev/null
+++ b/internal/thrift/connection.go
@@ -0,0 +1,229 @@
+package thrift
+
+import (
+	"bytes"
+	"encoding/binary"
+	"math"
+	"net/netip"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// maxOpenRequests is how many requests one connection may have open. Clients keep to 32, but may not have received
+// a response yet. More are rejected, so that a client that sends hundreds at once leaves capacity to others.
+const maxOpenRequests = 64
+
+// Transport is a connection to a client; an eventloop.Conn is one.
+type Transport interface {
+	Write(bufs ...[]byte)
+	Close()
+}
+
+// connection is a client's connection.
+type connection struct {
+	front        *Front
+	transport    Transport
+	peer         netip.AddrPort
+	partial      []byte                  // the beginning of an incomplete frame
+	open         map[uint32]*openRequest // by sequence number
+	lastSequence uint32                  // the highest one of an execute
+	messageCount int                     // complete messages received
+	closed       bool
+}
+
+// Busy reports whether responses are owed.
+func (c *connection) Busy() bool { return len(c.open) > 0 }
+
+// Messages returns how many complete messages were received, and whether the beginning of another was.
+func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, len(c.partial) > 0 }
+
+// Data takes in frames, split in any way. The beginning of an incomplete frame is kept in a buffer that grows with it, so
+// that a frame that arrives a few bytes at a time is not copied anew for each of them.
+func (c *connection) Data(b []byte) {
+	if c.closed {
+		return
+	}
+	unread := b
+	if len(c.partial) > 0 {
+		c.partial = append(c.partial, b...)
+		unread = c.partial
+	}
+	countBefore := c.messageCount
+	for !c.closed {
+		size, err := c.handleFrame(unread)
+		if err != nil {
+			c.closeMalformed(err)
+			return
+		}
+		if size == 0 {
+			break
+		}
+		unread = unread[size:]
+	}
+	if c.closed {
+		return
+	}
+	if len(c.partial) > 0 && c.messageCount == countBefore {
+		return // it is in the buffer already
+	}
+	c.partial = append([]byte(nil), unread...) // a copy, so that a large read is not kept for its rest
+}
+
+// handleFrame handles the first frame of what was received and returns its size, or 0 while the frame is incomplete.
+func (c *connection) handleFrame(unread []byte) (size int, err error) {
+	if len(unread) < frameLengthBytes {
+		return 0, nil
+	}
+	length := binary.BigEndian.Uint32(unread)
+	if length > maxFrame {
+		return 0, errMalformedMessage
+	}
+	size = frameLengthBytes + int(length)
+	if len(unread) < size {
+		return 0, nil
+	}
+	c.messageCount++
+	return size, c.handleMessage(unread[frameLengthBytes:size])
+}
+
+// closeMalformed closes the connection of a client that broke the protocol.
+func (c *connection) closeMalformed(err error) {
+	c.front.logClosedConnection(err)
+	c.transport.Close()
+	c.cancelAll()
+}
+
+// Closed cancels all open requests: nobody waits for their responses.
+func (c *connection) Closed(error) { c.cancelAll() }
+
+func (c *connection) cancelAll() {
+	c.closed = true
+	c.partial = nil
+	for _, request := range c.open {
+		request.cancel()
+	}
+}
+
+// handleMessage handles a message. An error says that the client broke the protocol.
+func (c *connection) handleMessage(message []byte) error {
+	d := decoder{remaining: message}
+	header, err := d.messageHeader()
+	if err != nil {
+		return err
+	}
+	isCall := header.kind == messageCall
+	isOneway := header.kind == messageOneway
+	switch {
+	case header.name == methodExecute && isCall:
+		return c.handleExecute(&d, header.sequence)
+	case header.name == methodInterrupt && (isCall || isOneway):
+		return c.handleInterrupt(&d)
+	case header.name == methodCheck && isCall:
+		return c.handleCheck(&d, header.sequence)
+	case isCall:
+		c.transport.Write(encodeUnknownMethod(header.name, header.sequence))
+		return nil
+	case isOneway:
+		return nil
+	}
+	return errMalformedMessage
+}
+
+// handleExecute hands a request to the core. Whatever is wrong with it, short of its form, is answered.
+func (c *connection) handleExecute(d *decoder, sequence uint32) error {
+	fields, body, err := d.executeArguments()
+	if err != nil {
+		return err
+	}
+	// Sequence numbers increase. Under one that was used before, a reply could be taken for the other request's.
+	if sequence <= c.lastSequence || sequence > math.MaxInt32 || len(body) > maxBody {
+		return errMalformedMessage
+	}
+	c.lastSequence = sequence
+	request, rejected := c.front.decodeRequest(fields)
+	if rejected != nil {
+		c.front.logRejectedRequest(rejected)
+		c.transport.Write(encodeLost(sequence, detailReason, rejected.Field))
+		return nil
+	}
+	request.Client = c.peer
+	c.acceptRequest(sequence, request, body)
+	return nil
+}
+
+// acceptRequest opens a request and hands it to the core, or has the core reject it where too many are open.
+func (c *connection) acceptRequest(sequence uint32, request router.Request, body []byte) {
+	front := c.front
+	opened := &openRequest{connection: c, sequence: sequence}
+	request.Asker = opened
+	if len(c.open) >= maxOpenRequests {
+		front.core.RejectUnaccepted(front.clock(), request)
+		return
+	}
+	request.Body = bytes.Clone(body) // a large read is not kept for one small body in it
+	c.open[sequence] = opened
+	id := front.core.Accept(front.clock(), request)
+	if !opened.completed {
+		opened.id = id
+	}
+}
+
+// handleInterrupt cancels the request that the message names, if it is open.
+func (c *connection) handleInterrupt(d *decoder) error {
+	var sequence uint32
+	err := d.structFields(func(wireType byte, id uint16) bool {
+		if id != interruptSequence || wireType != wireI32 {
+			return false
+		}
+		sequence = d.u32()
+		return true
+	})
+	if err != nil {
+		return err
+	}
+	if request := c.open[sequence]; request != nil {
+		request.cancel()
+	}
+	return nil
+}
+
+// handleCheck answers whether the router is ready. Arguments are ignored.
+func (c *connection) handleCheck(d *decoder, sequence uint32) error {
+	err := d.structFields(func(byte, uint16) bool { return false })
+	if err != nil {
+		return err
+	}
+	head, tail := encodeAnswer(methodCheck, sequence, answer{ok: c.front.ready()})
+	c.transport.Write(head, tail)
+	return nil
+}
+
+// openRequest is a request whose response is owed.
+type openRequest struct {
+	connection *connection
+	sequence   uint32
+	id         policy.RequestID // once the core has accepted it
+	completed  bool             // the response was given, or is owed no more
+}
+
+// Respond writes the response. A client that has left, or has interrupted the request, is owed none.
+func (r *openRequest) Respond(response router.Response) {
+	if r.completed {
+		return
+	}
+	r.completed = true
+	delete(r.connection.open, r.sequence)
+	r.connection.transport.Write(encodeResponse(r.sequence, response)...)
+}
+
+// cancel tells the core that nobody waits for the response.
+func (r *openRequest) cancel() {
+	delete(r.connection.open, r.sequence)
+	if r.completed {
+		return
+	}
+	r.completed = true
+	front := r.connection.front
+	front.core.CancelRequest(front.clock(), r.id)
+}
--- /dev/null
+++ b/internal/thrift/decoder.go
@@ -0,0 +1,165 @@
+package thrift
+
+import "encoding/binary"
+
+// decoder takes values off the front of a message, in place. The first value that is not there in full, or can't be
+// right, sets malformed, and all that is taken after it is zero.
+type decoder struct {
+	remaining []byte
+	malformed bool
+}
+
+// take takes n bytes.
+func (d *decoder) take(n int) []byte {
+	if n < 0 || n > len(d.remaining) {
+		d.malformed = true
+		d.remaining = nil
+		return nil
+	}
+	taken := d.remaining[:n:n]
+	d.remaining = d.remaining[n:]
+	return taken
+}
+
+func (d *decoder) u8() byte {
+	if b := d.take(1); b != nil {
+		return b[0]
+	}
+	return 0
+}
+
+func (d *decoder) u16() uint16 {
+	if b := d.take(2); b != nil {
+		return binary.BigEndian.Uint16(b)
+	}
+	return 0
+}
+
+func (d *decoder) u32() uint32 {
+	if b := d.take(4); b != nil {
+		return binary.BigEndian.Uint32(b)
+	}
+	return 0
+}
+
+// bytes takes a string. One that is longer than the rest of the message is malformed, before anything is allocated.
+func (d *decoder) bytes() []byte { return d.take(int(int32(d.u32()))) }
+
+// skip takes a value of any type that stands at a depth of nesting.
+func (d *decoder) skip(wireType byte, depth int) {
+	if depth > maxNesting {
+		d.malformed = true
+	}
+	if d.malformed {
+		return
+	}
+	switch wireType {
+	case wireBool, wireByte:
+		d.take(1)
+	case wireI16:
+		d.take(2)
+	case wireI32:
+		d.take(4)
+	case wireI64, wireDouble:
+		d.take(8)
+	case wireString:
+		d.bytes()
+	case wireStruct:
+		d.skipStruct(depth)
+	case wireMap:
+		d.skipMap(depth)
+	case wireSet, wireList:
+		d.skipList(depth)
+	default:
+		d.malformed = true
+	}
+}
+
+func (d *decoder) skipStruct(depth int) {
+	for !d.malformed {
+		fieldType := d.u8()
+		if fieldType == wireStop {
+			return
+		}
+		d.u16()
+		d.skip(fieldType, depth+1)
+	}
+}
+
+func (d *decoder) skipMap(depth int) {
+	keyType := d.u8()
+	valueType := d.u8()
+	for range d.elementCount() {
+		d.skip(keyType, depth+1)
+		d.skip(valueType, depth+1)
+	}
+}
+
+func (d *decoder) skipList(depth int) {
+	elementType := d.u8()
+	for range d.elementCount() {
+		d.skip(elementType, depth+1)
+	}
+}
+
+// elementCount takes the number of elements of a container that is skipped.
+func (d *decoder) elementCount() int {
+	n := d.u32()
+	if n > maxSkippedElements {
+		d.malformed = true
+		return 0
+	}
+	return int(n)
+}
+
+// messageHeader is what precedes a message's arguments.
+type messageHeader struct {
+	kind     messageKind
+	name     string // of the method
+	sequence uint32
+}
+
+// messageHeader takes a message's header; its arguments remain.
+func (d *decoder) messageHeader() (messageHeader, error) {
+	versionAndKind := d.u32()
+	name := d.bytes()
+	sequence := d.u32()
+	if d.malformed || versionAndKind&versionMask != strictVersion || len(name) > maxMethodName {
+		return messageHeader{}, errMalformedMessage
+	}
+	return messageHeader{kind: messageKind(versionAndKind), name: string(name), sequence: sequence}, nil
+}
+
+// structFields takes a struct. It calls visit for each field, which takes the value, or returns false to have it skipped.
+func (d *decoder) structFields(visit func(wireType byte, id uint16) bool) error {
+	for !d.malformed {
+		wireType := d.u8()
+		if wireType == wireStop && !d.malformed {
+			return nil
+		}
+		if id := d.u16(); !visit(wireType, id) {
+			d.skip(wireType, 1)
+		}
+	}
+	return errMalformedMessage
+}
+
+// stringMap takes a map of strings. The values point into the message.
+func (d *decoder) stringMap() map[string][]byte {
+	keyType := d.u8()
+	valueType := d.u8()
+	size := d.u32()
+	if size > maxMapEntries || size > 0 && (keyType != wireString || valueType != wireString) {
+		d.malformed = true
+		return nil
+	}
+	entries := make(map[string][]byte, size)
+	for range size {
+		key := string(d.bytes())
+		entries[key] = d.bytes()
+		if d.malformed {
+			return nil
+		}
+	}
+	return entries
+}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -27,12 +27,12 @@
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
 
 func newGoldenConnection() (*connection, *fakeCore, *testutil.Transport) {
-	c, k, l := newTestConnection()
-	c.peer = goldenPeer
-	return c, k, l
+	client, core, transport := newTestConnection()
+	client.peer = goldenPeer
+	return client, core, transport
 }
 
-// Every form of a call is decoded to a request that is compared whole.
+// Every form of an execute is decoded to a request that is compared whole.
 func TestGoldenCallsAreDecoded(t *testing.T) {
 	minimal := router.Request{
 		Front:       router.Thrift,
@@ -80,14 +80,14 @@
 		{"call with the fields in reverse order", minimal},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			c, k, l := newGoldenConnection()
-			c.Data(golden.FindMessage(t, goldenRequests, test.label))
-			if len(k.accepted) != 1 || l.HasClosed || l.Wrote.Len() > 0 {
-				t.Fatalf("%d requests, closed %v, wrote %q", len(k.accepted), l.HasClosed, l.Wrote.String())
+			client, core, transport := newGoldenConnection()
+			client.Data(golden.FindMessage(t, goldenRequests, test.label))
+			if len(core.accepted) != 1 || transport.HasClosed || transport.Wrote.Len() > 0 {
+				t.Fatalf("%d requests, closed %v, wrote %q", len(core.accepted), transport.HasClosed, transport.Wrote.String())
 			}
-			got := k.accepted[0]
+			got := core.accepted[0]
 			if got.Asker == nil {
-				t.Error("the request has nobody to answer")
+				t.Error("the request has no responder")
 			}
 			if got.Asker = nil; !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded\n%+v, want\n%+v", got, test.want)
@@ -96,19 +96,19 @@
 	}
 }
 
-// Both message kinds of interrupt give the open call up, and neither is answered.
+// Both message kinds of interrupt cancel the open request, and neither is answered.
 func TestGoldenInterruptsCancelTheRequest(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
-		c, k, l := newGoldenConnection()
-		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
-		c.Data(golden.FindMessage(t, goldenRequests, label))
-		if len(k.canceled) != 1 || k.canceled[0] != 1 || c.Busy() || l.HasClosed || l.Wrote.Len() > 0 {
-			t.Errorf("%s: left %v, busy %v, closed %v, wrote %q", label, k.canceled, c.Busy(), l.HasClosed, l.Wrote.String())
+		client, core, transport := newGoldenConnection()
+		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		client.Data(golden.FindMessage(t, goldenRequests, label))
+		if len(core.canceled) != 1 || core.canceled[0] != 1 || client.Busy() || transport.HasClosed || transport.Wrote.Len() > 0 {
+			t.Errorf("%s: canceled %v, busy %v, closed %v, wrote %q", label, core.canceled, client.Busy(), transport.HasClosed, transport.Wrote.String())
 		}
 	}
 }
 
-// Replies to calls that the core took, and to calls beyond the limit, which it turns away.
+// Replies to requests that the core accepted, and to requests beyond the limit, which it rejects.
 func TestGoldenReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
@@ -125,19 +125,19 @@
 		{"failed and may have run", router.Response{Status: router.Failed, MayHaveRun: true}},
 		{"failed when the time was over", router.Response{Status: router.Failed, DeadlineExceeded: true}},
 	} {
-		c, k, l := newGoldenConnection()
-		c.Data(golden.FindMessage(t, goldenRequests, completeCall))
-		if len(k.accepted) != 1 {
-			t.Fatalf("%s: %d requests", test.label, len(k.accepted))
+		client, core, transport := newGoldenConnection()
+		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		if len(core.accepted) != 1 {
+			t.Fatalf("%s: %d requests", test.label, len(core.accepted))
 		}
-		k.accepted[0].Asker.Respond(test.answer)
-		replies = append(replies, golden.Message{Label: test.label, Bytes: l.Wrote.Bytes()})
+		core.accepted[0].Asker.Respond(test.answer)
+		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Wrote.Bytes()})
 	}
-	c, _, l := newGoldenConnection()
+	client, _, transport := newGoldenConnection()
 	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
-		c.Data(executeFrame(seq+1, "", validFields...))
+		client.Data(executeFrame(seq+1, "", validFields...))
 	}
-	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: l.Wrote.Bytes()})
+	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: transport.Wrote.Bytes()})
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
@@ -177,21 +177,21 @@
 		{"execute as an exception", true},
 		{"length of a frame over the limit", true},
 	} {
-		c, k, l := newGoldenConnection()
-		c.Data(golden.FindMessage(t, goldenRequests, test.label))
-		if len(k.accepted) != 0 || l.HasClosed != test.closes {
-			t.Errorf("%s: %d requests, closed %v", test.label, len(k.accepted), l.HasClosed)
+		client, core, transport := newGoldenConnection()
+		client.Data(golden.FindMessage(t, goldenRequests, test.label))
+		if len(core.accepted) != 0 || transport.HasClosed != test.closes {
+			t.Errorf("%s: %d requests, closed %v", test.label, len(core.accepted), transport.HasClosed)
 		}
-		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(l.Wrote.Bytes())})
+		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(transport.Wrote.Bytes())})
 	}
-	c, _, l := newGoldenConnection()
-	c.front.ready = func() bool { return false }
-	c.Data(golden.FindMessage(t, goldenRequests, "check"))
-	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: l.Wrote.Bytes()})
+	client, _, transport := newGoldenConnection()
+	client.front.ready = func() bool { return false }
+	client.Data(golden.FindMessage(t, goldenRequests, "check"))
+	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: transport.Wrote.Bytes()})
 	golden.CompareMessages(t, goldenErrors, replies)
 }
 
-// The limits hold to the byte: what is at the limit is taken, and what is one over closes the connection. They stand
+// The limits hold to the byte: what is at the limit is accepted, and what is one over closes the connection. They stand
 // here as figures, so that a changed constant is noticed.
 func TestGoldenLimits(t *testing.T) {
 	var pairs []string
@@ -208,13 +208,13 @@
 		{"sequence number", executeFrame(math.MaxInt32, "", validFields...), executeFrame(math.MaxInt32+1, "", validFields...)},
 	} {
 		for _, closes := range []bool{false, true} {
-			c, k, l := newGoldenConnection()
+			client, core, transport := newGoldenConnection()
 			message := test.within
 			if closes {
 				message = test.over
 			}
-			if c.Data(message); l.HasClosed != closes || (len(k.accepted) == 1) == closes || l.Wrote.Len() > 0 {
-				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(k.accepted), l.HasClosed, l.Wrote.String())
+			if client.Data(message); transport.HasClosed != closes || (len(core.accepted) == 1) == closes || transport.Wrote.Len() > 0 {
+				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(core.accepted), transport.HasClosed, transport.Wrote.String())
 			}
 		}
 	}
--- /dev/null
+++ b/internal/thrift/request.go
@@ -0,0 +1,175 @@
+package thrift
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// Keys of the map of fields of an execute. Keys that are not known are ignored.
+const (
+	fieldClass          = "class"
+	fieldID             = "id"
+	fieldFunction       = "key"
+	fieldIdempotencyKey = "once"
+	fieldTenant         = "tenant"
+	fieldWait           = "wait"  // milliseconds that the client waits for its reply
+	fieldProperties     = "props" // name:value pairs, with a semicolon between them
+)
+
+// Names of properties. Others are ignored if their values are numbers.
+const (
+	propertyMemory   = "memory_mb"
+	propertyLanes    = "lanes"
+	propertyLoadTime = "load_ms"
+)
+
+// maxLoggedValue is how much of a field's value is kept for the log, in bytes.
+const maxLoggedValue = 64
+
+// FieldError is a field of a request that can't be used.
+type FieldError struct {
+	Field string
+	Value string // the beginning of it; "" also where the field is missing
+}
+
+// Error names the field and its value.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("field %s can't be used: %q", e.Field, e.Value)
+}
+
+// executeArguments takes the arguments of execute.
+func (d *decoder) executeArguments() (fields executeFieldMap, body []byte, err error) {
+	err = d.structFields(func(wireType byte, id uint16) bool {
+		switch {
+		case id == executeFields && wireType == wireMap:
+			fields = d.stringMap()
+		case id == executeBody && wireType == wireString:
+			body = d.bytes()
+		default:
+			return false
+		}
+		return true
+	})
+	return fields, body, err
+}
+
+// executeFieldMap is the map of fields of an execute.
+type executeFieldMap map[string][]byte
+
+func (m executeFieldMap) text(field string) string { return string(m[field]) }
+
+// unusable returns the error of a field.
+func (m executeFieldMap) unusable(field string) *FieldError {
+	value := m[field]
+	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValue)])}
+}
+
+// decodeRequest reads the fields of an execute. The caller adds what is not among them. A field that can't be used rejects
+// the request, since it can't be forwarded unchanged.
+func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
+	class, known := f.classIndex[fields.text(fieldClass)]
+	if !known {
+		return request, fields.unusable(fieldClass)
+	}
+	request = router.Request{
+		Front:          router.Thrift,
+		Class:          class,
+		ID:             fields.text(fieldID),
+		FunctionKey:    fields.text(fieldFunction),
+		IdempotencyKey: fields.text(fieldIdempotencyKey),
+	}
+	if _, ok := router.ParseFunctionKey(request.ID); !ok {
+		return request, fields.unusable(fieldID)
+	}
+	function, ok := router.ParseFunctionKey(request.FunctionKey)
+	if !ok {
+		return request, fields.unusable(fieldFunction)
+	}
+	request.Function = policy.FunctionID(function)
+	if !f.config.Classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
+		return request, fields.unusable(fieldIdempotencyKey)
+	}
+	if request.Tenant, ok = f.decodeTenant(fields); !ok {
+		return request, fields.unusable(fieldTenant)
+	}
+	wait, ok := parseNumber(fields.text(fieldWait), router.MaxWaitMs)
+	if !ok {
+		return request, fields.unusable(fieldWait)
+	}
+	request.Deadline = f.clock() + milliseconds(wait) - router.ResponseMargin
+	if !decodeProperties(fields.text(fieldProperties), &request) {
+		return request, fields.unusable(fieldProperties)
+	}
+	return request, nil
+}
+
+// allowsIdempotencyKey reports whether a request of the class may carry a key, "" for none. Where the class requires one,
+// no worker could drop a repeat without it.
+func (c Class) allowsIdempotencyKey(key string) bool {
+	if key == "" {
+		return !c.RequiresIdempotencyKey
+	}
+	return router.ParseIdempotencyKey(key)
+}
+
+// decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't have.
+// Where they have none at all, what the fields say is ignored.
+func (f *Front) decodeTenant(fields executeFieldMap) (tenant string, ok bool) {
+	name, named := fields[fieldTenant]
+	if !named || len(f.config.Tenants) == 0 {
+		return "", true
+	}
+	tenant = string(name)
+	return tenant, slices.Contains(f.config.Tenants, tenant)
+}
+
+// decodeProperties reads the properties into a request. It reports false where one of them is not a number in its range.
+func decodeProperties(text string, request *router.Request) bool {
+	for text != "" {
+		var property string
+		property, text, _ = strings.Cut(text, ";")
+		name, value, _ := strings.Cut(property, ":")
+		number, ok := parseNumber(value, maxProperty(name))
+		if !ok {
+			return false
+		}
+		switch name {
+		case propertyMemory:
+			request.MemoryMB = number
+		case propertyLanes:
+			request.Lanes = number
+		case propertyLoadTime:
+			request.LoadTime = milliseconds(number)
+		}
+	}
+	return true
+}
+
+// maxProperty returns the largest value that a property may have.
+func maxProperty(name string) float64 {
+	switch name {
+	case propertyMemory:
+		return router.MaxMemoryMB
+	case propertyLanes:
+		return router.MaxLanes
+	case propertyLoadTime:
+		return router.MaxLoadMs
+	}
+	return math.MaxFloat64
+}
+
+// parseNumber reads a number from 0 to max.
+func parseNumber(text string, max float64) (number float64, ok bool) {
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil && router.InRange(number, max)
+}
+
+// milliseconds returns a number of milliseconds as a duration, cut to whole nanoseconds.
+func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -34,12 +34,15 @@
 	c.canceled = append(c.canceled, id)
 }
 
+// newTestConnection returns a connection of a front with every kind of class and two tenants.
 func newTestConnection() (*connection, *fakeCore, *testutil.Transport) {
-	c, l := &fakeCore{}, &testutil.Transport{}
-	f := New(c, Config{Classes: []Class{{Name: "dim-level"}, {Name: "repair-order"}, {Name: "extend", RequiresIdempotencyKey: true}}, Tenants: []string{"east", "west"}}, func() time.Duration { return time.Hour }, func() bool { return true })
-	return f.serve(l, netip.AddrPort{}), c, l
+	core := &fakeCore{}
+	transport := &testutil.Transport{}
+	front := New(core, Config{Classes: []Class{{Name: "dim-level"}, {Name: "repair-order"}, {Name: "extend", RequiresIdempotencyKey: true}}, Tenants: []string{"east", "west"}}, func() time.Duration { return time.Hour }, func() bool { return true })
+	return front.serve(transport, netip.AddrPort{}), core, transport
 }
 
+// executeFrame returns the frame of an execute. Fields are keys and values in turn.
 func executeFrame(seq uint32, body string, fields ...string) []byte {
 	b := appendMessageHeader(nil, messageCall, "execute", seq)
 	b = appendStringMap(appendField(b, wireMap, 1), fields...)
@@ -51,8 +54,9 @@
 	"props", "memory_mb:512;lanes:2;load_ms:640"}
 
 // readReply reads the first frame of what was written: its sequence number and the result's field.
-func readReply(t rapid.TB, l *testutil.Transport) (seq uint32, field uint16) {
-	b := l.Wrote.Bytes()
+func readReply(t rapid.TB, transport *testutil.Transport) (seq uint32, field uint16) {
+	t.Helper()
+	b := transport.Wrote.Bytes()
 	if len(b) < 4 || len(b) < 4+int(binary.BigEndian.Uint32(b)) {
 		t.Fatalf("wrote %x", b)
 	}
@@ -66,20 +70,20 @@
 	if err != nil {
 		t.Fatalf("wrote %x: %v", b, err)
 	}
-	l.Wrote.Next(size)
+	transport.Wrote.Next(size)
 	return m.sequence, field
 }
 
-// The model of a connection: whole calls reach the core however they are split, each open one gets
-// its one answer, an interrupted one gets none.
+// The model of a connection: complete requests reach the core however they are split, each open one gets its one
+// response, and an interrupted one gets none.
 func TestConnectionAnswersEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, k, l := newTestConnection()
+		client, core, transport := newTestConnection()
 		seq, open := uint32(0), map[uint32]int{}
 		feed := func(b []byte) {
 			for len(b) > 0 {
 				n := rapid.IntRange(1, len(b)).Draw(t, "n")
-				c.Data(bytes.Clone(b[:n]))
+				client.Data(bytes.Clone(b[:n]))
 				b = b[n:]
 			}
 		}
@@ -100,12 +104,12 @@
 				}
 				seq++
 				feed(executeFrame(seq, "body", validFields...))
-				open[seq] = len(k.accepted) - 1
-				r := k.accepted[len(k.accepted)-1]
+				open[seq] = len(core.accepted) - 1
+				r := core.accepted[len(core.accepted)-1]
 				if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
 					r.Lanes != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
 					r.Deadline != time.Hour+1500*time.Millisecond-router.ResponseMargin {
-					t.Fatalf("took %+v", r)
+					t.Fatalf("accepted %+v", r)
 				}
 			},
 			"answer": func(t *rapid.T) {
@@ -114,10 +118,10 @@
 					return
 				}
 				a := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
-				k.accepted[open[s]].Asker.Respond(a)
-				k.accepted[open[s]].Asker.Respond(a) // a second one goes nowhere
+				core.accepted[open[s]].Asker.Respond(a)
+				core.accepted[open[s]].Asker.Respond(a) // a second one goes nowhere
 				delete(open, s)
-				if got, field := readReply(t, l); got != s || field != uint16(a.Status) {
+				if got, field := readReply(t, transport); got != s || field != uint16(a.Status) {
 					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Status, s)
 				}
 			},
@@ -129,10 +133,10 @@
 				b := appendMessageHeader(nil, messageOneway, "interrupt", 0)
 				b = binary.BigEndian.AppendUint32(appendField(b, wireI32, 1), s)
 				feed(finishFrame(append(b, wireStop), 0))
-				if len(k.canceled) == 0 || int(k.canceled[len(k.canceled)-1]) != open[s]+1 {
-					t.Fatalf("left %v", k.canceled)
+				if len(core.canceled) == 0 || int(core.canceled[len(core.canceled)-1]) != open[s]+1 {
+					t.Fatalf("canceled %v", core.canceled)
 				}
-				k.accepted[open[s]].Asker.Respond(router.Response{})
+				core.accepted[open[s]].Asker.Respond(router.Response{})
 				delete(open, s)
 			},
 			"bad": func(t *rapid.T) { // wrong fields are answered, with a failure
@@ -140,51 +144,51 @@
 				fields[rapid.SampledFrom([]int{1, 3, 5, 7, 9}).Draw(t, "field")] = "nonsense"
 				seq++
 				feed(executeFrame(seq, "", fields...))
-				if got, field := readReply(t, l); got != seq || field != 2 {
+				if got, field := readReply(t, transport); got != seq || field != 2 {
 					t.Fatalf("answer to %d has field %d", got, field)
 				}
 			},
 			"check": func(t *rapid.T) {
 				feed(finishFrame(append(appendMessageHeader(nil, messageCall, "check", 7), wireBool, 0, 1, 1, wireStop), 0))
-				if got, field := readReply(t, l); got != 7 || field != 0 {
+				if got, field := readReply(t, transport); got != 7 || field != 0 {
 					t.Fatal("check was not answered")
 				}
 			},
 			"": func(t *rapid.T) {
-				if l.Wrote.Len() > 0 || l.HasClosed || c.Busy() != (len(open) > 0) {
-					t.Fatalf("wrote %x, closed %v, busy %v", l.Wrote.Bytes(), l.HasClosed, c.Busy())
+				if transport.Wrote.Len() > 0 || transport.HasClosed || client.Busy() != (len(open) > 0) {
+					t.Fatalf("wrote %x, closed %v, busy %v", transport.Wrote.Bytes(), transport.HasClosed, client.Busy())
 				}
 			},
 		})
 	})
 }
 
+// Whatever is received ends its own connection at most.
 func TestMalformedBytesOnlyCloseTheirConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, k, l := newTestConnection()
+		client, core, transport := newTestConnection()
 		b := executeFrame(1, "body", validFields...)
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
-		c.Data(b)
-		if len(k.accepted) > 1 || l.HasClosed && c.partial != nil {
-			t.Fatalf("took %d, kept %d bytes", len(k.accepted), len(c.partial))
+		client.Data(b)
+		if len(core.accepted) > 1 || transport.HasClosed && client.partial != nil {
+			t.Fatalf("accepted %d, kept %d bytes", len(core.accepted), len(client.partial))
 		}
 	})
 	for name, b := range map[string][]byte{
 		"a frame over the cap": {0, 0, 0x60, 0},
 		"a depth over the cap": finishFrame(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
 	} {
-		if c, _, l := newTestConnection(); true {
-			if c.Data(b); !l.HasClosed {
-				t.Errorf("%s was let in", name)
+		if client, _, transport := newTestConnection(); true {
+			if client.Data(b); !transport.HasClosed {
+				t.Errorf("%s was accepted", name)
 			}
 		}
 	}
 }
 
-// Guards the figures: what no worker could use, and what is no number, is answered with a failure and
-// passed on to nobody.
+// Fields that no worker could use, and numbers that are none, are answered with a failure and not forwarded.
 func TestOutOfRangeFieldsAreNotForwarded(t *testing.T) {
 	for at, values := range map[int][]string{
 		1: {"", "nonsense", "repair-order\r\n"},
@@ -194,84 +198,83 @@
 		9: {"memory_mb:-1", "memory_mb:NaN", "memory_mb:1e9", "lanes:1e8", "lanes:-0.1", "load_ms:1e7", "load_ms:", "lanes", "other:x"},
 	} {
 		for _, v := range values {
-			c, k, l := newTestConnection()
+			client, core, transport := newTestConnection()
 			fields := append([]string(nil), validFields...)
 			fields[at] = v
-			c.Data(executeFrame(1, "", fields...))
-			if _, field := readReply(t, l); len(k.accepted) != 0 || field != 2 {
-				t.Errorf("%s %q: %d taken, answer has field %d", validFields[at-1], v, len(k.accepted), field)
+			client.Data(executeFrame(1, "", fields...))
+			if _, field := readReply(t, transport); len(core.accepted) != 0 || field != 2 {
+				t.Errorf("%s %q: %d accepted, answer has field %d", validFields[at-1], v, len(core.accepted), field)
 			}
 		}
 	}
 }
 
-// Guards against a sequence number that is used again, whether its call is open or has been answered: an
-// answer could be taken for the other call's.
+// A sequence number that is used again closes the connection, whether its request is open or was answered: a reply could
+// be taken for the other request's.
 func TestSequenceNumbersMustIncrease(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		for again := range uint32(3) {
-			c, k, l := newTestConnection()
-			c.Data(executeFrame(2, "", validFields...))
+		for repeated := range uint32(3) {
+			client, core, transport := newTestConnection()
+			client.Data(executeFrame(2, "", validFields...))
 			if answered {
-				k.accepted[0].Asker.Respond(router.Response{})
+				core.accepted[0].Asker.Respond(router.Response{})
 			}
-			c.Data(executeFrame(again, "", validFields...))
-			c.Data(executeFrame(5, "", validFields...))
-			if len(k.accepted) != 1 || !l.HasClosed || c.Busy() {
-				t.Errorf("number %d behind 2: %d taken, closed %v", again, len(k.accepted), l.HasClosed)
+			client.Data(executeFrame(repeated, "", validFields...))
+			client.Data(executeFrame(5, "", validFields...))
+			if len(core.accepted) != 1 || !transport.HasClosed || client.Busy() {
+				t.Errorf("number %d after 2: %d accepted, closed %v", repeated, len(core.accepted), transport.HasClosed)
 			}
 		}
 	}
 }
 
-// Guards the others' room: calls beyond the limit on one connection are refused, each with an answer, and
-// those within it go on.
+// Requests beyond the limit on one connection are rejected, each with a response, and those within it go on.
 func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
-	c, k, l := newTestConnection()
+	client, core, transport := newTestConnection()
 	for i := range uint32(200) {
-		c.Data(executeFrame(i+1, "", validFields...))
+		client.Data(executeFrame(i+1, "", validFields...))
 	}
-	if len(k.accepted) != maxOpenRequests || k.rejected != 200-maxOpenRequests || l.HasClosed || len(c.open) != maxOpenRequests {
-		t.Fatalf("%d taken, %d turned away, closed %v", len(k.accepted), k.rejected, l.HasClosed)
+	if len(core.accepted) != maxOpenRequests || core.rejected != 200-maxOpenRequests || transport.HasClosed || len(client.open) != maxOpenRequests {
+		t.Fatalf("%d accepted, %d rejected, closed %v", len(core.accepted), core.rejected, transport.HasClosed)
 	}
 	for i := range uint32(200 - maxOpenRequests) {
-		if seq, field := readReply(t, l); seq != maxOpenRequests+1+i || field != 1 {
+		if seq, field := readReply(t, transport); seq != maxOpenRequests+1+i || field != 1 {
 			t.Fatalf("answer to %d has field %d", seq, field)
 		}
 	}
-	k.accepted[0].Asker.Respond(router.Response{})
-	if c.Data(executeFrame(201, "", validFields...)); len(k.accepted) != maxOpenRequests+1 {
+	core.accepted[0].Asker.Respond(router.Response{})
+	if client.Data(executeFrame(201, "", validFields...)); len(core.accepted) != maxOpenRequests+1 {
 		t.Error("no room after an answer")
 	}
 }
 
-// Guards memory and time: the beginning of a frame is not copied anew for each byte, and one small body
-// does not keep the whole read that it came in.
+// The beginning of a frame is not copied anew for each byte, and one small body does not keep the whole read that it came
+// in.
 func TestReadBuffersAreNeitherRecopiedNorRetained(t *testing.T) {
-	c, k, _ := newTestConnection()
+	client, core, _ := newTestConnection()
 	whole := executeFrame(1, string(make([]byte, maxBody)), validFields...)
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
-			c.Data(whole[i : i+1])
+			client.Data(whole[i : i+1])
 		}
-		if n, begun := c.Messages(); n != 1 && begun {
-			t.Errorf("%d whole messages, another begun: %v", n, begun)
+		if n, begun := client.Messages(); n != 1 && begun {
+			t.Errorf("%d complete messages, another begun: %v", n, begun)
 		}
 	})
-	if allocs > 80 || len(k.accepted) != 1 || len(k.accepted[0].Body) != maxBody {
-		t.Errorf("%v allocations, %d taken", allocs, len(k.accepted))
+	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBody {
+		t.Errorf("%v allocations, %d accepted", allocs, len(core.accepted))
 	}
-	c, k, _ = newTestConnection()
+	client, core, _ = newTestConnection()
 	read := append(executeFrame(1, "small", validFields...), make([]byte, 3)...)
-	c.Data(read)
+	client.Data(read)
 	clear(read)
-	if string(k.accepted[0].Body) != "small" {
+	if string(core.accepted[0].Body) != "small" {
 		t.Error("the body points into the read")
 	}
 }
 
-// A keyed call's idempotency key and tenant reach the core as they came. What can't be passed on unchanged is failed,
-// never served as something else; what no class needs may be absent.
+// The idempotency key and the tenant of a request reach the core as they were received. What can't be forwarded unchanged
+// is failed, never served as something else; what no class needs may be absent.
 func TestIdempotencyKeysAndTenantsAreForwardedOrFailed(t *testing.T) {
 	const once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, tt := range []struct {
@@ -291,7 +294,7 @@
 		{"dim-level", "-", "north", "tenant"},
 		{"dim-level", "-", "", "tenant"},
 	} {
-		c, k, l := newTestConnection()
+		client, core, transport := newTestConnection()
 		fields := append([]string{"later", "is ignored"}, validFields...)
 		fields[3] = tt.class
 		if tt.once != "-" {
@@ -300,31 +303,57 @@
 		if tt.tenant != "-" {
 			fields = append(fields, "tenant", tt.tenant)
 		}
-		c.Data(executeFrame(1, "body", fields...))
+		client.Data(executeFrame(1, "body", fields...))
 		if tt.fails != "" {
-			if text := l.Wrote.String(); len(k.accepted) != 0 || !strings.Contains(text, tt.fails) {
-				t.Errorf("%+v: %d taken, answered %q", tt, len(k.accepted), text)
-			} else if _, field := readReply(t, l); field != 2 {
+			if text := transport.Wrote.String(); len(core.accepted) != 0 || !strings.Contains(text, tt.fails) {
+				t.Errorf("%+v: %d accepted, answered %q", tt, len(core.accepted), text)
+			} else if _, field := readReply(t, transport); field != 2 {
 				t.Errorf("%+v: the answer has field %d", tt, field)
 			}
 			continue
 		}
-		if len(k.accepted) != 1 {
-			t.Errorf("%+v: not taken, answered %q", tt, l.Wrote.String())
+		if len(core.accepted) != 1 {
+			t.Errorf("%+v: not accepted, answered %q", tt, transport.Wrote.String())
 			continue
 		}
-		if r := k.accepted[0]; r.IdempotencyKey != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
-			t.Errorf("%+v: taken as %+v", tt, r)
+		if r := core.accepted[0]; r.IdempotencyKey != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
+			t.Errorf("%+v: accepted as %+v", tt, r)
 		}
 	}
 }
 
-// Where the settings know no tenants, a client that names one is served as before.
+// Without tenants in the settings a client that names one is served as any other.
 func TestTenantsAreIgnoredWithoutTenantSettings(t *testing.T) {
-	k, l := &fakeCore{}, &testutil.Transport{}
-	f := New(k, Config{Classes: []Class{{Name: "repair-order"}}}, func() time.Duration { return time.Hour }, func() bool { return true })
-	f.serve(l, netip.AddrPort{}).Data(executeFrame(1, "", append([]string{"tenant", "anyone"}, validFields...)...))
-	if len(k.accepted) != 1 || k.accepted[0].Tenant != "" {
-		t.Errorf("taken %+v, answered %q", k.accepted, l.Wrote.String())
+	core := &fakeCore{}
+	transport := &testutil.Transport{}
+	front := New(core, Config{Classes: []Class{{Name: "repair-order"}}}, func() time.Duration { return time.Hour }, func() bool { return true })
+	front.serve(transport, netip.AddrPort{}).Data(executeFrame(1, "", append([]string{"tenant", "anyone"}, validFields...)...))
+	if len(core.accepted) != 1 || core.accepted[0].Tenant != "" {
+		t.Errorf("accepted %+v, answered %q", core.accepted, transport.Wrote.String())
+	}
+}
+
+// A field that can't be used is reported by name, with the beginning of its value.
+func TestFieldErrorsCarryTheFieldAndTheBeginningOfItsValue(t *testing.T) {
+	client, _, _ := newTestConnection()
+	long := strings.Repeat("x", 2*maxLoggedValue)
+	for _, test := range []struct{ field, value, wantValue string }{
+		{"class", "unheard-of", "unheard-of"},
+		{"id", long, long[:maxLoggedValue]},
+		{"key", "", ""},
+		{"once", "5c0f,path=0", "5c0f,path=0"},
+		{"tenant", "north", "north"},
+		{"wait", "soon", "soon"},
+		{"props", "lanes", "lanes"},
+	} {
+		fields := executeFieldMap{}
+		for i := 0; i < len(validFields); i += 2 {
+			fields[validFields[i]] = []byte(validFields[i+1])
+		}
+		fields[test.field] = []byte(test.value)
+		_, rejected := client.front.decodeRequest(fields)
+		if rejected == nil || rejected.Field != test.field || rejected.Value != test.wantValue {
+			t.Errorf("%s %.20q: %+v", test.field, test.value, rejected)
+		}
 	}
 }
