--- a/internal/ipfix/ipfix_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -18,15 +18,15 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// Whatever is added is what an independent decoder reads, in order, with the templates it needs and
-// sequence numbers that count the records before.
+// An independent decoder reads what was added, in order, with the templates that it needs and sequence numbers that count
+// the records before.
 func TestCollectorDecodesAddedFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &testutil.Transport{}
-		x := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return l })
+		transport := &testutil.Transport{}
+		exporter := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return transport })
 		now := time.Hour
-		x.Tick(now)
-		x.DialCompleted(nil)
+		exporter.Tick(now)
+		exporter.DialCompleted(nil)
 		templates := netflow.CreateTemplateSystem()
 		var want, got []string
 		var records uint32
@@ -39,7 +39,7 @@
 					if rapid.Bool().Draw(t, "six") {
 						f.Client, f.Server = netip.MustParseAddrPort("[::1]:4000"), netip.MustParseAddrPort("[::2]:10080")
 					}
-					x.Add(f)
+					exporter.Add(f)
 					want = append(want, fmt.Sprintf("%x %x %d %q", f.Client.Addr().AsSlice(), f.Server.Addr().AsSlice(), f.Octets, f.Class))
 				}
 			},
@@ -48,14 +48,14 @@
 					t.Skip("dropped some")
 				}
 				now += flushInterval
-				x.Tick(now)
-				for l.Wrote.Len() > 0 {
-					size := int(l.Wrote.Bytes()[2])<<8 | int(l.Wrote.Bytes()[3])
+				exporter.Tick(now)
+				for transport.Wrote.Len() > 0 {
+					size := int(transport.Wrote.Bytes()[2])<<8 | int(transport.Wrote.Bytes()[3])
 					if size > maxMessageBytes {
 						t.Fatalf("a message of %d bytes", size)
 					}
 					var p netflow.IPFIXPacket
-					if err := netflow.DecodeMessageVersion(bytes.NewBuffer(l.Wrote.Next(size)), templates, nil, &p); err != nil {
+					if err := netflow.DecodeMessageVersion(bytes.NewBuffer(transport.Wrote.Next(size)), templates, nil, &p); err != nil {
 						t.Fatal(err)
 					}
 					if p.ObservationDomainId != 7 || p.SequenceNumber != records || p.ExportTime != uint32(noon.Unix()) {
@@ -88,13 +88,13 @@
 	})
 }
 
-// What a collector that is away would have been sent is bounded, and what is dropped is counted.
+// The queue for a collector that is not there is bounded, and what is dropped is counted.
 func TestQueuedRecordsAreBounded(t *testing.T) {
-	x := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &testutil.Transport{} })
+	exporter := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &testutil.Transport{} })
 	for range maxQueuedRecords + 5 {
-		x.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
+		exporter.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
-	if x.Counters.Dropped != 5 || len(x.queue) != maxQueuedRecords {
-		t.Errorf("%d wait, counters %+v", len(x.queue), x.Counters)
+	if exporter.Counters.Dropped != 5 || len(exporter.queue) != maxQueuedRecords {
+		t.Errorf("%d queued, counters %+v", len(exporter.queue), exporter.Counters)
 	}
 }
--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -16,15 +16,15 @@
 // datagramTransport keeps each write by itself: over UDP it is a message of its own.
 type datagramTransport struct{ sent [][]byte }
 
-func (l *datagramTransport) Write(bufs ...[]byte) {
+func (t *datagramTransport) Write(bufs ...[]byte) {
 	var datagram []byte
 	for _, b := range bufs {
 		datagram = append(datagram, b...)
 	}
-	l.sent = append(l.sent, datagram)
+	t.sent = append(t.sent, datagram)
 }
 
-func (l *datagramTransport) Close() {}
+func (t *datagramTransport) Close() {}
 
 // fakeCollector drives an exporter and formats what it sends.
 type fakeCollector struct {
@@ -34,6 +34,7 @@
 	transcript string
 }
 
+// newFakeCollector returns a collector whose exporter has no socket yet.
 func newFakeCollector() *fakeCollector {
 	c := &fakeCollector{now: time.Hour}
 	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.DialHandler) Transport {
@@ -65,11 +66,13 @@
 	}
 }
 
+// flow returns a flow of 1.5 s with a body of 16 KiB.
 func flow(client, server, class string) Flow {
 	return Flow{Client: netip.MustParseAddrPort(client), Server: netip.MustParseAddrPort(server),
 		Start: noon, End: noon.Add(1500 * time.Millisecond), Octets: 16384, Class: class}
 }
 
+// repeated returns so many equal flows.
 func repeated(f Flow, count int) []Flow {
 	var flows []Flow
 	for range count {
--- /dev/null
+++ b/internal/ipfix/message.go
@@ -0,0 +1,68 @@
+package ipfix
+
+import (
+	"encoding/binary"
+	"time"
+)
+
+// The layout of messages and sets (RFC 7011, sections 3.1 and 3.3.2).
+const (
+	protocolVersion    = 10
+	messageHeaderBytes = 16
+	setHeaderBytes     = 4
+	setLengthOffset    = 2 // in a set's header
+
+	// maxMessageBytes is below what an Ethernet frame holds, so that no message is fragmented (section 10.3.3).
+	maxMessageBytes = 1400
+)
+
+// messageHeader is what a message's header says beside its length (section 3.1).
+type messageHeader struct {
+	exportTime time.Time
+	sequence   uint32 // the number of records sent before
+	domain     uint32
+}
+
+// beginMessage returns a message with room for its header.
+func beginMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
+
+// finishMessage writes the header of a message that is complete.
+func finishMessage(message []byte, header messageHeader) {
+	binary.BigEndian.PutUint16(message[0:], protocolVersion)
+	binary.BigEndian.PutUint16(message[2:], uint16(len(message)))
+	binary.BigEndian.PutUint32(message[4:], uint32(header.exportTime.Unix()))
+	binary.BigEndian.PutUint32(message[8:], header.sequence)
+	binary.BigEndian.PutUint32(message[12:], header.domain)
+}
+
+// appendRecords appends as many records as fit into a message, and returns how many those are. Records of one template
+// that follow each other share a set.
+func appendRecords(message []byte, records []record) (extended []byte, count int) {
+	setStart := 0
+	var setTemplate uint16
+	for _, r := range records {
+		if len(message)+setHeaderBytes+len(r.data) > maxMessageBytes {
+			break
+		}
+		if r.template != setTemplate {
+			setStart = len(message)
+			setTemplate = r.template
+			message = appendSetHeader(message, r.template)
+		}
+		message = append(message, r.data...)
+		setSetLength(message, setStart)
+		count++
+	}
+	return message, count
+}
+
+// appendSetHeader begins a set whose length is not known yet.
+func appendSetHeader(b []byte, id uint16) []byte {
+	b = binary.BigEndian.AppendUint16(b, id)
+	return binary.BigEndian.AppendUint16(b, 0)
+}
+
+// setSetLength writes the length of the set that begins at start and ends where b does.
+func setSetLength(b []byte, start int) {
+	binary.BigEndian.PutUint16(b[start+setLengthOffset:], uint16(len(b)-start))
+}
--- /dev/null
+++ b/internal/ipfix/record.go
@@ -0,0 +1,56 @@
+package ipfix
+
+import (
+	"encoding/binary"
+	"net/netip"
+	"time"
+)
+
+const (
+	protocolTCP       = 6 // protocolIdentifier
+	endOfFlowDetected = 3 // flowEndReason: the end was seen (RFC 5102, section 5.11.3)
+
+	// maxClassBytes bounds the name of a class. Below 255 its length takes one byte (RFC 7011, section 7).
+	maxClassBytes = 64
+)
+
+// Flow is one request, from its client to the router.
+type Flow struct {
+	Client, Server netip.AddrPort
+	Start, End     time.Time
+	Octets         uint64 // of the request's body
+	Class          string
+}
+
+// record is an encoded flow.
+type record struct {
+	template uint16
+	data     []byte
+}
+
+// encodeRecord returns the record of a flow in the order of its template's fields. It reports false where the addresses
+// are unknown, or of two families: no template has one of each.
+func encodeRecord(f Flow) (encoded record, ok bool) {
+	client := f.Client.Addr().Unmap()
+	server := f.Server.Addr().Unmap()
+	if !client.IsValid() || client.Is4() != server.Is4() {
+		return record{}, false
+	}
+	class := f.Class[:min(len(f.Class), maxClassBytes)]
+	var data []byte
+	data = append(data, client.AsSlice()...)
+	data = append(data, server.AsSlice()...)
+	data = binary.BigEndian.AppendUint64(data, uint64(f.Start.UnixMilli()))
+	data = binary.BigEndian.AppendUint64(data, uint64(f.End.UnixMilli()))
+	data = binary.BigEndian.AppendUint16(data, f.Client.Port())
+	data = binary.BigEndian.AppendUint16(data, f.Server.Port())
+	data = append(data, protocolTCP)
+	data = binary.BigEndian.AppendUint64(data, f.Octets)
+	data = append(data, endOfFlowDetected)
+	data = append(data, byte(len(class)))
+	data = append(data, class...)
+	if client.Is4() {
+		return record{templateIPv4ID, data}, true
+	}
+	return record{templateIPv6ID, data}, true
+}
