--- /dev/null
+++ b/internal/route/pool_test.go
@@ -0,0 +1,178 @@
+package route
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"crankhold/policy"
+)
+
+// compilePoolSpecs compiles pools, each with a route of its own.
+func compilePoolSpecs(t testing.TB, specs ...PoolSpec) *Table {
+	t.Helper()
+	s := &Spec{Pools: specs}
+	for _, p := range specs {
+		s.Routes = append(s.Routes, RouteSpec{Name: p.Name, Pool: p.Name, Tenants: []string{p.Name}})
+	}
+	return mustCompile(t, s)
+}
+
+// countWithin returns how many of the times lie within the window that ends now.
+func countWithin(window, now time.Duration, times []time.Duration) (count int) {
+	for _, at := range times {
+		if at > now-window {
+			count++
+		}
+	}
+	return count
+}
+
+// Guards the limits on overflow, over any history: at no instant do more than the share of the last ten seconds'
+// requests, or the rate over them, go to the fallback, by exact counts.
+func TestOverflowStaysWithinItsBound(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		share := rapid.Float64Range(0, 1).Draw(t, "share")
+		first, second := unlimitedPool("a"), unlimitedPool("b")
+		first.Fallback, first.OverflowShare = "b", share
+		second.Fallback, second.OverflowRate = "c", 2.5
+		table := mustCompile(t, &Spec{Pools: []PoolSpec{first, second, unlimitedPool("c")}})
+		a, b, now := table.pool("a"), table.pool("b"), time.Duration(0)
+		var requests, overflowsOfA, overflowsOfB []time.Duration
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			now += time.Duration(rapid.SampledFrom([]int{0, 1000, 30_000, 99_999, 400_000, 15_000_000}).Draw(t, "passes")) * time.Microsecond
+			a.RequestRouted(now)
+			requests = append(requests, now)
+			if a.Overflow(now) != nil {
+				overflowsOfA = append(overflowsOfA, now)
+				if b.Overflow(now) != nil {
+					overflowsOfB = append(overflowsOfB, now)
+				}
+			}
+			limit := share * float64(countWithin(overflowWindow, now, requests))
+			if got := countWithin(overflowWindow, now, overflowsOfA); float64(got) > limit {
+				t.Fatalf("at %v %d requests overflowed, the limit is %v", now, got, limit)
+			}
+			if got := countWithin(overflowWindow, now, overflowsOfB); got > 25 {
+				t.Fatalf("at %v %d requests overflowed in ten seconds, the limit is 25", now, got)
+			}
+		}
+	})
+}
+
+// Guards against a limit that is kept too strictly: nearly all of the share may overflow.
+func TestOverflowUsesItsShare(t *testing.T) {
+	first := unlimitedPool("a")
+	first.Fallback, first.OverflowShare = "b", 0.5
+	p := compilePoolSpecs(t, first, unlimitedPool("b")).pool("a")
+	overflowed := 0
+	for i := range 1000 {
+		now := time.Duration(i) * 10 * time.Millisecond
+		p.RequestRouted(now)
+		if p.Overflow(now) != nil {
+			overflowed++
+		}
+	}
+	if overflowed < 480 || p.Overflows != uint64(overflowed) || p.CapacityExceeded != uint64(1000-overflowed) {
+		t.Errorf("%d of 1000 requests overflowed, half may", overflowed)
+	}
+}
+
+// Guards the load budget: what pools load by their shares together is never more than the budget, whatever each asks
+// for and when.
+func TestLoadSharesStayWithinTheLoadBudget(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		half, fifth := unlimitedPool("a"), unlimitedPool("b")
+		half.LoadShare, fifth.LoadShare = 0.5, 0.2
+		table := mustCompile(t, &Spec{Pools: []PoolSpec{half, fifth, unlimitedPool("c"), unlimitedPool("d")}})
+		var loads []time.Duration
+		now, budget := time.Duration(0), rapid.Float64Range(0, 60).Draw(t, "budget")
+		for range rapid.IntRange(1, 200).Draw(t, "requests") {
+			now += time.Duration(rapid.IntRange(0, 500_000).Draw(t, "passes")) * time.Microsecond
+			p := table.pools[rapid.IntRange(0, 3).Draw(t, "pool")]
+			if p.MayLoad(now, budget) {
+				p.LoadStarted(now)
+				loads = append(loads, now)
+			}
+			if n := countWithin(defaultLoadWindow, now, loads); float64(n) > budget {
+				t.Fatalf("%d loads in the window, the budget is %v", n, budget)
+			}
+		}
+	})
+}
+
+func TestSoleUnsharedPoolIsBoundedByTheLoadBudgetAlone(t *testing.T) {
+	table := compilePoolSpecs(t, unlimitedPool("a"))
+	if !table.pool("a").MayLoad(0, 0) {
+		t.Error("a pool without a share, and none beside it, is bounded by the budget alone")
+	}
+}
+
+// Guards a reload: counters of a pool continue under its name or, renamed, by its limits; a lowered capacity holds for
+// what is still in flight; the loads of pools without a share stay one sum.
+func TestCarryOverKeepsPoolCounters(t *testing.T) {
+	old := compilePoolSpecs(t, cappedPool("a", 5), cappedPool("b", 7), cappedPool("c", 9))
+	for _, p := range old.pools {
+		for range p.Spec.MaxInFlight {
+			p.AttemptStarted()
+		}
+	}
+	old.pool("a").LoadStarted(0)
+	next := compilePoolSpecs(t, cappedPool("a", 2), cappedPool("renamed", 7), cappedPool("new", 3))
+	next.CarryOver(old)
+	for name, want := range map[string]int{"a": 5, "renamed": 7, "new": 0} {
+		if got := next.pool(name).InFlight(); got != want {
+			t.Errorf("pool %s continues with %d in flight, want %d", name, got, want)
+		}
+	}
+	for range 4 {
+		old.pool("a").AttemptFinished() // they began under the old table
+		if next.pool("a").HasCapacity() && next.pool("a").InFlight() >= 2 {
+			t.Error("capacity beyond the lowered limit")
+		}
+	}
+	if !next.pool("a").HasCapacity() || next.pool("renamed").HasCapacity() || !next.pool("new").HasCapacity() {
+		t.Error("capacity is not counted over the reload")
+	}
+	if got := next.pool("new").loads.upperBound(0); got != 1 {
+		t.Errorf("%d loads of the pools without a share, want 1", got)
+	}
+}
+
+// Guards membership: what the configuration says of a worker takes precedence over the endpoint list, and memory counts.
+func TestPoolsSelectWorkers(t *testing.T) {
+	s := &Spec{Workers: []Worker{{Name: "s-2", Kind: "large", Cell: UnknownCell, Labels: map[string]string{"rack": "r1"}}}}
+	cases := []struct {
+		name     string
+		selector Selector
+		want     []policy.WorkerID
+	}{
+		{"large", Selector{Kinds: []string{"lar*"}}, []policy.WorkerID{1, 2}},
+		{"cell", Selector{Cells: []int{3}}, []policy.WorkerID{1, 2, 3}},
+		{"rack", Selector{Labels: []Label{{"rack", []string{"r1", "r2"}}}}, []policy.WorkerID{2}},
+		{"big", Selector{MemoryMB: 9000}, []policy.WorkerID{1}},
+		{"id", Selector{IDs: []string{"s-1", "t-*"}}, []policy.WorkerID{1, 3}},
+		{"both", Selector{Kinds: []string{"small"}, Cells: []int{3}}, []policy.WorkerID{3}},
+		{"zone", Selector{Zones: []string{"east"}}, []policy.WorkerID{2}},
+	}
+	for _, c := range cases {
+		p := unlimitedPool(c.name)
+		p.Workers = []Selector{c.selector}
+		s.Pools = append(s.Pools, p)
+	}
+	table := mustCompile(t, s)
+	table.SetWorkers([]Worker{
+		{ID: 1, Name: "s-1", Kind: "large", Cell: 3, MemoryMB: 10240},
+		{ID: 2, Name: "s-2", Kind: "small", Cell: 3, Zone: "east"},
+		{ID: 3, Name: "t-9", Kind: "small", Cell: 3},
+	})
+	for _, c := range cases {
+		for id := range policy.WorkerID(4) {
+			if table.pool(c.name).Contains(id) != slices.Contains(c.want, id) {
+				t.Errorf("pool %s: worker %d", c.name, id)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/route/table_test.go
@@ -0,0 +1,165 @@
+package route
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Holds the table to the rule as it is stated: the same route for every request, a tie where and only where two routes
+// are as close, every route that can be reached and every request that no route matches.
+func TestMatchFollowsThePrecedenceRule(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		spec := drawSpec(t)
+		table, err := Compile(spec, classes)
+		ties := false
+		forEachRequest(func(r Request, class string) {
+			_, tie := matchByRule(spec, r, class)
+			ties = ties || tie
+		})
+		if err != nil {
+			var ambiguous *AmbiguousRoutesError
+			if !errors.As(err, &ambiguous) {
+				t.Fatal(err)
+			}
+			return
+		}
+		if ties {
+			t.Fatal("two routes are equally close and the table takes one of them")
+		}
+		reachable := table.Reachable()
+		reached := make([][]bool, len(spec.Routes))
+		for i := range reached {
+			reached[i] = make([]bool, len(classes)+1)
+		}
+		unmatched := table.UnmatchedRegions(true)
+		forEachRequest(func(r Request, class string) {
+			want, _ := matchByRule(spec, r, class)
+			got := table.Match(r)
+			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
+				t.Fatalf("%+v takes %+v, want route %d", r, got, want)
+			}
+			reported := slices.ContainsFunc(unmatched, func(region Region) bool { return region.Contains(r, class) })
+			if reported != (got == nil) {
+				t.Fatalf("%+v: reported as unmatched: %v, route %+v", r, reported, got)
+			}
+			if want >= 0 {
+				reached[want][r.Class] = true
+			}
+		})
+		for i := range reached {
+			for c := range reached[i] {
+				if reached[i][c] && !reachable[i][c] {
+					t.Fatalf("route %d is taken by class %d and reported as unreachable", i, c)
+				}
+			}
+		}
+	})
+}
+
+// Holds Reachable the other way round: a route that closer ones cover is not reachable, also where it takes all sixteen
+// prefixes together to cover it.
+func TestCoveredRoutesAreUnreachable(t *testing.T) {
+	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
+	s.Routes = append(s.Routes, RouteSpec{Name: "all", Pool: "a"})
+	for d := range 16 {
+		s.Routes = append(s.Routes, RouteSpec{Name: fmt.Sprint("r", d), Pool: "a", Functions: []Pattern{{Prefix: uint64(d) << 60, Digits: 1}}})
+	}
+	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], true) || slices.Contains(r[16], false) {
+		t.Errorf("reachable: %v and %v", r[0], r[16])
+	}
+	byThrift := RouteSpec{Name: "front", Pool: "a", Fronts: []Front{Thrift}, Functions: []Pattern{{Prefix: 0xf << 60, Digits: 1}}}
+	s.Routes = append(s.Routes[:16:16], byThrift)
+	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], false) {
+		t.Errorf("the last sixteenth by webhook is left to the first route: %v", r[0])
+	}
+}
+
+func TestCompileRejectsInvalidSpecs(t *testing.T) {
+	pool := func(name, fallback string, loadShare float64) PoolSpec {
+		return PoolSpec{Name: name, At: "f:2", MaxInFlight: Unset, LoadShare: loadShare, Fallback: fallback, OverflowShare: 0.1, OverflowRate: Unset}
+	}
+	ambiguous := &Spec{Routes: []RouteSpec{{Name: "q", At: "f:1"}, {Name: "r"}}}
+	for _, c := range []struct {
+		text string
+		err  error // the value of the error, for those that can be compared
+		spec *Spec
+	}{
+		{`pool "a" is there twice`, &DuplicatePoolError{"a", "f:2"},
+			&Spec{Pools: []PoolSpec{pool("a", "", Unset), pool("a", "", Unset)}}},
+		{`pool "a": no pool "z"`, &UndefinedReferenceError{PoolBlock, "a", "f:2", PoolBlock, "z"},
+			&Spec{Pools: []PoolSpec{pool("a", "z", Unset)}}},
+		{`pool "a" falls back in a circle`, &FallbackCycleError{"a", "f:2"},
+			&Spec{Pools: []PoolSpec{pool("a", "a", Unset)}}},
+		{"the pools' shares of the load orders come to 120%", nil,
+			&Spec{Pools: []PoolSpec{pool("a", "", 0.6), pool("b", "", 0.6)}}},
+		{`route "r": no pool "z"`, &UndefinedReferenceError{RouteBlock, "r", "f:3", PoolBlock, "z"},
+			&Spec{Routes: []RouteSpec{{Name: "r", At: "f:3", Pool: "z"}}}},
+		{`route "r": no policy "z"`, &UndefinedReferenceError{RouteBlock, "r", "f:3", PolicyBlock, "z"},
+			&Spec{Routes: []RouteSpec{{Name: "r", At: "f:3", Policy: "z"}}}},
+		{`route "r" matches the same calls as route "q" at f:1, and neither is the closer match`, nil, ambiguous},
+	} {
+		_, err := Compile(c.spec, classes)
+		if err == nil || err.Error() != c.text {
+			t.Errorf("error %v, want %s", err, c.text)
+		}
+		if c.err != nil && fmt.Sprintf("%#v", err) != fmt.Sprintf("%#v", c.err) {
+			t.Errorf("error %#v, want %#v", err, c.err)
+		}
+	}
+	_, err := Compile(ambiguous, classes)
+	var routes *AmbiguousRoutesError
+	if !errors.As(err, &routes) || routes.First.Name != "q" || routes.Second.Name != "r" {
+		t.Errorf("error %#v", err)
+	}
+}
+
+// tableOfSize has that many routes: exact functions, prefixes of all lengths, tenants and classes.
+func tableOfSize(t testing.TB, size int) *Table {
+	t.Helper()
+	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
+	for i := range size {
+		r := RouteSpec{Name: fmt.Sprint(i), Pool: "a"}
+		if i > 0 {
+			digits := max(i%17, 4)
+			function := uint64(i+1) * 0x9e3779b97f4a7c15
+			r.Functions = []Pattern{{Prefix: function & prefixMask(digits), Digits: digits}}
+			if i%3 == 0 {
+				r.Tenants = []string{fmt.Sprint("t", i%50)}
+			}
+			if i%5 == 0 {
+				r.Classes = classes[:2]
+			}
+		}
+		s.Routes = append(s.Routes, r)
+	}
+	return mustCompile(t, s)
+}
+
+// Guards the hot path: a look-up among a thousand routes allocates nothing.
+func TestMatchAllocatesNothing(t *testing.T) {
+	table, i := tableOfSize(t, 1000), uint64(0)
+	if n := testing.AllocsPerRun(1000, func() {
+		i += 0x9e3779b97f4a7c15
+		if table.Match(Request{Webhook, int(i % 3), i, "t7"}) == nil {
+			t.Fatal("no route")
+		}
+	}); n > 0 {
+		t.Errorf("%v allocations", n)
+	}
+}
+
+func BenchmarkMatch(b *testing.B) {
+	for _, size := range []int{10, 1000} {
+		table := tableOfSize(b, size)
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			b.ReportAllocs()
+			for i := range uint64(b.N) {
+				table.Match(Request{Webhook, int(i % 3), i * 0x9e3779b97f4a7c15, "t7"})
+			}
+		})
+	}
+}
