--- a/internal/route/diff_test.go
+++ b/internal/route/diff_test.go
@@ -133,3 +133,15 @@
 	}
 	return fmt.Sprint(slices.Index(poolNames[:], s.Routes[i].Pool), p.MaxAttempts, retries)
 }
+
+// Guards pools that swap their names: a request that goes to another pool of the same name is reported.
+func TestDiffTellsPoolsOfOneNameApart(t *testing.T) {
+	routes := []RouteSpec{{Name: "all", Pool: "a"}}
+	old := mustCompile(t, &Spec{Pools: []PoolSpec{cappedPool("a", 1), cappedPool("b", 2)}, Routes: routes})
+	swapped := mustCompile(t, &Spec{Pools: []PoolSpec{cappedPool("a", 2), cappedPool("b", 1)}, Routes: routes})
+	diff := Diff(old, swapped, notIdempotent, true)
+	want := "pool a (another), attempts as the settings allow"
+	if len(diff) == 0 || diff[0].After != want {
+		t.Errorf("changes %+v, want one with %q", diff, want)
+	}
+}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -78,6 +78,19 @@
 	}
 }
 
+// Guards the fronts' limits: requests by Thrift name no tenant, so that a route that asks for both matches none.
+func TestTenantRouteByThriftIsUnreachable(t *testing.T) {
+	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
+	s.Routes = []RouteSpec{
+		{Name: "thrift", Pool: "a", Fronts: []Front{Thrift}, Tenants: []string{"east"}},
+		{Name: "any", Pool: "a", Tenants: []string{"west"}},
+	}
+	r := mustCompile(t, s).Reachable()
+	if slices.Contains(r[0], true) || slices.Contains(r[1], false) {
+		t.Errorf("reachable: %v", r)
+	}
+}
+
 func TestCompileRejectsInvalidSpecs(t *testing.T) {
 	pool := func(name, fallback string, loadShare float64) PoolSpec {
 		return PoolSpec{Name: name, At: "f:2", MaxInFlight: Unset, LoadShare: loadShare, Fallback: fallback, OverflowShare: 0.1, OverflowRate: Unset}
