--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -294,7 +294,7 @@
 	}
 	classes := r.Classes()
 	if call.Class = slices.Index(classes, c.Class); call.Class < 0 {
-		if r.Closed() {
+		if r.ClassesComplete() {
 			return &status{usage, fmt.Sprintf("crankhold: --class: no class %q, but %s", c.Class, strings.Join(classes, ", "))}
 		}
 		call.Class = len(classes)
@@ -323,7 +323,7 @@
 	case to.Pool == nil:
 		list = append(list, said{"route", to.Spec.Name, "refused at once", lines("route", to.Spec.Name)})
 	default:
-		once := slices.Contains(r.Once([]string{c.Class}), true)
+		once := slices.Contains(r.NotIdempotent([]string{c.Class}), true)
 		means := "the closest match"
 		list = append(list, said{"route", to.Spec.Name, means, lines("route", to.Spec.Name)},
 			said{"pool", to.Pool.Spec.Name, to.Pool.Describe(), lines("pool", to.Pool.Spec.Name)})
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -22,8 +22,8 @@
 	LatencyObjective time.Duration // 0: not known
 }
 
-// alwaysOnce is the class that must never run twice whatever a file or the settings say.
-const alwaysOnce = "repair-order"
+// neverIdempotentClass is the class that must never run twice whatever a file or the settings say.
+const neverIdempotentClass = "repair-order"
 
 // Platform is what the platform's settings say that a configuration may not contradict.
 type Platform struct {
@@ -38,315 +38,315 @@
 
 // Result is what became of a configuration.
 type Result struct {
-	Spec   route.Spec
-	Faults syntax.Faults // any of them makes the configuration unusable
-	Notes  syntax.Faults // what is allowed and may not be meant
-	Files  []string      // that were read
-	lines  map[string][]syntax.Fault
-	known  []Class // classes of the platform or of the files' own class blocks
-	closed bool    // there are no further ones
+	Spec            route.Spec
+	Faults          syntax.Faults // any of them makes the configuration unusable
+	Notes           syntax.Faults // what is allowed and may not be meant
+	Files           []string      // that were read
+	lines           map[string][]syntax.Fault
+	classes         []Class // classes of the platform or of the files' own class blocks
+	classesComplete bool    // there are no further ones
 }
 
 // Check reads a file and all that it includes, and checks them; platform may be nil. An error is of the
 // first file alone: it can't be read at all.
 func Check(fsys fs.FS, name, prefix string, platform *Platform) (*Result, error) {
-	l := &loader{fsys: fsys, prefix: prefix, sources: map[string]*syntax.Source{}, from: map[string][]string{}}
+	l := &loader{fsys: fsys, prefix: prefix, sources: map[string]*syntax.Source{}, includeChains: map[string][]string{}}
 	if err := l.load(name, nil); err != nil {
-		return nil, fmt.Errorf("%s: %w", path.Join(prefix, name), plain(err))
+		return nil, fmt.Errorf("%s: %w", path.Join(prefix, name), pathErrorReason(err))
 	}
-	c := &checker{sources: l.sources, platform: platform, res: &Result{Faults: l.faults, lines: map[string][]syntax.Fault{}},
-		names: map[string]map[string]*block{}, used: map[string]map[string]bool{}, unsure: map[string]bool{}, whole: len(l.faults) == 0}
+	c := &checker{sources: l.sources, platform: platform, result: &Result{Faults: l.faults, lines: map[string][]syntax.Fault{}},
+		blocks: map[string]map[string]*block{}, referenced: map[string]map[string]bool{}, unresolved: map[string]bool{}, complete: len(l.faults) == 0}
 	for _, f := range l.files {
-		c.res.Files = append(c.res.Files, f.Name)
+		c.result.Files = append(c.result.Files, f.Name)
 		for _, e := range f.Entries {
 			if b, ok := e.(*syntax.Block); ok {
-				c.block(b)
+				c.buildBlock(b)
 			}
 		}
 	}
-	for _, k := range kinds {
+	for _, k := range blockTypes {
 		if k.check != nil {
 			k.check(c)
 		}
 	}
-	if len(c.res.Faults) == 0 {
-		c.together()
+	if len(c.result.Faults) == 0 {
+		c.checkTable()
 	}
-	c.res.Faults.Sort()
-	c.res.Notes.Sort()
-	return c.res, nil
+	c.result.Faults.Sort()
+	c.result.Notes.Sort()
+	return c.result, nil
 }
 
 // kinds are the blocks that a file may hold. A further one is added here, with a file of its own.
-var kinds = []*kind{workerKind, classKind, routeKind, poolKind, policyKind}
-
-// kind says what a kind of block is called, what it holds, and what is made of it.
-type kind struct {
-	word     string
-	label    bool
-	settings map[string]setting
-	blocks   []*kind
-	free     bool // settings of any name take strings
-	build    func(*checker, *block)
-	check    func(*checker) // once all blocks are built
+var blockTypes = []*blockType{workerType, classType, routeType, poolType, policyType}
+
+// blockType says what a blockType of block is called, what it holds, and what is made of it.
+type blockType struct {
+	keyword    string
+	named      bool
+	settings   map[string]settingType
+	blocks     []*blockType
+	anySetting bool // settings of any name take strings
+	build      func(*checker, *block)
+	check      func(*checker) // once all blocks are built
 }
 
-type setting struct {
-	reads reads
-	list  bool
+type settingType struct {
+	read valueReader
+	list bool
 }
 
 // block is a block whose settings have been read.
 type block struct {
-	at     syntax.Pos
-	src    *syntax.Source
-	label  string
-	set    map[string][]value
-	places map[string]syntax.Pos
-	blocks []*block
-	kind   *kind
+	pos       syntax.Pos
+	source    *syntax.Source
+	name      string
+	values    map[string][]value
+	positions map[string]syntax.Pos
+	blocks    []*block
+	blockType *blockType
 }
 
-// has tells whether a setting is given.
-func (b *block) has(name string) bool { return len(b.set[name]) > 0 }
+// hasValue tells whether a setting is given.
+func (b *block) hasValue(name string) bool { return len(b.values[name]) > 0 }
 
-// given tells whether a setting is there, its value read or not.
-func (b *block) given(name string) bool { return b.places[name].Valid() }
+// isPresent tells whether a setting is there, its value read or not.
+func (b *block) isPresent(name string) bool { return b.positions[name].Valid() }
 
-// one returns a setting's value; the zero value where it isn't given.
-func (b *block) one(name string) value {
-	if !b.has(name) {
+// value returns a setting's value; the zero value where it isn't given.
+func (b *block) value(name string) value {
+	if !b.hasValue(name) {
 		return value{}
 	}
-	return b.set[name][0]
+	return b.values[name][0]
 }
 
 // texts returns a list of strings or words.
 func (b *block) texts(name string) (list []string) {
-	for _, v := range b.set[name] {
+	for _, v := range b.values[name] {
 		list = append(list, v.text)
 	}
 	return list
 }
 
 type checker struct {
-	sources  map[string]*syntax.Source
-	platform *Platform
-	res      *Result
-	names    map[string]map[string]*block // by kind
-	used     map[string]map[string]bool
-	unsure   map[string]bool // kinds that something names which is not there, or can't be read
-	whole    bool            // all files were read without a fault: what is missing is missing
-	policies map[string]*policyBlock
-	order    []*policyBlock
+	sources     map[string]*syntax.Source
+	platform    *Platform
+	result      *Result
+	blocks      map[string]map[string]*block // by kind
+	referenced  map[string]map[string]bool
+	unresolved  map[string]bool // kinds that something names which is not there, or can't be read
+	complete    bool            // all files were read without a fault: what is missing is missing
+	policies    map[string]*policyBlock
+	policyOrder []*policyBlock
 }
 
 func (c *checker) fault(b *block, at syntax.Pos, format string, args ...any) {
-	c.res.Faults = append(c.res.Faults, b.src.Fault(at, format, args...))
+	c.result.Faults = append(c.result.Faults, b.source.Fault(at, format, args...))
 }
 
 func (c *checker) note(b *block, at syntax.Pos, format string, args ...any) {
-	c.res.Notes = append(c.res.Notes, b.src.Fault(at, format, args...))
+	c.result.Notes = append(c.result.Notes, b.source.Fault(at, format, args...))
 }
 
-// block reads a block at the top of a file, and has its kind make something of it.
-func (c *checker) block(b *syntax.Block) {
+// buildBlock reads a buildBlock at the top of a file, and has its kind make something of it.
+func (c *checker) buildBlock(b *syntax.Block) {
 	src := c.sources[b.At.File]
 	var words []string
-	for _, k := range kinds {
-		if k.word == b.Word {
-			if r := c.read(b, k, src); r != nil {
-				c.name(r)
+	for _, k := range blockTypes {
+		if k.keyword == b.Word {
+			if r := c.readBlock(b, k, src); r != nil {
+				c.define(r)
 				k.build(c, r)
 			}
 			return
 		}
-		words = append(words, k.word)
+		words = append(words, k.keyword)
 	}
-	c.res.Faults = append(c.res.Faults, src.Fault(b.At, "unknown block %s%s", b.Word, suggest(b.Word, append(words, "include"))))
+	c.result.Faults = append(c.result.Faults, src.Fault(b.At, "unknown block %s%s", b.Word, suggest(b.Word, append(words, "include"))))
 }
 
-// read reads a block's label, settings and blocks. It returns nil for one without its name.
-func (c *checker) read(b *syntax.Block, k *kind, src *syntax.Source) *block {
-	r := &block{at: b.At, src: src, kind: k, set: map[string][]value{}, places: map[string]syntax.Pos{}}
+// readBlock reads a block's label, settings and blocks. It returns nil for one without its name.
+func (c *checker) readBlock(b *syntax.Block, k *blockType, src *syntax.Source) *block {
+	r := &block{pos: b.At, source: src, blockType: k, values: map[string][]value{}, positions: map[string]syntax.Pos{}}
 	switch {
-	case k.label && b.Label == nil:
-		c.fault(r, b.At, "a %s needs a name: %s \"...\" {", k.word, k.word)
+	case k.named && b.Label == nil:
+		c.fault(r, b.At, "a %s needs a name: %s \"...\" {", k.keyword, k.keyword)
 		return nil
-	case !k.label && b.Label != nil:
-		c.fault(r, b.Label.At, "%s takes no name", k.word)
-	case k.label:
-		v, wrong := text(*b.Label)
+	case !k.named && b.Label != nil:
+		c.fault(r, b.Label.At, "%s takes no name", k.keyword)
+	case k.named:
+		v, wrong := readText(*b.Label)
 		if wrong != "" {
-			c.fault(r, b.Label.At, "the name of a %s %s", k.word, wrong)
+			c.fault(r, b.Label.At, "the name of a %s %s", k.keyword, wrong)
 			return nil
 		}
-		r.label = v.text
+		r.name = v.text
 	}
 	for _, e := range b.Entries {
 		switch e := e.(type) {
 		case *syntax.Setting:
-			c.setting(r, e)
+			c.readSetting(r, e)
 		case *syntax.Block:
-			c.inner(r, e)
+			c.readNestedBlock(r, e)
 		}
 	}
 	return r
 }
 
-func (c *checker) setting(r *block, e *syntax.Setting) {
-	s, ok := r.kind.settings[e.Name]
-	if r.kind.free {
-		s, ok = setting{text, true}, true
+func (c *checker) readSetting(r *block, e *syntax.Setting) {
+	s, ok := r.blockType.settings[e.Name]
+	if r.blockType.anySetting {
+		s, ok = settingType{readText, true}, true
 	}
 	if !ok {
-		c.fault(r, e.At, "unknown setting %s in %s%s", e.Name, r.kind.word, suggest(e.Name, slices.Sorted(maps.Keys(r.kind.settings))))
+		c.fault(r, e.At, "unknown setting %s in %s%s", e.Name, r.blockType.keyword, suggest(e.Name, slices.Sorted(maps.Keys(r.blockType.settings))))
 		return
 	}
-	if first, again := r.places[e.Name]; again {
+	if first, again := r.positions[e.Name]; again {
 		c.fault(r, e.At, "%s is given twice, first at %v", e.Name, first)
 		return
 	}
-	r.places[e.Name] = e.At
+	r.positions[e.Name] = e.At
 	if len(e.Values) > 1 && !s.list {
 		c.fault(r, e.Values[1].At, "%s takes one value", e.Name)
 		return
 	}
 	seen := map[string]bool{}
 	for _, raw := range e.Values {
-		v, wrong := s.reads(raw)
+		v, wrong := s.read(raw)
 		switch {
 		case wrong != "":
 			c.fault(r, raw.At, "%s %s", e.Name, wrong)
 		case seen[raw.Text()]:
 			c.fault(r, raw.At, "%s has %s twice", e.Name, raw.Raw)
 		default:
-			r.set[e.Name] = append(r.set[e.Name], v)
+			r.values[e.Name] = append(r.values[e.Name], v)
 		}
 		seen[raw.Text()] = true
 	}
 }
 
-func (c *checker) inner(r *block, e *syntax.Block) {
+func (c *checker) readNestedBlock(r *block, e *syntax.Block) {
 	var words []string
-	for _, k := range r.kind.blocks {
-		if k.word == e.Word {
-			if in := c.read(e, k, r.src); in != nil {
+	for _, k := range r.blockType.blocks {
+		if k.keyword == e.Word {
+			if in := c.readBlock(e, k, r.source); in != nil {
 				r.blocks = append(r.blocks, in)
 			}
 			return
 		}
-		words = append(words, k.word)
+		words = append(words, k.keyword)
 	}
-	c.fault(r, e.At, "unknown block %s in %s%s", e.Word, r.kind.word, suggest(e.Word, words))
+	c.fault(r, e.At, "unknown block %s in %s%s", e.Word, r.blockType.keyword, suggest(e.Word, words))
 }
 
-// name notes a block's name, which is its own among its kind.
-func (c *checker) name(b *block) {
-	if !b.kind.label {
+// define notes a block's define, which is its own among its kind.
+func (c *checker) define(b *block) {
+	if !b.blockType.named {
 		return
 	}
-	m := c.names[b.kind.word]
+	m := c.blocks[b.blockType.keyword]
 	if m == nil {
 		m = map[string]*block{}
-		c.names[b.kind.word] = m
+		c.blocks[b.blockType.keyword] = m
 	}
-	if first := m[b.label]; first != nil {
-		c.fault(b, b.at, "%s %q is defined twice, first at %v", b.kind.word, b.label, first.at)
+	if first := m[b.name]; first != nil {
+		c.fault(b, b.pos, "%s %q is defined twice, first at %v", b.blockType.keyword, b.name, first.pos)
 		return
 	}
-	m[b.label] = b
-	c.line(b.kind.word+" "+b.label, b, b.at)
-	for _, name := range slices.Sorted(maps.Keys(b.places)) {
-		c.line(b.kind.word+" "+b.label, b, b.places[name])
+	m[b.name] = b
+	c.recordLine(b.blockType.keyword+" "+b.name, b, b.pos)
+	for _, name := range slices.Sorted(maps.Keys(b.positions)) {
+		c.recordLine(b.blockType.keyword+" "+b.name, b, b.positions[name])
 	}
 }
 
-// line keeps a line that says something of a name, for those who ask why.
-func (c *checker) line(of string, b *block, at syntax.Pos) {
-	f := b.src.Fault(at, "")
+// recordLine keeps a recordLine that says something of a name, for those who ask why.
+func (c *checker) recordLine(of string, b *block, at syntax.Pos) {
+	f := b.source.Fault(at, "")
 	f.Line = strings.TrimSpace(f.Line)
-	c.res.lines[of] = append(c.res.lines[of], f)
+	c.result.lines[of] = append(c.result.lines[of], f)
 }
 
-// refer notes that a setting, if it is given, names a block of some kind, and tells whether there is one.
-func (c *checker) refer(b *block, set, word string) bool {
-	v := b.one(set)
-	if !b.has(set) {
-		c.unsure[word] = c.unsure[word] || b.given(set)
+// resolveReference notes that a setting, if it is given, names a block of some kind, and tells whether there is one.
+func (c *checker) resolveReference(b *block, set, word string) bool {
+	v := b.value(set)
+	if !b.hasValue(set) {
+		c.unresolved[word] = c.unresolved[word] || b.isPresent(set)
 		return false
 	}
-	if c.used[word] == nil {
-		c.used[word] = map[string]bool{}
+	if c.referenced[word] == nil {
+		c.referenced[word] = map[string]bool{}
 	}
-	c.used[word][v.text] = true
-	if c.names[word][v.text] != nil {
+	c.referenced[word][v.text] = true
+	if c.blocks[word][v.text] != nil {
 		return true
 	}
-	c.unsure[word] = true
-	if c.whole {
-		c.fault(b, v.at, "no %s %q%s", word, v.text, suggest(v.text, slices.Sorted(maps.Keys(c.names[word]))))
+	c.unresolved[word] = true
+	if c.complete {
+		c.fault(b, v.pos, "no %s %q%s", word, v.text, suggest(v.text, slices.Sorted(maps.Keys(c.blocks[word]))))
 	}
 	return false
 }
 
-// unused tells of names that nothing refers to. Where some name is mistyped it may be the one that was meant.
-func (c *checker) unused(word, by string) {
-	if !c.whole || c.unsure[word] {
+// reportUnused tells of names that nothing refers to. Where some name is mistyped it may be the one that was meant.
+func (c *checker) reportUnused(word, by string) {
+	if !c.complete || c.unresolved[word] {
 		return
 	}
-	for name, b := range c.names[word] {
-		if !c.used[word][name] {
-			c.fault(b, b.at, "%s %q is not used by any %s", word, name, by)
+	for name, b := range c.blocks[word] {
+		if !c.referenced[word][name] {
+			c.fault(b, b.pos, "%s %q is not used by any %s", word, name, by)
 		}
 	}
 }
 
-// listed returns the classes that are known, and whether there are no others.
-func (c *checker) listed() (list []Class, closed bool) {
+// knownClasses returns the classes that are known, and whether there are no others.
+func (c *checker) knownClasses() (list []Class, closed bool) {
 	if c.platform != nil {
 		for _, k := range c.platform.Classes {
-			k.NotIdempotent = k.NotIdempotent || k.Name == alwaysOnce || c.res.once(k.Name)
+			k.NotIdempotent = k.NotIdempotent || k.Name == neverIdempotentClass || c.result.declaredNotIdempotent(k.Name)
 			list = append(list, k)
 		}
 		return list, true
 	}
-	if len(c.names["class"]) > 0 {
-		return c.res.known, true
+	if len(c.blocks["class"]) > 0 {
+		return c.result.classes, true
 	}
-	names := map[string]bool{alwaysOnce: true}
-	for _, r := range c.res.Spec.Routes {
+	names := map[string]bool{neverIdempotentClass: true}
+	for _, r := range c.result.Spec.Routes {
 		for _, k := range r.Classes {
 			names[k] = true
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		list = append(list, Class{Name: n, NotIdempotent: n == alwaysOnce})
+		list = append(list, Class{Name: n, NotIdempotent: n == neverIdempotentClass})
 	}
 	return list, false
 }
 
-// once tells whether a class block says that a class must never run twice.
-func (r *Result) once(name string) bool {
-	return slices.ContainsFunc(r.known, func(k Class) bool { return k.Name == name && k.NotIdempotent })
+// declaredNotIdempotent tells whether a class block says that a class must never run twice.
+func (r *Result) declaredNotIdempotent(name string) bool {
+	return slices.ContainsFunc(r.classes, func(k Class) bool { return k.Name == name && k.NotIdempotent })
 }
 
-// together checks what routes, pools and policies are as a whole.
-func (c *checker) together() {
-	classes, closed := c.listed()
-	c.res.known, c.res.closed = classes, closed
+// checkTable checks what routes, pools and policies are as a whole.
+func (c *checker) checkTable() {
+	classes, closed := c.knownClasses()
+	c.result.classes, c.result.classesComplete = classes, closed
 	if c.platform != nil {
-		c.res.Spec.LoadWindow = c.platform.LoadWindow
+		c.result.Spec.LoadWindow = c.platform.LoadWindow
 	}
-	t, err := route.Compile(&c.res.Spec, c.res.Classes())
+	t, err := route.Compile(&c.result.Spec, c.result.Classes())
 	if err != nil {
 		if a := (*route.AmbiguousRoutesError)(nil); errors.As(err, &a) {
-			b := c.names["route"][a.Second.Name]
-			c.fault(b, b.at, "%v", err)
+			b := c.blocks["route"][a.Second.Name]
+			c.fault(b, b.pos, "%v", err)
 			return
 		}
-		for _, b := range c.names["route"] { // the checks above should have found it
-			c.fault(b, b.at, "%v", err)
+		for _, b := range c.blocks["route"] { // the checks above should have found it
+			c.fault(b, b.pos, "%v", err)
 			return
 		}
 		return
@@ -358,38 +358,38 @@
 		}
 	}
 	for i, r := range t.Routes() {
-		b := c.names["route"][r.Spec.Name]
+		b := c.blocks["route"][r.Spec.Name]
 		if !slices.Contains(reached[i], true) {
-			c.fault(b, b.at, "route %q can't be reached: closer matches take all of its calls", r.Spec.Name)
+			c.fault(b, b.pos, "route %q can't be reached: closer matches take all of its calls", r.Spec.Name)
 			continue
 		}
 		for k, class := range classes {
 			if reached[i][k] && r.Pool != nil && r.Spec.Policy != "" {
-				c.policyFits(b, r.Spec.Policy, class)
+				c.checkPolicyForClass(b, r.Spec.Policy, class)
 			}
 		}
 	}
-	first := c.names["route"][t.Routes()[0].Spec.Name]
+	first := c.blocks["route"][t.Routes()[0].Spec.Name]
 	for _, h := range t.UnmatchedRegions(!closed) {
-		c.note(first, first.at, "no route takes %v; they are refused (%v)", h, h.Example)
+		c.note(first, first.pos, "no route takes %v; they are refused (%v)", h, h.Example)
 	}
 }
 
 // Classes returns the names of the classes that the configuration can tell apart.
 func (r *Result) Classes() (names []string) {
-	for _, k := range r.known {
+	for _, k := range r.classes {
 		names = append(names, k.Name)
 	}
 	return names
 }
 
-// Closed tells whether there are no further classes.
-func (r *Result) Closed() bool { return r.closed }
+// ClassesComplete tells whether there are no further classes.
+func (r *Result) ClassesComplete() bool { return r.classesComplete }
 
-// Once tells for each of some classes whether it must never run twice.
-func (r *Result) Once(names []string) (once []bool) {
+// NotIdempotent tells for each of some classes whether it must never run twice.
+func (r *Result) NotIdempotent(names []string) (once []bool) {
 	for _, n := range names {
-		once = append(once, n == alwaysOnce || r.once(n))
+		once = append(once, n == neverIdempotentClass || r.declaredNotIdempotent(n))
 	}
 	return once
 }
@@ -409,8 +409,8 @@
 		}
 	}
 	var once []bool
-	for i, a := range old.Once(names) {
-		once = append(once, a && new.Once(names)[i])
+	for i, a := range old.NotIdempotent(names) {
+		once = append(once, a && new.NotIdempotent(names)[i])
 	}
 	o, err := route.Compile(&old.Spec, names)
 	if err != nil {
@@ -420,5 +420,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return route.Diff(o, n, once, !old.closed || !new.closed), nil
+	return route.Diff(o, n, once, !old.classesComplete || !new.classesComplete), nil
 }
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -16,13 +16,13 @@
 var update = flag.Bool("update", false, "write what the broken files are told into testdata/broken.txt; read it before it is committed")
 
 // site is the settings that the cases with "platform" in their name are checked against.
-var site = &Platform{MaxAttempts: 3, HedgingAllowed: true, Kinds: []string{"large-worker", "small-worker"}, Zones: []string{"edinburgh-dc"},
+var testPlatform = &Platform{MaxAttempts: 3, HedgingAllowed: true, Kinds: []string{"large-worker", "small-worker"}, Zones: []string{"edinburgh-dc"},
 	KindMemoryMB: map[string]float64{"large-worker": 10240, "small-worker": 7616},
 	Classes: []Class{{"dim-level", false, 2 * time.Second, 400 * time.Millisecond}, {"fault-check", false, 2500 * time.Millisecond, 600 * time.Millisecond},
 		{"audit", true, 2 * time.Second, time.Second}, {"repair-order", true, 3 * time.Second, 1200 * time.Millisecond}}}
 
-// archive is a case of a test: files by name, and what is wanted of them.
-type archive struct {
+// brokenFile is a case of a test: files by name, and what is wanted of them.
+type brokenFile struct {
 	name  string
 	files fstest.MapFS
 	want  string
@@ -30,7 +30,7 @@
 }
 
 // readCases reads cases: a line "== NAME" begins one, "-- FILE" a file of it, and "-- want" what it is told.
-func readCases(t *testing.T, file string) (cases []archive) {
+func readCases(t *testing.T, file string) (cases []brokenFile) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 		if !ok {
 			t.Fatalf("case %s wants nothing", name)
 		}
-		a := archive{name: name, files: fstest.MapFS{}, want: want, text: "== " + name + "\n" + before + "-- want\n"}
+		a := brokenFile{name: name, files: fstest.MapFS{}, want: want, text: "== " + name + "\n" + before + "-- want\n"}
 		for _, f := range strings.Split("\n"+before, "\n-- ")[1:] {
 			file, body, _ := strings.Cut(f, "\n")
 			a.files[file] = &fstest.MapFile{Data: []byte(body), Mode: 0o644}
@@ -52,10 +52,10 @@
 	return cases
 }
 
-func (a archive) check(t *testing.T) *Result {
+func (a brokenFile) check(t *testing.T) *Result {
 	p := (*Platform)(nil)
 	if strings.Contains(a.name, "platform") {
-		p = site
+		p = testPlatform
 	}
 	r, err := Check(a.files, "main.crank", "", p)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // Every broken file is rejected with exactly these messages, each with the place of what is wrong.
-func TestBrokenFiles(t *testing.T) {
+func TestCheckReportsEachFaultAtItsPosition(t *testing.T) {
 	cases, told, names := readCases(t, "testdata/broken.txt"), "", map[string]bool{}
 	for _, a := range cases {
 		if names[a.name] {
@@ -98,7 +98,7 @@
 	}
 }
 
-const whole = `include "parts/*.crank"
+const mainFile = `include "parts/*.crank"
 # the fleet
 worker "s-1" {
 	kind = "large"
@@ -128,15 +128,15 @@
 route "rest" { pool = "all" }
 `
 
-var parts = fstest.MapFS{
-	"main.crank":           {Data: []byte(whole), Mode: 0o644},
+var testFiles = fstest.MapFS{
+	"main.crank":           {Data: []byte(mainFile), Mode: 0o644},
 	"parts/policies.crank": {Data: []byte("policy \"base\" {\n\tattempts = 2\n\tagain-if-ran = 1\n}\n"), Mode: 0o644},
 	"parts/pools.crank": {Data: []byte("pool \"all\" {}\npool \"fast\" {\n\tworkers { labels { rack = \"r1\", \"r2\" } }\n\tworkers {\n\t\tkind = \"large\"\n\t\tmemory-at-least = 8GiB\n\t}\n" +
 		"\tcap = 40\n\tload-orders = 30%\n\tfallback = \"all\"\n\tspill = 120/m\n}\n"), Mode: 0o644},
 }
 
-func TestGoodFile(t *testing.T) {
-	r, err := Check(parts, "main.crank", "deploy", nil)
+func TestCheckAcceptsValidFiles(t *testing.T) {
+	r, err := Check(testFiles, "main.crank", "deploy", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,16 +170,16 @@
 }
 
 // Guards the meaning of a file over formatting: the same files, formatted, differ in nothing.
-func TestFormattingKeepsTheMeaning(t *testing.T) {
+func TestFormattingKeepsBehaviour(t *testing.T) {
 	formed := fstest.MapFS{}
-	for name, f := range parts {
+	for name, f := range testFiles {
 		tree, _, faults := syntax.Parse(name, f.Data)
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
 		formed[name] = &fstest.MapFile{Data: syntax.Format(tree), Mode: 0o644}
 	}
-	o, err := Check(parts, "main.crank", "", nil)
+	o, err := Check(testFiles, "main.crank", "", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,7 +224,7 @@
 		deep[fmt.Sprintf("a%d.crank", i)] = &fstest.MapFile{Data: []byte(fmt.Sprintf("include \"a%d.crank\"\n", i+1)), Mode: 0o644}
 	}
 	r, err := Check(deep, "main.crank", "", nil)
-	if err != nil || len(r.Files) != maxNested || !strings.Contains(r.Faults.Error(), "includes are nested more than 16 deep: main.crank > a0.crank") {
+	if err != nil || len(r.Files) != maxIncludeDepth || !strings.Contains(r.Faults.Error(), "includes are nested more than 16 deep: main.crank > a0.crank") {
 		t.Errorf("%d files, %v, %v", len(r.Files), r.Faults, err)
 	}
 	many := fstest.MapFS{"main.crank": {Data: []byte("include \"d/*\"\n"), Mode: 0o644}}
@@ -244,9 +244,9 @@
 	}
 }
 
-func TestHolesAreNoted(t *testing.T) {
+func TestUnmatchedRequestsAreNoted(t *testing.T) {
 	text := "pool \"p\" {}\nroute \"r\" {\n\tclass = \"dim-level\"\n\tfunction = \"7*\"\n\tpool = \"p\"\n}\n"
-	r, err := Check(fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}, "main.crank", "", site)
+	r, err := Check(fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}, "main.crank", "", testPlatform)
 	if err != nil || len(r.Faults) > 0 {
 		t.Fatal(err, r)
 	}
@@ -259,14 +259,14 @@
 
 // Guards a class that the files make run once against the platform's more generous word: its calls get the strict
 // terms, others of the same route don't.
-func TestClassMadeToRunOnce(t *testing.T) {
+func TestClassBlockMakesAClassNotIdempotent(t *testing.T) {
 	text := "class \"dim-level\" { runs = once }\npool \"p\" {}\nroute \"r\" { pool = \"p\" }\n"
-	r, err := Check(fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}, "main.crank", "", site)
+	r, err := Check(fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}, "main.crank", "", testPlatform)
 	if err != nil || len(r.Faults) > 0 {
 		t.Fatal(err, r)
 	}
-	if fmt.Sprint(r.Spec.NotIdempotentClasses) != "[dim-level]" || fmt.Sprint(r.Once(r.Classes())) != "[true false true true]" {
-		t.Errorf("once: %v, %v", r.Spec.NotIdempotentClasses, r.Once(r.Classes()))
+	if fmt.Sprint(r.Spec.NotIdempotentClasses) != "[dim-level]" || fmt.Sprint(r.NotIdempotent(r.Classes())) != "[true false true true]" {
+		t.Errorf("once: %v, %v", r.Spec.NotIdempotentClasses, r.NotIdempotent(r.Classes()))
 	}
 }
 
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -14,19 +14,19 @@
 
 // Bounds on what one configuration may include.
 const (
-	maxFiles  = 1000
-	maxNested = 16
+	maxFiles        = 1000
+	maxIncludeDepth = 16
 )
 
 // loader reads the files of a configuration.
 type loader struct {
-	fsys    fs.FS
-	prefix  string // of the names that messages show
-	files   []*syntax.File
-	sources map[string]*syntax.Source
-	from    map[string][]string // by file, the chain of includes that led to it
-	faults  syntax.Faults
-	full    bool
+	fsys          fs.FS
+	prefix        string // of the names that messages show
+	files         []*syntax.File
+	sources       map[string]*syntax.Source
+	includeChains map[string][]string // by file, the chain of includes that led to it
+	faults        syntax.Faults
+	filesExceeded bool
 }
 
 // load reads a file and all that it includes, each once. Names are relative to fsys, whose root no include
@@ -37,13 +37,13 @@
 		return err
 	}
 	chain = append(slices.Clip(chain), name)
-	l.from[name] = chain
+	l.includeChains[name] = chain
 	f, src, faults := syntax.Parse(path.Join(l.prefix, name), text)
 	l.files = append(l.files, f)
 	l.sources[f.Name] = src
 	l.faults = append(l.faults, faults...)
 	for _, e := range f.Entries {
-		if inc, ok := e.(*syntax.Include); ok && !l.full {
+		if inc, ok := e.(*syntax.Include); ok && !l.filesExceeded {
 			l.include(inc, src, name, chain)
 		}
 	}
@@ -82,20 +82,20 @@
 		names = found
 	}
 	for _, name := range names {
-		switch first, again := l.from[name]; {
+		switch first, again := l.includeChains[name]; {
 		case slices.Contains(chain, name):
 			fault("include cycle: %s", strings.Join(append(slices.Clip(chain), name), " > "))
 		case again:
 			fault("%s is included twice: by %s, and by %s", name, strings.Join(first, " > "), strings.Join(append(slices.Clip(chain), name), " > "))
-		case len(chain) >= maxNested:
-			fault("includes are nested more than %d deep: %s", maxNested, strings.Join(append(slices.Clip(chain), name), " > "))
-		case len(l.from) >= maxFiles:
+		case len(chain) >= maxIncludeDepth:
+			fault("includes are nested more than %d deep: %s", maxIncludeDepth, strings.Join(append(slices.Clip(chain), name), " > "))
+		case len(l.includeChains) >= maxFiles:
 			fault("more than %d files are included; the rest was not read", maxFiles)
-			l.full = true
+			l.filesExceeded = true
 			return
 		default:
 			if err := l.load(name, chain); err != nil {
-				fault("the include %s can't be read: %v (%s)", inc.Path.Raw, plain(err), strings.Join(append(slices.Clip(chain), name), " > "))
+				fault("the include %s can't be read: %v (%s)", inc.Path.Raw, pathErrorReason(err), strings.Join(append(slices.Clip(chain), name), " > "))
 			}
 		}
 	}
@@ -125,8 +125,8 @@
 	return text, nil
 }
 
-// plain is the reason alone of an error that names the file too.
-func plain(err error) error {
+// pathErrorReason is the reason alone of an error that names the file too.
+func pathErrorReason(err error) error {
 	var p *fs.PathError
 	if errors.As(err, &p) {
 		return p.Err
--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -2,15 +2,15 @@
 
 // File is one file's tree.
 type File struct {
-	Name    string
-	Entries []Entry
-	Tail    []Comment // after the last entry
+	Name             string
+	Entries          []Entry
+	TrailingComments []Comment // after the last entry
 }
 
 // Comment is a comment that has a line of its own.
 type Comment struct {
-	Text  string // with its mark
-	Blank bool   // an empty line goes before it
+	Text        string // with its mark
+	BlankBefore bool   // an empty line goes before it
 }
 
 // Entry is an *Include, a *Block or a *Setting.
@@ -21,9 +21,9 @@
 
 // Trivia is what stands around an entry and means nothing.
 type Trivia struct {
-	Lead  []Comment // on the lines before it
-	Blank bool      // an empty line goes before it, behind its comments
-	Trail string    // the comment on its last line
+	LeadingComments []Comment // on the lines before it
+	BlankBefore     bool      // an empty line goes before it, behind its comments
+	LineComment     string    // the comment on its last line
 }
 
 func (t *Trivia) trivia() *Trivia { return t }
@@ -38,12 +38,12 @@
 // Block is a block with what it holds.
 type Block struct {
 	Trivia
-	At      Pos
-	Word    string
-	Label   *Value // nil: none
-	Open    string // the comment behind the opening brace
-	Entries []Entry
-	Tail    []Comment // before the closing brace
+	At               Pos
+	Word             string
+	Label            *Value // nil: none
+	OpenComment      string // the comment behind the opening brace
+	Entries          []Entry
+	TrailingComments []Comment // before the closing brace
 }
 
 // Setting gives a name one or more values.
@@ -59,24 +59,24 @@
 
 // The kinds of values.
 const (
-	Text     ValueKind = iota // a string
-	Quantity                  // a number with or without a unit
-	Word
+	StringValue   ValueKind = iota // a string
+	QuantityValue                  // a number with or without a unit
+	WordValue
 )
 
 // Value is one value.
 type Value struct {
-	At    Pos
-	Kind  ValueKind
-	Raw   string // as it stands in the file
-	lead  []Comment
-	trail string
-	fresh bool // begins a line
+	At              Pos
+	Kind            ValueKind
+	Raw             string // as it stands in the file
+	leadingComments []Comment
+	lineComment     string
+	startsLine      bool // begins a line
 }
 
 // Text returns what a string says, and any other value as it stands.
 func (v Value) Text() string {
-	if v.Kind == Text {
+	if v.Kind == StringValue {
 		return unquote(v.Raw)
 	}
 	return v.Raw
--- a/internal/lang/syntax/grammar_test.go
+++ b/internal/lang/syntax/grammar_test.go
@@ -11,21 +11,21 @@
 	"pgregory.net/rapid"
 )
 
-// expr is a part of a production: an alternative, a sequence, an option, a repetition, a range, a name
+// grammarExpr is a part of a production: an alternative, a sequence, an option, a repetition, a range, a name
 // or a literal.
-type expr struct {
+type grammarExpr struct {
 	op    string
 	text  string
-	parts []expr
+	parts []grammarExpr
 }
 
-// ebnf reads the productions of the published grammar.
-type ebnf struct {
+// grammarReader reads the productions of the published grammar.
+type grammarReader struct {
 	t    testing.TB
 	toks []string
 }
 
-func readGrammar(t testing.TB) map[string]expr {
+func readGrammar(t testing.TB) map[string]grammarExpr {
 	page, err := os.ReadFile("../../../docs/language.md")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 	if !ok || !end {
 		t.Fatal("docs/language.md holds no grammar")
 	}
-	g := &ebnf{t: t}
+	g := &grammarReader{t: t}
 	for i := 0; i < len(text); {
 		switch c := text[i]; {
 		case c == ' ' || c == '\n':
@@ -63,7 +63,7 @@
 			i++
 		}
 	}
-	all := map[string]expr{}
+	all := map[string]grammarExpr{}
 	for len(g.toks) > 0 {
 		name := g.take()
 		g.want("=")
@@ -73,7 +73,7 @@
 	return all
 }
 
-func (g *ebnf) take() string {
+func (g *grammarReader) take() string {
 	if len(g.toks) == 0 {
 		g.t.Fatal("the grammar ends within a production")
 	}
@@ -82,14 +82,14 @@
 	return s
 }
 
-func (g *ebnf) want(s string) {
+func (g *grammarReader) want(s string) {
 	if got := g.take(); got != s {
 		g.t.Fatalf("grammar: %q in place of %q", got, s)
 	}
 }
 
-func (g *ebnf) alternatives() expr {
-	e := expr{op: "|", parts: []expr{g.sequence()}}
+func (g *grammarReader) alternatives() grammarExpr {
+	e := grammarExpr{op: "|", parts: []grammarExpr{g.sequence()}}
 	for g.toks[0] == "|" {
 		g.take()
 		e.parts = append(e.parts, g.sequence())
@@ -97,21 +97,21 @@
 	return e
 }
 
-func (g *ebnf) sequence() expr {
-	e := expr{op: "seq"}
+func (g *grammarReader) sequence() grammarExpr {
+	e := grammarExpr{op: "seq"}
 	for !strings.Contains("|.)]}", g.toks[0]) {
 		switch s := g.take(); s {
 		case "[", "{", "(":
-			e.parts = append(e.parts, expr{op: s, parts: []expr{g.alternatives()}})
+			e.parts = append(e.parts, grammarExpr{op: s, parts: []grammarExpr{g.alternatives()}})
 			g.take()
 		default:
-			p := expr{op: "name", text: s}
+			p := grammarExpr{op: "name", text: s}
 			if s[0] == '"' {
-				p = expr{op: "literal", text: unquote(s)}
+				p = grammarExpr{op: "literal", text: unquote(s)}
 				if g.toks[0] == "…" {
 					g.take()
 					p.op = "…"
-					p.parts = []expr{{text: unquote(g.take())}}
+					p.parts = []grammarExpr{{text: unquote(g.take())}}
 				}
 			}
 			e.parts = append(e.parts, p)
@@ -121,8 +121,8 @@
 }
 
 // derive appends a sentence of e. Tokens are set apart, what is within one is not.
-func derive(r *rand.Rand, all map[string]expr, e expr, depth int, out *strings.Builder) {
-	again := func(p expr) { derive(r, all, p, depth, out) }
+func derive(r *rand.Rand, all map[string]grammarExpr, e grammarExpr, depth int, out *strings.Builder) {
+	again := func(p grammarExpr) { derive(r, all, p, depth, out) }
 	switch e.op {
 	case "|":
 		again(e.parts[r.IntN(len(e.parts))])
@@ -162,7 +162,7 @@
 
 // Holds the parser to the published grammar: what that text derives is read without a fault, and means the
 // same when it has been formatted.
-func TestParserTakesWhatTheGrammarDerives(t *testing.T) {
+func TestParserAcceptsDerivedSentences(t *testing.T) {
 	all := readGrammar(t)
 	for _, name := range []string{"File", "Block", "Setting", "Value", "string", "quantity", "word"} {
 		if _, ok := all[name]; !ok {
@@ -172,7 +172,7 @@
 	long := 0
 	for seed := range uint64(3000) {
 		var b strings.Builder
-		derive(rand.New(rand.NewPCG(seed, 1)), all, expr{op: "name", text: "File"}, 0, &b)
+		derive(rand.New(rand.NewPCG(seed, 1)), all, grammarExpr{op: "name", text: "File"}, 0, &b)
 		if b.Len() > 200 {
 			long++
 		}
@@ -180,7 +180,7 @@
 		if len(faults) > 0 {
 			t.Fatalf("seed %d: %v\n%s", seed, faults, b.String())
 		}
-		stable(t, f)
+		checkStable(t, f)
 	}
 	if long < 50 {
 		t.Errorf("only %d derived files are longer than 200 bytes", long)
@@ -189,7 +189,7 @@
 
 // Guards the other side: a sentence with one token taken out, doubled or swapped for another that the grammar
 // forbids there is a fault. The tokens are those that no grammatical file can end on or begin with.
-func TestParserRefusesWhatTheGrammarForbids(t *testing.T) {
+func TestParserRejectsInvalidSentences(t *testing.T) {
 	for _, text := range []string{"{", "}", "=", ",", "a", "a {", "a = 1", "a {}}", "a { b = }", "a { b = , 1 }", "a { = 1 }",
 		"a { b 1 }", "a b {}", "a {} b {}", `include`, `include a`, `include "a" "b"`, `"a" {}`, "1 {}", "a { b = 1 c = 2 }",
 		"a { b = 1 2 }", "a { b = 1, }", "a { include \"x\" }", "a \"x\" \"y\" {}", "a\n{}"} {
@@ -199,8 +199,8 @@
 	}
 }
 
-// stable checks that a tree keeps its meaning and its form when formatted, once and again.
-func stable(t rapid.TB, f *File) {
+// checkStable checks that a tree keeps its meaning and its form when formatted, once and again.
+func checkStable(t rapid.TB, f *File) {
 	once := Format(f)
 	g, _, faults := Parse(f.Name, once)
 	if len(faults) > 0 {
@@ -209,7 +209,7 @@
 	if a, b := meaning(f.Entries), meaning(g.Entries); a != b {
 		t.Fatalf("formatting changed what is said:\n%s\n%s", a, b)
 	}
-	if a, b := commentsOf(f.Entries, f.Tail), commentsOf(g.Entries, g.Tail); a != b {
+	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(g.Entries, g.TrailingComments); a != b {
 		t.Fatalf("formatting lost or moved comments:\n%s\n%s", a, b)
 	}
 	if twice := Format(g); string(twice) != string(once) {
@@ -250,17 +250,17 @@
 		}
 	}
 	for _, e := range list {
-		add(e.trivia().Lead)
+		add(e.trivia().LeadingComments)
 		switch e := e.(type) {
 		case *Setting:
 			for _, v := range e.Values {
-				add(v.lead)
-				add([]Comment{{Text: v.trail}})
+				add(v.leadingComments)
+				add([]Comment{{Text: v.lineComment}})
 			}
 		case *Block:
-			s += e.Open + "\n" + commentsOf(e.Entries, e.Tail)
+			s += e.OpenComment + "\n" + commentsOf(e.Entries, e.TrailingComments)
 		}
-		s += e.trivia().Trail + "\n"
+		s += e.trivia().LineComment + "\n"
 	}
 	add(tail)
 	return s
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -17,204 +17,204 @@
 		}
 		rest = after
 	}
-	p := &parser{scan: newScanner(src, b, &faults)}
-	p.step()
+	p := &parser{scanner: newScanner(src, b, &faults)}
+	p.advance()
 	f := &File{Name: name}
-	f.Entries, f.Tail = p.entries(0)
+	f.Entries, f.TrailingComments = p.parseEntries(0)
 	return f, src, faults
 }
 
 // parser is a recursive descent over the tokens, with one token in hand. It goes on behind a fault.
 type parser struct {
-	scan *scanner
-	tok  token
-	full bool // too many faults, or too deep: nothing more is read
+	scanner *scanner
+	token   token
+	stopped bool // too many faults, or too deep: nothing more is read
 }
 
-func (p *parser) step() {
-	p.tok = p.scan.next()
-	if len(*p.scan.faults) >= MaxFaults && !p.full {
-		p.scan.fault(p.tok.pos, "too many faults; the rest of the file was not read")
-		p.full = true
+func (p *parser) advance() {
+	p.token = p.scanner.next()
+	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
+		p.scanner.fault(p.token.pos, "too many faults; the rest of the file was not read")
+		p.stopped = true
 	}
-	if p.full {
-		p.tok = token{kind: eof, pos: p.tok.pos}
+	if p.stopped {
+		p.token = token{kind: endOfFile, pos: p.token.pos}
 	}
 }
 
 func (p *parser) fault(pos Pos, format string, args ...any) {
-	if !p.full {
-		p.scan.fault(pos, format, args...)
+	if !p.stopped {
+		p.scanner.fault(pos, format, args...)
 	}
 }
 
-// expected tells what should have stood in place of the token in hand, and skips its line.
-func (p *parser) expected(what string) {
-	if p.tok.kind != bad { // the scanner has told
-		p.fault(p.tok.pos, "expected %s, found %s", what, p.tok)
+// reportExpected tells what should have stood in place of the token in hand, and skips its line.
+func (p *parser) reportExpected(what string) {
+	if p.token.kind != invalidToken { // the scanner has told
+		p.fault(p.token.pos, "expected %s, found %s", what, p.token)
 	}
-	p.skip()
+	p.skipLine()
 }
 
-// skip goes to the end of the line; a block that begins on it is skipped whole.
-func (p *parser) skip() {
-	for depth := 0; p.tok.kind != eof; p.step() {
+// skipLine goes to the end of the line; a block that begins on it is skipped whole.
+func (p *parser) skipLine() {
+	for depth := 0; p.token.kind != endOfFile; p.advance() {
 		switch {
-		case p.tok.is("{"):
+		case p.token.is("{"):
 			depth++
-		case p.tok.is("}"):
+		case p.token.is("}"):
 			if depth == 0 {
 				return
 			}
 			depth--
-		case p.tok.kind == newline && depth == 0:
+		case p.token.kind == newlineToken && depth == 0:
 			return
 		}
 	}
 }
 
-// entries reads what a file, or a block at this depth, holds, up to its end.
-func (p *parser) entries(depth int) (list []Entry, tail []Comment) {
+// parseEntries reads what a file, or a block at this depth, holds, up to its end.
+func (p *parser) parseEntries(depth int) (list []Entry, tail []Comment) {
 	var lead []Comment
 	empty := 0 // lines that held nothing
 	for {
 		switch {
-		case p.tok.kind == newline:
+		case p.token.kind == newlineToken:
 			empty++
-			p.step()
+			p.advance()
 			continue
-		case p.tok.kind == comment:
-			lead = append(lead, Comment{p.tok.raw, empty > 1})
+		case p.token.kind == commentToken:
+			lead = append(lead, Comment{p.token.raw, empty > 1})
 			empty = 0
-			p.step()
-			if p.tok.kind == newline {
-				p.step()
+			p.advance()
+			if p.token.kind == newlineToken {
+				p.advance()
 				empty = 1
 			}
 			continue
-		case p.tok.kind == eof, p.tok.is("}") && depth > 0:
+		case p.token.kind == endOfFile, p.token.is("}") && depth > 0:
 			return list, lead
-		case p.tok.is("}"):
-			p.fault(p.tok.pos, "a closing brace with no block to close")
-			p.step()
+		case p.token.is("}"):
+			p.fault(p.token.pos, "a closing brace with no block to close")
+			p.advance()
 			continue
 		}
 		blank := empty > 1
 		empty = 0
-		e := p.entry(depth)
+		e := p.parseEntry(depth)
 		if e == nil {
-			if p.tok.kind == newline {
-				p.step()
+			if p.token.kind == newlineToken {
+				p.advance()
 				empty = 1
 			}
 			continue
 		}
 		t := e.trivia()
-		t.Lead, t.Blank, lead = lead, blank, nil
+		t.LeadingComments, t.BlankBefore, lead = lead, blank, nil
 		list = append(list, e)
-		if p.tok.kind == comment {
-			t.Trail = p.tok.raw
-			p.step()
+		if p.token.kind == commentToken {
+			t.LineComment = p.token.raw
+			p.advance()
 		}
 		switch {
-		case p.tok.kind == newline:
-			p.step()
+		case p.token.kind == newlineToken:
+			p.advance()
 			empty = 1
-		case p.tok.kind != eof && !(p.tok.is("}") && depth > 0):
-			p.expected("the end of the line")
+		case p.token.kind != endOfFile && !(p.token.is("}") && depth > 0):
+			p.reportExpected("the end of the line")
 		}
 	}
 }
 
-// entry reads an include, a block or a setting.
-func (p *parser) entry(depth int) Entry {
-	at := p.tok.pos
-	if p.tok.kind != word {
+// parseEntry reads an include, a block or a setting.
+func (p *parser) parseEntry(depth int) Entry {
+	at := p.token.pos
+	if p.token.kind != wordToken {
 		if depth == 0 {
-			p.expected("a block or an include")
+			p.reportExpected("a block or an include")
 		} else {
-			p.expected("a setting or a block")
+			p.reportExpected("a setting or a block")
 		}
 		return nil
 	}
-	name := p.tok.raw
-	p.step()
+	name := p.token.raw
+	p.advance()
 	if name == "include" && depth == 0 {
-		if p.tok.kind != text {
-			p.expected("the path of a file in quotes")
+		if p.token.kind != stringToken {
+			p.reportExpected("the path of a file in quotes")
 			return nil
 		}
-		return &Include{At: at, Path: p.value()}
+		return &Include{At: at, Path: p.parseValue()}
 	}
-	if p.tok.is("=") {
+	if p.token.is("=") {
 		if depth == 0 {
 			p.fault(at, "a setting stands in a block: %s is outside of any", name)
-			p.skip()
+			p.skipLine()
 			return nil
 		}
-		p.step()
-		return p.setting(at, name)
+		p.advance()
+		return p.parseSetting(at, name)
 	}
 	b := &Block{At: at, Word: name}
-	if p.tok.kind == text {
-		v := p.value()
+	if p.token.kind == stringToken {
+		v := p.parseValue()
 		b.Label = &v
 	}
-	if !p.tok.is("{") {
+	if !p.token.is("{") {
 		if b.Label == nil && depth > 0 {
-			p.expected("= or {")
+			p.reportExpected("= or {")
 		} else {
-			p.expected("{")
+			p.reportExpected("{")
 		}
 		return nil
 	}
 	if depth+1 > MaxDepth {
 		p.fault(at, "blocks are nested more than %d deep; the rest of the file was not read", MaxDepth)
-		p.full = true
-		p.tok = token{kind: eof, pos: at}
+		p.stopped = true
+		p.token = token{kind: endOfFile, pos: at}
 		return nil
 	}
-	p.step()
-	if p.tok.kind == comment {
-		b.Open = p.tok.raw
-		p.step()
+	p.advance()
+	if p.token.kind == commentToken {
+		b.OpenComment = p.token.raw
+		p.advance()
 	}
-	if p.tok.kind == newline {
-		p.step()
+	if p.token.kind == newlineToken {
+		p.advance()
 	}
-	b.Entries, b.Tail = p.entries(depth + 1)
-	if !p.tok.is("}") {
+	b.Entries, b.TrailingComments = p.parseEntries(depth + 1)
+	if !p.token.is("}") {
 		p.fault(at, "the block %s is not closed", name)
 		return b
 	}
-	p.step()
+	p.advance()
 	return b
 }
 
-// setting reads a setting's values: a list goes on behind a comma, on the next lines too.
-func (p *parser) setting(at Pos, name string) Entry {
+// parseSetting reads a parseSetting's values: a list goes on behind a comma, on the next lines too.
+func (p *parser) parseSetting(at Pos, name string) Entry {
 	s := &Setting{At: at, Name: name}
 	for {
 		var lead []Comment
 		fresh := false
-		for len(s.Values) > 0 && (p.tok.kind == newline || p.tok.kind == comment) {
-			if p.tok.kind == comment {
-				lead = append(lead, Comment{Text: p.tok.raw})
+		for len(s.Values) > 0 && (p.token.kind == newlineToken || p.token.kind == commentToken) {
+			if p.token.kind == commentToken {
+				lead = append(lead, Comment{Text: p.token.raw})
 			}
 			fresh = true
-			p.step()
+			p.advance()
 		}
-		if p.tok.kind != text && p.tok.kind != quantity && p.tok.kind != word {
-			p.expected("a value")
+		if p.token.kind != stringToken && p.token.kind != quantityToken && p.token.kind != wordToken {
+			p.reportExpected("a value")
 			return nil
 		}
-		v := p.value()
-		v.lead, v.fresh = lead, fresh
-		more := p.tok.is(",")
+		v := p.parseValue()
+		v.leadingComments, v.startsLine = lead, fresh
+		more := p.token.is(",")
 		if more {
-			if p.step(); p.tok.kind == comment {
-				v.trail = p.tok.raw
-				p.step()
+			if p.advance(); p.token.kind == commentToken {
+				v.lineComment = p.token.raw
+				p.advance()
 			}
 		}
 		s.Values = append(s.Values, v)
@@ -224,9 +224,9 @@
 	}
 }
 
-// value takes the token in hand as a value.
-func (p *parser) value() Value {
-	v := Value{At: p.tok.pos, Raw: p.tok.raw, Kind: map[kind]ValueKind{text: Text, quantity: Quantity, word: Word}[p.tok.kind]}
-	p.step()
+// parseValue takes the token in hand as a parseValue.
+func (p *parser) parseValue() Value {
+	v := Value{At: p.token.pos, Raw: p.token.raw, Kind: map[tokenKind]ValueKind{stringToken: StringValue, quantityToken: QuantityValue, wordToken: WordValue}[p.token.kind]}
+	p.advance()
 	return v
 }
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -7,36 +7,36 @@
 // nothing.
 func Format(f *File) []byte {
 	p := &printer{}
-	p.entries(f.Entries, f.Tail, 0)
-	return []byte(p.b.String())
+	p.entries(f.Entries, f.TrailingComments, 0)
+	return []byte(p.text.String())
 }
 
 type printer struct {
-	b     strings.Builder
-	begun bool // something stands above in this block
+	text           strings.Builder
+	needsSeparator bool // something stands above in this block
 }
 
-// blank writes an empty line, but not where a block or the file begins.
-func (p *printer) blank(wanted bool) {
-	if wanted && p.begun {
-		p.b.WriteByte('\n')
+// blankLine writes an empty line, but not where a block or the file begins.
+func (p *printer) blankLine(wanted bool) {
+	if wanted && p.needsSeparator {
+		p.text.WriteByte('\n')
 	}
-	p.begun = true
+	p.needsSeparator = true
 }
 
 func (p *printer) line(depth int, parts ...string) {
 	for range depth {
-		p.b.WriteByte('\t')
+		p.text.WriteByte('\t')
 	}
 	for _, s := range parts {
-		p.b.WriteString(s)
+		p.text.WriteString(s)
 	}
-	p.b.WriteByte('\n')
+	p.text.WriteByte('\n')
 }
 
 func (p *printer) comments(list []Comment, depth int) {
 	for _, c := range list {
-		p.blank(c.Blank)
+		p.blankLine(c.BlankBefore)
 		p.line(depth, c.Text)
 	}
 }
@@ -44,11 +44,11 @@
 func (p *printer) entries(list []Entry, tail []Comment, depth int) {
 	for _, e := range list {
 		t := e.trivia()
-		p.comments(t.Lead, depth)
-		p.blank(t.Blank)
+		p.comments(t.LeadingComments, depth)
+		p.blankLine(t.BlankBefore)
 		trail := ""
-		if t.Trail != "" {
-			trail = " " + t.Trail
+		if t.LineComment != "" {
+			trail = " " + t.LineComment
 		}
 		switch e := e.(type) {
 		case *Include:
@@ -67,50 +67,50 @@
 	if b.Label != nil {
 		head += " " + b.Label.Raw
 	}
-	if len(b.Entries) == 0 && len(b.Tail) == 0 && b.Open == "" {
+	if len(b.Entries) == 0 && len(b.TrailingComments) == 0 && b.OpenComment == "" {
 		p.line(depth, head, " {}", trail)
 		return
 	}
 	open := ""
-	if b.Open != "" {
-		open = " " + b.Open
+	if b.OpenComment != "" {
+		open = " " + b.OpenComment
 	}
 	p.line(depth, head, " {", open)
-	p.begun = false
-	p.entries(b.Entries, b.Tail, depth+1)
-	p.begun = true
+	p.needsSeparator = false
+	p.entries(b.Entries, b.TrailingComments, depth+1)
+	p.needsSeparator = true
 	p.line(depth, "}", trail)
 }
 
-// wrapAt is the length in bytes beyond which a list goes on in a further line.
-const wrapAt = 100
+// maxListLine is the length in bytes beyond which a list goes on in a further line.
+const maxListLine = 100
 
 // setting writes a list with the line breaks that it came with, and further ones where it is long.
 func (p *printer) setting(s *Setting, depth int, trail string) {
 	in := strings.Repeat("\t", depth+1)
-	p.b.WriteString(in[1:])
-	p.b.WriteString(s.Name + " =")
+	p.text.WriteString(in[1:])
+	p.text.WriteString(s.Name + " =")
 	length := depth + len(s.Name) + 2
 	for i, v := range s.Values {
-		if i > 0 && (v.fresh || length+len(v.Raw)+2 > wrapAt) {
-			p.b.WriteByte('\n')
-			for _, c := range v.lead {
-				p.b.WriteString(in + c.Text + "\n")
+		if i > 0 && (v.startsLine || length+len(v.Raw)+2 > maxListLine) {
+			p.text.WriteByte('\n')
+			for _, c := range v.leadingComments {
+				p.text.WriteString(in + c.Text + "\n")
 			}
-			p.b.WriteString(in)
+			p.text.WriteString(in)
 			length = depth + 1
 		} else {
-			p.b.WriteByte(' ')
+			p.text.WriteByte(' ')
 			length++
 		}
-		p.b.WriteString(v.Raw)
+		p.text.WriteString(v.Raw)
 		length += len(v.Raw) + 1
 		if i < len(s.Values)-1 {
-			p.b.WriteByte(',')
+			p.text.WriteByte(',')
 		}
-		if v.trail != "" {
-			p.b.WriteString(" " + v.trail)
+		if v.lineComment != "" {
+			p.text.WriteString(" " + v.lineComment)
 		}
 	}
-	p.b.WriteString(trail + "\n")
+	p.text.WriteString(trail + "\n")
 }
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -96,16 +96,16 @@
 	return &Source{name, strings.Split(strings.TrimPrefix(string(text), "\uFEFF"), "\n")}
 }
 
-// excerptMost is how many characters of a line a fault quotes.
-const excerptMost = 160
+// maxExcerpt is how many characters of a line a fault quotes.
+const maxExcerpt = 160
 
 // Fault returns a fault at a place of this source, with its line quoted.
 func (s *Source) Fault(pos Pos, format string, args ...any) Fault {
 	f := Fault{Pos: pos, Msg: fmt.Sprintf(format, args...)}
 	if pos.Line >= 1 && pos.Line <= len(s.lines) {
 		line := strings.ToValidUTF8(strings.TrimRight(s.lines[pos.Line-1], "\r"), "?")
-		if utf8.RuneCountInString(line) > excerptMost {
-			line = string([]rune(line[:min(len(line), 4*excerptMost)])[:excerptMost]) + "..."
+		if utf8.RuneCountInString(line) > maxExcerpt {
+			line = string([]rune(line[:min(len(line), 4*maxExcerpt)])[:maxExcerpt]) + "..."
 		}
 		f.Line = strings.Map(func(r rune) rune {
 			if r < ' ' && r != '\t' {
--- a/internal/lang/syntax/syntax_test.go
+++ b/internal/lang/syntax/syntax_test.go
@@ -21,42 +21,42 @@
 		return cs
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "entries") {
-		trivia := Trivia{Lead: comments("lead"), Blank: rapid.Bool().Draw(t, "blank")}
+		trivia := Trivia{LeadingComments: comments("lead"), BlankBefore: rapid.Bool().Draw(t, "blank")}
 		if rapid.Bool().Draw(t, "trail") {
-			trivia.Trail = drawComment(t)
+			trivia.LineComment = drawComment(t)
 		}
 		what := rapid.IntRange(0, 3).Draw(t, "what")
 		switch {
 		case depth == 0 && what == 0:
-			list = append(list, &Include{Trivia: trivia, Path: drawValue(t, Text)})
+			list = append(list, &Include{Trivia: trivia, Path: drawValue(t, StringValue)})
 		case depth > 0 && what < 3 || depth >= 4:
 			s := &Setting{Trivia: trivia, Name: drawWord(t)}
 			for i := range rapid.IntRange(1, 12).Draw(t, "values") {
 				v := drawValue(t, ValueKind(rapid.IntRange(0, 2).Draw(t, "kind")))
-				if v.fresh = i > 0 && rapid.IntRange(0, 3).Draw(t, "fresh") == 0; v.fresh {
-					v.lead = comments("in list")
-					for j := range v.lead {
-						v.lead[j].Blank = false
+				if v.startsLine = i > 0 && rapid.IntRange(0, 3).Draw(t, "fresh") == 0; v.startsLine {
+					v.leadingComments = comments("in list")
+					for j := range v.leadingComments {
+						v.leadingComments[j].BlankBefore = false
 					}
 				}
 				s.Values = append(s.Values, v)
 			}
 			for i := range s.Values[1:] {
-				if s.Values[i+1].fresh && rapid.Bool().Draw(t, "value trail") {
-					s.Values[i].trail = drawComment(t)
+				if s.Values[i+1].startsLine && rapid.Bool().Draw(t, "value trail") {
+					s.Values[i].lineComment = drawComment(t)
 				}
 			}
 			list = append(list, s)
 		default:
 			b := &Block{Trivia: trivia, Word: drawWord(t)}
 			if rapid.Bool().Draw(t, "label") {
-				v := drawValue(t, Text)
+				v := drawValue(t, StringValue)
 				b.Label = &v
 			}
 			if rapid.Bool().Draw(t, "open") {
-				b.Open = drawComment(t)
+				b.OpenComment = drawComment(t)
 			}
-			b.Entries, b.Tail = drawEntries(t, depth+1)
+			b.Entries, b.TrailingComments = drawEntries(t, depth+1)
 			list = append(list, b)
 		}
 	}
@@ -77,9 +77,9 @@
 
 func drawValue(t *rapid.T, k ValueKind) Value {
 	switch k {
-	case Text:
+	case StringValue:
 		return Value{Kind: k, Raw: Quote(rapid.StringMatching(`[ -~é\n\t]{0,30}`).Draw(t, "string"))}
-	case Quantity:
+	case QuantityValue:
 		return Value{Kind: k, Raw: rapid.StringMatching(`[0-9]{1,3}(\.[0-9])?(ms|s|%|/s|MiB)?`).Draw(t, "quantity")}
 	}
 	return Value{Kind: k, Raw: drawWord(t)}
@@ -89,8 +89,8 @@
 func TestFormattingIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &File{Name: "random"}
-		f.Entries, f.Tail = drawEntries(t, 0)
-		stable(t, f)
+		f.Entries, f.TrailingComments = drawEntries(t, 0)
+		checkStable(t, f)
 	})
 }
 
@@ -104,11 +104,11 @@
 	if got := string(Format(f)); got != want {
 		t.Errorf("formatted:\n%s\nwant:\n%s", got, want)
 	}
-	stable(t, f)
+	checkStable(t, f)
 }
 
 // Every broken text gets exactly these faults: none is missed, none told twice, and what follows is read on.
-func TestFaults(t *testing.T) {
+func TestParseReportsEachFault(t *testing.T) {
 	deep := strings.Repeat("a {\n", 10000)
 	for _, c := range []struct{ text, want string }{
 		{"pool \"a\" {", "f:1:1: the block pool is not closed"},
@@ -150,7 +150,7 @@
 }
 
 // Guards the reader of messages: the mark stands under the column, tabs and wide characters before it or not.
-func TestQuoted(t *testing.T) {
+func TestQuotedMarksTheColumn(t *testing.T) {
 	_, _, faults := Parse("f", []byte("a {\n\tb = \"éé\" 2\n}"))
 	if len(faults) != 1 {
 		t.Fatal(faults)
@@ -173,7 +173,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		tree, _, faults := Parse("fuzz", b)
 		if len(faults) == 0 {
-			stable(t, tree)
+			checkStable(t, tree)
 		}
 		for _, x := range faults {
 			if !x.Pos.Valid() || x.Msg == "" {
--- a/internal/lang/values.go
+++ b/internal/lang/values.go
@@ -12,22 +12,22 @@
 
 // value is a value that has been read as its setting wants it.
 type value struct {
-	at    syntax.Pos
-	text  string
-	count int
-	time  time.Duration
-	num   float64 // a share as a fraction, a rate per second, memory in MB
-	rate  bool    // of a setting that takes a share or a rate: it is a rate
+	pos      syntax.Pos
+	text     string
+	count    int
+	duration time.Duration
+	number   float64 // a share as a fraction, a rate per second, memory in MB
+	isRate   bool    // of a setting that takes a share or a rate: it is a rate
 }
 
-// reads says how a setting's values are read; it returns what is wrong with one, or "".
-type reads func(v syntax.Value) (value, string)
+// valueReader says how a setting's values are read; it returns what is wrong with one, or "".
+type valueReader func(v syntax.Value) (value, string)
 
-// text takes a string.
-func text(v syntax.Value) (value, string) {
-	s := value{at: v.At, text: v.Text()}
+// readText takes a string.
+func readText(v syntax.Value) (value, string) {
+	s := value{pos: v.At, text: v.Text()}
 	switch {
-	case v.Kind != syntax.Text:
+	case v.Kind != syntax.StringValue:
 		return s, fmt.Sprintf("takes a string in quotes, found %s", v.Raw)
 	case s.text == "":
 		return s, "can't be empty"
@@ -37,25 +37,25 @@
 	return s, ""
 }
 
-// oneOf takes one of some words.
-func oneOf(words ...string) reads {
+// readOneOf takes one of some words.
+func readOneOf(words ...string) valueReader {
 	return func(v syntax.Value) (value, string) {
 		for _, w := range words {
-			if v.Kind == syntax.Word && v.Raw == w {
-				return value{at: v.At, text: w}, ""
+			if v.Kind == syntax.WordValue && v.Raw == w {
+				return value{pos: v.At, text: w}, ""
 			}
 		}
 		return value{}, fmt.Sprintf("takes %s, found %s%s", strings.Join(words, " or "), v.Raw, suggest(v.Text(), words))
 	}
 }
 
-// mostCount is the most that a count may be.
-const mostCount = 1_000_000
+// maxCount is the most that a count may be.
+const maxCount = 1_000_000
 
-// count takes a whole number from least on.
-func count(least int) reads {
+// readCount takes a whole number from least on.
+func readCount(least int) valueReader {
 	return func(v syntax.Value) (value, string) {
-		n, unit, wrong := split(v)
+		n, unit, wrong := splitQuantity(v)
 		switch {
 		case wrong != "":
 			return value{}, wrong
@@ -63,39 +63,39 @@
 			return value{}, fmt.Sprintf("takes a whole number without a unit, found %s", v.Raw)
 		case n < float64(least):
 			return value{}, fmt.Sprintf("must be %d or more, found %s", least, v.Raw)
-		case n > mostCount:
-			return value{}, fmt.Sprintf("is too large: %s, at most %d", v.Raw, mostCount)
+		case n > maxCount:
+			return value{}, fmt.Sprintf("is too large: %s, at most %d", v.Raw, maxCount)
 		}
-		return value{at: v.At, count: int(n)}, ""
+		return value{pos: v.At, count: int(n)}, ""
 	}
 }
 
 var timeUnits = []unit{{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6}}
 
-// mostTime is the longest time that a setting may say.
-const mostTime = 24 * time.Hour
+// maxDuration is the longest time that a setting may say.
+const maxDuration = 24 * time.Hour
 
-// duration takes a time above zero, in whole microseconds.
-func duration(v syntax.Value) (value, string) {
-	us, wrong := scaled(v, "a time", timeUnits)
+// readDuration takes a time above zero, in whole microseconds.
+func readDuration(v syntax.Value) (value, string) {
+	us, wrong := readScaled(v, "a time", timeUnits)
 	switch {
 	case wrong != "":
 		return value{}, wrong
 	case us == 0:
 		return value{}, "must be above zero"
-	case us > float64(mostTime/time.Microsecond):
+	case us > float64(maxDuration/time.Microsecond):
 		return value{}, fmt.Sprintf("is too long: %s, at most 24h", v.Raw)
 	case math.Abs(us-math.Round(us)) > 1e-6:
 		return value{}, fmt.Sprintf("is finer than a microsecond: %s", v.Raw)
 	}
-	return value{at: v.At, time: time.Duration(math.Round(us)) * time.Microsecond}, ""
+	return value{pos: v.At, duration: time.Duration(math.Round(us)) * time.Microsecond}, ""
 }
 
 var memoryUnits = []unit{{"KB", 1e-3}, {"MB", 1}, {"GB", 1e3}, {"KiB", 1024e-6}, {"MiB", 1.048576}, {"GiB", 1073.741824}}
 
-// memory takes an amount of memory.
-func memory(v syntax.Value) (value, string) {
-	mb, wrong := scaled(v, "an amount of memory", memoryUnits)
+// readMemory takes an amount of readMemory.
+func readMemory(v syntax.Value) (value, string) {
+	mb, wrong := readScaled(v, "an amount of memory", memoryUnits)
 	switch {
 	case wrong != "":
 		return value{}, wrong
@@ -104,48 +104,48 @@
 	case mb > 1e9:
 		return value{}, fmt.Sprintf("is too large: %s, at most 1000000GB", v.Raw)
 	}
-	return value{at: v.At, num: mb}, ""
+	return value{pos: v.At, number: mb}, ""
 }
 
-// share takes a part of a whole, from 0% to 100%.
-func share(v syntax.Value) (value, string) {
-	n, wrong := scaled(v, "a share", []unit{{"%", 0.01}})
+// readShare takes a part of a whole, from 0% to 100%.
+func readShare(v syntax.Value) (value, string) {
+	n, wrong := readScaled(v, "a share", []unit{{"%", 0.01}})
 	if wrong == "" && n > 1 {
 		wrong = fmt.Sprintf("is more than the whole: %s", v.Raw)
 	}
-	return value{at: v.At, num: n}, wrong
+	return value{pos: v.At, number: n}, wrong
 }
 
-// shareOrRate takes a share, or calls a time.
-func shareOrRate(v syntax.Value) (value, string) {
-	_, unitName, wrong := split(v)
+// readShareOrRate takes a share, or calls a time.
+func readShareOrRate(v syntax.Value) (value, string) {
+	_, unitName, wrong := splitQuantity(v)
 	switch {
 	case wrong != "":
 		return value{}, wrong
 	case unitName == "%":
-		return share(v)
+		return readShare(v)
 	case !strings.HasPrefix(unitName, "/"):
 		return value{}, fmt.Sprintf("takes a share (30%%) or a rate (120/s, 120/m, 120/h), found %s", v.Raw)
 	}
-	n, wrong := scaled(v, "a rate", []unit{{"/s", 1}, {"/m", 1. / 60}, {"/h", 1. / 3600}})
+	n, wrong := readScaled(v, "a rate", []unit{{"/s", 1}, {"/m", 1. / 60}, {"/h", 1. / 3600}})
 	if wrong == "" && n > 1e6 {
 		wrong = fmt.Sprintf("is too large: %s, at most 1000000/s", v.Raw)
 	}
-	return value{at: v.At, num: n, rate: true}, wrong
+	return value{pos: v.At, number: n, isRate: true}, wrong
 }
 
 type unit struct {
-	name string
-	is   float64
+	name   string
+	factor float64
 }
 
-// scaled reads a number with one of some units.
-func scaled(v syntax.Value, what string, units []unit) (float64, string) {
+// readScaled reads a number with one of some units.
+func readScaled(v syntax.Value, what string, units []unit) (float64, string) {
 	var names []string
 	for _, u := range units {
 		names = append(names, u.name)
 	}
-	n, name, wrong := split(v)
+	n, name, wrong := splitQuantity(v)
 	if wrong != "" {
 		return 0, wrong
 	}
@@ -154,15 +154,15 @@
 	}
 	for _, u := range units {
 		if u.name == name {
-			return n * u.is, ""
+			return n * u.factor, ""
 		}
 	}
 	return 0, fmt.Sprintf("takes %s (%s), and %s has the unit %q%s", what, strings.Join(names, ", "), v.Raw, name, suggest(name, names))
 }
 
-// split parts a number from its unit.
-func split(v syntax.Value) (n float64, unit, wrong string) {
-	if v.Kind != syntax.Quantity {
+// splitQuantity parts a number from its unit.
+func splitQuantity(v syntax.Value) (n float64, unit, wrong string) {
+	if v.Kind != syntax.QuantityValue {
 		return 0, "", fmt.Sprintf("takes a number, found %s", v.Raw)
 	}
 	raw := v.Raw
@@ -195,7 +195,7 @@
 func suggest(name string, known []string) string {
 	best, at := 1+len(name)/3, ""
 	for _, k := range known {
-		if d := distance(strings.ToLower(name), strings.ToLower(k), best+1); d <= best && (at == "" || d < best) {
+		if d := editDistance(strings.ToLower(name), strings.ToLower(k), best+1); d <= best && (at == "" || d < best) {
 			best, at = d, k
 		}
 	}
@@ -205,9 +205,9 @@
 	return fmt.Sprintf("; did you mean %s?", at)
 }
 
-// distance is how many characters must be put in, taken out, replaced or swapped with the next to make b of
+// editDistance is how many characters must be put in, taken out, replaced or swapped with the next to make b of
 // a, or a number of most or more.
-func distance(a, b string, most int) int {
+func editDistance(a, b string, most int) int {
 	if len(a)-len(b) >= most || len(b)-len(a) >= most {
 		return most
 	}
