--- /dev/null
+++ b/internal/lang/block.go
@@ -0,0 +1,82 @@
+package lang
+
+import (
+	"strings"
+
+	"crankhold/internal/lang/syntax"
+)
+
+// The keywords of the blocks that a file may hold.
+const (
+	workerKeyword = "worker"
+	classKeyword  = "class"
+	routeKeyword  = "route"
+	poolKeyword   = "pool"
+	policyKeyword = "policy"
+)
+
+// blockTypes are the blocks that a file may hold. A further one is added here, with a file of its own.
+var blockTypes = []*blockType{workerType, classType, routeType, poolType, policyType}
+
+// blockType says what a kind of block is called, what it holds, and what is made of it.
+type blockType struct {
+	keyword    string
+	named      bool // the block has a name, which is its own among the blocks of its type
+	settings   map[string]settingType
+	anySetting bool // settings of any name are lists of strings
+	blocks     []*blockType
+	build      func(*checker, *block)
+	check      func(*checker) // after all blocks of all types are built; nil: nothing to check
+}
+
+// settingType says how the values of a setting are read.
+type settingType struct {
+	read valueReader
+	list bool // takes more than one value
+}
+
+// single is a setting that takes one value.
+func single(read valueReader) settingType { return settingType{read: read} }
+
+// listOf is a setting that takes one value or more.
+func listOf(read valueReader) settingType { return settingType{read: read, list: true} }
+
+// block is a block whose settings have been read.
+type block struct {
+	blockType *blockType
+	pos       syntax.Pos
+	source    *syntax.Source
+	name      string
+	values    map[string][]value    // by setting
+	positions map[string]syntax.Pos // of the settings that are present
+	blocks    []*block
+}
+
+// hasValue reports whether a setting is present and its value could be read.
+func (b *block) hasValue(setting string) bool { return len(b.values[setting]) > 0 }
+
+// isPresent reports whether a setting is present, whether its value could be read or not.
+func (b *block) isPresent(setting string) bool { return b.positions[setting].Valid() }
+
+// value returns a setting's value, or the zero value where it has none.
+func (b *block) value(setting string) value {
+	if !b.hasValue(setting) {
+		return value{}
+	}
+	return b.values[setting][0]
+}
+
+// texts returns the values of a list of strings or words.
+func (b *block) texts(setting string) []string {
+	var texts []string
+	for _, v := range b.values[setting] {
+		texts = append(texts, v.text)
+	}
+	return texts
+}
+
+// fileLine returns a position as file:line.
+func fileLine(pos syntax.Pos) string {
+	text := pos.String()
+	return text[:strings.LastIndexByte(text, ':')]
+}
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -1,48 +1,66 @@
 package lang
 
-import "slices"
+// The words that the setting runs of a class block takes.
+const (
+	runsOnce       = "once"
+	runsRepeatable = "repeatable"
+)
 
-// classType tells of a class what the platform's settings would, so that a configuration can be checked without
-// them; with them it must agree, but may have a class run once that they let run again. Where a configuration
-// has class blocks and no platform, they are all the classes there are.
-var classType = &blockType{keyword: "class", named: true, settings: map[string]settingType{
-	"runs": {readOneOf("once", "repeatable"), false}, "deadline": {readDuration, false}, "aim": {readDuration, false},
-}, build: buildClass}
+// classType says of a class what the platform's settings would, so that a configuration can be checked without them.
+// With them it must agree, but may have a class never run twice that they let run again. Where a configuration has
+// class blocks and no platform, they are all the classes there are.
+var classType = &blockType{
+	keyword: classKeyword,
+	named:   true,
+	settings: map[string]settingType{
+		"runs":     single(readOneOf(runsOnce, runsRepeatable)),
+		"deadline": single(readDuration),
+		"aim":      single(readDuration),
+	},
+	build: buildClass,
+}
 
 func buildClass(c *checker, b *block) {
-	k := Class{Name: b.name, NotIdempotent: b.value("runs").text == "once", Deadline: b.value("deadline").duration, LatencyObjective: b.value("aim").duration}
-	if k.Name == neverIdempotentClass {
-		if b.value("runs").text == "repeatable" {
+	class := Class{
+		Name:             b.name,
+		NotIdempotent:    b.value("runs").text == runsOnce,
+		Deadline:         b.value("deadline").duration,
+		LatencyObjective: b.value("aim").duration,
+	}
+	if class.Name == neverIdempotentClass {
+		if b.value("runs").text == runsRepeatable {
 			c.fault(b, b.value("runs").pos, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
 		}
-		k.NotIdempotent = true
-	}
-	if k.Deadline > 0 && k.LatencyObjective > k.Deadline {
-		c.fault(b, b.value("aim").pos, "the aim %v of class %q is beyond its deadline %v", k.LatencyObjective, k.Name, k.Deadline)
-	}
-	if p := c.platform; p != nil {
-		i := slices.IndexFunc(p.Classes, func(o Class) bool { return o.Name == k.Name })
-		if i < 0 {
-			var names []string
-			for _, o := range p.Classes {
-				names = append(names, o.Name)
-			}
-			c.fault(b, b.pos, "class %q is none of the platform's%s", k.Name, suggest(k.Name, names))
-			return
-		}
-		o := p.Classes[i]
-		if o.NotIdempotent && b.value("runs").text == "repeatable" {
-			c.fault(b, b.value("runs").pos, "the platform's settings say that class %q must never run twice", k.Name)
-		}
-		if b.hasValue("deadline") && o.Deadline > 0 && k.Deadline != o.Deadline {
-			c.fault(b, b.value("deadline").pos, "the deadline of class %q is %v by the platform's settings", k.Name, o.Deadline)
-		}
-		if b.hasValue("aim") && o.LatencyObjective > 0 && k.LatencyObjective != o.LatencyObjective {
-			c.fault(b, b.value("aim").pos, "the aim of class %q is %v by the platform's settings", k.Name, o.LatencyObjective)
-		}
+		class.NotIdempotent = true
+	}
+	if class.Deadline > 0 && class.LatencyObjective > class.Deadline {
+		c.fault(b, b.value("aim").pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
+	}
+	if c.platform != nil && !c.checkAgainstPlatform(b, class) {
+		return
+	}
+	c.result.classes = append(c.result.classes, class)
+	if class.NotIdempotent {
+		c.result.Spec.NotIdempotentClasses = append(c.result.Spec.NotIdempotentClasses, class.Name)
+	}
+}
+
+// checkAgainstPlatform reports where a class block contradicts the platform's settings. It returns false where the
+// platform has no such class.
+func (c *checker) checkAgainstPlatform(b *block, class Class) bool {
+	platformClass, ok := c.platform.class(class.Name)
+	if !ok {
+		c.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggest(class.Name, c.platform.classNames()))
+		return false
+	}
+	if platformClass.NotIdempotent && b.value("runs").text == runsRepeatable {
+		c.fault(b, b.value("runs").pos, "the platform's settings say that class %q must never run twice", class.Name)
+	}
+	if b.hasValue("deadline") && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
+		c.fault(b, b.value("deadline").pos, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
 	}
-	c.result.classes = append(c.result.classes, k)
-	if k.NotIdempotent {
-		c.result.Spec.NotIdempotentClasses = append(c.result.Spec.NotIdempotentClasses, k.Name)
+	if b.hasValue("aim") && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
+		c.fault(b, b.value("aim").pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
 	}
+	return true
 }
--- /dev/null
+++ b/internal/lang/include.go
@@ -0,0 +1,106 @@
+package lang
+
+import (
+	"io/fs"
+	"path"
+	"slices"
+	"strings"
+
+	"crankhold/internal/lang/syntax"
+)
+
+// includeStatement is an include with where it stands.
+type includeStatement struct {
+	*syntax.Include
+	source *syntax.Source
+	chain  []string // of files, the last of which holds the include
+}
+
+// chainTo returns the chain of includes that leads to a file, as text.
+func (s *includeStatement) chainTo(name string) string {
+	return chainText(append(slices.Clip(s.chain), name))
+}
+
+func chainText(chain []string) string { return strings.Join(chain, " > ") }
+
+// fault reports what is wrong with an include.
+func (l *loader) fault(s *includeStatement, format string, args ...any) {
+	l.faults = append(l.faults, s.source.Fault(s.At, format, args...))
+}
+
+// include reads the files that an include names.
+func (l *loader) include(s *includeStatement) {
+	pattern, ok := l.includePattern(s)
+	if !ok {
+		return
+	}
+	names, ok := l.expandPattern(s, pattern)
+	if !ok {
+		return
+	}
+	for _, name := range names {
+		if !l.includeFile(s, name) {
+			return
+		}
+	}
+}
+
+// includePattern returns an include's pattern of file names, relative to the first file's folder.
+func (l *loader) includePattern(s *includeStatement) (pattern string, ok bool) {
+	text := s.Path.Text()
+	if text == "" {
+		l.fault(s, "the include names no file")
+		return "", false
+	}
+	if path.IsAbs(text) || strings.ContainsRune(text, '\\') {
+		l.fault(s, "the include %s must be relative to its file, with slashes", s.Path.Raw)
+		return "", false
+	}
+	including := s.chain[len(s.chain)-1]
+	pattern = path.Join(path.Dir(including), text)
+	if pattern == ".." || strings.HasPrefix(pattern, "../") {
+		l.fault(s, "the include %s leaves the directory of the first file", s.Path.Raw)
+		return "", false
+	}
+	return pattern, true
+}
+
+// expandPattern returns the files that match a pattern, or the pattern itself where it is the name of one file.
+func (l *loader) expandPattern(s *includeStatement, pattern string) (names []string, ok bool) {
+	if !strings.ContainsAny(s.Path.Text(), "*?[") {
+		return []string{pattern}, true
+	}
+	names, err := fs.Glob(l.fsys, pattern)
+	if err != nil {
+		l.fault(s, "the include %s is no pattern of file names", s.Path.Raw)
+		return nil, false
+	}
+	if len(names) == 0 {
+		l.fault(s, "no file matches the include %s", s.Path.Raw)
+		return nil, false
+	}
+	return names, true
+}
+
+// includeFile reads one file, unless it has been read or a limit is reached. It returns false where the include's
+// further files can't be read either.
+func (l *loader) includeFile(s *includeStatement, name string) bool {
+	first, again := l.includeChains[name]
+	switch {
+	case slices.Contains(s.chain, name):
+		l.fault(s, "include cycle: %s", s.chainTo(name))
+	case again:
+		l.fault(s, "%s is included twice: by %s, and by %s", name, chainText(first), s.chainTo(name))
+	case len(s.chain) >= maxIncludeDepth:
+		l.fault(s, "includes are nested more than %d deep: %s", maxIncludeDepth, s.chainTo(name))
+	case len(l.includeChains) >= maxFiles:
+		l.fault(s, "more than %d files are included; the rest was not read", maxFiles)
+		l.filesExceeded = true
+		return false
+	default:
+		if err := l.load(name, s.chain); err != nil {
+			l.fault(s, "the include %s can't be read: %v (%s)", s.Path.Raw, pathErrorReason(err), s.chainTo(name))
+		}
+	}
+	return true
+}
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -7,30 +7,45 @@
 	"io/fs"
 	"path"
 	"slices"
-	"strings"
 
 	"crankhold/internal/lang/syntax"
 )
 
-// Bounds on what one configuration may include.
+// Limits on what one configuration may include.
 const (
 	maxFiles        = 1000
 	maxIncludeDepth = 16
 )
 
+// FileError reports a first file that can't be read at all.
+type FileError struct {
+	File string
+	Err  error
+}
+
+// Error names the file and the reason.
+func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
+
+// Unwrap returns the reason, such as fs.ErrNotExist.
+func (e *FileError) Unwrap() error { return e.Err }
+
 // loader reads the files of a configuration.
 type loader struct {
 	fsys          fs.FS
-	prefix        string // of the names that messages show
+	prefix        string // folder of the names that messages show
 	files         []*syntax.File
-	sources       map[string]*syntax.Source
-	includeChains map[string][]string // by file, the chain of includes that led to it
+	sources       map[string]*syntax.Source // by shown name
+	includeChains map[string][]string       // by file, the chain of includes that led to it
 	faults        syntax.Faults
-	filesExceeded bool
+	filesExceeded bool // maxFiles was reached: nothing more is read
 }
 
-// load reads a file and all that it includes, each once. Names are relative to fsys, whose root no include
-// may leave.
+func newLoader(fsys fs.FS, prefix string) *loader {
+	return &loader{fsys: fsys, prefix: prefix, sources: map[string]*syntax.Source{}, includeChains: map[string][]string{}}
+}
+
+// load reads a file and all that it includes, each once. Names are relative to fsys, whose root no include may leave;
+// chain is the files that led to this one.
 func (l *loader) load(name string, chain []string) error {
 	text, err := readFile(l.fsys, name)
 	if err != nil {
@@ -38,73 +53,22 @@
 	}
 	chain = append(slices.Clip(chain), name)
 	l.includeChains[name] = chain
-	f, src, faults := syntax.Parse(path.Join(l.prefix, name), text)
-	l.files = append(l.files, f)
-	l.sources[f.Name] = src
+	file, source, faults := syntax.Parse(path.Join(l.prefix, name), text)
+	l.files = append(l.files, file)
+	l.sources[file.Name] = source
 	l.faults = append(l.faults, faults...)
-	for _, e := range f.Entries {
-		if inc, ok := e.(*syntax.Include); ok && !l.filesExceeded {
-			l.include(inc, src, name, chain)
+	for _, entry := range file.Entries {
+		if include, ok := entry.(*syntax.Include); ok && !l.filesExceeded {
+			l.include(&includeStatement{include, source, chain})
 		}
 	}
 	return nil
 }
 
-func (l *loader) include(inc *syntax.Include, src *syntax.Source, from string, chain []string) {
-	fault := func(format string, args ...any) {
-		l.faults = append(l.faults, src.Fault(inc.At, format, args...))
-	}
-	want := inc.Path.Text()
-	switch {
-	case want == "":
-		fault("the include names no file")
-		return
-	case path.IsAbs(want) || strings.ContainsRune(want, '\\'):
-		fault("the include %s must be relative to its file, with slashes", inc.Path.Raw)
-		return
-	}
-	pattern := path.Join(path.Dir(from), want)
-	if pattern == ".." || strings.HasPrefix(pattern, "../") {
-		fault("the include %s leaves the directory of the first file", inc.Path.Raw)
-		return
-	}
-	names := []string{pattern}
-	if strings.ContainsAny(want, "*?[") {
-		found, err := fs.Glob(l.fsys, pattern)
-		switch {
-		case err != nil:
-			fault("the include %s is no pattern of file names", inc.Path.Raw)
-			return
-		case len(found) == 0:
-			fault("no file matches the include %s", inc.Path.Raw)
-			return
-		}
-		names = found
-	}
-	for _, name := range names {
-		switch first, again := l.includeChains[name]; {
-		case slices.Contains(chain, name):
-			fault("include cycle: %s", strings.Join(append(slices.Clip(chain), name), " > "))
-		case again:
-			fault("%s is included twice: by %s, and by %s", name, strings.Join(first, " > "), strings.Join(append(slices.Clip(chain), name), " > "))
-		case len(chain) >= maxIncludeDepth:
-			fault("includes are nested more than %d deep: %s", maxIncludeDepth, strings.Join(append(slices.Clip(chain), name), " > "))
-		case len(l.includeChains) >= maxFiles:
-			fault("more than %d files are included; the rest was not read", maxFiles)
-			l.filesExceeded = true
-			return
-		default:
-			if err := l.load(name, chain); err != nil {
-				fault("the include %s can't be read: %v (%s)", inc.Path.Raw, pathErrorReason(err), strings.Join(append(slices.Clip(chain), name), " > "))
-			}
-		}
-	}
-}
-
-// errIrregular is of what is no file with a text: reading a pipe, say, could take for ever.
+// errIrregular is the error of what is no regular file: reading a pipe could take forever.
 var errIrregular = errors.New("it is no regular file")
 
-// readFile reads a file, up to a byte more than a file may have.
+// readFile reads a file, up to one byte more than a file may have.
 func readFile(fsys fs.FS, name string) ([]byte, error) {
 	info, err := fs.Stat(fsys, name)
 	if err != nil {
@@ -125,11 +89,11 @@
 	return text, nil
 }
 
-// pathErrorReason is the reason alone of an error that names the file too.
+// pathErrorReason returns the reason of an error that names the file too, without the name.
 func pathErrorReason(err error) error {
-	var p *fs.PathError
-	if errors.As(err, &p) {
-		return p.Err
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return pathError.Err
 	}
 	return err
 }
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -1,6 +1,7 @@
 package lang
 
 import (
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -9,133 +10,193 @@
 	"crankhold/internal/route"
 )
 
-// policyType tightens how often and for how long a call is tried.
-var policyType = &blockType{keyword: "policy", named: true, settings: map[string]settingType{
-	"like": {readText, false}, "attempts": {readCount(1), false}, "again-if-ran": {readCount(0), false}, "again-if-not-ran": {readCount(0), false},
-	"attempt-time": {readDuration, false}, "second-copy-after": {readDuration, false}, "aim": {readDuration, false},
-}, build: buildPolicy, check: checkPolicies}
+// The settings of a policy.
+const (
+	likeSetting            = "like"
+	attemptsSetting        = "attempts"
+	againIfRanSetting      = "again-if-ran"
+	againIfNotRanSetting   = "again-if-not-ran"
+	attemptTimeSetting     = "attempt-time"
+	secondCopyAfterSetting = "second-copy-after"
+	policyAimSetting       = "aim"
+)
+
+// policyType limits how often and for how long a request is attempted.
+var policyType = &blockType{
+	keyword: policyKeyword,
+	named:   true,
+	settings: map[string]settingType{
+		likeSetting:            single(readText),
+		attemptsSetting:        single(readCount(1)),
+		againIfRanSetting:      single(readCount(0)),
+		againIfNotRanSetting:   single(readCount(0)),
+		attemptTimeSetting:     single(readDuration),
+		secondCopyAfterSetting: single(readDuration),
+		policyAimSetting:       single(readDuration),
+	},
+	build: buildPolicy,
+	check: checkPolicies,
+}
 
-// policyBlock is a policy with where each of its settings comes from, which may be one that it is like.
+// policyBlock is a policy with its own settings and those that it inherits.
 type policyBlock struct {
 	*block
-	effective map[string]value
-	origins   map[string]*block
-	inherited bool
+	effective map[string]value  // by setting
+	origins   map[string]*block // by setting, the policy that gives it
+	inherited bool              // effective is complete
+}
+
+// position returns where a setting is given, which may be in a policy that this one inherits from.
+func (p *policyBlock) position(setting string) (*block, syntax.Pos) {
+	return p.origins[setting], p.effective[setting].pos
+}
+
+// fault reports what is wrong with a setting, where that is given.
+func (p *policyBlock) fault(c *checker, setting, format string, args ...any) {
+	origin, pos := p.position(setting)
+	c.fault(origin, pos, format, args...)
 }
 
 func buildPolicy(c *checker, b *block) {
-	if c.policies == nil {
-		c.policies = map[string]*policyBlock{}
+	if c.policies[b.name] != nil {
+		return // defined twice
 	}
 	p := &policyBlock{block: b, effective: map[string]value{}, origins: map[string]*block{}}
-	for name := range b.values {
-		p.effective[name], p.origins[name] = b.value(name), b
-	}
-	if c.policies[b.name] == nil {
-		c.policies[b.name] = p
-		c.policyOrder = append(c.policyOrder, p)
+	for setting := range b.values {
+		p.effective[setting] = b.value(setting)
+		p.origins[setting] = b
 	}
+	c.policies[b.name] = p
+	c.policyOrder = append(c.policyOrder, p)
 }
 
 func checkPolicies(c *checker) {
 	for _, p := range c.policyOrder {
-		c.resolveReference(p.block, "like", "policy")
+		c.resolveReference(p.block, likeSetting, policyKeyword)
 	}
 	for _, p := range c.policyOrder {
 		c.inherit(p, nil)
 	}
 	for _, p := range c.policyOrder {
-		c.checkPolicy(p)
+		spec := p.spec()
+		c.result.Spec.Policies = append(c.result.Spec.Policies, spec)
+		c.checkPolicy(p, spec)
+		if c.platform != nil {
+			c.checkPolicyAgainstPlatform(p)
+		}
 	}
-	c.reportUnused("policy", "route or policy")
+	c.reportUnused(policyKeyword, "route or policy")
 }
 
-// inherit takes over what a policy leaves to the one that it is like.
+// inherit completes a policy with the settings of the one that it is like. chain is the policies that inherit from it.
 func (c *checker) inherit(p *policyBlock, chain []string) {
 	if p.inherited {
 		return
 	}
 	if i := slices.Index(chain, p.name); i >= 0 {
-		c.fault(p.block, p.value("like").pos, "policies are like each other in a circle: %s", strings.Join(append(chain[i:], p.name), " > "))
+		cycle := append(chain[i:], p.name)
+		c.fault(p.block, p.value(likeSetting).pos, "policies are like each other in a circle: %s", strings.Join(cycle, " > "))
 		p.inherited = true
 		return
 	}
-	if p.hasValue("like") {
-		if base := c.policies[p.value("like").text]; base != nil {
-			c.inherit(base, append(chain, p.name))
-			for name, v := range base.effective {
-				if _, own := p.effective[name]; !own && name != "like" {
-					p.effective[name], p.origins[name] = v, base.origins[name]
-					c.recordLine("policy "+p.name, base.origins[name], base.origins[name].positions[name])
-				}
-			}
-		}
+	if base := c.policies[p.value(likeSetting).text]; base != nil {
+		c.inherit(base, append(chain, p.name))
+		c.inheritFrom(p, base)
 	}
 	p.inherited = true
 }
 
-func (c *checker) checkPolicy(p *policyBlock) {
-	s := route.NoPolicy
-	s.Name, s.At = p.name, fileLine(p.pos)
-	number := func(name string, to *int) {
-		if v, ok := p.effective[name]; ok {
-			*to = v.count
+// inheritFrom takes over the settings of a policy that another one leaves out.
+func (c *checker) inheritFrom(p, base *policyBlock) {
+	for _, setting := range slices.Sorted(maps.Keys(base.effective)) {
+		if _, own := p.effective[setting]; own || setting == likeSetting {
+			continue
 		}
+		origin := base.origins[setting]
+		p.effective[setting] = base.effective[setting]
+		p.origins[setting] = origin
+		c.recordLine(blockID{policyKeyword, p.name}, origin, origin.positions[setting])
 	}
-	number("attempts", &s.MaxAttempts)
-	number("again-if-ran", &s.RetriesAfterPossibleRun)
-	number("again-if-not-ran", &s.RetriesAfterProvenNoRun)
-	s.AttemptTimeout, s.HedgeDelay, s.LatencyObjective = p.effective["attempt-time"].duration, p.effective["second-copy-after"].duration, p.effective["aim"].duration
-	c.result.Spec.Policies = append(c.result.Spec.Policies, s)
+}
 
-	for _, name := range []string{"again-if-ran", "again-if-not-ran"} {
-		if v, ok := p.effective[name]; ok && s.MaxAttempts != route.Unset && v.count > s.MaxAttempts-1 {
-			c.fault(p.origins[name], v.pos, "policy %q: %s = %d is more than attempts = %d leaves", p.name, name, v.count, s.MaxAttempts)
+// spec returns the policy with what it inherits.
+func (p *policyBlock) spec() route.PolicySpec {
+	spec := route.NoPolicy
+	spec.Name = p.name
+	spec.At = fileLine(p.pos)
+	setCount := func(setting string, count *int) {
+		if v, ok := p.effective[setting]; ok {
+			*count = v.count
 		}
 	}
-	if v, ok := p.effective["second-copy-after"]; ok {
-		if s.MaxAttempts == 1 {
-			c.fault(p.origins["second-copy-after"], v.pos, "policy %q: attempts = 1 leaves no room for a second copy", p.name)
-		}
-		if s.AttemptTimeout > 0 && v.duration >= s.AttemptTimeout {
-			c.fault(p.origins["second-copy-after"], v.pos, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.name, s.AttemptTimeout, v.duration)
+	setCount(attemptsSetting, &spec.MaxAttempts)
+	setCount(againIfRanSetting, &spec.RetriesAfterPossibleRun)
+	setCount(againIfNotRanSetting, &spec.RetriesAfterProvenNoRun)
+	spec.AttemptTimeout = p.effective[attemptTimeSetting].duration
+	spec.HedgeDelay = p.effective[secondCopyAfterSetting].duration
+	spec.LatencyObjective = p.effective[policyAimSetting].duration
+	return spec
+}
+
+// checkPolicy reports settings of a policy that contradict each other.
+func (c *checker) checkPolicy(p *policyBlock, spec route.PolicySpec) {
+	for _, setting := range []string{againIfRanSetting, againIfNotRanSetting} {
+		v, ok := p.effective[setting]
+		if ok && spec.MaxAttempts != route.Unset && v.count > spec.MaxAttempts-1 {
+			p.fault(c, setting, "policy %q: %s = %d is more than attempts = %d leaves", p.name, setting, v.count, spec.MaxAttempts)
 		}
 	}
-	if c.platform == nil {
+	if spec.HedgeDelay == 0 {
 		return
 	}
-	if v, ok := p.effective["attempts"]; ok && c.platform.MaxAttempts > 0 && v.count > c.platform.MaxAttempts {
-		c.fault(p.origins["attempts"], v.pos, "policy %q: attempts = %d is more than the platform's %d", p.name, v.count, c.platform.MaxAttempts)
+	if spec.MaxAttempts == 1 {
+		p.fault(c, secondCopyAfterSetting, "policy %q: attempts = 1 leaves no room for a second copy", p.name)
 	}
-	if v, ok := p.effective["second-copy-after"]; ok && !c.platform.HedgingAllowed {
-		c.fault(p.origins["second-copy-after"], v.pos, "policy %q: the platform allows no second copies", p.name)
+	if spec.AttemptTimeout > 0 && spec.HedgeDelay >= spec.AttemptTimeout {
+		p.fault(c, secondCopyAfterSetting, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.name, spec.AttemptTimeout, spec.HedgeDelay)
 	}
 }
 
-// checkPolicyForClass checks a policy against a class that some call of a route has.
-func (c *checker) checkPolicyForClass(by *block, name string, k Class) {
-	p := c.policies[name]
-	where := func(set string) (*block, syntax.Pos) { return p.origins[set], p.effective[set].pos }
-	if k.NotIdempotent {
-		if v, ok := p.effective["again-if-ran"]; ok && v.count > 0 {
-			b, at := where("again-if-ran")
-			c.fault(b, at, "%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, and route %q at %s gives it to that class",
-				k.Name, name, v.count, by.name, fileLine(by.pos))
-		}
-		if _, ok := p.effective["second-copy-after"]; ok {
-			b, at := where("second-copy-after")
-			c.fault(b, at, "%s must never run twice: policy %q sends a second copy, and route %q at %s gives it to that class", k.Name, name, by.name, fileLine(by.pos))
-		}
+// checkPolicyAgainstPlatform reports what the platform's settings don't allow.
+func (c *checker) checkPolicyAgainstPlatform(p *policyBlock) {
+	if v, ok := p.effective[attemptsSetting]; ok && c.platform.MaxAttempts > 0 && v.count > c.platform.MaxAttempts {
+		p.fault(c, attemptsSetting, "policy %q: attempts = %d is more than the platform's %d", p.name, v.count, c.platform.MaxAttempts)
+	}
+	if _, ok := p.effective[secondCopyAfterSetting]; ok && !c.platform.HedgingAllowed {
+		p.fault(c, secondCopyAfterSetting, "policy %q: the platform allows no second copies", p.name)
 	}
-	for _, x := range []struct {
-		set  string
-		most time.Duration
-		what string
-	}{{"attempt-time", k.Deadline, "deadline"}, {"second-copy-after", k.Deadline, "deadline"}, {"aim", k.LatencyObjective, "aim"}} {
-		if v, ok := p.effective[x.set]; ok && x.most > 0 && v.duration > x.most {
-			b, at := where(x.set)
-			c.fault(b, at, "policy %q: %s = %v is beyond the %s %v of class %q, to which route %q at %s gives it",
-				name, x.set, v.duration, x.what, x.most, k.Name, by.name, fileLine(by.pos))
+}
+
+// checkPolicyForClass checks a policy against a class of which some requests take a route with that policy.
+func (c *checker) checkPolicyForClass(r *block, p *policyBlock, class Class) {
+	if class.NotIdempotent {
+		c.checkPolicyIsSafe(r, p, class)
+	}
+	for _, bound := range []struct {
+		setting string
+		limit   time.Duration
+		name    string
+	}{
+		{attemptTimeSetting, class.Deadline, "deadline"},
+		{secondCopyAfterSetting, class.Deadline, "deadline"},
+		{policyAimSetting, class.LatencyObjective, "aim"},
+	} {
+		v, ok := p.effective[bound.setting]
+		if ok && bound.limit > 0 && v.duration > bound.limit {
+			p.fault(c, bound.setting, "policy %q: %s = %v is beyond the %s %v of class %q, to which route %q at %s gives it",
+				p.name, bound.setting, v.duration, bound.name, bound.limit, class.Name, r.name, fileLine(r.pos))
 		}
 	}
 }
+
+// checkPolicyIsSafe reports settings by which requests of a class that is not idempotent might run twice.
+func (c *checker) checkPolicyIsSafe(r *block, p *policyBlock, class Class) {
+	if v, ok := p.effective[againIfRanSetting]; ok && v.count > 0 {
+		p.fault(c, againIfRanSetting, "%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, and route %q at %s gives it to that class",
+			class.Name, p.name, v.count, r.name, fileLine(r.pos))
+	}
+	if _, ok := p.effective[secondCopyAfterSetting]; ok {
+		p.fault(c, secondCopyAfterSetting, "%s must never run twice: policy %q sends a second copy, and route %q at %s gives it to that class",
+			class.Name, p.name, r.name, fileLine(r.pos))
+	}
+}
--- /dev/null
+++ b/internal/lang/result.go
@@ -0,0 +1,81 @@
+package lang
+
+import (
+	"slices"
+
+	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
+)
+
+// Result is what became of a configuration.
+type Result struct {
+	Spec   route.Spec
+	Faults syntax.Faults // any of them makes the configuration unusable
+	Notes  syntax.Faults // what is allowed and may not be meant
+	Files  []string      // that were read
+
+	lines           map[blockID][]syntax.Fault
+	classes         []Class // of the platform or of the files' own class blocks
+	classesComplete bool    // there are no further classes
+}
+
+// blockID identifies a block that has a name.
+type blockID struct{ keyword, name string }
+
+// Classes returns the names of the classes that the configuration can tell apart.
+func (r *Result) Classes() []string {
+	var names []string
+	for _, class := range r.classes {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
+// ClassesComplete reports whether there are no classes beyond Classes.
+func (r *Result) ClassesComplete() bool { return r.classesComplete }
+
+// NotIdempotent reports for each of some classes whether it must never run twice.
+func (r *Result) NotIdempotent(classes []string) []bool {
+	var notIdempotent []bool
+	for _, name := range classes {
+		notIdempotent = append(notIdempotent, name == neverIdempotentClass || r.declaredNotIdempotent(name))
+	}
+	return notIdempotent
+}
+
+// declaredNotIdempotent reports whether the platform or a class block says that a class must never run twice.
+func (r *Result) declaredNotIdempotent(name string) bool {
+	return slices.ContainsFunc(r.classes, func(class Class) bool { return class.Name == name && class.NotIdempotent })
+}
+
+// Lines returns the lines that define a block, each as a fault without a message. The keyword is that of a route, a
+// pool or a policy.
+func (r *Result) Lines(keyword, name string) []syntax.Fault { return r.lines[blockID{keyword, name}] }
+
+// Err returns the faults as an error, or nil.
+func (r *Result) Err() error { return r.Faults.Err() }
+
+// Diff returns what a configuration changes in behaviour compared with the one that it replaces. Both must be without
+// faults.
+func Diff(old, updated *Result) ([]route.Change, error) {
+	classes := old.Classes()
+	for _, name := range updated.Classes() {
+		if !slices.Contains(classes, name) {
+			classes = append(classes, name)
+		}
+	}
+	oldTable, err := route.Compile(&old.Spec, classes)
+	if err != nil {
+		return nil, err
+	}
+	newTable, err := route.Compile(&updated.Spec, classes)
+	if err != nil {
+		return nil, err
+	}
+	notIdempotent := old.NotIdempotent(classes)
+	for i, inNew := range updated.NotIdempotent(classes) {
+		notIdempotent[i] = notIdempotent[i] && inNew
+	}
+	otherClasses := !old.classesComplete || !updated.classesComplete
+	return route.Diff(oldTable, newTable, notIdempotent, otherClasses), nil
+}
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -8,32 +8,48 @@
 	"crankhold/internal/route"
 )
 
-// routeType sends the calls that it matches to a pool, under a policy.
-var routeType = &blockType{keyword: "route", named: true, settings: map[string]settingType{
-	"front": {readOneOf("thrift", "webhook"), true}, "class": {readText, true}, "function": {readFunction, true}, "tenant": {readText, true},
-	"pool": {readText, false}, "policy": {readText, false}, "refuse": {readOneOf("yes"), false},
-}, build: buildRoute, check: checkRoutes}
+// routeType sends the requests that it matches to a pool, under a policy.
+var routeType = &blockType{
+	keyword: routeKeyword,
+	named:   true,
+	settings: map[string]settingType{
+		"front":    listOf(readOneOf(route.Thrift.String(), route.Webhook.String())),
+		"class":    listOf(readText),
+		"function": listOf(readFunction),
+		"tenant":   listOf(readText),
+		"pool":     single(readText),
+		"policy":   single(readText),
+		"refuse":   single(readOneOf("yes")),
+	},
+	build: buildRoute,
+	check: checkRoutes,
+}
 
-// readFunction takes 16 hex digits, or fewer and a star.
-func readFunction(v syntax.Value) (value, string) {
-	s, wrong := readText(v)
-	if wrong == "" {
-		if _, err := route.ParsePattern(s.text); err != nil {
-			wrong = err.Error()
-		}
+// readFunction reads 16 hex digits, or fewer and a star.
+func readFunction(raw syntax.Value) (value, error) {
+	v, err := readText(raw)
+	if err != nil {
+		return v, err
 	}
-	return s, wrong
+	_, err = route.ParsePattern(v.text)
+	return v, err
 }
 
 func buildRoute(c *checker, b *block) {
-	r := route.RouteSpec{Name: b.name, Classes: b.texts("class"), Tenants: b.texts("tenant"), Pool: b.value("pool").text,
-		Policy: b.value("policy").text, At: fileLine(b.pos)}
-	for _, f := range b.texts("front") {
-		r.Fronts = append(r.Fronts, map[string]route.Front{"thrift": route.Thrift, "webhook": route.Webhook}[f])
+	r := route.RouteSpec{
+		Name:    b.name,
+		Classes: b.texts("class"),
+		Tenants: b.texts("tenant"),
+		Pool:    b.value("pool").text,
+		Policy:  b.value("policy").text,
+		At:      fileLine(b.pos),
 	}
-	for _, f := range b.texts("function") {
-		p, _ := route.ParsePattern(f) // checked when it was read
-		r.Functions = append(r.Functions, p)
+	for _, front := range b.texts("front") {
+		r.Fronts = append(r.Fronts, frontNamed(front))
+	}
+	for _, function := range b.texts("function") {
+		pattern, _ := route.ParsePattern(function) // checked when it was read
+		r.Functions = append(r.Functions, pattern)
 	}
 	switch {
 	case b.hasValue("refuse") && (b.hasValue("pool") || b.hasValue("policy")):
@@ -47,25 +63,32 @@
 	c.result.Spec.Routes = append(c.result.Spec.Routes, r)
 }
 
+// frontNamed returns the front of a name that readOneOf has checked.
+func frontNamed(name string) route.Front {
+	if name == route.Webhook.String() {
+		return route.Webhook
+	}
+	return route.Thrift
+}
+
 func checkRoutes(c *checker) {
-	var known []string
+	var classes []string
 	if c.platform != nil {
-		for _, k := range c.platform.Classes {
-			known = append(known, k.Name)
-		}
+		classes = c.platform.classNames()
 	} else {
-		known = slices.Sorted(maps.Keys(c.blocks["class"]))
+		classes = slices.Sorted(maps.Keys(c.blocks[classKeyword]))
 	}
-	for _, b := range c.blocks["route"] {
-		c.resolveReference(b, "pool", "pool")
-		c.resolveReference(b, "policy", "policy")
+	for _, b := range c.blocks[routeKeyword] {
+		c.resolveReference(b, "pool", poolKeyword)
+		c.resolveReference(b, "policy", policyKeyword)
 		for _, v := range b.values["class"] {
-			if len(known) > 0 && c.complete && !slices.Contains(known, v.text) {
-				c.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, known))
+			if len(classes) > 0 && c.complete && !slices.Contains(classes, v.text) {
+				c.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
 			}
 		}
 	}
-	if c.complete && len(c.blocks["route"]) == 0 {
-		c.result.Faults = append(c.result.Faults, syntax.Fault{Pos: syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}, Msg: "there are no routes: every call would be refused"})
+	if c.complete && len(c.blocks[routeKeyword]) == 0 {
+		start := syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}
+		c.result.Faults = append(c.result.Faults, syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
 	}
 }
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -6,59 +6,65 @@
 	"crankhold/internal/route"
 )
 
-// workerType adds to what the directory tells of a worker; what it says goes first.
-var workerType = &blockType{keyword: "worker", named: true, settings: map[string]settingType{
-	"kind": {readText, false}, "zone": {readText, false}, "cell": {readCount(0), false}, "memory": {readMemory, false},
-	"unix": {readAddress(endpoint.Unix), true}, "tcp6": {readAddress(endpoint.TCP6), true}, "tcp4": {readAddress(endpoint.TCP4), true},
-	"prefer": {readOneOf("unix", "tcp6", "tcp4"), true}, "same-as": {readText, false},
-}, blocks: []*blockType{labelsType}, build: buildWorker, check: checkWorkers}
+// networks are those of which a worker block may give addresses; a setting has each one's name.
+var networks = []endpoint.Network{endpoint.Unix, endpoint.TCP6, endpoint.TCP4}
 
-// readAddress takes an readAddress of a network.
-func readAddress(n endpoint.Network) valueReader {
-	return func(v syntax.Value) (value, string) {
-		s, wrong := readText(v)
-		if wrong == "" {
-			if _, err := endpoint.Parse(n, s.text); err != nil {
-				wrong = "takes an address: " + err.Error()
-			}
-		}
-		return s, wrong
-	}
+// workerType adds to what discovery says of a worker; what it says takes precedence.
+var workerType = &blockType{
+	keyword: workerKeyword,
+	named:   true,
+	settings: map[string]settingType{
+		"kind":    single(readText),
+		"zone":    single(readText),
+		"cell":    single(readCount(0)),
+		"memory":  single(readMemory),
+		"unix":    listOf(readAddress(endpoint.Unix)),
+		"tcp6":    listOf(readAddress(endpoint.TCP6)),
+		"tcp4":    listOf(readAddress(endpoint.TCP4)),
+		"prefer":  listOf(readOneOf("unix", "tcp6", "tcp4")),
+		"same-as": single(readText),
+	},
+	blocks: []*blockType{labelsType},
+	build:  buildWorker,
+	check:  checkWorkers,
 }
 
 // labelsType holds labels of the operators' own.
 var labelsType = &blockType{keyword: "labels", anySetting: true}
 
+// readAddress reads an address of a network.
+func readAddress(network endpoint.Network) valueReader {
+	return func(raw syntax.Value) (value, error) {
+		v, err := readText(raw)
+		if err != nil {
+			return v, err
+		}
+		if _, err := endpoint.Parse(network, v.text); err != nil {
+			return v, invalidValue("takes an address: %v", err)
+		}
+		return v, nil
+	}
+}
+
 func buildWorker(c *checker, b *block) {
-	w := route.Worker{Name: b.name, Kind: b.value("kind").text, Zone: b.value("zone").text, Cell: -1, MemoryMB: b.value("memory").number,
-		Labels: map[string]string{}, At: fileLine(b.pos)}
+	w := route.Worker{
+		Name:     b.name,
+		Kind:     b.value("kind").text,
+		Zone:     b.value("zone").text,
+		Cell:     route.UnknownCell,
+		MemoryMB: b.value("memory").number,
+		Same:     b.value("same-as").text,
+		At:       fileLine(b.pos),
+	}
 	if b.hasValue("cell") {
 		w.Cell = b.value("cell").count
 	}
-	for n := endpoint.Unix; n <= endpoint.TCP4; n++ {
-		for _, v := range b.values[n.String()] {
-			a, _ := endpoint.Parse(n, v.text) // checked when it was read
-			if w.Addrs = append(w.Addrs, a); len(w.Addrs) == endpoint.MaxAddresses+1 {
-				c.fault(b, v.pos, "worker %q has more than %d addresses", w.Name, endpoint.MaxAddresses)
-			}
-		}
-	}
+	w.Addrs = c.buildAddresses(b)
 	for _, v := range b.values["prefer"] {
-		n, _ := endpoint.ParseNetwork(v.text)
-		w.Prefer = append(w.Prefer, n)
-	}
-	w.Same = b.value("same-as").text
-	for _, l := range b.blocks {
-		for name, v := range l.values {
-			if len(v) > 1 {
-				c.fault(l, v[1].pos, "a worker has one value of the label %s", name)
-			}
-			if _, again := w.Labels[name]; again {
-				c.fault(l, l.positions[name], "label %s is given twice", name)
-			}
-			w.Labels[name] = v[0].text
-		}
+		network, _ := endpoint.ParseNetwork(v.text) // checked when it was read
+		w.Prefer = append(w.Prefer, network)
 	}
+	w.Labels = c.buildLabels(b)
 	if c.platform != nil {
 		c.checkListed(b, "kind", "the platform's kinds", c.platform.Kinds)
 		c.checkListed(b, "zone", "the platform's zones", c.platform.Zones)
@@ -66,49 +72,84 @@
 	c.result.Spec.Workers = append(c.result.Spec.Workers, w)
 }
 
-// checkWorkers checks who is said to be the same worker as whom, and that no address leads to two.
-func checkWorkers(c *checker) {
-	type claim struct {
-		name string
-		at   syntax.Pos
+// buildAddresses returns the addresses of a worker block, of one network after the other.
+func (c *checker) buildAddresses(b *block) []endpoint.Addr {
+	var addrs []endpoint.Addr
+	for _, network := range networks {
+		for _, v := range b.values[network.String()] {
+			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
+			addrs = append(addrs, addr)
+			if len(addrs) == endpoint.MaxAddresses+1 {
+				c.fault(b, v.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
+			}
+		}
 	}
-	claimed := map[endpoint.Addr]claim{}
+	return addrs
+}
+
+// buildLabels returns the labels of a worker block, each of one value.
+func (c *checker) buildLabels(b *block) map[string]string {
+	labels := map[string]string{}
+	for _, nested := range b.blocks {
+		for name, values := range nested.values {
+			if len(values) > 1 {
+				c.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
+			}
+			if _, again := labels[name]; again {
+				c.fault(nested, nested.positions[name], "label %s is given twice", name)
+			}
+			labels[name] = values[0].text
+		}
+	}
+	return labels
+}
+
+// addressClaim is a worker that an address leads to.
+type addressClaim struct {
+	worker string
+	pos    syntax.Pos
+}
+
+// checkWorkers checks which workers are aliases of each other, and that no address leads to two workers.
+func checkWorkers(c *checker) {
+	claims := map[endpoint.Addr]addressClaim{}
 	for _, w := range c.result.Spec.Workers {
-		b := c.blocks["worker"][w.Name]
-		if fileLine(b.pos) != w.At {
-			continue // defined twice
+		b := c.definition(workerKeyword, w.Name, w.At)
+		if b == nil {
+			continue
 		}
 		if w.Same == w.Name && w.Same != "" {
 			c.fault(b, b.value("same-as").pos, "worker %q is the same as itself", w.Name)
 		}
-		for n := endpoint.Unix; n <= endpoint.TCP4; n++ {
-			for _, v := range b.values[n.String()] {
-				a, _ := endpoint.Parse(n, v.text)
-				if first, ok := claimed[a]; ok && first.name != w.Name && w.Same != first.name && c.blocks["worker"][first.name].value("same-as").text != w.Name {
-					c.fault(b, v.pos, "%v is an address of worker %q too, at %v: say same-as where they are one", a, first.name, first.at)
-				}
-				claimed[a] = claim{w.Name, v.pos}
-			}
-		}
+		c.checkAddresses(b, claims)
 	}
 }
 
-// checkListed checks that a setting names one of a list, where there is one.
-func (c *checker) checkListed(b *block, set, what string, list []string) {
-	for _, v := range b.values[set] {
-		if len(list) > 0 && !matchesAnyOf(v.text, list) {
-			c.fault(b, v.pos, "%s %q is none of %s%s", set, v.text, what, suggest(v.text, list))
+// checkAddresses reports addresses of a worker block that other workers claim, and claims them.
+func (c *checker) checkAddresses(b *block, claims map[endpoint.Addr]addressClaim) {
+	for _, network := range networks {
+		for _, v := range b.values[network.String()] {
+			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
+			first, claimed := claims[addr]
+			if claimed && first.worker != b.name && !c.areAliases(b.name, first.worker) {
+				c.fault(b, v.pos, "%v is an address of worker %q too, at %v: say same-as where they are one", addr, first.worker, first.pos)
+			}
+			claims[addr] = addressClaim{b.name, v.pos}
 		}
 	}
 }
 
-// fileLine is where a block stands, as file:line.
-func fileLine(at syntax.Pos) string {
-	s := at.String()
-	for i := len(s) - 1; i > 0; i-- {
-		if s[i] == ':' {
-			return s[:i]
+// areAliases reports whether one of two worker blocks says that it is the same worker as the other.
+func (c *checker) areAliases(a, b string) bool {
+	workers := c.blocks[workerKeyword]
+	return workers[a].value("same-as").text == b || workers[b].value("same-as").text == a
+}
+
+// checkListed checks that a setting's values are on a list, where there is one.
+func (c *checker) checkListed(b *block, setting, listName string, list []string) {
+	for _, v := range b.values[setting] {
+		if len(list) > 0 && !matchesAnyOf(v.text, list) {
+			c.fault(b, v.pos, "%s %q is none of %s%s", setting, v.text, listName, suggest(v.text, list))
 		}
 	}
-	return s
 }
