--- /dev/null
+++ b/internal/lang/check_test.go
@@ -0,0 +1,236 @@
+package lang
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"path"
+	"slices"
+	"strings"
+	"testing"
+	"testing/fstest"
+	"time"
+
+	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
+)
+
+// textFile returns a regular file.
+func textFile(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text), Mode: 0o644} }
+
+// mustCheck checks files that have to be without faults.
+func mustCheck(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
+	t.Helper()
+	r, err := Check(files, "main.crank", prefix, platform)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(r.Faults) > 0 {
+		t.Fatal(r.Faults)
+	}
+	return r
+}
+
+const mainFile = `include "parts/*.crank"
+# the fleet
+worker "s-1" {
+	kind = "large"
+	cell = 2
+	memory = 8GiB
+	labels { rack = "r1" }
+}
+class "dim-level" {
+	runs = repeatable
+	deadline = 2s
+	aim = 400ms
+}
+class "repair-order" { deadline = 3s }
+policy "quick" {
+	like = "base"
+	attempt-time = 300ms
+	second-copy-after = 0.1s
+}
+route "dims" {
+	front = thrift, webhook
+	class = "dim-level"
+	function = "7f*", "7f3a9c21e0b4d655"
+	tenant = "east"
+	pool = "fast"
+	policy = "quick"
+}
+route "rest" { pool = "all" }
+`
+
+const policiesFile = `policy "base" {
+	attempts = 2
+	again-if-ran = 1
+}
+`
+
+const poolsFile = `pool "all" {}
+pool "fast" {
+	workers { labels { rack = "r1", "r2" } }
+	workers {
+		kind = "large"
+		memory-at-least = 8GiB
+	}
+	cap = 40
+	load-orders = 30%
+	fallback = "all"
+	spill = 120/m
+}
+`
+
+var testFiles = fstest.MapFS{
+	"main.crank":           textFile(mainFile),
+	"parts/policies.crank": textFile(policiesFile),
+	"parts/pools.crank":    textFile(poolsFile),
+}
+
+func TestCheckAcceptsValidFiles(t *testing.T) {
+	r := mustCheck(t, testFiles, "deploy", nil)
+	if fmt.Sprint(r.Files) != "[deploy/main.crank deploy/parts/policies.crank deploy/parts/pools.crank]" {
+		t.Errorf("files %v", r.Files)
+	}
+	policies := r.Spec.Policies
+	quick := slices.IndexFunc(policies, func(p route.PolicySpec) bool { return p.Name == "quick" })
+	if len(policies) != 2 || quick < 0 {
+		t.Fatalf("policies %+v", policies)
+	}
+	wantPolicy := route.PolicySpec{Name: "quick", MaxAttempts: 2, RetriesAfterPossibleRun: 1, RetriesAfterProvenNoRun: route.Unset,
+		AttemptTimeout: 300 * time.Millisecond, HedgeDelay: 100 * time.Millisecond, At: "deploy/main.crank:15"}
+	if policies[quick] != wantPolicy {
+		t.Errorf("policy %+v", policies[quick])
+	}
+	fast := slices.IndexFunc(r.Spec.Pools, func(p route.PoolSpec) bool { return p.Name == "fast" })
+	if fast < 0 {
+		t.Fatalf("pools %+v", r.Spec.Pools)
+	}
+	p := r.Spec.Pools[fast]
+	if p.MaxInFlight != 40 || p.LoadShare != 0.3 || p.OverflowRate != 2 || len(p.Workers) != 2 || p.Workers[1].MemoryMB != 8*1073.741824 {
+		t.Errorf("pool %+v", p)
+	}
+}
+
+// Guards what explain shows: a policy's own lines, and those of the policy that it inherits from.
+func TestLinesIncludeInheritedSettings(t *testing.T) {
+	r := mustCheck(t, testFiles, "deploy", nil)
+	var lines []string
+	for _, f := range r.Lines("policy", "quick") {
+		lines = append(lines, f.Pos.String()+" "+f.Line)
+	}
+	want := []string{
+		`deploy/main.crank:15:1 policy "quick" {`,
+		"deploy/main.crank:17:2 attempt-time = 300ms",
+		`deploy/main.crank:16:2 like = "base"`,
+		"deploy/main.crank:18:2 second-copy-after = 0.1s",
+		"deploy/parts/policies.crank:3:2 again-if-ran = 1",
+		"deploy/parts/policies.crank:2:2 attempts = 2",
+	}
+	if !slices.Equal(lines, want) {
+		t.Errorf("lines %s", strings.Join(lines, "\n"))
+	}
+}
+
+// Guards the behaviour that a file describes over formatting: the same files, formatted, differ in nothing.
+func TestFormattingKeepsBehaviour(t *testing.T) {
+	formatted := fstest.MapFS{}
+	for name, f := range testFiles {
+		tree, _, faults := syntax.Parse(name, f.Data)
+		if len(faults) > 0 {
+			t.Fatal(faults)
+		}
+		formatted[name] = textFile(string(syntax.Format(tree)))
+	}
+	original := mustCheck(t, testFiles, "", nil)
+	if changes, err := Diff(original, mustCheck(t, formatted, "", nil)); err != nil || len(changes) > 0 {
+		t.Errorf("formatting changes %+v, %v", changes, err)
+	}
+	formatted["main.crank"] = textFile(strings.Replace(string(formatted["main.crank"].Data), "300ms", "200ms", 1))
+	changes, err := Diff(original, mustCheck(t, formatted, "", nil))
+	if err != nil || len(changes) != 1 || !strings.Contains(changes[0].After, "attempt-time 200ms") {
+		t.Errorf("a changed time: %+v, %v", changes, err)
+	}
+}
+
+// Guards the limits on what is included: depth, files, and the memory and time of hostile ones.
+func TestIncludesAreBounded(t *testing.T) {
+	check := func(t *testing.T, files fstest.MapFS) *Result {
+		t.Helper()
+		r, err := Check(files, "main.crank", "", nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+	t.Run("depth", func(t *testing.T) {
+		files := fstest.MapFS{"main.crank": textFile("include \"a0.crank\"\n")}
+		for i := range 40 {
+			files[fmt.Sprintf("a%d.crank", i)] = textFile(fmt.Sprintf("include \"a%d.crank\"\n", i+1))
+		}
+		r := check(t, files)
+		if len(r.Files) != maxIncludeDepth || !strings.Contains(r.Faults.Error(), "includes are nested more than 16 deep: main.crank > a0.crank") {
+			t.Errorf("%d files, %v", len(r.Files), r.Faults)
+		}
+	})
+	t.Run("files", func(t *testing.T) {
+		files := fstest.MapFS{"main.crank": textFile("include \"d/*\"\n")}
+		for i := range 1200 {
+			files[fmt.Sprintf("d/%04d", i)] = textFile("# x\n")
+		}
+		r := check(t, files)
+		if len(r.Files) != maxFiles || !strings.Contains(r.Faults.Error(), "main.crank:1:1: more than 1000 files") {
+			t.Errorf("%d files, %.200v", len(r.Files), r.Faults)
+		}
+	})
+	t.Run("bytes", func(t *testing.T) {
+		r := check(t, fstest.MapFS{"main.crank": {Data: make([]byte, 50<<20), Mode: 0o644}})
+		if !strings.Contains(r.Faults.Error(), "larger than 4 MiB") {
+			t.Errorf("%.200v", r.Faults)
+		}
+	})
+}
+
+func TestCheckReportsAMissingFirstFile(t *testing.T) {
+	_, err := Check(fstest.MapFS{}, "main.crank", "deploy", nil)
+	if err == nil || err.Error() != path.Join("deploy", "main.crank")+": file does not exist" {
+		t.Errorf("error %v", err)
+	}
+	var fileError *FileError
+	if !errors.As(err, &fileError) || fileError.File != "deploy/main.crank" || !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("error %#v", err)
+	}
+}
+
+func TestUnmatchedRequestsAreNoted(t *testing.T) {
+	text := "pool \"p\" {}\nroute \"r\" {\n\tclass = \"dim-level\"\n\tfunction = \"7*\"\n\tpool = \"p\"\n}\n"
+	r := mustCheck(t, fstest.MapFS{"main.crank": textFile(text)}, "", testPlatform)
+	want := "main.crank:2:1: no route takes calls for function * (but not 7*); they are refused (--front=thrift --class=dim-level --function=0000000000000000)\n" +
+		"main.crank:2:1: no route takes calls of class fault-check or audit or repair-order for function 7*; they are refused (--front=thrift --class=fault-check --function=7000000000000000)"
+	if got := r.Notes.Error(); got != want {
+		t.Errorf("notes:\n%s\nwant\n%s", got, want)
+	}
+}
+
+// Guards a class that the files have never run twice, though the platform's settings would let it.
+func TestClassBlockMakesAClassNotIdempotent(t *testing.T) {
+	text := "class \"dim-level\" { runs = once }\npool \"p\" {}\nroute \"r\" { pool = \"p\" }\n"
+	r := mustCheck(t, fstest.MapFS{"main.crank": textFile(text)}, "", testPlatform)
+	if fmt.Sprint(r.Spec.NotIdempotentClasses) != "[dim-level]" || fmt.Sprint(r.NotIdempotent(r.Classes())) != "[true false true true]" {
+		t.Errorf("not idempotent: %v, %v", r.Spec.NotIdempotentClasses, r.NotIdempotent(r.Classes()))
+	}
+}
+
+func TestSuggest(t *testing.T) {
+	for _, c := range []struct{ name, known, want string }{
+		{"capp", "cap", "; did you mean cap?"},
+		{"pol", "pool", "; did you mean pool?"},
+		{"fallbakc", "fallback", "; did you mean fallback?"},
+		{"zone", "cap", ""},
+		{"cap", "cap", ""},
+	} {
+		if got := suggest(c.name, []string{c.known}); got != c.want {
+			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+		}
+	}
+}
