--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -102,8 +102,8 @@
 	var workers []fake.WorkerConfig
 	for i := range 12 {
 		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%02d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
-			More: []string{"tcp6:::1", fmt.Sprintf("unix:%s/w%d.sock", dir, i+1)},
-			Run:  20 * time.Millisecond, Load: 300 * time.Millisecond, Keep: 10 * time.Second, Lanes: 8, Queue: 64})
+			MoreAddrs:   []string{"tcp6:::1", fmt.Sprintf("unix:%s/w%d.sock", dir, i+1)},
+			ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
 	}
 	site, err := fake.NewSite("127.0.0.1:0", workers, r.event)
 	if err != nil {
@@ -212,7 +212,7 @@
 		}
 		on = keep
 		if n/100%2 == 1 { // one address flaps at every turn, for ten seconds of twenty
-			flap.Set([]string{"well", "refuse", "well", "reset"}[n%4])
+			flap.Set([]fake.PortMode{fake.ModeWell, fake.ModeRefuse, fake.ModeWell, fake.ModeReset}[n%4])
 			faults++
 		}
 		w := site.Workers[1+random.IntN(len(site.Workers)-1)]
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -244,7 +244,7 @@
 	for i := range 12 {
 		kind := []string{"large", "large", "small", "small", "spare"}[i%5]
 		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here",
-			Run: 20 * time.Millisecond, Load: 300 * time.Millisecond, Keep: 10 * time.Second, Lanes: 8, Queue: 64})
+			ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
 	}
 	site, err := fake.NewSite("127.0.0.1:0", workers, r.event)
 	if err != nil {
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -310,7 +310,7 @@
 	var workers []fake.WorkerConfig
 	for i := range 12 {
 		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: "std", Zone: "here",
-			Run: time.Millisecond, Load: 100 * time.Millisecond, Keep: time.Minute, Lanes: 32, Queue: 256})
+			ServiceTime: time.Millisecond, LoadTime: 100 * time.Millisecond, KeepAlive: time.Minute, Lanes: 32, Queue: 256})
 	}
 	site, err := fake.NewSite("127.0.0.1:0", workers, nil)
 	if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -43,7 +43,7 @@
 	var workers []fake.WorkerConfig
 	for i, kind := range []string{"large-worker", "large-worker", "small-worker"} {
 		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here", Cell: i,
-			Run: time.Duration(60+30*i) * time.Millisecond, Load: 600 * time.Millisecond, Keep: 10 * time.Second, Lanes: 2, Queue: 32})
+			ServiceTime: time.Duration(60+30*i) * time.Millisecond, LoadTime: 600 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 2, Queue: 32})
 	}
 	site, err := fake.NewSite("127.0.0.1:0", workers, t.event)
 	if err != nil {
@@ -93,7 +93,7 @@
 func (t *tally) event(e fake.Event) {
 	if e.What == "run" || e.What == "hold" {
 		t.mu.Lock()
-		t.runs[e.Worker.Name+" "+e.What]++
+		t.runs[e.Worker.Name+" "+string(e.What)]++
 		t.mu.Unlock()
 	}
 }
--- /dev/null
+++ b/internal/fake/connection.go
@@ -0,0 +1,251 @@
+package fake
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Commands that a router sends to a worker.
+const (
+	commandRun    = "RUN"
+	commandCancel = "STOP"
+	commandLoad   = "HOLD"
+	commandUnload = "FREE"
+	commandPing   = "NOOP"
+	commandInfo   = "INFO"
+)
+
+// responseWord is the first word of a worker's response.
+type responseWord string
+
+// Responses of a worker.
+const (
+	responseServed     responseWord = "HIT"
+	responseNotLoaded  responseWord = "NONE"
+	responseOverloaded responseWord = "SHED"
+	responseFault      responseWord = "FAULT"
+	responsePong       responseWord = "PONG"
+)
+
+// noFields stands where a response has no fields.
+const noFields = "-"
+
+// connection is a router's connection to a worker, with the requests that are in flight on it.
+type connection struct {
+	worker *Worker
+	port   *Port
+	conn   net.Conn
+
+	writing  sync.Mutex
+	inFlight map[string]*execution // by id, guarded by the worker's lock
+}
+
+// execution is a request that a worker has accepted.
+type execution struct {
+	connection *connection
+	id         string
+	class      string
+	function   string
+	body       string
+	waited     bool // for its function's load
+	over       bool // responded to, canceled, or its connection was lost
+}
+
+// serve handles the commands of a connection until it ends.
+func (w *Worker) serve(port *Port, conn net.Conn) {
+	c := &connection{worker: w, port: port, conn: conn, inFlight: map[string]*execution{}}
+	defer c.close()
+	in := bufio.NewReader(conn)
+	for {
+		words, err := readArray(in)
+		if err != nil || len(words) < 2 {
+			return
+		}
+		c.handle(words[0], words[1:])
+	}
+}
+
+func (c *connection) close() {
+	c.conn.Close()
+	c.port.forget(c.conn)
+	c.worker.mu.Lock()
+	defer c.worker.mu.Unlock()
+	for _, e := range c.inFlight {
+		c.end(e, EventConnectionLost)
+	}
+}
+
+// handle carries out a command, of which the first argument is a request's id, a function or a tag for the response.
+func (c *connection) handle(command string, args []string) {
+	switch {
+	case command == commandRun && len(args) == 3:
+		c.run(args[0], args[1], args[2])
+	case command == commandCancel:
+		c.cancel(args[0])
+	case command == commandLoad && len(args) == 2:
+		c.load(args[0], args[1])
+	case command == commandUnload:
+		c.worker.unload(args[0])
+	case command == commandPing, command == commandInfo:
+		c.pong(args[0])
+	}
+}
+
+func (c *connection) run(id, fields, body string) {
+	e := &execution{connection: c, id: id, class: fieldValue(fields, "queue"), function: fieldValue(fields, "path"), body: body}
+	c.worker.mu.Lock()
+	rejection, accepted := c.accept(e)
+	c.worker.mu.Unlock()
+	if !accepted {
+		c.respond(id, rejection, noFields, "")
+	}
+}
+
+// accept begins or queues a request, or returns the response that rejects it. The worker must be locked.
+func (c *connection) accept(e *execution) (rejection responseWord, accepted bool) {
+	w := c.worker
+	r := w.replica(e.function)
+	if r == nil {
+		e.recordEvent(EventNotLoaded)
+		return responseNotLoaded, false
+	}
+	if len(r.waiting) >= max(w.Queue, 1) {
+		e.recordEvent(EventOverloaded)
+		return responseOverloaded, false
+	}
+	c.inFlight[e.id] = e
+	w.inFlight++
+	e.recordEvent(EventStarted)
+	e.waited = !r.ready
+	r.waiting = append(r.waiting, e)
+	w.startWaiting(r)
+	return "", true
+}
+
+// complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
+func (e *execution) complete(r *replica) {
+	c := e.connection
+	w := c.worker
+	w.mu.Lock()
+	r.busy--
+	r.lastUsed = time.Now()
+	failed := w.fails != nil && w.fails(e.id)
+	silent := w.hanging || e.over
+	if !w.hanging {
+		c.end(e, EventCompleted)
+	}
+	inFlight := w.inFlight
+	w.startWaiting(r)
+	w.mu.Unlock()
+	switch {
+	case silent:
+	case failed:
+		c.respond(e.id, responseFault, noFields, "")
+	default:
+		detail := "hot"
+		if e.waited {
+			detail = "waited"
+		}
+		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
+	}
+}
+
+// end records that a request is over, once. The worker must be locked.
+func (c *connection) end(e *execution, what EventKind) {
+	if e.over {
+		return
+	}
+	e.over = true
+	delete(c.inFlight, e.id)
+	c.worker.inFlight--
+	e.recordEvent(what)
+}
+
+func (e *execution) recordEvent(what EventKind) {
+	w := e.connection.worker
+	w.record(Event{At: time.Now(), Worker: w, What: what, ID: e.id, Class: e.class, Key: e.function})
+}
+
+func (c *connection) cancel(id string) {
+	c.worker.mu.Lock()
+	defer c.worker.mu.Unlock()
+	if e := c.inFlight[id]; e != nil {
+		c.end(e, EventCanceled)
+	}
+}
+
+// load carries out an order to load a replica, and responds to its tag once one is loaded. An order for none asks
+// whether one is.
+func (c *connection) load(tag, fields string) {
+	w := c.worker
+	function := fieldValue(fields, "path")
+	count, _ := strconv.Atoi(fieldValue(fields, "count")) // a count that is no number asks for none
+	respond := func(replicas int) { c.respond(tag, responseServed, fmt.Sprintf("count=%d", replicas), "") }
+
+	w.mu.Lock()
+	r := w.replica(function)
+	if count > 0 {
+		w.record(Event{At: time.Now(), Worker: w, What: EventLoadOrdered, Key: function})
+	}
+	if r == nil && count > 0 {
+		r = w.startLoad(function)
+	}
+	replicas := 0
+	switch {
+	case r == nil:
+	case r.ready:
+		r.lastUsed = time.Now()
+		replicas = 1
+	default:
+		r.onLoaded = append(r.onLoaded, func() { respond(1) })
+		w.mu.Unlock()
+		return
+	}
+	w.mu.Unlock()
+	respond(replicas)
+}
+
+// unload drops a function's replica if it is idle.
+func (w *Worker) unload(function string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if r := w.replicas[function]; r != nil && r.ready && r.busy == 0 {
+		delete(w.replicas, function)
+	}
+}
+
+// pong responds to a health check with a load report, unless the worker hangs.
+func (c *connection) pong(tag string) {
+	c.worker.mu.Lock()
+	hanging := c.worker.hanging
+	inFlight := c.worker.inFlight
+	c.worker.mu.Unlock()
+	if !hanging {
+		c.respond(tag, responsePong, fmt.Sprintf("use=inflight:%d", inFlight), "")
+	}
+}
+
+// respond writes a response, unless the address is mute. Errors are the reader's to find.
+func (c *connection) respond(tag string, word responseWord, fields, body string) {
+	if c.port.Mode() == ModeMute {
+		return
+	}
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	writeArray(c.conn, tag, string(word), fields, body)
+}
+
+// fieldValue returns the value of a name in a list of name=value.
+func fieldValue(list, name string) string {
+	for field := range strings.SplitSeq(list, ",") {
+		if n, value, ok := strings.Cut(field, "="); ok && n == name {
+			return value
+		}
+	}
+	return ""
+}
--- a/internal/fake/directory.go
+++ b/internal/fake/directory.go
@@ -1,8 +1,6 @@
 package fake
 
 import (
-	"bytes"
-	"encoding/binary"
 	"fmt"
 	"net"
 	"strings"
@@ -10,49 +8,63 @@
 	"time"
 )
 
-// Entry is a worker as the directory lists it.
+// Names in the discovery server's zone.
+const (
+	zoneName    = "pool.lan"
+	serviceName = "_back._tcp.pool.lan"
+)
+
+// Priorities by which an SRV record tells whether a worker drains, and the weight that all have.
+const (
+	priorityReady    = 0
+	priorityDraining = 1
+	endpointWeight   = 10
+)
+
+// maxQuerySize is the size of the largest query that is read (RFC 1035, section 4.2.1).
+const maxQuerySize = 512
+
+// Entry is an endpoint in the discovery server's list.
 type Entry struct {
-	Name, Addr, Kind, Zone string
-	More                   []string // further addresses, as network:address
-	Cell                   int
-	Draining               bool
-	Started                int64 // Unix milliseconds, or 0
+	Name      string
+	Addr      string
+	Kind      string
+	Zone      string
+	MoreAddrs []string // further addresses, as network:address
+	Cell      int
+	Draining  bool
+	Started   int64 // Unix milliseconds, or 0
 }
 
-// Directory is a stand-in directory: it answers queries by DNS over UDP.
+// host returns the entry's host name.
+func (e Entry) host() string { return e.Name + "." + e.Zone + ".hosts" }
+
+// Directory is a fake discovery server: it answers queries by DNS over UDP with its endpoint list.
 type Directory struct {
-	pc     net.PacketConn
+	conn  net.PacketConn
+	ended chan struct{}
+
 	mu     sync.Mutex
 	serial uint32
 	list   []Entry
-	told   map[uint32]time.Time // when an answer first held an event
+	told   map[uint32]time.Time // by serial, when it was first answered with
 }
 
-// NewDirectory starts a directory with a list as its first event.
+// NewDirectory starts a discovery server with a list of serial 1.
 func NewDirectory(addr string, list []Entry) (*Directory, error) {
-	pc, err := net.ListenPacket("udp", addr)
+	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Directory{pc: pc, serial: 1, list: list, told: map[uint32]time.Time{}}
-	go func() {
-		for b := make([]byte, 512); ; {
-			n, from, err := pc.ReadFrom(b)
-			if err != nil {
-				return
-			}
-			if n > 12 {
-				pc.WriteTo(d.answer(b[:n]), from)
-			}
-		}
-	}()
+	d := &Directory{conn: conn, ended: make(chan struct{}), serial: 1, list: list, told: map[uint32]time.Time{}}
+	go d.serve()
 	return d, nil
 }
 
-// Addr is where it listens.
-func (d *Directory) Addr() string { return d.pc.LocalAddr().String() }
+// Addr returns the address that the server listens on.
+func (d *Directory) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set puts another list in place, as the next event, and returns its number.
+// Set replaces the list and returns the new one's serial.
 func (d *Directory) Set(list []Entry) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,75 +73,89 @@
 	return d.serial
 }
 
-// Told is when an answer first held an event or one behind it; zero before.
+// Told returns when a query was first answered with the list of a serial, or the zero time.
 func (d *Directory) Told(serial uint32) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.told[serial]
 }
 
-// Close ends it.
-func (d *Directory) Close() { d.pc.Close() }
+// Close ends the server, and returns once it has ended. It may be called again.
+func (d *Directory) Close() {
+	d.conn.Close()
+	<-d.ended
+}
+
+// serve answers queries until the socket is closed.
+func (d *Directory) serve() {
+	defer close(d.ended)
+	query := make([]byte, maxQuerySize)
+	for {
+		n, from, err := d.conn.ReadFrom(query)
+		if err != nil {
+			return
+		}
+		if n > dnsHeaderSize {
+			d.conn.WriteTo(d.answer(query[:n]), from)
+		}
+	}
+}
 
-// answer adds the list to a query (RFC 1035, section 4.1; RFC 2782).
+// answer answers a query with the whole list, whatever the question: SRV records, the zone's serial, and each host's
+// addresses and labels.
 func (d *Directory) answer(query []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ok := d.told[d.serial]; !ok {
+	if _, known := d.told[d.serial]; !known {
 		d.told[d.serial] = time.Now()
 	}
-	b := bytes.Clone(query)
-	b[2] |= 0x80
-	record := func(section int, name string, typ uint16, data []byte) {
-		binary.BigEndian.PutUint16(b[section:], binary.BigEndian.Uint16(b[section:])+1)
-		b = append(b, labels(name)...)
-		b = append(binary.BigEndian.AppendUint16(b, typ), 0, 1, 0, 0, 0, 1)
-		b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
+	response := newDNSResponse(query)
+	for _, entry := range d.list {
+		response.addService(entry)
 	}
-	host := func(e Entry) string { return e.Name + "." + e.Zone + ".hosts" }
-	for _, e := range d.list {
-		a, err := net.ResolveTCPAddr("tcp", e.Addr)
-		if err != nil {
-			continue
-		}
-		data := []byte{0, 0, 0, 10}
-		if e.Draining {
-			data[1] = 1
-		}
-		data = binary.BigEndian.AppendUint16(data, uint16(a.Port))
-		record(6, "_back._tcp.pool.lan", 33, append(data, labels(host(e))...))
+	response.add(sectionAuthority, zoneName, recordSOA, soaData(zoneName, d.serial))
+	for _, entry := range d.list {
+		response.addHost(entry)
 	}
-	soa := append(labels("pool.lan"), labels("pool.lan")...)
-	record(8, "pool.lan", 6, append(binary.BigEndian.AppendUint32(soa, d.serial), make([]byte, 16)...))
-	for _, e := range d.list {
-		a, err := net.ResolveTCPAddr("tcp", e.Addr)
-		if err != nil {
-			continue
-		}
-		record(10, host(e), 1, a.IP.To4())
-		texts := []string{"kind=" + e.Kind, fmt.Sprintf("cell=%d", e.Cell), fmt.Sprintf("started=%d", e.Started)}
-		for _, more := range e.More {
-			switch network, addr, _ := strings.Cut(more, ":"); network {
-			case "unix":
-				texts = append(texts, "unix="+addr)
-			case "tcp6":
-				if ip, err := net.ResolveTCPAddr("tcp6", addr); err == nil {
-					record(10, host(e), 28, ip.IP.To16())
-				}
-			}
-		}
-		var text []byte
-		for _, s := range texts {
-			text = append(append(text, byte(len(s))), s...)
-		}
-		record(10, host(e), 16, text)
+	return response.message
+}
+
+// addService adds an endpoint's SRV record. An address that can't be read is left out.
+func (r *dnsResponse) addService(entry Entry) {
+	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
+	if err != nil {
+		return
 	}
-	return b
+	priority := uint16(priorityReady)
+	if entry.Draining {
+		priority = priorityDraining
+	}
+	data := srvData(priority, endpointWeight, uint16(addr.Port), entry.host())
+	r.add(sectionAnswer, serviceName, recordSRV, data)
 }
 
-func labels(name string) (b []byte) {
-	for label := range strings.SplitSeq(name, ".") {
-		b = append(append(b, byte(len(label))), label...)
+// addHost adds the addresses and labels of an endpoint's host. IPv6 has records of its own; a Unix socket is a label.
+func (r *dnsResponse) addHost(entry Entry) {
+	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
+	if err != nil {
+		return
+	}
+	r.add(sectionAdditional, entry.host(), recordA, addr.IP.To4())
+	labels := []string{
+		"kind=" + entry.Kind,
+		fmt.Sprintf("cell=%d", entry.Cell),
+		fmt.Sprintf("started=%d", entry.Started),
+	}
+	for _, more := range entry.MoreAddrs {
+		network, address, _ := strings.Cut(more, ":")
+		switch network {
+		case "unix":
+			labels = append(labels, "unix="+address)
+		case "tcp6":
+			if ipv6, err := net.ResolveTCPAddr("tcp6", address); err == nil {
+				r.add(sectionAdditional, entry.host(), recordAAAA, ipv6.IP.To16())
+			}
+		}
 	}
-	return append(b, 0)
+	r.add(sectionAdditional, entry.host(), recordTXT, txtData(labels))
 }
--- /dev/null
+++ b/internal/fake/event.go
@@ -0,0 +1,37 @@
+package fake
+
+import "time"
+
+// EventKind is what happened at a worker.
+type EventKind string
+
+// Kinds of events. The values are the words in which the example prints them.
+const (
+	EventStarted        EventKind = "run"    // a request was accepted
+	EventCompleted      EventKind = "done"   // it was worked on to its end
+	EventCanceled       EventKind = "stop"   // the router canceled it
+	EventConnectionLost EventKind = "broken" // the connection ended before its response
+	EventLoadOrdered    EventKind = "hold"   // the router ordered a replica
+	EventOverloaded     EventKind = "shed"   // a request was rejected, for the queue was full
+	EventNotLoaded      EventKind = "miss"   // a request was rejected, for its function was not loaded
+)
+
+// Event is something that happened at a worker.
+type Event struct {
+	At     time.Time
+	Worker *Worker
+	What   EventKind
+	ID     string // of the request; empty for a load order
+	Class  string // of the request; empty for a load order
+	Key    string // of the function
+}
+
+// Arrival reports whether the event is the arrival of a request or of a load order.
+func (e Event) Arrival() bool {
+	switch e.What {
+	case EventStarted, EventLoadOrdered, EventNotLoaded:
+		return true
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/fake/fake_test.go
@@ -0,0 +1,43 @@
+package fake
+
+import (
+	"runtime"
+	"testing"
+	"time"
+)
+
+const functionKey = "7f3a9c21e0b4d655"
+
+// newSite starts a site with one worker.
+func newSite(t *testing.T, cfg WorkerConfig, record func(Event)) *Site {
+	t.Helper()
+	cfg.Name = "s-1"
+	cfg.Addr = "127.0.0.1:0"
+	site, err := NewSite("127.0.0.1:0", []WorkerConfig{cfg}, record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(site.Close)
+	return site
+}
+
+// Work in progress, loads and connections end with their worker.
+func TestGoroutinesEndWithClose(t *testing.T) {
+	before := runtime.NumGoroutine()
+	started := make(chan Event, 16)
+	site := newSite(t, WorkerConfig{ServiceTime: time.Hour, LoadTime: time.Hour, Warm: true, Lanes: 1, Queue: 4}, func(e Event) { started <- e })
+	router := newRouterConn(t, site.Workers[0].Addr)
+	router.send("RUN", "1", "queue=dim-level,path="+functionKey, "")
+	if e := <-started; e.What != EventStarted || e.ID != "1" || e.Class != "dim-level" || e.Key != functionKey {
+		t.Errorf("%+v", e)
+	}
+	site.Close()
+	if e := <-started; e.What != EventConnectionLost {
+		t.Errorf("after the worker's end: %s", e.What)
+	}
+	for limit := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > before; time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+		}
+	}
+}
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -9,134 +9,185 @@
 	"time"
 )
 
-// Port is one address of a stand-in worker, which can be made to fail in ways of its own.
+// PortMode is how an address of a worker behaves.
+type PortMode string
+
+// Modes of an address.
+const (
+	ModeWell   PortMode = "well"
+	ModeRefuse PortMode = "refuse" // nothing listens
+	ModeStale  PortMode = "stale"  // a Unix socket's file exists and nothing listens
+	ModeMute   PortMode = "mute"   // requests are accepted and worked on, and never responded to
+	ModeReset  PortMode = "reset"  // connections are reset, new ones as soon as they are accepted
+	ModeFull   PortMode = "full"   // the backlog is full, so that dials hang
+)
+
+// Modes are all modes of an address, the good one first.
+var Modes = []PortMode{ModeWell, ModeRefuse, ModeStale, ModeMute, ModeReset, ModeFull}
+
+// How often, and after what pause, a port tries to listen while connections of its last mode end.
+const (
+	listenAttempts   = 50
+	listenRetryDelay = 10 * time.Millisecond
+)
+
+// Port is one address of a fake worker, which can be made to fail.
 type Port struct {
-	Network, Addr string
-	w             *Worker
-
-	mu    sync.Mutex
-	mode  string
-	ln    net.Listener
-	conns map[net.Conn]bool
-	fill  []net.Conn // full: what takes up the backlog
-}
+	Network string
+	Addr    string
+	worker  *Worker
+
+	accepting sync.WaitGroup
+	serving   sync.WaitGroup
 
-// Modes are the ways in which an address may be: well; refuse (nothing listens); stale (a Unix socket's file stands
-// there and nothing listens); mute (it takes all, works, and says nothing); reset (connections are reset, new ones
-// as soon as they are accepted); full (its backlog is full, so that dials hang).
-var Modes = []string{"well", "refuse", "stale", "mute", "reset", "full"}
+	mu       sync.Mutex
+	mode     PortMode
+	listener net.Listener
+	conns    map[net.Conn]struct{}
+	backlog  []net.Conn // ModeFull: what fills the listener's backlog
+}
 
-// Mode is how it is.
-func (p *Port) Mode() string {
+// Mode returns how the address behaves.
+func (p *Port) Mode() PortMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// Set has it be in a mode. Connections that are open stay, but for a reset.
-func (p *Port) Set(mode string) error {
+// Set changes how the address behaves. Open connections stay, except in ModeReset. If the address can't be listened on,
+// it is left in ModeRefuse.
+func (p *Port) Set(mode PortMode) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode == p.mode {
 		return nil
 	}
-	if p.ln != nil {
-		if u, ok := p.ln.(*net.UnixListener); ok {
-			u.SetUnlinkOnClose(mode != "stale")
-		}
-		p.ln.Close()
-		p.ln = nil
-	}
-	for _, c := range p.fill {
-		c.Close()
-	}
-	p.fill, p.mode = nil, mode
-	if mode == "refuse" || mode == "stale" {
+	p.stopListening(mode)
+	p.mode = mode
+	if mode == ModeRefuse || mode == ModeStale {
 		return nil
 	}
-	if p.Network == "unix" {
-		os.Remove(p.Addr)
-	}
-	var ln net.Listener
-	var err error
-	for range 50 { // connections of the mode before may still be going
-		if ln, err = net.Listen(p.Network, p.Addr); err == nil {
-			break
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	if err != nil {
-		p.mode = "refuse"
+	if err := p.listen(); err != nil {
+		p.mode = ModeRefuse
 		return fmt.Errorf("%s %s: %w", p.Network, p.Addr, err)
 	}
-	p.Addr, p.ln = ln.Addr().String(), ln
 	switch mode {
-	case "full":
-		p.fillUp()
-	case "reset":
-		for c := range p.conns {
-			reset(c)
-		}
-		go p.accept(ln, reset)
+	case ModeFull:
+		p.fillBacklog()
+	case ModeReset:
+		p.resetConns()
+		p.acceptWith(reset)
 	default:
-		go p.accept(ln, func(c net.Conn) {
-			p.mu.Lock()
-			if p.conns == nil {
-				p.conns = map[net.Conn]bool{}
-			}
-			p.conns[c] = true
-			p.mu.Unlock()
-			go p.w.serve(p, c)
-		})
+		p.acceptWith(p.startServing)
 	}
 	return nil
 }
 
-func (p *Port) accept(ln net.Listener, f func(net.Conn)) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
+// stopListening ends the last mode's listener. The port must be locked.
+func (p *Port) stopListening(next PortMode) {
+	if p.listener != nil {
+		if unix, ok := p.listener.(*net.UnixListener); ok {
+			unix.SetUnlinkOnClose(next != ModeStale)
 		}
-		f(c)
+		p.listener.Close()
+		p.listener = nil
+	}
+	for _, conn := range p.backlog {
+		conn.Close()
 	}
+	p.backlog = nil
 }
 
-// fillUp gives the listener the shortest backlog there is (listen(2)) and takes it up.
-func (p *Port) fillUp() {
-	if s, ok := p.ln.(syscall.Conn); ok {
+// listen opens the listener, once connections of the last mode leave the address. The port must be locked.
+func (p *Port) listen() (err error) {
+	if p.Network == "unix" {
+		os.Remove(p.Addr) // a stale socket's file
+	}
+	for range listenAttempts {
+		p.listener, err = net.Listen(p.Network, p.Addr)
+		if err == nil {
+			p.Addr = p.listener.Addr().String()
+			return nil
+		}
+		time.Sleep(listenRetryDelay)
+	}
+	p.listener = nil
+	return err
+}
+
+// acceptWith passes accepted connections to handle until the listener is closed. The port must be locked.
+func (p *Port) acceptWith(handle func(net.Conn)) {
+	listener := p.listener
+	p.accepting.Add(1)
+	go func() {
+		defer p.accepting.Done()
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			handle(conn)
+		}
+	}()
+}
+
+// startServing has the worker serve a connection.
+func (p *Port) startServing(conn net.Conn) {
+	p.mu.Lock()
+	if p.conns == nil {
+		p.conns = map[net.Conn]struct{}{}
+	}
+	p.conns[conn] = struct{}{}
+	p.mu.Unlock()
+	p.serving.Add(1)
+	go func() {
+		defer p.serving.Done()
+		p.worker.serve(p, conn)
+	}()
+}
+
+// fillBacklog gives the listener the shortest backlog there is (listen(2)) and fills it. The port must be locked.
+func (p *Port) fillBacklog() {
+	if s, ok := p.listener.(syscall.Conn); ok {
 		if raw, err := s.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
 		}
 	}
 	for range 4 {
-		c, err := net.DialTimeout(p.Network, p.Addr, 20*time.Millisecond)
+		conn, err := net.DialTimeout(p.Network, p.Addr, 20*time.Millisecond)
 		if err != nil {
 			return
 		}
-		p.fill = append(p.fill, c)
-	}
-}
-
-// reset ends a connection as a process that dies would.
-func reset(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		p.backlog = append(p.backlog, conn)
 	}
-	c.Close()
 }
 
-// reset ends all connections.
-func (p *Port) reset() {
+// shutDown refuses new connections and resets all that are open.
+func (p *Port) shutDown() {
+	p.Set(ModeRefuse)  // which cannot fail
+	p.accepting.Wait() // the last connection accepted is known
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
-		reset(c)
+	p.resetConns()
+}
+
+// resetConns resets all open connections. The port must be locked.
+func (p *Port) resetConns() {
+	for conn := range p.conns {
+		reset(conn)
 	}
 }
 
-func (p *Port) forget(c net.Conn) {
+func (p *Port) forget(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.conns, c)
+	delete(p.conns, conn)
+}
+
+// reset ends a connection as a process that dies would.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
+	}
+	conn.Close()
 }
--- /dev/null
+++ b/internal/fake/replica.go
@@ -0,0 +1,65 @@
+package fake
+
+import "time"
+
+// replica is a function that is loaded, or being loaded, at a worker. Its worker's lock guards it.
+type replica struct {
+	ready    bool
+	lastUsed time.Time
+	busy     int          // lanes in use
+	waiting  []*execution // for a lane, or for the load
+	onLoaded []func()     // responses to load orders that came during the load
+}
+
+// replica returns a function's replica or nil, without one that was idle for too long. The worker must be locked.
+func (w *Worker) replica(function string) *replica {
+	r := w.replicas[function]
+	if r != nil && w.expired(r) {
+		delete(w.replicas, function)
+		r = nil
+	}
+	if r == nil && w.Warm {
+		r = &replica{ready: true, lastUsed: time.Now()}
+		w.replicas[function] = r
+	}
+	return r
+}
+
+func (w *Worker) expired(r *replica) bool {
+	return r.ready && r.busy == 0 && w.KeepAlive > 0 && time.Since(r.lastUsed) > w.KeepAlive
+}
+
+// startLoad begins to load a replica. The worker must be locked.
+func (w *Worker) startLoad(function string) *replica {
+	r := &replica{}
+	w.replicas[function] = r
+	w.after(w.LoadTime, func() { w.loaded(r) })
+	return r
+}
+
+// loaded ends the load of a replica: waiting requests begin, and load orders are responded to.
+func (w *Worker) loaded(r *replica) {
+	w.mu.Lock()
+	r.ready = true
+	r.lastUsed = time.Now()
+	respond := r.onLoaded
+	r.onLoaded = nil
+	w.startWaiting(r)
+	w.mu.Unlock()
+	for _, f := range respond {
+		f()
+	}
+}
+
+// startWaiting begins requests that wait while lanes are free. The worker must be locked.
+func (w *Worker) startWaiting(r *replica) {
+	for r.ready && len(r.waiting) > 0 && r.busy < max(w.Lanes, 1) {
+		e := r.waiting[0]
+		r.waiting = r.waiting[1:]
+		if e.over {
+			continue
+		}
+		r.busy++
+		w.after(w.ServiceTime, func() { e.complete(r) })
+	}
+}
