--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -3,21 +3,12 @@
 import (
 	"fmt"
 	"io"
-	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"slices"
-	"strings"
-	"testing"
-	"testing/fstest"
 	"time"
 
 	"crankhold/internal/fake"
-	"crankhold/internal/lang"
-	"crankhold/internal/route"
 )
 
-// Config measures the configuration language and the routing that it describes.
+// Config measures the routes language and the routing that it describes.
 type Config struct {
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
@@ -26,121 +17,21 @@
 	Seed   uint64        `help:"Of the load." default:"1"`
 }
 
-// The two files that take each other's place every second. Both send dim-level to the large workers, with
-// different caps, and repair-order to the large and small ones; fault-check changes sides. Names and order differ.
+// What must hold of the costs.
 const (
-	routesA = `pool "fast" {
-	workers { kind = "large" }
-	cap = 24
-	load-orders = 40%
-	fallback = "spare"
-	spill = 20%
-}
-pool "checks" { workers { kind = "small" } }
-pool "orders" { workers { kind = "large", "small" } }
-pool "spare" { workers { kind = "spare" } }
-policy "tight" {
-	attempts = 2
-	again-if-ran = 0
-}
-route "dim" {
-	class = "dim-level"
-	pool = "fast"
-	policy = "tight"
-}
-route "check" {
-	class = "fault-check"
-	pool = "checks"
-}
-route "order" {
-	class = "repair-order"
-	pool = "orders"
-}
-`
-	routesB = `route "orders" {
-	class = "repair-order"
-	pool = "both"
-}
-route "checks" {
-	class = "fault-check"
-	pool = "spare"
-}
-route "dims" {
-	class = "dim-level"
-	pool = "fast"
-	policy = "tight"
-}
-policy "tight" { attempts = 2 }
-pool "both" { workers { kind = "large", "small" } }
-pool "fast" {
-	workers { kind = "large" }
-	cap = 16
-	load-orders = 40%
-	fallback = "spare"
-	spill = 20%
-}
-pool "spare" { workers { kind = "spare" } }
-`
-	spillShare = 0.20
+	maxMatchNanoseconds  = 1000
+	maxCheckMilliseconds = 200
 )
 
-var labWaits = map[string]time.Duration{"dim-level": 2 * time.Second, "fault-check": 2500 * time.Millisecond, "repair-order": 3 * time.Second}
-
-// pools watches where calls run and how many of the capped pool's are out.
-type pools struct {
-	caps      []int // of the file in force, and of the one before while that may still count
-	fits      [2]func(class, kind string) bool
-	file      int       // in force
-	since     time.Time // a reload to it was confirmed; zero while one is under way
-	out, peak int
-	outside   int
-	over      int
-	spilledAt map[string]time.Time
-}
-
-// settle is how long after the log says that a reload is done a message sent before it may still arrive.
-const settle = 50 * time.Millisecond
-
-func (p *pools) watch(e fake.Event, r *record) {
-	s := r.calls[e.ID]
-	if s == nil {
-		return
-	}
-	kind := e.Worker.Kind
-	if s.class == "dim-level" && kind == "large" {
-		switch e.What {
-		case "run":
-			p.out++
-			p.peak = max(p.peak, p.out)
-			limit := p.caps[p.file]
-			if p.since.IsZero() || s.at.Sub(p.since) < settle {
-				limit = max(p.caps[0], p.caps[1]) // it may go under the file before, to its end
-			}
-			if p.out > limit {
-				p.over++
-			}
-		case "done", "stop", "broken":
-			p.out--
-		}
-	}
-	if _, known := p.spilledAt[e.ID]; !known && s.class == "dim-level" && kind == "spare" {
-		p.spilledAt[e.ID] = e.At // its first sign there, run or not
-	}
-	if e.What != "run" {
-		return
-	}
-	sure := !p.since.IsZero() && s.at.Sub(p.since) > settle
-	if ok := p.fits[p.file](s.class, kind); !ok && (sure || !p.fits[1-p.file](s.class, kind)) {
-		p.outside++
-	}
-}
+// burstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
+const burstSize = 60
 
 // Run measures look-ups and checks, and then a load with a reload each second and the death of a pool.
 func (c Config) Run(out io.Writer) error {
 	f := &figures{}
 	for _, n := range []int{10, 1000} {
 		ns, allocs := matchCost(n)
-		f.must(fmt.Sprintf("match_ns_%d", n), ns, ns < 1000)
+		f.must(fmt.Sprintf("match_ns_%d", n), ns, ns < maxMatchNanoseconds)
 		f.must(fmt.Sprintf("match_allocs_%d", n), allocs, allocs == 0)
 	}
 	lines, ms, err := checkCost(10000)
@@ -148,289 +39,245 @@
 		return err
 	}
 	f.add("check_lines", lines)
-	f.must("check_ms", ms, ms < 200)
-	if err := c.load(out, f); err != nil {
+	f.must("check_ms", ms, ms < maxCheckMilliseconds)
+	run, err := c.load()
+	if err != nil {
 		return err
 	}
+	run.printPhases(out)
+	run.report(f)
 	return f.print(out)
 }
 
-// manyRoutes words a file of about so many lines, and as many routes as fit.
-func manyRoutes(lines int) string {
-	var b strings.Builder
-	b.WriteString("pool \"p\" {}\npolicy \"k\" {\n\tattempts = 2\n}\nroute \"rest\" {\n\tpool = \"p\"\n}\n")
-	for i := range (lines - 7) / 6 {
-		fmt.Fprintf(&b, "route \"r%d\" {\n\tfunction = \"%04x*\", \"%016x\"\n\ttenant = \"t%d\"\n\tpool = \"p\"\n\tpolicy = \"k\"\n}\n", i, i, uint64(i+1)*0x9e3779b97f4a7c15, i%40)
+// loadLength returns how long the load lasts.
+func (c Config) loadLength() time.Duration {
+	switch {
+	case c.Length > 0:
+		return c.Length
+	case c.Short:
+		return 20 * time.Second
+	default:
+		return time.Minute
 	}
-	return b.String()
 }
 
-func checked(text string) (*lang.Result, error) {
-	r, err := lang.Check(fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}, "main.crank", "", nil)
-	if err == nil {
-		err = r.Err()
-	}
-	return r, err
+// configRun is one load with reloads and the death of a pool, and what came of it.
+type configRun struct {
+	*record
+	pools   *poolWatch
+	bed     *fake.Testbed
+	router  *process
+	routes  string // the path of the routes file
+	reloads int
+	extra   int // responses to no request
+
+	begun time.Time
+	dies  time.Time // the large workers are killed
+	back  time.Time // and started again
+	end   time.Time
 }
 
-// matchCost times a look-up.
-func matchCost(routes int) (ns float64, allocs int64) {
-	r, err := checked(manyRoutes(6*routes + 1))
+// load starts a router before workers of three kinds, and loads it.
+func (c Config) load() (*configRun, error) {
+	program, err := findRouter(c.Router)
 	if err != nil {
-		return -1, -1
+		return nil, err
 	}
-	t, err := route.Compile(&r.Spec, r.Classes())
+	run := &configRun{record: newRecord(), pools: newPoolWatch()}
+	run.record.watch = run.pools.event
+	if err := run.start(program); err != nil {
+		return nil, err
+	}
+	defer run.bed.Close()
+	defer run.router.stop()
+	clients, err := dialClients(run.router.listen, mixedLoadClients)
 	if err != nil {
-		return -1, -1
+		return nil, err
 	}
-	b := testing.Benchmark(func(b *testing.B) {
-		b.ReportAllocs()
-		for i := range uint64(b.N) {
-			t.Match(route.Request{Front: route.Webhook, Function: i * 0x9e3779b97f4a7c15, Tenant: "t7"})
-		}
-	})
-	return float64(b.T.Nanoseconds()) / float64(b.N), b.AllocsPerOp()
-}
+	defer closeClients(clients)
 
-// checkCost times the check of a long file, the best of three.
-func checkCost(lines int) (n int, ms float64, err error) {
-	text := manyRoutes(lines)
-	for i := range 3 {
-		begun := time.Now()
-		if _, err := checked(text); err != nil {
-			return 0, 0, err
-		}
-		if took := float64(time.Since(begun).Microseconds()) / 1000; i == 0 || took < ms {
-			ms = took
+	length := c.loadLength()
+	run.begun = time.Now()
+	run.dies = run.begun.Add(length * 4 / 10)
+	run.back = run.begun.Add(length * 6 / 10)
+	run.end = run.begun.Add(length)
+	disturbed := make(chan error, 1)
+	go func() { disturbed <- run.disturb() }()
+	load := newMixedLoad(run.record, clients, c.Rate, length, c.Seed)
+	load.burst = func(n int) int {
+		if n%c.Rate == c.Rate/2 {
+			return burstSize
 		}
+		return 0
+	}
+	load.run(run.begun)
+	if err := <-disturbed; err != nil {
+		return nil, err
 	}
-	return strings.Count(text, "\n"), ms, nil
+	run.extra = awaitResponses(clients)
+	return run, nil
 }
 
-// load runs the load.
-func (c Config) load(out io.Writer, f *figures) error {
-	path, err := findRouter(c.Router)
+// start starts the fakes and the router, which routes by routesA.
+func (r *configRun) start(program string) error {
+	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
+		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
+	kinds := []string{kindLarge, kindLarge, kindSmall, kindSmall, kindSpare}
+	for i := range workers {
+		workers[i].Kind = kinds[i%len(kinds)]
+	}
+	bed, err := startTestbed(workers, r.event)
 	if err != nil {
 		return err
 	}
-	length := c.Length
-	if length == 0 {
-		length = time.Minute
-		if c.Short {
-			length = 20 * time.Second
-		}
+	r.bed = bed
+	r.routes = bed.Path("routes.crank")
+	if err := r.writeRoutes(0); err != nil {
+		bed.Close()
+		return err
 	}
-	dir, err := os.MkdirTemp("", "crankhold-lab-")
+	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+r.routes)
 	if err != nil {
+		bed.Close()
 		return err
 	}
-	defer os.RemoveAll(dir)
-	r := newRecord()
-	p := &pools{caps: []int{24, 16}, spilledAt: map[string]time.Time{}}
-	fits := func(check string) func(class, kind string) bool {
-		return func(class, kind string) bool {
-			switch class {
-			case "dim-level":
-				return kind == "large" || kind == "spare"
-			case "fault-check":
-				return kind == check
+	r.pools.reloadEnds()
+	return nil
+}
+
+func (r *configRun) writeRoutes(file int) error {
+	_, err := r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
+	return err
+}
+
+// disturb reloads the other routes file each second, and kills the large workers for a time.
+func (r *configRun) disturb() error {
+	dead := false
+	for n := 1; ; n++ {
+		next := r.begun.Add(time.Duration(n) * time.Second)
+		if next.After(r.end) {
+			return nil
+		}
+		time.Sleep(time.Until(next))
+		now := time.Now()
+		switch {
+		case !dead && now.After(r.dies) && now.Before(r.back):
+			r.killPool()
+			dead = true
+		case dead && now.After(r.back):
+			if err := r.restartPool(); err != nil {
+				return err
 			}
-			return kind == "large" || kind == "small"
+			dead = false
 		}
-	}
-	p.fits = [2]func(class, kind string) bool{fits("small"), fits("spare")}
-	r.watch = p.watch
-	var workers []fake.WorkerConfig
-	for i := range 12 {
-		kind := []string{"large", "large", "small", "small", "spare"}[i%5]
-		workers = append(workers, fake.WorkerConfig{Name: fmt.Sprintf("s-%d", i+1), Addr: "127.0.0.1:0", Kind: kind, Zone: "here",
-			ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
-	}
-	site, err := fake.NewSite("127.0.0.1:0", workers, r.event)
-	if err != nil {
-		return err
-	}
-	defer site.Close()
-	listen, err := fake.FreeAddr()
-	if err != nil {
-		return err
-	}
-	config, routes := filepath.Join(dir, "config.json"), filepath.Join(dir, "routes.crank")
-	write := func(text string) error { // as an editor would: never half
-		if err := os.WriteFile(routes+".new", []byte(text), 0o644); err != nil {
+		if err := r.reload(n % len(watchedRoutes)); err != nil {
 			return err
 		}
-		return os.Rename(routes+".new", routes)
-	}
-	if err := write(routesA); err != nil {
-		return err
 	}
-	if err := site.WriteConfig(config, listen); err != nil {
-		return err
+}
+
+// poolWorkers returns the workers of the pool that dies.
+func (r *configRun) poolWorkers() (list []*fake.Worker) {
+	for _, w := range r.bed.Site.Workers {
+		if w.Kind == kindLarge {
+			list = append(list, w)
+		}
 	}
-	router, err := startRouter(path, listen, "EDGE_CONFIG="+config, "CRANKHOLD_ROUTES="+routes)
-	if err != nil {
-		return err
+	return list
+}
+
+func (r *configRun) killPool() {
+	for _, w := range r.poolWorkers() {
+		w.Kill()
 	}
-	defer router.stop()
-	p.since = time.Now()
+}
 
-	var clients []*fake.Client
-	for range 8 {
-		k, err := fake.Dial(listen)
-		if err != nil {
+func (r *configRun) restartPool() error {
+	for _, w := range r.poolWorkers() {
+		if err := w.Start(); err != nil {
 			return err
 		}
-		defer k.Close()
-		clients = append(clients, k)
-	}
-	begun := time.Now()
-	dies, back := begun.Add(length*4/10), begun.Add(length*6/10)
-	ended := make(chan struct{})
-	reloads, reloadErr := 0, error(nil)
-	go func() { // reloads, and the death of a pool
-		defer close(ended)
-		dead := false
-		for n := 1; ; n++ {
-			next := begun.Add(time.Duration(n) * time.Second)
-			if next.After(begun.Add(length)) {
-				return
-			}
-			time.Sleep(time.Until(next))
-			if now := time.Now(); dead != (now.After(dies) && now.Before(back)) {
-				dead = !dead
-				for _, w := range site.Workers {
-					if w.Kind == "large" && dead {
-						w.Kill()
-					} else if w.Kind == "large" {
-						if err := w.Start(); err != nil {
-							reloadErr = err
-							return
-						}
-					}
-				}
-			}
-			r.mu.Lock()
-			p.file, p.since = n%2, time.Time{}
-			r.mu.Unlock()
-			if reloadErr = write([]string{routesA, routesB}[n%2]); reloadErr != nil {
-				return
-			}
-			if reloadErr = router.reload(); reloadErr != nil {
-				return
-			}
-			reloads++
-			r.mu.Lock()
-			p.since = time.Now()
-			r.mu.Unlock()
-		}
-	}()
-	random := rand.New(rand.NewPCG(c.Seed, 7))
-	every := time.Second / time.Duration(c.Rate)
-	for n := 0; time.Since(begun) < length; n++ {
-		time.Sleep(time.Until(begun.Add(time.Duration(n) * every)))
-		class := []string{"dim-level", "dim-level", "fault-check", "repair-order"}[random.IntN(4)]
-		burst := 1
-		if n%c.Rate == c.Rate/2 {
-			class, burst = "dim-level", 60 // more at once than the cap
-		}
-		for range burst {
-			r.call(clients[random.IntN(len(clients))], fake.Call{Class: class, ID: fmt.Sprintf("%016x", random.Uint64()),
-				Key: fmt.Sprintf("%016x", uint64(1+random.IntN(12))*0x1111111111111111), Wait: labWaits[class], Props: "memory_mb:256;lanes:8;load_ms:300", Body: []byte("x")})
-		}
 	}
-	<-ended
-	if reloadErr != nil {
-		return reloadErr
+	return nil
+}
+
+// reload replaces the routes file and has the router follow.
+func (r *configRun) reload(file int) error {
+	r.mu.Lock()
+	r.pools.reloadBegins(file)
+	r.mu.Unlock()
+	if err := r.writeRoutes(file); err != nil {
+		return err
 	}
-	extra := 0
-	for _, k := range clients {
-		for limit := time.Now().Add(4 * time.Second); k.Open() > 0 && time.Now().Before(limit); {
-			time.Sleep(10 * time.Millisecond)
-		}
-		extra += k.Extra()
+	if err := r.router.reload(); err != nil {
+		return err
 	}
-	router.stop()
+	r.reloads++
+	r.mu.Lock()
+	r.pools.reloadEnds()
+	r.mu.Unlock()
+	return nil
+}
+
+// printPhases prints a row for each class before, during and after the death of the pool.
+func (r *configRun) printPhases(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost, late, doubled, orders, breaches := r.rules("repair-order")
 	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
-	for _, ph := range []struct {
+	for _, phase := range []struct {
 		name     string
 		from, to time.Time
-	}{{"before the pool dies", begun, dies}, {"while it is dead", dies.Add(time.Second), back}, {"after its return", back.Add(time.Second), begun.Add(length)}} {
-		for _, class := range []string{"dim-level", "fault-check", "repair-order"} {
-			by, n := r.totals(class, ph.from, ph.to)
-			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", ph.name+", "+class[:3], n, by["served"], by["refused"], by["failed"])
-		}
-	}
-	returned := -1
-	for s := 0; s < 60 && returned < 0; s++ {
-		from := back.Add(time.Duration(s) * time.Second)
-		if by, n := r.totals("dim-level", from, from.Add(time.Second)); n > 0 && by["served"]*100 >= n*95 {
-			returned = s
+	}{
+		{"before the pool dies", r.begun, r.dies},
+		{"while it is dead", r.dies.Add(time.Second), r.back},
+		{"after its return", r.back.Add(time.Second), r.end},
+	} {
+		for _, class := range classes {
+			t := r.tally(class, phase.from, phase.to)
+			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class[:3], t.sent, t.served, t.rejected, t.failed)
 		}
 	}
-	f.must("seconds_until_95_in_100", returned, returned >= 0)
-	f.add("calls", len(r.order))
-	f.must("reloads", reloads, reloads > 0)
-	f.must("lost", lost, lost == 0)
-	f.must("late", late, late == 0)
-	f.must("extra_answers", extra, extra == 0)
-	f.add("orders", orders)
-	f.must("doubled", doubled, doubled == 0)
-	f.must("outside_pool", p.outside, p.outside == 0)
-	f.must("ration_breaches", breaches, breaches == 0)
-	f.must("over_cap", p.over, p.over == 0)
-	f.must("peak_of_cap", fmt.Sprintf("%d/24", p.peak), p.peak <= 24 && p.peak >= 16)
-	spilled, share := len(p.spilledAt), r.spillShare(p.spilledAt)
-	f.must("spilled", spilled, spilled > 0)
-	f.must("spill_share_max", share, share <= spillShare*1.02)
-	f.add("loads_in_10s_after_return", r.holds(back, back.Add(10*time.Second)))
-	f.add("p99_ms", float64(r.percentile("", 0.99).Microseconds())/1000)
-	return nil
 }
 
-// spillShare is the largest share that the spilled calls of any ten seconds were of the class's calls in them,
-// windows with fewer than 100 calls left out.
-func (r *record) spillShare(spilled map[string]time.Time) float64 {
-	const span = 10 * time.Second
-	var came, left []time.Time
-	for _, s := range r.order {
-		if s.class == "dim-level" {
-			came = append(came, s.at)
-		}
-	}
-	for _, at := range spilled {
-		left = append(left, at)
-	}
-	slices.SortFunc(left, time.Time.Compare)
-	count := func(list []time.Time, to time.Time) (n int) {
-		for _, at := range list {
-			if !at.After(to) && at.After(to.Add(-span)) {
-				n++
-			}
-		}
-		return n
-	}
-	worst := 0.0
-	for i, to := range left {
-		if i%7 > 0 && len(left) > 2000 {
-			continue // a sample where there are many
-		}
-		if n := count(came, to); n >= 100 {
-			worst = max(worst, float64(count(left, to))/float64(n))
+// secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
+// a second, or -1.
+func (r *configRun) secondsUntilServed() int {
+	for s := range 60 {
+		from := r.back.Add(time.Duration(s) * time.Second)
+		t := r.tally(classDimLevel, from, from.Add(time.Second))
+		if t.sent > 0 && t.served*100 >= t.sent*95 {
+			return s
 		}
 	}
-	return worst
+	return -1
 }
 
-// holds counts load orders.
-func (r *record) holds(from, to time.Time) (n int) {
-	for _, e := range r.events {
-		if e.What == "hold" && !e.At.Before(from) && e.At.Before(to) {
-			n++
-		}
-	}
-	return n
+// maxSpillTolerance is what the platform allows for requests that are under way.
+const maxSpillTolerance = 1.02
+
+// report adds the load's figures.
+func (r *configRun) report(f *figures) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	v := r.violations(classRepairOrder)
+	returned := r.secondsUntilServed()
+	f.must("seconds_until_95_in_100", returned, returned >= 0)
+	f.add("calls", len(r.requests))
+	f.must("reloads", r.reloads, r.reloads > 0)
+	f.mustBeZero("lost", v.lost)
+	f.mustBeZero("late", v.late)
+	f.mustBeZero("extra_answers", r.extra)
+	f.add("orders", v.orders)
+	f.mustBeZero("doubled", v.doubled)
+	f.mustBeZero("outside_pool", r.pools.outsidePool)
+	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
+	f.mustBeZero("over_cap", r.pools.overCap)
+	peak := r.pools.maxInFlight
+	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
+	spilled := len(r.pools.overflowed)
+	share := r.pools.maxOverflowShare(r.record)
+	f.must("spilled", spilled, spilled > 0)
+	f.must("spill_share_max", share, share <= spillLimit*maxSpillTolerance)
+	f.add("loads_in_10s_after_return", r.loadOrdersBetween(r.back, r.back.Add(10*time.Second)))
+	f.add("p99_ms", r.latencyPercentile(0.99))
 }
--- /dev/null
+++ b/internal/benchmark/corefleet.go
@@ -0,0 +1,174 @@
+package benchmark
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/internal/timerheap"
+	"crankhold/policy"
+)
+
+// How long the workers in virtual time take, and how long they keep an idle replica.
+const (
+	coreServiceTime   = 80 * time.Millisecond
+	coreRejectionTime = time.Millisecond
+	coreLoadTime      = 300 * time.Millisecond
+	coreKeepAlive     = 10 * time.Second
+	coreTimeout       = 2 * time.Second // of a request
+)
+
+// functionsPerWorker is how many functions are requested for each worker.
+const functionsPerWorker = 3
+
+// replicaID names a function at a worker.
+type replicaID struct {
+	worker   policy.WorkerID
+	function policy.FunctionID
+}
+
+// coreFleet is a router's core with the workers and clients around it, in virtual time. It implements
+// router.WorkerClient for the workers and router.Responder for the clients.
+type coreFleet struct {
+	core      *router.Core
+	workers   int
+	now       time.Duration
+	responses timerheap.Heap[func()]      // of workers, under way
+	replicas  map[replicaID]time.Duration // when they are unloaded
+	random    *rand.Rand
+	nextTurn  time.Duration // when the core wants to be called again
+	responded int
+}
+
+func newCoreFleet(workers int) (*coreFleet, error) {
+	module, err := policy.New(corePolicyConfig(), 1)
+	if err != nil {
+		return nil, err
+	}
+	f := &coreFleet{
+		core: router.New(module, router.Limits{MaxConcurrentRequests: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3,
+			LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond}),
+		workers:  workers,
+		now:      time.Hour,
+		replicas: map[replicaID]time.Duration{},
+		random:   rand.New(rand.NewPCG(1, 2)),
+	}
+	f.core.SetWorkerClient(f)
+	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
+	for n := range workers {
+		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(n + 1), State: policy.Ready, Weight: 1})
+	}
+	f.core.SetEndpoints(list)
+	f.nextTurn = f.core.Process(f.now)
+	return f, nil
+}
+
+func corePolicyConfig() policy.Config {
+	return policy.Config{
+		Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3,
+		CancelSupported: true, HealthCheckSupported: true, HedgingAllowed: true, LoadOrdersSupported: true,
+		MissWhenNotLoaded: true, LoadStatusReported: true, RetryAfterSupported: true, MaxRetryAfter: time.Second,
+		OverQuotaWeight: 1, KeepAlive: coreKeepAlive, LoadTimeout: 10 * time.Second,
+		LoadBudgetWindow: loadBudgetWindow, LoadBudgetMinimum: loadBudgetMinimum, LoadBudgetRatio: loadBudgetRatio,
+		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
+		Classes: []policy.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: coreTimeout, PriorityWeight: 3}},
+	}
+}
+
+// run sends requests at a constant rate.
+func (f *coreFleet) run(requests int) {
+	interval := time.Second / time.Duration(requestsPerWorker*f.workers)
+	for n := range requests {
+		f.advance(f.now + interval)
+		f.send(n)
+	}
+}
+
+// advance lets virtual time pass: responses reach the core, and it is called when it wants to be.
+func (f *coreFleet) advance(to time.Duration) {
+	for {
+		due := f.nextTurn
+		if response, ok := f.responses.Next(); ok {
+			due = min(due, response)
+		}
+		if due > to {
+			break
+		}
+		f.now = max(f.now, due)
+		f.core.SetNow(f.now)
+		for {
+			response, ok := f.responses.PopDue(f.now)
+			if !ok {
+				break
+			}
+			response.Value()
+		}
+		f.nextTurn = f.core.Process(f.now)
+	}
+	f.now = to
+}
+
+// send sends a request for a function, of which those with low numbers are requested more often.
+func (f *coreFleet) send(n int) {
+	functions := float64(functionsPerWorker * f.workers)
+	function := 1 + int(functions*f.random.Float64()*f.random.Float64())
+	f.core.Accept(f.now, router.Request{
+		Asker:    f,
+		ID:       fmt.Sprint(n, f.now),
+		Function: policy.FunctionID(function),
+		Lanes:    2,
+		LoadTime: coreLoadTime,
+		Deadline: f.now + coreTimeout,
+	})
+	f.nextTurn = f.core.Process(f.now)
+}
+
+// after has a response reach the core once d has passed.
+func (f *coreFleet) after(d time.Duration, respond func()) { f.responses.Add(f.now+d, respond) }
+
+// StartAttempt implements router.WorkerClient.
+func (f *coreFleet) StartAttempt(worker policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
+	id := replicaID{worker, request.Function}
+	if f.replicas[id] < f.now {
+		f.after(coreRejectionTime, func() {
+			f.core.AttemptCompleted(attempt, router.AttemptResult{Outcome: policy.NotLoaded})
+		})
+		return
+	}
+	f.replicas[id] = f.now + coreKeepAlive
+	f.after(coreServiceTime, func() {
+		f.core.AttemptCompleted(attempt, router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, LoadReport: []float64{1}})
+	})
+}
+
+// Load implements router.WorkerClient.
+func (f *coreFleet) Load(worker policy.WorkerID, function policy.FunctionID, _ int, tag uint64) {
+	f.after(coreLoadTime, func() {
+		f.replicas[replicaID{worker, function}] = f.now + coreKeepAlive
+		f.core.LoadCompleted(tag, policy.Served, 1)
+	})
+}
+
+// CheckHealth implements router.WorkerClient.
+func (f *coreFleet) CheckHealth(_ policy.WorkerID, tag uint64) {
+	f.after(time.Millisecond, func() { f.core.HealthCheckCompleted(tag, policy.Served, []float64{1}) })
+}
+
+// CancelAttempt implements router.WorkerClient. The worker finishes what it has begun.
+func (f *coreFleet) CancelAttempt(policy.WorkerID, router.Attempt) {}
+
+// WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw, for messages leave at once.
+func (f *coreFleet) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
+
+// AbandonCommand implements router.WorkerClient. Nothing is kept of a command.
+func (f *coreFleet) AbandonCommand(policy.WorkerID, uint64) {}
+
+// Unload implements router.WorkerClient. Replicas stay for their time.
+func (f *coreFleet) Unload(policy.WorkerID, policy.FunctionID) {}
+
+// CloseIdle implements router.WorkerClient. There are no connections.
+func (f *coreFleet) CloseIdle(policy.WorkerID) {}
+
+// Respond implements router.Responder.
+func (f *coreFleet) Respond(router.Response) { f.responded++ }
--- a/internal/benchmark/figures.go
+++ b/internal/benchmark/figures.go
@@ -6,35 +6,37 @@
 	"strings"
 )
 
-// figures collects what an experiment found, in the order in which it is told.
+// figures collects what an experiment found, in the order in which it is printed.
 type figures struct {
 	pairs  []string
-	broken []string
+	failed []string // pairs of figures that had to hold and did not
 }
 
 // add notes a figure.
 func (f *figures) add(name string, value any) {
-	switch v := value.(type) {
-	case float64:
-		f.pairs = append(f.pairs, fmt.Sprintf("%s=%.4g", name, v))
-	default:
-		f.pairs = append(f.pairs, fmt.Sprintf("%s=%v", name, v))
+	format := "%s=%v"
+	if _, isFloat := value.(float64); isFloat {
+		format = "%s=%.4g"
 	}
+	f.pairs = append(f.pairs, fmt.Sprintf(format, name, value))
 }
 
 // must notes a figure that has to hold.
 func (f *figures) must(name string, value any, holds bool) {
 	f.add(name, value)
 	if !holds {
-		f.broken = append(f.broken, f.pairs[len(f.pairs)-1])
+		f.failed = append(f.failed, f.pairs[len(f.pairs)-1])
 	}
 }
 
-// print writes the last line; the error names what does not hold.
+// mustBeZero notes a count of what may not happen.
+func (f *figures) mustBeZero(name string, count int) { f.must(name, count, count == 0) }
+
+// print writes the last line. The error names the figures that do not hold.
 func (f *figures) print(out io.Writer) error {
 	fmt.Fprintln(out, strings.Join(f.pairs, " "))
-	if len(f.broken) > 0 {
-		return fmt.Errorf("does not hold: %s", strings.Join(f.broken, " "))
+	if len(f.failed) > 0 {
+		return fmt.Errorf("does not hold: %s", strings.Join(f.failed, " "))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/benchmark/knee.go
@@ -0,0 +1,92 @@
+package benchmark
+
+import (
+	"fmt"
+	"io"
+)
+
+// kneeHalvings is how often the gap between a rate that the router keeps up with and one that it does not is halved.
+const kneeHalvings = 3
+
+// bracket holds the rates between which the knee is. A rate of 0 is not known yet.
+type bracket struct {
+	kept   int // the router kept up with it
+	missed int // it did not
+}
+
+// narrow takes in a measurement.
+func (b *bracket) narrow(m *measurement) {
+	if m.keepsUp() {
+		b.kept = m.rate
+	} else {
+		b.missed = m.rate
+	}
+}
+
+// middle returns the rate to measure next, or false if the bracket can't be narrowed.
+func (b *bracket) middle() (rate int, ok bool) {
+	rate = (b.kept + b.missed) / 2
+	return rate, b.missed != 0 && rate != b.kept
+}
+
+// knee finds the highest rate that the router keeps up with, and measures below it.
+func (l *loadRun) knee() error {
+	if err := l.warmUp(); err != nil {
+		return err
+	}
+	knee, err := l.findKnee()
+	if err != nil {
+		return err
+	}
+	f := &figures{}
+	f.must("knee", knee, knee > 0)
+	if knee == 0 {
+		return f.print(l.out)
+	}
+	for _, percent := range []int{50, 80} {
+		m, err := l.measure(knee * percent / 100)
+		if err != nil {
+			return err
+		}
+		f.add(fmt.Sprintf("p999_ms_at_%d", percent), m.latencyPercentile(99.9))
+		f.must(fmt.Sprintf("lost_at_%d", percent), m.lost, m.lost == 0)
+		if m.cores > 0 {
+			f.add(fmt.Sprintf("calls_per_core_at_%d", percent), float64(m.rate)/m.cores)
+		}
+	}
+	return f.print(l.out)
+}
+
+// warmUp loads the router at the first rate, so that replicas are loaded and connections made. It leaves no row.
+func (l *loadRun) warmUp() error {
+	warm := *l
+	warm.out = io.Discard
+	warm.log = nil
+	_, err := warm.measure(l.Rate)
+	return err
+}
+
+// findKnee doubles the rate until the router no longer keeps up, and then halves the gap. It returns 0 if the router
+// does not keep up with the first rate.
+func (l *loadRun) findKnee() (rate int, err error) {
+	var b bracket
+	for rate := l.Rate; b.missed == 0 && rate <= maxRate; rate *= 2 {
+		m, err := l.measure(rate)
+		if err != nil {
+			return 0, err
+		}
+		b.narrow(m)
+	}
+	for range kneeHalvings {
+		rate, ok := b.middle()
+		if !ok {
+			break
+		}
+		m, err := l.measure(rate)
+		if err != nil {
+			return 0, err
+		}
+		b.narrow(m)
+	}
+	return b.kept, nil
+}
--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -12,14 +12,14 @@
 func TestLoadStaysOnLoopbackAndWithinBounds(t *testing.T) {
 	for addr, ok := range map[string]bool{"127.0.0.1:80": true, "127.9.9.9:80": true, "[::1]:80": true, "10.0.0.1:80": false, "192.168.0.1:80": false,
 		"0.0.0.0:80": false, "example.org:80": false, "localhost:80": false, "127.0.0.1": false, "[::ffff:10.0.0.1]:80": false} {
-		if err := loopback(addr); (err == nil) != ok {
+		if err := checkLoopback(addr); (err == nil) != ok {
 			t.Errorf("%s: %v", addr, err)
 		}
 	}
 	for want, l := range map[string]Load{
 		"no loopback address": {Addr: "10.1.2.3:80", Rate: 1, Length: time.Second, Conns: 1, Keys: 1},
 		"is no address":       {Hook: "http://127.0.0.1/hooks", Rate: 1, Length: time.Second, Conns: 1, Keys: 1},
-		"out of bounds":       {Addr: "127.0.0.1:80", Rate: mostRate + 1, Length: time.Second, Conns: 1, Keys: 1},
+		"out of bounds":       {Addr: "127.0.0.1:80", Rate: maxRate + 1, Length: time.Second, Conns: 1, Keys: 1},
 	} {
 		if err := l.Run(io.Discard); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v, want %s", l, err, want)
@@ -39,11 +39,11 @@
 	}
 	defer ln.Close()
 	l := Load{Addr: ln.Addr().String(), Conns: 3}
-	stop, err := l.connect()
+	target, err := l.connect()
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop()
+	target.close()
 	for range 3 {
 		c, err := ln.Accept()
 		if err != nil {
--- /dev/null
+++ b/internal/benchmark/measurement.go
@@ -0,0 +1,140 @@
+package benchmark
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"crankhold/internal/fake"
+)
+
+// When a router keeps up with a rate.
+const (
+	minServedShare = 0.99
+	maxLatencyP99  = 400.0 // milliseconds
+)
+
+// The tool is behind with a request that leaves this long after it was due. A measurement in which it is behind with
+// more than one request in maxBehindOneIn says nothing of the router.
+const (
+	behindAfter    = 10 * time.Millisecond
+	maxBehindOneIn = 20
+)
+
+// measurement is what came of one rate.
+type measurement struct {
+	rate   int
+	sent   int64
+	behind int64   // requests that left late
+	cores  float64 // that the router used
+
+	mu                     sync.Mutex
+	served, rejected       int64
+	failed, lost, inFlight int64
+	latencies              *hdrhistogram.Histogram // of served requests, in microseconds
+}
+
+func newMeasurement(rate int) *measurement {
+	return &measurement{rate: rate, latencies: hdrhistogram.New(1, 60_000_000, 3)}
+}
+
+func (m *measurement) servedShare() float64 { return float64(m.served) / float64(max(m.sent, 1)) }
+
+// latencyPercentile returns a percentile, from 0 to 100, in milliseconds.
+func (m *measurement) latencyPercentile(p float64) float64 {
+	return float64(m.latencies.ValueAtPercentile(p)) / 1000
+}
+
+// keepsUp reports whether the router kept up with the rate.
+func (m *measurement) keepsUp() bool {
+	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && m.behind*maxBehindOneIn < m.sent
+}
+
+// begin counts a request that leaves, unless too many are in flight.
+func (m *measurement) begin() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.inFlight >= maxInFlight {
+		return fmt.Errorf("%d calls are open: the router answers none", maxInFlight)
+	}
+	m.inFlight++
+	m.sent++
+	return nil
+}
+
+// complete counts a response.
+func (m *measurement) complete(verdict fake.Verdict, latency time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.inFlight--
+	switch verdict {
+	case fake.Served:
+		m.served++
+		m.latencies.RecordValue(max(latency.Microseconds(), 1))
+	case fake.Rejected:
+		m.rejected++
+	case fake.Failed:
+		m.failed++
+	default:
+		m.lost++
+	}
+}
+
+func (m *measurement) requestsInFlight() int64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.inFlight
+}
+
+// measure loads the router at one rate, prints the row, and writes it to the log if there is one.
+func (l *loadRun) measure(rate int) (*measurement, error) {
+	m := newMeasurement(rate)
+	cpuBefore := l.target.cpuTime()
+	begun := time.Now()
+	m.latencies.SetStartTimeMs(begun.UnixMilli())
+	if err := l.sendAll(m, begun); err != nil {
+		return nil, err
+	}
+	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(begun).Seconds()
+	limit := time.Now().Add(l.Wait + time.Second)
+	for m.requestsInFlight() > 0 && time.Now().Before(limit) {
+		time.Sleep(5 * time.Millisecond)
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.lost += m.inFlight
+	m.latencies.SetEndTimeMs(time.Now().UnixMilli())
+	fmt.Fprintf(l.out, "%8d %8d %8d %8d %8d %6d %9.1f %9.1f %9.1f %7.2f\n", rate, m.sent, m.served, m.rejected, m.failed, m.lost,
+		m.latencyPercentile(50), m.latencyPercentile(99), m.latencyPercentile(99.9), m.cores)
+	if l.log == nil {
+		return m, nil
+	}
+	m.latencies.SetTag(strconv.Itoa(rate))
+	return m, l.log.OutputIntervalHistogram(m.latencies)
+}
+
+// sendAll sends each request when it is due. Latencies count from then.
+func (l *loadRun) sendAll(m *measurement, begun time.Time) error {
+	random := rand.New(rand.NewPCG(l.Seed, uint64(m.rate)))
+	interval := float64(time.Second) / float64(m.rate)
+	for n := 0; ; n++ {
+		due := begun.Add(time.Duration(float64(n) * interval))
+		if due.Sub(begun) >= l.Length {
+			return nil
+		}
+		time.Sleep(time.Until(due))
+		if time.Since(due) > behindAfter {
+			m.behind++
+		}
+		if err := m.begin(); err != nil {
+			return err
+		}
+		key := functionKey(random.IntN(l.Keys))
+		id := fmt.Sprintf("%016x", random.Uint64())
+		l.target.send(key, id, func(verdict fake.Verdict) { m.complete(verdict, time.Since(due)) })
+	}
+}
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -1,137 +1,204 @@
 package benchmark
 
 import (
-	"sort"
+	"slices"
 	"sync"
 	"time"
 
 	"crankhold/internal/fake"
 )
 
-// sent is a call as its client and the workers saw it.
-type sent struct {
+// lost is the verdict on a request whose connection ended before its response.
+const lost fake.Verdict = "lost"
+
+// responseSlack is how late a response may come on a loaded machine and still count, as on the platform.
+const responseSlack = 66 * time.Millisecond
+
+// The load budget of the fake site's configuration, and what the platform adds to it for orders that are under way on
+// sockets: a share and one order more.
+const (
+	loadBudgetWindow  = 10 * time.Second
+	loadBudgetMinimum = 4
+	loadBudgetRatio   = 0.3
+	loadBudgetSlack   = 1.15
+)
+
+// recordedRequest is a request as its client and the workers saw it.
+type recordedRequest struct {
 	class   string
-	at      time.Time
-	wait    time.Duration
-	verdict string        // "" until it is answered
-	took    time.Duration // until the answer
-	late    bool          // answered after its time, or never
-	runs    int           // at workers
-	at1     *fake.Worker  // the last one
+	sentAt  time.Time
+	verdict fake.Verdict // empty until its response
+	latency time.Duration
+	late    bool // its response came after its timeout
+	runs    int  // at workers
 }
 
+// isLost reports whether the request has no response.
+func (r *recordedRequest) isLost() bool { return r.verdict == "" || r.verdict == lost }
+
 // record is what happened in an experiment.
 type record struct {
-	mu     sync.Mutex
-	calls  map[string]*sent
-	order  []*sent
-	events []fake.Event
-	watch  func(e fake.Event, r *record) // called under the lock
+	mu       sync.Mutex
+	byID     map[string]*recordedRequest
+	requests []*recordedRequest // in the order in which they were sent
+	events   []fake.Event
+	// watch, which may be nil, is called for each event with the record locked.
+	watch func(e fake.Event, request *recordedRequest)
 }
 
-func newRecord() *record { return &record{calls: map[string]*sent{}} }
+func newRecord() *record { return &record{byID: map[string]*recordedRequest{}} }
 
-// event takes in what a worker saw.
+// event records what a worker saw.
 func (r *record) event(e fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, e)
-	if s := r.calls[e.ID]; s != nil && e.What == "run" {
-		s.runs++
-		s.at1 = e.Worker
+	request := r.byID[e.ID]
+	if request == nil {
+		return
+	}
+	if e.What == fake.EventStarted {
+		request.runs++
 	}
 	if r.watch != nil {
-		r.watch(e, r)
+		r.watch(e, request)
 	}
 }
 
-// call sends one and notes its answer.
-func (r *record) call(c *fake.Client, call fake.Call) *sent {
-	s := &sent{class: call.Class, at: time.Now(), wait: call.Wait}
+// call sends a request and records its response.
+func (r *record) call(c *fake.Client, call fake.Call) {
+	request := &recordedRequest{class: call.Class, sentAt: time.Now()}
 	r.mu.Lock()
-	r.calls[call.ID] = s
-	r.order = append(r.order, s)
+	r.byID[call.ID] = request
+	r.requests = append(r.requests, request)
 	r.mu.Unlock()
-	c.Go(call, func(a fake.Answer, err error) {
+	c.Go(call, func(answer fake.Answer, err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		s.took = time.Since(s.at)
-		s.verdict = a.Verdict
+		request.latency = time.Since(request.sentAt)
+		request.verdict = answer.Verdict
 		if err != nil {
-			s.verdict = "lost"
+			request.verdict = lost
 		}
-		s.late = s.took > call.Wait+answerSlack
+		request.late = request.latency > call.Wait+responseSlack
 	})
-	return s
 }
 
-// answerSlack is how late an answer may come on a loaded machine and still count, as on the platform.
-const answerSlack = 66 * time.Millisecond
-
-// totals counts calls of a class by verdict, "" for all classes.
-func (r *record) totals(class string, from, to time.Time) (by map[string]int, n int) {
-	by = map[string]int{}
-	for _, s := range r.order {
-		if (class == "" || s.class == class) && !s.at.Before(from) && s.at.Before(to) {
-			v := s.verdict
-			if v == "" {
-				v = "lost"
-			}
-			by[v]++
-			n++
+// tally counts requests by what became of them.
+type tally struct {
+	sent, served, rejected, failed int
+}
+
+// servedShare is the share of the requests that were served.
+func (t tally) servedShare() float64 { return float64(t.served) / float64(t.sent) }
+
+// tally counts the requests of a class, or of all classes if it is empty, that were sent in a time.
+func (r *record) tally(class string, from, to time.Time) (t tally) {
+	for _, request := range r.requests {
+		if class != "" && request.class != class || request.sentAt.Before(from) || !request.sentAt.Before(to) {
+			continue
+		}
+		t.sent++
+		switch request.verdict {
+		case fake.Served:
+			t.served++
+		case fake.Rejected:
+			t.rejected++
+		case fake.Failed:
+			t.failed++
 		}
 	}
-	return by, n
+	return t
 }
 
-// rules counts what no router may do.
-func (r *record) rules(once string) (lost, late, doubled, orders, breaches int) {
-	var came []time.Time
-	for _, s := range r.order {
-		came = append(came, s.at)
-		if s.verdict == "" || s.verdict == "lost" {
-			lost++
-		} else if s.late {
-			late++
+// violations counts what no router may do.
+type violations struct {
+	lost               int // requests without a response
+	late               int // responses after the timeout
+	orders             int // requests that may not run twice
+	doubled            int // those that did
+	loadBudgetBreaches int // load orders beyond the budget
+}
+
+// violations checks all that was recorded. Requests of the class given may not run twice.
+func (r *record) violations(notIdempotent string) (v violations) {
+	sentAt := make([]time.Time, 0, len(r.requests))
+	for _, request := range r.requests {
+		sentAt = append(sentAt, request.sentAt)
+		if request.isLost() {
+			v.lost++
+		} else if request.late {
+			v.late++
+		}
+		if request.class != notIdempotent {
+			continue
 		}
-		if s.class == once {
-			orders++
-			if s.runs > 1 {
-				doubled++
-			}
+		v.orders++
+		if request.runs > 1 {
+			v.doubled++
 		}
 	}
-	var holds []time.Time
+	v.loadBudgetBreaches = loadBudgetBreaches(r.loadOrders(), sentAt)
+	return v
+}
+
+// loadOrders returns when load orders came to workers.
+func (r *record) loadOrders() (times []time.Time) {
 	for _, e := range r.events {
-		if e.What == "hold" {
-			holds = append(holds, e.At)
+		if e.What == fake.EventLoadOrdered {
+			times = append(times, e.At)
 		}
 	}
-	since := func(list []time.Time, at time.Time) int {
-		i := sort.Search(len(list), func(i int) bool { return !list[i].Before(at.Add(-10 * time.Second)) })
-		j := sort.Search(len(list), func(i int) bool { return list[i].After(at) })
-		return j - i
-	}
-	for _, at := range holds {
-		// As the platform counts it: 15 in 100 and one order more, for what is under way on sockets.
-		if float64(since(holds, at)) > (4+0.3*float64(since(came, at)))*1.15+1 {
+	return times
+}
+
+// loadBudgetBreaches counts the load orders that exceed the budget, as the platform counts them. Both lists are in
+// ascending order.
+func loadBudgetBreaches(orders, requests []time.Time) (breaches int) {
+	for _, at := range orders {
+		budget := loadBudgetMinimum + loadBudgetRatio*float64(countInWindow(requests, at))
+		if float64(countInWindow(orders, at)) > budget*loadBudgetSlack+1 {
 			breaches++
 		}
 	}
-	return lost, late, doubled, orders, breaches
+	return breaches
+}
+
+// countInWindow returns how many of the times, which are in ascending order, are in the load budget's window that ends
+// at a time, which it includes.
+func countInWindow(times []time.Time, end time.Time) int {
+	first, _ := slices.BinarySearchFunc(times, end.Add(-loadBudgetWindow), time.Time.Compare)
+	beyond, _ := slices.BinarySearchFunc(times, end, func(t, end time.Time) int {
+		if t.After(end) {
+			return 1
+		}
+		return -1
+	})
+	return beyond - first
+}
+
+// loadOrdersBetween counts the load orders of a time.
+func (r *record) loadOrdersBetween(from, to time.Time) (n int) {
+	for _, at := range r.loadOrders() {
+		if !at.Before(from) && at.Before(to) {
+			n++
+		}
+	}
+	return n
 }
 
-// percentile of the times until served answers.
-func (r *record) percentile(class string, p float64) time.Duration {
-	var took []time.Duration
-	for _, s := range r.order {
-		if s.verdict == "served" && (class == "" || s.class == class) {
-			took = append(took, s.took)
+// latencyPercentile returns a percentile, from 0 to 1, of the served requests' latencies in milliseconds.
+func (r *record) latencyPercentile(p float64) float64 {
+	var latencies []time.Duration
+	for _, request := range r.requests {
+		if request.verdict == fake.Served {
+			latencies = append(latencies, request.latency)
 		}
 	}
-	if len(took) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	return took[min(int(p*float64(len(took))), len(took)-1)]
+	slices.Sort(latencies)
+	latency := latencies[min(int(p*float64(len(latencies))), len(latencies)-1)]
+	return float64(latency.Microseconds()) / 1000
 }
--- /dev/null
+++ b/internal/benchmark/target.go
@@ -0,0 +1,148 @@
+package benchmark
+
+import (
+	"fmt"
+	"net"
+	"net/netip"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// minOwnConns is the least number of connections to a router that the tool started itself.
+const minOwnConns = 64
+
+// sender sends requests to a router.
+type sender interface {
+	// send sends a request for a function. done is called once, from any goroutine, with its verdict.
+	send(key, id string, done func(fake.Verdict))
+	// close closes all connections.
+	close()
+}
+
+// loadTarget is the router that is loaded.
+type loadTarget struct {
+	sender
+	router *process      // nil if it ran before
+	bed    *fake.Testbed // nil if the router ran before
+}
+
+// cpuTime returns the processor time that the router has used, or 0 if it ran before.
+func (t *loadTarget) cpuTime() time.Duration {
+	if t.router == nil {
+		return 0
+	}
+	return t.router.cpuTime()
+}
+
+// close closes the connections and ends what was started.
+func (t *loadTarget) close() {
+	if t.sender != nil {
+		t.sender.close()
+	}
+	if t.router != nil {
+		t.router.stop()
+	}
+	if t.bed != nil {
+		t.bed.Close()
+	}
+}
+
+// connect connects to the router that the flags name, or to one that it starts.
+func (l Load) connect() (*loadTarget, error) {
+	if l.Hook != "" {
+		webhooks, err := newWebhookSender(l)
+		if err != nil {
+			return nil, err
+		}
+		return &loadTarget{sender: webhooks}, nil
+	}
+	target := &loadTarget{}
+	if l.Addr == "" {
+		if err := target.start(l.Router); err != nil {
+			target.close()
+			return nil, err
+		}
+		l.Addr = target.router.listen
+		l.Conns = max(l.Conns, minOwnConns)
+	}
+	thrift, err := newThriftSender(l)
+	if err != nil {
+		target.close()
+		return nil, err
+	}
+	target.sender = thrift
+	return target, nil
+}
+
+// start starts a router and workers that respond in a millisecond.
+func (t *loadTarget) start(path string) error {
+	program, err := findRouter(path)
+	if err != nil {
+		return err
+	}
+	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{Kind: "std",
+		ServiceTime: time.Millisecond, LoadTime: 100 * time.Millisecond, KeepAlive: time.Minute, Lanes: 32, Queue: 256})
+	t.bed, err = startTestbed(workers, nil)
+	if err != nil {
+		return err
+	}
+	t.router, err = startRouterOn(t.bed, program)
+	return err
+}
+
+// checkLoopback rejects every address that is not on this machine's loopback.
+func checkLoopback(addr string) error {
+	host, _, err := net.SplitHostPort(addr)
+	if err != nil {
+		return fmt.Errorf("%q is no address with a port", addr)
+	}
+	ip, err := netip.ParseAddr(host)
+	if err != nil || !ip.IsLoopback() {
+		return fmt.Errorf("%s is no loopback address: the load tool sends nowhere else", addr)
+	}
+	return nil
+}
+
+// thriftSender sends requests by Thrift over several connections. It is not safe for concurrent use.
+type thriftSender struct {
+	class   string
+	timeout time.Duration
+	clients []*fake.Client
+	next    int
+}
+
+func newThriftSender(l Load) (*thriftSender, error) {
+	if err := checkLoopback(l.Addr); err != nil {
+		return nil, err
+	}
+	clients, err := dialClients(l.Addr, l.Conns)
+	if err != nil {
+		return nil, err
+	}
+	return &thriftSender{class: l.Class, timeout: l.Wait, clients: clients}, nil
+}
+
+func (s *thriftSender) send(key, id string, done func(fake.Verdict)) {
+	call := fake.Call{Class: s.class, ID: id, Key: key, Wait: s.timeout, Props: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}
+	s.pick().Go(call, func(answer fake.Answer, err error) {
+		if err != nil {
+			done(lost)
+			return
+		}
+		done(answer.Verdict)
+	})
+}
+
+// pick returns the connection with fewer requests in flight of two, for a connection takes 64 at most.
+func (s *thriftSender) pick() *fake.Client {
+	s.next++
+	first := s.clients[s.next%len(s.clients)]
+	second := s.clients[(s.next*7+3)%len(s.clients)]
+	if second.Open() < first.Open() {
+		return second
+	}
+	return first
+}
+
+func (s *thriftSender) close() { closeClients(s.clients) }
--- /dev/null
+++ b/internal/benchmark/webhooksender.go
@@ -0,0 +1,113 @@
+package benchmark
+
+import (
+	"bytes"
+	"crypto/rand"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// webhookSender sends requests as signed webhooks.
+type webhookSender struct {
+	url     string
+	class   string
+	timeout time.Duration
+	key     fake.WebhookKey
+	client  *http.Client
+}
+
+func newWebhookSender(l Load) (*webhookSender, error) {
+	u, err := url.Parse(l.Hook)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkLoopback(u.Host); err != nil {
+		return nil, err
+	}
+	key, err := fake.ReadWebhookKey(l.Key)
+	if err != nil {
+		return nil, fmt.Errorf("the webhooks' key: %w", err)
+	}
+	return &webhookSender{
+		url:     l.Hook,
+		class:   l.Class,
+		timeout: l.Wait,
+		key:     key,
+		client: &http.Client{
+			Timeout:   l.Wait + time.Second,
+			Transport: &http.Transport{MaxIdleConnsPerHost: l.Conns, MaxConnsPerHost: l.Conns},
+		},
+	}, nil
+}
+
+// send sends a webhook from a goroutine of its own, which ends with the client's timeout at the latest. The webhook's
+// id is a random one of its own, so that no two runs share one.
+func (s *webhookSender) send(key, _ string, done func(fake.Verdict)) {
+	go func() {
+		verdict, err := s.deliver(key)
+		if err != nil {
+			verdict = lost
+		}
+		done(verdict)
+	}()
+}
+
+// deliver sends a webhook and waits for its response.
+func (s *webhookSender) deliver(key string) (fake.Verdict, error) {
+	request, err := s.request(key)
+	if err != nil {
+		return "", err
+	}
+	response, err := s.client.Do(request)
+	if err != nil {
+		return "", err
+	}
+	defer response.Body.Close()
+	io.Copy(io.Discard, response.Body) // so that the connection is used again
+	return verdictOfStatus(response.StatusCode), nil
+}
+
+func (s *webhookSender) request(key string) (*http.Request, error) {
+	now := time.Now()
+	body, err := json.Marshal(object{
+		"type":      "call.requested",
+		"timestamp": now.UTC().Format(time.RFC3339),
+		"data": object{"class": s.class, "key": key, "wait_ms": s.timeout.Milliseconds(), "memory_mb": 256, "lanes": 32,
+			"load_ms": 300, "body": []byte("x")},
+	})
+	if err != nil {
+		return nil, err
+	}
+	var id [8]byte
+	rand.Read(id[:])
+	request, err := http.NewRequest(http.MethodPost, s.url, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	s.key.Sign(request.Header, hex.EncodeToString(id[:]), now, body)
+	return request, nil
+}
+
+// close closes idle connections. Requests in flight end by themselves.
+func (s *webhookSender) close() { s.client.CloseIdleConnections() }
+
+// verdictOfStatus returns what a router says by an HTTP status, or lost for one that it does not send.
+func verdictOfStatus(status int) fake.Verdict {
+	switch status {
+	case http.StatusOK:
+		return fake.Served
+	case http.StatusServiceUnavailable:
+		return fake.Rejected
+	case http.StatusBadGateway, http.StatusGatewayTimeout:
+		return fake.Failed
+	default:
+		return lost
+	}
+}
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -31,7 +31,7 @@
 	fleet  *Fleet
 }
 
-// Respond implements router.Asker: it records a response.
+// Respond implements router.Responder: it records a response.
 func (r *Request) Respond(response router.Response) {
 	r.Responses = append(r.Responses, response)
 	r.Latency = r.fleet.now - r.SentAt
