--- /dev/null
+++ b/internal/demo/counts.go
@@ -0,0 +1,80 @@
+package demo
+
+import (
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// verdicts are what is shown of each class.
+var verdicts = []fake.Verdict{fake.Served, fake.Rejected, fake.Failed}
+
+// response is what is counted at the client.
+type response struct {
+	class   string
+	verdict fake.Verdict
+}
+
+// workerCounts is what is counted at a worker.
+type workerCounts struct {
+	runs  int
+	loads int
+}
+
+// counts is what happened since the last line.
+type counts struct {
+	mu        sync.Mutex
+	responses map[response]int
+	workers   map[*fake.Worker]workerCounts
+}
+
+func newCounts() *counts {
+	return &counts{responses: map[response]int{}, workers: map[*fake.Worker]workerCounts{}}
+}
+
+// event counts an event at a worker.
+func (c *counts) event(e fake.Event) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	worker := c.workers[e.Worker]
+	switch e.What {
+	case fake.EventStarted:
+		worker.runs++
+	case fake.EventLoadOrdered:
+		worker.loads++
+	}
+	c.workers[e.Worker] = worker
+}
+
+// response counts a response at the client.
+func (c *counts) response(class string, verdict fake.Verdict) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responses[response{class, verdict}]++
+}
+
+// line returns the line for what was counted, and begins anew. Of the verdicts that never came, it shows served alone.
+func (c *counts) line(elapsed time.Duration, workers []*fake.Worker) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var b strings.Builder
+	fmt.Fprintf(&b, "%4.0fs", elapsed.Seconds())
+	for _, class := range classes {
+		fmt.Fprintf(&b, "  %s", class.name)
+		for _, verdict := range verdicts {
+			n := c.responses[response{class.name, verdict}]
+			if n > 0 || verdict == fake.Served {
+				fmt.Fprintf(&b, " %s=%d", verdict, n)
+			}
+		}
+	}
+	for _, w := range workers {
+		fmt.Fprintf(&b, "  %s runs=%d loads=%d", w.Name, c.workers[w].runs, c.workers[w].loads)
+	}
+	clear(c.responses)
+	clear(c.workers)
+	return b.String()
+}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -13,42 +13,44 @@
 	"crankhold/internal/lang"
 )
 
-// watch closes stop once a call of each class was served.
-type watch struct {
-	mu   sync.Mutex
-	text bytes.Buffer
+// stopWhenServed is the demo's output. It closes stop at the first line that tells of a served request of each class.
+type stopWhenServed struct {
 	stop chan struct{}
-	done bool
+
+	mu      sync.Mutex
+	text    bytes.Buffer
+	stopped bool
 }
 
-func (w *watch) Write(b []byte) (int, error) {
+func (w *stopWhenServed) Write(b []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.text.Write(b)
 	line := string(b)
-	if !w.done && strings.Contains(line, "dim-level served=") && !strings.Contains(line, "served=0") {
-		w.done = true
+	if !w.stopped && strings.Contains(line, "dim-level served=") && !strings.Contains(line, "served=0") {
+		w.stopped = true
 		close(w.stop)
 	}
 	return len(b), nil
 }
 
-// The demo serves calls of all classes and ends when it is told to.
+// The demo serves requests of all classes and ends when it is told to.
 func TestDemoServes(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w := &watch{stop: make(chan struct{})}
-	if err := Run(w, w.stop); err != nil {
+	out := &stopWhenServed{stop: make(chan struct{})}
+	if err := Run(out, out.stop); err != nil {
 		t.Fatal(err)
 	}
-	if !w.done {
-		t.Errorf("it ended by itself:\n%s", w.text.String())
+	if !out.stopped {
+		t.Errorf("it ended by itself:\n%s", out.text.String())
 	}
 }
 
-// The demo's routes are a good example: no fault, no hole, in the one form.
-func TestDemoRoutesAreGood(t *testing.T) {
-	r, err := lang.Check(fstest.MapFS{"routes.crank": {Data: Routes, Mode: 0o644}}, "routes.crank", "", nil)
-	if err != nil || len(r.Faults)+len(r.Notes) > 0 {
-		t.Errorf("%v, %v, %v", err, r.Faults, r.Notes)
+// The demo's routes are a good example: no error, no warning, in canonical form.
+func TestDemoRoutesAreValid(t *testing.T) {
+	files := fstest.MapFS{"routes.crank": {Data: Routes, Mode: 0o644}}
+	result, err := lang.Check(files, "routes.crank", "", nil)
+	if err != nil || len(result.Faults)+len(result.Notes) > 0 {
+		t.Errorf("%v, %v, %v", err, result.Faults, result.Notes)
 	}
 }
--- /dev/null
+++ b/internal/demo/show.go
@@ -0,0 +1,140 @@
+package demo
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// The pace of the demo.
+const (
+	requestInterval = 25 * time.Millisecond
+	lineInterval    = time.Second
+	faultInterval   = 15 * time.Second // between deaths of workers
+	faultDuration   = 5 * time.Second
+)
+
+// requestedFunctions is how many functions are requested.
+const requestedFunctions = 6
+
+// class is a class of requests, with how long the client waits for a response.
+type class struct {
+	name    string
+	timeout time.Duration
+}
+
+var (
+	dimLevel    = class{"dim-level", 2 * time.Second}
+	faultCheck  = class{"fault-check", 2500 * time.Millisecond}
+	repairOrder = class{"repair-order", 3 * time.Second}
+
+	classes = []class{dimLevel, faultCheck, repairOrder}
+
+	// classMix is what the class of a request is drawn from.
+	classMix = []class{dimLevel, dimLevel, faultCheck, repairOrder}
+)
+
+// show sends requests, takes workers down, and writes what comes of it.
+type show struct {
+	out    io.Writer
+	site   *fake.Site
+	listen string
+	counts *counts
+
+	begun  time.Time
+	random *rand.Rand
+	client *fake.Client // nil until the router accepts connections
+	lines  int
+	deaths int
+	dead   *fake.Worker // nil while all workers are up
+}
+
+// start runs the show on a goroutine of its own. stop ends it, and returns once it has ended.
+func (s *show) start() (stop func()) {
+	stopping := make(chan struct{})
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		s.run(stopping)
+	}()
+	return func() {
+		close(stopping)
+		<-ended
+	}
+}
+
+func (s *show) run(stopping <-chan struct{}) {
+	s.begun = time.Now()
+	s.random = rand.New(rand.NewPCG(1, 2))
+	ticker := time.NewTicker(requestInterval)
+	defer ticker.Stop()
+	defer func() {
+		if s.client != nil {
+			s.client.Close()
+		}
+	}()
+	for {
+		select {
+		case <-stopping:
+			return
+		case <-ticker.C:
+			s.tick(time.Since(s.begun))
+		}
+	}
+}
+
+// tick does what is due when some time has passed since the beginning.
+func (s *show) tick(elapsed time.Duration) {
+	if s.client == nil {
+		client, err := fake.Dial(s.listen)
+		if err != nil {
+			return // the router does not listen yet
+		}
+		s.client = client
+		return
+	}
+	s.sendRequest()
+	if elapsed >= time.Duration(s.lines+1)*lineInterval {
+		s.lines++
+		fmt.Fprintln(s.out, s.counts.line(elapsed, s.site.Workers))
+	}
+	s.disturb(elapsed)
+}
+
+// sendRequest sends a request of a random class for a random function.
+func (s *show) sendRequest() {
+	class := classMix[s.random.IntN(len(classMix))]
+	call := fake.Call{
+		Class: class.name,
+		ID:    fmt.Sprintf("%016x", s.random.Uint64()),
+		Key:   fmt.Sprintf("%016x", uint64(s.random.IntN(requestedFunctions))*0x1111111111111111),
+		Wait:  class.timeout,
+		Props: "memory_mb:512;lanes:2;load_ms:600",
+		Body:  []byte("lamp 17"),
+	}
+	s.client.Go(call, func(answer fake.Answer, err error) {
+		if err == nil {
+			s.counts.response(class.name, answer.Verdict)
+		}
+	})
+}
+
+// disturb kills the next worker, or starts the dead one, when that is due.
+func (s *show) disturb(elapsed time.Duration) {
+	if s.dead == nil && elapsed > time.Duration(s.deaths+1)*faultInterval {
+		s.dead = s.site.Workers[s.deaths%len(s.site.Workers)]
+		s.deaths++
+		fmt.Fprintf(s.out, "       %s dies\n", s.dead.Name)
+		s.dead.Kill()
+		return
+	}
+	if s.dead != nil && elapsed > time.Duration(s.deaths)*faultInterval+faultDuration {
+		if s.dead.Start() == nil {
+			fmt.Fprintf(s.out, "       %s is back\n", s.dead.Name)
+		}
+		s.dead = nil
+	}
+}
