--- a/policy/index.go
+++ b/policy/index.go
@@ -39,66 +39,66 @@
 	}
 }
 
-// holders knows by function which workers we believe something of. Those of the function that was asked for last are
+// replicaIndex knows by function which workers we believe something of. Those of the function that was asked for last are
 // marked, so that a look at all workers for one call takes no look-up for each.
-type holders struct {
-	by   map[FunctionID][]*instance
-	seen FunctionID
-	mark uint64
+type replicaIndex struct {
+	byFunction map[FunctionID][]*replica
+	function   FunctionID
+	generation uint64
 }
 
-// marked is what holders notes at a worker.
-type marked struct {
-	mark uint64
-	here *instance
+// indexMark is what holders notes at a worker.
+type indexMark struct {
+	generation uint64
+	replica    *replica
 }
 
 // scratch is room that each call's look at the workers uses anew.
 type scratch struct {
-	cands  []*worker
-	scores []float64
+	candidateBuffer []*worker
+	scoreBuffer     []float64
 }
 
-// at returns what we believe of a function at a worker, or nil.
-func (h *holders) at(w *worker, f FunctionID) *instance {
-	if f != h.seen || h.mark == 0 {
-		h.seen = f
-		h.mark++
-		for _, i := range h.by[f] {
-			i.w.mark, i.w.here = h.mark, i
+// lookUp returns what we believe of a function lookUp a worker, or nil.
+func (h *replicaIndex) lookUp(w *worker, f FunctionID) *replica {
+	if f != h.function || h.generation == 0 {
+		h.function = f
+		h.generation++
+		for _, i := range h.byFunction[f] {
+			i.worker.generation, i.worker.replica = h.generation, i
 		}
 	}
-	if w.mark != h.mark {
+	if w.generation != h.generation {
 		return nil
 	}
-	return w.here
+	return w.replica
 }
 
 // add enters a belief.
-func (h *holders) add(f FunctionID, i *instance) {
-	if h.by == nil {
-		h.by = map[FunctionID][]*instance{}
+func (h *replicaIndex) add(f FunctionID, i *replica) {
+	if h.byFunction == nil {
+		h.byFunction = map[FunctionID][]*replica{}
 	}
-	h.by[f] = append(h.by[f], i)
-	if f == h.seen {
-		i.w.mark, i.w.here = h.mark, i
+	h.byFunction[f] = append(h.byFunction[f], i)
+	if f == h.function {
+		i.worker.generation, i.worker.replica = h.generation, i
 	}
 }
 
-// drop forgets what we believe of a function at a worker.
-func (h *holders) drop(f FunctionID, w *worker) {
-	delete(w.copies, f)
-	if f == h.seen {
-		w.mark, w.here = 0, nil
+// remove forgets what we believe of a function at a worker.
+func (h *replicaIndex) remove(f FunctionID, w *worker) {
+	delete(w.replicas, f)
+	if f == h.function {
+		w.generation, w.replica = 0, nil
 	}
-	if h.by[f] = slices.DeleteFunc(h.by[f], func(i *instance) bool { return i.w == w }); len(h.by[f]) == 0 {
-		delete(h.by, f)
+	if h.byFunction[f] = slices.DeleteFunc(h.byFunction[f], func(i *replica) bool { return i.worker == w }); len(h.byFunction[f]) == 0 {
+		delete(h.byFunction, f)
 	}
 }
 
-// forget drops all that we believe of a worker.
-func (h *holders) forget(w *worker) {
-	for f := range w.copies {
-		h.drop(f, w)
+// removeWorker drops all that we believe of a worker.
+func (h *replicaIndex) removeWorker(w *worker) {
+	for f := range w.replicas {
+		h.remove(f, w)
 	}
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -30,8 +30,8 @@
 		b.pass(time.Second/time.Duration(n) - 20*ms)
 	}
 	for end := b.now; b.now < end+c.KeepAlive; {
-		b.now += beat
-		if u, ok := first[Unload](b.do(TimerFired{Token: beatToken})); ok {
+		b.now += housekeepingInterval
+		if u, ok := first[Unload](b.do(TimerFired{Token: housekeepingToken})); ok {
 			if u.Function != 7 {
 				t.Errorf("unloaded %+v", u)
 			}
@@ -86,8 +86,8 @@
 			b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Draining, Weight: 1}}})
 		}
 		for range 300 {
-			b.now += beat
-			if acts := b.do(TimerFired{Token: beatToken}); has[Unload](acts) {
+			b.now += housekeepingInterval
+			if acts := b.do(TimerFired{Token: housekeepingToken}); has[Unload](acts) {
 				t.Fatalf("%s, and unloaded: %v", why, acts)
 			}
 		}
@@ -104,8 +104,8 @@
 			b.do(AttemptCompleted{Request: b.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 		}
 		for range 200 {
-			b.now += beat
-			for _, a := range b.do(TimerFired{Token: beatToken}) {
+			b.now += housekeepingInterval
+			for _, a := range b.do(TimerFired{Token: housekeepingToken}) {
 				if u, ok := a.(Unload); ok {
 					order = append(order, u.Function)
 				}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -86,8 +86,8 @@
 // pass lets time go by, with its beats.
 func (b *bed) pass(d time.Duration) {
 	for end := b.now + d; b.now < end; {
-		if b.now += ms; b.now%beat == 0 {
-			b.do(TimerFired{Token: beatToken})
+		if b.now += ms; b.now%housekeepingInterval == 0 {
+			b.do(TimerFired{Token: housekeepingToken})
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		}
 	}
 	b.now += 11 * time.Second // longer than the told keep-alive
-	if i := b.p.workers[w].copies[7]; i != nil && b.now < i.warmUntil {
+	if i := b.p.workers[w].replicas[7]; i != nil && b.now < i.loadedUntil {
 		t.Error("belief outlives the keep-alive")
 	}
 }
@@ -153,8 +153,8 @@
 	}
 	b := newBed(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
-		b.p.instance(b.p.workers[w], 7).warmUntil = b.now + 10*time.Second
-		b.p.workers[w].delay.Observe(b.now, float64(w-1)*float64(20*ms))
+		b.p.replica(b.p.workers[w], 7).loadedUntil = b.now + 10*time.Second
+		b.p.workers[w].queueDelay.Observe(b.now, float64(w-1)*float64(20*ms))
 	}
 	one, at1 := send(b)
 	two, at2 := send(b)
@@ -163,8 +163,8 @@
 	}
 	served(b, one, at1, AlreadyLoaded)
 	served(b, two, at2, AlreadyLoaded)
-	b.p.instance(b.p.workers[1], 7).lanes = 2 // two were served at a time
-	b.p.workers[2].delay.Observe(b.now, float64(100*ms))
+	b.p.replica(b.p.workers[1], 7).lanes = 2 // two were served at a time
+	b.p.workers[2].queueDelay.Observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
 	}
@@ -173,7 +173,7 @@
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
 	b.do(AttemptCompleted{Request: id, Worker: 1, Outcome: NotLoaded})
-	if n := b.p.instance(b.p.workers[1], 7).lanes; n != 0 {
+	if n := b.p.replica(b.p.workers[1], 7).lanes; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
 }
@@ -194,12 +194,12 @@
 		}
 		b.now += 10 * ms
 		probes := b.do(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		n := b.p.workers[w].fails[0].Weight()
+		n := b.p.workers[w].failureRates[0].Weight()
 		acts = b.do(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
 		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](probes) || has[CheckHealth](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
-		if b.p.workers[w].fails[0].Weight() != n {
+		if b.p.workers[w].failureRates[0].Weight() != n {
 			t.Error("one broken connection counts as two failures")
 		}
 		acts = b.do(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
@@ -222,7 +222,7 @@
 			t.Fatalf("after a miss: %v", acts)
 		}
 		acts = b.do(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: o})
-		aside := b.p.looksBad(b.p.workers[s.Worker])
+		aside := b.p.ejected(b.p.workers[s.Worker])
 		if next, ok := first[StartAttempt](acts); !ok || aside != (o == Unreachable) || has[CheckHealth](acts) != (o == ConnectionReset) ||
 			o == Unreachable && next.Worker == s.Worker {
 			t.Errorf("after outcome %d of the order: %v, aside %v", o, acts, aside)
@@ -234,7 +234,7 @@
 	b := newBed(t, config(), 3)
 	w := b.serve(7, 1100*ms, StartedLoad)
 	b.do(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: b.now}}})
-	if b.p.workers[w].copies[7].warmUntil > b.now {
+	if b.p.workers[w].replicas[7].loadedUntil > b.now {
 		t.Error("a restarted worker is still thought warm")
 	}
 }
@@ -264,8 +264,8 @@
 	b := newBed(t, config(), 2)
 	id, acts := b.arrive(2, 7)
 	s, _ := first[StartAttempt](acts)
-	r := b.p.reqs[id]
-	r.outstand, r.ran = 0, r.attempts[0]
+	r := b.p.requests[id]
+	r.inFlight, r.possibleRun = 0, r.attempts[0]
 	if b.p.emit(StartAttempt{Request: id, Worker: 3 - s.Worker}) {
 		t.Error("a repeat of an unsafe request left")
 	}
@@ -421,7 +421,7 @@
 		id, _ := b.arrive(0, 9)
 		b.do(RequestCanceled{Request: id})
 	}
-	if got := b.p.ration(); got != 4 {
+	if got := b.p.loadBudget(); got != 4 {
 		t.Fatalf("200 calls that were taken back make a ration of %v, 4 wanted", got)
 	}
 	kept, _ := b.arrive(0, 9)
@@ -431,12 +431,12 @@
 	}
 	id, _ := b.arrive(0, 9)
 	b.do(RequestCanceled{Request: id})
-	if got := b.p.ration(); got != 4+0.3*4 {
+	if got := b.p.loadBudget(); got != 4+0.3*4 {
 		t.Fatalf("four calls that stay make a ration of %v", got)
 	}
 	b.do(RequestCanceled{Request: kept})
 	b.do(RequestCanceled{Request: kept}) // twice counts once
-	if got := b.p.ration(); got != 4+0.3*3 {
+	if got := b.p.loadBudget(); got != 4+0.3*3 {
 		t.Fatalf("three calls that stay make a ration of %v", got)
 	}
 }
@@ -532,7 +532,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet { // both hold a copy
-		b.p.instance(w, 7).warmUntil = b.now + time.Hour
+		b.p.replica(w, 7).loadedUntil = b.now + time.Hour
 	}
 	slow, lost := WorkerID(1), 0
 	for range 20 {
@@ -543,7 +543,7 @@
 		case s.Worker == slow:
 			lost++
 			b.pass(4 * time.Second)
-			b.do(TimerFired{Token: doneToken + uint64(id)})
+			b.do(TimerFired{Token: deadlineToken + uint64(id)})
 			b.do(AttemptCompleted{Request: id, Worker: slow, Outcome: Cancelled, Closed: true, Took: 4 * time.Second})
 		default:
 			b.pass(100 * ms)
@@ -583,7 +583,7 @@
 			homes := map[float64]float64{}
 			for f := range FunctionID(3000) {
 				at := slices.MaxFunc(b.p.fleet, func(x, y *worker) int {
-					return cmp.Compare(home(f, x.Worker, x.size, math.Inf(-1)), home(f, y.Worker, y.size, math.Inf(-1)))
+					return cmp.Compare(rendezvousScore(f, x.Worker, x.hashWeight, math.Inf(-1)), rendezvousScore(f, y.Worker, y.hashWeight, math.Inf(-1)))
 				})
 				homes[at.Weight]++
 			}
@@ -605,9 +605,9 @@
 		gap := 20 * time.Second / time.Duration(calls)
 		for n := range calls {
 			b.serve(FunctionID(n%30), 10*ms, AlreadyLoaded)
-			for left := gap - 10*ms; left > 0; left -= beat {
-				b.now += min(left, beat)
-				for _, a := range b.do(TimerFired{Token: beatToken}) {
+			for left := gap - 10*ms; left > 0; left -= housekeepingInterval {
+				b.now += min(left, housekeepingInterval)
+				for _, a := range b.do(TimerFired{Token: housekeepingToken}) {
 					switch a := a.(type) {
 					case CheckHealth:
 						probes++
@@ -637,7 +637,7 @@
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newBed(t, cfg, 20)
-		b.p.self, b.p.rng = n, rand.New(rand.NewPCG(n, 2))
+		b.p.router, b.p.rng = n, rand.New(rand.NewPCG(n, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
@@ -645,7 +645,7 @@
 			}
 			b.now += 300 * ms
 			w := b.serve(f, 30*ms, AlreadyLoaded)
-			b.p.workers[w].copies[f].warmUntil = b.now // as a dispatcher that has just lost sight of it
+			b.p.workers[w].replicas[f].loadedUntil = b.now // as a dispatcher that has just lost sight of it
 			if k > 15 && f == 7 {
 				hot[w] = true
 			}
@@ -671,17 +671,17 @@
 	b.serve(7, 900*ms, AlreadyLoaded)
 	b.serve(7, 900*ms, AlreadyLoaded)
 	other := b.p.workers[w%6+1]
-	b.p.instance(other, 7).warmUntil = b.now + time.Minute // a second copy stands
+	b.p.replica(other, 7).loadedUntil = b.now + time.Minute // a second copy stands
 	if got := b.serve(7, 100*ms, AlreadyLoaded); got != other.Worker {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
-	before := b.p.queueing(b.p.workers[w], 0)
-	if idle := b.p.queueing(other, 0); before < idle+float64(50*ms) {
+	before := b.p.queueingDelay(b.p.workers[w], 0)
+	if idle := b.p.queueingDelay(other, 0); before < idle+float64(50*ms) {
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	b.now += 20 * time.Second
 	b.do(HealthCheckCompleted{Worker: w})
-	if after := b.p.queueing(b.p.workers[w], 0); after > before/10 {
+	if after := b.p.queueingDelay(b.p.workers[w], 0); after > before/10 {
 		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
 	}
 }
@@ -709,24 +709,24 @@
 	b.now += time.Minute
 	b.do(HealthCheckCompleted{Worker: 1, Report: []float64{33, 30}})
 	b.do(HealthCheckCompleted{Worker: 2, Report: []float64{3, 0}})
-	full, idle := b.p.queueing(b.p.workers[1], 0), b.p.queueing(b.p.workers[2], 0)
+	full, idle := b.p.queueingDelay(b.p.workers[1], 0), b.p.queueingDelay(b.p.workers[2], 0)
 	if full < idle+float64(150*ms) {
 		t.Errorf("30 waiting predict %v, none %v", full, idle)
 	}
-	before := b.p.queueing(b.p.workers[3], 0)
+	before := b.p.queueingDelay(b.p.workers[3], 0)
 	for _, r := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
 		b.do(HealthCheckCompleted{Worker: 3, Report: r})
 	}
-	if got := b.p.queueing(b.p.workers[3], 0); got != before {
+	if got := b.p.queueingDelay(b.p.workers[3], 0); got != before {
 		t.Errorf("absurd reports predict %v", got)
 	}
 	b.do(HealthCheckCompleted{Worker: 3, Report: []float64{1e300, 1e300}})
-	if got := b.p.queueing(b.p.workers[3], 0); got > clip*float64(400*ms) {
+	if got := b.p.queueingDelay(b.p.workers[3], 0); got > maxMultiple*float64(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	b.now += time.Minute
 	b.do(HealthCheckCompleted{Worker: 3, Report: []float64{3, 0}})
-	if got := b.p.queueing(b.p.workers[3], 0); got > float64(50*ms) {
+	if got := b.p.queueingDelay(b.p.workers[3], 0); got > float64(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
 }
@@ -739,7 +739,7 @@
 	var beds []*bed
 	for n := range uint64(60) {
 		b := newBed(t, cfg, 20)
-		b.p.self, b.p.rng = n, rand.New(rand.NewPCG(n, 9))
+		b.p.router, b.p.rng = n, rand.New(rand.NewPCG(n, 9))
 		beds = append(beds, b)
 	}
 	home, count := WorkerID(0), map[WorkerID]int{}
@@ -749,10 +749,10 @@
 			for k := range 24 {
 				f := FunctionID(7)
 				if k > 0 {
-					f = FunctionID(1000 + k + int(b.p.self)*24)
+					f = FunctionID(1000 + k + int(b.p.router)*24)
 				}
 				b.now += 500 * ms // 12 s a round: the function comes too seldom to know its copy as warm
-				b.do(TimerFired{Token: beatToken})
+				b.do(TimerFired{Token: housekeepingToken})
 				id, acts := b.arrive(0, f)
 				for try := 0; try < 3; try++ {
 					s, ok := first[StartAttempt](acts)
@@ -817,7 +817,7 @@
 	due, _ := b.arrive(2, 7)
 	b.now += 3999 * ms // beyond the time to answer the second, whose worker has not
 	probes := 0
-	for _, a := range b.do(TimerFired{Token: beatToken}) {
+	for _, a := range b.do(TimerFired{Token: housekeepingToken}) {
 		if _, ok := a.(CheckHealth); ok {
 			probes++
 		}
@@ -825,15 +825,15 @@
 	if probes > 4 {
 		t.Errorf("%d probes of 4 workers in one turn", probes)
 	}
-	if acts := b.do(TimerFired{Token: doneToken + uint64(due)}); !has[FailRequest](acts) {
+	if acts := b.do(TimerFired{Token: deadlineToken + uint64(due)}); !has[FailRequest](acts) {
 		t.Errorf("an unsafe call that may have run is not failed when due: %v", acts)
 	}
 	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
 	for _, w := range b.p.fleet {
-		if w.probing {
+		if w.checking {
 			b.do(HealthCheckCompleted{Worker: w.Worker, Took: 2 * ms})
 		}
-		if b.p.looksBad(w) {
+		if b.p.ejected(w) {
 			t.Errorf("worker %d is set aside", w.Worker)
 		}
 	}
@@ -848,8 +848,8 @@
 	id, acts := b.arrive(0, 7)
 	s, _ := first[StartAttempt](acts)
 	b.do(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
-	if w := b.p.workers[s.Worker]; !b.p.cold(w, b.p.reqs[id]) {
-		t.Errorf("a load is thought under way: %v left", b.p.loadLeft(w, b.p.reqs[id]))
+	if w := b.p.workers[s.Worker]; !b.p.beginsLoad(w, b.p.requests[id]) {
+		t.Errorf("a load is thought under way: %v left", b.p.remainingLoad(w, b.p.requests[id]))
 	}
 }
 
@@ -859,7 +859,7 @@
 	cfg.Routers = 50
 	b := newBed(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
-		b.p.instance(w, f).warmUntil = b.now + time.Minute
+		b.p.replica(w, f).loadedUntil = b.now + time.Minute
 		for range 100 {
 			id, acts := b.arrive(0, f)
 			if has[StartAttempt](acts) {
@@ -871,7 +871,7 @@
 	}
 	busy, idle := b.p.workers[1], b.p.workers[2]
 	for range 10 {
-		busy.delay.Observe(b.now, float64(250*ms))
+		busy.queueDelay.Observe(b.now, float64(250*ms))
 	}
 	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
 		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
@@ -931,7 +931,7 @@
 	})
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newBed(t, config(), 3)
-		b.p.gate = b.now + 1500*ms
+		b.p.breakerUntil = b.now + 1500*ms
 		b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
 		b.p.cfg.Routers = 1
 		if acts := b.do(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
@@ -948,8 +948,8 @@
 			t.Fatalf("not held: %v", acts)
 		}
 		b.do(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready}}})
-		b.now += beat
-		if s, ok := first[StartAttempt](b.do(TimerFired{Token: beatToken})); !ok || s.Request != id {
+		b.now += housekeepingInterval
+		if s, ok := first[StartAttempt](b.do(TimerFired{Token: housekeepingToken})); !ok || s.Request != id {
 			t.Error("not sent once a worker is listed")
 		}
 	})
@@ -962,7 +962,7 @@
 		cfg.RetryAfterSupported, cfg.MaxRetryAfter = allowed, 300*ms
 		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
 			b := newBed(t, cfg, 3)
-			b.p.standing, b.p.lastTrial = float64(delay), b.now
+			b.p.standingDelay, b.p.lastTrial = float64(delay), b.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, acts := b.arrive(0, 7)
@@ -999,10 +999,10 @@
 		t.Errorf("the other class left for %d", got)
 	}
 	b.now += 30 * time.Second
-	b.p.instance(b.p.workers[w], 7).warmUntil = b.now + time.Minute
+	b.p.replica(b.p.workers[w], 7).loadedUntil = b.now + time.Minute
 	for o, x := range b.p.workers {
 		if o != w {
-			delete(x.copies, 7)
+			delete(x.replicas, 7)
 		}
 	}
 	if _, acts := b.arrive(1, 7); has[StartAttempt](acts) {
@@ -1033,7 +1033,7 @@
 	cfg.Routers = 40
 	b := newBed(t, cfg, 5)
 	b.serve(7, 100*ms, AlreadyLoaded)
-	b.p.failed, b.p.gate = 1, b.now+time.Second
+	b.p.failedLoads, b.p.breakerUntil = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
 	s, ok := first[StartAttempt](acts)
 	if !ok {
@@ -1054,15 +1054,15 @@
 		t.Fatalf("no probe of the worker: %v", acts)
 	}
 	b.do(HealthCheckCompleted{Worker: w})
-	if b.p.looksBad(b.p.workers[w]) || b.p.workers[w].copies[7].warmUntil <= b.now {
+	if b.p.ejected(b.p.workers[w]) || b.p.workers[w].replicas[7].loadedUntil <= b.now {
 		t.Error("a living worker is set aside or thought empty")
 	}
 	b.now += ms
 	b.do(HealthCheckCompleted{Worker: 999}) // the clock goes on
-	b.p.probe(b.p.workers[w])
+	b.p.checkHealth(b.p.workers[w])
 	b.now += time.Second
 	b.do(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
-	if !b.p.looksBad(b.p.workers[w]) {
+	if !b.p.ejected(b.p.workers[w]) {
 		t.Error("a worker that answers no probe is still used")
 	}
 }
@@ -1071,9 +1071,9 @@
 func TestHintsAreBelievedUntilAnswersAddUp(t *testing.T) {
 	b := newBed(t, config(), 3)
 	b.do(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
-	r := b.p.reqs[99]
-	b.do(AttemptCompleted{Request: 99, Worker: r.attempts[0].w.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
-	if got := b.p.run(&request{RequestArrived: RequestArrived{Work: 100 * ms}, fn: r.fn}); got > float64(200*ms) {
+	r := b.p.requests[99]
+	b.do(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
+	if got := b.p.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, function: r.function}); got > float64(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
@@ -1089,12 +1089,12 @@
 			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 			b.id++
 			b.do(RequestArrived{Request: b.id, Function: 7, LoadTime: time.Second, Remaining: 4 * time.Second})
-			r := b.p.reqs[b.id]
-			if r == nil || r.over {
+			r := b.p.requests[b.id]
+			if r == nil || r.overQuota {
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				b.do(AttemptCompleted{Request: b.id, Worker: r.attempts[0].w.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+				b.do(AttemptCompleted{Request: b.id, Worker: r.attempts[0].worker.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 			}
 		}
 		return n
@@ -1117,8 +1117,8 @@
 	}
 	probed, called := false, false
 	for range 60 {
-		b.now += beat
-		acts := b.do(TimerFired{Token: beatToken})
+		b.now += housekeepingInterval
+		acts := b.do(TimerFired{Token: housekeepingToken})
 		for _, a := range acts {
 			if pr, ok := a.(CheckHealth); ok {
 				o := Served
@@ -1153,8 +1153,8 @@
 	a, b := newBed(t, cfg, 8), newBed(t, cfg, 8)
 	for f := FunctionID(1); f <= 12; f++ {
 		w := a.serve(f, 1100*ms, StartedLoad)
-		a.now += beat
-		news, ok := first[SendGossip](a.do(TimerFired{Token: beatToken}))
+		a.now += housekeepingInterval
+		news, ok := first[SendGossip](a.do(TimerFired{Token: housekeepingToken}))
 		if !ok || len(news.Data) > 256 {
 			t.Fatalf("told %v %d", ok, len(news.Data))
 		}
@@ -1177,7 +1177,7 @@
 	b.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
-		b.p.standing = float64(220 * ms)
+		b.p.standingDelay = float64(220 * ms)
 		f := FunctionID(7)
 		if n%2 == 0 {
 			f = FunctionID(1000 + n)
@@ -1201,12 +1201,12 @@
 		b.now += 20 * ms
 		_, acts := b.arrive(0, f)
 		if f%3 == 0 {
-			acts = append(acts, b.do(TimerFired{Token: beatToken})...)
+			acts = append(acts, b.do(TimerFired{Token: housekeepingToken})...)
 		}
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok {
 				begun++
-				n := len(b.p.reqs[s.Request].attempts) - 1
+				n := len(b.p.requests[s.Request].attempts) - 1
 				b.do(AttemptCompleted{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed})
 			}
 		}
@@ -1215,8 +1215,8 @@
 		t.Errorf("%d loads begun in 2 s at a stopped store", begun)
 	}
 	b.now += 2 * time.Second
-	b.do(TimerFired{Token: beatToken})
-	b.p.held = nil
+	b.do(TimerFired{Token: housekeepingToken})
+	b.p.deferred = nil
 	b.now += 2 * time.Second
 	b.serve(500, time.Second, StartedLoad)
 	b.serve(501, time.Second, StartedLoad) // one success opens the gate
@@ -1236,7 +1236,7 @@
 		}
 		return sent
 	}
-	b.p.standing = float64(220 * ms)
+	b.p.standingDelay = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
 		t.Errorf("sent %d of low worth and %d of high", low, high)
@@ -1266,7 +1266,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet {
-		if v := w.slope.ny + p0(b).run + b.p.loadRatio + b.p.standing; math.IsNaN(v) || math.IsInf(v, 0) {
+		if v := w.queueSlope.ny + p0(b).meanRun + b.p.loadTimeRatio + b.p.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
@@ -1485,8 +1485,8 @@
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.held) > len(c.reqs) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.held))
+	if len(p.deferred) > len(c.reqs) {
+		t.Fatalf("seed %d: books grow: %d held", seed, len(p.deferred))
 	}
 }
 
@@ -1529,14 +1529,14 @@
 			case 5:
 				ev = TimerFired{Token: uint64(b%16)<<uint(c%40) + uint64(a)}
 			case 6:
-				ev = TimerFired{Token: beatToken}
+				ev = TimerFired{Token: housekeepingToken}
 			case 7:
 				ev = GossipReceived{From: int(a), Data: data}
 			case 8:
 				ev = RequestCanceled{Request: id}
 			}
 			before := map[RequestID]bool{}
-			for id, r := range p.reqs {
+			for id, r := range p.requests {
 				before[id] = !r.done
 			}
 			over := map[RequestID]bool{}
--- a/policy/terms_test.go
+++ b/policy/terms_test.go
@@ -79,7 +79,7 @@
 	if _, acts := b.under(0, open(p)); !has[Reject](acts) {
 		t.Errorf("over the cap: %v, want a refusal at once", acts)
 	}
-	if len(b.p.held) > 0 {
+	if len(b.p.deferred) > 0 {
 		t.Error("a call over the cap is held")
 	}
 	b.do(AttemptCompleted{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
@@ -162,14 +162,14 @@
 		cfg.HedgingAllowed = allowed
 		b := newBed(t, cfg, 4)
 		for w := range WorkerID(4) {
-			b.p.instance(b.p.workers[w+1], 7).warmUntil = b.now + time.Hour
+			b.p.replica(b.p.workers[w+1], 7).loadedUntil = b.now + time.Hour
 		}
 		terms := open(newPool(100, 1, 2, 3, 4))
 		terms.HedgeDelay = 100 * ms
 		id, acts := b.under(class, terms)
 		s, _ := first[StartAttempt](acts)
 		for _, a := range acts {
-			if k, ok := a.(SetTimer); ok && k.Token >= copyToken {
+			if k, ok := a.(SetTimer); ok && k.Token >= hedgeToken {
 				return b, id, s, k.Token
 			}
 		}
@@ -251,7 +251,7 @@
 					outs = append(outs, out{a.Request, sent[a.Request], a.Worker})
 					sent[a.Request]++
 				case SetTimer:
-					if a.Token >= copyToken {
+					if a.Token >= hedgeToken {
 						tokens = append(tokens, a.Token)
 					}
 				}
@@ -337,7 +337,7 @@
 				both(AttemptCompleted{Request: s.Request, Attempt: number[s.Request], Worker: s.Worker, Outcome: o, LoadStatus: AlreadyLoaded, Closed: o == Served, Took: 80 * ms})
 				number[s.Request]++
 			default:
-				both(TimerFired{Token: beatToken})
+				both(TimerFired{Token: housekeepingToken})
 			}
 		}
 	})
@@ -351,15 +351,15 @@
 	for range 6 { // spells of 1, 2, 4 and 8 s
 		b.now += 10 * time.Second
 		b.p.now = b.now
-		b.p.strike(b.p.workers[1])
+		b.p.eject(b.p.workers[1])
 	}
 	w := b.p.workers[1]
-	w.probed = b.now
-	if left := w.aside - b.now; left < 7*time.Second {
+	w.lastCheck = b.now
+	if left := w.ejectedUntil - b.now; left < 7*time.Second {
 		t.Fatalf("set aside for %v", left)
 	}
 	b.under(0, open(p))
-	if left := w.aside - b.now; left > 500*ms {
+	if left := w.ejectedUntil - b.now; left > 500*ms {
 		t.Errorf("looked at in %v with a call that waits for it", left)
 	}
 }
