--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -49,3 +49,16 @@
 func (m *DecayingMean) retained(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
 }
+
+// RunningMean is a mean of the observations so far or, once these are more than a limit, one in which each new
+// observation has the weight 1/limit. Mean may be set to a first guess, which the first observation replaces.
+type RunningMean struct {
+	Mean  float64
+	Count float64 // of observations, up to the limit
+}
+
+// Observe adds a value; limit is at least 1.
+func (m *RunningMean) Observe(value, limit float64) {
+	m.Count = min(m.Count+1, limit)
+	m.Mean += (value - m.Mean) / m.Count
+}
--- a/policy/api.go
+++ b/policy/api.go
@@ -215,8 +215,8 @@
 	Overflow(now time.Duration) Pool
 }
 
-// settingsAlone are the terms of a request whose route tightens nothing.
-var settingsAlone = RequestPolicy{Pool: allWorkers{}, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}
+// defaultRequestPolicy are the terms of a request whose route tightens nothing.
+var defaultRequestPolicy = RequestPolicy{Pool: allWorkers{}, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}
 
 // allWorkers is the pool of them all, without bounds of its own.
 type allWorkers struct{}
--- /dev/null
+++ b/policy/errors.go
@@ -0,0 +1,25 @@
+package policy
+
+import "fmt"
+
+// NoClass is the Class of a ConfigError that is about no class of its own.
+const NoClass = -1
+
+// ConfigError is returned by New for settings that no platform can mean.
+type ConfigError struct {
+	Class   int    // index of the impossible class, or NoClass
+	Setting string // field of Config or Class that is impossible
+	Config  Config // as it was given
+}
+
+// Error implements error.
+func (e *ConfigError) Error() string {
+	switch {
+	case e.Class != NoClass:
+		return fmt.Sprintf("policy: class %d is impossible: %+v", e.Class, e.Config.Classes[e.Class])
+	case len(e.Config.Classes) == 0:
+		return "policy: no request classes"
+	default:
+		return fmt.Sprintf("policy: settings hold an impossible amount: %+v", e.Config)
+	}
+}
--- a/policy/index.go
+++ b/policy/index.go
@@ -1,44 +1,10 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
 // This file holds what the module keeps its beliefs in, where a plain map or slice would cost a look at all of it for
 // each call. Nothing is decided here.
 
-// times is a queue of times, each at or after the one before.
-type times struct {
-	list []time.Duration
-	head int
-}
-
-// add enters a time and drops those that are more than a span before it.
-func (t *times) add(at, span time.Duration) {
-	t.since(at - span)
-	t.list = append(t.list, at)
-}
-
-// since drops those before a time and returns how many are left. Each is dropped once.
-func (t *times) since(from time.Duration) int {
-	for t.head < len(t.list) && t.list[t.head] < from {
-		t.head++
-	}
-	if t.head > 64 && t.head > len(t.list)/2 {
-		t.list = append(t.list[:0], t.list[t.head:]...)
-		t.head = 0
-	}
-	return len(t.list) - t.head
-}
-
-// drop takes out one entry of a time, where there is one.
-func (t *times) drop(at time.Duration) {
-	if i, ok := slices.BinarySearch(t.list[t.head:], at); ok {
-		t.list = slices.Delete(t.list, t.head+i, t.head+i+1)
-	}
-}
-
 // replicaIndex knows by function which workers we believe something of. Those of the function that was asked for last are
 // marked, so that a look at all workers for one call takes no look-up for each.
 type replicaIndex struct {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1073,7 +1073,7 @@
 	b.do(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
 	r := b.p.requests[99]
 	b.do(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
-	if got := b.p.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, function: r.function}); got > float64(200*ms) {
+	if got := b.p.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > float64(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
@@ -1266,7 +1266,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet {
-		if v := w.queueSlope.ny + p0(b).meanRun + b.p.loadTimeRatio + b.p.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
+		if v := w.queueSlope.SumY + p0(b).run.Mean + b.p.loadTimeRatio + b.p.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
