--- a/policy/errors.go
+++ b/policy/errors.go
@@ -7,9 +7,8 @@
 
 // ConfigError is returned by New for settings that no platform can mean.
 type ConfigError struct {
-	Class   int    // index of the impossible class, or NoClass
-	Setting string // field of Config or Class that is impossible
-	Config  Config // as it was given
+	Class  int    // index of the impossible class, or NoClass
+	Config Config // as it was given
 }
 
 // Error implements error.
--- a/policy/health.go
+++ b/policy/health.go
@@ -5,31 +5,27 @@
 	"time"
 )
 
-const (
-	baseEjection = time.Second     // of a first failure; each further one in a row doubles it
-	maxEjection  = 8 * time.Second // no worker is ejected for longer without a health check
-)
+const baseEjection = time.Second // for a first failure; doubled by each of the next three
 
-// ejected reports whether w is left out: until a health check succeeds or, where there are none, for the time of its
-// ejection, and then with one request at a time.
+// ejected reports whether w is left out: until a health check succeeds or, without these, for the time of its
+// ejection, and then with one attempt at a time.
 func (p *Policy) ejected(w *worker) bool {
-	return w.consecutiveFailures > 0 && (p.cfg.HealthCheckSupported || p.now < w.ejectedUntil || len(w.inFlight) > 0)
+	return w.consecutiveFailures > 0 &&
+		(p.cfg.HealthCheckSupported || p.now < w.ejectedUntil || len(w.inFlight) > 0)
 }
 
-// eject leaves w out after a failure, for longer each time.
 func (p *Policy) eject(w *worker) {
 	if p.now >= w.ejectedUntil {
 		w.consecutiveFailures++
-		w.ejectedUntil = p.now + min(baseEjection<<min(w.consecutiveFailures-1, 10), maxEjection)
+		w.ejectedUntil = p.now + baseEjection<<min(w.consecutiveFailures-1, 3)
 	}
 }
 
-func (p *Policy) workerResponded(w *worker) {
-	w.lastResponse = p.now
-	w.consecutiveFailures, w.ejectedUntil = 0, 0
+func (p *Policy) responded(w *worker) {
+	w.lastResponse, w.consecutiveFailures, w.ejectedUntil = p.now, 0, 0
 }
 
-// connectionFailed takes in a connection that could not be made, or one that broke, maybe alone: a health check tells.
+// connectionFailed takes in a connection that broke, maybe alone: a health check tells; or one never made.
 func (p *Policy) connectionFailed(w *worker, o Outcome) {
 	if o == Unreachable || !w.checking && !p.checkHealth(w) {
 		p.eject(w)
@@ -41,13 +37,10 @@
 	return w.checking
 }
 
-// checkSilent checks a worker that is silent for longer than expected, or was ejected for long enough.
+// checkSilent checks a worker that is silent for longer than expected, or whose ejection is over.
 func (p *Policy) checkSilent(w *worker) {
-	silent := false
-	if len(w.inFlight) > 0 && p.now-w.lastCheck > 4*housekeepingInterval {
-		oldest := w.inFlight[0]
-		silent = p.now-max(w.lastResponse, oldest.startedAt) > 2*(oldest.expected+housekeepingInterval)
-	}
+	silent := len(w.inFlight) > 0 && p.now-w.lastCheck > 4*housekeepingInterval &&
+		p.now-max(w.lastResponse, w.inFlight[0].startedAt) > 2*(w.inFlight[0].expected+housekeepingInterval)
 	if w.State != Gone && !w.checking && (silent || w.consecutiveFailures > 0 && p.now >= w.ejectedUntil) {
 		p.checkHealth(w)
 	}
@@ -60,24 +53,17 @@
 	}
 	w.checking = false
 	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
-		p.workerResponded(w)
+		p.responded(w)
 		p.loadReported(w, e.Report)
 	} else if w.lastResponse < w.lastCheck {
 		p.eject(w)
-		for _, a := range slices.Clone(w.inFlight) {
-			if p.mayMove(a) {
+		for _, a := range slices.Clone(w.inFlight) { // what may be sent elsewhere is canceled
+			r, c := a.request, a.request.class
+			remembered := p.now < a.startedAt+c.DeduplicationWindow-2*p.cfg.Tick
+			if !r.done && !r.streaming &&
+				(c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && remembered) {
 				p.cancel(a)
 			}
 		}
 	}
 }
-
-// mayMove reports whether an attempt may be canceled for a retry elsewhere.
-func (p *Policy) mayMove(a *attempt) bool {
-	r := a.request
-	if r.done || r.streaming || a.canceled {
-		return false
-	}
-	return r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey &&
-		p.now < a.startedAt+r.class.DeduplicationWindow-2*p.cfg.Tick
-}
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"encoding/binary"
 	"maps"
 	"slices"
 	"time"
@@ -10,9 +11,10 @@
 	housekeepingInterval = 50 * time.Millisecond // well below any latency objective, cheap enough
 	sweepInterval        = time.Second
 	functionMemory       = 2 * time.Minute // a function without requests is forgotten then
+	gossipEntryBytes     = 16              // a worker and a function; 16 of them fill a message
+	gossipPerRequest     = 2               // routers that a request pays messages for, however many there are
 )
 
-// housekeep does what is due at a fixed interval.
 func (p *Policy) housekeep() {
 	p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken})
 	p.servedWork *= rateRetention
@@ -37,16 +39,43 @@
 // sweep forgets what is no longer used.
 func (p *Policy) sweep() {
 	p.fleet = slices.DeleteFunc(p.fleet, func(w *worker) bool {
-		unused := w.State == Gone && len(w.inFlight) == 0 && w.pendingLoads == 0
-		if unused {
+		gone := w.State == Gone && len(w.inFlight) == 0 && w.pendingLoads == 0
+		if gone {
 			p.replicas.removeWorker(w)
 			delete(p.workers, w.Worker)
 		}
-		return unused
+		return gone
 	})
 	p.updateCapacities()
 	for _, w := range p.fleet {
 		p.sweepReplicas(w)
 	}
-	maps.DeleteFunc(p.functions, func(_ FunctionID, f *function) bool { return p.now-f.lastUsed > functionMemory })
+	unused := func(_ FunctionID, f *function) bool { return p.now-f.lastUsed > functionMemory }
+	maps.DeleteFunc(p.functions, unused)
+}
+
+// gossipReplica has few other routers know of a replica, again in its keep-alive: else each loads its own.
+func (p *Policy) gossipReplica(i *replica, f *function) {
+	if p.cfg.GossipSupported && p.cfg.Routers > 1 && p.now-i.gossipedAt > p.cfg.KeepAlive/4 {
+		i.gossipedAt = p.now
+		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(i.worker.Worker))
+		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(f.id))
+	}
+}
+
+func (p *Policy) sendGossip() {
+	p.gossip = p.gossip[max(0, len(p.gossip)-16*gossipEntryBytes):]
+	if others := float64(p.cfg.Routers - 1); len(p.gossip) > 0 && p.gossipTokens >= others {
+		p.emit(SendGossip{To: -1, Data: slices.Clone(p.gossip)})
+		p.gossip, p.gossipTokens = p.gossip[:0], p.gossipTokens-others
+	}
+}
+
+func (p *Policy) gossipReceived(gossip []byte) {
+	for ; len(gossip) >= gossipEntryBytes; gossip = gossip[gossipEntryBytes:] {
+		if w := p.workers[WorkerID(binary.BigEndian.Uint64(gossip))]; w != nil && w.State == Ready {
+			i := p.replicas.get(w, FunctionID(binary.BigEndian.Uint64(gossip[8:])))
+			i.loadedUntil = max(i.loadedUntil, p.now+p.cfg.KeepAlive*9/10)
+		}
+	}
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -40,6 +40,17 @@
 	return w.replica
 }
 
+// get returns what we believe of a function at a worker, with an entry for it from now on.
+func (h *replicaIndex) get(w *worker, f FunctionID) *replica {
+	i := w.replicas[f]
+	if i == nil {
+		i = &replica{worker: w}
+		w.replicas[f] = i
+		h.add(f, i)
+	}
+	return i
+}
+
 // add enters a belief.
 func (h *replicaIndex) add(f FunctionID, i *replica) {
 	if h.byFunction == nil {
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -6,32 +6,18 @@
 	"time"
 )
 
-// replica is what we believe of a function's replicas at a worker.
+// replica is what we believe of a function at a worker.
 type replica struct {
-	worker      *worker
-	loadedUntil time.Duration
-	gossipedAt  time.Duration
-	loadDue     time.Duration // a load under way is expected to end then; 0: none
-	loadOrdered bool          // by us, and not completed
-	waiting     []*request    // for that
-	inFlight    int           // attempts of ours
-	lanes       int           // as many of them as it was seen to serve at a time
+	worker                  *worker
+	loadedUntil, gossipedAt time.Duration
+	loadDue                 time.Duration // a load under way is expected to end then; 0: none
+	inFlight, lanes         int           // attempts of ours: there now, and as many as it was seen to serve
+	loadOrdered             bool          // by us, and not completed
+	waiting                 []*request    // for that
 }
 
-func (p *Policy) replica(w *worker, f FunctionID) *replica {
-	i := w.replicas[f]
-	if i == nil {
-		i = &replica{worker: w}
-		w.replicas[f] = i
-		p.replicas.add(f, i)
-	}
-	return i
-}
-
-// unloaded says that none is loaded.
 func (i *replica) unloaded() { i.loadedUntil, i.loadDue, i.lanes = 0, 0, 0 }
 
-// recentArrivals is how many requests came within the load budget's window.
 func (p *Policy) recentArrivals() float64 {
 	return float64(p.arrivals.CountSince(p.now - p.cfg.LoadBudgetWindow + 1))
 }
@@ -46,22 +32,20 @@
 		float64(p.loadOrders.CountSince(p.now-p.cfg.LoadBudgetWindow)+1) <= p.loadBudget()
 }
 
-// orderLoad has the missing function of r loaded, with r to follow. It reports whether that was possible.
+// orderLoad has the missing function of r loaded, with r to follow.
 func (p *Policy) orderLoad(r *request, i *replica) bool {
 	if !i.loadOrdered {
 		if p.cfg.LoadBudgetWindow > 0 && !r.pool.MayLoad(p.now, p.loadBudget()) ||
 			!p.emit(Load{Worker: i.worker.Worker, Function: r.Function, Count: 1}) {
 			return false
 		}
-		if p.cfg.LoadBudgetWindow > 0 {
-			p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
-		}
+		p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
 		r.pool.LoadStarted(p.now)
 		i.worker.pendingLoads++
-		i.loadOrdered, i.loadDue = true, p.now+time.Duration(p.newLoadTime(r.function))
+		i.loadOrdered, i.loadDue = true, p.now+time.Duration(p.fullLoad(r.function))
 	}
 	i.waiting = append(i.waiting, r)
-	r.excluded = slices.DeleteFunc(r.excluded, func(o *worker) bool { return o == i.worker })
+	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == i.worker })
 	return true
 }
 
@@ -71,24 +55,23 @@
 		return
 	}
 	i := w.replicas[f.id]
-	i.loadOrdered, i.loadDue = false, 0
+	waiting := i.waiting
+	i.loadOrdered, i.loadDue, i.waiting = false, 0, nil
 	w.pendingLoads--
 	switch e.Outcome {
 	case Served:
-		p.workerResponded(w)
+		p.responded(w)
 		i.loadedUntil = p.now + p.cfg.KeepAlive
 		p.gossipReplica(i, f)
-		if e.Took > f.loadTime/5 { // else it was loaded already, or nearly
-			p.observeLoadTime(float64(e.Took), f)
+		if e.Took > f.loadTime/5 { // else it was loaded, or nearly
+			p.observeLoad(float64(e.Took), f)
 		}
 	case Failed:
 		p.openBreaker(1)
 	case ConnectionReset, Unreachable:
 		p.connectionFailed(w, e.Outcome)
 	}
-	waiting := i.waiting
-	i.waiting = nil
-	for _, r := range waiting { // they go elsewhere, unless it is loaded or may be
+	for _, r := range waiting { // elsewhere, unless it is loaded
 		if e.Outcome != Served && e.Outcome != ConnectionReset {
 			r.excluded = append(r.excluded, w)
 		}
@@ -96,40 +79,37 @@
 	}
 }
 
-// openBreaker guards the store that all workers load from: while loads fail they begin one at a time and ever more
-// slowly, and requests that need one are deferred, until one succeeds. A failure by chance costs one short pause.
+// openBreaker guards the shared store: while loads fail they begin one at a time and ever more slowly, and what
+// needs one is deferred, until one succeeds. A failure by chance costs one short pause.
 func (p *Policy) openBreaker(failures int) {
 	p.failedLoads += failures
 	p.breakerUntil = p.now + housekeepingInterval<<min(p.failedLoads, 5)
 }
 
-// congested gives f a further rank at which it is loaded, as at all routers. Responses in time take that back.
+// congested gives f a further rendezvous slot, as at all routers. Responses in time take that back.
 func (p *Policy) congested(f *function) { f.congestion = min(f.congestion+1, float64(p.readyWorkers)) }
 
-// idleLimit is how long an idle replica of r's function is worth its memory: until that cost what a request loses
-// that finds none, in requests. A router among several sees only its own, so keeps it longer; where only orders
-// within the budget load, it keeps it for good.
+// idleLimit is how long an idle replica of r's function is worth its memory: until that cost what a request
+// loses that finds none. A router among several sees only its own requests, so keeps it longer; where only
+// orders within the budget load, it keeps it for good.
 func (p *Policy) idleLimit(r *request) time.Duration {
 	memory := p.recentArrivals() * p.cfg.MemoryPrice * r.MemoryMB
 	if p.cfg.MissWhenNotLoaded || p.cfg.WorkerMemoryMB <= 0 || !(memory > 0) {
 		return p.cfg.KeepAlive
 	}
-	late := min((p.newLoadTime(r.function)+p.runTime(r))/float64(r.class.LatencyObjective), 1)
-	loss := (1 - r.class.LatePriorityWeight) * late
-	loss *= p.cfg.WorkerMemoryMB * float64(max(p.readyWorkers, 1)) * float64(p.cfg.LoadBudgetWindow)
-	return time.Duration(min(loss/memory, float64(p.cfg.KeepAlive)))
+	late := min((p.fullLoad(r.function)+p.runTime(r))/float64(r.class.LatencyObjective), 1)
+	lost := (1 - r.class.LatePriorityWeight) * late
+	lost *= p.cfg.WorkerMemoryMB * float64(max(p.readyWorkers, 1)) * float64(p.cfg.LoadBudgetWindow)
+	return time.Duration(min(lost/memory, float64(p.cfg.KeepAlive)))
 }
 
-// sweepReplicas unloads what has been idle for longer than its memory is worth, and forgets what workers no longer
-// keep. It goes by the functions' order, so that equal runs do equal things.
+// sweepReplicas unloads what is idle for too long, and forgets what is no longer loaded, always in one order.
 func (p *Policy) sweepReplicas(w *worker) {
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
 		i, f := w.replicas[id], p.functions[id]
-		if i.inFlight > 0 || i.loadOrdered || p.now <= i.loadDue {
-			continue
-		}
-		left := i.loadedUntil - p.now
-		if left < 0 || f != nil && left+f.idleLimit < p.cfg.KeepAlive && p.emit(Unload{w.Worker, id}) {
+		idle, left := i.inFlight == 0 && !i.loadOrdered && p.now > i.loadDue, i.loadedUntil-p.now
+		tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
+		if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
 			p.replicas.remove(id, w)
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,12 +11,11 @@
 	"crankhold/internal/stats"
 )
 
-// Tokens of timers. Those of requests are the request's number above a base.
 const (
 	housekeepingToken = 0
 	subscribeToken    = 1
-	deadlineToken     = 1 << 32
-	hedgeToken        = 1 << 33
+	deadlineToken     = 1 << 32 // plus the request
+	hedgeToken        = 1 << 33 // plus the request
 )
 
 // Policy takes one router's decisions.
@@ -26,74 +25,65 @@
 	router  uint64 // the seed: tells routers apart
 	now     time.Duration
 	actions []Action // that answer the present event
-	started bool
-
-	workers      map[WorkerID]*worker
-	fleet        []*worker // in the order of their first listing
-	readyWorkers int
-	subscribed   bool
-	requests     map[RequestID]*request
-	deferred     []*request // no worker may take them now; scheduled again at each housekeeping
-	functions    map[FunctionID]*function
-	replicas     replicaIndex
-	classes      []classState
-	quotas       []stats.TokenBucket // by tenant
-	scratch
 
+	workers             map[WorkerID]*worker
+	fleet               []*worker // in the order of their first listing
+	readyWorkers        int
+	requests            map[RequestID]*request
+	deferred            []*request // no worker may take them now; scheduled again at each housekeeping
+	functions           map[FunctionID]*function
+	replicas            replicaIndex
+	classes             []classState
+	quotas              []stats.TokenBucket // by tenant
+	started, subscribed bool
 	estimates
-	lastTrial time.Duration // last request sent against an estimate
-	lastSweep time.Duration
+	scratch
 
-	failedLoads  int           // since one succeeded
-	breakerUntil time.Duration // circuit breaker: no load begins before, while they fail
-	arrivals     stats.SlidingWindow
-	loadOrders   stats.SlidingWindow
-	gossip       []byte  // replicas that the other routers are yet to be told of
-	gossipTokens float64 // messages to one router that our requests have paid for
+	arrivals, loadOrders stats.SlidingWindow // within LoadBudgetWindow
+	failedLoads          int                 // since one succeeded
+	breakerUntil         time.Duration       // circuit breaker: no load begins before, while they fail
+	lastTrial, lastSweep time.Duration
+	gossip               []byte  // replicas that the other routers are yet to be told of
+	gossipTokens         float64 // messages to one router that our requests have paid for
 }
 
 // New returns a Policy for one router; all its random choices follow from seed.
 func New(cfg Config, seed uint64) (*Policy, error) {
-	if err := validate(cfg); err != nil {
-		return nil, err
+	if class, valid := validate(cfg); !valid {
+		return nil, &ConfigError{class, cfg}
 	}
 	cfg.Routers = max(cfg.Routers, 1)
 	p := &Policy{cfg: cfg, router: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
-		workers: map[WorkerID]*worker{}, requests: map[RequestID]*request{}, functions: map[FunctionID]*function{}}
-	p.loadTimeRatio = 1
-	p.queueField = slices.Index(cfg.LoadReportFields, "queue")
+		workers: map[WorkerID]*worker{}, requests: map[RequestID]*request{},
+		functions: map[FunctionID]*function{}}
+	p.loadTimeRatio, p.queueField = 1, slices.Index(cfg.LoadReportFields, "queue")
 	for _, c := range cfg.Classes {
 		run := initialRun * float64(c.LatencyObjective)
-		p.classes = append(p.classes, classState{Class: c, run: stats.RunningMean{Mean: run},
-			measuredWork: runPrior * run, hintedWork: runPrior * run})
+		sum := runPrior * run
+		p.classes = append(p.classes, classState{c, stats.RunningMean{Mean: run}, sum, sum})
 	}
 	for _, t := range cfg.Tenants {
 		rate := stats.Clamp(t.RequestsPerSecond, 0, 1e9) / float64(cfg.Routers)
-		burst := 3 * math.Sqrt(rate)
-		p.quotas = append(p.quotas, stats.TokenBucket{Tokens: rate + 1, Capacity: rate + burst + 1, Rate: rate})
+		most := rate + 3*math.Sqrt(rate) + 1 // a second's worth may be saved up, and chance
+		p.quotas = append(p.quotas, stats.TokenBucket{Tokens: rate + 1, Capacity: most, Rate: rate})
 	}
 	return p, nil
 }
 
-// validate returns a *ConfigError for settings that no platform can mean.
-func validate(cfg Config) error {
-	if len(cfg.Classes) == 0 {
-		return &ConfigError{Class: NoClass, Setting: "Classes", Config: cfg}
-	}
+// validate reports whether a platform can mean the settings, and which class it can't.
+func validate(cfg Config) (class int, valid bool) {
 	for i, c := range cfg.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
 			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
-			return &ConfigError{Class: i, Config: cfg}
+			return i, false
 		}
 	}
-	for _, amount := range []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
+	amounts := []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
 		cfg.LoadBudgetRatio, float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration),
-		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)} {
-		if !(amount >= 0) || math.IsInf(amount, 1) || cfg.SlowStartInitialCapacity > 1 {
-			return &ConfigError{Class: NoClass, Config: cfg}
-		}
-	}
-	return nil
+		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)}
+	impossible := func(v float64) bool { return !(v >= 0) || math.IsInf(v, 1) }
+	return NoClass, len(cfg.Classes) > 0 && cfg.SlowStartInitialCapacity <= 1 &&
+		!slices.ContainsFunc(amounts, impossible)
 }
 
 // Handle takes one event and appends the actions that answer it to actions.
@@ -110,7 +100,10 @@
 	case RequestArrived:
 		p.requestArrived(e)
 	case RequestCanceled:
-		p.requestCanceled(p.requests[e.Request])
+		if r := p.requests[e.Request]; r != nil && !r.done { // what was taken back widens no load budget
+			p.arrivals.Remove(r.deadline - r.Remaining)
+			p.closeRequest(r)
+		}
 	case ResponseStarted:
 		if r := p.requests[e.Request]; r != nil {
 			r.streaming = true
@@ -130,50 +123,42 @@
 }
 
 func (p *Policy) timerFired(token uint64) {
-	switch {
-	case token == housekeepingToken:
+	r := p.requests[RequestID(token)] // which is in its low bits
+	if token == housekeepingToken {
 		p.housekeep()
-	case token == subscribeToken:
+	} else if token == subscribeToken {
 		p.emit(Subscribe{On: true})
-	case token >= hedgeToken:
-		p.hedge(p.requests[RequestID(token-hedgeToken)])
-	case token >= deadlineToken:
-		if r := p.requests[RequestID(token-deadlineToken)]; r != nil && !r.streaming {
-			p.reject(r, 0)
-		}
+	} else if token >= hedgeToken {
+		p.hedge(r)
+	} else if token >= deadlineToken && r != nil && !r.streaming {
+		p.reject(r, 0)
 	}
 }
 
-// emit is the one place where actions leave. It withholds what would break a rule, and reports whether a left.
+// emit is the one place where actions leave. It withholds those that would break a rule.
 func (p *Policy) emit(a Action) bool {
-	allowed := p.allowed(a)
-	if allowed {
-		p.actions = append(p.actions, a)
-	}
-	return allowed
-}
-
-// allowed reports whether the settings and the state of requests and workers permit a.
-func (p *Policy) allowed(a Action) bool {
+	allowed := true
 	switch a := a.(type) {
 	case StartAttempt:
 		r, w := p.requests[a.Request], p.workers[a.Worker]
-		return r != nil && w != nil && p.mayStart(r) && w.State == Ready && r.pool.Contains(w.Worker) &&
-			p.mayRetry(r, w) && p.slowStartAdmits(w)
+		allowed = r != nil && w != nil && p.mayStart(r) && p.eligible(w, r) && p.slowStartAdmits(w)
 	case CancelAttempt:
-		return p.cfg.CancelSupported
-	case Reject:
+		allowed = p.cfg.CancelSupported
+	case Reject: // nothing may have run, or running it again is harmless wherever it goes
 		r := p.requests[a.Request]
-		return r != nil && !r.done && r.mayReject()
+		allowed = r.possibleRun == nil && r.inFlight == 0 || r.class.Idempotency == Idempotent ||
+			r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == DeduplicatedEverywhere
 	case Load:
-		w := p.workers[a.Worker]
-		return w != nil && w.State == Ready && p.cfg.LoadOrdersSupported && p.loadBudgetLeft()
+		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready && p.loadBudgetLeft()
 	case Unload:
-		return p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready
+		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready
 	case CheckHealth:
-		return p.cfg.HealthCheckSupported
+		allowed = p.cfg.HealthCheckSupported
 	case Subscribe: // only where the list does not come by itself
-		return p.cfg.EndpointsByPolling && !p.subscribed
+		allowed = p.cfg.EndpointsByPolling && !p.subscribed
 	}
-	return true
+	if allowed {
+		p.actions = append(p.actions, a)
+	}
+	return allowed
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -153,7 +153,7 @@
 	}
 	b := newBed(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a copy; queueing at 2 looks a little worse
-		b.p.replica(b.p.workers[w], 7).loadedUntil = b.now + 10*time.Second
+		b.p.replicas.get(b.p.workers[w], 7).loadedUntil = b.now + 10*time.Second
 		b.p.workers[w].queueDelay.Observe(b.now, float64(w-1)*float64(20*ms))
 	}
 	one, at1 := send(b)
@@ -163,7 +163,7 @@
 	}
 	served(b, one, at1, AlreadyLoaded)
 	served(b, two, at2, AlreadyLoaded)
-	b.p.replica(b.p.workers[1], 7).lanes = 2 // two were served at a time
+	b.p.replicas.get(b.p.workers[1], 7).lanes = 2 // two were served at a time
 	b.p.workers[2].queueDelay.Observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
@@ -173,7 +173,7 @@
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
 	b.do(AttemptCompleted{Request: id, Worker: 1, Outcome: NotLoaded})
-	if n := b.p.replica(b.p.workers[1], 7).lanes; n != 0 {
+	if n := b.p.replicas.get(b.p.workers[1], 7).lanes; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
 }
@@ -532,7 +532,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet { // both hold a copy
-		b.p.replica(w, 7).loadedUntil = b.now + time.Hour
+		b.p.replicas.get(w, 7).loadedUntil = b.now + time.Hour
 	}
 	slow, lost := WorkerID(1), 0
 	for range 20 {
@@ -671,7 +671,7 @@
 	b.serve(7, 900*ms, AlreadyLoaded)
 	b.serve(7, 900*ms, AlreadyLoaded)
 	other := b.p.workers[w%6+1]
-	b.p.replica(other, 7).loadedUntil = b.now + time.Minute // a second copy stands
+	b.p.replicas.get(other, 7).loadedUntil = b.now + time.Minute // a second copy stands
 	if got := b.serve(7, 100*ms, AlreadyLoaded); got != other.Worker {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
@@ -859,7 +859,7 @@
 	cfg.Routers = 50
 	b := newBed(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
-		b.p.replica(w, f).loadedUntil = b.now + time.Minute
+		b.p.replicas.get(w, f).loadedUntil = b.now + time.Minute
 		for range 100 {
 			id, acts := b.arrive(0, f)
 			if has[StartAttempt](acts) {
@@ -999,7 +999,7 @@
 		t.Errorf("the other class left for %d", got)
 	}
 	b.now += 30 * time.Second
-	b.p.replica(b.p.workers[w], 7).loadedUntil = b.now + time.Minute
+	b.p.replicas.get(b.p.workers[w], 7).loadedUntil = b.now + time.Minute
 	for o, x := range b.p.workers {
 		if o != w {
 			delete(x.replicas, 7)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -2,81 +2,55 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
 	"crankhold/internal/stats"
 )
 
-// request is one that a final response is owed for, or an attempt of which is still in flight.
+// request is one that a final response is owed to, or that has attempts in flight.
 type request struct {
 	RequestArrived
 	class           *classState
 	function        *function
 	deadline        time.Duration
-	overQuota       bool // beyond its tenant's quota
+	pool            Pool // the workers that it may go to
 	attempts        []*attempt
-	inFlight        int       // of the attempts
-	possibleRun     *attempt  // the first attempt that may have run
-	retriesAfterRun int       // attempts after that
+	possibleRun     *attempt  // the first that may have run
 	excluded        []*worker // that rejected or failed it
-	pool            Pool      // the workers that it may go to
-	hedging         bool      // a hedged request is being sent
-	streaming       bool      // its response has begun
-	done            bool      // the final response has been given, or is no longer owed
+	inFlight        int       // of the attempts
+	retriesAfterRun int       // attempts after the possible run
+	overQuota       bool
+	hedging         bool // a hedged request is being sent
+	done, streaming bool
 }
 
 // attempt is one forwarding of a request to a worker.
 type attempt struct {
-	request             *request
-	number              int
-	worker              *worker
-	pool                Pool
-	startedAt, expected time.Duration
-	inFlight            int  // attempts at the worker when this one started
-	expectsLoad         bool // no replica was thought loaded
-	likelyLoaded        bool // but likely one was, at the first in rendezvous rank
-	ended, canceled     bool
+	request                   *request
+	worker                    *worker
+	pool                      Pool
+	number, inFlight          int // inFlight: attempts at the worker before it
+	startedAt, expected       time.Duration
+	expectsLoad, likelyLoaded bool // we know no replica there; but another router likely keeps one
+	ended, canceled           bool
 }
 
 func (p *Policy) requestArrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests[e.Request] != nil {
 		return
 	}
-	if p.cfg.LoadBudgetWindow > 0 {
-		p.arrivals.Add(p.now, p.cfg.LoadBudgetWindow)
-	}
+	p.arrivals.Add(p.now, p.cfg.LoadBudgetWindow)
 	p.gossipTokens = min(p.gossipTokens+gossipPerRequest, float64(p.cfg.Routers))
-	class := &p.classes[e.Class]
-	f := p.functions[e.Function]
-	if f == nil {
-		f = &function{id: e.Function, run: stats.RunningMean{Mean: class.run.Mean}}
-		p.functions[e.Function] = f
-	}
-	f.recentRequests *= math.Exp(-float64(p.now-f.lastUsed) / float64(rateSpan))
-	f.lastUsed = p.now
-	f.loadTime = e.LoadTime
-	if f.loadTime <= 0 || f.loadTime > time.Hour {
-		f.loadTime = class.LatencyObjective // unknown: as long as a response may take
-	}
-	e.Remaining = max(e.Remaining, 0)
-	e.Policy = cmp.Or(e.Policy, &defaultRequestPolicy)
-	r := &request{RequestArrived: e, class: class, function: f, deadline: p.now + e.Remaining, pool: e.Policy.Pool}
+	e.Remaining, e.Policy = max(e.Remaining, 0), cmp.Or(e.Policy, &defaultRequestPolicy)
+	r := &request{RequestArrived: e, class: &p.classes[e.Class], deadline: p.now + e.Remaining,
+		pool: e.Policy.Pool, overQuota: p.overQuota(e.Tenant)}
 	p.requests[e.Request] = r
-	f.idleLimit = p.idleLimit(r)
-	r.overQuota = p.overQuota(e.Tenant)
+	r.function = p.requestedFunction(r)
+	r.function.idleLimit = p.idleLimit(r)
 	p.emit(SetTimer{After: max(e.Remaining-2*p.cfg.Tick, 0), Token: deadlineToken + uint64(e.Request)})
 	p.schedule(r)
-	f.recentRequests++
-}
-
-// requestCanceled closes r, of which the client wants to know no more; it does not widen the load budget either.
-func (p *Policy) requestCanceled(r *request) {
-	if r != nil && !r.done {
-		p.arrivals.Remove(r.deadline - r.Remaining)
-		p.closeRequest(r)
-	}
+	r.function.recentRequests++
 }
 
 // attemptCompleted learns from how an attempt ended and decides what follows.
@@ -86,17 +60,15 @@
 		return
 	}
 	a := r.attempts[e.Attempt]
-	i := p.replica(a.worker, r.function.id)
-	a.ended = true
+	w, i := a.worker, p.replicas.get(a.worker, r.function.id)
+	a.ended, r.inFlight, i.inFlight = true, r.inFlight-1, i.inFlight-1
 	a.pool.AttemptFinished()
-	a.worker.inFlight = slices.DeleteFunc(a.worker.inFlight, func(o *attempt) bool { return o == a })
-	i.inFlight--
-	r.inFlight--
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(o *attempt) bool { return o == a })
 	if !e.Outcome.NeverRan() && r.possibleRun == nil {
 		r.possibleRun = a
 	}
-	if e.Outcome != ConnectionReset || a.number > 0 { // a connection may break alone: its worker has the replica
-		r.excluded = append(r.excluded, a.worker)
+	if e.Outcome != ConnectionReset || a.number > 0 { // it may break alone: its worker still has the replica
+		r.excluded = append(r.excluded, w)
 	}
 	e.Took = min(max(e.Took, 0), time.Hour)
 	p.observeOutcome(a, i, e)
@@ -114,43 +86,33 @@
 	p.release(r)
 }
 
-// mayReject reports whether nothing of r may have run, or running it again is harmless wherever it goes.
-func (r *request) mayReject() bool {
-	return r.possibleRun == nil && r.inFlight == 0 || r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == DeduplicatedEverywhere
-}
-
-// reject gives the final response: a rejection where that is true, else a failure, which promises nothing. Clients
-// that stay away for wait, in nanoseconds, come back spread by chance.
+// reject gives the final response: a rejection where that is true, else a failure, which promises nothing.
+// The wait is in nanoseconds; clients come back spread by chance.
 func (p *Policy) reject(r *request, wait float64) {
 	rejection := Reject{Request: r.Request}
-	if longest := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfterSupported && longest > 0 {
-		wait = stats.Clamp(wait, float64(housekeepingInterval), longest)
+	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfterSupported && most > 0 {
+		wait = stats.Clamp(wait, float64(housekeepingInterval), most)
 		rejection.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2))
 	}
-	if r.done {
-		return
-	}
-	if !p.emit(rejection) {
-		p.emit(FailRequest{Request: r.Request})
+	if !r.done {
+		_ = p.emit(rejection) || p.emit(FailRequest{Request: r.Request})
+		p.closeRequest(r)
 	}
-	p.closeRequest(r)
 }
 
-// closeRequest marks r as done and cancels its attempts in flight.
 func (p *Policy) closeRequest(r *request) {
 	r.done = true
 	p.emit(ClearTimer{Token: deadlineToken + uint64(r.Request)})
 	for _, a := range r.attempts {
-		if !a.ended && !a.canceled {
-			p.cancel(a)
-		}
+		p.cancel(a)
 	}
 	p.release(r)
 }
 
 func (p *Policy) cancel(a *attempt) {
-	a.canceled = p.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
+	if !a.ended && !a.canceled {
+		a.canceled = p.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
+	}
 }
 
 func (p *Policy) release(r *request) {
--- a/policy/terms_test.go
+++ b/policy/terms_test.go
@@ -162,7 +162,7 @@
 		cfg.HedgingAllowed = allowed
 		b := newBed(t, cfg, 4)
 		for w := range WorkerID(4) {
-			b.p.replica(b.p.workers[w+1], 7).loadedUntil = b.now + time.Hour
+			b.p.replicas.get(b.p.workers[w+1], 7).loadedUntil = b.now + time.Hour
 		}
 		terms := open(newPool(100, 1, 2, 3, 4))
 		terms.HedgeDelay = 100 * ms
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -7,28 +7,22 @@
 	"crankhold/internal/stats"
 )
 
-// worker is what is known of one that is listed, or was and still has attempts or loads.
+// worker is one that is listed, or was and still has attempts or loads.
 type worker struct {
 	Endpoint
-	capacity   float64 // what it can do in comparison with other workers
-	hashWeight float64 // its weight in rendezvous hashing
-	replicas   map[FunctionID]*replica
+	size, capacity, hashWeight float64    // in comparison; what it can do; in rendezvous hashing
+	inFlight                   []*attempt // in the order in which they started
+	queueSlope                 stats.Regression
+	queueDelay                 stats.DecayingMean   // the intercept: what other routers' requests add
+	failureRates               []stats.DecayingMean // by class
+	servedWork                 float64              // for us, decaying over rateSpan
+	slowStart                  stats.TokenBucket    // work that may go there while it warms up
+	replicas                   map[FunctionID]*replica
 	indexMark
 
-	inFlight     []*attempt // in the order in which they started
-	pendingLoads int
-	queueSlope   stats.Regression     // queueing delay over the attempts in flight
-	queueDelay   stats.DecayingMean   // what other routers' requests add to it
-	failureRates []stats.DecayingMean // by class
-	servedWork   float64              // for us, decaying over rateSpan
-
-	slowStart stats.TokenBucket // work that may go there now while it warms up
-
-	checking            bool // a health check is in flight
-	consecutiveFailures int
-	lastResponse        time.Duration
-	lastCheck           time.Duration
-	ejectedUntil        time.Duration
+	pendingLoads, consecutiveFailures     int
+	checking                              bool // a health check is in flight
+	lastCheck, lastResponse, ejectedUntil time.Duration
 }
 
 // endpointsListed follows the endpoint list.
@@ -44,19 +38,19 @@
 		listed[e.Worker] = true
 		w, known := p.workers[e.Worker]
 		if !known {
-			w = &worker{replicas: map[FunctionID]*replica{}, failureRates: make([]stats.DecayingMean, len(p.classes))}
+			w = &worker{replicas: map[FunctionID]*replica{}}
+			w.failureRates = make([]stats.DecayingMean, len(p.classes))
 			p.workers[e.Worker] = w
 			p.fleet = append(p.fleet, w)
 		}
 		if !known || e.Started > w.Started {
-			p.processStarted(w)
+			p.restarted(w)
 		}
-		w.Endpoint = e
-		w.Weight = stats.Clamp(e.Weight, 0, 1e9) // 0: unknown
+		w.Endpoint, w.size = e, cmp.Or(stats.Clamp(e.Weight, 0, 1e9), 1)
 	}
-	p.readyWorkers, p.meanWeight = 0, 0
+	p.readyWorkers, p.meanSize = 0, 0
 	for _, w := range p.fleet {
-		p.meanWeight += cmp.Or(w.Weight, 1) / float64(len(p.fleet))
+		p.meanSize += w.size / float64(len(p.fleet))
 		if l.Kind != EndpointDelta && !listed[w.Worker] {
 			w.State = Gone
 		}
@@ -65,17 +59,15 @@
 	p.updateCapacities()
 }
 
-// processStarted forgets what was known of w's process before. In slow start w owes a part of a request, by chance,
-// so that routers take turns.
-func (p *Policy) processStarted(w *worker) {
+// restarted forgets what was known of the process before. In slow start a worker owes a part of a request, by
+// chance, so that routers take turns.
+func (p *Policy) restarted(w *worker) {
 	for _, i := range w.replicas {
 		i.unloaded()
 	}
-	w.consecutiveFailures, w.ejectedUntil = 0, 0
-	w.servedWork = 0
+	w.consecutiveFailures, w.ejectedUntil, w.servedWork = 0, 0, 0
 	w.slowStart.Tokens = -p.rng.Float64() * p.classes[0].run.Mean
-	w.queueSlope = stats.Regression{}
-	w.queueDelay = stats.DecayingMean{Span: queueSpan, Few: fewResponses}
+	w.queueSlope, w.queueDelay = stats.Regression{}, stats.DecayingMean{Span: queueSpan, Few: fewResponses}
 	for class := range w.failureRates {
 		w.failureRates[class] = w.queueDelay
 	}
