--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -62,3 +62,16 @@
 	m.Count = min(m.Count+1, limit)
 	m.Mean += (value - m.Mean) / m.Count
 }
+
+// SkewedMean is a mean that follows higher and lower observations at different speeds, and so tends to a quantile: it
+// rises by 1/upward of the difference to a higher observation, and falls by 1/downward of that to a lower one.
+type SkewedMean struct{ Mean float64 }
+
+// Observe adds a value; upward and downward are at least 1.
+func (m *SkewedMean) Observe(value, upward, downward float64) {
+	divisor := upward
+	if value < m.Mean {
+		divisor = downward
+	}
+	m.Mean += (value - m.Mean) / divisor
+}
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -68,6 +68,33 @@
 	}
 }
 
+func TestRunningMean(t *testing.T) {
+	mean := RunningMean{Mean: 100} // a first guess
+	for _, step := range []struct{ value, want float64 }{{4, 4}, {8, 6}, {9, 7}, {13, 9}, {0, 6}} {
+		mean.Observe(step.value, 3)
+		near(t, fmt.Sprint("the mean after ", step.value), mean.Mean, step.want)
+	}
+	near(t, "the count", mean.Count, 3)
+}
+
+func TestSkewedMean(t *testing.T) {
+	mean := SkewedMean{Mean: 100}
+	mean.Observe(120, 20, 4)
+	near(t, "the mean after a higher value", mean.Mean, 101)
+	mean.Observe(81, 20, 4)
+	near(t, "the mean after a lower value", mean.Mean, 96)
+	mean.Observe(96, 20, 4)
+	near(t, "the mean after the same value", mean.Mean, 96)
+}
+
+func TestClamp(t *testing.T) {
+	for _, step := range []struct{ v, want float64 }{
+		{0.5, 0.5}, {-3, 0}, {7, 1}, {math.Inf(1), 1}, {math.Inf(-1), 0}, {math.NaN(), 0},
+	} {
+		near(t, fmt.Sprint("clamped ", step.v), Clamp(step.v, 0, 1), step.want)
+	}
+}
+
 func TestRegression(t *testing.T) {
 	var line Regression
 	near(t, "a prediction from nothing", line.Predict(5, 1), 0)
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -445,7 +445,7 @@
 	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.end()\n\t\td.line.Close()", "\t\td.end()"},
 	{"a trial's connection stays", "internal/workerclient/dial.go", "t.pool.dials--\n\tt.line.Close()", "t.pool.dials--"},
 	{"a call that was given up is sent all the same", "internal/workerclient/pool.go", "\tk.conn.unqueue(k)\n\treturn true", "\treturn true"},
-	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
+	{"the module repeats what must not be", "policy/retries.go", "return withinLimit && (c.Idempotency == Idempotent ||", "return withinLimit && (c.Idempotency != IdempotentWithKey ||"},
 	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
 }
 
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// NoClass is the Class of a ConfigError that is about no class of its own.
+// NoClass is the Class of a ConfigError that is about the settings as a whole.
 const NoClass = -1
 
-// ConfigError is returned by New for settings that no platform can mean.
+// ConfigError is returned by New for settings that no platform can mean: they have no classes, or an amount in them is
+// negative, infinite or no number.
 type ConfigError struct {
 	Class  int    // index of the impossible class, or NoClass
 	Config Config // as it was given
--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -1,13 +1,9 @@
 package policy
 
-import (
-	"math"
-	"time"
+import "math"
+import "time"
+import "crankhold/internal/stats"
 
-	"crankhold/internal/stats"
-)
-
-// Tuned values. None is fitted to one deployment.
 const (
 	rateSpan            = 10 * time.Second // memory of the rate at which we are served
 	rateRetention       = 1 - float64(housekeepingInterval)/float64(rateSpan)
@@ -25,17 +21,6 @@
 	extraLaneLoad       = 0.3             // part of a load that a request beyond the lanes costs
 )
 
-// estimates hold for all workers. Work is in nanoseconds of runs.
-type estimates struct {
-	queueSlope, reportSlope stats.Regression // delay over attempts in flight; over reported requests
-	queueField              int              // of these in a load report; -1: not reported
-	sizeEffect              stats.Regression // of runs, less time over the log of the size
-	meanSize, loadTimeRatio float64          // measured load time over the announced one
-	standingDelay           float64          // that three of four responses from loaded replicas exceed
-	warmRate                float64          // work that warm workers take in a second, by capacity
-	servedWork, servedSpan  float64          // work for us and the seconds it took, decaying over rateSpan
-}
-
 type classState struct {
 	Class
 	run                      stats.RunningMean // of warm responses, in nanoseconds
@@ -50,20 +35,6 @@
 	congestion                    float64 // late or rejected though a replica stood, less those that were not
 }
 
-func (p *Policy) requestedFunction(r *request) *function {
-	f := p.functions[r.Function]
-	if f == nil {
-		f = &function{id: r.Function, run: stats.RunningMean{Mean: r.class.run.Mean}}
-		p.functions[f.id] = f
-	}
-	f.recentRequests *= math.Exp(-float64(p.now-f.lastUsed) / float64(rateSpan))
-	f.lastUsed, f.loadTime = p.now, r.LoadTime
-	if f.loadTime <= 0 || f.loadTime > time.Hour {
-		f.loadTime = r.class.LatencyObjective // unknown: as long as a response may take
-	}
-	return f
-}
-
 // queueingDelay predicts the delay at w with n attempts of ours in flight there.
 func (p *Policy) queueingDelay(w *worker, n int) float64 {
 	delays := w.queueSlope.SumY + p.queueSlope.Predict(slopePrior, 1)
@@ -84,13 +55,12 @@
 
 // remainingLoad is the load time that r must expect at w.
 func (p *Policy) remainingLoad(w *worker, r *request) float64 {
-	if i := p.replicas.lookUp(w, r.function.id); i != nil {
-		if i.loadDue > 0 {
-			return math.Abs(float64(i.loadDue - p.now)) // one that is late is expected to be as late again
-		}
-		if p.now < i.loadedUntil || i.inFlight > 0 {
-			return 0
-		}
+	i := p.replicas.lookUp(w, r.function.id)
+	if i != nil && i.loadDue > 0 {
+		return math.Abs(float64(i.loadDue - p.now)) // one that is late is expected to be as late again
+	}
+	if i != nil && (p.now < i.loadedUntil || i.inFlight > 0) {
+		return 0
 	}
 	return p.fullLoad(r.function)
 }
@@ -110,7 +80,6 @@
 	return latency
 }
 
-// observeOutcome takes how an attempt ended into the estimates.
 func (p *Policy) observeOutcome(a *attempt, i *replica, e AttemptCompleted) {
 	r, w, failures := a.request, a.worker, &a.worker.failureRates[a.request.Class]
 	switch e.Outcome {
@@ -148,7 +117,6 @@
 	}
 }
 
-// learn takes a served attempt into the estimates.
 func (p *Policy) learn(a *attempt, i *replica, e AttemptCompleted) {
 	r, w, f := a.request, a.worker, a.request.function
 	queued := p.loadReported(w, e.Report)
@@ -159,11 +127,7 @@
 		loaded = took > run+queue+p.fullLoad(f)/2
 	}
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded { // a guessed load may be a queue
-		memory := 20.0 // slowly up to what took longer, fast down
-		if took < p.standingDelay {
-			memory = 4
-		}
-		p.standingDelay += (min(took, maxMultiple*objective) - p.standingDelay) / memory
+		p.standingDelay.Observe(min(took, maxMultiple*objective), 20, 4)
 	}
 	i.loadedUntil, i.loadDue, i.lanes = p.now+p.cfg.KeepAlive, 0, max(i.lanes, i.inFlight+1)
 	p.gossipReplica(i, f)
@@ -173,48 +137,40 @@
 		p.congested(f)
 	}
 	if !loaded && (!a.expectsLoad || !p.cfg.MissWhenNotLoaded) {
-		p.learnQueueing(a, took, run, queue, queued)
-		p.learnRun(a, took, run, queue)
+		p.learnWarm(a, took, run, queue, queued)
 	} else if e.LoadStatus == StartedLoad || e.LoadStatus == LoadStatusUnknown && a.expectsLoad && loaded {
 		p.observeLoad(took-run-queue, f)
 	}
 }
 
-// learnQueueing takes in by how much a served attempt took longer than its run.
-func (p *Policy) learnQueueing(a *attempt, took, run, queue, queued float64) {
-	w, delay := a.worker, took-run
+// learnWarm takes in a served attempt that waited for no load, with the run and queueing predicted for it.
+func (p *Policy) learnWarm(a *attempt, took, run, queue, queued float64) {
+	r, w, class, f := a.request, a.worker, a.request.class, a.request.function
 	ours := queue - max(0, w.queueDelay.Mean(p.now))
-	sample := stats.Clamp(delay, -run, maxMultiple*(run+queue))
-	w.queueSlope.Observe(float64(a.inFlight), sample, regressionRetention)
-	p.queueSlope.Observe(float64(a.inFlight), sample, regressionRetention)
-	w.queueDelay.Observe(p.now, min(delay, maxMultiple*float64(a.request.class.LatencyObjective))-ours)
+	delay := stats.Clamp(took-run, -run, maxMultiple*(run+queue))
+	w.queueSlope.Observe(float64(a.inFlight), delay, regressionRetention)
+	p.queueSlope.Observe(float64(a.inFlight), delay, regressionRetention)
+	w.queueDelay.Observe(p.now, min(took-run, maxMultiple*float64(class.LatencyObjective))-ours)
 	if queued >= 0 {
-		p.reportSlope.Observe(queued, max(sample-ours, 0), regressionRetention)
+		p.reportSlope.Observe(queued, max(delay-ours, 0), regressionRetention)
 	}
-}
-
-// learnRun takes in the work of a served attempt.
-func (p *Policy) learnRun(a *attempt, took, run, queue float64) {
-	r, class, f := a.request, a.request.class, a.request.function
 	work := max(took-queue, took/4)
 	if r.Work > 0 {
 		class.measuredWork += min(work, maxMultiple*run) - class.measuredWork/runMemory
 		class.hintedWork += min(float64(r.Work), float64(time.Hour)) - class.hintedWork/runMemory
 	}
-	size := math.Log(a.worker.size / p.meanSize)
+	size := math.Log(w.size / p.meanSize)
 	p.sizeEffect.Observe(size*size, size*(1-min(work/class.run.Mean, maxMultiple)), sizeRetention)
 	f.run.Observe(min(work, maxMultiple*f.run.Mean), runMemory)
 	class.run.Observe(min(work, maxMultiple*class.run.Mean), runMemory)
 }
 
-// observeLoad takes in the time of a load that succeeded.
 func (p *Policy) observeLoad(took float64, f *function) {
 	p.failedLoads, p.breakerUntil = 0, 0
 	p.loadTimeRatio += loadTimeWeight * (stats.Clamp(took/float64(f.loadTime), 0.2, 10) - p.loadTimeRatio)
 }
 
-// loadReported takes a load report, late and noisy, for one response: the delay that such a queue meant. It
-// returns how many requests are queued by the report, below 0 where that doesn't tell.
+// loadReported learns from a load report and returns how many requests it says are queued; below 0: unknown.
 func (p *Policy) loadReported(w *worker, report []float64) float64 {
 	if p.queueField < 0 || p.queueField >= len(report) {
 		return -1
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,14 +1,11 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
+import "time"
 
 const baseEjection = time.Second // for a first failure; doubled by each of the next three
 
-// ejected reports whether w is left out: until a health check succeeds or, without these, for the time of its
-// ejection, and then with one attempt at a time.
+// ejected: until a health check succeeds or, without these, for a time, and then with one attempt in flight.
 func (p *Policy) ejected(w *worker) bool {
 	return w.consecutiveFailures > 0 &&
 		(p.cfg.HealthCheckSupported || p.now < w.ejectedUntil || len(w.inFlight) > 0)
@@ -25,7 +22,7 @@
 	w.lastResponse, w.consecutiveFailures, w.ejectedUntil = p.now, 0, 0
 }
 
-// connectionFailed takes in a connection that broke, maybe alone: a health check tells; or one never made.
+// connectionFailed takes in a connection that could not be made, or broke, maybe alone: a health check tells.
 func (p *Policy) connectionFailed(w *worker, o Outcome) {
 	if o == Unreachable || !w.checking && !p.checkHealth(w) {
 		p.eject(w)
@@ -37,7 +34,6 @@
 	return w.checking
 }
 
-// checkSilent checks a worker that is silent for longer than expected, or whose ejection is over.
 func (p *Policy) checkSilent(w *worker) {
 	silent := len(w.inFlight) > 0 && p.now-w.lastCheck > 4*housekeepingInterval &&
 		p.now-max(w.lastResponse, w.inFlight[0].startedAt) > 2*(w.inFlight[0].expected+housekeepingInterval)
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -1,11 +1,9 @@
 package policy
 
-import (
-	"encoding/binary"
-	"maps"
-	"slices"
-	"time"
-)
+import "encoding/binary"
+import "maps"
+import "slices"
+import "time"
 
 const (
 	housekeepingInterval = 50 * time.Millisecond // well below any latency objective, cheap enough
@@ -24,7 +22,11 @@
 		p.refillSlowStart(w)
 		p.checkSilent(w)
 	}
-	p.sendGossip()
+	p.gossip = p.gossip[max(0, len(p.gossip)-16*gossipEntryBytes):]
+	if others := float64(p.cfg.Routers - 1); len(p.gossip) > 0 && p.gossipTokens >= others {
+		p.emit(SendGossip{To: -1, Data: slices.Clone(p.gossip)})
+		p.gossip, p.gossipTokens = p.gossip[:0], p.gossipTokens-others
+	}
 	deferred := p.deferred
 	p.deferred = nil
 	for _, r := range deferred {
@@ -36,7 +38,6 @@
 	}
 }
 
-// sweep forgets what is no longer used.
 func (p *Policy) sweep() {
 	p.fleet = slices.DeleteFunc(p.fleet, func(w *worker) bool {
 		gone := w.State == Gone && len(w.inFlight) == 0 && w.pendingLoads == 0
@@ -48,7 +49,14 @@
 	})
 	p.updateCapacities()
 	for _, w := range p.fleet {
-		p.sweepReplicas(w)
+		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
+			i, f := w.replicas[id], p.functions[id]
+			idle, left := i.inFlight == 0 && !i.loadOrdered && p.now > i.loadDue, i.loadedUntil-p.now
+			tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
+			if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
+				p.replicas.remove(id, w)
+			}
+		}
 	}
 	unused := func(_ FunctionID, f *function) bool { return p.now-f.lastUsed > functionMemory }
 	maps.DeleteFunc(p.functions, unused)
@@ -63,14 +71,6 @@
 	}
 }
 
-func (p *Policy) sendGossip() {
-	p.gossip = p.gossip[max(0, len(p.gossip)-16*gossipEntryBytes):]
-	if others := float64(p.cfg.Routers - 1); len(p.gossip) > 0 && p.gossipTokens >= others {
-		p.emit(SendGossip{To: -1, Data: slices.Clone(p.gossip)})
-		p.gossip, p.gossipTokens = p.gossip[:0], p.gossipTokens-others
-	}
-}
-
 func (p *Policy) gossipReceived(gossip []byte) {
 	for ; len(gossip) >= gossipEntryBytes; gossip = gossip[gossipEntryBytes:] {
 		if w := p.workers[WorkerID(binary.BigEndian.Uint64(gossip))]; w != nil && w.State == Ready {
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -1,12 +1,8 @@
 package policy
 
-import (
-	"maps"
-	"slices"
-	"time"
-)
+import "slices"
+import "time"
 
-// replica is what we believe of a function at a worker.
 type replica struct {
 	worker                  *worker
 	loadedUntil, gossipedAt time.Duration
@@ -18,18 +14,12 @@
 
 func (i *replica) unloaded() { i.loadedUntil, i.loadDue, i.lanes = 0, 0, 0 }
 
-func (p *Policy) recentArrivals() float64 {
+func (p *Policy) recentRequests() float64 {
 	return float64(p.arrivals.CountSince(p.now - p.cfg.LoadBudgetWindow + 1))
 }
 
-// loadBudget is how many load orders the window may hold now.
 func (p *Policy) loadBudget() float64 {
-	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*p.recentArrivals()
-}
-
-func (p *Policy) loadBudgetLeft() bool {
-	return p.cfg.LoadBudgetWindow <= 0 ||
-		float64(p.loadOrders.CountSince(p.now-p.cfg.LoadBudgetWindow)+1) <= p.loadBudget()
+	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*p.recentRequests()
 }
 
 // orderLoad has the missing function of r loaded, with r to follow.
@@ -79,8 +69,7 @@
 	}
 }
 
-// openBreaker guards the shared store: while loads fail they begin one at a time and ever more slowly, and what
-// needs one is deferred, until one succeeds. A failure by chance costs one short pause.
+// openBreaker guards the shared store: while loads fail they begin one at a time and ever more slowly.
 func (p *Policy) openBreaker(failures int) {
 	p.failedLoads += failures
 	p.breakerUntil = p.now + housekeepingInterval<<min(p.failedLoads, 5)
@@ -89,11 +78,9 @@
 // congested gives f a further rendezvous slot, as at all routers. Responses in time take that back.
 func (p *Policy) congested(f *function) { f.congestion = min(f.congestion+1, float64(p.readyWorkers)) }
 
-// idleLimit is how long an idle replica of r's function is worth its memory: until that cost what a request
-// loses that finds none. A router among several sees only its own requests, so keeps it longer; where only
-// orders within the budget load, it keeps it for good.
+// idleLimit is how long an idle replica is worth its memory: until that cost what its absence would.
 func (p *Policy) idleLimit(r *request) time.Duration {
-	memory := p.recentArrivals() * p.cfg.MemoryPrice * r.MemoryMB
+	memory := p.recentRequests() * p.cfg.MemoryPrice * r.MemoryMB
 	if p.cfg.MissWhenNotLoaded || p.cfg.WorkerMemoryMB <= 0 || !(memory > 0) {
 		return p.cfg.KeepAlive
 	}
@@ -102,15 +89,3 @@
 	lost *= p.cfg.WorkerMemoryMB * float64(max(p.readyWorkers, 1)) * float64(p.cfg.LoadBudgetWindow)
 	return time.Duration(min(lost/memory, float64(p.cfg.KeepAlive)))
 }
-
-// sweepReplicas unloads what is idle for too long, and forgets what is no longer loaded, always in one order.
-func (p *Policy) sweepReplicas(w *worker) {
-	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
-		i, f := w.replicas[id], p.functions[id]
-		idle, left := i.inFlight == 0 && !i.loadOrdered && p.now > i.loadDue, i.loadedUntil-p.now
-		tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
-		if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
-			p.replicas.remove(id, w)
-		}
-	}
-}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,15 +1,10 @@
-// The exported types are in config.go, events.go and actions.go; docs/design.md describes the mechanism.
-
 package policy
 
-import (
-	"math"
-	"math/rand/v2"
-	"slices"
-	"time"
-
-	"crankhold/internal/stats"
-)
+import "math"
+import "math/rand/v2"
+import "slices"
+import "time"
+import "crankhold/internal/stats"
 
 const (
 	housekeepingToken = 0
@@ -20,40 +15,56 @@
 
 // Policy takes one router's decisions.
 type Policy struct {
-	cfg     Config
-	rng     *rand.Rand
-	router  uint64 // the seed: tells routers apart
-	now     time.Duration
-	actions []Action // that answer the present event
-
-	workers             map[WorkerID]*worker
-	fleet               []*worker // in the order of their first listing
-	readyWorkers        int
-	requests            map[RequestID]*request
-	deferred            []*request // no worker may take them now; scheduled again at each housekeeping
-	functions           map[FunctionID]*function
-	replicas            replicaIndex
-	classes             []classState
-	quotas              []stats.TokenBucket // by tenant
-	started, subscribed bool
-	estimates
+	cfg       Config
+	rng       *rand.Rand
+	router    WorkerID // the seed: ranks in rendezvous hashing as a worker does
+	now       time.Duration
+	actions   []Action // that answer the present event
+	workers   map[WorkerID]*worker
+	fleet     []*worker // in the order of their first listing
+	requests  map[RequestID]*request
+	deferred  []*request // no worker may take them now; scheduled again at each housekeeping
+	functions map[FunctionID]*function
+	replicas  replicaIndex
+	classes   []classState
+	quotas    []stats.TokenBucket // by tenant
 	scratch
 
+	queueSlope, reportSlope stats.Regression // delay over attempts in flight; over requests queued by reports
+	queueField              int              // of these in a load report; -1: not reported
+	sizeEffect              stats.Regression // of runs, less time over the log of the size
+	meanSize, loadTimeRatio float64          // measured load time over the announced one
+	standingDelay           stats.SkewedMean // that three of four responses from loaded replicas exceed
+	warmRate                float64          // work that warm workers take in a second, by capacity
+	servedWork, servedSpan  float64          // work for us and the seconds it took, decaying over rateSpan
+
+	started, subscribed  bool
 	arrivals, loadOrders stats.SlidingWindow // within LoadBudgetWindow
-	failedLoads          int                 // since one succeeded
-	breakerUntil         time.Duration       // circuit breaker: no load begins before, while they fail
 	lastTrial, lastSweep time.Duration
-	gossip               []byte  // replicas that the other routers are yet to be told of
-	gossipTokens         float64 // messages to one router that our requests have paid for
+	readyWorkers         int
+	failedLoads          int           // since one succeeded
+	breakerUntil         time.Duration // no load begins before, while they fail
+	gossip               []byte        // replicas that the other routers are yet to be told of
+	gossipTokens         float64       // messages to one router that our requests have paid for
 }
 
 // New returns a Policy for one router; all its random choices follow from seed.
 func New(cfg Config, seed uint64) (*Policy, error) {
-	if class, valid := validate(cfg); !valid {
-		return nil, &ConfigError{class, cfg}
+	for i, c := range cfg.Classes {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
+			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
+			return nil, &ConfigError{i, cfg}
+		}
+	}
+	amounts := []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
+		cfg.LoadBudgetRatio, float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration),
+		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)}
+	impossible := func(v float64) bool { return !(v >= 0) || math.IsInf(v, 1) }
+	if len(cfg.Classes) == 0 || slices.ContainsFunc(amounts, impossible) || cfg.SlowStartInitialCapacity > 1 {
+		return nil, &ConfigError{NoClass, cfg}
 	}
 	cfg.Routers = max(cfg.Routers, 1)
-	p := &Policy{cfg: cfg, router: seed, rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
+	p := &Policy{cfg: cfg, router: WorkerID(seed), rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
 		workers: map[WorkerID]*worker{}, requests: map[RequestID]*request{},
 		functions: map[FunctionID]*function{}}
 	p.loadTimeRatio, p.queueField = 1, slices.Index(cfg.LoadReportFields, "queue")
@@ -70,22 +81,6 @@
 	return p, nil
 }
 
-// validate reports whether a platform can mean the settings, and which class it can't.
-func validate(cfg Config) (class int, valid bool) {
-	for i, c := range cfg.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
-			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
-			return i, false
-		}
-	}
-	amounts := []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
-		cfg.LoadBudgetRatio, float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration),
-		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)}
-	impossible := func(v float64) bool { return !(v >= 0) || math.IsInf(v, 1) }
-	return NoClass, len(cfg.Classes) > 0 && cfg.SlowStartInitialCapacity <= 1 &&
-		!slices.ContainsFunc(amounts, impossible)
-}
-
 // Handle takes one event and appends the actions that answer it to actions.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
 	p.now, p.actions = max(now, p.now), actions
@@ -117,24 +112,21 @@
 	case GossipReceived:
 		p.gossipReceived(e.Data)
 	case TimerFired:
-		p.timerFired(e.Token)
+		r := p.requests[RequestID(e.Token)] // its low bits
+		switch {
+		case e.Token == housekeepingToken:
+			p.housekeep()
+		case e.Token == subscribeToken:
+			p.emit(Subscribe{On: true})
+		case e.Token >= hedgeToken:
+			p.hedge(r)
+		case e.Token >= deadlineToken && r != nil && !r.streaming:
+			p.reject(r, 0)
+		}
 	}
 	return p.actions
 }
 
-func (p *Policy) timerFired(token uint64) {
-	r := p.requests[RequestID(token)] // which is in its low bits
-	if token == housekeepingToken {
-		p.housekeep()
-	} else if token == subscribeToken {
-		p.emit(Subscribe{On: true})
-	} else if token >= hedgeToken {
-		p.hedge(r)
-	} else if token >= deadlineToken && r != nil && !r.streaming {
-		p.reject(r, 0)
-	}
-}
-
 // emit is the one place where actions leave. It withholds those that would break a rule.
 func (p *Policy) emit(a Action) bool {
 	allowed := true
@@ -149,7 +141,9 @@
 		allowed = r.possibleRun == nil && r.inFlight == 0 || r.class.Idempotency == Idempotent ||
 			r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == DeduplicatedEverywhere
 	case Load:
-		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready && p.loadBudgetLeft()
+		orders := p.loadOrders.CountSince(p.now - p.cfg.LoadBudgetWindow)
+		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready &&
+			(p.cfg.LoadBudgetWindow <= 0 || float64(orders+1) <= p.loadBudget())
 	case Unload:
 		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready
 	case CheckHealth:
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -637,7 +637,7 @@
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newBed(t, cfg, 20)
-		b.p.router, b.p.rng = n, rand.New(rand.NewPCG(n, 2))
+		b.p.router, b.p.rng = WorkerID(n), rand.New(rand.NewPCG(n, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
@@ -739,7 +739,7 @@
 	var beds []*bed
 	for n := range uint64(60) {
 		b := newBed(t, cfg, 20)
-		b.p.router, b.p.rng = n, rand.New(rand.NewPCG(n, 9))
+		b.p.router, b.p.rng = WorkerID(n), rand.New(rand.NewPCG(n, 9))
 		beds = append(beds, b)
 	}
 	home, count := WorkerID(0), map[WorkerID]int{}
@@ -962,7 +962,7 @@
 		cfg.RetryAfterSupported, cfg.MaxRetryAfter = allowed, 300*ms
 		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
 			b := newBed(t, cfg, 3)
-			b.p.standingDelay, b.p.lastTrial = float64(delay), b.now
+			b.p.standingDelay.Mean, b.p.lastTrial = float64(delay), b.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, acts := b.arrive(0, 7)
@@ -1177,7 +1177,7 @@
 	b.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
-		b.p.standingDelay = float64(220 * ms)
+		b.p.standingDelay.Mean = float64(220 * ms)
 		f := FunctionID(7)
 		if n%2 == 0 {
 			f = FunctionID(1000 + n)
@@ -1236,7 +1236,7 @@
 		}
 		return sent
 	}
-	b.p.standingDelay = float64(220 * ms)
+	b.p.standingDelay.Mean = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
 		t.Errorf("sent %d of low worth and %d of high", low, high)
@@ -1266,7 +1266,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.fleet {
-		if v := w.queueSlope.SumY + p0(b).run.Mean + b.p.loadTimeRatio + b.p.standingDelay; math.IsNaN(v) || math.IsInf(v, 0) {
+		if v := w.queueSlope.SumY + p0(b).run.Mean + b.p.loadTimeRatio + b.p.standingDelay.Mean; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,14 +1,11 @@
 package policy
 
-import (
-	"cmp"
-	"slices"
-	"time"
+import "cmp"
+import "math"
+import "slices"
+import "time"
+import "crankhold/internal/stats"
 
-	"crankhold/internal/stats"
-)
-
-// request is one that a final response is owed to, or that has attempts in flight.
 type request struct {
 	RequestArrived
 	class           *classState
@@ -17,15 +14,13 @@
 	pool            Pool // the workers that it may go to
 	attempts        []*attempt
 	possibleRun     *attempt  // the first that may have run
+	retriesAfterRun int       // attempts after that
+	inFlight        int       // of all attempts
 	excluded        []*worker // that rejected or failed it
-	inFlight        int       // of the attempts
-	retriesAfterRun int       // attempts after the possible run
-	overQuota       bool
-	hedging         bool // a hedged request is being sent
-	done, streaming bool
+
+	overQuota, hedging, streaming, done bool // hedging: while its second attempt starts
 }
 
-// attempt is one forwarding of a request to a worker.
 type attempt struct {
 	request                   *request
 	worker                    *worker
@@ -42,18 +37,25 @@
 	}
 	p.arrivals.Add(p.now, p.cfg.LoadBudgetWindow)
 	p.gossipTokens = min(p.gossipTokens+gossipPerRequest, float64(p.cfg.Routers))
+	class, f := &p.classes[e.Class], p.functions[e.Function]
+	if f == nil {
+		f = &function{id: e.Function, run: stats.RunningMean{Mean: class.run.Mean}}
+		p.functions[f.id] = f
+	}
+	f.recentRequests *= math.Exp(-float64(p.now-f.lastUsed) / float64(rateSpan))
+	f.lastUsed, f.loadTime = p.now, e.LoadTime
+	if f.loadTime <= 0 || f.loadTime > time.Hour {
+		f.loadTime = class.LatencyObjective // unknown: as long as a response may take
+	}
 	e.Remaining, e.Policy = max(e.Remaining, 0), cmp.Or(e.Policy, &defaultRequestPolicy)
-	r := &request{RequestArrived: e, class: &p.classes[e.Class], deadline: p.now + e.Remaining,
+	r := &request{RequestArrived: e, class: class, function: f, deadline: p.now + e.Remaining,
 		pool: e.Policy.Pool, overQuota: p.overQuota(e.Tenant)}
-	p.requests[e.Request] = r
-	r.function = p.requestedFunction(r)
-	r.function.idleLimit = p.idleLimit(r)
+	p.requests[e.Request], f.idleLimit = r, p.idleLimit(r)
 	p.emit(SetTimer{After: max(e.Remaining-2*p.cfg.Tick, 0), Token: deadlineToken + uint64(e.Request)})
 	p.schedule(r)
-	r.function.recentRequests++
+	f.recentRequests++
 }
 
-// attemptCompleted learns from how an attempt ended and decides what follows.
 func (p *Policy) attemptCompleted(e AttemptCompleted) {
 	r := p.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
@@ -83,16 +85,17 @@
 	default:
 		p.schedule(r)
 	}
-	p.release(r)
+	if r.done && r.inFlight == 0 {
+		delete(p.requests, r.Request)
+	}
 }
 
-// reject gives the final response: a rejection where that is true, else a failure, which promises nothing.
-// The wait is in nanoseconds; clients come back spread by chance.
+// reject gives the final response: a rejection where it is true, else a failure. The wait is in nanoseconds.
 func (p *Policy) reject(r *request, wait float64) {
 	rejection := Reject{Request: r.Request}
 	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfterSupported && most > 0 {
 		wait = stats.Clamp(wait, float64(housekeepingInterval), most)
-		rejection.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2))
+		rejection.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2)) // clients come back spread
 	}
 	if !r.done {
 		_ = p.emit(rejection) || p.emit(FailRequest{Request: r.Request})
@@ -106,7 +109,9 @@
 	for _, a := range r.attempts {
 		p.cancel(a)
 	}
-	p.release(r)
+	if r.inFlight == 0 {
+		delete(p.requests, r.Request)
+	}
 }
 
 func (p *Policy) cancel(a *attempt) {
@@ -114,9 +119,3 @@
 		a.canceled = p.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
 	}
 }
-
-func (p *Policy) release(r *request) {
-	if r.done && r.inFlight == 0 {
-		delete(p.requests, r.Request)
-	}
-}
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -1,9 +1,7 @@
 package policy
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
+import "time"
 
 // mayStart reports whether r may go anywhere now: beside a first attempt only its hedged request.
 func (p *Policy) mayStart(r *request) bool {
@@ -20,16 +18,12 @@
 	if ran == nil {
 		return r.hedging || limits.RetriesAfterProvenNoRun < 0 || n <= limits.RetriesAfterProvenNoRun
 	}
-	if limits.RetriesAfterPossibleRun >= 0 && r.retriesAfterRun >= limits.RetriesAfterPossibleRun {
-		return false
-	}
-	if c.Idempotency == Idempotent {
-		return true
-	}
-	return c.Idempotency == IdempotentWithKey && p.now < ran.startedAt+c.DeduplicationWindow-p.cfg.Tick &&
+	withinLimit := limits.RetriesAfterPossibleRun < 0 || r.retriesAfterRun < limits.RetriesAfterPossibleRun
+	deduplicated := p.now < ran.startedAt+c.DeduplicationWindow-p.cfg.Tick &&
 		(w == nil || c.DeduplicationScope == DeduplicatedEverywhere ||
 			c.DeduplicationScope == DeduplicatedInZone && w.Zone == ran.worker.Zone ||
 			c.DeduplicationScope == DeduplicatedInCell && w.Cell == ran.worker.Cell)
+	return withinLimit && (c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && deduplicated)
 }
 
 func (p *Policy) startAttempt(r *request, w *worker, expected time.Duration, likelyLoaded bool) {
--- a/policy/scheduling.go
+++ b/policy/scheduling.go
@@ -1,22 +1,26 @@
 package policy
 
-import (
-	"math"
-	"slices"
-	"time"
-)
+import "math"
+import "slices"
+import "time"
 
-const (
-	trialInterval = time.Second // between requests that are sent against an estimate
-	likelyChance  = 0.5         // is counted on where a wrong guess costs little
-)
+const trialInterval = time.Second // between requests that are sent against an estimate
+const likelyChance = 0.5          // is counted on where a wrong guess costs little
 
 // schedule sends r to the worker with the lowest predicted latency, or rejects or defers it.
 func (p *Policy) schedule(r *request) {
 	if r.done || r.inFlight > 0 {
 		return
 	}
-	candidates, until := p.candidatesOrOverflow(r), p.now
+	candidates, until := p.candidates(r), p.now
+	for len(candidates) == 0 && p.mayRetry(r, nil) {
+		next := r.pool.Overflow(p.now)
+		if next == nil {
+			break
+		}
+		r.pool = next
+		candidates = p.candidates(r)
+	}
 	preferred, chance := p.rendezvous(r, candidates)
 	if p.now < p.breakerUntil && len(candidates) > 0 { // nothing begins a load, as far as we know
 		until = p.breakerUntil
@@ -28,15 +32,16 @@
 		p.deferOrReject(r, until)
 		return
 	}
-	w, lowest := p.fastest(r, candidates, preferred, chance)
+	chosen, lowest := p.fastest(r, candidates, preferred, chance)
+	w := candidates[chosen]
 	predicted, likelyLoaded := p.predict(w, r), w == preferred && chance >= likelyChance
 	expected := predicted // what it takes if we are right: more likely than not a replica is loaded
 	if likelyLoaded {
 		expected -= p.remainingLoad(w, r)
 	}
 	shed, wait := p.shed(r, w, expected)
-	if expected > float64(r.deadline-p.now) || r.overQuota && lowest > float64(r.class.LatencyObjective) ||
-		r.possibleRun == nil && shed {
+	late := expected > float64(r.deadline-p.now)
+	if late || shed || r.overQuota && lowest > float64(r.class.LatencyObjective) {
 		if p.now-p.lastTrial < trialInterval || r.overQuota {
 			p.reject(r, wait)
 			return
@@ -52,7 +57,6 @@
 		p.mayRetry(r, w)
 }
 
-// candidates are the workers that r may go to now.
 func (p *Policy) candidates(r *request) []*worker {
 	p.candidateBuffer = p.candidateBuffer[:0]
 	if p.mayStart(r) && p.mayRetry(r, nil) {
@@ -65,30 +69,15 @@
 	return p.candidateBuffer
 }
 
-// candidatesOrOverflow moves r on to the first pool that can take it.
-func (p *Policy) candidatesOrOverflow(r *request) []*worker {
-	for next := r.pool; next != nil; next = r.pool.Overflow(p.now) {
-		r.pool = next
-		if candidates := p.candidates(r); len(candidates) > 0 || !p.mayRetry(r, nil) {
-			return candidates
-		}
-	}
-	return nil
-}
-
-// beginsLoad reports whether r would begin a load at w.
 func (p *Policy) beginsLoad(w *worker, r *request) bool {
 	i := p.replicas.lookUp(w, r.function.id)
 	return (i == nil || i.loadDue == 0) && p.remainingLoad(w, r) > 0
 }
 
-// fastest returns the candidate with the lowest predicted latency, and that, less what the chance of a replica
-// saves at the preferred worker. What is closer than the clock can tell is a tie, broken at random.
-func (p *Policy) fastest(
-	r *request, candidates []*worker, preferred *worker, chance float64) (w *worker, lowest float64) {
+// fastest returns the index of the candidate with the lowest score, and that. Ties are broken at random.
+func (p *Policy) fastest(r *request, candidates []*worker, preferred *worker, chance float64) (int, float64) {
 	run, load := p.runTime(r), p.fullLoad(r.function)
-	scores, tie := p.scoreBuffer[:0], float64(p.cfg.Tick)
-	lowest = math.Inf(1)
+	scores, lowest, tie := p.scoreBuffer[:0], math.Inf(1), float64(p.cfg.Tick) // the clock tells no less
 	for _, w := range candidates {
 		// Where no replica is loaded r takes its run and a load at the least: most need no closer look.
 		score := run + load
@@ -109,11 +98,10 @@
 			}
 		}
 	}
-	return candidates[chosen], lowest
+	return chosen, lowest
 }
 
-// deferOrReject answers r where no worker takes it until a time. It waits where a worker that is ejected or in
-// slow start may take it later, or one be listed.
+// deferOrReject answers r where no worker takes it until a time: it waits where one may take it later.
 func (p *Policy) deferOrReject(r *request, until time.Duration) {
 	for _, w := range p.fleet { // nobody else can take it: those ejected are checked sooner
 		if w.consecutiveFailures > 0 && r.pool.Contains(w.Worker) {
@@ -140,16 +128,14 @@
 	return least
 }
 
-// rendezvous returns the first in rank of the candidates at which r would begin a load, and the chance that a
-// replica is loaded there all the same, kept by others. A function deserves a slot for its share of our work or
-// its congestion, as far as other routers carry it: what we send shows in flight. Each router keeps to one.
+// rendezvous returns the first in rank of the candidates at which r would begin a load, and the chance that
+// other routers keep a replica there. A function has several slots if it is busy; a router keeps to one.
 func (p *Policy) rendezvous(r *request, candidates []*worker) (preferred *worker, chance float64) {
 	f, run, slot, none := r.function, p.runTime(r), 0, math.Inf(-1)
 	share := f.recentRequests * run * float64(p.readyWorkers) / max(p.servedWork, run)
 	slots := 1 + int((1-1/float64(p.cfg.Routers))*max(share, f.congestion))
-	us := WorkerID(p.router)
-	for s, best := 1, rendezvousScore(f.id, us, 1, none); s < min(slots, p.readyWorkers); s++ {
-		if score := rendezvousScore(f.id+FunctionID(s), us, 1, best); score > best {
+	for s, best := 1, rendezvousScore(f.id, p.router, 1, none); s < min(slots, p.readyWorkers); s++ {
+		if score := rendezvousScore(f.id+FunctionID(s), p.router, 1, best); score > best {
 			slot, best = s, score
 		}
 	}
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -2,7 +2,6 @@
 
 import "cmp"
 
-// overQuota reports whether a request of a tenant is beyond its quota.
 func (p *Policy) overQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(p.quotas) {
 		return len(p.quotas) > 0
@@ -11,9 +10,8 @@
 	return p.quotas[tenant].Tokens < 1
 }
 
-// shed answers overload: a standing delay that even fast responses show serves nobody, so a growing part of
-// what never ran is rejected, first what is beyond its quota or late at best, then the least worth. The
-// yardstick is the objective of classes worth as much or more; the wait is until the queue lets r in.
+// shed answers a standing delay by rejecting a growing part of what never ran: first what is beyond its quota
+// or late at best, then the least worth. The wait is until the queue lets r in.
 func (p *Policy) shed(r *request, w *worker, expected float64) (shed bool, wait float64) {
 	own := float64(min(r.class.LatencyObjective, cmp.Or(r.Policy.LatencyObjective, r.class.LatencyObjective)))
 	start, objective := 0.5, own
@@ -28,8 +26,9 @@
 		start = 0.15
 	}
 	others := (1 - 1/float64(p.cfg.Routers)) * w.queueDelay.Mean(p.now) // what they queue at the best worker
-	delay := max(p.standingDelay, others)
-	return p.rng.Float64() < min(2*(delay/objective-start), 0.9), delay - start*objective
+	delay := max(p.standingDelay.Mean, others)
+	shed = p.rng.Float64() < min(2*(delay/objective-start), 0.9) && r.possibleRun == nil
+	return shed, delay - start*objective
 }
 
 func (p *Policy) valuePerWork(c *classState) float64 {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,15 +1,11 @@
 package policy
 
-import (
-	"math"
-
-	"crankhold/internal/stats"
-)
+import "math"
+import "crankhold/internal/stats"
 
 const slowStartMargin = 0.7 // part of the overload multiple that is used: chance needs the rest
 
-// slowStartAdmits guards a worker that warms up from all routers together: each adds its part of what warm
-// workers serve, under the overload multiple.
+// slowStartAdmits guards a worker that warms up from all routers together: each sends it a part of the work.
 func (p *Policy) slowStartAdmits(w *worker) bool { return w.slowStart.Tokens > 0 || p.warmth(w) >= 1 }
 
 // warmth is the least share of its full capacity that w has now.
@@ -22,8 +18,7 @@
 	return c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*age
 }
 
-// updateCapacities estimates what workers can do in comparison, if warm: their size, to a power learned from
-// the runs at large and small ones. What warm ones are seen to take by that is what the others will.
+// updateCapacities estimates what workers can do if warm: their size, to a power learned from the runs.
 func (p *Policy) updateCapacities() {
 	power, work, capacity := 1+stats.Clamp(p.sizeEffect.SumY/(p.sizeEffect.SumX+sizePrior), 0, 2), 0.0, 0.0
 	for _, w := range p.fleet {
@@ -38,7 +33,7 @@
 	}
 }
 
-// refillSlowStart adds the work of one interval. Tokens expire: saved up, those of all routers would meet.
+// refillSlowStart adds an interval's work. Tokens expire: saved up, those of all routers would meet.
 func (p *Policy) refillSlowStart(w *worker) {
 	rate := slowStartMargin * p.cfg.OverloadMultiple * p.warmth(w) * p.warmRate * w.capacity
 	span, run := rate*p.cfg.OverloadWindow.Seconds(), p.classes[0].run.Mean
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -1,13 +1,10 @@
 package policy
 
-import (
-	"cmp"
-	"time"
+import "cmp"
+import "slices"
+import "time"
+import "crankhold/internal/stats"
 
-	"crankhold/internal/stats"
-)
-
-// worker is one that is listed, or was and still has attempts or loads.
 type worker struct {
 	Endpoint
 	size, capacity, hashWeight float64    // in comparison; what it can do; in rendezvous hashing
@@ -25,7 +22,6 @@
 	lastCheck, lastResponse, ejectedUntil time.Duration
 }
 
-// endpointsListed follows the endpoint list.
 func (p *Policy) endpointsListed(l EndpointList) {
 	if l.Kind == EndpointListFailed {
 		p.subscribed = false
@@ -39,12 +35,18 @@
 		w, known := p.workers[e.Worker]
 		if !known {
 			w = &worker{replicas: map[FunctionID]*replica{}}
-			w.failureRates = make([]stats.DecayingMean, len(p.classes))
 			p.workers[e.Worker] = w
 			p.fleet = append(p.fleet, w)
 		}
-		if !known || e.Started > w.Started {
-			p.restarted(w)
+		if !known || e.Started > w.Started { // nothing holds that is known of the process before
+			for _, i := range w.replicas {
+				i.unloaded()
+			}
+			w.consecutiveFailures, w.ejectedUntil, w.servedWork = 0, 0, 0
+			w.slowStart.Tokens = -p.rng.Float64() * p.classes[0].run.Mean // by chance: routers take turns
+			w.queueSlope = stats.Regression{}
+			w.queueDelay = stats.DecayingMean{Span: queueSpan, Few: fewResponses}
+			w.failureRates = slices.Repeat([]stats.DecayingMean{w.queueDelay}, len(p.classes))
 		}
 		w.Endpoint, w.size = e, cmp.Or(stats.Clamp(e.Weight, 0, 1e9), 1)
 	}
@@ -58,17 +60,3 @@
 	}
 	p.updateCapacities()
 }
-
-// restarted forgets what was known of the process before. In slow start a worker owes a part of a request, by
-// chance, so that routers take turns.
-func (p *Policy) restarted(w *worker) {
-	for _, i := range w.replicas {
-		i.unloaded()
-	}
-	w.consecutiveFailures, w.ejectedUntil, w.servedWork = 0, 0, 0
-	w.slowStart.Tokens = -p.rng.Float64() * p.classes[0].run.Mean
-	w.queueSlope, w.queueDelay = stats.Regression{}, stats.DecayingMean{Span: queueSpan, Few: fewResponses}
-	for class := range w.failureRates {
-		w.failureRates[class] = w.queueDelay
-	}
-}
