--- /dev/null
+++ b/policy/config.go
@@ -0,0 +1,96 @@
+package policy
+
+import "time"
+
+// Idempotency says how far a class of requests may be sent again once it may have run.
+type Idempotency uint8
+
+// The kinds of Idempotency.
+const (
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // workers of a scope drop repeats by their key, for a time
+	NotIdempotent                        // must never run twice
+)
+
+// String returns the idempotency in lower-case words.
+func (i Idempotency) String() string {
+	return nameOf("Idempotency", i, "idempotent", "idempotent with key", "not idempotent")
+}
+
+// DeduplicationScope says which workers drop the repeats of a request with an idempotency key.
+type DeduplicationScope uint8
+
+// The kinds of DeduplicationScope.
+const (
+	DeduplicatedEverywhere DeduplicationScope = iota // every worker
+	DeduplicatedInZone                               // workers of one zone
+	DeduplicatedInCell                               // workers of one cell
+)
+
+// String returns the scope in lower case.
+func (s DeduplicationScope) String() string {
+	return nameOf("DeduplicationScope", s, "everywhere", "zone", "cell")
+}
+
+// Class is a class of requests.
+type Class struct {
+	LatencyObjective    time.Duration // responses within it earn the full weight
+	Deadline            time.Duration // how long a client waits in all
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration // IdempotentWithKey: how long repeats are dropped
+	Streamed            bool
+	PriorityWeight      float64 // worth of a response within the objective
+	LatePriorityWeight  float64 // and of a later one
+	// ObjectiveStretch lengthens LatencyObjective by this many times the request's own work; 0 where unused.
+	ObjectiveStretch float64
+}
+
+// Tenant is a customer with a quota.
+type Tenant struct {
+	RequestsPerSecond float64 // within its quota, over all routers
+}
+
+// Config is what a router is told when it starts.
+type Config struct {
+	Routers int // this one included; at least 1
+	Zone    int // this router's zone
+	Classes []Class
+	Tenants []Tenant
+	// WeightByWork says that a request's worth grows with its work.
+	WeightByWork bool
+	Tick         time.Duration // events come at most this often
+
+	EndpointsByPolling bool     // the endpoint list comes only after Subscribe or FetchEndpoints
+	LoadReportFields   []string // names of the values in a load report
+	InlineLoadReports  bool     // reports come with responses as well as with health checks
+
+	MaxAttempts          int // per request; 0: no limit
+	CancelSupported      bool
+	HealthCheckSupported bool
+	GossipSupported      bool
+	HedgingAllowed       bool // two attempts of a request may be in flight at once
+	RetryAfterSupported  bool // clients are given Reject.RetryAfter
+	MaxRetryAfter        time.Duration
+	OverQuotaWeight      float64 // worth of a request beyond its tenant's quota; 1 where unused
+
+	PollInterval             time.Duration // EndpointsByPolling: a list that is not asked for counts as known after this
+	SlowStartInitialCapacity float64       // a worker starts at this share of its capacity or more
+	SlowStartDuration        time.Duration // and is warm after this at the latest
+	OverloadMultiple         float64       // sent more than this many times its present capacity
+	OverloadWindow           time.Duration // for this long, a worker in slow start falls over
+	DrainGracePeriod         time.Duration
+
+	MissWhenNotLoaded   bool          // a worker without the function answers NotLoaded instead of loading it
+	LoadOrdersSupported bool          // Load and Unload are allowed
+	LoadStatusReported  bool          // responses tell whether a replica was loaded
+	ConcurrencyReported bool          // responses tell how many requests of the function the worker held
+	KeepAlive           time.Duration // an idle replica stays this long at least
+	LoadTimeout         time.Duration // a load without a response by then ends as TimedOut
+	LoadBudgetWindow    time.Duration // window of the budget for load orders; 0: none
+	LoadBudgetMinimum   float64       // orders allowed in a window
+	LoadBudgetRatio     float64       // and further ones as a share of the requests that came in it
+
+	MemoryPrice    float64 // what all memory costs, if idle replicas held it, as a share of all worth
+	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
+}
--- /dev/null
+++ b/policy/types_test.go
@@ -0,0 +1,52 @@
+package policy
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// Guards the words in which states and outcomes are logged.
+func TestNames(t *testing.T) {
+	for _, c := range []struct {
+		value fmt.Stringer
+		want  string
+	}{
+		{Served, "served"}, {Failed, "errored"}, {Overloaded, "full"}, {TimedOut, "timed_out"},
+		{Unreachable, "unreachable"}, {ConnectionReset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "moot"},
+		{NotLoaded, "missed"}, {Outcome(9), "Outcome(9)"},
+		{Gone, "gone"}, {Ready, "ready"}, {Draining, "draining"}, {WorkerState(3), "WorkerState(3)"},
+		{LoadStatusUnknown, "unknown"}, {AlreadyLoaded, "already loaded"}, {StartedLoad, "started load"},
+		{WaitedForLoad, "waited for load"}, {LoadFailed, "load failed"}, {LoadStatus(5), "LoadStatus(5)"},
+		{Idempotent, "idempotent"}, {IdempotentWithKey, "idempotent with key"}, {NotIdempotent, "not idempotent"},
+		{Idempotency(3), "Idempotency(3)"},
+		{DeduplicatedEverywhere, "everywhere"}, {DeduplicatedInZone, "zone"}, {DeduplicatedInCell, "cell"},
+		{DeduplicationScope(3), "DeduplicationScope(3)"},
+		{EndpointDelta, "delta"}, {EndpointSnapshot, "snapshot"}, {CachedEndpointSnapshot, "cached snapshot"},
+		{EndpointListFailed, "failed"}, {EndpointListKind(4), "EndpointListKind(4)"},
+	} {
+		if got := c.value.String(); got != c.want {
+			t.Errorf("%T %d is %q, want %q", c.value, c.value, got, c.want)
+		}
+	}
+}
+
+// A ConfigError says which class is impossible.
+func TestConfigErrorNamesTheClass(t *testing.T) {
+	for name, c := range map[string]struct {
+		spoil func(*Config)
+		class int
+	}{
+		"no classes":            {func(c *Config) { c.Classes = nil }, NoClass},
+		"a negative tick":       {func(c *Config) { c.Tick = -1 }, NoClass},
+		"the last class":        {func(c *Config) { c.Classes[2].Deadline = 0 }, 2},
+		"a class and an amount": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1},
+	} {
+		cfg := config()
+		c.spoil(&cfg)
+		_, err := New(cfg, 1)
+		if impossible := (*ConfigError)(nil); !errors.As(err, &impossible) || impossible.Class != c.class {
+			t.Errorf("%s: %v, want an error of class %d", name, err, c.class)
+		}
+	}
+}
