--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math"
 	"time"
 
@@ -71,12 +70,28 @@
 	AllowancePerS float64 `json:"allowancePerS"`
 }
 
-// ParseSettings turns the settings of an INIT event into a policy.Config.
+// ParseSettings turns the settings of an Init into a policy.Config. It returns a *SettingsError for what it can't read.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return policy.Config{}, fmt.Errorf("settings: %w", err)
+		return policy.Config{}, &SettingsError{Class: NoClass, Err: err}
 	}
+	c := s.config()
+	for i, k := range s.Classes {
+		class, err := k.policyClass(i)
+		if err != nil {
+			return policy.Config{}, err
+		}
+		c.Classes = append(c.Classes, class)
+	}
+	for _, a := range s.Accounts {
+		c.Tenants = append(c.Tenants, policy.Tenant{RequestsPerSecond: a.AllowancePerS})
+	}
+	return c, nil
+}
+
+// config is the Config without classes and tenants.
+func (s *settings) config() policy.Config {
 	c := policy.Config{
 		Routers:                  s.PeersTotal,
 		Zone:                     s.Zone,
@@ -110,39 +125,43 @@
 		LoadBudgetRatio:          s.Specifics.LoadPart,
 		MemoryPrice:              s.Specifics.MemoryPrice,
 	}
-	for _, m := range s.Specifics.MemoryMbByKind {
-		c.WorkerMemoryMB += m / float64(len(s.Specifics.MemoryMbByKind))
+	for _, megabytes := range s.Specifics.MemoryMbByKind {
+		c.WorkerMemoryMB += megabytes / float64(len(s.Specifics.MemoryMbByKind))
 	}
 	if s.OverShareWorth != nil {
 		c.OverQuotaWeight = *s.OverShareWorth
 	}
-	for i, k := range s.Classes {
-		out := policy.Class{
-			LatencyObjective: millis(k.GoalTimeMs), Deadline: millis(k.DeadlineMs), DeduplicationWindow: millis(k.WindowMs),
-			Streamed: k.Streamed, PriorityWeight: k.Worth, LatePriorityWeight: k.LateWorth, ObjectiveStretch: k.AimStretch,
-		}
-		switch k.Semantics {
-		case "safe":
-			out.Idempotency = policy.Idempotent
-		case "keyed":
-			out.Idempotency = policy.IdempotentWithKey
-		case "unsafe":
-			out.Idempotency = policy.NotIdempotent
-		default:
-			return policy.Config{}, fmt.Errorf("settings: class %d: unknown semantics %q", i, k.Semantics)
-		}
-		switch k.Group {
-		case "all":
-			out.DeduplicationScope = policy.DeduplicatedEverywhere
-		case "zone":
-			out.DeduplicationScope = policy.DeduplicatedInZone
-		default: // cell, or absent: the narrowest promise
-			out.DeduplicationScope = policy.DeduplicatedInCell
-		}
-		c.Classes = append(c.Classes, out)
+	return c
+}
+
+// policyClass is the class as package policy knows it; index is its own in the settings.
+func (k class) policyClass(index int) (policy.Class, error) {
+	c := policy.Class{
+		LatencyObjective:    millis(k.GoalTimeMs),
+		Deadline:            millis(k.DeadlineMs),
+		DeduplicationWindow: millis(k.WindowMs),
+		Streamed:            k.Streamed,
+		PriorityWeight:      k.Worth,
+		LatePriorityWeight:  k.LateWorth,
+		ObjectiveStretch:    k.AimStretch,
 	}
-	for _, a := range s.Accounts {
-		c.Tenants = append(c.Tenants, policy.Tenant{RequestsPerSecond: a.AllowancePerS})
+	switch k.Semantics {
+	case "safe":
+		c.Idempotency = policy.Idempotent
+	case "keyed":
+		c.Idempotency = policy.IdempotentWithKey
+	case "unsafe":
+		c.Idempotency = policy.NotIdempotent
+	default:
+		return policy.Class{}, &SettingsError{Class: index, Semantics: k.Semantics}
+	}
+	switch k.Group {
+	case "all":
+		c.DeduplicationScope = policy.DeduplicatedEverywhere
+	case "zone":
+		c.DeduplicationScope = policy.DeduplicatedInZone
+	default: // cell, or absent: the narrowest promise
+		c.DeduplicationScope = policy.DeduplicatedInCell
 	}
 	return c, nil
 }
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/simulator_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"reflect"
@@ -73,10 +74,10 @@
 			Kind: policy.CachedEndpointSnapshot, Workers: []policy.Endpoint{{Worker: w, State: policy.Ready, Weight: 1.5,
 				Started: 6100 * time.Millisecond}}},
 	} {
-		d := decoder{b: unhex(t, text)}
+		d := decoder{unread: unhex(t, text)}
 		rec, err := d.record()
-		if err != nil || len(d.b) > 0 || !reflect.DeepEqual(rec.Event, want) {
-			t.Errorf("%s:\ngot  %+v (%v, %d left)\nwant %+v", text, rec.Event, err, len(d.b), want)
+		if err != nil || len(d.unread) > 0 || !reflect.DeepEqual(rec.Event, want) {
+			t.Errorf("%s:\ngot  %+v (%v, %d left)\nwant %+v", text, rec.Event, err, len(d.unread), want)
 		}
 	}
 }
@@ -99,8 +100,8 @@
 	} {
 		var r Reply
 		r.Add(3, []policy.Action{c.action})
-		if !bytes.Equal(r.b, unhex(t, c.want)) {
-			t.Errorf("%T: got %x, want %s", c.action, r.b, c.want)
+		if !bytes.Equal(r.text, unhex(t, c.want)) {
+			t.Errorf("%T: got %x, want %s", c.action, r.text, c.want)
 		}
 	}
 }
@@ -124,6 +125,42 @@
 	}
 }
 
+// A FrameError says where a frame is malformed.
+func TestFrameErrors(t *testing.T) {
+	whole := unhex(t, sample)
+	change := func(at int, to byte) []byte {
+		frame := bytes.Clone(whole)
+		frame[at] = to
+		return frame
+	}
+	for name, c := range map[string]struct {
+		frame []byte
+		want  FrameError
+		text  string
+	}{
+		"header": {whole[:5], FrameError{NoBatch, NoRecord, 5, "truncated batch header", io.ErrUnexpectedEOF},
+			"truncated batch header: unexpected EOF"},
+		"clock":  {change(12, 0xff), FrameError{12, NoRecord, 12, "bad clock", nil}, "batch 12: bad clock"},
+		"length": {change(4, 0x41), FrameError{12, NoRecord, 4, "length 1090519106 is too large", nil}, "batch 12: length 1090519106 is too large"},
+		"body":   {whole[:50], FrameError{12, NoRecord, 50, "truncated at byte 30 of 66", nil}, "batch 12: truncated at byte 30 of 66"},
+		"code":   {change(20, 99), FrameError{12, 0, 23, "unknown record code 99", nil}, "batch 12, record 0: unknown record code 99"},
+		"count":  {change(11, 4), FrameError{12, 3, 86, "unknown record code 0", nil}, "batch 12, record 3: unknown record code 0"},
+		"record": {change(7, 0x41)[:85], FrameError{12, 2, 85, "record is cut short", nil}, "batch 12, record 2: record is cut short"},
+		"rest":   {change(11, 2), FrameError{12, NoRecord, 79, "7 bytes left over", nil}, "batch 12: 7 bytes left over"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := ReadBatch(bytes.NewReader(c.frame))
+			var got *FrameError
+			if !errors.As(err, &got) || *got != c.want {
+				t.Fatalf("got %+v, want %+v", err, c.want)
+			}
+			if c.text != "" && err.Error() != c.text {
+				t.Errorf("text %q, want %q", err.Error(), c.text)
+			}
+		})
+	}
+}
+
 func TestSettings(t *testing.T) {
 	c, err := ParseSettings([]byte(`{"unknown": [1], "peersTotal": 3, "classes": [{"deadlineMs": 4000, "goalTimeMs": 400,
 		"group": "all", "semantics": "keyed", "windowMs": 2500, "worth": 9}], "membershipMode": "subscribe",
@@ -135,9 +172,16 @@
 		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DeduplicationWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("got %+v", c)
 	}
-	for _, bad := range []string{`{`, `{"classes": [{"semantics": "maybe"}]}`} {
-		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("%s: no error", bad)
+	for bad, want := range map[string]struct {
+		class int
+		text  string
+	}{
+		`{`:                                     {NoClass, "settings: unexpected end of JSON input"},
+		`{"classes": [{"semantics": "maybe"}]}`: {0, `settings: class 0: unknown semantics "maybe"`},
+	} {
+		_, err := ParseSettings([]byte(bad))
+		if got := (*SettingsError)(nil); !errors.As(err, &got) || got.Class != want.class || err.Error() != want.text {
+			t.Errorf("%s: %v, want %q", bad, err, want.text)
 		}
 	}
 	if millis(math.NaN()) != 0 || millis(math.Inf(1)) != 0 {
