--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -49,3 +49,29 @@
 func (m *DecayingMean) retained(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
 }
+
+// RunningMean is a mean of the observations so far or, once these are more than a limit, one in which each new
+// observation has the weight 1/limit. Mean may be set to a first guess, which the first observation replaces.
+type RunningMean struct {
+	Mean  float64
+	Count float64 // of observations, up to the limit
+}
+
+// Observe adds a value; limit is at least 1.
+func (m *RunningMean) Observe(value, limit float64) {
+	m.Count = min(m.Count+1, limit)
+	m.Mean += (value - m.Mean) / m.Count
+}
+
+// SkewedMean is a mean that follows higher and lower observations at different speeds, and so tends to a quantile: it
+// rises by 1/upward of the difference to a higher observation, and falls by 1/downward of that to a lower one.
+type SkewedMean struct{ Mean float64 }
+
+// Observe adds a value; upward and downward are at least 1.
+func (m *SkewedMean) Observe(value, upward, downward float64) {
+	divisor := upward
+	if value < m.Mean {
+		divisor = downward
+	}
+	m.Mean += (value - m.Mean) / divisor
+}
--- /dev/null
+++ b/policy/slowstart.go
@@ -0,0 +1,44 @@
+package policy
+
+import "math"
+import "crankhold/internal/stats"
+
+const slowStartMargin = 0.7 // part of the overload multiple that is used: chance needs the rest
+
+// slowStartAdmits guards a worker that warms up from all routers together: each sends it a part of the work.
+func (p *Policy) slowStartAdmits(w *worker) bool { return w.slowStart.Tokens > 0 || p.warmth(w) >= 1 }
+
+// warmth is the least share of its full capacity that w has now.
+func (p *Policy) warmth(w *worker) float64 {
+	c := &p.cfg
+	if w.Started == 0 || c.SlowStartDuration <= 0 || c.OverloadWindow <= 0 || c.OverloadMultiple <= 0 {
+		return 1
+	}
+	age := stats.Clamp(float64(p.now-w.Started)/float64(c.SlowStartDuration), 0, 1)
+	return c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*age
+}
+
+// updateCapacities estimates what workers can do if warm: their size, to a power learned from the runs.
+func (p *Policy) updateCapacities() {
+	power, work, capacity := 1+stats.Clamp(p.sizeEffect.SumY/(p.sizeEffect.SumX+sizePrior), 0, 2), 0.0, 0.0
+	for _, w := range p.fleet {
+		w.capacity = math.Pow(w.size, power)
+		w.hashWeight = math.Pow(w.capacity, 1-1/float64(p.cfg.Routers))
+		if w.State == Ready && p.warmth(w) >= 1 {
+			work, capacity = work+w.servedWork, capacity+w.capacity
+		}
+	}
+	if capacity > 0 && p.servedSpan > 0 {
+		p.warmRate = work / p.servedSpan / capacity
+	}
+}
+
+// refillSlowStart adds an interval's work. Tokens expire: saved up, those of all routers would meet.
+func (p *Policy) refillSlowStart(w *worker) {
+	rate := slowStartMargin * p.cfg.OverloadMultiple * p.warmth(w) * p.warmRate * w.capacity
+	span, run := rate*p.cfg.OverloadWindow.Seconds(), p.classes[0].run.Mean
+	w.slowStart.Capacity = max(span/4, run)
+	if w.slowStart.Add(rate * housekeepingInterval.Seconds()); w.slowStart.Tokens > 3*span {
+		w.slowStart.Tokens -= run
+	}
+}
