--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -76,6 +77,15 @@
 	for n := range uint64(200) {
 		core.CancelRequest(now, send(2+n))
 	}
+	waiting := 0
+	for _, event := range core.events.pending {
+		if event != nil {
+			waiting++
+		}
+	}
+	if waiting != 1 {
+		t.Fatalf("%d events wait for the module, want the arrival of the first request alone", waiting)
+	}
 	core.Process(now)
 	if core.Counters.AttemptsStarted != 1 || len(workers.started) != 1 {
 		t.Fatalf("%d attempts for %d requests, want 1 for 1", core.Counters.AttemptsStarted, len(workers.started))
@@ -127,3 +137,82 @@
 		t.Errorf("rejected %v", rejected)
 	}
 }
+
+// The bodies of all open requests together are bounded. A completed request makes room.
+func TestBodiesOfOpenRequestsAreBounded(t *testing.T) {
+	core, _ := newTestCore(t, 1)
+	send := func(clientID string, bodySize int) (policy.RequestID, *recordingResponder) {
+		responder := &recordingResponder{}
+		id := core.Accept(start, Request{Asker: responder, ID: clientID, Body: make([]byte, bodySize), Deadline: start + time.Second})
+		return id, responder
+	}
+	large, _ := send("large", core.limits.MaxBytes)
+	if large == 0 {
+		t.Fatal("a body of just the allowed size is not accepted")
+	}
+	small, responder := send("small", 1)
+	wantResponses(t, responder, 1)
+	if small != 0 || responder.responses[0].Status != Rejected || core.Counters.RejectedUnaccepted[Thrift] != 1 {
+		t.Fatalf("one byte more: request %d, response %+v", small, responder.responses[0])
+	}
+	core.CancelRequest(start, large)
+	if again, _ := send("again", core.limits.MaxBytes); again == 0 {
+		t.Error("a completed request's body still counts")
+	}
+}
+
+// Identifiers begin again behind the highest one, without 0 and those of tracked requests.
+func TestRequestIDsInUseAreSkipped(t *testing.T) {
+	core, _ := newTestCore(t, 1)
+	send := func(clientID string) policy.RequestID {
+		return core.Accept(start, Request{Asker: &recordingResponder{}, ID: clientID, Deadline: start + time.Second})
+	}
+	if first := send("a"); first != 1 {
+		t.Fatalf("the first request is %d, want 1", first)
+	}
+	core.lastRequestID = ^policy.RequestID(0)
+	if next := send("b"); next != 2 {
+		t.Errorf("the request behind the highest identifier is %d, want 2: 0 is none and 1 is tracked", next)
+	}
+}
+
+// OnCompleted is called once for each request that was handed in, with the words of the operators' pages.
+func TestOnCompletedIsCalledOnceForEachRequest(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		end  func(core *Core, workers *fakeWorkerClient, id policy.RequestID)
+		want string
+	}{
+		{"served", func(core *Core, workers *fakeWorkerClient, id policy.RequestID) {
+			core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
+		}, "served"},
+		{"rejected", func(core *Core, _ *fakeWorkerClient, id policy.RequestID) {
+			core.execute(policy.Reject{Request: id})
+		}, "refused"},
+		{"failed", func(core *Core, _ *fakeWorkerClient, id policy.RequestID) {
+			core.execute(policy.FailRequest{Request: id})
+		}, "failed"},
+		{"canceled", func(core *Core, _ *fakeWorkerClient, id policy.RequestID) {
+			core.CancelRequest(start, id)
+		}, "abandoned"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			var completions []string
+			core.OnCompleted = func(_ time.Duration, r *Request, completion Completion) {
+				completions = append(completions, r.ID+" "+string(completion))
+			}
+			id, _ := sendTestRequest(t, core, workers)
+			core.Accept(start, Request{Asker: &recordingResponder{}, ID: "a", Deadline: start + time.Second}) // a duplicate fails
+			test.end(core, workers, id)
+			for _, attempt := range workers.started[id] {
+				core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Failed})
+			}
+			core.RejectUnaccepted(start, Request{Asker: &recordingResponder{}, ID: "b"})
+			want := []string{"a failed", "a " + test.want, "b refused"}
+			if !slices.Equal(completions, want) {
+				t.Errorf("completions %q, want %q", completions, want)
+			}
+		})
+	}
+}
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -172,3 +172,136 @@
 		t.Errorf("%d requests tracked, want none", len(core.requests))
 	}
 }
+
+// sendTestRequest has a core accept a request of class 0 and hand it to the module, which starts its first attempt.
+func sendTestRequest(t *testing.T, core *Core, workers *fakeWorkerClient) (policy.RequestID, *recordingResponder) {
+	t.Helper()
+	core.SetEndpoints(readyWorkers(1, 2))
+	responder := &recordingResponder{}
+	id := core.Accept(start, Request{Asker: responder, ID: "a", Function: 7, Deadline: start + 2*time.Second})
+	core.Process(start)
+	if len(workers.started[id]) != 1 {
+		t.Fatalf("%d attempts, want 1", len(workers.started[id]))
+	}
+	return id, responder
+}
+
+// An attempt that the module starts too late, or beyond the limit of attempts, ends as not sent.
+func TestAttemptsThatMayNotStartAreNotSent(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		prepare      func(core *Core, id policy.RequestID)
+		wantAttempts int
+	}{
+		{"request canceled", func(core *Core, id policy.RequestID) { core.CancelRequest(start, id) }, 1},
+		{"deadline reached", func(core *Core, _ policy.RequestID) { core.SetNow(start + 2*time.Second) }, 1},
+		{"attempts used up", func(core *Core, id policy.RequestID) {
+			core.execute(policy.StartAttempt{Request: id, Worker: 2})
+			core.execute(policy.StartAttempt{Request: id, Worker: 2})
+		}, 3},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			id, _ := sendTestRequest(t, core, workers)
+			test.prepare(core, id)
+			core.execute(policy.StartAttempt{Request: id, Worker: 2})
+			if len(workers.started[id]) != test.wantAttempts || core.Counters.AttemptsStarted != uint64(test.wantAttempts) {
+				t.Errorf("%d attempts, %d counted, want %d", len(workers.started[id]), core.Counters.AttemptsStarted, test.wantAttempts)
+			}
+			if core.Counters.AttemptsByOutcome[policy.NotSent] != 1 {
+				t.Errorf("%d attempts not sent, want 1", core.Counters.AttemptsByOutcome[policy.NotSent])
+			}
+		})
+	}
+}
+
+// An attempt with a limit of its own times out by it, unless the request's deadline comes first.
+func TestAttemptTimesOutByItsOwnLimit(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		limit        time.Duration
+		wantTimedOut uint64
+	}{
+		{"limit before the deadline", 100 * ms, 1},
+		{"limit behind the deadline", time.Minute, 0},
+		{"no limit", 0, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			id, _ := sendTestRequest(t, core, workers)
+			core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: test.limit})
+			core.SetNow(start + 100*ms)
+			core.fireDueTimers()
+			if timedOut := core.Counters.AttemptsByOutcome[policy.TimedOut]; timedOut != test.wantTimedOut {
+				t.Errorf("%d attempts timed out, want %d", timedOut, test.wantTimedOut)
+			}
+			if inFlight := uint64(len(workers.inFlight)); inFlight != 2-test.wantTimedOut {
+				t.Errorf("%d attempts in flight", inFlight)
+			}
+		})
+	}
+}
+
+// An attempt that has ended leaves no time-out behind.
+func TestCompletedAttemptLeavesNoTimer(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	id, _ := sendTestRequest(t, core, workers)
+	timers := core.timers.Len()
+	core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: 100 * ms})
+	if core.timers.Len() != timers+1 {
+		t.Fatalf("%d timers, want %d", core.timers.Len(), timers+1)
+	}
+	core.AttemptCompleted(workers.started[id][1], AttemptResult{Outcome: policy.Failed})
+	if core.timers.Len() != timers {
+		t.Errorf("%d timers are left, want %d", core.timers.Len(), timers)
+	}
+}
+
+// A second report of an attempt changes nothing.
+func TestSecondReportOfAnAttemptIsIgnored(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	id, responder := sendTestRequest(t, core, workers)
+	core.execute(policy.StartAttempt{Request: id, Worker: 2})
+	for _, outcome := range []policy.Outcome{policy.Failed, policy.Failed, policy.Served} {
+		core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: outcome})
+	}
+	wantResponses(t, responder, 0)
+	counted := core.Counters.AttemptsByOutcome
+	if counted[policy.Failed] != 1 || counted[policy.Served] != 0 || core.requests[id].inFlight != 1 {
+		t.Errorf("outcomes %v, %d attempts in flight, want one failed and one in flight", counted, core.requests[id].inFlight)
+	}
+}
+
+// A request that has its final response withdraws the attempts that wait for a dial.
+func TestResponseWithdrawsUnsentAttempts(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		respond    func(core *Core, sent Attempt)
+		wantStatus ResponseStatus
+	}{
+		{"served", func(core *Core, sent Attempt) {
+			core.AttemptCompleted(sent, AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
+		}, Served},
+		{"rejected", func(core *Core, sent Attempt) { core.execute(policy.Reject{Request: sent.Request}) }, Rejected},
+		{"failed", func(core *Core, sent Attempt) { core.execute(policy.FailRequest{Request: sent.Request}) }, Failed},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, workers := newTestCore(t, 1)
+			id, responder := sendTestRequest(t, core, workers)
+			workers.dialing = true
+			core.execute(policy.StartAttempt{Request: id, Worker: 2})
+			if len(workers.unsent) != 1 {
+				t.Fatalf("%d attempts wait for a dial, want 1", len(workers.unsent))
+			}
+			test.respond(core, workers.started[id][0])
+			wantResponses(t, responder, 1)
+			response := responder.responses[0]
+			if response.Status != test.wantStatus || !response.MayHaveRun {
+				t.Errorf("response %+v, want %v that may have run, as an attempt was sent", response, test.wantStatus)
+			}
+			if len(workers.unsent) != 0 || core.Counters.AttemptsByOutcome[policy.Cancelled] != 1 {
+				t.Errorf("%d attempts wait for a dial, %d canceled", len(workers.unsent), core.Counters.AttemptsByOutcome[policy.Cancelled])
+			}
+		})
+	}
+}
--- a/internal/router/commands_test.go
+++ b/internal/router/commands_test.go
@@ -25,3 +25,24 @@
 		t.Errorf("%d loads and %d health checks were not abandoned", len(workers.loads), len(workers.healthChecks))
 	}
 }
+
+// A command that was answered leaves no time-out behind, and an answer counts for its own kind of command alone.
+func TestAnsweredCommandsLeaveNoTimers(t *testing.T) {
+	core, workers := newTestCore(t, 1)
+	core.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
+	core.execute(policy.CheckHealth{Worker: 1})
+	const loadID, healthCheckID = 1, 2
+	if !workers.loads[loadID] || !workers.healthChecks[healthCheckID] || core.timers.Len() != 2 {
+		t.Fatalf("loads %v, health checks %v, %d timers", workers.loads, workers.healthChecks, core.timers.Len())
+	}
+	core.LoadCompleted(healthCheckID, policy.Served, 1)
+	core.HealthCheckCompleted(loadID, policy.Served, nil)
+	if len(core.commands) != 2 {
+		t.Fatalf("%d commands are pending after answers of the other kind, want 2", len(core.commands))
+	}
+	core.LoadCompleted(loadID, policy.Served, 1)
+	core.HealthCheckCompleted(healthCheckID, policy.Served, nil)
+	if len(core.commands) != 0 || core.timers.Len() != 0 {
+		t.Errorf("%d commands and %d timers are left, want none", len(core.commands), core.timers.Len())
+	}
+}
--- a/internal/router/validate_test.go
+++ b/internal/router/validate_test.go
@@ -1,6 +1,8 @@
 package router
 
 import (
+	"math"
+	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -19,3 +21,67 @@
 		}
 	})
 }
+
+func TestParseFunctionKey(t *testing.T) {
+	for _, test := range []struct {
+		name, text string
+		want       uint64
+		wantOK     bool
+	}{
+		{"all digits", "0123456789abcdef", 0x0123456789abcdef, true},
+		{"highest", "ffffffffffffffff", math.MaxUint64, true},
+		{"upper case", "0123456789ABCDEF", 0, false},
+		{"letter behind f", "0123456789abcdeg", 0, false},
+		{"too short", "123456789abcdef", 0, false},
+		{"too long", "00123456789abcdef", 0, false},
+		{"empty", "", 0, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got, ok := ParseFunctionKey(test.text); got != test.want || ok != test.wantOK {
+				t.Errorf("ParseFunctionKey(%q) = %x, %v, want %x, %v", test.text, got, ok, test.want, test.wantOK)
+			}
+		})
+	}
+}
+
+func TestParseIdempotencyKey(t *testing.T) {
+	for _, test := range []struct {
+		name, text string
+		want       bool
+	}{
+		{"digits of both cases", "09afAF", true},
+		{"longest", strings.Repeat("a", MaxIdempotencyKeyLength), true},
+		{"too long", strings.Repeat("a", MaxIdempotencyKeyLength+1), false},
+		{"empty", "", false},
+		{"letter behind f", "g", false},
+		{"letter behind F", "G", false},
+		{"hyphen", "a-b", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := ParseIdempotencyKey(test.text); got != test.want {
+				t.Errorf("ParseIdempotencyKey(%q) = %v", test.text, got)
+			}
+		})
+	}
+}
+
+func TestInRange(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		figure float64
+		want   bool
+	}{
+		{"zero", 0, true},
+		{"limit", MaxLanes, true},
+		{"above the limit", MaxLanes + 1, false},
+		{"negative", -1, false},
+		{"not a number", math.NaN(), false},
+		{"infinite", math.Inf(1), false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := InRange(test.figure, MaxLanes); got != test.want {
+				t.Errorf("InRange(%v, %v) = %v", test.figure, MaxLanes, got)
+			}
+		})
+	}
+}
