--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,53 +1,71 @@
-// Package config reads what the platform tells a function router: the file that EDGE_CONFIG names. It may
-// import the parsers of what that file holds; the service and the command line call it.
 package config
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
-	"slices"
 	"strconv"
 	"time"
 
 	"crankhold/internal/discovery"
-	"crankhold/internal/lang"
 	"crankhold/internal/simulator"
 	"crankhold/policy"
 )
 
+// Environment variables that Read uses. Those of name and address override what the file says.
+const (
+	fileVariable   = "EDGE_CONFIG"
+	nameVariable   = "EDGE_NAME"
+	listenVariable = "EDGE_LISTEN"
+)
+
+// Values of settings that are absent or not above 0.
+const (
+	defaultDialTimeoutMs  = 250
+	defaultKeepAliveMs    = 30000
+	defaultMaxOpen        = 20000
+	defaultStreamsPerConn = 32
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+)
+
+// The least that a router can serve with.
+const (
+	minMemoryMB = 32
+	minSockets  = 64
+)
+
 // Config is what the platform tells a function router.
 type Config struct {
-	Name   string `json:"name"`
-	Listen string `json:"listen"`
-	Seed   string `json:"seed"`
-	Limits struct {
-		MemoryMB int `json:"memory_mb"`
-		Sockets  int `json:"sockets"`
-	} `json:"limits"`
+	Name          string             `json:"name"`
+	Listen        string             `json:"listen"` // the address of the Thrift front
+	Seed          string             `json:"seed"`   // hexadecimal
+	Limits        Limits             `json:"limits"`
 	DiscoveryAddr string             `json:"names"`
-	Known         discovery.Snapshot `json:"known"`
+	Known         discovery.Snapshot `json:"known"` // the endpoint list at the start
 	Settings      json.RawMessage    `json:"settings"`
 
-	SeedValue uint64 // Seed as a number
-	Policy    policy.Config
-	Network   Network
+	// SeedValue is Seed as a number.
+	SeedValue uint64
+	// Policy is the part of the settings that configures the policy.
+	Policy policy.Config
+	// Network is the part of the settings that configures connections.
+	Network Network
 }
 
-// Network is what the sockets need of the settings and the module does not.
+// Limits is what the process may use. It is an alias, so that errors of encoding/json name fields by their keys alone.
+type Limits = struct {
+	MemoryMB int `json:"memory_mb"`
+	Sockets  int `json:"sockets"` // descriptors
+}
+
+// Network is what connections need of the settings and the policy does not.
 type Network struct {
 	FailureDomains []string `json:"failureDomains"`
 	Kinds          []string `json:"kinds"`
-	Classes        []struct {
-		Name string `json:"name"`
-	} `json:"classes"`
-	Accounts []struct {
-		Name string `json:"name"`
-	} `json:"accounts"`
-	Specifics struct {
+	Classes        []Named  `json:"classes"`
+	Accounts       []Named  `json:"accounts"`
+	Specifics      struct {
 		MemoryMbByKind []float64 `json:"memoryMbByKind"`
 	} `json:"specifics"`
 	Limits struct {
@@ -58,164 +76,106 @@
 	} `json:"limits"`
 }
 
-// Read reads and checks the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN go before
-// what it says.
+// Named is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at Limits.
+type Named = struct {
+	Name string `json:"name"`
+}
+
+// Millis converts milliseconds, the unit of durations in the settings.
+func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// Read reads and checks the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override what it says.
 func Read(getenv func(string) string) (*Config, error) {
-	path := getenv("EDGE_CONFIG")
-	if path == "" {
-		return nil, errors.New("EDGE_CONFIG names no file")
+	file := getenv(fileVariable)
+	if file == "" {
+		return nil, ErrNoFile
 	}
-	text, err := os.ReadFile(path)
+	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+		return nil, &FileError{File: file, Err: err}
 	}
-	var c Config
-	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("config %s: %w", path, err)
+	c := &Config{}
+	if err := json.Unmarshal(text, c); err != nil {
+		return nil, &FileError{File: file, Err: err}
 	}
-	for name, to := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen} {
-		if v := getenv(name); v != "" {
-			*to = v
-		}
-	}
-	for name, addr := range map[string]string{"listen": c.Listen, "names": c.DiscoveryAddr} {
-		if _, err := netip.ParseAddrPort(addr); err != nil {
-			return nil, fmt.Errorf("config %s: %s: %w", path, name, err)
-		}
+	c.override(getenv)
+	if err := c.checkAddresses(file); err != nil {
+		return nil, err
 	}
 	if c.SeedValue, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("config %s: seed: %w", path, err)
-	}
-	if c.Policy, err = simulator.ParseSettings(c.Settings); err != nil {
-		return nil, fmt.Errorf("config %s: %w", path, err)
-	}
-	n := &c.Network
-	if err := json.Unmarshal(c.Settings, n); err != nil {
-		return nil, fmt.Errorf("config %s: settings: %w", path, err)
-	}
-	for i, k := range n.Classes {
-		if k.Name == "" {
-			return nil, fmt.Errorf("config %s: class %d has no name", path, i)
-		}
+		return nil, &FieldError{File: file, Field: "seed", Err: err}
 	}
-	for i, a := range n.Accounts {
-		if a.Name == "" {
-			return nil, fmt.Errorf("config %s: account %d has no name", path, i)
-		}
+	if err := c.readSettings(file); err != nil {
+		return nil, err
 	}
-	orDefault(&n.Limits.DialTimeoutMs, 250)
-	orDefault(&n.Limits.KeepaliveMs, 30000)
-	orDefault(&n.Limits.MaxOpen, 20000)
-	orDefault(&n.Limits.StreamsPerConn, 32)
-	orDefault(&c.Limits.MemoryMB, 192)
-	orDefault(&c.Limits.Sockets, 1024)
-	if c.Limits.MemoryMB < 32 || c.Limits.Sockets < 64 {
-		return nil, fmt.Errorf("config %s: limits: too little memory or too few sockets", path)
+	c.setDefaults()
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
+		return nil, &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
 	}
-	return &c, nil
-}
-
-// ownFiles is how many descriptors are kept for what is neither a client nor a worker: pollers,
-// listeners, the directory, notices, files, and an accepted connection that is yet to be turned away.
-const ownFiles = 32
-
-// MaxClientConnections is how many accepted connections there may be: a third of the descriptors.
-func (c *Config) MaxClientConnections() int { return c.Limits.Sockets / 3 }
-
-// MaxWorkerConnections is how many connections to workers there may be: what the clients' third leaves.
-func (c *Config) MaxWorkerConnections() int {
-	return c.Limits.Sockets - c.MaxClientConnections() - min(ownFiles, c.Limits.Sockets/4)
+	return c, nil
 }
 
-// ScaleToMemory scales a bound that is right for 192 MB to the memory that there is. The bounds on what is held for
-// peers come to 80 MiB of those 192 with the webhooks' outcomes, and keep that part of any smaller limit.
-func (c *Config) ScaleToMemory(bytes int) int { return bytes * min(c.Limits.MemoryMB, 192) / 192 }
-
-// MaxConcurrentRequests is how many requests may be open: at 2 KiB each, bodies aside, a sixteenth of the memory.
-func (c *Config) MaxConcurrentRequests() int {
-	return min(c.Network.Limits.MaxOpen, c.Limits.MemoryMB*32)
-}
-
-// RejectionRetryAfter is what clients are told that there is no room for.
-func (c *Config) RejectionRetryAfter() time.Duration {
-	if !c.Policy.RetryAfterSupported {
-		return 0
+// override applies the environment variables that take precedence over the file.
+func (c *Config) override(getenv func(string) string) {
+	if name := getenv(nameVariable); name != "" {
+		c.Name = name
 	}
-	return min(time.Second, c.Policy.MaxRetryAfter)
-}
-
-// NeedsRestart names what fresh changes and a reload does not take over. The seed and the start's list
-// count at a start alone.
-func (c *Config) NeedsRestart(fresh *Config) (changed []string) {
-	for _, part := range []struct {
-		name string
-		same bool
-	}{
-		{"name", c.Name == fresh.Name}, {"listen", c.Listen == fresh.Listen}, {"limits", c.Limits == fresh.Limits},
-		{"settings", reflect.DeepEqual(c.Policy, fresh.Policy) && reflect.DeepEqual(c.Network, fresh.Network)},
-	} {
-		if !part.same {
-			changed = append(changed, part.name)
-		}
+	if listen := getenv(listenVariable); listen != "" {
+		c.Listen = listen
 	}
-	return changed
 }
 
-// orDefault sets what is absent or no use.
-func orDefault[T int | float64](v *T, to T) {
-	if *v <= 0 {
-		*v = to
+func (c *Config) checkAddresses(file string) error {
+	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+		return &FieldError{File: file, Field: "listen", Err: err}
 	}
-}
-
-// Millis turns milliseconds, as settings word them, into a time.
-func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-
-// ClassNames returns the names of the classes, in the order in which requests count them.
-func (c *Config) ClassNames() (names []string) {
-	for _, k := range c.Network.Classes {
-		names = append(names, k.Name)
+	if _, err := netip.ParseAddrPort(c.DiscoveryAddr); err != nil {
+		return &FieldError{File: file, Field: "names", Err: err}
 	}
-	return names
+	return nil
 }
 
-// TenantNames returns the names of the tenants, in the order in which requests count them.
-func (c *Config) TenantNames() (names []string) {
-	for _, a := range c.Network.Accounts {
-		names = append(names, a.Name)
+// readSettings reads the settings twice: once for the policy, whose reader the simulator shares, and once for the
+// connections.
+func (c *Config) readSettings(file string) error {
+	var err error
+	if c.Policy, err = simulator.ParseSettings(c.Settings); err != nil {
+		return &FileError{File: file, Err: err} // the cause names the settings itself
+	}
+	if err := json.Unmarshal(c.Settings, &c.Network); err != nil {
+		return &FieldError{File: file, Field: "settings", Err: err}
 	}
-	return names
+	if err := checkNames("class", c.Network.Classes); err != nil {
+		return &FileError{File: file, Err: err}
+	}
+	if err := checkNames("account", c.Network.Accounts); err != nil {
+		return &FileError{File: file, Err: err}
+	}
+	return nil
 }
 
-// NotIdempotent tells of each class whether it must never run twice.
-func (c *Config) NotIdempotent() (once []bool) {
-	for _, k := range c.Policy.Classes {
-		once = append(once, k.Idempotency == policy.NotIdempotent)
+func checkNames(kind string, list []Named) error {
+	for i, entry := range list {
+		if entry.Name == "" {
+			return &MissingNameError{Kind: kind, Index: i}
+		}
 	}
-	return once
+	return nil
 }
 
-// KindMemoryMB is the memory of a kind of workers, or 0 where the settings don't tell.
-func (c *Config) KindMemoryMB(kind string) float64 {
-	if i := slices.Index(c.Network.Kinds, kind); i >= 0 && i < len(c.Network.Specifics.MemoryMbByKind) {
-		return c.Network.Specifics.MemoryMbByKind[i]
-	}
-	return 0
+func (c *Config) setDefaults() {
+	limits := &c.Network.Limits
+	setDefault(&limits.DialTimeoutMs, defaultDialTimeoutMs)
+	setDefault(&limits.KeepaliveMs, defaultKeepAliveMs)
+	setDefault(&limits.MaxOpen, defaultMaxOpen)
+	setDefault(&limits.StreamsPerConn, defaultStreamsPerConn)
+	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
+	setDefault(&c.Limits.Sockets, defaultSockets)
 }
 
-// RoutingPlatform returns what the settings say that routes may not contradict.
-func (c *Config) RoutingPlatform() *lang.Platform {
-	p := &lang.Platform{MaxAttempts: c.Policy.MaxAttempts, HedgingAllowed: c.Policy.HedgingAllowed, Kinds: c.Network.Kinds,
-		KindMemoryMB: map[string]float64{}, Zones: c.Network.FailureDomains, LoadWindow: c.Policy.LoadBudgetWindow}
-	once := c.NotIdempotent()
-	for i, name := range c.ClassNames() {
-		k := c.Policy.Classes[i]
-		p.Classes = append(p.Classes, lang.Class{Name: name, NotIdempotent: once[i], Deadline: k.Deadline, LatencyObjective: k.LatencyObjective})
-	}
-	for _, k := range p.Kinds {
-		if mb := c.KindMemoryMB(k); mb > 0 {
-			p.KindMemoryMB[k] = mb
-		}
+// setDefault replaces a value that is absent or not above 0.
+func setDefault[T int | float64](value *T, standard T) {
+	if *value <= 0 {
+		*value = standard
 	}
-	return p
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,7 +1,9 @@
 package config
 
 import (
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
@@ -23,7 +25,8 @@
 	})
 }
 
-func TestConfig(t *testing.T) {
+// A good file is read with the environment's overrides and the defaults; a fault is an error of one line.
+func TestReadChecksTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	read := func(text string) (*Config, error) { return readText(path, text) }
 	c, err := read(goodConfig)
@@ -49,31 +52,31 @@
 	}
 }
 
-// Guards a reload against taking over half of a file: what needs a restart is named.
-func TestReloadNamesWhatNeedsARestart(t *testing.T) {
+// NeedsRestart names the keys that a reload does not apply.
+func TestNeedsRestartNamesChangedKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	c, err := readText(path, goodConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, to := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{"127.0.0.1:1053", "127.0.0.2:1053", "[]"},
 		{`"8c1f30d27a5be964"`, `"1"`, "[]"},
 		{"127.0.0.1:10080", "127.0.0.2:10080", "[listen]"},
 		{`"sockets":1024`, `"sockets":512`, "[limits]"},
 		{`"deadlineMs":3000`, `"deadlineMs":2000`, "[settings]"},
 	} {
-		fresh, err := readText(path, strings.Replace(goodConfig, to.old, to.new, 1))
+		fresh, err := readText(path, strings.Replace(goodConfig, test.old, test.new, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(c.NeedsRestart(fresh)); got != to.want {
-			t.Errorf("%s needs a restart for %s, want %s", to.new, got, to.want)
+		if got := fmt.Sprint(c.NeedsRestart(fresh)); got != test.want {
+			t.Errorf("%s needs a restart for %s, want %s", test.new, got, test.want)
 		}
 	}
 }
 
-// Guards small shares: what may be held for peers stays within the memory and the descriptors given.
+// What may be held for peers stays within the limits on memory and descriptors, however low they are.
 func TestBoundsFollowTheLimits(t *testing.T) {
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, sockets := range []int{64, 256, 1024} {
@@ -90,10 +93,55 @@
 	}
 	var c Config
 	if c.RejectionRetryAfter() != 0 {
-		t.Error("advice where the settings allow none")
+		t.Error("Retry-After where the settings allow none")
 	}
 	c.Policy.RetryAfterSupported, c.Policy.MaxRetryAfter = true, 300*time.Millisecond
 	if c.RejectionRetryAfter() != c.Policy.MaxRetryAfter {
-		t.Errorf("advice %v", c.RejectionRetryAfter())
+		t.Errorf("Retry-After %v", c.RejectionRetryAfter())
+	}
+}
+
+// Errors name the file, and the field where there is one, for errors.As.
+func TestReadErrorsAreTyped(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	for _, test := range []struct{ name, old, new, field, text string }{
+		{"listen", `"listen":"127.0.0.1:10080"`, `"listen":"nowhere"`, "listen", "listen: not an ip:port"},
+		{"discovery address", `"names":"127.0.0.1:1053"`, `"names":""`, "names", "names: not an ip:port"},
+		{"seed", `"8c1f30d27a5be964"`, `"seed"`, "seed", `seed: strconv.ParseUint: parsing "seed": invalid syntax`},
+		{"limits", `"sockets":1024`, `"sockets":3`, "limits", "limits: too little memory or too few sockets"},
+		{"class without a name", `"name":"repair-order",`, ``, "", "class 0 has no name"},
+		{"account without a name", `"settings":{`, `"settings":{"accounts":[{"name":"a"},{}],`, "", "account 1 has no name"},
+		{"unknown semantics", `"unsafe"`, `"maybe"`, "", `settings: class 0: unknown semantics "maybe"`},
+		{"malformed", goodConfig, `{`, "", "unexpected end of JSON input"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := readText(path, strings.Replace(goodConfig, test.old, test.new, 1))
+			if err == nil || err.Error() != "config "+path+": "+test.text {
+				t.Fatalf("error %v, want %s", err, test.text)
+			}
+			var fieldError *FieldError
+			if errors.As(err, &fieldError) != (test.field != "") {
+				t.Fatalf("error %#v, want a field %q", err, test.field)
+			}
+			if fieldError != nil && (fieldError.File != path || fieldError.Field != test.field) {
+				t.Errorf("error of file %s, field %s", fieldError.File, fieldError.Field)
+			}
+			var fileError *FileError
+			if fieldError == nil && (!errors.As(err, &fileError) || fileError.File != path) {
+				t.Errorf("error %#v names no file", err)
+			}
+		})
+	}
+}
+
+// A file that can't be read is named once, and the cause can be told: a reload retries when no descriptor was left.
+func TestReadErrorsKeepTheirCause(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none.json")
+	_, err := Read(func(name string) string { return map[string]string{"EDGE_CONFIG": missing}[name] })
+	if !errors.Is(err, fs.ErrNotExist) || err.Error() != "config: open "+missing+": no such file or directory" {
+		t.Errorf("error %v", err)
+	}
+	if _, err := Read(func(string) string { return "" }); !errors.Is(err, ErrNoFile) {
+		t.Errorf("error %v", err)
 	}
 }
--- /dev/null
+++ b/internal/config/routing.go
@@ -0,0 +1,31 @@
+package config
+
+import "crankhold/internal/lang"
+
+// RoutingPlatform returns what the settings say that routes may not contradict.
+func (c *Config) RoutingPlatform() *lang.Platform {
+	platform := &lang.Platform{
+		MaxAttempts:    c.Policy.MaxAttempts,
+		HedgingAllowed: c.Policy.HedgingAllowed,
+		Kinds:          c.Network.Kinds,
+		KindMemoryMB:   map[string]float64{},
+		Zones:          c.Network.FailureDomains,
+		LoadWindow:     c.Policy.LoadBudgetWindow,
+	}
+	notIdempotent := c.NotIdempotent()
+	for i, name := range c.ClassNames() {
+		class := c.Policy.Classes[i]
+		platform.Classes = append(platform.Classes, lang.Class{
+			Name:             name,
+			NotIdempotent:    notIdempotent[i],
+			Deadline:         class.Deadline,
+			LatencyObjective: class.LatencyObjective,
+		})
+	}
+	for _, kind := range c.Network.Kinds {
+		if memory := c.KindMemoryMB(kind); memory > 0 {
+			platform.KindMemoryMB[kind] = memory
+		}
+	}
+	return platform
+}
