--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,61 +12,61 @@
 	"crankhold/policy"
 )
 
-// The answers are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The responses are written by hand from the protocol's definition, so that no code of this package builds what it reads.
 const (
 	goldenAnswers  = "testdata/answers.txt"
 	goldenMessages = "testdata/messages.txt"
 )
 
-type holdAnswer struct {
+type loadResult struct {
 	tag     uint64
 	outcome policy.Outcome
 	count   int
 }
 
-type probeAnswer struct {
+type healthCheckResult struct {
 	tag     uint64
 	outcome policy.Outcome
 	report  []float64
 }
 
-// recorder keeps all that answers decode to.
-type recorder struct {
-	attempts []router.Attempt
-	replies  []router.AttemptResult
-	holds    []holdAnswer
-	probes   []probeAnswer
+// decodedResults keeps all that responses decode to.
+type decodedResults struct {
+	attempts     []router.Attempt
+	results      []router.AttemptResult
+	loads        []loadResult
+	healthChecks []healthCheckResult
 }
 
-func (r *recorder) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
+func (r *decodedResults) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
 	r.attempts = append(r.attempts, a)
-	r.replies = append(r.replies, reply)
+	r.results = append(r.results, reply)
 }
 
-func (r *recorder) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
-	r.holds = append(r.holds, holdAnswer{tag, outcome, count})
+func (r *decodedResults) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
+	r.loads = append(r.loads, loadResult{tag, outcome, count})
 }
 
-func (r *recorder) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
-	r.probes = append(r.probes, probeAnswer{tag, outcome, report})
+func (r *decodedResults) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
+	r.healthChecks = append(r.healthChecks, healthCheckResult{tag, outcome, report})
 }
 
-// newGoldenPool returns a pool whose answers are recorded, with workers that report two fields of use.
-func newGoldenPool() (*Pool, *recorder, *[]*line) {
-	p, _, lines := newPool()
-	record := &recorder{}
-	p.sink = record
+// newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
+func newGoldenPool() (*Pool, *decodedResults, *[]*fakeTransport) {
+	p, _, transports := newPool()
+	record := &decodedResults{}
+	p.results = record
 	p.cfg.ReportFields = []string{"inflight", "cpu"}
 	p.cfg.MaxCallsPerConnection = 32
-	return p, record, lines
+	return p, record, transports
 }
 
 // All that is written to a worker.
 func TestGoldenMessagesToWorkers(t *testing.T) {
-	p, _, lines := newGoldenPool()
+	p, _, transports := newGoldenPool()
 	p.CheckHealth(1, 1)
-	connection := (*lines)[0]
-	connection.h.DialCompleted(nil)
+	connection := (*transports)[0]
+	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
 		connection.Wrote.Reset()
@@ -77,16 +77,16 @@
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", call(1, request("0000000000000001"), 1234900*time.Microsecond))
-	withOnce := request("0000000000000002")
+	sent("RUN", call(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	withOnce := newRequest("0000000000000002")
 	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	sent("RUN with uniq", call(2, withOnce, time.Second))
-	sent("RUN with less than a millisecond left", call(3, request("0000000000000003"), time.Microsecond))
-	sent("RUN with no time left", call(4, request("0000000000000004"), -time.Second))
-	emptyBody := request("0000000000000005")
+	sent("RUN with less than a millisecond left", call(3, newRequest("0000000000000003"), time.Microsecond))
+	sent("RUN with no time left", call(4, newRequest("0000000000000004"), -time.Second))
+	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
 	sent("RUN with an empty body", call(5, emptyBody, time.Second))
-	binaryBody := request("0000000000000006")
+	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
 	sent("RUN with a binary body", call(6, binaryBody, time.Second))
 	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
@@ -95,43 +95,43 @@
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Maintain(time.Second) })
-	if len(*lines) != 1 || connection.HasClosed {
-		t.Errorf("%d connections, the first closed: %v", len(*lines), connection.HasClosed)
+	if len(*transports) != 1 || connection.HasClosed {
+		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.HasClosed)
 	}
 	messages = append(messages,
-		golden.Message{Label: "INFO sent again after a reset", Bytes: probeAfterReset()},
-		golden.Message{Label: "NOOP of a trial", Bytes: openedTrial(t).Wrote.Bytes()})
+		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
+		golden.Message{Label: "NOOP of a trial", Bytes: openRecoveryDial(t).Wrote.Bytes()})
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
-// probeAfterReset returns what is written over the second connection of a probe whose first one broke.
-func probeAfterReset() []byte {
-	p, _, lines := newGoldenPool()
+// healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
+func healthCheckAfterReset() []byte {
+	p, _, transports := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*lines)[0].h.DialCompleted(nil)
-	(*lines)[0].h.Closed(errors.New("reset"))
-	(*lines)[1].h.DialCompleted(nil)
-	return (*lines)[1].Wrote.Bytes()
+	(*transports)[0].handler.DialCompleted(nil)
+	(*transports)[0].handler.Closed(errors.New("reset"))
+	(*transports)[1].handler.DialCompleted(nil)
+	return (*transports)[1].Wrote.Bytes()
 }
 
-// openedTrial returns the connection of a trial that has come up.
-func openedTrial(t *testing.T) *line {
+// openRecoveryDial returns the connection of a recovery dial that has come up.
+func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
-	p, _, lines, _ := newPaths()
-	p.StartAttempt(7, attempt, request(anID), time.Second)
-	(*lines)[0].h.DialCompleted(errors.New("refused"))
-	(*lines)[1].h.DialCompleted(nil)
-	for now := time.Duration(0); len(*lines) < 3 && now < time.Minute; now += MaintenanceInterval {
+	p, _, transports, _ := newPoolWithTwoAddresses()
+	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
+	(*transports)[0].handler.DialCompleted(errors.New("refused"))
+	(*transports)[1].handler.DialCompleted(nil)
+	for now := time.Duration(0); len(*transports) < 3 && now < time.Minute; now += MaintenanceInterval {
 		p.Maintain(now)
 	}
-	if len(*lines) < 3 {
+	if len(*transports) < 3 {
 		t.Fatal("no trial was begun")
 	}
-	(*lines)[2].h.DialCompleted(nil)
-	return (*lines)[2]
+	(*transports)[2].handler.DialCompleted(nil)
+	return (*transports)[2]
 }
 
-// Every form of an answer to a call is decoded to a reply that is compared whole.
+// Every form of a response to a request is decoded to a reply that is compared whole.
 func TestGoldenAnswersToCalls(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -159,12 +159,12 @@
 		{"FAULT", router.AttemptResult{Outcome: policy.Failed, LoadStatus: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			p, record, lines := newGoldenPool()
-			p.StartAttempt(1, attempt, request(anID), time.Second)
-			connection := (*lines)[0]
-			connection.h.DialCompleted(nil)
-			connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-			want := &recorder{attempts: []router.Attempt{attempt}, replies: []router.AttemptResult{test.want}}
+			p, record, transports := newGoldenPool()
+			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
+			connection := (*transports)[0]
+			connection.handler.DialCompleted(nil)
+			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.HasClosed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
 			}
@@ -172,81 +172,81 @@
 	}
 }
 
-// Every answer to an order to load.
+// Every response to a load.
 func TestGoldenAnswersToHolds(t *testing.T) {
 	for _, test := range []struct {
 		label string
-		want  holdAnswer
+		want  loadResult
 	}{
-		{"HOLD answered by HIT", holdAnswer{9, policy.Served, 2}},
-		{"HOLD answered by HIT without a count", holdAnswer{9, policy.Served, 0}},
-		{"HOLD answered by SHED", holdAnswer{9, policy.Overloaded, 1}},
-		{"HOLD answered by NONE", holdAnswer{9, policy.NotLoaded, 0}},
-		{"HOLD answered by FAULT", holdAnswer{9, policy.Failed, 0}},
-		{"HOLD answered by LATE", holdAnswer{9, policy.NotSent, 0}},
+		{"HOLD answered by HIT", loadResult{9, policy.Served, 2}},
+		{"HOLD answered by HIT without a count", loadResult{9, policy.Served, 0}},
+		{"HOLD answered by SHED", loadResult{9, policy.Overloaded, 1}},
+		{"HOLD answered by NONE", loadResult{9, policy.NotLoaded, 0}},
+		{"HOLD answered by FAULT", loadResult{9, policy.Failed, 0}},
+		{"HOLD answered by LATE", loadResult{9, policy.NotSent, 0}},
 	} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.Load(1, 5, 2, 9)
-		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&recorder{holds: []holdAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+		connection := (*transports)[0]
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
 	}
 }
 
-// Every answer to a health check.
+// Every response to a health check.
 func TestGoldenAnswersToProbes(t *testing.T) {
 	for _, test := range []struct {
 		label string
-		want  probeAnswer
+		want  healthCheckResult
 	}{
-		{"INFO answered by PONG", probeAnswer{7, policy.Served, []float64{3, 0.5}}},
-		{"INFO answered by PONG of two words", probeAnswer{7, policy.Served, nil}},
-		{"INFO answered by PONG without a report", probeAnswer{7, policy.Served, nil}},
-		{"INFO answered by SICK", probeAnswer{7, policy.Failed, []float64{3, 1}}},
-		{"INFO answered by SICK without a report", probeAnswer{7, policy.Failed, nil}},
+		{"INFO answered by PONG", healthCheckResult{7, policy.Served, []float64{3, 0.5}}},
+		{"INFO answered by PONG of two words", healthCheckResult{7, policy.Served, nil}},
+		{"INFO answered by PONG without a report", healthCheckResult{7, policy.Served, nil}},
+		{"INFO answered by SICK", healthCheckResult{7, policy.Failed, []float64{3, 1}}},
+		{"INFO answered by SICK without a report", healthCheckResult{7, policy.Failed, nil}},
 	} {
-		p, record, lines := newGoldenPool()
+		p, record, transports := newGoldenPool()
 		p.CheckHealth(1, 7)
-		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&recorder{probes: []probeAnswer{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
+		connection := (*transports)[0]
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
 		}
 	}
 }
 
-// The answer to a NOOP shows that its connection works, and ends nothing that is open there.
+// The response to a NOOP shows that its connection works, and ends nothing that is open there.
 func TestGoldenAnswersToNoops(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
-		p, record, lines := newGoldenPool()
-		p.StartAttempt(1, attempt, request(anID), time.Second)
-		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
+		p, record, transports := newGoldenPool()
+		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
+		connection := (*transports)[0]
+		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
-		owner := p.workers[1].conns[0]
-		asked := owner.pinged
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, label))
-		if asked == 0 || owner.pinged != 0 || len(owner.open) != 1 {
-			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pinged, len(owner.open))
+		owner := p.workers[1].connections[0]
+		asked := owner.pingedAt
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
+		if asked == 0 || owner.pingedAt != 0 || len(owner.inFlight) != 1 {
+			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pingedAt, len(owner.inFlight))
 		}
-		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed {
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed {
 			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.HasClosed)
 		}
 	}
-	connection := openedTrial(t)
-	worker := connection.h.(*trial).w
-	down := worker.paths.Unavailable()
-	connection.h.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.paths.Unavailable() != 0 || !connection.HasClosed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.paths.Unavailable(), connection.HasClosed)
+	connection := openRecoveryDial(t)
+	worker := connection.handler.(*recoveryDial).worker
+	down := worker.addresses.Unavailable()
+	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
+	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.HasClosed {
+		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.HasClosed)
 	}
 }
 
-// An answer that breaks the protocol closes its connection and ends no call; one to an unknown id is passed over.
+// A response that breaks the protocol closes its connection and ends no request; one to an unknown id is passed over.
 func TestGoldenMalformedAnswers(t *testing.T) {
 	for _, test := range []struct {
 		label  string
@@ -257,7 +257,7 @@
 		{"unknown word", true},
 		{"PONG to a call", true},
 		{"SICK to a call", true},
-		{"INFO answered by PONG", false}, // no probe is open here
+		{"INFO answered by PONG", false}, // no health check is open here
 		{"answer of one word", true},
 		{"answer of no word", true},
 		{"answer of nine words", true},
@@ -268,12 +268,12 @@
 		{"word that is longer than its length", true},
 		{"length over the limit", true},
 	} {
-		p, record, lines := newGoldenPool()
-		p.StartAttempt(1, attempt, request(anID), time.Second)
-		connection := (*lines)[0]
-		connection.h.DialCompleted(nil)
-		connection.h.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if !reflect.DeepEqual(record, &recorder{}) || connection.HasClosed != test.closes {
+		p, record, transports := newGoldenPool()
+		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
+		connection := (*transports)[0]
+		connection.handler.DialCompleted(nil)
+		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
 		}
 	}
