--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -6,6 +6,7 @@
 	"math"
 	"net/netip"
 
+	"crankhold/internal/framing"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -25,7 +26,7 @@
 	front        *Front
 	transport    Transport
 	peer         netip.AddrPort
-	partial      []byte                  // the beginning of an incomplete frame
+	partial      framing.Buffer          // the beginning of an incomplete frame
 	open         map[uint32]*openRequest // by sequence number
 	lastSequence uint32                  // the highest one of an execute
 	messageCount int                     // complete messages received
@@ -36,43 +37,22 @@
 func (c *connection) Busy() bool { return len(c.open) > 0 }
 
 // Messages returns how many complete messages were received, and whether the beginning of another was.
-func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, len(c.partial) > 0 }
+func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, c.partial.Len() > 0 }
 
-// Data takes in frames, split in any way. The beginning of an incomplete frame is kept in a buffer that grows with it, so
-// that a frame that arrives a few bytes at a time is not copied anew for each of them.
+// Data takes in frames, split in any way.
 func (c *connection) Data(b []byte) {
 	if c.closed {
 		return
 	}
-	unread := b
-	if len(c.partial) > 0 {
-		c.partial = append(c.partial, b...)
-		unread = c.partial
-	}
-	countBefore := c.messageCount
-	for !c.closed {
-		size, err := c.handleFrame(unread)
-		if err != nil {
-			c.closeMalformed(err)
-			return
-		}
-		if size == 0 {
-			break
-		}
-		unread = unread[size:]
-	}
-	if c.closed {
-		return
-	}
-	if len(c.partial) > 0 && c.messageCount == countBefore {
-		return // it is in the buffer already
+	if _, err := c.partial.Feed(b, c.handleFrame); err != nil {
+		c.closeMalformed(err)
 	}
-	c.partial = append([]byte(nil), unread...) // a copy, so that a large read is not kept for its rest
 }
 
-// handleFrame handles the first frame of what was received and returns its size, or 0 while the frame is incomplete.
+// handleFrame is the framing.Decoder of frames: it handles the first one of what was received and returns its size, or 0
+// while the frame is incomplete. Nothing is handled on a connection that handling an earlier frame has closed.
 func (c *connection) handleFrame(unread []byte) (size int, err error) {
-	if len(unread) < frameLengthBytes {
+	if c.closed || len(unread) < frameLengthBytes {
 		return 0, nil
 	}
 	length := binary.BigEndian.Uint32(unread)
@@ -99,7 +79,7 @@
 
 func (c *connection) cancelAll() {
 	c.closed = true
-	c.partial = nil
+	c.partial.Reset()
 	for _, request := range c.open {
 		request.cancel()
 	}
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -172,8 +172,8 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
 		client.Data(b)
-		if len(core.accepted) > 1 || transport.HasClosed && client.partial != nil {
-			t.Fatalf("accepted %d, kept %d bytes", len(core.accepted), len(client.partial))
+		if len(core.accepted) > 1 || transport.HasClosed && client.partial.Len() > 0 {
+			t.Fatalf("accepted %d, kept %d bytes", len(core.accepted), client.partial.Len())
 		}
 	})
 	for name, b := range map[string][]byte{
