--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -4,26 +4,27 @@
 type File struct {
 	Name             string
 	Entries          []Entry
-	TrailingComments []Comment // after the last entry
+	TrailingComments []Comment // behind the last entry
 }
 
-// Comment is a comment that has a line of its own.
+// Comment is a comment on a line of its own.
 type Comment struct {
-	Text        string // with its mark
+	Text        string // with its #
 	BlankBefore bool   // an empty line goes before it
 }
 
 // Entry is an *Include, a *Block or a *Setting.
 type Entry interface {
+	// Pos returns where the entry begins.
 	Pos() Pos
 	trivia() *Trivia
 }
 
-// Trivia is what stands around an entry and means nothing.
+// Trivia is the comments and empty lines around an entry, which mean nothing.
 type Trivia struct {
 	LeadingComments []Comment // on the lines before it
 	BlankBefore     bool      // an empty line goes before it, behind its comments
-	LineComment     string    // the comment on its last line
+	LineComment     string    // on its last line
 }
 
 func (t *Trivia) trivia() *Trivia { return t }
@@ -41,7 +42,7 @@
 	At               Pos
 	Word             string
 	Label            *Value // nil: none
-	OpenComment      string // the comment behind the opening brace
+	OpenComment      string // behind the opening brace
 	Entries          []Entry
 	TrailingComments []Comment // before the closing brace
 }
@@ -59,22 +60,23 @@
 
 // The kinds of values.
 const (
-	StringValue   ValueKind = iota // a string
-	QuantityValue                  // a number with or without a unit
+	StringValue   ValueKind = iota
+	QuantityValue           // a number with or without a unit
 	WordValue
 )
 
 // Value is one value.
 type Value struct {
-	At              Pos
-	Kind            ValueKind
-	Raw             string // as it stands in the file
-	leadingComments []Comment
-	lineComment     string
-	startsLine      bool // begins a line
+	At   Pos
+	Kind ValueKind
+	Raw  string // as it stands in the file
+
+	leadingComments []Comment // on the lines before it, within a list
+	lineComment     string    // behind the comma
+	startsLine      bool
 }
 
-// Text returns what a string says, and any other value as it stands.
+// Text returns what a string says, and any other value as it stands in the file.
 func (v Value) Text() string {
 	if v.Kind == StringValue {
 		return unquote(v.Raw)
@@ -82,11 +84,11 @@
 	return v.Raw
 }
 
-// Pos returns where the entry begins.
-func (e *Include) Pos() Pos { return e.At }
+// Pos returns where the include begins.
+func (i *Include) Pos() Pos { return i.At }
 
-// Pos returns where the entry begins.
-func (e *Block) Pos() Pos { return e.At }
+// Pos returns where the block begins.
+func (b *Block) Pos() Pos { return b.At }
 
-// Pos returns where the entry begins.
-func (e *Setting) Pos() Pos { return e.At }
+// Pos returns where the setting begins.
+func (s *Setting) Pos() Pos { return s.At }
--- /dev/null
+++ b/internal/lang/syntax/fault.go
@@ -0,0 +1,81 @@
+package syntax
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Pos is a position in a file. Lines and columns count from 1, columns in characters.
+type Pos struct {
+	File      string
+	Line, Col int
+}
+
+// String returns file:line:column.
+func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
+
+// Valid reports whether p is a position at all.
+func (p Pos) Valid() bool { return p.Line > 0 }
+
+// Compare orders positions by file, line and column.
+func (p Pos) Compare(q Pos) int {
+	return cmp.Or(strings.Compare(p.File, q.File), cmp.Compare(p.Line, q.Line), cmp.Compare(p.Col, q.Col))
+}
+
+// Fault is one diagnostic: a thing that is wrong in a file, or that may not be meant.
+type Fault struct {
+	Pos  Pos    `json:"pos"`
+	Msg  string `json:"message"`
+	Line string `json:"line,omitempty"` // the text of the line, cut where it is long
+}
+
+// Error returns the fault on one line.
+func (f Fault) Error() string { return f.Pos.String() + ": " + f.Msg }
+
+// Quoted returns the fault, its line, and a mark under the column.
+func (f Fault) Quoted() string {
+	if f.Line == "" {
+		return f.Error()
+	}
+	return f.Error() + "\n\t" + f.Line + "\n\t" + f.indent() + "^"
+}
+
+// indent returns white space as wide as the line is up to the column.
+func (f Fault) indent() string {
+	line := []rune(f.Line)
+	before := line[:max(0, min(f.Pos.Col-1, len(line)))]
+	for i, r := range before {
+		if r != '\t' {
+			before[i] = ' '
+		}
+	}
+	return string(before)
+}
+
+// Faults is a list of faults; it is an error where it is not empty.
+type Faults []Fault
+
+// Error returns a line for each fault.
+func (l Faults) Error() string {
+	lines := make([]string, len(l))
+	for i, f := range l {
+		lines[i] = f.Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// Err returns the list as an error, or nil where it is empty.
+func (l Faults) Err() error {
+	if len(l) == 0 {
+		return nil
+	}
+	return l
+}
+
+// Sort orders faults by position and drops repetitions.
+func (l *Faults) Sort() {
+	slices.SortStableFunc(*l, func(a, b Fault) int { return cmp.Or(a.Pos.Compare(b.Pos), strings.Compare(a.Msg, b.Msg)) })
+	*l = slices.CompactFunc(*l, func(a, b Fault) bool { return a.Pos == b.Pos && a.Msg == b.Msg })
+}
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -3,34 +3,45 @@
 import "bytes"
 
 // Parse reads a file. It always returns a tree, of what could be read, and all faults that it found.
-func Parse(name string, b []byte) (*File, *Source, Faults) {
-	var faults Faults
-	if len(b) > MaxBytes {
-		src := NewSource(name, nil)
-		return &File{Name: name}, src, Faults{{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}}
+func Parse(name string, text []byte) (*File, *Source, Faults) {
+	if len(text) > MaxBytes {
+		fault := Fault{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}
+		return &File{Name: name}, NewSource(name, nil), Faults{fault}
 	}
-	src := NewSource(name, b)
-	for i, rest := 1, b; len(rest) > 0; i++ {
-		line, after, _ := bytes.Cut(rest, []byte("\n"))
-		if len(line) > MaxLine {
-			return &File{Name: name}, src, Faults{src.Fault(Pos{name, i, 1}, "the line is longer than 4096 bytes")}
-		}
-		rest = after
+	source := NewSource(name, text)
+	if line := findLongLine(text); line > 0 {
+		fault := source.Fault(Pos{name, line, 1}, "the line is longer than 4096 bytes")
+		return &File{Name: name}, source, Faults{fault}
 	}
-	p := &parser{scanner: newScanner(src, b, &faults)}
+	var faults Faults
+	p := &parser{scanner: newScanner(source, text, &faults)}
 	p.advance()
 	f := &File{Name: name}
 	f.Entries, f.TrailingComments = p.parseEntries(0)
-	return f, src, faults
+	return f, source, faults
+}
+
+// findLongLine returns the number of the first line that is longer than MaxLine, or 0.
+func findLongLine(text []byte) int {
+	number := 0
+	for line := range bytes.Lines(text) {
+		number++
+		if len(bytes.TrimSuffix(line, []byte("\n"))) > MaxLine {
+			return number
+		}
+	}
+	return 0
 }
 
-// parser is a recursive descent over the tokens, with one token in hand. It goes on behind a fault.
+// parser is a recursive descent parser with one token of look-ahead. It continues behind a fault, on the next line.
+// Depth is the number of blocks around what is parsed.
 type parser struct {
 	scanner *scanner
 	token   token
 	stopped bool // too many faults, or too deep: nothing more is read
 }
 
+// advance reads the next token.
 func (p *parser) advance() {
 	p.token = p.scanner.next()
 	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
@@ -42,27 +53,33 @@
 	}
 }
 
+// stop has the parser read nothing more.
+func (p *parser) stop(pos Pos) {
+	p.stopped = true
+	p.token = token{kind: endOfFile, pos: pos}
+}
+
 func (p *parser) fault(pos Pos, format string, args ...any) {
 	if !p.stopped {
 		p.scanner.fault(pos, format, args...)
 	}
 }
 
-// reportExpected tells what should have stood in place of the token in hand, and skips its line.
+// reportExpected reports what should stand in place of the current token, and skips its line.
 func (p *parser) reportExpected(what string) {
-	if p.token.kind != invalidToken { // the scanner has told
+	if p.token.kind != invalidToken { // the scanner has reported those
 		p.fault(p.token.pos, "expected %s, found %s", what, p.token)
 	}
 	p.skipLine()
 }
 
-// skipLine goes to the end of the line; a block that begins on it is skipped whole.
+// skipLine skips the rest of the line; a block that begins on it is skipped whole.
 func (p *parser) skipLine() {
 	for depth := 0; p.token.kind != endOfFile; p.advance() {
 		switch {
-		case p.token.is("{"):
+		case p.token.isPunctuation("{"):
 			depth++
-		case p.token.is("}"):
+		case p.token.isPunctuation("}"):
 			if depth == 0 {
 				return
 			}
@@ -73,160 +90,94 @@
 	}
 }
 
-// parseEntries reads what a file, or a block at this depth, holds, up to its end.
-func (p *parser) parseEntries(depth int) (list []Entry, tail []Comment) {
-	var lead []Comment
-	empty := 0 // lines that held nothing
-	for {
+// skipNewline skips the end of a line and reports whether there was one.
+func (p *parser) skipNewline() bool {
+	if p.token.kind != newlineToken {
+		return false
+	}
+	p.advance()
+	return true
+}
+
+// takeComment returns the current token's comment and skips it, or returns "" where it is none.
+func (p *parser) takeComment() string {
+	if p.token.kind != commentToken {
+		return ""
+	}
+	comment := p.token.raw
+	p.advance()
+	return comment
+}
+
+// atEndOfEntries reports whether the file, or the block at this depth, ends.
+func (p *parser) atEndOfEntries(depth int) bool {
+	return p.token.kind == endOfFile || depth > 0 && p.token.isPunctuation("}")
+}
+
+// entryReader reads the entries of a file or a block with the comments and empty lines between them.
+type entryReader struct {
+	*parser
+	depth    int
+	newlines int       // since the last text; more than one make an empty line
+	comments []Comment // since the last entry
+	entries  []Entry
+}
+
+// parseEntries parses what a file, or a block at this depth, holds, up to its end. It returns the comments behind the
+// last entry too.
+func (p *parser) parseEntries(depth int) ([]Entry, []Comment) {
+	r := &entryReader{parser: p, depth: depth}
+	for !p.atEndOfEntries(depth) {
 		switch {
-		case p.token.kind == newlineToken:
-			empty++
-			p.advance()
-			continue
+		case p.skipNewline():
+			r.newlines++
 		case p.token.kind == commentToken:
-			lead = append(lead, Comment{p.token.raw, empty > 1})
-			empty = 0
-			p.advance()
-			if p.token.kind == newlineToken {
-				p.advance()
-				empty = 1
-			}
-			continue
-		case p.token.kind == endOfFile, p.token.is("}") && depth > 0:
-			return list, lead
-		case p.token.is("}"):
+			r.readComment()
+		case p.token.isPunctuation("}"):
 			p.fault(p.token.pos, "a closing brace with no block to close")
 			p.advance()
-			continue
-		}
-		blank := empty > 1
-		empty = 0
-		e := p.parseEntry(depth)
-		if e == nil {
-			if p.token.kind == newlineToken {
-				p.advance()
-				empty = 1
-			}
-			continue
-		}
-		t := e.trivia()
-		t.LeadingComments, t.BlankBefore, lead = lead, blank, nil
-		list = append(list, e)
-		if p.token.kind == commentToken {
-			t.LineComment = p.token.raw
-			p.advance()
-		}
-		switch {
-		case p.token.kind == newlineToken:
-			p.advance()
-			empty = 1
-		case p.token.kind != endOfFile && !(p.token.is("}") && depth > 0):
-			p.reportExpected("the end of the line")
+		default:
+			r.readEntry()
 		}
 	}
+	return r.entries, r.comments
 }
 
-// parseEntry reads an include, a block or a setting.
-func (p *parser) parseEntry(depth int) Entry {
-	at := p.token.pos
-	if p.token.kind != wordToken {
-		if depth == 0 {
-			p.reportExpected("a block or an include")
-		} else {
-			p.reportExpected("a setting or a block")
-		}
-		return nil
-	}
-	name := p.token.raw
-	p.advance()
-	if name == "include" && depth == 0 {
-		if p.token.kind != stringToken {
-			p.reportExpected("the path of a file in quotes")
-			return nil
-		}
-		return &Include{At: at, Path: p.parseValue()}
-	}
-	if p.token.is("=") {
-		if depth == 0 {
-			p.fault(at, "a setting stands in a block: %s is outside of any", name)
-			p.skipLine()
-			return nil
-		}
-		p.advance()
-		return p.parseSetting(at, name)
-	}
-	b := &Block{At: at, Word: name}
-	if p.token.kind == stringToken {
-		v := p.parseValue()
-		b.Label = &v
-	}
-	if !p.token.is("{") {
-		if b.Label == nil && depth > 0 {
-			p.reportExpected("= or {")
-		} else {
-			p.reportExpected("{")
-		}
-		return nil
-	}
-	if depth+1 > MaxDepth {
-		p.fault(at, "blocks are nested more than %d deep; the rest of the file was not read", MaxDepth)
-		p.stopped = true
-		p.token = token{kind: endOfFile, pos: at}
-		return nil
-	}
-	p.advance()
-	if p.token.kind == commentToken {
-		b.OpenComment = p.token.raw
-		p.advance()
-	}
-	if p.token.kind == newlineToken {
-		p.advance()
-	}
-	b.Entries, b.TrailingComments = p.parseEntries(depth + 1)
-	if !p.token.is("}") {
-		p.fault(at, "the block %s is not closed", name)
-		return b
-	}
-	p.advance()
-	return b
-}
-
-// parseSetting reads a parseSetting's values: a list goes on behind a comma, on the next lines too.
-func (p *parser) parseSetting(at Pos, name string) Entry {
-	s := &Setting{At: at, Name: name}
-	for {
-		var lead []Comment
-		fresh := false
-		for len(s.Values) > 0 && (p.token.kind == newlineToken || p.token.kind == commentToken) {
-			if p.token.kind == commentToken {
-				lead = append(lead, Comment{Text: p.token.raw})
-			}
-			fresh = true
-			p.advance()
-		}
-		if p.token.kind != stringToken && p.token.kind != quantityToken && p.token.kind != wordToken {
-			p.reportExpected("a value")
-			return nil
-		}
-		v := p.parseValue()
-		v.leadingComments, v.startsLine = lead, fresh
-		more := p.token.is(",")
-		if more {
-			if p.advance(); p.token.kind == commentToken {
-				v.lineComment = p.token.raw
-				p.advance()
-			}
-		}
-		s.Values = append(s.Values, v)
-		if !more {
-			return s
-		}
+// readComment reads a comment on a line of its own.
+func (r *entryReader) readComment() {
+	r.comments = append(r.comments, Comment{Text: r.token.raw, BlankBefore: r.newlines > 1})
+	r.newlines = 0
+	r.advance()
+	r.endLine()
+}
+
+// readEntry reads an entry with its comments and the end of its line.
+func (r *entryReader) readEntry() {
+	blankBefore := r.newlines > 1
+	r.newlines = 0
+	entry := r.parseEntry(r.depth)
+	if entry == nil {
+		r.endLine()
+		return
+	}
+	t := entry.trivia()
+	t.LeadingComments = r.comments
+	t.BlankBefore = blankBefore
+	r.comments = nil
+	r.entries = append(r.entries, entry)
+	if comment := r.takeComment(); comment != "" {
+		t.LineComment = comment
+	}
+	if !r.endLine() && !r.atEndOfEntries(r.depth) {
+		r.reportExpected("the end of the line")
 	}
 }
 
-// parseValue takes the token in hand as a parseValue.
-func (p *parser) parseValue() Value {
-	v := Value{At: p.token.pos, Raw: p.token.raw, Kind: map[tokenKind]ValueKind{stringToken: StringValue, quantityToken: QuantityValue, wordToken: WordValue}[p.token.kind]}
-	p.advance()
-	return v
+// endLine skips the end of the line, if it is the current token, and reports whether it was.
+func (r *entryReader) endLine() bool {
+	if !r.skipNewline() {
+		return false
+	}
+	r.newlines = 1
+	return true
 }
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -2,21 +2,21 @@
 
 import "strings"
 
-// Format returns a file's text in the one form: an entry a line, blocks indented by tabs, one space round
-// an equals sign, at most one empty line between entries, all comments kept. Formatting it again changes
-// nothing.
+// Format returns a file's text in the one form: an entry a line, blocks indented by tabs, one space round an equals
+// sign, at most one empty line between entries, and all comments. Formatting it again changes nothing.
 func Format(f *File) []byte {
 	p := &printer{}
 	p.entries(f.Entries, f.TrailingComments, 0)
 	return []byte(p.text.String())
 }
 
+// printer writes a tree. Depth is the number of blocks around what is written.
 type printer struct {
 	text           strings.Builder
 	needsSeparator bool // something stands above in this block
 }
 
-// blankLine writes an empty line, but not where a block or the file begins.
+// blankLine writes an empty line if it is wanted, but not where a block or the file begins.
 func (p *printer) blankLine(wanted bool) {
 	if wanted && p.needsSeparator {
 		p.text.WriteByte('\n')
@@ -24,93 +24,97 @@
 	p.needsSeparator = true
 }
 
+// line writes a line of these parts.
 func (p *printer) line(depth int, parts ...string) {
-	for range depth {
-		p.text.WriteByte('\t')
-	}
-	for _, s := range parts {
-		p.text.WriteString(s)
+	p.text.WriteString(indentation(depth))
+	for _, part := range parts {
+		p.text.WriteString(part)
 	}
 	p.text.WriteByte('\n')
 }
 
-func (p *printer) comments(list []Comment, depth int) {
-	for _, c := range list {
+func (p *printer) comments(comments []Comment, depth int) {
+	for _, c := range comments {
 		p.blankLine(c.BlankBefore)
 		p.line(depth, c.Text)
 	}
 }
 
-func (p *printer) entries(list []Entry, tail []Comment, depth int) {
-	for _, e := range list {
-		t := e.trivia()
+func (p *printer) entries(entries []Entry, trailingComments []Comment, depth int) {
+	for _, entry := range entries {
+		t := entry.trivia()
 		p.comments(t.LeadingComments, depth)
 		p.blankLine(t.BlankBefore)
-		trail := ""
-		if t.LineComment != "" {
-			trail = " " + t.LineComment
-		}
-		switch e := e.(type) {
+		lineComment := afterSpace(t.LineComment)
+		switch entry := entry.(type) {
 		case *Include:
-			p.line(depth, "include ", e.Path.Raw, trail)
+			p.line(depth, includeKeyword, " ", entry.Path.Raw, lineComment)
 		case *Setting:
-			p.setting(e, depth, trail)
+			p.setting(entry, depth, lineComment)
 		case *Block:
-			p.block(e, depth, trail)
+			p.block(entry, depth, lineComment)
 		}
 	}
-	p.comments(tail, depth)
+	p.comments(trailingComments, depth)
 }
 
-func (p *printer) block(b *Block, depth int, trail string) {
+func (p *printer) block(b *Block, depth int, lineComment string) {
 	head := b.Word
 	if b.Label != nil {
 		head += " " + b.Label.Raw
 	}
 	if len(b.Entries) == 0 && len(b.TrailingComments) == 0 && b.OpenComment == "" {
-		p.line(depth, head, " {}", trail)
+		p.line(depth, head, " {}", lineComment)
 		return
 	}
-	open := ""
-	if b.OpenComment != "" {
-		open = " " + b.OpenComment
-	}
-	p.line(depth, head, " {", open)
+	p.line(depth, head, " {", afterSpace(b.OpenComment))
 	p.needsSeparator = false
 	p.entries(b.Entries, b.TrailingComments, depth+1)
 	p.needsSeparator = true
-	p.line(depth, "}", trail)
+	p.line(depth, "}", lineComment)
 }
 
-// maxListLine is the length in bytes beyond which a list goes on in a further line.
+// maxListLine is the length in bytes beyond which a list continues on a further line.
 const maxListLine = 100
 
 // setting writes a list with the line breaks that it came with, and further ones where it is long.
-func (p *printer) setting(s *Setting, depth int, trail string) {
-	in := strings.Repeat("\t", depth+1)
-	p.text.WriteString(in[1:])
-	p.text.WriteString(s.Name + " =")
-	length := depth + len(s.Name) + 2
+func (p *printer) setting(s *Setting, depth int, lineComment string) {
+	p.text.WriteString(indentation(depth) + s.Name + " =")
+	length := depth + len(s.Name) + len(" =")
 	for i, v := range s.Values {
-		if i > 0 && (v.startsLine || length+len(v.Raw)+2 > maxListLine) {
-			p.text.WriteByte('\n')
-			for _, c := range v.leadingComments {
-				p.text.WriteString(in + c.Text + "\n")
-			}
-			p.text.WriteString(in)
+		tooLong := length+len(v.Raw)+len(" ,") > maxListLine
+		if i > 0 && (v.startsLine || tooLong) {
+			p.listLineBreak(v.leadingComments, depth+1)
 			length = depth + 1
 		} else {
 			p.text.WriteByte(' ')
 			length++
 		}
 		p.text.WriteString(v.Raw)
-		length += len(v.Raw) + 1
+		length += len(v.Raw) + len(",")
 		if i < len(s.Values)-1 {
 			p.text.WriteByte(',')
 		}
-		if v.lineComment != "" {
-			p.text.WriteString(" " + v.lineComment)
-		}
+		p.text.WriteString(afterSpace(v.lineComment))
+	}
+	p.text.WriteString(lineComment + "\n")
+}
+
+// listLineBreak ends a line of a list and begins the next one, with the comments that stand between them.
+func (p *printer) listLineBreak(comments []Comment, depth int) {
+	p.text.WriteByte('\n')
+	for _, c := range comments {
+		p.line(depth, c.Text)
+	}
+	p.text.WriteString(indentation(depth))
+}
+
+func indentation(depth int) string { return strings.Repeat("\t", depth) }
+
+// afterSpace returns a comment with a space before it, or "" where there is none.
+func afterSpace(comment string) string {
+	if comment == "" {
+		return ""
 	}
-	p.text.WriteString(trail + "\n")
+	return " " + comment
 }
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -5,62 +5,32 @@
 	"unicode/utf8"
 )
 
-// tokenKind is the tokenKind of a token.
-type tokenKind uint8
-
+// The most bytes of a token. Together they keep a line that the formatter writes below MaxLine.
 const (
-	endOfFile tokenKind = iota
-	newlineToken
-	commentToken
-	wordToken
-	stringToken      // a string
-	quantityToken    // a number, with its unit where it has one
-	punctuationToken // one of { } = ,
-	invalidToken     // has been told as a fault
+	maxCommentBytes  = 1024
+	maxStringBytes   = 1024
+	maxWordBytes     = 128
+	maxQuantityBytes = 128
 )
 
-type token struct {
-	kind tokenKind
-	pos  Pos
-	raw  string // as it stands in the file
-}
-
-// is tells whether t is this mark.
-func (t token) is(m string) bool { return t.kind == punctuationToken && t.raw == m }
+// byteOrderMark may begin a file, and is skipped.
+const byteOrderMark = '\uFEFF'
 
-// String names the token for a message.
-func (t token) String() string {
-	switch t.kind {
-	case endOfFile:
-		return "the end of the file"
-	case newlineToken, commentToken:
-		return "the end of the line"
-	}
-	if len(t.raw) > 40 {
-		return t.raw[:strings.LastIndexFunc(t.raw[:40], func(r rune) bool { return r < utf8.RuneSelf })+1] + "..."
-	}
-	return t.raw
-}
+// deleteCharacter is the control character behind the printable ones of ASCII.
+const deleteCharacter = 0x7f
 
-// The most bytes of a token. Together they keep a line that the formatter writes under MaxLine.
-var (
-	maxTokenBytes = [...]int{commentToken: 1024, wordToken: 128, stringToken: 1024, quantityToken: 128, invalidToken: 0}
-	tokenNames    = [...]string{wordToken: "name", stringToken: "string", quantityToken: "number", invalidToken: ""}
-)
-
-// scanner cuts a file into tokens. Each byte that belongs to none is told once.
+// scanner cuts a file into tokens. It reports each byte that belongs to none, once.
 type scanner struct {
 	source *Source
 	text   string
-	offset int
-	line   int
-	column int
+	offset int // of the next byte
+	line   int // of the next byte, from 1
+	column int // of the next byte in characters, from 1
 	faults *Faults
 }
 
-func newScanner(src *Source, b []byte, faults *Faults) *scanner {
-	s := &scanner{source: src, text: strings.TrimPrefix(string(b), "\uFEFF"), line: 1, column: 1, faults: faults}
-	return s
+func newScanner(source *Source, text []byte, faults *Faults) *scanner {
+	return &scanner{source: source, text: strings.TrimPrefix(string(text), string(byteOrderMark)), line: 1, column: 1, faults: faults}
 }
 
 func (s *scanner) pos() Pos { return Pos{s.source.Name, s.line, s.column} }
@@ -69,154 +39,163 @@
 	*s.faults = append(*s.faults, s.source.Fault(pos, format, args...))
 }
 
-func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
-func isDigit(c byte) bool  { return c >= '0' && c <= '9' }
+// atEnd reports whether all bytes have been read.
+func (s *scanner) atEnd() bool { return s.offset >= len(s.text) }
 
 // next returns the next token.
 func (s *scanner) next() token {
-	for s.offset < len(s.text) && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t' || s.atCRLF()) {
-		s.offset++
-		s.column++
-	}
+	s.skipSpace()
 	t := token{pos: s.pos()}
-	if s.offset >= len(s.text) {
-		return t
+	if s.atEnd() {
+		return t // the end of the file
 	}
-	begin, c := s.offset, s.text[s.offset]
-	switch {
-	case c == '\n':
-		s.offset++
-		s.line, s.column = s.line+1, 1
+	switch s.text[s.offset] {
+	case '\n':
+		s.scanNewline()
 		t.kind = newlineToken
-		return t
-	case c == '#':
+	case '#':
 		t.kind = commentToken
-		end := strings.IndexByte(s.text[s.offset:], '\n')
-		if end < 0 {
-			end = len(s.text) - s.offset
-		}
-		s.offset += end
-		t.raw = strings.TrimRight(s.text[begin:s.offset], " \t\r")
-		if len(t.raw) > maxTokenBytes[commentToken] {
-			s.fault(t.pos, "a comment is longer than %d bytes", maxTokenBytes[commentToken])
-			t.raw = "#"
-		}
-		for i, r := range t.raw {
-			if r == utf8.RuneError || r < ' ' && r != '\t' || r == 0x7f {
-				s.fault(Pos{s.source.Name, t.pos.Line, t.pos.Col + utf8.RuneCountInString(t.raw[:i])}, "a comment holds a byte that is no text")
-				t.raw = strings.Map(func(r rune) rune {
-					if r == utf8.RuneError || r < ' ' && r != '\t' || r == 0x7f {
-						return -1
-					}
-					return r
-				}, t.raw)
-				break
-			}
-		}
-		return t
-	case c == '{' || c == '}' || c == '=' || c == ',':
+		t.raw = s.scanComment(t.pos)
+	default:
+		start := s.offset
+		t.kind = s.scanWithinLine(t.pos)
+		t.raw = s.text[start:s.offset]
+		t.kind = s.limitLength(t)
+		s.column += utf8.RuneCountInString(t.raw)
+	}
+	return t
+}
+
+// skipSpace skips spaces, tabs, and the carriage return of a line that ends in CR LF.
+func (s *scanner) skipSpace() {
+	for !s.atEnd() && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t' || strings.HasPrefix(s.text[s.offset:], "\r\n")) {
+		s.offset++
+		s.column++
+	}
+}
+
+func (s *scanner) scanNewline() {
+	s.offset++
+	s.line++
+	s.column = 1
+}
+
+// scanWithinLine scans a token other than a comment or the end of a line, and returns its kind.
+func (s *scanner) scanWithinLine(pos Pos) tokenKind {
+	switch c := s.text[s.offset]; {
+	case strings.IndexByte("{}=,", c) >= 0:
 		s.offset++
-		t.kind = punctuationToken
+		return punctuationToken
 	case c == '"':
-		t.kind = s.scanString(t.pos)
+		return s.scanString(pos)
 	case isLetter(c):
-		t.kind = wordToken
-		for s.offset < len(s.text) && (isLetter(s.text[s.offset]) || isDigit(s.text[s.offset]) || s.text[s.offset] == '-') {
-			s.offset++
-		}
-	case isDigit(c), (c == '-' || c == '+') && s.offset+1 < len(s.text) && isDigit(s.text[s.offset+1]):
-		t.kind = quantityToken
-		for s.offset++; s.offset < len(s.text) && (isLetter(s.text[s.offset]) || isDigit(s.text[s.offset]) || strings.IndexByte("./%", s.text[s.offset]) >= 0); s.offset++ {
-		}
+		s.skipWhile(isWordByte)
+		return wordToken
+	case isDigit(c) || s.atSignedNumber():
+		s.offset++
+		s.skipWhile(isQuantityByte)
+		return quantityToken
 	default:
-		r, size := utf8.DecodeRuneInString(s.text[s.offset:])
-		s.offset += size
-		t.kind = invalidToken
-		switch {
-		case r == utf8.RuneError && size < 2:
-			s.fault(t.pos, "byte 0x%02x is not UTF-8", c)
-		case r == 0xFEFF:
-			s.fault(t.pos, "a byte order mark may only begin a file")
-		case r < ' ' || r == 0x7f:
-			s.fault(t.pos, "control character 0x%02x", c)
-		default:
-			s.fault(t.pos, "unexpected character %q", r)
-		}
-		for s.offset < len(s.text) && s.text[s.offset] == c { // a run of the same is one fault
-			s.offset++
-		}
+		s.scanUnexpected(pos)
+		return invalidToken
 	}
-	t.raw = s.text[begin:s.offset]
-	if most := maxTokenBytes[t.kind]; most > 0 && len(t.raw) > most {
-		s.fault(t.pos, "a %s is longer than %d bytes", tokenNames[t.kind], most)
-		t.kind = invalidToken
+}
+
+// atSignedNumber reports whether a number with a sign follows. The language has none; it is a token so that the fault
+// names it whole.
+func (s *scanner) atSignedNumber() bool {
+	c := s.text[s.offset]
+	return (c == '-' || c == '+') && s.offset+1 < len(s.text) && isDigit(s.text[s.offset+1])
+}
+
+// skipWhile skips bytes that belong to a token.
+func (s *scanner) skipWhile(belongs func(byte) bool) {
+	for !s.atEnd() && belongs(s.text[s.offset]) {
+		s.offset++
 	}
-	s.column += utf8.RuneCountInString(t.raw)
-	return t
 }
 
-// atCRLF tells whether a carriage return ends this line: it counts as white space.
-func (s *scanner) atCRLF() bool {
-	return s.text[s.offset] == '\r' && s.offset+1 < len(s.text) && s.text[s.offset+1] == '\n'
+// scanUnexpected skips a character that begins no token, and the bytes behind it that equal its first one: a run of
+// the same is one fault.
+func (s *scanner) scanUnexpected(pos Pos) {
+	first := s.text[s.offset]
+	r, size := utf8.DecodeRuneInString(s.text[s.offset:])
+	s.offset += size
+	switch {
+	case isInvalidUTF8(r, size):
+		s.fault(pos, "byte 0x%02x is not UTF-8", first)
+	case r == byteOrderMark:
+		s.fault(pos, "a byte order mark may only begin a file")
+	case isControl(r):
+		s.fault(pos, "control character 0x%02x", first)
+	default:
+		s.fault(pos, "unexpected character %q", r)
+	}
+	s.skipWhile(func(c byte) bool { return c == first })
 }
 
-// scanString takes in a string. One ends on the line on which it began.
-func (s *scanner) scanString(pos Pos) tokenKind {
-	good := stringToken
-	for i := s.offset + 1; i < len(s.text); {
-		switch c := s.text[i]; {
-		case c == '"':
-			s.offset = i + 1
-			return good
-		case c == '\n':
-			s.offset = i
-			s.fault(pos, "a string does not end on its line")
-			return invalidToken
-		case c == '\\' && i+1 < len(s.text) && s.text[i+1] != '\n':
-			if strings.IndexByte(`"\nt`, s.text[i+1]) < 0 && good == stringToken {
-				s.fault(pos, `a string holds an unknown escape: \" \\ \n and \t are known`)
-				good = invalidToken
-			}
-			i += 2
-		default:
-			r, size := utf8.DecodeRuneInString(s.text[i:])
-			if (r == utf8.RuneError && size < 2 || r < ' ' || r == 0x7f) && good == stringToken {
-				s.fault(pos, "a string holds a byte that is no text")
-				good = invalidToken
-			}
-			i += size
-		}
+// limitLength reports a token that is too long, and returns its kind after that.
+func (s *scanner) limitLength(t token) tokenKind {
+	name, limit := "", 0
+	switch t.kind {
+	case wordToken:
+		name, limit = "name", maxWordBytes
+	case stringToken:
+		name, limit = "string", maxStringBytes
+	case quantityToken:
+		name, limit = "number", maxQuantityBytes
+	default:
+		return t.kind
 	}
-	s.offset = len(s.text)
-	s.fault(pos, "a string does not end on its line")
+	if len(t.raw) <= limit {
+		return t.kind
+	}
+	s.fault(t.pos, "a %s is longer than %d bytes", name, limit)
 	return invalidToken
 }
 
-// unquote returns what a string says.
-func unquote(raw string) string {
-	if !strings.Contains(raw, `\`) {
-		return raw[1 : len(raw)-1]
+// scanComment scans a comment, up to the end of its line, and returns it without white space at its end.
+func (s *scanner) scanComment(pos Pos) string {
+	start := s.offset
+	s.skipWhile(func(c byte) bool { return c != '\n' })
+	comment := strings.TrimRight(s.text[start:s.offset], " \t\r")
+	if len(comment) > maxCommentBytes {
+		s.fault(pos, "a comment is longer than %d bytes", maxCommentBytes)
+		return "#"
 	}
-	var b strings.Builder
-	for i := 1; i < len(raw)-1; i++ {
-		if raw[i] != '\\' {
-			b.WriteByte(raw[i])
-			continue
-		}
-		i++
-		switch raw[i] {
-		case 'n':
-			b.WriteByte('\n')
-		case 't':
-			b.WriteByte('\t')
-		default:
-			b.WriteByte(raw[i])
-		}
+	invalid := strings.IndexFunc(comment, isInvalidInComment)
+	if invalid < 0 {
+		return comment
 	}
-	return b.String()
+	pos.Col += utf8.RuneCountInString(comment[:invalid])
+	s.fault(pos, "a comment holds a byte that is no text")
+	return removeInvalid(comment)
 }
 
-// Quote returns s as a string of the language.
-func Quote(s string) string {
-	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`).Replace(s) + `"`
+// isInvalidInComment reports whether a comment can't hold a character.
+func isInvalidInComment(r rune) bool { return r == utf8.RuneError || isControl(r) && r != '\t' }
+
+// removeInvalid removes what a comment can't hold.
+func removeInvalid(comment string) string {
+	return strings.Map(func(r rune) rune {
+		if isInvalidInComment(r) {
+			return -1
+		}
+		return r
+	}, comment)
 }
+
+func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
+
+func isWordByte(c byte) bool { return isLetter(c) || isDigit(c) || c == '-' }
+
+func isQuantityByte(c byte) bool {
+	return isLetter(c) || isDigit(c) || c == '.' || c == '/' || c == '%'
+}
+
+func isControl(r rune) bool { return r < ' ' || r == deleteCharacter }
+
+// isInvalidUTF8 reports whether a rune that was decoded out of so many bytes stands for a byte that is not UTF-8.
+func isInvalidUTF8(r rune, size int) bool { return r == utf8.RuneError && size < 2 }
--- /dev/null
+++ b/internal/lang/syntax/strings.go
@@ -0,0 +1,69 @@
+package syntax
+
+import (
+	"strings"
+	"unicode/utf8"
+)
+
+// scanString scans a string and returns stringToken, or invalidToken after a fault. A string ends on the line on which
+// it begins. Of its characters only the first fault is reported.
+func (s *scanner) scanString(pos Pos) tokenKind {
+	kind := stringToken
+	s.offset++
+	for !s.atEnd() {
+		switch s.text[s.offset] {
+		case '"':
+			s.offset++
+			return kind
+		case '\n':
+			s.fault(pos, "a string does not end on its line")
+			return invalidToken
+		}
+		message := s.scanStringCharacter()
+		if message != "" && kind == stringToken {
+			s.fault(pos, "%s", message)
+			kind = invalidToken
+		}
+	}
+	s.fault(pos, "a string does not end on its line")
+	return invalidToken
+}
+
+// escapedCharacters may stand behind a backslash.
+const escapedCharacters = `"\nt`
+
+// scanStringCharacter skips one character or escape of a string, and returns what is wrong with it, or "".
+func (s *scanner) scanStringCharacter() string {
+	rest := s.text[s.offset:]
+	if rest[0] == '\\' && len(rest) > 1 && rest[1] != '\n' {
+		s.offset += 2
+		if strings.IndexByte(escapedCharacters, rest[1]) < 0 {
+			return `a string holds an unknown escape: \" \\ \n and \t are known`
+		}
+		return ""
+	}
+	r, size := utf8.DecodeRuneInString(rest)
+	s.offset += size
+	if isInvalidUTF8(r, size) || isControl(r) {
+		return "a string holds a byte that is no text"
+	}
+	return ""
+}
+
+// unquote returns the text that a string token stands for.
+func unquote(raw string) string {
+	text := raw[1 : len(raw)-1]
+	if !strings.Contains(text, `\`) {
+		return text
+	}
+	return unescaper.Replace(text)
+}
+
+// The escapes of strings.
+var (
+	unescaper = strings.NewReplacer(`\\`, `\`, `\"`, `"`, `\n`, "\n", `\t`, "\t")
+	escaper   = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`)
+)
+
+// Quote returns text as a string of the language.
+func Quote(text string) string { return `"` + escaper.Replace(text) + `"` }
