--- /dev/null
+++ b/internal/lang/syntax/ebnf_test.go
@@ -0,0 +1,148 @@
+package syntax
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"unicode"
+)
+
+// grammarOp is the form of a part of a production.
+type grammarOp int
+
+const (
+	alternativeOp grammarOp = iota
+	sequenceOp
+	groupOp
+	optionOp
+	repetitionOp
+	rangeOp // from text to the text of its part
+	nameOp
+	literalOp
+)
+
+// bracketOps are the forms that a bracket begins.
+var bracketOps = map[string]grammarOp{"(": groupOp, "[": optionOp, "{": repetitionOp}
+
+// grammarExpr is a part of a production.
+type grammarExpr struct {
+	op    grammarOp
+	text  string
+	parts []grammarExpr
+}
+
+// readGrammar reads the productions of the published grammar.
+func readGrammar(t testing.TB) map[string]grammarExpr {
+	t.Helper()
+	page, err := os.ReadFile("../../../docs/language.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, rest, ok := strings.Cut(string(page), "```ebnf\n")
+	text, _, end := strings.Cut(rest, "```")
+	if !ok || !end {
+		t.Fatal("docs/language.md holds no grammar")
+	}
+	g := &grammarReader{t: t, tokens: grammarTokens(text)}
+	productions := map[string]grammarExpr{}
+	for len(g.tokens) > 0 {
+		name := g.take()
+		g.want("=")
+		productions[name] = g.alternatives()
+		g.want(".")
+	}
+	return productions
+}
+
+const ellipsis = "…"
+
+// grammarTokens cuts a grammar into literals, names and marks.
+func grammarTokens(text string) []string {
+	var tokens []string
+	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " \n") {
+		length := 1 // of a mark
+		switch {
+		case text[0] == '"':
+			length = literalLength(text)
+		case strings.HasPrefix(text, ellipsis):
+			length = len(ellipsis)
+		case unicode.IsLetter(rune(text[0])):
+			length = strings.IndexFunc(text, func(r rune) bool { return !unicode.IsLetter(r) })
+		}
+		tokens = append(tokens, text[:length])
+		text = text[length:]
+	}
+	return tokens
+}
+
+// literalLength returns the length of a literal that begins a text, with its quotes.
+func literalLength(text string) int {
+	end := 1
+	for ; text[end] != '"'; end++ {
+		if text[end] == '\\' {
+			end++
+		}
+	}
+	return end + 1
+}
+
+// grammarReader parses productions.
+type grammarReader struct {
+	t      testing.TB
+	tokens []string
+}
+
+// take returns the next token and goes behind it.
+func (g *grammarReader) take() string {
+	g.t.Helper()
+	if len(g.tokens) == 0 {
+		g.t.Fatal("the grammar ends within a production")
+	}
+	token := g.tokens[0]
+	g.tokens = g.tokens[1:]
+	return token
+}
+
+// want takes a token, which must be this one.
+func (g *grammarReader) want(token string) {
+	g.t.Helper()
+	if got := g.take(); got != token {
+		g.t.Fatalf("grammar: %q in place of %q", got, token)
+	}
+}
+
+func (g *grammarReader) alternatives() grammarExpr {
+	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.sequence()}}
+	for g.tokens[0] == "|" {
+		g.take()
+		e.parts = append(e.parts, g.sequence())
+	}
+	return e
+}
+
+func (g *grammarReader) sequence() grammarExpr {
+	e := grammarExpr{op: sequenceOp}
+	for !strings.Contains("|.)]}", g.tokens[0]) {
+		e.parts = append(e.parts, g.term())
+	}
+	return e
+}
+
+func (g *grammarReader) term() grammarExpr {
+	token := g.take()
+	if op, ok := bracketOps[token]; ok {
+		e := grammarExpr{op: op, parts: []grammarExpr{g.alternatives()}}
+		g.take() // the closing bracket
+		return e
+	}
+	if token[0] != '"' {
+		return grammarExpr{op: nameOp, text: token}
+	}
+	e := grammarExpr{op: literalOp, text: unquote(token)}
+	if g.tokens[0] == ellipsis {
+		g.take()
+		e.op = rangeOp
+		e.parts = []grammarExpr{{op: literalOp, text: unquote(g.take())}}
+	}
+	return e
+}
--- a/internal/lang/syntax/grammar_test.go
+++ b/internal/lang/syntax/grammar_test.go
@@ -1,184 +1,86 @@
 package syntax
 
 import (
-	"fmt"
 	"math/rand/v2"
-	"os"
+	"slices"
 	"strings"
 	"testing"
-	"unicode"
-
-	"pgregory.net/rapid"
 )
 
-// grammarExpr is a part of a production: an alternative, a sequence, an option, a repetition, a range, a name
-// or a literal.
-type grammarExpr struct {
-	op    string
-	text  string
-	parts []grammarExpr
-}
-
-// grammarReader reads the productions of the published grammar.
-type grammarReader struct {
-	t    testing.TB
-	toks []string
+// derivation derives a random sentence of a grammar.
+type derivation struct {
+	random      *rand.Rand
+	productions map[string]grammarExpr
+	sentence    strings.Builder
 }
 
-func readGrammar(t testing.TB) map[string]grammarExpr {
-	page, err := os.ReadFile("../../../docs/language.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, rest, ok := strings.Cut(string(page), "```ebnf\n")
-	text, _, end := strings.Cut(rest, "```")
-	if !ok || !end {
-		t.Fatal("docs/language.md holds no grammar")
-	}
-	g := &grammarReader{t: t}
-	for i := 0; i < len(text); {
-		switch c := text[i]; {
-		case c == ' ' || c == '\n':
-			i++
-		case c == '"':
-			j := i + 1
-			for ; text[j] != '"'; j++ {
-				if text[j] == '\\' {
-					j++
-				}
-			}
-			g.toks = append(g.toks, text[i:j+1])
-			i = j + 1
-		case strings.HasPrefix(text[i:], "…"):
-			g.toks = append(g.toks, "…")
-			i += len("…")
-		case unicode.IsLetter(rune(c)):
-			j := i
-			for ; unicode.IsLetter(rune(text[j])); j++ {
-			}
-			g.toks = append(g.toks, text[i:j])
-			i = j
-		default:
-			g.toks = append(g.toks, text[i:i+1])
-			i++
+// derive appends a sentence of an expression within so many blocks.
+func (d *derivation) derive(e grammarExpr, depth int) {
+	switch e.op {
+	case alternativeOp:
+		d.derive(e.parts[d.random.IntN(len(e.parts))], depth)
+	case sequenceOp:
+		for _, part := range e.parts {
+			d.derive(part, depth)
 		}
-	}
-	all := map[string]grammarExpr{}
-	for len(g.toks) > 0 {
-		name := g.take()
-		g.want("=")
-		all[name] = g.alternatives()
-		g.want(".")
-	}
-	return all
-}
-
-func (g *grammarReader) take() string {
-	if len(g.toks) == 0 {
-		g.t.Fatal("the grammar ends within a production")
-	}
-	s := g.toks[0]
-	g.toks = g.toks[1:]
-	return s
-}
-
-func (g *grammarReader) want(s string) {
-	if got := g.take(); got != s {
-		g.t.Fatalf("grammar: %q in place of %q", got, s)
-	}
-}
-
-func (g *grammarReader) alternatives() grammarExpr {
-	e := grammarExpr{op: "|", parts: []grammarExpr{g.sequence()}}
-	for g.toks[0] == "|" {
-		g.take()
-		e.parts = append(e.parts, g.sequence())
-	}
-	return e
-}
-
-func (g *grammarReader) sequence() grammarExpr {
-	e := grammarExpr{op: "seq"}
-	for !strings.Contains("|.)]}", g.toks[0]) {
-		switch s := g.take(); s {
-		case "[", "{", "(":
-			e.parts = append(e.parts, grammarExpr{op: s, parts: []grammarExpr{g.alternatives()}})
-			g.take()
-		default:
-			p := grammarExpr{op: "name", text: s}
-			if s[0] == '"' {
-				p = grammarExpr{op: "literal", text: unquote(s)}
-				if g.toks[0] == "…" {
-					g.take()
-					p.op = "…"
-					p.parts = []grammarExpr{{text: unquote(g.take())}}
-				}
-			}
-			e.parts = append(e.parts, p)
+	case groupOp:
+		d.derive(e.parts[0], depth)
+	case optionOp:
+		if d.random.IntN(2) == 0 {
+			d.derive(e.parts[0], depth)
+		}
+	case repetitionOp:
+		for range d.random.IntN(4) {
+			d.derive(e.parts[0], depth)
 		}
+	case literalOp:
+		d.sentence.WriteString(e.text)
+	case rangeOp:
+		first, last := []rune(e.text)[0], []rune(e.parts[0].text)[0]
+		d.sentence.WriteRune(first + rune(d.random.IntN(int(last-first)+1)))
+	case nameOp:
+		d.deriveProduction(e.text, depth)
 	}
-	return e
 }
 
-// derive appends a sentence of e. Tokens are set apart, what is within one is not.
-func derive(r *rand.Rand, all map[string]grammarExpr, e grammarExpr, depth int, out *strings.Builder) {
-	again := func(p grammarExpr) { derive(r, all, p, depth, out) }
-	switch e.op {
-	case "|":
-		again(e.parts[r.IntN(len(e.parts))])
-	case "seq":
-		for _, p := range e.parts {
-			again(p)
-		}
-	case "(":
-		again(e.parts[0])
-	case "[":
-		if r.IntN(2) == 0 {
-			again(e.parts[0])
-		}
-	case "{":
-		for range r.IntN(4) {
-			again(e.parts[0])
-		}
-	case "literal":
-		out.WriteString(e.text)
-	case "…":
-		lo, hi := []rune(e.text)[0], []rune(e.parts[0].text)[0]
-		out.WriteRune(lo + rune(r.IntN(int(hi-lo)+1)))
-	case "name":
-		if e.text == "Block" && depth >= MaxDepth {
-			out.WriteString("deep = 1")
+// tokenProductions are the productions of tokens, which a space sets apart; within a token there is none.
+var tokenProductions = []string{"string", "quantity", "word"}
+
+// deriveProduction appends a sentence of a production. Blocks are nested no deeper than a file may nest them.
+func (d *derivation) deriveProduction(name string, depth int) {
+	if name == "Block" {
+		if depth >= MaxDepth {
+			d.sentence.WriteString("deep = 1")
 			return
 		}
-		if e.text == "Block" {
-			depth++
-		}
-		if e.text == "string" || e.text == "quantity" || e.text == "word" {
-			out.WriteByte(' ')
-		}
-		derive(r, all, all[e.text], depth, out)
+		depth++
+	}
+	if slices.Contains(tokenProductions, name) {
+		d.sentence.WriteByte(' ')
 	}
+	d.derive(d.productions[name], depth)
 }
 
 // Holds the parser to the published grammar: what that text derives is read without a fault, and means the
 // same when it has been formatted.
 func TestParserAcceptsDerivedSentences(t *testing.T) {
-	all := readGrammar(t)
+	productions := readGrammar(t)
 	for _, name := range []string{"File", "Block", "Setting", "Value", "string", "quantity", "word"} {
-		if _, ok := all[name]; !ok {
+		if _, ok := productions[name]; !ok {
 			t.Fatalf("the grammar lacks %s", name)
 		}
 	}
 	long := 0
 	for seed := range uint64(3000) {
-		var b strings.Builder
-		derive(rand.New(rand.NewPCG(seed, 1)), all, grammarExpr{op: "name", text: "File"}, 0, &b)
-		if b.Len() > 200 {
+		d := &derivation{random: rand.New(rand.NewPCG(seed, 1)), productions: productions}
+		d.derive(grammarExpr{op: nameOp, text: "File"}, 0)
+		text := d.sentence.String()
+		if len(text) > 200 {
 			long++
 		}
-		f, _, faults := Parse("derived", []byte(b.String()))
+		f, _, faults := Parse("derived", []byte(text))
 		if len(faults) > 0 {
-			t.Fatalf("seed %d: %v\n%s", seed, faults, b.String())
+			t.Fatalf("seed %d: %v\n%s", seed, faults, text)
 		}
 		checkStable(t, f)
 	}
@@ -198,70 +100,3 @@
 		}
 	}
 }
-
-// checkStable checks that a tree keeps its meaning and its form when formatted, once and again.
-func checkStable(t rapid.TB, f *File) {
-	once := Format(f)
-	g, _, faults := Parse(f.Name, once)
-	if len(faults) > 0 {
-		t.Fatalf("formatted text has faults: %v\n%s", faults, once)
-	}
-	if a, b := meaning(f.Entries), meaning(g.Entries); a != b {
-		t.Fatalf("formatting changed what is said:\n%s\n%s", a, b)
-	}
-	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(g.Entries, g.TrailingComments); a != b {
-		t.Fatalf("formatting lost or moved comments:\n%s\n%s", a, b)
-	}
-	if twice := Format(g); string(twice) != string(once) {
-		t.Fatalf("formatting again changes the text:\n%s\n---\n%s", once, twice)
-	}
-}
-
-// meaning writes a tree without what means nothing.
-func meaning(list []Entry) string {
-	s := ""
-	for _, e := range list {
-		switch e := e.(type) {
-		case *Include:
-			s += "include " + e.Path.Raw + ";"
-		case *Setting:
-			s += e.Name + "="
-			for _, v := range e.Values {
-				s += fmt.Sprintf("%d:%s,", v.Kind, v.Raw)
-			}
-		case *Block:
-			s += e.Word
-			if e.Label != nil {
-				s += " " + e.Label.Raw
-			}
-			s += "{" + meaning(e.Entries) + "}"
-		}
-		s += ";"
-	}
-	return s
-}
-
-// commentsOf lists a tree's comments in their order.
-func commentsOf(list []Entry, tail []Comment) string {
-	s := ""
-	add := func(cs []Comment) {
-		for _, c := range cs {
-			s += c.Text + "\n"
-		}
-	}
-	for _, e := range list {
-		add(e.trivia().LeadingComments)
-		switch e := e.(type) {
-		case *Setting:
-			for _, v := range e.Values {
-				add(v.leadingComments)
-				add([]Comment{{Text: v.lineComment}})
-			}
-		case *Block:
-			s += e.OpenComment + "\n" + commentsOf(e.Entries, e.TrailingComments)
-		}
-		s += e.trivia().LineComment + "\n"
-	}
-	add(tail)
-	return s
-}
--- a/internal/lang/syntax/syntax_test.go
+++ b/internal/lang/syntax/parse_test.go
@@ -5,108 +5,11 @@
 	"strings"
 	"testing"
 
-	"pgregory.net/rapid"
-
 	"crankhold/internal/testutil"
 )
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// drawEntries draws what a file or a block holds, with comments and empty lines everywhere.
-func drawEntries(t *rapid.T, depth int) (list []Entry, tail []Comment) {
-	comments := func(name string) (cs []Comment) {
-		for range rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, name) {
-			cs = append(cs, Comment{drawComment(t), rapid.Bool().Draw(t, "blank")})
-		}
-		return cs
-	}
-	for range rapid.IntRange(0, 4).Draw(t, "entries") {
-		trivia := Trivia{LeadingComments: comments("lead"), BlankBefore: rapid.Bool().Draw(t, "blank")}
-		if rapid.Bool().Draw(t, "trail") {
-			trivia.LineComment = drawComment(t)
-		}
-		what := rapid.IntRange(0, 3).Draw(t, "what")
-		switch {
-		case depth == 0 && what == 0:
-			list = append(list, &Include{Trivia: trivia, Path: drawValue(t, StringValue)})
-		case depth > 0 && what < 3 || depth >= 4:
-			s := &Setting{Trivia: trivia, Name: drawWord(t)}
-			for i := range rapid.IntRange(1, 12).Draw(t, "values") {
-				v := drawValue(t, ValueKind(rapid.IntRange(0, 2).Draw(t, "kind")))
-				if v.startsLine = i > 0 && rapid.IntRange(0, 3).Draw(t, "fresh") == 0; v.startsLine {
-					v.leadingComments = comments("in list")
-					for j := range v.leadingComments {
-						v.leadingComments[j].BlankBefore = false
-					}
-				}
-				s.Values = append(s.Values, v)
-			}
-			for i := range s.Values[1:] {
-				if s.Values[i+1].startsLine && rapid.Bool().Draw(t, "value trail") {
-					s.Values[i].lineComment = drawComment(t)
-				}
-			}
-			list = append(list, s)
-		default:
-			b := &Block{Trivia: trivia, Word: drawWord(t)}
-			if rapid.Bool().Draw(t, "label") {
-				v := drawValue(t, StringValue)
-				b.Label = &v
-			}
-			if rapid.Bool().Draw(t, "open") {
-				b.OpenComment = drawComment(t)
-			}
-			b.Entries, b.TrailingComments = drawEntries(t, depth+1)
-			list = append(list, b)
-		}
-	}
-	return list, comments("tail")
-}
-
-func drawWord(t *rapid.T) string {
-	w := rapid.StringMatching(`[a-z][a-z0-9-]{0,12}`).Draw(t, "word")
-	if w == "include" {
-		return "included"
-	}
-	return w
-}
-
-func drawComment(t *rapid.T) string {
-	return strings.TrimRight(rapid.StringMatching(`#[ -~é]{0,20}`).Draw(t, "comment"), " ")
-}
-
-func drawValue(t *rapid.T, k ValueKind) Value {
-	switch k {
-	case StringValue:
-		return Value{Kind: k, Raw: Quote(rapid.StringMatching(`[ -~é\n\t]{0,30}`).Draw(t, "string"))}
-	case QuantityValue:
-		return Value{Kind: k, Raw: rapid.StringMatching(`[0-9]{1,3}(\.[0-9])?(ms|s|%|/s|MiB)?`).Draw(t, "quantity")}
-	}
-	return Value{Kind: k, Raw: drawWord(t)}
-}
-
-// Guards the formatter on trees of any shape: it loses no comment, changes no meaning, and is stable.
-func TestFormattingIsStable(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		f := &File{Name: "random"}
-		f.Entries, f.TrailingComments = drawEntries(t, 0)
-		checkStable(t, f)
-	})
-}
-
-func TestFormat(t *testing.T) {
-	in := "\uFEFF\n\n# top\r\n\r\n\r\npool   \"a\" { # open\r\n\n cap=1,2 ,# one\n # two\n\n 3 # last\n\n\n x=1# y\n # tail\n} # end\nb {}\ninclude \"x\"#z"
-	want := "# top\n\npool \"a\" { # open\n\tcap = 1, 2, # one\n\t\t# two\n\t\t3 # last\n\n\tx = 1 # y\n\t# tail\n} # end\nb {}\ninclude \"x\" #z\n"
-	f, _, faults := Parse("f", []byte(in))
-	if len(faults) > 0 {
-		t.Fatal(faults)
-	}
-	if got := string(Format(f)); got != want {
-		t.Errorf("formatted:\n%s\nwant:\n%s", got, want)
-	}
-	checkStable(t, f)
-}
-
 // Every broken text gets exactly these faults: none is missed, none told twice, and what follows is read on.
 func TestParseReportsEachFault(t *testing.T) {
 	deep := strings.Repeat("a {\n", 10000)
--- /dev/null
+++ b/internal/lang/syntax/tree_test.go
@@ -0,0 +1,161 @@
+package syntax
+
+import (
+	"fmt"
+	"strings"
+
+	"pgregory.net/rapid"
+)
+
+// drawEntries draws what a file or a block holds, with comments and empty lines everywhere.
+func drawEntries(t *rapid.T, depth int) (entries []Entry, trailingComments []Comment) {
+	for range rapid.IntRange(0, 4).Draw(t, "entries") {
+		trivia := Trivia{LeadingComments: drawComments(t, "leading comments"), BlankBefore: rapid.Bool().Draw(t, "blank")}
+		if rapid.Bool().Draw(t, "line comment") {
+			trivia.LineComment = drawComment(t)
+		}
+		form := rapid.IntRange(0, 3).Draw(t, "form")
+		switch {
+		case depth == 0 && form == 0:
+			entries = append(entries, &Include{Trivia: trivia, Path: drawValue(t, StringValue)})
+		case depth > 0 && form < 3 || depth >= 4:
+			entries = append(entries, &Setting{Trivia: trivia, Name: drawWord(t), Values: drawList(t)})
+		default:
+			entries = append(entries, drawBlock(t, trivia, depth))
+		}
+	}
+	return entries, drawComments(t, "trailing comments")
+}
+
+func drawBlock(t *rapid.T, trivia Trivia, depth int) *Block {
+	b := &Block{Trivia: trivia, Word: drawWord(t)}
+	if rapid.Bool().Draw(t, "label") {
+		label := drawValue(t, StringValue)
+		b.Label = &label
+	}
+	if rapid.Bool().Draw(t, "open comment") {
+		b.OpenComment = drawComment(t)
+	}
+	b.Entries, b.TrailingComments = drawEntries(t, depth+1)
+	return b
+}
+
+// drawList draws a setting's values, with line breaks and comments between them.
+func drawList(t *rapid.T) []Value {
+	var values []Value
+	for i := range rapid.IntRange(1, 12).Draw(t, "values") {
+		v := drawValue(t, ValueKind(rapid.IntRange(0, 2).Draw(t, "kind")))
+		v.startsLine = i > 0 && rapid.IntRange(0, 3).Draw(t, "starts line") == 0
+		if v.startsLine {
+			v.leadingComments = drawComments(t, "comments in list")
+			for j := range v.leadingComments {
+				v.leadingComments[j].BlankBefore = false
+			}
+		}
+		values = append(values, v)
+	}
+	for i := range values[1:] {
+		if values[i+1].startsLine && rapid.Bool().Draw(t, "value's comment") {
+			values[i].lineComment = drawComment(t)
+		}
+	}
+	return values
+}
+
+func drawComments(t *rapid.T, label string) []Comment {
+	var comments []Comment
+	for range rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, label) {
+		comments = append(comments, Comment{Text: drawComment(t), BlankBefore: rapid.Bool().Draw(t, "blank")})
+	}
+	return comments
+}
+
+func drawWord(t *rapid.T) string {
+	w := rapid.StringMatching(`[a-z][a-z0-9-]{0,12}`).Draw(t, "word")
+	if w == "include" {
+		return "included"
+	}
+	return w
+}
+
+func drawComment(t *rapid.T) string {
+	return strings.TrimRight(rapid.StringMatching(`#[ -~é]{0,20}`).Draw(t, "comment"), " ")
+}
+
+func drawValue(t *rapid.T, k ValueKind) Value {
+	switch k {
+	case StringValue:
+		return Value{Kind: k, Raw: Quote(rapid.StringMatching(`[ -~é\n\t]{0,30}`).Draw(t, "string"))}
+	case QuantityValue:
+		return Value{Kind: k, Raw: rapid.StringMatching(`[0-9]{1,3}(\.[0-9])?(ms|s|%|/s|MiB)?`).Draw(t, "quantity")}
+	}
+	return Value{Kind: k, Raw: drawWord(t)}
+}
+
+// checkStable checks that a tree keeps its meaning and its form when formatted, once and again.
+func checkStable(t rapid.TB, f *File) {
+	t.Helper()
+	once := Format(f)
+	g, _, faults := Parse(f.Name, once)
+	if len(faults) > 0 {
+		t.Fatalf("formatted text has faults: %v\n%s", faults, once)
+	}
+	if a, b := meaning(f.Entries), meaning(g.Entries); a != b {
+		t.Fatalf("formatting changed what is said:\n%s\n%s", a, b)
+	}
+	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(g.Entries, g.TrailingComments); a != b {
+		t.Fatalf("formatting lost or moved comments:\n%s\n%s", a, b)
+	}
+	if twice := Format(g); string(twice) != string(once) {
+		t.Fatalf("formatting again changes the text:\n%s\n---\n%s", once, twice)
+	}
+}
+
+// meaning writes a tree without what means nothing.
+func meaning(list []Entry) string {
+	s := ""
+	for _, e := range list {
+		switch e := e.(type) {
+		case *Include:
+			s += "include " + e.Path.Raw + ";"
+		case *Setting:
+			s += e.Name + "="
+			for _, v := range e.Values {
+				s += fmt.Sprintf("%d:%s,", v.Kind, v.Raw)
+			}
+		case *Block:
+			s += e.Word
+			if e.Label != nil {
+				s += " " + e.Label.Raw
+			}
+			s += "{" + meaning(e.Entries) + "}"
+		}
+		s += ";"
+	}
+	return s
+}
+
+// commentsOf lists a tree's comments in their order.
+func commentsOf(list []Entry, tail []Comment) string {
+	s := ""
+	add := func(cs []Comment) {
+		for _, c := range cs {
+			s += c.Text + "\n"
+		}
+	}
+	for _, e := range list {
+		add(e.trivia().LeadingComments)
+		switch e := e.(type) {
+		case *Setting:
+			for _, v := range e.Values {
+				add(v.leadingComments)
+				add([]Comment{{Text: v.lineComment}})
+			}
+		case *Block:
+			s += e.OpenComment + "\n" + commentsOf(e.Entries, e.TrailingComments)
+		}
+		s += e.trivia().LineComment + "\n"
+	}
+	add(tail)
+	return s
+}
