--- a/internal/lang/check_test.go
+++ b/internal/lang/check_test.go
@@ -191,6 +191,35 @@
 	})
 }
 
+// Guards edges that the broken files do not touch.
+func TestCheckAtTheEdges(t *testing.T) {
+	const rest = "pool \"p\" {}\nroute \"r\" {\n\tpool = \"p\"\n\tpolicy = \"q\"\n}\n"
+	for _, c := range []struct{ name, text, want string }{
+		{"a second copy as late as the attempt's end",
+			"policy \"q\" {\n\tattempt-time = 300ms\n\tsecond-copy-after = 300ms\n}\n" + rest,
+			"main.crank:3:22: policy \"q\": the attempt ends at 300ms, before a second copy goes out at 300ms"},
+		{"an include of the folder above",
+			"include \"..\"\npolicy \"q\" {}\n" + rest,
+			"main.crank:1:1: the include \"..\" leaves the directory of the first file"},
+		{"aliases that share an address",
+			"worker \"a\" { tcp4 = \"10.0.0.1:80\" }\nworker \"b\" {\n\ttcp4 = \"10.0.0.1:80\"\n\tsame-as = \"a\"\n}\npolicy \"q\" {}\n" + rest,
+			""},
+		{"workers that share an address",
+			"worker \"a\" { tcp4 = \"10.0.0.1:80\" }\nworker \"b\" { tcp4 = \"10.0.0.1:80\" }\npolicy \"q\" {}\n" + rest,
+			"main.crank:2:21: 10.0.0.1:80 is an address of worker \"a\" too, at main.crank:1:21: say same-as where they are one"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r, err := Check(fstest.MapFS{"main.crank": textFile(c.text)}, "main.crank", "", nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := r.Faults.Error(); got != c.want {
+				t.Errorf("faults:\n%s\nwant\n%s", got, c.want)
+			}
+		})
+	}
+}
+
 func TestCheckReportsAMissingFirstFile(t *testing.T) {
 	_, err := Check(fstest.MapFS{}, "main.crank", "deploy", nil)
 	if err == nil || err.Error() != path.Join("deploy", "main.crank")+": file does not exist" {
--- a/internal/lang/syntax/parse_test.go
+++ b/internal/lang/syntax/parse_test.go
@@ -26,6 +26,8 @@
 		{"a { b = \"x }\n}", "f:1:9: a string does not end on its line"},
 		{"a { b = \"x", "f:1:9: a string does not end on its line\nf:1:1: the block a is not closed"},
 		{"a {\n b = \"\\q\"\n}", "f:2:6: a string holds an unknown escape: \\\" \\\\ \\n and \\t are known"},
+		{"a {\n b = \"\\q\\w\x01\"\n}", "f:2:6: a string holds an unknown escape: \\\" \\\\ \\n and \\t are known"},
+		{"#\ta comment\twith tabs", ""},
 		{"a {\n é = 1\n}", "f:2:2: unexpected character 'é'"},
 		{"a {\n b = 1 \xff\xff\n}", "f:2:8: byte 0xff is not UTF-8"},
 		{"a {\n b = \"\xff\"\n}", "f:2:6: a string holds a byte that is no text"},
