--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -24,9 +24,9 @@
 
 // Exit statuses.
 const (
-	good    = 0
-	finding = 1
-	usage   = 2
+	exitSuccess = 0
+	exitFinding = 1
+	exitUsage   = 2
 )
 
 // Env is what a command reaches of the system.
@@ -39,48 +39,48 @@
 // System returns the process's own.
 func System() Env { return Env{os.Stdout, os.Stderr, os.Getenv, signals.Notify()} }
 
-// cli is the command line.
-type cli struct {
+// commandLine is the command line.
+type commandLine struct {
 	LogLevel string `help:"Lowest level of log lines: debug, info, warn or error." default:"info" env:"CRANKHOLD_LOG_LEVEL" name:"log-level"`
 
-	Serve   serveCmd   `cmd:"" default:"1" help:"Serve calls. The platform's JSON configuration is the file that EDGE_CONFIG names. This is what the program does without arguments."`
-	Check   checkCmd   `cmd:"" help:"Check routes files and say all that is wrong with them. Exits with 1 where something is."`
-	Fmt     fmtCmd     `cmd:"" help:"Print routes files in their one form. With --check, exits with 1 where a file is not in it."`
-	Diff    diffCmd    `cmd:"" help:"Say what a routes file changes in behaviour against another. Exits with 1 where something changes."`
-	Explain explainCmd `cmd:"" help:"Say which route, pool and policy a call meets, and the lines that say so. Exits with 1 where it is refused."`
-	Demo    demoCmd    `cmd:"" help:"Serve a directory, three stand-in workers, a router and a trickle of calls in one process, and show what happens until it is interrupted."`
-	Version versionCmd `cmd:"" help:"Print the program's version."`
+	Serve   serveCommand   `cmd:"" default:"1" help:"Serve calls. The platform's JSON configuration is the file that EDGE_CONFIG names. This is what the program does without arguments."`
+	Check   checkCommand   `cmd:"" help:"Check routes files and say all that is wrong with them. Exits with 1 where something is."`
+	Fmt     formatCommand  `cmd:"" help:"Print routes files in their one form. With --check, exits with 1 where a file is not in it."`
+	Diff    diffCommand    `cmd:"" help:"Say what a routes file changes in behaviour against another. Exits with 1 where something changes."`
+	Explain explainCommand `cmd:"" help:"Say which route, pool and policy a call meets, and the lines that say so. Exits with 1 where it is refused."`
+	Demo    demoCommand    `cmd:"" help:"Serve a directory, three stand-in workers, a router and a trickle of calls in one process, and show what happens until it is interrupted."`
+	Version versionCommand `cmd:"" help:"Print the program's version."`
 }
 
-// status is an error that carries an exit status; its text, where it has one, goes to standard error.
-type status struct {
-	code int
-	text string
+// exitError is an error that carries an exit exitError; its text, where it has one, goes to standard error.
+type exitError struct {
+	status int
+	text   string
 }
 
-func (s *status) Error() string { return s.text }
+func (s *exitError) Error() string { return s.text }
 
-// exited is how kong's wish to end the program, after help, gets out of it.
-type exited int
+// kongExit is how kong's wish to end the program, after help, gets out of it.
+type kongExit int
 
 // Run carries out a command line and returns the exit status.
 func Run(args []string, env Env) (code int) {
 	defer func() {
 		switch x := recover().(type) {
 		case nil:
-		case exited:
+		case kongExit:
 			code = int(x)
 		default:
 			panic(x)
 		}
 	}()
-	var c cli
-	parser, err := kong.New(&c, kong.Name("crankhold"), kong.Writers(env.Out, env.Err), kong.Exit(func(code int) { panic(exited(code)) }),
+	var c commandLine
+	parser, err := kong.New(&c, kong.Name("crankhold"), kong.Writers(env.Out, env.Err), kong.Exit(func(code int) { panic(kongExit(code)) }),
 		kong.Description("A function router for small sites. docs/operate/ has a page for each task."), kong.Bind(env),
 		kong.UsageOnError())
 	if err != nil {
 		fmt.Fprintf(env.Err, "crankhold: %v\n", err)
-		return usage
+		return exitUsage
 	}
 	k, err := parser.Parse(args)
 	if env.Signals != nil && (err != nil || k.Command() != "serve") {
@@ -88,23 +88,23 @@
 	}
 	if err != nil {
 		fmt.Fprintf(env.Err, "crankhold: %v\n", err)
-		return usage
+		return exitUsage
 	}
 	if err := k.Run(&c); err != nil {
-		s := (*status)(nil)
+		s := (*exitError)(nil)
 		if !errors.As(err, &s) {
-			s = &status{finding, "crankhold: " + err.Error()}
+			s = &exitError{exitFinding, "crankhold: " + err.Error()}
 		}
 		if s.text != "" {
 			fmt.Fprintln(env.Err, s.text)
 		}
-		return s.code
+		return s.status
 	}
-	return good
+	return exitSuccess
 }
 
 // unreadable is the status of what could not be read at all.
-func unreadable(err error) error { return &status{usage, "crankhold: " + err.Error()} }
+func unreadable(err error) error { return &exitError{exitUsage, "crankhold: " + err.Error()} }
 
 // printJSON writes a value for a program to read.
 func printJSON(w io.Writer, v any) error {
@@ -123,8 +123,8 @@
 // Routes may come and go while the program runs, so their file is looked for each time.
 const routesVariable, routesFile = "CRANKHOLD_ROUTES", "deploy/routes.crank"
 
-// chosen returns the file to read, or none where there is no such file and none was asked for.
-func chosen(env Env, i int) string {
+// configuredFile returns the file to read, or none where there is no such file and none was asked for.
+func configuredFile(env Env, i int) string {
 	if path := env.Getenv(operatorFiles[i].variable); path != "" {
 		return path
 	}
@@ -134,10 +134,10 @@
 	return operatorFiles[i].file
 }
 
-type serveCmd struct{}
+type serveCommand struct{}
 
 // Run serves until a signal ends it.
-func (serveCmd) Run(c *cli, env Env) error {
+func (serveCommand) Run(c *commandLine, env Env) error {
 	level, err := logging.ParseLevel(c.LogLevel)
 	if err != nil {
 		return unreadable(err)
@@ -148,19 +148,19 @@
 	if err != nil {
 		return err
 	}
-	opts := server.Options{Signals: env.Signals, Webhook: chosen(env, 0), Export: chosen(env, 1), Addresses: chosen(env, 2), Routes: env.Getenv(routesVariable)}
+	opts := server.Options{Signals: env.Signals, Webhook: configuredFile(env, 0), Export: configuredFile(env, 1), Addresses: configuredFile(env, 2), Routes: env.Getenv(routesVariable)}
 	if opts.RoutesOptional = opts.Routes == ""; opts.RoutesOptional {
 		opts.Routes = routesFile
 	}
 	return server.Serve(p, opts, read)
 }
 
-type versionCmd struct {
+type versionCommand struct {
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
 // Run prints what was built, and of what.
-func (v versionCmd) Run(env Env) error {
+func (v versionCommand) Run(env Env) error {
 	info := struct {
 		Version  string `json:"version"`
 		Revision string `json:"revision,omitempty"`
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -8,12 +8,12 @@
 	"crankhold/internal/logging"
 )
 
-type demoCmd struct {
+type demoCommand struct {
 	For time.Duration `help:"Stop after this time; 0 goes on until interrupted." default:"0s"`
 }
 
 // Run shows the demo. Log lines are shown from warnings on, unless a level is asked for.
-func (d demoCmd) Run(c *cli, env Env) error {
+func (d demoCommand) Run(c *commandLine, env Env) error {
 	level := c.LogLevel
 	if level == "info" {
 		level = "warn"
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -16,13 +16,13 @@
 	"crankhold/internal/server"
 )
 
-// against is the flag that has files checked against the platform's settings too.
-type against struct {
+// platformFlag is the flag that has files checked platformFlag the platform's settings too.
+type platformFlag struct {
 	Platform string `help:"Check against the settings in the platform's JSON configuration too." placeholder:"CONFIG.json"`
 }
 
-// settings reads what the flag names; nil where it names nothing.
-func (a against) settings() (*lang.Platform, error) {
+// read reads what the flag names; nil where it names nothing.
+func (a platformFlag) read() (*lang.Platform, error) {
 	if a.Platform == "" {
 		return nil, nil
 	}
@@ -33,9 +33,9 @@
 	return c.RoutingPlatform(), nil
 }
 
-// load checks a file that a command needs in order. It prints the faults, and is an error where there are any.
-func (a against) load(file string, env Env) (*lang.Result, error) {
-	p, err := a.settings()
+// loadRoutes checks a file that a command needs in order. It prints the faults, and is an error where there are any.
+func (a platformFlag) loadRoutes(file string, env Env) (*lang.Result, error) {
+	p, err := a.read()
 	if err != nil {
 		return nil, err
 	}
@@ -45,12 +45,12 @@
 	}
 	if len(r.Faults) > 0 {
 		printFaults(env.Err, r.Faults, "")
-		return nil, &status{usage, fmt.Sprintf("crankhold: %s has %s", file, counted(len(r.Faults), "fault"))}
+		return nil, &exitError{exitUsage, fmt.Sprintf("crankhold: %s has %s", file, plural(len(r.Faults), "fault"))}
 	}
 	return r, nil
 }
 
-func counted(n int, what string) string {
+func plural(n int, what string) string {
 	if n != 1 {
 		what += "s"
 	}
@@ -64,19 +64,19 @@
 	}
 }
 
-type checkCmd struct {
+type checkCommand struct {
 	File string `arg:"" help:"The first file; what it includes is checked with it." type:"path"`
-	against
+	platformFlag
 	JSON bool `help:"Print JSON on standard output." name:"json"`
 }
 
 // Run checks a file.
-func (c checkCmd) Run(env Env) error {
-	p, err := c.settings()
+func (c checkCommand) Run(env Env) error {
+	p, err := c.read()
 	if err != nil {
 		return err
 	}
-	r, err := server.CheckRoutesFile(shown(c.File), p)
+	r, err := server.CheckRoutesFile(shownPath(c.File), p)
 	if err != nil {
 		return unreadable(err)
 	}
@@ -93,11 +93,11 @@
 		printFaults(env.Err, r.Notes, "note: ")
 	}
 	if len(r.Faults) > 0 {
-		return &status{code: finding}
+		return &exitError{status: exitFinding}
 	}
 	if !c.JSON {
-		fmt.Fprintf(env.Out, "%s: no faults in %s; %s, %s, %s\n", shown(c.File), counted(len(r.Files), "file"),
-			counted(len(r.Spec.Routes), "route"), counted(len(r.Spec.Pools), "pool"), counted(len(r.Notes), "note"))
+		fmt.Fprintf(env.Out, "%s: no faults in %s; %s, %s, %s\n", shownPath(c.File), plural(len(r.Files), "file"),
+			plural(len(r.Spec.Routes), "route"), plural(len(r.Spec.Pools), "pool"), plural(len(r.Notes), "note"))
 	}
 	return nil
 }
@@ -109,8 +109,8 @@
 	return l
 }
 
-// shown is a path as the operator would word it: from here, where it is below.
-func shown(path string) string {
+// shownPath is a path as the operator would word it: from here, where it is below.
+func shownPath(path string) string {
 	if here, err := os.Getwd(); err == nil {
 		if rel, err := filepath.Rel(here, path); err == nil && !strings.HasPrefix(rel, "..") {
 			return rel
@@ -119,37 +119,37 @@
 	return path
 }
 
-type fmtCmd struct {
+type formatCommand struct {
 	Files []string `arg:"" help:"The files; what they include is not touched." type:"path"`
 	Write bool     `short:"w" help:"Write each file back in place of printing it."`
 	Check bool     `help:"Print the names of the files that are not in the one form, and change nothing."`
 }
 
 // Run formats files. One that can't be read whole is never written.
-func (c fmtCmd) Run(env Env) error {
+func (c formatCommand) Run(env Env) error {
 	if c.Write && c.Check {
-		return &status{usage, "crankhold: fmt takes -w or --check, not both"}
+		return &exitError{exitUsage, "crankhold: fmt takes -w or --check, not both"}
 	}
-	code := good
+	code := exitSuccess
 	for _, path := range c.Files {
-		name := shown(path)
-		text, err := readWhole(path)
+		name := shownPath(path)
+		text, err := readFile(path)
 		if err != nil {
 			return unreadable(err)
 		}
 		f, _, faults := syntax.Parse(name, text)
 		if len(faults) > 0 {
 			printFaults(env.Err, faults, "")
-			code = usage
+			code = exitUsage
 			continue
 		}
 		formed := syntax.Format(f)
 		switch same := bytes.Equal(text, formed); {
 		case c.Check && !same:
 			fmt.Fprintln(env.Out, name)
-			code = max(code, finding)
+			code = max(code, exitFinding)
 		case c.Write && !same:
-			if err := replace(path, formed); err != nil {
+			if err := replaceFile(path, formed); err != nil {
 				return unreadable(err)
 			}
 		case !c.Check && !c.Write:
@@ -158,14 +158,14 @@
 			}
 		}
 	}
-	if code != good {
-		return &status{code: code}
+	if code != exitSuccess {
+		return &exitError{status: code}
 	}
 	return nil
 }
 
-// readWhole reads a file of up to a byte more than one may have.
-func readWhole(path string) ([]byte, error) {
+// readFile reads a file of up to a byte more than one may have.
+func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -174,8 +174,8 @@
 	return io.ReadAll(io.LimitReader(f, syntax.MaxBytes+1))
 }
 
-// replace puts text in the place of a file, whole or not at all.
-func replace(path string, text []byte) error {
+// replaceFile puts text in the place of a file, whole or not at all.
+func replaceFile(path string, text []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
@@ -204,20 +204,20 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-type diffCmd struct {
+type diffCommand struct {
 	Old string `arg:"" help:"The file in force." type:"path"`
 	New string `arg:"" help:"The file that is to replace it." type:"path"`
-	against
+	platformFlag
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
 // Run tells what changes.
-func (c diffCmd) Run(env Env) error {
-	o, err := c.load(shown(c.Old), env)
+func (c diffCommand) Run(env Env) error {
+	o, err := c.loadRoutes(shownPath(c.Old), env)
 	if err != nil {
 		return err
 	}
-	n, err := c.load(shown(c.New), env)
+	n, err := c.loadRoutes(shownPath(c.New), env)
 	if err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 		}
 	}
 	if len(changes) > 0 {
-		return &status{code: finding}
+		return &exitError{status: exitFinding}
 	}
 	return nil
 }
@@ -266,23 +266,23 @@
 	return "  (" + place + ")"
 }
 
-type explainCmd struct {
+type explainCommand struct {
 	File     string `arg:"" help:"The routes file." type:"path"`
 	Front    string `help:"The front that the call comes by." enum:"thrift,webhook" default:"thrift"`
 	Class    string `help:"Its class." required:""`
 	Function string `help:"Its function, 16 hex digits." required:""`
 	Tenant   string `help:"The tenant that a webhook names."`
-	against
+	platformFlag
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
 // Run explains what a call meets.
-func (c explainCmd) Run(env Env) error {
+func (c explainCommand) Run(env Env) error {
 	p, err := route.ParsePattern(c.Function)
 	if err != nil || strings.HasSuffix(c.Function, "*") {
-		return &status{usage, fmt.Sprintf("crankhold: --function: %q is no function: 16 hex digits", c.Function)}
+		return &exitError{exitUsage, fmt.Sprintf("crankhold: --function: %q is no function: 16 hex digits", c.Function)}
 	}
-	r, err := c.load(shown(c.File), env)
+	r, err := c.loadRoutes(shownPath(c.File), env)
 	if err != nil {
 		return err
 	}
@@ -290,12 +290,12 @@
 	if c.Front == "webhook" {
 		call.Front = route.Webhook
 	} else if c.Tenant != "" {
-		return &status{usage, "crankhold: only webhooks name a tenant: --tenant goes with --front=webhook"}
+		return &exitError{exitUsage, "crankhold: only webhooks name a tenant: --tenant goes with --front=webhook"}
 	}
 	classes := r.Classes()
 	if call.Class = slices.Index(classes, c.Class); call.Class < 0 {
 		if r.ClassesComplete() {
-			return &status{usage, fmt.Sprintf("crankhold: --class: no class %q, but %s", c.Class, strings.Join(classes, ", "))}
+			return &exitError{exitUsage, fmt.Sprintf("crankhold: --class: no class %q, but %s", c.Class, strings.Join(classes, ", "))}
 		}
 		call.Class = len(classes)
 	}
@@ -350,7 +350,7 @@
 		}
 	}
 	if to == nil || to.Pool == nil {
-		return &status{code: finding}
+		return &exitError{status: exitFinding}
 	}
 	return nil
 }
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -26,11 +26,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Run(filepath.Base(path), func(t *testing.T) { script(t, string(text)) })
+		t.Run(filepath.Base(path), func(t *testing.T) { runScript(t, string(text)) })
 	}
 }
 
-func script(t *testing.T, text string) {
+func runScript(t *testing.T, text string) {
 	parts := strings.Split("\n"+text, "\n-- ")
 	dir := t.TempDir()
 	for _, p := range parts[1:] {
