--- /dev/null
+++ b/internal/modelcheck/search.go
@@ -0,0 +1,164 @@
+package modelcheck
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"sync"
+)
+
+// path is how a state is reached from the start: the index of each step.
+type path []uint8
+
+// then returns the path with one step more. It shares no memory with other continuations.
+func (p path) then(step int) path {
+	return append(p[:len(p):len(p)], uint8(step))
+}
+
+// stateKey is a hash of System.Key.
+type stateKey [16]byte
+
+func keyOf(s System) (key stateKey) {
+	sum := sha256.Sum256([]byte(s.Key()))
+	copy(key[:], sum[:])
+	return key
+}
+
+// transition is what one step led to.
+type transition struct {
+	path  path // nil at the end of a run
+	key   stateKey
+	err   error    // a broken property
+	trace []string // to it
+}
+
+// Search follows all steps, breadth first, until a property is broken or it has seen maxStates states. It works on
+// several goroutines; the result does not depend on how many.
+func Search(start func() System, maxStates, goroutines int) Result {
+	s := &search{
+		start:      start,
+		maxStates:  maxStates,
+		goroutines: goroutines,
+		seen:       map[stateKey]bool{},
+		result:     Result{States: 1, Whole: true},
+	}
+	for level := []path{nil}; len(level) > 0; s.result.Depth++ {
+		next, done := s.collect(s.follow(level))
+		if done {
+			break
+		}
+		level = next
+	}
+	return s.result
+}
+
+// search is a search under way.
+type search struct {
+	start      func() System
+	maxStates  int
+	goroutines int
+	seen       map[stateKey]bool
+	result     Result
+}
+
+// follow takes every step from the end of each path. The transitions are in the order of the paths.
+func (s *search) follow(level []path) [][]transition {
+	transitions := make([][]transition, len(level))
+	var wait sync.WaitGroup
+	for first := range s.goroutines {
+		wait.Go(func() {
+			for i := first; i < len(level); i += s.goroutines {
+				transitions[i] = followPath(s.start, level[i])
+			}
+		})
+	}
+	wait.Wait()
+	return transitions
+}
+
+// collect adds a level's transitions to the result and returns the paths to its new states. done tells that a property
+// is broken or that there are too many states.
+func (s *search) collect(level [][]transition) (next []path, done bool) {
+	for _, transitions := range level {
+		for _, t := range transitions {
+			s.result.Transitions++
+			if t.err != nil {
+				s.result.Err = t.err
+				s.result.Trace = t.trace
+				return nil, true
+			}
+			if t.path == nil || s.seen[t.key] {
+				continue
+			}
+			if s.result.States >= s.maxStates {
+				s.result.Whole = false
+				return nil, true
+			}
+			s.seen[t.key] = true
+			s.result.States++
+			next = append(next, t.path)
+		}
+	}
+	return next, false
+}
+
+// followPath takes every step from the end of a path, or ends the run where there is none.
+func followPath(start func() System, p path) []transition {
+	s, trace, err := replay(start, p)
+	if err != nil {
+		return []transition{{err: err, trace: trace}}
+	}
+	steps := s.Steps()
+	if len(steps) == 0 {
+		return []transition{{err: catchPanic(s.End), trace: append(trace, endOfTrace)}}
+	}
+	transitions := make([]transition, len(steps))
+	for step := range steps {
+		transitions[step] = runPath(start, p.then(step))
+	}
+	return transitions
+}
+
+// runPath runs a path to its end and returns its last transition.
+func runPath(start func() System, p path) transition {
+	s, trace, err := replay(start, p)
+	if err != nil {
+		return transition{path: p, err: err, trace: trace}
+	}
+	return transition{path: p, key: keyOf(s)}
+}
+
+// replay runs a path from the start. It checks the properties after the last step alone, for they were checked after
+// the others before.
+func replay(start func() System, p path) (s System, trace []string, err error) {
+	s = start()
+	for n, step := range p {
+		trace = append(trace, s.Steps()[step])
+		if err := takeStep(s, int(step)); err != nil {
+			return s, trace, err
+		}
+		if n < len(p)-1 {
+			continue
+		}
+		if err := catchPanic(s.Check); err != nil {
+			return s, trace, err
+		}
+	}
+	return s, trace, nil
+}
+
+func takeStep(s System, step int) error {
+	return catchPanic(func() error {
+		s.Do(step)
+		return nil
+	})
+}
+
+// catchPanic returns a panic of f as an error: it counts as a broken property.
+func catchPanic(f func() error) (err error) {
+	defer func() {
+		if value := recover(); value != nil {
+			err = fmt.Errorf("panic: %v", value)
+		}
+	}()
+	return f()
+}
