--- a/internal/logging/logs_test.go
+++ b/internal/logging/logging_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards those who read the log by program: time, level, event, then key=value, with quotes where they are needed.
-func TestLine(t *testing.T) {
+// Programs read the log: a line has time, level and event, then key=value, with quotes where they are needed.
+func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, slog.LevelInfo)
 	l.Debug("unseen")
@@ -18,8 +18,15 @@
 	if !regexp.MustCompile(want).MatchString(out.String()) {
 		t.Errorf("%q, want %s", out.String(), want)
 	}
-	if _, err := ParseLevel("loud"); err == nil {
-		t.Error("no such level, no error")
+}
+
+// An unknown level is an error that names it.
+func TestParseLevel(t *testing.T) {
+	var levelError *LevelError
+	if _, err := ParseLevel("loud"); !errors.As(err, &levelError) || levelError.Level != "loud" {
+		t.Errorf("error %v", err)
+	} else if err.Error() != `log level "loud" is none of debug, info, warn and error` {
+		t.Errorf("error text %q", err)
 	}
 	if v, err := ParseLevel("warn"); err != nil || v != slog.LevelWarn {
 		t.Errorf("%v, %v", v, err)
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals catches the signals that the program answers, from its first moment on. Until a program asks for
-// them, a hang-up ends it: a router that is told of a new configuration while it starts would die of it.
+// Package signals catches the signals that a router reacts to, from the program's first moment on. Until a program
+// catches SIGHUP the signal ends it, so a router that is asked to reload while it starts would die.
 package signals
 
 import (
@@ -8,46 +8,54 @@
 	"syscall"
 )
 
-// Signals holds what has come and nobody has taken yet.
+// stopCapacity is how many signals wait in Stop: one of each kind and one more.
+const stopCapacity = 4
+
+// Signals holds the signals that were caught and that nobody has received yet.
 type Signals struct {
-	// Stop has the signals that end a program or ask for its counters, and Reload those that ask it to read its files
-	// again. They are apart, so that hang-ups in a row can't crowd out a SIGTERM. A hang-up that comes while another
-	// waits adds nothing.
-	Stop, Reload chan os.Signal
+	// Stop delivers the signals that end the program (SIGTERM, SIGINT) or ask for its counters (SIGUSR1). It is apart from
+	// Reload, so that repeated SIGHUPs can't displace a SIGTERM.
+	Stop chan os.Signal
+	// Reload delivers SIGHUP, which asks to read the configuration again. While one waits a further one adds nothing.
+	Reload chan os.Signal
 }
 
-// Notify begins to catch.
+// Notify begins to catch signals. The caller ends it by Close or Release.
 func Notify() *Signals {
-	c := &Signals{Stop: make(chan os.Signal, 4), Reload: make(chan os.Signal, 1)}
-	signal.Notify(c.Stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
-	signal.Notify(c.Reload, syscall.SIGHUP)
-	return c
+	s := &Signals{
+		Stop:   make(chan os.Signal, stopCapacity),
+		Reload: make(chan os.Signal, 1),
+	}
+	signal.Notify(s.Stop, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
+	signal.Notify(s.Reload, syscall.SIGHUP)
+	return s
 }
 
-// Close ends that, and forgets what has come: it was meant for what has ended.
-func (c *Signals) Close() {
-	signal.Stop(c.Stop)
-	signal.Stop(c.Reload)
+// Close stops catching signals and drops those that wait: they were meant for what has ended.
+func (s *Signals) Close() {
+	signal.Stop(s.Stop)
+	signal.Stop(s.Reload)
 }
 
-// Release ends it too, and has signals do again what they do to any program, those that have come and were not taken
-// among them.
-func (c *Signals) Release() {
-	c.Close()
+// Release stops catching signals and raises those that wait again, so that they do to the program what they do by default. It
+// is for programs that don't react to signals themselves.
+func (s *Signals) Release() {
+	s.Close()
 	for {
 		select {
-		case s := <-c.Stop:
-			raise(s)
-		case s := <-c.Reload:
-			raise(s)
+		case caught := <-s.Stop:
+			raise(caught)
+		case caught := <-s.Reload:
+			raise(caught)
 		default:
 			return
 		}
 	}
 }
 
-func raise(s os.Signal) {
-	if n, ok := s.(syscall.Signal); ok {
-		syscall.Kill(syscall.Getpid(), n)
+// raise sends a signal to this process.
+func raise(caught os.Signal) {
+	if number, ok := caught.(syscall.Signal); ok {
+		syscall.Kill(syscall.Getpid(), number)
 	}
 }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// What has come is kept until it is taken, hang-ups apart from what ends a program; none ends it meanwhile.
+// Caught signals wait until they are received, SIGHUP apart from those that end the program, and none of them ends it.
 func TestCaughtSignalsWait(t *testing.T) {
 	c := Notify()
 	defer c.Close()
@@ -24,28 +24,29 @@
 	}
 }
 
-// A program that releases a signal that has come ends by it, as if it had never been caught; one that drops it does not.
-func TestReleasedSignalsDoWhatTheyDo(t *testing.T) {
-	if way := os.Getenv("CRANKHOLD_SIGNAL"); way != "" {
+// A program ends by a caught signal that it releases, and does not end by one that it drops. The test runs itself as that
+// program.
+func TestReleasedSignalsTakeTheirDefaultAction(t *testing.T) {
+	if action := os.Getenv("CRANKHOLD_SIGNAL"); action != "" {
 		c := Notify()
 		syscall.Kill(syscall.Getpid(), syscall.SIGTERM)
 		for len(c.Stop) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		if way == "release" {
+		if action == "release" {
 			c.Release()
 			time.Sleep(10 * time.Second) // it has ended long before
 		}
 		c.Close()
 		return
 	}
-	for way, ends := range map[string]bool{"release": true, "drop": false} {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestReleasedSignalsDoWhatTheyDo$")
-		cmd.Env = append(os.Environ(), "CRANKHOLD_SIGNAL="+way)
+	for action, ends := range map[string]bool{"release": true, "drop": false} {
+		cmd := exec.Command(os.Args[0], "-test.run=^TestReleasedSignalsTakeTheirDefaultAction$")
+		cmd.Env = append(os.Environ(), "CRANKHOLD_SIGNAL="+action)
 		err := cmd.Run()
 		status, _ := cmd.ProcessState.Sys().(syscall.WaitStatus)
 		if ended := status.Signaled() && status.Signal() == syscall.SIGTERM; ended != ends {
-			t.Errorf("%s: %v", way, err)
+			t.Errorf("%s: %v", action, err)
 		}
 	}
 }
