--- /dev/null
+++ b/internal/archtest/errors_test.go
@@ -0,0 +1,46 @@
+package archtest
+
+import (
+	"os"
+	"path"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// errorsPage lists the errors that can reach a log or a terminal.
+const errorsPage = "docs/operate/errors.md"
+
+// Whoever is on call finds each error on one page: every error type and every exported error value of the program.
+func TestErrorsPageListsEveryErrorType(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(errorsPage)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listed := 0
+	for dir := range moduleImports(t) {
+		if slices.Contains(packagesOutsideTheProgram, dir) {
+			continue
+		}
+		for name := range declarations(t, dir) {
+			typ, isError := strings.CutSuffix(name, ".Error")
+			if !isError {
+				continue
+			}
+			listed++
+			if entry := "`" + path.Base(dir) + "." + typ + "`"; !strings.Contains(string(text), entry) {
+				t.Errorf("%s does not list %s", errorsPage, entry)
+			}
+		}
+	}
+	if listed < 10 {
+		t.Errorf("%d error types found; the check does not see them", listed)
+	}
+}
+
+// packagesOutsideTheProgram are tests' and measurements' own; their errors reach no operator.
+var packagesOutsideTheProgram = []string{
+	"cmd/benchmark", "example/toy", "internal/benchmark", "internal/demo", "internal/fake", "internal/golden", "internal/modelcheck",
+	"internal/simulation", "internal/testutil",
+}
