--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -55,11 +55,11 @@
 
 // remainingLoad is the load time that r must expect at w.
 func (p *Policy) remainingLoad(w *worker, r *request) float64 {
-	i := p.replicas.lookUp(w, r.function.id)
-	if i != nil && i.loadDue > 0 {
-		return math.Abs(float64(i.loadDue - p.now)) // one that is late is expected to be as late again
+	replica := p.replicas.lookUp(w, r.function.id)
+	if replica != nil && replica.loadDue > 0 {
+		return math.Abs(float64(replica.loadDue - p.now)) // one that is late is expected to be as late again
 	}
-	if i != nil && (p.now < i.loadedUntil || i.inFlight > 0) {
+	if replica != nil && (p.now < replica.loadedUntil || replica.inFlight > 0) {
 		return 0
 	}
 	return p.fullLoad(r.function)
@@ -69,8 +69,8 @@
 func (p *Policy) predict(w *worker, r *request) float64 {
 	latency := p.queueingDelay(w, len(w.inFlight)) + p.runTime(r) + p.remainingLoad(w, r) +
 		w.failureRates[r.Class].Mean(p.now)*float64(r.deadline-p.now) // who is not served waits in vain
-	i := p.replicas.lookUp(w, r.function.id)
-	if i != nil && float64(i.inFlight) >= max(r.Lanes, 1, float64(i.lanes)) {
+	replica := p.replicas.lookUp(w, r.function.id)
+	if replica != nil && float64(replica.inFlight) >= max(r.Lanes, 1, float64(replica.lanes)) {
 		latency += extraLaneLoad * p.fullLoad(r.function) // no lane is free: w may begin a further replica
 	}
 	if len(w.inFlight) > 0 { // censored data: silent for longer than expected of its oldest attempt
@@ -80,20 +80,20 @@
 	return latency
 }
 
-func (p *Policy) observeOutcome(a *attempt, i *replica, e AttemptCompleted) {
+func (p *Policy) observeOutcome(a *attempt, replica *replica, e AttemptCompleted) {
 	r, w, failures := a.request, a.worker, &a.worker.failureRates[a.request.Class]
 	switch e.Outcome {
 	case Served:
 		p.responded(w)
 		failures.Observe(p.now, 0)
 		p.servedWork, w.servedWork = p.servedWork+r.class.run.Mean, w.servedWork+r.class.run.Mean
-		p.learn(a, i, e)
+		p.learn(a, replica, e)
 	case Failed, Overloaded, NotLoaded:
 		p.responded(w)
 		if e.Outcome == NotLoaded || e.LoadStatus == LoadFailed {
-			i.unloaded()
-		} else if e.Outcome == Overloaded && i.inFlight == 0 && !i.loadOrdered { // it began no load
-			i.loadDue = 0
+			replica.unloaded()
+		} else if e.Outcome == Overloaded && replica.inFlight == 0 && !replica.loadOrdered {
+			replica.loadDue = 0 // it began no load
 		}
 		if e.LoadStatus == LoadFailed {
 			p.openBreaker(1)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *Policy) learn(a *attempt, i *replica, e AttemptCompleted) {
+func (p *Policy) learn(a *attempt, replica *replica, e AttemptCompleted) {
 	r, w, f := a.request, a.worker, a.request.function
 	queued := p.loadReported(w, e.Report)
 	took, run, queue := float64(e.Took), p.runTime(r), p.queueingDelay(w, a.inFlight)
@@ -129,8 +129,9 @@
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded { // a guessed load may be a queue
 		p.standingDelay.Observe(min(took, maxMultiple*objective), 20, 4)
 	}
-	i.loadedUntil, i.loadDue, i.lanes = p.now+p.cfg.KeepAlive, 0, max(i.lanes, i.inFlight+1)
-	p.gossipReplica(i, f)
+	replica.loadedUntil, replica.loadDue = p.now+p.cfg.KeepAlive, 0
+	replica.lanes = max(replica.lanes, replica.inFlight+1)
+	p.gossipReplica(replica, f)
 	if took < objective {
 		f.congestion *= regressionRetention
 	} else if (!a.expectsLoad || a.likelyLoaded) && e.LoadStatus <= AlreadyLoaded {
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -50,8 +50,9 @@
 	p.updateCapacities()
 	for _, w := range p.fleet {
 		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
-			i, f := w.replicas[id], p.functions[id]
-			idle, left := i.inFlight == 0 && !i.loadOrdered && p.now > i.loadDue, i.loadedUntil-p.now
+			replica, f := w.replicas[id], p.functions[id]
+			idle := replica.inFlight == 0 && !replica.loadOrdered && p.now > replica.loadDue
+			left := replica.loadedUntil - p.now
 			tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
 			if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
 				p.replicas.remove(id, w)
@@ -63,10 +64,10 @@
 }
 
 // gossipReplica has few other routers know of a replica, again in its keep-alive: else each loads its own.
-func (p *Policy) gossipReplica(i *replica, f *function) {
-	if p.cfg.GossipSupported && p.cfg.Routers > 1 && p.now-i.gossipedAt > p.cfg.KeepAlive/4 {
-		i.gossipedAt = p.now
-		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(i.worker.Worker))
+func (p *Policy) gossipReplica(replica *replica, f *function) {
+	if p.cfg.GossipSupported && p.cfg.Routers > 1 && p.now-replica.gossipedAt > p.cfg.KeepAlive/4 {
+		replica.gossipedAt = p.now
+		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(replica.worker.Worker))
 		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(f.id))
 	}
 }
@@ -74,8 +75,8 @@
 func (p *Policy) gossipReceived(gossip []byte) {
 	for ; len(gossip) >= gossipEntryBytes; gossip = gossip[gossipEntryBytes:] {
 		if w := p.workers[WorkerID(binary.BigEndian.Uint64(gossip))]; w != nil && w.State == Ready {
-			i := p.replicas.get(w, FunctionID(binary.BigEndian.Uint64(gossip[8:])))
-			i.loadedUntil = max(i.loadedUntil, p.now+p.cfg.KeepAlive*9/10)
+			replica := p.replicas.get(w, FunctionID(binary.BigEndian.Uint64(gossip[8:])))
+			replica.loadedUntil = max(replica.loadedUntil, p.now+p.cfg.KeepAlive*9/10)
 		}
 	}
 }
--- a/policy/index.go
+++ b/policy/index.go
@@ -2,80 +2,87 @@
 
 import "slices"
 
-// This file holds what the module keeps its beliefs in, where a plain map or slice would cost a look at all of it for
-// each call. Nothing is decided here.
+// This file holds what is known of replicas and the memory that scheduling uses anew for each request, where a plain map or
+// slice would cost a look at all of it for each. Nothing is decided here.
 
-// replicaIndex knows by function which workers we believe something of. Those of the function that was asked for last are
-// marked, so that a look at all workers for one call takes no look-up for each.
+// replicaIndex knows by function which workers have a replica. Those of the function that was asked for last are marked,
+// so that a look at all workers for one request takes no look-up for each.
 type replicaIndex struct {
 	byFunction map[FunctionID][]*replica
-	function   FunctionID
-	generation uint64
+	function   FunctionID // the one that was asked for last
+	generation uint64     // of its marks
 }
 
-// indexMark is what holders notes at a worker.
+// indexMark is what a replicaIndex notes at a worker: its replica of the function that was asked for last.
 type indexMark struct {
 	generation uint64
 	replica    *replica
 }
 
-// scratch is room that each call's look at the workers uses anew.
+// scratch is memory that each request's look at the workers uses anew.
 type scratch struct {
 	candidateBuffer []*worker
 	scoreBuffer     []float64
 }
 
-// lookUp returns what we believe of a function lookUp a worker, or nil.
-func (h *replicaIndex) lookUp(w *worker, f FunctionID) *replica {
-	if f != h.function || h.generation == 0 {
-		h.function = f
-		h.generation++
-		for _, i := range h.byFunction[f] {
-			i.worker.generation, i.worker.replica = h.generation, i
+// lookUp returns the replica of a function at a worker, or nil.
+func (x *replicaIndex) lookUp(w *worker, f FunctionID) *replica {
+	if f != x.function || x.generation == 0 {
+		x.function = f
+		x.generation++
+		for _, entry := range x.byFunction[f] {
+			x.mark(entry)
 		}
 	}
-	if w.generation != h.generation {
+	if w.generation != x.generation {
 		return nil
 	}
 	return w.replica
 }
 
-// get returns what we believe of a function at a worker, with an entry for it from now on.
-func (h *replicaIndex) get(w *worker, f FunctionID) *replica {
-	i := w.replicas[f]
-	if i == nil {
-		i = &replica{worker: w}
-		w.replicas[f] = i
-		h.add(f, i)
+// get returns the replica of a function at a worker. Where there is none it enters one that is not loaded.
+func (x *replicaIndex) get(w *worker, f FunctionID) *replica {
+	entry := w.replicas[f]
+	if entry == nil {
+		entry = &replica{worker: w}
+		w.replicas[f] = entry
+		x.add(f, entry)
 	}
-	return i
+	return entry
 }
 
-// add enters a belief.
-func (h *replicaIndex) add(f FunctionID, i *replica) {
-	if h.byFunction == nil {
-		h.byFunction = map[FunctionID][]*replica{}
+func (x *replicaIndex) add(f FunctionID, entry *replica) {
+	if x.byFunction == nil {
+		x.byFunction = map[FunctionID][]*replica{}
 	}
-	h.byFunction[f] = append(h.byFunction[f], i)
-	if f == h.function {
-		i.worker.generation, i.worker.replica = h.generation, i
+	x.byFunction[f] = append(x.byFunction[f], entry)
+	if f == x.function {
+		x.mark(entry)
 	}
 }
 
-// remove forgets what we believe of a function at a worker.
-func (h *replicaIndex) remove(f FunctionID, w *worker) {
+func (x *replicaIndex) mark(entry *replica) {
+	entry.worker.generation = x.generation
+	entry.worker.replica = entry
+}
+
+// remove forgets the replica of a function at a worker.
+func (x *replicaIndex) remove(f FunctionID, w *worker) {
 	delete(w.replicas, f)
-	if f == h.function {
+	if f == x.function {
 		w.generation, w.replica = 0, nil
 	}
-	if h.byFunction[f] = slices.DeleteFunc(h.byFunction[f], func(i *replica) bool { return i.worker == w }); len(h.byFunction[f]) == 0 {
-		delete(h.byFunction, f)
+	left := slices.DeleteFunc(x.byFunction[f], func(entry *replica) bool { return entry.worker == w })
+	if len(left) == 0 {
+		delete(x.byFunction, f)
+	} else {
+		x.byFunction[f] = left
 	}
 }
 
-// removeWorker drops all that we believe of a worker.
-func (h *replicaIndex) removeWorker(w *worker) {
+// removeWorker forgets all replicas at a worker.
+func (x *replicaIndex) removeWorker(w *worker) {
 	for f := range w.replicas {
-		h.remove(f, w)
+		x.remove(f, w)
 	}
 }
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -12,7 +12,7 @@
 	waiting                 []*request    // for that
 }
 
-func (i *replica) unloaded() { i.loadedUntil, i.loadDue, i.lanes = 0, 0, 0 }
+func (r *replica) unloaded() { r.loadedUntil, r.loadDue, r.lanes = 0, 0, 0 }
 
 func (p *Policy) recentRequests() float64 {
 	return float64(p.arrivals.CountSince(p.now - p.cfg.LoadBudgetWindow + 1))
@@ -23,19 +23,19 @@
 }
 
 // orderLoad has the missing function of r loaded, with r to follow.
-func (p *Policy) orderLoad(r *request, i *replica) bool {
-	if !i.loadOrdered {
+func (p *Policy) orderLoad(r *request, replica *replica) bool {
+	if !replica.loadOrdered {
 		if p.cfg.LoadBudgetWindow > 0 && !r.pool.MayLoad(p.now, p.loadBudget()) ||
-			!p.emit(Load{Worker: i.worker.Worker, Function: r.Function, Count: 1}) {
+			!p.emit(Load{Worker: replica.worker.Worker, Function: r.Function, Count: 1}) {
 			return false
 		}
 		p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
 		r.pool.LoadStarted(p.now)
-		i.worker.pendingLoads++
-		i.loadOrdered, i.loadDue = true, p.now+time.Duration(p.fullLoad(r.function))
+		replica.worker.pendingLoads++
+		replica.loadOrdered, replica.loadDue = true, p.now+time.Duration(p.fullLoad(r.function))
 	}
-	i.waiting = append(i.waiting, r)
-	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == i.worker })
+	replica.waiting = append(replica.waiting, r)
+	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == replica.worker })
 	return true
 }
 
@@ -44,15 +44,15 @@
 	if w == nil || f == nil || w.replicas[f.id] == nil || !w.replicas[f.id].loadOrdered {
 		return
 	}
-	i := w.replicas[f.id]
-	waiting := i.waiting
-	i.loadOrdered, i.loadDue, i.waiting = false, 0, nil
+	replica := w.replicas[f.id]
+	waiting := replica.waiting
+	replica.loadOrdered, replica.loadDue, replica.waiting = false, 0, nil
 	w.pendingLoads--
 	switch e.Outcome {
 	case Served:
 		p.responded(w)
-		i.loadedUntil = p.now + p.cfg.KeepAlive
-		p.gossipReplica(i, f)
+		replica.loadedUntil = p.now + p.cfg.KeepAlive
+		p.gossipReplica(replica, f)
 		if e.Took > f.loadTime/5 { // else it was loaded, or nearly
 			p.observeLoad(float64(e.Took), f)
 		}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -62,8 +62,8 @@
 		return
 	}
 	a := r.attempts[e.Attempt]
-	w, i := a.worker, p.replicas.get(a.worker, r.function.id)
-	a.ended, r.inFlight, i.inFlight = true, r.inFlight-1, i.inFlight-1
+	w, replica := a.worker, p.replicas.get(a.worker, r.function.id)
+	a.ended, r.inFlight, replica.inFlight = true, r.inFlight-1, replica.inFlight-1
 	a.pool.AttemptFinished()
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(o *attempt) bool { return o == a })
 	if !e.Outcome.NeverRan() && r.possibleRun == nil {
@@ -73,21 +73,20 @@
 		r.excluded = append(r.excluded, w)
 	}
 	e.Took = min(max(e.Took, 0), time.Hour)
-	p.observeOutcome(a, i, e)
+	p.observeOutcome(a, replica, e)
 	if e.Closed {
 		p.closeRequest(r)
 	}
 	switch {
+	case r.done && r.inFlight == 0:
+		delete(p.requests, r.Request)
 	case r.done || r.inFlight > 0:
-	case e.Outcome == NotLoaded && p.orderLoad(r, i):
+	case e.Outcome == NotLoaded && p.orderLoad(r, replica):
 	case e.Outcome == NotSent || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
 		p.reject(r, 0)
 	default:
 		p.schedule(r)
 	}
-	if r.done && r.inFlight == 0 {
-		delete(p.requests, r.Request)
-	}
 }
 
 // reject gives the final response: a rejection where it is true, else a failure. The wait is in nanoseconds.
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -27,7 +27,7 @@
 }
 
 func (p *Policy) startAttempt(r *request, w *worker, expected time.Duration, likelyLoaded bool) {
-	load, i := p.remainingLoad(w, r), p.replicas.get(w, r.function.id)
+	load, replica := p.remainingLoad(w, r), p.replicas.get(w, r.function.id)
 	if !p.emit(StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}) {
 		return
 	}
@@ -35,7 +35,7 @@
 		startedAt: p.now, expected: expected, expectsLoad: load > 0, likelyLoaded: likelyLoaded}
 	a.pool.AttemptStarted()
 	r.attempts, w.inFlight = append(r.attempts, a), append(w.inFlight, a)
-	r.inFlight, i.inFlight = r.inFlight+1, i.inFlight+1
+	r.inFlight, replica.inFlight = r.inFlight+1, replica.inFlight+1
 	w.slowStart.Tokens -= r.class.run.Mean
 	if r.possibleRun != nil {
 		r.retriesAfterRun++
@@ -46,8 +46,8 @@
 	if len(p.quotas) > 0 && !r.overQuota && a.number == 0 {
 		p.quotas[r.Tenant].Tokens-- // what is rejected is repeated, and sent once
 	}
-	if !p.cfg.MissWhenNotLoaded && load > 0 && i.loadDue == 0 {
-		i.loadDue = p.now + time.Duration(load)
+	if !p.cfg.MissWhenNotLoaded && load > 0 && replica.loadDue == 0 {
+		replica.loadDue = p.now + time.Duration(load)
 	}
 	if p.failedLoads > 0 && load > 0 && p.now >= p.breakerUntil {
 		p.openBreaker(0)
--- a/policy/scheduling.go
+++ b/policy/scheduling.go
@@ -70,8 +70,8 @@
 }
 
 func (p *Policy) beginsLoad(w *worker, r *request) bool {
-	i := p.replicas.lookUp(w, r.function.id)
-	return (i == nil || i.loadDue == 0) && p.remainingLoad(w, r) > 0
+	replica := p.replicas.lookUp(w, r.function.id)
+	return (replica == nil || replica.loadDue == 0) && p.remainingLoad(w, r) > 0
 }
 
 // fastest returns the index of the candidate with the lowest score, and that. Ties are broken at random.
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -10,8 +10,7 @@
 	return p.quotas[tenant].Tokens < 1
 }
 
-// shed answers a standing delay by rejecting a growing part of what never ran: first what is beyond its quota
-// or late at best, then the least worth. The wait is until the queue lets r in.
+// shed rejects a growing part of what never ran under a standing delay; wait is until the queue lets r in.
 func (p *Policy) shed(r *request, w *worker, expected float64) (shed bool, wait float64) {
 	own := float64(min(r.class.LatencyObjective, cmp.Or(r.Policy.LatencyObjective, r.class.LatencyObjective)))
 	start, objective := 0.5, own
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -1,31 +1,16 @@
 package policy
 
 import (
-	"container/heap"
 	"fmt"
 	"hash/fnv"
 	"io"
+	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
-)
-
-// due is an event that the stand-in fleet has yet to hand in.
-type due struct {
-	at  time.Duration
-	seq int
-	ev  Event
-}
 
-type dues []due
-
-func (d dues) Len() int { return len(d) }
-func (d dues) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
-}
-func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)   { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any     { old := *d; x := old[len(old)-1]; *d = old[:len(old)-1]; return x }
+	"crankhold/internal/timerheap"
+)
 
 // stream drives a Policy against a stand-in fleet in virtual time, closed loop: what the policy does decides what
 // comes next. It returns a sum over all events and actions, and how many there were.
@@ -45,13 +30,12 @@
 		panic(err)
 	}
 	h := fnv.New64a()
-	var todo dues
-	seq := 0
 	now := time.Hour
-	later := func(after time.Duration, ev Event) {
-		seq++
-		heap.Push(&todo, due{now + after, seq, ev})
+	var upcoming timerheap.Heap[Event] // nil: a call comes
+	for at := time.Duration(0); at < s.length; at += s.gap {
+		upcoming.Add(now+at, nil)
 	}
+	later := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
 	type place struct {
 		w WorkerID
 		f FunctionID
@@ -74,9 +58,6 @@
 		function[next] = f
 		later(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
 	}
-	for at := time.Duration(0); at < s.length; at += s.gap {
-		heap.Push(&todo, due{now + at, -1, nil})
-	}
 	ended := func(w WorkerID, r RequestID, n int, o Outcome, note LoadStatus, took time.Duration) {
 		key := fmt.Sprint(r, n)
 		if over[key] {
@@ -84,10 +65,13 @@
 		}
 		later(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: note, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
 	}
-	for len(todo) > 0 {
-		d := heap.Pop(&todo).(due)
-		now = d.at
-		if d.ev == nil {
+	for {
+		next, ok := upcoming.PopDue(math.MaxInt64)
+		if !ok {
+			break
+		}
+		now = next.Due()
+		if next.Value == nil {
 			arrive()
 			if s.faults && rng.IntN(200) == 0 { // a worker drains, comes back, or starts anew
 				i := rng.IntN(len(list.Workers))
@@ -104,7 +88,7 @@
 		if now > time.Hour+s.length+10*time.Second {
 			break
 		}
-		switch e := d.ev.(type) {
+		switch e := next.Value.(type) {
 		case AttemptCompleted:
 			key := fmt.Sprint(e.Request, e.Attempt)
 			if over[key] {
@@ -118,7 +102,7 @@
 			loaded[place{e.Worker, e.Function}] = now
 		}
 		fmt.Fprintf(h, "%d", now)
-		for _, a := range p.Handle(now, d.ev, nil) {
+		for _, a := range p.Handle(now, next.Value, nil) {
 			if _, ok := a.(ClearTimer); ok {
 				continue // it changes no choice, and is newer than the records
 			}
--- a/policy/workers.go
+++ b/policy/workers.go
@@ -39,8 +39,8 @@
 			p.fleet = append(p.fleet, w)
 		}
 		if !known || e.Started > w.Started { // nothing holds that is known of the process before
-			for _, i := range w.replicas {
-				i.unloaded()
+			for _, replica := range w.replicas {
+				replica.unloaded()
 			}
 			w.consecutiveFailures, w.ejectedUntil, w.servedWork = 0, 0, 0
 			w.slowStart.Tokens = -p.rng.Float64() * p.classes[0].run.Mean // by chance: routers take turns
