--- a/policy/config.go
+++ b/policy/config.go
@@ -1,6 +1,9 @@
 package policy
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 // Idempotency says how far a class of requests may be sent again once it may have run.
 type Idempotency uint8
@@ -94,3 +97,27 @@
 	MemoryPrice    float64 // what all memory costs, if idle replicas held it, as a share of all worth
 	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
 }
+
+// amount is a setting that must be a number from 0 to a limit.
+type amount struct {
+	setting     string
+	value, most float64
+}
+
+// amounts lists the settings that New checks one by one. Of Classes, those after the first count.
+func (c *Config) amounts() []amount {
+	const finite = math.MaxFloat64
+	return []amount{
+		{"Classes", float64(len(c.Classes) - 1), finite},
+		{"MaxAttempts", float64(c.MaxAttempts), finite},
+		{"Tick", float64(c.Tick), finite},
+		{"SlowStartInitialCapacity", c.SlowStartInitialCapacity, 1},
+		{"SlowStartDuration", float64(c.SlowStartDuration), finite},
+		{"OverloadMultiple", c.OverloadMultiple, finite},
+		{"OverloadWindow", float64(c.OverloadWindow), finite},
+		{"KeepAlive", float64(c.KeepAlive), finite},
+		{"LoadBudgetWindow", float64(c.LoadBudgetWindow), finite},
+		{"LoadBudgetMinimum", c.LoadBudgetMinimum, finite},
+		{"LoadBudgetRatio", c.LoadBudgetRatio, finite},
+	}
+}
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -8,8 +8,9 @@
 // ConfigError is returned by New for settings that no platform can mean: they have no classes, or an amount in them is
 // negative, infinite or no number.
 type ConfigError struct {
-	Class  int    // index of the impossible class, or NoClass
-	Config Config // as it was given
+	Class   int    // index of the impossible class, or NoClass
+	Setting string // field of Config that is impossible, where it is no class of its own
+	Config  Config // as it was given
 }
 
 // Error implements error.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -53,15 +53,13 @@
 	for i, c := range cfg.Classes {
 		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
 			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
-			return nil, &ConfigError{i, cfg}
+			return nil, &ConfigError{Class: i, Config: cfg}
 		}
 	}
-	amounts := []float64{cfg.SlowStartInitialCapacity, cfg.OverloadMultiple, cfg.LoadBudgetMinimum,
-		cfg.LoadBudgetRatio, float64(cfg.MaxAttempts), float64(cfg.Tick), float64(cfg.SlowStartDuration),
-		float64(cfg.OverloadWindow), float64(cfg.KeepAlive), float64(cfg.LoadBudgetWindow)}
-	impossible := func(v float64) bool { return !(v >= 0) || math.IsInf(v, 1) }
-	if len(cfg.Classes) == 0 || slices.ContainsFunc(amounts, impossible) || cfg.SlowStartInitialCapacity > 1 {
-		return nil, &ConfigError{NoClass, cfg}
+	for _, a := range cfg.amounts() {
+		if !(a.value >= 0) || a.value > a.most {
+			return nil, &ConfigError{Class: NoClass, Setting: a.setting, Config: cfg}
+		}
 	}
 	cfg.Routers = max(cfg.Routers, 1)
 	p := &Policy{cfg: cfg, router: WorkerID(seed), rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -63,7 +63,9 @@
 	}
 	a := r.attempts[e.Attempt]
 	w, replica := a.worker, p.replicas.get(a.worker, r.function.id)
-	a.ended, r.inFlight, replica.inFlight = true, r.inFlight-1, replica.inFlight-1
+	a.ended = true
+	r.inFlight--
+	replica.inFlight--
 	a.pool.AttemptFinished()
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(o *attempt) bool { return o == a })
 	if !e.Outcome.NeverRan() && r.possibleRun == nil {
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"testing"
 )
 
@@ -31,22 +32,27 @@
 	}
 }
 
-// A ConfigError says which class is impossible.
-func TestConfigErrorNamesTheClass(t *testing.T) {
+// A ConfigError says which class or setting is impossible.
+func TestConfigErrorNamesTheSetting(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Config)
-		class int
+		spoil   func(*Config)
+		class   int
+		setting string
 	}{
-		"no classes":            {func(c *Config) { c.Classes = nil }, NoClass},
-		"a negative tick":       {func(c *Config) { c.Tick = -1 }, NoClass},
-		"the last class":        {func(c *Config) { c.Classes[2].Deadline = 0 }, 2},
-		"a class and an amount": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1},
+		"no classes":            {func(c *Config) { c.Classes = nil }, NoClass, "Classes"},
+		"a negative tick":       {func(c *Config) { c.Tick = -1 }, NoClass, "Tick"},
+		"more than all":         {func(c *Config) { c.SlowStartInitialCapacity = 1.5 }, NoClass, "SlowStartInitialCapacity"},
+		"infinite":              {func(c *Config) { c.LoadBudgetRatio = math.Inf(1) }, NoClass, "LoadBudgetRatio"},
+		"not a number":          {func(c *Config) { c.OverloadMultiple = math.NaN() }, NoClass, "OverloadMultiple"},
+		"the last class":        {func(c *Config) { c.Classes[2].Deadline = 0 }, 2, ""},
+		"a class and an amount": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1, ""},
 	} {
 		cfg := config()
 		c.spoil(&cfg)
 		_, err := New(cfg, 1)
-		if impossible := (*ConfigError)(nil); !errors.As(err, &impossible) || impossible.Class != c.class {
-			t.Errorf("%s: %v, want an error of class %d", name, err, c.class)
+		impossible := (*ConfigError)(nil)
+		if !errors.As(err, &impossible) || impossible.Class != c.class || impossible.Setting != c.setting {
+			t.Errorf("%s: %v, want an error of class %d, setting %q", name, err, c.class, c.setting)
 		}
 	}
 }
