--- /dev/null
+++ b/internal/eventloop/conn.go
@@ -0,0 +1,72 @@
+package eventloop
+
+import (
+	"net"
+	"net/netip"
+	"sync/atomic"
+
+	"github.com/lesismal/nbio"
+)
+
+// Conn is a connection as its handler sees it. Its methods are for the loop's goroutine.
+type Conn struct {
+	loop    *Loop
+	socket  *nbio.Conn // nil until a dial has come up
+	accept  acceptFunc // of an accepted connection
+	handler Handler    // of an accepted connection from the turn on in which it is accepted
+
+	established bool // it came up, and its handler knows
+	closed      bool // by this side: nothing is written to it or taken from it any more
+	ended       bool // the poller reported its end
+
+	outgoing     [][]byte     // what this turn writes
+	unreadByPeer atomic.Int64 // bytes that the peer has yet to take; the poller takes them off
+	unsentBytes  int          // that had not left when it ended
+	activity     clientActivity
+}
+
+// RemoteAddr is the address at the other end.
+func (c *Conn) RemoteAddr() netip.AddrPort {
+	addr, ok := c.socket.RemoteAddr().(*net.TCPAddr)
+	if !ok {
+		return netip.AddrPort{}
+	}
+	return addr.AddrPort()
+}
+
+// receive hands data to the handler.
+func (c *Conn) receive(data []byte) {
+	if c.handler == nil || c.closed {
+		return
+	}
+	c.handler.Data(data)
+	c.noteMessages()
+}
+
+// Close ends the connection; what this turn queued for it is dropped. Its handler's Closed is called in a later turn, if
+// it ever was up.
+func (c *Conn) Close() {
+	if !c.closed {
+		c.fail(nil)
+	}
+}
+
+// CloseAfterFlush writes what is queued and closes.
+func (c *Conn) CloseAfterFlush() {
+	if !c.closed && c.established {
+		err := c.writeOutgoing()
+		if err != nil {
+			c.fail(err)
+		}
+		c.outgoing = c.outgoing[:0]
+	}
+	c.Close()
+}
+
+// fail closes the connection for a reason; the handler hears of it in a later turn.
+func (c *Conn) fail(err error) {
+	c.closed = true
+	if c.socket != nil {
+		c.socket.CloseWithError(err)
+	}
+}
--- a/internal/eventloop/crossings_test.go
+++ b/internal/eventloop/crossings_test.go
@@ -44,7 +44,7 @@
 	}
 	held, release, c := make(chan bool), make(chan bool), <-made
 	l.Post(func() {
-		c.nc.SetReadBuffer(1 << 20) // as large as the kernel lets a busy connection's grow
+		c.socket.SetReadBuffer(1 << 20) // as large as the kernel lets a busy connection's grow
 		close(held)
 		<-release
 	})
@@ -53,9 +53,9 @@
 		dial(t, l).Write([]byte("x"))
 	}
 	for queued := 0; queued < 2; {
-		l.mu.Lock()
-		queued = l.queued
-		l.mu.Unlock()
+		l.queue.mu.Lock()
+		queued = l.queue.bytes
+		l.queue.mu.Unlock()
 	}
 	const size = 10 * (16<<10 + 100) // ten answers
 	if _, err := peer.Write(make([]byte, size)); err != nil {
@@ -74,9 +74,9 @@
 // slow client's answer would be cut off with the process.
 func TestWhatIsQueuedIsUnwritten(t *testing.T) {
 	l := New(Config{})
-	c := &Conn{loop: l, h: &echo{}, isUp: true}
+	c := &Conn{loop: l, handler: &echo{}, established: true}
 	l.accepted[c] = struct{}{}
-	c.owe(3)
+	c.countUnread(3)
 	c.Write([]byte("four"), []byte("!"))
 	if n := l.UnwrittenBytes(); n != 8 {
 		t.Errorf("%d bytes are unwritten, not 8", n)
--- /dev/null
+++ b/internal/eventloop/dial.go
@@ -0,0 +1,79 @@
+package eventloop
+
+import (
+	"context"
+	"net"
+	"strings"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+// maxDialRetries is how often idle clients make room for a dial that found no descriptor.
+const maxDialRetries = 4
+
+// Dial opens a connection and returns at once. A net.Dialer does it on a goroutine of its own: in nbio 1.6.8 a refused
+// DialAsync is first reported as connected, and one that connects at once leaves its write event set, on which the
+// poller then spins.
+func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
+	c := &Conn{loop: l, handler: h}
+	l.dials.Go(func() {
+		socket, err := l.dial(network, addr, timeout)
+		if err == nil {
+			err = l.register(socket, c)
+		}
+		l.queue.push(event{kind: dialEnded, conn: c, socket: socket, err: err})
+	})
+	return c
+}
+
+// dial opens a socket. Idle clients make room for it where no descriptor is left.
+func (l *Loop) dial(network, addr string, timeout time.Duration) (*nbio.Conn, error) {
+	socket, err := connect(l.dialContext, network, addr, timeout)
+	for retry := 0; retry < maxDialRetries && IsDescriptorExhausted(err) && l.CloseIdleClients(); retry++ {
+		socket, err = connect(l.dialContext, network, addr, timeout)
+	}
+	return socket, err
+}
+
+// register has the poller watch a socket for c.
+func (l *Loop) register(socket *nbio.Conn, c *Conn) error {
+	if l.dialContext.Err() != nil {
+		socket.Close()
+		return errLoopEnded
+	}
+	socket.SetSession(c)
+	_, err := l.engine.AddConn(socket)
+	return err
+}
+
+// connect opens a connection and makes it nbio's. For a moment it takes two descriptors.
+func connect(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
+	std, err := dialer(network, timeout).DialContext(ctx, network, addr)
+	if err != nil {
+		return nil, err
+	}
+	socket, err := adopt(std)
+	if err != nil {
+		std.Close()
+	}
+	return socket, err
+}
+
+// dialer opens sockets of a network. Those for datagrams are bound before they are connected, to what the system would
+// choose too: not every system tells the address of one that was only connected, and nbio needs it.
+func dialer(network string, timeout time.Duration) *net.Dialer {
+	d := &net.Dialer{Timeout: timeout}
+	if strings.HasPrefix(network, "udp") {
+		d.LocalAddr = &net.UDPAddr{}
+	}
+	return d
+}
+
+// adopt makes a socket nbio's. NBConn panics at one for datagrams that has no local address.
+func adopt(std net.Conn) (*nbio.Conn, error) {
+	if std.LocalAddr() == nil {
+		return nil, errNoLocalAddress
+	}
+	return nbio.NBConn(std)
+}
--- /dev/null
+++ b/internal/eventloop/errors.go
@@ -0,0 +1,50 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"syscall"
+)
+
+var (
+	// ErrTooManyConnections is for an accepted connection beyond the limit on them.
+	ErrTooManyConnections = errors.New("too many accepted connections")
+	// ErrSlowPeer is for a peer that does not read while all peers together leave too much unread.
+	ErrSlowPeer = errors.New("peer does not read")
+
+	// errNoLocalAddress is for a socket of which the system does not tell the own address.
+	errNoLocalAddress = errors.New("socket has no local address")
+	// errLoopEnded is for a dial that came up when the loop had ended.
+	errLoopEnded = errors.New("event loop has ended")
+)
+
+// ListenError is for an address that can't be listened on.
+type ListenError struct {
+	Addr string // as it was given to Listen
+	Err  error  // from package net
+}
+
+// Error returns the cause, which names the address as the system understood it.
+func (e *ListenError) Error() string { return fmt.Sprintf("listen: %v", e.Err) }
+
+// Unwrap returns the cause.
+func (e *ListenError) Unwrap() error { return e.Err }
+
+// SlowPeerError is the reason for which a connection to a peer that does not read was closed. It is an ErrSlowPeer.
+type SlowPeerError struct {
+	Addr        netip.AddrPort // of the peer; zero where it has none, as with a Unix socket
+	UnreadBytes int            // that the peer left unread
+}
+
+// Error returns the message of ErrSlowPeer.
+func (e *SlowPeerError) Error() string { return ErrSlowPeer.Error() }
+
+// Unwrap returns ErrSlowPeer.
+func (e *SlowPeerError) Unwrap() error { return ErrSlowPeer }
+
+// IsDescriptorExhausted reports whether an error is of this machine and says nothing of a peer: no descriptor or buffer
+// is left.
+func IsDescriptorExhausted(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS)
+}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -98,7 +98,7 @@
 	wrote := make(chan struct{}, 1)
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		// The kernel's buffer is made small, so that little is needed to fill it.
-		c.nc.SetWriteBuffer(4 << 10)
+		c.socket.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
 	})
@@ -124,7 +124,7 @@
 func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
 	e := &echo{times: 40000, ends: make(chan error, 1)}
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
-		c.nc.SetWriteBuffer(4 << 10)
+		c.socket.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
 	})
@@ -185,24 +185,24 @@
 		feed func(e *echo, at time.Duration) bool // tells whether bytes come
 		gone time.Duration
 	}{
-		"silent":         {func(*echo, time.Duration) bool { return false }, messageWithin},
-		"trickles":       {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageWithin},
-		"asked and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleAfter},
+		"silent":         {func(*echo, time.Duration) bool { return false }, messageTimeout},
+		"trickles":       {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
+		"asked and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
 		"half a second one": {func(e *echo, at time.Duration) bool {
 			e.whole, e.begun = 1, at >= 5*time.Second
 			return at == 0 || e.begun
-		}, 5*time.Second + messageWithin},
+		}, 5*time.Second + messageTimeout},
 		"goes on asking": {func(e *echo, _ time.Duration) bool { e.whole++; return true }, time.Minute},
 		"owed an answer": {func(e *echo, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
 	} {
 		l := New(Config{})
 		e := &echo{}
-		conn := &Conn{loop: l, h: e, isUp: true, heard: l.now}
+		conn := &Conn{loop: l, handler: e, established: true, activity: clientActivity{activeAt: l.now}}
 		l.accepted[conn] = struct{}{}
 		start, closed := l.now, time.Minute
 		for at := time.Duration(0); at < time.Minute; at += step {
 			if l.now = start + at; c.feed(e, at) {
-				conn.listen()
+				conn.noteMessages()
 			}
 			if l.sweep(); conn.closed {
 				closed = at
@@ -221,26 +221,26 @@
 func TestSilentConnectionsMakeRoomFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(whole int, busy bool, heard time.Duration) *Conn {
-		c := &Conn{loop: l, h: &echo{busy: busy}, isUp: true, whole: whole, heard: heard}
+		c := &Conn{loop: l, handler: &echo{busy: busy}, established: true, activity: clientActivity{messages: whole, activeAt: heard}}
 		l.accepted[c] = struct{}{}
 		return c
 	}
 	now := l.now
-	order := []*Conn{add(0, false, now-2*askAfter), add(0, false, now-askAfter-1), add(1, false, now-1000*askAfter),
-		add(3, false, now-2), add(0, false, now-askAfter), add(0, false, now)}
+	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
+		add(3, false, now-2), add(0, false, now-requestGracePeriod), add(0, false, now)}
 	busy := add(0, true, 0)
 	queued, unread := add(1, false, 0), add(1, false, 0)
 	queued.Write([]byte("answer"))
-	unread.owe(1)
+	unread.countUnread(1)
 	for i, c := range order {
-		if !l.evict() || !c.closed {
+		if !l.closeIdleClient() || !c.closed {
 			t.Fatalf("connection %d was not the one to make room", i)
 		}
 	}
-	if l.evict() || busy.closed || queued.closed || unread.closed {
+	if l.closeIdleClient() || busy.closed || queued.closed || unread.closed {
 		t.Error("a connection that is owed an answer made room")
 	}
-	if queued.heard != now {
+	if queued.activity.activeAt != now {
 		t.Error("a connection counts as idle though it was just answered")
 	}
 }
@@ -250,25 +250,22 @@
 	l := New(Config{})
 	pushed := make(chan int, 100)
 	go func() {
-		for i := range 3 * maxAccepts {
-			l.push(item{conn: &Conn{loop: l}, kind: gotConn})
+		for i := range 3 * maxUnseenConnections {
+			l.queue.push(event{conn: &Conn{loop: l}, kind: connectionAccepted})
 			pushed <- i
 		}
 		close(pushed)
 	}()
-	for range maxAccepts {
+	for range maxUnseenConnections {
 		<-pushed
 	}
 	turns, most := 0, 0
 	for open := true; open; turns++ { // each turn takes what is queued, and lets as many in
-		l.mu.Lock()
-		most = max(most, len(l.queue))
-		l.queue, l.fresh = nil, 0
-		l.room.Broadcast()
-		l.mu.Unlock()
+		batch, _ := l.queue.take(nil)
+		most = max(most, len(batch))
 		_, open = <-pushed
 	}
-	if most > maxAccepts || turns < 2 {
+	if most > maxUnseenConnections || turns < 2 {
 		t.Errorf("%d connections waited at once, %d turns", most, turns)
 	}
 }
@@ -350,7 +347,7 @@
 		t.Fatal(err)
 	}
 	defer std.Close()
-	if _, err := adopt(nameless{std}); !errors.Is(err, errNameless) {
+	if _, err := adopt(nameless{std}); !errors.Is(err, errNoLocalAddress) {
 		t.Errorf("a socket without an address: %v", err)
 	}
 	nc, err := adopt(std)
--- /dev/null
+++ b/internal/eventloop/shutdown_test.go
@@ -0,0 +1,111 @@
+package eventloop
+
+import (
+	"bytes"
+	"context"
+	"net"
+	"runtime"
+	"testing"
+	"time"
+)
+
+// loopGoroutines returns the stacks of the goroutines that loops and nbio have started.
+func loopGoroutines() (stacks []string) {
+	buf := make([]byte, 1<<20)
+	buf = buf[:runtime.Stack(buf, true)]
+	for _, stack := range bytes.Split(buf, []byte("\n\n")) {
+		if bytes.Contains(stack, []byte("eventloop.(*Loop)")) || bytes.Contains(stack, []byte("lesismal/nbio")) {
+			stacks = append(stacks, string(stack))
+		}
+	}
+	return stacks
+}
+
+// requireNoLoopGoroutines fails the test where a goroutine of a loop is left after a time.
+func requireNoLoopGoroutines(t *testing.T) {
+	t.Helper()
+	deadline := time.Now().Add(5 * time.Second)
+	left := loopGoroutines()
+	for len(left) > 0 && time.Now().Before(deadline) {
+		time.Sleep(time.Millisecond)
+		left = loopGoroutines()
+	}
+	for _, stack := range left {
+		t.Errorf("goroutine left:\n%s", stack)
+	}
+}
+
+// Run ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
+func TestNoGoroutineIsLeftAfterStop(t *testing.T) {
+	requireNoLoopGoroutines(t)
+	l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20})
+	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+	if err := l.Start(); err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
+	}()
+	peer := &dialled{make(chan error, 1), make(chan error, 1)}
+	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, peer) })
+	if err := <-peer.opened; err != nil {
+		t.Fatal(err)
+	}
+	clients := []net.Conn{dial(t, l), dial(t, l), dial(t, l)}
+	held, release := make(chan struct{}), make(chan struct{})
+	l.Post(func() {
+		l.Stop()
+		l.Dial("tcp", "192.0.2.1:80", time.Minute, &dialled{make(chan error, 1), make(chan error, 1)}) // to nowhere
+		close(held)
+		<-release
+	})
+	<-held
+	for _, c := range clients {
+		if _, err := c.Write([]byte("x")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for queued := 0; queued < 2; { // the third byte finds the queue full, and the poller waits with it
+		l.queue.mu.Lock()
+		queued = l.queue.bytes
+		l.queue.mu.Unlock()
+		time.Sleep(time.Millisecond)
+	}
+	close(release)
+	<-done
+	requireNoLoopGoroutines(t)
+	if _, err := clients[0].Read(make([]byte, 1)); err == nil {
+		t.Error("a client's connection is still open")
+	}
+	l.Post(func() { t.Error("called after the loop had ended") })
+	if l.CloseIdleClients() {
+		t.Error("a loop that has ended closed a client")
+	}
+}
+
+// A loop that was never started has nothing to end.
+func TestLoopThatWasNotStartedEnds(t *testing.T) {
+	l := New(Config{})
+	l.Stop()
+	l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now })
+	requireNoLoopGoroutines(t)
+}
+
+// nbio's poller clears the flag by which it is told to end when it starts, so shutdown waits until it runs.
+func TestPollerIsAwaited(t *testing.T) {
+	l := start(t, 1, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+	socket, peer, err := socketPair()
+	if err != nil {
+		t.Fatal(err)
+	}
+	socket.Close()
+	peer.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	l.awaitPoller(ctx)
+	if ctx.Err() != nil {
+		t.Error("the poller did not show that it runs")
+	}
+}
