--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -1,7 +1,11 @@
-// Package endpoint decides by which of a worker's addresses it is reached: the order in which they are tried, when a
-// further one is tried beside one that has not come up yet, which count as failed and for how long, and when to go
-// back to a better one. It also says which entries of a list are one worker.
+// Package endpoint decides by which of a worker's addresses it is reached.
 //
-// It is free of I/O and clock and imports the standard library alone. Package resp carries out what it says; the
-// service asks it about lists; a model checker runs both over all interleavings of a small scope.
+// An [AddressSet] keeps the addresses of one worker in the order in which they are tried, with what is known of each:
+// which are unavailable, when to try those again, and when to go back to a better one. A [DialRace] is the dialling of one
+// connection over the candidates of a set, as RFC 8305 (Happy Eyeballs) describes it. [GroupAliases] finds the entries of
+// an endpoint list that lead to one worker.
+//
+// The package does no I/O, reads no clock and imports the standard library alone: it is told what happens, and says what
+// to do. Package workerclient carries that out, and its model check runs both over all interleavings of a small
+// scope. Its types are for one goroutine.
 package endpoint
--- /dev/null
+++ b/internal/endpoint/example_test.go
@@ -0,0 +1,52 @@
+package endpoint_test
+
+import (
+	"fmt"
+	"time"
+
+	"crankhold/internal/endpoint"
+)
+
+// A worker has three addresses. A connection to it is dialled over one after the other, the next one 250 ms after a dial
+// that has not come up, or at once where it failed.
+func ExampleDialRace() {
+	addresses := endpoint.NewAddressSet(1)
+	addresses.Update(0, []endpoint.Addr{
+		{Network: endpoint.TCP4, Addr: "192.0.2.1:80"},
+		{Network: endpoint.TCP6, Addr: "[2001:db8::1]:80"},
+		{Network: endpoint.Unix, Addr: "/run/worker.sock"},
+	})
+	const dialTimeout, budget = time.Second, 3 * time.Second
+	race := endpoint.NewDialRace(addresses.Candidates(), dialTimeout, budget)
+
+	now := time.Duration(0)
+	local, _ := race.Next(now, true)
+	fmt.Println(now, "dial", local)
+
+	now = 10 * time.Millisecond
+	addresses.Failed(now, local)
+	fmt.Println(now, local, "failed, race lost:", race.DialFailed())
+	ipv6, _ := race.Next(now, true)
+	fmt.Println(now, "dial", ipv6)
+
+	now = 100 * time.Millisecond
+	_, due := race.Next(now, true)
+	fmt.Println(now, "another dial due:", due)
+
+	now = 260 * time.Millisecond
+	ipv4, _ := race.Next(now, true)
+	fmt.Println(now, "dial", ipv4, "beside", ipv6)
+
+	now = 300 * time.Millisecond
+	addresses.Succeeded(now, ipv4)
+	fmt.Println(now, ipv4, "is first:", race.DialSucceeded())
+	fmt.Println("candidates of the next race:", addresses.Candidates())
+	// Output:
+	// 0s dial unix:/run/worker.sock
+	// 10ms unix:/run/worker.sock failed, race lost: false
+	// 10ms dial [2001:db8::1]:80
+	// 100ms another dial due: false
+	// 260ms dial 192.0.2.1:80 beside [2001:db8::1]:80
+	// 300ms 192.0.2.1:80 is first: true
+	// candidates of the next race: [[2001:db8::1]:80 192.0.2.1:80]
+}
--- a/internal/endpoint/race.go
+++ b/internal/endpoint/race.go
@@ -2,53 +2,75 @@
 
 import "time"
 
+const (
+	// ConnectionAttemptDelay is how long a dial has before the next address is tried beside it (RFC 8305, section 5),
+	// where the time that a dial may take is longer.
+	ConnectionAttemptDelay = 250 * time.Millisecond
+	// MaxDialsPerWorker is how many dials of one race may be in progress at once.
+	MaxDialsPerWorker = 4
+	// MaxDials is how many dials to all workers may be in progress at once.
+	MaxDials = 64
+
+	minDialDelay = time.Millisecond
+)
+
 // DialRace is the dialling of one connection: addresses are tried in turn, the next one as soon as one has failed, or
-// beside it when it takes long. The first that comes up wins. It is a value of decisions alone; whoever dials
-// reports what happens.
+// beside it when it takes long. The first that comes up wins. It only decides; whoever dials reports what happens.
 type DialRace struct {
-	left  []Addr        // yet to be tried
-	out   int           // dials under way
-	since time.Duration // of the latest
-	wait  time.Duration // between dials that are under way together
-	won   bool
+	remaining  []Addr // yet to be tried
+	inProgress int
+	lastDialAt time.Duration
+	delay      time.Duration // between dials that are in progress together
+	won        bool
 }
 
-// NewDialRace returns a race over candidates. A dial may take up to limit, the whole of it up to left, what the call
-// that needs the connection has; the time between dials is such that each address gets its turn in it.
-func NewDialRace(candidates []Addr, limit, left time.Duration) *DialRace {
-	wait := min(ConnectionAttemptDelay, limit)
-	if n := time.Duration(len(candidates)); n > 1 && left > 0 {
-		wait = min(wait, left/(2*n))
+// NewDialRace returns a race over candidates. One dial may take up to dialTimeout; budget is the time that the request has
+// which needs the connection, or 0, and the dials begin early enough that each address gets its turn in it.
+func NewDialRace(candidates []Addr, dialTimeout, budget time.Duration) *DialRace {
+	delay := min(ConnectionAttemptDelay, dialTimeout)
+	count := time.Duration(len(candidates))
+	if count > 1 && budget > 0 {
+		delay = min(delay, budget/(2*count))
 	}
-	return &DialRace{left: candidates, wait: max(wait, time.Millisecond)}
+	return &DialRace{remaining: candidates, delay: max(delay, minDialDelay)}
 }
 
-// Next returns the address to dial now, if there is one. Room tells whether a further dial may be under way; the
-// first of a race needs none.
-func (r *DialRace) Next(now time.Duration, room bool) (Addr, bool) {
-	if r.won || len(r.left) == 0 || r.out > 0 && (!room || r.out >= MaxDialsPerWorker || now-r.since < r.wait) {
+// Next returns the address to dial now, if there is one. mayOverlap is whether a further dial may be in progress; the only
+// one of a race is always allowed.
+func (r *DialRace) Next(now time.Duration, mayOverlap bool) (Addr, bool) {
+	if r.won || len(r.remaining) == 0 {
+		return Addr{}, false
+	}
+	if r.inProgress > 0 && !(mayOverlap && r.overlapDue(now)) {
 		return Addr{}, false
 	}
-	a := r.left[0]
-	r.left = r.left[1:]
-	r.out++
-	r.since = now
-	return a, true
+	addr := r.remaining[0]
+	r.remaining = r.remaining[1:]
+	r.inProgress++
+	r.lastDialAt = now
+	return addr, true
+}
+
+// overlapDue reports whether the dials in progress have taken long enough for a further one.
+func (r *DialRace) overlapDue(now time.Duration) bool {
+	return r.inProgress < MaxDialsPerWorker && now-r.lastDialAt >= r.delay
 }
 
-// Ended says that a dial failed. Over tells whether the race is lost: none is under way and none is left.
-func (r *DialRace) Ended() (over bool) {
-	r.out--
-	return !r.won && r.out == 0 && len(r.left) == 0
+// DialFailed takes in that a dial failed, and reports whether the race is lost: no dial is in progress and no address is
+// left.
+func (r *DialRace) DialFailed() (lost bool) {
+	r.inProgress--
+	return !r.won && r.inProgress == 0 && len(r.remaining) == 0
 }
 
-// Won says that a dial came up. It is false for one that comes second, whose connection is not wanted.
-func (r *DialRace) Won() bool {
-	r.out--
-	first := !r.won
+// DialSucceeded takes in that a dial came up, and reports whether it is the first. The connection of any other is not
+// needed.
+func (r *DialRace) DialSucceeded() (first bool) {
+	r.inProgress--
+	first = !r.won
 	r.won = true
 	return first
 }
 
-// Out is how many dials are under way.
-func (r *DialRace) Out() int { return r.out }
+// InProgress is how many dials are in progress.
+func (r *DialRace) InProgress() int { return r.inProgress }
--- /dev/null
+++ b/internal/endpoint/race_test.go
@@ -0,0 +1,66 @@
+package endpoint
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// The model of a race: at most MaxDialsPerWorker at once, each address once, the next at once when one fails, a lost race told
+// once and only when nothing is left, one winner.
+func TestRace(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var list []Addr
+		for i := range rapid.IntRange(1, MaxAddresses).Draw(t, "addresses") {
+			list = append(list, Addr{TCP4, fmt.Sprint(i)})
+		}
+		dialTimeout, budget := 250*ms, time.Duration(rapid.IntRange(0, 3000).Draw(t, "left"))*ms
+		r, now := NewDialRace(list, dialTimeout, budget), time.Duration(0)
+		var tried []Addr
+		inProgress, won, over, last := 0, 0, false, time.Duration(0)
+		for range 200 {
+			mayOverlap := rapid.Bool().Draw(t, "mayOverlap")
+			if a, ok := r.Next(now, mayOverlap); ok {
+				if over || won > 0 || slices.Contains(tried, a) || inProgress > 0 && (!mayOverlap || now-last < ms) {
+					t.Fatalf("dials %v: over %v, won %d, tried %v, %d in progress, may overlap %v", a, over, won, tried, inProgress, mayOverlap)
+				}
+				tried = append(tried, a)
+				inProgress++
+				last = now
+			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
+				t.Fatal("nothing is under way, addresses are left, and none is tried")
+			}
+			if inProgress > MaxDialsPerWorker || r.InProgress() != inProgress {
+				t.Fatalf("%d dials under way, %d counted", inProgress, r.InProgress())
+			}
+			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			case 0:
+				if inProgress > 0 {
+					inProgress--
+					if r.DialFailed() {
+						if over || won > 0 || len(tried) < len(list) || inProgress > 0 {
+							t.Fatal("the race is told to be lost and is not")
+						}
+						over = true
+					}
+				}
+			case 1:
+				if inProgress > 0 {
+					inProgress--
+					if r.DialSucceeded() != (won == 0) {
+						t.Fatal("two winners")
+					}
+					won++
+				}
+			default:
+				now += time.Duration(rapid.IntRange(1, 300).Draw(t, "passes")) * ms
+			}
+		}
+		if budget > 0 && len(list) > 1 && r.delay > max(budget/time.Duration(2*len(list)), ms) {
+			t.Fatalf("%v between dials, with %v left for %d addresses", r.delay, budget, len(list))
+		}
+	})
+}
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -7,39 +7,15 @@
 	"time"
 )
 
-// Times and bounds. They are starting values of ours but for the stagger.
-const (
-	// Stagger is how long a dial has before the next address is tried beside it (RFC 8305, section 5), where the
-	// time that a dial may take is longer.
-	ConnectionAttemptDelay = 250 * time.Millisecond
-	// MaxDialsPerWorker is how many dials to one worker may be under way at once, and MaxDials to all.
-	MaxDialsPerWorker, MaxDials = 4, 64
-
-	firstBackoff = 500 * time.Millisecond // of a failed address; twice as long with each failure
-	mostBackoff  = 30 * time.Second
-	steadyFor    = 5 * time.Second  // a better address must have been well for it before calls go back
-	forgetAfter  = 30 * time.Second // of being well, earlier failures no longer count
-)
-
 // AddressSet is the addresses of one worker with what is known of each.
 type AddressSet struct {
-	seed   uint64
-	prefer []Network
-	list   []*state
+	seed       uint64
+	preference []Network // all of them
+	states     []*addressState
 }
 
-type state struct {
-	Addr
-	failures int
-	down     bool          // failed, and no trial has come up since
-	until    time.Duration // down: no trial before
-	trying   bool          // a trial is under way
-	well     time.Duration // when it last came back, or was first listed
-	suspect  time.Duration // a connection over it has owed answers since; 0: none
-}
-
-// NewAddressSet returns a set without addresses. Prefer orders networks; those that it leaves out follow in their own
-// order. The spread of back-offs follows from seed.
+// NewAddressSet returns a set without addresses. prefer orders networks; those that it leaves out follow in their own
+// order. The spread of backoffs follows from seed.
 func NewAddressSet(seed uint64, prefer ...Network) *AddressSet {
 	s := &AddressSet{seed: seed}
 	s.Prefer(prefer...)
@@ -48,220 +24,163 @@
 
 // Prefer replaces the order of networks.
 func (s *AddressSet) Prefer(prefer ...Network) {
-	s.prefer = nil
+	s.preference = nil
 	for _, n := range prefer {
-		if !slices.Contains(s.prefer, n) {
-			s.prefer = append(s.prefer, n)
-		}
+		s.appendPreference(n)
 	}
-	for n := range networks {
-		if !slices.Contains(s.prefer, n) {
-			s.prefer = append(s.prefer, n)
-		}
+	for n := range networkCount {
+		s.appendPreference(n)
 	}
 	s.arrange()
 }
 
-// Update replaces the addresses, in the order of preference within each network. Those that were there keep what is
-// known of them; what is beyond MaxAddresses is left out.
-func (s *AddressSet) Update(now time.Duration, list []Addr) {
-	old := s.list
-	s.list = nil
-	for _, a := range list {
-		if len(s.list) >= MaxAddresses || s.find(a) != nil {
-			continue
-		}
-		st := &state{Addr: a, well: now}
-		for _, o := range old {
-			if o.Addr == a {
-				st = o
-			}
-		}
-		s.list = append(s.list, st)
+func (s *AddressSet) appendPreference(n Network) {
+	if !slices.Contains(s.preference, n) {
+		s.preference = append(s.preference, n)
 	}
-	s.arrange()
 }
 
-// arrange orders the addresses: by network, but IPv6 and IPv4 in turn, so that a broken one of the two does not
-// take the time of all its addresses (RFC 8305, section 4).
-func (s *AddressSet) arrange() {
-	by := map[Network][]*state{}
-	for _, st := range s.list {
-		by[st.Network] = append(by[st.Network], st)
-	}
-	var out []*state
-	for i, n := range s.prefer {
-		if n == Unix {
-			out = append(out, by[Unix]...)
+// Update replaces the addresses, which are listed in the order of preference within each network. Those that were there
+// keep what is known of them; what is beyond MaxAddresses is left out.
+func (s *AddressSet) Update(now time.Duration, list []Addr) {
+	old := s.states
+	s.states = nil
+	for _, addr := range list {
+		if len(s.states) >= MaxAddresses || s.Has(addr) {
 			continue
 		}
-		other := TCP4 + TCP6 - n
-		if slices.Index(s.prefer, other) < i {
-			continue // they went in turn with the other ones
-		}
-		a, b := by[n], by[other]
-		for len(a)+len(b) > 0 {
-			if len(a) > 0 {
-				out, a = append(out, a[0]), a[1:]
-			}
-			if len(b) > 0 {
-				out, b = append(out, b[0]), b[1:]
-			}
+		state := find(old, addr)
+		if state == nil {
+			state = &addressState{Addr: addr, availableSince: now}
 		}
+		s.states = append(s.states, state)
 	}
-	s.list = out
+	s.arrange()
 }
 
-func (s *AddressSet) find(a Addr) *state {
-	for _, st := range s.list {
-		if st.Addr == a {
-			return st
-		}
+// arrange orders the addresses by network, but IPv6 and IPv4 in turn, so that a broken one of the two does not take the
+// time of all its addresses (RFC 8305, section 4).
+func (s *AddressSet) arrange() {
+	byNetwork := map[Network][]*addressState{}
+	for _, state := range s.states {
+		byNetwork[state.Network] = append(byNetwork[state.Network], state)
 	}
-	return nil
-}
-
-// Has tells whether an address is in the set.
-func (s *AddressSet) Has(a Addr) bool { return s.find(a) != nil }
-
-// Len is how many addresses there are.
-func (s *AddressSet) Len() int { return len(s.list) }
-
-// Candidates are the addresses that a connection for calls may be tried over, the first one first. Those that are
-// down are none; where all are, nothing is lost by trying, the one that has been down for longest first.
-// Addresses over which a connection owes answers come after those that are well.
-func (s *AddressSet) Candidates() (list []Addr) {
-	var doubtful []Addr
-	for _, st := range s.list {
+	var arranged []*addressState
+	interleaved := false
+	for _, n := range s.preference {
 		switch {
-		case st.down:
-		case st.suspect > 0:
-			doubtful = append(doubtful, st.Addr)
-		default:
-			list = append(list, st.Addr)
+		case n == Unix:
+			arranged = append(arranged, byNetwork[Unix]...)
+		case !interleaved:
+			arranged = interleave(arranged, byNetwork[n], byNetwork[otherIPNetwork(n)])
+			interleaved = true
 		}
 	}
-	if list = append(list, doubtful...); len(list) > 0 {
-		return list
-	}
-	all := slices.Clone(s.list)
-	slices.SortStableFunc(all, func(a, b *state) int { return int(a.until - b.until) })
-	for _, st := range all {
-		list = append(list, st.Addr)
-	}
-	return list
+	s.states = arranged
 }
 
-// Failed says that a dial over an address failed, or that a connection over it was of no use. It counts for
-// nothing until a trial comes up, which is held off for longer with each failure.
-func (s *AddressSet) Failed(now time.Duration, a Addr) {
-	st := s.find(a)
-	if st == nil || st.down && !st.trying && now < st.until {
-		return // one failure, however many dials and connections it ended
-	}
-	if !st.down && now-st.well > forgetAfter {
-		st.failures = 0
+func otherIPNetwork(n Network) Network {
+	if n == TCP4 {
+		return TCP6
 	}
-	st.failures++
-	wait := firstBackoff << min(st.failures-1, 10)
-	wait = min(wait, mostBackoff)
-	st.down, st.trying, st.suspect = true, false, 0
-	st.until = now + wait*3/4 + time.Duration(s.draw(st)%uint64(wait/2))
+	return TCP4
 }
 
-// draw spreads back-offs: a number that follows from the seed, the address and its failures.
-func (s *AddressSet) draw(st *state) uint64 {
-	x := s.seed ^ uint64(st.failures)*0x9e3779b97f4a7c15
-	for _, c := range []byte(st.Addr.Addr) {
-		x = (x ^ uint64(c)) * 0x100000001b3
+// interleave appends the elements of two lists in turn, the first of a before the first of b.
+func interleave(out, a, b []*addressState) []*addressState {
+	for i := range max(len(a), len(b)) {
+		if i < len(a) {
+			out = append(out, a[i])
+		}
+		if i < len(b) {
+			out = append(out, b[i])
+		}
 	}
-	x ^= x >> 31
-	x *= 0xbf58476d1ce4e5b9
-	return x ^ x>>29
+	return out
 }
 
-// Succeeded says that a connection over an address came up.
-func (s *AddressSet) Succeeded(now time.Duration, a Addr) {
-	if st := s.find(a); st != nil && st.down {
-		st.down, st.trying, st.well = false, false, now
+func find(states []*addressState, addr Addr) *addressState {
+	for _, state := range states {
+		if state.Addr == addr {
+			return state
+		}
 	}
+	return nil
 }
 
-// Suspect says that a connection over an address owes answers and is silent, and Heard that a whole answer came
-// over it.
-func (s *AddressSet) Suspect(now time.Duration, a Addr) {
-	if st := s.find(a); st != nil && st.suspect == 0 {
-		st.suspect = now
-	}
-}
+func (s *AddressSet) find(addr Addr) *addressState { return find(s.states, addr) }
 
-// Responded ends a suspicion.
-func (s *AddressSet) Responded(a Addr) {
-	if st := s.find(a); st != nil {
-		st.suspect = 0
-	}
-}
+// Has reports whether an address is in the set.
+func (s *AddressSet) Has(addr Addr) bool { return s.find(addr) != nil }
 
-// NextRecoveryDial returns an address that is down and may be tried by a connection that carries nothing. Its end is told by
-// Up or Failed. A single address has no trials: its calls are.
-func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
-	if len(s.list) > 1 {
-		for _, st := range s.list {
-			if st.down && !st.trying && now >= st.until {
-				st.trying = true
-				return st.Addr, true
-			}
+// Len is how many addresses there are.
+func (s *AddressSet) Len() int { return len(s.states) }
+
+// Candidates are the addresses over which a connection for requests may be tried, the first one first. Unavailable ones
+// are left out; where all are, nothing is lost by trying, the one whose backoff ends first at the front. Addresses over
+// which a connection is silent come after the others.
+func (s *AddressSet) Candidates() (candidates []Addr) {
+	var suspects []Addr
+	for _, state := range s.states {
+		switch {
+		case state.unavailable:
+		case state.suspectSince > 0:
+			suspects = append(suspects, state.Addr)
+		default:
+			candidates = append(candidates, state.Addr)
 		}
 	}
-	return Addr{}, false
-}
-
-// RecoveryInconclusive says that a trial ended without telling of its address: there was no descriptor for it, say.
-func (s *AddressSet) RecoveryInconclusive(now time.Duration, a Addr) {
-	if st := s.find(a); st != nil && st.trying {
-		st.trying, st.until = false, now+firstBackoff
+	candidates = append(candidates, suspects...)
+	if len(candidates) > 0 {
+		return candidates
 	}
+	byRetry := slices.Clone(s.states)
+	slices.SortStableFunc(byRetry, func(a, b *addressState) int { return int(a.retryAt - b.retryAt) })
+	for _, state := range byRetry {
+		candidates = append(candidates, state.Addr)
+	}
+	return candidates
 }
 
-// HasBetter tells whether calls should go back from an address to a better one, which has been well for long enough
-// that a flapping one does not draw them to and fro.
+// HasBetter reports whether requests should go back from an address to a better one, which has been available for long
+// enough that a flapping one does not draw them to and fro. An address that is no longer listed is worse than any.
 func (s *AddressSet) HasBetter(now time.Duration, than Addr) bool {
-	for _, st := range s.list {
-		if st.Addr == than {
+	for _, state := range s.states {
+		if state.Addr == than {
 			return false
 		}
-		if !st.down && st.suspect == 0 && now-st.well >= steadyFor {
+		if state.stable(now) {
 			return true
 		}
 	}
-	return true // it is no longer listed
+	return true
 }
 
-// String words the set with what is known of each address.
+// Unavailable is how many addresses count as failed.
+func (s *AddressSet) Unavailable() (count int) {
+	for _, state := range s.states {
+		if state.unavailable {
+			count++
+		}
+	}
+	return count
+}
+
+// String describes the addresses with what is known of each.
 func (s *AddressSet) String() string {
 	var parts []string
-	for _, st := range s.list {
-		part := st.Addr.String()
-		if st.down {
-			part += fmt.Sprintf(" down until %v after %d", st.until, st.failures)
+	for _, state := range s.states {
+		part := state.Addr.String()
+		if state.unavailable {
+			part += fmt.Sprintf(" unavailable until %v after %d failures", state.retryAt, state.failures)
 		}
-		if st.trying {
-			part += " on trial"
+		if state.recovering {
+			part += ", recovery dial in progress"
 		}
-		if st.suspect > 0 {
-			part += fmt.Sprintf(" silent since %v", st.suspect)
+		if state.suspectSince > 0 {
+			part += fmt.Sprintf(", silent since %v", state.suspectSince)
 		}
-		parts = append(parts, fmt.Sprintf("%s, well since %v", part, st.well))
+		parts = append(parts, fmt.Sprintf("%s, available since %v", part, state.availableSince))
 	}
 	return strings.Join(parts, "; ")
 }
-
-// Unavailable is how many addresses count as failed.
-func (s *AddressSet) Unavailable() (n int) {
-	for _, st := range s.list {
-		if st.down {
-			n++
-		}
-	}
-	return n
-}
--- /dev/null
+++ b/internal/endpoint/set_test.go
@@ -0,0 +1,90 @@
+package endpoint
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestOrder(t *testing.T) {
+	for _, c := range []struct {
+		prefer []Network
+		want   []Addr
+	}{
+		{nil, []Addr{unixSocket, ipv6, ipv4, otherIPv6, otherIPv4}},
+		{[]Network{TCP4}, []Addr{ipv4, ipv6, otherIPv4, otherIPv6, unixSocket}},
+		{[]Network{TCP6, TCP4, Unix}, []Addr{ipv6, ipv4, otherIPv6, otherIPv4, unixSocket}},
+		{[]Network{TCP4, Unix, TCP4}, []Addr{ipv4, ipv6, otherIPv4, otherIPv6, unixSocket}},
+	} {
+		s := NewAddressSet(1, c.prefer...)
+		s.Update(0, []Addr{ipv4, otherIPv4, ipv6, otherIPv6, unixSocket, ipv4})
+		if got := s.Candidates(); !slices.Equal(got, c.want) {
+			t.Errorf("%v: %v, want %v", c.prefer, got, c.want)
+		}
+	}
+	s := NewAddressSet(1)
+	var many []Addr
+	for i := range 20 {
+		many = append(many, Addr{TCP4, fmt.Sprintf("127.0.0.%d:80", i+1)})
+	}
+	if s.Update(0, many); s.Len() != MaxAddresses {
+		t.Errorf("%d addresses of one worker, at most %d", s.Len(), MaxAddresses)
+	}
+}
+
+// Calls go back to a better address once it has been well for a time, so that a flapping one draws none; a silent
+// one is tried last and is no better.
+func TestGoingBack(t *testing.T) {
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{unixSocket, ipv4})
+	if s.HasBetter(time.Hour, unixSocket) || !s.HasBetter(time.Hour, ipv4) {
+		t.Error("the better address is not the first one")
+	}
+	now := time.Hour
+	for range 200 { // fails every 100 ms
+		now += 100 * ms
+		s.Failed(now, unixSocket)
+		if a, ok := s.NextRecoveryDial(now + 50*ms); ok {
+			s.Succeeded(now+50*ms, a)
+		}
+		if s.HasBetter(now+60*ms, ipv4) {
+			t.Fatal("calls go back to a flapping address")
+		}
+	}
+	if s.find(unixSocket).failures < 4 {
+		t.Errorf("%d failures counted over 20 s of flapping", s.find(unixSocket).failures)
+	}
+	s.Succeeded(now, unixSocket)
+	if s.HasBetter(now+4*time.Second, ipv4) || !s.HasBetter(now+6*time.Second, ipv4) {
+		t.Error("calls don't go back after 5 s of being well")
+	}
+	s.Suspect(now+6*time.Second, unixSocket)
+	if s.HasBetter(now+7*time.Second, ipv4) || s.Candidates()[0] != ipv4 {
+		t.Error("a silent address comes first")
+	}
+	if s.Responded(unixSocket); s.Candidates()[0] != unixSocket {
+		t.Error("an address that was heard again is still suspected")
+	}
+	s.Update(now, []Addr{unixSocket})
+	if !s.HasBetter(now+time.Minute, ipv4) {
+		t.Error("connections to an address that is no longer listed stay")
+	}
+}
+
+// What is known of an address stays with it over a new list, and goes with it: one that comes back, or comes to
+// another worker, inherits nothing.
+func TestStateGoesWithTheAddress(t *testing.T) {
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{unixSocket, ipv4})
+	s.Failed(0, unixSocket)
+	s.Update(0, []Addr{ipv4, unixSocket, ipv6})
+	if s.Unavailable() != 1 {
+		t.Error("a failure is forgotten over a new list")
+	}
+	s.Update(0, []Addr{ipv4})
+	s.Update(0, []Addr{ipv4, unixSocket})
+	if s.Unavailable() != 0 {
+		t.Error("an address that comes anew inherits a failure")
+	}
+}
--- /dev/null
+++ b/internal/endpoint/state_test.go
@@ -0,0 +1,80 @@
+package endpoint
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// A failed address takes no calls until a recovery dial has come up; all others come first, and where all have failed nothing
+// is lost by trying.
+func TestFailedAddressCountsAgainAfterATrial(t *testing.T) {
+	s := NewAddressSet(1)
+	s.Update(0, []Addr{unixSocket, ipv4})
+	s.Failed(0, unixSocket)
+	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
+		t.Fatalf("candidates %v", got)
+	}
+	if a, ok := s.NextRecoveryDial(100 * ms); ok {
+		t.Fatalf("a recovery dial of %v at once", a)
+	}
+	if a, ok := s.NextRecoveryDial(700 * ms); !ok || a != unixSocket {
+		t.Fatalf("no recovery dial: %v", a)
+	}
+	if _, ok := s.NextRecoveryDial(700 * ms); ok {
+		t.Fatal("two recovery dials of one address at once")
+	}
+	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
+		t.Fatalf("candidates %v under a recovery dial", got)
+	}
+	s.Succeeded(720*ms, unixSocket)
+	if got := s.Candidates(); !slices.Equal(got, []Addr{unixSocket, ipv4}) || s.Unavailable() != 0 {
+		t.Fatalf("candidates %v after a recovery dial", got)
+	}
+	s.Failed(time.Second, ipv4)
+	s.Failed(2*time.Second, unixSocket)
+	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4, unixSocket}) {
+		t.Errorf("all are down: %v, want the one whose back-off ends first", got)
+	}
+	one := NewAddressSet(1)
+	one.Update(0, []Addr{ipv4})
+	one.Failed(0, ipv4)
+	if _, ok := one.NextRecoveryDial(time.Hour); ok || len(one.Candidates()) != 1 {
+		t.Error("a single address is tried by calls")
+	}
+}
+
+// Back-off doubles with each failure up to its most, spread by a quarter either way, and forgets after a time of
+// being well. Many connections that end together are one failure.
+func TestBackoff(t *testing.T) {
+	s := NewAddressSet(7)
+	s.Update(0, []Addr{unixSocket, ipv4})
+	now, spread := time.Duration(0), map[time.Duration]bool{}
+	for i := range 9 {
+		for range 5 {
+			s.Failed(now, unixSocket)
+		}
+		wait := min(firstBackoff<<i, maxBackoff)
+		if _, ok := s.NextRecoveryDial(now + wait*3/4 - ms); ok {
+			t.Fatalf("failure %d: a recovery dial too soon", i+1)
+		}
+		if _, ok := s.NextRecoveryDial(now + wait*5/4 + ms); !ok {
+			t.Fatalf("failure %d: no recovery dial after %v", i+1, wait*5/4)
+		}
+		spread[s.find(unixSocket).retryAt-now-wait] = true
+		now += wait * 5 / 4
+		s.Succeeded(now, unixSocket)
+	}
+	if len(spread) < 6 {
+		t.Errorf("%d different spreads of 9", len(spread))
+	}
+	now += failureMemory + time.Second
+	s.Failed(now, unixSocket)
+	if _, ok := s.NextRecoveryDial(now + time.Second); !ok {
+		t.Error("failures are not forgotten")
+	}
+	s.RecoveryInconclusive(now+time.Second, unixSocket)
+	if _, ok := s.NextRecoveryDial(now + time.Second + firstBackoff); !ok {
+		t.Error("a recovery dial that told nothing is not made again")
+	}
+}
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -97,7 +97,7 @@
 	if !eventloop.IsDescriptorExhausted(err) {
 		c.worker.addresses.Failed(p.now, d.addr)
 	}
-	if c.race.Ended() {
+	if c.race.DialFailed() {
 		c.terminate(policy.Unreachable)
 		return
 	}
@@ -107,7 +107,7 @@
 // dialSucceeded makes the first dial that comes up the connection, and closes any other.
 func (c *conn) dialSucceeded(d *dial) {
 	c.worker.addresses.Succeeded(c.pool.now, d.addr)
-	if !c.race.Won() {
+	if !c.race.DialSucceeded() {
 		d.transport.Close()
 		return
 	}
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -401,7 +401,7 @@
 		}
 		fmt.Fprintf(&b, "{%v", p.addresses)
 		for _, c := range p.connections {
-			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.race.Out(), c.pingedAt)
+			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.race.InProgress(), c.pingedAt)
 			for _, k := range c.queued {
 				fmt.Fprintf(&b, " q%s", k.id)
 			}
@@ -446,7 +446,7 @@
 	{"a trial's connection stays", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
 	{"a call that was given up is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
 	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
-	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
+	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
 }
 
 // Guards the check itself: each planted fault is found.
