--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -445,13 +445,8 @@
 	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.finish()\n\t\td.transport.Close()", "\t\td.finish()"},
 	{"a trial's connection stays", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
 	{"a call that was given up is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
-<<<<<<< HEAD
 	{"the module repeats what must not be", "policy/retries.go", "return withinLimit && (c.Idempotency == Idempotent ||", "return withinLimit && (c.Idempotency != IdempotentWithKey ||"},
-	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.out == 0 && len(r.left) == 0", "return false"},
-=======
-	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
 	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
->>>>>>> 25970d1697dff2e508a9ff11accec379ee3d4e78
 }
 
 // Guards the check itself: each planted fault is found.
