--- a/internal/server/gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -8,17 +8,17 @@
 	"crankhold/internal/fake"
 )
 
-// Guards a client that goes, by closing or by an interrupt, while its call waits behind a dial that hangs: when the dial
-// comes up its call is not sent, also where the settings don't let the module call anything off. The call of a client
-// that stays, taken after it, is. Each step waits for an answer that can only come after the step before.
-func TestAClientThatWentIsNotSentWhenTheDialComesUp(t *testing.T) {
+// A request whose client has closed its connection or interrupted it while it waited for a dial is not sent once the dial
+// completes, even where the settings don't allow cancellation. The later request of another client is. Each step waits for a
+// response that can only come after the step before.
+func TestRequestOfAGoneClientIsNotSentAfterTheDial(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		cancel bool
 		goes   func(k *fake.Client)
 	}{
-		{"closes", true, (*fake.Client).Close}, {"closes, nothing may be called off", false, (*fake.Client).Close},
-		{"interrupts, nothing may be called off", false, func(k *fake.Client) { k.Interrupt(1) }},
+		{"closes", true, (*fake.Client).Close}, {"closes, cancellation not allowed", false, (*fake.Client).Close},
+		{"interrupts, cancellation not allowed", false, func(k *fake.Client) { k.Interrupt(1) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var mu sync.Mutex
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			server := startServer(t, document, Options{})
-			check := func(k *fake.Client) { // answered at the end of a turn, after all that came before it
+			check := func(k *fake.Client) { // answered at the end of a turn, after everything that came before it
 				t.Helper()
 				if _, err := k.Check(); err != nil {
 					t.Fatal(err)
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			if a := <-answer; a.Verdict != "served" {
-				t.Errorf("the call of the client that stayed: %+v", a)
+				t.Errorf("the request of the client that stayed: %+v", a)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -1,14 +1,19 @@
 package server
 
 import (
+	"bytes"
+	"log/slog"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/google/go-cmp/cmp"
+
 	"crankhold/internal/config"
 	"crankhold/internal/discovery"
 	"crankhold/internal/endpoint"
 	"crankhold/internal/eventloop"
+	"crankhold/internal/logging"
 	"crankhold/internal/route"
 	"crankhold/internal/router"
 	"crankhold/internal/testutil"
@@ -84,7 +89,7 @@
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
 	m.handlers[0].DialCompleted(nil)
 	if got := m.send(one, 3); got != "" || m.transports[0].Wrote.Len() > 0 {
-		t.Errorf("a drain told under one name: dialled %q, wrote %q", got, m.transports[0].Wrote.String())
+		t.Errorf("a drain of one entry: dialled %q, wrote %q", got, m.transports[0].Wrote.String())
 	}
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
 	if got := m.send(one, 4); got != "" {
@@ -132,10 +137,10 @@
 	m.core.SetRoutes(table)
 	m.publish()
 	if got := m.send(workerID("s-1"), 0); got != "unix /run/w.sock" {
-		t.Errorf("a socket of the file's: dialled %q", got)
+		t.Errorf("a socket of the routes file: dialled %q", got)
 	}
 	if got := m.send(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
-		t.Errorf("aliases by the file: dialled %q", got)
+		t.Errorf("aliases of the routes file: dialled %q", got)
 	}
 	if !table.Pools()[0].Contains(workerID("s-2+s-3")) || table.Pools()[0].Contains(workerID("s-1")) {
 		t.Error("the pool does not pick the worker by its second name")
@@ -159,7 +164,7 @@
 	}
 	lists(nil, both)
 	if m.startTime(one) != 0 {
-		t.Error("an empty list made all workers cold")
+		t.Error("an empty list restarted all workers")
 	}
 	lists(alone, both)
 	if at := m.startTime(one); at != m.loop.Now() || m.startTime(two) != 0 {
@@ -171,6 +176,32 @@
 	}
 	one.Started = time.Now().Add(-time.Second).UnixMilli()
 	if at := m.startTime(one); at >= m.loop.Now() {
-		t.Errorf("a start that is told counts as %v", at)
+		t.Errorf("a reported start counts as %v", at)
+	}
+}
+
+// Each publication logs one line for each worker, with its state as a word.
+func TestWorkerUpdatesAreLogged(t *testing.T) {
+	var log bytes.Buffer
+	previous := slog.Default()
+	slog.SetDefault(logging.New(&log, slog.LevelInfo))
+	t.Cleanup(func() { slog.SetDefault(previous) })
+
+	m := newTestMembership(t)
+	second := listed(t, "s-2", policy.Draining, "127.0.0.1:2", "[::1]:2")
+	second.Weight, second.Started = 0.5, 1700000000123
+	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1"), second})
+
+	var lines []string
+	for line := range strings.Lines(log.String()) {
+		_, withoutTime, _ := strings.Cut(line, " ")
+		lines = append(lines, withoutTime)
+	}
+	want := []string{
+		"level=INFO event=worker_updated name=s-1 addrs=[127.0.0.1:1] state=ready weight=1 started=0\n",
+		"level=INFO event=worker_updated name=s-2 addrs=\"[127.0.0.1:2 [::1]:2]\" state=draining weight=0.5 started=1700000000123\n",
+	}
+	if diff := cmp.Diff(want, lines); diff != "" {
+		t.Errorf("log differs (-want +got):\n%s", diff)
 	}
 }
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -39,7 +39,7 @@
 	os.Exit(code)
 }
 
-// program is the router as a process.
+// program is the router in a process of its own.
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
@@ -49,14 +49,15 @@
 	ended  chan error
 }
 
-// startProgram starts the program on a configuration file; under says what comes before it on the command line.
-func startProgram(t *testing.T, config, listen string, under ...string) *program {
+// startProgram starts the program with a configuration file. Wrapper is a command that runs the program, such as a
+// shell that sets other limits.
+func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
 	t.Helper()
 	path, err := built()
 	if err != nil {
 		t.Fatal(err)
 	}
-	args := append(under, path)
+	args := append(wrapper, path)
 	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), listen: listen, ended: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	out, err := p.cmd.StderrPipe()
@@ -77,25 +78,26 @@
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		if t.Failed() {
-			t.Log(p.said())
+			t.Log(p.output())
 		}
 	})
 	return p
 }
 
-func (p *program) said() string {
+// output returns what the program has logged so far.
+func (p *program) output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// await waits until the log holds a text.
+// await waits until the log contains a text.
 func (p *program) await(text string) {
 	p.t.Helper()
-	p.until(func() bool { return strings.Contains(p.said(), text) }, text)
+	p.until(func() bool { return strings.Contains(p.output(), text) }, text)
 }
 
-// until waits until something holds, and fails the test where the program ends first or it takes half a minute.
+// until waits until a condition holds. It fails the test if the program ends first or half a minute passes.
 func (p *program) until(holds func() bool, what string) {
 	p.t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
@@ -122,14 +124,15 @@
 	return k
 }
 
-// end has the program stop and tells how it did.
+// end terminates the program and returns how it ended.
 func (p *program) end() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	return <-p.ended
 }
 
-// Guards a start against the signals that meet it: the program is held while it reads its configuration, from a pipe
-// that nobody has written to yet. A hang-up has it read the file once more and not die; SIGTERM has it end in order.
+// Signals that come while the program starts are handled: SIGHUP reads the configuration once more and does not end the program,
+// and SIGTERM shuts it down in order. The program is held while it reads its configuration, from a pipe that nobody has
+// written to yet.
 func TestSignalsWhileItStarts(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(s.String(), func(t *testing.T) {
@@ -175,14 +178,13 @@
 	}
 }
 
-// fewFiles starts a program with 80 descriptors, and with none of this process's beside the first three: nbio's have no
-// close-on-exec flag, and those of the routers that ran in this process stay open.
+// fewFiles is a shell script that runs a program with 80 descriptors and with none of this process's but the first three: nbio's
+// descriptors have no close-on-exec flag, and those of the servers that ran in this process stay open.
 const fewFiles = `for n in $(ls /proc/self/fd); do [ "$n" -le 2 ] || eval "exec $n>&-"; done; ulimit -n 80; exec "$0"`
 
-// Guards a router in the worst hour: no word of the directory, and clients that hold every descriptor that they can get.
-// It still dials its worker, takes over a directory's new address, follows its list and dials the worker in it; it
-// neither ends nor burns its processor.
-func TestIdleClientsWhileTheDirectoryIsDown(t *testing.T) {
+// While discovery is down and idle clients hold every descriptor that they can get, the router still dials its worker, switches
+// to a discovery server's new address, applies its list and dials the worker in it. It neither ends nor spins.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	site, listen, config := siteFor(t, 2, nil)
 	dead, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -193,7 +195,7 @@
 	moved := site.Directory.Addr()
 	config["names"], config["limits"] = silent, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
 	known := firstTopology(config)
-	known["members"] = known["members"].([]any)[:1] // of the second worker only the directory tells
+	known["members"] = known["members"].([]any)[:1] // the second worker is listed by discovery alone
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, config)
 	p := startProgram(t, path, listen, "bash", "-c", fewFiles)
@@ -213,7 +215,7 @@
 	}
 	crowd()
 	a, err := p.client().Do(callOf(1))
-	if err != nil { // it crossed a close that made room; clients send such a request again, once
+	if err != nil { // the server closed the connection to make room; clients retry such a request once
 		a, err = p.client().Do(callOf(1))
 	}
 	if err != nil || a.Verdict != "served" {
@@ -237,7 +239,7 @@
 		k.Close()
 	}
 	if served < 5 {
-		t.Errorf("the worker that the directory tells of served %d calls", served)
+		t.Errorf("the worker that discovery lists served %d calls", served)
 	}
 	if err := p.end(); err != nil {
 		t.Errorf("it ended with %v", err)
@@ -247,9 +249,8 @@
 	}
 }
 
-// Guards starts: a router whose list of the start is empty and whose directory is down takes calls all the same, and
-// says that it is ready.
-func TestReadyWithAnEmptyListAndNoDirectory(t *testing.T) {
+// A router whose configuration lists no worker and whose discovery server is down reports itself ready all the same.
+func TestReadyWithAnEmptyListAndNoDiscovery(t *testing.T) {
 	site, listen, config := siteFor(t, 1, nil)
 	site.Directory.Close()
 	known := firstTopology(config)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -13,8 +13,8 @@
 	"crankhold/policy"
 )
 
-// derwentModule is what the module is told of testdata/deployments/derwent.json, field by field.
-var derwentModule = policy.Config{
+// derwentPolicy is the policy configuration of testdata/deployments/derwent.json, field by field.
+var derwentPolicy = policy.Config{
 	Routers: 1,
 	Zone:    0,
 	Classes: []policy.Class{
@@ -53,7 +53,7 @@
 	WorkerMemoryMB:           7904,
 }
 
-// derwentNetwork is what the sockets are told of the same file, under the settings' own keys.
+// derwentNetwork is the part of the same file that configures connections, under the settings' own keys.
 const derwentNetwork = `{"failureDomains":["collins-st"],"kinds":["big-box","small-box"],` +
 	`"classes":[{"name":"quote"},{"name":"extend"},{"name":"charge"}],` +
 	`"accounts":[{"name":"hobart-city"},{"name":"launceston"},{"name":"devonport"}],` +
@@ -65,8 +65,8 @@
 	"specifics": {"ifCold": "miss"}, "classes": [{"semantics": "safe", "group": "zone", "streamed": true, "aimStretch": 1.5},
 	{"semantics": "unsafe", "group": "cell"}, {"semantics": "keyed"}]}`
 
-// flagModule is what the module is told of flagSettings.
-var flagModule = policy.Config{
+// flagPolicy is the policy configuration of flagSettings.
+var flagPolicy = policy.Config{
 	Zone:               2,
 	WeightByWork:       true,
 	EndpointsByPolling: true,
@@ -81,8 +81,7 @@
 	},
 }
 
-// The settings are an interface: every key has to reach the field that it reached before, whatever the fields are
-// called.
+// The settings are an interface of the platform: every key has to reach the same field, whatever the fields are called.
 func TestEverySettingReachesItsField(t *testing.T) {
 	derwent, err := json.Marshal(deployments[1].settings(t))
 	if err != nil {
@@ -91,7 +90,7 @@
 	for _, c := range []struct {
 		name, settings string
 		want           policy.Config
-	}{{"derwent", string(derwent), derwentModule}, {"flags", flagSettings, flagModule}} {
+	}{{"derwent", string(derwent), derwentPolicy}, {"flags", flagSettings, flagPolicy}} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := simulator.ParseSettings([]byte(c.settings))
 			if err != nil {
@@ -115,10 +114,10 @@
 	}
 }
 
-// A field that neither table sets would go unchecked: a setting that is read into it could be lost unseen.
+// A field that neither table sets would not be checked: the setting that it is read from could be lost unnoticed.
 func TestTheTablesOfSettingsLeaveNoFieldOut(t *testing.T) {
-	checkFields(t, reflect.ValueOf(derwentModule), reflect.ValueOf(flagModule))
-	for _, class := range [][2]policy.Class{{derwentModule.Classes[1], flagModule.Classes[0]}} {
+	checkFields(t, reflect.ValueOf(derwentPolicy), reflect.ValueOf(flagPolicy))
+	for _, class := range [][2]policy.Class{{derwentPolicy.Classes[1], flagPolicy.Classes[0]}} {
 		checkFields(t, reflect.ValueOf(class[0]), reflect.ValueOf(class[1]))
 	}
 }
