--- a/internal/webhook/config.go
+++ b/internal/webhook/config.go
@@ -148,13 +148,20 @@
 	case len(c.Keys) == 0:
 		return newProblem("receiver.keys", "receiver.keys is empty")
 	case c.Tolerance < minTolerance || c.DedupeFor < minDedupeTolerances*c.Tolerance:
-		return newProblem("receiver.tolerance", "receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
-	case c.Ledger.Path != "" && (c.Ledger.Retention < minRetentionTolerances*c.Tolerance || c.Ledger.MaxBytes < minLedgerBytes):
-		return newProblem("receiver.ledger", "receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
+		return newProblem("receiver.tolerance",
+			"receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
+	case c.Ledger.Path != "" && !c.Ledger.isInRange(c.Tolerance):
+		return newProblem("receiver.ledger",
+			"receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
 	}
 	return nil
 }
 
+// isInRange reports whether the ledger is large enough, and reaches further back than deliveries may be delayed.
+func (c *LedgerConfig) isInRange(tolerance time.Duration) bool {
+	return c.Retention >= minRetentionTolerances*tolerance && c.MaxBytes >= minLedgerBytes
+}
+
 func (c *SenderConfig) check() *settingProblem {
 	target, err := url.Parse(c.URL)
 	switch {
@@ -164,8 +171,15 @@
 		return newProblem("sender.url", "sender.url must be http://HOST/PATH; TLS is a local proxy's work")
 	case c.Key == "":
 		return newProblem("sender.key", "sender.key is missing")
-	case c.Queue < 1 || c.Queue > maxNoticeQueue || c.Attempts < 1 || c.Attempts > maxNoticeAttempts || c.Backoff <= 0 || c.Timeout <= 0:
+	case !c.isInRange():
 		return newProblem("sender", "sender: queue, attempts, backoff or timeout is out of range")
 	}
 	return nil
 }
+
+// isInRange reports whether the numbers of the sender can be used.
+func (c *SenderConfig) isInRange() bool {
+	return c.Queue >= 1 && c.Queue <= maxNoticeQueue &&
+		c.Attempts >= 1 && c.Attempts <= maxNoticeAttempts &&
+		c.Backoff > 0 && c.Timeout > 0
+}
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -125,7 +125,7 @@
 		if err := os.WriteFile(path, []byte(test.content), ledgerFileMode); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+		_, _, err := openLedger(testLedger(path), wallAtNoon)
 		var damaged *LedgerError
 		if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 2 || err.Error() != test.message {
 			t.Errorf("%v, want %s", err, test.message)
@@ -134,12 +134,12 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	open, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+	open, _, err := openLedger(testLedger(path), wallAtNoon)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer open.close()
-	_, _, err = openLedger(path, 1<<20, time.Hour, wallAtNoon)
+	_, _, err = openLedger(testLedger(path), wallAtNoon)
 	var inUse *LedgerInUseError
 	if want := "ledger " + path + " is in use: resource temporarily unavailable"; !errors.As(err, &inUse) || inUse.Path != path || err.Error() != want {
 		t.Errorf("a ledger in use: %v, want %s", err, want)
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -46,11 +46,18 @@
 	return config
 }
 
+// testLedger returns the configuration of a ledger of 1 MiB that retains orders for an hour.
+func testLedger(path string) LedgerConfig {
+	return LedgerConfig{Path: path, MaxBytes: 1 << 20, Retention: time.Hour}
+}
+
 // newReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
 func newReceiver(t rapid.TB, core Core, ledger string) (*Receiver, chan func()) {
 	t.Helper()
 	posts := make(chan func(), 100)
-	receiver, err := NewReceiver(testConfig(ledger), core, classes, 16<<20, func() time.Duration { return time.Hour }, wallAtNoon, func(f func()) { posts <- f })
+	clock := func() time.Duration { return time.Hour }
+	post := func(f func()) { posts <- f }
+	receiver, err := NewReceiver(testConfig(ledger), core, classes, 16<<20, clock, wallAtNoon, post)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -39,16 +39,16 @@
 	done  func(error)
 }
 
-// openLedger locks the ledger at path, recovers its entries and compacts it.
-func openLedger(path string, maxBytes int64, retention time.Duration, wallClock func() time.Time) (*ledger, []ledgerEntry, error) {
-	lock, err := lockLedger(path)
+// openLedger locks the ledger, recovers its entries and compacts it.
+func openLedger(config LedgerConfig, wallClock func() time.Time) (*ledger, []ledgerEntry, error) {
+	lock, err := lockLedger(config.Path)
 	if err != nil {
 		return nil, nil, err
 	}
 	l := &ledger{
-		path:      path,
-		maxBytes:  maxBytes,
-		retention: retention,
+		path:      config.Path,
+		maxBytes:  config.MaxBytes,
+		retention: config.Retention,
 		wallClock: wallClock,
 		lock:      lock,
 		jobs:      make(chan appendJob, ledgerQueueLength),
--- a/internal/webhook/ledger_test.go
+++ b/internal/webhook/ledger_test.go
@@ -26,7 +26,7 @@
 		run++
 		path := filepath.Join(dir, strconv.Itoa(run))
 		open := func() (*ledger, map[string]ledgerEntry) {
-			l, entries, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+			l, entries, err := openLedger(testLedger(path), wallAtNoon)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -58,7 +58,7 @@
 			"crash": func(t *rapid.T) {
 				torn := encodeEntry(ledgerEntry{ID: "torn", EventTime: noon, State: stateBegun})
 				l.file.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
-				if _, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon); err == nil {
+				if _, _, err := openLedger(testLedger(path), wallAtNoon); err == nil {
 					t.Fatal("a ledger in use was opened again")
 				}
 				l.close()
@@ -109,7 +109,7 @@
 	if err := os.WriteFile(path, []byte("00000000 {}\n"), ledgerFileMode); err != nil {
 		t.Fatal(err)
 	}
-	_, _, err := openLedger(path, 1<<20, time.Hour, wallAtNoon)
+	_, _, err := openLedger(testLedger(path), wallAtNoon)
 	var damaged *LedgerError
 	if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 1 {
 		t.Errorf("a damaged ledger was opened, or its error does not name the line: %v", err)
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -79,8 +79,7 @@
 
 // openLedger opens the ledger and recovers the outcomes that it holds.
 func (r *Receiver) openLedger() error {
-	config := r.config.Receiver.Ledger
-	ledger, entries, err := openLedger(config.Path, config.MaxBytes, config.Retention, r.wallClock)
+	ledger, entries, err := openLedger(r.config.Receiver.Ledger, r.wallClock)
 	if err != nil {
 		return err
 	}
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -62,10 +62,21 @@
 // startTestServer starts a server. Notices go to the given address; none are sent where it is empty.
 func startTestServer(t *testing.T, ledger, notices string, runs map[string]int) *testServer {
 	t.Helper()
-	decisions, err := policy.New(policy.Config{Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, OverQuotaWeight: 1,
-		KeepAlive: 10 * time.Second, RetryAfterSupported: true, MaxRetryAfter: time.Second, Classes: []policy.Class{
+	decisions, err := policy.New(policy.Config{
+		Routers:              1,
+		Tick:                 4 * time.Millisecond,
+		MaxAttempts:          3,
+		CancelSupported:      true,
+		HealthCheckSupported: true,
+		OverQuotaWeight:      1,
+		KeepAlive:            10 * time.Second,
+		RetryAfterSupported:  true,
+		MaxRetryAfter:        time.Second,
+		Classes: []policy.Class{
 			{LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3},
-			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5}}}, 1)
+			{LatencyObjective: 1200 * time.Millisecond, Deadline: 3 * time.Second, Idempotency: policy.NotIdempotent, PriorityWeight: 5},
+		},
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
