--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -46,21 +46,21 @@
 	return bytes.Replace(request, []byte(old), []byte(new), 1)
 }
 
-// describeCall formats what the router is handed. Workers are sent most of it.
-func describeCall(r router.Request) string {
+// describeRequest formats what the router is handed. Workers are sent most of it.
+func describeRequest(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
 		r.Class, r.ID, r.FunctionKey, uint64(r.Function), r.Tenant, r.IdempotencyKey,
 		r.ClientReference, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
 }
 
-// exchange is what a client sends on one connection, and what becomes of the calls in it.
+// exchange is what a client sends on one connection, and what becomes of the requests in it.
 type exchange struct {
-	name     string
-	sent     [][]byte          // each part is sent when the one before has been handled
-	answers  []router.Response // to the calls that reach the router, in turn
-	noLedger bool
-	prepare  func(*Receiver)
+	name      string
+	sent      [][]byte          // each part is sent when the one before has been handled
+	responses []router.Response // to the requests that reach the router, in turn
+	noLedger  bool
+	prepare   func(*Receiver)
 }
 
 // play returns a transcript of the exchange.
@@ -71,35 +71,35 @@
 	if x.noLedger {
 		ledgerPath = ""
 	}
-	calls := &fakeCore{}
-	receiver, posts := newReceiver(t, calls, ledgerPath)
+	core := &fakeCore{}
+	receiver, posts := newReceiver(t, core, ledgerPath)
 	defer receiver.Close()
 	if x.prepare != nil {
 		x.prepare(receiver)
 	}
-	line := &testutil.Transport{}
-	client := receiver.serve(line, goldenClient)
+	transport := &testutil.Transport{}
+	client := receiver.serve(transport, goldenClient)
 	transcript := ""
 	answered := 0
 	for _, part := range x.sent {
 		transcript += golden.Quote("request", part)
 		client.Data(bytes.Clone(part))
 		for client.Busy() {
-			if len(calls.accepted) == answered { // the ledger has to confirm the order first
+			if len(core.accepted) == answered { // the ledger has to confirm the order first
 				(<-posts)()
 				continue
 			}
-			transcript += describeCall(calls.accepted[answered])
-			calls.accepted[answered].Asker.Respond(x.answers[answered])
+			transcript += describeRequest(core.accepted[answered])
+			core.accepted[answered].Asker.Respond(x.responses[answered])
 			answered++
 		}
-		transcript += golden.Quote("response", line.Wrote.Bytes())
-		line.Wrote.Reset()
+		transcript += golden.Quote("response", transport.Wrote.Bytes())
+		transport.Wrote.Reset()
 	}
-	if answered != len(x.answers) {
-		t.Errorf("%d calls reached the router, want %d", answered, len(x.answers))
+	if answered != len(x.responses) {
+		t.Errorf("%d requests reached the router, want %d", answered, len(x.responses))
 	}
-	return transcript + fmt.Sprintf("connection closed: %v\n", line.HasClosed)
+	return transcript + fmt.Sprintf("connection closed: %v\n", transport.HasClosed)
 }
 
 // fullPayload sets every field that a delivery may have.
@@ -117,22 +117,22 @@
 	head = append(bytes.Clone(head), "\r\n\r\n"...)
 	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
 	one := func(b []byte) [][]byte { return [][]byte{b} }
-	answer := func(a router.Response) []router.Response { return []router.Response{a} }
+	respond := func(a router.Response) []router.Response { return []router.Response{a} }
 	return []exchange{
-		{name: "200-served", sent: one(good), answers: answer(served)},
-		{name: "200-empty-body", sent: one(good), answers: answer(router.Response{Status: router.Served})},
-		{name: "200-order", sent: one(deliver("repair-order")), answers: answer(served)},
-		{name: "200-keyed-order-with-all-fields", sent: one(signed(fullPayload)), answers: answer(served)},
-		{name: "200-connection-close", sent: one(replaced(good, "Host:", "Connection: close\r\nHost:")), answers: answer(served)},
-		{name: "200-after-100-continue", sent: [][]byte{head, body}, answers: answer(served)},
-		{name: "200-replayed", sent: [][]byte{good, signedDelivery(activeSecret, "msg_1", noon.Add(time.Minute), call1)}, answers: answer(served)},
+		{name: "200-served", sent: one(good), responses: respond(served)},
+		{name: "200-empty-body", sent: one(good), responses: respond(router.Response{Status: router.Served})},
+		{name: "200-order", sent: one(deliver("repair-order")), responses: respond(served)},
+		{name: "200-keyed-order-with-all-fields", sent: one(signed(fullPayload)), responses: respond(served)},
+		{name: "200-connection-close", sent: one(replaced(good, "Host:", "Connection: close\r\nHost:")), responses: respond(served)},
+		{name: "200-after-100-continue", sent: [][]byte{head, body}, responses: respond(served)},
+		{name: "200-replayed", sent: [][]byte{good, signedDelivery(activeSecret, "msg_1", noon.Add(time.Minute), call1)}, responses: respond(served)},
 		{name: "200-pipelined", sent: one(append(bytes.Clone(good), signedDelivery(activeSecret, "msg_2", noon, call1)...)),
-			answers: []router.Response{served, served}},
+			responses: []router.Response{served, served}},
 
 		{name: "400-unknown-class", sent: one(deliver("lift"))},
 		{name: "400-no-json", sent: one(signed("{"))},
 		{name: "400-two-lengths", sent: one(replaced(good, "Content-Length", "Content-Length: 3\r\nContent-Length"))},
-		{name: "400-id-of-another-payload", sent: [][]byte{good, deliver("repair-order")}, answers: answer(served)},
+		{name: "400-id-of-another-payload", sent: [][]byte{good, deliver("repair-order")}, responses: respond(served)},
 		{name: "400-order-too-old", sent: one(signedDelivery(activeSecret, "msg_1", noon, callPayload("repair-order", "run 1", noon.Add(-72*time.Hour))))},
 
 		{name: "401-retired-key", sent: one(signedDelivery(retiredSecret, "msg_1", noon, call1))},
@@ -141,30 +141,30 @@
 
 		{name: "404-other-path", sent: one(replaced(good, "/hooks", "/hook"))},
 		{name: "405-other-method", sent: one(replaced(good, "POST", "PUT"))},
-		{name: "405-then-200", sent: [][]byte{replaced(good, "POST", "PUT"), good}, answers: answer(served)},
+		{name: "405-then-200", sent: [][]byte{replaced(good, "POST", "PUT"), good}, responses: respond(served)},
 		{name: "413-long-body", sent: one(replaced(good, "Content-Length: ", "Content-Length: 99"))},
 		{name: "431-many-headers", sent: one(replaced(good, "Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: "))},
 		{name: "431-long-head", sent: one(replaced(good, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHeadBytes/256)+"Host: "))},
 
-		{name: "502-failed", sent: one(good), answers: answer(router.Response{Status: router.Failed})},
+		{name: "502-failed", sent: one(good), responses: respond(router.Response{Status: router.Failed})},
 		{name: "502-refused-but-may-have-run", sent: one(deliver("repair-order")),
-			answers: answer(router.Response{Status: router.Rejected, MayHaveRun: true})},
+			responses: respond(router.Response{Status: router.Rejected, MayHaveRun: true})},
 
-		{name: "503-refused-without-advice", sent: one(good), answers: answer(router.Response{Status: router.Rejected})},
+		{name: "503-refused-without-advice", sent: one(good), responses: respond(router.Response{Status: router.Rejected})},
 		{name: "503-refused-with-advice", sent: one(good),
-			answers: answer(router.Response{Status: router.Rejected, RetryAfter: 2500 * time.Millisecond})},
+			responses: respond(router.Response{Status: router.Rejected, RetryAfter: 2500 * time.Millisecond})},
 		{name: "503-order-refused-then-served", sent: [][]byte{deliver("repair-order"), deliver("repair-order")},
-			answers: []router.Response{{Status: router.Rejected}, served}},
+			responses: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
 		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.maxBytes = 1 }},
 		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
 
-		{name: "504-overdue-before-it-ran", sent: one(good), answers: answer(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
-		{name: "504-overdue", sent: one(good), answers: answer(router.Response{Status: router.Failed, DeadlineExceeded: true})},
+		{name: "504-overdue-before-it-ran", sent: one(good), responses: respond(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
+		{name: "504-overdue", sent: one(good), responses: respond(router.Response{Status: router.Failed, DeadlineExceeded: true})},
 	}
 }
 
-// The bytes of each answer of the receiver are fixed, and those of the requests that bring it about.
+// The bytes of each response of the receiver are fixed, and those of the requests that bring it about.
 func TestGoldenReceiver(t *testing.T) {
 	for _, x := range exchanges() {
 		t.Run(x.name, func(t *testing.T) {
@@ -173,52 +173,52 @@
 	}
 }
 
-// noticeCase is a notice that is sent, and what its receiver answers to each try.
+// noticeCase is a notice that is sent, and the response to each attempt.
 type noticeCase struct {
 	name, url, outcome string
 	request            router.Request
-	replies            []string
+	responses          []string
 }
 
-// play returns a transcript of all tries.
+// play returns a transcript of all attempts.
 func (n noticeCase) play(t *testing.T) string {
 	t.Helper()
 	fixRandom(t)
-	cfg := testConfig("")
-	cfg.Sender.URL = n.url
-	cfg.Sender.Key = filepath.Join(t.TempDir(), "key")
-	if err := os.WriteFile(cfg.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)+"\n"), 0o600); err != nil {
+	config := testConfig("")
+	config.Sender.URL = n.url
+	config.Sender.Key = filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(config.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var line *testutil.Transport
+	var transport *testutil.Transport
 	var handler eventloop.DialHandler
 	transcript := ""
 	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
 	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
-		line, handler = &testutil.Transport{}, h
-		return line
+		transport, handler = &testutil.Transport{}, h
+		return transport
 	}
-	sender, err := NewSender(cfg, func() time.Time { return date }, dial)
+	sender, err := NewSender(config, func() time.Time { return date }, dial)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
 	sender.Notify(now, &n.request, n.outcome)
-	for _, reply := range n.replies {
+	for _, reply := range n.responses {
 		sender.Tick(now)
 		handler.DialCompleted(nil)
-		transcript += golden.Quote("request", line.Wrote.Bytes())
+		transcript += golden.Quote("request", transport.Wrote.Bytes())
 		transcript += golden.Quote("reply", []byte(reply))
 		handler.Data([]byte(reply))
-		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", line.HasClosed, sender.Pending())
+		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.HasClosed, sender.Pending())
 		now += maxBackoff
 		date = date.Add(90 * time.Second)
 	}
 	return transcript
 }
 
-// The bytes of each signed notice are fixed, and that a further try differs by its timestamp and signature alone.
+// The bytes of each signed notice are fixed, and that a retry differs by its timestamp and signature alone.
 func TestGoldenNotices(t *testing.T) {
 	const (
 		plainURL = "http://hooks.example.org/notices"
@@ -244,10 +244,10 @@
 	}
 }
 
-// ledgerOrder is an order that is delivered once for each of its answers, or once and never answered.
+// ledgerOrder is an order that is delivered once for each of its responses, or once and never responded to.
 type ledgerOrder struct {
 	id, class, timestamp string
-	answers              []router.Response
+	responses            []router.Response
 }
 
 // delivery returns the order's bytes, signed at a time.
@@ -269,7 +269,7 @@
 func ledgerOrders() []ledgerOrder {
 	const recent = "2026-12-01T10:00:00Z"
 	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
-	refused := router.Response{Status: router.Rejected}
+	rejected := router.Response{Status: router.Rejected}
 	return []ledgerOrder{
 		{"under-way", "repair-order", recent, nil},
 		{"served", "repair-order", recent, []router.Response{served}},
@@ -280,9 +280,9 @@
 		{"failed", "repair-order", recent, []router.Response{{Status: router.Failed}}},
 		{"failed-overdue", "repair-order", recent, []router.Response{{Status: router.Failed, DeadlineExceeded: true}}},
 		{"refused-may-have-run", "repair-order", recent, []router.Response{{Status: router.Rejected, MayHaveRun: true}}},
-		{"refused", "repair-order", recent, []router.Response{refused}},
+		{"refused", "repair-order", recent, []router.Response{rejected}},
 		{"refused-overdue", "repair-order", recent, []router.Response{{Status: router.Rejected, DeadlineExceeded: true}}},
-		{"refused-then-served", "repair-order", recent, []router.Response{refused, served}},
+		{"refused-then-served", "repair-order", recent, []router.Response{rejected, served}},
 		{"at-retention", "repair-order", "2026-11-28T12:00:00Z", []router.Response{served}},
 		{"expired", "repair-order", "2026-11-28T11:00:00Z", []router.Response{served}},
 		{"torn", "repair-order", recent, nil},
@@ -293,15 +293,15 @@
 func writeLedger(t *testing.T, path string) {
 	t.Helper()
 	written := noon.Add(-2 * time.Hour)
-	calls := &fakeCore{}
-	receiver, posts := newReceiver(t, calls, path)
+	core := &fakeCore{}
+	receiver, posts := newReceiver(t, core, path)
 	receiver.wallClock = func() time.Time { return written }
 	for _, o := range ledgerOrders() {
-		for round := range max(1, len(o.answers)) {
+		for round := range max(1, len(o.responses)) {
 			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
-			if len(o.answers) > 0 {
-				calls.accepted[len(calls.accepted)-1].Asker.Respond(o.answers[round])
+			if len(o.responses) > 0 {
+				core.accepted[len(core.accepted)-1].Asker.Respond(o.responses[round])
 			}
 		}
 	}
@@ -339,8 +339,8 @@
 	if err := os.WriteFile(path, readFile(t, ledgerFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	calls := &fakeCore{}
-	receiver, posts := newReceiver(t, calls, path)
+	core := &fakeCore{}
+	receiver, posts := newReceiver(t, core, path)
 	golden.Compare(t, compactFile, readFile(t, path))
 
 	orders := ledgerOrders()
@@ -349,18 +349,18 @@
 		ledgerOrder{"expired", "repair-order", "2026-12-01T12:00:00Z", nil}) // an id that was forgotten
 	transcript := ""
 	for _, o := range orders {
-		line := &testutil.Transport{}
-		before := len(calls.accepted)
-		client := receiver.serve(line, goldenClient)
+		transport := &testutil.Transport{}
+		before := len(core.accepted)
+		client := receiver.serve(transport, goldenClient)
 		transcript += golden.Quote("request", o.delivery(noon))
 		client.Data(o.delivery(noon))
 		if client.Busy() {
 			(<-posts)()
 		}
-		for _, r := range calls.accepted[before:] {
-			transcript += describeCall(r)
+		for _, r := range core.accepted[before:] {
+			transcript += describeRequest(r)
 		}
-		transcript += golden.Quote("response", line.Wrote.Bytes()) + "\n"
+		transcript += golden.Quote("response", transport.Wrote.Bytes()) + "\n"
 	}
 	if err := receiver.Close(); err != nil {
 		t.Fatal(err)
