--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -96,7 +96,8 @@
 	if !f.config.Classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
 		return request, fields.unusable(fieldIdempotencyKey)
 	}
-	if request.Tenant, ok = f.decodeTenant(fields); !ok {
+	request.Tenant, ok = f.decodeTenant(fields)
+	if !ok {
 		return request, fields.unusable(fieldTenant)
 	}
 	wait, ok := parseNumber(fields.text(fieldWait), router.MaxWaitMs)
--- a/internal/webhook/outcome.go
+++ b/internal/webhook/outcome.go
@@ -130,7 +130,8 @@
 
 // complete keeps the outcome, so that redeliveries get the same response.
 func (p *outcomeResponder) complete(response router.Response) {
-	status, body := completedStatus(response), []byte(nil)
+	status := completedStatus(response)
+	var body []byte
 	if status == statusOK {
 		body = response.Body
 	}
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -51,6 +51,10 @@
 // bodies. Clock is the event loop's, wallClock the system's; post runs a function on the event loop's goroutine.
 func NewReceiver(cfg *Config, core Core, classes []Class, maxOutcomeBytes int, clock func() time.Duration,
 	wallClock func() time.Time, post func(func())) (*Receiver, error) {
+	keys, err := readKeys(cfg.Receiver.Keys)
+	if err != nil {
+		return nil, err
+	}
 	r := &Receiver{
 		config:     cfg,
 		core:       core,
@@ -59,15 +63,12 @@
 		clock:      clock,
 		wallClock:  wallClock,
 		post:       post,
+		keys:       keys,
 		outcomes:   newOutcomeTable(maxOutcomeBytes),
 	}
 	for i, class := range classes {
 		r.classIndex[class.Name] = i
 	}
-	var err error
-	if r.keys, err = readKeys(cfg.Receiver.Keys); err != nil {
-		return nil, err
-	}
 	if cfg.Receiver.Ledger.Path == "" {
 		return r, nil
 	}
--- a/internal/webhook/signature.go
+++ b/internal/webhook/signature.go
@@ -57,12 +57,16 @@
 	if len(id) == 0 || len(id) > maxDeliveryID || bytes.IndexByte(id, '.') >= 0 {
 		return headers, false
 	}
-	headers.id = string(id)
-	headers.timestamp = string(timestamp)
-	if headers.sentAt, ok = parseUnixTime(headers.timestamp); !ok {
+	sentAt, ok := parseUnixTime(string(timestamp))
+	if !ok {
 		return headers, false
 	}
-	headers.signatures = bytes.Fields(signatures)
+	headers = signatureHeaders{
+		id:         string(id),
+		timestamp:  string(timestamp),
+		sentAt:     sentAt,
+		signatures: bytes.Fields(signatures),
+	}
 	return headers, len(headers.signatures) <= maxSignatures
 }
 
