--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -8,64 +8,87 @@
 	"crankhold/internal/route"
 )
 
-// routeKind sends the calls that it matches to a pool, under a policy.
-var routeKind = &kind{word: "route", label: true, settings: map[string]setting{
-	"front": {oneOf("thrift", "webhook"), true}, "class": {text, true}, "function": {function, true}, "tenant": {text, true},
-	"pool": {text, false}, "policy": {text, false}, "refuse": {oneOf("yes"), false},
-}, build: buildRoute, check: checkRoutes}
+// routeType sends the requests that it matches to a pool, under a policy.
+var routeType = &blockType{
+	keyword: routeKeyword,
+	named:   true,
+	settings: map[string]settingType{
+		"front":    listOf(readOneOf(route.Thrift.String(), route.Webhook.String())),
+		"class":    listOf(readText),
+		"function": listOf(readFunction),
+		"tenant":   listOf(readText),
+		"pool":     single(readText),
+		"policy":   single(readText),
+		"refuse":   single(readOneOf("yes")),
+	},
+	build: buildRoute,
+	check: checkRoutes,
+}
 
-// function takes 16 hex digits, or fewer and a star.
-func function(v syntax.Value) (value, string) {
-	s, wrong := text(v)
-	if wrong == "" {
-		if _, err := route.ParsePattern(s.text); err != nil {
-			wrong = err.Error()
-		}
+// readFunction reads 16 hex digits, or fewer and a star.
+func readFunction(raw syntax.Value) (value, error) {
+	v, err := readText(raw)
+	if err != nil {
+		return v, err
 	}
-	return s, wrong
+	_, err = route.ParsePattern(v.text)
+	return v, err
 }
 
 func buildRoute(c *checker, b *block) {
-	r := route.RouteSpec{Name: b.label, Classes: b.texts("class"), Tenants: b.texts("tenant"), Pool: b.one("pool").text,
-		Policy: b.one("policy").text, At: place(b.at)}
-	for _, f := range b.texts("front") {
-		r.Fronts = append(r.Fronts, map[string]route.Front{"thrift": route.Thrift, "webhook": route.Webhook}[f])
+	r := route.RouteSpec{
+		Name:    b.name,
+		Classes: b.texts("class"),
+		Tenants: b.texts("tenant"),
+		Pool:    b.value("pool").text,
+		Policy:  b.value("policy").text,
+		At:      fileLine(b.pos),
 	}
-	for _, f := range b.texts("function") {
-		p, _ := route.ParsePattern(f) // checked when it was read
-		r.Functions = append(r.Functions, p)
+	for _, front := range b.texts("front") {
+		r.Fronts = append(r.Fronts, frontNamed(front))
+	}
+	for _, function := range b.texts("function") {
+		pattern, _ := route.ParsePattern(function) // checked when it was read
+		r.Functions = append(r.Functions, pattern)
 	}
 	switch {
-	case b.has("refuse") && (b.has("pool") || b.has("policy")):
-		c.fault(b, b.one("refuse").at, "route %q refuses its calls: it takes no pool and no policy", r.Name)
-	case !b.given("refuse") && !b.given("pool"):
-		c.fault(b, b.at, "route %q needs a pool, or refuse = yes", r.Name)
+	case b.hasValue("refuse") && (b.hasValue("pool") || b.hasValue("policy")):
+		c.fault(b, b.value("refuse").pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
+	case !b.isPresent("refuse") && !b.isPresent("pool"):
+		c.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
 	}
 	if len(r.Tenants) > 0 && len(r.Fronts) > 0 && !slices.Contains(r.Fronts, route.Webhook) {
-		c.fault(b, b.one("tenant").at, "route %q can't be reached: only webhooks name a tenant", r.Name)
+		c.fault(b, b.value("tenant").pos, "route %q can't be reached: only webhooks name a tenant", r.Name)
 	}
-	c.res.Spec.Routes = append(c.res.Spec.Routes, r)
+	c.result.Spec.Routes = append(c.result.Spec.Routes, r)
+}
+
+// frontNamed returns the front of a name that readOneOf has checked.
+func frontNamed(name string) route.Front {
+	if name == route.Webhook.String() {
+		return route.Webhook
+	}
+	return route.Thrift
 }
 
 func checkRoutes(c *checker) {
-	var known []string
+	var classes []string
 	if c.platform != nil {
-		for _, k := range c.platform.Classes {
-			known = append(known, k.Name)
-		}
+		classes = c.platform.classNames()
 	} else {
-		known = slices.Sorted(maps.Keys(c.names["class"]))
+		classes = slices.Sorted(maps.Keys(c.blocks[classKeyword]))
 	}
-	for _, b := range c.names["route"] {
-		c.refer(b, "pool", "pool")
-		c.refer(b, "policy", "policy")
-		for _, v := range b.set["class"] {
-			if len(known) > 0 && c.whole && !slices.Contains(known, v.text) {
-				c.fault(b, v.at, "no class %q%s", v.text, suggest(v.text, known))
+	for _, b := range c.blocks[routeKeyword] {
+		c.resolveReference(b, "pool", poolKeyword)
+		c.resolveReference(b, "policy", policyKeyword)
+		for _, v := range b.values["class"] {
+			if len(classes) > 0 && c.complete && !slices.Contains(classes, v.text) {
+				c.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
 			}
 		}
 	}
-	if c.whole && len(c.names["route"]) == 0 {
-		c.res.Faults = append(c.res.Faults, syntax.Fault{Pos: syntax.Pos{File: c.res.Files[0], Line: 1, Col: 1}, Msg: "there are no routes: every call would be refused"})
+	if c.complete && len(c.blocks[routeKeyword]) == 0 {
+		start := syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}
+		c.result.Faults = append(c.result.Faults, syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
 	}
 }
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -3,230 +3,181 @@
 import "bytes"
 
 // Parse reads a file. It always returns a tree, of what could be read, and all faults that it found.
-func Parse(name string, b []byte) (*File, *Source, Faults) {
-	var faults Faults
-	if len(b) > MaxBytes {
-		src := NewSource(name, nil)
-		return &File{Name: name}, src, Faults{{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}}
+func Parse(name string, text []byte) (*File, *Source, Faults) {
+	if len(text) > MaxBytes {
+		fault := Fault{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}
+		return &File{Name: name}, NewSource(name, nil), Faults{fault}
 	}
-	src := NewSource(name, b)
-	for i, rest := 1, b; len(rest) > 0; i++ {
-		line, after, _ := bytes.Cut(rest, []byte("\n"))
-		if len(line) > MaxLine {
-			return &File{Name: name}, src, Faults{src.Fault(Pos{name, i, 1}, "the line is longer than 4096 bytes")}
-		}
-		rest = after
+	source := NewSource(name, text)
+	if line := findLongLine(text); line > 0 {
+		fault := source.Fault(Pos{name, line, 1}, "the line is longer than 4096 bytes")
+		return &File{Name: name}, source, Faults{fault}
 	}
-	p := &parser{scan: newScanner(src, b, &faults)}
-	p.step()
+	var faults Faults
+	p := &parser{scanner: newScanner(source, text, &faults)}
+	p.advance()
 	f := &File{Name: name}
-	f.Entries, f.Tail = p.entries(0)
-	return f, src, faults
+	f.Entries, f.TrailingComments = p.parseEntries(0)
+	return f, source, faults
+}
+
+// findLongLine returns the number of the first line that is longer than MaxLine, or 0.
+func findLongLine(text []byte) int {
+	number := 0
+	for line := range bytes.Lines(text) {
+		number++
+		if len(bytes.TrimSuffix(line, []byte("\n"))) > MaxLine {
+			return number
+		}
+	}
+	return 0
 }
 
-// parser is a recursive descent over the tokens, with one token in hand. It goes on behind a fault.
+// parser is a recursive descent parser with one token of look-ahead. It continues behind a fault, on the next line.
+// Depth is the number of blocks around what is parsed.
 type parser struct {
-	scan *scanner
-	tok  token
-	full bool // too many faults, or too deep: nothing more is read
+	scanner *scanner
+	token   token
+	stopped bool // too many faults, or too deep: nothing more is read
 }
 
-func (p *parser) step() {
-	p.tok = p.scan.next()
-	if len(*p.scan.faults) >= MaxFaults && !p.full {
-		p.scan.fault(p.tok.pos, "too many faults; the rest of the file was not read")
-		p.full = true
+// advance reads the next token.
+func (p *parser) advance() {
+	p.token = p.scanner.next()
+	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
+		p.scanner.fault(p.token.pos, "too many faults; the rest of the file was not read")
+		p.stopped = true
 	}
-	if p.full {
-		p.tok = token{kind: eof, pos: p.tok.pos}
+	if p.stopped {
+		p.token = token{kind: endOfFile, pos: p.token.pos}
 	}
 }
 
+// stop has the parser read nothing more.
+func (p *parser) stop(pos Pos) {
+	p.stopped = true
+	p.token = token{kind: endOfFile, pos: pos}
+}
+
 func (p *parser) fault(pos Pos, format string, args ...any) {
-	if !p.full {
-		p.scan.fault(pos, format, args...)
+	if !p.stopped {
+		p.scanner.fault(pos, format, args...)
 	}
 }
 
-// expected tells what should have stood in place of the token in hand, and skips its line.
-func (p *parser) expected(what string) {
-	if p.tok.kind != bad { // the scanner has told
-		p.fault(p.tok.pos, "expected %s, found %s", what, p.tok)
+// reportExpected reports what should stand in place of the current token, and skips its line.
+func (p *parser) reportExpected(what string) {
+	if p.token.kind != invalidToken { // the scanner has reported those
+		p.fault(p.token.pos, "expected %s, found %s", what, p.token)
 	}
-	p.skip()
+	p.skipLine()
 }
 
-// skip goes to the end of the line; a block that begins on it is skipped whole.
-func (p *parser) skip() {
-	for depth := 0; p.tok.kind != eof; p.step() {
+// skipLine skips the rest of the line; a block that begins on it is skipped whole.
+func (p *parser) skipLine() {
+	for depth := 0; p.token.kind != endOfFile; p.advance() {
 		switch {
-		case p.tok.is("{"):
+		case p.token.isPunctuation("{"):
 			depth++
-		case p.tok.is("}"):
+		case p.token.isPunctuation("}"):
 			if depth == 0 {
 				return
 			}
 			depth--
-		case p.tok.kind == newline && depth == 0:
+		case p.token.kind == newlineToken && depth == 0:
 			return
 		}
 	}
 }
 
-// entries reads what a file, or a block at this depth, holds, up to its end.
-func (p *parser) entries(depth int) (list []Entry, tail []Comment) {
-	var lead []Comment
-	empty := 0 // lines that held nothing
-	for {
-		switch {
-		case p.tok.kind == newline:
-			empty++
-			p.step()
-			continue
-		case p.tok.kind == comment:
-			lead = append(lead, Comment{p.tok.raw, empty > 1})
-			empty = 0
-			p.step()
-			if p.tok.kind == newline {
-				p.step()
-				empty = 1
-			}
-			continue
-		case p.tok.kind == eof, p.tok.is("}") && depth > 0:
-			return list, lead
-		case p.tok.is("}"):
-			p.fault(p.tok.pos, "a closing brace with no block to close")
-			p.step()
-			continue
-		}
-		blank := empty > 1
-		empty = 0
-		e := p.entry(depth)
-		if e == nil {
-			if p.tok.kind == newline {
-				p.step()
-				empty = 1
-			}
-			continue
-		}
-		t := e.trivia()
-		t.Lead, t.Blank, lead = lead, blank, nil
-		list = append(list, e)
-		if p.tok.kind == comment {
-			t.Trail = p.tok.raw
-			p.step()
-		}
-		switch {
-		case p.tok.kind == newline:
-			p.step()
-			empty = 1
-		case p.tok.kind != eof && !(p.tok.is("}") && depth > 0):
-			p.expected("the end of the line")
-		}
+// skipNewline skips the end of a line and reports whether there was one.
+func (p *parser) skipNewline() bool {
+	if p.token.kind != newlineToken {
+		return false
 	}
+	p.advance()
+	return true
 }
 
-// entry reads an include, a block or a setting.
-func (p *parser) entry(depth int) Entry {
-	at := p.tok.pos
-	if p.tok.kind != word {
-		if depth == 0 {
-			p.expected("a block or an include")
-		} else {
-			p.expected("a setting or a block")
-		}
-		return nil
-	}
-	name := p.tok.raw
-	p.step()
-	if name == "include" && depth == 0 {
-		if p.tok.kind != text {
-			p.expected("the path of a file in quotes")
-			return nil
-		}
-		return &Include{At: at, Path: p.value()}
-	}
-	if p.tok.is("=") {
-		if depth == 0 {
-			p.fault(at, "a setting stands in a block: %s is outside of any", name)
-			p.skip()
-			return nil
-		}
-		p.step()
-		return p.setting(at, name)
-	}
-	b := &Block{At: at, Word: name}
-	if p.tok.kind == text {
-		v := p.value()
-		b.Label = &v
-	}
-	if !p.tok.is("{") {
-		if b.Label == nil && depth > 0 {
-			p.expected("= or {")
-		} else {
-			p.expected("{")
+// takeComment returns the current token's comment and skips it, or returns "" where it is none.
+func (p *parser) takeComment() string {
+	if p.token.kind != commentToken {
+		return ""
+	}
+	comment := p.token.raw
+	p.advance()
+	return comment
+}
+
+// atEndOfEntries reports whether the file, or the block at this depth, ends.
+func (p *parser) atEndOfEntries(depth int) bool {
+	return p.token.kind == endOfFile || depth > 0 && p.token.isPunctuation("}")
+}
+
+// entryReader reads the entries of a file or a block with the comments and empty lines between them.
+type entryReader struct {
+	*parser
+	depth    int
+	newlines int       // since the last text; more than one make an empty line
+	comments []Comment // since the last entry
+	entries  []Entry
+}
+
+// parseEntries parses what a file, or a block at this depth, holds, up to its end. It returns the comments behind the
+// last entry too.
+func (p *parser) parseEntries(depth int) ([]Entry, []Comment) {
+	r := &entryReader{parser: p, depth: depth}
+	for !p.atEndOfEntries(depth) {
+		switch {
+		case p.skipNewline():
+			r.newlines++
+		case p.token.kind == commentToken:
+			r.readComment()
+		case p.token.isPunctuation("}"):
+			p.fault(p.token.pos, "a closing brace with no block to close")
+			p.advance()
+		default:
+			r.readEntry()
 		}
-		return nil
-	}
-	if depth+1 > MaxDepth {
-		p.fault(at, "blocks are nested more than %d deep; the rest of the file was not read", MaxDepth)
-		p.full = true
-		p.tok = token{kind: eof, pos: at}
-		return nil
-	}
-	p.step()
-	if p.tok.kind == comment {
-		b.Open = p.tok.raw
-		p.step()
-	}
-	if p.tok.kind == newline {
-		p.step()
-	}
-	b.Entries, b.Tail = p.entries(depth + 1)
-	if !p.tok.is("}") {
-		p.fault(at, "the block %s is not closed", name)
-		return b
 	}
-	p.step()
-	return b
-}
-
-// setting reads a setting's values: a list goes on behind a comma, on the next lines too.
-func (p *parser) setting(at Pos, name string) Entry {
-	s := &Setting{At: at, Name: name}
-	for {
-		var lead []Comment
-		fresh := false
-		for len(s.Values) > 0 && (p.tok.kind == newline || p.tok.kind == comment) {
-			if p.tok.kind == comment {
-				lead = append(lead, Comment{Text: p.tok.raw})
-			}
-			fresh = true
-			p.step()
-		}
-		if p.tok.kind != text && p.tok.kind != quantity && p.tok.kind != word {
-			p.expected("a value")
-			return nil
-		}
-		v := p.value()
-		v.lead, v.fresh = lead, fresh
-		more := p.tok.is(",")
-		if more {
-			if p.step(); p.tok.kind == comment {
-				v.trail = p.tok.raw
-				p.step()
-			}
-		}
-		s.Values = append(s.Values, v)
-		if !more {
-			return s
-		}
+	return r.entries, r.comments
+}
+
+// readComment reads a comment on a line of its own.
+func (r *entryReader) readComment() {
+	r.comments = append(r.comments, Comment{Text: r.token.raw, BlankBefore: r.newlines > 1})
+	r.newlines = 0
+	r.advance()
+	r.endLine()
+}
+
+// readEntry reads an entry with its comments and the end of its line.
+func (r *entryReader) readEntry() {
+	blankBefore := r.newlines > 1
+	r.newlines = 0
+	entry := r.parseEntry(r.depth)
+	if entry == nil {
+		r.endLine()
+		return
+	}
+	t := entry.trivia()
+	t.LeadingComments = r.comments
+	t.BlankBefore = blankBefore
+	r.comments = nil
+	r.entries = append(r.entries, entry)
+	if comment := r.takeComment(); comment != "" {
+		t.LineComment = comment
+	}
+	if !r.endLine() && !r.atEndOfEntries(r.depth) {
+		r.reportExpected("the end of the line")
 	}
 }
 
-// value takes the token in hand as a value.
-func (p *parser) value() Value {
-	v := Value{At: p.tok.pos, Raw: p.tok.raw, Kind: map[kind]ValueKind{text: Text, quantity: Quantity, word: Word}[p.tok.kind]}
-	p.step()
-	return v
+// endLine skips the end of the line, if it is the current token, and reports whether it was.
+func (r *entryReader) endLine() bool {
+	if !r.skipNewline() {
+		return false
+	}
+	r.newlines = 1
+	return true
 }
--- a/internal/route/window.go
+++ b/internal/route/window.go
@@ -2,49 +2,59 @@
 
 import "time"
 
-// slots is how many parts a window is counted in.
-const slots = 100
-
-// window counts what happened in the last span, in parts of it. Within one part it can't tell what is still
-// inside: most counts it all, and least none of it, so that a bound that compares the two is kept at every
-// instant.
-type window struct {
-	slot time.Duration
-	at   int64 // the number of the latest part
-	n    [slots + 1]int
-	sum  int
+// windowSlots is how many slots the span of a sliding window is counted in.
+const windowSlots = 100
+
+// ringSlots is how many slots are kept: those of the span, and the one that is partly within it.
+const ringSlots = windowSlots + 1
+
+// slidingWindow counts events of the last span, by slots. Of the oldest slot it can't tell which events are still
+// within the span: upperBound counts them all and lowerBound none, so that a limit that compares the two holds at
+// every instant.
+type slidingWindow struct {
+	slotLength time.Duration
+	latestSlot int64 // number of the latest slot since time 0
+	slotCounts [ringSlots]int
+	total      int
 }
 
-func newWindow(span time.Duration) *window { return &window{slot: span / slots} }
-
-// advance empties the parts that are older than the span.
-func (w *window) advance(now time.Duration) {
-	at := int64(now / w.slot)
-	for ; w.at < at; w.at++ {
-		if at-w.at > slots+1 {
-			w.n, w.sum, w.at = [slots + 1]int{}, 0, at-1
-			continue
-		}
-		old := &w.n[(w.at+1)%(slots+1)]
-		w.sum -= *old
-		*old = 0
+func newSlidingWindow(span time.Duration) *slidingWindow {
+	return &slidingWindow{slotLength: span / windowSlots}
+}
+
+// advance clears the slots that are older than the span.
+func (w *slidingWindow) advance(now time.Duration) {
+	slot := int64(now / w.slotLength)
+	if slot-w.latestSlot > ringSlots {
+		w.slotCounts = [ringSlots]int{}
+		w.total = 0
+		w.latestSlot = slot
+		return
+	}
+	for w.latestSlot < slot {
+		w.latestSlot++
+		expired := &w.slotCounts[w.latestSlot%ringSlots]
+		w.total -= *expired
+		*expired = 0
 	}
 }
 
-func (w *window) add(now time.Duration) {
+// add counts one event.
+func (w *slidingWindow) add(now time.Duration) {
 	w.advance(now)
-	w.n[w.at%(slots+1)]++
-	w.sum++
+	w.slotCounts[w.latestSlot%ringSlots]++
+	w.total++
 }
 
-// most is how many there were in the span, or a few more.
-func (w *window) most(now time.Duration) int {
+// upperBound returns how many events there were within the span, or a few more.
+func (w *slidingWindow) upperBound(now time.Duration) int {
 	w.advance(now)
-	return w.sum
+	return w.total
 }
 
-// least is how many there were in the span, or a few less.
-func (w *window) least(now time.Duration) int {
+// lowerBound returns how many events there were within the span, or a few less.
+func (w *slidingWindow) lowerBound(now time.Duration) int {
 	w.advance(now)
-	return w.sum - w.n[(w.at+1)%(slots+1)]
+	oldest := w.slotCounts[(w.latestSlot+1)%ringSlots]
+	return w.total - oldest
 }
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -102,14 +102,14 @@
 }
 
 // Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
-func (s *Sender) Notify(now time.Duration, r *router.Request, outcome string) {
+func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.Completion) {
 	s.now = max(s.now, now)
 	if s.Pending() >= s.config.Queue {
 		s.Counters.Dropped++
 		return
 	}
 	body, err := json.Marshal(noticePayload{
-		Type:      noticeTypePrefix + outcome,
+		Type:      noticeTypePrefix + string(outcome),
 		Timestamp: s.wallClock().UTC(),
 		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
 	})
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -101,7 +101,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	server.core.OnCompleted = func(now time.Duration, r *router.Request, end string) {
+	server.core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
 		if notices != "" {
 			server.sender.Notify(now, r, end)
 		}
--- /dev/null
+++ b/policy/loads.go
@@ -0,0 +1,91 @@
+package policy
+
+import "slices"
+import "time"
+
+type replica struct {
+	worker                  *worker
+	loadedUntil, gossipedAt time.Duration
+	loadDue                 time.Duration // a load under way is expected to end then; 0: none
+	inFlight, lanes         int           // attempts of ours: there now, and as many as it was seen to serve
+	loadOrdered             bool          // by us, and not completed
+	waiting                 []*request    // for that
+}
+
+func (i *replica) unloaded() { i.loadedUntil, i.loadDue, i.lanes = 0, 0, 0 }
+
+func (p *Policy) recentRequests() float64 {
+	return float64(p.arrivals.CountSince(p.now - p.cfg.LoadBudgetWindow + 1))
+}
+
+func (p *Policy) loadBudget() float64 {
+	return p.cfg.LoadBudgetMinimum + p.cfg.LoadBudgetRatio*p.recentRequests()
+}
+
+// orderLoad has the missing function of r loaded, with r to follow.
+func (p *Policy) orderLoad(r *request, i *replica) bool {
+	if !i.loadOrdered {
+		if p.cfg.LoadBudgetWindow > 0 && !r.pool.MayLoad(p.now, p.loadBudget()) ||
+			!p.emit(Load{Worker: i.worker.Worker, Function: r.Function, Count: 1}) {
+			return false
+		}
+		p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
+		r.pool.LoadStarted(p.now)
+		i.worker.pendingLoads++
+		i.loadOrdered, i.loadDue = true, p.now+time.Duration(p.fullLoad(r.function))
+	}
+	i.waiting = append(i.waiting, r)
+	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == i.worker })
+	return true
+}
+
+func (p *Policy) loadCompleted(e LoadCompleted) {
+	w, f := p.workers[e.Worker], p.functions[e.Function]
+	if w == nil || f == nil || w.replicas[f.id] == nil || !w.replicas[f.id].loadOrdered {
+		return
+	}
+	i := w.replicas[f.id]
+	waiting := i.waiting
+	i.loadOrdered, i.loadDue, i.waiting = false, 0, nil
+	w.pendingLoads--
+	switch e.Outcome {
+	case Served:
+		p.responded(w)
+		i.loadedUntil = p.now + p.cfg.KeepAlive
+		p.gossipReplica(i, f)
+		if e.Took > f.loadTime/5 { // else it was loaded, or nearly
+			p.observeLoad(float64(e.Took), f)
+		}
+	case Failed:
+		p.openBreaker(1)
+	case ConnectionReset, Unreachable:
+		p.connectionFailed(w, e.Outcome)
+	}
+	for _, r := range waiting { // elsewhere, unless it is loaded
+		if e.Outcome != Served && e.Outcome != ConnectionReset {
+			r.excluded = append(r.excluded, w)
+		}
+		p.schedule(r)
+	}
+}
+
+// openBreaker guards the shared store: while loads fail they begin one at a time and ever more slowly.
+func (p *Policy) openBreaker(failures int) {
+	p.failedLoads += failures
+	p.breakerUntil = p.now + housekeepingInterval<<min(p.failedLoads, 5)
+}
+
+// congested gives f a further rendezvous slot, as at all routers. Responses in time take that back.
+func (p *Policy) congested(f *function) { f.congestion = min(f.congestion+1, float64(p.readyWorkers)) }
+
+// idleLimit is how long an idle replica is worth its memory: until that cost what its absence would.
+func (p *Policy) idleLimit(r *request) time.Duration {
+	memory := p.recentRequests() * p.cfg.MemoryPrice * r.MemoryMB
+	if p.cfg.MissWhenNotLoaded || p.cfg.WorkerMemoryMB <= 0 || !(memory > 0) {
+		return p.cfg.KeepAlive
+	}
+	late := min((p.fullLoad(r.function)+p.runTime(r))/float64(r.class.LatencyObjective), 1)
+	lost := (1 - r.class.LatePriorityWeight) * late
+	lost *= p.cfg.WorkerMemoryMB * float64(max(p.readyWorkers, 1)) * float64(p.cfg.LoadBudgetWindow)
+	return time.Duration(min(lost/memory, float64(p.cfg.KeepAlive)))
+}
