--- /dev/null
+++ b/internal/command/check.go
@@ -0,0 +1,59 @@
+package command
+
+import (
+	"fmt"
+
+	"crankhold/internal/lang"
+	"crankhold/internal/lang/syntax"
+)
+
+// checkCommand is the command check.
+type checkCommand struct {
+	File string `arg:"" help:"The first file; what it includes is checked with it." type:"path"`
+	platformFlag
+	JSON bool `help:"Print JSON on standard output." name:"json"`
+}
+
+// Run checks a file.
+func (c checkCommand) Run(env Env) error {
+	file := shownPath(c.File)
+	r, err := c.check(file)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		if err := printJSON(env.Out, newCheckReport(r)); err != nil {
+			return err
+		}
+	} else {
+		printFaults(env.Err, r.Faults)
+		printNotes(env.Err, r.Notes)
+	}
+	if len(r.Faults) > 0 {
+		return errFinding
+	}
+	if !c.JSON {
+		fmt.Fprintf(env.Out, "%s: no faults in %s; %s, %s, %s\n", file, plural(len(r.Files), "file"),
+			plural(len(r.Spec.Routes), "route"), plural(len(r.Spec.Pools), "pool"), plural(len(r.Notes), "note"))
+	}
+	return nil
+}
+
+// checkReport is the JSON output of check.
+type checkReport struct {
+	Files  []string      `json:"files"`
+	Faults syntax.Faults `json:"faults"`
+	Notes  syntax.Faults `json:"notes"`
+}
+
+func newCheckReport(r *lang.Result) checkReport {
+	return checkReport{Files: r.Files, Faults: orEmpty(r.Faults), Notes: orEmpty(r.Notes)}
+}
+
+// orEmpty returns the list, as an empty one in place of nil, which JSON would show as null.
+func orEmpty(faults syntax.Faults) syntax.Faults {
+	if faults == nil {
+		return syntax.Faults{}
+	}
+	return faults
+}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -8,21 +8,25 @@
 	"crankhold/internal/logging"
 )
 
+// demoLogLevel is the lowest level of the demo's log lines, unless another one than the default is asked for.
+const demoLogLevel = "warn"
+
+// demoCommand is the command demo.
 type demoCommand struct {
 	For time.Duration `help:"Stop after this time; 0 goes on until interrupted." default:"0s"`
 }
 
-// Run shows the demo. Log lines are shown from warnings on, unless a level is asked for.
-func (d demoCommand) Run(c *commandLine, env Env) error {
-	level := c.LogLevel
-	if level == "info" {
-		level = "warn"
+// Run shows the demo.
+func (d demoCommand) Run(line *commandLine, env Env) error {
+	levelName := line.LogLevel
+	if levelName == defaultLogLevel {
+		levelName = demoLogLevel
 	}
-	l, err := logging.ParseLevel(level)
+	level, err := logging.ParseLevel(levelName)
 	if err != nil {
 		return unreadable(err)
 	}
-	slog.SetDefault(logging.New(env.Err, l))
+	slog.SetDefault(logging.New(env.Err, level))
 	stop := make(chan struct{})
 	if d.For > 0 {
 		time.AfterFunc(d.For, func() { close(stop) })
--- /dev/null
+++ b/internal/command/diff.go
@@ -0,0 +1,94 @@
+package command
+
+import (
+	"fmt"
+	"io"
+
+	"crankhold/internal/lang"
+	"crankhold/internal/route"
+)
+
+// diffCommand is the command diff.
+type diffCommand struct {
+	Old string `arg:"" help:"The file in force." type:"path"`
+	New string `arg:"" help:"The file that is to replace it." type:"path"`
+	platformFlag
+	JSON bool `help:"Print JSON." name:"json"`
+}
+
+// Run prints what changes.
+func (c diffCommand) Run(env Env) error {
+	old, err := c.loadRoutes(shownPath(c.Old), env)
+	if err != nil {
+		return err
+	}
+	updated, err := c.loadRoutes(shownPath(c.New), env)
+	if err != nil {
+		return err
+	}
+	changes, err := lang.Diff(old, updated)
+	if err != nil {
+		return err
+	}
+	if c.JSON {
+		if err := printJSON(env.Out, changeReports(changes)); err != nil {
+			return err
+		}
+	} else {
+		printChanges(env.Out, changes)
+	}
+	if len(changes) > 0 {
+		return errFinding
+	}
+	return nil
+}
+
+func printChanges(w io.Writer, changes []route.Change) {
+	for _, change := range changes {
+		fmt.Fprintln(w, change.Subject())
+		fmt.Fprintf(w, "  - %s%s\n", change.Before, inParentheses(change.BeforeAt))
+		fmt.Fprintf(w, "  + %s%s\n", change.After, inParentheses(change.AfterAt))
+		if example := exampleOf(change); example != "" {
+			fmt.Fprintf(w, "  such as %s\n", example)
+		}
+	}
+}
+
+// changeReport is a change in the JSON output of diff.
+type changeReport struct {
+	Of      string   `json:"of"`
+	Example string   `json:"example,omitempty"`
+	Before  string   `json:"before"`
+	After   string   `json:"after"`
+	Lines   []string `json:"lines"` // of the old and the new file; "" for none
+}
+
+func changeReports(changes []route.Change) []changeReport {
+	reports := []changeReport{}
+	for _, change := range changes {
+		reports = append(reports, changeReport{
+			Of:      change.Subject(),
+			Example: exampleOf(change),
+			Before:  change.Before,
+			After:   change.After,
+			Lines:   []string{change.BeforeAt, change.AfterAt},
+		})
+	}
+	return reports
+}
+
+// exampleOf returns a request that a change concerns, as arguments of explain, or "" for a change of a pool.
+func exampleOf(change route.Change) string {
+	if len(change.Regions) == 0 {
+		return ""
+	}
+	return change.Regions[0].Example.String()
+}
+
+// inParentheses returns a position with spaces before it, or "" where there is none.
+func inParentheses(position string) string {
+	if position == "" {
+		return ""
+	}
+	return "  (" + position + ")"
+}
--- /dev/null
+++ b/internal/command/explain.go
@@ -0,0 +1,136 @@
+package command
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"crankhold/internal/lang"
+	"crankhold/internal/route"
+)
+
+// explainCommand is the command explain.
+type explainCommand struct {
+	File     string `arg:"" help:"The routes file." type:"path"`
+	Front    string `help:"The front that the call comes by." enum:"thrift,webhook" default:"thrift"`
+	Class    string `help:"Its class." required:""`
+	Function string `help:"Its function, 16 hex digits." required:""`
+	Tenant   string `help:"The tenant that a webhook names."`
+	platformFlag
+	JSON bool `help:"Print JSON." name:"json"`
+}
+
+// Run explains what becomes of a request.
+func (c explainCommand) Run(env Env) error {
+	function, err := c.function()
+	if err != nil {
+		return err
+	}
+	r, err := c.loadRoutes(shownPath(c.File), env)
+	if err != nil {
+		return err
+	}
+	request, err := c.request(r, function)
+	if err != nil {
+		return err
+	}
+	table, err := route.Compile(&r.Spec, r.Classes())
+	if err != nil {
+		return err
+	}
+	matched := table.Match(request)
+	explanations := explain(r, matched, c.Class)
+	if c.JSON {
+		if err := printJSON(env.Out, explanations); err != nil {
+			return err
+		}
+	} else {
+		printExplanations(env.Out, explanations)
+	}
+	if matched == nil || matched.Pool == nil {
+		return errFinding
+	}
+	return nil
+}
+
+// function returns the function that the flag names.
+func (c explainCommand) function() (uint64, error) {
+	pattern, err := route.ParsePattern(c.Function)
+	if err != nil || strings.HasSuffix(c.Function, "*") {
+		return 0, usageError("--function: %q is no function: 16 hex digits", c.Function)
+	}
+	return pattern.Prefix, nil
+}
+
+// request returns the request that the flags describe.
+func (c explainCommand) request(r *lang.Result, function uint64) (route.Request, error) {
+	request := route.Request{Front: route.Thrift, Function: function, Tenant: c.Tenant}
+	if c.Front == route.Webhook.String() {
+		request.Front = route.Webhook
+	}
+	if request.Front == route.Thrift && c.Tenant != "" {
+		return request, usageError("only webhooks name a tenant: --tenant goes with --front=webhook")
+	}
+	classes := r.Classes()
+	request.Class = slices.Index(classes, c.Class)
+	if request.Class >= 0 {
+		return request, nil
+	}
+	if r.ClassesComplete() {
+		return request, usageError("--class: no class %q, but %s", c.Class, strings.Join(classes, ", "))
+	}
+	request.Class = len(classes)
+	return request, nil
+}
+
+// explanation says what one block does with a request. It is an element of the JSON output of explain.
+type explanation struct {
+	What  string   `json:"what"` // a route, a pool or a policy
+	Name  string   `json:"name,omitempty"`
+	Means string   `json:"means"`
+	Lines []string `json:"lines,omitempty"` // that define the block
+}
+
+// explain says which route, pool and policy a request of a class gets; matched is its route, or nil.
+func explain(r *lang.Result, matched *route.Route, class string) []explanation {
+	switch {
+	case matched == nil:
+		return []explanation{{What: "route", Means: "none matches: refused at once"}}
+	case matched.Pool == nil:
+		return []explanation{explainBlock(r, "route", matched.Spec.Name, "refused at once")}
+	}
+	notIdempotent := r.NotIdempotent([]string{class})[0]
+	policy := matched.Policy.Effective(notIdempotent).String()
+	if notIdempotent {
+		policy += "; this class must never run twice"
+	}
+	return []explanation{
+		explainBlock(r, "route", matched.Spec.Name, "the closest match"),
+		explainBlock(r, "pool", matched.Pool.Spec.Name, matched.Pool.Describe()),
+		explainBlock(r, "policy", matched.Spec.Policy, policy),
+	}
+}
+
+// explainBlock returns the explanation of a block with the lines that define it. A request may have no policy; then
+// the name is "" and there are no lines.
+func explainBlock(r *lang.Result, keyword, name, meaning string) explanation {
+	e := explanation{What: keyword, Name: name, Means: meaning}
+	for _, line := range r.Lines(keyword, name) {
+		e.Lines = append(e.Lines, line.Pos.String()+": "+line.Line)
+	}
+	return e
+}
+
+func printExplanations(w io.Writer, explanations []explanation) {
+	for _, e := range explanations {
+		name := e.Name
+		if name == "" {
+			name = "-"
+		}
+		fmt.Fprintf(w, "%s %s: %s\n", e.What, name, e.Means)
+		for _, line := range e.Lines {
+			fmt.Fprintf(w, "    %s\n", line)
+		}
+	}
+}
--- /dev/null
+++ b/internal/command/format.go
@@ -0,0 +1,116 @@
+package command
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"crankhold/internal/lang/syntax"
+)
+
+// formatCommand is the command fmt.
+type formatCommand struct {
+	Files []string `arg:"" help:"The files; what they include is not touched." type:"path"`
+	Write bool     `short:"w" help:"Write each file back in place of printing it."`
+	Check bool     `help:"Print the names of the files that are not in the one form, and change nothing."`
+}
+
+// Run formats files. One that can't be parsed as a whole is never written.
+func (c formatCommand) Run(env Env) error {
+	if c.Write && c.Check {
+		return usageError("fmt takes -w or --check, not both")
+	}
+	status := exitSuccess
+	for _, path := range c.Files {
+		fileStatus, err := c.formatFile(path, env)
+		if err != nil {
+			return err
+		}
+		status = max(status, fileStatus)
+	}
+	if status != exitSuccess {
+		return &exitError{status: status}
+	}
+	return nil
+}
+
+// formatFile formats one file. The status says whether it has faults or, with --check, is not in the one form; the
+// error is of what ends the command.
+func (c formatCommand) formatFile(path string, env Env) (exitStatus, error) {
+	name := shownPath(path)
+	text, err := readFile(path)
+	if err != nil {
+		return exitUsage, unreadable(err)
+	}
+	file, _, faults := syntax.Parse(name, text)
+	if len(faults) > 0 {
+		printFaults(env.Err, faults)
+		return exitUsage, nil
+	}
+	formatted := syntax.Format(file)
+	same := bytes.Equal(text, formatted)
+	switch {
+	case c.Check && !same:
+		fmt.Fprintln(env.Out, name)
+		return exitFinding, nil
+	case c.Write && !same:
+		if err := replaceFile(path, formatted); err != nil {
+			return exitUsage, unreadable(err)
+		}
+	case !c.Check && !c.Write:
+		if _, err := env.Out.Write(formatted); err != nil {
+			return exitFinding, err
+		}
+	}
+	return exitSuccess, nil
+}
+
+// readFile reads a file, up to one byte more than a file may have.
+func readFile(path string) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	return io.ReadAll(io.LimitReader(f, syntax.MaxBytes+1))
+}
+
+// replaceFile replaces a file's text, as a whole or not at all: it renames a new file over it. Links are followed.
+func replaceFile(path string, text []byte) error {
+	info, err := os.Stat(path)
+	if err != nil {
+		return err
+	}
+	path, err = filepath.EvalSymlinks(path)
+	if err != nil {
+		return err
+	}
+	temporary, err := os.CreateTemp(filepath.Dir(path), ".crank-*")
+	if err != nil {
+		return err
+	}
+	defer os.Remove(temporary.Name())
+	err = writeSynced(temporary, text, info.Mode().Perm())
+	closeErr := temporary.Close()
+	if err == nil {
+		err = closeErr
+	}
+	if err != nil {
+		return fmt.Errorf("%s is unchanged: %w", path, err)
+	}
+	return os.Rename(temporary.Name(), path)
+}
+
+// writeSynced writes a file's text and mode through to the disk.
+func writeSynced(f *os.File, text []byte, mode fs.FileMode) error {
+	if _, err := f.Write(text); err != nil {
+		return err
+	}
+	if err := f.Chmod(mode); err != nil {
+		return err
+	}
+	return f.Sync()
+}
--- /dev/null
+++ b/internal/command/output.go
@@ -0,0 +1,39 @@
+package command
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"crankhold/internal/lang/syntax"
+)
+
+// printJSON writes a value for a program to read.
+func printJSON(w io.Writer, v any) error {
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
+}
+
+// printFaults writes each fault with its line and a mark under the column.
+func printFaults(w io.Writer, faults syntax.Faults) {
+	for _, f := range faults {
+		fmt.Fprintln(w, f.Quoted())
+	}
+}
+
+// printNotes writes notes in the form of faults.
+func printNotes(w io.Writer, notes syntax.Faults) {
+	for _, n := range notes {
+		n.Msg = "note: " + n.Msg
+		fmt.Fprintln(w, n.Quoted())
+	}
+}
+
+// plural returns a number of things, with an s but for one.
+func plural(n int, thing string) string {
+	if n == 1 {
+		return "1 " + thing
+	}
+	return fmt.Sprintf("%d %ss", n, thing)
+}
