--- a/internal/command/example_test.go
+++ b/internal/command/example_test.go
@@ -1,10 +1,45 @@
-package command
+package command_test
 
 import (
 	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
 	"testing"
+
+	"crankhold/internal/command"
 )
 
+func emptyEnvironment(string) string { return "" }
+
+// A routes file is formatted to standard output, and a call without its arguments ends with status 2.
+func ExampleRun() {
+	dir, err := os.MkdirTemp("", "crankhold")
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	defer os.RemoveAll(dir)
+	file := filepath.Join(dir, "routes.crank")
+	text := "pool \"all\" {}\nroute \"rest\" { pool=\"all\" }\n"
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		fmt.Println(err)
+		return
+	}
+	env := command.Env{Out: os.Stdout, Err: os.Stdout, Getenv: emptyEnvironment}
+
+	fmt.Println("status", command.Run([]string{"fmt", file}, env))
+	fmt.Println("status", command.Run([]string{"explain", file, "--class=dim-level"}, env))
+	// Output:
+	// pool "all" {}
+	// route "rest" {
+	// 	pool = "all"
+	// }
+	// status 0
+	// crankhold: missing flags: --function=STRING
+	// status 2
+}
+
 // The routes that the README sends a newcomer to are good, in the one form, and fit the example's configuration.
 func TestExampleRoutesAreGood(t *testing.T) {
 	const routes = "../../example/routes.crank"
@@ -13,9 +48,9 @@
 		{"fmt", "--check", routes},
 		{"explain", routes, "--class", "dim-level", "--function", "7f3a9c21e0b4d655"},
 	} {
-		var out, log bytes.Buffer
-		if code := Run(args, Env{Out: &out, Err: &log, Getenv: func(string) string { return "" }}); code != 0 {
-			t.Errorf("%v: status %d\n%s%s", args, code, &out, &log)
+		var stdout, stderr bytes.Buffer
+		if status := command.Run(args, command.Env{Out: &stdout, Err: &stderr, Getenv: emptyEnvironment}); status != 0 {
+			t.Errorf("%v: status %d\n%s%s", args, status, &stdout, &stderr)
 		}
 	}
 }
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -4,11 +4,12 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 )
 
-// TestScripts runs the scripts of testdata, after the model of cmd/go's: lines of commands, then files.
+// TestScripts runs the scripts of testdata, on the model of cmd/go's: lines of commands, then files.
 //
 //	crankhold ARGS      runs the command line in a folder with the files
 //	status N            the exit status must be N
@@ -30,60 +31,94 @@
 	}
 }
 
+// runScript runs a script in a folder of its own.
 func runScript(t *testing.T, text string) {
-	parts := strings.Split("\n"+text, "\n-- ")
+	t.Helper()
+	commands, files, _ := strings.Cut("\n"+text, "\n-- ")
+	t.Chdir(writeScriptFiles(t, files))
+	s := &scriptRun{}
+	for i, line := range strings.Split(commands, "\n") {
+		words := strings.Fields(line)
+		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
+			continue
+		}
+		if problem := s.runLine(line, words); problem != "" {
+			t.Errorf("line %d: %s: %s\nof %s: status %d\n%s%s", i, line, problem, s.command, s.status, &s.stdout, &s.stderr)
+		}
+	}
+}
+
+// writeScriptFiles writes the files of a script, each behind a line "-- NAME --", and returns their folder. The text
+// begins behind the dashes before the first name.
+func writeScriptFiles(t *testing.T, text string) string {
+	t.Helper()
 	dir := t.TempDir()
-	for _, p := range parts[1:] {
-		name, body, _ := strings.Cut(p, " --\n")
-		name = filepath.Join(dir, name)
-		if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
+	if text == "" {
+		return dir
+	}
+	for _, file := range strings.Split(text, "\n-- ") {
+		name, body, _ := strings.Cut(file, " --\n")
+		path := filepath.Join(dir, name)
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(name, []byte(strings.TrimRight(body, "\n")+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(path, []byte(strings.TrimRight(body, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Chdir(dir)
-	var out, log bytes.Buffer
-	code, last := 0, ""
-	for i, line := range strings.Split(parts[0], "\n") {
-		words := strings.Fields(line)
-		if len(words) == 0 || words[0][0] == '#' {
-			continue
+	return dir
+}
+
+// scriptRun is what the last command line of a script did.
+type scriptRun struct {
+	command        string
+	status         int
+	stdout, stderr bytes.Buffer
+}
+
+// runLine runs one line of a script and returns what is wrong, or "".
+func (s *scriptRun) runLine(line string, words []string) string {
+	negated := words[0] == "!"
+	verb, argument, _ := strings.Cut(strings.TrimSpace(strings.TrimPrefix(line, "!")), " ")
+	switch verb {
+	case "crankhold":
+		s.run(line, strings.Fields(argument))
+	case "status":
+		if argument != strconv.Itoa(s.status) {
+			return "another status"
+		}
+	case "stdout", "stderr":
+		if strings.Contains(s.output(verb).String(), argument) == negated {
+			return "not so"
 		}
-		fail := func(why string) {
-			t.Errorf("line %d: %s: %s\nof %s: status %d\n%s%s", i, line, why, last, code, &out, &log)
+	case "empty":
+		if s.output(argument).Len() > 0 {
+			return "something is printed"
 		}
-		no := words[0] == "!"
-		rest := strings.TrimSpace(strings.TrimPrefix(line, "!"))
-		kind, want, _ := strings.Cut(rest, " ")
-		buf := map[string]*bytes.Buffer{"stdout": &out, "stderr": &log}
-		switch kind {
-		case "crankhold":
-			out.Reset()
-			log.Reset()
-			last = line
-			code = Run(strings.Fields(want), Env{Out: &out, Err: &log, Getenv: func(string) string { return "" }})
-		case "status":
-			if want != string(rune('0'+code)) {
-				fail("another status")
-			}
-		case "stdout", "stderr":
-			if strings.Contains(buf[kind].String(), want) == no {
-				fail("not so")
-			}
-		case "empty":
-			if buf[want].Len() > 0 {
-				fail("something is printed")
-			}
-		case "cmp":
-			a, err := os.ReadFile(words[1])
-			b, err2 := os.ReadFile(words[2])
-			if err != nil || err2 != nil || !bytes.Equal(a, b) {
-				fail("they differ:\n" + string(a))
-			}
-		default:
-			t.Fatalf("line %d: no such command: %s", i, line)
+	case "cmp":
+		got, err := os.ReadFile(words[1])
+		want, wantErr := os.ReadFile(words[2])
+		if err != nil || wantErr != nil || !bytes.Equal(got, want) {
+			return "they differ:\n" + string(got)
 		}
+	default:
+		return "no such command"
+	}
+	return ""
+}
+
+// run runs a command line with an empty environment.
+func (s *scriptRun) run(command string, args []string) {
+	s.stdout.Reset()
+	s.stderr.Reset()
+	s.command = command
+	s.status = Run(args, Env{Out: &s.stdout, Err: &s.stderr, Getenv: func(string) string { return "" }})
+}
+
+// output returns what was written to standard output or standard error.
+func (s *scriptRun) output(name string) *bytes.Buffer {
+	if name == "stderr" {
+		return &s.stderr
 	}
+	return &s.stdout
 }
