--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -13,9 +13,9 @@
 	keyword: classKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		"runs":     single(readOneOf(runsOnce, runsRepeatable)),
-		"deadline": single(readDuration),
-		"aim":      single(readDuration),
+		runsSetting:     single(readOneOf(runsOnce, runsRepeatable)),
+		deadlineSetting: single(readDuration),
+		aimSetting:      single(readDuration),
 	},
 	build: buildClass,
 }
@@ -23,18 +23,18 @@
 func buildClass(c *checker, b *block) {
 	class := Class{
 		Name:             b.name,
-		NotIdempotent:    b.value("runs").text == runsOnce,
-		Deadline:         b.value("deadline").duration,
-		LatencyObjective: b.value("aim").duration,
+		NotIdempotent:    b.value(runsSetting).text == runsOnce,
+		Deadline:         b.value(deadlineSetting).duration,
+		LatencyObjective: b.value(aimSetting).duration,
 	}
 	if class.Name == neverIdempotentClass {
-		if b.value("runs").text == runsRepeatable {
-			c.fault(b, b.value("runs").pos, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
+		if b.value(runsSetting).text == runsRepeatable {
+			c.fault(b, b.value(runsSetting).pos, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
 		}
 		class.NotIdempotent = true
 	}
 	if class.Deadline > 0 && class.LatencyObjective > class.Deadline {
-		c.fault(b, b.value("aim").pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
+		c.fault(b, b.value(aimSetting).pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
 	}
 	if c.platform != nil && !c.checkAgainstPlatform(b, class) {
 		return
@@ -53,14 +53,14 @@
 		c.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggest(class.Name, c.platform.classNames()))
 		return false
 	}
-	if platformClass.NotIdempotent && b.value("runs").text == runsRepeatable {
-		c.fault(b, b.value("runs").pos, "the platform's settings say that class %q must never run twice", class.Name)
+	if platformClass.NotIdempotent && b.value(runsSetting).text == runsRepeatable {
+		c.fault(b, b.value(runsSetting).pos, "the platform's settings say that class %q must never run twice", class.Name)
 	}
-	if b.hasValue("deadline") && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
-		c.fault(b, b.value("deadline").pos, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
+	if b.hasValue(deadlineSetting) && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
+		c.fault(b, b.value(deadlineSetting).pos, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
 	}
-	if b.hasValue("aim") && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
-		c.fault(b, b.value("aim").pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
+	if b.hasValue(aimSetting) && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
+		c.fault(b, b.value(aimSetting).pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
 	}
 	return true
 }
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -10,17 +10,6 @@
 	"crankhold/internal/route"
 )
 
-// The settings of a policy.
-const (
-	likeSetting            = "like"
-	attemptsSetting        = "attempts"
-	againIfRanSetting      = "again-if-ran"
-	againIfNotRanSetting   = "again-if-not-ran"
-	attemptTimeSetting     = "attempt-time"
-	secondCopyAfterSetting = "second-copy-after"
-	policyAimSetting       = "aim"
-)
-
 // policyType limits how often and for how long a request is attempted.
 var policyType = &blockType{
 	keyword: policyKeyword,
@@ -32,7 +21,7 @@
 		againIfNotRanSetting:   single(readCount(0)),
 		attemptTimeSetting:     single(readDuration),
 		secondCopyAfterSetting: single(readDuration),
-		policyAimSetting:       single(readDuration),
+		aimSetting:             single(readDuration),
 	},
 	build: buildPolicy,
 	check: checkPolicies,
@@ -134,7 +123,7 @@
 	setCount(againIfNotRanSetting, &spec.RetriesAfterProvenNoRun)
 	spec.AttemptTimeout = p.effective[attemptTimeSetting].duration
 	spec.HedgeDelay = p.effective[secondCopyAfterSetting].duration
-	spec.LatencyObjective = p.effective[policyAimSetting].duration
+	spec.LatencyObjective = p.effective[aimSetting].duration
 	return spec
 }
 
@@ -179,7 +168,7 @@
 	}{
 		{attemptTimeSetting, class.Deadline, "deadline"},
 		{secondCopyAfterSetting, class.Deadline, "deadline"},
-		{policyAimSetting, class.LatencyObjective, "aim"},
+		{aimSetting, class.LatencyObjective, "aim"},
 	} {
 		v, ok := p.effective[bound.setting]
 		if ok && bound.limit > 0 && v.duration > bound.limit {
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -13,10 +13,10 @@
 	keyword: poolKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		"cap":         single(readCount(1)),
-		"load-orders": single(readShare),
-		"fallback":    single(readText),
-		"spill":       single(readShareOrRate),
+		capSetting:        single(readCount(1)),
+		loadOrdersSetting: single(readShare),
+		fallbackSetting:   single(readText),
+		spillSetting:      single(readShareOrRate),
 	},
 	blocks: []*blockType{selectorType},
 	build:  buildPool,
@@ -28,19 +28,19 @@
 		Name:          b.name,
 		MaxInFlight:   route.Unset,
 		LoadShare:     route.Unset,
-		Fallback:      b.value("fallback").text,
+		Fallback:      b.value(fallbackSetting).text,
 		OverflowShare: route.Unset,
 		OverflowRate:  route.Unset,
 		At:            fileLine(b.pos),
 	}
-	if b.hasValue("cap") {
-		p.MaxInFlight = b.value("cap").count
+	if b.hasValue(capSetting) {
+		p.MaxInFlight = b.value(capSetting).count
 	}
-	if b.hasValue("load-orders") {
-		p.LoadShare = b.value("load-orders").number
+	if b.hasValue(loadOrdersSetting) {
+		p.LoadShare = b.value(loadOrdersSetting).number
 	}
-	if b.hasValue("spill") {
-		spill := b.value("spill")
+	if b.hasValue(spillSetting) {
+		spill := b.value(spillSetting)
 		if spill.isRate {
 			p.OverflowRate = spill.number
 		} else {
@@ -87,7 +87,7 @@
 		shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadShare))
 		const whole = 1 + shareTolerance
 		if before <= whole && total > whole {
-			c.fault(b, b.value("load-orders").pos, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
+			c.fault(b, b.value(loadOrdersSetting).pos, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
 		}
 	}
 }
@@ -95,12 +95,12 @@
 // checkFallback checks a pool's fallback and the limit on what goes there.
 func (c *checker) checkFallback(b *block) {
 	switch {
-	case b.hasValue("fallback") && !b.isPresent("spill"):
-		c.fault(b, b.value("fallback").pos, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
-	case b.hasValue("spill") && !b.isPresent("fallback"):
-		c.fault(b, b.value("spill").pos, "pool %q has a spill and no fallback to spill to", b.name)
+	case b.hasValue(fallbackSetting) && !b.isPresent(spillSetting):
+		c.fault(b, b.value(fallbackSetting).pos, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
+	case b.hasValue(spillSetting) && !b.isPresent(fallbackSetting):
+		c.fault(b, b.value(spillSetting).pos, "pool %q has a spill and no fallback to spill to", b.name)
 	}
-	if c.resolveReference(b, "fallback", poolKeyword) {
+	if c.resolveReference(b, fallbackSetting, poolKeyword) {
 		c.reportFallbackCycle(b)
 	}
 }
@@ -109,11 +109,11 @@
 // name is the first in alphabetical order.
 func (c *checker) reportFallbackCycle(b *block) {
 	chain := []string{b.name}
-	for pool := b; pool != nil && pool.hasValue("fallback"); {
-		next := pool.value("fallback").text
+	for pool := b; pool != nil && pool.hasValue(fallbackSetting); {
+		next := pool.value(fallbackSetting).text
 		if next == b.name {
 			if slices.Min(chain) == b.name {
-				c.fault(b, b.value("fallback").pos, "pools fall back in a circle: %s", strings.Join(append(chain, next), " > "))
+				c.fault(b, b.value(fallbackSetting).pos, "pools fall back in a circle: %s", strings.Join(append(chain, next), " > "))
 			}
 			return
 		}
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -13,13 +13,13 @@
 	keyword: routeKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		"front":    listOf(readOneOf(route.Thrift.String(), route.Webhook.String())),
-		"class":    listOf(readText),
-		"function": listOf(readFunction),
-		"tenant":   listOf(readText),
-		"pool":     single(readText),
-		"policy":   single(readText),
-		"refuse":   single(readOneOf("yes")),
+		frontSetting:    listOf(readOneOf(route.Thrift.String(), route.Webhook.String())),
+		classSetting:    listOf(readText),
+		functionSetting: listOf(readFunction),
+		tenantSetting:   listOf(readText),
+		poolSetting:     single(readText),
+		policySetting:   single(readText),
+		refuseSetting:   single(readOneOf("yes")),
 	},
 	build: buildRoute,
 	check: checkRoutes,
@@ -38,27 +38,27 @@
 func buildRoute(c *checker, b *block) {
 	r := route.RouteSpec{
 		Name:    b.name,
-		Classes: b.texts("class"),
-		Tenants: b.texts("tenant"),
-		Pool:    b.value("pool").text,
-		Policy:  b.value("policy").text,
+		Classes: b.texts(classSetting),
+		Tenants: b.texts(tenantSetting),
+		Pool:    b.value(poolSetting).text,
+		Policy:  b.value(policySetting).text,
 		At:      fileLine(b.pos),
 	}
-	for _, front := range b.texts("front") {
+	for _, front := range b.texts(frontSetting) {
 		r.Fronts = append(r.Fronts, frontNamed(front))
 	}
-	for _, function := range b.texts("function") {
+	for _, function := range b.texts(functionSetting) {
 		pattern, _ := route.ParsePattern(function) // checked when it was read
 		r.Functions = append(r.Functions, pattern)
 	}
 	switch {
-	case b.hasValue("refuse") && (b.hasValue("pool") || b.hasValue("policy")):
-		c.fault(b, b.value("refuse").pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
-	case !b.isPresent("refuse") && !b.isPresent("pool"):
+	case b.hasValue(refuseSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
+		c.fault(b, b.value(refuseSetting).pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
+	case !b.isPresent(refuseSetting) && !b.isPresent(poolSetting):
 		c.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
 	}
 	if len(r.Tenants) > 0 && len(r.Fronts) > 0 && !slices.Contains(r.Fronts, route.Webhook) {
-		c.fault(b, b.value("tenant").pos, "route %q can't be reached: only webhooks name a tenant", r.Name)
+		c.fault(b, b.value(tenantSetting).pos, "route %q can't be reached: only webhooks name a tenant", r.Name)
 	}
 	c.result.Spec.Routes = append(c.result.Spec.Routes, r)
 }
@@ -79,9 +79,9 @@
 		classes = slices.Sorted(maps.Keys(c.blocks[classKeyword]))
 	}
 	for _, b := range c.blocks[routeKeyword] {
-		c.resolveReference(b, "pool", poolKeyword)
-		c.resolveReference(b, "policy", policyKeyword)
-		for _, v := range b.values["class"] {
+		c.resolveReference(b, poolSetting, poolKeyword)
+		c.resolveReference(b, policySetting, policyKeyword)
+		for _, v := range b.values[classSetting] {
 			if len(classes) > 0 && c.complete && !slices.Contains(classes, v.text) {
 				c.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
 			}
--- a/internal/lang/selector.go
+++ b/internal/lang/selector.go
@@ -12,23 +12,23 @@
 var selectorType = &blockType{
 	keyword: "workers",
 	settings: map[string]settingType{
-		"id":              listOf(readText),
-		"kind":            listOf(readText),
-		"zone":            listOf(readText),
-		"cell":            listOf(readCount(0)),
-		"memory-at-least": single(readMemory),
+		idSetting:            listOf(readText),
+		kindSetting:          listOf(readText),
+		zoneSetting:          listOf(readText),
+		cellSetting:          listOf(readCount(0)),
+		memoryAtLeastSetting: single(readMemory),
 	},
 	blocks: []*blockType{labelsType},
 }
 
 func (c *checker) buildSelector(b *block) route.Selector {
 	s := route.Selector{
-		IDs:      b.texts("id"),
-		Kinds:    b.texts("kind"),
-		Zones:    b.texts("zone"),
-		MemoryMB: b.value("memory-at-least").number,
+		IDs:      b.texts(idSetting),
+		Kinds:    b.texts(kindSetting),
+		Zones:    b.texts(zoneSetting),
+		MemoryMB: b.value(memoryAtLeastSetting).number,
 	}
-	for _, cell := range b.values["cell"] {
+	for _, cell := range b.values[cellSetting] {
 		s.Cells = append(s.Cells, cell.count)
 	}
 	for _, labels := range b.blocks {
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -14,15 +14,15 @@
 	keyword: workerKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		"kind":    single(readText),
-		"zone":    single(readText),
-		"cell":    single(readCount(0)),
-		"memory":  single(readMemory),
-		"unix":    listOf(readAddress(endpoint.Unix)),
-		"tcp6":    listOf(readAddress(endpoint.TCP6)),
-		"tcp4":    listOf(readAddress(endpoint.TCP4)),
-		"prefer":  listOf(readOneOf("unix", "tcp6", "tcp4")),
-		"same-as": single(readText),
+		kindSetting:            single(readText),
+		zoneSetting:            single(readText),
+		cellSetting:            single(readCount(0)),
+		memorySetting:          single(readMemory),
+		endpoint.Unix.String(): listOf(readAddress(endpoint.Unix)),
+		endpoint.TCP6.String(): listOf(readAddress(endpoint.TCP6)),
+		endpoint.TCP4.String(): listOf(readAddress(endpoint.TCP4)),
+		preferSetting:          listOf(readOneOf(endpoint.Unix.String(), endpoint.TCP6.String(), endpoint.TCP4.String())),
+		sameAsSetting:          single(readText),
 	},
 	blocks: []*blockType{labelsType},
 	build:  buildWorker,
@@ -49,25 +49,25 @@
 func buildWorker(c *checker, b *block) {
 	w := route.Worker{
 		Name:     b.name,
-		Kind:     b.value("kind").text,
-		Zone:     b.value("zone").text,
+		Kind:     b.value(kindSetting).text,
+		Zone:     b.value(zoneSetting).text,
 		Cell:     route.UnknownCell,
-		MemoryMB: b.value("memory").number,
-		Same:     b.value("same-as").text,
+		MemoryMB: b.value(memorySetting).number,
+		Same:     b.value(sameAsSetting).text,
 		At:       fileLine(b.pos),
 	}
-	if b.hasValue("cell") {
-		w.Cell = b.value("cell").count
+	if b.hasValue(cellSetting) {
+		w.Cell = b.value(cellSetting).count
 	}
 	w.Addrs = c.buildAddresses(b)
-	for _, v := range b.values["prefer"] {
+	for _, v := range b.values[preferSetting] {
 		network, _ := endpoint.ParseNetwork(v.text) // checked when it was read
 		w.Prefer = append(w.Prefer, network)
 	}
 	w.Labels = c.buildLabels(b)
 	if c.platform != nil {
-		c.checkListed(b, "kind", "the platform's kinds", c.platform.Kinds)
-		c.checkListed(b, "zone", "the platform's zones", c.platform.Zones)
+		c.checkListed(b, kindSetting, "the platform's kinds", c.platform.Kinds)
+		c.checkListed(b, zoneSetting, "the platform's zones", c.platform.Zones)
 	}
 	c.result.Spec.Workers = append(c.result.Spec.Workers, w)
 }
@@ -119,7 +119,7 @@
 			continue
 		}
 		if w.Same == w.Name && w.Same != "" {
-			c.fault(b, b.value("same-as").pos, "worker %q is the same as itself", w.Name)
+			c.fault(b, b.value(sameAsSetting).pos, "worker %q is the same as itself", w.Name)
 		}
 		c.checkAddresses(b, claims)
 	}
@@ -142,7 +142,7 @@
 // areAliases reports whether one of two worker blocks says that it is the same worker as the other.
 func (c *checker) areAliases(a, b string) bool {
 	workers := c.blocks[workerKeyword]
-	return workers[a].value("same-as").text == b || workers[b].value("same-as").text == a
+	return workers[a].value(sameAsSetting).text == b || workers[b].value(sameAsSetting).text == a
 }
 
 // checkListed checks that a setting's values are on a list, where there is one.
