--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -6,7 +6,6 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/lang/syntax"
 	"crankhold/internal/route"
 )
 
@@ -35,15 +34,9 @@
 	inherited bool              // effective is complete
 }
 
-// position returns where a setting is given, which may be in a policy that this one inherits from.
-func (p *policyBlock) position(setting string) (*block, syntax.Pos) {
-	return p.origins[setting], p.effective[setting].pos
-}
-
-// fault reports what is wrong with a setting, where that is given.
+// fault reports what is wrong with a setting, where that is given: it may be in a policy that this one inherits from.
 func (p *policyBlock) fault(c *checker, setting, format string, args ...any) {
-	origin, pos := p.position(setting)
-	c.fault(origin, pos, format, args...)
+	c.fault(p.origins[setting], p.effective[setting].pos, format, args...)
 }
 
 func buildPolicy(c *checker, b *block) {
