--- a/internal/route/helpers_test.go
+++ b/internal/route/helpers_test.go
@@ -33,10 +33,7 @@
 }
 
 // mustCompile compiles a spec that has to be valid.
-func mustCompile(t interface {
-	Helper()
-	Fatal(...any)
-}, s *Spec) *Table {
+func mustCompile(t rapid.TB, s *Spec) *Table {
 	t.Helper()
 	table, err := Compile(s, classes)
 	if err != nil {
