--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -6,21 +6,9 @@
 	"strings"
 	"time"
 
-	"crankhold/internal/lang/syntax"
 	"crankhold/internal/route"
 )
 
-// The settings of a policy.
-const (
-	likeSetting            = "like"
-	attemptsSetting        = "attempts"
-	againIfRanSetting      = "again-if-ran"
-	againIfNotRanSetting   = "again-if-not-ran"
-	attemptTimeSetting     = "attempt-time"
-	secondCopyAfterSetting = "second-copy-after"
-	policyAimSetting       = "aim"
-)
-
 // policyType limits how often and for how long a request is attempted.
 var policyType = &blockType{
 	keyword: policyKeyword,
@@ -32,7 +20,7 @@
 		againIfNotRanSetting:   single(readCount(0)),
 		attemptTimeSetting:     single(readDuration),
 		secondCopyAfterSetting: single(readDuration),
-		policyAimSetting:       single(readDuration),
+		aimSetting:             single(readDuration),
 	},
 	build: buildPolicy,
 	check: checkPolicies,
@@ -46,15 +34,9 @@
 	inherited bool              // effective is complete
 }
 
-// position returns where a setting is given, which may be in a policy that this one inherits from.
-func (p *policyBlock) position(setting string) (*block, syntax.Pos) {
-	return p.origins[setting], p.effective[setting].pos
-}
-
-// fault reports what is wrong with a setting, where that is given.
+// fault reports what is wrong with a setting, where that is given: it may be in a policy that this one inherits from.
 func (p *policyBlock) fault(c *checker, setting, format string, args ...any) {
-	origin, pos := p.position(setting)
-	c.fault(origin, pos, format, args...)
+	c.fault(p.origins[setting], p.effective[setting].pos, format, args...)
 }
 
 func buildPolicy(c *checker, b *block) {
@@ -134,7 +116,7 @@
 	setCount(againIfNotRanSetting, &spec.RetriesAfterProvenNoRun)
 	spec.AttemptTimeout = p.effective[attemptTimeSetting].duration
 	spec.HedgeDelay = p.effective[secondCopyAfterSetting].duration
-	spec.LatencyObjective = p.effective[policyAimSetting].duration
+	spec.LatencyObjective = p.effective[aimSetting].duration
 	return spec
 }
 
@@ -179,7 +161,7 @@
 	}{
 		{attemptTimeSetting, class.Deadline, "deadline"},
 		{secondCopyAfterSetting, class.Deadline, "deadline"},
-		{policyAimSetting, class.LatencyObjective, "aim"},
+		{aimSetting, class.LatencyObjective, "aim"},
 	} {
 		v, ok := p.effective[bound.setting]
 		if ok && bound.limit > 0 && v.duration > bound.limit {
