--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -50,11 +50,10 @@
 	return (runPrior*r.class.run.Mean + f.Count*f.Mean) / (runPrior + f.Count)
 }
 
-// fullLoad predicts a load that begins now: the announced time, by the ratio measured of late.
-func (p *Policy) fullLoad(f *function) float64 { return p.loadTimeRatio * float64(f.loadTime) }
+// fullLoadTime predicts a load that begins now: the announced time, by the ratio measured of late.
+func (p *Policy) fullLoadTime(f *function) float64 { return p.loadTimeRatio * float64(f.loadTime) }
 
-// remainingLoad is the load time that r must expect at w.
-func (p *Policy) remainingLoad(w *worker, r *request) float64 {
+func (p *Policy) expectedLoadTime(w *worker, r *request) float64 {
 	replica := p.replicas.lookUp(w, r.function.id)
 	if replica != nil && replica.loadDue > 0 {
 		return math.Abs(float64(replica.loadDue - p.now)) // one that is late is expected to be as late again
@@ -62,16 +61,15 @@
 	if replica != nil && (p.now < replica.loadedUntil || replica.inFlight > 0) {
 		return 0
 	}
-	return p.fullLoad(r.function)
+	return p.fullLoadTime(r.function)
 }
 
-// predict is the latency that r must expect at w if it goes there now.
-func (p *Policy) predict(w *worker, r *request) float64 {
-	latency := p.queueingDelay(w, len(w.inFlight)) + p.runTime(r) + p.remainingLoad(w, r) +
+func (p *Policy) predictLatency(w *worker, r *request) float64 {
+	latency := p.queueingDelay(w, len(w.inFlight)) + p.runTime(r) + p.expectedLoadTime(w, r) +
 		w.failureRates[r.Class].Mean(p.now)*float64(r.deadline-p.now) // who is not served waits in vain
 	replica := p.replicas.lookUp(w, r.function.id)
 	if replica != nil && float64(replica.inFlight) >= max(r.Lanes, 1, float64(replica.lanes)) {
-		latency += extraLaneLoad * p.fullLoad(r.function) // no lane is free: w may begin a further replica
+		latency += extraLaneLoad * p.fullLoadTime(r.function) // no lane is free: w may load another
 	}
 	if len(w.inFlight) > 0 { // censored data: silent for longer than expected of its oldest attempt
 		oldest := w.inFlight[0]
@@ -124,7 +122,7 @@
 	objective := float64(r.class.LatencyObjective)
 	loaded := e.LoadStatus == StartedLoad || e.LoadStatus == WaitedForLoad
 	if !p.cfg.LoadStatusReported && !p.cfg.MissWhenNotLoaded { // a load shows in the time
-		loaded = took > run+queue+p.fullLoad(f)/2
+		loaded = took > run+queue+p.fullLoadTime(f)/2
 	}
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded { // a guessed load may be a queue
 		p.standingDelay.Observe(min(took, maxMultiple*objective), 20, 4)
@@ -140,7 +138,7 @@
 	if !loaded && (!a.expectsLoad || !p.cfg.MissWhenNotLoaded) {
 		p.learnWarm(a, took, run, queue, queued)
 	} else if e.LoadStatus == StartedLoad || e.LoadStatus == LoadStatusUnknown && a.expectsLoad && loaded {
-		p.observeLoad(took-run-queue, f)
+		p.observeLoadTime(took-run-queue, f)
 	}
 }
 
@@ -166,7 +164,7 @@
 	class.run.Observe(min(work, maxMultiple*class.run.Mean), runMemory)
 }
 
-func (p *Policy) observeLoad(took float64, f *function) {
+func (p *Policy) observeLoadTime(took float64, f *function) {
 	p.failedLoads, p.breakerUntil = 0, 0
 	p.loadTimeRatio += loadTimeWeight * (stats.Clamp(took/float64(f.loadTime), 0.2, 10) - p.loadTimeRatio)
 }
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -115,7 +115,7 @@
 	s, _ := first[StartAttempt](acts)
 	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
 	if w := b.p.workers[s.Worker]; !b.p.beginsLoad(w, b.p.requests[id]) {
-		t.Errorf("a load is thought under way: %v left", b.p.remainingLoad(w, b.p.requests[id]))
+		t.Errorf("a load is thought under way: %v left", b.p.expectedLoadTime(w, b.p.requests[id]))
 	}
 }
 
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -32,7 +32,7 @@
 		p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
 		r.pool.LoadStarted(p.now)
 		replica.worker.pendingLoads++
-		replica.loadOrdered, replica.loadDue = true, p.now+time.Duration(p.fullLoad(r.function))
+		replica.loadOrdered, replica.loadDue = true, p.now+time.Duration(p.fullLoadTime(r.function))
 	}
 	replica.waiting = append(replica.waiting, r)
 	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == replica.worker })
@@ -54,7 +54,7 @@
 		replica.loadedUntil = p.now + p.cfg.KeepAlive
 		p.gossipReplica(replica, f)
 		if e.Took > f.loadTime/5 { // else it was loaded, or nearly
-			p.observeLoad(float64(e.Took), f)
+			p.observeLoadTime(float64(e.Took), f)
 		}
 	case Failed:
 		p.openBreaker(1)
@@ -84,7 +84,7 @@
 	if p.cfg.MissWhenNotLoaded || p.cfg.WorkerMemoryMB <= 0 || !(memory > 0) {
 		return p.cfg.KeepAlive
 	}
-	late := min((p.fullLoad(r.function)+p.runTime(r))/float64(r.class.LatencyObjective), 1)
+	late := min((p.fullLoadTime(r.function)+p.runTime(r))/float64(r.class.LatencyObjective), 1)
 	lost := (1 - r.class.LatePriorityWeight) * late
 	lost *= p.cfg.WorkerMemoryMB * float64(max(p.readyWorkers, 1)) * float64(p.cfg.LoadBudgetWindow)
 	return time.Duration(min(lost/memory, float64(p.cfg.KeepAlive)))
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -99,7 +99,9 @@
 		rejection.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2)) // clients come back spread
 	}
 	if !r.done {
-		_ = p.emit(rejection) || p.emit(FailRequest{Request: r.Request})
+		if !p.emit(rejection) {
+			p.emit(FailRequest{Request: r.Request})
+		}
 		p.closeRequest(r)
 	}
 }
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -27,7 +27,7 @@
 }
 
 func (p *Policy) startAttempt(r *request, w *worker, expected time.Duration, likelyLoaded bool) {
-	load, replica := p.remainingLoad(w, r), p.replicas.get(w, r.function.id)
+	load, replica := p.expectedLoadTime(w, r), p.replicas.get(w, r.function.id)
 	if !p.emit(StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}) {
 		return
 	}
@@ -63,7 +63,7 @@
 	r.hedging = true
 	second, lowest := (*worker)(nil), float64(r.deadline-p.now)
 	for _, w := range p.candidates(r) {
-		if latency := p.predict(w, r); w != first && !p.beginsLoad(w, r) && latency < lowest {
+		if latency := p.predictLatency(w, r); w != first && !p.beginsLoad(w, r) && latency < lowest {
 			second, lowest = w, latency
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// checker follows the actions of a random world and reports broken rules. It shares no code with the module.
-type checker struct {
+// ruleChecker follows the actions of a random world and reports broken rules. It shares no code with the module.
+type ruleChecker struct {
 	t     *testing.T
 	cfg   Config
-	reqs  map[RequestID]*seen
+	reqs  map[RequestID]*observedRequest
 	state map[WorkerID]WorkerState
 	order []time.Duration
 	took  []time.Duration
 }
 
-type seen struct {
+type observedRequest struct {
 	class    int
 	deadline time.Duration
 	sent     []WorkerID
@@ -28,7 +28,7 @@
 	final    bool
 }
 
-func (c *checker) look(now time.Duration, acts []Action) {
+func (c *ruleChecker) check(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case StartAttempt:
@@ -55,9 +55,9 @@
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
 				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
 			}
-			c.end(now, r)
+			c.checkEnd(now, r)
 		case FailRequest:
-			c.end(now, c.reqs[a.Request])
+			c.checkEnd(now, c.reqs[a.Request])
 		case Load:
 			if c.state[a.Worker] != Ready {
 				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *checker) end(now time.Duration, r *seen) {
+func (c *ruleChecker) checkEnd(now time.Duration, r *observedRequest) {
 	if r.final || now > r.deadline+8*ms {
 		c.t.Fatalf("%v: second or late final answer", now)
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &checker{t: t, cfg: cfg, reqs: map[RequestID]*seen{}, state: map[WorkerID]WorkerState{}}
+	c := &ruleChecker{t: t, cfg: cfg, reqs: map[RequestID]*observedRequest{}, state: map[WorkerID]WorkerState{}}
 	now, next := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
@@ -115,7 +115,7 @@
 	var loads []Load
 	handle := func(ev Event) {
 		acts := p.Handle(now, ev, nil)
-		c.look(now, acts)
+		c.check(now, acts)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case SetTimer:
@@ -157,7 +157,7 @@
 			next++
 			left := time.Duration(rng.IntN(3000)) * ms
 			c.took = append(c.took, now)
-			c.reqs[next] = &seen{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
+			c.reqs[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
 			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
 				LoadTime: 800 * ms, Remaining: left})
 		case k == 9 && next > 0:
--- a/policy/scheduling.go
+++ b/policy/scheduling.go
@@ -34,10 +34,10 @@
 	}
 	chosen, lowest := p.fastest(r, candidates, preferred, chance)
 	w := candidates[chosen]
-	predicted, likelyLoaded := p.predict(w, r), w == preferred && chance >= likelyChance
+	predicted, likelyLoaded := p.predictLatency(w, r), w == preferred && chance >= likelyChance
 	expected := predicted // what it takes if we are right: more likely than not a replica is loaded
 	if likelyLoaded {
-		expected -= p.remainingLoad(w, r)
+		expected -= p.expectedLoadTime(w, r)
 	}
 	shed, wait := p.shed(r, w, expected)
 	late := expected > float64(r.deadline-p.now)
@@ -71,18 +71,18 @@
 
 func (p *Policy) beginsLoad(w *worker, r *request) bool {
 	replica := p.replicas.lookUp(w, r.function.id)
-	return (replica == nil || replica.loadDue == 0) && p.remainingLoad(w, r) > 0
+	return (replica == nil || replica.loadDue == 0) && p.expectedLoadTime(w, r) > 0
 }
 
 // fastest returns the index of the candidate with the lowest score, and that. Ties are broken at random.
 func (p *Policy) fastest(r *request, candidates []*worker, preferred *worker, chance float64) (int, float64) {
-	run, load := p.runTime(r), p.fullLoad(r.function)
+	run, load := p.runTime(r), p.fullLoadTime(r.function)
 	scores, lowest, tie := p.scoreBuffer[:0], math.Inf(1), float64(p.cfg.Tick) // the clock tells no less
 	for _, w := range candidates {
 		// Where no replica is loaded r takes its run and a load at the least: most need no closer look.
 		score := run + load
 		if w == preferred || p.replicas.lookUp(w, r.function.id) != nil || score <= lowest+tie {
-			score = p.predict(w, r)
+			score = p.predictLatency(w, r)
 		}
 		if w == preferred {
 			score -= chance * load
