--- /dev/null
+++ b/internal/eventloop/bench_test.go
@@ -0,0 +1,50 @@
+package eventloop_test
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"crankhold/internal/eventloop"
+)
+
+// pong writes back what it receives, in two buffers.
+type pong struct{ conn *eventloop.Conn }
+
+func (p *pong) Data(data []byte)                  { p.conn.Write(data[:1], data[1:]) }
+func (p *pong) Closed(error)                      {}
+func (p *pong) Busy() bool                        { return false }
+func (p *pong) Messages() (whole int, begun bool) { return 1, false }
+
+// BenchmarkRoundTrip sends a message over loopback and waits until it comes back.
+func BenchmarkRoundTrip(b *testing.B) {
+	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
+	loop.Listen("127.0.0.1:0", func(c *eventloop.Conn) eventloop.AcceptedHandler { return &pong{conn: c} })
+	if err := loop.Start(); err != nil {
+		b.Fatal(err)
+	}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		loop.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Second })
+	}()
+	client, err := net.Dial("tcp", loop.Addrs()[0])
+	if err != nil {
+		b.Fatal(err)
+	}
+	message := make([]byte, 1000)
+	response := make([]byte, len(message))
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := client.Write(message); err != nil {
+			b.Fatal(err)
+		}
+		if _, err := io.ReadFull(client, response); err != nil {
+			b.Fatal(err)
+		}
+	}
+	client.Close()
+	loop.Post(loop.Stop)
+	<-ended
+}
