--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,6 +1,8 @@
 // Package framing reassembles the messages of a byte stream from reads that may end anywhere within one.
 package framing
 
+import "bytes"
+
 // maxIdleCapacity is how large an empty buffer may be and still be kept, in bytes: a connection that once received
 // a large message in parts must not hold the memory for it while it has nothing to receive.
 const maxIdleCapacity = 4 << 10
@@ -36,6 +38,9 @@
 		messages++
 		unread = unread[size:]
 	}
+	if messages == 0 && len(b.partial) > 0 {
+		return 0, nil // all of it is buffered already
+	}
 	b.keep(unread)
 	return messages, nil
 }
@@ -49,6 +54,10 @@
 	b.partial = append(b.partial[:0], unread...)
 }
 
+// Compact releases what the buffer holds beyond the buffered bytes. It is for streams of which there are many, and which
+// may stay idle with the beginning of a message.
+func (b *Buffer) Compact() { b.partial = bytes.Clone(b.partial[:len(b.partial):len(b.partial)]) }
+
 // Len is how many bytes of an incomplete message are buffered.
 func (b *Buffer) Len() int { return len(b.partial) }
 
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -160,3 +160,21 @@
 		t.Errorf("%v allocations", allocations)
 	}
 }
+
+func TestCompactKeepsTheBytesAndNoMore(t *testing.T) {
+	received := frames{limit: 4 * maxIdleCapacity}
+	var buffer Buffer
+	large := encode(make([]byte, 4*maxIdleCapacity))
+	for _, read := range [][]byte{large[:1], append(bytes.Clone(large[1:]), 0, 2, 'a')} {
+		if _, err := buffer.Feed(read, received.decode); err != nil {
+			t.Fatal(err)
+		}
+	}
+	buffer.Compact()
+	if buffer.Len() != 3 || cap(buffer.partial) > 64 {
+		t.Errorf("%d bytes buffered in a capacity of %d, want 3 in little more", buffer.Len(), cap(buffer.partial))
+	}
+	if messages, err := buffer.Feed([]byte{'b'}, received.decode); messages != 1 || err != nil || string(received.messages[1]) != "ab" {
+		t.Errorf("%d messages, %v, the last %q", messages, err, received.messages[len(received.messages)-1])
+	}
+}
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -44,8 +44,12 @@
 	if c.closed {
 		return
 	}
-	if _, err := c.partial.Feed(b, c.handleFrame); err != nil {
+	frames, err := c.partial.Feed(b, c.handleFrame)
+	switch {
+	case err != nil:
 		c.closeMalformed(err)
+	case frames > 0:
+		c.partial.Compact() // many clients may be connected: none keeps the memory of its largest frame
 	}
 }
 
