--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -19,24 +19,29 @@
 func (discardTransport) Close()           {}
 func (discardTransport) UnsentBytes() int { return 0 }
 
-// discardResults drops results.
-type discardResults struct{}
+// servedCounter counts the requests that were served.
+type servedCounter struct{ served int }
 
-func (discardResults) AttemptCompleted(router.Attempt, router.AttemptResult)  {}
-func (discardResults) LoadCompleted(uint64, policy.Outcome, int)              {}
-func (discardResults) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
+func (c *servedCounter) AttemptCompleted(_ router.Attempt, r router.AttemptResult) {
+	if r.Outcome == policy.Served {
+		c.served++
+	}
+}
+func (*servedCounter) LoadCompleted(uint64, policy.Outcome, int)              {}
+func (*servedCounter) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
 
 // BenchmarkRequest sends a request over a connection that is up and takes in its response.
 func BenchmarkRequest(b *testing.B) {
 	var handler eventloop.DialHandler
+	results := &servedCounter{}
 	pool := workerclient.New(workerclient.Config{
 		Classes: []string{"dim-level"}, ReportFields: []string{"inflight", "cpu"}, DialTimeout: time.Second,
-		KeepAlive: time.Hour, MaxCallsPerConnection: 32, MaxConnections: 100,
+		KeepAlive: 10_000 * time.Hour, MaxCallsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
 			handler = h
 			return discardTransport{}
 		},
-	}, discardResults{})
+	}, results)
 	pool.SetWorker(1, []endpoint.Addr{{Network: endpoint.TCP4, Addr: "127.0.0.1:1"}}, policy.Ready)
 	pool.CheckHealth(1, 1)
 	handler.DialCompleted(nil)
@@ -47,18 +52,23 @@
 	for i := range ids {
 		id := fmt.Sprintf("%016x", i)
 		requests[i] = &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: make([]byte, 1000)}
-		responses[i] = []byte("*4\r\n$16\r\n" + id + "\r\n$3\r\nHIT\r\n$40\r\ndetail=hot,crowd=3,use=inflight:7;cpu:0.5\r\n$6\r\nresult\r\n")
+		responses[i] = []byte("*4\r\n$16\r\n" + id + "\r\n$3\r\nHIT\r\n$41\r\ndetail=hot,crowd=3,use=inflight:7;cpu:0.5\r\n$6\r\nresult\r\n")
 	}
 	b.ReportAllocs()
-	now := time.Hour
-	for n := 0; b.Loop(); n++ {
-		i := n % ids
+	now := time.Second
+	requested := 0
+	for b.Loop() {
+		i := requested % ids
+		requested++
 		if i == 0 {
 			now = forgetIDs(pool, now)
 		}
 		pool.StartAttempt(1, router.Attempt{Request: policy.RequestID(i)}, requests[i], time.Second)
 		handler.Data(responses[i])
 	}
+	if results.served != requested {
+		b.Fatalf("%d of %d requests were served", results.served, requested)
+	}
 }
 
 // forgetIDs moves a pool's time on until its connections carry the ids of earlier requests again.
