--- a/internal/eventloop/crossings_test.go
+++ b/internal/eventloop/crossings_test.go
@@ -20,7 +20,7 @@
 
 func (r *reader) Data(b []byte) { r.got.Add(int64(len(b))) }
 
-// Guards answers that a worker wrote just before it closed: while the poller is held up they and the end come together,
+// Guards responses that a worker wrote just before it closed: while the poller is held up they and the end come together,
 // and nbio forgets what it has not read of a connection once it has heard of its end.
 func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	}
 	defer ln.Close()
 	// The poller waits behind a byte.
-	l := startThat(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
+	l := startWith(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
 		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
 	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
 	made := make(chan *Conn, 1)
@@ -57,7 +57,7 @@
 		queued = l.queue.bytes
 		l.queue.mu.Unlock()
 	}
-	const size = 10 * (16<<10 + 100) // ten answers
+	const size = 10 * (16<<10 + 100) // ten responses
 	if _, err := peer.Write(make([]byte, size)); err != nil {
 		t.Fatal(err)
 	}
@@ -70,8 +70,8 @@
 	peer.Close()
 }
 
-// Guards the last answer of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
-// slow client's answer would be cut off with the process.
+// Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
+// slow client's response would be cut off with the process.
 func TestWhatIsQueuedIsUnwritten(t *testing.T) {
 	l := New(Config{})
 	c := &Conn{loop: l, handler: &echo{}, established: true}
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards the workers and the directory against clients that hold every descriptor and say nothing: a dial that finds
+// Guards the workers and discovery against clients that hold every descriptor and say nothing: a dial that finds
 // none has them make room, oldest first, and comes up. It runs in a process of its own, whose limit it lowers.
 func TestIdleClientsMakeRoomForADial(t *testing.T) {
 	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// echo answers what it hears, many times over, and counts.
+// echo writes back what it receives, as often as it is told to.
 type echo struct {
 	c     *Conn
 	times int
@@ -30,18 +30,20 @@
 func (e *echo) Busy() bool            { return e.busy }
 func (e *echo) Messages() (int, bool) { return e.whole, e.begun }
 
-// dialled tells how a dial and its connection ended.
+// dialled reports how a dial and its connection ended.
 type dialled struct{ opened, closed chan error }
 
 func (d *dialled) Data([]byte)             {}
 func (d *dialled) DialCompleted(err error) { d.opened <- err }
 func (d *dialled) Closed(err error)        { d.closed <- err }
 
-func start(t *testing.T, most int, accept func(*Conn) AcceptedHandler) *Loop {
-	return startThat(t, Config{MaxAccepted: most, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
+func start(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
+	t.Helper()
+	return startWith(t, Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
 }
 
-func startThat(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
+func startWith(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
+	t.Helper()
 	l := New(cfg)
 	l.Listen("127.0.0.1:0", accept)
 	if err := l.Start(); err != nil {
@@ -82,6 +84,7 @@
 }
 
 func dial(t *testing.T, l *Loop) net.Conn {
+	t.Helper()
 	c, err := net.Dial("tcp", l.Addrs()[0])
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +133,7 @@
 	})
 	c := dial(t, l)
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
-	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of answers
+	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of responses
 	if err := <-e.ends; err == nil {
 		t.Error("closed without a reason")
 	}
@@ -178,22 +181,22 @@
 }
 
 // Guards the time that a client has for its message: whole messages count, not the bytes that trickle in,
-// and one that asked once may hold its connection for longer.
+// and one that sent a request may hold its connection for longer.
 func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		feed func(e *echo, at time.Duration) bool // tells whether bytes come
+		feed func(e *echo, at time.Duration) bool // reports whether bytes arrive
 		gone time.Duration
 	}{
-		"silent":         {func(*echo, time.Duration) bool { return false }, messageTimeout},
-		"trickles":       {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
-		"asked and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
+		"silent":            {func(*echo, time.Duration) bool { return false }, messageTimeout},
+		"trickles":          {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
+		"sent one and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
 		"half a second one": {func(e *echo, at time.Duration) bool {
 			e.whole, e.begun = 1, at >= 5*time.Second
 			return at == 0 || e.begun
 		}, 5*time.Second + messageTimeout},
-		"goes on asking": {func(e *echo, _ time.Duration) bool { e.whole++; return true }, time.Minute},
-		"owed an answer": {func(e *echo, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
+		"goes on sending": {func(e *echo, _ time.Duration) bool { e.whole++; return true }, time.Minute},
+		"response due":    {func(e *echo, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
 	} {
 		l := New(Config{})
 		e := &echo{}
@@ -215,9 +218,9 @@
 	}
 }
 
-// Guards clients that asked against connections that are opened by hundreds and say nothing: those make
+// Guards clients that sent requests against connections that are opened by hundreds and say nothing: those make
 // room for each other, the oldest first. One that has only just come may have its request on the way, and
-// one whose answer is queued or not yet read would lose it.
+// one whose response is queued or not yet read would lose it.
 func TestSilentConnectionsMakeRoomFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(whole int, busy bool, heard time.Duration) *Conn {
@@ -270,7 +273,7 @@
 	}
 }
 
-// Guards the proof that a call never left: of what was written to a peer that takes little, Unsent is what the kernel
+// Guards the proof that a request never left: of what was written to a peer that takes little, UnsentBytes is what the kernel
 // did not take; of a short message that was handed on, nothing.
 func TestUnsentIsWhatNeverLeft(t *testing.T) {
 	for _, size := range []int{100, 6 << 20} {
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -25,24 +25,34 @@
 	workers, addrs, calls     int
 	faults                    int // refused dials, resets, misses and faults, together
 	drains, ticks, interrupts int
-	loadsRequired             bool // functions must be ordered first
-	maxStates                 int  // states
+	loadsRequired             bool // functions must be loaded first
+	maxStates                 int
 }
 
+// modelTransportState is where a connection of the model is in its life.
+type modelTransportState string
+
+const (
+	modelDialing modelTransportState = "dialing"
+	modelUp      modelTransportState = "up"
+	modelClosing modelTransportState = "closing" // by the pool; its end is under way
+	modelEnded   modelTransportState = "ended"
+)
+
 // modelTransport is a connection of the model, or a dial that is under way.
 type modelTransport struct {
 	model    *model
 	worker   int
 	addr     string
 	handler  eventloop.DialHandler
-	state    string // dialling, up, shut (by us, its end is on the way), over
+	state    modelTransportState
 	written  []byte
 	decoded  int // parsed
 	messages []*modelMessage
 	unsent   int
 }
 
-// modelMessage is one that was written over a wire.
+// modelMessage is one that was written over a connection.
 type modelMessage struct {
 	name, id  string
 	endOffset int
@@ -69,23 +79,23 @@
 
 func (l *modelTransport) Close() {
 	switch l.state {
-	case "dialling":
-		l.state = "over" // called off: nobody hears of it again
-	case "up":
-		l.state = "shut"
+	case modelDialing:
+		l.state = modelEnded // cancelled: nobody hears of it again
+	case modelUp:
+		l.state = modelClosing
 	}
 }
 
 func (l *modelTransport) UnsentBytes() int { return l.unsent }
 
-// model is the real core, module, pool and paths, with a world of a few workers around them.
+// model is the real core, decision module, pool and address sets, with a world of a few workers around them.
 type model struct {
 	scope
 	core         *router.Core
 	pool         *Pool
 	now          time.Duration
 	transports   []*modelTransport
-	history      strings.Builder // all that the core was told, in its order
+	history      strings.Builder // all events that the core received, in order
 	arrived      int
 	ids          map[string]policy.RequestID
 	requests     []*modelRequest
@@ -105,7 +115,7 @@
 	}
 }
 
-// log tells the core's events, and what the model asks of it, apart.
+// log adds an event of the core, or what the model asks of it, to the history.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
 // AttemptCompleted, LoadCompleted and HealthCheckCompleted hand on to the core.
@@ -134,7 +144,7 @@
 	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
 	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxCallsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
-			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: "dialling"}
+			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: modelDialing}
 			m.transports = append(m.transports, l)
 			return l
 		}}, m)
@@ -178,7 +188,7 @@
 	if f.name != "RUN" && f.name != "HOLD" {
 		return
 	}
-	if l.state != "up" {
+	if l.state != modelUp {
 		return // it never leaves
 	}
 	if m.workerStates[l.worker] != policy.Ready {
@@ -194,7 +204,7 @@
 	}
 	for _, o := range m.transports {
 		for _, g := range o.messages {
-			if g.name == "RUN" && g.id == f.id && !g.notRun && !(o.state == "over" && g.endOffset > len(o.written)-o.unsent) {
+			if g.name == "RUN" && g.id == f.id && !g.notRun && !(o.state == modelEnded && g.endOffset > len(o.written)-o.unsent) {
 				m.violate("the order %s, which may have run over %s, is written again over %s", f.id, o.addr, l.addr)
 			}
 		}
@@ -230,19 +240,19 @@
 	}
 	for i, l := range m.transports {
 		switch l.state {
-		case "dialling":
-			add(func() { l.state = "up"; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
-			bad(func() { l.state = "over"; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
-		case "up", "shut":
+		case modelDialing:
+			add(func() { l.state = modelUp; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
+			bad(func() { l.state = modelEnded; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
+		case modelUp, modelClosing:
 			// The last message may not have left whole, unless it has its response.
 			cut := 0
 			if n := len(l.messages); n > 0 && !l.messages[n-1].answered {
 				cut = 1
 			}
 			end := func(left int) func() {
-				return func() { l.state, l.unsent = "over", left; l.handler.Closed(errors.New("reset")) }
+				return func() { l.state, l.unsent = modelEnded, left; l.handler.Closed(errors.New("reset")) }
 			}
-			if l.state == "shut" {
+			if l.state == modelClosing {
 				add(end(0), "the end of %d over %s", i, l.addr)
 				if cut > 0 {
 					add(end(cut), "the end of %d over %s, its last message cut", i, l.addr)
@@ -326,9 +336,9 @@
 	dialling, conns := 0, 0
 	for _, l := range m.transports {
 		switch l.state {
-		case "dialling":
+		case modelDialing:
 			dialling++
-		case "up":
+		case modelUp:
 			conns++
 		}
 	}
@@ -360,7 +370,7 @@
 // recoveryConnections is how many recovery dials are past their dial.
 func (m *model) recoveryConnections() (n int) {
 	for _, w := range m.pool.workers {
-		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == "up" {
+		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == modelUp {
 			n++
 		}
 	}
@@ -383,7 +393,7 @@
 	return m.Check()
 }
 
-// Key is what the module was told, in its order, and the state of all connections and paths.
+// Key is the history of events, and the state of all connections and addresses.
 func (m *model) Key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.interrupts, m.workerStates)
@@ -422,7 +432,7 @@
 	"load orders": {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
 }
 
-// Every interleaving of a small scope, by the real code: an order that may have run is never written again, each
+// Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
 // request has one response, nothing new goes to a worker that is draining, and no dial or connection leaks.
 func TestEveryInterleaving(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(scopes)) {
@@ -437,16 +447,16 @@
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
 var planted = []struct{ name, file, old, new string }{
-	{"calls that left whole are moved", "internal/workerclient/dispatch.go", "case neverArrived && cmd.resends < maxResends", "case !cmd.kind.isHealthQuery() && cmd.written && cmd.resends < maxResends"},
-	{"calls are moved to a draining worker", "internal/workerclient/dispatch.go", "cmd.resends < maxResends && w.ready()", "cmd.resends < maxResends"},
-	{"a drain leaves what waits behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.queued) == 0 {", "if false {"},
+	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && cmd.resends < maxResends", "case !cmd.kind.isHealthQuery() && cmd.written && cmd.resends < maxResends"},
+	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.resends < maxResends && w.ready()", "cmd.resends < maxResends"},
+	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.queued) == 0 {", "if false {"},
 	{"a reset counts as a refused dial", "internal/workerclient/conn.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
-	{"an error counts as turned away", "internal/workerclient/response.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
+	{"a failure counts as rejected", "internal/workerclient/response.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
 	{"dials that lost the race go on", "internal/workerclient/dial.go", "\t\td.finish()\n\t\td.transport.Close()", "\t\td.finish()"},
-	{"a trial's connection stays", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
-	{"a call that was given up is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
+	{"the connection of a recovery dial stays open", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
+	{"a cancelled request is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
 	{"the module repeats what must not be", "policy/policy.go", "return c.Idempotency == IdempotentWithKey && p.now", "return c.Idempotency == NotIdempotent || c.Idempotency == IdempotentWithKey && p.now"},
-	{"a lost race is never told", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
+	{"a lost race is never reported", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
 }
 
 // Guards the check itself: each planted fault is found.
