--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -6,52 +6,148 @@
 	"strings"
 	"testing"
 	"time"
+
+	"crankhold/internal/fake"
 )
 
-// Guards the world from the load tool: it sends to loopback addresses alone, and within bounds.
-func TestLoadStaysOnLoopbackAndWithinBounds(t *testing.T) {
-	for addr, ok := range map[string]bool{"127.0.0.1:80": true, "127.9.9.9:80": true, "[::1]:80": true, "10.0.0.1:80": false, "192.168.0.1:80": false,
-		"0.0.0.0:80": false, "example.org:80": false, "localhost:80": false, "127.0.0.1": false, "[::ffff:10.0.0.1]:80": false} {
+// validLoad returns a load that is within all bounds.
+func validLoad() Load {
+	return Load{Addr: "127.0.0.1:80", Rate: 1, Length: time.Second, Conns: 1, Keys: 1}
+}
+
+func TestCheckLoopbackAcceptsLoopbackAddressesAlone(t *testing.T) {
+	for addr, ok := range map[string]bool{
+		"127.0.0.1:80":         true,
+		"127.9.9.9:80":         true,
+		"[::1]:80":             true,
+		"10.0.0.1:80":          false,
+		"192.168.0.1:80":       false,
+		"0.0.0.0:80":           false,
+		"example.org:80":       false,
+		"localhost:80":         false,
+		"127.0.0.1":            false,
+		"[::ffff:10.0.0.1]:80": false,
+	} {
 		if err := checkLoopback(addr); (err == nil) != ok {
 			t.Errorf("%s: %v", addr, err)
 		}
 	}
-	for want, l := range map[string]Load{
-		"no loopback address": {Addr: "10.1.2.3:80", Rate: 1, Length: time.Second, Conns: 1, Keys: 1},
-		"is no address":       {Hook: "http://127.0.0.1/hooks", Rate: 1, Length: time.Second, Conns: 1, Keys: 1},
-		"out of bounds":       {Addr: "127.0.0.1:80", Rate: maxRate + 1, Length: time.Second, Conns: 1, Keys: 1},
+}
+
+// Guards the world from the load tool: it sends to loopback addresses alone, and within bounds.
+func TestLoadIsRejectedOutOfBounds(t *testing.T) {
+	for _, tt := range []struct {
+		name   string
+		change func(*Load)
+		want   string
+	}{
+		{"another machine", func(l *Load) { l.Addr = "10.1.2.3:80" }, "no loopback address"},
+		{"a webhook without a port", func(l *Load) { l.Addr, l.Hook = "", "http://127.0.0.1/hooks" }, "is no address"},
+		{"a rate too high", func(l *Load) { l.Rate = maxRate + 1 }, "out of bounds"},
+		{"two hours", func(l *Load) { l.Length, l.Steps = time.Hour, 2 }, "out of bounds"},
 	} {
-		if err := l.Run(io.Discard); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v, want %s", l, err, want)
-		}
-	}
-	long := Load{Addr: "127.0.0.1:80", Rate: 1, Length: time.Hour, Steps: 2, Conns: 1, Keys: 1}
-	if err := long.Run(io.Discard); err == nil || !strings.Contains(err.Error(), "out of bounds") {
-		t.Errorf("two hours: %v", err)
+		t.Run(tt.name, func(t *testing.T) {
+			l := validLoad()
+			tt.change(&l)
+			if err := l.Run(io.Discard); err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("%v, want %s", err, tt.want)
+			}
+		})
 	}
 }
 
-// Guards the end of a load: what was connected is closed, once.
-func TestLoadEnds(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func TestConnectionsAreClosedAtTheEndOfALoad(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	l := Load{Addr: ln.Addr().String(), Conns: 3}
-	target, err := l.connect()
+	defer listener.Close()
+	target, err := Load{Addr: listener.Addr().String(), Conns: 3}.connect()
 	if err != nil {
 		t.Fatal(err)
 	}
 	target.close()
 	for range 3 {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("a connection stays: %v", err)
 		}
 	}
 }
+
+func TestRampRates(t *testing.T) {
+	for _, tt := range []struct {
+		name string
+		load Load
+		want []int
+	}{
+		{"one rate", Load{Rate: 500, Steps: 5}, []int{500}},
+		{"a ramp", Load{Rate: 500, To: 1000, Steps: 3}, []int{500, 750, 1000}},
+		{"a ramp of one step", Load{Rate: 500, To: 1000, Steps: 1}, []int{500}},
+	} {
+		t.Run(tt.name, func(t *testing.T) { expectEqual(t, tt.load.rates(), tt.want) })
+	}
+}
+
+// cappedSender serves some of each hundred requests at once, and rejects the others.
+type cappedSender struct {
+	serve int // of each hundred requests
+	sent  int
+}
+
+func (s *cappedSender) send(_, _ string, done func(fake.Verdict)) {
+	s.sent++
+	if s.sent%100 < s.serve {
+		done(fake.Served)
+	} else {
+		done(fake.Rejected)
+	}
+}
+
+func (s *cappedSender) close() {}
+
+func TestMeasurementCountsResponses(t *testing.T) {
+	l := validLoad()
+	l.Length = 100 * time.Millisecond
+	run := &loadRun{Load: l, target: &loadTarget{sender: &cappedSender{serve: 90}}, out: io.Discard}
+	m, err := run.measure(5000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if m.sent != 500 || m.served != 450 || m.rejected != 50 || m.lost != 0 || m.keepsUp() {
+		t.Errorf("sent %d, served %d, rejected %d, lost %d, keeps up %v", m.sent, m.served, m.rejected, m.lost, m.keepsUp())
+	}
+}
+
+func TestBracketNarrowsToTheKnee(t *testing.T) {
+	measured := func(rate int) *measurement {
+		m := newMeasurement(rate)
+		m.sent = 100
+		if rate <= 700 {
+			m.served = 100
+		}
+		return m
+	}
+	var b bracket
+	for _, rate := range []int{250, 500} {
+		b.narrow(measured(rate))
+	}
+	if _, ok := b.middle(); ok {
+		t.Error("a knee without a rate that the router does not keep up with")
+	}
+	b.narrow(measured(1000))
+	for range kneeHalvings {
+		rate, ok := b.middle()
+		if !ok {
+			t.Fatal("it can't be narrowed")
+		}
+		b.narrow(measured(rate))
+	}
+	if b.kept != 687 || b.missed != 750 {
+		t.Errorf("between %d and %d", b.kept, b.missed)
+	}
+}
--- /dev/null
+++ b/internal/fake/client_test.go
@@ -0,0 +1,112 @@
+package fake
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// A request's bytes follow the platform's protocol: a framed call of Thrift's strict binary protocol.
+func TestRequestEncoding(t *testing.T) {
+	call := Call{Class: "c", ID: "1", Key: "2", Wait: 1500 * time.Millisecond, Once: "k", Body: []byte("x")}
+	got := encodeMessage(messageCall, "execute", 7, executeArguments(&call))
+	want := "" +
+		"00000067" + "80010001" + "00000007" + hex.EncodeToString([]byte("execute")) + "00000007" +
+		"0d0001" + "0b0b" + "00000005" +
+		text("class") + text("c") + text("id") + text("1") + text("wait") + text("1500") + text("key") + text("2") + text("once") + text("k") +
+		"0b0002" + text("x") + "00"
+	if hex.EncodeToString(got) != want {
+		t.Errorf("got  %x\nwant %s", got, want)
+	}
+}
+
+// text returns the encoding of a short text in hex.
+func text(s string) string { return hex.EncodeToString(appendText(nil, s)) }
+
+func decodeHex(t *testing.T, s string) []byte {
+	t.Helper()
+	b, err := hex.DecodeString(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func TestAnswerDecoding(t *testing.T) {
+	const reply = "80010002" + "00000000" + "00000009"
+	for _, tt := range []struct {
+		name  string
+		frame string
+		want  Answer
+	}{
+		{"served", reply + "0c0000" + "0b0001" + text("done") + "00" + "00", Answer{Verdict: Served, Body: []byte("done")}},
+		{"rejected", reply + "0c0001" + "0d0001" + "0b0b" + "00000001" + text("after") + text("250") + "00" + "00", Answer{Verdict: Rejected, RetryAfter: 250 * time.Millisecond}},
+		{"failed", reply + "0c0002" + "00" + "00", Answer{Verdict: Failed}},
+		{"a health check", reply + "0c0000" + "020001" + "01" + "00" + "00", Answer{Verdict: Served, Healthy: true}},
+		{"an exception", "80010003" + "00000000" + "00000009", Answer{Verdict: Failed}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			seq, got, err := parseAnswer(decodeHex(t, tt.frame))
+			if err != nil || seq != 9 || !reflect.DeepEqual(got, tt.want) {
+				t.Errorf("%d, %+v, %v; want %+v", seq, got, err, tt.want)
+			}
+		})
+	}
+}
+
+func TestMalformedAnswersAreErrors(t *testing.T) {
+	const reply = "80010002" + "00000000" + "00000009"
+	for name, frame := range map[string]string{
+		"empty":             "",
+		"a cut header":      "80010002",
+		"no struct":         reply + "0b0000",
+		"an unknown type":   reply + "0c0000" + "030001",
+		"a cut text":        reply + "0c0000" + "0b0001" + "00000010" + "00",
+		"a text beyond all": reply + "0c0000" + "0b0001" + "ffffffff",
+		"no end":            reply + "0c0000",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, got, err := parseAnswer(decodeHex(t, frame)); !errors.Is(err, errMalformedAnswer) {
+				t.Errorf("%+v, %v", got, err)
+			}
+		})
+	}
+	if _, _, err := readAnswer(bytes.NewReader(decodeHex(t, "7fffffff"))); err == nil {
+		t.Error("a frame beyond the limit is read")
+	}
+}
+
+// Requests in flight end with their connection, and so do later ones.
+func TestRequestsEndWithTheirConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	client, err := Dial(listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer client.Close()
+	router, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	client.Go(Call{}, func(_ Answer, err error) { ended <- err })
+	if _, err := bufio.NewReader(router).ReadByte(); err != nil || client.Open() != 1 {
+		t.Fatalf("%d in flight, %v", client.Open(), err)
+	}
+	router.Close()
+	if err := <-ended; err == nil {
+		t.Error("a request without a response has no error")
+	}
+	if _, err := client.Do(Call{}); err == nil || client.Open() != 0 {
+		t.Errorf("after the connection's end: %v, %d in flight", err, client.Open())
+	}
+}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -115,11 +115,18 @@
 	return nil
 }
 
-// Hang has the worker accept requests and respond to none, until it is called with false.
-func (w *Worker) Hang(on bool) {
+// Hang has the worker accept requests and respond to none, until Resume.
+func (w *Worker) Hang() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hanging = on
+	w.hanging = true
+}
+
+// Resume has a worker that hangs respond to requests again. Those that it worked on meanwhile have no response.
+func (w *Worker) Resume() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.hanging = false
 }
 
 // Fail has the worker respond FAULT to the requests whose id fails selects; nil for none.
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -79,7 +79,7 @@
 	worker.Fail(func(id string) bool { return id == "1" })
 	router.send("RUN", "1", requestFields, "")
 	router.expect("1", "FAULT", "-", "")
-	worker.Hang(true)
+	worker.Hang()
 	router.send("NOOP", "2")
 	router.send("RUN", "3", requestFields, "")
 	for e := range events {
@@ -87,7 +87,7 @@
 			break
 		}
 	}
-	worker.Hang(false)
+	worker.Resume()
 	router.send("NOOP", "4")
 	if got, err := readArray(router.in); err != nil || got[0] == "2" {
 		t.Errorf("a hanging worker: %q, %v", got, err)
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -6,9 +6,17 @@
 	"time"
 )
 
+// idleReplicas says what becomes of replicas that no request uses.
+type idleReplicas bool
+
+const (
+	idleMakesRoom idleReplicas = false
+	idleStays     idleReplicas = true
+)
+
 // runRelease runs a fleet at little load whose workers' memory is full. From the fourth second on, a new version is
 // requested of four in ten functions.
-func runRelease(t *testing.T, routers int, keepIdleReplicas bool) *story {
+func runRelease(t *testing.T, routers int, idle idleReplicas) *story {
 	t.Helper()
 	s := &story{}
 	if err := s.givenFleet(routers, 20, rejectNotLoaded); err != nil {
@@ -16,7 +24,7 @@
 	}
 	s.cfg.Functions = 100
 	s.cfg.ReplicasPerWorker = 6
-	s.cfg.KeepIdleReplicas = keepIdleReplicas
+	s.cfg.KeepIdleReplicas = bool(idle)
 	if err := s.build(); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +46,7 @@
 func TestNewVersionsAreServedSoonAfterRelease(t *testing.T) {
 	for _, routers := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
-			s := runRelease(t, routers, false)
+			s := runRelease(t, routers, idleMakesRoom)
 			percent, n := s.newVersionsServed()
 			t.Logf("%d in 100 of %d early requests for new versions were served in time", percent, n)
 			if percent < 70 || n < 100 {
@@ -59,7 +67,7 @@
 
 // Guards the check: where idle replicas do not make room, new versions are not served.
 func TestNewVersionsWithoutRoomAreNotServed(t *testing.T) {
-	s := runRelease(t, 30, true)
+	s := runRelease(t, 30, idleStays)
 	if percent, n := s.newVersionsServed(); percent >= 70 {
 		t.Errorf("%d in 100 of %d early requests were served where no replica made room", percent, n)
 	}
