--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -123,11 +123,11 @@
 		serial := site.Directory.Set(listTwice(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
-		told := site.Directory.Told(serial)
+		answered := site.Directory.AnsweredAt(serial)
 		end := time.Now()
 		site.Directory.Set(listTwice(site, noDrain))
-		if !told.IsZero() {
-			r.lateSends += r.countArrivals(site.Workers[index], told.Add(drainGracePeriod), end)
+		if !answered.IsZero() {
+			r.lateSends += r.countArrivals(site.Workers[index], answered.Add(drainGracePeriod), end)
 		}
 	}
 }
--- a/internal/fake/directory.go
+++ b/internal/fake/directory.go
@@ -44,10 +44,10 @@
 	conn  net.PacketConn
 	ended chan struct{}
 
-	mu     sync.Mutex
-	serial uint32
-	list   []Entry
-	told   map[uint32]time.Time // by serial, when it was first answered with
+	mu         sync.Mutex
+	serial     uint32
+	list       []Entry
+	answeredAt map[uint32]time.Time // by serial, when it was first answered with
 }
 
 // NewDirectory starts a discovery server with a list of serial 1.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Directory{conn: conn, ended: make(chan struct{}), serial: 1, list: list, told: map[uint32]time.Time{}}
+	d := &Directory{conn: conn, ended: make(chan struct{}), serial: 1, list: list, answeredAt: map[uint32]time.Time{}}
 	go d.serve()
 	return d, nil
 }
@@ -73,11 +73,11 @@
 	return d.serial
 }
 
-// Told returns when a query was first answered with the list of a serial, or the zero time.
-func (d *Directory) Told(serial uint32) time.Time {
+// AnsweredAt returns when a query was first answered with the list of a serial, or the zero time.
+func (d *Directory) AnsweredAt(serial uint32) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[serial]
+	return d.answeredAt[serial]
 }
 
 // Close ends the server, and returns once it has ended. It may be called again.
@@ -106,8 +106,8 @@
 func (d *Directory) answer(query []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, known := d.told[d.serial]; !known {
-		d.told[d.serial] = time.Now()
+	if _, known := d.answeredAt[d.serial]; !known {
+		d.answeredAt[d.serial] = time.Now()
 	}
 	response := newDNSResponse(query)
 	for _, entry := range d.list {
