--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -28,6 +28,7 @@
 	go func() {
 		defer close(ended)
 		loop.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Second })
+		loop.Close()
 	}()
 	client, err := net.Dial("tcp", loop.Addrs()[0])
 	if err != nil {
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -27,7 +27,7 @@
 //
 // # Shutdown
 //
-// [Loop.Stop] has [Loop.Run] return after the present turn. Before it returns it ends every goroutine that the loop
+// [Loop.Stop] has [Loop.Run] return after the present turn. [Loop.Close] then ends every goroutine that the loop
 // started: dials are cancelled, listeners and connections are closed, and pollers that wait for the queue are
 // released. Handlers hear nothing of that, and what is posted later is dropped.
 package eventloop
--- a/internal/eventloop/example_test.go
+++ b/internal/eventloop/example_test.go
@@ -39,6 +39,7 @@
 		begin := func(time.Duration) {}
 		turn := func(now time.Duration) time.Duration { return now + time.Second }
 		loop.Run(begin, turn)
+		loop.Close()
 	}()
 
 	client, err := net.Dial("tcp", loop.Addrs()[0])
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -105,7 +105,6 @@
 // Run serves until Stop, and then ends the loop's goroutines. Each turn it calls begin with the time, then the handlers
 // of what is queued, then turn, which returns when it wants to be called again at the latest.
 func (l *Loop) Run(begin func(now time.Duration), turn func(now time.Duration) time.Duration) {
-	defer l.shutdown()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var spare []event
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -52,6 +52,7 @@
 	done := make(chan struct{})
 	go func() {
 		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
+		l.Close()
 		close(done)
 	}()
 	t.Cleanup(func() {
--- a/internal/eventloop/shutdown.go
+++ b/internal/eventloop/shutdown.go
@@ -11,31 +11,46 @@
 	"github.com/lesismal/nbio"
 )
 
-// shutdownTimeout bounds the time in which nbio is waited for when the loop ends.
-const shutdownTimeout = 500 * time.Millisecond
+// closeTimeout bounds the time that Close takes. The platform kills a router 0.2 s after its graceful shutdown has to be
+// over at the latest.
+const closeTimeout = 100 * time.Millisecond
 
-// shutdown ends all goroutines that the loop started, and closes its sockets. nbio's engine is last: it may not be told
-// of new connections while it stops.
-func (l *Loop) shutdown() {
+// Close ends all goroutines that the loop started, and closes its sockets. It is called once, after Run has returned or
+// in its place. Goroutines that don't end in a tenth of a second are not waited for.
+func (l *Loop) Close() {
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancel()
 	l.queue.close()
 	l.cancelDials()
-	l.dials.Wait()
+	await(ctx, &l.dials)
 	if l.engine == nil {
 		return // it was never started
 	}
-	l.closeListeners()
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
-	defer cancel()
+	l.closeListeners(ctx)
 	l.awaitPoller(ctx)
-	_ = l.engine.Shutdown(ctx) // the only error is that of ctx, and the end of a program waits for nbio no longer than that
+	// nbio's engine is last: it may not be told of new connections while it stops. Its only error is that of ctx.
+	_ = l.engine.Shutdown(ctx)
+}
+
+// await returns once a group's goroutines have ended, or with ctx.
+func await(ctx context.Context, group *sync.WaitGroup) {
+	ended := make(chan struct{})
+	go func() {
+		group.Wait()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+	case <-ctx.Done():
+	}
 }
 
 // closeListeners closes the listeners and waits until none accepts any more.
-func (l *Loop) closeListeners() {
+func (l *Loop) closeListeners(ctx context.Context) {
 	for _, listener := range l.openListeners {
 		listener.Close()
 	}
-	l.acceptors.Wait()
+	await(ctx, &l.acceptors)
 }
 
 // pollerSignal is the session of a connection by which the poller shows that it runs.
--- a/internal/eventloop/shutdown_test.go
+++ b/internal/eventloop/shutdown_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Run ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
-func TestNoGoroutineIsLeftAfterStop(t *testing.T) {
+// Close ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
+func TestNoGoroutineIsLeftAfterClose(t *testing.T) {
 	requireNoLoopGoroutines(t)
 	l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20})
 	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
@@ -47,6 +47,7 @@
 	go func() {
 		defer close(done)
 		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
+		l.Close()
 	}()
 	peer := &dialled{make(chan error, 1), make(chan error, 1)}
 	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, peer) })
@@ -86,14 +87,15 @@
 }
 
 // A loop that was never started has nothing to end.
-func TestLoopThatWasNotStartedEnds(t *testing.T) {
+func TestLoopThatWasNotStartedCloses(t *testing.T) {
 	l := New(Config{})
 	l.Stop()
 	l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now })
+	l.Close()
 	requireNoLoopGoroutines(t)
 }
 
-// nbio's poller clears the flag by which it is told to end when it starts, so shutdown waits until it runs.
+// nbio's poller clears the flag by which it is told to end when it starts, so Close waits until it runs.
 func TestPollerIsAwaited(t *testing.T) {
 	l := start(t, 1, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
 	socket, peer, err := socketPair()
--- a/internal/server/goroutines_test.go
+++ b/internal/server/goroutines_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// ownGoroutines returns the stacks of the goroutines that this program's packages have started, but for those that the tests'
-// own functions run in. The pollers of nbio belong to package eventloop and stay until the process ends.
+// ownGoroutines returns the stacks of the goroutines that this program's packages and nbio have started, but for those that
+// the tests' own functions run in.
 func ownGoroutines() []string {
 	buffer := make([]byte, 1<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
 	var own []string
 	for stack := range strings.SplitSeq(string(buffer), "\n\n") {
 		_, creator, found := strings.Cut(stack, "created by ")
-		if found && strings.HasPrefix(creator, "crankhold/internal/") && !strings.Contains(creator, "_test.go") && !strings.Contains(stack, "/internal/fake/") {
+		ours := strings.HasPrefix(creator, "crankhold/internal/") || strings.HasPrefix(creator, "github.com/lesismal/nbio")
+		if found && ours && !strings.Contains(creator, "_test.go") && !strings.Contains(stack, "/internal/fake/") {
 			own = append(own, stack)
 		}
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -150,6 +150,9 @@
 	return next
 }
 
-// Close ends the goroutines that wait for signals. It does not wait for a reload that is reading its files: they may be
+// Close closes the sockets and ends all goroutines that the server started. It does not wait for a reload that is reading its files: they may be
 // pipes, and what is read has no effect any more. Close is called once, by the goroutine that called Run or on its behalf.
-func (s *Server) Close() { close(s.closed) }
+func (s *Server) Close() {
+	close(s.closed)
+	s.loop.Close()
+}
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -41,6 +41,7 @@
 	go func() {
 		defer close(stopped)
 		loop.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Second })
+		loop.Close()
 	}()
 
 	// The message's header: the version, the kind "call", the method, and a sequence number.
--- a/internal/webhook/example_test.go
+++ b/internal/webhook/example_test.go
@@ -60,6 +60,7 @@
 	go func() {
 		defer close(stopped)
 		loop.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Second })
+		loop.Close()
 	}()
 
 	// A sender signs the id, the time of the delivery, and the body.
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -113,6 +113,7 @@
 	server.address = server.loop.Addrs()[0]
 	go func() {
 		server.loop.Run(server.core.SetNow, func(now time.Duration) time.Duration { return min(server.core.Process(now), server.sender.Tick(now)) })
+		server.loop.Close()
 		close(server.done)
 	}()
 	return server
