--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -40,11 +40,6 @@
 // Updated returns the time of the last observation, and 0 where there is none.
 func (m *DecayingMean) Updated() time.Duration { return m.updated }
 
-// Reset forgets all observations.
-func (m *DecayingMean) Reset() {
-	m.sum, m.weight, m.updated = 0, 0, 0
-}
-
 // retained is the part of the weight at the last observation that is left now.
 func (m *DecayingMean) retained(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -62,10 +62,6 @@
 	if mean.Updated() != time.Second {
 		t.Errorf("updated at %v", mean.Updated())
 	}
-	mean.Reset()
-	if mean != (DecayingMean{Span: time.Second, Few: 2}) {
-		t.Errorf("after a reset: %+v", mean)
-	}
 }
 
 func TestRunningMean(t *testing.T) {
