--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -1,4 +1,4 @@
-// Command benchmark measures the router on loopback stand-ins, an experiment a sub-command.
+// Command benchmark measures the router against fakes on loopback. Each experiment is a sub-command.
 package main
 
 import (
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -29,7 +29,7 @@
 // Config is what the settings say of requests.
 type Config struct {
 	Classes []Class
-	Tenants []string // empty: tenants are not told apart
+	Tenants []string // empty: tenants are not distinguished
 }
 
 // Front serves Thrift clients.
--- a/policy/config.go
+++ b/policy/config.go
@@ -43,7 +43,7 @@
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration // IdempotentWithKey: how long repeats are dropped
 	Streamed            bool
-	PriorityWeight      float64 // worth of a response within the objective
+	PriorityWeight      float64 // weight of a response within the latency objective
 	LatePriorityWeight  float64 // and of a later one
 	// ObjectiveStretch lengthens LatencyObjective by this many times the request's own work; 0 where unused.
 	ObjectiveStretch float64
@@ -54,13 +54,13 @@
 	RequestsPerSecond float64 // within its quota, over all routers
 }
 
-// Config is what a router is told when it starts.
+// Config holds the settings of a router. They are fixed for its lifetime.
 type Config struct {
 	Routers int // this one included; at least 1
 	Zone    int // this router's zone
 	Classes []Class
 	Tenants []Tenant
-	// WeightByWork says that a request's worth grows with its work.
+	// WeightByWork says that the priority weight of a request grows with its work.
 	WeightByWork bool
 	Tick         time.Duration // events come at most this often
 
@@ -75,7 +75,7 @@
 	HedgingAllowed       bool // two attempts of a request may be in flight at once
 	RetryAfterSupported  bool // clients are given Reject.RetryAfter
 	MaxRetryAfter        time.Duration
-	OverQuotaWeight      float64 // worth of a request beyond its tenant's quota; 1 where unused
+	OverQuotaWeight      float64 // factor of the weight of a request beyond its tenant's quota; 1 where unused
 
 	PollInterval             time.Duration // EndpointsByPolling: a list that is not asked for counts as known after this
 	SlowStartInitialCapacity float64       // a worker starts at this share of its capacity or more
@@ -94,7 +94,7 @@
 	LoadBudgetMinimum   float64       // orders allowed in a window
 	LoadBudgetRatio     float64       // and further ones as a share of the requests that came in it
 
-	MemoryPrice    float64 // what all memory costs, if idle replicas held it, as a share of all worth
+	MemoryPrice    float64 // what all memory costs if idle replicas use it, as a share of the weight of all requests
 	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
 }
 
