--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -114,12 +114,12 @@
 	functions := float64(functionsPerWorker * f.workers)
 	function := 1 + int(functions*f.random.Float64()*f.random.Float64())
 	f.core.Accept(f.now, router.Request{
-		Asker:    f,
-		ID:       fmt.Sprint(n, f.now),
-		Function: policy.FunctionID(function),
-		Lanes:    2,
-		LoadTime: coreLoadTime,
-		Deadline: f.now + coreTimeout,
+		Responder: f,
+		ID:        fmt.Sprint(n, f.now),
+		Function:  policy.FunctionID(function),
+		Lanes:     2,
+		LoadTime:  coreLoadTime,
+		Deadline:  f.now + coreTimeout,
 	})
 	f.nextTurn = f.core.Process(f.now)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -72,9 +72,9 @@
 		start := d.now
 		for now := d.now; now < start+until; now += time.Millisecond {
 			l := d.transports[len(d.transports)-1]
-			l.Wrote.Reset()
+			l.Written.Reset()
 			d.Tick(now)
-			if b := l.Wrote.Bytes(); len(b) > 0 {
+			if b := l.Written.Bytes(); len(b) > 0 {
 				at = append(at, now-start)
 				if serial, ok := answered(len(at)); ok {
 					d.socket.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
--- a/internal/discovery/example_test.go
+++ b/internal/discovery/example_test.go
@@ -41,7 +41,7 @@
 	client.Tick(now + time.Second)
 
 	fmt.Println("response")
-	queryID := binary.BigEndian.Uint16(transport.Wrote.Bytes())
+	queryID := binary.BigEndian.Uint16(transport.Written.Bytes())
 	server.Data(responseTo(queryID, 4, 0, 0)) // serial number 4, two workers that are ready
 	fmt.Println(client.QueriesSent, "query,", client.ResponsesRead, "response")
 
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -31,9 +31,9 @@
 func TestGoldenQueries(t *testing.T) {
 	d := newTestClient(t)
 	connection := d.transports[0]
-	connection.Wrote.Reset()
+	connection.Written.Reset()
 	d.Tick(d.nextTick)
-	sent := connection.Wrote.Bytes()
+	sent := connection.Written.Bytes()
 	if len(sent) < 2 || d.socket.pending[0] != binary.BigEndian.Uint16(sent) {
 		t.Fatalf("sent %x with %x pending", sent, d.socket.pending)
 	}
--- a/internal/discovery/setserver_test.go
+++ b/internal/discovery/setserver_test.go
@@ -23,8 +23,8 @@
 		}
 		d.SetServer(d.now+time.Millisecond, "new")
 		d.Tick(d.now + time.Millisecond)
-		if transport.HasClosed || d.dialled[len(d.dialled)-1] != "new" || d.socket == old {
-			t.Fatalf("dialled %v, old closed %v", d.dialled, transport.HasClosed) // its descriptor may be the last
+		if transport.Closed || d.dialled[len(d.dialled)-1] != "new" || d.socket == old {
+			t.Fatalf("dialled %v, old closed %v", d.dialled, transport.Closed) // its descriptor may be the last
 		}
 		fresh := d.socket
 		old.DialCompleted(nil)
@@ -33,7 +33,7 @@
 		if d.socket != fresh || len(d.list) != 1 || d.serial != 3 {
 			t.Fatalf("the old socket changed the list to %v", d.list)
 		}
-		if fresh.DialCompleted(nil); !transport.HasClosed {
+		if fresh.DialCompleted(nil); !transport.Closed {
 			t.Error("the old socket stays open beside the new one")
 		}
 		if d.nextTick > d.now+initialBackoff {
@@ -63,12 +63,12 @@
 	d.Tick(d.now)
 	second := d.transports[1]
 	d.SetServer(d.now, "third")
-	if !first.HasClosed || second.HasClosed {
-		t.Fatalf("closed: %v, %v", first.HasClosed, second.HasClosed)
+	if !first.Closed || second.Closed {
+		t.Fatalf("closed: %v, %v", first.Closed, second.Closed)
 	}
 	d.Tick(d.now)
 	d.socket.DialCompleted(errors.New("no descriptor"))
-	if !second.HasClosed || d.socket != nil {
+	if !second.Closed || d.socket != nil {
 		t.Fatal("a dial that failed kept the descriptor that it needs")
 	}
 	if d.Tick(d.now + redialDelay); d.dialled[len(d.dialled)-1] != "third" || d.socket == nil {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -83,9 +83,9 @@
 func (d *testClient) query() uint16 {
 	d.t.Helper()
 	l := d.transports[len(d.transports)-1]
-	l.Wrote.Reset()
+	l.Written.Reset()
 	d.Tick(d.nextTick)
-	b := l.Wrote.Bytes()
+	b := l.Written.Bytes()
 	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
 		d.t.Fatalf("queried %x", b)
 	}
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -49,13 +49,13 @@
 				}
 				now += flushInterval
 				exporter.Tick(now)
-				for transport.Wrote.Len() > 0 {
-					size := int(transport.Wrote.Bytes()[2])<<8 | int(transport.Wrote.Bytes()[3])
+				for transport.Written.Len() > 0 {
+					size := int(transport.Written.Bytes()[2])<<8 | int(transport.Written.Bytes()[3])
 					if size > maxMessageBytes {
 						t.Fatalf("a message of %d bytes", size)
 					}
 					var p netflow.IPFIXPacket
-					if err := netflow.DecodeMessageVersion(bytes.NewBuffer(transport.Wrote.Next(size)), templates, nil, &p); err != nil {
+					if err := netflow.DecodeMessageVersion(bytes.NewBuffer(transport.Written.Next(size)), templates, nil, &p); err != nil {
 						t.Fatal(err)
 					}
 					if p.ObservationDomainId != 7 || p.SequenceNumber != records || p.ExportTime != uint32(noon.Unix()) {
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -14,7 +14,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	core.Draining = true
 	responder := &recordingResponder{}
-	core.Accept(start, Request{Asker: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+	core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
 	core.Process(start)
 	wantResponses(t, responder, 1)
 	if responder.responses[0].Status != Rejected || responder.responses[0].MayHaveRun {
@@ -32,7 +32,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	send := func(front Front, body string) (policy.RequestID, *recordingResponder) {
 		responder := &recordingResponder{}
-		id := core.Accept(start, Request{Front: front, Asker: responder, ID: "00000000000000aa", Function: 7, Body: []byte(body),
+		id := core.Accept(start, Request{Front: front, Responder: responder, ID: "00000000000000aa", Function: 7, Body: []byte(body),
 			Deadline: start + 2*time.Second})
 		return id, responder
 	}
@@ -70,7 +70,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	core.Process(now)
 	send := func(n uint64) policy.RequestID {
-		return core.Accept(now, Request{Asker: &recordingResponder{}, ID: hexID(n), FunctionKey: "00000000000000aa", Function: 0xaa,
+		return core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(n), FunctionKey: "00000000000000aa", Function: 0xaa,
 			Deadline: now + time.Second})
 	}
 	send(1) // this one stays
@@ -129,7 +129,7 @@
 				}
 			})
 			core.Accept(now, Request{ID: hexID(sent), FunctionKey: hexID(7), Function: 7, LoadTime: 200 * ms, Tenant: tenant,
-				Deadline: 3 * time.Second, Asker: countRejected})
+				Deadline: 3 * time.Second, Responder: countRejected})
 		}
 		core.Process(now)
 	}
@@ -143,7 +143,7 @@
 	core, _ := newTestCore(t, 1)
 	send := func(clientID string, bodySize int) (policy.RequestID, *recordingResponder) {
 		responder := &recordingResponder{}
-		id := core.Accept(start, Request{Asker: responder, ID: clientID, Body: make([]byte, bodySize), Deadline: start + time.Second})
+		id := core.Accept(start, Request{Responder: responder, ID: clientID, Body: make([]byte, bodySize), Deadline: start + time.Second})
 		return id, responder
 	}
 	large, _ := send("large", core.limits.MaxBytes)
@@ -165,7 +165,7 @@
 func TestRequestIDsInUseAreSkipped(t *testing.T) {
 	core, _ := newTestCore(t, 1)
 	send := func(clientID string) policy.RequestID {
-		return core.Accept(start, Request{Asker: &recordingResponder{}, ID: clientID, Deadline: start + time.Second})
+		return core.Accept(start, Request{Responder: &recordingResponder{}, ID: clientID, Deadline: start + time.Second})
 	}
 	if first := send("a"); first != 1 {
 		t.Fatalf("the first request is %d, want 1", first)
@@ -203,12 +203,12 @@
 				completions = append(completions, r.ID+" "+string(completion))
 			}
 			id, _ := sendTestRequest(t, core, workers)
-			core.Accept(start, Request{Asker: &recordingResponder{}, ID: "a", Deadline: start + time.Second}) // a duplicate fails
+			core.Accept(start, Request{Responder: &recordingResponder{}, ID: "a", Deadline: start + time.Second}) // a duplicate fails
 			test.end(core, workers, id)
 			for _, attempt := range workers.started[id] {
 				core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Failed})
 			}
-			core.RejectUnaccepted(start, Request{Asker: &recordingResponder{}, ID: "b"})
+			core.RejectUnaccepted(start, Request{Responder: &recordingResponder{}, ID: "b"})
 			want := []string{"a failed", "a " + test.want, "b refused"}
 			if !slices.Equal(completions, want) {
 				t.Errorf("completions %q, want %q", completions, want)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -131,6 +131,6 @@
 			continue
 		}
 		// Not as policy.NotSent: that the attempt waited in vain tells the module of its worker's delay.
-		c.AttemptCompleted(a, AttemptResult{Outcome: policy.Cancelled})
+		c.AttemptCompleted(a, AttemptResult{Outcome: policy.Canceled})
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -130,7 +130,7 @@
 	case policy.StartAttempt:
 		c.startAttempt(a)
 	case policy.CancelAttempt:
-		c.cancelAttempt(Attempt{Request: a.Request, Number: a.Attempt}, policy.Cancelled)
+		c.cancelAttempt(Attempt{Request: a.Request, Number: a.Attempt}, policy.Canceled)
 	case policy.Reject:
 		c.respondUnserved(a.Request, Response{Status: Rejected, RetryAfter: a.RetryAfter})
 	case policy.FailRequest:
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -69,7 +69,7 @@
 	now := time.Duration(0) // the event loop's clock
 	core.Accept(now, router.Request{
 		Front:       router.Thrift,
-		Asker:       printingFront{},
+		Responder:   printingFront{},
 		ID:          "9b1f03aa5c7e2d41",
 		FunctionKey: "7f3a9c21e0b4d655",
 		Function:    0x7f3a9c21e0b4d655,
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -66,7 +66,7 @@
 	request.deadline = m.now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "time to deadline in ms"))*ms
 	m.sent++
 	id := m.core.Accept(m.now, Request{
-		Asker:       request.responder,
+		Responder:   request.responder,
 		ID:          hexID(uint64(m.sent)),
 		Class:       request.class,
 		FunctionKey: "00000000000000aa",
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -37,7 +37,7 @@
 // Request is a request as a front hands it in.
 type Request struct {
 	Front           Front
-	Asker           Responder // gets the final response
+	Responder       Responder // gets the final response
 	ID              string    // the client's text; workers tell requests apart by it
 	ClientReference string    // the client's own name for the request, where that is not the ID
 	Class           int       // index in policy.Config.Classes
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -55,7 +55,7 @@
 	c.openRequests--
 	c.openBytes -= len(tracked.request.Body)
 	tracked.request.Body = nil
-	tracked.request.Asker = nil
+	tracked.request.Responder = nil
 	c.release(tracked)
 }
 
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -13,7 +13,7 @@
 // respondServed gives a request the response of its worker.
 func (c *Core) respondServed(tracked *trackedRequest, body []byte) {
 	c.Counters.Served[tracked.request.Front]++
-	tracked.request.Asker.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
+	tracked.request.Responder.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
 	c.complete(tracked, CompletionServed)
 }
 
@@ -26,7 +26,7 @@
 	response.MayHaveRun = tracked.mayHaveRun || tracked.inFlight > 0
 	response.DeadlineExceeded = c.now >= tracked.request.Deadline-deadlineTolerance
 	completion := c.countUnserved(tracked.request.Front, response.Status)
-	tracked.request.Asker.Respond(response)
+	tracked.request.Responder.Respond(response)
 	c.complete(tracked, completion)
 	c.withdrawUnsentAttempts(tracked)
 }
@@ -45,5 +45,5 @@
 func (c *Core) respondUntracked(r Request, completion Completion, response Response) {
 	r.AcceptedAt = c.now
 	c.notifyCompleted(&r, completion)
-	r.Asker.Respond(response)
+	r.Responder.Respond(response)
 }
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -85,7 +85,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Front: test.front, Asker: responder, ID: test.name, Class: test.class,
+			id := core.Accept(start, Request{Front: test.front, Responder: responder, ID: test.name, Class: test.class,
 				Function: test.function, Tenant: test.tenant, Deadline: start + 2*time.Second})
 			core.Process(start)
 			if test.want == rejected {
@@ -114,7 +114,7 @@
 	core.SetRoutes(newTestRoutes(t, 2))
 	send := func(clientID string) (policy.RequestID, *recordingResponder) {
 		responder := &recordingResponder{}
-		id := core.Accept(start, Request{Asker: responder, ID: clientID, Function: 7, Deadline: start + 2*time.Second})
+		id := core.Accept(start, Request{Responder: responder, ID: clientID, Function: 7, Deadline: start + 2*time.Second})
 		core.Process(start)
 		return id, responder
 	}
--- a/internal/router/validate.go
+++ b/internal/router/validate.go
@@ -35,9 +35,9 @@
 	return key, true
 }
 
-// ParseIdempotencyKey reports whether an idempotency key can be passed on: hex digits of either case, at least one and
+// ValidIdempotencyKey reports whether an idempotency key can be passed on: hex digits of either case, at least one and
 // at most MaxIdempotencyKeyLength.
-func ParseIdempotencyKey(text string) bool {
+func ValidIdempotencyKey(text string) bool {
 	if len(text) == 0 || len(text) > MaxIdempotencyKeyLength {
 		return false
 	}
--- a/internal/router/validate_test.go
+++ b/internal/router/validate_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestParseIdempotencyKey(t *testing.T) {
+func TestValidIdempotencyKey(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       bool
@@ -58,8 +58,8 @@
 		{"hyphen", "a-b", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := ParseIdempotencyKey(test.text); got != test.want {
-				t.Errorf("ParseIdempotencyKey(%q) = %v", test.text, got)
+			if got := ValidIdempotencyKey(test.text); got != test.want {
+				t.Errorf("ValidIdempotencyKey(%q) = %v", test.text, got)
 			}
 		})
 	}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -20,7 +20,7 @@
 	policy.TimedOut:        "timed_out",
 	policy.Unreachable:     "unreachable",
 	policy.ConnectionReset: "reset",
-	policy.Cancelled:       "cancelled",
+	policy.Canceled:        "cancelled",
 	policy.NotSent:         "moot",
 	policy.NotLoaded:       "missed",
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -88,8 +88,8 @@
 	}
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
 	m.handlers[0].DialCompleted(nil)
-	if got := m.send(one, 3); got != "" || m.transports[0].Wrote.Len() > 0 {
-		t.Errorf("a drain of one entry: dialled %q, wrote %q", got, m.transports[0].Wrote.String())
+	if got := m.send(one, 3); got != "" || m.transports[0].Written.Len() > 0 {
+		t.Errorf("a drain of one entry: dialled %q, wrote %q", got, m.transports[0].Written.String())
 	}
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
 	if got := m.send(one, 4); got != "" {
@@ -106,7 +106,7 @@
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1")})
 	m.send(workerID("s-1"), 0)
 	m.update([]discovery.Worker{listed(t, "s-9", policy.Ready, "127.0.0.1:1")})
-	if !m.transports[0].HasClosed {
+	if !m.transports[0].Closed {
 		t.Error("the dial to the worker that is gone goes on")
 	}
 	if got := m.send(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -78,7 +78,7 @@
 		request.NewVersion = true
 	}
 	r.accept(router.Request{
-		Asker:       request,
+		Responder:   request,
 		ID:          fmt.Sprintf("%016x", len(f.Requests)),
 		Class:       class,
 		Tenant:      tenant,
--- a/internal/simulator/codes.go
+++ b/internal/simulator/codes.go
@@ -36,4 +36,4 @@
 
 // outcomes are the outcomes by their codes.
 var outcomes = [...]policy.Outcome{policy.Served, policy.Failed, policy.Overloaded, policy.TimedOut,
-	policy.Unreachable, policy.ConnectionReset, policy.Cancelled, policy.NotSent, policy.NotLoaded}
+	policy.Unreachable, policy.ConnectionReset, policy.Canceled, policy.NotSent, policy.NotLoaded}
--- a/internal/testutil/transport.go
+++ b/internal/testutil/transport.go
@@ -4,15 +4,15 @@
 
 // Transport is a fake connection. It keeps what is written to it, and tells what the test wants it to tell.
 type Transport struct {
-	Wrote     bytes.Buffer // all that was written, in order
-	HasClosed bool         // Close or CloseAfterFlush was called
-	Unsent    int          // bytes, of the last ones written, that UnsentBytes reports
+	Written bytes.Buffer // all that was written, in order
+	Closed  bool         // Close or CloseAfterFlush was called
+	Unsent  int          // bytes, of the last ones written, that UnsentBytes reports
 }
 
 // Write keeps the content of the buffers.
 func (t *Transport) Write(buffers ...[]byte) {
 	for _, buffer := range buffers {
-		t.Wrote.Write(buffer)
+		t.Written.Write(buffer)
 	}
 }
 
@@ -20,7 +20,7 @@
 func (t *Transport) UnsentBytes() int { return t.Unsent }
 
 // Close records that the connection is closed.
-func (t *Transport) Close() { t.HasClosed = true }
+func (t *Transport) Close() { t.Closed = true }
 
 // CloseAfterFlush does what Close does: all that was written is kept in either case.
 func (t *Transport) CloseAfterFlush() { t.Close() }
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -140,7 +140,7 @@
 func (c *connection) acceptRequest(sequence uint32, request router.Request, body []byte) {
 	front := c.front
 	opened := &openRequest{connection: c, sequence: sequence}
-	request.Asker = opened
+	request.Responder = opened
 	if len(c.open) >= maxOpenRequests {
 		front.core.RejectUnaccepted(front.clock(), request)
 		return
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -19,12 +19,12 @@
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
 	fmt.Printf("accepted request %s for function %s\n", r.ID, r.FunctionKey)
-	r.Asker.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
+	r.Responder.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
 	return 1
 }
 
 func (upperCaseCore) RejectUnaccepted(_ time.Duration, r router.Request) {
-	r.Asker.Respond(router.Response{Status: router.Rejected})
+	r.Responder.Respond(router.Response{Status: router.Rejected})
 }
 
 func (upperCaseCore) CancelRequest(time.Duration, policy.RequestID) {}
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -82,14 +82,14 @@
 		t.Run(test.label, func(t *testing.T) {
 			client, core, transport := newGoldenConnection()
 			client.Data(golden.FindMessage(t, goldenRequests, test.label))
-			if len(core.accepted) != 1 || transport.HasClosed || transport.Wrote.Len() > 0 {
-				t.Fatalf("%d requests, closed %v, wrote %q", len(core.accepted), transport.HasClosed, transport.Wrote.String())
+			if len(core.accepted) != 1 || transport.Closed || transport.Written.Len() > 0 {
+				t.Fatalf("%d requests, closed %v, wrote %q", len(core.accepted), transport.Closed, transport.Written.String())
 			}
 			got := core.accepted[0]
-			if got.Asker == nil {
+			if got.Responder == nil {
 				t.Error("the request has no responder")
 			}
-			if got.Asker = nil; !reflect.DeepEqual(got, test.want) {
+			if got.Responder = nil; !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded\n%+v, want\n%+v", got, test.want)
 			}
 		})
@@ -102,8 +102,8 @@
 		client, core, transport := newGoldenConnection()
 		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
 		client.Data(golden.FindMessage(t, goldenRequests, label))
-		if len(core.canceled) != 1 || core.canceled[0] != 1 || client.Busy() || transport.HasClosed || transport.Wrote.Len() > 0 {
-			t.Errorf("%s: canceled %v, busy %v, closed %v, wrote %q", label, core.canceled, client.Busy(), transport.HasClosed, transport.Wrote.String())
+		if len(core.canceled) != 1 || core.canceled[0] != 1 || client.Busy() || transport.Closed || transport.Written.Len() > 0 {
+			t.Errorf("%s: canceled %v, busy %v, closed %v, wrote %q", label, core.canceled, client.Busy(), transport.Closed, transport.Written.String())
 		}
 	}
 }
@@ -130,14 +130,14 @@
 		if len(core.accepted) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(core.accepted))
 		}
-		core.accepted[0].Asker.Respond(test.answer)
-		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Wrote.Bytes()})
+		core.accepted[0].Responder.Respond(test.answer)
+		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Written.Bytes()})
 	}
 	client, _, transport := newGoldenConnection()
 	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
 		client.Data(executeFrame(seq+1, "", validFields...))
 	}
-	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: transport.Wrote.Bytes()})
+	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: transport.Written.Bytes()})
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
@@ -179,15 +179,15 @@
 	} {
 		client, core, transport := newGoldenConnection()
 		client.Data(golden.FindMessage(t, goldenRequests, test.label))
-		if len(core.accepted) != 0 || transport.HasClosed != test.closes {
-			t.Errorf("%s: %d requests, closed %v", test.label, len(core.accepted), transport.HasClosed)
+		if len(core.accepted) != 0 || transport.Closed != test.closes {
+			t.Errorf("%s: %d requests, closed %v", test.label, len(core.accepted), transport.Closed)
 		}
-		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(transport.Wrote.Bytes())})
+		replies = append(replies, golden.Message{Label: test.label, Bytes: bytes.Clone(transport.Written.Bytes())})
 	}
 	client, _, transport := newGoldenConnection()
 	client.front.ready = func() bool { return false }
 	client.Data(golden.FindMessage(t, goldenRequests, "check"))
-	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: transport.Wrote.Bytes()})
+	replies = append(replies, golden.Message{Label: "check when not ready", Bytes: transport.Written.Bytes()})
 	golden.CompareMessages(t, goldenErrors, replies)
 }
 
@@ -213,8 +213,8 @@
 			if closes {
 				message = test.over
 			}
-			if client.Data(message); transport.HasClosed != closes || (len(core.accepted) == 1) == closes || transport.Wrote.Len() > 0 {
-				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(core.accepted), transport.HasClosed, transport.Wrote.String())
+			if client.Data(message); transport.Closed != closes || (len(core.accepted) == 1) == closes || transport.Written.Len() > 0 {
+				t.Errorf("%s, over its limit %v: %d requests, closed %v, wrote %q", test.label, closes, len(core.accepted), transport.Closed, transport.Written.String())
 			}
 		}
 	}
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -117,7 +117,7 @@
 	if key == "" {
 		return !c.RequiresIdempotencyKey
 	}
-	return router.ParseIdempotencyKey(key)
+	return router.ValidIdempotencyKey(key)
 }
 
 // decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't have.
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -28,7 +28,7 @@
 }
 func (c *fakeCore) RejectUnaccepted(_ time.Duration, r router.Request) {
 	c.rejected++
-	r.Asker.Respond(router.Response{Status: router.Rejected})
+	r.Responder.Respond(router.Response{Status: router.Rejected})
 }
 func (c *fakeCore) CancelRequest(_ time.Duration, id policy.RequestID) {
 	c.canceled = append(c.canceled, id)
@@ -56,7 +56,7 @@
 // readReply reads the first frame of what was written: its sequence number and the result's field.
 func readReply(t rapid.TB, transport *testutil.Transport) (seq uint32, field uint16) {
 	t.Helper()
-	b := transport.Wrote.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < 4 || len(b) < 4+int(binary.BigEndian.Uint32(b)) {
 		t.Fatalf("wrote %x", b)
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatalf("wrote %x: %v", b, err)
 	}
-	transport.Wrote.Next(size)
+	transport.Written.Next(size)
 	return m.sequence, field
 }
 
@@ -118,8 +118,8 @@
 					return
 				}
 				a := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
-				core.accepted[open[s]].Asker.Respond(a)
-				core.accepted[open[s]].Asker.Respond(a) // a second one goes nowhere
+				core.accepted[open[s]].Responder.Respond(a)
+				core.accepted[open[s]].Responder.Respond(a) // a second one goes nowhere
 				delete(open, s)
 				if got, field := readReply(t, transport); got != s || field != uint16(a.Status) {
 					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Status, s)
@@ -136,7 +136,7 @@
 				if len(core.canceled) == 0 || int(core.canceled[len(core.canceled)-1]) != open[s]+1 {
 					t.Fatalf("canceled %v", core.canceled)
 				}
-				core.accepted[open[s]].Asker.Respond(router.Response{})
+				core.accepted[open[s]].Responder.Respond(router.Response{})
 				delete(open, s)
 			},
 			"bad": func(t *rapid.T) { // wrong fields are answered, with a failure
@@ -155,8 +155,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if transport.Wrote.Len() > 0 || transport.HasClosed || client.Busy() != (len(open) > 0) {
-					t.Fatalf("wrote %x, closed %v, busy %v", transport.Wrote.Bytes(), transport.HasClosed, client.Busy())
+				if transport.Written.Len() > 0 || transport.Closed || client.Busy() != (len(open) > 0) {
+					t.Fatalf("wrote %x, closed %v, busy %v", transport.Written.Bytes(), transport.Closed, client.Busy())
 				}
 			},
 		})
@@ -172,7 +172,7 @@
 			b[rapid.IntRange(0, len(b)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "to")
 		}
 		client.Data(b)
-		if len(core.accepted) > 1 || transport.HasClosed && client.partial.Len() > 0 {
+		if len(core.accepted) > 1 || transport.Closed && client.partial.Len() > 0 {
 			t.Fatalf("accepted %d, kept %d bytes", len(core.accepted), client.partial.Len())
 		}
 	})
@@ -181,7 +181,7 @@
 		"a depth over the cap": finishFrame(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
 	} {
 		if client, _, transport := newTestConnection(); true {
-			if client.Data(b); !transport.HasClosed {
+			if client.Data(b); !transport.Closed {
 				t.Errorf("%s was accepted", name)
 			}
 		}
@@ -217,12 +217,12 @@
 			client, core, transport := newTestConnection()
 			client.Data(executeFrame(2, "", validFields...))
 			if answered {
-				core.accepted[0].Asker.Respond(router.Response{})
+				core.accepted[0].Responder.Respond(router.Response{})
 			}
 			client.Data(executeFrame(repeated, "", validFields...))
 			client.Data(executeFrame(5, "", validFields...))
-			if len(core.accepted) != 1 || !transport.HasClosed || client.Busy() {
-				t.Errorf("number %d after 2: %d accepted, closed %v", repeated, len(core.accepted), transport.HasClosed)
+			if len(core.accepted) != 1 || !transport.Closed || client.Busy() {
+				t.Errorf("number %d after 2: %d accepted, closed %v", repeated, len(core.accepted), transport.Closed)
 			}
 		}
 	}
@@ -234,15 +234,15 @@
 	for i := range uint32(200) {
 		client.Data(executeFrame(i+1, "", validFields...))
 	}
-	if len(core.accepted) != maxOpenRequests || core.rejected != 200-maxOpenRequests || transport.HasClosed || len(client.open) != maxOpenRequests {
-		t.Fatalf("%d accepted, %d rejected, closed %v", len(core.accepted), core.rejected, transport.HasClosed)
+	if len(core.accepted) != maxOpenRequests || core.rejected != 200-maxOpenRequests || transport.Closed || len(client.open) != maxOpenRequests {
+		t.Fatalf("%d accepted, %d rejected, closed %v", len(core.accepted), core.rejected, transport.Closed)
 	}
 	for i := range uint32(200 - maxOpenRequests) {
 		if seq, field := readReply(t, transport); seq != maxOpenRequests+1+i || field != 1 {
 			t.Fatalf("answer to %d has field %d", seq, field)
 		}
 	}
-	core.accepted[0].Asker.Respond(router.Response{})
+	core.accepted[0].Responder.Respond(router.Response{})
 	if client.Data(executeFrame(201, "", validFields...)); len(core.accepted) != maxOpenRequests+1 {
 		t.Error("no room after an answer")
 	}
@@ -305,7 +305,7 @@
 		}
 		client.Data(executeFrame(1, "body", fields...))
 		if tt.fails != "" {
-			if text := transport.Wrote.String(); len(core.accepted) != 0 || !strings.Contains(text, tt.fails) {
+			if text := transport.Written.String(); len(core.accepted) != 0 || !strings.Contains(text, tt.fails) {
 				t.Errorf("%+v: %d accepted, answered %q", tt, len(core.accepted), text)
 			} else if _, field := readReply(t, transport); field != 2 {
 				t.Errorf("%+v: the answer has field %d", tt, field)
@@ -313,7 +313,7 @@
 			continue
 		}
 		if len(core.accepted) != 1 {
-			t.Errorf("%+v: not accepted, answered %q", tt, transport.Wrote.String())
+			t.Errorf("%+v: not accepted, answered %q", tt, transport.Written.String())
 			continue
 		}
 		if r := core.accepted[0]; r.IdempotencyKey != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
@@ -329,7 +329,7 @@
 	front := New(core, Config{Classes: []Class{{Name: "repair-order"}}}, func() time.Duration { return time.Hour }, func() bool { return true })
 	front.serve(transport, netip.AddrPort{}).Data(executeFrame(1, "", append([]string{"tenant", "anyone"}, validFields...)...))
 	if len(core.accepted) != 1 || core.accepted[0].Tenant != "" {
-		t.Errorf("accepted %+v, answered %q", core.accepted, transport.Wrote.String())
+		t.Errorf("accepted %+v, answered %q", core.accepted, transport.Written.String())
 	}
 }
 
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -53,11 +53,11 @@
 					completed[id] = status
 				}
 				want = append(want, status)
-				core.accepted[len(core.accepted)-1].Asker.Respond(response)
+				core.accepted[len(core.accepted)-1].Responder.Respond(response)
 			},
 			"": func(t *rapid.T) {
-				if got := statuses(t, transport); fmt.Sprint(got) != fmt.Sprint(want) || client.Busy() || transport.HasClosed {
-					t.Fatalf("responses %v, want %v; busy %v, closed %v", got, want, client.Busy(), transport.HasClosed)
+				if got := statuses(t, transport); fmt.Sprint(got) != fmt.Sprint(want) || client.Busy() || transport.Closed {
+					t.Fatalf("responses %v, want %v; busy %v, closed %v", got, want, client.Busy(), transport.Closed)
 				}
 			},
 		})
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -119,7 +119,7 @@
 
 // forward hands a request to the router.
 func (r *Receiver) forward(id string, pending *outcome, request router.Request) {
-	request.Asker = &outcomeResponder{receiver: r, id: id, outcome: pending}
+	request.Responder = &outcomeResponder{receiver: r, id: id, outcome: pending}
 	r.core.Accept(r.clock(), request)
 }
 
--- a/internal/webhook/delivery_test.go
+++ b/internal/webhook/delivery_test.go
@@ -75,7 +75,7 @@
 			got = core.accepted[before].Tenant
 		}
 		if got != x.want {
-			t.Errorf("tenant %.20q: %q, want %q; %s", x.tenant, got, x.want, transport.Wrote.String())
+			t.Errorf("tenant %.20q: %q, want %q; %s", x.tenant, got, x.want, transport.Written.String())
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		}
 	}
 	for key := range keys["extenda"] {
-		if !router.ParseIdempotencyKey(key) || keys["extendb"][key] {
+		if !router.ValidIdempotencyKey(key) || keys["extendb"][key] {
 			t.Errorf("key %q", key)
 		}
 	}
--- a/internal/webhook/example_test.go
+++ b/internal/webhook/example_test.go
@@ -23,7 +23,7 @@
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
 	fmt.Printf("accepted a request for function %s of webhook %s\n", r.FunctionKey, r.ClientReference)
-	r.Asker.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
+	r.Responder.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
 	return 1
 }
 
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -90,16 +90,16 @@
 				continue
 			}
 			transcript += describeRequest(core.accepted[answered])
-			core.accepted[answered].Asker.Respond(x.responses[answered])
+			core.accepted[answered].Responder.Respond(x.responses[answered])
 			answered++
 		}
-		transcript += golden.Quote("response", transport.Wrote.Bytes())
-		transport.Wrote.Reset()
+		transcript += golden.Quote("response", transport.Written.Bytes())
+		transport.Written.Reset()
 	}
 	if answered != len(x.responses) {
 		t.Errorf("%d requests reached the router, want %d", answered, len(x.responses))
 	}
-	return transcript + fmt.Sprintf("connection closed: %v\n", transport.HasClosed)
+	return transcript + fmt.Sprintf("connection closed: %v\n", transport.Closed)
 }
 
 // fullPayload sets every field that a delivery may have.
@@ -208,10 +208,10 @@
 	for _, reply := range n.responses {
 		sender.Tick(now)
 		handler.DialCompleted(nil)
-		transcript += golden.Quote("request", transport.Wrote.Bytes())
+		transcript += golden.Quote("request", transport.Written.Bytes())
 		transcript += golden.Quote("reply", []byte(reply))
 		handler.Data([]byte(reply))
-		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.HasClosed, sender.Pending())
+		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.Closed, sender.Pending())
 		now += maxBackoff
 		date = date.Add(90 * time.Second)
 	}
@@ -301,7 +301,7 @@
 			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.responses) > 0 {
-				core.accepted[len(core.accepted)-1].Asker.Respond(o.responses[round])
+				core.accepted[len(core.accepted)-1].Responder.Respond(o.responses[round])
 			}
 		}
 	}
@@ -360,7 +360,7 @@
 		for _, r := range core.accepted[before:] {
 			transcript += describeRequest(r)
 		}
-		transcript += golden.Quote("response", transport.Wrote.Bytes()) + "\n"
+		transcript += golden.Quote("response", transport.Written.Bytes()) + "\n"
 	}
 	if err := receiver.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -87,13 +87,13 @@
 // statuses returns the statuses of the responses that were written.
 func statuses(t rapid.TB, transport *testutil.Transport) (out []int) {
 	t.Helper()
-	for in := bufio.NewReader(bytes.NewReader(transport.Wrote.Bytes())); ; {
+	for in := bufio.NewReader(bytes.NewReader(transport.Written.Bytes())); ; {
 		if _, err := in.Peek(1); err == io.EOF {
 			return out
 		}
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatalf("%v in %q", err, transport.Wrote.String())
+			t.Fatalf("%v in %q", err, transport.Written.String())
 		}
 		io.Copy(io.Discard, r.Body)
 		out = append(out, r.StatusCode)
--- a/internal/webhook/outcome_test.go
+++ b/internal/webhook/outcome_test.go
@@ -27,7 +27,7 @@
 	if len(core.accepted) != 1 || core.accepted[0].ClientReference != "m" {
 		t.Fatalf("the core has %+v", core.accepted)
 	}
-	core.accepted[0].Asker.Respond(router.Response{Status: router.Served, Body: []byte("done")})
+	core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 	for i, want := range []string{"[]", "[200]", "[200]"} {
 		if got := statuses(t, transports[i]); fmt.Sprint(got) != want {
 			t.Errorf("client %d has responses %v, want %s", i, got, want)
--- a/internal/webhook/sender_test.go
+++ b/internal/webhook/sender_test.go
@@ -46,7 +46,7 @@
 		next := sender.Tick(now)
 		for i, handler := range handlers {
 			handler.DialCompleted(nil)
-			request, err := http.ReadRequest(bufio.NewReader(&transports[i].Wrote))
+			request, err := http.ReadRequest(bufio.NewReader(&transports[i].Written))
 			if err != nil || request.Host != "hooks.example.org" || request.URL.Path != "/n" {
 				t.Fatalf("request %v: %v", request, err)
 			}
@@ -64,7 +64,7 @@
 				handler.Data([]byte{b})
 			}
 			handler.Closed(nil)
-			if !transports[i].HasClosed {
+			if !transports[i].Closed {
 				t.Error("the connection was left open")
 			}
 		}
--- a/internal/workerclient/addresses_test.go
+++ b/internal/workerclient/addresses_test.go
@@ -64,7 +64,7 @@
 		t.Fatalf("dialled %v, %d under way", *dialled, p.dialsInProgress)
 	}
 	(*transports)[1].handler.DialCompleted(nil)
-	if !(*transports)[0].HasClosed || p.dialsInProgress != 0 {
+	if !(*transports)[0].Closed || p.dialsInProgress != 0 {
 		t.Error("the dial that lost goes on")
 	}
 	(*transports)[0].handler.DialCompleted(nil) // it came up all the same
@@ -138,13 +138,13 @@
 	p.Maintain(300 * time.Millisecond)
 	p.SetWorker(7, nil, policy.Draining)
 	for _, l := range *transports {
-		if !l.HasClosed {
+		if !l.Closed {
 			l.handler.DialCompleted(nil)
 		}
 	}
 	for i, l := range *transports {
-		if l.Wrote.Len() > 0 {
-			t.Errorf("connection %d: wrote %q", i, l.Wrote.String())
+		if l.Written.Len() > 0 {
+			t.Errorf("connection %d: wrote %q", i, l.Written.String())
 		}
 	}
 	if !slices.Equal(s.outcomes[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(s.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
@@ -173,16 +173,16 @@
 	until(3)
 	mute := (*transports)[2]
 	mute.handler.DialCompleted(nil)
-	if got := mute.Wrote.String(); got != string(encodeArray("NOOP", "t")) {
+	if got := mute.Written.String(); got != string(encodeArray("NOOP", "t")) {
 		t.Fatalf("wrote %q", got)
 	}
 	until(4) // it said nothing
-	if !mute.HasClosed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
-		t.Fatalf("%+v, closed %v", p.Counters, mute.HasClosed)
+	if !mute.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
+		t.Fatalf("%+v, closed %v", p.Counters, mute.Closed)
 	}
 	(*transports)[3].handler.DialCompleted(nil)
 	(*transports)[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
-	if p.workers[7].addresses.Unavailable() != 0 || !(*transports)[3].HasClosed || p.dialsInProgress != 0 {
+	if p.workers[7].addresses.Unavailable() != 0 || !(*transports)[3].Closed || p.dialsInProgress != 0 {
 		t.Error("the trial was answered and the address is still down")
 	}
 	// Requests go back to the better address, after a time; the old connection ends once its request has.
@@ -191,11 +191,11 @@
 		(*transports)[1].handler.Data(encodeResponse("n1", "PONG", "")) // to a keepalive ping, where one was sent
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	if (*dialled)[len(*dialled)-1] != "/run/w.sock" || (*transports)[1].HasClosed {
-		t.Errorf("dialled %v, the old connection closed: %v", *dialled, (*transports)[1].HasClosed)
+	if (*dialled)[len(*dialled)-1] != "/run/w.sock" || (*transports)[1].Closed {
+		t.Errorf("dialled %v, the old connection closed: %v", *dialled, (*transports)[1].Closed)
 	}
 	(*transports)[1].handler.Data(encodeResponse(requestID, "HIT", ""))
-	if p.Maintain(now); !(*transports)[1].HasClosed {
+	if p.Maintain(now); !(*transports)[1].Closed {
 		t.Error("the old connection stays")
 	}
 }
@@ -228,8 +228,8 @@
 	p.StartAttempt(7, router.Attempt{Request: 3}, newRequest("00000000000000fe"), 2*time.Second)
 	p.SetNow(time.Hour + 300*time.Millisecond)
 	(*transports)[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
-	if p.Maintain(time.Hour + 500*time.Millisecond); !(*transports)[0].HasClosed || p.workers[7].addresses.Unavailable() != 1 {
-		t.Errorf("the silent connection is closed: %v, %d addresses down", (*transports)[0].HasClosed, p.workers[7].addresses.Unavailable())
+	if p.Maintain(time.Hour + 500*time.Millisecond); !(*transports)[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
+		t.Errorf("the silent connection is closed: %v, %d addresses down", (*transports)[0].Closed, p.workers[7].addresses.Unavailable())
 	}
 }
 
@@ -244,8 +244,8 @@
 	(*transports)[0].handler.DialCompleted(nil) // the other one is still being dialled
 	p.SetWorker(8, two, policy.Ready)
 	p.SetWorker(9, one, policy.Ready)
-	if !(*transports)[1].HasClosed || (*dialled)[2] != "127.0.0.1:11" {
-		t.Fatalf("dialled %v, the old dial closed: %v", *dialled, (*transports)[1].HasClosed)
+	if !(*transports)[1].Closed || (*dialled)[2] != "127.0.0.1:11" {
+		t.Fatalf("dialled %v, the old dial closed: %v", *dialled, (*transports)[1].Closed)
 	}
 	(*transports)[2].handler.DialCompleted(nil)
 	p.StartAttempt(8, router.Attempt{Request: 3}, newRequest("00000000000000fe"), time.Second)
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -69,9 +69,9 @@
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
-		connection.Wrote.Reset()
+		connection.Written.Reset()
 		send()
-		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Wrote.Bytes())})
+		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Written.Bytes())})
 	}
 	call := func(number int, r *router.Request, budget time.Duration) func() {
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
@@ -95,12 +95,12 @@
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Maintain(time.Second) })
-	if len(*transports) != 1 || connection.HasClosed {
-		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.HasClosed)
+	if len(*transports) != 1 || connection.Closed {
+		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.Closed)
 	}
 	messages = append(messages,
 		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
-		golden.Message{Label: "NOOP of a trial", Bytes: openRecoveryDial(t).Wrote.Bytes()})
+		golden.Message{Label: "NOOP of a trial", Bytes: openRecoveryDial(t).Written.Bytes()})
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
@@ -111,7 +111,7 @@
 	(*transports)[0].handler.DialCompleted(nil)
 	(*transports)[0].handler.Closed(errors.New("reset"))
 	(*transports)[1].handler.DialCompleted(nil)
-	return (*transports)[1].Wrote.Bytes()
+	return (*transports)[1].Written.Bytes()
 }
 
 // openRecoveryDial returns the connection of a recovery dial that has come up.
@@ -165,8 +165,8 @@
 			connection.handler.DialCompleted(nil)
 			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
-			if !reflect.DeepEqual(record, want) || connection.HasClosed {
-				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.HasClosed, want)
+			if !reflect.DeepEqual(record, want) || connection.Closed {
+				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.Closed, want)
 			}
 		})
 	}
@@ -190,8 +190,8 @@
 		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
-			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
+		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
+			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
 	}
 }
@@ -213,8 +213,8 @@
 		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.HasClosed {
-			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.HasClosed, want)
+		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
+			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
 	}
 }
@@ -233,16 +233,16 @@
 		if asked == 0 || owner.pingedAt != 0 || len(owner.inFlight) != 1 {
 			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pingedAt, len(owner.inFlight))
 		}
-		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed {
-			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.HasClosed)
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed {
+			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.Closed)
 		}
 	}
 	connection := openRecoveryDial(t)
 	worker := connection.handler.(*recoveryDial).worker
 	down := worker.addresses.Unavailable()
 	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.HasClosed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.HasClosed)
+	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
+		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
 	}
 }
 
@@ -273,8 +273,8 @@
 		connection := (*transports)[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
-		if !reflect.DeepEqual(record, &decodedResults{}) || connection.HasClosed != test.closes {
-			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.HasClosed)
+		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed != test.closes {
+			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.Closed)
 		}
 	}
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -234,7 +234,7 @@
 			m.requests = append(m.requests, k)
 			id := fmt.Sprintf("%016x", n+1)
 			m.log("take%d", n)
-			m.ids[id] = m.core.Accept(m.now, router.Request{Asker: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
+			m.ids[id] = m.core.Accept(m.now, router.Request{Responder: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
 				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
 		}, "call %d comes", m.arrived)
 	}
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -67,7 +67,7 @@
 		l := (*transports)[0]
 		l.handler.DialCompleted(nil)
 		want := "*4\r\n$3\r\nRUN\r\n$16\r\n0123456789abcdef\r\n$49\r\nqueue=dim-level,path=00000000000000aa,budget=1000\r\n$5\r\nhello\r\n"
-		if got := l.Wrote.String(); got != want {
+		if got := l.Written.String(); got != want {
 			t.Fatalf("wrote %q", got)
 		}
 		body := rapid.StringN(0, 200, 400).Draw(t, "body")
@@ -77,8 +77,8 @@
 			l.handler.Data([]byte(text[:n]))
 			text = text[n:]
 		}
-		if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.Served || string(s.results[a].Body) != body || l.HasClosed {
-			t.Fatalf("ended %v with %q, closed %v", s.outcomes[a], s.results[a].Body, l.HasClosed)
+		if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.Served || string(s.results[a].Body) != body || l.Closed {
+			t.Fatalf("ended %v with %q, closed %v", s.outcomes[a], s.results[a].Body, l.Closed)
 		}
 	})
 }
@@ -96,7 +96,7 @@
 	p.CheckHealth(1, 1)
 	l := (*transports)[0]
 	l.handler.DialCompleted(nil)
-	if l.handler.Data([]byte("*4\r\n$16449\r\n")); !l.HasClosed {
+	if l.handler.Data([]byte("*4\r\n$16449\r\n")); !l.Closed {
 		t.Error("a bulk string over the cap was waited for")
 	}
 }
@@ -110,14 +110,14 @@
 		drop := func(i int) { out = append(out[:i], out[i+1:]...) }
 		wrote := func(id string) (on []*fakeTransport) {
 			for _, l := range *transports {
-				if strings.Contains(l.Wrote.String(), id) {
+				if strings.Contains(l.Written.String(), id) {
 					on = append(on, l)
 				}
 			}
 			return on
 		}
 		answered := map[*fakeTransport]map[string]int{}
-		runs := func(l *fakeTransport, id string) int { return strings.Count(l.Wrote.String(), "RUN\r\n$16\r\n"+id) }
+		runs := func(l *fakeTransport, id string) int { return strings.Count(l.Written.String(), "RUN\r\n$16\r\n"+id) }
 		id := func(a router.Attempt) string { return fmt.Sprintf("%016x", int(a.Request)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
@@ -145,7 +145,7 @@
 				p.StartAttempt(1, b, newRequest(id(b)), time.Second)
 				out = append(out, b)
 				for _, l := range *transports {
-					if late[l] && !l.HasClosed {
+					if late[l] && !l.Closed {
 						if answered[l] == nil {
 							answered[l] = map[string]int{}
 						}
@@ -159,10 +159,10 @@
 			},
 			"dial": func(t *rapid.T) {
 				for _, l := range *transports {
-					if !up[l] && !l.HasClosed {
+					if !up[l] && !l.Closed {
 						up[l] = true
 						if rapid.Bool().Draw(t, "fails") {
-							l.HasClosed = true
+							l.Closed = true
 							l.handler.DialCompleted(errors.New("refused"))
 						} else {
 							l.handler.DialCompleted(nil)
@@ -173,8 +173,8 @@
 			},
 			"reset": func(t *rapid.T) {
 				for _, l := range *transports {
-					if up[l] && !l.HasClosed {
-						l.HasClosed = true
+					if up[l] && !l.Closed {
+						l.Closed = true
 						l.handler.Closed(errors.New("reset"))
 						return
 					}
@@ -191,7 +191,7 @@
 			},
 			"": func(t *rapid.T) {
 				for _, l := range *transports {
-					if text := l.Wrote.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
+					if text := l.Written.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
 						t.Fatalf("gave up what was never sent: %q", text)
 					}
 				}
@@ -214,7 +214,7 @@
 	p.Load(1, 5, 1, 9)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
 	(*transports)[0].handler.DialCompleted(nil)
-	if got := (*transports)[0].Wrote.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
+	if got := (*transports)[0].Written.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
 		t.Errorf("wrote %q, ended %v", got, s.commandOutcomes[9])
 	}
 }
@@ -238,7 +238,7 @@
 // transportsWithRun tells on which connections an id was sent.
 func transportsWithRun(transports []*fakeTransport, id string) (on []int) {
 	for i, l := range transports {
-		if strings.Contains(l.Wrote.String(), "RUN\r\n$16\r\n"+id) {
+		if strings.Contains(l.Written.String(), "RUN\r\n$16\r\n"+id) {
 			on = append(on, i)
 		}
 	}
@@ -258,7 +258,7 @@
 	p.StartAttempt(1, second, newRequest(id), time.Second)
 	l.handler.Data(encodeResponse(id, "NONE", ""))
 	l.handler.Data(encodeResponse("unknown", "HIT", "ahead"))
-	if len(s.outcomes[second]) != 0 || l.HasClosed || len(*transports) != 2 {
+	if len(s.outcomes[second]) != 0 || l.Closed || len(*transports) != 2 {
 		t.Fatalf("second attempt ended %v on %d connections", s.outcomes[second], len(*transports))
 	}
 	(*transports)[1].handler.DialCompleted(nil)
@@ -288,8 +288,8 @@
 		p.StartAttempt(1, a, newRequest(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
 		p.CancelAttempt(1, a)
 	}
-	if (*transports)[0].HasClosed || len(s.outcomes[stays]) != 0 || len(*transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", (*transports)[0].HasClosed, s.outcomes[stays], len(*transports))
+	if (*transports)[0].Closed || len(s.outcomes[stays]) != 0 || len(*transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", (*transports)[0].Closed, s.outcomes[stays], len(*transports))
 	}
 	if n := len(p.workers[1].connections[0].recentIDs.current); n != maxRememberedIDs {
 		t.Errorf("%d ids are remembered", n)
@@ -314,7 +314,7 @@
 			}
 		}
 		pass(minSilenceBeforePing + MaintenanceInterval)
-		if got := (*transports)[0].Wrote.String(); strings.Count(got, "NOOP") != 1 {
+		if got := (*transports)[0].Written.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
 		pass(MaintenanceInterval)
@@ -326,12 +326,12 @@
 		if pass(MaintenanceInterval); well {
 			(*transports)[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
-		if (*transports)[0].HasClosed {
+		if (*transports)[0].Closed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
 		pass(pingTimeout + MaintenanceInterval)
-		if (*transports)[0].HasClosed != well {
-			t.Errorf("worker well: %v, silent connection closed: %v", well, (*transports)[0].HasClosed)
+		if (*transports)[0].Closed != well {
+			t.Errorf("worker well: %v, silent connection closed: %v", well, (*transports)[0].Closed)
 		}
 		if (*transports)[0].handler.Closed(nil); len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.ConnectionReset {
 			t.Errorf("ended %v", s.outcomes[a])
@@ -342,7 +342,7 @@
 	(*transports)[0].handler.DialCompleted(nil)
 	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
 	(*transports)[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(*transports) != 1 || (*transports)[0].HasClosed {
+	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(*transports) != 1 || (*transports)[0].Closed {
 		t.Error("a connection that answered was left")
 	}
 }
@@ -358,11 +358,11 @@
 	whole := encodeResponse("00000000000000a1", "HIT", strings.Repeat("x", 1000))
 	for i := range int(partialResponseTimeout/MaintenanceInterval) + 2 {
 		p.Maintain(time.Hour + time.Duration(i)*MaintenanceInterval)
-		if !l.HasClosed {
+		if !l.Closed {
 			l.handler.Data(whole[i*3 : i*3+3])
 		}
 	}
-	if !l.HasClosed {
+	if !l.Closed {
 		t.Fatal("the rest of an answer is still waited for")
 	}
 	l.handler.Data(whole[3*(int(partialResponseTimeout/MaintenanceInterval)+2):]) // too late: nothing that follows counts
@@ -436,8 +436,8 @@
 	(*transports)[0].handler.DialCompleted(nil)
 	(*transports)[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
 	p.StartAttempt(5, router.Attempt{Request: 9}, newRequest("00000000000000ff"), time.Second)
-	if len(*transports) != 4 || !(*transports)[0].HasClosed {
-		t.Errorf("%d connections, idle one closed: %v", len(*transports), (*transports)[0].HasClosed)
+	if len(*transports) != 4 || !(*transports)[0].Closed {
+		t.Errorf("%d connections, idle one closed: %v", len(*transports), (*transports)[0].Closed)
 	}
 }
 
@@ -465,7 +465,7 @@
 			now += MaintenanceInterval
 			p.Maintain(now)
 			for _, l := range *transports {
-				if l.HasClosed && l.handler != nil {
+				if l.Closed && l.handler != nil {
 					l.handler.Closed(nil)
 					l.handler = nil
 				}
@@ -490,15 +490,15 @@
 			a := router.Attempt{Request: policy.RequestID(n)}
 			p.StartAttempt(1, a, newRequest(id), time.Second)
 			for _, l := range *transports {
-				if l.handler != nil && l.Wrote.Len() == 0 && !l.HasClosed {
+				if l.handler != nil && l.Written.Len() == 0 && !l.Closed {
 					l.handler.DialCompleted(nil)
 				}
 			}
 			for _, l := range *transports {
-				if l.handler != nil && !l.HasClosed && strings.Contains(l.Wrote.String(), id) {
+				if l.handler != nil && !l.Closed && strings.Contains(l.Written.String(), id) {
 					l.handler.Data(encodeResponse(id, "HIT", ""))
-					l.Wrote.Reset()
-					l.Wrote.WriteString("-")
+					l.Written.Reset()
+					l.Written.WriteString("-")
 				}
 			}
 			if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.Served {
@@ -508,7 +508,7 @@
 		now += MaintenanceInterval
 		p.Maintain(now)
 		for _, l := range *transports {
-			if l.HasClosed && l.handler != nil {
+			if l.Closed && l.handler != nil {
 				l.handler.Closed(nil)
 				l.handler = nil
 			}
--- a/internal/workerclient/response_test.go
+++ b/internal/workerclient/response_test.go
@@ -18,7 +18,7 @@
 		r.IdempotencyKey = once
 		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
 		(*transports)[0].handler.DialCompleted(nil)
-		got := (*transports)[0].Wrote.String()
+		got := (*transports)[0].Written.String()
 		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
 			t.Errorf("key %q: wrote %q", once, got)
 		}
@@ -39,8 +39,8 @@
 			l := (*transports)[0]
 			l.handler.DialCompleted(nil)
 			l.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
-			if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != o || s.results[a].Concurrency != want || l.HasClosed {
-				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.outcomes[a], s.results[a], l.HasClosed)
+			if len(s.outcomes[a]) != 1 || s.outcomes[a][0] != o || s.results[a].Concurrency != want || l.Closed {
+				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, s.outcomes[a], s.results[a], l.Closed)
 			}
 		}
 	}
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -33,19 +33,19 @@
 			l.handler.DialCompleted(errors.New("refused"))
 		case "ends under it":
 			l.handler.DialCompleted(nil)
-			l.Unsent = l.Wrote.Len() // none of it left
+			l.Unsent = l.Written.Len() // none of it left
 			l.handler.Closed(errors.New("reset"))
 			(*transports)[1].handler.DialCompleted(nil)
 		}
 		for _, l := range *transports {
-			if strings.Contains(l.Wrote.String(), "0123456789abcdef") {
-				t.Errorf("%s: written all the same: %q", end, l.Wrote.String())
+			if strings.Contains(l.Written.String(), "0123456789abcdef") {
+				t.Errorf("%s: written all the same: %q", end, l.Written.String())
 			}
 		}
 		if len(s.outcomes[gone]) != 0 {
 			t.Errorf("%s: ended as %v", end, s.outcomes[gone])
 		}
-		if sent := strings.Contains((*transports)[len(*transports)-1].Wrote.String(), "fedcba9876543210"); sent == (end == "fails") {
+		if sent := strings.Contains((*transports)[len(*transports)-1].Written.String(), "fedcba9876543210"); sent == (end == "fails") {
 			t.Errorf("%s: the other call was sent: %v", end, sent)
 		}
 	}
@@ -61,11 +61,11 @@
 		l := (*transports)[0]
 		l.handler.DialCompleted(nil)
 		p.CancelAttempt(1, a)
-		if told := strings.Contains(l.Wrote.String(), "STOP\r\n"); told != may {
+		if told := strings.Contains(l.Written.String(), "STOP\r\n"); told != may {
 			t.Errorf("may %v, told %v", may, told)
 		}
 		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
-		if n := strings.Count(l.Wrote.String(), "RUN\r\n"); n != 1 || len(*transports) != 2 {
+		if n := strings.Count(l.Written.String(), "RUN\r\n"); n != 1 || len(*transports) != 2 {
 			t.Errorf("the id went %d times over one connection of %d", n, len(*transports))
 		}
 	}
--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -107,7 +107,7 @@
 			failures.Observe(p.now, 1)
 		}
 		p.connectionFailed(w, e.Outcome)
-	case Cancelled, TimedOut: // it would have taken longer still; where others were served, they tell
+	case Canceled, TimedOut: // it would have taken longer still; where others were served, they tell
 		over := float64(e.Took) - p.runTime(r)
 		if !a.expectsLoad && w.queueDelay.Updated() < a.startedAt && over > w.queueDelay.Mean(p.now) {
 			w.queueDelay.Observe(p.now, min(over, maxMultiple*float64(r.class.LatencyObjective)))
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -27,7 +27,7 @@
 			lost++
 			b.advance(4 * time.Second)
 			b.handle(TimerFired{Token: deadlineToken + uint64(id)})
-			b.handle(AttemptCompleted{Request: id, Worker: slow, Outcome: Cancelled, Closed: true, Took: 4 * time.Second})
+			b.handle(AttemptCompleted{Request: id, Worker: slow, Outcome: Canceled, Closed: true, Took: 4 * time.Second})
 		default:
 			b.advance(100 * ms)
 			b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
--- a/policy/events.go
+++ b/policy/events.go
@@ -25,7 +25,7 @@
 	TimedOut                // no response in time
 	Unreachable             // no connection could be made
 	ConnectionReset         // the connection broke
-	Cancelled               // canceled by the router or its client
+	Canceled                // canceled by the router or its client
 	NotSent                 // there was no time left to send it
 	NotLoaded               // the function is not loaded there
 )
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -114,7 +114,7 @@
 	if !probed || !called {
 		t.Fatalf("probed %v, called off %v", probed, called)
 	}
-	again, ok := first[StartAttempt](b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Cancelled}))
+	again, ok := first[StartAttempt](b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Canceled}))
 	if !ok || again.Worker == w {
 		t.Errorf("rescued call: %v %v", again, ok)
 	}
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -275,7 +275,7 @@
 				_, acts := b.arriveWith(rapid.SampledFrom([]int{0, 0, 2}).Draw(rt, "class"), terms)
 				take(acts)
 			case what == 2 && len(outs) > 0:
-				o := rapid.SampledFrom([]Outcome{Served, Failed, Overloaded, ConnectionReset, TimedOut, Cancelled, NotLoaded, NotSent}).Draw(rt, "end")
+				o := rapid.SampledFrom([]Outcome{Served, Failed, Overloaded, ConnectionReset, TimedOut, Canceled, NotLoaded, NotSent}).Draw(rt, "end")
 				end(rapid.IntRange(0, len(outs)-1).Draw(rt, "which"), o)
 			case what == 3 && len(tokens) > 0:
 				take(b.handle(TimerFired{Token: tokens[0]}))
@@ -288,7 +288,7 @@
 			take(b.handle(RequestCanceled{Request: id + 1}))
 		}
 		for len(outs) > 0 {
-			end(0, Cancelled)
+			end(0, Canceled)
 		}
 		if pools[0].out != 0 || pools[1].out != 0 {
 			rt.Fatalf("%d and %d stay counted", pools[0].out, pools[1].out)
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestNotIdempotentThatMayHaveRunFails(t *testing.T) {
-	for _, o := range []Outcome{Failed, TimedOut, ConnectionReset, Cancelled} {
+	for _, o := range []Outcome{Failed, TimedOut, ConnectionReset, Canceled} {
 		b := newHarness(t, config(), 4)
 		id, acts := b.arrive(2, 7)
 		s, _ := first[StartAttempt](acts)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -191,7 +191,7 @@
 				if !r.open[n] {
 					continue
 				}
-				o := []Outcome{Served, Served, Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Cancelled, NotSent, NotLoaded}[rng.IntN(10)]
+				o := []Outcome{Served, Served, Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Canceled, NotSent, NotLoaded}[rng.IntN(10)]
 				delete(r.open, n)
 				if !o.NeverRan() && !r.ran {
 					r.ran, r.mayRan = true, r.sentAt[n]
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -17,7 +17,7 @@
 			id, acts := b.arrive(0, f)
 			if has[StartAttempt](acts) {
 				n++
-				b.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Cancelled, Closed: true})
+				b.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Canceled, Closed: true})
 			}
 		}
 		return n
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -131,7 +131,7 @@
 				}
 			case CancelAttempt:
 				if key := fmt.Sprint(a.Request, a.Attempt); !over[key] {
-					later(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Cancelled})
+					later(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Canceled})
 				}
 			case Load:
 				loading[place{a.Worker, a.Function}] = now + 500*ms
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -14,7 +14,7 @@
 		want  string
 	}{
 		{Served, "served"}, {Failed, "errored"}, {Overloaded, "full"}, {TimedOut, "timed_out"},
-		{Unreachable, "unreachable"}, {ConnectionReset, "reset"}, {Cancelled, "cancelled"}, {NotSent, "moot"},
+		{Unreachable, "unreachable"}, {ConnectionReset, "reset"}, {Canceled, "cancelled"}, {NotSent, "moot"},
 		{NotLoaded, "missed"}, {Outcome(9), "Outcome(9)"},
 		{Gone, "gone"}, {Ready, "ready"}, {Draining, "draining"}, {WorkerState(3), "WorkerState(3)"},
 		{LoadStatusUnknown, "unknown"}, {AlreadyLoaded, "already loaded"}, {StartedLoad, "started load"},
