--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -48,6 +48,8 @@
 	switch {
 	case err != nil:
 		c.closeMalformed(err)
+	case c.closed:
+		c.partial.Reset() // closed by one of the frames: what follows it counts for nothing
 	case frames > 0:
 		c.partial.Compact() // many clients may be connected: none keeps the memory of its largest frame
 	}
