--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -211,3 +211,61 @@
 	}
 	return name.Name + "."
 }
+
+// testName is a test that a page names.
+var testName = regexp.MustCompile("`(Test[A-Z]\\w+)")
+
+// Pages say which test forces what they promise. A test that was renamed or dropped must not stay on them.
+func TestTestsNamedOnPagesExist(t *testing.T) {
+	root := filepath.Join("..", "..")
+	var pages []string
+	for _, pattern := range []string{"docs/*.md", "docs/*/*.md"} {
+		found, err := filepath.Glob(filepath.Join(root, filepath.FromSlash(pattern)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		pages = append(pages, found...)
+	}
+	tests := testFunctions(t, root)
+	named := 0
+	for _, page := range pages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range testName.FindAllStringSubmatch(string(text), -1) {
+			named++
+			if !tests[m[1]] {
+				t.Errorf("%s names %s, which is no test", filepath.Base(page), m[1])
+			}
+		}
+	}
+	if named < 20 {
+		t.Errorf("%d tests named on the pages; the check does not see them", named)
+	}
+}
+
+// testFunctions returns the names of the functions in all test files.
+func testFunctions(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, 0)
+		if err != nil {
+			return err
+		}
+		for _, declaration := range file.Decls {
+			if function, ok := declaration.(*ast.FuncDecl); ok {
+				names[function.Name.Name] = true
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
