--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// declarations returns the names that a package's non-test files declare: functions and types, and methods and fields
-// behind the name of their type.
+// declarations returns the names that a package's non-test files declare: functions, types, variables and
+// constants, and methods and fields behind the name of their type.
 func declarations(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -167,9 +167,14 @@
 		names[receiver(d)+d.Name.Name] = true
 	case *ast.GenDecl:
 		for _, spec := range d.Specs {
-			if s, ok := spec.(*ast.TypeSpec); ok {
+			switch s := spec.(type) {
+			case *ast.TypeSpec:
 				names[s.Name.Name] = true
 				declareMembers(names, s)
+			case *ast.ValueSpec:
+				for _, name := range s.Names {
+					names[name.Name] = true
+				}
 			}
 		}
 	}
--- a/internal/archtest/errors_test.go
+++ b/internal/archtest/errors_test.go
@@ -4,6 +4,7 @@
 	"os"
 	"path"
 	"path/filepath"
+	"regexp"
 	"slices"
 	"strings"
 	"testing"
@@ -12,6 +13,9 @@
 // errorsPage lists the errors that can reach a log or a terminal.
 const errorsPage = "docs/operate/errors.md"
 
+// errorValue is the name of an exported error value.
+var errorValue = regexp.MustCompile(`^Err[A-Z]\w*$`)
+
 // Whoever is on call finds each error on one page: every error type and every exported error value of the program.
 func TestErrorsPageListsEveryErrorType(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(errorsPage)))
@@ -24,12 +28,12 @@
 			continue
 		}
 		for name := range declarations(t, dir) {
-			typ, isError := strings.CutSuffix(name, ".Error")
-			if !isError {
+			name, isError := strings.CutSuffix(name, ".Error")
+			if !isError && !errorValue.MatchString(name) {
 				continue
 			}
 			listed++
-			if entry := "`" + path.Base(dir) + "." + typ + "`"; !strings.Contains(string(text), entry) {
+			if entry := "`" + path.Base(dir) + "." + name + "`"; !strings.Contains(string(text), entry) {
 				t.Errorf("%s does not list %s", errorsPage, entry)
 			}
 		}
