--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s %q\n", answer.Verdict, answer.Body)
+	fmt.Printf("%s %q\n", answer.Status, answer.Body)
 	return nil
 }
 
--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -104,7 +104,7 @@
 	served := faulty.total.servedShare()
 	servedCalm := calm.total.servedShare()
 	f.add("calls", len(faulty.requests))
-	f.add("orders", v.orders)
+	f.add("orders", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("late_sends", faulty.lateSends)
 	f.mustBeZero("answers_missing", v.lost)
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -267,7 +267,7 @@
 	f.mustBeZero("lost", v.lost)
 	f.mustBeZero("late", v.late)
 	f.mustBeZero("extra_answers", r.extra)
-	f.add("orders", v.orders)
+	f.add("orders", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("outside_pool", r.pools.outsidePool)
 	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
@@ -278,6 +278,6 @@
 	share := r.pools.maxOverflowShare(r.record)
 	f.must("spilled", spilled, spilled > 0)
 	f.must("spill_share_max", share, share <= spillLimit*maxSpillTolerance)
-	f.add("loads_in_10s_after_return", r.loadOrdersBetween(r.back, r.back.Add(10*time.Second)))
+	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.back, r.back.Add(10*time.Second)))
 	f.add("p99_ms", r.latencyPercentile(0.99))
 }
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -67,7 +67,7 @@
 }
 
 // complete counts a response.
-func (m *measurement) complete(verdict fake.Verdict, latency time.Duration) {
+func (m *measurement) complete(verdict fake.ResponseStatus, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight--
@@ -135,6 +135,6 @@
 		}
 		key := functionKey(random.IntN(l.Keys))
 		id := fmt.Sprintf("%016x", random.Uint64())
-		l.target.send(key, id, func(verdict fake.Verdict) { m.complete(verdict, time.Since(due)) })
+		l.target.send(key, id, func(verdict fake.ResponseStatus) { m.complete(verdict, time.Since(due)) })
 	}
 }
--- a/internal/benchmark/target.go
+++ b/internal/benchmark/target.go
@@ -15,7 +15,7 @@
 // sender sends requests to a router.
 type sender interface {
 	// send sends a request for a function. done is called once, from any goroutine, with its verdict.
-	send(key, id string, done func(fake.Verdict))
+	send(key, id string, done func(fake.ResponseStatus))
 	// close closes all connections.
 	close()
 }
@@ -123,14 +123,14 @@
 	return &thriftSender{class: l.Class, timeout: l.Wait, clients: clients}, nil
 }
 
-func (s *thriftSender) send(key, id string, done func(fake.Verdict)) {
+func (s *thriftSender) send(key, id string, done func(fake.ResponseStatus)) {
 	call := fake.Call{Class: s.class, ID: id, Key: key, Wait: s.timeout, Props: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}
-	s.pick().Go(call, func(answer fake.Answer, err error) {
+	s.pick().Go(call, func(answer fake.Response, err error) {
 		if err != nil {
 			done(lost)
 			return
 		}
-		done(answer.Verdict)
+		done(answer.Status)
 	})
 }
 
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -49,7 +49,7 @@
 
 // send sends a webhook from a goroutine of its own, which ends with the client's timeout at the latest. The webhook's
 // id is a random one of its own, so that no two runs share one.
-func (s *webhookSender) send(key, _ string, done func(fake.Verdict)) {
+func (s *webhookSender) send(key, _ string, done func(fake.ResponseStatus)) {
 	go func() {
 		verdict, err := s.deliver(key)
 		if err != nil {
@@ -60,7 +60,7 @@
 }
 
 // deliver sends a webhook and waits for its response.
-func (s *webhookSender) deliver(key string) (fake.Verdict, error) {
+func (s *webhookSender) deliver(key string) (fake.ResponseStatus, error) {
 	request, err := s.request(key)
 	if err != nil {
 		return "", err
@@ -99,7 +99,7 @@
 func (s *webhookSender) close() { s.client.CloseIdleConnections() }
 
 // verdictOfStatus returns what a router says by an HTTP status, or lost for one that it does not send.
-func verdictOfStatus(status int) fake.Verdict {
+func verdictOfStatus(status int) fake.ResponseStatus {
 	switch status {
 	case http.StatusOK:
 		return fake.Served
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -10,12 +10,12 @@
 )
 
 // verdicts are what is shown of each class.
-var verdicts = []fake.Verdict{fake.Served, fake.Rejected, fake.Failed}
+var verdicts = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
 
 // response is what is counted at the client.
 type response struct {
 	class   string
-	verdict fake.Verdict
+	verdict fake.ResponseStatus
 }
 
 // workerCounts is what is counted at a worker.
@@ -43,14 +43,14 @@
 	switch e.What {
 	case fake.EventStarted:
 		worker.runs++
-	case fake.EventLoadOrdered:
+	case fake.EventLoadCommand:
 		worker.loads++
 	}
 	c.workers[e.Worker] = worker
 }
 
 // response counts a response at the client.
-func (c *counts) response(class string, verdict fake.Verdict) {
+func (c *counts) response(class string, verdict fake.ResponseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responses[response{class, verdict}]++
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -115,9 +115,9 @@
 		Props: "memory_mb:512;lanes:2;load_ms:600",
 		Body:  []byte("lamp 17"),
 	}
-	s.client.Go(call, func(answer fake.Answer, err error) {
+	s.client.Go(call, func(answer fake.Response, err error) {
 		if err == nil {
-			s.counts.response(class.name, answer.Verdict)
+			s.counts.response(class.name, answer.Status)
 		}
 	})
 }
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -135,7 +135,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if a.loop.hasRoom() {
+		if a.loop.ensureAcceptCapacity() {
 			return conn, nil
 		}
 		conn.Close()
@@ -143,9 +143,9 @@
 	}
 }
 
-// hasRoom reports whether one more connection may be accepted, for which an idle one is closed where there are too many.
+// ensureAcceptCapacity reports whether one more connection may be accepted, for which an idle one is closed where there are too many.
 // It is called by listeners.
-func (l *Loop) hasRoom() bool {
+func (l *Loop) ensureAcceptCapacity() bool {
 	return l.acceptedCount.Load() < int64(l.cfg.MaxAccepted) || l.CloseIdleClients()
 }
 
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -190,7 +190,7 @@
 	w.mu.Lock()
 	r := w.replica(function)
 	if count > 0 {
-		w.record(Event{At: time.Now(), Worker: w, What: EventLoadOrdered, Key: function})
+		w.record(Event{At: time.Now(), Worker: w, What: EventLoadCommand, Key: function})
 	}
 	if r == nil && count > 0 {
 		r = w.startLoad(function)
--- a/internal/fake/event.go
+++ b/internal/fake/event.go
@@ -11,7 +11,7 @@
 	EventCompleted      EventKind = "done"   // it was worked on to its end
 	EventCanceled       EventKind = "stop"   // the router canceled it
 	EventConnectionLost EventKind = "broken" // the connection ended before its response
-	EventLoadOrdered    EventKind = "hold"   // the router ordered a replica
+	EventLoadCommand    EventKind = "hold"   // the router ordered a replica
 	EventOverloaded     EventKind = "shed"   // a request was rejected, for the queue was full
 	EventNotLoaded      EventKind = "miss"   // a request was rejected, for its function was not loaded
 )
@@ -29,7 +29,7 @@
 // Arrival reports whether the event is the arrival of a request or of a load order.
 func (e Event) Arrival() bool {
 	switch e.What {
-	case EventStarted, EventLoadOrdered, EventNotLoaded:
+	case EventStarted, EventLoadCommand, EventNotLoaded:
 		return true
 	default:
 		return false
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -13,9 +13,9 @@
 	keyword: classKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		runsSetting:     single(readOneOf(runsOnce, runsRepeatable)),
-		deadlineSetting: single(readDuration),
-		aimSetting:      single(readDuration),
+		runsSetting:             single(readOneOf(runsOnce, runsRepeatable)),
+		deadlineSetting:         single(readDuration),
+		latencyObjectiveSetting: single(readDuration),
 	},
 	build: buildClass,
 }
@@ -25,7 +25,7 @@
 		Name:             b.name,
 		NotIdempotent:    b.value(runsSetting).text == runsOnce,
 		Deadline:         b.value(deadlineSetting).duration,
-		LatencyObjective: b.value(aimSetting).duration,
+		LatencyObjective: b.value(latencyObjectiveSetting).duration,
 	}
 	if class.Name == neverIdempotentClass {
 		if b.value(runsSetting).text == runsRepeatable {
@@ -34,7 +34,7 @@
 		class.NotIdempotent = true
 	}
 	if class.Deadline > 0 && class.LatencyObjective > class.Deadline {
-		c.fault(b, b.value(aimSetting).pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
+		c.fault(b, b.value(latencyObjectiveSetting).pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
 	}
 	if c.platform != nil && !c.checkAgainstPlatform(b, class) {
 		return
@@ -59,8 +59,8 @@
 	if b.hasValue(deadlineSetting) && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
 		c.fault(b, b.value(deadlineSetting).pos, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
 	}
-	if b.hasValue(aimSetting) && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
-		c.fault(b, b.value(aimSetting).pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
+	if b.hasValue(latencyObjectiveSetting) && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
+		c.fault(b, b.value(latencyObjectiveSetting).pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
 	}
 	return true
 }
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -14,13 +14,13 @@
 	keyword: policyKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		likeSetting:            single(readText),
-		attemptsSetting:        single(readCount(1)),
-		againIfRanSetting:      single(readCount(0)),
-		againIfNotRanSetting:   single(readCount(0)),
-		attemptTimeSetting:     single(readDuration),
-		secondCopyAfterSetting: single(readDuration),
-		aimSetting:             single(readDuration),
+		likeSetting:              single(readText),
+		attemptsSetting:          single(readCount(1)),
+		retriesAfterRunSetting:   single(readCount(0)),
+		retriesAfterNoRunSetting: single(readCount(0)),
+		attemptTimeSetting:       single(readDuration),
+		hedgeDelaySetting:        single(readDuration),
+		latencyObjectiveSetting:  single(readDuration),
 	},
 	build: buildPolicy,
 	check: checkPolicies,
@@ -112,17 +112,17 @@
 		}
 	}
 	setCount(attemptsSetting, &spec.MaxAttempts)
-	setCount(againIfRanSetting, &spec.RetriesAfterPossibleRun)
-	setCount(againIfNotRanSetting, &spec.RetriesAfterProvenNoRun)
+	setCount(retriesAfterRunSetting, &spec.RetriesAfterPossibleRun)
+	setCount(retriesAfterNoRunSetting, &spec.RetriesAfterProvenNoRun)
 	spec.AttemptTimeout = p.effective[attemptTimeSetting].duration
-	spec.HedgeDelay = p.effective[secondCopyAfterSetting].duration
-	spec.LatencyObjective = p.effective[aimSetting].duration
+	spec.HedgeDelay = p.effective[hedgeDelaySetting].duration
+	spec.LatencyObjective = p.effective[latencyObjectiveSetting].duration
 	return spec
 }
 
 // checkPolicy reports settings of a policy that contradict each other.
 func (c *checker) checkPolicy(p *policyBlock, spec route.PolicySpec) {
-	for _, setting := range []string{againIfRanSetting, againIfNotRanSetting} {
+	for _, setting := range []string{retriesAfterRunSetting, retriesAfterNoRunSetting} {
 		v, ok := p.effective[setting]
 		if ok && spec.MaxAttempts != route.Unset && v.count > spec.MaxAttempts-1 {
 			p.fault(c, setting, "policy %q: %s = %d is more than attempts = %d leaves", p.name, setting, v.count, spec.MaxAttempts)
@@ -132,10 +132,10 @@
 		return
 	}
 	if spec.MaxAttempts == 1 {
-		p.fault(c, secondCopyAfterSetting, "policy %q: attempts = 1 leaves no room for a second copy", p.name)
+		p.fault(c, hedgeDelaySetting, "policy %q: attempts = 1 leaves no room for a second copy", p.name)
 	}
 	if spec.AttemptTimeout > 0 && spec.HedgeDelay >= spec.AttemptTimeout {
-		p.fault(c, secondCopyAfterSetting, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.name, spec.AttemptTimeout, spec.HedgeDelay)
+		p.fault(c, hedgeDelaySetting, "policy %q: the attempt ends at %v, before a second copy goes out at %v", p.name, spec.AttemptTimeout, spec.HedgeDelay)
 	}
 }
 
@@ -144,8 +144,8 @@
 	if v, ok := p.effective[attemptsSetting]; ok && c.platform.MaxAttempts > 0 && v.count > c.platform.MaxAttempts {
 		p.fault(c, attemptsSetting, "policy %q: attempts = %d is more than the platform's %d", p.name, v.count, c.platform.MaxAttempts)
 	}
-	if _, ok := p.effective[secondCopyAfterSetting]; ok && !c.platform.HedgingAllowed {
-		p.fault(c, secondCopyAfterSetting, "policy %q: the platform allows no second copies", p.name)
+	if _, ok := p.effective[hedgeDelaySetting]; ok && !c.platform.HedgingAllowed {
+		p.fault(c, hedgeDelaySetting, "policy %q: the platform allows no second copies", p.name)
 	}
 }
 
@@ -160,8 +160,8 @@
 		name    string
 	}{
 		{attemptTimeSetting, class.Deadline, "deadline"},
-		{secondCopyAfterSetting, class.Deadline, "deadline"},
-		{aimSetting, class.LatencyObjective, "aim"},
+		{hedgeDelaySetting, class.Deadline, "deadline"},
+		{latencyObjectiveSetting, class.LatencyObjective, "aim"},
 	} {
 		v, ok := p.effective[bound.setting]
 		if ok && bound.limit > 0 && v.duration > bound.limit {
@@ -173,12 +173,12 @@
 
 // checkPolicyIsSafe reports settings by which requests of a class that is not idempotent might run twice.
 func (c *checker) checkPolicyIsSafe(r *block, p *policyBlock, class Class) {
-	if v, ok := p.effective[againIfRanSetting]; ok && v.count > 0 {
-		p.fault(c, againIfRanSetting, "%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, and route %q at %s gives it to that class",
+	if v, ok := p.effective[retriesAfterRunSetting]; ok && v.count > 0 {
+		p.fault(c, retriesAfterRunSetting, "%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, and route %q at %s gives it to that class",
 			class.Name, p.name, v.count, r.name, fileLine(r.pos))
 	}
-	if _, ok := p.effective[secondCopyAfterSetting]; ok {
-		p.fault(c, secondCopyAfterSetting, "%s must never run twice: policy %q sends a second copy, and route %q at %s gives it to that class",
+	if _, ok := p.effective[hedgeDelaySetting]; ok {
+		p.fault(c, hedgeDelaySetting, "%s must never run twice: policy %q sends a second copy, and route %q at %s gives it to that class",
 			class.Name, p.name, r.name, fileLine(r.pos))
 	}
 }
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -13,10 +13,10 @@
 	keyword: poolKeyword,
 	named:   true,
 	settings: map[string]settingType{
-		capSetting:        single(readCount(1)),
-		loadOrdersSetting: single(readShare),
-		fallbackSetting:   single(readText),
-		spillSetting:      single(readShareOrRate),
+		capSetting:       single(readCount(1)),
+		loadShareSetting: single(readShare),
+		fallbackSetting:  single(readText),
+		overflowSetting:  single(readShareOrRate),
 	},
 	blocks: []*blockType{selectorType},
 	build:  buildPool,
@@ -36,11 +36,11 @@
 	if b.hasValue(capSetting) {
 		p.MaxInFlight = b.value(capSetting).count
 	}
-	if b.hasValue(loadOrdersSetting) {
-		p.LoadShare = b.value(loadOrdersSetting).number
+	if b.hasValue(loadShareSetting) {
+		p.LoadShare = b.value(loadShareSetting).number
 	}
-	if b.hasValue(spillSetting) {
-		spill := b.value(spillSetting)
+	if b.hasValue(overflowSetting) {
+		spill := b.value(overflowSetting)
 		if spill.isRate {
 			p.OverflowRate = spill.number
 		} else {
@@ -87,7 +87,7 @@
 		shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadShare))
 		const whole = 1 + shareTolerance
 		if before <= whole && total > whole {
-			c.fault(b, b.value(loadOrdersSetting).pos, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
+			c.fault(b, b.value(loadShareSetting).pos, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
 		}
 	}
 }
@@ -95,10 +95,10 @@
 // checkFallback checks a pool's fallback and the limit on what goes there.
 func (c *checker) checkFallback(b *block) {
 	switch {
-	case b.hasValue(fallbackSetting) && !b.isPresent(spillSetting):
+	case b.hasValue(fallbackSetting) && !b.isPresent(overflowSetting):
 		c.fault(b, b.value(fallbackSetting).pos, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
-	case b.hasValue(spillSetting) && !b.isPresent(fallbackSetting):
-		c.fault(b, b.value(spillSetting).pos, "pool %q has a spill and no fallback to spill to", b.name)
+	case b.hasValue(overflowSetting) && !b.isPresent(fallbackSetting):
+		c.fault(b, b.value(overflowSetting).pos, "pool %q has a spill and no fallback to spill to", b.name)
 	}
 	if c.resolveReference(b, fallbackSetting, poolKeyword) {
 		c.reportFallbackCycle(b)
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -19,7 +19,7 @@
 		tenantSetting:   listOf(readText),
 		poolSetting:     single(readText),
 		policySetting:   single(readText),
-		refuseSetting:   single(readOneOf("yes")),
+		rejectSetting:   single(readOneOf("yes")),
 	},
 	build: buildRoute,
 	check: checkRoutes,
@@ -52,9 +52,9 @@
 		r.Functions = append(r.Functions, pattern)
 	}
 	switch {
-	case b.hasValue(refuseSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
-		c.fault(b, b.value(refuseSetting).pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
-	case !b.isPresent(refuseSetting) && !b.isPresent(poolSetting):
+	case b.hasValue(rejectSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
+		c.fault(b, b.value(rejectSetting).pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
+	case !b.isPresent(rejectSetting) && !b.isPresent(poolSetting):
 		c.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
 	}
 	if len(r.Tenants) > 0 && len(r.Fronts) > 0 && !slices.Contains(r.Fronts, route.Webhook) {
--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -26,7 +26,7 @@
 
 // load orders a worker to load replicas of a function.
 func (c *Core) load(action policy.Load) {
-	c.Counters.LoadsOrdered++
+	c.Counters.LoadsSent++
 	command := pendingCommand{kind: loadCommand, worker: action.Worker, function: action.Function}
 	id := c.addCommand(command, c.limits.LoadTimeout)
 	c.workers.Load(action.Worker, action.Function, action.Count, id)
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -16,7 +16,7 @@
 	RejectedUnrouted   [frontCount]uint64 // rejected because no route, or one without a pool, matched
 
 	AttemptsStarted uint64 // attempts handed to the worker client
-	LoadsOrdered    uint64
+	LoadsSent       uint64
 	HealthChecks    uint64
 	Unloads         uint64
 
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -39,7 +39,7 @@
 	s.core.SetWorkerClient(s.workers)
 	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
 	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
-	s.discovery.Confirmed = s.membership.confirmed
+	s.discovery.Confirmed = s.membership.listConfirmed
 	addresses, err := readAddresses(options.Addresses)
 	if err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 		MaxCallsPerConnection: limits.StreamsPerConn,
 		MaxConnections:        cfg.MaxWorkerConnections(),
 		CancelSupported:       cfg.Policy.CancelSupported,
-		ProbesAllowed:         cfg.Policy.HealthCheckSupported,
+		HealthChecksAllowed:   cfg.Policy.HealthCheckSupported,
 		Seed:                  cfg.SeedValue,
 		Dial: func(network, addr string, timeout time.Duration, handler eventloop.DialHandler) workerclient.Transport {
 			return loop.Dial(network, addr, timeout, handler)
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -60,7 +60,7 @@
 	counters := &s.core.Counters
 	attempts := []slog.Attr{slog.Uint64("sent", counters.AttemptsStarted), slog.Uint64("overdue", counters.DeadlineExceeded)}
 	logCounterLine(append(attempts, outcomeAttributes(counters.AttemptsByOutcome)...)...)
-	loads := []slog.Attr{slog.Uint64("orders", counters.LoadsOrdered), slog.Uint64("unloads", counters.Unloads)}
+	loads := []slog.Attr{slog.Uint64("orders", counters.LoadsSent), slog.Uint64("unloads", counters.Unloads)}
 	logCounterLine(append(loads, outcomeAttributes(counters.LoadsByOutcome)...)...)
 	healthChecks := []slog.Attr{slog.Uint64("probes", counters.HealthChecks)}
 	logCounterLine(append(healthChecks, outcomeAttributes(counters.HealthChecksByOutcome)...)...)
@@ -71,7 +71,7 @@
 		slog.Uint64("dials_failed", connections.DialsFailed),
 		slog.Uint64("trials", connections.RecoveryDials),
 		slog.Uint64("trials_failed", connections.RecoveryDialsFailed),
-		slog.Uint64("moved", connections.CallsResent),
+		slog.Uint64("moved", connections.RequestsResent),
 		slog.Uint64("pings", connections.Pings))
 }
 
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -26,7 +26,7 @@
 //
 // # Graceful shutdown
 //
-// SIGTERM and SIGINT begin a drain. Requests are accepted for lingerPeriod more, because clients learn late that
+// SIGTERM and SIGINT begin a drain. Requests are accepted for drainServingPeriod more, because clients learn late that
 // the router is leaving, and are rejected after that. The loop stops once no request is open and either all
 // responses have been written and all notices delivered, or flushTimeout is over.
 //
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -57,14 +57,14 @@
 	}
 	m.starts.update(m.loop.Now(), m.lastList, list)
 	if m.lastList == 0 { // the platform's, as of the start
-		m.confirmed()
+		m.listConfirmed()
 	}
 	m.list = list
 	m.publish()
 }
 
-// confirmed takes in that discovery has said that the list is the present one.
-func (m *membership) confirmed() { m.lastList = m.loop.Now() }
+// listConfirmed takes in that discovery has said that the list is the present one.
+func (m *membership) listConfirmed() { m.lastList = m.loop.Now() }
 
 // detectRestarts records which names left the list and which came back. A name that comes back belongs to a new process,
 // which goes through slow start like any other although discovery reports no start time for it.
@@ -91,7 +91,7 @@
 // startTime returns when a worker's process started on the event loop's clock, or 0 where discovery reports no start
 // and the worker has been listed all along.
 func (m *membership) startTime(worker discovery.Worker) time.Duration {
-	at, reported := m.starts.of(worker.Name)
+	at, reported := m.starts.startOf(worker.Name)
 	if !reported {
 		return m.returnedAt[worker.Name]
 	}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -14,9 +14,9 @@
 	// maxKillDeadline is what a longer deadline counts as there.
 	maxKillDeadline = 3 * time.Second
 
-	// lingerPeriod is how long new requests are served after a drain has begun: clients open connections for 0.4 s and
+	// drainServingPeriod is how long new requests are served after a drain has begun: clients open connections for 0.4 s and
 	// send requests on open ones for 0.2 s more. Later ones are rejected.
-	lingerPeriod = 750 * time.Millisecond
+	drainServingPeriod = 750 * time.Millisecond
 
 	// closeMargin is how long before the kill clients' connections are closed, and stopMargin how long before it the
 	// program ends whatever is left. What lies between is for slow clients and a machine that is busy.
@@ -39,7 +39,7 @@
 func newDrainSchedule(longestDeadline time.Duration) drainSchedule {
 	kill := min(longestDeadline, maxKillDeadline) + killDelay
 	return drainSchedule{
-		reject: min(lingerPeriod, kill-closeMargin),
+		reject: min(drainServingPeriod, kill-closeMargin),
 		close:  kill - closeMargin,
 		stop:   kill - stopMargin,
 	}
--- a/internal/server/start_times.go
+++ b/internal/server/start_times.go
@@ -76,8 +76,8 @@
 	return min(at, now)
 }
 
-// of returns a worker's start, and whether discovery reports one.
-func (s *startTimes) of(name string) (at time.Duration, reported bool) {
+// startOf returns a worker's start, and whether discovery reports one.
+func (s *startTimes) startOf(name string) (at time.Duration, reported bool) {
 	start, reported := s.known[name]
 	return max(start.at, 1), reported // 0 would stand for a long time ago
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -25,8 +25,8 @@
 
 // loadBudget counts what one incarnation of a router accepted and ordered, independently of the decision module.
 type loadBudget struct {
-	accepted []time.Duration
-	ordered  []time.Duration
+	accepted  []time.Duration
+	commanded []time.Duration
 }
 
 func (b *loadBudget) requestAccepted(now time.Duration) {
@@ -36,9 +36,9 @@
 // checkLoadBudget counts a load order that leaves now.
 func (r *Router) checkLoadBudget() {
 	settings := r.fleet.cfg.Settings
-	r.budget.ordered = append(r.budget.ordered, r.fleet.now)
+	r.budget.commanded = append(r.budget.commanded, r.fleet.now)
 	since := r.fleet.now - settings.LoadBudgetWindow
-	ordered := float64(countAfter(r.budget.ordered, since))
+	ordered := float64(countAfter(r.budget.commanded, since))
 	accepted := float64(countAfter(r.budget.accepted, since))
 	if ordered > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
 		r.Violations.LoadsOverBudget++
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -81,7 +81,7 @@
 	}
 	class := r.classes[request.Class]
 	if class.NotIdempotent && r.ledger == nil {
-		r.Counters.LedgerRefused++
+		r.Counters.LedgerRejected++
 		c.respond(unavailable)
 		return
 	}
@@ -109,7 +109,7 @@
 // orderRecorded forwards an order that is in the ledger, and rejects one that could not be recorded.
 func (r *Receiver) orderRecorded(id string, order *outcome, request router.Request, err error) {
 	if err != nil {
-		r.Counters.LedgerRefused++
+		r.Counters.LedgerRejected++
 		r.outcomes.remove(id)
 		order.respondToAll(unavailable)
 		return
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -222,8 +222,8 @@
 		return errLedgerBroken
 	}
 	line := encodeEntry(e)
-	if !l.hasRoom(line) {
-		if err := l.makeRoom(line); err != nil {
+	if !l.hasCapacity(line) {
+		if err := l.compactForCapacity(line); err != nil {
 			return err
 		}
 	}
@@ -236,12 +236,12 @@
 	return nil
 }
 
-func (l *ledger) hasRoom(line []byte) bool {
+func (l *ledger) hasCapacity(line []byte) bool {
 	return l.size+int64(len(line)) <= l.maxBytes
 }
 
-// makeRoom compacts the ledger, though not for each order that finds it full: the whole file would be written every time.
-func (l *ledger) makeRoom(line []byte) error {
+// compactForCapacity compacts the ledger, though not for each order that finds it full: the whole file would be written every time.
+func (l *ledger) compactForCapacity(line []byte) error {
 	if l.now.Sub(l.compactedAt) < compactionInterval {
 		return errLedgerFull
 	}
@@ -249,7 +249,7 @@
 		l.failed(err, contentUnknown)
 		return err
 	}
-	if !l.hasRoom(line) {
+	if !l.hasCapacity(line) {
 		return errLedgerFull
 	}
 	return nil
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -36,7 +36,7 @@
 
 // Counters counts deliveries by what became of them.
 type Counters struct {
-	Deliveries, Unauthorized, Malformed, Replayed, Joined, LedgerRefused uint64
+	Deliveries, Unauthorized, Malformed, Replayed, Joined, LedgerRejected uint64
 }
 
 // Receiver takes requests from signed webhooks.
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -46,7 +46,7 @@
 }
 
 // SenderCounters counts notices by what became of them, and the retries of their attempts.
-type SenderCounters struct{ Queued, Dropped, Delivered, Retried, GivenUp uint64 }
+type SenderCounters struct{ Queued, Dropped, Delivered, Retried, Abandoned uint64 }
 
 // notice is a message that is delivered until its receiver accepts it or its attempts are used up.
 type notice struct {
@@ -198,7 +198,7 @@
 	slog.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("try", n.attempts),
 		slog.Int("status", int(status)), slog.Any("err", err))
 	if n.attempts >= s.config.Attempts || status == statusGone {
-		s.Counters.GivenUp++
+		s.Counters.Abandoned++
 		return
 	}
 	s.Counters.Retried++
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -156,7 +156,7 @@
 	switch {
 	case neverArrived && !cmd.abandoned && cmd.resends < maxResends && w.ready():
 		cmd.resends++
-		p.Counters.CallsResent++
+		p.Counters.RequestsResent++
 		p.resend(w, cmd)
 	case neverArrived && outcome == policy.ConnectionReset:
 		p.fail(cmd, policy.Unreachable)
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -37,7 +37,7 @@
 	p := c.pool
 	c.pingedAt = p.now
 	c.worker.addresses.Suspect(p.now, c.addr)
-	if !p.cfg.ProbesAllowed {
+	if !p.cfg.HealthChecksAllowed {
 		return
 	}
 	p.Counters.Pings++
@@ -63,9 +63,9 @@
 	c.worker.addresses.Responded(c.addr)
 }
 
-// silentFor returns for how long the response to a request has been due and none has arrived since lastHeard. It returns
+// silentFor returns for how long the response to a request has been due and none has arrived since lastReadAt. It returns
 // false for due where no request awaits one.
-func (c *conn) silentFor(lastHeard time.Duration) (silence time.Duration, due bool) {
+func (c *conn) silentFor(lastReadAt time.Duration) (silence time.Duration, due bool) {
 	var oldest time.Duration
 	for _, cmd := range c.inFlight {
 		if cmd.kind == runCommand && cmd.written && (!due || cmd.sentAt < oldest) {
@@ -73,7 +73,7 @@
 			due = true
 		}
 	}
-	return c.pool.now - max(oldest, lastHeard), due
+	return c.pool.now - max(oldest, lastReadAt), due
 }
 
 // stalled reports whether a response has begun to arrive and does not go on: what is sent now would be lost with it.
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -43,7 +43,7 @@
 	MaxCallsPerConnection int           // requests in flight on one connection
 	MaxConnections        int           // to all workers together
 	CancelSupported       bool          // workers may be told that a request is cancelled
-	ProbesAllowed         bool          // NOOP and INFO may be sent
+	HealthChecksAllowed   bool          // NOOP and INFO may be sent
 	Seed                  uint64        // spreads the backoff of addresses that failed
 	Dial                  func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
@@ -51,7 +51,7 @@
 // Counters counts what became of connections.
 type Counters struct {
 	Dials, DialsFailed, RecoveryDials, RecoveryDialsFailed uint64
-	CallsResent                                            uint64 // commands that never left one connection and went to another
+	RequestsResent                                         uint64 // commands that never left one connection and went to another
 	Pings                                                  uint64 // keepalive pings
 }
 
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -78,7 +78,7 @@
 func (c *conn) concurrency(fields responseFields) int {
 	count, ok := fields.concurrency()
 	if !ok {
-		c.pool.ignoredFields.add(c.pool.now, c.addr, fieldCrowd, fields.get(fieldCrowd))
+		c.pool.ignoredFields.add(c.pool.now, c.addr, fieldConcurrency, fields.get(fieldConcurrency))
 	}
 	return count
 }
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -90,7 +90,7 @@
 		}
 	case err != nil:
 		r.finish(err)
-	case !r.pool.cfg.ProbesAllowed:
+	case !r.pool.cfg.HealthChecksAllowed:
 		r.finish(nil)
 	default:
 		r.transport.Write(encodeNoop(recoveryPingID))
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -89,10 +89,10 @@
 
 // The names of the fields of responses.
 const (
-	fieldDetail = "detail" // how the replica came to be loaded
-	fieldCrowd  = "crowd"  // requests for the function that the worker had
-	fieldUse    = "use"    // the load report
-	fieldCount  = "count"  // replicas that were loaded
+	fieldDetail      = "detail" // how the replica came to be loaded
+	fieldConcurrency = "crowd"  // requests for the function that the worker had
+	fieldUse         = "use"    // the load report
+	fieldCount       = "count"  // replicas that were loaded
 )
 
 // loadStatuses are the values of the field detail.
@@ -128,7 +128,7 @@
 // concurrency returns how many requests for the function the worker had, 0 where the response does not say. It returns
 // false for a number that can't be.
 func (f responseFields) concurrency() (count int, ok bool) {
-	text := f.get(fieldCrowd)
+	text := f.get(fieldConcurrency)
 	if len(text) == 0 {
 		return 0, true
 	}
--- a/policy/config.go
+++ b/policy/config.go
@@ -84,15 +84,15 @@
 	OverloadWindow           time.Duration // for this long, a worker in slow start falls over
 	DrainGracePeriod         time.Duration
 
-	MissWhenNotLoaded   bool          // a worker without the function answers NotLoaded instead of loading it
-	LoadOrdersSupported bool          // Load and Unload are allowed
-	LoadStatusReported  bool          // responses tell whether a replica was loaded
-	ConcurrencyReported bool          // responses tell how many requests of the function the worker held
-	KeepAlive           time.Duration // an idle replica stays this long at least
-	LoadTimeout         time.Duration // a load without a response by then ends as TimedOut
-	LoadBudgetWindow    time.Duration // window of the budget for load orders; 0: none
-	LoadBudgetMinimum   float64       // orders allowed in a window
-	LoadBudgetRatio     float64       // and further ones as a share of the requests that came in it
+	MissWhenNotLoaded     bool          // a worker without the function answers NotLoaded instead of loading it
+	LoadCommandsSupported bool          // Load and Unload are allowed
+	LoadStatusReported    bool          // responses tell whether a replica was loaded
+	ConcurrencyReported   bool          // responses tell how many requests of the function the worker held
+	KeepAlive             time.Duration // an idle replica stays this long at least
+	LoadTimeout           time.Duration // a load without a response by then ends as TimedOut
+	LoadBudgetWindow      time.Duration // window of the budget for load orders; 0: none
+	LoadBudgetMinimum     float64       // orders allowed in a window
+	LoadBudgetRatio       float64       // and further ones as a share of the requests that came in it
 
 	MemoryPrice    float64 // what all memory costs if idle replicas use it, as a share of the weight of all requests
 	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
--- a/policy/estimation.go
+++ b/policy/estimation.go
@@ -26,8 +26,8 @@
 
 type classState struct {
 	Class
-	run                      stats.RunningMean // of warm responses, in nanoseconds
-	measuredWork, hintedWork float64           // sums, alike at first: a hint is believed
+	run                            stats.RunningMean // of warm responses, in nanoseconds
+	measuredWorkSum, hintedWorkSum float64           // sums, alike at first: a hint is believed
 }
 
 type function struct {
@@ -47,7 +47,7 @@
 // runTime predicts the time of r's own work at a worker of the mean size.
 func (p *Policy) runTime(r *request) float64 {
 	if r.Work > 0 && r.Work < time.Hour {
-		return r.class.measuredWork / r.class.hintedWork * float64(r.Work)
+		return r.class.measuredWorkSum / r.class.hintedWorkSum * float64(r.Work)
 	}
 	f := &r.function.run
 	return (runPrior*r.class.run.Mean + f.Count*f.Mean) / (runPrior + f.Count)
@@ -85,15 +85,15 @@
 	r, w, failures := a.request, a.worker, &a.worker.failureRates[a.request.Class]
 	switch e.Outcome {
 	case Served:
-		p.responded(w)
+		p.recordResponse(w)
 		failures.Observe(p.now, 0)
 		p.servedWork, w.servedWork = p.servedWork+r.class.run.Mean, w.servedWork+r.class.run.Mean
 		p.learn(a, replica, e)
 	case Failed, Overloaded, NotLoaded:
-		p.responded(w)
+		p.recordResponse(w)
 		if e.Outcome == NotLoaded || e.LoadStatus == LoadFailed {
 			replica.unloaded()
-		} else if e.Outcome == Overloaded && replica.inFlight == 0 && !replica.loadOrdered {
+		} else if e.Outcome == Overloaded && replica.inFlight == 0 && !replica.loadPending {
 			replica.loadDue = 0 // it began no load
 		}
 		if e.LoadStatus == LoadFailed {
@@ -101,7 +101,7 @@
 		} else if e.Outcome == Failed {
 			failures.Observe(p.now, 1)
 		} else if e.Outcome == Overloaded && (!a.expectsLoad || a.likelyLoaded) {
-			p.congested(r.function)
+			p.recordCongestion(r.function)
 			p.loadReported(w, e.Report)
 			w.queueDelay.Observe(p.now, max(maxMultiple*p.runTime(r), w.queueDelay.Mean(p.now)))
 		}
@@ -109,7 +109,7 @@
 		if e.Outcome == ConnectionReset && !w.checking { // one failure, however many attempts were on it
 			failures.Observe(p.now, 1)
 		}
-		p.connectionFailed(w, e.Outcome)
+		p.recordConnectionFailure(w, e.Outcome)
 	case Canceled, TimedOut: // it would have taken longer still; where others were served, they tell
 		over := float64(e.Took) - p.runTime(r)
 		if !a.expectsLoad && w.queueDelay.Updated() < a.startedAt && over > w.queueDelay.Mean(p.now) {
@@ -136,7 +136,7 @@
 	if took < objective {
 		f.congestion *= regressionRetention
 	} else if (!a.expectsLoad || a.likelyLoaded) && e.LoadStatus <= AlreadyLoaded {
-		p.congested(f)
+		p.recordCongestion(f)
 	}
 	if !loaded && (!a.expectsLoad || !p.cfg.MissWhenNotLoaded) {
 		p.learnWarm(a, took, run, queue, queued)
@@ -158,8 +158,8 @@
 	}
 	work := max(took-queue, took/4)
 	if r.Work > 0 {
-		class.measuredWork += min(work, maxMultiple*run) - class.measuredWork/runMemory
-		class.hintedWork += min(float64(r.Work), float64(time.Hour)) - class.hintedWork/runMemory
+		class.measuredWorkSum += min(work, maxMultiple*run) - class.measuredWorkSum/runMemory
+		class.hintedWorkSum += min(float64(r.Work), float64(time.Hour)) - class.hintedWorkSum/runMemory
 	}
 	size := math.Log(w.size / p.meanSize)
 	p.sizeEffect.Observe(size*size, size*(1-min(work/class.run.Mean, maxMultiple)), sizeRetention)
--- a/policy/health.go
+++ b/policy/health.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// responded takes in that w responds. After an ejection it may be another process than before.
-func (p *Policy) responded(w *worker) {
+// recordResponse takes in that w responds. After an ejection it may be another process than before.
+func (p *Policy) recordResponse(w *worker) {
 	if w.consecutiveFailures > 0 {
 		w.returnedAt = p.now
 		p.resetSlowStart(w)
@@ -29,8 +29,8 @@
 	w.lastResponse, w.consecutiveFailures, w.ejectedUntil = p.now, 0, 0
 }
 
-// connectionFailed takes in a connection that could not be made, or broke, maybe alone: a health check tells.
-func (p *Policy) connectionFailed(w *worker, o Outcome) {
+// recordConnectionFailure takes in a connection that could not be made, or broke, maybe alone: a health check tells.
+func (p *Policy) recordConnectionFailure(w *worker, o Outcome) {
 	if o == Unreachable || !w.checking && !p.checkHealth(w) {
 		p.eject(w)
 	}
@@ -59,7 +59,7 @@
 		return // for a reason of this machine, which says nothing of the worker
 	}
 	if e.Outcome != TimedOut && e.Outcome != Unreachable && e.Outcome != ConnectionReset {
-		p.responded(w)
+		p.recordResponse(w)
 		p.loadReported(w, e.Report)
 	} else if w.lastResponse < w.lastCheck {
 		p.eject(w)
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -53,7 +53,7 @@
 	for _, w := range p.fleet {
 		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
 			replica, f := w.replicas[id], p.functions[id]
-			idle := replica.inFlight == 0 && !replica.loadOrdered && p.now > replica.loadDue
+			idle := replica.inFlight == 0 && !replica.loadPending && p.now > replica.loadDue
 			left := replica.loadedUntil - p.now
 			tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
 			if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
--- a/policy/loads.go
+++ b/policy/loads.go
@@ -10,7 +10,7 @@
 	loadedUntil, gossipedAt time.Duration
 	loadDue                 time.Duration // a load under way is expected to end then; 0: none
 	inFlight, lanes         int           // attempts of ours: there now, and as many as it was seen to serve
-	loadOrdered             bool          // by us, and not completed
+	loadPending             bool          // by us, and not completed
 	waiting                 []*request    // for that
 }
 
@@ -30,22 +30,22 @@
 	if p.cfg.LoadBudgetWindow <= 0 {
 		return true
 	}
-	orders := p.loadOrders.CountSince(now - p.cfg.LoadBudgetWindow)
+	orders := p.loadCommands.CountSince(now - p.cfg.LoadBudgetWindow)
 	requests := p.arrivals.CountSince(now - p.cfg.LoadBudgetWindow + 1)
 	return float64(orders) <= p.cfg.LoadBudgetMinimum+p.cfg.LoadBudgetRatio*float64(requests)
 }
 
-// orderLoad has the missing function of r loaded, with r to follow.
-func (p *Policy) orderLoad(r *request, replica *replica) bool {
-	if !replica.loadOrdered {
+// commandLoad has the missing function of r loaded, with r to follow.
+func (p *Policy) commandLoad(r *request, replica *replica) bool {
+	if !replica.loadPending {
 		if p.cfg.LoadBudgetWindow > 0 && !r.pool.MayLoad(p.now, p.loadBudget()) ||
 			!p.emit(Load{Worker: replica.worker.Worker, Function: r.Function, Count: 1}) {
 			return false
 		}
-		p.loadOrders.Add(p.now, p.cfg.LoadBudgetWindow)
+		p.loadCommands.Add(p.now, p.cfg.LoadBudgetWindow)
 		r.pool.LoadStarted(p.now)
 		replica.worker.pendingLoads++
-		replica.loadOrdered, replica.loadDue = true, p.now+time.Duration(p.fullLoadTime(r.function))
+		replica.loadPending, replica.loadDue = true, p.now+time.Duration(p.fullLoadTime(r.function))
 	}
 	replica.waiting = append(replica.waiting, r)
 	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == replica.worker })
@@ -54,16 +54,16 @@
 
 func (p *Policy) loadCompleted(e LoadCompleted) {
 	w, f := p.workers[e.Worker], p.functions[e.Function]
-	if w == nil || f == nil || w.replicas[f.id] == nil || !w.replicas[f.id].loadOrdered {
+	if w == nil || f == nil || w.replicas[f.id] == nil || !w.replicas[f.id].loadPending {
 		return
 	}
 	replica := w.replicas[f.id]
 	waiting := replica.waiting
-	replica.loadOrdered, replica.loadDue, replica.waiting = false, 0, nil
+	replica.loadPending, replica.loadDue, replica.waiting = false, 0, nil
 	w.pendingLoads--
 	switch e.Outcome {
 	case Served:
-		p.responded(w)
+		p.recordResponse(w)
 		replica.loadedUntil = p.now + p.cfg.KeepAlive
 		p.gossipReplica(replica, f)
 		if e.Took > f.loadTime/5 { // else it was loaded, or nearly
@@ -72,7 +72,7 @@
 	case Failed:
 		p.openBreaker(1)
 	case ConnectionReset, Unreachable:
-		p.connectionFailed(w, e.Outcome)
+		p.recordConnectionFailure(w, e.Outcome)
 	}
 	for _, r := range waiting { // elsewhere, unless it is loaded
 		if e.Outcome != Served && e.Outcome != ConnectionReset {
@@ -88,8 +88,10 @@
 	p.breakerUntil = p.now + housekeepingInterval<<min(p.failedLoads, 5)
 }
 
-// congested gives f a further rendezvous slot, as at all routers. Responses in time take that back.
-func (p *Policy) congested(f *function) { f.congestion = min(f.congestion+1, float64(p.readyWorkers)) }
+// recordCongestion gives f a further rendezvous slot, as at all routers. Responses in time take that back.
+func (p *Policy) recordCongestion(f *function) {
+	f.congestion = min(f.congestion+1, float64(p.readyWorkers))
+}
 
 // idleLimit is how long an idle replica is worth its memory: until that cost what its absence would.
 func (p *Policy) idleLimit(r *request) time.Duration {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -41,14 +41,14 @@
 	warmRate                float64          // work that warm workers take in a second, by capacity
 	servedWork, servedSpan  float64          // work for us and the seconds it took, decaying over rateSpan
 
-	started, subscribed  bool
-	arrivals, loadOrders stats.SlidingWindow // within LoadBudgetWindow
-	lastTrial, lastSweep time.Duration
-	readyWorkers         int
-	failedLoads          int           // since one succeeded
-	breakerUntil         time.Duration // no load begins before, while they fail
-	gossip               []byte        // replicas that the other routers are yet to be told of
-	gossipTokens         float64       // messages to one router that our requests have paid for
+	started, subscribed    bool
+	arrivals, loadCommands stats.SlidingWindow // within LoadBudgetWindow
+	lastTrial, lastSweep   time.Duration
+	readyWorkers           int
+	failedLoads            int           // since one succeeded
+	breakerUntil           time.Duration // no load begins before, while they fail
+	gossip                 []byte        // replicas that the other routers are yet to be told of
+	gossipTokens           float64       // messages to one router that our requests have paid for
 }
 
 // New returns a Policy for one router; all its random choices follow from seed.
@@ -142,11 +142,11 @@
 		allowed = r.possibleRun == nil && r.inFlight == 0 || r.class.Idempotency == Idempotent ||
 			r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == DeduplicatedEverywhere
 	case Load:
-		orders := p.loadOrders.CountSince(p.now - p.cfg.LoadBudgetWindow)
-		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready &&
+		orders := p.loadCommands.CountSince(p.now - p.cfg.LoadBudgetWindow)
+		allowed = p.cfg.LoadCommandsSupported && p.workers[a.Worker].State == Ready &&
 			(p.cfg.LoadBudgetWindow <= 0 || float64(orders+1) <= p.loadBudget())
 	case Unload:
-		allowed = p.cfg.LoadOrdersSupported && p.workers[a.Worker].State == Ready
+		allowed = p.cfg.LoadCommandsSupported && p.workers[a.Worker].State == Ready
 	case CheckHealth:
 		allowed = p.cfg.HealthCheckSupported
 	case Subscribe: // only where the list does not come by itself
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -52,7 +52,7 @@
 	}
 	e.Remaining, e.Policy = max(e.Remaining, 0), cmp.Or(e.Policy, &defaultRequestPolicy)
 	r := &request{RequestArrived: e, class: class, function: f, deadline: p.now + e.Remaining,
-		pool: e.Policy.Pool, overQuota: p.overQuota(e.Tenant)}
+		pool: e.Policy.Pool, overQuota: p.exceedsQuota(e.Tenant)}
 	p.requests[e.Request], f.idleLimit = r, p.idleLimit(r)
 	p.emit(SetTimer{After: max(e.Remaining-2*p.cfg.Tick, 0), Token: deadlineToken + uint64(e.Request)})
 	p.schedule(r)
@@ -86,7 +86,7 @@
 	case r.done && r.inFlight == 0:
 		delete(p.requests, r.Request)
 	case r.done || r.inFlight > 0:
-	case e.Outcome == NotLoaded && p.orderLoad(r, replica):
+	case e.Outcome == NotLoaded && p.commandLoad(r, replica):
 	case e.Outcome == NotSent || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
 		p.reject(r, 0)
 	default:
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -4,16 +4,16 @@
 
 // Load shedding begins where a standing delay takes so much of the latency objective.
 const (
-	shedStart         = 0.5  // as a rule
-	shedStartLessPaid = 0.25 // of classes that are worth less than another
-	shedStartLate     = 0.15 // of requests that come late even if all goes well, and of those beyond a quota
+	shedStart            = 0.5  // as a rule
+	shedStartLowPriority = 0.25 // of classes that are worth less than another
+	shedStartLate        = 0.15 // of requests that come late even if all goes well, and of those beyond a quota
 
-	shedSlope = 2   // requests shed, as a part, for each further part of the objective
-	shedMost  = 0.9 // part of the requests that is shed at most
-	moreWorth = 1.5 // by how much another class has to be worth more for that
+	shedSlope           = 2   // requests shed, as a part, for each further part of the objective
+	maxShedRatio        = 0.9 // part of the requests that is shed at most
+	higherPriorityRatio = 1.5 // by how much another class has to be worth more for that
 )
 
-func (p *Policy) overQuota(tenant int) bool {
+func (p *Policy) exceedsQuota(tenant int) bool {
 	if tenant < 0 || tenant >= len(p.quotas) {
 		return len(p.quotas) > 0
 	}
@@ -27,8 +27,8 @@
 	start, objective := shedStart, own
 	for i := range p.classes {
 		c := &p.classes[i]
-		if p.valuePerWork(c) > moreWorth*p.valuePerWork(r.class) {
-			start = shedStartLessPaid
+		if p.valuePerWork(c) > higherPriorityRatio*p.valuePerWork(r.class) {
+			start = shedStartLowPriority
 			objective = min(objective, float64(c.LatencyObjective))
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 	others := (1 - 1/float64(p.cfg.Routers)) * w.queueDelay.Mean(p.now) // what they queue at the best worker
 	delay := max(p.standingDelay.Mean, others)
-	shed = p.rng.Float64() < min(shedSlope*(delay/objective-start), shedMost) && r.possibleRun == nil
+	shed = p.rng.Float64() < min(shedSlope*(delay/objective-start), maxShedRatio) && r.possibleRun == nil
 	return shed, delay - start*objective
 }
 
