--- a/internal/archtest/logs_test.go
+++ b/internal/archtest/logs_test.go
@@ -7,6 +7,10 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"crankhold/policy"
 )
 
 // logsPage lists the log events.
@@ -17,6 +21,10 @@
 	loggedEvent = regexp.MustCompile(`(?:slog\.(Info|Warn|Error)\(|slog\.Level(Info|Warn|Error), |logFailure\(|logRejection\()"([a-z_]+)"`)
 	// listedEvent is the beginning of a row of logsPage: an event and its level.
 	listedEvent = regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\| (info|warn|error) \\|")
+	// loggedKey is the key of an attribute that is logged.
+	loggedKey = regexp.MustCompile(`slog\.(?:String|Int|Int64|Uint64|Float64|Bool|Duration|Any)\("([a-z_]+)"`)
+	// listedKey is a key in a table of logsPage.
+	listedKey = regexp.MustCompile("`([a-z_]+)`")
 )
 
 // Whoever is on call finds each event of the log on one page, with its level, and no event that there is not.
@@ -73,3 +81,63 @@
 	}
 	return events
 }
+
+// Alerts rest on keys: the page lists each key that is logged, and none that is not.
+func TestLogsPageListsEveryKey(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(logsPage)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	listed := map[string]bool{}
+	_, tables, _ := strings.Cut(string(text), "## Attributes")
+	attributes, counters, _ := strings.Cut(tables, "## Counters")
+	addListedKeys(listed, attributes, 1)
+	addListedKeys(listed, counters, 2)
+	logged := loggedKeys(t)
+	if len(logged) < 60 {
+		t.Errorf("%d keys found; the check does not see them", len(logged))
+	}
+	if diff := cmp.Diff(logged, listed); diff != "" {
+		t.Errorf("%s and the keys that the code logs differ (-code +page):\n%s", logsPage, diff)
+	}
+}
+
+// addListedKeys adds the keys that a column of a table lists.
+func addListedKeys(listed map[string]bool, table string, column int) {
+	for line := range strings.Lines(table) {
+		cells := strings.Split(line, "|")
+		if len(cells) <= column {
+			continue
+		}
+		for _, m := range listedKey.FindAllStringSubmatch(cells[column], -1) {
+			listed[m[1]] = true
+		}
+	}
+}
+
+// loggedKeys returns the keys of attributes that the program's non-test files log, the names of outcomes included.
+func loggedKeys(t *testing.T) map[string]bool {
+	t.Helper()
+	keys := map[string]bool{}
+	for outcome := range policy.NotLoaded + 1 {
+		keys[outcome.String()] = true
+	}
+	root := filepath.Join("..", "..", "internal")
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
+			return err
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			return err
+		}
+		for _, m := range loggedKey.FindAllStringSubmatch(string(text), -1) {
+			keys[m[1]] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return keys
+}
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -11,27 +11,13 @@
 // frontNames are the values of the attribute front, in the order of router.Front.
 var frontNames = [...]string{router.Thrift: "thrift", router.Webhook: "webhook"}
 
-// outcomeNames are the attributes under which attempts, loads and health checks are counted by outcome. Operators'
-// queries rest on them, so they stay as they are when outcomes are renamed in the code.
-var outcomeNames = [...]string{
-	policy.Served:          "served",
-	policy.Failed:          "errored",
-	policy.Overloaded:      "full",
-	policy.TimedOut:        "timed_out",
-	policy.Unreachable:     "unreachable",
-	policy.ConnectionReset: "reset",
-	policy.Canceled:        "cancelled",
-	policy.NotSent:         "moot",
-	policy.NotLoaded:       "missed",
-}
-
 // logCounters logs what was accepted, forwarded and answered since the start.
 func (s *Server) logCounters() {
 	s.logRequestCounters()
 	s.logWorkerCounters()
 	s.logPoolCounters()
 	s.integrations.logCounters()
-	logCounterLine(slog.Uint64("directory_asked", s.discovery.QueriesSent), slog.Uint64("directory_heard", s.discovery.ResponsesRead))
+	logCounterLine(slog.Uint64("discovery_queries", s.discovery.QueriesSent), slog.Uint64("discovery_responses", s.discovery.ResponsesRead))
 }
 
 // logCounterLine logs one line of counters.
@@ -45,33 +31,33 @@
 	for front, name := range frontNames {
 		logCounterLine(
 			slog.String("front", name),
-			slog.Uint64("taken", counters.Accepted[front]),
+			slog.Uint64("accepted", counters.Accepted[front]),
 			slog.Uint64("served", counters.Served[front]),
-			slog.Uint64("refused", counters.Rejected[front]),
+			slog.Uint64("rejected", counters.Rejected[front]),
 			slog.Uint64("failed", counters.Failed[front]),
-			slog.Uint64("left", counters.Canceled[front]),
-			slog.Uint64("turned_away", counters.RejectedUnaccepted[front]),
-			slog.Uint64("unrouted", counters.RejectedUnrouted[front]))
+			slog.Uint64("canceled", counters.Canceled[front]),
+			slog.Uint64("rejected_at_capacity", counters.RejectedUnaccepted[front]),
+			slog.Uint64("rejected_unrouted", counters.RejectedUnrouted[front]))
 	}
 }
 
 // logWorkerCounters logs what went to the workers, and what became of the connections to them.
 func (s *Server) logWorkerCounters() {
 	counters := &s.core.Counters
-	attempts := []slog.Attr{slog.Uint64("sent", counters.AttemptsStarted), slog.Uint64("overdue", counters.DeadlineExceeded)}
+	attempts := []slog.Attr{slog.Uint64("attempts_sent", counters.AttemptsStarted), slog.Uint64("deadline_exceeded", counters.DeadlineExceeded)}
 	logCounterLine(append(attempts, outcomeAttributes(counters.AttemptsByOutcome)...)...)
-	loads := []slog.Attr{slog.Uint64("orders", counters.LoadsSent), slog.Uint64("unloads", counters.Unloads)}
+	loads := []slog.Attr{slog.Uint64("loads_sent", counters.LoadsSent), slog.Uint64("unloads", counters.Unloads)}
 	logCounterLine(append(loads, outcomeAttributes(counters.LoadsByOutcome)...)...)
-	healthChecks := []slog.Attr{slog.Uint64("probes", counters.HealthChecks)}
+	healthChecks := []slog.Attr{slog.Uint64("health_checks", counters.HealthChecks)}
 	logCounterLine(append(healthChecks, outcomeAttributes(counters.HealthChecksByOutcome)...)...)
 
 	connections := s.workers.Counters
 	logCounterLine(
 		slog.Uint64("dials", connections.Dials),
 		slog.Uint64("dials_failed", connections.DialsFailed),
-		slog.Uint64("trials", connections.RecoveryDials),
-		slog.Uint64("trials_failed", connections.RecoveryDialsFailed),
-		slog.Uint64("moved", connections.RequestsResent),
+		slog.Uint64("recovery_dials", connections.RecoveryDials),
+		slog.Uint64("recovery_dials_failed", connections.RecoveryDialsFailed),
+		slog.Uint64("resent", connections.RequestsResent),
 		slog.Uint64("pings", connections.Pings))
 }
 
@@ -85,21 +71,21 @@
 		logCounterLine(
 			slog.String("pool", pool.Spec.Name),
 			slog.Int("workers", pool.Size()),
-			slog.Uint64("calls", pool.Requests),
+			slog.Uint64("requests", pool.Requests),
 			slog.Int("in_flight", pool.InFlight()),
 			slog.Int("peak", pool.Peak()),
-			slog.Uint64("spilled", pool.Overflows),
-			slog.Uint64("spill_denied", pool.CapacityExceeded),
-			slog.Uint64("orders", pool.Loads))
+			slog.Uint64("overflows", pool.Overflows),
+			slog.Uint64("overflows_denied", pool.CapacityExceeded),
+			slog.Uint64("loads_sent", pool.Loads))
 	}
 }
 
-// outcomeAttributes returns a count for each outcome that occurred.
+// outcomeAttributes returns a count for each outcome that occurred, under the outcome's name.
 func outcomeAttributes(counts [policy.NotLoaded + 1]uint64) []slog.Attr {
 	var attributes []slog.Attr
-	for outcome, name := range outcomeNames {
-		if counts[outcome] > 0 {
-			attributes = append(attributes, slog.Uint64(name, counts[outcome]))
+	for outcome, count := range counts {
+		if count > 0 {
+			attributes = append(attributes, slog.Uint64(policy.Outcome(outcome).String(), count))
 		}
 	}
 	return attributes
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -195,7 +195,7 @@
 			slog.Uint64("malformed", counters.Malformed),
 			slog.Uint64("replayed", counters.Replayed),
 			slog.Uint64("joined", counters.Joined),
-			slog.Uint64("ledger_refused", counters.LedgerRejected),
+			slog.Uint64("ledger_rejected", counters.LedgerRejected),
 			slog.Uint64("ledger_failures", ledger.Failures),
 			slog.Uint64("ledger_recoveries", ledger.Recoveries),
 			slog.Uint64("ledger_unwritten", ledger.Unwritten))
@@ -207,7 +207,7 @@
 			slog.Uint64("dropped", counters.Dropped),
 			slog.Uint64("delivered", counters.Delivered),
 			slog.Uint64("retried", counters.Retried),
-			slog.Uint64("given_up", counters.Abandoned),
+			slog.Uint64("abandoned", counters.Abandoned),
 			slog.Int("open", n.pendingNotices()))
 	}
 	if n.exporter != nil {
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -93,7 +93,7 @@
 					last = c.lastAnswer
 				}
 			}
-			if read := counter(t, p.output(), "taken"); read != answered {
+			if read := counter(t, p.output(), "accepted"); read != answered {
 				t.Errorf("it read %d requests, and %d were answered", read, answered)
 			}
 			if served := last.Sub(terminated); served < killAfter(deadline)-300*time.Millisecond {
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -258,7 +258,7 @@
 			s.t.Errorf("%s ran %d times", r.id, len(r.attempts))
 		}
 	}
-	taken := counter(s.t, s.program.output(), "taken")
+	taken := counter(s.t, s.program.output(), "accepted")
 	if taken < answered || taken > answered+left {
 		s.t.Errorf("it read %d requests, %d were answered and %d clients went", taken, answered, left)
 	}
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -195,7 +195,7 @@
 		s.Counters.Delivered++
 		return
 	}
-	slog.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("try", n.attempts),
+	slog.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("attempt", n.attempts),
 		slog.Int("status", int(status)), slog.Any("err", err))
 	if n.attempts >= s.config.Attempts || status == statusGone {
 		s.Counters.Abandoned++
--- a/policy/events.go
+++ b/policy/events.go
@@ -35,10 +35,10 @@
 	return o == Overloaded || o == Unreachable || o == NotSent || o == NotLoaded
 }
 
-// String returns the outcome in the words of the log attributes that count outcomes.
+// String returns the outcome in lower case. Log attributes that count outcomes have these names.
 func (o Outcome) String() string {
 	return nameOf("Outcome", o,
-		"served", "errored", "full", "timed_out", "unreachable", "reset", "cancelled", "moot", "missed")
+		"served", "failed", "overloaded", "timed_out", "unreachable", "connection_reset", "canceled", "not_sent", "not_loaded")
 }
 
 // LoadStatus is what a response tells of the function's replica.
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -13,9 +13,9 @@
 		value fmt.Stringer
 		want  string
 	}{
-		{Served, "served"}, {Failed, "errored"}, {Overloaded, "full"}, {TimedOut, "timed_out"},
-		{Unreachable, "unreachable"}, {ConnectionReset, "reset"}, {Canceled, "cancelled"}, {NotSent, "moot"},
-		{NotLoaded, "missed"}, {Outcome(9), "Outcome(9)"},
+		{Served, "served"}, {Failed, "failed"}, {Overloaded, "overloaded"}, {TimedOut, "timed_out"},
+		{Unreachable, "unreachable"}, {ConnectionReset, "connection_reset"}, {Canceled, "canceled"}, {NotSent, "not_sent"},
+		{NotLoaded, "not_loaded"}, {Outcome(9), "Outcome(9)"},
 		{Gone, "gone"}, {Ready, "ready"}, {Draining, "draining"}, {WorkerState(3), "WorkerState(3)"},
 		{LoadStatusUnknown, "unknown"}, {AlreadyLoaded, "already loaded"}, {StartedLoad, "started load"},
 		{WaitedForLoad, "waited for load"}, {LoadFailed, "load failed"}, {LoadStatus(5), "LoadStatus(5)"},
