--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -76,7 +76,8 @@
 	} `json:"limits"`
 }
 
-// Named is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at Limits.
+// Named is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at
+// Limits.
 type Named = struct {
 	Name string `json:"name"`
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the socket to the discovery
-	// server, notices, files, and an accepted connection that is yet to be closed for want of room.
+	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the socket to the
+	// discovery server, notices, files, and an accepted connection that is yet to be closed for want of room.
 	reservedDescriptors = 32
 
 	// clientShare is the part of the descriptors, as its divisor, that accepted connections may take.
@@ -13,7 +13,8 @@
 	// referenceMemoryMB is the memory limit at which ScaleToMemory returns bounds unchanged.
 	referenceMemoryMB = 192
 
-	// requestsPerMB is how many requests may be open for each MB: at 2 KiB for each, bodies aside, a sixteenth of the memory.
+	// requestsPerMB is how many requests may be open for each MB: at 2 KiB for each, bodies aside, a sixteenth of the
+	// memory.
 	requestsPerMB = 32
 
 	// longestRejectionRetryAfter bounds the Retry-After of requests that are rejected for want of room.
@@ -39,7 +40,8 @@
 	return min(c.Network.Limits.MaxOpen, c.Limits.MemoryMB*requestsPerMB)
 }
 
-// RejectionRetryAfter returns the Retry-After of requests that are rejected for want of room, or 0 where the settings allow none.
+// RejectionRetryAfter returns the Retry-After of requests that are rejected for want of room, or 0 where the settings
+// allow none.
 func (c *Config) RejectionRetryAfter() time.Duration {
 	if !c.Policy.RetryAfterSupported {
 		return 0
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// NeedsRestart returns the JSON keys of what fresh changes and a reload does not apply. The seed and the endpoint list of the
-// start have an effect at a start alone, so a change of them is not reported.
+// NeedsRestart returns the JSON keys of what fresh changes and a reload does not apply. The seed and the endpoint list
+// of the start have an effect at a start alone, so a change of them is not reported.
 func (c *Config) NeedsRestart(fresh *Config) []string {
 	var changed []string
 	if c.Name != fresh.Name {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// AnnounceDelay is the time after an event at which it counts as announced, whether a router has heard of it or not.
+	// AnnounceDelay is the time after an event at which it counts as announced, whether a router has heard of it or
+	// not.
 	AnnounceDelay = 1500 * time.Millisecond
 
-	// pollsPerEvent is how many polls fall between an event and the time at which nothing new may be sent to its worker.
+	// pollsPerEvent is how many polls fall between an event and the time at which nothing new may be sent to its
+	// worker.
 	pollsPerEvent = 3
 
 	// roundTripAllowance is more than a query and its response take.
 	roundTripAllowance = 80 * time.Millisecond
 
-	// initialBackoff is the time after which a query without a response is repeated. It doubles up to the poll interval.
+	// initialBackoff is the time after which a query without a response is repeated. It doubles up to the poll
+	// interval.
 	initialBackoff = 250 * time.Millisecond
 
 	// maxBackoffShift bounds the doublings, so that the shifted value can't overflow.
@@ -89,9 +92,9 @@
 // New returns a Client for the discovery server at addr. It calls changed with each list that is newer than the
 // one before.
 //
-// Grace is how long after an event was announced something new may still be sent to its worker. The poll interval follows from it:
-// each query is work for a server that all routers share, so there are no more than it takes to hear of an event in
-// time although responses are lost or outdated. Seed determines the jitter.
+// Grace is how long after an event was announced something new may still be sent to its worker. The poll interval
+// follows from it: each query is work for a server that all routers share, so there are no more than it takes to hear
+// of an event in time although responses are lost or outdated. Seed determines the jitter.
 func New(addr string, seed uint64, grace time.Duration, dial func(addr string, handler eventloop.DialHandler) Transport, changed func([]Worker)) *Client {
 	return &Client{
 		addr:         addr,
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -103,7 +103,8 @@
 	return binary.BigEndian.AppendUint16(b, classIN)
 }
 
-// parseResponse parses a response to one of the client's queries, and returns that query's id. Its error is a ParseError.
+// parseResponse parses a response to one of the client's queries, and returns that query's id. Its error is a
+// ParseError.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	if len(message) < headerSize {
 		return 0, r, &ParseError{Offset: len(message), Err: errMalformed}
--- a/internal/discovery/name.go
+++ b/internal/discovery/name.go
@@ -15,7 +15,8 @@
 	pointerOffsetMask = 0x3fff
 )
 
-// readName reads the name at an offset, compressed or not, and returns it in lower case with the offset of what follows it.
+// readName reads the name at an offset, compressed or not, and returns it in lower case with the offset of what follows
+// it.
 func readName(message []byte, start int) (name string, next int, err error) {
 	var text []byte
 	at := start
@@ -49,7 +50,8 @@
 	}
 }
 
-// readPointer returns the offset that a compression pointer leads to. It must lead back, so that pointers can't form a loop.
+// readPointer returns the offset that a compression pointer leads to. It must lead back, so that pointers can't form a
+// loop.
 func readPointer(message []byte, at int) (target int, err error) {
 	if at+2 > len(message) {
 		return 0, &ParseError{Offset: at, Err: errMalformed}
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -36,8 +36,8 @@
 	s.transport.Write(encodeQuery(id, serviceName))
 }
 
-// DialCompleted ends the dial. The first query follows after a random part of the initial backoff, which spreads routers
-// that start together.
+// DialCompleted ends the dial. The first query follows after a random part of the initial backoff, which spreads
+// routers that start together.
 func (s *socket) DialCompleted(err error) {
 	c := s.client
 	if c.socket == s {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// serialResetAfter is how long a server may send nothing but outdated lists before it counts as one that numbers its
-	// lists anew. All it has to announce counts as announced within 7 s, so it can't be late for twice as long.
+	// serialResetAfter is how long a server may send nothing but outdated lists before it counts as one that numbers
+	// its lists anew. All it has to announce counts as announced within 7 s, so it can't be late for twice as long.
 	serialResetAfter = 14 * time.Second
 
 	// weightScale is how many units of an SRV record's weight make a worker of weight 1.
@@ -112,8 +112,8 @@
 	return w
 }
 
-// usableAddresses returns the addresses that a connection can be made to. Others, such as multicast ones, are left out: the same
-// worker may have usable ones besides.
+// usableAddresses returns the addresses that a connection can be made to. Others, such as multicast ones, are left out:
+// the same worker may have usable ones besides.
 func usableAddresses(hosts []netip.Addr, port uint16) []endpoint.Addr {
 	var usable []endpoint.Addr
 	for _, host := range hosts {
@@ -125,7 +125,8 @@
 	return usable
 }
 
-// applyText sets what a text NAME=VALUE of a TXT record says of a worker. Unknown names and malformed values are ignored.
+// applyText sets what a text NAME=VALUE of a TXT record says of a worker. Unknown names and malformed values are
+// ignored.
 func (c *Client) applyText(w *Worker, text string) {
 	name, value, _ := strings.Cut(text, "=")
 	switch name {
--- a/internal/endpoint/addr.go
+++ b/internal/endpoint/addr.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Network is a kind of address, in the order of preference unless another is set: a socket on the same machine, then IPv6
-// before IPv4 (RFC 6724, section 2.1).
+// Network is a kind of address, in the order of preference unless another is set: a socket on the same machine, then
+// IPv6 before IPv4 (RFC 6724, section 2.1).
 type Network uint8
 
 // The networks.
--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -14,11 +14,11 @@
 }
 
 // GroupAliases sorts entries into workers. Two entries that have an address in common lead to one process, as do those
-// that are said to: they are one worker, with the addresses of both. A group lists the indices of its entries in the order
-// of their names, and so do the groups.
+// that are said to: they are one worker, with the addresses of both. A group lists the indices of its entries in the
+// order of their names, and so do the groups.
 //
-// A group is known by all its names: where one of them leaves the list, the process that it named has ended, and what is
-// left is another worker, which inherits nothing.
+// A group is known by all its names: where one of them leaves the list, the process that it named has ended, and what
+// is left is another worker, which inherits nothing.
 func GroupAliases(list []Entry) (groups [][]int) {
 	sets := newDisjointSets(len(list))
 	joinByAddress(sets, list)
--- a/internal/endpoint/race.go
+++ b/internal/endpoint/race.go
@@ -24,8 +24,8 @@
 	won        bool
 }
 
-// NewDialRace returns a race over candidates. One dial may take up to dialTimeout; budget is the time that the request has
-// which needs the connection, or 0, and the dials begin early enough that each address gets its turn in it.
+// NewDialRace returns a race over candidates. One dial may take up to dialTimeout; budget is the time that the request
+// has which needs the connection, or 0, and the dials begin early enough that each address gets its turn in it.
 func NewDialRace(candidates []Addr, dialTimeout, budget time.Duration) *DialRace {
 	delay := min(ConnectionAttemptDelay, dialTimeout)
 	count := time.Duration(len(candidates))
@@ -35,8 +35,8 @@
 	return &DialRace{remaining: candidates, delay: max(delay, minDialDelay)}
 }
 
-// Next returns the address to dial now, if there is one. mayOverlap is whether a further dial may be in progress; the only
-// one of a race is always allowed.
+// Next returns the address to dial now, if there is one. mayOverlap is whether a further dial may be in progress; the
+// only one of a race is always allowed.
 func (r *DialRace) Next(now time.Duration, mayOverlap bool) (Addr, bool) {
 	if r.won || len(r.remaining) == 0 {
 		return Addr{}, false
@@ -56,8 +56,8 @@
 	return r.inProgress < MaxDialsPerWorker && now-r.lastDialAt >= r.delay
 }
 
-// DialFailed takes in that a dial failed, and reports whether the race is lost: no dial is in progress and no address is
-// left.
+// DialFailed takes in that a dial failed, and reports whether the race is lost: no dial is in progress and no address
+// is left.
 func (r *DialRace) DialFailed() (lost bool) {
 	r.inProgress--
 	return !r.won && r.inProgress == 0 && len(r.remaining) == 0
--- a/internal/endpoint/state.go
+++ b/internal/endpoint/state.go
@@ -28,9 +28,9 @@
 	return !a.unavailable && a.suspectSince == 0 && now-a.availableSince >= stablePeriod
 }
 
-// Failed takes in that a dial over an address failed, or that a connection over it was of no use. It is unavailable until
-// a recovery dial comes up, which is held off for longer with each failure. Many dials and connections that end together
-// are one failure.
+// Failed takes in that a dial over an address failed, or that a connection over it was of no use. It is unavailable
+// until a recovery dial comes up, which is held off for longer with each failure. Many dials and connections that end
+// together are one failure.
 func (s *AddressSet) Failed(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state == nil || state.unavailable && !state.recovering && now < state.retryAt {
@@ -91,8 +91,8 @@
 	}
 }
 
-// NextRecoveryDial returns an unavailable address that may be tried by a connection without requests. Its end is told by
-// Succeeded, Failed or RecoveryInconclusive. A single address has no recovery dials: requests try it.
+// NextRecoveryDial returns an unavailable address that may be tried by a connection without requests. Its end is told
+// by Succeeded, Failed or RecoveryInconclusive. A single address has no recovery dials: requests try it.
 func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
 	if len(s.states) <= 1 {
 		return Addr{}, false
@@ -106,8 +106,8 @@
 	return Addr{}, false
 }
 
-// RecoveryInconclusive takes in that a recovery dial ended without saying anything of its address: there was no descriptor
-// for it, say.
+// RecoveryInconclusive takes in that a recovery dial ended without saying anything of its address: there was no
+// descriptor for it, say.
 func (s *AddressSet) RecoveryInconclusive(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.recovering {
--- a/internal/eventloop/accepted.go
+++ b/internal/eventloop/accepted.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// noteResponse takes in that something is written to the client: it is idle from its last response on, however long that
-// took.
+// noteResponse takes in that something is written to the client: it is idle from its last response on, however long
+// that took.
 func (a *clientActivity) noteResponse(now time.Duration) {
 	if a.messages > 0 {
 		a.activeAt = now
@@ -122,10 +122,10 @@
 	return c.busy() || len(c.outgoing) > 0 || c.unreadByPeer.Load() > 0
 }
 
-// closeIdleClient closes an accepted connection on which no response is due, to make room, and reports whether there was
-// one: the oldest of those that should have sent a message and did not, else the one that has been idle for longest, and
-// one that has only just connected if there is no other. Connections that are opened by hundreds and say nothing so end
-// each other, and neither those of clients that sent requests nor those whose request is under way.
+// closeIdleClient closes an accepted connection on which no response is due, to make room, and reports whether there
+// was one: the oldest of those that should have sent a message and did not, else the one that has been idle for
+// longest, and one that has only just connected if there is no other. Connections that are opened by hundreds and say
+// nothing so end each other, and neither those of clients that sent requests nor those whose request is under way.
 func (l *Loop) closeIdleClient() bool {
 	passedOver := map[*Conn]bool{} // a request has arrived on them that the loop has not seen
 	for {
@@ -148,8 +148,8 @@
 // AcceptedCount is how many accepted connections have not ended.
 func (l *Loop) AcceptedCount() int { return int(l.acceptedCount.Load()) }
 
-// CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at rest:
-// no response is due on it, all that was written has been taken, and no message has begun to arrive.
+// CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at
+// rest: no response is due on it, all that was written has been taken, and no message has begun to arrive.
 func (l *Loop) CloseClients() {
 	l.closingClients = true
 	for _, listener := range l.openListeners {
@@ -166,8 +166,9 @@
 	}
 }
 
-// CloseIdleClients has an idle client's connection give up its descriptor, and reports whether there was one. Clients may
-// hold all that are left; discovery and the workers must be reached all the same. It is not for the loop's goroutine.
+// CloseIdleClients has an idle client's connection give up its descriptor, and reports whether there was one. Clients
+// may hold all that are left; discovery and the workers must be reached all the same. It is not for the loop's
+// goroutine.
 func (l *Loop) CloseIdleClients() bool {
 	closed := make(chan bool, 1)
 	l.Post(func() { closed <- l.closeIdleClient() })
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -52,8 +52,8 @@
 	c.noteMessages()
 }
 
-// Close ends the connection; what this turn queued for it is dropped. Its handler's Closed is called in a later turn, if
-// it ever was up.
+// Close ends the connection; what this turn queued for it is dropped. Its handler's Closed is called in a later turn,
+// if it ever was up.
 func (c *Conn) Close() {
 	if !c.closed {
 		c.fail(nil)
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -13,7 +13,8 @@
 //
 // All methods of handlers run on the loop's goroutine, and so must all methods of [Conn]. Of [Loop], these may be
 // called from any goroutine: [Loop.Post], which is how other goroutines reach the state, and [Loop.CloseIdleClients].
-// Bytes that are handed to a handler are its to keep; buffers that are written belong to the connection until the end of the turn.
+// Bytes that are handed to a handler are its to keep; buffers that are written belong to the connection until the end
+// of the turn.
 //
 // # Backpressure
 //
@@ -22,8 +23,10 @@
 //   - Bytes queued for the loop. Beyond the limit the poller waits for the next turn, and the kernel's windows slow the
 //     peers down.
 //   - Connections that were accepted and not yet seen by the loop. Beyond a few of them accepting waits.
-//   - Accepted connections. Beyond the limit one that is idle makes room, and where there is none the new one is closed.
-//   - Bytes that a peer leaves unread, and those that all peers together leave unread. A peer beyond the limit is closed.
+//   - Accepted connections. Beyond the limit one that is idle makes room, and where there is none the new one is
+//     closed.
+//   - Bytes that a peer leaves unread, and those that all peers together leave unread. A peer beyond the limit is
+//     closed.
 //
 // # Shutdown
 //
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// ensureAcceptCapacity reports whether one more connection may be accepted, for which an idle one is closed where there are too many.
-// It is called by listeners.
+// ensureAcceptCapacity reports whether one more connection may be accepted, for which an idle one is closed where there
+// are too many. It is called by listeners.
 func (l *Loop) ensureAcceptCapacity() bool {
 	return l.acceptedCount.Load() < int64(l.cfg.MaxAccepted) || l.CloseIdleClients()
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -112,8 +112,8 @@
 // Now is the time of the present turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// ArrivedAt is when the data was read that a handler is being given: before the turn, by as much as the loop was held up.
-// What a client waits for counts from then, and what goes out by Now. Outside of Handler.Data it is Now.
+// ArrivedAt is when the data was read that a handler is being given: before the turn, by as much as the loop was held
+// up. What a client waits for counts from then, and what goes out by Now. Outside of Handler.Data it is Now.
 func (l *Loop) ArrivedAt() time.Duration { return l.arrived }
 
 // Post has call run on the loop's goroutine.
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -21,8 +21,8 @@
 	callPosted                          // call
 )
 
-// event is what a poller, a dial or another goroutine tells the loop. It is one struct for all kinds, and not an interface,
-// since it is queued by value: boxing it would cost an allocation for each read.
+// event is what a poller, a dial or another goroutine tells the loop. It is one struct for all kinds, and not an
+// interface, since it is queued by value: boxing it would cost an allocation for each read.
 type event struct {
 	kind   eventKind
 	conn   *Conn
@@ -33,8 +33,8 @@
 	at     time.Duration // of dataReceived: when it was read
 }
 
-// mayWait reports whether the goroutine that queues the event may be made to wait. Only what peers cause waits: a poller
-// or a listener then slows them down.
+// mayWait reports whether the goroutine that queues the event may be made to wait. Only what peers cause waits: a
+// poller or a listener then slows them down.
 func (e *event) mayWait() bool { return e.kind == dataReceived || e.kind == connectionAccepted }
 
 // queue takes events from many goroutines to the loop's.
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -16,7 +16,8 @@
 	// responses of 16 KiB and their heads.
 	maxReads = maxUnwritten / readBuffer
 
-	// readPause is how long the poller waits after a read that failed for want of memory, since it is called again at once.
+	// readPause is how long the poller waits after a read that failed for want of memory, since it is called again at
+	// once.
 	readPause = time.Millisecond
 )
 
@@ -31,8 +32,8 @@
 	}
 }
 
-// readAvailable reads what the kernel has and queues it for the loop. The poller closes the connection after it where the
-// peer has ended, so then it reads to the end.
+// readAvailable reads what the kernel has and queues it for the loop. The poller closes the connection after it where
+// the peer has ended, so then it reads to the end.
 func (c *Conn) readAvailable(socket *nbio.Conn) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -83,8 +84,8 @@
 }
 
 // closeAtRest closes an accepted connection on which no response is due and nothing has arrived, and reports whether it
-// did. It reads once more, under the lock that keeps the poller from reading: whatever has been read is handled, and what
-// comes later finds the connection closed.
+// did. It reads once more, under the lock that keeps the poller from reading: whatever has been read is handled, and
+// what comes later finds the connection closed.
 func (c *Conn) closeAtRest() bool {
 	if c.closed || c.owesResponse() || !c.reading.TryLock() {
 		return false
--- a/internal/eventloop/shutdown.go
+++ b/internal/eventloop/shutdown.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// closeTimeout bounds the time that Close takes. The platform kills a router 0.2 s after its graceful shutdown has to be
-// over at the latest.
+// closeTimeout bounds the time that Close takes. The platform kills a router 0.2 s after its graceful shutdown has to
+// be over at the latest.
 const closeTimeout = 100 * time.Millisecond
 
 // Close ends all goroutines that the loop started, and closes its sockets. It is called once, after Run has returned or
--- a/internal/eventloop/unix.go
+++ b/internal/eventloop/unix.go
@@ -9,9 +9,9 @@
 // stalledPause is the time until what a Unix socket did not take is written again.
 const stalledPause = 2 * time.Millisecond
 
-// writeUnix writes what is queued for a Unix socket, and reports whether the kernel took it all. What it did not take stays
-// queued and is written again: nbio keeps the rest of a short write for TCP alone, but for that of the buffer in which a
-// gathered write ended. Until that has left nothing is written behind it.
+// writeUnix writes what is queued for a Unix socket, and reports whether the kernel took it all. What it did not take
+// stays queued and is written again: nbio keeps the rest of a short write for TCP alone, but for that of the buffer in
+// which a gathered write ended. Until that has left nothing is written behind it.
 func (c *Conn) writeUnix() (done bool, err error) {
 	for len(c.outgoing) > 0 {
 		if c.unreadByPeer.Load() > 0 {
@@ -38,7 +38,8 @@
 	return batch
 }
 
-// dropWritten takes what was written off the queue, and with it the buffer that was written in part, whose rest nbio keeps.
+// dropWritten takes what was written off the queue, and with it the buffer that was written in part, whose rest nbio
+// keeps.
 func (c *Conn) dropWritten(written int) {
 	if written < totalSize(c.outgoing[:min(len(c.outgoing), maxVectors)]) {
 		c.countUnread(written) // as OnWrittenSize has already taken off
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -126,8 +126,8 @@
 	c.conn.Write(encodeMessage(messageOneway, "interrupt", 0, interruptArguments(seq)))
 }
 
-// GoInHalves sends the first half of a request, and the rest when the function that it returns is called. Nothing else may
-// be sent in between. It calls done as Go does.
+// GoInHalves sends the first half of a request, and the rest when the function that it returns is called. Nothing else
+// may be sent in between. It calls done as Go does.
 func (c *Client) GoInHalves(call Call, done func(Response, error)) (rest func()) {
 	var message []byte
 	c.sendBy(func(whole []byte) error {
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -54,8 +54,8 @@
 	b.partial = append(b.partial[:0], unread...)
 }
 
-// Compact releases what the buffer holds beyond the buffered bytes. It is for streams of which there are many, and which
-// may stay idle with the beginning of a message.
+// Compact releases what the buffer holds beyond the buffered bytes. It is for streams of which there are many, and
+// which may stay idle with the beginning of a message.
 func (b *Buffer) Compact() { b.partial = bytes.Clone(b.partial[:len(b.partial):len(b.partial)]) }
 
 // Len is how many bytes of an incomplete message are buffered.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -65,8 +65,8 @@
 	got, want string
 }
 
-// firstDifference returns the first line that is not the same in both texts. A text that ends earlier counts as different
-// from one that goes on with an empty line.
+// firstDifference returns the first line that is not the same in both texts. A text that ends earlier counts as
+// different from one that goes on with an empty line.
 func firstDifference(got, want string) difference {
 	for line := 1; ; line++ {
 		gotLine, gotRest, gotMore := strings.Cut(got, "\n")
--- a/internal/golden/messages.go
+++ b/internal/golden/messages.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// ReadMessages returns the messages of a golden file. Each line is a label, a colon and a message as a Go string literal.
+// ReadMessages returns the messages of a golden file. Each line is a label, a colon and a message as a Go string
+// literal.
 func ReadMessages(t testing.TB, path string) []Message {
 	t.Helper()
 	text, err := os.ReadFile(path)
--- a/internal/ipfix/doc.go
+++ b/internal/ipfix/doc.go
@@ -4,15 +4,15 @@
 //
 // Messages are those of IPFIX (RFC 7011) over UDP (section 10.3), one message in each datagram. A record has one of two
 // templates, for IPv4 and for IPv6 addresses. Its information elements are those of IANA's registry
-// (https://www.iana.org/assignments/ipfix): addresses, the start and the end of the flow, ports, the transport protocol,
-// the octets of the request's body, the reason of the flow's end, and the request's class as the application's name.
-// Templates are sent first on each socket and repeated each minute, since a datagram may be lost and collectors forget
-// them (section 8.4).
+// (https://www.iana.org/assignments/ipfix): addresses, the start and the end of the flow, ports, the transport
+// protocol, the octets of the request's body, the reason of the flow's end, and the request's class as the
+// application's name. Templates are sent first on each socket and repeated each minute, since a datagram may be lost
+// and collectors forget them (section 8.4).
 //
 // # Ownership
 //
-// An Exporter belongs to the event loop's goroutine, is not safe for concurrent use and starts no goroutine. It opens its
-// socket by the dial function given to New and again after it has failed.
+// An Exporter belongs to the event loop's goroutine, is not safe for concurrent use and starts no goroutine. It opens
+// its socket by the dial function given to New and again after it has failed.
 //
 // # Limits
 //
--- a/internal/lang/reference.go
+++ b/internal/lang/reference.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// definition returns the block that is defined under a name, or nil where that is not the block at this file:line but an
-// earlier one of the same name.
+// definition returns the block that is defined under a name, or nil where that is not the block at this file:line but
+// an earlier one of the same name.
 func (c *checker) definition(keyword, name, at string) *block {
 	b := c.blocks[keyword][name]
 	if fileLine(b.pos) != at {
--- a/internal/lang/syntax/parse_entry.go
+++ b/internal/lang/syntax/parse_entry.go
@@ -72,7 +72,8 @@
 	return b
 }
 
-// parseSetting parses a setting's values behind the equals sign. A list continues behind a comma, on the next lines too.
+// parseSetting parses a setting's values behind the equals sign. A list continues behind a comma, on the next lines
+// too.
 func (p *parser) parseSetting(pos Pos, name string) Entry {
 	s := &Setting{At: pos, Name: name}
 	for {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -42,8 +42,8 @@
 	return fmt.Sprintf("log level %q is none of debug, info, warn and error", e.Level)
 }
 
-// ParseLevel returns the level that a text names: debug, info, warn or error, in either case, with an offset such as info+2
-// if need be. Its error is a LevelError.
+// ParseLevel returns the level that a text names: debug, info, warn or error, in either case, with an offset such as
+// info+2 if need be. Its error is a LevelError.
 func ParseLevel(text string) (slog.Level, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(text)); err != nil {
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -33,8 +33,8 @@
 	c.withdrawUnsentAttempts(tracked)
 }
 
-// EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is about
-// to end.
+// EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is
+// about to end.
 func (c *Core) EndOpenRequests() {
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		c.deadlineExceeded(id)
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -17,7 +17,8 @@
 	discoveryDialTimeout = time.Second
 )
 
-// Bounds on what is held for peers, in bytes, for the memory limit at which config.Config.ScaleToMemory returns them unchanged.
+// Bounds on what is held for peers, in bytes, for the memory limit at which config.Config.ScaleToMemory returns them
+// unchanged.
 const (
 	maxQueuedBytes         = 8 << 20  // read from peers and queued for the event loop
 	maxUnreadBytes         = 32 << 20 // written and not yet read by peers
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -4,8 +4,8 @@
 //
 // # Goroutines and ownership
 //
-// All state belongs to the goroutine that calls Run: it runs the event loop, and each turn hands what has arrived to the
-// handlers and then calls the core, discovery and the integrations once. Two more goroutines exist between Run and
+// All state belongs to the goroutine that calls Run: it runs the event loop, and each turn hands what has arrived to
+// the handlers and then calls the core, discovery and the integrations once. Two more goroutines exist between Run and
 // Close. One waits for reload requests and reads files, so that a slow disk does not hold up requests; the other waits
 // for signals. Both touch the router's state only through functions that they post to the event loop. Close ends them.
 // Dials and nbio's pollers are goroutines of package eventloop.
@@ -14,15 +14,15 @@
 //
 // New builds the parts from the configuration. Start applies the endpoint list of the configuration, reads the routes,
 // turns the integrations on and opens the listeners. A file that can't be used is an error of New or Start, and the
-// program ends with exit status 1. The router reports itself ready as soon as it knows a worker or has a response of the
-// discovery server, and in any case after two seconds, so that it accepts requests while discovery is down.
+// program ends with exit status 1. The router reports itself ready as soon as it knows a worker or has a response of
+// the discovery server, and in any case after two seconds, so that it accepts requests while discovery is down.
 //
 // # Reload
 //
-// SIGHUP rereads the configuration and the routes file. Reload reads and checks both on the calling goroutine and applies
-// them in one turn of the event loop. Only the discovery server's address and the routes change; other settings
-// that differ are logged as config_restart_required. A file that can't be used changes nothing, and open requests
-// end under the routes that they began with.
+// SIGHUP rereads the configuration and the routes file. Reload reads and checks both on the calling goroutine and
+// applies them in one turn of the event loop. Only the discovery server's address and the routes change; other settings
+// that differ are logged as config_restart_required. A file that can't be used changes nothing, and open requests end
+// under the routes that they began with.
 //
 // # Graceful shutdown
 //
@@ -32,7 +32,7 @@
 //
 // # What a restart loses
 //
-// Nothing but the webhooks' ledger outlives the process. A restart forgets the policy's estimates, the open connections, the
-// notices that wait for delivery, the counters, and which names of workers had left the endpoint list. The endpoint list
-// itself is restored from the configuration and then from discovery.
+// Nothing but the webhooks' ledger outlives the process. A restart forgets the policy's estimates, the open
+// connections, the notices that wait for delivery, the counters, and which names of workers had left the endpoint list.
+// The endpoint list itself is restored from the configuration and then from discovery.
 package server
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -31,8 +31,8 @@
 	listenAddrs [2]netip.AddrPort
 }
 
-// newIntegrations reads the operators' files, connects what they turn on to the event loop and the core, and registers for
-// completed requests.
+// newIntegrations reads the operators' files, connects what they turn on to the event loop and the core, and registers
+// for completed requests.
 func newIntegrations(options Options, cfg *config.Config, loop *eventloop.Loop, core *router.Core) (*integrations, error) {
 	n := &integrations{config: cfg}
 	n.listenAddrs[router.Thrift], _ = netip.ParseAddrPort(cfg.Listen) // config.Read has checked it
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -66,8 +66,8 @@
 // listConfirmed takes in that discovery has said that the list is the present one.
 func (m *membership) listConfirmed() { m.lastList = m.loop.Now() }
 
-// detectRestarts records which names left the list and which came back. A name that comes back belongs to a new process,
-// which goes through slow start like any other although discovery reports no start time for it.
+// detectRestarts records which names left the list and which came back. A name that comes back belongs to a new
+// process, which goes through slow start like any other although discovery reports no start time for it.
 func (m *membership) detectRestarts(list []discovery.Worker) {
 	if len(m.departed) > maxDepartedNames { // as a rule they don't come back: new processes have new names
 		clear(m.departed)
@@ -128,8 +128,8 @@
 	m.core.SetRouteWorkers(labels)
 }
 
-// join groups the entries of the list by process. A worker is known by the names of all its entries together, so that when
-// one of them leaves the list, the process that it named has ended and what is left is another worker.
+// join groups the entries of the list by process. A worker is known by the names of all its entries together, so that
+// when one of them leaves the list, the process that it named has ended and what is left is another worker.
 func (m *membership) join() []joinedWorker {
 	static := m.staticWorkers()
 	entries := make([]endpoint.Entry, len(m.list))
@@ -160,8 +160,8 @@
 	return static
 }
 
-// joinGroup makes one worker of the entries that lead to one process; group holds their positions in the list. The worker
-// drains as soon as one of its entries does.
+// joinGroup makes one worker of the entries that lead to one process; group holds their positions in the list. The
+// worker drains as soon as one of its entries does.
 func (m *membership) joinGroup(group []int, entries []endpoint.Entry, static []route.Worker) joinedWorker {
 	first := m.list[group[0]]
 	joined := joinedWorker{name: endpoint.GroupName(entries, group), started: first.Started}
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -14,8 +14,8 @@
 	"crankhold/internal/route"
 )
 
-// CheckRoutesFile reads and checks a routes file and all that it includes; platform may be nil. Includes can't leave the
-// folder of the first file, not through symbolic links either.
+// CheckRoutesFile reads and checks a routes file and all that it includes; platform may be nil. Includes can't leave
+// the folder of the first file, not through symbolic links either.
 func CheckRoutesFile(name string, platform *lang.Platform) (*lang.Result, error) {
 	dir, file := filepath.Split(name)
 	if dir == "" {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -152,8 +152,9 @@
 	return next
 }
 
-// Close closes the sockets and ends all goroutines that the server started. It does not wait for a reload that is reading its files: they may be
-// pipes, and what is read has no effect any more. Close is called once, by the goroutine that called Run or on its behalf.
+// Close closes the sockets and ends all goroutines that the server started. It does not wait for a reload that is
+// reading its files: they may be pipes, and what is read has no effect any more. Close is called once, by the goroutine
+// that called Run or on its behalf.
 func (s *Server) Close() {
 	close(s.closed)
 	s.loop.Close()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -14,8 +14,8 @@
 	// maxKillDeadline is what a longer deadline counts as there.
 	maxKillDeadline = 3 * time.Second
 
-	// drainServingPeriod is how long new requests are served after a drain has begun: clients open connections for 0.4 s and
-	// send requests on open ones for 0.2 s more. Later ones are rejected.
+	// drainServingPeriod is how long new requests are served after a drain has begun: clients open connections for 0.4
+	// s and send requests on open ones for 0.2 s more. Later ones are rejected.
 	drainServingPeriod = 750 * time.Millisecond
 
 	// closeMargin is how long before the kill clients' connections are closed, and stopMargin how long before it the
@@ -34,8 +34,8 @@
 	stop   time.Duration // the program ends whatever is left
 }
 
-// newDrainSchedule derives the schedule from the longest deadline of all classes. Clients send on open connections until
-// the kill, so the program ends as late as it safely can, unless they close them all.
+// newDrainSchedule derives the schedule from the longest deadline of all classes. Clients send on open connections
+// until the kill, so the program ends as late as it safely can, unless they close them all.
 func newDrainSchedule(longestDeadline time.Duration) drainSchedule {
 	kill := min(longestDeadline, maxKillDeadline) + killDelay
 	return drainSchedule{
@@ -74,8 +74,8 @@
 	slog.Info("server_draining", slog.String("signal", received.String()))
 }
 
-// continueDrain takes the steps of the drain that are due, stops the event loop once nothing is left to do or to wait for,
-// and returns when to check again.
+// continueDrain takes the steps of the drain that are due, stops the event loop once nothing is left to do or to wait
+// for, and returns when to check again.
 func (s *Server) continueDrain(now time.Duration) time.Duration {
 	elapsed := now - s.drainingSince
 	if elapsed >= s.drainSchedule.close && !s.closingClients {
--- a/internal/server/start_times.go
+++ b/internal/server/start_times.go
@@ -14,14 +14,14 @@
 	maxClockDrift = 500 * time.Millisecond
 )
 
-// startTimes keeps when workers' processes started, on the event loop's clock. Discovery reports starts as Unix times, and
-// wall clocks are stepped, this machine's and others', by as much as an hour. So each is compared with this machine's wall
-// clock once, when it is told, and the result is kept on the monotonic clock.
+// startTimes keeps when workers' processes started, on the event loop's clock. Discovery reports starts as Unix times,
+// and wall clocks are stepped, this machine's and others', by as much as an hour. So each is compared with this
+// machine's wall clock once, when it is told, and the result is kept on the monotonic clock.
 //
 // A result is bounded by what can be: no process started in the future, and none of which an earlier list did not know
-// started long before that list. Where this machine's wall clock has moved against its monotonic one, or a time lies beyond
-// these bounds, a process counts as started no earlier than just before the last list that did not have it. What neither
-// shows, a wall clock that is wrong by the same time from this program's start on, can't be known.
+// started long before that list. Where this machine's wall clock has moved against its monotonic one, or a time lies
+// beyond these bounds, a process counts as started no earlier than just before the last list that did not have it. What
+// neither shows, a wall clock that is wrong by the same time from this program's start on, can't be known.
 type startTimes struct {
 	wallClock func() time.Time
 	first     reading
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -13,8 +13,8 @@
 
 // Signals holds the signals that were caught and that nobody has received yet.
 type Signals struct {
-	// Stop delivers the signals that end the program (SIGTERM, SIGINT). Each of the others has a channel of its own, so that
-	// repeated ones can't displace a SIGTERM.
+	// Stop delivers the signals that end the program (SIGTERM, SIGINT). Each of the others has a channel of its own, so
+	// that repeated ones can't displace a SIGTERM.
 	Stop chan os.Signal
 	// Report delivers SIGUSR1, which asks for the counters. While one waits a further one adds nothing.
 	Report chan os.Signal
@@ -42,8 +42,8 @@
 	signal.Stop(s.Reload)
 }
 
-// Release stops catching signals and raises those that wait again, so that they do to the program what they do by default. It
-// is for programs that don't react to signals themselves.
+// Release stops catching signals and raises those that wait again, so that they do to the program what they do by
+// default. It is for programs that don't react to signals themselves.
 func (s *Signals) Release() {
 	s.Close()
 	for {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// ensureCapacity reports whether there is memory for another replica. Where there is none, it unloads the least recently
-// used idle replica if it may.
+// ensureCapacity reports whether there is memory for another replica. Where there is none, it unloads the least
+// recently used idle replica if it may.
 func (w *Worker) ensureCapacity() bool {
 	limit := w.fleet.cfg.ReplicasPerWorker
 	if limit == 0 || len(w.replicas) < limit {
--- a/internal/stats/bucket.go
+++ b/internal/stats/bucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TokenBucket is an allowance that refills at a rate up to a capacity. Tokens may fall below zero; such a debt is refilled
-// first.
+// TokenBucket is an allowance that refills at a rate up to a capacity. Tokens may fall below zero; such a debt is
+// refilled first.
 type TokenBucket struct {
 	Tokens   float64
 	Capacity float64
--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DecayingMean is a mean whose observations lose weight exponentially with time. It also counts one observation of zero,
-// which doesn't decay: without recent observations it returns to zero.
+// DecayingMean is a mean whose observations lose weight exponentially with time. It also counts one observation of
+// zero, which doesn't decay: without recent observations it returns to zero.
 type DecayingMean struct {
 	// Span is the time in which an observation's weight falls to 1/e.
 	Span time.Duration
--- a/internal/stats/regression.go
+++ b/internal/stats/regression.go
@@ -12,7 +12,8 @@
 	r.SumY = r.SumY*retention + y
 }
 
-// Predict returns y for x. Where SumX is less than minimumX, that is used in its place: few observations count for little.
+// Predict returns y for x. Where SumX is less than minimumX, that is used in its place: few observations count for
+// little.
 func (r *Regression) Predict(x, minimumX float64) float64 {
 	return x * r.SumY / max(r.SumX, minimumX)
 }
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// compactAfter is the number of dropped times from which on a SlidingWindow may move the rest to the front of its memory.
+// compactAfter is the number of dropped times from which on a SlidingWindow may move the rest to the front of its
+// memory.
 const compactAfter = 64
 
 // SlidingWindow counts events by their times, each at or after the one before. The zero SlidingWindow is empty.
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// handleFrame is the framing.Decoder of frames: it handles the first one of what was received and returns its size, or 0
-// while the frame is incomplete. Nothing is handled on a connection that handling an earlier frame has closed.
+// handleFrame is the framing.Decoder of frames: it handles the first one of what was received and returns its size, or
+// 0 while the frame is incomplete. Nothing is handled on a connection that handling an earlier frame has closed.
 func (c *connection) handleFrame(unread []byte) (size int, err error) {
 	if c.closed || len(unread) < frameLengthBytes {
 		return 0, nil
--- a/internal/thrift/decoder.go
+++ b/internal/thrift/decoder.go
@@ -130,7 +130,8 @@
 	return messageHeader{kind: messageKind(versionAndKind), name: string(name), sequence: sequence}, nil
 }
 
-// structFields takes a struct. It calls visit for each field, which takes the value, or returns false to have it skipped.
+// structFields takes a struct. It calls visit for each field, which takes the value, or returns false to have it
+// skipped.
 func (d *decoder) structFields(visit func(wireType byte, id uint16) bool) error {
 	for !d.malformed {
 		wireType := d.u8()
--- a/internal/thrift/doc.go
+++ b/internal/thrift/doc.go
@@ -3,18 +3,18 @@
 // # Protocol
 //
 // A frame is the length of a message in four bytes, big-endian, and the message
-// (https://github.com/apache/thrift/blob/master/doc/specs/thrift-rpc.md, "Framed vs. unframed transport"). Messages have
-// the strict binary encoding (thrift-binary-protocol.md beside it). Three methods are served:
+// (https://github.com/apache/thrift/blob/master/doc/specs/thrift-rpc.md, "Framed vs. unframed transport"). Messages
+// have the strict binary encoding (thrift-binary-protocol.md beside it). Three methods are served:
 //
 //   - execute asks for a request to be run. Its arguments are a map of text fields and a body. It is answered with an
 //     Answer, or with one of two exceptions: Backoff, which promises that trying again is harmless, and Lost, which
 //     promises nothing.
-//   - interrupt names the sequence number of an execute that its client no longer waits for. It has no reply, and neither
-//     has the execute from then on.
+//   - interrupt names the sequence number of an execute that its client no longer waits for. It has no reply, and
+//     neither has the execute from then on.
 //   - check asks whether the router is ready.
 //
-// Replies may come in any order: a client finds its request by the sequence number. A method that the front does not know
-// is answered with an application exception.
+// Replies may come in any order: a client finds its request by the sequence number. A method that the front does not
+// know is answered with an application exception.
 //
 // # Ownership
 //
@@ -24,9 +24,9 @@
 // # Limits
 //
 // A frame may take 20 KiB and a body 16 KiB, the map of fields 64 entries, and values may nest 8 levels deep. One
-// connection may have 64 requests open; more are rejected with Backoff. Sequence numbers must increase from one execute to
-// the next, up to the largest positive 32-bit integer: under a number that was used before, a reply could be taken for
-// that of the other request.
+// connection may have 64 requests open; more are rejected with Backoff. Sequence numbers must increase from one execute
+// to the next, up to the largest positive 32-bit integer: under a number that was used before, a reply could be taken
+// for that of the other request.
 //
 // # Failure behaviour
 //
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -71,8 +71,8 @@
 	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValue)])}
 }
 
-// decodeRequest reads the fields of an execute. The caller adds what is not among them. A field that can't be used rejects
-// the request, since it can't be forwarded unchanged.
+// decodeRequest reads the fields of an execute. The caller adds what is not among them. A field that can't be used
+// rejects the request, since it can't be forwarded unchanged.
 func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
 	class, known := f.classIndex[fields.text(fieldClass)]
 	if !known {
@@ -111,8 +111,8 @@
 	return request, nil
 }
 
-// allowsIdempotencyKey reports whether a request of the class may carry a key, "" for none. Where the class requires one,
-// no worker could drop a repeat without it.
+// allowsIdempotencyKey reports whether a request of the class may carry a key, "" for none. Where the class requires
+// one, no worker could drop a repeat without it.
 func (c Class) allowsIdempotencyKey(key string) bool {
 	if key == "" {
 		return !c.RequiresIdempotencyKey
@@ -120,8 +120,8 @@
 	return router.ValidIdempotencyKey(key)
 }
 
-// decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't have.
-// Where they have none at all, what the fields say is ignored.
+// decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't
+// have. Where they have none at all, what the fields say is ignored.
 func (f *Front) decodeTenant(fields executeFieldMap) (tenant string, ok bool) {
 	name, named := fields[fieldTenant]
 	if !named || len(f.config.Tenants) == 0 {
@@ -131,7 +131,8 @@
 	return tenant, slices.Contains(f.config.Tenants, tenant)
 }
 
-// decodeProperties reads the properties into a request. It reports false where one of them is not a number in its range.
+// decodeProperties reads the properties into a request. It reports false where one of them is not a number in its
+// range.
 func decodeProperties(text string, request *router.Request) bool {
 	for text != "" {
 		var property string
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -7,7 +7,8 @@
 )
 
 // Heap holds values until they are due. Values that are due at the same time leave in the order in which they were
-// added, so that equal runs do equal things. The zero Heap is empty and ready to use; it is not safe for concurrent use.
+// added, so that equal runs do equal things. The zero Heap is empty and ready to use; it is not safe for concurrent
+// use.
 type Heap[T any] struct {
 	entries entries[T]
 	added   uint64
--- a/internal/webhook/delivery_clock.go
+++ b/internal/webhook/delivery_clock.go
@@ -3,8 +3,8 @@
 import "time"
 
 // deliveryClock tells the time that deliveries' Unix times are compared with. Wall clocks are stepped, by as much as an
-// hour, and the windows in which a delivery may be repeated are spans of real time. So they count by the wall clock at the
-// start, moved on by the monotonic one. What it can't know is a wall clock that was wrong at the start.
+// hour, and the windows in which a delivery may be repeated are spans of real time. So they count by the wall clock at
+// the start, moved on by the monotonic one. What it can't know is a wall clock that was wrong at the start.
 type deliveryClock struct {
 	monotonic      Clock
 	wallClock      func() time.Time
@@ -26,8 +26,8 @@
 	return c.firstWall.Add(c.monotonic.Now() - c.firstMonotonic)
 }
 
-// latest is the later of the steady time and the wall clock's: a sender whose clock was stepped with this machine's is in
-// the future by the steady one.
+// latest is the later of the steady time and the wall clock's: a sender whose clock was stepped with this machine's is
+// in the future by the steady one.
 func (c *deliveryClock) latest() time.Time {
 	wall := c.wallClock().Round(0)
 	if steady := c.steady(); steady.After(wall) {
@@ -36,8 +36,8 @@
 	return wall
 }
 
-// isFresh reports whether a time is within a tolerance of the present, by the steady time or by the wall clock: the sender's
-// clock may have been stepped with this machine's, or not.
+// isFresh reports whether a time is within a tolerance of the present, by the steady time or by the wall clock: the
+// sender's clock may have been stepped with this machine's, or not.
 func (c *deliveryClock) isFresh(sent time.Time, tolerance time.Duration) bool {
 	return c.steady().Sub(sent).Abs() <= tolerance || c.wallClock().Sub(sent).Abs() <= tolerance
 }
--- a/internal/webhook/ledger.go
+++ b/internal/webhook/ledger.go
@@ -18,8 +18,8 @@
 
 // ledger is the append-only record of orders that survives a restart. An order's first entry is on the disk before the
 // order is first forwarded, so an order without an entry has never been forwarded. One goroutine writes the file, from
-// openLedger until close. After a failed write or sync no order is recorded until the file is whole again; what became of
-// orders meanwhile is kept and written then.
+// openLedger until close. After a failed write or sync no order is recorded until the file is whole again; what became
+// of orders meanwhile is kept and written then.
 type ledger struct {
 	path      string
 	maxBytes  int64
@@ -54,8 +54,8 @@
 	done  func(error)
 }
 
-// openLedger locks the ledger, recovers its entries as of now and compacts it. Where the disk fails to take the compacted
-// file, the ledger opens all the same, and records no order until it does.
+// openLedger locks the ledger, recovers its entries as of now and compacts it. Where the disk fails to take the
+// compacted file, the ledger opens all the same, and records no order until it does.
 func openLedger(config LedgerConfig, now time.Time, disk ledgerDisk) (*ledger, ledgerContent, error) {
 	lock, err := lockLedger(config.Path)
 	if err != nil {
@@ -112,8 +112,8 @@
 // order counts as one that may have run, and is never run again.
 func (l *ledger) update(e ledgerEntry, now time.Time) { l.enqueue(appendJob{entry: e, now: now}) }
 
-// enqueue queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. There are
-// no more updates than orders.
+// enqueue queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. There
+// are no more updates than orders.
 func (l *ledger) enqueue(job appendJob) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,8 +198,8 @@
 	}
 }
 
-// keepUnwritten keeps what is owed of an entry that failed: of an order that was not recorded, and is so rejected, that it
-// never ran, since a part of its entry may be on the disk; else the entry itself.
+// keepUnwritten keeps what is owed of an entry that failed: of an order that was not recorded, and is so rejected, that
+// it never ran, since a part of its entry may be on the disk; else the entry itself.
 func (l *ledger) keepUnwritten(job appendJob, err error) {
 	slog.Error("ledger_write_failed", slog.String("id", job.entry.ID), slog.Any("err", err))
 	entry := job.entry
@@ -240,7 +240,8 @@
 	return l.size+int64(len(line)) <= l.maxBytes
 }
 
-// compactForCapacity compacts the ledger, though not for each order that finds it full: the whole file would be written every time.
+// compactForCapacity compacts the ledger, though not for each order that finds it full: the whole file would be written
+// every time.
 func (l *ledger) compactForCapacity(line []byte) error {
 	if l.now.Sub(l.compactedAt) < compactionInterval {
 		return errLedgerFull
--- a/internal/webhook/ledger_compaction.go
+++ b/internal/webhook/ledger_compaction.go
@@ -26,8 +26,8 @@
 	size    int64         // of the good part of the file
 }
 
-// compact replaces the file by one that holds only the last entry of each order that is still retained. The ledger appends
-// to the new file.
+// compact replaces the file by one that holds only the last entry of each order that is still retained. The ledger
+// appends to the new file.
 func (l *ledger) compact() error {
 	content, err := l.read(l.size)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return l.replace(content)
 }
 
-// retain drops what is not retained any longer. Where that is for its age, the horizon moves on, so that no wall clock, were
-// it stepped back, brings a forgotten order's time again.
+// retain drops what is not retained any longer. Where that is for its age, the horizon moves on, so that no wall clock,
+// were it stepped back, brings a forgotten order's time again.
 func (l *ledger) retain(content *ledgerContent) {
 	expired := l.now.Add(-l.retention)
 	content.entries = slices.DeleteFunc(content.entries, func(entry ledgerEntry) bool {
@@ -88,8 +88,9 @@
 	return lines
 }
 
-// replace writes a new file, renames it to the ledger's path and has the ledger append to it. Both are on the disk when it
-// returns without an error. After one the ledger's file is the old one or, where the rename came to pass, the new one.
+// replace writes a new file, renames it to the ledger's path and has the ledger append to it. Both are on the disk when
+// it returns without an error. After one the ledger's file is the old one or, where the rename came to pass, the new
+// one.
 func (l *ledger) replace(content ledgerContent) error {
 	lines := content.encode()
 	path := l.path + compactedSuffix
--- a/internal/webhook/ledger_format.go
+++ b/internal/webhook/ledger_format.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// A line of the ledger is the CRC-32 (IEEE) of the JSON in 8 hex digits, a space, the JSON of an entry, and a line feed.
+// A line of the ledger is the CRC-32 (IEEE) of the JSON in 8 hex digits, a space, the JSON of an entry, and a line
+// feed.
 const (
 	checksumDigits = 2 * crc32.Size
 	minLedgerLine  = checksumDigits + 2 // the checksum, the space and the line feed
@@ -67,8 +68,8 @@
 	return e, err
 }
 
-// readEntries calls visit for each entry and returns the size of them all. A last line that was cut short was never synced, so its order was never
-// forwarded; damage anywhere else leaves open which orders ran, and is a LedgerError.
+// readEntries calls visit for each entry and returns the size of them all. A last line that was cut short was never
+// synced, so its order was never forwarded; damage anywhere else leaves open which orders ran, and is a LedgerError.
 func readEntries(path string, r io.Reader, visit func(ledgerEntry)) (size int64, err error) {
 	in := bufio.NewReaderSize(r, maxLedgerLine)
 	for number := 1; ; number++ {
--- a/internal/webhook/ledger_recovery.go
+++ b/internal/webhook/ledger_recovery.go
@@ -85,7 +85,8 @@
 	return l.writeOwed()
 }
 
-// rewrite compacts the file. Where that fails, a rename may have been made that is not on the disk, so it is made again.
+// rewrite compacts the file. Where that fails, a rename may have been made that is not on the disk, so it is made
+// again.
 func (l *ledger) rewrite() error {
 	err := l.compact()
 	if err != nil {
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -133,8 +133,8 @@
 	return request, p.Timestamp, nil
 }
 
-// checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten. Their age is
-// a span of real time, so a step of the wall clock changes none.
+// checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten. Their age
+// is a span of real time, so a step of the wall clock changes none.
 func (r *Receiver) checkRetention(eventTime time.Time) error {
 	tolerance := r.config.Receiver.Tolerance
 	maxAge := r.config.Receiver.Ledger.Retention - 2*tolerance
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// LedgerCounters count what became of the ledger's file: failed writes and syncs, recoveries, and entries that are owed to
-// it now.
+// LedgerCounters count what became of the ledger's file: failed writes and syncs, recoveries, and entries that are owed
+// to it now.
 type LedgerCounters struct{ Failures, Recoveries, Unwritten uint64 }
 
 // LedgerCounters returns the counters of the ledger; zero where there is none.
--- a/internal/webhook/signature.go
+++ b/internal/webhook/signature.go
@@ -45,7 +45,8 @@
 	signatures [][]byte // with their versions
 }
 
-// parseSignatureHeaders reads the signature headers. It reports false unless each of them is there once and well formed.
+// parseSignatureHeaders reads the signature headers. It reports false unless each of them is there once and well
+// formed.
 func parseSignatureHeaders(request *httpRequest) (headers signatureHeaders, ok bool) {
 	id, ids := request.header(headerID)
 	timestamp, timestamps := request.header(headerTimestamp)
--- a/internal/workerclient/conn.go
+++ b/internal/workerclient/conn.go
@@ -80,8 +80,8 @@
 	c.writeCommand(cmd)
 }
 
-// writeCommand writes a command, unless it may not be sent any more: nothing would be left of a request's budget, the worker
-// might no longer know it for a repeat, or the budget of loads has been used up.
+// writeCommand writes a command, unless it may not be sent any more: nothing would be left of a request's budget, the
+// worker might no longer know it for a repeat, or the budget of loads has been used up.
 func (c *conn) writeCommand(cmd *command) {
 	if cmd.kind == runCommand {
 		if c.pool.now >= cmd.sendBy {
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -89,7 +89,8 @@
 }
 
 // dialFailed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has
-// failed is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the worker.
+// failed is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the
+// worker.
 func (c *conn) dialFailed(d *dial, err error) {
 	p := c.pool
 	p.Counters.DialsFailed++
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -150,7 +150,8 @@
 }
 
 // connectionEnded decides on a command whose connection ended with outcome. arrivable is how many bytes may have
-// reached the worker: a worker acts on a command that arrived whole, so one whose last byte is not among them never ran.
+// reached the worker: a worker acts on a command that arrived whole, so one whose last byte is not among them never
+// ran.
 func (p *Pool) connectionEnded(w *worker, cmd *command, outcome policy.Outcome, arrivable int) {
 	neverArrived := !cmd.kind.isHealthQuery() && cmd.written && cmd.endOffset > arrivable
 	switch {
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// ping sends a keepalive ping. Where the settings allow no probes the connection just takes nothing new until it responds.
+// ping sends a keepalive ping. Where the settings allow no probes the connection just takes nothing new until it
+// responds.
 func (c *conn) ping() {
 	p := c.pool
 	c.pingedAt = p.now
@@ -63,8 +64,8 @@
 	c.worker.addresses.Responded(c.addr)
 }
 
-// silentFor returns for how long the response to a request has been due and none has arrived since lastReadAt. It returns
-// false for due where no request awaits one.
+// silentFor returns for how long the response to a request has been due and none has arrived since lastReadAt. It
+// returns false for due where no request awaits one.
 func (c *conn) silentFor(lastReadAt time.Duration) (silence time.Duration, due bool) {
 	var oldest time.Duration
 	for _, cmd := range c.inFlight {
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// concurrency reads how many requests for the function the worker had. A number that can't be is ignored and logged: the
-// response is good all the same.
+// concurrency reads how many requests for the function the worker had. A number that can't be is ignored and logged:
+// the response is good all the same.
 func (c *conn) concurrency(fields responseFields) int {
 	count, ok := fields.concurrency()
 	if !ok {
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -19,8 +19,8 @@
 	finished  bool
 }
 
-// maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that takes
-// too long: the time of a dial, and as much again for the response.
+// maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that
+// takes too long: the time of a dial, and as much again for the response.
 func (w *worker) maintainRecoveryDial() {
 	p, r := w.pool, w.recoveryDial
 	switch {
@@ -80,8 +80,8 @@
 	r.close()
 }
 
-// DialCompleted asks for a sign of life: an address that accepts and says nothing does not work. Where the settings allow
-// no probes, one that accepts counts.
+// DialCompleted asks for a sign of life: an address that accepts and says nothing does not work. Where the settings
+// allow no probes, one that accepts counts.
 func (r *recoveryDial) DialCompleted(err error) {
 	switch {
 	case r.finished:
--- a/policy/index.go
+++ b/policy/index.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// This file holds what is known of replicas and the memory that scheduling uses anew for each request, where a plain map or
-// slice would cost a look at all of it for each. Nothing is decided here.
+// This file holds what is known of replicas and the memory that scheduling uses anew for each request, where a plain
+// map or slice would cost a look at all of it for each. Nothing is decided here.
 
-// replicaIndex knows by function which workers have a replica. Those of the function that was asked for last are marked,
-// so that a look at all workers for one request takes no look-up for each.
+// replicaIndex knows by function which workers have a replica. Those of the function that was asked for last are
+// marked, so that a look at all workers for one request takes no look-up for each.
 type replicaIndex struct {
 	byFunction map[FunctionID][]*replica
 	function   FunctionID // the one that was asked for last
