--- a/internal/archtest/logs_test.go
+++ b/internal/archtest/logs_test.go
@@ -17,8 +17,8 @@
 const logsPage = "docs/operate/logs.md"
 
 var (
-	// loggedEvent is a call that logs an event at a level; the two helpers log at warn.
-	loggedEvent = regexp.MustCompile(`(?:slog\.(Info|Warn|Error)\(|slog\.Level(Info|Warn|Error), |logFailure\(|logRejection\()"([a-z_]+)"`)
+	// loggedEvent is a call that logs an event at a level, by a logger or the default one; the two helpers log at warn.
+	loggedEvent = regexp.MustCompile(`(?:\b(?:slog|[a-z]*[lL]ogger)\.(Info|Warn|Error)\(|slog\.Level(Info|Warn|Error), |logFailure\(|logRejection\()"([a-z_]+)"`)
 	// listedEvent is the beginning of a row of logsPage: an event and its level.
 	listedEvent = regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\| (info|warn|error) \\|")
 	// loggedKey is the key of an attribute that is logged.
