--- a/policy/actions.go
+++ b/policy/actions.go
@@ -10,8 +10,8 @@
 	Request RequestID
 	Worker  WorkerID
 	Limit   time.Duration // timeout of the attempt; 0: until the client gives up
-	// SendWithin is how long it may wait before it is sent, 0 for as long as Limit allows: workers drop a repeat only
-	// so long.
+	// SendWithin is how long it may wait before it is sent, 0 for as long as Limit allows: workers drop a
+	// repeat only so long.
 	SendWithin time.Duration
 }
 
--- a/policy/config.go
+++ b/policy/config.go
@@ -75,33 +75,58 @@
 	HedgingAllowed       bool // two attempts of a request may be in flight at once
 	RetryAfterSupported  bool // clients are given Reject.RetryAfter
 	MaxRetryAfter        time.Duration
-	OverQuotaWeight      float64 // factor of the weight of a request beyond its tenant's quota; 1 where unused
+	OverQuotaWeight      float64 // factor of the weight of a request beyond a quota; 1 where unused
 
-	PollInterval             time.Duration // EndpointsByPolling: a list that is not asked for counts as known after this
+	PollInterval             time.Duration // EndpointsByPolling: the list counts as known after this
 	SlowStartInitialCapacity float64       // a worker starts at this share of its capacity or more
 	SlowStartDuration        time.Duration // and is warm after this at the latest
 	OverloadMultiple         float64       // sent more than this many times its present capacity
 	OverloadWindow           time.Duration // for this long, a worker in slow start falls over
 	DrainGracePeriod         time.Duration
 
-	MissWhenNotLoaded     bool          // a worker without the function answers NotLoaded instead of loading it
+	MissWhenNotLoaded     bool          // a worker without the function answers NotLoaded and does not load it
 	LoadCommandsSupported bool          // Load and Unload are allowed
-	LoadStatusReported    bool          // responses tell whether a replica was loaded
-	ConcurrencyReported   bool          // responses tell how many requests of the function the worker held
+	LoadStatusReported    bool          // responses report whether a replica was loaded
+	ConcurrencyReported   bool          // responses report how many requests of the function the worker held
 	KeepAlive             time.Duration // an idle replica stays this long at least
 	LoadTimeout           time.Duration // a load without a response by then ends as TimedOut
 	LoadBudgetWindow      time.Duration // window of the budget for load orders; 0: none
 	LoadBudgetMinimum     float64       // orders allowed in a window
 	LoadBudgetRatio       float64       // and further ones as a share of the requests that came in it
 
-	MemoryPrice    float64 // what all memory costs if idle replicas use it, as a share of the weight of all requests
+	MemoryPrice    float64 // of all memory if idle replicas use it, as a share of the weight of all requests
 	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
 }
 
 // amount is a setting that must be a number from 0 to a limit.
 type amount struct {
-	setting     string
-	value, most float64
+	setting string
+	value   float64
+	limit   float64
+}
+
+// valid reports whether the amount is a number within its limit. NaN is not.
+func (a amount) valid() bool { return a.value >= 0 && a.value <= a.limit }
+
+// validate returns a *ConfigError for settings that no platform can mean.
+func (c *Config) validate() error {
+	for i, class := range c.Classes {
+		if !class.valid() {
+			return &ConfigError{Class: i, Config: *c}
+		}
+	}
+	for _, a := range c.amounts() {
+		if !a.valid() {
+			return &ConfigError{Class: NoClass, Setting: a.setting, Config: *c}
+		}
+	}
+	return nil
+}
+
+// valid reports whether requests of the class can be decided on.
+func (c Class) valid() bool {
+	return c.LatencyObjective > 0 && c.Deadline > 0 && c.DeduplicationWindow >= 0 &&
+		c.Idempotency <= NotIdempotent && c.DeduplicationScope <= DeduplicatedInCell
 }
 
 // amounts lists the settings that New checks one by one. Of Classes, those after the first count.
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -5,8 +5,8 @@
 // NoClass is the Class of a ConfigError that is about the settings as a whole.
 const NoClass = -1
 
-// ConfigError is returned by New for settings that no platform can mean: they have no classes, or an amount in them is
-// negative, infinite or no number.
+// ConfigError is returned by New for settings that no platform can mean: they have no classes, or an amount
+// in them is negative, infinite or no number.
 type ConfigError struct {
 	Class   int    // index of the impossible class, or NoClass
 	Setting string // field of Config that is impossible, where it is no class of its own
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -14,7 +14,7 @@
 	for range 30 {
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
-	for _, w := range b.p.fleet { // both hold a replica
+	for _, w := range b.p.workers.fleet { // both hold a replica
 		b.p.replicas.get(w, 7).loadedUntil = b.now + time.Hour
 	}
 	slow, lost := WorkerID(1), 0
@@ -47,18 +47,18 @@
 	w := b.serve(7, 100*ms, AlreadyLoaded)
 	b.serve(7, 900*ms, AlreadyLoaded)
 	b.serve(7, 900*ms, AlreadyLoaded)
-	other := b.p.workers[w%6+1]
+	other := b.p.workers.byID[w%6+1]
 	b.p.replicas.get(other, 7).loadedUntil = b.now + time.Minute // a hedged request stands
 	if got := b.serve(7, 100*ms, AlreadyLoaded); got != other.Worker {
 		t.Errorf("sent to %d again after two late answers", got)
 	}
-	before := b.p.queueingDelay(b.p.workers[w], 0)
-	if idle := b.p.queueingDelay(other, 0); before < idle+float64(50*ms) {
+	before := b.queueingDelay(b.p.workers.byID[w], 0)
+	if idle := b.queueingDelay(other, 0); before < idle+float64(50*ms) {
 		t.Errorf("late answers predict %v, nothing known %v", before, idle)
 	}
 	b.now += 20 * time.Second
 	b.handle(HealthCheckCompleted{Worker: w})
-	if after := b.p.queueingDelay(b.p.workers[w], 0); after > before/10 {
+	if after := b.queueingDelay(b.p.workers.byID[w], 0); after > before/10 {
 		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
 	}
 }
@@ -86,24 +86,24 @@
 	b.now += time.Minute
 	b.handle(HealthCheckCompleted{Worker: 1, Report: []float64{33, 30}})
 	b.handle(HealthCheckCompleted{Worker: 2, Report: []float64{3, 0}})
-	full, idle := b.p.queueingDelay(b.p.workers[1], 0), b.p.queueingDelay(b.p.workers[2], 0)
+	full, idle := b.queueingDelay(b.p.workers.byID[1], 0), b.queueingDelay(b.p.workers.byID[2], 0)
 	if full < idle+float64(150*ms) {
 		t.Errorf("30 waiting predict %v, none %v", full, idle)
 	}
-	before := b.p.queueingDelay(b.p.workers[3], 0)
+	before := b.queueingDelay(b.p.workers.byID[3], 0)
 	for _, r := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
 		b.handle(HealthCheckCompleted{Worker: 3, Report: r})
 	}
-	if got := b.p.queueingDelay(b.p.workers[3], 0); got != before {
+	if got := b.queueingDelay(b.p.workers.byID[3], 0); got != before {
 		t.Errorf("absurd reports predict %v", got)
 	}
 	b.handle(HealthCheckCompleted{Worker: 3, Report: []float64{1e300, 1e300}})
-	if got := b.p.queueingDelay(b.p.workers[3], 0); got > maxMultiple*float64(400*ms) {
+	if got := b.queueingDelay(b.p.workers.byID[3], 0); got > maxMultiple*float64(400*ms) {
 		t.Errorf("a report far off predicts %v", got)
 	}
 	b.now += time.Minute
 	b.handle(HealthCheckCompleted{Worker: 3, Report: []float64{3, 0}})
-	if got := b.p.queueingDelay(b.p.workers[3], 0); got > float64(50*ms) {
+	if got := b.queueingDelay(b.p.workers.byID[3], 0); got > float64(50*ms) {
 		t.Errorf("a report far off is still believed after a minute: %v", got)
 	}
 }
@@ -114,8 +114,8 @@
 	id, acts := b.arrive(0, 7)
 	s, _ := first[StartAttempt](acts)
 	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
-	if w := b.p.workers[s.Worker]; !b.p.beginsLoad(w, b.p.requests[id]) {
-		t.Errorf("a load is thought under way: %v left", b.p.expectedLoadTime(w, b.p.requests[id]))
+	if w := b.p.workers.byID[s.Worker]; !b.p.estimator.beginsLoad(b.p.now, w, b.p.requests.byID[id]) {
+		t.Errorf("a load is thought under way: %v left", b.p.estimator.expectedLoadTime(b.p.now, w, b.p.requests.byID[id]))
 	}
 }
 
@@ -138,8 +138,8 @@
 		t.Errorf("the other class left for %d", got)
 	}
 	b.now += 30 * time.Second
-	b.p.replicas.get(b.p.workers[w], 7).loadedUntil = b.now + time.Minute
-	for o, x := range b.p.workers {
+	b.p.replicas.get(b.p.workers.byID[w], 7).loadedUntil = b.now + time.Minute
+	for o, x := range b.p.workers.byID {
 		if o != w {
 			delete(x.replicas, 7)
 		}
@@ -155,9 +155,9 @@
 func TestWorkHintsAreBelievedUntilResponsesAddUp(t *testing.T) {
 	b := newHarness(t, config(), 3)
 	b.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
-	r := b.p.requests[99]
+	r := b.p.requests.byID[99]
 	b.handle(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
-	if got := b.p.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > float64(200*ms) {
+	if got := b.p.estimator.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > nanoseconds(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -14,7 +14,7 @@
 // FunctionID names a function (a model) that workers load on demand.
 type FunctionID uint64
 
-// Outcome is how an attempt, a health check or a load order ended.
+// Outcome is how an attempt, a health check or a load command ended.
 type Outcome uint8
 
 // The outcomes. Overloaded, Unreachable, NotSent and NotLoaded prove that an attempt never ran.
@@ -37,11 +37,11 @@
 
 // String returns the outcome in lower case. Log attributes that count outcomes have these names.
 func (o Outcome) String() string {
-	return nameOf("Outcome", o,
-		"served", "failed", "overloaded", "timed_out", "unreachable", "connection_reset", "canceled", "not_sent", "not_loaded")
+	return nameOf("Outcome", o, "served", "failed", "overloaded", "timed_out", "unreachable", "connection_reset",
+		"canceled", "not_sent", "not_loaded")
 }
 
-// LoadStatus is what a response tells of the function's replica.
+// LoadStatus is what a response reports of the function's replica.
 type LoadStatus uint8
 
 // The kinds of LoadStatus.
@@ -55,7 +55,8 @@
 
 // String returns the load status in lower-case words.
 func (s LoadStatus) String() string {
-	return nameOf("LoadStatus", s, "unknown", "already loaded", "started load", "waited for load", "load failed")
+	return nameOf("LoadStatus", s,
+		"unknown", "already loaded", "started load", "waited for load", "load failed")
 }
 
 // WorkerState is what the endpoint list says of a worker.
@@ -108,14 +109,14 @@
 // Event is something that happened to the router. Only this package's types are events.
 type Event interface{ event() }
 
-// EndpointList tells what is known of the workers.
+// EndpointList is the endpoint list, or a change of it.
 type EndpointList struct {
 	Kind    EndpointListKind
 	Workers []Endpoint
 }
 
-// NoTenant is the tenant of a request that names none of those that the settings know. Where they know any, it is
-// beyond everyone's quota.
+// NoTenant is the tenant of a request that names none of those that the settings know. Where they know any,
+// it is beyond everyone's quota.
 const NoTenant = -1
 
 // RequestArrived is a new request, to which one final response is owed.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -101,3 +101,11 @@
 func has[A Action](acts []Action) bool { _, ok := first[A](acts); return ok }
 
 func firstClass(b *harness) *classState { return &b.p.classes[0] }
+
+// queueingDelay is the predicted queueing delay at a worker, in nanoseconds.
+func (b *harness) queueingDelay(w *worker, attempts int) float64 {
+	return float64(b.p.estimator.queueingDelay(b.p.now, w, attempts))
+}
+
+// ejected reports whether a worker is ejected.
+func (b *harness) ejected(w *worker) bool { return b.p.outliers.ejected(b.p.now, w) }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -18,7 +18,7 @@
 			t.Fatalf("after a miss: %v", acts)
 		}
 		acts = b.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: o})
-		aside := b.p.ejected(b.p.workers[s.Worker])
+		aside := b.ejected(b.p.workers.byID[s.Worker])
 		if next, ok := first[StartAttempt](acts); !ok || aside != (o == Unreachable) || has[CheckHealth](acts) != (o == ConnectionReset) ||
 			o == Unreachable && next.Worker == s.Worker {
 			t.Errorf("after outcome %d of the order: %v, aside %v", o, acts, aside)
@@ -50,11 +50,11 @@
 		t.Errorf("an unsafe call that may have run is not failed when due: %v", acts)
 	}
 	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
-	for _, w := range b.p.fleet {
-		if w.checking {
+	for _, w := range b.p.workers.fleet {
+		if w.health.checking {
 			b.handle(HealthCheckCompleted{Worker: w.Worker, Took: 2 * ms})
 		}
-		if b.p.ejected(w) {
+		if b.ejected(w) {
 			t.Errorf("worker %d is set aside", w.Worker)
 		}
 	}
@@ -73,15 +73,15 @@
 		t.Fatalf("no probe of the worker: %v", acts)
 	}
 	b.handle(HealthCheckCompleted{Worker: w})
-	if b.p.ejected(b.p.workers[w]) || b.p.workers[w].replicas[7].loadedUntil <= b.now {
+	if b.ejected(b.p.workers.byID[w]) || b.p.workers.byID[w].replicas[7].loadedUntil <= b.now {
 		t.Error("a living worker is set aside or thought empty")
 	}
 	b.now += ms
 	b.handle(HealthCheckCompleted{Worker: 999}) // the clock goes on
-	b.p.checkHealth(b.p.workers[w])
+	b.p.checkHealth(b.p.workers.byID[w])
 	b.now += time.Second
 	b.handle(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
-	if !b.p.ejected(b.p.workers[w]) {
+	if !b.ejected(b.p.workers.byID[w]) {
 		t.Error("a worker that answers no probe is still used")
 	}
 }
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"encoding/binary"
 	"maps"
 	"slices"
 	"time"
@@ -10,75 +9,70 @@
 const (
 	housekeepingInterval = 50 * time.Millisecond // well below any latency objective, cheap enough
 	sweepInterval        = time.Second
-	functionMemory       = 2 * time.Minute // a function without requests is forgotten then
-	gossipEntryBytes     = 16              // a worker and a function; 16 of them fill a message
-	gossipPerRequest     = 2               // routers that a request pays messages for, however many there are
+
+	// gossipedKeepAlivePercent is the part of its keep-alive for which a replica is believed in that another
+	// router reports: the report is a while old.
+	gossipedKeepAlivePercent = 90
 )
 
+// housekeep does what is due at each housekeepingInterval.
 func (p *Policy) housekeep() {
-	p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken})
-	p.servedWork *= rateRetention
-	p.servedSpan = rateRetention*p.servedSpan + housekeepingInterval.Seconds()
-	for _, w := range p.fleet {
-		w.servedWork *= rateRetention
-		p.refillSlowStart(w)
-		p.checkSilent(w)
+	p.emit(SetTimer{After: housekeepingInterval, Token: timerToken{kind: housekeepingTimer}.encode()})
+	p.slowStart.decayServed()
+	for _, w := range p.workers.fleet {
+		p.slowStart.refill(p.now, w)
+		if p.outliers.checkDue(p.now, w) {
+			p.checkHealth(w)
+		}
 	}
-	p.gossip = p.gossip[max(0, len(p.gossip)-16*gossipEntryBytes):]
-	if others := float64(p.cfg.Routers - 1); len(p.gossip) > 0 && p.gossipTokens >= others {
-		p.emit(SendGossip{To: -1, Data: slices.Clone(p.gossip)})
-		p.gossip, p.gossipTokens = p.gossip[:0], p.gossipTokens-others
+	if message := p.gossip.takeMessage(); message != nil {
+		p.emit(SendGossip{To: -1, Data: message})
 	}
-	deferred := p.deferred
-	p.deferred = nil
-	for _, r := range deferred {
+	for _, r := range p.requests.takeDeferred() {
 		p.schedule(r)
 	}
-	if p.now-p.lastSweep >= sweepInterval {
-		p.lastSweep = p.now
+	if p.now-p.maintenance.lastSweep >= sweepInterval {
+		p.maintenance.lastSweep = p.now
 		p.sweep()
 	}
 }
 
+// sweep forgets what is over, and unloads replicas that are not worth their memory.
 func (p *Policy) sweep() {
-	p.fleet = slices.DeleteFunc(p.fleet, func(w *worker) bool {
-		gone := w.State == Gone && len(w.inFlight) == 0 && w.pendingLoads == 0
-		if gone {
-			p.replicas.removeWorker(w)
-			delete(p.workers, w.Worker)
-		}
-		return gone
-	})
+	p.workers.removeGone(p.replicas.removeWorker)
 	p.updateCapacities()
-	for _, w := range p.fleet {
+	for _, w := range p.workers.fleet {
 		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
-			replica, f := w.replicas[id], p.functions[id]
-			idle := replica.inFlight == 0 && !replica.loadPending && p.now > replica.loadDue
-			left := replica.loadedUntil - p.now
-			tooLong := f != nil && left+f.idleLimit < p.cfg.KeepAlive
-			if idle && (left < 0 || tooLong && p.emit(Unload{w.Worker, id})) {
-				p.replicas.remove(id, w)
-			}
+			p.sweepReplica(w, id)
 		}
 	}
-	unused := func(_ FunctionID, f *function) bool { return p.now-f.lastUsed > functionMemory }
-	maps.DeleteFunc(p.functions, unused)
+	p.functions.forgetUnused(p.now)
 }
 
-// gossipReplica has few other routers know of a replica, again in its keep-alive: else each loads its own.
-func (p *Policy) gossipReplica(replica *replica, f *function) {
-	if p.cfg.GossipSupported && p.cfg.Routers > 1 && p.now-replica.gossipedAt > p.cfg.KeepAlive/4 {
-		replica.gossipedAt = p.now
-		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(replica.worker.Worker))
-		p.gossip = binary.BigEndian.AppendUint64(p.gossip, uint64(f.id))
+// sweepReplica forgets an idle replica whose keep-alive is over. One that has been idle for longer than it is
+// worth its memory is unloaded first.
+func (p *Policy) sweepReplica(w *worker, id FunctionID) {
+	entry := w.replicas[id]
+	if entry.inFlight > 0 || entry.loadPending || p.now <= entry.loadDue {
+		return
+	}
+	remaining := entry.loadedUntil - p.now
+	f := p.functions.get(id)
+	idleTooLong := f != nil && remaining+f.idleLimit < p.cfg.KeepAlive
+	if remaining < 0 || idleTooLong && p.emit(Unload{Worker: w.Worker, Function: id}) {
+		p.replicas.remove(id, w)
 	}
 }
 
-func (p *Policy) gossipReceived(gossip []byte) {
-	for ; len(gossip) >= gossipEntryBytes; gossip = gossip[gossipEntryBytes:] {
-		if w := p.workers[WorkerID(binary.BigEndian.Uint64(gossip))]; w != nil && w.State == Ready {
-			replica := p.replicas.get(w, FunctionID(binary.BigEndian.Uint64(gossip[8:])))
-			replica.loadedUntil = max(replica.loadedUntil, p.now+p.cfg.KeepAlive*9/10)
+// gossipReceived learns of replicas that another router saw loaded.
+func (p *Policy) gossipReceived(e GossipReceived) {
+	for id, f := range gossipedReplicas(e.Data) {
+		w := p.workers.get(id)
+		if w == nil || w.State != Ready {
+			continue
 		}
+		entry := p.replicas.get(w, f)
+		believedUntil := p.now + p.cfg.KeepAlive*gossipedKeepAlivePercent/100
+		entry.loadedUntil = max(entry.loadedUntil, believedUntil)
 	}
 }
--- /dev/null
+++ b/policy/load_budget.go
@@ -0,0 +1,55 @@
+package policy
+
+import (
+	"time"
+
+	"crankhold/internal/stats"
+)
+
+// loadBudget counts requests and load commands over a sliding window and bounds the second by the first.
+//
+// Invariant: load commands in the window never exceed LoadBudgetMinimum and LoadBudgetRatio of the requests
+// in it. Canceled requests do not count.
+type loadBudget struct {
+	cfg      *Config
+	arrivals stats.SlidingWindow
+	commands stats.SlidingWindow
+}
+
+// recordArrival counts a request.
+func (b *loadBudget) recordArrival(now time.Duration) { b.arrivals.Add(now, b.cfg.LoadBudgetWindow) }
+
+// withdrawArrival forgets a request that arrived at a time and was canceled.
+func (b *loadBudget) withdrawArrival(arrivedAt time.Duration) { b.arrivals.Remove(arrivedAt) }
+
+// recordCommand counts a load command.
+func (b *loadBudget) recordCommand(now time.Duration) { b.commands.Add(now, b.cfg.LoadBudgetWindow) }
+
+// recentRequests returns how many requests arrived within the window.
+func (b *loadBudget) recentRequests(now time.Duration) float64 {
+	return float64(b.arrivals.CountSince(now - b.cfg.LoadBudgetWindow + 1))
+}
+
+// allowance returns how many load commands the window may hold now.
+func (b *loadBudget) allowance(now time.Duration) float64 {
+	return b.cfg.LoadBudgetMinimum + b.cfg.LoadBudgetRatio*b.recentRequests(now)
+}
+
+// bounded reports whether the settings have a load budget.
+func (b *loadBudget) bounded() bool { return b.cfg.LoadBudgetWindow > 0 }
+
+// allowsCommand reports whether a further load command is within the budget.
+func (b *loadBudget) allowsCommand(now time.Duration) bool {
+	return !b.bounded() || float64(b.recentCommands(now)+1) <= b.allowance(now)
+}
+
+// allowsQueuedCommand reports whether a load command that was counted when it was decided on may be sent at a
+// time. Workers count it when it arrives, and requests that the budget rested on may have left the window
+// since.
+func (b *loadBudget) allowsQueuedCommand(now time.Duration) bool {
+	return !b.bounded() || float64(b.recentCommands(now)) <= b.allowance(now)
+}
+
+func (b *loadBudget) recentCommands(now time.Duration) int {
+	return b.commands.CountSince(now - b.cfg.LoadBudgetWindow)
+}
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -55,7 +55,7 @@
 		id, _ := b.arrive(0, 9)
 		b.handle(RequestCanceled{Request: id})
 	}
-	if got := b.p.loadBudget(); got != 4 {
+	if got := b.p.budget.allowance(b.p.now); got != 4 {
 		t.Fatalf("200 calls that were taken back make a ration of %v, 4 wanted", got)
 	}
 	kept, _ := b.arrive(0, 9)
@@ -65,12 +65,12 @@
 	}
 	id, _ := b.arrive(0, 9)
 	b.handle(RequestCanceled{Request: id})
-	if got := b.p.loadBudget(); got != 4+0.3*4 {
+	if got := b.p.budget.allowance(b.p.now); got != 4+0.3*4 {
 		t.Fatalf("four calls that stay make a ration of %v", got)
 	}
 	b.handle(RequestCanceled{Request: kept})
 	b.handle(RequestCanceled{Request: kept}) // twice counts once
-	if got := b.p.loadBudget(); got != 4+0.3*3 {
+	if got := b.p.budget.allowance(b.p.now); got != 4+0.3*3 {
 		t.Fatalf("three calls that stay make a ration of %v", got)
 	}
 }
@@ -81,7 +81,7 @@
 	cfg.Routers = 40
 	b := newHarness(t, cfg, 5)
 	b.serve(7, 100*ms, AlreadyLoaded)
-	b.p.failedLoads, b.p.breakerUntil = 1, b.now+time.Second
+	b.p.breaker.failures, b.p.breaker.openUntil = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
 	s, ok := first[StartAttempt](acts)
 	if !ok {
@@ -105,7 +105,7 @@
 		for _, a := range acts {
 			if s, ok := a.(StartAttempt); ok {
 				begun++
-				n := len(b.p.requests[s.Request].attempts) - 1
+				n := len(b.p.requests.byID[s.Request].attempts) - 1
 				b.handle(AttemptCompleted{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed})
 			}
 		}
@@ -115,7 +115,7 @@
 	}
 	b.now += 2 * time.Second
 	b.handle(TimerFired{Token: housekeepingToken})
-	b.p.deferred = nil
+	b.p.requests.deferred = nil
 	b.now += 2 * time.Second
 	b.serve(500, time.Second, StartedLoad)
 	b.serve(501, time.Second, StartedLoad) // one success opens the gate
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,109 +1,141 @@
 package policy
 
 import (
-	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
-
-	"crankhold/internal/stats"
 )
 
-const (
-	housekeepingToken = 0
-	subscribeToken    = 1
-	deadlineToken     = 1 << 32 // plus the request
-	hedgeToken        = 1 << 33 // plus the request
-)
+// randomStream separates the module's random draws from others of the same seed.
+const randomStream = 0x7468796d65
 
-// Policy takes one router's decisions.
+// Policy takes one router's decisions. It dispatches events to the types that own its state, and carries out
+// between them what concerns several. It is not safe for concurrent use.
 type Policy struct {
-	cfg       Config
-	rng       *rand.Rand
-	router    WorkerID // the seed: ranks in rendezvous hashing as a worker does
-	now       time.Duration
-	actions   []Action // that answer the present event
-	workers   map[WorkerID]*worker
-	fleet     []*worker // in the order of their first listing
-	requests  map[RequestID]*request
-	deferred  []*request // no worker may take them now; scheduled again at each housekeeping
-	functions map[FunctionID]*function
-	replicas  replicaIndex
+	cfg Config
+	tables
+	turn
+
+	estimator *latencyEstimator
+	slowStart *slowStart
+	budget    *loadBudget
+	breaker   *loadBreaker
+	quotas    tenantQuotas
+	shedder   *loadShedder
+	outliers  *outlierDetector
+	gossip    *gossiper
+	scheduler *scheduler
+	guard     ruleGuard
+
+	maintenance maintenance
+}
+
+// tables are the things that requests are scheduled by.
+type tables struct {
 	classes   []classState
-	quotas    []stats.TokenBucket // by tenant
-	scratch
+	functions functionTable
+	requests  requestTable
+	workers   workerTable
+	replicas  replicaTable
+}
 
-	queueSlope, reportSlope stats.Regression // delay over attempts in flight; over requests queued by reports
-	queueField              int              // of these in a load report; -1: not reported
-	sizeEffect              stats.Regression // of runs, less time over the log of the size
-	meanSize, loadTimeRatio float64          // measured load time over the announced one
-	standingDelay           stats.SkewedMean // that three of four responses from loaded replicas exceed
-	warmRate                float64          // work that warm workers take in a second, by capacity
-	servedWork, servedSpan  float64          // work for us and the seconds it took, decaying over rateSpan
+// turn is the handling of one event.
+type turn struct {
+	now     time.Duration
+	actions []Action // that answer the event
+}
 
-	started, subscribed    bool
-	arrivals, loadCommands stats.SlidingWindow // within LoadBudgetWindow
-	lastTrial, lastSweep   time.Duration
-	readyWorkers           int
-	failedLoads            int           // since one succeeded
-	breakerUntil           time.Duration // no load begins before, while they fail
-	gossip                 []byte        // replicas that the other routers are yet to be told of
-	gossipTokens           float64       // messages to one router that our requests have paid for
+// maintenance is when the work was done that recurs.
+type maintenance struct {
+	started   bool // the first housekeeping has been asked for
+	lastSweep time.Duration
 }
 
-// New returns a Policy for one router; all its random choices follow from seed.
+// New returns a Policy for one router; all its random choices follow from seed. It returns a *ConfigError for
+// settings that no platform can mean.
 func New(cfg Config, seed uint64) (*Policy, error) {
-	for i, c := range cfg.Classes {
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 || c.DeduplicationWindow < 0 ||
-			c.Idempotency > NotIdempotent || c.DeduplicationScope > DeduplicatedInCell {
-			return nil, &ConfigError{Class: i, Config: cfg}
-		}
-	}
-	for _, a := range cfg.amounts() {
-		if !(a.value >= 0) || a.value > a.most {
-			return nil, &ConfigError{Class: NoClass, Setting: a.setting, Config: cfg}
-		}
+	if err := cfg.validate(); err != nil {
+		return nil, err
 	}
 	cfg.Routers = max(cfg.Routers, 1)
-	p := &Policy{cfg: cfg, router: WorkerID(seed), rng: rand.New(rand.NewPCG(seed, 0x7468796d65)),
-		workers: map[WorkerID]*worker{}, requests: map[RequestID]*request{},
-		functions: map[FunctionID]*function{}}
-	p.loadTimeRatio, p.queueField = 1, slices.Index(cfg.LoadReportFields, "queue")
-	for _, c := range cfg.Classes {
-		run := initialRun * float64(c.LatencyObjective)
-		sum := runPrior * run
-		p.classes = append(p.classes, classState{c, stats.RunningMean{Mean: run}, sum, sum})
+	p := &Policy{cfg: cfg, tables: tables{
+		classes:   newClassStates(cfg.Classes),
+		functions: functionTable{byID: map[FunctionID]*function{}},
+		requests:  requestTable{byID: map[RequestID]*request{}},
+		workers:   workerTable{byID: map[WorkerID]*worker{}},
+	}}
+	p.assemble(rand.New(rand.NewPCG(seed, randomStream)), WorkerID(seed))
+	return p, nil
+}
+
+// assemble makes the parts of a Policy, which share its settings, tables and random source.
+func (p *Policy) assemble(rng *rand.Rand, router WorkerID) {
+	cfg := &p.cfg
+	retries := retryRules{cfg: cfg}
+	p.estimator = newLatencyEstimator(cfg, &p.tables)
+	p.slowStart = &slowStart{cfg: cfg, rng: rng, classes: p.classes, workers: &p.workers}
+	p.budget = &loadBudget{cfg: cfg}
+	p.breaker = &loadBreaker{}
+	p.quotas = newTenantQuotas(cfg.Tenants, cfg.Routers)
+	p.shedder = &loadShedder{cfg: cfg, rng: rng, classes: p.classes}
+	p.outliers = &outlierDetector{cfg: cfg}
+	p.gossip = &gossiper{cfg: cfg}
+	p.guard = ruleGuard{
+		cfg:       cfg,
+		tables:    &p.tables,
+		retries:   retries,
+		slowStart: p.slowStart,
+		budget:    p.budget,
 	}
-	for _, t := range cfg.Tenants {
-		rate := stats.Clamp(t.RequestsPerSecond, 0, 1e9) / float64(cfg.Routers)
-		most := rate + 3*math.Sqrt(rate) + 1 // a second's worth may be saved up, and chance
-		p.quotas = append(p.quotas, stats.TokenBucket{Tokens: rate + 1, Capacity: most, Rate: rate})
+	p.scheduler = &scheduler{
+		cfg:       cfg,
+		rng:       rng,
+		tables:    &p.tables,
+		estimator: p.estimator,
+		slowStart: p.slowStart,
+		outliers:  p.outliers,
+		breaker:   p.breaker,
+		shedder:   p.shedder,
+		retries:   retries,
+		ranking: rendezvousRanking{
+			cfg:       cfg,
+			tables:    &p.tables,
+			estimator: p.estimator,
+			slowStart: p.slowStart,
+			router:    router,
+		},
 	}
-	return p, nil
 }
 
-// Handle takes one event and appends the actions that answer it to actions.
+// Handle takes one event and appends the actions that answer it to actions. A time before the last event's
+// counts as that event's time.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
-	p.now, p.actions = max(now, p.now), actions
-	if !p.started {
-		p.started = true
-		p.emit(SetTimer{After: housekeepingInterval, Token: housekeepingToken})
-		p.emit(Subscribe{On: true})
+	p.now = max(now, p.now)
+	p.actions = actions
+	if !p.maintenance.started {
+		p.maintenance.started = true
+		p.start()
 	}
+	p.dispatch(event)
+	return p.actions
+}
+
+// start asks for the first housekeeping and for the endpoint list.
+func (p *Policy) start() {
+	p.emit(SetTimer{After: housekeepingInterval, Token: timerToken{kind: housekeepingTimer}.encode()})
+	p.emit(Subscribe{On: true})
+}
+
+// dispatch hands an event to what handles its kind.
+func (p *Policy) dispatch(event Event) {
 	switch e := event.(type) {
 	case EndpointList:
 		p.endpointsListed(e)
 	case RequestArrived:
 		p.requestArrived(e)
 	case RequestCanceled:
-		if r := p.requests[e.Request]; r != nil && !r.done { // what was taken back widens no load budget
-			p.arrivals.Remove(r.deadline - r.Remaining)
-			p.closeRequest(r)
-		}
+		p.requestCanceled(e)
 	case ResponseStarted:
-		if r := p.requests[e.Request]; r != nil {
-			r.streaming = true
-		}
+		p.responseStarted(e)
 	case AttemptCompleted:
 		p.attemptCompleted(e)
 	case LoadCompleted:
@@ -111,49 +143,34 @@
 	case HealthCheckCompleted:
 		p.healthCheckCompleted(e)
 	case GossipReceived:
-		p.gossipReceived(e.Data)
+		p.gossipReceived(e)
 	case TimerFired:
-		r := p.requests[RequestID(e.Token)] // its low bits
-		switch {
-		case e.Token == housekeepingToken:
-			p.housekeep()
-		case e.Token == subscribeToken:
-			p.emit(Subscribe{On: true})
-		case e.Token >= hedgeToken:
-			p.hedge(r)
-		case e.Token >= deadlineToken && r != nil && !r.streaming:
+		p.timerFired(decodeTimerToken(e.Token))
+	}
+}
+
+// timerFired does what a timer of the module was set for.
+func (p *Policy) timerFired(token timerToken) {
+	r := p.requests.get(token.request)
+	switch token.kind {
+	case housekeepingTimer:
+		p.housekeep()
+	case subscribeTimer:
+		p.emit(Subscribe{On: true})
+	case hedgeTimer:
+		p.startHedge(r)
+	case deadlineTimer:
+		if r != nil && !r.streaming {
 			p.reject(r, 0)
 		}
 	}
-	return p.actions
 }
 
-// emit is the one place where actions leave. It withholds those that would break a rule.
-func (p *Policy) emit(a Action) bool {
-	allowed := true
-	switch a := a.(type) {
-	case StartAttempt:
-		r, w := p.requests[a.Request], p.workers[a.Worker]
-		allowed = r != nil && w != nil && p.mayStart(r) && p.eligible(w, r) && p.slowStartAdmits(w)
-	case CancelAttempt:
-		allowed = p.cfg.CancelSupported
-	case Reject: // nothing may have run, or running it again is harmless wherever it goes
-		r := p.requests[a.Request]
-		allowed = r.possibleRun == nil && r.inFlight == 0 || r.class.Idempotency == Idempotent ||
-			r.class.Idempotency == IdempotentWithKey && r.class.DeduplicationScope == DeduplicatedEverywhere
-	case Load:
-		orders := p.loadCommands.CountSince(p.now - p.cfg.LoadBudgetWindow)
-		allowed = p.cfg.LoadCommandsSupported && p.workers[a.Worker].State == Ready &&
-			(p.cfg.LoadBudgetWindow <= 0 || float64(orders+1) <= p.loadBudget())
-	case Unload:
-		allowed = p.cfg.LoadCommandsSupported && p.workers[a.Worker].State == Ready
-	case CheckHealth:
-		allowed = p.cfg.HealthCheckSupported
-	case Subscribe: // only where the list does not come by itself
-		allowed = p.cfg.EndpointsByPolling && !p.subscribed
-	}
-	if allowed {
-		p.actions = append(p.actions, a)
+// emit lets an action leave unless it would break a rule, and reports whether it left.
+func (p *Policy) emit(action Action) bool {
+	if !p.guard.allows(p.now, action) {
+		return false
 	}
-	return allowed
+	p.actions = append(p.actions, action)
+	return true
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -28,7 +28,7 @@
 	b := newHarness(t, config(), 2)
 	id, acts := b.arrive(2, 7)
 	s, _ := first[StartAttempt](acts)
-	r := b.p.requests[id]
+	r := b.p.requests.byID[id]
 	r.inFlight, r.possibleRun = 0, r.attempts[0]
 	if b.p.emit(StartAttempt{Request: id, Worker: 3 - s.Worker}) {
 		t.Error("a repeat of an unsafe request left")
@@ -84,7 +84,7 @@
 	})
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newHarness(t, config(), 3)
-		b.p.breakerUntil = b.now + 1500*ms
+		b.p.breaker.openUntil = b.now + 1500*ms
 		b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
 		b.p.cfg.Routers = 1
 		if acts := b.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
@@ -128,7 +128,7 @@
 		cfg.RetryAfterSupported, cfg.MaxRetryAfter = allowed, 300*ms
 		for _, delay := range []time.Duration{150 * ms, 900 * ms} {
 			b := newHarness(t, cfg, 3)
-			b.p.standingDelay.Mean, b.p.lastTrial = float64(delay), b.now
+			b.p.shedder.standingDelay.Mean, b.p.scheduler.lastTrial = float64(delay), b.now
 			waits := map[time.Duration]bool{}
 			for range 100 {
 				_, acts := b.arrive(0, 7)
@@ -159,8 +159,8 @@
 	for range 5 {
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
-	for _, w := range b.p.fleet {
-		if v := w.queueSlope.SumY + firstClass(b).run.Mean + b.p.loadTimeRatio + b.p.standingDelay.Mean; math.IsNaN(v) || math.IsInf(v, 0) {
+	for _, w := range b.p.workers.fleet {
+		if v := w.latency.queueSlope.SumY + firstClass(b).run.Mean + b.p.estimator.loadTimeRatio + b.p.shedder.standingDelay.Mean; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -79,7 +79,7 @@
 	if _, acts := b.arriveWith(0, unlimited(p)); !has[Reject](acts) {
 		t.Errorf("over the cap: %v, want a refusal at once", acts)
 	}
-	if len(b.p.deferred) > 0 {
+	if len(b.p.requests.deferred) > 0 {
 		t.Error("a call over the cap is held")
 	}
 	b.handle(AttemptCompleted{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
@@ -162,7 +162,7 @@
 		cfg.HedgingAllowed = allowed
 		b := newHarness(t, cfg, 4)
 		for w := range WorkerID(4) {
-			b.p.replicas.get(b.p.workers[w+1], 7).loadedUntil = b.now + time.Hour
+			b.p.replicas.get(b.p.workers.byID[w+1], 7).loadedUntil = b.now + time.Hour
 		}
 		terms := unlimited(newPool(100, 1, 2, 3, 4))
 		terms.HedgeDelay = 100 * ms
@@ -351,15 +351,15 @@
 	for range 6 { // spells of 1, 2, 4 and 8 s
 		b.now += 10 * time.Second
 		b.p.now = b.now
-		b.p.eject(b.p.workers[1])
+		b.p.outliers.eject(b.p.now, b.p.workers.byID[1])
 	}
-	w := b.p.workers[1]
-	w.lastCheck = b.now
-	if left := w.ejectedUntil - b.now; left < 7*time.Second {
+	w := b.p.workers.byID[1]
+	w.health.lastCheck = b.now
+	if left := w.health.ejectedUntil - b.now; left < 7*time.Second {
 		t.Fatalf("set aside for %v", left)
 	}
 	b.arriveWith(0, unlimited(p))
-	if left := w.ejectedUntil - b.now; left > 500*ms {
+	if left := w.health.ejectedUntil - b.now; left > 500*ms {
 		t.Errorf("looked at in %v with a call that waits for it", left)
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -2,124 +2,161 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
-
-	"crankhold/internal/stats"
 )
 
-type request struct {
-	RequestArrived
-	class           *classState
-	function        *function
-	deadline        time.Duration
-	pool            Pool // the workers that it may go to
-	attempts        []*attempt
-	possibleRun     *attempt  // the first that may have run
-	retriesAfterRun int       // attempts after that
-	inFlight        int       // of all attempts
-	excluded        []*worker // that rejected or failed it
+// maxAttemptTime bounds what an attempt is said to have taken.
+const maxAttemptTime = time.Hour
 
-	overQuota, hedging, streaming, done bool // hedging: while its second attempt starts
-}
-
-type attempt struct {
-	request                   *request
-	worker                    *worker
-	pool                      Pool
-	number, inFlight          int // inFlight: attempts at the worker before it
-	startedAt, expected       time.Duration
-	expectsLoad, likelyLoaded bool // we know no replica there; but another router likely keeps one
-	ended, canceled           bool
-}
+// deadlineTicks is how many clock ticks before its deadline a request gets its final response.
+const deadlineTicks = 2
 
+// requestArrived schedules a new request. One of a class that there is not is ignored.
 func (p *Policy) requestArrived(e RequestArrived) {
-	if e.Class < 0 || e.Class >= len(p.classes) || p.requests[e.Request] != nil {
+	if e.Class < 0 || e.Class >= len(p.classes) || p.requests.get(e.Request) != nil {
 		return
 	}
-	p.arrivals.Add(p.now, p.cfg.LoadBudgetWindow)
-	p.gossipTokens = min(p.gossipTokens+gossipPerRequest, float64(p.cfg.Routers))
-	class, f := &p.classes[e.Class], p.functions[e.Function]
-	if f == nil {
-		f = &function{id: e.Function, run: stats.RunningMean{Mean: class.run.Mean}}
-		p.functions[f.id] = f
-	}
-	f.recentRequests *= math.Exp(-float64(p.now-f.lastUsed) / float64(rateSpan))
-	f.lastUsed, f.loadTime = p.now, e.LoadTime
-	if f.loadTime <= 0 || f.loadTime > time.Hour {
-		f.loadTime = class.LatencyObjective // unknown: as long as a response may take
-	}
-	e.Remaining, e.Policy = max(e.Remaining, 0), cmp.Or(e.Policy, &defaultRequestPolicy)
-	r := &request{RequestArrived: e, class: class, function: f, deadline: p.now + e.Remaining,
-		pool: e.Policy.Pool, overQuota: p.exceedsQuota(e.Tenant)}
-	p.requests[e.Request], f.idleLimit = r, p.idleLimit(r)
-	p.emit(SetTimer{After: max(e.Remaining-2*p.cfg.Tick, 0), Token: deadlineToken + uint64(e.Request)})
+	p.budget.recordArrival(p.now)
+	p.gossip.requestArrived()
+	class := &p.classes[e.Class]
+	f := p.functions.recordRequest(p.now, e, class)
+	e.Remaining = max(e.Remaining, 0)
+	e.Policy = cmp.Or(e.Policy, &defaultRequestPolicy)
+	r := &request{
+		RequestArrived: e,
+		class:          class,
+		function:       f,
+		deadline:       p.now + e.Remaining,
+		pool:           e.Policy.Pool,
+		overQuota:      p.quotas.exceeded(p.now, e.Tenant),
+	}
+	p.requests.add(r)
+	f.idleLimit = p.idleLimit(r)
+	p.emit(SetTimer{After: max(e.Remaining-p.deadlineMargin(), 0), Token: deadlineTokenOf(r)})
 	p.schedule(r)
 	f.recentRequests++
 }
 
+// deadlineMargin is how long before its deadline a request gets its final response.
+func (p *Policy) deadlineMargin() time.Duration { return deadlineTicks * p.cfg.Tick }
+
+// deadlineTokenOf returns the token of the timer by which a request gets its final response in time.
+func deadlineTokenOf(r *request) uint64 {
+	return timerToken{kind: deadlineTimer, request: r.Request}.encode()
+}
+
+// requestCanceled ends a request whose client has left. It no longer counts towards the load budget.
+func (p *Policy) requestCanceled(e RequestCanceled) {
+	r := p.requests.get(e.Request)
+	if r == nil || r.done {
+		return
+	}
+	p.budget.withdrawArrival(r.deadline - r.Remaining)
+	p.closeRequest(r)
+}
+
+// responseStarted records that a streamed response has begun, after which nothing can be sent elsewhere.
+func (p *Policy) responseStarted(e ResponseStarted) {
+	if r := p.requests.get(e.Request); r != nil {
+		r.streaming = true
+	}
+}
+
+// schedule sends a request to the worker with the lowest predicted latency, or rejects or defers it.
+func (p *Policy) schedule(r *request) {
+	if r.done || r.inFlight > 0 {
+		return
+	}
+	chosen := p.scheduler.choose(p.now, r)
+	switch chosen.kind {
+	case sendRequest:
+		p.startAttempt(r, chosen.placement)
+	case deferRequest:
+		p.requests.deferUntilHousekeeping(r)
+	case rejectRequest:
+		p.reject(r, chosen.retryAfter)
+	}
+}
+
+// attemptCompleted learns from the end of an attempt and decides what becomes of its request.
 func (p *Policy) attemptCompleted(e AttemptCompleted) {
-	r := p.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+	a := p.requests.findAttempt(e.Request, e.Attempt)
+	if a == nil {
 		return
 	}
-	a := r.attempts[e.Attempt]
-	w, replica := a.worker, p.replicas.get(a.worker, r.function.id)
+	r := a.request
+	entry := p.replicas.get(a.worker, r.function.id)
+	p.endAttempt(a, entry, e.Outcome)
+	e.Took = min(max(e.Took, 0), maxAttemptTime)
+	p.observeOutcome(a, entry, e)
+	if e.Closed {
+		p.closeRequest(r)
+	}
+	switch {
+	case r.done:
+		p.requests.removeIfOver(r)
+	case r.inFlight == 0:
+		p.continueRequest(r, entry, e.Outcome)
+	}
+}
+
+// endAttempt takes an attempt out of what is in flight.
+func (p *Policy) endAttempt(a *attempt, entry *replica, outcome Outcome) {
+	r := a.request
+	w := a.worker
 	a.ended = true
 	r.inFlight--
-	replica.inFlight--
+	entry.inFlight--
 	a.pool.AttemptFinished()
-	w.inFlight = slices.DeleteFunc(w.inFlight, func(o *attempt) bool { return o == a })
-	if !e.Outcome.NeverRan() && r.possibleRun == nil {
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(other *attempt) bool { return other == a })
+	if !outcome.NeverRan() && r.possibleRun == nil {
 		r.possibleRun = a
 	}
-	if e.Outcome != ConnectionReset || a.number > 0 { // it may break alone: its worker still has the replica
+	// A first attempt whose connection broke may go to the same worker again, which has the replica.
+	if outcome != ConnectionReset || a.number > 0 {
 		r.excluded = append(r.excluded, w)
 	}
-	e.Took = min(max(e.Took, 0), time.Hour)
-	p.observeOutcome(a, replica, e)
-	if e.Closed {
-		p.closeRequest(r)
+}
+
+// continueRequest decides what becomes of an open request whose last attempt ended without a response for its
+// client.
+func (p *Policy) continueRequest(r *request, entry *replica, outcome Outcome) {
+	if outcome == NotLoaded && p.commandLoad(r, entry) {
+		return
 	}
-	switch {
-	case r.done && r.inFlight == 0:
-		delete(p.requests, r.Request)
-	case r.done || r.inFlight > 0:
-	case e.Outcome == NotLoaded && p.commandLoad(r, replica):
-	case e.Outcome == NotSent || e.Outcome == TimedOut && p.now >= r.deadline-2*p.cfg.Tick:
+	timeOver := outcome == TimedOut && p.now >= r.deadline-p.deadlineMargin()
+	if outcome == NotSent || timeOver {
 		p.reject(r, 0)
-	default:
-		p.schedule(r)
+		return
 	}
+	p.schedule(r)
 }
 
-// reject gives the final response: a rejection where it is true, else a failure. The wait is in nanoseconds.
-func (p *Policy) reject(r *request, wait float64) {
-	rejection := Reject{Request: r.Request}
-	if most := float64(p.cfg.MaxRetryAfter); p.cfg.RetryAfterSupported && most > 0 {
-		wait = stats.Clamp(wait, float64(housekeepingInterval), most)
-		rejection.RetryAfter = time.Duration(wait * (1 - p.rng.Float64()/2)) // clients come back spread
-	}
-	if !r.done {
-		if !p.emit(rejection) {
-			p.emit(FailRequest{Request: r.Request})
-		}
-		p.closeRequest(r)
+// reject gives the final response: a rejection where trying again is harmless, else a failure. The client is
+// advised to stay away for about a wait.
+func (p *Policy) reject(r *request, wait nanoseconds) {
+	rejection := Reject{Request: r.Request, RetryAfter: p.shedder.retryAfter(wait)}
+	if r.done {
+		return
 	}
+	if !p.emit(rejection) {
+		p.emit(FailRequest{Request: r.Request})
+	}
+	p.closeRequest(r)
 }
 
+// closeRequest ends a request that has its final response, or needs none.
 func (p *Policy) closeRequest(r *request) {
 	r.done = true
-	p.emit(ClearTimer{Token: deadlineToken + uint64(r.Request)})
+	p.emit(ClearTimer{Token: deadlineTokenOf(r)})
 	for _, a := range r.attempts {
 		p.cancel(a)
 	}
-	if r.inFlight == 0 {
-		delete(p.requests, r.Request)
-	}
+	p.requests.removeIfOver(r)
 }
 
+// cancel cancels an attempt in flight, where the settings allow it.
 func (p *Policy) cancel(a *attempt) {
 	if !a.ended && !a.canceled {
 		a.canceled = p.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
--- a/policy/retries_test.go
+++ b/policy/retries_test.go
@@ -18,12 +18,12 @@
 		}
 		b.now += 10 * ms
 		probes := b.handle(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		n := b.p.workers[w].failureRates[0].Weight()
+		n := b.p.workers.byID[w].latency.failureRates[0].Weight()
 		acts = b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
 		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](probes) || has[CheckHealth](acts) {
 			t.Fatalf("after a reset: %v, %v", probes, acts)
 		}
-		if b.p.workers[w].failureRates[0].Weight() != n {
+		if b.p.workers.byID[w].latency.failureRates[0].Weight() != n {
 			t.Error("one broken connection counts as two failures")
 		}
 		acts = b.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -218,8 +218,8 @@
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.deferred) > len(c.reqs) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.deferred))
+	if len(p.requests.deferred) > len(c.reqs) {
+		t.Fatalf("seed %d: books grow: %d held", seed, len(p.requests.deferred))
 	}
 }
 
@@ -269,7 +269,7 @@
 				ev = RequestCanceled{Request: id}
 			}
 			before := map[RequestID]bool{}
-			for id, r := range p.requests {
+			for id, r := range p.requests.byID {
 				before[id] = !r.done
 			}
 			over := map[RequestID]bool{}
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	b.now += 11 * time.Second // longer than the told keep-alive
-	if i := b.p.workers[w].replicas[7]; i != nil && b.now < i.loadedUntil {
+	if i := b.p.workers.byID[w].replicas[7]; i != nil && b.now < i.loadedUntil {
 		t.Error("belief outlives the keep-alive")
 	}
 }
@@ -41,8 +41,8 @@
 	}
 	b := newHarness(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both hold a replica; queueing at 2 looks a little worse
-		b.p.replicas.get(b.p.workers[w], 7).loadedUntil = b.now + 10*time.Second
-		b.p.workers[w].queueDelay.Observe(b.now, float64(w-1)*float64(20*ms))
+		b.p.replicas.get(b.p.workers.byID[w], 7).loadedUntil = b.now + 10*time.Second
+		b.p.workers.byID[w].latency.queueDelay.Observe(b.now, float64(w-1)*float64(20*ms))
 	}
 	one, at1 := send(b)
 	two, at2 := send(b)
@@ -51,8 +51,8 @@
 	}
 	served(b, one, at1, AlreadyLoaded)
 	served(b, two, at2, AlreadyLoaded)
-	b.p.replicas.get(b.p.workers[1], 7).lanes = 2 // two were served at a time
-	b.p.workers[2].queueDelay.Observe(b.now, float64(100*ms))
+	b.p.replicas.get(b.p.workers.byID[1], 7).lanes = 2 // two were served at a time
+	b.p.workers.byID[2].latency.queueDelay.Observe(b.now, float64(100*ms))
 	if _, at1 = send(b); at1 != 1 {
 		t.Fatalf("sent to %d", at1)
 	}
@@ -61,7 +61,7 @@
 		t.Fatalf("sent to %d though a second lane was seen", at2)
 	}
 	b.handle(AttemptCompleted{Request: id, Worker: 1, Outcome: NotLoaded})
-	if n := b.p.replicas.get(b.p.workers[1], 7).lanes; n != 0 {
+	if n := b.p.replicas.get(b.p.workers.byID[1], 7).lanes; n != 0 {
 		t.Errorf("%d lanes are believed in after a miss", n)
 	}
 }
@@ -73,7 +73,7 @@
 		cfg.Routers = 40
 		b := newHarness(t, cfg, 5)
 		b.serve(7, 100*ms, AlreadyLoaded)
-		b.p.lastTrial = b.now
+		b.p.scheduler.lastTrial = b.now
 		acts := b.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, Remaining: left})
 		if has[StartAttempt](acts) != want {
 			t.Errorf("%v left: %v", left, acts)
@@ -145,16 +145,16 @@
 		var ratios []float64
 		for seed := range uint64(20) {
 			b := newHarness(t, cfg, 0)
-			b.p.rng = rand.New(rand.NewPCG(seed, 7))
+			*b.p.scheduler.rng = *rand.New(rand.NewPCG(seed, 7))
 			var l EndpointList
 			for w := range 20 {
 				l.Workers = append(l.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Weight: float64(2 + w%2)})
 			}
 			b.handle(l)
 			for range 150 {
-				id, acts := b.arrive(0, FunctionID(b.p.rng.IntN(60)))
+				id, acts := b.arrive(0, FunctionID(b.p.scheduler.rng.IntN(60)))
 				s, _ := first[StartAttempt](acts)
-				took := 60 * ms * time.Duration(1000*b.p.rng.ExpFloat64()) / 1000
+				took := 60 * ms * time.Duration(1000*b.p.scheduler.rng.ExpFloat64()) / 1000
 				if s.Worker%2 == 0 {
 					took = time.Duration(float64(took) / faster)
 				}
@@ -163,8 +163,8 @@
 			}
 			homes := map[float64]float64{}
 			for f := range FunctionID(3000) {
-				at := slices.MaxFunc(b.p.fleet, func(x, y *worker) int {
-					return cmp.Compare(rendezvousScore(f, x.Worker, x.hashWeight, math.Inf(-1)), rendezvousScore(f, y.Worker, y.hashWeight, math.Inf(-1)))
+				at := slices.MaxFunc(b.p.workers.fleet, func(x, y *worker) int {
+					return cmp.Compare(rendezvousScore(f, x.Worker, x.capacity.hashWeight, math.Inf(-1)), rendezvousScore(f, y.Worker, y.capacity.hashWeight, math.Inf(-1)))
 				})
 				homes[at.Weight]++
 			}
@@ -184,7 +184,8 @@
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
 	for n := range uint64(50) {
 		b := newHarness(t, cfg, 20)
-		b.p.router, b.p.rng = WorkerID(n), rand.New(rand.NewPCG(n, 2))
+		b.p.scheduler.ranking.router = WorkerID(n)
+		*b.p.scheduler.rng = *rand.New(rand.NewPCG(n, 2))
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
@@ -192,7 +193,7 @@
 			}
 			b.now += 300 * ms
 			w := b.serve(f, 30*ms, AlreadyLoaded)
-			b.p.workers[w].replicas[f].loadedUntil = b.now // as a router that has just lost sight of it
+			b.p.workers.byID[w].replicas[f].loadedUntil = b.now // as a router that has just lost sight of it
 			if k > 15 && f == 7 {
 				hot[w] = true
 			}
@@ -216,7 +217,8 @@
 	var beds []*harness
 	for n := range uint64(60) {
 		b := newHarness(t, cfg, 20)
-		b.p.router, b.p.rng = WorkerID(n), rand.New(rand.NewPCG(n, 9))
+		b.p.scheduler.ranking.router = WorkerID(n)
+		*b.p.scheduler.rng = *rand.New(rand.NewPCG(n, 9))
 		beds = append(beds, b)
 	}
 	home, count := WorkerID(0), map[WorkerID]int{}
@@ -226,7 +228,7 @@
 			for k := range 24 {
 				f := FunctionID(7)
 				if k > 0 {
-					f = FunctionID(1000 + k + int(b.p.router)*24)
+					f = FunctionID(1000 + k + int(b.p.scheduler.ranking.router)*24)
 				}
 				b.now += 500 * ms // 12 s a round: the function comes too seldom to know its replica as warm
 				b.handle(TimerFired{Token: housekeepingToken})
@@ -259,7 +261,7 @@
 	for range 5 {
 		round(false)
 	}
-	for w := range beds[0].p.fleet {
+	for w := range beds[0].p.workers.fleet {
 		if count[WorkerID(w+1)] > count[home] {
 			home = WorkerID(w + 1)
 		}
--- a/policy/shedding_test.go
+++ b/policy/shedding_test.go
@@ -22,9 +22,9 @@
 		}
 		return n
 	}
-	busy, idle := b.p.workers[1], b.p.workers[2]
+	busy, idle := b.p.workers.byID[1], b.p.workers.byID[2]
 	for range 10 {
-		busy.queueDelay.Observe(b.now, float64(250*ms))
+		busy.latency.queueDelay.Observe(b.now, float64(250*ms))
 	}
 	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
 		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
@@ -46,7 +46,7 @@
 			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 			b.id++
 			b.handle(RequestArrived{Request: b.id, Function: 7, LoadTime: time.Second, Remaining: 4 * time.Second})
-			r := b.p.requests[b.id]
+			r := b.p.requests.byID[b.id]
 			if r == nil || r.overQuota {
 				n++
 			}
@@ -70,7 +70,7 @@
 	b.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
-		b.p.standingDelay.Mean = float64(220 * ms)
+		b.p.shedder.standingDelay.Mean = float64(220 * ms)
 		f := FunctionID(7)
 		if n%2 == 0 {
 			f = FunctionID(1000 + n)
@@ -99,7 +99,7 @@
 		}
 		return sent
 	}
-	b.p.standingDelay.Mean = float64(220 * ms)
+	b.p.shedder.standingDelay.Mean = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
 		t.Errorf("sent %d of low worth and %d of high", low, high)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -115,7 +115,7 @@
 	cfg := config()
 	cfg.Routers = 100
 	b := newHarness(t, cfg, 10)
-	b.p.rng = rand.New(rand.NewPCG(seed, 1))
+	*b.p.scheduler.rng = *rand.New(rand.NewPCG(seed, 1))
 	gone, back := EndpointList{}, EndpointList{}
 	for w := range started {
 		gone.Workers = append(gone.Workers, Endpoint{Worker: WorkerID(w + 1), State: Gone})
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -6,7 +6,7 @@
 	b := newHarness(t, config(), 3)
 	w := b.serve(7, 1100*ms, StartedLoad)
 	b.handle(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: b.now}}})
-	if b.p.workers[w].replicas[7].loadedUntil > b.now {
+	if b.p.workers.byID[w].replicas[7].loadedUntil > b.now {
 		t.Error("a restarted worker is still thought warm")
 	}
 }
