--- /dev/null
+++ b/policy/attempt_starter.go
@@ -0,0 +1,84 @@
+package policy
+
+// attemptStarter sends requests to workers and counts what it sends.
+type attemptStarter struct {
+	cfg       *Config
+	turn      *turn
+	replicas  *replicaTable
+	retries   retryRules
+	estimator *latencyEstimator
+	slowStart *slowStart
+	breaker   *loadBreaker
+	quotas    *tenantQuotas
+}
+
+// start sends a request to a worker, unless that would break a rule.
+func (s *attemptStarter) start(r *request, chosen placement) {
+	w := chosen.worker
+	load := s.estimator.expectedLoadTime(s.turn.now, w, r)
+	entry := s.replicas.get(w, r.function.id)
+	if !s.turn.emit(s.action(r, w)) {
+		return
+	}
+	a := &attempt{
+		request:      r,
+		worker:       w,
+		pool:         r.pool,
+		number:       len(r.attempts),
+		ahead:        len(w.inFlight),
+		startedAt:    s.turn.now,
+		expected:     chosen.predicted,
+		expectsLoad:  load > 0,
+		likelyLoaded: chosen.likelyLoaded,
+	}
+	s.recordStart(a, entry)
+	if a.number == 0 {
+		s.recordFirstAttempt(r)
+	}
+	if a.expectsLoad {
+		s.recordExpectedLoad(entry, load)
+	}
+}
+
+// action returns the action that sends a request to a worker.
+func (s *attemptStarter) action(r *request, w *worker) StartAttempt {
+	start := StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}
+	if r.possibleRun != nil && r.class.Idempotency == IdempotentWithKey {
+		start.SendWithin = s.retries.deduplicatedUntil(r) - s.turn.now
+	}
+	return start
+}
+
+// recordStart counts an attempt as in flight and charges it to its worker's slow start.
+func (s *attemptStarter) recordStart(a *attempt, entry *replica) {
+	r := a.request
+	w := a.worker
+	a.pool.AttemptStarted()
+	r.attempts = append(r.attempts, a)
+	w.inFlight = append(w.inFlight, a)
+	r.inFlight++
+	entry.inFlight++
+	s.slowStart.charge(w, r.class)
+	if r.possibleRun != nil {
+		r.retriesAfterRun++
+	}
+}
+
+// recordFirstAttempt sets the timer of a request's hedged attempt, and charges the request to its tenant.
+func (s *attemptStarter) recordFirstAttempt(r *request) {
+	if r.Policy.HedgeDelay > 0 {
+		token := timerToken{kind: hedgeTimer, request: r.Request}
+		s.turn.emit(SetTimer{After: r.Policy.HedgeDelay, Token: token.encode()})
+	}
+	if !r.overQuota {
+		s.quotas.charge(r.Tenant)
+	}
+}
+
+// recordExpectedLoad records that an attempt likely begins a load.
+func (s *attemptStarter) recordExpectedLoad(entry *replica, load nanoseconds) {
+	if !s.cfg.MissWhenNotLoaded && entry.loadDue == 0 {
+		entry.loadDue = s.turn.now + load.duration()
+	}
+	s.breaker.recordStart(s.turn.now)
+}
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -114,8 +114,8 @@
 	id, acts := b.arrive(0, 7)
 	s, _ := first[StartAttempt](acts)
 	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
-	if w := b.p.workers.byID[s.Worker]; !b.p.estimator.beginsLoad(b.p.now, w, b.p.requests.byID[id]) {
-		t.Errorf("a load is thought under way: %v left", b.p.estimator.expectedLoadTime(b.p.now, w, b.p.requests.byID[id]))
+	if w := b.p.workers.byID[s.Worker]; !b.p.scheduler.estimator.beginsLoad(b.p.now, w, b.p.requests.byID[id]) {
+		t.Errorf("a load is thought under way: %v left", b.p.scheduler.estimator.expectedLoadTime(b.p.now, w, b.p.requests.byID[id]))
 	}
 }
 
@@ -157,7 +157,7 @@
 	b.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
 	r := b.p.requests.byID[99]
 	b.handle(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
-	if got := b.p.estimator.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > nanoseconds(200*ms) {
+	if got := b.p.scheduler.estimator.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > nanoseconds(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -104,8 +104,8 @@
 
 // queueingDelay is the predicted queueing delay at a worker, in nanoseconds.
 func (b *harness) queueingDelay(w *worker, attempts int) float64 {
-	return float64(b.p.estimator.queueingDelay(b.p.now, w, attempts))
+	return float64(b.p.scheduler.estimator.queueingDelay(b.p.now, w, attempts))
 }
 
 // ejected reports whether a worker is ejected.
-func (b *harness) ejected(w *worker) bool { return b.p.outliers.ejected(b.p.now, w) }
+func (b *harness) ejected(w *worker) bool { return b.p.scheduler.outliers.ejected(b.p.now, w) }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -78,7 +78,7 @@
 	}
 	b.now += ms
 	b.handle(HealthCheckCompleted{Worker: 999}) // the clock goes on
-	b.p.checkHealth(b.p.workers.byID[w])
+	b.p.health.check(b.p.workers.byID[w])
 	b.now += time.Second
 	b.handle(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
 	if !b.ejected(b.p.workers.byID[w]) {
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -21,9 +21,7 @@
 	p.slowStart.decayServed()
 	for _, w := range p.workers.fleet {
 		p.slowStart.refill(p.now, w)
-		if p.outliers.checkDue(p.now, w) {
-			p.checkHealth(w)
-		}
+		p.health.checkIfDue(w)
 	}
 	if message := p.gossip.takeMessage(); message != nil {
 		p.emit(SendGossip{To: -1, Data: message})
@@ -40,7 +38,7 @@
 // sweep forgets what is over, and unloads replicas that are not worth their memory.
 func (p *Policy) sweep() {
 	p.workers.removeGone(p.replicas.removeWorker)
-	p.updateCapacities()
+	p.endpoints.updateCapacities()
 	for _, w := range p.workers.fleet {
 		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
 			p.sweepReplica(w, id)
--- a/policy/latency_observations.go
+++ b/policy/latency_observations.go
@@ -21,13 +21,14 @@
 	waitedForLoad bool
 }
 
-// recordResult records whether a worker served a request of a class or failed it.
-func (e *latencyEstimator) recordResult(now time.Duration, a *attempt, failed bool) {
-	result := 0.0
-	if failed {
-		result = 1
-	}
-	a.worker.latency.failureRates[a.request.Class].Observe(now, result)
+// recordSuccess counts an attempt that was served towards its worker's failure rate for its class.
+func (e *latencyEstimator) recordSuccess(now time.Duration, a *attempt) {
+	a.worker.latency.failureRates[a.request.Class].Observe(now, 0)
+}
+
+// recordFailure counts an attempt that failed towards its worker's failure rate for its class.
+func (e *latencyEstimator) recordFailure(now time.Duration, a *attempt) {
+	a.worker.latency.failureRates[a.request.Class].Observe(now, 1)
 }
 
 // measure compares a response with what is predicted for it now, and learns from its load report.
--- /dev/null
+++ b/policy/loader.go
@@ -0,0 +1,93 @@
+package policy
+
+import (
+	"slices"
+	"time"
+)
+
+// loadTimePart is the part of the announced load time that a load must take to count as one: in less the
+// replica was loaded already, or nearly.
+const loadTimePart = 5
+
+// loader sends load commands within the load budget, and decides how long an idle replica is kept.
+type loader struct {
+	cfg       *Config
+	turn      *turn
+	workers   *workerTable
+	estimator *latencyEstimator
+	budget    *loadBudget
+	breaker   *loadBreaker
+	gossip    *gossiper
+	health    *healthChecker
+	outcomes  *outcomeRecorder
+}
+
+// command has the function of a request loaded at a worker that lacks it. The request follows when it is
+// loaded. It reports whether a load command is in flight.
+func (l *loader) command(r *request, entry *replica) bool {
+	if !entry.loadPending && !l.send(r, entry) {
+		return false
+	}
+	entry.waiting = append(entry.waiting, r)
+	r.excluded = slices.DeleteFunc(r.excluded, func(w *worker) bool { return w == entry.worker })
+	return true
+}
+
+// send sends a load command within the pool's and the router's load budget, and reports whether it
+// did.
+func (l *loader) send(r *request, entry *replica) bool {
+	if l.budget.bounded() && !r.pool.MayLoad(l.turn.now, l.budget.allowance(l.turn.now)) {
+		return false
+	}
+	if !l.turn.emit(Load{Worker: entry.worker.Worker, Function: r.Function, Count: 1}) {
+		return false
+	}
+	l.budget.recordCommand(l.turn.now)
+	r.pool.LoadStarted(l.turn.now)
+	entry.worker.pendingLoads++
+	entry.loadPending = true
+	entry.loadDue = l.turn.now + l.estimator.fullLoadTime(r.function).duration()
+	return true
+}
+
+// recordResult records the result of a load command, and returns the requests that waited for it.
+func (l *loader) recordResult(entry *replica, f *function, e LoadCompleted) (waiting []*request) {
+	waiting = entry.waiting
+	entry.loadPending = false
+	entry.loadDue = 0
+	entry.waiting = nil
+	entry.worker.pendingLoads--
+	switch e.Outcome {
+	case Served:
+		l.recordLoaded(entry, f, e.Took)
+	case Failed:
+		l.breaker.recordFailure(l.turn.now)
+	case ConnectionReset, Unreachable:
+		l.health.recordConnectionFailure(entry.worker, e.Outcome)
+	}
+	return waiting
+}
+
+// recordLoaded records that a load command succeeded after a time.
+func (l *loader) recordLoaded(entry *replica, f *function, took time.Duration) {
+	l.health.recordResponse(entry.worker)
+	entry.loadedUntil = l.turn.now + l.cfg.KeepAlive
+	l.gossip.replicaLoaded(l.turn.now, entry, f)
+	if took > f.loadTime/loadTimePart {
+		l.outcomes.recordLoadTime(nanoseconds(took), f)
+	}
+}
+
+// idleLimit is how long an idle replica of a request's function is worth its memory: until that has cost what
+// requests lose that find no replica.
+func (l *loader) idleLimit(r *request) time.Duration {
+	memoryCost := l.budget.recentRequests(l.turn.now) * l.cfg.MemoryPrice * r.MemoryMB
+	if l.cfg.MissWhenNotLoaded || l.cfg.WorkerMemoryMB <= 0 || !(memoryCost > 0) { // NaN is no cost
+		return l.cfg.KeepAlive
+	}
+	withLoad := l.estimator.fullLoadTime(r.function) + l.estimator.runTime(r)
+	late := min(float64(withLoad)/float64(r.class.LatencyObjective), 1)
+	lost := (1 - r.class.LatePriorityWeight) * late
+	lost *= l.cfg.WorkerMemoryMB * float64(max(l.workers.ready, 1)) * float64(l.cfg.LoadBudgetWindow)
+	return time.Duration(min(lost/memoryCost, float64(l.cfg.KeepAlive)))
+}
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -55,7 +55,7 @@
 		id, _ := b.arrive(0, 9)
 		b.handle(RequestCanceled{Request: id})
 	}
-	if got := b.p.budget.allowance(b.p.now); got != 4 {
+	if got := b.p.loads.budget.allowance(b.p.now); got != 4 {
 		t.Fatalf("200 calls that were taken back make a ration of %v, 4 wanted", got)
 	}
 	kept, _ := b.arrive(0, 9)
@@ -65,12 +65,12 @@
 	}
 	id, _ := b.arrive(0, 9)
 	b.handle(RequestCanceled{Request: id})
-	if got := b.p.budget.allowance(b.p.now); got != 4+0.3*4 {
+	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*4 {
 		t.Fatalf("four calls that stay make a ration of %v", got)
 	}
 	b.handle(RequestCanceled{Request: kept})
 	b.handle(RequestCanceled{Request: kept}) // twice counts once
-	if got := b.p.budget.allowance(b.p.now); got != 4+0.3*3 {
+	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*3 {
 		t.Fatalf("three calls that stay make a ration of %v", got)
 	}
 }
@@ -81,7 +81,7 @@
 	cfg.Routers = 40
 	b := newHarness(t, cfg, 5)
 	b.serve(7, 100*ms, AlreadyLoaded)
-	b.p.breaker.failures, b.p.breaker.openUntil = 1, b.now+time.Second
+	b.p.scheduler.breaker.failures, b.p.scheduler.breaker.openUntil = 1, b.now+time.Second
 	id, acts := b.arrive(0, 8)
 	s, ok := first[StartAttempt](acts)
 	if !ok {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -15,16 +15,16 @@
 	tables
 	turn
 
-	estimator *latencyEstimator
+	endpoints endpointTracker
+	health    *healthChecker
+	scheduler *scheduler
+	attempts  attemptStarter
+	outcomes  *outcomeRecorder
+	loads     loader
 	slowStart *slowStart
-	budget    *loadBudget
-	breaker   *loadBreaker
 	quotas    tenantQuotas
 	shedder   *loadShedder
-	outliers  *outlierDetector
 	gossip    *gossiper
-	scheduler *scheduler
-	guard     ruleGuard
 
 	maintenance maintenance
 }
@@ -38,12 +38,6 @@
 	replicas  replicaTable
 }
 
-// turn is the handling of one event.
-type turn struct {
-	now     time.Duration
-	actions []Action // that answer the event
-}
-
 // maintenance is when the work was done that recurs.
 type maintenance struct {
 	started   bool // the first housekeeping has been asked for
@@ -67,39 +61,80 @@
 	return p, nil
 }
 
-// assemble makes the parts of a Policy, which share its settings, tables and random source.
+// assemble makes the parts of a Policy, which share its settings, tables, turn and random source.
 func (p *Policy) assemble(rng *rand.Rand, router WorkerID) {
 	cfg := &p.cfg
 	retries := retryRules{cfg: cfg}
-	p.estimator = newLatencyEstimator(cfg, &p.tables)
+	estimator := newLatencyEstimator(cfg, &p.tables)
+	breaker := &loadBreaker{}
+	budget := &loadBudget{cfg: cfg}
+	outliers := &outlierDetector{cfg: cfg}
 	p.slowStart = &slowStart{cfg: cfg, rng: rng, classes: p.classes, workers: &p.workers}
-	p.budget = &loadBudget{cfg: cfg}
-	p.breaker = &loadBreaker{}
-	p.quotas = newTenantQuotas(cfg.Tenants, cfg.Routers)
 	p.shedder = &loadShedder{cfg: cfg, rng: rng, classes: p.classes}
-	p.outliers = &outlierDetector{cfg: cfg}
+	p.quotas = newTenantQuotas(cfg.Tenants, cfg.Routers)
 	p.gossip = &gossiper{cfg: cfg}
-	p.guard = ruleGuard{
+	p.guard = ruleGuard{cfg: cfg, tables: &p.tables, retries: retries, slowStart: p.slowStart, budget: budget}
+	p.health = &healthChecker{
+		turn:      &p.turn,
+		retries:   retries,
+		outliers:  outliers,
+		slowStart: p.slowStart,
+		estimator: estimator,
+	}
+	p.endpoints = endpointTracker{
 		cfg:       cfg,
-		tables:    &p.tables,
+		turn:      &p.turn,
+		workers:   &p.workers,
+		outliers:  outliers,
+		slowStart: p.slowStart,
+		estimator: estimator,
+	}
+	p.outcomes = &outcomeRecorder{
+		cfg:       cfg,
+		turn:      &p.turn,
+		workers:   &p.workers,
+		estimator: estimator,
+		slowStart: p.slowStart,
+		breaker:   breaker,
+		shedder:   p.shedder,
+		gossip:    p.gossip,
+		health:    p.health,
+	}
+	p.loads = loader{
+		cfg:       cfg,
+		turn:      &p.turn,
+		workers:   &p.workers,
+		estimator: estimator,
+		budget:    budget,
+		breaker:   breaker,
+		gossip:    p.gossip,
+		health:    p.health,
+		outcomes:  p.outcomes,
+	}
+	p.attempts = attemptStarter{
+		cfg:       cfg,
+		turn:      &p.turn,
+		replicas:  &p.replicas,
 		retries:   retries,
+		estimator: estimator,
 		slowStart: p.slowStart,
-		budget:    p.budget,
+		breaker:   breaker,
+		quotas:    &p.quotas,
 	}
 	p.scheduler = &scheduler{
 		cfg:       cfg,
 		rng:       rng,
 		tables:    &p.tables,
-		estimator: p.estimator,
+		estimator: estimator,
 		slowStart: p.slowStart,
-		outliers:  p.outliers,
-		breaker:   p.breaker,
+		outliers:  outliers,
+		breaker:   breaker,
 		shedder:   p.shedder,
 		retries:   retries,
 		ranking: rendezvousRanking{
 			cfg:       cfg,
 			tables:    &p.tables,
-			estimator: p.estimator,
+			estimator: estimator,
 			slowStart: p.slowStart,
 			router:    router,
 		},
@@ -109,8 +144,7 @@
 // Handle takes one event and appends the actions that answer it to actions. A time before the last event's
 // counts as that event's time.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
-	p.now = max(now, p.now)
-	p.actions = actions
+	p.begin(now, actions)
 	if !p.maintenance.started {
 		p.maintenance.started = true
 		p.start()
@@ -129,7 +163,7 @@
 func (p *Policy) dispatch(event Event) {
 	switch e := event.(type) {
 	case EndpointList:
-		p.endpointsListed(e)
+		p.endpoints.apply(e)
 	case RequestArrived:
 		p.requestArrived(e)
 	case RequestCanceled:
@@ -166,11 +200,32 @@
 	}
 }
 
-// emit lets an action leave unless it would break a rule, and reports whether it left.
-func (p *Policy) emit(action Action) bool {
-	if !p.guard.allows(p.now, action) {
-		return false
+// loadCompleted records the result of a load command, and schedules the requests that waited for it.
+func (p *Policy) loadCompleted(e LoadCompleted) {
+	w := p.workers.get(e.Worker)
+	f := p.functions.get(e.Function)
+	if w == nil || f == nil {
+		return
+	}
+	entry := w.replicas[f.id]
+	if entry == nil || !entry.loadPending {
+		return
+	}
+	for _, r := range p.loads.recordResult(entry, f, e) {
+		if e.Outcome != Served && e.Outcome != ConnectionReset {
+			r.excluded = append(r.excluded, w)
+		}
+		p.schedule(r)
+	}
+}
+
+// healthCheckCompleted records the result of a health check.
+func (p *Policy) healthCheckCompleted(e HealthCheckCompleted) {
+	if w := p.workers.get(e.Worker); w != nil {
+		p.health.recordResult(w, e)
 	}
-	p.actions = append(p.actions, action)
-	return true
 }
+
+// MayStillLoad reports whether a load command that was decided on before may be sent at a time: workers count
+// it when it arrives.
+func (p *Policy) MayStillLoad(now time.Duration) bool { return p.loads.budget.allowsQueuedCommand(now) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -84,7 +84,7 @@
 	})
 	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
 		b := newHarness(t, config(), 3)
-		b.p.breaker.openUntil = b.now + 1500*ms
+		b.p.scheduler.breaker.openUntil = b.now + 1500*ms
 		b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
 		b.p.cfg.Routers = 1
 		if acts := b.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
@@ -160,7 +160,7 @@
 		b.serve(7, 100*ms, AlreadyLoaded)
 	}
 	for _, w := range b.p.workers.fleet {
-		if v := w.latency.queueSlope.SumY + firstClass(b).run.Mean + b.p.estimator.loadTimeRatio + b.p.shedder.standingDelay.Mean; math.IsNaN(v) || math.IsInf(v, 0) {
+		if v := w.latency.queueSlope.SumY + firstClass(b).run.Mean + b.p.scheduler.estimator.loadTimeRatio + b.p.shedder.standingDelay.Mean; math.IsNaN(v) || math.IsInf(v, 0) {
 			t.Errorf("worker %d: an estimate is %v", w.Worker, v)
 		}
 	}
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -351,7 +351,7 @@
 	for range 6 { // spells of 1, 2, 4 and 8 s
 		b.now += 10 * time.Second
 		b.p.now = b.now
-		b.p.outliers.eject(b.p.now, b.p.workers.byID[1])
+		b.p.scheduler.outliers.eject(b.p.now, b.p.workers.byID[1])
 	}
 	w := b.p.workers.byID[1]
 	w.health.lastCheck = b.now
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -17,7 +17,7 @@
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests.get(e.Request) != nil {
 		return
 	}
-	p.budget.recordArrival(p.now)
+	p.loads.budget.recordArrival(p.now)
 	p.gossip.requestArrived()
 	class := &p.classes[e.Class]
 	f := p.functions.recordRequest(p.now, e, class)
@@ -32,7 +32,7 @@
 		overQuota:      p.quotas.exceeded(p.now, e.Tenant),
 	}
 	p.requests.add(r)
-	f.idleLimit = p.idleLimit(r)
+	f.idleLimit = p.loads.idleLimit(r)
 	p.emit(SetTimer{After: max(e.Remaining-p.deadlineMargin(), 0), Token: deadlineTokenOf(r)})
 	p.schedule(r)
 	f.recentRequests++
@@ -52,7 +52,7 @@
 	if r == nil || r.done {
 		return
 	}
-	p.budget.withdrawArrival(r.deadline - r.Remaining)
+	p.loads.budget.withdrawArrival(r.deadline - r.Remaining)
 	p.closeRequest(r)
 }
 
@@ -71,7 +71,7 @@
 	chosen := p.scheduler.choose(p.now, r)
 	switch chosen.kind {
 	case sendRequest:
-		p.startAttempt(r, chosen.placement)
+		p.attempts.start(r, chosen.placement)
 	case deferRequest:
 		p.requests.deferUntilHousekeeping(r)
 	case rejectRequest:
@@ -89,7 +89,7 @@
 	entry := p.replicas.get(a.worker, r.function.id)
 	p.endAttempt(a, entry, e.Outcome)
 	e.Took = min(max(e.Took, 0), maxAttemptTime)
-	p.observeOutcome(a, entry, e)
+	p.outcomes.record(a, entry, e)
 	if e.Closed {
 		p.closeRequest(r)
 	}
@@ -122,7 +122,7 @@
 // continueRequest decides what becomes of an open request whose last attempt ended without a response for its
 // client.
 func (p *Policy) continueRequest(r *request, entry *replica, outcome Outcome) {
-	if outcome == NotLoaded && p.commandLoad(r, entry) {
+	if outcome == NotLoaded && p.loads.command(r, entry) {
 		return
 	}
 	timeOver := outcome == TimedOut && p.now >= r.deadline-p.deadlineMargin()
@@ -156,9 +156,16 @@
 	p.requests.removeIfOver(r)
 }
 
-// cancel cancels an attempt in flight, where the settings allow it.
-func (p *Policy) cancel(a *attempt) {
-	if !a.ended && !a.canceled {
-		a.canceled = p.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
+// startHedge sends a request to a second worker, one where it needs no load, when the first has not responded
+// yet.
+func (p *Policy) startHedge(r *request) {
+	if r == nil || r.inFlight != 1 || !p.cfg.HedgingAllowed || r.class.Idempotency != Idempotent {
+		return
+	}
+	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.ended })].worker
+	r.hedging = true
+	if second := p.scheduler.chooseHedge(p.now, r, first); second.worker != nil {
+		p.attempts.start(r, second)
 	}
+	r.hedging = false
 }
