--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -54,12 +54,12 @@
 }
 
 // newLatencyEstimator returns an estimator that has seen nothing yet.
-func newLatencyEstimator(cfg *Config, tables *tables) *latencyEstimator {
+func newLatencyEstimator(cfg *Config, shared *tables) *latencyEstimator {
 	return &latencyEstimator{
 		cfg:           cfg,
-		classes:       tables.classes,
-		replicas:      &tables.replicas,
-		capacities:    capacityEstimator{cfg: cfg, workers: &tables.workers},
+		classes:       shared.classes,
+		replicas:      &shared.replicas,
+		capacities:    capacityEstimator{cfg: cfg, workers: &shared.workers},
 		queueField:    slices.Index(cfg.LoadReportFields, queueReportField),
 		loadTimeRatio: 1,
 	}
