--- /dev/null
+++ b/internal/webhook/ledger_golden_test.go
@@ -0,0 +1,154 @@
+package webhook
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"crankhold/internal/golden"
+)
+
+// The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b wrote
+// them; ledgers of that form are on the routers' disks.
+const (
+	goldenFirstRun  = "../ledger/testdata/first-run.ledger"  // entries appended to a new file
+	goldenSecondRun = "../ledger/testdata/second-run.ledger" // compacted at the start, with a retention horizon, and appended to
+	goldenCompacted = "../ledger/testdata/compacted.ledger"  // compacted once more, with a later horizon
+)
+
+// goldenEntries has each state and outcome that an entry can have. Orders are as many hours old at noon as their entries
+// say; a ledger of 2 hours' retention is opened at noon, and once more an hour later.
+type goldenEntry struct {
+	entry ledgerEntry
+	begin bool
+}
+
+func goldenOrder(id string, age time.Duration, state entryState, status httpStatus, body string) goldenEntry {
+	entry := ledgerEntry{ID: id, EventTime: noon.Add(-age), BodyDigest: "9f86d081884c7d659a2feaa0c55ad015", State: state, Status: status}
+	if body != "" {
+		entry.Body = []byte(body)
+	}
+	return goldenEntry{entry: entry, begin: state == stateBegun}
+}
+
+var goldenFirstEntries = []goldenEntry{
+	goldenOrder("expired", 150*time.Minute, stateBegun, 0, ""),
+	goldenOrder("expired", 150*time.Minute, stateEnded, 200, "done"),
+	goldenOrder("expired-in-flight", 125*time.Minute, stateBegun, 0, ""),
+	goldenOrder("in-flight", 30*time.Minute, stateBegun, 0, ""),
+	goldenOrder("served", 30*time.Minute, stateBegun, 0, ""),
+	goldenOrder("served", 30*time.Minute, stateEnded, 200, "done \x00\xff\r\n"),
+	goldenOrder("not-run", 30*time.Minute, stateBegun, 0, ""),
+	goldenOrder("not-run", 30*time.Minute, stateFreed, 0, ""),
+	goldenOrder("expires-later", 90*time.Minute, stateBegun, 0, ""),
+	goldenOrder("expires-later", 90*time.Minute, stateEnded, 502, ""),
+}
+
+var goldenSecondEntries = []goldenEntry{
+	goldenOrder("served-empty", 0, stateBegun, 0, ""),
+	goldenOrder("served-empty", 0, stateEnded, 200, ""),
+	goldenOrder("failed", 0, stateBegun, 0, ""),
+	goldenOrder("failed", 0, stateEnded, 502, ""),
+	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, stateBegun, 0, ""),
+	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, stateEnded, 504, ""),
+	goldenOrder("not-run-then-served-é", 0, stateBegun, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, stateFreed, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, stateBegun, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, stateEnded, 200, "done"),
+	goldenOrder("not-run-again", 0, stateBegun, 0, ""),
+	goldenOrder("not-run-again", 0, stateFreed, 0, ""),
+}
+
+// openGolden opens a ledger of 2 hours' retention.
+func openGolden(t *testing.T, path string, now time.Time) (*ledger, ledgerContent) {
+	t.Helper()
+	l, content, err := openLedger(LedgerConfig{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, now, systemDisk{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, content
+}
+
+// writeGolden opens a ledger, appends entries and closes it.
+func writeGolden(t *testing.T, path string, now time.Time, entries []goldenEntry) {
+	t.Helper()
+	l, _ := openGolden(t, path, now)
+	for _, e := range entries {
+		if !e.begin {
+			l.update(e.entry, now)
+			continue
+		}
+		recorded := make(chan error, 1)
+		l.begin(e.entry, now, func(err error) { recorded <- err })
+		if err := <-recorded; err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := l.close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The same entries give the same bytes as with the code of commit 90e713b: appended, compacted, and with a retention
+// horizon.
+func TestLedgerWritesTheGoldenBytes(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	writeGolden(t, path, noon.Add(-2*time.Hour), goldenFirstEntries)
+	golden.Compare(t, goldenFirstRun, readFile(t, path))
+	writeGolden(t, path, noon, goldenSecondEntries)
+	golden.Compare(t, goldenSecondRun, readFile(t, path))
+	writeGolden(t, path, noon.Add(time.Hour), nil)
+	golden.Compare(t, goldenCompacted, readFile(t, path))
+}
+
+// Each record of the files that the code of commit 90e713b wrote is read as it was meant.
+func TestLedgerReadsTheGoldenRecords(t *testing.T) {
+	horizon := goldenEntry{entry: ledgerEntry{EventTime: noon.Add(-125 * time.Minute), State: stateHorizon}}
+	laterHorizon := goldenEntry{entry: ledgerEntry{EventTime: noon.Add(-90 * time.Minute), State: stateHorizon}}
+	first, second := goldenFirstEntries, goldenSecondEntries
+	retained := []goldenEntry{first[3], first[5], first[9]}
+	for path, want := range map[string][]goldenEntry{
+		goldenFirstRun:  first,
+		goldenSecondRun: append(append([]goldenEntry{horizon}, retained...), second...),
+		goldenCompacted: {laterHorizon, first[3], first[5], second[1], second[3], second[5], second[9]},
+	} {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			wantEntries := make([]ledgerEntry, 0, len(want))
+			for _, e := range want {
+				wantEntries = append(wantEntries, e.entry)
+			}
+			var got []ledgerEntry
+			content := readFile(t, path)
+			size, err := readEntries(path, bytes.NewReader(content), func(e ledgerEntry) { got = append(got, e) })
+			if err != nil || size != int64(len(content)) {
+				t.Errorf("%d of %d bytes were read: %v", size, len(content), err)
+			}
+			if diff := cmp.Diff(wantEntries, got); diff != "" {
+				t.Errorf("the records differ (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
+// A ledger that the code of commit 90e713b left behind opens with the last entry of each order that it retains.
+func TestGoldenLedgerIsOpened(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	if err := os.WriteFile(path, readFile(t, goldenSecondRun), ledgerFileMode); err != nil {
+		t.Fatal(err)
+	}
+	l, content := openGolden(t, path, noon.Add(time.Hour))
+	defer l.close()
+	want := []ledgerEntry{goldenFirstEntries[3].entry, goldenFirstEntries[5].entry, goldenSecondEntries[1].entry,
+		goldenSecondEntries[3].entry, goldenSecondEntries[5].entry, goldenSecondEntries[9].entry}
+	if diff := cmp.Diff(want, content.entries); diff != "" {
+		t.Errorf("the entries differ (-want +got):\n%s", diff)
+	}
+	if horizon := noon.Add(-90 * time.Minute); !content.horizon.Equal(horizon) {
+		t.Errorf("the retention horizon is %v, want %v", content.horizon, horizon)
+	}
+	golden.Compare(t, goldenCompacted, readFile(t, path))
+}
