--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -69,8 +69,15 @@
 }
 
 func (n *integrations) addReceiver(cfg *webhook.Config, loop *eventloop.Loop, core *router.Core) error {
-	maxOutcomeBytes := n.config.ScaleToMemory(maxWebhookOutcomeBytes)
-	receiver, err := webhook.NewReceiver(cfg, core, webhookClasses(n.config), maxOutcomeBytes, loop, time.Now, loop.Post)
+	receiver, err := webhook.NewReceiver(webhook.Options{
+		Config:          cfg.Receiver,
+		Core:            core,
+		Classes:         webhookClasses(n.config),
+		MaxOutcomeBytes: n.config.ScaleToMemory(maxWebhookOutcomeBytes),
+		Clock:           loop,
+		WallClock:       time.Now,
+		Post:            loop.Post,
+	})
 	if err != nil {
 		return err
 	}
@@ -188,7 +195,7 @@
 // logCounters logs one line of counters for each integration that is on.
 func (n *integrations) logCounters() {
 	if n.receiver != nil {
-		counters, ledger := n.receiver.Counters, n.receiver.LedgerCounters()
+		counters, ledger := n.receiver.Counters(), n.receiver.LedgerCounters()
 		logCounterLine(
 			slog.Uint64("deliveries", counters.Deliveries),
 			slog.Uint64("unauthorized", counters.Unauthorized),
--- a/internal/webhook/connection.go
+++ b/internal/webhook/connection.go
@@ -79,7 +79,7 @@
 func (c *connection) readHead() bool {
 	request, size, status := parseHead(c.buffer)
 	if status != statusNone {
-		c.receiver.Counters.Malformed++
+		c.receiver.counters.Malformed++
 		c.closeAfterResponse = true // where the request's body ends is unknown
 		c.respond(httpResponse{status: status})
 		return false
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		core := &fakeCore{}
 		transport := &testutil.Transport{}
-		receiver, _ := newReceiver(t, core, "")
+		receiver, _ := newTestReceiver(t, core, "")
 		client := receiver.serve(transport, netip.AddrPort{})
 		var want []int
 		completed := map[string]int{} // by id, the status that is replayed
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -18,14 +18,14 @@
 // is authenticated.
 func (r *Receiver) handle(c *connection, request *httpRequest, body []byte) {
 	if status := r.checkTarget(request); status != statusNone {
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		c.respond(httpResponse{status: status})
 		return
 	}
-	r.Counters.Deliveries++
-	id, err := authenticate(request, body, r.keys, r.time, r.config.Receiver.Tolerance)
+	r.counters.Deliveries++
+	id, err := authenticate(request, body, r.keys, r.time, r.config.Tolerance)
 	if err != nil {
-		r.Counters.Unauthorized++
+		r.counters.Unauthorized++
 		r.logRejection("webhook_delivery_rejected", err)
 		c.respond(httpResponse{status: statusUnauthorized})
 		return
@@ -40,7 +40,7 @@
 
 // checkTarget rejects an HTTP request that is no delivery.
 func (r *Receiver) checkTarget(request *httpRequest) httpStatus {
-	if string(request.target) != r.config.Receiver.Path {
+	if string(request.target) != r.config.Path {
 		return statusNotFound
 	}
 	if string(request.method) != "POST" {
@@ -53,15 +53,15 @@
 func (r *Receiver) handleRedelivery(c *connection, first *outcome, bodyDigest string) {
 	switch {
 	case first.bodyDigest != bodyDigest: // a sender may not give an id to another payload
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		c.respond(httpResponse{status: statusBadRequest})
 	case first.completed:
-		r.Counters.Replayed++
+		r.counters.Replayed++
 		c.respond(first.response())
 	case len(first.joined) >= maxJoined:
 		c.respond(unavailable)
 	default:
-		r.Counters.Joined++
+		r.counters.Joined++
 		first.joined = append(first.joined, c)
 	}
 }
@@ -70,7 +70,7 @@
 func (r *Receiver) handleFirstDelivery(c *connection, id string, body []byte, bodyDigest string) {
 	request, eventTime, err := r.decodeRequest(body)
 	if err != nil {
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		r.logRejection("webhook_delivery_malformed", err)
 		c.respond(httpResponse{status: statusBadRequest})
 		return
@@ -79,9 +79,9 @@
 		c.respond(unavailable)
 		return
 	}
-	class := r.classes[request.Class]
+	class := r.classes.at(request.Class)
 	if class.NotIdempotent && r.ledger == nil {
-		r.Counters.LedgerRejected++
+		r.counters.LedgerRejected++
 		c.respond(unavailable)
 		return
 	}
@@ -90,7 +90,12 @@
 	if class.RequiresIdempotencyKey {
 		request.IdempotencyKey = hexDigest([]byte(id))
 	}
-	pending := &outcome{bodyDigest: bodyDigest, eventTime: eventTime, inLedger: class.NotIdempotent, joined: []*connection{c}}
+	pending := &outcome{
+		bodyDigest: bodyDigest,
+		eventTime:  eventTime,
+		inLedger:   class.NotIdempotent,
+		joined:     []*connection{c},
+	}
 	r.outcomes.add(id, pending)
 	if pending.inLedger {
 		r.recordOrder(id, pending, request)
@@ -109,7 +114,7 @@
 // orderRecorded forwards an order that is in the ledger, and rejects one that could not be recorded.
 func (r *Receiver) orderRecorded(id string, order *outcome, request router.Request, err error) {
 	if err != nil {
-		r.Counters.LedgerRejected++
+		r.counters.LedgerRejected++
 		r.outcomes.remove(id)
 		order.respondToAll(unavailable)
 		return
--- a/internal/webhook/delivery_test.go
+++ b/internal/webhook/delivery_test.go
@@ -52,7 +52,7 @@
 		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))},
 	} {
 		core := &fakeCore{}
-		receiver, _ := newReceiver(t, core, "")
+		receiver, _ := newTestReceiver(t, core, "")
 		transport := &testutil.Transport{}
 		receiver.serve(transport, netip.AddrPort{}).Data(test.bytes)
 		if got := statuses(t, transport); len(got) != 1 || got[0] != test.status || len(core.accepted) > 0 {
@@ -64,7 +64,7 @@
 // The tenant comes from the signed body, and routes go by it; one that is too long is rejected.
 func TestTenantIsTakenFromSignedBody(t *testing.T) {
 	core := &fakeCore{}
-	receiver, _ := newReceiver(t, core, "")
+	receiver, _ := newTestReceiver(t, core, "")
 	for i, x := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none accepted"}} {
 		body := bytes.Replace(callPayload("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, x.tenant), 1)
 		before := len(core.accepted)
@@ -86,7 +86,7 @@
 	keys := map[string]map[string]bool{}
 	for range 2 { // two receivers, as after a restart with a lost ledger
 		core := &fakeCore{}
-		receiver, posts := newReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+		receiver, posts := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
 		defer receiver.Close()
 		for _, id := range []string{"a", "b"} {
 			for _, class := range []string{"dim-level", "repair-order", "extend"} {
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -91,7 +91,7 @@
 }
 
 func TestMalformedDeliveryErrorsCarryTheField(t *testing.T) {
-	receiver, _ := newReceiver(t, &fakeCore{}, "")
+	receiver, _ := newTestReceiver(t, &fakeCore{}, "")
 	valid := string(callPayload("dim-level", "x", noon))
 	for _, test := range []struct{ old, new, field, message string }{
 		{"{", "", "", "invalid character ':' after top-level value"},
--- a/internal/webhook/example_test.go
+++ b/internal/webhook/example_test.go
@@ -52,7 +52,15 @@
 	// The receiver runs on an event loop, here on any free port.
 	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 1024})
 	classes := []webhook.Class{{Name: "dim-level", MaxWait: 2 * time.Second}}
-	receiver, err := webhook.NewReceiver(config, upperCaseCore{}, classes, 1<<20, loop, time.Now, loop.Post)
+	receiver, err := webhook.NewReceiver(webhook.Options{
+		Config:          config.Receiver,
+		Core:            upperCaseCore{},
+		Classes:         classes,
+		MaxOutcomeBytes: 1 << 20,
+		Clock:           loop,
+		WallClock:       time.Now,
+		Post:            loop.Post,
+	})
 	check(err)
 	loop.Listen("127.0.0.1:0", receiver.Accept)
 	check(loop.Start())
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -72,7 +72,7 @@
 		ledgerPath = ""
 	}
 	core := &fakeCore{}
-	receiver, posts := newReceiver(t, core, ledgerPath)
+	receiver, posts := newTestReceiver(t, core, ledgerPath)
 	defer receiver.Close()
 	if x.prepare != nil {
 		x.prepare(receiver)
@@ -294,7 +294,7 @@
 	t.Helper()
 	written := noon.Add(-2 * time.Hour)
 	core := &fakeCore{}
-	receiver, posts := newReceiverAt(t, core, path, func() time.Time { return written })
+	receiver, posts := newTestReceiverAt(t, core, path, func() time.Time { return written })
 	for _, o := range ledgerOrders() {
 		for round := range max(1, len(o.responses)) {
 			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
@@ -339,7 +339,7 @@
 		t.Fatal(err)
 	}
 	core := &fakeCore{}
-	receiver, posts := newReceiver(t, core, path)
+	receiver, posts := newTestReceiver(t, core, path)
 	golden.Compare(t, compactFile, readFile(t, path))
 
 	orders := ledgerOrders()
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -51,19 +51,32 @@
 	return LedgerConfig{Path: path, MaxBytes: 1 << 20, Retention: time.Hour}
 }
 
-// newReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
-func newReceiver(t rapid.TB, core Core, ledger string) (*Receiver, chan func()) {
+// testOptions returns the options of a receiver of the tests' classes.
+func testOptions(config *Config, core Core, clock Clock, wallClock func() time.Time, post func(func())) Options {
+	return Options{
+		Config:          config.Receiver,
+		Core:            core,
+		Classes:         classes,
+		MaxOutcomeBytes: 16 << 20,
+		Clock:           clock,
+		WallClock:       wallClock,
+		Post:            post,
+	}
+}
+
+// newTestReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
+func newTestReceiver(t rapid.TB, core Core, ledger string) (*Receiver, chan func()) {
 	t.Helper()
-	return newReceiverAt(t, core, ledger, wallAtNoon)
+	return newTestReceiverAt(t, core, ledger, wallAtNoon)
 }
 
-// newReceiverAt is newReceiver by another wall clock.
-func newReceiverAt(t rapid.TB, core Core, ledger string, wallClock func() time.Time) (*Receiver, chan func()) {
+// newTestReceiverAt is newTestReceiver by another wall clock.
+func newTestReceiverAt(t rapid.TB, core Core, ledger string, wallClock func() time.Time) (*Receiver, chan func()) {
 	t.Helper()
 	posts := make(chan func(), 100)
 	clock := testutil.Clock(time.Hour)
 	post := func(f func()) { posts <- f }
-	receiver, err := NewReceiver(testConfig(ledger), core, classes, 16<<20, clock, wallClock, post)
+	receiver, err := NewReceiver(testOptions(testConfig(ledger), core, clock, wallClock, post))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/webhook/ledger_test.go
+++ b/internal/webhook/ledger_test.go
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			core := &fakeCore{}
 			transport := &testutil.Transport{}
-			receiver, posts := newReceiver(t, core, path)
+			receiver, posts := newTestReceiver(t, core, path)
 			defer receiver.Close()
 			breakLedger(receiver.ledger)
 			for i := range 3 { // also those after it, before and after the disk was tried again
@@ -133,7 +133,7 @@
 func TestOrderOlderThanRetentionIsRejected(t *testing.T) {
 	core := &fakeCore{}
 	transport := &testutil.Transport{}
-	receiver, _ := newReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+	receiver, _ := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
 	defer receiver.Close()
 	receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, "old", noon, callPayload("repair-order", "x", noon.Add(-72*time.Hour))))
 	if got := statuses(t, transport); fmt.Sprint(got) != "[400]" || len(core.accepted) > 0 {
@@ -151,7 +151,7 @@
 	}{{1, "[]"}, {0, "[502]"}} {
 		core := &fakeCore{}
 		transport := &testutil.Transport{}
-		receiver, posts := newReceiver(t, core, path)
+		receiver, posts := newTestReceiver(t, core, path)
 		receiver.serve(transport, netip.AddrPort{}).Data(delivery)
 		if round == 0 {
 			(<-posts)() // it is on the disk, and is handed to the core
@@ -167,7 +167,7 @@
 func TestCloseWritesTheQueueAndLeavesNoGoroutine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	waitForLedgerGoroutines(t, 0) // of the tests before
-	receiver, _ := newReceiver(t, &fakeCore{}, path)
+	receiver, _ := newTestReceiver(t, &fakeCore{}, path)
 	waitForLedgerGoroutines(t, 1)
 	const orders = 20
 	for i := range orders {
--- a/internal/webhook/outcome.go
+++ b/internal/webhook/outcome.go
@@ -171,7 +171,7 @@
 // isExpired reports whether an outcome's time is over: an order's counts from its event, as in the ledger.
 func (r *Receiver) isExpired(o *outcome, now time.Duration, steadyNow time.Time) bool {
 	if o.inLedger {
-		return steadyNow.Sub(o.eventTime) > r.config.Receiver.Ledger.Retention
+		return steadyNow.Sub(o.eventTime) > r.config.Ledger.Retention
 	}
-	return now-o.completedAt > r.config.Receiver.DedupeFor
+	return now-o.completedAt > r.config.DedupeFor
 }
--- a/internal/webhook/outcome_test.go
+++ b/internal/webhook/outcome_test.go
@@ -14,7 +14,7 @@
 // client has left meanwhile.
 func TestRedeliveryJoinsRequestInFlight(t *testing.T) {
 	core := &fakeCore{}
-	receiver, posts := newReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+	receiver, posts := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
 	defer receiver.Close()
 	delivery := signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))
 	transports := []*testutil.Transport{{}, {}, {}}
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return request, eventTime, err
 	}
-	classIndex, known := r.classIndex[p.Data.Class]
+	class, classIndex, known := r.classes.find(p.Data.Class)
 	if !known {
 		return request, eventTime, malformedField("data.class", "unknown class")
 	}
@@ -111,7 +111,6 @@
 	if err := p.checkNumbers(); err != nil {
 		return request, eventTime, err
 	}
-	class := r.classes[classIndex]
 	if class.NotIdempotent {
 		if err := r.checkRetention(p.Timestamp); err != nil {
 			return request, eventTime, err
@@ -136,8 +135,8 @@
 // checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten. Their age
 // is a span of real time, so a step of the wall clock changes none.
 func (r *Receiver) checkRetention(eventTime time.Time) error {
-	tolerance := r.config.Receiver.Tolerance
-	maxAge := r.config.Receiver.Ledger.Retention - 2*tolerance
+	tolerance := r.config.Tolerance
+	maxAge := r.config.Ledger.Retention - 2*tolerance
 	steady := r.time.steady()
 	latest := r.time.latest().Add(tolerance)
 	if steady.Sub(eventTime) > maxAge || eventTime.After(latest) || !eventTime.After(r.horizon) {
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -10,9 +10,6 @@
 	"crankhold/policy"
 )
 
-// rejectionLogInterval is the least time between two log lines about rejected deliveries.
-const rejectionLogInterval = time.Second
-
 // Core is what the receiver hands requests to.
 type Core interface {
 	Accept(now time.Duration, r router.Request) policy.RequestID
@@ -26,70 +23,92 @@
 	ArrivedAt() time.Duration
 }
 
-// Class is a class of requests as the receiver needs to know it.
-type Class struct {
-	Name                   string
-	NotIdempotent          bool          // its requests are orders: they must never run twice and go through the ledger
-	RequiresIdempotencyKey bool          // workers drop repeats by a key, which is derived from the webhook-id
-	MaxWait                time.Duration // the longest that a request may wait for its response
-}
-
 // Counters counts deliveries by what became of them.
 type Counters struct {
-	Deliveries, Unauthorized, Malformed, Replayed, Joined, LedgerRejected uint64
+	Deliveries     uint64 // HTTP requests to the configured path, authenticated or not
+	Unauthorized   uint64 // answered with 401
+	Malformed      uint64 // answered with another 4xx, HTTP requests that are no delivery included
+	Replayed       uint64 // answered with the response of an earlier delivery
+	Joined         uint64 // that wait for the response of an earlier delivery
+	LedgerRejected uint64 // of orders that could not be recorded, answered with 503
 }
 
-// Receiver takes requests from signed webhooks.
+// Receiver takes requests from signed webhooks. It belongs to the event loop's goroutine.
 type Receiver struct {
-	config           *Config
-	core             Core
-	classes          []Class
-	classIndex       map[string]int
-	clock            Clock
-	time             *deliveryClock
-	post             func(func())
-	keys             []signingKey
-	ledger           *ledger   // nil: none is configured, and orders are rejected
-	horizon          time.Time // orders that happened up to then may have been forgotten
-	outcomes         *outcomeTable
-	nextRejectionLog time.Duration
-	Counters         Counters
+	config     ReceiverConfig
+	core       Core
+	classes    *classTable
+	clock      Clock
+	time       *deliveryClock
+	post       func(func())
+	keys       []signingKey
+	ledger     *ledger   // nil: none is configured, and orders are rejected
+	horizon    time.Time // the retention horizon: orders that happened up to then may have been forgotten
+	outcomes   *outcomeTable
+	rejections rejectionLog
+	counters   Counters
+}
+
+// Options are the parts that a Receiver works with.
+type Options struct {
+	// Config is the receiver's part of the webhook file, which ReadConfig has checked.
+	Config ReceiverConfig
+	// Core is handed the requests.
+	Core Core
+	// Classes are the classes of requests, in the order of router.Request.Class.
+	Classes []Class
+	// MaxOutcomeBytes limits the bytes of kept responses' bodies.
+	MaxOutcomeBytes int
+	// Clock is the event loop's.
+	Clock Clock
+	// WallClock is the system's.
+	WallClock func() time.Time
+	// Post runs a function on the event loop's goroutine. It may be called on any goroutine.
+	Post func(func())
+	// Logger logs rejections and the ledger's failures; nil: slog.Default().
+	Logger *slog.Logger
+}
+
+// NewReceiver reads the keys and the ledger that the configuration names, and starts the ledger's goroutine. It blocks
+// on file I/O and must be called before the event loop runs. Its errors are KeyErrors, LedgerErrors and
+// LedgerInUseErrors.
+func NewReceiver(options Options) (*Receiver, error) {
+	return newReceiver(options, systemDisk{})
 }
 
-// NewReceiver reads the keys and the ledger that cfg names. The receiver keeps at most maxOutcomeBytes of responses'
-// bodies. Clock is the event loop's, wallClock the system's; post runs a function on the event loop's goroutine.
-func NewReceiver(cfg *Config, core Core, classes []Class, maxOutcomeBytes int, clock Clock,
-	wallClock func() time.Time, post func(func())) (*Receiver, error) {
-	keys, err := readKeys(cfg.Receiver.Keys)
+// newReceiver makes a receiver whose ledger is kept on a disk.
+func newReceiver(options Options, disk ledgerDisk) (*Receiver, error) {
+	keys, err := readKeys(options.Config.Keys)
 	if err != nil {
 		return nil, err
 	}
+	logger := options.Logger
+	if logger == nil {
+		logger = slog.Default()
+	}
 	r := &Receiver{
-		config:     cfg,
-		core:       core,
-		classes:    classes,
-		classIndex: map[string]int{},
-		clock:      clock,
-		time:       newDeliveryClock(clock, wallClock),
-		post:       post,
+		config:     options.Config,
+		core:       options.Core,
+		classes:    newClassTable(options.Classes),
+		clock:      options.Clock,
+		time:       newDeliveryClock(options.Clock, options.WallClock),
+		post:       options.Post,
 		keys:       keys,
-		outcomes:   newOutcomeTable(maxOutcomeBytes),
-	}
-	for i, class := range classes {
-		r.classIndex[class.Name] = i
+		outcomes:   newOutcomeTable(options.MaxOutcomeBytes),
+		rejections: rejectionLog{logger: logger},
 	}
-	if cfg.Receiver.Ledger.Path == "" {
+	if r.config.Ledger.Path == "" {
 		return r, nil
 	}
-	if err := r.openLedger(); err != nil {
+	if err := r.openLedger(disk); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
 // openLedger opens the ledger and recovers the outcomes that it holds.
-func (r *Receiver) openLedger() error {
-	ledger, content, err := openLedger(r.config.Receiver.Ledger, r.time.steady(), systemDisk{})
+func (r *Receiver) openLedger(disk ledgerDisk) error {
+	ledger, content, err := openLedger(r.config.Ledger, r.time.steady(), disk)
 	if err != nil {
 		return err
 	}
@@ -101,6 +120,9 @@
 	return nil
 }
 
+// Counters returns the counters of deliveries since the start.
+func (r *Receiver) Counters() Counters { return r.counters }
+
 // LedgerCounters count what became of the ledger's file: failed writes and syncs, recoveries, and entries that are owed
 // to it now.
 type LedgerCounters struct{ Failures, Recoveries, Unwritten uint64 }
@@ -114,7 +136,8 @@
 	return LedgerCounters{counters.failures.Load(), counters.recoveries.Load(), counters.unwritten.Load()}
 }
 
-// Close ends the ledger's goroutine when all entries are written. No delivery may arrive after it.
+// Close ends the ledger's goroutine when all entries are written. It blocks until then and must not be called on the
+// event loop. No delivery may arrive after it.
 func (r *Receiver) Close() error {
 	if r.ledger == nil {
 		return nil
@@ -131,13 +154,5 @@
 	return &connection{receiver: r, transport: transport, peer: peer}
 }
 
-// logRejection logs why a delivery was rejected, at most once a second: whoever can connect could fill the log
-// otherwise. The counters count them all.
-func (r *Receiver) logRejection(event string, err error) {
-	now := r.clock.Now()
-	if now < r.nextRejectionLog {
-		return
-	}
-	r.nextRejectionLog = now + rejectionLogInterval
-	slog.Warn(event, slog.String("front", "webhook"), slog.Any("err", err))
-}
+// logRejection logs why a delivery was rejected.
+func (r *Receiver) logRejection(event string, err error) { r.rejections.add(r.clock.Now(), event, err) }
--- a/internal/webhook/recovery_test.go
+++ b/internal/webhook/recovery_test.go
@@ -37,7 +37,7 @@
 	s := &steppedReceiver{t: t, core: &fakeCore{}, clock: &movingClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
 	config := testConfig(path)
 	config.Receiver.Ledger.Retention = testRetention
-	receiver, err := NewReceiver(config, s.core, classes, 16<<20, s.clock, func() time.Time { return s.wall }, func(f func()) { s.posts <- f })
+	receiver, err := NewReceiver(testOptions(config, s.core, s.clock, func() time.Time { return s.wall }, func(f func()) { s.posts <- f }))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -84,7 +84,7 @@
 	server.core = router.New(decisions, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second})
 	server.core.SetWorkerClient(server)
 	server.core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
-	if server.receiver, err = NewReceiver(testConfig(ledger), server.core, classes, 16<<20, server.loop, wallAtNoon, server.loop.Post); err != nil {
+	if server.receiver, err = NewReceiver(testOptions(testConfig(ledger), server.core, server.loop, wallAtNoon, server.loop.Post)); err != nil {
 		t.Fatal(err)
 	}
 	server.receiver.keys = []signingKey{{secret: activeSecret}, {retiredSecret, noon}}
