--- a/internal/webhook/ledger_compaction.go
+++ b/internal/ledger/compaction.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"errors"
@@ -19,16 +19,16 @@
 // wholeFile has read take a file to its end.
 const wholeFile = math.MaxInt64
 
-// ledgerContent is what a ledger's file says.
-type ledgerContent struct {
-	entries []ledgerEntry // the last one of each order, in the order of the orders' first ones
-	horizon time.Time     // orders that happened up to then may have been forgotten; zero: none was
-	size    int64         // of the good part of the file
+// Content is what a ledger's file says.
+type Content struct {
+	Entries          []Entry   // the last one of each order, in the order of the orders' first ones
+	RetentionHorizon time.Time // orders that happened up to then may have been forgotten; zero: none was
+	size             int64     // of the good part of the file
 }
 
 // compact replaces the file by one that holds only the last entry of each order that is still retained. The ledger
 // appends to the new file.
-func (l *ledger) compact() error {
+func (l *Ledger) compact() error {
 	content, err := l.read(l.size)
 	if err != nil {
 		return err
@@ -39,50 +39,50 @@
 
 // retain drops what is not retained any longer. Where that is for its age, the horizon moves on, so that no wall clock,
 // were it stepped back, brings a forgotten order's time again.
-func (l *ledger) retain(content *ledgerContent) {
+func (l *Ledger) retain(content *Content) {
 	expired := l.now.Add(-l.retention)
-	content.entries = slices.DeleteFunc(content.entries, func(entry ledgerEntry) bool {
+	content.Entries = slices.DeleteFunc(content.Entries, func(entry Entry) bool {
 		isExpired := entry.EventTime.Before(expired)
-		if isExpired && entry.EventTime.After(content.horizon) {
-			content.horizon = entry.EventTime
+		if isExpired && entry.EventTime.After(content.RetentionHorizon) {
+			content.RetentionHorizon = entry.EventTime
 		}
-		return isExpired || entry.State == stateFreed
+		return isExpired || entry.State == Freed
 	})
 }
 
 // read reads the good part of the file up to a size. A ledger that does not exist yet is empty.
-func (l *ledger) read(size int64) (content ledgerContent, err error) {
+func (l *Ledger) read(size int64) (content Content, err error) {
 	file, err := l.disk.Open(l.path, os.O_RDONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
 		return content, nil
 	}
 	if err != nil {
-		return content, &LedgerError{Path: l.path, Err: err}
+		return content, &FileError{Path: l.path, Err: err}
 	}
 	defer file.Close()
 	indexByID := map[string]int{}
-	content.size, err = readEntries(l.path, io.LimitReader(file, size), func(entry ledgerEntry) {
+	content.size, err = readEntries(l.path, io.LimitReader(file, size), func(entry Entry) {
 		if entry.State == stateHorizon {
-			content.horizon = entry.EventTime
+			content.RetentionHorizon = entry.EventTime
 			return
 		}
 		index, known := indexByID[entry.ID]
 		if known {
-			content.entries[index] = entry
+			content.Entries[index] = entry
 			return
 		}
-		indexByID[entry.ID] = len(content.entries)
-		content.entries = append(content.entries, entry)
+		indexByID[entry.ID] = len(content.Entries)
+		content.Entries = append(content.Entries, entry)
 	})
 	return content, err
 }
 
 // encode returns the content as lines.
-func (c *ledgerContent) encode() (lines []byte) {
-	if !c.horizon.IsZero() {
-		lines = encodeEntry(ledgerEntry{EventTime: c.horizon, State: stateHorizon})
+func (c *Content) encode() (lines []byte) {
+	if !c.RetentionHorizon.IsZero() {
+		lines = encodeEntry(Entry{EventTime: c.RetentionHorizon, State: stateHorizon})
 	}
-	for _, entry := range c.entries {
+	for _, entry := range c.Entries {
 		lines = append(lines, encodeEntry(entry)...)
 	}
 	return lines
@@ -91,16 +91,16 @@
 // replace writes a new file, renames it to the ledger's path and has the ledger append to it. Both are on the disk when
 // it returns without an error. After one the ledger's file is the old one or, where the rename came to pass, the new
 // one.
-func (l *ledger) replace(content ledgerContent) error {
+func (l *Ledger) replace(content Content) error {
 	lines := content.encode()
 	path := l.path + compactedSuffix
 	file, err := l.disk.Open(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, ledgerFileMode)
 	if err != nil {
-		return &LedgerError{Path: l.path, Err: err}
+		return &FileError{Path: l.path, Err: err}
 	}
 	if err := l.install(file, path, lines); err != nil {
 		file.Close()
-		return &LedgerError{Path: l.path, Err: err}
+		return &FileError{Path: l.path, Err: err}
 	}
 	if l.file != nil {
 		l.file.Close()
@@ -109,13 +109,13 @@
 	l.size = int64(len(lines))
 	l.compactedAt = l.now
 	if err := l.disk.SyncDir(filepath.Dir(l.path)); err != nil {
-		return &LedgerError{Path: l.path, Err: err}
+		return &FileError{Path: l.path, Err: err}
 	}
 	return nil
 }
 
 // install writes lines to a new file and renames it to the ledger's path.
-func (l *ledger) install(file diskFile, path string, lines []byte) error {
+func (l *Ledger) install(file File, path string, lines []byte) error {
 	if _, err := file.Write(lines); err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/ledger/config.go
@@ -0,0 +1,11 @@
+package ledger
+
+import "time"
+
+// Config configures the ledger of orders. Without a path there is none, and orders are rejected.
+type Config struct {
+	Path     string `toml:"path"`
+	MaxBytes int64  `toml:"max_bytes"`
+	// Retention is how long an order is kept, from the timestamp of its event.
+	Retention time.Duration `toml:"retention"`
+}
--- a/internal/webhook/ledger_format.go
+++ b/internal/ledger/entry.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"bufio"
@@ -20,30 +20,30 @@
 	maxLedgerLine  = 64 << 10
 )
 
-// entryState is what an entry says of its order. Its values are on the disk and may not change.
-type entryState string
+// State is what an entry says of its order. Its values are on the disk and may not change.
+type State string
 
 const (
-	stateBegun entryState = "begun" // it may run from now on
-	stateEnded entryState = "ended" // with the entry's outcome
-	stateFreed entryState = "freed" // it is proven not to have run
+	Begun State = "begun" // it may run from now on
+	Ended State = "ended" // with the entry's outcome
+	Freed State = "freed" // it is proven not to have run
 
 	// stateHorizon is of an entry that belongs to no order: those that happened up to its time may have been forgotten.
-	stateHorizon entryState = "horizon"
+	stateHorizon State = "horizon"
 )
 
-// ledgerEntry is a line of the ledger. The last entry of an order counts.
-type ledgerEntry struct {
-	ID         string     `json:"id"`
-	EventTime  time.Time  `json:"at"`
-	BodyDigest string     `json:"sum"` // of the payload
-	State      entryState `json:"state"`
-	Status     httpStatus `json:"status,omitempty"`
-	Body       []byte     `json:"body,omitempty"`
+// Entry is a line of the ledger. The last entry of an order counts.
+type Entry struct {
+	ID         string    `json:"id"`
+	EventTime  time.Time `json:"at"`
+	BodyDigest string    `json:"sum"` // of the payload
+	State      State     `json:"state"`
+	Status     int       `json:"status,omitempty"`
+	Body       []byte    `json:"body,omitempty"`
 }
 
 // encodeEntry returns an entry's line.
-func encodeEntry(e ledgerEntry) []byte {
+func encodeEntry(e Entry) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err) // of strings, numbers and bytes: it can't fail
@@ -52,7 +52,7 @@
 }
 
 // decodeEntry reads a line, with its line feed.
-func decodeEntry(line []byte) (e ledgerEntry, err error) {
+func decodeEntry(line []byte) (e Entry, err error) {
 	if len(line) < minLedgerLine {
 		return e, errDamagedLine
 	}
@@ -69,8 +69,8 @@
 }
 
 // readEntries calls visit for each entry and returns the size of them all. A last line that was cut short was never
-// synced, so its order was never forwarded; damage anywhere else leaves open which orders ran, and is a LedgerError.
-func readEntries(path string, r io.Reader, visit func(ledgerEntry)) (size int64, err error) {
+// synced, so its order was never forwarded; damage anywhere else leaves open which orders ran, and is a FileError.
+func readEntries(path string, r io.Reader, visit func(Entry)) (size int64, err error) {
 	in := bufio.NewReaderSize(r, maxLedgerLine)
 	for number := 1; ; number++ {
 		line, err := in.ReadSlice('\n')
@@ -78,11 +78,11 @@
 			return size, nil
 		}
 		if err != nil {
-			return size, &LedgerError{Path: path, Line: number, Err: err}
+			return size, &FileError{Path: path, Line: number, Err: err}
 		}
 		entry, err := decodeEntry(line)
 		if err != nil {
-			return size, &LedgerError{Path: path, Line: number, Err: err}
+			return size, &FileError{Path: path, Line: number, Err: err}
 		}
 		visit(entry)
 		size += int64(len(line))
--- a/internal/webhook/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 
 // faultyDisk is the system's disk, of which single operations fail while it is ill.
 type faultyDisk struct {
-	systemDisk
+	SystemDisk
 	mu     sync.Mutex
 	random *rand.Rand
 	ill    bool
@@ -37,59 +37,59 @@
 	d.ill = ill
 }
 
-func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (diskFile, error) {
+func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
 	if flag != os.O_RDONLY {
 		if err := d.fails(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: path, Err: err}
 		}
 	}
-	file, err := d.systemDisk.Open(path, flag, mode)
+	file, err := d.SystemDisk.Open(path, flag, mode)
 	if err != nil {
 		return nil, err
 	}
-	return &faultyFile{diskFile: file, disk: d}, nil
+	return &faultyFile{File: file, disk: d}, nil
 }
 
 func (d *faultyDisk) Rename(from, to string) error {
 	if err := d.fails(); err != nil {
 		return err
 	}
-	return d.systemDisk.Rename(from, to)
+	return d.SystemDisk.Rename(from, to)
 }
 
 func (d *faultyDisk) SyncDir(dir string) error {
 	if err := d.fails(); err != nil {
 		return err
 	}
-	return d.systemDisk.SyncDir(dir)
+	return d.SystemDisk.SyncDir(dir)
 }
 
 // faultyFile is a file on a faulty disk. A write that fails leaves a part of its bytes.
 type faultyFile struct {
-	diskFile
+	File
 	disk *faultyDisk
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
 	if err := f.disk.fails(); err != nil {
-		n, _ := f.diskFile.Write(b[:len(b)*2/3])
+		n, _ := f.File.Write(b[:len(b)*2/3])
 		return n, err
 	}
-	return f.diskFile.Write(b)
+	return f.File.Write(b)
 }
 
 func (f *faultyFile) Sync() error {
 	if err := f.disk.fails(); err != nil {
 		return err
 	}
-	return f.diskFile.Sync()
+	return f.File.Sync()
 }
 
 func (f *faultyFile) Truncate(size int64) error {
 	if err := f.disk.fails(); err != nil {
 		return err
 	}
-	return f.diskFile.Truncate(size)
+	return f.File.Truncate(size)
 }
 
 // Whatever a disk does for a while, and whether or not the program ends meanwhile: an order that was recorded is known
@@ -102,25 +102,25 @@
 			random := rand.New(rand.NewPCG(seed, 0))
 			disk := &faultyDisk{random: rand.New(rand.NewPCG(seed, 1))}
 			path := filepath.Join(t.TempDir(), "ledger")
-			open := func() (*ledger, map[string]entryState) {
-				l, content, err := openLedger(testLedger(path), noon, disk)
+			open := func() (*Ledger, map[string]State) {
+				l, content, err := Open(testLedger(path), noon, disk)
 				if err != nil {
 					t.Fatal(err)
 				}
-				states := map[string]entryState{}
-				for _, entry := range content.entries {
+				states := map[string]State{}
+				for _, entry := range content.Entries {
 					states[entry.ID] = entry.State
 				}
 				return l, states
 			}
 			l, _ := open()
-			want := map[string]entryState{} // of each order that was recorded, as it was told last
+			want := map[string]State{} // of each order that was recorded, as it was told last
 			rejected := map[string]bool{}
 			for n := range 40 {
 				disk.setIll(random.IntN(2) == 0)
-				entry := ledgerEntry{ID: fmt.Sprint("order-", n), EventTime: noon}
+				entry := Entry{ID: fmt.Sprint("order-", n), EventTime: noon}
 				recorded := make(chan error, 1)
-				l.begin(entry, noon, func(err error) { recorded <- err })
+				l.Begin(entry, noon, func(err error) { recorded <- err })
 				if <-recorded != nil {
 					rejected[entry.ID] = true
 					if random.IntN(2) == 0 {
@@ -128,18 +128,18 @@
 						awaitRecovery(t, l)
 					}
 				} else {
-					want[entry.ID] = stateBegun
+					want[entry.ID] = Begun
 					if random.IntN(2) == 0 {
-						entry.State = stateEnded
-						l.update(entry, noon)
-						want[entry.ID] = stateEnded
+						entry.State = Ended
+						l.Update(entry, noon)
+						want[entry.ID] = Ended
 					}
 				}
 				if random.IntN(10) == 0 { // the program ends while the disk is ill
 					disk.setIll(true)
-					l.close()
+					l.Close()
 					disk.setIll(random.IntN(2) == 0) // and starts again, maybe still
-					var found map[string]entryState
+					var found map[string]State
 					l, found = open()
 					for id := range want {
 						if found[id] == "" {
@@ -152,11 +152,11 @@
 			}
 			disk.setIll(false)
 			awaitRecovery(t, l)
-			if err := l.close(); err != nil {
+			if err := l.Close(); err != nil {
 				t.Fatal(err)
 			}
 			l, found := open()
-			defer l.close()
+			defer l.Close()
 			for id, state := range want {
 				if found[id] != state {
 					t.Errorf("%s is %q, want %q", id, found[id], state)
@@ -175,11 +175,11 @@
 }
 
 // awaitRecovery waits until a ledger records orders.
-func awaitRecovery(t *testing.T, l *ledger) {
+func awaitRecovery(t *testing.T, l *Ledger) {
 	t.Helper()
 	for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
 		recorded := make(chan error, 1)
-		l.begin(ledgerEntry{ID: "probe", EventTime: noon}, noon, func(err error) { recorded <- err })
+		l.Begin(Entry{ID: "probe", EventTime: noon}, noon, func(err error) { recorded <- err })
 		if <-recorded == nil {
 			return
 		}
@@ -189,7 +189,7 @@
 
 // unsyncedDisk is a disk on which a rename is made and its folder can't be synced, so often.
 type unsyncedDisk struct {
-	systemDisk
+	SystemDisk
 	mu    sync.Mutex
 	fails int
 	asked int
@@ -203,7 +203,7 @@
 		d.fails--
 		return syscall.EIO
 	}
-	return d.systemDisk.SyncDir(dir)
+	return d.SystemDisk.SyncDir(dir)
 }
 
 // A rename whose folder can't be synced is made again before the ledger takes an order, also where it was made to find room
@@ -211,18 +211,18 @@
 func TestRenameThatIsNotSyncedIsMadeAgain(t *testing.T) {
 	disk := &unsyncedDisk{}
 	config := testLedger(filepath.Join(t.TempDir(), "ledger"))
-	l, _, err := openLedger(config, noon, disk)
+	l, _, err := Open(config, noon, disk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.close()
-	owed := ledgerEntry{ID: "owed", EventTime: noon, State: stateEnded}
-	old := encodeEntry(ledgerEntry{ID: "an earlier order", EventTime: noon, State: stateFreed})
+	defer l.Close()
+	owed := Entry{ID: "owed", EventTime: noon, State: Ended}
+	old := encodeEntry(Entry{ID: "an earlier order", EventTime: noon, State: Freed})
 	l.mu.Lock() // the writer waits for jobs, so its file may be filled here
 	l.file.Write(old)
 	l.size += int64(len(old))
 	l.maxBytes = l.size
-	l.unwritten = []ledgerEntry{owed}
+	l.unwritten = []Entry{owed}
 	disk.fails = 1
 	before := disk.asked
 	l.mu.Unlock()
--- a/internal/webhook/ledger_golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"bytes"
@@ -15,58 +15,58 @@
 // The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b wrote
 // them; ledgers of that form are on the routers' disks.
 const (
-	goldenFirstRun  = "../ledger/testdata/first-run.ledger"  // entries appended to a new file
-	goldenSecondRun = "../ledger/testdata/second-run.ledger" // compacted at the start, with a retention horizon, and appended to
-	goldenCompacted = "../ledger/testdata/compacted.ledger"  // compacted once more, with a later horizon
+	goldenFirstRun  = "testdata/first-run.ledger"  // entries appended to a new file
+	goldenSecondRun = "testdata/second-run.ledger" // compacted at the start, with a retention horizon, and appended to
+	goldenCompacted = "testdata/compacted.ledger"  // compacted once more, with a later horizon
 )
 
 // goldenEntries has each state and outcome that an entry can have. Orders are as many hours old at noon as their entries
 // say; a ledger of 2 hours' retention is opened at noon, and once more an hour later.
 type goldenEntry struct {
-	entry ledgerEntry
+	entry Entry
 	begin bool
 }
 
-func goldenOrder(id string, age time.Duration, state entryState, status httpStatus, body string) goldenEntry {
-	entry := ledgerEntry{ID: id, EventTime: noon.Add(-age), BodyDigest: "9f86d081884c7d659a2feaa0c55ad015", State: state, Status: status}
+func goldenOrder(id string, age time.Duration, state State, status int, body string) goldenEntry {
+	entry := Entry{ID: id, EventTime: noon.Add(-age), BodyDigest: "9f86d081884c7d659a2feaa0c55ad015", State: state, Status: status}
 	if body != "" {
 		entry.Body = []byte(body)
 	}
-	return goldenEntry{entry: entry, begin: state == stateBegun}
+	return goldenEntry{entry: entry, begin: state == Begun}
 }
 
 var goldenFirstEntries = []goldenEntry{
-	goldenOrder("expired", 150*time.Minute, stateBegun, 0, ""),
-	goldenOrder("expired", 150*time.Minute, stateEnded, 200, "done"),
-	goldenOrder("expired-in-flight", 125*time.Minute, stateBegun, 0, ""),
-	goldenOrder("in-flight", 30*time.Minute, stateBegun, 0, ""),
-	goldenOrder("served", 30*time.Minute, stateBegun, 0, ""),
-	goldenOrder("served", 30*time.Minute, stateEnded, 200, "done \x00\xff\r\n"),
-	goldenOrder("not-run", 30*time.Minute, stateBegun, 0, ""),
-	goldenOrder("not-run", 30*time.Minute, stateFreed, 0, ""),
-	goldenOrder("expires-later", 90*time.Minute, stateBegun, 0, ""),
-	goldenOrder("expires-later", 90*time.Minute, stateEnded, 502, ""),
+	goldenOrder("expired", 150*time.Minute, Begun, 0, ""),
+	goldenOrder("expired", 150*time.Minute, Ended, 200, "done"),
+	goldenOrder("expired-in-flight", 125*time.Minute, Begun, 0, ""),
+	goldenOrder("in-flight", 30*time.Minute, Begun, 0, ""),
+	goldenOrder("served", 30*time.Minute, Begun, 0, ""),
+	goldenOrder("served", 30*time.Minute, Ended, 200, "done \x00\xff\r\n"),
+	goldenOrder("not-run", 30*time.Minute, Begun, 0, ""),
+	goldenOrder("not-run", 30*time.Minute, Freed, 0, ""),
+	goldenOrder("expires-later", 90*time.Minute, Begun, 0, ""),
+	goldenOrder("expires-later", 90*time.Minute, Ended, 502, ""),
 }
 
 var goldenSecondEntries = []goldenEntry{
-	goldenOrder("served-empty", 0, stateBegun, 0, ""),
-	goldenOrder("served-empty", 0, stateEnded, 200, ""),
-	goldenOrder("failed", 0, stateBegun, 0, ""),
-	goldenOrder("failed", 0, stateEnded, 502, ""),
-	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, stateBegun, 0, ""),
-	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, stateEnded, 504, ""),
-	goldenOrder("not-run-then-served-é", 0, stateBegun, 0, ""),
-	goldenOrder("not-run-then-served-é", 0, stateFreed, 0, ""),
-	goldenOrder("not-run-then-served-é", 0, stateBegun, 0, ""),
-	goldenOrder("not-run-then-served-é", 0, stateEnded, 200, "done"),
-	goldenOrder("not-run-again", 0, stateBegun, 0, ""),
-	goldenOrder("not-run-again", 0, stateFreed, 0, ""),
+	goldenOrder("served-empty", 0, Begun, 0, ""),
+	goldenOrder("served-empty", 0, Ended, 200, ""),
+	goldenOrder("failed", 0, Begun, 0, ""),
+	goldenOrder("failed", 0, Ended, 502, ""),
+	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, Begun, 0, ""),
+	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, Ended, 504, ""),
+	goldenOrder("not-run-then-served-é", 0, Begun, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, Freed, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, Begun, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, Ended, 200, "done"),
+	goldenOrder("not-run-again", 0, Begun, 0, ""),
+	goldenOrder("not-run-again", 0, Freed, 0, ""),
 }
 
 // openGolden opens a ledger of 2 hours' retention.
-func openGolden(t *testing.T, path string, now time.Time) (*ledger, ledgerContent) {
+func openGolden(t *testing.T, path string, now time.Time) (*Ledger, Content) {
 	t.Helper()
-	l, content, err := openLedger(LedgerConfig{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, now, systemDisk{})
+	l, content, err := Open(Config{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, now, SystemDisk{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,16 +79,16 @@
 	l, _ := openGolden(t, path, now)
 	for _, e := range entries {
 		if !e.begin {
-			l.update(e.entry, now)
+			l.Update(e.entry, now)
 			continue
 		}
 		recorded := make(chan error, 1)
-		l.begin(e.entry, now, func(err error) { recorded <- err })
+		l.Begin(e.entry, now, func(err error) { recorded <- err })
 		if err := <-recorded; err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.close(); err != nil {
+	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -107,8 +107,8 @@
 
 // Each record of the files that the code of commit 90e713b wrote is read as it was meant.
 func TestLedgerReadsTheGoldenRecords(t *testing.T) {
-	horizon := goldenEntry{entry: ledgerEntry{EventTime: noon.Add(-125 * time.Minute), State: stateHorizon}}
-	laterHorizon := goldenEntry{entry: ledgerEntry{EventTime: noon.Add(-90 * time.Minute), State: stateHorizon}}
+	horizon := goldenEntry{entry: Entry{EventTime: noon.Add(-125 * time.Minute), State: stateHorizon}}
+	laterHorizon := goldenEntry{entry: Entry{EventTime: noon.Add(-90 * time.Minute), State: stateHorizon}}
 	first, second := goldenFirstEntries, goldenSecondEntries
 	retained := []goldenEntry{first[3], first[5], first[9]}
 	for path, want := range map[string][]goldenEntry{
@@ -117,13 +117,13 @@
 		goldenCompacted: {laterHorizon, first[3], first[5], second[1], second[3], second[5], second[9]},
 	} {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			wantEntries := make([]ledgerEntry, 0, len(want))
+			wantEntries := make([]Entry, 0, len(want))
 			for _, e := range want {
 				wantEntries = append(wantEntries, e.entry)
 			}
-			var got []ledgerEntry
+			var got []Entry
 			content := readFile(t, path)
-			size, err := readEntries(path, bytes.NewReader(content), func(e ledgerEntry) { got = append(got, e) })
+			size, err := readEntries(path, bytes.NewReader(content), func(e Entry) { got = append(got, e) })
 			if err != nil || size != int64(len(content)) {
 				t.Errorf("%d of %d bytes were read: %v", size, len(content), err)
 			}
@@ -141,14 +141,14 @@
 		t.Fatal(err)
 	}
 	l, content := openGolden(t, path, noon.Add(time.Hour))
-	defer l.close()
-	want := []ledgerEntry{goldenFirstEntries[3].entry, goldenFirstEntries[5].entry, goldenSecondEntries[1].entry,
+	defer l.Close()
+	want := []Entry{goldenFirstEntries[3].entry, goldenFirstEntries[5].entry, goldenSecondEntries[1].entry,
 		goldenSecondEntries[3].entry, goldenSecondEntries[5].entry, goldenSecondEntries[9].entry}
-	if diff := cmp.Diff(want, content.entries); diff != "" {
+	if diff := cmp.Diff(want, content.Entries); diff != "" {
 		t.Errorf("the entries differ (-want +got):\n%s", diff)
 	}
-	if horizon := noon.Add(-90 * time.Minute); !content.horizon.Equal(horizon) {
-		t.Errorf("the retention horizon is %v, want %v", content.horizon, horizon)
+	if horizon := noon.Add(-90 * time.Minute); !content.RetentionHorizon.Equal(horizon) {
+		t.Errorf("the retention horizon is %v, want %v", content.RetentionHorizon, horizon)
 	}
 	golden.Compare(t, goldenCompacted, readFile(t, path))
 }
--- /dev/null
+++ b/internal/ledger/helpers_test.go
@@ -0,0 +1,23 @@
+package ledger
+
+import (
+	"os"
+	"testing"
+	"time"
+)
+
+var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+
+// testLedger returns the configuration of a ledger of 1 MiB that retains orders for an hour.
+func testLedger(path string) Config {
+	return Config{Path: path, MaxBytes: 1 << 20, Retention: time.Hour}
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
--- a/internal/webhook/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"errors"
@@ -16,19 +16,19 @@
 	compactionInterval = time.Minute // the least time between two compactions of a full ledger
 )
 
-// ledger is the append-only record of orders that survives a restart. An order's first entry is on the disk before the
+// Ledger is the append-only record of orders that survives a restart. An order's first entry is on the disk before the
 // order is first forwarded, so an order without an entry has never been forwarded. One goroutine writes the file, from
-// openLedger until close. After a failed write or sync no order is recorded until the file is whole again; what became
+// Open until close. After a failed write or sync no order is recorded until the file is whole again; what became
 // of orders meanwhile is kept and written then.
-type ledger struct {
+type Ledger struct {
 	path      string
 	maxBytes  int64
 	retention time.Duration
-	disk      ledgerDisk
+	disk      Disk
 	lock      *os.File
 	wake      chan struct{} // holds one value where something is queued
 	stopped   chan struct{} // closed when the last entry is written
-	counters  ledgerCounters
+	counters  counters
 
 	mu     sync.Mutex
 	queue  []appendJob
@@ -36,32 +36,32 @@
 	closed bool
 
 	// Owned by the goroutine that writes.
-	file        diskFile  // nil: none could be opened yet
+	file        File      // nil: none could be opened yet
 	size        int64     // of what is known to be good in it; what follows is torn
 	now         time.Time // of the latest job
 	compactedAt time.Time
 	failure     ledgerFailure
-	unwritten   []ledgerEntry // that are owed to the file since it failed, in their order
+	unwritten   []Entry // that are owed to the file since it failed, in their order
 }
 
-// ledgerCounters count what became of the file. They may be read by any goroutine.
-type ledgerCounters struct{ failures, recoveries, unwritten atomic.Uint64 }
+// counters count what became of the file. They may be read by any goroutine.
+type counters struct{ failures, recoveries, unwritten atomic.Uint64 }
 
 // appendJob is an entry to write. Where done is set the entry is synced, and done is called on the writing goroutine.
 type appendJob struct {
-	entry ledgerEntry
+	entry Entry
 	now   time.Time // when the entry was made; moves the ledger's clock on
 	done  func(error)
 }
 
-// openLedger locks the ledger, recovers its entries as of now and compacts it. Where the disk fails to take the
+// Open locks the ledger, recovers its entries as of now and compacts it. Where the disk fails to take the
 // compacted file, the ledger opens all the same, and records no order until it does.
-func openLedger(config LedgerConfig, now time.Time, disk ledgerDisk) (*ledger, ledgerContent, error) {
+func Open(config Config, now time.Time, disk Disk) (*Ledger, Content, error) {
 	lock, err := lockLedger(config.Path)
 	if err != nil {
-		return nil, ledgerContent{}, err
+		return nil, Content{}, err
 	}
-	l := &ledger{
+	l := &Ledger{
 		path:      config.Path,
 		maxBytes:  config.MaxBytes,
 		retention: config.Retention,
@@ -74,7 +74,7 @@
 	content, err := l.read(wholeFile)
 	if err != nil {
 		lock.Close()
-		return nil, ledgerContent{}, fmt.Errorf("ledger: %w", err)
+		return nil, Content{}, fmt.Errorf("ledger: %w", err)
 	}
 	l.size = content.size
 	l.retain(&content)
@@ -85,36 +85,46 @@
 	return l, content, nil
 }
 
+// Counters count what became of the ledger's file: failed writes and syncs, recoveries, and entries that are owed
+// to it now.
+type Counters struct{ Failures, Recoveries, Unwritten uint64 }
+
+// Counters returns the counters since the ledger was opened.
+func (l *Ledger) Counters() Counters {
+	counters := &l.counters
+	return Counters{counters.failures.Load(), counters.recoveries.Load(), counters.unwritten.Load()}
+}
+
 // lockLedger takes the lock that keeps two processes from using one ledger: they would not see each other's orders. It
 // is a file of its own, since compaction replaces the ledger's.
 func lockLedger(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, ledgerFileMode)
 	if err != nil {
-		return nil, fmt.Errorf("ledger: %w", &LedgerError{Path: path, Err: err})
+		return nil, fmt.Errorf("ledger: %w", &FileError{Path: path, Err: err})
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, &LedgerInUseError{Path: path, Err: err}
+		return nil, &InUseError{Path: path, Err: err}
 	}
 	return lock, nil
 }
 
-// begin records an order that is about to be forwarded. Done is called, on any goroutine, when the entry is on the disk
+// Begin records an order that is about to be forwarded. Done is called, on any goroutine, when the entry is on the disk
 // or can't be.
-func (l *ledger) begin(e ledgerEntry, now time.Time, done func(error)) {
-	e.State = stateBegun
+func (l *Ledger) Begin(e Entry, now time.Time, done func(error)) {
+	e.State = Begun
 	if !l.enqueue(appendJob{entry: e, now: now, done: done}) {
 		done(errLedgerFull)
 	}
 }
 
-// update records what became of an order, as soon as the disk takes it. Should the entry be lost with the program, the
+// Update records what became of an order, as soon as the disk takes it. Should the entry be lost with the program, the
 // order counts as one that may have run, and is never run again.
-func (l *ledger) update(e ledgerEntry, now time.Time) { l.enqueue(appendJob{entry: e, now: now}) }
+func (l *Ledger) Update(e Entry, now time.Time) { l.enqueue(appendJob{entry: e, now: now}) }
 
 // enqueue queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. There
 // are no more updates than orders.
-func (l *ledger) enqueue(job appendJob) bool {
+func (l *Ledger) enqueue(job appendJob) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if job.done != nil {
@@ -128,7 +138,7 @@
 	return true
 }
 
-func (l *ledger) signal() {
+func (l *Ledger) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -136,7 +146,7 @@
 }
 
 // take returns what is queued, and whether nothing more will be.
-func (l *ledger) take() (batch []appendJob, closed bool) {
+func (l *Ledger) take() (batch []appendJob, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	batch = l.queue
@@ -146,7 +156,7 @@
 }
 
 // run writes entries until the ledger is closed, as many as there are with one sync.
-func (l *ledger) run() {
+func (l *Ledger) run() {
 	defer close(l.stopped)
 	for {
 		select {
@@ -171,7 +181,7 @@
 }
 
 // writeBatch appends a batch of entries, syncs them if somebody waits for one of them, and reports how each fared.
-func (l *ledger) writeBatch(batch []appendJob) {
+func (l *Ledger) writeBatch(batch []appendJob) {
 	errs := make([]error, len(batch))
 	syncNeeded := false
 	for i, job := range batch {
@@ -182,9 +192,9 @@
 	}
 	if syncNeeded {
 		if err := l.file.Sync(); err != nil { // what is on the disk is unknown from here on
-			l.failed(&LedgerError{Path: l.path, Err: err}, contentUnknown)
+			l.failed(&FileError{Path: l.path, Err: err}, contentUnknown)
 			for i := range errs {
-				errs[i] = errors.Join(errs[i], &LedgerError{Path: l.path, Err: err})
+				errs[i] = errors.Join(errs[i], &FileError{Path: l.path, Err: err})
 			}
 		}
 	}
@@ -200,14 +210,14 @@
 
 // keepUnwritten keeps what is owed of an entry that failed: of an order that was not recorded, and is so rejected, that
 // it never ran, since a part of its entry may be on the disk; else the entry itself.
-func (l *ledger) keepUnwritten(job appendJob, err error) {
+func (l *Ledger) keepUnwritten(job appendJob, err error) {
 	slog.Error("ledger_write_failed", slog.String("id", job.entry.ID), slog.Any("err", err))
 	entry := job.entry
 	if job.done != nil {
 		if !l.failure.unresolved() {
 			return // the ledger is full: nothing of it was written
 		}
-		entry.State = stateFreed
+		entry.State = Freed
 	}
 	l.unwritten = append(l.unwritten, entry)
 	l.counters.unwritten.Store(uint64(len(l.unwritten)))
@@ -217,7 +227,7 @@
 }
 
 // writeEntry appends an entry to the file, without a sync. A full ledger is compacted first.
-func (l *ledger) writeEntry(e ledgerEntry) error {
+func (l *Ledger) writeEntry(e Entry) error {
 	if l.failure.unresolved() {
 		return errLedgerBroken
 	}
@@ -228,7 +238,7 @@
 		}
 	}
 	if _, err := l.file.Write(line); err != nil {
-		err = &LedgerError{Path: l.path, Err: err}
+		err = &FileError{Path: l.path, Err: err}
 		l.failed(err, contentKnown)
 		return err
 	}
@@ -236,13 +246,13 @@
 	return nil
 }
 
-func (l *ledger) hasCapacity(line []byte) bool {
+func (l *Ledger) hasCapacity(line []byte) bool {
 	return l.size+int64(len(line)) <= l.maxBytes
 }
 
 // compactForCapacity compacts the ledger, though not for each order that finds it full: the whole file would be written
 // every time.
-func (l *ledger) compactForCapacity(line []byte) error {
+func (l *Ledger) compactForCapacity(line []byte) error {
 	if l.now.Sub(l.compactedAt) < compactionInterval {
 		return errLedgerFull
 	}
@@ -256,8 +266,8 @@
 	return nil
 }
 
-// close ends the goroutine when all entries are written, and lets others open the ledger.
-func (l *ledger) close() error {
+// Close ends the goroutine when all entries are written, and lets others open the ledger.
+func (l *Ledger) Close() error {
 	l.mu.Lock()
 	l.closed = true
 	l.signal()
--- /dev/null
+++ b/internal/ledger/ledger_test.go
@@ -0,0 +1,106 @@
+package ledger
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"path/filepath"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// The model of the ledger: each entry that was acknowledged as written is there after a crash, and a line that the crash
+// cut short does no harm.
+func TestLedgerRecoversAcknowledgedEntries(t *testing.T) {
+	dir := t.TempDir()
+	run := 0
+	rapid.Check(t, func(t *rapid.T) {
+		run++
+		path := filepath.Join(dir, strconv.Itoa(run))
+		open := func() (*Ledger, map[string]Entry) {
+			l, content, err := Open(testLedger(path), noon, SystemDisk{})
+			if err != nil {
+				t.Fatal(err)
+			}
+			found := map[string]Entry{}
+			for _, e := range content.Entries {
+				found[e.ID] = e
+			}
+			return l, found
+		}
+		l, _ := open()
+		want := map[string]Entry{}
+		enter := func(e Entry) {
+			written := make(chan error, 1)
+			l.enqueue(appendJob{entry: e, done: func(err error) { written <- err }})
+			if err := <-written; err != nil {
+				t.Fatal(err)
+			}
+			if e.State == Freed || noon.Sub(e.EventTime) > time.Hour {
+				delete(want, e.ID)
+			} else {
+				want[e.ID] = e
+			}
+		}
+		t.Repeat(map[string]func(*rapid.T){
+			"enter": func(t *rapid.T) {
+				enter(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
+					State: rapid.SampledFrom([]State{Begun, Ended, Freed}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
+			},
+			"crash": func(t *rapid.T) {
+				torn := encodeEntry(Entry{ID: "torn", EventTime: noon, State: Begun})
+				l.file.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
+				if _, _, err := Open(testLedger(path), noon, SystemDisk{}); err == nil {
+					t.Fatal("a ledger in use was opened again")
+				}
+				l.Close()
+				var found map[string]Entry
+				l, found = open()
+				if len(found) != len(want) {
+					t.Fatalf("found %v, want %v", found, want)
+				}
+				for id, e := range want {
+					if found[id].State != e.State {
+						t.Fatalf("%s is %q, want %q", id, found[id].State, e.State)
+					}
+				}
+			},
+		})
+		l.Close()
+	})
+}
+
+// Damage anywhere but in the last line leaves open which orders ran, so the ledger is not opened.
+func TestDamagedLedgerIsNotOpened(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	if err := os.WriteFile(path, []byte("00000000 {}\n"), ledgerFileMode); err != nil {
+		t.Fatal(err)
+	}
+	_, _, err := Open(testLedger(path), noon, SystemDisk{})
+	var damaged *FileError
+	if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 1 {
+		t.Errorf("a damaged ledger was opened, or its error does not name the line: %v", err)
+	}
+}
+
+// What became of an order is recorded, however many orders end at once.
+func TestNoOutcomeIsDroppedWhereManyEndAtOnce(t *testing.T) {
+	const orders = 20 * ledgerQueueLength
+	path := filepath.Join(t.TempDir(), "ledger")
+	l, _, err := Open(testLedger(path), noon, SystemDisk{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range orders {
+		l.Update(Entry{ID: strconv.Itoa(i), EventTime: noon, State: Ended, Status: 200}, noon)
+	}
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if lines := bytes.Count(readFile(t, path), []byte("\n")); lines != orders {
+		t.Errorf("the ledger has %d lines, want %d", lines, orders)
+	}
+}
--- a/internal/webhook/ledger_recovery.go
+++ b/internal/ledger/recovery.go
@@ -1,4 +1,4 @@
-package webhook
+package ledger
 
 import (
 	"log/slog"
@@ -50,7 +50,7 @@
 }
 
 // failed takes in a failure of the file, after which nothing is written to it until it has been mended.
-func (l *ledger) failed(err error, state fileState) {
+func (l *Ledger) failed(err error, state fileState) {
 	if !l.failure.pending {
 		slog.Error("ledger_failed", slog.String("ledger", l.path), slog.Any("err", err))
 	}
@@ -60,7 +60,7 @@
 
 // recoverIfDue mends the file where that is due: it cuts off what is torn, or writes the file anew, and writes what is
 // owed to it.
-func (l *ledger) recoverIfDue() {
+func (l *Ledger) recoverIfDue() {
 	if !l.failure.pending || time.Now().Before(l.failure.retryAt) {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // mend makes the file whole, with what is owed to it on the disk.
-func (l *ledger) mend() error {
+func (l *Ledger) mend() error {
 	if l.failure.state == contentUnknown || l.file == nil || l.cutTorn() != nil {
 		if err := l.rewrite(); err != nil {
 			return err
@@ -87,7 +87,7 @@
 
 // rewrite compacts the file. Where that fails, a rename may have been made that is not on the disk, so it is made
 // again.
-func (l *ledger) rewrite() error {
+func (l *Ledger) rewrite() error {
 	err := l.compact()
 	if err != nil {
 		l.failure.state = contentUnknown
@@ -96,10 +96,10 @@
 }
 
 // cutTorn cuts off what follows the good part of the file.
-func (l *ledger) cutTorn() error { return l.file.Truncate(l.size) }
+func (l *Ledger) cutTorn() error { return l.file.Truncate(l.size) }
 
 // writeOwed appends the entries that could not be written, and syncs the file.
-func (l *ledger) writeOwed() error {
+func (l *Ledger) writeOwed() error {
 	var lines []byte
 	for _, entry := range l.unwritten {
 		lines = append(lines, encodeEntry(entry)...)
@@ -114,12 +114,12 @@
 	}
 	if len(lines) > 0 {
 		if _, err := l.file.Write(lines); err != nil {
-			return &LedgerError{Path: l.path, Err: err}
+			return &FileError{Path: l.path, Err: err}
 		}
 	}
 	if err := l.file.Sync(); err != nil {
 		l.failure.state = contentUnknown
-		return &LedgerError{Path: l.path, Err: err}
+		return &FileError{Path: l.path, Err: err}
 	}
 	l.size += int64(len(lines))
 	return nil
--- /dev/null
+++ b/internal/webhook/breakable_disk_test.go
@@ -0,0 +1,47 @@
+package webhook
+
+import (
+	"os"
+	"sync"
+	"syscall"
+
+	"crankhold/internal/ledger"
+)
+
+// breakableDisk is the system's disk, until a test has it fail. It may be used by any goroutine.
+type breakableDisk struct {
+	ledger.SystemDisk
+	mu     sync.Mutex
+	full   bool        // no file can be written any more
+	opened ledger.File // for writing, last
+}
+
+// Open implements ledger.Disk.
+func (d *breakableDisk) Open(path string, flag int, mode os.FileMode) (ledger.File, error) {
+	if flag == os.O_RDONLY {
+		return d.SystemDisk.Open(path, flag, mode)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.full {
+		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.ENOSPC}
+	}
+	file, err := d.SystemDisk.Open(path, flag, mode)
+	d.opened = file
+	return file, err
+}
+
+// failOnce has every write and sync of the open file fail from now on. Another file can be opened.
+func (d *breakableDisk) failOnce() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.opened.Close()
+}
+
+// fail has every write and sync fail from now on, and every attempt to open another file.
+func (d *breakableDisk) fail() {
+	d.failOnce()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.full = true
+}
--- a/internal/webhook/config.go
+++ b/internal/webhook/config.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"github.com/BurntSushi/toml"
+
+	"crankhold/internal/ledger"
 )
 
 // Config is the webhook file.
@@ -27,7 +29,7 @@
 	Tolerance time.Duration `toml:"tolerance"`
 	// DedupeFor is how long the outcome of a request that is no order is kept.
 	DedupeFor time.Duration `toml:"dedupe_for"`
-	Ledger    LedgerConfig  `toml:"ledger"`
+	Ledger    ledger.Config `toml:"ledger"`
 }
 
 // KeyConfig names a key file and, where the key is being retired, until when it is active.
@@ -36,14 +38,6 @@
 	Until time.Time `toml:"until"`
 }
 
-// LedgerConfig configures the ledger of orders. Without a path there is none, and orders are rejected.
-type LedgerConfig struct {
-	Path     string `toml:"path"`
-	MaxBytes int64  `toml:"max_bytes"`
-	// Retention is how long an order is kept, from the timestamp of its event.
-	Retention time.Duration `toml:"retention"`
-}
-
 // SenderConfig configures the sender of notices.
 type SenderConfig struct {
 	Enabled bool   `toml:"enabled"`
@@ -79,7 +73,7 @@
 			Path:      "/hooks",
 			Tolerance: 5 * time.Minute,
 			DedupeFor: 15 * time.Minute,
-			Ledger:    LedgerConfig{MaxBytes: defaultLedgerBytes, Retention: 72 * time.Hour},
+			Ledger:    ledger.Config{MaxBytes: defaultLedgerBytes, Retention: 72 * time.Hour},
 		},
 		Sender: SenderConfig{
 			Queue:    defaultNoticeQueueLength,
@@ -150,15 +144,15 @@
 	case c.Tolerance < minTolerance || c.DedupeFor < minDedupeTolerances*c.Tolerance:
 		return newProblem("receiver.tolerance",
 			"receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
-	case c.Ledger.Path != "" && !c.Ledger.isInRange(c.Tolerance):
+	case c.Ledger.Path != "" && !ledgerInRange(&c.Ledger, c.Tolerance):
 		return newProblem("receiver.ledger",
 			"receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
 	}
 	return nil
 }
 
-// isInRange reports whether the ledger is large enough, and reaches further back than deliveries may be delayed.
-func (c *LedgerConfig) isInRange(tolerance time.Duration) bool {
+// ledgerInRange reports whether the ledger is large enough, and reaches further back than deliveries may be delayed.
+func ledgerInRange(c *ledger.Config, tolerance time.Duration) bool {
 	return c.Retention >= minRetentionTolerances*tolerance && c.MaxBytes >= minLedgerBytes
 }
 
--- a/internal/webhook/errors.go
+++ b/internal/webhook/errors.go
@@ -89,45 +89,6 @@
 	return &MalformedDeliveryError{Field: field, Err: errors.New(problem)}
 }
 
-// LedgerError is a ledger file that can't be read or written.
-type LedgerError struct {
-	Path string
-	Line int // counted from 1; 0 where no line is to blame
-	Err  error
-}
-
-// Error names the line, if there is one. The system's errors name the file.
-func (e *LedgerError) Error() string {
-	if e.Line > 0 {
-		return fmt.Sprintf("line %d: %v", e.Line, e.Err)
-	}
-	return e.Err.Error()
-}
-
-// Unwrap returns the cause.
-func (e *LedgerError) Unwrap() error { return e.Err }
-
-// LedgerInUseError is a ledger that another process has open.
-type LedgerInUseError struct {
-	Path string
-	Err  error
-}
-
-// Error names the file.
-func (e *LedgerInUseError) Error() string {
-	return fmt.Sprintf("ledger %s is in use: %v", e.Path, e.Err)
-}
-
-// Unwrap returns the system's error.
-func (e *LedgerInUseError) Unwrap() error { return e.Err }
-
-// Why an order can't be recorded in the ledger, and what damage its file may have.
-var (
-	errLedgerFull   = errors.New("ledger is full")
-	errLedgerBroken = errors.New("ledger is out of use until its file is whole again")
-	errDamagedLine  = errors.New("damaged")
-)
-
 // Why an attempt to deliver a notice failed.
 var (
 	errNoticeTimeout           = errors.New("no answer in time")
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -114,36 +114,3 @@
 		}
 	}
 }
-
-func TestLedgerErrorsCarryThePathAndLine(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "ledger")
-	valid := string(encodeEntry(ledgerEntry{ID: "a", EventTime: noon, State: stateBegun}))
-	for _, test := range []struct{ content, message string }{
-		{valid + "short\n", "ledger: line 2: damaged"},
-		{valid + "00000000 {}\n", "ledger: line 2: damaged"},
-		{valid + "0000000x {}\n", "ledger: line 2: encoding/hex: invalid byte: U+0078 'x'"},
-		{valid + strings.Repeat("x", maxLedgerLine) + "\n", "ledger: line 2: bufio: buffer full"},
-	} {
-		if err := os.WriteFile(path, []byte(test.content), ledgerFileMode); err != nil {
-			t.Fatal(err)
-		}
-		_, _, err := openLedger(testLedger(path), noon, systemDisk{})
-		var damaged *LedgerError
-		if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 2 || err.Error() != test.message {
-			t.Errorf("%v, want %s", err, test.message)
-		}
-	}
-	if err := os.Remove(path); err != nil {
-		t.Fatal(err)
-	}
-	open, _, err := openLedger(testLedger(path), noon, systemDisk{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer open.close()
-	_, _, err = openLedger(testLedger(path), noon, systemDisk{})
-	var inUse *LedgerInUseError
-	if want := "ledger " + path + " is in use: resource temporarily unavailable"; !errors.As(err, &inUse) || inUse.Path != path || err.Error() != want {
-		t.Errorf("a ledger in use: %v, want %s", err, want)
-	}
-}
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -14,6 +14,7 @@
 
 	"crankhold/internal/eventloop"
 	"crankhold/internal/golden"
+	"crankhold/internal/ledger"
 	"crankhold/internal/router"
 	"crankhold/internal/testutil"
 )
@@ -60,6 +61,7 @@
 	sent      [][]byte          // each part is sent when the one before has been handled
 	responses []router.Response // to the requests that reach the router, in turn
 	noLedger  bool
+	configure func(*Config) // changes the configuration; nil: not at all
 	prepare   func(*Receiver)
 }
 
@@ -72,7 +74,11 @@
 		ledgerPath = ""
 	}
 	core := &fakeCore{}
-	receiver, posts := newTestReceiver(t, core, ledgerPath)
+	config := testConfig(ledgerPath)
+	if x.configure != nil {
+		x.configure(config)
+	}
+	receiver, posts := newTestReceiverOn(t, core, config, wallAtNoon, ledger.SystemDisk{})
 	defer receiver.Close()
 	if x.prepare != nil {
 		x.prepare(receiver)
@@ -156,7 +162,7 @@
 		{name: "503-order-refused-then-served", sent: [][]byte{deliver("repair-order"), deliver("repair-order")},
 			responses: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
-		{name: "503-ledger-full", sent: one(deliver("repair-order")), prepare: func(v *Receiver) { v.ledger.maxBytes = 1 }},
+		{name: "503-ledger-full", sent: one(deliver("repair-order")), configure: func(c *Config) { c.Receiver.Ledger.MaxBytes = 1 }},
 		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
 
 		{name: "504-overdue-before-it-ran", sent: one(good), responses: respond(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -12,6 +12,7 @@
 
 	"pgregory.net/rapid"
 
+	"crankhold/internal/ledger"
 	"crankhold/internal/router"
 	"crankhold/internal/testutil"
 	"crankhold/policy"
@@ -37,20 +38,15 @@
 }
 
 // testConfig returns the default configuration with a ledger; "" for none.
-func testConfig(ledger string) *Config {
+func testConfig(ledgerPath string) *Config {
 	config, err := parseConfig("test", `receiver.path = "/hooks"`)
 	if err != nil {
 		panic(err)
 	}
-	config.Receiver.Ledger.Path = ledger
+	config.Receiver.Ledger.Path = ledgerPath
 	return config
 }
 
-// testLedger returns the configuration of a ledger of 1 MiB that retains orders for an hour.
-func testLedger(path string) LedgerConfig {
-	return LedgerConfig{Path: path, MaxBytes: 1 << 20, Retention: time.Hour}
-}
-
 // testOptions returns the options of a receiver of the tests' classes.
 func testOptions(config *Config, core Core, clock Clock, wallClock func() time.Time, post func(func())) Options {
 	return Options{
@@ -65,18 +61,24 @@
 }
 
 // newTestReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
-func newTestReceiver(t rapid.TB, core Core, ledger string) (*Receiver, chan func()) {
+func newTestReceiver(t rapid.TB, core Core, path string) (*Receiver, chan func()) {
 	t.Helper()
-	return newTestReceiverAt(t, core, ledger, wallAtNoon)
+	return newTestReceiverAt(t, core, path, wallAtNoon)
 }
 
 // newTestReceiverAt is newTestReceiver by another wall clock.
-func newTestReceiverAt(t rapid.TB, core Core, ledger string, wallClock func() time.Time) (*Receiver, chan func()) {
+func newTestReceiverAt(t rapid.TB, core Core, path string, wallClock func() time.Time) (*Receiver, chan func()) {
+	t.Helper()
+	return newTestReceiverOn(t, core, testConfig(path), wallClock, ledger.SystemDisk{})
+}
+
+// newTestReceiverOn is newTestReceiverAt with a configuration and a disk for the ledger.
+func newTestReceiverOn(t rapid.TB, core Core, config *Config, wallClock func() time.Time, disk ledger.Disk) (*Receiver, chan func()) {
 	t.Helper()
 	posts := make(chan func(), 100)
 	clock := testutil.Clock(time.Hour)
 	post := func(f func()) { posts <- f }
-	receiver, err := NewReceiver(testOptions(testConfig(ledger), core, clock, wallClock, post))
+	receiver, err := newReceiver(testOptions(config, core, clock, wallClock, post), disk)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/webhook/outcome.go
+++ b/internal/webhook/outcome.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"crankhold/internal/ledger"
 	"crankhold/internal/router"
 )
 
@@ -25,13 +26,13 @@
 
 // recoveredOutcome is the outcome of an order that an earlier run of the program recorded. An order that was in flight
 // when that run ended may have run, and nothing is known of how it ended.
-func recoveredOutcome(entry ledgerEntry) *outcome {
+func recoveredOutcome(entry ledger.Entry) *outcome {
 	recovered := &outcome{bodyDigest: entry.BodyDigest, eventTime: entry.EventTime, inLedger: true, completed: true}
-	if entry.State == stateBegun {
+	if entry.State == ledger.Begun {
 		recovered.status = statusBadGateway
 		return recovered
 	}
-	recovered.status = entry.Status
+	recovered.status = httpStatus(entry.Status)
 	recovered.body = entry.Body
 	return recovered
 }
@@ -42,8 +43,8 @@
 }
 
 // ledgerEntry is what all entries of an order have in common.
-func (o *outcome) ledgerEntry(id string) ledgerEntry {
-	return ledgerEntry{ID: id, EventTime: o.eventTime, BodyDigest: o.bodyDigest}
+func (o *outcome) ledgerEntry(id string) ledger.Entry {
+	return ledger.Entry{ID: id, EventTime: o.eventTime, BodyDigest: o.bodyDigest}
 }
 
 // respondToAll responds to all deliveries that wait, and has their connections go on.
@@ -118,8 +119,8 @@
 	p.receiver.outcomes.remove(p.id)
 	if p.outcome.inLedger {
 		entry := p.outcome.ledgerEntry(p.id)
-		entry.State = stateFreed
-		p.receiver.ledger.update(entry, p.receiver.time.steady())
+		entry.State = ledger.Freed
+		p.receiver.ledger.Update(entry, p.receiver.time.steady())
 	}
 	if response.DeadlineExceeded {
 		p.outcome.respondToAll(httpResponse{status: statusGatewayTimeout})
@@ -138,10 +139,10 @@
 	p.receiver.outcomes.complete(p.outcome, status, body, p.receiver.clock.Now())
 	if p.outcome.inLedger {
 		entry := p.outcome.ledgerEntry(p.id)
-		entry.State = stateEnded
-		entry.Status = status
+		entry.State = ledger.Ended
+		entry.Status = int(status)
 		entry.Body = body
-		p.receiver.ledger.update(entry, p.receiver.time.steady())
+		p.receiver.ledger.Update(entry, p.receiver.time.steady())
 	}
 	p.outcome.respondToAll(p.outcome.response())
 }
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"crankhold/internal/eventloop"
+	"crankhold/internal/ledger"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -42,8 +43,8 @@
 	time       *deliveryClock
 	post       func(func())
 	keys       []signingKey
-	ledger     *ledger   // nil: none is configured, and orders are rejected
-	horizon    time.Time // the retention horizon: orders that happened up to then may have been forgotten
+	ledger     *ledger.Ledger // nil: none is configured, and orders are rejected
+	horizon    time.Time      // the retention horizon: orders that happened up to then may have been forgotten
 	outcomes   *outcomeTable
 	rejections rejectionLog
 	counters   Counters
@@ -70,14 +71,14 @@
 }
 
 // NewReceiver reads the keys and the ledger that the configuration names, and starts the ledger's goroutine. It blocks
-// on file I/O and must be called before the event loop runs. Its errors are KeyErrors, LedgerErrors and
-// LedgerInUseErrors.
+// on file I/O and must be called before the event loop runs. Its errors are KeyErrors, ledger.FileErrors and
+// ledger.InUseErrors.
 func NewReceiver(options Options) (*Receiver, error) {
-	return newReceiver(options, systemDisk{})
+	return newReceiver(options, ledger.SystemDisk{})
 }
 
 // newReceiver makes a receiver whose ledger is kept on a disk.
-func newReceiver(options Options, disk ledgerDisk) (*Receiver, error) {
+func newReceiver(options Options, disk ledger.Disk) (*Receiver, error) {
 	keys, err := readKeys(options.Config.Keys)
 	if err != nil {
 		return nil, err
@@ -107,14 +108,14 @@
 }
 
 // openLedger opens the ledger and recovers the outcomes that it holds.
-func (r *Receiver) openLedger(disk ledgerDisk) error {
-	ledger, content, err := openLedger(r.config.Ledger, r.time.steady(), disk)
+func (r *Receiver) openLedger(disk ledger.Disk) error {
+	orders, content, err := ledger.Open(r.config.Ledger, r.time.steady(), disk)
 	if err != nil {
 		return err
 	}
-	r.ledger = ledger
-	r.horizon = content.horizon
-	for _, entry := range content.entries {
+	r.ledger = orders
+	r.horizon = content.RetentionHorizon
+	for _, entry := range content.Entries {
 		r.outcomes.add(entry.ID, recoveredOutcome(entry))
 	}
 	return nil
@@ -123,17 +124,12 @@
 // Counters returns the counters of deliveries since the start.
 func (r *Receiver) Counters() Counters { return r.counters }
 
-// LedgerCounters count what became of the ledger's file: failed writes and syncs, recoveries, and entries that are owed
-// to it now.
-type LedgerCounters struct{ Failures, Recoveries, Unwritten uint64 }
-
 // LedgerCounters returns the counters of the ledger; zero where there is none.
-func (r *Receiver) LedgerCounters() LedgerCounters {
+func (r *Receiver) LedgerCounters() ledger.Counters {
 	if r.ledger == nil {
-		return LedgerCounters{}
+		return ledger.Counters{}
 	}
-	counters := &r.ledger.counters
-	return LedgerCounters{counters.failures.Load(), counters.recoveries.Load(), counters.unwritten.Load()}
+	return r.ledger.Counters()
 }
 
 // Close ends the ledger's goroutine when all entries are written. It blocks until then and must not be called on the
@@ -142,7 +138,7 @@
 	if r.ledger == nil {
 		return nil
 	}
-	return r.ledger.close()
+	return r.ledger.Close()
 }
 
 // Accept serves a connection.
--- a/internal/webhook/recovery_test.go
+++ b/internal/webhook/recovery_test.go
@@ -1,7 +1,6 @@
 package webhook
 
 import (
-	"bytes"
 	"fmt"
 	"net/netip"
 	"path/filepath"
@@ -22,6 +21,7 @@
 // steppedReceiver is a receiver whose wall clock is stepped.
 type steppedReceiver struct {
 	*Receiver
+	disk  *breakableDisk // of the ledger
 	t     *testing.T
 	core  *fakeCore
 	clock *movingClock
@@ -34,10 +34,10 @@
 // newSteppedReceiver returns a receiver whose clocks say noon, and whose ledger retains orders for testRetention.
 func newSteppedReceiver(t *testing.T, path string, wall time.Time) *steppedReceiver {
 	t.Helper()
-	s := &steppedReceiver{t: t, core: &fakeCore{}, clock: &movingClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
+	s := &steppedReceiver{disk: &breakableDisk{}, t: t, core: &fakeCore{}, clock: &movingClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
 	config := testConfig(path)
 	config.Receiver.Ledger.Retention = testRetention
-	receiver, err := NewReceiver(testOptions(config, s.core, s.clock, func() time.Time { return s.wall }, func(f func()) { s.posts <- f }))
+	receiver, err := newReceiver(testOptions(config, s.core, s.clock, func() time.Time { return s.wall }, func(f func()) { s.posts <- f }), s.disk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	served := &testutil.Transport{}
 	s.serve(served, netip.AddrPort{}).Data(signedDelivery(activeSecret, "served", noon, callPayload("repair-order", "x", noon)))
 	(<-s.posts)()
-	s.ledger.file.Close() // every write and sync fails from now on
+	s.disk.failOnce() // every write and sync fails from now on
 	s.core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done"), MayHaveRun: true})
 	rejected := 0
 	for begun := time.Now(); ; rejected++ {
@@ -163,17 +163,3 @@
 		t.Errorf("%d of %d rejected orders ran", ran, rejected)
 	}
 }
-
-// What became of an order is recorded, however many orders end at once.
-func TestNoOutcomeIsDroppedWhereManyEndAtOnce(t *testing.T) {
-	const orders = 20 * ledgerQueueLength
-	path := filepath.Join(t.TempDir(), "ledger")
-	s := newSteppedReceiver(t, path, noon)
-	for i := range orders {
-		s.ledger.update(ledgerEntry{ID: strconv.Itoa(i), EventTime: noon, State: stateEnded, Status: statusOK}, noon)
-	}
-	s.Close()
-	if lines := bytes.Count(readFile(t, path), []byte("\n")); lines != orders {
-		t.Errorf("the ledger has %d lines, want %d", lines, orders)
-	}
-}
