--- a/internal/webhook/key.go
+++ b/internal/signature/key.go
@@ -1,4 +1,4 @@
-package webhook
+package signature
 
 import (
 	"encoding/base64"
@@ -16,31 +16,20 @@
 	maxSecretBytes = 64
 )
 
-// signingKey verifies signatures until it is retired.
-type signingKey struct {
-	secret []byte
-	until  time.Time // retired from then on; zero: never
+// Key verifies signatures until it is retired.
+type Key struct {
+	Secret []byte
+	Until  time.Time // retired from then on; zero: never
 }
 
-func (k signingKey) isActive(now time.Time) bool {
-	return k.until.IsZero() || now.Before(k.until)
+// IsActive reports whether the key is not retired.
+func (k Key) IsActive(now time.Time) bool {
+	return k.Until.IsZero() || now.Before(k.Until)
 }
 
-// readKeys reads the key files that the configuration names.
-func readKeys(configs []KeyConfig) ([]signingKey, error) {
-	var keys []signingKey
-	for _, config := range configs {
-		secret, err := readKey(config.File)
-		if err != nil {
-			return nil, err
-		}
-		keys = append(keys, signingKey{secret, config.Until})
-	}
-	return keys, nil
-}
-
-// readKey reads a key file: the prefix and the secret in base64.
-func readKey(path string) ([]byte, error) {
+// ReadSecret reads the secret in a key file: the prefix and the secret in base64. Its errors are KeyErrors. It blocks on
+// file I/O.
+func ReadSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &KeyError{File: path, Err: err}
--- /dev/null
+++ b/internal/webhook/authentication.go
@@ -0,0 +1,79 @@
+package webhook
+
+import (
+	"time"
+
+	"crankhold/internal/signature"
+)
+
+// AuthenticationReason says why a delivery was not authenticated.
+type AuthenticationReason uint8
+
+// The reasons, in the order in which they are checked.
+const (
+	Unsigned       AuthenticationReason = iota // a signature header is missing, repeated or malformed
+	NoMatchingKey                              // no active key made any of the signatures
+	StaleTimestamp                             // the timestamp is out of tolerance
+)
+
+// String returns the reason as it is logged.
+func (r AuthenticationReason) String() string {
+	return [...]string{
+		Unsigned:       "unsigned or malformed signature headers",
+		NoMatchingKey:  "no active key made this signature",
+		StaleTimestamp: "timestamp is out of tolerance",
+	}[r]
+}
+
+// AuthenticationError is a delivery that was not authenticated; it is answered with 401.
+type AuthenticationError struct{ Reason AuthenticationReason }
+
+// Error returns the reason.
+func (e *AuthenticationError) Error() string { return e.Reason.String() }
+
+// readKeys reads the key files that the configuration names. Its errors are signature.KeyErrors.
+func readKeys(configs []KeyConfig) ([]signature.Key, error) {
+	var keys []signature.Key
+	for _, config := range configs {
+		secret, err := signature.ReadSecret(config.File)
+		if err != nil {
+			return nil, err
+		}
+		keys = append(keys, signature.Key{Secret: secret, Until: config.Until})
+	}
+	return keys, nil
+}
+
+// authenticator authenticates deliveries.
+type authenticator struct {
+	keys      []signature.Key
+	clock     *deliveryClock
+	tolerance time.Duration // that a delivery's timestamp may differ by from the present
+}
+
+// authenticate returns the webhook-id of a delivery that an active key signed and whose timestamp is within the
+// tolerance of the present. Its errors are AuthenticationErrors.
+func (a *authenticator) authenticate(request *httpRequest, body []byte) (id string, err error) {
+	headers, ok := parseSignatureHeaders(request)
+	if !ok {
+		return "", &AuthenticationError{Reason: Unsigned}
+	}
+	if !headers.IsSignedByAny(a.keys, body, a.clock.steady()) {
+		return "", &AuthenticationError{Reason: NoMatchingKey}
+	}
+	if !a.clock.isFresh(headers.SentAt, a.tolerance) {
+		return "", &AuthenticationError{Reason: StaleTimestamp}
+	}
+	return headers.ID, nil
+}
+
+// parseSignatureHeaders reads the signature headers. It reports whether each of them is there once and well formed.
+func parseSignatureHeaders(request *httpRequest) (headers signature.Headers, ok bool) {
+	id, ids := request.header(signature.HeaderID)
+	timestamp, timestamps := request.header(signature.HeaderTimestamp)
+	signatures, lists := request.header(signature.HeaderSignature)
+	if ids != 1 || timestamps != 1 || lists != 1 {
+		return headers, false
+	}
+	return signature.ParseHeaders(id, timestamp, signatures)
+}
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -23,7 +23,7 @@
 		return
 	}
 	r.counters.Deliveries++
-	id, err := authenticate(request, body, r.keys, r.time, r.config.Tolerance)
+	id, err := r.authenticator.authenticate(request, body)
 	if err != nil {
 		r.counters.Unauthorized++
 		r.logRejection("webhook_delivery_rejected", err)
--- a/internal/webhook/errors.go
+++ b/internal/webhook/errors.go
@@ -24,54 +24,12 @@
 // Unwrap returns what is wrong.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// KeyError is a key file that can't be read or used. Its text never holds any part of the key.
-type KeyError struct {
-	File string
-	Err  error
-}
-
-// Error names the file.
-func (e *KeyError) Error() string {
-	if isReadError(e.Err) {
-		return "key: " + e.Err.Error()
-	}
-	return fmt.Sprintf("key %s: %v", e.File, e.Err)
-}
-
-// Unwrap returns what is wrong.
-func (e *KeyError) Unwrap() error { return e.Err }
-
 // isReadError reports whether err is the system's error for a file that can't be read; its text names the file.
 func isReadError(err error) bool {
 	var pathError *fs.PathError
 	return errors.As(err, &pathError)
 }
 
-// AuthenticationReason says why a delivery was not authenticated.
-type AuthenticationReason uint8
-
-// The reasons, in the order in which they are checked.
-const (
-	Unsigned       AuthenticationReason = iota // a signature header is missing, repeated or malformed
-	NoMatchingKey                              // no active key made any of the signatures
-	StaleTimestamp                             // the timestamp is out of tolerance
-)
-
-// String returns the reason as it is logged.
-func (r AuthenticationReason) String() string {
-	return [...]string{
-		Unsigned:       "unsigned or malformed signature headers",
-		NoMatchingKey:  "no active key made this signature",
-		StaleTimestamp: "timestamp is out of tolerance",
-	}[r]
-}
-
-// AuthenticationError is a delivery that was not authenticated; it is answered with 401.
-type AuthenticationError struct{ Reason AuthenticationReason }
-
-// Error returns the reason.
-func (e *AuthenticationError) Error() string { return e.Reason.String() }
-
 // MalformedDeliveryError is an authenticated delivery whose payload can't be used; it is answered with 400.
 type MalformedDeliveryError struct {
 	Field string // the payload's field, as data.class; "" where the payload is not JSON
--- a/internal/webhook/notice_attempt.go
+++ b/internal/webhook/notice_attempt.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"strconv"
 	"time"
+
+	"crankhold/internal/signature"
 )
 
 // maxNoticeResponse is how much of a receiver's response is read, in bytes.
@@ -41,9 +43,9 @@
 	head = fmt.Appendf(head, "Host: %s\r\n", s.url.Host)
 	head = fmt.Appendf(head, "Content-Type: application/json\r\n")
 	head = fmt.Appendf(head, "Content-Length: %d\r\n", len(n.body))
-	head = fmt.Appendf(head, "%s: %s\r\n", headerID, n.id)
-	head = fmt.Appendf(head, "%s: %s\r\n", headerTimestamp, timestamp)
-	head = fmt.Appendf(head, "%s: %s\r\n", headerSignature, sign(s.secret, n.id, timestamp, n.body))
+	head = fmt.Appendf(head, "%s: %s\r\n", signature.HeaderID, n.id)
+	head = fmt.Appendf(head, "%s: %s\r\n", signature.HeaderTimestamp, timestamp)
+	head = fmt.Appendf(head, "%s: %s\r\n", signature.HeaderSignature, signature.Sign(s.secret, n.id, timestamp, n.body))
 	return fmt.Appendf(head, "Connection: close\r\n\r\n")
 }
 
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -36,18 +36,18 @@
 
 // Receiver takes requests from signed webhooks. It belongs to the event loop's goroutine.
 type Receiver struct {
-	config     ReceiverConfig
-	core       Core
-	classes    *classTable
-	clock      Clock
-	time       *deliveryClock
-	post       func(func())
-	keys       []signingKey
-	ledger     *ledger.Ledger // nil: none is configured, and orders are rejected
-	horizon    time.Time      // the retention horizon: orders that happened up to then may have been forgotten
-	outcomes   *outcomeTable
-	rejections rejectionLog
-	counters   Counters
+	config        ReceiverConfig
+	core          Core
+	classes       *classTable
+	clock         Clock
+	time          *deliveryClock
+	post          func(func())
+	authenticator authenticator
+	ledger        *ledger.Ledger // nil: none is configured, and orders are rejected
+	horizon       time.Time      // the retention horizon: orders that happened up to then may have been forgotten
+	outcomes      *outcomeTable
+	rejections    rejectionLog
+	counters      Counters
 }
 
 // Options are the parts that a Receiver works with.
@@ -71,7 +71,7 @@
 }
 
 // NewReceiver reads the keys and the ledger that the configuration names, and starts the ledger's goroutine. It blocks
-// on file I/O and must be called before the event loop runs. Its errors are KeyErrors, ledger.FileErrors and
+// on file I/O and must be called before the event loop runs. Its errors are signature.KeyErrors, ledger.FileErrors and
 // ledger.InUseErrors.
 func NewReceiver(options Options) (*Receiver, error) {
 	return newReceiver(options, ledger.SystemDisk{})
@@ -87,16 +87,17 @@
 	if logger == nil {
 		logger = slog.Default()
 	}
+	clock := newDeliveryClock(options.Clock, options.WallClock)
 	r := &Receiver{
-		config:     options.Config,
-		core:       options.Core,
-		classes:    newClassTable(options.Classes),
-		clock:      options.Clock,
-		time:       newDeliveryClock(options.Clock, options.WallClock),
-		post:       options.Post,
-		keys:       keys,
-		outcomes:   newOutcomeTable(options.MaxOutcomeBytes),
-		rejections: rejectionLog{logger: logger},
+		config:        options.Config,
+		core:          options.Core,
+		classes:       newClassTable(options.Classes),
+		clock:         options.Clock,
+		time:          clock,
+		post:          options.Post,
+		authenticator: authenticator{keys: keys, clock: clock, tolerance: options.Config.Tolerance},
+		outcomes:      newOutcomeTable(options.MaxOutcomeBytes),
+		rejections:    rejectionLog{logger: logger},
 	}
 	if r.config.Ledger.Path == "" {
 		return r, nil
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -12,6 +12,7 @@
 
 	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
+	"crankhold/internal/signature"
 )
 
 const (
@@ -76,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
 	}
-	secret, err := readKey(config.Key)
+	secret, err := signature.ReadSecret(config.Key)
 	if err != nil {
 		return nil, err
 	}
