--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -22,7 +22,7 @@
 	"math/rand/v2", "slices", "sort", "strconv", "strings", "time", "unicode", "unicode/utf8", "net/netip"}
 
 // transportPackages know sockets, files or the platform; the core and the decisions may not import them.
-var transportPackages = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/ledger", "internal/signature", "internal/workerclient", "internal/discovery", "internal/ipfix",
+var transportPackages = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/ledger", "internal/signature", "internal/notice", "internal/workerclient", "internal/discovery", "internal/ipfix",
 	"internal/simulator", "internal/server", "internal/config", "internal/command"}
 
 // inspectPackage returns what the non-test files of a package import, and the impure calls that they make.
--- a/internal/webhook/notice_attempt.go
+++ b/internal/notice/attempt.go
@@ -1,4 +1,4 @@
-package webhook
+package notice
 
 import (
 	"bytes"
@@ -70,19 +70,6 @@
 	a.complete(status, nil)
 }
 
-// parseStatusLine reads the status code (RFC 9112, section 4). It returns statusNone for a line that has none.
-func parseStatusLine(line []byte) httpStatus {
-	words := bytes.SplitN(line, []byte{' '}, 3)
-	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) || len(words[1]) != 3 {
-		return statusNone
-	}
-	code, err := strconv.Atoi(string(words[1]))
-	if err != nil {
-		return statusNone
-	}
-	return httpStatus(code)
-}
-
 // skipInterimResponse goes on with what follows an interim response, once that is complete.
 func (a *noticeAttempt) skipInterimResponse() {
 	end := bytes.Index(a.response, headEnd)
@@ -106,7 +93,7 @@
 func (a *noticeAttempt) fail(err error) { a.complete(statusNone, err) }
 
 // complete ends the attempt, unless it has ended already.
-func (a *noticeAttempt) complete(status httpStatus, err error) {
+func (a *noticeAttempt) complete(status statusCode, err error) {
 	if a.done {
 		return
 	}
--- /dev/null
+++ b/internal/notice/golden_test.go
@@ -0,0 +1,95 @@
+package notice
+
+import (
+	"bytes"
+	"encoding/base64"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"crankhold/internal/eventloop"
+	"crankhold/internal/golden"
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+)
+
+var (
+	noon         = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	activeSecret = bytes.Repeat([]byte("active"), 5)
+)
+
+// wallAtNoon is a wall clock that stands still.
+func wallAtNoon() time.Time { return noon }
+
+// noticeCase is a notice that is sent, and the response to each attempt.
+type noticeCase struct {
+	name, url, outcome string
+	request            router.Request
+	responses          []string
+}
+
+// play returns a transcript of all attempts.
+func (n noticeCase) play(t *testing.T) string {
+	t.Helper()
+	testutil.FixRandom(t)
+	config := DefaultConfig()
+	config.URL = n.url
+	config.Key = filepath.Join(t.TempDir(), "key")
+	if err := os.WriteFile(config.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)+"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var transport *testutil.Transport
+	var handler eventloop.DialHandler
+	transcript := ""
+	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
+	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
+		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
+		transport, handler = &testutil.Transport{}, h
+		return transport
+	}
+	sender, err := NewSender(&config, func() time.Time { return date }, dial)
+	if err != nil {
+		t.Fatal(err)
+	}
+	now := time.Hour
+	sender.Notify(now, &n.request, router.Completion(n.outcome))
+	for _, reply := range n.responses {
+		sender.Tick(now)
+		handler.DialCompleted(nil)
+		transcript += golden.Quote("request", transport.Written.Bytes())
+		transcript += golden.Quote("reply", []byte(reply))
+		handler.Data([]byte(reply))
+		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.Closed, sender.Pending())
+		now += maxBackoff
+		date = date.Add(90 * time.Second)
+	}
+	return transcript
+}
+
+// The bytes of each signed notice are fixed, and that a retry differs by its timestamp and signature alone.
+func TestGoldenNotices(t *testing.T) {
+	const (
+		plainURL = "http://hooks.example.org/notices"
+		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
+	)
+	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", ClientReference: "msg_1", FunctionKey: "7f3a9c21e0b4d655"}
+	byOther := router.Request{ID: "order-17", FunctionKey: "7f3a9c21e0b4d655"}
+	for _, n := range []noticeCase{
+		{"served", plainURL, "served", byWebhook, []string{accepted}},
+		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
+		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
+		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
+		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
+		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, ClientReference: "msg_<&>", FunctionKey: "é"}, []string{accepted}},
+		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
+		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
+		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
+		{"gone", plainURL, "served", byWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
+	} {
+		t.Run(n.name, func(t *testing.T) {
+			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.play(t)))
+		})
+	}
+}
--- a/internal/webhook/sender.go
+++ b/internal/notice/sender.go
@@ -1,4 +1,4 @@
-package webhook
+package notice
 
 import (
 	"crypto/rand"
@@ -30,10 +30,16 @@
 // Dial begins to open a connection to an address. The handler hears how the dial ended.
 type Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 
+// Transport is a connection to the receiver of notices; an eventloop.Conn is one.
+type Transport interface {
+	Write(bufs ...[]byte)
+	Close()
+}
+
 // Sender sends a signed notice of what became of each order. It never delays a request: a notice that its queue has no
 // room for is dropped and counted.
 type Sender struct {
-	config    *SenderConfig
+	config    *Config
 	url       *url.URL
 	address   string // to connect to
 	secret    []byte
@@ -43,11 +49,11 @@
 	queue     []*notice // waiting until they are due
 	inFlight  int       // attempts that have not ended
 	attempts  []*noticeAttempt
-	Counters  SenderCounters
+	Counters  Counters
 }
 
-// SenderCounters counts notices by what became of them, and the retries of their attempts.
-type SenderCounters struct{ Queued, Dropped, Delivered, Retried, Abandoned uint64 }
+// Counters counts notices by what became of them, and the retries of their attempts.
+type Counters struct{ Queued, Dropped, Delivered, Retried, Abandoned uint64 }
 
 // notice is a message that is delivered until its receiver accepts it or its attempts are used up.
 type notice struct {
@@ -70,9 +76,8 @@
 	Key       string `json:"key"`
 }
 
-// NewSender reads the key that cfg names.
-func NewSender(cfg *Config, wallClock func() time.Time, dial Dial) (*Sender, error) {
-	config := &cfg.Sender
+// NewSender reads the key that the configuration names.
+func NewSender(config *Config, wallClock func() time.Time, dial Dial) (*Sender, error) {
 	target, err := url.Parse(config.URL)
 	if err != nil {
 		return nil, fmt.Errorf("sender.url: %w", err)
@@ -92,7 +97,7 @@
 }
 
 // connectAddress returns the address that notices are sent to: the configured one, else the URL's.
-func connectAddress(config *SenderConfig, target *url.URL) string {
+func connectAddress(config *Config, target *url.URL) string {
 	switch {
 	case config.Connect != "":
 		return config.Connect
@@ -189,7 +194,7 @@
 
 // attemptCompleted counts a notice that its receiver accepted, and has one that it did not retried later, until its
 // attempts are used up. A receiver that answers with 410 wants it never again. Status is 0 where err is set.
-func (s *Sender) attemptCompleted(n *notice, status httpStatus, err error) {
+func (s *Sender) attemptCompleted(n *notice, status statusCode, err error) {
 	s.inFlight--
 	n.attempts++
 	if status.isSuccess() {
--- a/internal/webhook/sender_test.go
+++ b/internal/notice/sender_test.go
@@ -1,4 +1,4 @@
-package webhook
+package notice
 
 import (
 	"bufio"
@@ -19,18 +19,18 @@
 // Notices are signed, keep their id over all attempts, are attempted a bounded number of times, and are dropped and
 // counted where the queue is full.
 func TestNoticesAreSignedRetriedAndBounded(t *testing.T) {
-	config := testConfig("")
-	config.Sender.URL = "http://hooks.example.org/n"
-	config.Sender.Queue = 2
-	config.Sender.Attempts = 3
+	config := DefaultConfig()
+	config.URL = "http://hooks.example.org/n"
+	config.Queue = 2
+	config.Attempts = 3
 	path := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	config.Sender.Key = path
+	config.Key = path
 	var transports []*testutil.Transport
 	var handlers []eventloop.DialHandler
-	sender, err := NewSender(config, wallAtNoon, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
+	sender, err := NewSender(&config, wallAtNoon, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
 		transports = append(transports, &testutil.Transport{})
 		handlers = append(handlers, h)
 		return transports[len(transports)-1]
@@ -73,7 +73,7 @@
 		handlers = nil
 		now = max(next, now+10*time.Minute)
 	}
-	if want := (SenderCounters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Abandoned: 1}); sender.Counters != want || len(ids) != 2 {
+	if want := (Counters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Abandoned: 1}); sender.Counters != want || len(ids) != 2 {
 		t.Errorf("counters %+v, want %+v; ids %v", sender.Counters, want, ids)
 	}
 	for id, n := range ids {
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -8,6 +8,7 @@
 	"crankhold/internal/config"
 	"crankhold/internal/eventloop"
 	"crankhold/internal/ipfix"
+	"crankhold/internal/notice"
 	"crankhold/internal/router"
 	"crankhold/internal/webhook"
 	"crankhold/policy"
@@ -23,7 +24,7 @@
 // integrations are the optional parts beside the platform's own front. Each is nil where it is off.
 type integrations struct {
 	receiver *webhook.Receiver
-	sender   *webhook.Sender
+	sender   *notice.Sender
 	exporter *ipfix.Exporter
 
 	config *config.Config
@@ -90,10 +91,10 @@
 }
 
 func (n *integrations) addSender(cfg *webhook.Config, loop *eventloop.Loop) error {
-	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) webhook.Transport {
+	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
 		return loop.Dial("tcp", addr, timeout, handler)
 	}
-	sender, err := webhook.NewSender(cfg, time.Now, dial)
+	sender, err := notice.NewSender(&cfg.Sender, time.Now, dial)
 	if err != nil {
 		return err
 	}
--- a/internal/webhook/errors.go
+++ b/internal/webhook/errors.go
@@ -46,10 +46,3 @@
 func malformedField(field, problem string) error {
 	return &MalformedDeliveryError{Field: field, Err: errors.New(problem)}
 }
-
-// Why an attempt to deliver a notice failed.
-var (
-	errNoticeTimeout           = errors.New("no answer in time")
-	errNoticeResponseMalformed = errors.New("malformed answer")
-	errNoticeUnanswered        = errors.New("closed without an answer")
-)
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"crypto/rand"
 	"encoding/base64"
 	"fmt"
 	"net/netip"
@@ -12,37 +11,17 @@
 	"testing"
 	"time"
 
-	"crankhold/internal/eventloop"
 	"crankhold/internal/golden"
 	"crankhold/internal/ledger"
 	"crankhold/internal/router"
 	"crankhold/internal/testutil"
 )
 
-// The golden files hold whole messages. Nothing in them is masked: the clocks are fixed, and fixRandom makes the
+// The golden files hold whole messages. Nothing in them is masked: the clocks are fixed, and testutil.FixRandom makes the
 // random ids repeatable.
 
 var goldenClient = netip.MustParseAddrPort("192.0.2.7:4000")
 
-// countingReader yields the bytes 255, 254, 253 and so on: in base64 they have characters that its variants differ in.
-type countingReader struct{ last byte }
-
-func (r *countingReader) Read(b []byte) (int, error) {
-	for i := range b {
-		r.last--
-		b[i] = r.last
-	}
-	return len(b), nil
-}
-
-// fixRandom replaces the source of random ids until the end of the test.
-func fixRandom(t *testing.T) {
-	t.Helper()
-	system := rand.Reader
-	rand.Reader = &countingReader{}
-	t.Cleanup(func() { rand.Reader = system })
-}
-
 func replaced(request []byte, old, new string) []byte {
 	return bytes.Replace(request, []byte(old), []byte(new), 1)
 }
@@ -68,7 +47,7 @@
 // play returns a transcript of the exchange.
 func (x exchange) play(t *testing.T) string {
 	t.Helper()
-	fixRandom(t)
+	testutil.FixRandom(t)
 	ledgerPath := filepath.Join(t.TempDir(), "ledger")
 	if x.noLedger {
 		ledgerPath = ""
@@ -179,77 +158,6 @@
 	}
 }
 
-// noticeCase is a notice that is sent, and the response to each attempt.
-type noticeCase struct {
-	name, url, outcome string
-	request            router.Request
-	responses          []string
-}
-
-// play returns a transcript of all attempts.
-func (n noticeCase) play(t *testing.T) string {
-	t.Helper()
-	fixRandom(t)
-	config := testConfig("")
-	config.Sender.URL = n.url
-	config.Sender.Key = filepath.Join(t.TempDir(), "key")
-	if err := os.WriteFile(config.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)+"\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	var transport *testutil.Transport
-	var handler eventloop.DialHandler
-	transcript := ""
-	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
-	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
-		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
-		transport, handler = &testutil.Transport{}, h
-		return transport
-	}
-	sender, err := NewSender(config, func() time.Time { return date }, dial)
-	if err != nil {
-		t.Fatal(err)
-	}
-	now := time.Hour
-	sender.Notify(now, &n.request, router.Completion(n.outcome))
-	for _, reply := range n.responses {
-		sender.Tick(now)
-		handler.DialCompleted(nil)
-		transcript += golden.Quote("request", transport.Written.Bytes())
-		transcript += golden.Quote("reply", []byte(reply))
-		handler.Data([]byte(reply))
-		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.Closed, sender.Pending())
-		now += maxBackoff
-		date = date.Add(90 * time.Second)
-	}
-	return transcript
-}
-
-// The bytes of each signed notice are fixed, and that a retry differs by its timestamp and signature alone.
-func TestGoldenNotices(t *testing.T) {
-	const (
-		plainURL = "http://hooks.example.org/notices"
-		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
-	)
-	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", ClientReference: "msg_1", FunctionKey: "7f3a9c21e0b4d655"}
-	byOther := router.Request{ID: "order-17", FunctionKey: "7f3a9c21e0b4d655"}
-	for _, n := range []noticeCase{
-		{"served", plainURL, "served", byWebhook, []string{accepted}},
-		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
-		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
-		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
-		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
-		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, ClientReference: "msg_<&>", FunctionKey: "é"}, []string{accepted}},
-		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
-		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
-		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
-		{"gone", plainURL, "served", byWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
-	} {
-		t.Run(n.name, func(t *testing.T) {
-			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.play(t)))
-		})
-	}
-}
-
 // ledgerOrder is an order that is delivered once for each of its responses, or once and never responded to.
 type ledgerOrder struct {
 	id, class, timestamp string
@@ -338,7 +246,7 @@
 // A ledger that an earlier version wrote is read as it was meant: which deliveries are answered with the first
 // outcome, which count as failed, and which are accepted anew.
 func TestGoldenLedgerIsRead(t *testing.T) {
-	fixRandom(t)
+	testutil.FixRandom(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ledger")
 	if err := os.WriteFile(path, readFile(t, ledgerFile), 0o600); err != nil {
--- a/internal/webhook/response.go
+++ b/internal/webhook/response.go
@@ -25,9 +25,6 @@
 	statusGatewayTimeout       httpStatus = 504
 )
 
-// statusGone is how a receiver of notices says that it wants a notice never again.
-const statusGone httpStatus = 410
-
 // continueResponse is the interim response to "Expect: 100-continue".
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -61,11 +58,6 @@
 	return ""
 }
 
-// isInformational reports whether it is the status of an interim response, which a final one follows.
-func (s httpStatus) isInformational() bool { return s >= 100 && s < 200 }
-
-func (s httpStatus) isSuccess() bool { return s >= 200 && s < 300 }
-
 // httpResponse is the response to a delivery.
 type httpResponse struct {
 	status     httpStatus
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"crankhold/internal/eventloop"
+	"crankhold/internal/notice"
 	"crankhold/internal/router"
 	"crankhold/internal/signature"
 	"crankhold/policy"
@@ -34,7 +35,7 @@
 	done     chan struct{}
 	mu       sync.Mutex
 	runs     map[string]int
-	sender   *Sender
+	sender   *notice.Sender
 }
 
 func (server *testServer) StartAttempt(_ policy.WorkerID, a router.Attempt, r *router.Request, _ time.Duration) {
@@ -97,7 +98,7 @@
 	if err := os.WriteFile(config.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if server.sender, err = NewSender(config, wallAtNoon, func(addr string, timeout time.Duration, handler eventloop.DialHandler) Transport {
+	if server.sender, err = notice.NewSender(&config.Sender, wallAtNoon, func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
 		return server.loop.Dial("tcp", addr, timeout, handler)
 	}); err != nil {
 		t.Fatal(err)
