--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -12,7 +12,8 @@
 	Truncate(size int64) error
 }
 
-// Disk is where a ledger is kept. Its methods fail as the system's do.
+// Disk is where a ledger is kept. Its methods block, and fail as the system's do. They are called on the goroutine that
+// calls Open, and then on the writer's.
 type Disk interface {
 	// Open is os.OpenFile.
 	Open(path string, flag int, mode os.FileMode) (File, error)
@@ -22,7 +23,7 @@
 	SyncDir(dir string) error
 }
 
-// SystemDisk is the system's.
+// SystemDisk is the disk of the system that the program runs on.
 type SystemDisk struct{}
 
 // Open implements Disk.
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -1,14 +1,11 @@
 package ledger
 
 import (
-	"bufio"
 	"encoding/binary"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"hash/crc32"
-	"io"
 	"time"
 )
 
@@ -16,30 +13,30 @@
 // feed.
 const (
 	checksumDigits = 2 * crc32.Size
-	minLedgerLine  = checksumDigits + 2 // the checksum, the space and the line feed
-	maxLedgerLine  = 64 << 10
+	minLineBytes   = checksumDigits + 2 // the checksum, the space and the line feed
+	maxLineBytes   = 64 << 10
 )
 
 // State is what an entry says of its order. Its values are on the disk and may not change.
 type State string
 
 const (
-	Begun State = "begun" // it may run from now on
-	Ended State = "ended" // with the entry's outcome
-	Freed State = "freed" // it is proven not to have run
+	Begun  State = "begun" // the order may run from now on
+	Ended  State = "ended" // it has the entry's outcome
+	NotRun State = "freed" // it is proven not to have run, and may be begun again
 
-	// stateHorizon is of an entry that belongs to no order: those that happened up to its time may have been forgotten.
-	stateHorizon State = "horizon"
+	// retentionHorizon is of an entry that belongs to no order: the retention horizon of Content is its time.
+	retentionHorizon State = "horizon"
 )
 
-// Entry is a line of the ledger. The last entry of an order counts.
+// Entry is a line of the ledger. The last entry of an order counts. Its form is on the disk and may not change.
 type Entry struct {
 	ID         string    `json:"id"`
-	EventTime  time.Time `json:"at"`
+	EventTime  time.Time `json:"at"`  // by which the order's retention counts
 	BodyDigest string    `json:"sum"` // of the payload
 	State      State     `json:"state"`
-	Status     int       `json:"status,omitempty"`
-	Body       []byte    `json:"body,omitempty"`
+	Status     int       `json:"status,omitempty"` // of the response; with Ended alone
+	Body       []byte    `json:"body,omitempty"`   // of the response; with Ended alone
 }
 
 // encodeEntry returns an entry's line.
@@ -51,9 +48,9 @@
 	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-// decodeEntry reads a line, with its line feed.
+// decodeEntry reads a line, with its line feed. Its errors are errDamagedLine, or say what is wrong with the text.
 func decodeEntry(line []byte) (e Entry, err error) {
-	if len(line) < minLedgerLine {
+	if len(line) < minLineBytes {
 		return e, errDamagedLine
 	}
 	var checksum [crc32.Size]byte
@@ -67,24 +64,3 @@
 	err = json.Unmarshal(text, &e)
 	return e, err
 }
-
-// readEntries calls visit for each entry and returns the size of them all. A last line that was cut short was never
-// synced, so its order was never forwarded; damage anywhere else leaves open which orders ran, and is a FileError.
-func readEntries(path string, r io.Reader, visit func(Entry)) (size int64, err error) {
-	in := bufio.NewReaderSize(r, maxLedgerLine)
-	for number := 1; ; number++ {
-		line, err := in.ReadSlice('\n')
-		if errors.Is(err, io.EOF) {
-			return size, nil
-		}
-		if err != nil {
-			return size, &FileError{Path: path, Line: number, Err: err}
-		}
-		entry, err := decodeEntry(line)
-		if err != nil {
-			return size, &FileError{Path: path, Line: number, Err: err}
-		}
-		visit(entry)
-		size += int64(len(line))
-	}
-}
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -37,9 +37,13 @@
 // Unwrap returns the system's error.
 func (e *InUseError) Unwrap() error { return e.Err }
 
-// Why an order can't be recorded in the ledger, and what damage its file may have.
+// Errors of orders that can't be recorded.
 var (
-	errLedgerFull   = errors.New("ledger is full")
-	errLedgerBroken = errors.New("ledger is out of use until its file is whole again")
-	errDamagedLine  = errors.New("damaged")
+	// ErrFull is of an order for which the file or the queue has no capacity.
+	ErrFull = errors.New("ledger is full")
+	// ErrUnavailable is of an order that arrives after a failure of the file, from which it has not recovered yet.
+	ErrUnavailable = errors.New("ledger is out of use until its file is whole again")
 )
+
+// errDamagedLine is of a line that is too short or has another checksum.
+var errDamagedLine = errors.New("damaged")
--- a/internal/ledger/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -103,7 +103,7 @@
 			disk := &faultyDisk{random: rand.New(rand.NewPCG(seed, 1))}
 			path := filepath.Join(t.TempDir(), "ledger")
 			open := func() (*Ledger, map[string]State) {
-				l, content, err := Open(testLedger(path), noon, disk)
+				l, content, err := Open(Options{Config: testLedger(path), Now: noon, Disk: disk})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -211,25 +211,26 @@
 func TestRenameThatIsNotSyncedIsMadeAgain(t *testing.T) {
 	disk := &unsyncedDisk{}
 	config := testLedger(filepath.Join(t.TempDir(), "ledger"))
-	l, _, err := Open(config, noon, disk)
+	l, _, err := Open(Options{Config: config, Now: noon, Disk: disk})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	owed := Entry{ID: "owed", EventTime: noon, State: Ended}
-	old := encodeEntry(Entry{ID: "an earlier order", EventTime: noon, State: Freed})
-	l.mu.Lock() // the writer waits for jobs, so its file may be filled here
-	l.file.Write(old)
-	l.size += int64(len(old))
-	l.maxBytes = l.size
-	l.unwritten = []Entry{owed}
+	old := encodeEntry(Entry{ID: "an earlier order", EventTime: noon, State: NotRun})
+	w := l.writer
+	l.queue.mu.Lock() // the writer waits for jobs, so its file may be filled here
+	w.file.handle.Write(old)
+	w.file.size += int64(len(old))
+	w.file.maxBytes = w.file.size
+	w.unwritten = []Entry{owed}
 	disk.fails = 1
 	before := disk.asked
-	l.mu.Unlock()
-	if err := l.writeOwed(); err == nil {
+	l.queue.mu.Unlock()
+	if err := w.appendUnwritten(); err == nil {
 		t.Fatal("a rename that is not synced counts")
 	}
-	if err := l.mend(); err != nil {
+	if err := w.restoreFile(); err != nil {
 		t.Fatal(err)
 	}
 	if disk.asked-before != 2 {
--- /dev/null
+++ b/internal/ledger/file_test.go
@@ -0,0 +1,37 @@
+package ledger
+
+import (
+	"errors"
+	"io/fs"
+	"path/filepath"
+	"testing"
+)
+
+// What was written and not counted is cut off, and lines are appended behind what counts.
+func TestLogFileCutsOffTornLines(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	file := newLogFile(Config{Path: path, MaxBytes: 8}, SystemDisk{})
+	if err := file.truncateTorn(); !errors.Is(err, fs.ErrClosed) {
+		t.Errorf("a file that is not open: %v", err)
+	}
+	for _, step := range []error{
+		file.replace([]byte("one\n")), file.write([]byte("tor")), file.truncateTorn(), file.append([]byte("two\n")), file.sync(),
+	} {
+		if step != nil {
+			t.Fatal(step)
+		}
+	}
+	if got := string(readFile(t, path)); got != "one\ntwo\n" || file.size != 8 {
+		t.Errorf("the file is %q, its size %d", got, file.size)
+	}
+	if file.hasCapacity([]byte("x")) || !file.hasCapacity(nil) {
+		t.Error("a full file has capacity, or none for nothing")
+	}
+	if err := file.close(); err != nil {
+		t.Fatal(err)
+	}
+	var failed *FileError
+	if err := file.sync(); !errors.As(err, &failed) || failed.Path != path || failed.Line != 0 {
+		t.Errorf("a sync of a closed file: %v", err)
+	}
+}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -43,7 +43,7 @@
 	goldenOrder("served", 30*time.Minute, Begun, 0, ""),
 	goldenOrder("served", 30*time.Minute, Ended, 200, "done \x00\xff\r\n"),
 	goldenOrder("not-run", 30*time.Minute, Begun, 0, ""),
-	goldenOrder("not-run", 30*time.Minute, Freed, 0, ""),
+	goldenOrder("not-run", 30*time.Minute, NotRun, 0, ""),
 	goldenOrder("expires-later", 90*time.Minute, Begun, 0, ""),
 	goldenOrder("expires-later", 90*time.Minute, Ended, 502, ""),
 }
@@ -56,17 +56,17 @@
 	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, Begun, 0, ""),
 	goldenOrder("deadline-exceeded-<&>", -250*time.Millisecond, Ended, 504, ""),
 	goldenOrder("not-run-then-served-é", 0, Begun, 0, ""),
-	goldenOrder("not-run-then-served-é", 0, Freed, 0, ""),
+	goldenOrder("not-run-then-served-é", 0, NotRun, 0, ""),
 	goldenOrder("not-run-then-served-é", 0, Begun, 0, ""),
 	goldenOrder("not-run-then-served-é", 0, Ended, 200, "done"),
 	goldenOrder("not-run-again", 0, Begun, 0, ""),
-	goldenOrder("not-run-again", 0, Freed, 0, ""),
+	goldenOrder("not-run-again", 0, NotRun, 0, ""),
 }
 
 // openGolden opens a ledger of 2 hours' retention.
 func openGolden(t *testing.T, path string, now time.Time) (*Ledger, Content) {
 	t.Helper()
-	l, content, err := Open(Config{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, now, SystemDisk{})
+	l, content, err := Open(Options{Config: Config{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, Now: now})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,8 +107,8 @@
 
 // Each record of the files that the code of commit 90e713b wrote is read as it was meant.
 func TestLedgerReadsTheGoldenRecords(t *testing.T) {
-	horizon := goldenEntry{entry: Entry{EventTime: noon.Add(-125 * time.Minute), State: stateHorizon}}
-	laterHorizon := goldenEntry{entry: Entry{EventTime: noon.Add(-90 * time.Minute), State: stateHorizon}}
+	horizon := goldenEntry{entry: Entry{EventTime: noon.Add(-125 * time.Minute), State: retentionHorizon}}
+	laterHorizon := goldenEntry{entry: Entry{EventTime: noon.Add(-90 * time.Minute), State: retentionHorizon}}
 	first, second := goldenFirstEntries, goldenSecondEntries
 	retained := []goldenEntry{first[3], first[5], first[9]}
 	for path, want := range map[string][]goldenEntry{
@@ -137,7 +137,7 @@
 // A ledger that the code of commit 90e713b left behind opens with the last entry of each order that it retains.
 func TestGoldenLedgerIsOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	if err := os.WriteFile(path, readFile(t, goldenSecondRun), ledgerFileMode); err != nil {
+	if err := os.WriteFile(path, readFile(t, goldenSecondRun), fileMode); err != nil {
 		t.Fatal(err)
 	}
 	l, content := openGolden(t, path, noon.Add(time.Hour))
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -21,7 +21,7 @@
 		run++
 		path := filepath.Join(dir, strconv.Itoa(run))
 		open := func() (*Ledger, map[string]Entry) {
-			l, content, err := Open(testLedger(path), noon, SystemDisk{})
+			l, content, err := Open(Options{Config: testLedger(path), Now: noon})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -35,11 +35,11 @@
 		want := map[string]Entry{}
 		enter := func(e Entry) {
 			written := make(chan error, 1)
-			l.enqueue(appendJob{entry: e, done: func(err error) { written <- err }})
+			l.queue.push(job{entry: e, done: func(err error) { written <- err }})
 			if err := <-written; err != nil {
 				t.Fatal(err)
 			}
-			if e.State == Freed || noon.Sub(e.EventTime) > time.Hour {
+			if e.State == NotRun || noon.Sub(e.EventTime) > time.Hour {
 				delete(want, e.ID)
 			} else {
 				want[e.ID] = e
@@ -48,12 +48,12 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
 				enter(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
-					State: rapid.SampledFrom([]State{Begun, Ended, Freed}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
+					State: rapid.SampledFrom([]State{Begun, Ended, NotRun}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
 			},
 			"crash": func(t *rapid.T) {
 				torn := encodeEntry(Entry{ID: "torn", EventTime: noon, State: Begun})
-				l.file.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
-				if _, _, err := Open(testLedger(path), noon, SystemDisk{}); err == nil {
+				l.writer.file.handle.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
+				if _, _, err := Open(Options{Config: testLedger(path), Now: noon}); err == nil {
 					t.Fatal("a ledger in use was opened again")
 				}
 				l.Close()
@@ -76,10 +76,10 @@
 // Damage anywhere but in the last line leaves open which orders ran, so the ledger is not opened.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	if err := os.WriteFile(path, []byte("00000000 {}\n"), ledgerFileMode); err != nil {
+	if err := os.WriteFile(path, []byte("00000000 {}\n"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	_, _, err := Open(testLedger(path), noon, SystemDisk{})
+	_, _, err := Open(Options{Config: testLedger(path), Now: noon})
 	var damaged *FileError
 	if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 1 {
 		t.Errorf("a damaged ledger was opened, or its error does not name the line: %v", err)
@@ -88,9 +88,9 @@
 
 // What became of an order is recorded, however many orders end at once.
 func TestNoOutcomeIsDroppedWhereManyEndAtOnce(t *testing.T) {
-	const orders = 20 * ledgerQueueLength
+	const orders = 20 * maxQueuedBegins
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, _, err := Open(testLedger(path), noon, SystemDisk{})
+	l, _, err := Open(Options{Config: testLedger(path), Now: noon})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/webhook/order_test.go
+++ b/internal/webhook/order_test.go
@@ -115,7 +115,7 @@
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		stacks := make([]byte, 1<<20)
 		stacks = stacks[:runtime.Stack(stacks, true)]
-		if got = bytes.Count(stacks, []byte("ledger.(*Ledger).run(")); got == want {
+		if got = bytes.Count(stacks, []byte("ledger.(*writer).run(")); got == want {
 			return
 		}
 	}
--- a/internal/webhook/outcome.go
+++ b/internal/webhook/outcome.go
@@ -119,7 +119,7 @@
 	p.receiver.outcomes.remove(p.id)
 	if p.outcome.inLedger {
 		entry := p.outcome.ledgerEntry(p.id)
-		entry.State = ledger.Freed
+		entry.State = ledger.NotRun
 		p.receiver.ledger.Update(entry, p.receiver.time.steady())
 	}
 	if response.DeadlineExceeded {
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -110,7 +110,12 @@
 
 // openLedger opens the ledger and recovers the outcomes that it holds.
 func (r *Receiver) openLedger(disk ledger.Disk) error {
-	orders, content, err := ledger.Open(r.config.Ledger, r.time.steady(), disk)
+	orders, content, err := ledger.Open(ledger.Options{
+		Config: r.config.Ledger,
+		Now:    r.time.steady(),
+		Disk:   disk,
+		Logger: r.rejections.logger,
+	})
 	if err != nil {
 		return err
 	}
