--- a/internal/notice/errors.go
+++ b/internal/notice/errors.go
@@ -4,7 +4,7 @@
 
 // Why an attempt to deliver a notice failed.
 var (
-	errNoticeTimeout           = errors.New("no answer in time")
-	errNoticeResponseMalformed = errors.New("malformed answer")
-	errNoticeUnanswered        = errors.New("closed without an answer")
+	errTimeout           = errors.New("no answer in time")
+	errMalformedResponse = errors.New("malformed answer")
+	errNoResponse        = errors.New("closed without an answer")
 )
--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -49,7 +49,7 @@
 		transport, handler = &testutil.Transport{}, h
 		return transport
 	}
-	sender, err := NewSender(&config, func() time.Time { return date }, dial)
+	sender, err := NewSender(Options{Config: config, WallClock: func() time.Time { return date }, Dial: dial})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/notice/sender.go
+++ b/internal/notice/sender.go
@@ -1,18 +1,12 @@
 package notice
 
 import (
-	"crypto/rand"
-	"encoding/base64"
-	"encoding/json"
-	"fmt"
 	"log/slog"
 	mathrand "math/rand/v2"
-	"net/url"
 	"time"
 
 	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
-	"crankhold/internal/signature"
 )
 
 const (
@@ -20,167 +14,125 @@
 	maxBackoff            = 10 * time.Minute
 	maxBackoffSteps       = 10        // after them the delay grows no more, whatever the configured backoff
 	idleTickInterval      = time.Hour // when Tick asks to be called again although nothing is due
-
-	noticeTypePrefix = "repair-order."
-	noticeIDPrefix   = "msg_"
-	noticeIDBytes    = 16
-	defaultHTTPPort  = ":80"
 )
 
-// Dial begins to open a connection to an address. The handler hears how the dial ended.
+// Dial begins to open a connection to an address, without blocking. The handler is notified later of how the dial ended,
+// never before Dial returns.
 type Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 
-// Transport is a connection to the receiver of notices; an eventloop.Conn is one.
+// Transport is a connection to the subscriber; an eventloop.Conn is one.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
-// Sender sends a signed notice of what became of each order. It never delays a request: a notice that its queue has no
-// room for is dropped and counted.
+// Sender sends a signed notice of what became of each order to one subscriber. It never delays a request: a notice that
+// its queue has no capacity for is dropped and counted. It belongs to the event loop's goroutine, and none of its methods
+// blocks.
 type Sender struct {
-	config    *Config
-	url       *url.URL
-	address   string // to connect to
-	secret    []byte
-	dial      Dial
-	wallClock func() time.Time
-	now       time.Duration
-	queue     []*notice // waiting until they are due
-	inFlight  int       // attempts that have not ended
-	attempts  []*noticeAttempt
-	Counters  Counters
+	config     Config
+	subscriber *subscriber
+	dial       Dial
+	wallClock  func() time.Time
+	logger     *slog.Logger
+
+	now      time.Duration // the latest time that a call came with
+	queue    noticeQueue
+	inFlight int        // attempts that have not ended
+	attempts []*attempt // those in flight, and some that have ended since the last Tick
+	counters Counters
 }
 
-// Counters counts notices by what became of them, and the retries of their attempts.
-type Counters struct{ Queued, Dropped, Delivered, Retried, Abandoned uint64 }
-
-// notice is a message that is delivered until its receiver accepts it or its attempts are used up.
-type notice struct {
-	id       string // the same in each attempt
-	body     []byte
-	attempts int           // that have ended
-	due      time.Duration // when the next attempt may begin
+// Options are the parts that a Sender works with.
+type Options struct {
+	// Config is the sender's part of the webhook file, which Config.Check has checked.
+	Config Config
+	// Dial opens connections on the event loop.
+	Dial Dial
+	// WallClock is the system's; notices are dated and signed by it.
+	WallClock func() time.Time
+	// Logger logs failed attempts; nil: slog.Default().
+	Logger *slog.Logger
 }
 
-// noticePayload is the JSON of a notice.
-type noticePayload struct {
-	Type      string     `json:"type"`
-	Timestamp time.Time  `json:"timestamp"`
-	Data      noticeData `json:"data"`
-}
-
-type noticeData struct {
-	ID        string `json:"id"`
-	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that the order came in
-	Key       string `json:"key"`
+// Counters counts notices by what became of them, and the retries of their attempts.
+type Counters struct {
+	Queued    uint64
+	Dropped   uint64 // since the queue had no capacity
+	Delivered uint64 // accepted by the subscriber
+	Retried   uint64 // attempts that follow a failed one
+	Abandoned uint64 // after the last attempt, or since the subscriber wants the notice never again
 }
 
-// NewSender reads the key that the configuration names.
-func NewSender(config *Config, wallClock func() time.Time, dial Dial) (*Sender, error) {
-	target, err := url.Parse(config.URL)
-	if err != nil {
-		return nil, fmt.Errorf("sender.url: %w", err)
-	}
-	secret, err := signature.ReadSecret(config.Key)
+// NewSender reads the key that the configuration names. It blocks on file I/O and must be called before the event loop
+// runs. Its errors are signature.KeyErrors.
+func NewSender(options Options) (*Sender, error) {
+	subscriber, err := newSubscriber(options.Config)
 	if err != nil {
 		return nil, err
 	}
+	logger := options.Logger
+	if logger == nil {
+		logger = slog.Default()
+	}
 	return &Sender{
-		config:    config,
-		url:       target,
-		address:   connectAddress(config, target),
-		secret:    secret,
-		dial:      dial,
-		wallClock: wallClock,
+		config:     options.Config,
+		subscriber: subscriber,
+		dial:       options.Dial,
+		wallClock:  options.WallClock,
+		logger:     logger,
 	}, nil
 }
 
-// connectAddress returns the address that notices are sent to: the configured one, else the URL's.
-func connectAddress(config *Config, target *url.URL) string {
-	switch {
-	case config.Connect != "":
-		return config.Connect
-	case target.Port() == "":
-		return target.Host + defaultHTTPPort
-	}
-	return target.Host
-}
-
-// Notify queues a notice of an order's outcome: served, refused, failed or abandoned.
-func (s *Sender) Notify(now time.Duration, r *router.Request, outcome router.Completion) {
+// Notify queues a notice of how an order ended.
+func (s *Sender) Notify(now time.Duration, r *router.Request, completion router.Completion) {
 	s.now = max(s.now, now)
 	if s.Pending() >= s.config.Queue {
-		s.Counters.Dropped++
+		s.counters.Dropped++
 		return
 	}
-	body, err := json.Marshal(noticePayload{
-		Type:      noticeTypePrefix + string(outcome),
-		Timestamp: s.wallClock().UTC(),
-		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
-	})
+	notice, err := newNotice(r, completion, s.wallClock())
 	if err != nil {
-		s.Counters.Dropped++
+		s.counters.Dropped++
 		return
 	}
-	s.Counters.Queued++
-	s.queue = append(s.queue, &notice{id: newNoticeID(), body: body, due: s.now})
-}
-
-func newNoticeID() string {
-	var id [noticeIDBytes]byte
-	rand.Read(id[:]) // never fails
-	return noticeIDPrefix + base64.RawURLEncoding.EncodeToString(id[:])
+	s.counters.Queued++
+	notice.due = s.now
+	s.queue.add(notice)
 }
 
 // Pending returns how many notices are queued or being delivered.
-func (s *Sender) Pending() int { return len(s.queue) + s.inFlight }
+func (s *Sender) Pending() int { return s.queue.len() + s.inFlight }
 
-// Tick begins the attempts that are due and ends those that took too long. It returns when it is to be called again.
+// Counters returns the counters since the start.
+func (s *Sender) Counters() Counters { return s.counters }
+
+// Tick begins the attempts that are due and ends those that have timed out. It returns when it is to be called again.
 func (s *Sender) Tick(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
-	nextDue := s.startDue(now)
-	nextTimeout := s.expireAttempts(now)
-	return min(nextDue, nextTimeout)
-}
-
-// startDue begins an attempt for each notice that is due, as far as attempts are free. It returns when the next notice
-// is due; a notice that waits for a free attempt does not count, since the end of an attempt calls for a Tick anyway.
-func (s *Sender) startDue(now time.Duration) (next time.Duration) {
-	next = now + idleTickInterval
-	waiting := s.queue[:0]
-	for _, n := range s.queue {
-		if s.inFlight >= maxConcurrentAttempts {
-			waiting = append(waiting, n)
-			continue
-		}
-		if n.due > now {
-			next = min(next, n.due)
-			waiting = append(waiting, n)
-			continue
-		}
-		s.startAttempt(n, now)
+	due, nextDue := s.queue.takeDue(now, maxConcurrentAttempts-s.inFlight)
+	for _, notice := range due {
+		s.startAttempt(notice, now)
 	}
-	clear(s.queue[len(waiting):])
-	s.queue = waiting
-	return next
+	nextDeadline := s.expireAttempts(now)
+	return min(nextDue, nextDeadline)
 }
 
 // startAttempt begins an attempt to deliver a notice.
 func (s *Sender) startAttempt(n *notice, now time.Duration) {
-	attempt := &noticeAttempt{sender: s, notice: n, deadline: now + s.config.Timeout}
+	attempt := &attempt{sender: s, notice: n, deadline: now + s.config.Timeout}
 	s.inFlight++
 	s.attempts = append(s.attempts, attempt)
-	attempt.transport = s.dial(s.address, s.config.Timeout, attempt)
+	attempt.transport = s.dial(s.subscriber.address, s.config.Timeout, attempt)
 }
 
-// expireAttempts ends attempts that took too long and forgets those that have ended. It returns the next deadline.
+// expireAttempts ends attempts that have timed out and forgets those that have ended. It returns the next deadline.
 func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleTickInterval
 	open := s.attempts[:0]
 	for _, attempt := range s.attempts {
 		if !attempt.done && attempt.deadline <= now {
-			attempt.fail(errNoticeTimeout)
+			attempt.fail(errTimeout)
 		}
 		if !attempt.done {
 			next = min(next, attempt.deadline)
@@ -192,24 +144,24 @@
 	return next
 }
 
-// attemptCompleted counts a notice that its receiver accepted, and has one that it did not retried later, until its
-// attempts are used up. A receiver that answers with 410 wants it never again. Status is 0 where err is set.
+// attemptCompleted counts a notice that the subscriber accepted. One that it did not accept is retried later, until its
+// attempts are used up or the subscriber has answered with 410. Status is statusNone where err is set.
 func (s *Sender) attemptCompleted(n *notice, status statusCode, err error) {
 	s.inFlight--
 	n.attempts++
 	if status.isSuccess() {
-		s.Counters.Delivered++
+		s.counters.Delivered++
 		return
 	}
-	slog.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("attempt", n.attempts),
+	s.logger.Warn("webhook_notice_failed", slog.String("id", n.id), slog.Int("attempt", n.attempts),
 		slog.Int("status", int(status)), slog.Any("err", err))
 	if n.attempts >= s.config.Attempts || status == statusGone {
-		s.Counters.Abandoned++
+		s.counters.Abandoned++
 		return
 	}
-	s.Counters.Retried++
+	s.counters.Retried++
 	n.due = s.now + retryDelay(s.config.Backoff, n.attempts)
-	s.queue = append(s.queue, n)
+	s.queue.add(n)
 }
 
 // retryDelay is the delay before the next attempt: the backoff, four times as long after each further failure, up to
--- a/internal/notice/sender_test.go
+++ b/internal/notice/sender_test.go
@@ -30,11 +30,12 @@
 	config.Key = path
 	var transports []*testutil.Transport
 	var handlers []eventloop.DialHandler
-	sender, err := NewSender(&config, wallAtNoon, func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
+	dial := func(_ string, _ time.Duration, h eventloop.DialHandler) Transport {
 		transports = append(transports, &testutil.Transport{})
 		handlers = append(handlers, h)
 		return transports[len(transports)-1]
-	})
+	}
+	sender, err := NewSender(Options{Config: config, WallClock: wallAtNoon, Dial: dial})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +54,7 @@
 			}
 			body, _ := io.ReadAll(request.Body)
 			id, timestamp := request.Header.Get("webhook-id"), request.Header.Get("webhook-timestamp")
-			if got := request.Header.Get("webhook-signature"); got != signature.Sign(sender.secret, id, timestamp, body) || !bytes.Contains(body, []byte(`"repair-order.served"`)) {
+			if got := request.Header.Get("webhook-signature"); got != signature.Sign(sender.subscriber.secret, id, timestamp, body) || !bytes.Contains(body, []byte(`"repair-order.served"`)) {
 				t.Fatalf("signature %q, body %s", got, body)
 			}
 			ids[id]++
@@ -73,8 +74,8 @@
 		handlers = nil
 		now = max(next, now+10*time.Minute)
 	}
-	if want := (Counters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Abandoned: 1}); sender.Counters != want || len(ids) != 2 {
-		t.Errorf("counters %+v, want %+v; ids %v", sender.Counters, want, ids)
+	if want := (Counters{Queued: 2, Dropped: 1, Delivered: 1, Retried: 4, Abandoned: 1}); sender.Counters() != want || len(ids) != 2 {
+		t.Errorf("counters %+v, want %+v; ids %v", sender.Counters(), want, ids)
 	}
 	for id, n := range ids {
 		if n != 3 {
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -94,7 +94,7 @@
 	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
 		return loop.Dial("tcp", addr, timeout, handler)
 	}
-	sender, err := notice.NewSender(&cfg.Sender, time.Now, dial)
+	sender, err := notice.NewSender(notice.Options{Config: cfg.Sender, WallClock: time.Now, Dial: dial})
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 			slog.Uint64("ledger_unwritten", ledger.Unwritten))
 	}
 	if n.sender != nil {
-		counters := n.sender.Counters
+		counters := n.sender.Counters()
 		logCounterLine(
 			slog.Uint64("notices_queued", counters.Queued),
 			slog.Uint64("dropped", counters.Dropped),
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -98,9 +98,10 @@
 	if err := os.WriteFile(config.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if server.sender, err = notice.NewSender(&config.Sender, wallAtNoon, func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
+	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
 		return server.loop.Dial("tcp", addr, timeout, handler)
-	}); err != nil {
+	}
+	if server.sender, err = notice.NewSender(notice.Options{Config: config.Sender, WallClock: wallAtNoon, Dial: dial}); err != nil {
 		t.Fatal(err)
 	}
 	server.core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
