--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -4,16 +4,16 @@
 //
 // # Format
 //
-// The file holds one entry a line, as JSON behind a checksum. The last entry of an order counts. Lines are appended, and
-// entries that arrive while the file is being written are synced together. Compaction replaces the file by one with the
-// last entry of each order that is still retained, and with the retention horizon: the latest time of an order that was
-// dropped for its age. The form is fixed; testdata has files that an earlier version wrote.
+// The file holds one entry a line, as JSON behind a checksum. The last entry of an order counts. Lines are appended,
+// and entries that arrive while the file is being written are synced together. Compaction replaces the file by one with
+// the last entry of each order that is still retained, and with the retention horizon: the latest time of an order that
+// was dropped for its age. The form is fixed; testdata has files that an earlier version wrote.
 //
 // # Ownership
 //
 // A Ledger starts one goroutine, the writer, which does all file I/O after Open. Ledger.Begin and Ledger.Update queue
-// entries for it and do not block; they are meant for the event loop. Open and Ledger.Close block on the disk and must not
-// be called on the event loop. Ledger.Counters may be called by any goroutine.
+// entries for it and do not block; they are meant for the event loop. Open and Ledger.Close block on the disk and must
+// not be called on the event loop. Ledger.Counters may be called by any goroutine.
 //
 // # Failure behaviour
 //
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -20,6 +20,7 @@
 // State is what an entry says of its order. Its values are on the disk and may not change.
 type State string
 
+// The states of an order.
 const (
 	Begun  State = "begun" // the order may run from now on
 	Ended  State = "ended" // it has the entry's outcome
--- a/internal/ledger/file.go
+++ b/internal/ledger/file.go
@@ -18,8 +18,8 @@
 const wholeFile = math.MaxInt64
 
 // logFile is the ledger's file on the disk. Its first size bytes are whole lines; what a failed write left behind them
-// is torn and does not count. Its methods block on the disk, and their errors are FileErrors. It belongs to the writer's
-// goroutine.
+// is torn and does not count. Its methods block on the disk, and their errors are FileErrors. It belongs to the
+// writer's goroutine.
 type logFile struct {
 	path     string
 	maxBytes int64
@@ -88,8 +88,8 @@
 }
 
 // replace writes lines to a new file, renames that to the ledger's path, and has further lines appended to it. Both the
-// file and the rename are on the disk when it returns without an error. After an error the file is the old one or, where
-// only the sync of the rename failed, the new one.
+// file and the rename are on the disk when it returns without an error. After an error the file is the old one or,
+// where only the sync of the rename failed, the new one.
 func (f *logFile) replace(lines []byte) error {
 	path := f.path + replacementSuffix
 	replacement, err := f.disk.Open(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -71,15 +71,15 @@
 	}
 }
 
-// Update records what became of an order, as soon as the disk takes it. It does not block. Should the entry be lost with
-// the program, the order counts as one that may have run, and is never run again.
+// Update records what became of an order, as soon as the disk takes it. It does not block. Should the entry be lost
+// with the program, the order counts as one that may have run, and is never run again.
 func (l *Ledger) Update(entry Entry, now time.Time) { l.queue.push(job{entry: entry, now: now}) }
 
 // Counters returns the counters since the ledger was opened.
 func (l *Ledger) Counters() Counters { return l.writer.counters.load() }
 
-// Close ends the writer's goroutine when all entries are written, and lets others open the ledger. It blocks on the disk
-// and must not be called on the event loop. Neither Begin nor Update may be called after it. Its error wraps
+// Close ends the writer's goroutine when all entries are written, and lets others open the ledger. It blocks on the
+// disk and must not be called on the event loop. Neither Begin nor Update may be called after it. Its error wraps
 // ErrUnavailable where entries could not be written and are lost.
 func (l *Ledger) Close() error {
 	l.queue.close()
--- a/internal/ledger/queue.go
+++ b/internal/ledger/queue.go
@@ -12,8 +12,8 @@
 type job struct {
 	entry Entry
 	now   time.Time // when the entry was made; advances the writer's clock
-	// done is called on the writer's goroutine when the entry is synced or can't be. Nil: nobody waits for the entry, and
-	// it needs no sync.
+	// done is called on the writer's goroutine when the entry is synced or can't be. Nil: nobody waits for the entry,
+	// and it needs no sync.
 	done func(error)
 }
 
@@ -31,8 +31,8 @@
 	return &jobQueue{wake: make(chan struct{}, 1)}
 }
 
-// push queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. Updates are
-// always queued: there are no more of them than orders.
+// push queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. Updates
+// are always queued: there are no more of them than orders.
 func (q *jobQueue) push(j job) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -131,8 +131,9 @@
 	}
 }
 
-// keepUnwritten keeps the entry that has to be written in place of one that failed. An update is kept as it is. An order
-// that could not be recorded is rejected, and a part of its entry may be on the disk: it is kept as one that did not run.
+// keepUnwritten keeps the entry that has to be written in place of one that failed. An update is kept as it is. An
+// order that could not be recorded is rejected, and a part of its entry may be on the disk: it is kept as one that did
+// not run.
 func (w *writer) keepUnwritten(job job, cause error) {
 	entry := job.entry
 	if job.done != nil {
--- a/internal/notice/sender.go
+++ b/internal/notice/sender.go
@@ -16,8 +16,8 @@
 	idleTickInterval      = time.Hour // when Tick asks to be called again although nothing is due
 )
 
-// Dial begins to open a connection to an address, without blocking. The handler is notified later of how the dial ended,
-// never before Dial returns.
+// Dial begins to open a connection to an address, without blocking. The handler is notified later of how the dial
+// ended, never before Dial returns.
 type Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 
 // Transport is a connection to the subscriber; an eventloop.Conn is one.
@@ -27,8 +27,8 @@
 }
 
 // Sender sends a signed notice of what became of each order to one subscriber. It never delays a request: a notice that
-// its queue has no capacity for is dropped and counted. It belongs to the event loop's goroutine, and none of its methods
-// blocks.
+// its queue has no capacity for is dropped and counted. It belongs to the event loop's goroutine, and none of its
+// methods blocks.
 type Sender struct {
 	config     Config
 	subscriber *subscriber
--- a/internal/signature/key.go
+++ b/internal/signature/key.go
@@ -27,8 +27,8 @@
 	return k.Until.IsZero() || now.Before(k.Until)
 }
 
-// ReadSecret reads the secret in a key file: the prefix and the secret in base64. Its errors are KeyErrors. It blocks on
-// file I/O.
+// ReadSecret reads the secret in a key file: the prefix and the secret in base64. Its errors are KeyErrors. It blocks
+// on file I/O.
 func ReadSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/webhook/connection.go
+++ b/internal/webhook/connection.go
@@ -12,21 +12,22 @@
 	CloseAfterFlush()
 }
 
-// connection is a client's connection. It has one request in flight at a time; what follows it waits in buffer.
+// connection is a client's connection. It has one request in flight at a time; what follows it waits in buffer. It
+// belongs to the event loop's goroutine.
 type connection struct {
 	receiver           *Receiver
 	transport          Transport
 	peer               netip.AddrPort
-	buffer             []byte       // what was received and not handled yet
+	buffer             []byte       // received and not handled yet
 	partialRequest     *httpRequest // a request whose head was received and whose body is not complete; nil: none
 	closed             bool         // nothing more is handled
-	responsePending    bool         // a response is owed
+	responsePending    bool         // a request is in flight, to which no response was written yet
 	closeAfterResponse bool
 	requestCount       int // complete requests received
 	drainedBytes       int // bytes read and dropped after closed
 }
 
-// Busy reports whether a response is owed.
+// Busy reports whether a request is in flight.
 func (c *connection) Busy() bool { return c.responsePending }
 
 // Messages returns how many complete requests were received, and whether the beginning of another was. What a client
@@ -35,7 +36,7 @@
 	return c.requestCount, c.closed || c.partialRequest != nil || len(c.buffer) > 0
 }
 
-// Data takes in requests, split in any way.
+// Data handles received bytes. They may split requests anywhere.
 func (c *connection) Data(b []byte) {
 	if c.closed {
 		c.drain(len(b))
@@ -106,23 +107,24 @@
 	return request, body
 }
 
-// Closed forgets the client. The request in flight goes on: its sender comes again for the outcome.
+// Closed ends the handling of a connection that is closed. A request in flight goes on: its sender may fetch the
+// outcome with a redelivery.
 func (c *connection) Closed(error) { c.stop() }
 
-// close gives the connection up at once.
+// close closes the connection at once, without a response to the request in flight.
 func (c *connection) close() {
 	c.stop()
 	c.transport.Close()
 }
 
-// stop has nothing more handled.
+// stop drops what is buffered, and all that is received from now on.
 func (c *connection) stop() {
 	c.closed = true
 	c.buffer = nil
 	c.partialRequest = nil
 }
 
-// respond writes the one response to a request.
+// respond writes the response to the request in flight, or to a request whose head was rejected.
 func (c *connection) respond(response httpResponse) {
 	requestComplete := c.responsePending
 	c.responsePending = false
@@ -142,6 +144,6 @@
 	if requestComplete {
 		c.transport.CloseAfterFlush()
 	}
-	// Else the client is still sending, and closing now would reset the connection and lose the response with it. The
-	// client closes it, or maxDrainedBytes or the limit on idle connections does.
+	// Else the client is still sending, and closing now would reset the connection and lose the response with it. It is
+	// closed by the client, beyond maxDrainedBytes, or when it has been idle for too long.
 }
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/router"
 )
 
-// defaultRetryAfter is the Retry-After of deliveries that the router has given no advice for.
+// defaultRetryAfter is the Retry-After of deliveries that are rejected before the router has advised one.
 const defaultRetryAfter = time.Second
 
 // unavailable rejects a delivery whose request was not forwarded.
@@ -38,7 +38,7 @@
 	r.handleFirstDelivery(c, id, body, bodyDigest)
 }
 
-// checkTarget rejects an HTTP request that is no delivery.
+// checkTarget returns the status that rejects an HTTP request that is no delivery; statusNone for a delivery.
 func (r *Receiver) checkTarget(request *httpRequest) httpStatus {
 	if string(request.target) != r.config.Path {
 		return statusNotFound
@@ -49,7 +49,7 @@
 	return statusNone
 }
 
-// handleRedelivery responds with the first delivery's outcome, once there is one.
+// handleRedelivery responds with the first delivery's outcome, or joins the request that is in flight.
 func (r *Receiver) handleRedelivery(c *connection, first *outcome, bodyDigest string) {
 	switch {
 	case first.bodyDigest != bodyDigest: // a sender may not give an id to another payload
@@ -66,7 +66,7 @@
 	}
 }
 
-// handleFirstDelivery has the request in a payload run. An order is recorded in the ledger first.
+// handleFirstDelivery forwards the request in a payload. An order is recorded in the ledger first.
 func (r *Receiver) handleFirstDelivery(c *connection, id string, body []byte, bodyDigest string) {
 	request, eventTime, err := r.decodeRequest(body)
 	if err != nil {
@@ -104,14 +104,15 @@
 	r.forward(id, pending, request)
 }
 
-// recordOrder writes an order to the ledger and forwards it when it is on the disk.
+// recordOrder queues an order for the ledger. The order is forwarded when it is on the disk.
 func (r *Receiver) recordOrder(id string, order *outcome, request router.Request) {
 	r.ledger.Begin(order.ledgerEntry(id), r.time.steady(), func(err error) {
 		r.post(func() { r.orderRecorded(id, order, request, err) })
 	})
 }
 
-// orderRecorded forwards an order that is in the ledger, and rejects one that could not be recorded.
+// orderRecorded forwards an order that is on the disk, and rejects one that could not be recorded. It runs on the event
+// loop, to which the ledger's writer has it posted.
 func (r *Receiver) orderRecorded(id string, order *outcome, request router.Request, err error) {
 	if err != nil {
 		r.counters.LedgerRejected++
--- a/internal/webhook/delivery_clock.go
+++ b/internal/webhook/delivery_clock.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// deliveryClock tells the time that deliveries' Unix times are compared with. Wall clocks are stepped, by as much as an
-// hour, and the windows in which a delivery may be repeated are spans of real time. So they count by the wall clock at
-// the start, moved on by the monotonic one. What it can't know is a wall clock that was wrong at the start.
+// deliveryClock returns the times that deliveries' Unix times are compared with. Wall clocks are stepped, by as much as
+// an hour, and the windows in which a delivery may be repeated are spans of real time. They count by the steady time:
+// the wall clock at the start, advanced by the monotonic clock. A wall clock that was wrong at the start is not
+// noticed. It belongs to the event loop's goroutine.
 type deliveryClock struct {
 	monotonic      Clock
 	wallClock      func() time.Time
@@ -21,13 +22,13 @@
 	}
 }
 
-// steady is the Unix time by which windows count. It never goes back and is never stepped.
+// steady returns the Unix time by which windows count. It never goes back and is never stepped.
 func (c *deliveryClock) steady() time.Time {
 	return c.firstWall.Add(c.monotonic.Now() - c.firstMonotonic)
 }
 
-// latest is the later of the steady time and the wall clock's: a sender whose clock was stepped with this machine's is
-// in the future by the steady one.
+// latest returns the later of the steady time and the wall clock's. A sender whose clock was stepped forward with this
+// machine's is in the future by the steady time.
 func (c *deliveryClock) latest() time.Time {
 	wall := c.wallClock().Round(0)
 	if steady := c.steady(); steady.After(wall) {
--- /dev/null
+++ b/internal/webhook/outcome_table.go
@@ -0,0 +1,56 @@
+package webhook
+
+import "time"
+
+// maxOutcomes is how many outcomes are kept; beyond it new deliveries are rejected.
+const maxOutcomes = 20000
+
+// outcomeTable keeps outcomes by webhook-id. Its bytes are always those of the completed outcomes' bodies in it. It
+// belongs to the event loop's goroutine.
+type outcomeTable struct {
+	byID     map[string]*outcome
+	bytes    int
+	maxBytes int // beyond it new deliveries are rejected
+}
+
+func newOutcomeTable(maxBytes int) *outcomeTable {
+	return &outcomeTable{byID: map[string]*outcome{}, maxBytes: maxBytes}
+}
+
+// find returns the outcome of an id, or nil.
+func (t *outcomeTable) find(id string) *outcome { return t.byID[id] }
+
+// isFull reports whether a new outcome has to be rejected.
+func (t *outcomeTable) isFull() bool {
+	return len(t.byID) >= maxOutcomes || t.bytes > t.maxBytes
+}
+
+func (t *outcomeTable) add(id string, o *outcome) {
+	t.byID[id] = o
+	t.bytes += len(o.body)
+}
+
+func (t *outcomeTable) remove(id string) {
+	if o := t.byID[id]; o != nil {
+		delete(t.byID, id)
+		t.bytes -= len(o.body)
+	}
+}
+
+// removeCompleted removes the completed outcomes for which a function returns true.
+func (t *outcomeTable) removeCompleted(isExpired func(*outcome) bool) {
+	for id, o := range t.byID {
+		if o.completed && isExpired(o) {
+			t.remove(id)
+		}
+	}
+}
+
+// complete sets the response of an outcome in the table.
+func (t *outcomeTable) complete(o *outcome, status httpStatus, body []byte, now time.Duration) {
+	o.completed = true
+	o.completedAt = now
+	o.status = status
+	o.body = body
+	t.bytes += len(body)
+}
--- /dev/null
+++ b/internal/webhook/outcome_table_test.go
@@ -0,0 +1,24 @@
+package webhook
+
+import "testing"
+
+// The bytes of a table are those of the bodies in it, through recovery, completion and removal.
+func TestOutcomeTableCountsBytes(t *testing.T) {
+	table := newOutcomeTable(5)
+	recovered := &outcome{completed: true, body: []byte("four")}
+	pending := &outcome{}
+	table.add("recovered", recovered)
+	table.add("pending", pending)
+	if table.isFull() {
+		t.Error("full with 4 of 5 bytes")
+	}
+	table.complete(pending, statusOK, []byte("ok"), 0)
+	if !table.isFull() || table.bytes != 6 {
+		t.Errorf("%d bytes, full %v", table.bytes, table.isFull())
+	}
+	table.remove("unknown")
+	table.removeCompleted(func(o *outcome) bool { return o == recovered })
+	if table.find("recovered") != nil || table.find("pending") != pending || table.bytes != 2 {
+		t.Errorf("%d bytes after the removal, %v", table.bytes, table.byID)
+	}
+}
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -111,10 +111,8 @@
 	if err := p.checkNumbers(); err != nil {
 		return request, eventTime, err
 	}
-	if class.NotIdempotent {
-		if err := r.checkRetention(p.Timestamp); err != nil {
-			return request, eventTime, err
-		}
+	if class.NotIdempotent && !r.retention.contains(p.Timestamp) {
+		return request, eventTime, malformedField("timestamp", "the order's timestamp is outside the ledger's retention")
 	}
 	request = router.Request{
 		Front:       router.Webhook,
@@ -132,19 +130,6 @@
 	return request, p.Timestamp, nil
 }
 
-// checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten. Their age
-// is a span of real time, so a step of the wall clock changes none.
-func (r *Receiver) checkRetention(eventTime time.Time) error {
-	tolerance := r.config.Tolerance
-	maxAge := r.config.Ledger.Retention - 2*tolerance
-	steady := r.time.steady()
-	latest := r.time.latest().Add(tolerance)
-	if steady.Sub(eventTime) > maxAge || eventTime.After(latest) || !eventTime.After(r.horizon) {
-		return malformedField("timestamp", "the order's timestamp is outside the ledger's retention")
-	}
-	return nil
-}
-
 // milliseconds returns a JSON number of milliseconds as a duration, cut to whole nanoseconds.
 func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
 
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -11,16 +11,17 @@
 	"crankhold/policy"
 )
 
-// Core is what the receiver hands requests to.
+// Core runs requests; a router.Core is one. Its method is called on the event loop's goroutine.
 type Core interface {
+	// Accept takes a request, and responds to its Responder once, possibly before it returns.
 	Accept(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Clock tells times; an eventloop.Loop is one.
+// Clock is a monotonic clock; an eventloop.Loop is one. Its methods are called on the event loop's goroutine.
 type Clock interface {
-	// Now is the present.
+	// Now returns the present.
 	Now() time.Duration
-	// ArrivedAt is when the delivery was read that is being handled.
+	// ArrivedAt returns when the delivery that is being handled was read.
 	ArrivedAt() time.Duration
 }
 
@@ -44,7 +45,7 @@
 	post          func(func())
 	authenticator authenticator
 	ledger        *ledger.Ledger // nil: none is configured, and orders are rejected
-	horizon       time.Time      // the retention horizon: orders that happened up to then may have been forgotten
+	retention     retentionWindow
 	outcomes      *outcomeTable
 	rejections    rejectionLog
 	counters      Counters
@@ -77,7 +78,7 @@
 	return newReceiver(options, ledger.SystemDisk{})
 }
 
-// newReceiver makes a receiver whose ledger is kept on a disk.
+// newReceiver is NewReceiver with the disk that the ledger is kept on.
 func newReceiver(options Options, disk ledger.Disk) (*Receiver, error) {
 	keys, err := readKeys(options.Config.Keys)
 	if err != nil {
@@ -96,8 +97,13 @@
 		time:          clock,
 		post:          options.Post,
 		authenticator: authenticator{keys: keys, clock: clock, tolerance: options.Config.Tolerance},
-		outcomes:      newOutcomeTable(options.MaxOutcomeBytes),
-		rejections:    rejectionLog{logger: logger},
+		retention: retentionWindow{
+			clock:     clock,
+			retention: options.Config.Ledger.Retention,
+			tolerance: options.Config.Tolerance,
+		},
+		outcomes:   newOutcomeTable(options.MaxOutcomeBytes),
+		rejections: rejectionLog{logger: logger},
 	}
 	if r.config.Ledger.Path == "" {
 		return r, nil
@@ -120,7 +126,7 @@
 		return err
 	}
 	r.ledger = orders
-	r.horizon = content.RetentionHorizon
+	r.retention.horizon = content.RetentionHorizon
 	for _, entry := range content.Entries {
 		r.outcomes.add(entry.ID, recoveredOutcome(entry))
 	}
@@ -130,7 +136,7 @@
 // Counters returns the counters of deliveries since the start.
 func (r *Receiver) Counters() Counters { return r.counters }
 
-// LedgerCounters returns the counters of the ledger; zero where there is none.
+// LedgerCounters returns the counters of the ledger; zero where none is configured.
 func (r *Receiver) LedgerCounters() ledger.Counters {
 	if r.ledger == nil {
 		return ledger.Counters{}
@@ -147,7 +153,7 @@
 	return r.ledger.Close()
 }
 
-// Accept serves a connection.
+// Accept returns the handler of a client's connection.
 func (r *Receiver) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return r.serve(c, c.RemoteAddr())
 }
@@ -156,5 +162,17 @@
 	return &connection{receiver: r, transport: transport, peer: peer}
 }
 
+// Sweep forgets outcomes that are older than the configuration has them kept. The age of an order counts from its
+// event, as in the ledger, that of another request from its response.
+func (r *Receiver) Sweep(now time.Duration) {
+	steadyNow := r.time.steady()
+	r.outcomes.removeCompleted(func(o *outcome) bool {
+		if o.inLedger {
+			return steadyNow.Sub(o.eventTime) > r.config.Ledger.Retention
+		}
+		return now-o.completedAt > r.config.DedupeFor
+	})
+}
+
 // logRejection logs why a delivery was rejected.
 func (r *Receiver) logRejection(event string, err error) { r.rejections.add(r.clock.Now(), event, err) }
--- a/internal/webhook/response.go
+++ b/internal/webhook/response.go
@@ -28,34 +28,21 @@
 // continueResponse is the interim response to "Expect: 100-continue".
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// responseHeadCapacity is room for the usual response head, in bytes.
+// responseHeadCapacity is enough for the usual response head, in bytes.
 const responseHeadCapacity = 192
 
-// reason returns the reason phrase of a status that the receiver sends.
-func (s httpStatus) reason() string {
-	switch s {
-	case statusOK:
-		return "OK"
-	case statusBadRequest:
-		return "Bad Request"
-	case statusUnauthorized:
-		return "Unauthorized"
-	case statusNotFound:
-		return "Not Found"
-	case statusMethodNotAllowed:
-		return "Method Not Allowed"
-	case statusContentTooLarge:
-		return "Content Too Large"
-	case statusHeaderFieldsTooLarge:
-		return "Request Header Fields Too Large"
-	case statusBadGateway:
-		return "Bad Gateway"
-	case statusServiceUnavailable:
-		return "Service Unavailable"
-	case statusGatewayTimeout:
-		return "Gateway Timeout"
-	}
-	return ""
+// reasonPhrases are the reason phrases of the statuses that the receiver sends (RFC 9110, section 15; 431: RFC 6585).
+var reasonPhrases = map[httpStatus]string{
+	statusOK:                   "OK",
+	statusBadRequest:           "Bad Request",
+	statusUnauthorized:         "Unauthorized",
+	statusNotFound:             "Not Found",
+	statusMethodNotAllowed:     "Method Not Allowed",
+	statusContentTooLarge:      "Content Too Large",
+	statusHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	statusBadGateway:           "Bad Gateway",
+	statusServiceUnavailable:   "Service Unavailable",
+	statusGatewayTimeout:       "Gateway Timeout",
 }
 
 // httpResponse is the response to a delivery.
@@ -70,7 +57,7 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.status), 10)
 	b = append(b, ' ')
-	b = append(b, r.status.reason()...)
+	b = append(b, reasonPhrases[r.status]...)
 	b = append(b, "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(r.body)), 10)
 	b = append(b, "\r\n"...)
