--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -20,13 +20,13 @@
 	goldenCompacted = "testdata/compacted.ledger"  // compacted once more, with a later horizon
 )
 
-// goldenEntries has each state and outcome that an entry can have. Orders are as many hours old at noon as their entries
-// say; a ledger of 2 hours' retention is opened at noon, and once more an hour later.
+// goldenEntry is an entry that is written by Begin or by Update.
 type goldenEntry struct {
 	entry Entry
 	begin bool
 }
 
+// goldenOrder returns an entry of an order that is as old as age at noon.
 func goldenOrder(id string, age time.Duration, state State, status int, body string) goldenEntry {
 	entry := Entry{ID: id, EventTime: noon.Add(-age), BodyDigest: "9f86d081884c7d659a2feaa0c55ad015", State: state, Status: status}
 	if body != "" {
@@ -35,6 +35,8 @@
 	return goldenEntry{entry: entry, begin: state == Begun}
 }
 
+// goldenFirstEntries are written two hours before noon to a ledger of two hours' retention, goldenSecondEntries at noon,
+// when the first two orders have expired. They have each state and outcome that an entry can have.
 var goldenFirstEntries = []goldenEntry{
 	goldenOrder("expired", 150*time.Minute, Begun, 0, ""),
 	goldenOrder("expired", 150*time.Minute, Ended, 200, "done"),
--- a/internal/webhook/config.go
+++ b/internal/webhook/config.go
@@ -13,7 +13,7 @@
 	"crankhold/internal/notice"
 )
 
-// Config is the webhook file.
+// Config is the webhook file: the receiver's settings and those of the sender of notices.
 type Config struct {
 	Receiver ReceiverConfig `toml:"receiver"`
 	Sender   notice.Config  `toml:"sender"`
@@ -76,21 +76,21 @@
 		return nil, &ConfigError{File: path, Err: err}
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		key := unknown[0].String()
-		return nil, &ConfigError{File: path, Key: key, Err: errors.New("unknown setting " + key)}
+		setting := unknown[0].String()
+		return nil, &ConfigError{File: path, Setting: setting, Err: errors.New("unknown setting " + setting)}
 	}
-	if problem := config.check(); problem != nil {
-		problem.File = path
-		return nil, problem
+	if invalid := config.check(); invalid != nil {
+		invalid.File = path
+		return nil, invalid
 	}
 	return config, nil
 }
 
-// check checks what is turned on. The error does not name the file yet.
+// check checks the parts that are enabled. The error does not name the file yet.
 func (c *Config) check() *ConfigError {
 	if c.Receiver.Enabled {
-		if problem := c.Receiver.check(); problem != nil {
-			return problem
+		if invalid := c.Receiver.check(); invalid != nil {
+			return invalid
 		}
 	}
 	if c.Sender.Enabled {
@@ -101,7 +101,7 @@
 
 func (c *ReceiverConfig) check() *ConfigError {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return &ConfigError{Key: "receiver.listen", Err: fmt.Errorf("receiver.listen: %w", err)}
+		return &ConfigError{Setting: "receiver.listen", Err: fmt.Errorf("receiver.listen: %w", err)}
 	}
 	switch {
 	case len(c.Path) == 0 || c.Path[0] != '/' || !isTarget([]byte(c.Path)):
@@ -111,27 +111,28 @@
 	case c.Tolerance < minTolerance || c.DedupeFor < minDedupeTolerances*c.Tolerance:
 		return newConfigError("receiver.tolerance",
 			"receiver.tolerance must be a second or more, and dedupe_for twice as long or more")
-	case c.Ledger.Path != "" && !ledgerInRange(&c.Ledger, c.Tolerance):
+	case c.Ledger.Path != "" && !c.isLedgerInRange():
 		return newConfigError("receiver.ledger",
 			"receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed")
 	}
 	return nil
 }
 
-// ledgerInRange reports whether the ledger is large enough, and reaches further back than deliveries may be delayed.
-func ledgerInRange(c *ledger.Config, tolerance time.Duration) bool {
-	return c.Retention >= minRetentionTolerances*tolerance && c.MaxBytes >= minLedgerBytes
+// isLedgerInRange reports whether the ledger is large enough, and retains orders for longer than deliveries may be
+// delayed.
+func (c *ReceiverConfig) isLedgerInRange() bool {
+	return c.Ledger.Retention >= minRetentionTolerances*c.Tolerance && c.Ledger.MaxBytes >= minLedgerBytes
 }
 
-func newConfigError(key, text string) *ConfigError {
-	return &ConfigError{Key: key, Err: errors.New(text)}
+func newConfigError(setting, text string) *ConfigError {
+	return &ConfigError{Setting: setting, Err: errors.New(text)}
 }
 
 // checkSender checks the settings of the sender of notices.
 func checkSender(config *notice.Config) *ConfigError {
 	var invalid *notice.ConfigError
 	if errors.As(config.Check(), &invalid) {
-		return &ConfigError{Key: invalid.Setting, Err: invalid.Err}
+		return &ConfigError{Setting: invalid.Setting, Err: invalid.Err}
 	}
 	return nil
 }
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -106,7 +106,7 @@
 
 // recordOrder queues an order for the ledger. The order is forwarded when it is on the disk.
 func (r *Receiver) recordOrder(id string, order *outcome, request router.Request) {
-	r.ledger.Begin(order.ledgerEntry(id), r.time.steady(), func(err error) {
+	r.ledger.Begin(order.ledgerEntry(id), r.deliveryClock.steady(), func(err error) {
 		r.post(func() { r.orderRecorded(id, order, request, err) })
 	})
 }
--- a/internal/webhook/errors.go
+++ b/internal/webhook/errors.go
@@ -8,9 +8,9 @@
 
 // ConfigError is a webhook file that can't be read or used.
 type ConfigError struct {
-	File string
-	Key  string // the setting; "" where the file as a whole can't be read
-	Err  error  // what is wrong, with the setting's name
+	File    string
+	Setting string // as receiver.listen; "" where the file as a whole can't be read
+	Err     error  // what is wrong, with the setting's name
 }
 
 // Error names the file and the setting.
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -19,7 +19,7 @@
 		keys     = "keys = [{ file = \"k\" }]\n"
 		sender   = "[sender]\nenabled = true\nurl = \"http://hooks.example.org\"\n"
 	)
-	for _, test := range []struct{ text, key, message string }{
+	for _, test := range []struct{ text, setting, message string }{
 		{"[receiver]\nfoo = 1", "receiver.foo", "webhook file f: unknown setting receiver.foo"},
 		{"[receiver]\nenabled = true\nlisten = \"nowhere\"", "receiver.listen", `webhook file f: receiver.listen: not an ip:port`},
 		{receiver + "path = \"hooks\"", "receiver.path", "webhook file f: receiver.path is no path"},
@@ -32,8 +32,8 @@
 	} {
 		_, err := parseConfig("f", test.text)
 		var config *ConfigError
-		if !errors.As(err, &config) || config.File != "f" || config.Key != test.key {
-			t.Errorf("%q: %#v, want a ConfigError of %s", test.text, err, test.key)
+		if !errors.As(err, &config) || config.File != "f" || config.Setting != test.setting {
+			t.Errorf("%q: %#v, want a ConfigError of %s", test.text, err, test.setting)
 			continue
 		}
 		if err.Error() != test.message {
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -89,9 +89,10 @@
 
 // callPayload returns the payload of a request.
 func callPayload(class, body string, at time.Time) []byte {
-	var p payload
-	p.Type, p.Timestamp = requestEventType, at
-	p.Data.Class, p.Data.Key, p.Data.Body = class, "7f3a9c21e0b4d655", []byte(body)
+	p := payload{Type: requestEventType, Timestamp: at}
+	p.Data.Class = class
+	p.Data.Key = "7f3a9c21e0b4d655"
+	p.Data.Body = []byte(body)
 	text, err := json.Marshal(p)
 	if err != nil {
 		panic(err)
--- a/internal/webhook/outcome_responder.go
+++ b/internal/webhook/outcome_responder.go
@@ -14,49 +14,49 @@
 
 // Respond completes the outcome, or releases the id of a request that is proven not to have run, and responds to all
 // deliveries that wait.
-func (p *outcomeResponder) Respond(response router.Response) {
+func (o *outcomeResponder) Respond(response router.Response) {
 	if response.Status == router.Rejected && !response.MayHaveRun {
-		p.release(response)
+		o.release(response)
 		return
 	}
-	p.complete(response)
+	o.complete(response)
 }
 
 // release forgets the outcome: the id may be delivered again.
-func (p *outcomeResponder) release(response router.Response) {
-	p.receiver.outcomes.remove(p.id)
-	if p.outcome.inLedger {
-		entry := p.outcome.ledgerEntry(p.id)
+func (o *outcomeResponder) release(response router.Response) {
+	o.receiver.outcomes.remove(o.id)
+	if o.outcome.inLedger {
+		entry := o.outcome.ledgerEntry(o.id)
 		entry.State = ledger.NotRun
-		p.updateLedger(entry)
+		o.updateLedger(entry)
 	}
 	if response.DeadlineExceeded {
-		p.outcome.respondToAll(httpResponse{status: statusGatewayTimeout})
+		o.outcome.respondToAll(httpResponse{status: statusGatewayTimeout})
 		return
 	}
-	p.outcome.respondToAll(httpResponse{status: statusServiceUnavailable, retryAfter: response.RetryAfter})
+	o.outcome.respondToAll(httpResponse{status: statusServiceUnavailable, retryAfter: response.RetryAfter})
 }
 
 // complete keeps the outcome, so that redeliveries get the same response.
-func (p *outcomeResponder) complete(response router.Response) {
+func (o *outcomeResponder) complete(response router.Response) {
 	status := completedStatus(response)
 	var body []byte
 	if status == statusOK {
 		body = response.Body
 	}
-	p.receiver.outcomes.complete(p.outcome, status, body, p.receiver.clock.Now())
-	if p.outcome.inLedger {
-		entry := p.outcome.ledgerEntry(p.id)
+	o.receiver.outcomes.complete(o.outcome, status, body, o.receiver.clock.Now())
+	if o.outcome.inLedger {
+		entry := o.outcome.ledgerEntry(o.id)
 		entry.State = ledger.Ended
 		entry.Status = int(status)
 		entry.Body = body
-		p.updateLedger(entry)
+		o.updateLedger(entry)
 	}
-	p.outcome.respondToAll(p.outcome.response())
+	o.outcome.respondToAll(o.outcome.response())
 }
 
-func (p *outcomeResponder) updateLedger(entry ledger.Entry) {
-	p.receiver.ledger.Update(entry, p.receiver.time.steady())
+func (o *outcomeResponder) updateLedger(entry ledger.Entry) {
+	o.receiver.ledger.Update(entry, o.receiver.deliveryClock.steady())
 }
 
 // completedStatus returns the status for a request that may have run. It is that of a failure also where the router
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -15,6 +15,9 @@
 // requestEventType is the type of an event that asks for a request to be run.
 const requestEventType = "call.requested"
 
+// outsideRetention is what is wrong with an order that the ledger may have forgotten.
+const outsideRetention = "the order's timestamp is outside the ledger's retention"
+
 // maxTenantLength is the longest name of a tenant, in bytes.
 const maxTenantLength = 128
 
@@ -22,15 +25,17 @@
 type payload struct {
 	Type      string    `json:"type"`
 	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
-	Data      struct {
+
+	// The request. Its type has no name: encoding/json would name it in the errors that are logged.
+	Data struct {
 		Class    string  `json:"class"`
-		Key      string  `json:"key"`
+		Key      string  `json:"key"` // of the function, in 16 hex digits
 		Tenant   string  `json:"tenant"`
-		WaitMs   float64 `json:"wait_ms"`
+		WaitMs   float64 `json:"wait_ms"` // how long it may wait for its response; 0: as long as its class allows
 		MemoryMB float64 `json:"memory_mb"`
 		Lanes    float64 `json:"lanes"`
-		LoadMs   float64 `json:"load_ms"`
-		Body     []byte  `json:"body"`
+		LoadMs   float64 `json:"load_ms"` // how long a worker takes to load the function
+		Body     []byte  `json:"body"`    // in base64
 	} `json:"data"`
 }
 
@@ -63,11 +68,12 @@
 	return nil
 }
 
-// checkNumbers checks the fields that are numbers. What is beyond the limits is nothing that a worker could hold.
+// checkNumbers checks the fields that are numbers. The limits are the router's.
 func (p *payload) checkNumbers() error {
 	for _, number := range []struct {
-		field      string
-		value, max float64
+		field string
+		value float64
+		max   float64
 	}{
 		{"data.wait_ms", p.Data.WaitMs, router.MaxWaitMs},
 		{"data.memory_mb", p.Data.MemoryMB, router.MaxMemoryMB},
@@ -112,7 +118,7 @@
 		return request, eventTime, err
 	}
 	if class.NotIdempotent && !r.retention.contains(p.Timestamp) {
-		return request, eventTime, malformedField("timestamp", "the order's timestamp is outside the ledger's retention")
+		return request, eventTime, malformedField("timestamp", outsideRetention)
 	}
 	request = router.Request{
 		Front:       router.Webhook,
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -41,7 +41,7 @@
 	core          Core
 	classes       *classTable
 	clock         Clock
-	time          *deliveryClock
+	deliveryClock *deliveryClock
 	post          func(func())
 	authenticator authenticator
 	ledger        *ledger.Ledger // nil: none is configured, and orders are rejected
@@ -94,7 +94,7 @@
 		core:          options.Core,
 		classes:       newClassTable(options.Classes),
 		clock:         options.Clock,
-		time:          clock,
+		deliveryClock: clock,
 		post:          options.Post,
 		authenticator: authenticator{keys: keys, clock: clock, tolerance: options.Config.Tolerance},
 		retention: retentionWindow{
@@ -118,7 +118,7 @@
 func (r *Receiver) openLedger(disk ledger.Disk) error {
 	orders, content, err := ledger.Open(ledger.Options{
 		Config: r.config.Ledger,
-		Now:    r.time.steady(),
+		Now:    r.deliveryClock.steady(),
 		Disk:   disk,
 		Logger: r.rejections.logger,
 	})
@@ -165,7 +165,7 @@
 // Sweep forgets outcomes that are older than the configuration has them kept. The age of an order counts from its
 // event, as in the ledger, that of another request from its response.
 func (r *Receiver) Sweep(now time.Duration) {
-	steadyNow := r.time.steady()
+	steadyNow := r.deliveryClock.steady()
 	r.outcomes.removeCompleted(func(o *outcome) bool {
 		if o.inLedger {
 			return steadyNow.Sub(o.eventTime) > r.config.Ledger.Retention
