--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -63,7 +63,8 @@
 
 // Begin records an order that is about to be forwarded, at the time now. It does not block. Done is called once, when
 // the entry is on the disk or with the error for which it is not: on the writer's goroutine, or before Begin returns
-// where maxQueuedBegins orders wait already. After ErrFull, ErrUnavailable or a FileError the order counts as not run.
+// where maxQueuedBegins orders wait already. After an error (ErrFull, ErrUnavailable or a FileError) the order must not
+// be forwarded; where a part of its entry may be on the disk, the writer records that it did not run.
 func (l *Ledger) Begin(entry Entry, now time.Time, done func(error)) {
 	entry.State = Begun
 	if !l.queue.push(job{entry: entry, now: now, done: done}) {
--- a/internal/webhook/connection.go
+++ b/internal/webhook/connection.go
@@ -5,8 +5,8 @@
 // maxDrainedBytes is how much is read and dropped behind a malformed request before its connection is closed.
 const maxDrainedBytes = 256 << 10
 
-// Transport is a connection to a peer; an eventloop.Conn is one.
-type Transport interface {
+// clientConn is what a connection writes to; an eventloop.Conn is one.
+type clientConn interface {
 	Write(bufs ...[]byte)
 	Close()
 	CloseAfterFlush()
@@ -16,7 +16,7 @@
 // belongs to the event loop's goroutine.
 type connection struct {
 	receiver           *Receiver
-	transport          Transport
+	transport          clientConn
 	peer               netip.AddrPort
 	buffer             []byte       // received and not handled yet
 	partialRequest     *httpRequest // a request whose head was received and whose body is not complete; nil: none
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -158,7 +158,7 @@
 	return r.serve(c, c.RemoteAddr())
 }
 
-func (r *Receiver) serve(transport Transport, peer netip.AddrPort) *connection {
+func (r *Receiver) serve(transport clientConn, peer netip.AddrPort) *connection {
 	return &connection{receiver: r, transport: transport, peer: peer}
 }
 
