--- /dev/null
+++ b/internal/ledger/faulty_disk_test.go
@@ -0,0 +1,108 @@
+package ledger
+
+import (
+	"math/rand/v2"
+	"os"
+	"sync"
+	"syscall"
+)
+
+// faultyDisk is the system's disk. While it is failing, two of three operations fail at random.
+type faultyDisk struct {
+	SystemDisk
+	mu      sync.Mutex
+	random  *rand.Rand
+	failing bool
+	failed  int // operations
+}
+
+// fails reports whether the next operation fails, and how.
+func (d *faultyDisk) fails() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.failing || d.random.IntN(3) == 0 {
+		return nil
+	}
+	d.failed++
+	return []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT}[d.random.IntN(3)]
+}
+
+func (d *faultyDisk) setFailing(failing bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.failing = failing
+}
+
+func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
+	if flag != os.O_RDONLY {
+		if err := d.fails(); err != nil {
+			return nil, &os.PathError{Op: "open", Path: path, Err: err}
+		}
+	}
+	file, err := d.SystemDisk.Open(path, flag, mode)
+	if err != nil {
+		return nil, err
+	}
+	return &faultyFile{File: file, disk: d}, nil
+}
+
+func (d *faultyDisk) Rename(from, to string) error {
+	if err := d.fails(); err != nil {
+		return err
+	}
+	return d.SystemDisk.Rename(from, to)
+}
+
+func (d *faultyDisk) SyncDir(dir string) error {
+	if err := d.fails(); err != nil {
+		return err
+	}
+	return d.SystemDisk.SyncDir(dir)
+}
+
+// faultyFile is a file on a faulty disk. A write that fails leaves a part of its bytes.
+type faultyFile struct {
+	File
+	disk *faultyDisk
+}
+
+func (f *faultyFile) Write(b []byte) (int, error) {
+	if err := f.disk.fails(); err != nil {
+		n, _ := f.File.Write(b[:len(b)*2/3])
+		return n, err
+	}
+	return f.File.Write(b)
+}
+
+func (f *faultyFile) Sync() error {
+	if err := f.disk.fails(); err != nil {
+		return err
+	}
+	return f.File.Sync()
+}
+
+func (f *faultyFile) Truncate(size int64) error {
+	if err := f.disk.fails(); err != nil {
+		return err
+	}
+	return f.File.Truncate(size)
+}
+
+// unsyncedDisk is a disk on which a rename is made and the next syncs of its folder fail.
+type unsyncedDisk struct {
+	SystemDisk
+	mu    sync.Mutex
+	fails int // how many
+	syncs int // of folders, failed ones included
+}
+
+func (d *unsyncedDisk) SyncDir(dir string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.syncs++
+	if d.fails > 0 {
+		d.fails--
+		return syscall.EIO
+	}
+	return d.SystemDisk.SyncDir(dir)
+}
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -8,6 +8,7 @@
 	"crankhold/internal/config"
 	"crankhold/internal/eventloop"
 	"crankhold/internal/ipfix"
+	"crankhold/internal/notice"
 	"crankhold/internal/router"
 	"crankhold/internal/webhook"
 	"crankhold/policy"
@@ -23,7 +24,7 @@
 // integrations are the optional parts beside the platform's own front. Each is nil where it is off.
 type integrations struct {
 	receiver *webhook.Receiver
-	sender   *webhook.Sender
+	sender   *notice.Sender
 	exporter *ipfix.Exporter
 
 	config *config.Config
@@ -69,8 +70,15 @@
 }
 
 func (n *integrations) addReceiver(cfg *webhook.Config, loop *eventloop.Loop, core *router.Core) error {
-	maxOutcomeBytes := n.config.ScaleToMemory(maxWebhookOutcomeBytes)
-	receiver, err := webhook.NewReceiver(cfg, core, webhookClasses(n.config), maxOutcomeBytes, loop, time.Now, loop.Post)
+	receiver, err := webhook.NewReceiver(webhook.Options{
+		Config:          cfg.Receiver,
+		Core:            core,
+		Classes:         webhookClasses(n.config),
+		MaxOutcomeBytes: n.config.ScaleToMemory(maxWebhookOutcomeBytes),
+		Clock:           loop,
+		WallClock:       time.Now,
+		Post:            loop.Post,
+	})
 	if err != nil {
 		return err
 	}
@@ -83,10 +91,10 @@
 }
 
 func (n *integrations) addSender(cfg *webhook.Config, loop *eventloop.Loop) error {
-	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) webhook.Transport {
+	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) notice.Transport {
 		return loop.Dial("tcp", addr, timeout, handler)
 	}
-	sender, err := webhook.NewSender(cfg, time.Now, dial)
+	sender, err := notice.NewSender(notice.Options{Config: cfg.Sender, WallClock: time.Now, Dial: dial})
 	if err != nil {
 		return err
 	}
@@ -188,7 +196,7 @@
 // logCounters logs one line of counters for each integration that is on.
 func (n *integrations) logCounters() {
 	if n.receiver != nil {
-		counters, ledger := n.receiver.Counters, n.receiver.LedgerCounters()
+		counters, ledger := n.receiver.Counters(), n.receiver.LedgerCounters()
 		logCounterLine(
 			slog.Uint64("deliveries", counters.Deliveries),
 			slog.Uint64("unauthorized", counters.Unauthorized),
@@ -201,7 +209,7 @@
 			slog.Uint64("ledger_unwritten", ledger.Unwritten))
 	}
 	if n.sender != nil {
-		counters := n.sender.Counters
+		counters := n.sender.Counters()
 		logCounterLine(
 			slog.Uint64("notices_queued", counters.Queued),
 			slog.Uint64("dropped", counters.Dropped),
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/router"
 )
 
-// defaultRetryAfter is the Retry-After of deliveries that the router has given no advice for.
+// defaultRetryAfter is the Retry-After of deliveries that are rejected before the router has advised one.
 const defaultRetryAfter = time.Second
 
 // unavailable rejects a delivery whose request was not forwarded.
@@ -18,14 +18,14 @@
 // is authenticated.
 func (r *Receiver) handle(c *connection, request *httpRequest, body []byte) {
 	if status := r.checkTarget(request); status != statusNone {
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		c.respond(httpResponse{status: status})
 		return
 	}
-	r.Counters.Deliveries++
-	id, err := authenticate(request, body, r.keys, r.time, r.config.Receiver.Tolerance)
+	r.counters.Deliveries++
+	id, err := r.authenticator.authenticate(request, body)
 	if err != nil {
-		r.Counters.Unauthorized++
+		r.counters.Unauthorized++
 		r.logRejection("webhook_delivery_rejected", err)
 		c.respond(httpResponse{status: statusUnauthorized})
 		return
@@ -38,9 +38,9 @@
 	r.handleFirstDelivery(c, id, body, bodyDigest)
 }
 
-// checkTarget rejects an HTTP request that is no delivery.
+// checkTarget returns the status that rejects an HTTP request that is no delivery; statusNone for a delivery.
 func (r *Receiver) checkTarget(request *httpRequest) httpStatus {
-	if string(request.target) != r.config.Receiver.Path {
+	if string(request.target) != r.config.Path {
 		return statusNotFound
 	}
 	if string(request.method) != "POST" {
@@ -49,28 +49,28 @@
 	return statusNone
 }
 
-// handleRedelivery responds with the first delivery's outcome, once there is one.
+// handleRedelivery responds with the first delivery's outcome, or joins the request that is in flight.
 func (r *Receiver) handleRedelivery(c *connection, first *outcome, bodyDigest string) {
 	switch {
 	case first.bodyDigest != bodyDigest: // a sender may not give an id to another payload
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		c.respond(httpResponse{status: statusBadRequest})
 	case first.completed:
-		r.Counters.Replayed++
+		r.counters.Replayed++
 		c.respond(first.response())
 	case len(first.joined) >= maxJoined:
 		c.respond(unavailable)
 	default:
-		r.Counters.Joined++
+		r.counters.Joined++
 		first.joined = append(first.joined, c)
 	}
 }
 
-// handleFirstDelivery has the request in a payload run. An order is recorded in the ledger first.
+// handleFirstDelivery forwards the request in a payload. An order is recorded in the ledger first.
 func (r *Receiver) handleFirstDelivery(c *connection, id string, body []byte, bodyDigest string) {
 	request, eventTime, err := r.decodeRequest(body)
 	if err != nil {
-		r.Counters.Malformed++
+		r.counters.Malformed++
 		r.logRejection("webhook_delivery_malformed", err)
 		c.respond(httpResponse{status: statusBadRequest})
 		return
@@ -79,9 +79,9 @@
 		c.respond(unavailable)
 		return
 	}
-	class := r.classes[request.Class]
+	class := r.classes.at(request.Class)
 	if class.NotIdempotent && r.ledger == nil {
-		r.Counters.LedgerRejected++
+		r.counters.LedgerRejected++
 		c.respond(unavailable)
 		return
 	}
@@ -90,7 +90,12 @@
 	if class.RequiresIdempotencyKey {
 		request.IdempotencyKey = hexDigest([]byte(id))
 	}
-	pending := &outcome{bodyDigest: bodyDigest, eventTime: eventTime, inLedger: class.NotIdempotent, joined: []*connection{c}}
+	pending := &outcome{
+		bodyDigest: bodyDigest,
+		eventTime:  eventTime,
+		inLedger:   class.NotIdempotent,
+		joined:     []*connection{c},
+	}
 	r.outcomes.add(id, pending)
 	if pending.inLedger {
 		r.recordOrder(id, pending, request)
@@ -99,17 +104,18 @@
 	r.forward(id, pending, request)
 }
 
-// recordOrder writes an order to the ledger and forwards it when it is on the disk.
+// recordOrder queues an order for the ledger. The order is forwarded when it is on the disk.
 func (r *Receiver) recordOrder(id string, order *outcome, request router.Request) {
-	r.ledger.begin(order.ledgerEntry(id), r.time.steady(), func(err error) {
+	r.ledger.Begin(order.ledgerEntry(id), r.deliveryClock.steady(), func(err error) {
 		r.post(func() { r.orderRecorded(id, order, request, err) })
 	})
 }
 
-// orderRecorded forwards an order that is in the ledger, and rejects one that could not be recorded.
+// orderRecorded forwards an order that is on the disk, and rejects one that could not be recorded. It runs on the event
+// loop, to which the ledger's writer has it posted.
 func (r *Receiver) orderRecorded(id string, order *outcome, request router.Request, err error) {
 	if err != nil {
-		r.Counters.LedgerRejected++
+		r.counters.LedgerRejected++
 		r.outcomes.remove(id)
 		order.respondToAll(unavailable)
 		return
--- /dev/null
+++ b/internal/webhook/order_test.go
@@ -0,0 +1,123 @@
+package webhook
+
+import (
+	"bytes"
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"runtime"
+	"strconv"
+	"testing"
+	"time"
+
+	"crankhold/internal/ledger"
+	"crankhold/internal/testutil"
+)
+
+// ledgerRetryDelay is the delay after which a ledger whose disk failed tries it again.
+const ledgerRetryDelay = 50 * time.Millisecond
+
+// A ledger that is full, or whose disk fails and goes on failing, rejects the order at hand and all that follow.
+func TestOrdersAreRejectedWhenLedgerCannotWrite(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	for name, test := range map[string]struct {
+		maxBytes int64
+		fails    bool
+	}{
+		"full":         {maxBytes: 10},
+		"failed write": {maxBytes: defaultLedgerBytes, fails: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			core := &fakeCore{}
+			transport := &testutil.Transport{}
+			config := testConfig(path)
+			config.Receiver.Ledger.MaxBytes = test.maxBytes
+			disk := &breakableDisk{}
+			receiver, posts := newTestReceiverOn(t, core, config, wallAtNoon, disk)
+			defer receiver.Close()
+			if test.fails {
+				disk.fail()
+			}
+			for i := range 3 { // also those after it, before and after the disk was tried again
+				if i == 2 {
+					time.Sleep(2 * ledgerRetryDelay)
+				}
+				id := name[:4] + strconv.Itoa(i)
+				receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, id, noon, callPayload("repair-order", "x", noon)))
+				(<-posts)()
+			}
+			if got := statuses(t, transport); fmt.Sprint(got) != "[503 503 503]" || len(core.accepted) > 0 {
+				t.Errorf("responses %v, %d requests", got, len(core.accepted))
+			}
+		})
+	}
+}
+
+func TestOrderOlderThanRetentionIsRejected(t *testing.T) {
+	core := &fakeCore{}
+	transport := &testutil.Transport{}
+	receiver, _ := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
+	defer receiver.Close()
+	receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, "old", noon, callPayload("repair-order", "x", noon.Add(-72*time.Hour))))
+	if got := statuses(t, transport); fmt.Sprint(got) != "[400]" || len(core.accepted) > 0 {
+		t.Errorf("an order older than the retention: responses %v, %d requests", got, len(core.accepted))
+	}
+}
+
+// An order that was in flight at a crash may have run, so it is failed and not handed to the core again.
+func TestOrderInFlightAtCrashIsNotRunAgain(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	delivery := signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))
+	for round, want := range []struct {
+		requests  int
+		responses string
+	}{{1, "[]"}, {0, "[502]"}} {
+		core := &fakeCore{}
+		transport := &testutil.Transport{}
+		receiver, posts := newTestReceiver(t, core, path)
+		receiver.serve(transport, netip.AddrPort{}).Data(delivery)
+		if round == 0 {
+			(<-posts)() // it is on the disk, and is handed to the core
+		}
+		if got := statuses(t, transport); len(core.accepted) != want.requests || fmt.Sprint(got) != want.responses {
+			t.Errorf("round %d: %d requests, responses %v", round, len(core.accepted), got)
+		}
+		receiver.Close()
+	}
+}
+
+// Closing the receiver ends the ledger's goroutine, after all that was recorded is in the file.
+func TestCloseWritesTheQueueAndLeavesNoGoroutine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "ledger")
+	waitForLedgerGoroutines(t, 0) // of the tests before
+	receiver, _ := newTestReceiver(t, &fakeCore{}, path)
+	waitForLedgerGoroutines(t, 1)
+	const orders = 20
+	for i := range orders {
+		order := ledger.Entry{ID: strconv.Itoa(i), EventTime: noon, State: ledger.Ended, Status: 200}
+		receiver.ledger.Update(order, noon)
+	}
+	if err := receiver.Close(); err != nil {
+		t.Fatal(err)
+	}
+	waitForLedgerGoroutines(t, 0)
+	content := readFile(t, path)
+	if lines := bytes.Count(content, []byte("\n")); lines != orders {
+		t.Errorf("the ledger has %d lines, want %d", lines, orders)
+	}
+}
+
+// waitForLedgerGoroutines fails the test unless so many goroutines write ledgers. One that has just reported its end may
+// take a moment to be gone.
+func waitForLedgerGoroutines(t *testing.T, want int) {
+	t.Helper()
+	got := -1
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		stacks := make([]byte, 1<<20)
+		stacks = stacks[:runtime.Stack(stacks, true)]
+		if got = bytes.Count(stacks, []byte("ledger.(*writer).run(")); got == want {
+			return
+		}
+	}
+	t.Fatalf("%d goroutines write ledgers, want %d", got, want)
+}
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -15,6 +15,9 @@
 // requestEventType is the type of an event that asks for a request to be run.
 const requestEventType = "call.requested"
 
+// outsideRetention is what is wrong with an order that the ledger may have forgotten.
+const outsideRetention = "the order's timestamp is outside the ledger's retention"
+
 // maxTenantLength is the longest name of a tenant, in bytes.
 const maxTenantLength = 128
 
@@ -22,15 +25,17 @@
 type payload struct {
 	Type      string    `json:"type"`
 	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
-	Data      struct {
+
+	// The request. Its type has no name: encoding/json would name it in the errors that are logged.
+	Data struct {
 		Class    string  `json:"class"`
-		Key      string  `json:"key"`
+		Key      string  `json:"key"` // of the function, in 16 hex digits
 		Tenant   string  `json:"tenant"`
-		WaitMs   float64 `json:"wait_ms"`
+		WaitMs   float64 `json:"wait_ms"` // how long it may wait for its response; 0: as long as its class allows
 		MemoryMB float64 `json:"memory_mb"`
 		Lanes    float64 `json:"lanes"`
-		LoadMs   float64 `json:"load_ms"`
-		Body     []byte  `json:"body"`
+		LoadMs   float64 `json:"load_ms"` // how long a worker takes to load the function
+		Body     []byte  `json:"body"`    // in base64
 	} `json:"data"`
 }
 
@@ -63,11 +68,12 @@
 	return nil
 }
 
-// checkNumbers checks the fields that are numbers. What is beyond the limits is nothing that a worker could hold.
+// checkNumbers checks the fields that are numbers. The limits are the router's.
 func (p *payload) checkNumbers() error {
 	for _, number := range []struct {
-		field      string
-		value, max float64
+		field string
+		value float64
+		max   float64
 	}{
 		{"data.wait_ms", p.Data.WaitMs, router.MaxWaitMs},
 		{"data.memory_mb", p.Data.MemoryMB, router.MaxMemoryMB},
@@ -97,7 +103,7 @@
 	if err != nil {
 		return request, eventTime, err
 	}
-	classIndex, known := r.classIndex[p.Data.Class]
+	class, classIndex, known := r.classes.find(p.Data.Class)
 	if !known {
 		return request, eventTime, malformedField("data.class", "unknown class")
 	}
@@ -111,11 +117,8 @@
 	if err := p.checkNumbers(); err != nil {
 		return request, eventTime, err
 	}
-	class := r.classes[classIndex]
-	if class.NotIdempotent {
-		if err := r.checkRetention(p.Timestamp); err != nil {
-			return request, eventTime, err
-		}
+	if class.NotIdempotent && !r.retention.contains(p.Timestamp) {
+		return request, eventTime, malformedField("timestamp", outsideRetention)
 	}
 	request = router.Request{
 		Front:       router.Webhook,
@@ -133,19 +136,6 @@
 	return request, p.Timestamp, nil
 }
 
-// checkRetention rejects orders that are older than the ledger reaches: they may have run and been forgotten. Their age
-// is a span of real time, so a step of the wall clock changes none.
-func (r *Receiver) checkRetention(eventTime time.Time) error {
-	tolerance := r.config.Receiver.Tolerance
-	maxAge := r.config.Receiver.Ledger.Retention - 2*tolerance
-	steady := r.time.steady()
-	latest := r.time.latest().Add(tolerance)
-	if steady.Sub(eventTime) > maxAge || eventTime.After(latest) || !eventTime.After(r.horizon) {
-		return malformedField("timestamp", "the order's timestamp is outside the ledger's retention")
-	}
-	return nil
-}
-
 // milliseconds returns a JSON number of milliseconds as a duration, cut to whole nanoseconds.
 func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
 
