--- /dev/null
+++ b/policy/load_budget_test.go
@@ -0,0 +1,45 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestLoadBudgetFollowsTheWindow(t *testing.T) {
+	cfg := &Config{LoadBudgetWindow: 10 * time.Second, LoadBudgetMinimum: 1, LoadBudgetRatio: 0.5}
+	budget := &loadBudget{cfg: cfg}
+	start := time.Hour
+	budget.recordArrival(start)
+	budget.recordArrival(start)
+	if got := budget.allowance(start); got != 2 {
+		t.Fatalf("the allowance of two requests is %v, want 2", got)
+	}
+	budget.recordCommand(start)
+	if !budget.allowsCommand(start) {
+		t.Error("a second load command of two is not allowed")
+	}
+	budget.recordCommand(start)
+	if budget.allowsCommand(start) {
+		t.Error("a third load command of two is allowed")
+	}
+	if !budget.allowsQueuedCommand(start) {
+		t.Error("a load command that was counted already may not be sent")
+	}
+	budget.withdrawArrival(start)
+	if budget.allowsQueuedCommand(start) {
+		t.Error("a canceled request still counts")
+	}
+	if later := start + cfg.LoadBudgetWindow + time.Second; !budget.allowsCommand(later) {
+		t.Error("load commands count beyond the window")
+	}
+}
+
+func TestLoadBudgetWithoutAWindowBoundsNothing(t *testing.T) {
+	budget := &loadBudget{cfg: &Config{}}
+	for range 3 {
+		budget.recordCommand(time.Hour)
+	}
+	if !budget.allowsCommand(time.Hour) || !budget.allowsQueuedCommand(time.Hour) {
+		t.Error("a load command is not allowed where there is no budget")
+	}
+}
