--- a/policy/attempt_outcomes_test.go
+++ b/policy/attempt_outcomes_test.go
@@ -17,11 +17,11 @@
 			t.Fatalf("warm at %d, sent to %d", w, s.Worker)
 		}
 		b.now += 10 * ms
-		probes := b.handle(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
+		checks := b.handle(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
 		n := b.p.workers.byID[w].latency.failureRates[0].Weight()
 		acts = b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](probes) || has[CheckHealth](acts) {
-			t.Fatalf("after a reset: %v, %v", probes, acts)
+		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](checks) || has[CheckHealth](acts) {
+			t.Fatalf("after a reset: %v, %v", checks, acts)
 		}
 		if b.p.workers.byID[w].latency.failureRates[0].Weight() != n {
 			t.Error("one broken connection counts as two failures")
@@ -71,7 +71,7 @@
 		s, _ = first[StartAttempt](acts)
 		b.now += 1100 * ms
 		if acts := b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); has[StartAttempt](acts) || has[Reject](acts) {
-			t.Fatal("repeated or refused outside the window")
+			t.Fatal("repeated or rejected outside the window")
 		}
 	}
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards a worker that is well against an order to load whose connection broke: a health check tells, and until
+// Guards a worker that is well against a load command whose connection broke: a health check decides, and until
 // then neither is the worker ejected nor do the calls that wait for the load go elsewhere.
 func TestResetOfALoadEjectsNoWorker(t *testing.T) {
 	for _, o := range []Outcome{ConnectionReset, Unreachable} {
@@ -18,10 +18,10 @@
 			t.Fatalf("after a miss: %v", acts)
 		}
 		acts = b.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: o})
-		aside := b.ejected(b.p.workers.byID[s.Worker])
-		if next, ok := first[StartAttempt](acts); !ok || aside != (o == Unreachable) || has[CheckHealth](acts) != (o == ConnectionReset) ||
+		ejected := b.ejected(b.p.workers.byID[s.Worker])
+		if next, ok := first[StartAttempt](acts); !ok || ejected != (o == Unreachable) || has[CheckHealth](acts) != (o == ConnectionReset) ||
 			o == Unreachable && next.Worker == s.Worker {
-			t.Errorf("after outcome %d of the order: %v, aside %v", o, acts, aside)
+			t.Errorf("after outcome %d of the load command: %v, ejected %v", o, acts, ejected)
 		}
 	}
 }
@@ -37,14 +37,14 @@
 	s, _ := first[StartAttempt](acts)
 	due, _ := b.arrive(2, 7)
 	b.now += 3999 * ms // beyond the time to answer the second, whose worker has not
-	probes := 0
+	checks := 0
 	for _, a := range b.handle(TimerFired{Token: housekeepingToken}) {
 		if _, ok := a.(CheckHealth); ok {
-			probes++
+			checks++
 		}
 	}
-	if probes > 4 {
-		t.Errorf("%d probes of 4 workers in one turn", probes)
+	if checks > 4 {
+		t.Errorf("%d checks of 4 workers in one turn", checks)
 	}
 	if acts := b.handle(TimerFired{Token: deadlineToken + uint64(due)}); !has[FailRequest](acts) {
 		t.Errorf("an unsafe call that may have run is not failed when due: %v", acts)
@@ -55,7 +55,7 @@
 			b.handle(HealthCheckCompleted{Worker: w.Worker, Took: 2 * ms})
 		}
 		if b.ejected(w) {
-			t.Errorf("worker %d is set aside", w.Worker)
+			t.Errorf("worker %d is ejected", w.Worker)
 		}
 	}
 	if got := b.serve(7, 100*ms, AlreadyLoaded); got != s.Worker {
@@ -70,11 +70,11 @@
 	id, _ := b.arrive(2, 7)
 	acts := b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset})
 	if pr, ok := first[CheckHealth](acts); !ok || pr.Worker != w {
-		t.Fatalf("no probe of the worker: %v", acts)
+		t.Fatalf("no health check of the worker: %v", acts)
 	}
 	b.handle(HealthCheckCompleted{Worker: w})
 	if b.ejected(b.p.workers.byID[w]) || b.p.workers.byID[w].replicas[7].loadedUntil <= b.now {
-		t.Error("a living worker is set aside or thought empty")
+		t.Error("a living worker is ejected or thought empty")
 	}
 	b.now += ms
 	b.handle(HealthCheckCompleted{Worker: 999}) // the clock goes on
@@ -82,7 +82,7 @@
 	b.now += time.Second
 	b.handle(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
 	if !b.ejected(b.p.workers.byID[w]) {
-		t.Error("a worker that answers no probe is still used")
+		t.Error("a worker that answers no health check is still used")
 	}
 }
 
@@ -94,7 +94,7 @@
 	if s, _ := first[StartAttempt](acts); s.Worker != w {
 		t.Fatal("not sent to the warm worker")
 	}
-	probed, called := false, false
+	checked, called := false, false
 	for range 60 {
 		b.now += housekeepingInterval
 		acts := b.handle(TimerFired{Token: housekeepingToken})
@@ -102,7 +102,7 @@
 			if pr, ok := a.(CheckHealth); ok {
 				o := Served
 				if pr.Worker == w {
-					probed, o = true, TimedOut
+					checked, o = true, TimedOut
 				}
 				called = called || has[CancelAttempt](b.handle(HealthCheckCompleted{Worker: pr.Worker, Outcome: o}))
 			}
@@ -111,8 +111,8 @@
 			break
 		}
 	}
-	if !probed || !called {
-		t.Fatalf("probed %v, called off %v", probed, called)
+	if !checked || !called {
+		t.Fatalf("checked %v, canceled %v", checked, called)
 	}
 	again, ok := first[StartAttempt](b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Canceled}))
 	if !ok || again.Worker == w {
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A call that is called off at its deadline has shown how slow its worker is, though no answer did: a router that
+// An attempt that is canceled at its deadline has shown how slow its worker is, though no answer did: a router that
 // forgets that sends the next one there too, and loses it as well.
 func TestCanceledAttemptsCountAsDelay(t *testing.T) {
 	b := newHarness(t, config(), 2)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Reports tell of others' queues even where no late answer did, and absurd ones tell nothing.
+// Load reports show the queues of other routers even where no late response did, and absurd ones show nothing.
 func TestLoadReportsShowOtherRoutersQueues(t *testing.T) {
 	cfg := config()
 	cfg.LoadReportFields, cfg.InlineLoadReports = []string{"inflight", "queue"}, true
--- a/policy/gossip_fleet_test.go
+++ b/policy/gossip_fleet_test.go
@@ -7,7 +7,7 @@
 
 // Messages must cost the same a call whether few or many routers carry the traffic; no health check goes out unasked for.
 func TestGossipCostsTheSamePerRequestAtAnySize(t *testing.T) {
-	perCall := func(peers, calls int) (probes, receivers float64) {
+	perCall := func(peers, calls int) (checks, receivers float64) {
 		cfg := config()
 		cfg.Routers, cfg.GossipSupported = peers, true
 		b := newHarness(t, cfg, 40)
@@ -19,7 +19,7 @@
 				for _, a := range b.handle(TimerFired{Token: housekeepingToken}) {
 					switch a := a.(type) {
 					case CheckHealth:
-						probes++
+						checks++
 						b.handle(HealthCheckCompleted{Worker: a.Worker})
 					case SendGossip:
 						receivers += float64(peers - 1)
@@ -27,19 +27,19 @@
 				}
 			}
 		}
-		return probes / float64(calls), receivers / float64(calls)
+		return checks / float64(calls), receivers / float64(calls)
 	}
 	few, toFew := perCall(3, 1000)
 	many, toMany := perCall(100, 250)
 	if few > 0 || many > 0 {
-		t.Errorf("probes a call: %.2f with 3 dispatchers, %.2f with 100", few, many)
+		t.Errorf("health checks for each request: %.2f with 3 routers, %.2f with 100", few, many)
 	}
 	if toFew == 0 || toFew > 2 || toMany == 0 || toMany > 2 {
-		t.Errorf("messages delivered a call: %.2f with 3 dispatchers, %.2f with 100", toFew, toMany)
+		t.Errorf("messages delivered for each request: %.2f with 3 routers, %.2f with 100", toFew, toMany)
 	}
 }
 
-// A router that restarts knows only a list: the others tell it where replicas stand.
+// A router that restarts knows only a list: the others report to it where replicas are loaded.
 func TestGossipedReplicasAreUsed(t *testing.T) {
 	cfg := config()
 	cfg.GossipSupported, cfg.Routers = true, 2
@@ -49,10 +49,10 @@
 		a.now += housekeepingInterval
 		news, ok := first[SendGossip](a.handle(TimerFired{Token: housekeepingToken}))
 		if !ok || len(news.Data) > 256 {
-			t.Fatalf("told %v %d", ok, len(news.Data))
+			t.Fatalf("gossiped %v %d", ok, len(news.Data))
 		}
 		if news.Data[7] != byte(w) || news.Data[15] != byte(f) {
-			t.Fatalf("told %x of function %d at worker %d", news.Data, f, w)
+			t.Fatalf("gossiped %x of function %d at worker %d", news.Data, f, w)
 		}
 		w = w%8 + 1 // not where b would look by itself
 		news.Data[7] = byte(w)
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -27,26 +27,26 @@
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadStatusReported = true, true, false
 	cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = 10*time.Second, 2, 0.1
 	b := newHarness(t, cfg, 8)
-	orders := 0
+	commands := 0
 	for f := FunctionID(1); f <= 9; f++ {
 		id, acts := b.arrive(0, f)
 		s, ok := first[StartAttempt](acts)
 		for n := 0; ok; n++ {
 			acts = b.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: NotLoaded})
 			if has[Load](acts) {
-				orders++
+				commands++
 				break
 			}
 			s, ok = first[StartAttempt](acts)
 		}
 	}
-	if orders != 2 {
-		t.Errorf("%d orders, the ration is 2", orders)
+	if commands != 2 {
+		t.Errorf("%d load commands, the budget is 2", commands)
 	}
 }
 
-// Guards the load budget against calls that their clients take back: on a full fleet one bad client's 200 calls had a
-// router that took 70 give 30 orders, where 25 were allowed.
+// Guards the load budget against requests that their clients cancel: on a full fleet one bad client's 200 requests had a
+// router that accepted 70 send 30 load commands, where 25 were allowed.
 func TestCanceledRequestsDoNotWidenTheLoadBudget(t *testing.T) {
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, 10*time.Second, 4, 0.3
@@ -56,7 +56,7 @@
 		b.handle(RequestCanceled{Request: id})
 	}
 	if got := b.p.loads.budget.allowance(b.p.now); got != 4 {
-		t.Fatalf("200 calls that were taken back make a ration of %v, 4 wanted", got)
+		t.Fatalf("200 requests that were canceled make a budget of %v, 4 wanted", got)
 	}
 	kept, _ := b.arrive(0, 9)
 	b.now += time.Second
@@ -66,12 +66,12 @@
 	id, _ := b.arrive(0, 9)
 	b.handle(RequestCanceled{Request: id})
 	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*4 {
-		t.Fatalf("four calls that stay make a ration of %v", got)
+		t.Fatalf("four requests that stay make a budget of %v", got)
 	}
 	b.handle(RequestCanceled{Request: kept})
 	b.handle(RequestCanceled{Request: kept}) // twice counts once
 	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*3 {
-		t.Fatalf("three calls that stay make a ration of %v", got)
+		t.Fatalf("three requests that stay make a budget of %v", got)
 	}
 }
 
@@ -85,14 +85,14 @@
 	id, acts := b.arrive(0, 8)
 	s, ok := first[StartAttempt](acts)
 	if !ok {
-		t.Fatalf("a call to a likely warm home is held: %v", acts)
+		t.Fatalf("a request with a likely replica is deferred: %v", acts)
 	}
 	if acts := b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed}); has[StartAttempt](acts) {
 		t.Error("a further attempt began another load")
 	}
 }
 
-// A store that has stopped must not be stormed: each failed load would begin another, here and everywhere.
+// A store that has stopped must not be sent more loads: each failed load would begin another, here and everywhere.
 func TestFailingLoadsBeginOneAtATime(t *testing.T) {
 	b := newHarness(t, config(), 6)
 	begun := 0
@@ -118,7 +118,7 @@
 	b.p.requests.deferred = nil
 	b.now += 2 * time.Second
 	b.serve(500, time.Second, StartedLoad)
-	b.serve(501, time.Second, StartedLoad) // one success opens the gate
+	b.serve(501, time.Second, StartedLoad) // one success closes the breaker
 	b.serve(502, time.Second, StartedLoad)
 }
 
@@ -133,19 +133,19 @@
 		b.serve(f, ms, AlreadyLoaded)
 	}
 	b.advance(9 * time.Second)
-	orders := 0
+	commands := 0
 	for f := FunctionID(100); f < 105; f++ {
 		id, acts := b.arrive(0, f)
 		s, _ := first[StartAttempt](acts)
 		if has[Load](b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})) {
-			orders++
+			commands++
 		}
 	}
-	// 1 and 0.3 of 11 to 15 requests allow each of five orders as it is decided on; 0.3 of 5 would not.
-	if orders < 4 || !b.p.MayStillLoad(b.now) {
-		t.Fatalf("%d orders, of which the last may go out: %v", orders, b.p.MayStillLoad(b.now))
+	// 1 and 0.3 of 11 to 15 requests allow each of five load commands as it is decided on; 0.3 of 5 would not.
+	if commands < 4 || !b.p.MayStillLoad(b.now) {
+		t.Fatalf("%d load commands, of which the last may go out: %v", commands, b.p.MayStillLoad(b.now))
 	}
 	if b.p.MayStillLoad(b.now + 2*time.Second) {
-		t.Error("orders may go out when the requests that paid for them have left the window")
+		t.Error("load commands may be sent when the requests that paid for them have left the window")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// In overload least worth gives way first, and all is let in again once the delay is gone.
+// In overload the lowest priority is shed first, and all is admitted again once the delay is gone.
 func TestShedsTheLeastWeightAndRecovers(t *testing.T) {
 	b := newHarness(t, config(), 4)
 	count := func(class int) (sent int) {
@@ -102,7 +102,7 @@
 	b.p.shedder.standingDelay.Mean = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
-		t.Errorf("sent %d of low worth and %d of high", low, high)
+		t.Errorf("sent %d of low priority and %d of high", low, high)
 	}
 	for range 200 {
 		id, acts := b.arrive(2, 7)
@@ -111,6 +111,6 @@
 		}
 	}
 	if got := count(0); got < 95 {
-		t.Errorf("only %d of 100 let in after the overload", got)
+		t.Errorf("only %d of 100 admitted after the overload", got)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// What no worker can take any more is answered in the same call, long before its deadline, not held.
+// What no worker can take any more is answered at once, long before its deadline, and not deferred.
 func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
 	final := func(acts []Action) bool { return has[Reject](acts) || has[FailRequest](acts) }
-	t.Run("all turned it away", func(t *testing.T) {
+	t.Run("all rejected it", func(t *testing.T) {
 		b := newHarness(t, config(), 3)
 		id, acts := b.arrive(0, 7)
 		for n := range 3 {
@@ -49,7 +49,7 @@
 			acts = b.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Overloaded})
 		}
 		if !has[Reject](acts) {
-			t.Errorf("not refused: %v", acts)
+			t.Errorf("not rejected: %v", acts)
 		}
 	})
 	t.Run("attempts used up", func(t *testing.T) {
@@ -60,7 +60,7 @@
 			acts = b.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Overloaded})
 		}
 		if !has[Reject](acts) {
-			t.Errorf("not refused: %v", acts)
+			t.Errorf("not rejected: %v", acts)
 		}
 	})
 	t.Run("keyed window past", func(t *testing.T) {
@@ -69,7 +69,7 @@
 		s, _ := first[StartAttempt](acts)
 		b.now += 1200 * ms
 		if acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); !final(acts) {
-			t.Errorf("held: %v", acts)
+			t.Errorf("deferred: %v", acts)
 		}
 	})
 	t.Run("keyed window past, no worker listed", func(t *testing.T) {
@@ -79,26 +79,26 @@
 		b.handle(EndpointList{Kind: EndpointSnapshot})
 		b.now += 1200 * ms
 		if acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); !final(acts) {
-			t.Errorf("held: %v", acts)
+			t.Errorf("deferred: %v", acts)
 		}
 	})
-	t.Run("gate shut for longer than the client waits", func(t *testing.T) {
+	t.Run("breaker open for longer than the client waits", func(t *testing.T) {
 		b := newHarness(t, config(), 3)
 		b.p.scheduler.breaker.openUntil = b.now + 1500*ms
 		b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 9, State: Ready}}})
 		b.p.cfg.Routers = 1
 		if acts := b.handle(RequestArrived{Request: 77, Function: 3, LoadTime: time.Second, Remaining: 1400 * ms}); !final(acts) {
-			t.Errorf("held: %v", acts)
+			t.Errorf("deferred: %v", acts)
 		}
 		if acts := b.handle(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, Remaining: 4 * time.Second}); final(acts) || has[StartAttempt](acts) {
-			t.Errorf("not held though the gate opens in time: %v", acts)
+			t.Errorf("not deferred though the breaker closes in time: %v", acts)
 		}
 	})
 	t.Run("no worker listed yet", func(t *testing.T) {
 		b := newHarness(t, config(), 0)
 		id, acts := b.arrive(0, 7)
 		if final(acts) {
-			t.Fatalf("not held: %v", acts)
+			t.Fatalf("not deferred: %v", acts)
 		}
 		b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready}}})
 		b.now += housekeepingInterval
@@ -121,7 +121,7 @@
 	}
 }
 
-// A rejection tells when to come back where the settings allow it, within the most that they tell and not all at once.
+// A rejection has a Retry-After where the settings allow it, up to their maximum and spread at random.
 func TestRejectionsGiveRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		cfg := config()
@@ -135,12 +135,12 @@
 				if r, ok := first[Reject](acts); ok {
 					waits[r.RetryAfter] = true
 					if allowed != (r.RetryAfter > 0) || r.RetryAfter > cfg.MaxRetryAfter {
-						t.Fatalf("allowed %v, delay %v: told to come back after %v", allowed, delay, r.RetryAfter)
+						t.Fatalf("allowed %v, delay %v: Retry-After %v", allowed, delay, r.RetryAfter)
 					}
 				}
 			}
 			if allowed && len(waits) < 5 {
-				t.Errorf("delay %v: all come back at once: %v", delay, waits)
+				t.Errorf("delay %v: all have the same Retry-After: %v", delay, waits)
 			}
 		}
 	}
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -10,21 +10,21 @@
 
 // pool is a stand-in for a route's pool.
 type pool struct {
-	members      map[WorkerID]bool
-	room         int
-	out, most    int
-	ended        int
-	orders, may  int
-	next         *pool
-	spill, asked int
+	members         map[WorkerID]bool
+	room            int
+	out, most       int
+	ended           int
+	loads, maxLoads int
+	next            *pool
+	spill, asked    int
 }
 
 func (p *pool) Contains(w WorkerID) bool            { return p.members[w] }
 func (p *pool) HasCapacity() bool                   { return p.out < p.room }
 func (p *pool) AttemptStarted()                     { p.out++; p.most = max(p.most, p.out) }
 func (p *pool) AttemptFinished()                    { p.out--; p.ended++ }
-func (p *pool) MayLoad(time.Duration, float64) bool { return p.orders < p.may }
-func (p *pool) LoadStarted(time.Duration)           { p.orders++ }
+func (p *pool) MayLoad(time.Duration, float64) bool { return p.loads < p.maxLoads }
+func (p *pool) LoadStarted(time.Duration)           { p.loads++ }
 func (p *pool) Overflow(time.Duration) Pool {
 	if p.asked++; p.next == nil || p.spill == 0 {
 		return nil
@@ -34,7 +34,7 @@
 }
 
 func newPool(room int, members ...WorkerID) *pool {
-	p := &pool{members: map[WorkerID]bool{}, room: room, may: 100}
+	p := &pool{members: map[WorkerID]bool{}, room: room, maxLoads: 100}
 	for _, w := range members {
 		p.members[w] = true
 	}
@@ -65,7 +65,7 @@
 	}
 	empty := newPool(100, 99)
 	if _, acts := b.arriveWith(0, unlimited(empty)); !has[Reject](acts) {
-		t.Errorf("a pool with no worker: %v, want a refusal at once", acts)
+		t.Errorf("a pool with no worker: %v, want a rejection at once", acts)
 	}
 }
 
@@ -77,10 +77,10 @@
 	s, _ := first[StartAttempt](acts)
 	b.arriveWith(0, unlimited(p))
 	if _, acts := b.arriveWith(0, unlimited(p)); !has[Reject](acts) {
-		t.Errorf("over the cap: %v, want a refusal at once", acts)
+		t.Errorf("over the cap: %v, want a rejection at once", acts)
 	}
 	if len(b.p.requests.deferred) > 0 {
-		t.Error("a call over the cap is held")
+		t.Error("a request over the cap is deferred")
 	}
 	b.handle(AttemptCompleted{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
 	if _, acts := b.arriveWith(0, unlimited(p)); !has[StartAttempt](acts) || p.most != 2 {
@@ -98,7 +98,7 @@
 		t.Errorf("a full pool's call: %v, want worker 4", acts)
 	}
 	if _, acts := b.arriveWith(0, unlimited(p)); !has[Reject](acts) {
-		t.Errorf("beyond the spill: %v, want a refusal", acts)
+		t.Errorf("beyond the overflow limit: %v, want a rejection", acts)
 	}
 	// A call that may not be sent again has nothing to spill.
 	asked := p.asked
@@ -188,7 +188,7 @@
 	}
 	acts = b.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: two.Worker, Outcome: Served, Closed: true, Took: 50 * ms})
 	if c, ok := first[CancelAttempt](acts); !ok || c.Attempt != 0 {
-		t.Errorf("the copy is served: %v, want the first called off", acts)
+		t.Errorf("the copy is served: %v, want the first canceled", acts)
 	}
 	for name, x := range map[string]struct {
 		class   int
@@ -207,10 +207,10 @@
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum = true, true, 10*time.Second, 5
 	b := newHarness(t, cfg, 3)
 	p := newPool(100, 1, 2, 3)
-	p.may = 1
+	p.maxLoads = 1
 	terms := unlimited(p)
 	terms.AttemptTimeout = 300 * ms
-	orders := 0
+	commands := 0
 	for f := range FunctionID(3) {
 		b.id++
 		acts := b.handle(RequestArrived{Request: b.id, Function: 20 + f, Lanes: 1, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &terms})
@@ -219,11 +219,11 @@
 			t.Fatalf("%v, want a limit of %v", acts, terms.AttemptTimeout)
 		}
 		if has[Load](b.handle(AttemptCompleted{Request: b.id, Worker: s.Worker, Outcome: NotLoaded})) {
-			orders++
+			commands++
 		}
 	}
-	if orders != 1 || p.orders != 1 {
-		t.Errorf("%d orders, %d counted; the pool's share is 1", orders, p.orders)
+	if commands != 1 || p.loads != 1 {
+		t.Errorf("%d load commands, %d counted; the pool's share is 1", commands, p.loads)
 	}
 }
 
@@ -304,7 +304,7 @@
 		cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, true, 10*time.Second, 4, 0.3
 		plain, under := newHarness(t, cfg, 4), newHarness(t, cfg, 4)
 		terms := unlimited(newPool(1<<30, 1, 2, 3, 4))
-		terms.Pool.(*pool).may = 1 << 30
+		terms.Pool.(*pool).maxLoads = 1 << 30
 		var outs []StartAttempt
 		number := map[RequestID]int{}
 		both := func(ev Event) {
@@ -356,7 +356,7 @@
 	w := b.p.workers.byID[1]
 	w.health.lastCheck = b.now
 	if left := w.health.ejectedUntil - b.now; left < 7*time.Second {
-		t.Fatalf("set aside for %v", left)
+		t.Fatalf("ejected for %v", left)
 	}
 	b.arriveWith(0, unlimited(p))
 	if left := w.health.ejectedUntil - b.now; left > 500*ms {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -53,7 +53,7 @@
 			r := c.reqs[a.Request]
 			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
-				c.t.Fatalf("%v: refusal of %d, which may have run", now, a.Request)
+				c.t.Fatalf("%v: rejection of %d, which may have run", now, a.Request)
 			}
 			c.checkEnd(now, r)
 		case FailRequest:
@@ -75,7 +75,7 @@
 				}
 			}
 			if float64(n) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(m) {
-				c.t.Fatalf("%v: %d orders with %d calls", now, n, m)
+				c.t.Fatalf("%v: %d load commands with %d requests", now, n, m)
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 		}
 	}
 	if len(p.requests.deferred) > len(c.reqs) {
-		t.Fatalf("seed %d: books grow: %d held", seed, len(p.requests.deferred))
+		t.Fatalf("seed %d: the tables grow: %d deferred", seed, len(p.requests.deferred))
 	}
 }
 
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -17,7 +17,7 @@
 			t.Fatalf("warm at %d, sent to %d", w, got)
 		}
 	}
-	b.now += 11 * time.Second // longer than the told keep-alive
+	b.now += 11 * time.Second // longer than the keep-alive
 	if i := b.p.workers.byID[w].replicas[7]; i != nil && b.now < i.loadedUntil {
 		t.Error("belief outlives the keep-alive")
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// Little time left is no reason to refuse what most likely stands loaded at its home.
+// Little remaining time is no reason to reject a request that likely has a replica at its preferred worker.
 func TestShortOfTimeGoesToALikelyReplica(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
 		cfg := config()
@@ -209,7 +209,7 @@
 	}
 }
 
-// A function's first home answers full at once while the others have room: many routers, each blind to the
+// A function's preferred worker is overloaded while the others have capacity: many routers, each blind to the
 // others, move their sum of sends off it within seconds and come back after.
 func TestRequestsMoveOffAFullWorkerAndBack(t *testing.T) {
 	cfg := config()
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -32,7 +32,7 @@
 }
 
 // A worker that could not be reached, or was silent, may have been started anew before it answers again, and its start is
-// told later. Until then it counts as in slow start; after that, where none was told, as warm.
+// reported later. Until then it counts as in slow start; after that, where none was reported, as warm.
 func TestReturningWorkerIsInSlowStartUntilAStartWouldBeReported(t *testing.T) {
 	b := newHarness(t, config(), 5)
 	for range 200 { // 10 a second over 5 workers
@@ -49,7 +49,7 @@
 	}
 	b.advance(2 * time.Second)
 	if late := b.attemptsAt(1, 200, 10*ms); late < 20 {
-		t.Errorf("%d sends within 2 s to a worker whose start was not told", late)
+		t.Errorf("%d sends within 2 s to a worker whose start was not reported", late)
 	}
 }
 
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -55,10 +55,10 @@
 		t.Errorf("in thin traffic it is unloaded after %v", thin)
 	}
 	for name, change := range map[string]func(*Config){
-		"memory is free":            func(c *Config) { c.MemoryPrice = 0 },
-		"no memory is told":         func(c *Config) { c.WorkerMemoryMB = 0 },
-		"orders are not allowed":    func(c *Config) { c.LoadCommandsSupported = false },
-		"only rationed orders load": func(c *Config) { c.MissWhenNotLoaded = true },
+		"memory is free":                func(c *Config) { c.MemoryPrice = 0 },
+		"no memory is reported":         func(c *Config) { c.WorkerMemoryMB = 0 },
+		"load commands are not allowed": func(c *Config) { c.LoadCommandsSupported = false },
+		"only load commands load":       func(c *Config) { c.MissWhenNotLoaded = true },
 	} {
 		c := pricedMemory()
 		change(&c)
@@ -127,7 +127,7 @@
 // A call that was rejected meets the same queues as one that has just come: under a standing delay it gives way as
 // often, and does not go round all workers.
 func TestOverloadedRequestsAreShedUnderAStandingDelay(t *testing.T) {
-	refused := func(overloaded bool) (n int) {
+	rejected := func(overloaded bool) (n int) {
 		b := newHarness(t, config(), 8)
 		for i := range 200 {
 			took := 50 * ms
@@ -157,10 +157,10 @@
 		}
 		return n
 	}
-	if n := refused(false); n > 5 {
-		t.Errorf("%d of 200 calls turned away once are refused where nothing queues", n)
+	if n := rejected(false); n > 5 {
+		t.Errorf("%d of 200 requests rejected once are rejected where nothing queues", n)
 	}
-	if n := refused(true); n < 20 {
-		t.Errorf("%d of 200 calls turned away once are refused under a standing delay", n)
+	if n := rejected(true); n < 20 {
+		t.Errorf("%d of 200 requests rejected once are rejected under a standing delay", n)
 	}
 }
