--- a/internal/endpoint/alias_test.go
+++ b/internal/endpoint/alias_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestGroups(t *testing.T) {
+func TestEntriesOfOneWorkerAreGrouped(t *testing.T) {
 	words := func(list []Entry) string {
 		var out []string
 		for _, g := range GroupAliases(list) {
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -11,7 +11,7 @@
 
 // The model of a race: at most MaxDialsPerWorker at once, each address once, the next at once when one fails, a lost race told
 // once and only when nothing is left, one winner.
-func TestRace(t *testing.T) {
+func TestDialRaceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Addr
 		for i := range rapid.IntRange(1, MaxAddresses).Draw(t, "addresses") {
--- a/internal/endpoint/set_test.go
+++ b/internal/endpoint/set_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestOrder(t *testing.T) {
+func TestCandidatesAreInOrderOfPreference(t *testing.T) {
 	for _, c := range []struct {
 		prefer []Network
 		want   []Addr
@@ -35,7 +35,7 @@
 
 // Calls go back to a better address once it has been well for a time, so that a flapping one draws none; a silent
 // one is tried last and is no better.
-func TestGoingBack(t *testing.T) {
+func TestRequestsReturnToAStableAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
 	if s.HasBetter(time.Hour, unixSocket) || !s.HasBetter(time.Hour, ipv4) {
@@ -74,7 +74,7 @@
 
 // What is known of an address stays with it over a new list, and goes with it: one that comes back, or comes to
 // another worker, inherits nothing.
-func TestStateGoesWithTheAddress(t *testing.T) {
+func TestStateBelongsToTheAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
 	s.Failed(0, unixSocket)
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -73,16 +73,16 @@
 func newWorkerClient(cfg *config.Config, loop *eventloop.Loop, results workerclient.ResultHandler) *workerclient.Pool {
 	limits := cfg.Network.Limits
 	return workerclient.New(workerclient.Config{
-		Classes:               cfg.ClassNames(),
-		ReportFields:          cfg.Policy.LoadReportFields,
-		DialTimeout:           config.Millis(limits.DialTimeoutMs),
-		KeepAlive:             config.Millis(limits.KeepaliveMs),
-		SlowestObjective:      slowestObjective(cfg.Policy.Classes),
-		MaxCallsPerConnection: limits.StreamsPerConn,
-		MaxConnections:        cfg.MaxWorkerConnections(),
-		CancelSupported:       cfg.Policy.CancelSupported,
-		HealthChecksAllowed:   cfg.Policy.HealthCheckSupported,
-		Seed:                  cfg.SeedValue,
+		Classes:                  cfg.ClassNames(),
+		ReportFields:             cfg.Policy.LoadReportFields,
+		DialTimeout:              config.Millis(limits.DialTimeoutMs),
+		KeepAlive:                config.Millis(limits.KeepaliveMs),
+		SlowestObjective:         slowestObjective(cfg.Policy.Classes),
+		MaxRequestsPerConnection: limits.StreamsPerConn,
+		MaxConnections:           cfg.MaxWorkerConnections(),
+		CancelSupported:          cfg.Policy.CancelSupported,
+		HealthChecksAllowed:      cfg.Policy.HealthCheckSupported,
+		Seed:                     cfg.SeedValue,
 		Dial: func(network, addr string, timeout time.Duration, handler eventloop.DialHandler) workerclient.Transport {
 			return loop.Dial(network, addr, timeout, handler)
 		},
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -38,7 +38,7 @@
 	}
 	m := &testMembership{}
 	core := router.New(module, router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16})
-	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxCallsPerConnection: 32, MaxConnections: 100,
+	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxRequestsPerConnection: 32, MaxConnections: 100,
 		Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
 			transport := &testutil.Transport{}
 			m.dialled = append(m.dialled, network+" "+addr)
--- a/internal/workerclient/addresses_test.go
+++ b/internal/workerclient/addresses_test.go
@@ -154,7 +154,7 @@
 
 // An address that fails is tried by a connection that carries nothing but a NOOP, and takes requests again once that is
 // answered; one that accepts and says nothing has not come back.
-func TestTrial(t *testing.T) {
+func TestRecoveryDial(t *testing.T) {
 	p, _, transports, dialled := newPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 	(*transports)[0].handler.DialCompleted(errors.New("refused"))
--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -38,7 +38,7 @@
 	pool := workerclient.New(workerclient.Config{
 		HealthChecksAllowed: true,
 		Classes:             []string{"dim-level"}, ReportFields: []string{"inflight", "cpu"}, DialTimeout: time.Second,
-		KeepAlive: 10_000 * time.Hour, MaxCallsPerConnection: 32, MaxConnections: 100,
+		KeepAlive: 10_000 * time.Hour, MaxRequestsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
 			handler = h
 			return discardTransport{}
--- a/internal/workerclient/budget_test.go
+++ b/internal/workerclient/budget_test.go
@@ -12,8 +12,8 @@
 	"crankhold/policy"
 )
 
-// toldBudgets returns the budgets of all RUN commands that were written to a connection.
-func toldBudgets(t *testing.T, transport *fakeTransport) (budgets []time.Duration) {
+// writtenBudgets returns the budgets of all RUN commands that were written to a connection.
+func writtenBudgets(t *testing.T, transport *fakeTransport) (budgets []time.Duration) {
 	t.Helper()
 	for _, match := range regexp.MustCompile(`budget=(\d+)`).FindAllStringSubmatch(transport.Written.String(), -1) {
 		ms, err := strconv.Atoi(match[1])
@@ -38,12 +38,12 @@
 			transport := (*transports)[0]
 			transport.handler.DialCompleted(nil)
 			if waits == budget {
-				if got := toldBudgets(t, transport); len(got) > 0 || len(s.outcomes[a]) != 1 || !s.outcomes[a][0].NeverRan() {
+				if got := writtenBudgets(t, transport); len(got) > 0 || len(s.outcomes[a]) != 1 || !s.outcomes[a][0].NeverRan() {
 					t.Errorf("with nothing left it was told %v and ended %v", got, s.outcomes[a])
 				}
 				return
 			}
-			if got := toldBudgets(t, transport); len(got) != 1 || got[0] != (budget-waits).Truncate(time.Millisecond) {
+			if got := writtenBudgets(t, transport); len(got) != 1 || got[0] != (budget-waits).Truncate(time.Millisecond) {
 				t.Fatalf("told %v after %v of %v", got, waits, budget)
 			}
 			transport.Unsent = transport.Written.Len()
@@ -51,7 +51,7 @@
 			transport.handler.Closed(errors.New("reset"))
 			again := (*transports)[1]
 			again.handler.DialCompleted(nil)
-			if got := toldBudgets(t, again); len(got) != 1 || got[0] != (budget-waits-200*time.Millisecond).Truncate(time.Millisecond) {
+			if got := writtenBudgets(t, again); len(got) != 1 || got[0] != (budget-waits-200*time.Millisecond).Truncate(time.Millisecond) {
 				t.Errorf("told %v when it was sent again %v later", got, 200*time.Millisecond)
 			}
 		})
--- a/internal/workerclient/command.go
+++ b/internal/workerclient/command.go
@@ -39,7 +39,7 @@
 	expires time.Duration  // runCommand: when the time that the request has left is over
 	sendBy  time.Duration  // runCommand: it is not written later
 
-	conn            *conn
+	conn            *connection
 	waited          bool // for a connection
 	written         bool
 	sentAt          time.Duration
--- a/internal/workerclient/conn.go
+++ b/internal/workerclient/conn.go
@@ -12,26 +12,26 @@
 // idleCloseRatio is the part of the workers' keep-alive after which an idle connection is closed.
 const idleCloseRatio = 0.8
 
-// connState is where a connection is in its life.
-type connState uint8
+// connectionState is where a connection is in its life.
+type connectionState uint8
 
 const (
-	connecting connState = iota // being dialled; commands are queued
-	ready                       // takes commands
-	draining                    // takes nothing new, and is closed once nothing is in flight
-	closing                     // closed by this program; what still arrives does not count
+	connecting connectionState = iota // being dialled; commands are queued
+	ready                             // takes commands
+	draining                          // takes nothing new, and is closed once nothing is in flight
+	closing                           // closed by this program; what still arrives does not count
 )
 
 // String returns the state's name.
-func (s connState) String() string {
+func (s connectionState) String() string {
 	return [...]string{"connecting", "ready", "draining", "closing"}[s]
 }
 
-// conn is a connection to a worker, from its first dial on.
-type conn struct {
+// connection is a connection to a worker, from its first dial on.
+type connection struct {
 	pool   *Pool
 	worker *worker
-	state  connState
+	state  connectionState
 
 	race      *endpoint.DialRace
 	dials     []*dial       // under way
@@ -55,18 +55,18 @@
 	pingedAt        time.Duration // when the keepalive ping was sent that awaits a sign of life; 0: none does
 }
 
-func newConn(w *worker, race *endpoint.DialRace) *conn {
-	return &conn{pool: w.pool, worker: w, race: race, inFlight: map[string]*command{}, lastUsed: w.pool.now}
+func newConnection(w *worker, race *endpoint.DialRace) *connection {
+	return &connection{pool: w.pool, worker: w, race: race, inFlight: map[string]*command{}, lastUsed: w.pool.now}
 }
 
 // connected reports whether the dial has come up. It stays true for a connection that is being closed.
-func (c *conn) connected() bool { return c.state != connecting }
+func (c *connection) connected() bool { return c.state != connecting }
 
 // idle reports whether nothing is in flight.
-func (c *conn) idle() bool { return len(c.inFlight) == 0 }
+func (c *connection) idle() bool { return len(c.inFlight) == 0 }
 
 // send writes a command, or queues it while the connection is being dialled.
-func (c *conn) send(cmd *command) {
+func (c *connection) send(cmd *command) {
 	cmd.conn = c
 	c.inFlight[cmd.id] = cmd
 	if cmd.kind == runCommand {
@@ -82,7 +82,7 @@
 
 // writeCommand writes a command, unless it may not be sent any more: nothing would be left of a request's budget, the
 // worker might no longer know it for a repeat, or the budget of loads has been used up.
-func (c *conn) writeCommand(cmd *command) {
+func (c *connection) writeCommand(cmd *command) {
 	if cmd.kind == runCommand {
 		if c.pool.now >= cmd.sendBy {
 			c.remove(cmd)
@@ -108,7 +108,7 @@
 }
 
 // write writes to the transport and counts.
-func (c *conn) write(bufs ...[]byte) {
+func (c *connection) write(bufs ...[]byte) {
 	for _, buf := range bufs {
 		c.bytesWritten += len(buf)
 	}
@@ -116,7 +116,7 @@
 }
 
 // writeQueued sends what was queued until the connection came up.
-func (c *conn) writeQueued() {
+func (c *connection) writeQueued() {
 	queued := c.queued
 	c.queued = nil
 	for _, cmd := range queued {
@@ -125,7 +125,7 @@
 }
 
 // dequeue removes a command that is queued behind the dial; others it leaves.
-func (c *conn) dequeue(cmd *command) {
+func (c *connection) dequeue(cmd *command) {
 	for i, queued := range c.queued {
 		if queued == cmd {
 			c.queued = append(c.queued[:i], c.queued[i+1:]...)
@@ -136,7 +136,7 @@
 }
 
 // failQueued ends what is queued behind the dial and never left, except for health checks.
-func (c *conn) failQueued() {
+func (c *connection) failQueued() {
 	var kept []*command
 	for _, cmd := range c.queued {
 		if cmd.kind == healthCheckCommand {
@@ -155,7 +155,7 @@
 
 // remove takes a command out of those in flight, if it still is. The id of a request that was written is not used on
 // this connection again.
-func (c *conn) remove(cmd *command) {
+func (c *connection) remove(cmd *command) {
 	if c.inFlight[cmd.id] != cmd {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 // maintain does what is due on the connection.
-func (c *conn) maintain() {
+func (c *connection) maintain() {
 	now := c.pool.now
 	c.recentIDs.rotate(now)
 	switch c.state {
@@ -194,12 +194,12 @@
 }
 
 // maxIdle is for how long the connection may be idle.
-func (c *conn) maxIdle() time.Duration {
+func (c *connection) maxIdle() time.Duration {
 	return time.Duration(idleCloseRatio * float64(c.pool.cfg.KeepAlive))
 }
 
 // drain has the connection take nothing new; it is closed once nothing is in flight.
-func (c *conn) drain() {
+func (c *connection) drain() {
 	switch {
 	case c.state == connecting:
 		c.close()
@@ -212,14 +212,14 @@
 }
 
 // closeWithError closes a connection that is of no further use.
-func (c *conn) closeWithError(reason error) {
+func (c *connection) closeWithError(reason error) {
 	err := &ConnectionError{Addr: c.addr, Reason: reason}
 	slog.Warn("worker_connection_closed", slog.String("addr", c.addr.String()), slog.Any("err", err))
 	c.close()
 }
 
 // close closes the connection; Closed follows. Nothing new goes to it: it would count as written.
-func (c *conn) close() {
+func (c *connection) close() {
 	c.state = closing
 	if c.transport != nil {
 		c.transport.Close()
@@ -228,7 +228,7 @@
 }
 
 // Closed handles the end of the connection: what left whole may have run.
-func (c *conn) Closed(error) {
+func (c *connection) Closed(error) {
 	if c.lastResponse == 0 && c.state != closing {
 		c.worker.addresses.Failed(c.pool.now, c.addr) // it came up and was of no use
 	}
@@ -236,7 +236,7 @@
 }
 
 // terminate removes the connection from its worker and ends all that is in flight on it.
-func (c *conn) terminate(outcome policy.Outcome) {
+func (c *connection) terminate(outcome policy.Outcome) {
 	arrivable := c.bytesWritten
 	if c.transport != nil {
 		arrivable -= c.transport.UnsentBytes()
@@ -251,7 +251,7 @@
 }
 
 // commandsInOrder returns what is in flight in a fixed order.
-func (c *conn) commandsInOrder() []*command {
+func (c *connection) commandsInOrder() []*command {
 	commands := make([]*command, 0, len(c.inFlight))
 	for _, cmd := range c.inFlight {
 		commands = append(commands, cmd)
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -12,14 +12,14 @@
 // dial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
 // what arrives once it has won the connection's race.
 type dial struct {
-	conn      *conn
+	conn      *connection
 	addr      endpoint.Addr
 	transport Transport
 	finished  bool
 }
 
 // startDials dials the next addresses of the connection's race as far as their time has come.
-func (c *conn) startDials() {
+func (c *connection) startDials() {
 	for {
 		addr, ok := c.race.Next(c.pool.now, c.mayDial())
 		if !ok {
@@ -30,14 +30,14 @@
 }
 
 // mayDial reports whether the limits allow one more dial.
-func (c *conn) mayDial() bool {
+func (c *connection) mayDial() bool {
 	if c.pool.dialsInProgress >= endpoint.MaxDials {
 		return false
 	}
 	return len(c.dials) == 0 || c.pool.ensureCapacity()
 }
 
-func (c *conn) startDial(addr endpoint.Addr) {
+func (c *connection) startDial(addr endpoint.Addr) {
 	d := &dial{conn: c, addr: addr}
 	c.dials = append(c.dials, d)
 	c.pool.Counters.Dials++
@@ -58,7 +58,7 @@
 }
 
 // cancelDials ends all dials of the connection that are in progress.
-func (c *conn) cancelDials() {
+func (c *connection) cancelDials() {
 	for _, d := range slices.Clone(c.dials) {
 		d.finish()
 		d.transport.Close()
@@ -66,7 +66,7 @@
 }
 
 // redial begins anew, with the addresses that the worker has now. What is queued stays queued.
-func (c *conn) redial() {
+func (c *connection) redial() {
 	c.cancelDials()
 	c.race = endpoint.NewDialRace(c.worker.addresses.Candidates(), c.pool.cfg.DialTimeout, 0)
 	c.startDials()
@@ -91,7 +91,7 @@
 // dialFailed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has
 // failed is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the
 // worker.
-func (c *conn) dialFailed(d *dial, err error) {
+func (c *connection) dialFailed(d *dial, err error) {
 	p := c.pool
 	p.Counters.DialsFailed++
 	slog.Warn("worker_dial_failed", slog.String("addr", d.addr.String()), slog.Any("err", err))
@@ -108,7 +108,7 @@
 }
 
 // dialSucceeded makes the first dial that comes up the connection, and closes any other.
-func (c *conn) dialSucceeded(d *dial) {
+func (c *connection) dialSucceeded(d *dial) {
 	c.worker.addresses.Succeeded(c.pool.now, d.addr)
 	if !c.race.DialSucceeded() {
 		d.transport.Close()
--- a/internal/workerclient/example_test.go
+++ b/internal/workerclient/example_test.go
@@ -40,12 +40,12 @@
 func Example() {
 	var transport *printTransport
 	pool := workerclient.New(workerclient.Config{
-		Classes:               []string{"interactive"},
-		ReportFields:          []string{"inflight"},
-		DialTimeout:           250 * time.Millisecond,
-		KeepAlive:             time.Minute,
-		MaxCallsPerConnection: 32,
-		MaxConnections:        100,
+		Classes:                  []string{"interactive"},
+		ReportFields:             []string{"inflight"},
+		DialTimeout:              250 * time.Millisecond,
+		KeepAlive:                time.Minute,
+		MaxRequestsPerConnection: 32,
+		MaxConnections:           100,
 		Dial: func(network, addr string, timeout time.Duration, handler eventloop.DialHandler) workerclient.Transport {
 			fmt.Printf("dial %s %s, timeout %v\n", network, addr, timeout)
 			transport = &printTransport{handler: handler}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -59,7 +59,7 @@
 	record := &decodedResults{}
 	p.results = record
 	p.cfg.ReportFields = []string{"inflight", "cpu"}
-	p.cfg.MaxCallsPerConnection = 32
+	p.cfg.MaxRequestsPerConnection = 32
 	return p, record, transports
 }
 
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -15,7 +15,7 @@
 // checkLiveness looks after a connection on which responses are due. One that is cut off stays open and says nothing,
 // while others to the same worker may be well: the worker as a whole is then no reason to go elsewhere. Only whole
 // responses count as signs of life, since bytes prove nothing.
-func (c *conn) checkLiveness() {
+func (c *connection) checkLiveness() {
 	now := c.pool.now
 	if c.partial.Len() > 0 && now-c.partialSince > partialResponseTimeout {
 		c.closeWithError(ErrResponseStalled)
@@ -34,7 +34,7 @@
 
 // ping sends a keepalive ping. Where the settings allow no probes the connection just takes nothing new until it
 // responds.
-func (c *conn) ping() {
+func (c *connection) ping() {
 	p := c.pool
 	c.pingedAt = p.now
 	c.worker.addresses.Suspect(p.now, c.addr)
@@ -48,8 +48,8 @@
 	c.send(cmd)
 }
 
-// noteSignOfLife takes in that a response arrived; cmd is the command that it belongs to, or nil.
-func (c *conn) noteSignOfLife(cmd *command, status responseStatus) {
+// recordResponse takes in that a response arrived; cmd is the command that it belongs to, or nil.
+func (c *connection) recordResponse(cmd *command, status responseStatus) {
 	now := c.pool.now
 	if cmd != nil && cmd.kind == runCommand {
 		if status == statusHit { // a miss arrives at once and says nothing of requests that run
@@ -66,7 +66,7 @@
 
 // silentFor returns for how long the response to a request has been due and none has arrived since lastReadAt. It
 // returns false for due where no request awaits one.
-func (c *conn) silentFor(lastReadAt time.Duration) (silence time.Duration, due bool) {
+func (c *connection) silentFor(lastReadAt time.Duration) (silence time.Duration, due bool) {
 	var oldest time.Duration
 	for _, cmd := range c.inFlight {
 		if cmd.kind == runCommand && cmd.written && (!due || cmd.sentAt < oldest) {
@@ -78,6 +78,6 @@
 }
 
 // stalled reports whether a response has begun to arrive and does not go on: what is sent now would be lost with it.
-func (c *conn) stalled() bool {
+func (c *connection) stalled() bool {
 	return c.partial.Len() > 0 && c.pool.now-c.partialSince > minSilenceBeforePing
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -143,7 +143,7 @@
 		panic(err)
 	}
 	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
-	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxCallsPerConnection: 32, MaxConnections: 100,
+	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxRequestsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
 			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: modelDialing}
 			m.transports = append(m.transports, l)
@@ -447,7 +447,7 @@
 }
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
-var planted = []struct{ name, file, old, new string }{
+var plantedFaults = []struct{ name, file, old, new string }{
 	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && !cmd.abandoned && cmd.resends < maxResends", "case !cmd.kind.isHealthQuery() && cmd.written && cmd.resends < maxResends"},
 	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.resends < maxResends && w.ready()", "cmd.resends < maxResends"},
 	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.queued) == 0 {", "if false {"},
@@ -469,7 +469,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range planted {
+	for _, f := range plantedFaults {
 		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			whole := filepath.Join(root, f.file)
--- a/internal/workerclient/pick.go
+++ b/internal/workerclient/pick.go
@@ -10,15 +10,15 @@
 
 const (
 	unusable   preference = iota
-	doubtful              // silent, or with a response that does not arrive: used where no further connection may be opened
-	beingMade             // queues behind the dial
-	responsive            // sends at once
+	lastResort            // silent, or with a response that does not arrive: used where no further connection may be opened
+	queues                // queues behind the dial
+	immediate             // sends at once
 )
 
 // pickConnection returns the connection for a command: one that is up, else one that is being dialled, else a new one,
 // and a doubtful one only where no more may be opened. It returns nil where there is none.
-func (p *Pool) pickConnection(w *worker, cmd *command) *conn {
-	var best *conn
+func (p *Pool) pickConnection(w *worker, cmd *command) *connection {
+	var best *connection
 	bestPreference := unusable
 	for _, c := range w.connections {
 		preferred := c.preferenceFor(cmd)
@@ -26,13 +26,13 @@
 			best, bestPreference = c, preferred
 		}
 	}
-	if bestPreference > doubtful || len(w.connections) >= maxConnectionsPerWorker || w.addresses.Len() == 0 {
+	if bestPreference > lastResort || len(w.connections) >= maxConnectionsPerWorker || w.addresses.Len() == 0 {
 		return best
 	}
 	if !p.ensureCapacity() {
 		return best
 	}
-	c := newConn(w, endpoint.NewDialRace(w.addresses.Candidates(), p.cfg.DialTimeout, cmd.dialBudget(p.now)))
+	c := newConnection(w, endpoint.NewDialRace(w.addresses.Candidates(), p.cfg.DialTimeout, cmd.dialBudget(p.now)))
 	w.connections = append(w.connections, c)
 	c.startDials()
 	return c
@@ -40,25 +40,25 @@
 
 // preferenceFor says how well c suits a command. A connection carries each request's id once, and no more requests at a
 // time than a worker takes on one.
-func (c *conn) preferenceFor(cmd *command) preference {
+func (c *connection) preferenceFor(cmd *command) preference {
 	if c.state == draining || c.state == closing || c.inFlight[cmd.id] != nil {
 		return unusable
 	}
-	if cmd.kind == runCommand && !c.acceptsRun(cmd.id) {
+	if cmd.kind == runCommand && !c.acceptsRequest(cmd.id) {
 		return unusable
 	}
 	switch {
 	case c.pingedAt > 0 || c.stalled():
-		return doubtful
+		return lastResort
 	case c.state == connecting:
-		return beingMade
+		return queues
 	}
-	return responsive
+	return immediate
 }
 
-// acceptsRun reports whether one more request may go over c.
-func (c *conn) acceptsRun(id string) bool {
-	return c.runsInFlight < c.pool.cfg.MaxCallsPerConnection && !c.recentIDs.has(id) && !c.recentIDs.full()
+// acceptsRequest reports whether one more request may go over c.
+func (c *connection) acceptsRequest(id string) bool {
+	return c.runsInFlight < c.pool.cfg.MaxRequestsPerConnection && !c.recentIDs.has(id) && !c.recentIDs.full()
 }
 
 // ensureCapacity reports whether one more connection may be opened. At the limit it closes the one that has been idle
@@ -89,7 +89,7 @@
 }
 
 // longestIdle returns the connection that has been idle for longest, or nil.
-func (p *Pool) longestIdle() (longest *conn) {
+func (p *Pool) longestIdle() (longest *connection) {
 	for _, w := range p.workersInOrder {
 		for _, c := range w.connections {
 			if c.state == ready && c.idle() && (longest == nil || c.lastUsed < longest.lastUsed) {
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -35,17 +35,17 @@
 
 // Config holds the deployment's figures.
 type Config struct {
-	Classes               []string // their names, as workers know them
-	ReportFields          []string // of load reports
-	DialTimeout           time.Duration
-	KeepAlive             time.Duration // a worker closes a connection that is idle for so long
-	SlowestObjective      time.Duration // the slowest latency objective of all classes
-	MaxCallsPerConnection int           // requests in flight on one connection
-	MaxConnections        int           // to all workers together
-	CancelSupported       bool          // workers may be told that a request is cancelled
-	HealthChecksAllowed   bool          // NOOP and INFO may be sent
-	Seed                  uint64        // spreads the backoff of addresses that failed
-	Dial                  func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+	Classes                  []string // their names, as workers know them
+	ReportFields             []string // of load reports
+	DialTimeout              time.Duration
+	KeepAlive                time.Duration // a worker closes a connection that is idle for so long
+	SlowestObjective         time.Duration // the slowest latency objective of all classes
+	MaxRequestsPerConnection int           // requests in flight on one connection
+	MaxConnections           int           // to all workers together
+	CancelSupported          bool          // workers may be told that a request is cancelled
+	HealthChecksAllowed      bool          // NOOP and INFO may be sent
+	Seed                     uint64        // spreads the backoff of addresses that failed
+	Dial                     func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
 // Counters counts what became of connections.
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -47,7 +47,7 @@
 	s := &resultRecorder{outcomes: map[router.Attempt][]policy.Outcome{}, commandOutcomes: map[uint64][]policy.Outcome{}, results: map[router.Attempt]router.AttemptResult{}}
 	var transports []*fakeTransport
 	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
-		KeepAlive: 30 * time.Second, MaxCallsPerConnection: 2, MaxConnections: 100, CancelSupported: true, HealthChecksAllowed: true, Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) Transport {
+		KeepAlive: 30 * time.Second, MaxRequestsPerConnection: 2, MaxConnections: 100, CancelSupported: true, HealthChecksAllowed: true, Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) Transport {
 			transports = append(transports, &fakeTransport{handler: h})
 			return transports[len(transports)-1]
 		}}, s)
@@ -106,7 +106,7 @@
 
 // The model of a connection: every request ends once, with Reset only if it was written, and never by
 // a response to an attempt before it that was cancelled.
-func TestCallsEndOnceAndTruly(t *testing.T) {
+func TestEachRequestEndsOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, s, transports := newPool()
 		next, out, up := 0, []router.Attempt{}, map[*fakeTransport]bool{}
@@ -482,9 +482,9 @@
 
 // Guards a busy worker: a connection that has as many ids to remember as it may gives its place to a fresh one, so
 // that thousands of requests a second go on over a bounded number of connections.
-func TestFullConnectionsGiveTheirPlace(t *testing.T) {
+func TestFullConnectionsAreReplaced(t *testing.T) {
 	p, s, transports := newPool()
-	p.cfg.MaxCallsPerConnection = 32
+	p.cfg.MaxRequestsPerConnection = 32
 	now, n := time.Hour, 0
 	for range 600 { // 30 s at 2,000 requests/s
 		for range 100 {
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -7,7 +7,7 @@
 )
 
 // Data takes in responses, however they are split.
-func (c *conn) Data(data []byte) {
+func (c *connection) Data(data []byte) {
 	if c.state == closing {
 		return
 	}
@@ -23,7 +23,7 @@
 }
 
 // decode is the framing.Decoder of responses.
-func (c *conn) decode(unread []byte) (size int, err error) {
+func (c *connection) decode(unread []byte) (size int, err error) {
 	r, size, err := decodeResponse(unread)
 	if err != nil || size == 0 {
 		return 0, err
@@ -32,9 +32,9 @@
 }
 
 // handleResponse takes in one response and hands over the result of its command.
-func (c *conn) handleResponse(r *response) error {
+func (c *connection) handleResponse(r *response) error {
 	cmd := c.inFlight[string(r.id)]
-	c.noteSignOfLife(cmd, r.status)
+	c.recordResponse(cmd, r.status)
 	if cmd == nil {
 		return nil // a second copy, or of a request that was cancelled
 	}
@@ -52,7 +52,7 @@
 }
 
 // complete hands over the result that a response gives.
-func (c *conn) complete(cmd *command, r *response) {
+func (c *connection) complete(cmd *command, r *response) {
 	outcome := outcomes[r.status]
 	results, reportFields := c.pool.results, c.pool.cfg.ReportFields
 	switch cmd.kind {
@@ -75,7 +75,7 @@
 
 // concurrency reads how many requests for the function the worker had. A number that can't be is ignored and logged:
 // the response is good all the same.
-func (c *conn) concurrency(fields responseFields) int {
+func (c *connection) concurrency(fields responseFields) int {
 	count, ok := fields.concurrency()
 	if !ok {
 		c.pool.ignoredFields.add(c.pool.now, c.addr, fieldConcurrency, fields.get(fieldConcurrency))
--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/withdraw_test.go
@@ -13,7 +13,7 @@
 
 // Guards clients that leave while their request waits for a connection: what is withdrawn is not written when the dial
 // comes up, nor moved to the next connection, and nobody is told of its end. What was written can't be withdrawn.
-func TestACallBehindADialIsTakenBack(t *testing.T) {
+func TestRequestQueuedBehindADialIsWithdrawn(t *testing.T) {
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
 		p, s, transports := newPool()
 		gone, stays := router.Attempt{Request: 1}, router.Attempt{Request: 2}
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -15,7 +15,7 @@
 	state        policy.WorkerState
 	listed       []endpoint.Addr // as discovery listed them last
 	addresses    *endpoint.AddressSet
-	connections  []*conn
+	connections  []*connection
 	recoveryDial *recoveryDial // under way, or nil
 }
 
@@ -79,10 +79,10 @@
 // respondedSince reports whether the worker responded to something that was sent after an instant, over any of its
 // connections.
 func (w *worker) respondedSince(instant time.Duration) bool {
-	return slices.ContainsFunc(w.connections, func(c *conn) bool { return c.latestAnswered > instant })
+	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.latestAnswered > instant })
 }
 
-func (w *worker) removeConnection(c *conn) {
+func (w *worker) removeConnection(c *connection) {
 	i := slices.Index(w.connections, c)
 	if i >= 0 {
 		w.connections = slices.Delete(w.connections, i, i+1)
