--- /dev/null
+++ b/internal/workerclient/capacity.go
@@ -0,0 +1,40 @@
+package workerclient
+
+// ensureCapacity reports whether one more connection may be opened. At the limit it closes the one that has been idle
+// for longest, so that workers that are added late get theirs.
+func (p *Pool) ensureCapacity() bool {
+	if p.connectionsInUse() < p.cfg.MaxConnections {
+		return true
+	}
+	idle := p.longestIdle()
+	if idle == nil {
+		return false
+	}
+	idle.close()
+	return true
+}
+
+// connectionsInUse counts connections, and dials as far as there are several for one.
+func (p *Pool) connectionsInUse() (count int) {
+	for _, w := range p.workersInOrder {
+		if w.recoveryDial != nil {
+			count++
+		}
+		for _, c := range w.connections {
+			count += max(len(c.dialer.inProgress), 1)
+		}
+	}
+	return count
+}
+
+// longestIdle returns the connection that has been idle for longest, or nil.
+func (p *Pool) longestIdle() (longest *connection) {
+	for _, w := range p.workersInOrder {
+		for _, c := range w.connections {
+			if c.state == ready && c.idle() && (longest == nil || c.lastUsed < longest.lastUsed) {
+				longest = c
+			}
+		}
+	}
+	return longest
+}
--- a/internal/workerclient/command_encoding.go
+++ b/internal/workerclient/command_encoding.go
@@ -13,7 +13,7 @@
 	nameRun  = "RUN"  // runs a function: id, fields, body
 	nameStop = "STOP" // says that nobody waits for the response to a RUN any more: id
 	nameHold = "HOLD" // loads replicas of a function, or asks how many there are: id, fields
-	nameFree = "FREE" // unloads the idle replicas of a function: its key
+	nameFree = "FREE" // unloads the idle replicas of a function, and has no response: its key
 	nameInfo = "INFO" // checks health and asks for a load report: id
 	nameNoop = "NOOP" // asks for a sign of life: id
 )
@@ -23,26 +23,18 @@
 
 // The ids of commands that this program numbers. They begin with a letter that no request's id, which is hexadecimal,
 // begins with, so that none can be taken for another.
-func loadID(tag uint64) string        { return "h" + strconv.FormatUint(tag, 10) }
-func healthCheckID(tag uint64) string { return "p" + strconv.FormatUint(tag, 10) }
-func pingID(sequence uint64) string   { return "n" + strconv.FormatUint(sequence, 10) }
-
-// runParameters are what a RUN tells its worker.
-type runParameters struct {
-	id             string
-	class          string
-	functionKey    string
-	idempotencyKey string // empty: none
-	bodySize       int
-}
-
-// encodeRun returns a RUN up to its body. The budget is told in whole milliseconds, 1 at the least.
-func encodeRun(run *runParameters, budget time.Duration) []byte {
-	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d", run.class, run.functionKey, max(budget.Milliseconds(), 1))
-	if run.idempotencyKey != "" {
-		fields += ",uniq=" + run.idempotencyKey
+func loadID(commandID uint64) string        { return "h" + strconv.FormatUint(commandID, 10) }
+func healthCheckID(commandID uint64) string { return "p" + strconv.FormatUint(commandID, 10) }
+func pingID(sequence uint64) string         { return "n" + strconv.FormatUint(sequence, 10) }
+
+// encodeRun returns a RUN up to its body. The budget is written in whole milliseconds, 1 at the least.
+func encodeRun(id string, request *requestCommand, budget time.Duration) []byte {
+	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d",
+		request.class, request.functionKey, max(budget.Milliseconds(), 1))
+	if request.idempotencyKey != "" {
+		fields += ",uniq=" + request.idempotencyKey
 	}
-	return encodeHeader(run.bodySize, nameRun, run.id, fields)
+	return encodeHeader(len(request.body), nameRun, id, fields)
 }
 
 func encodeStop(id string) []byte { return encodeArray(nameStop, id) }
--- /dev/null
+++ b/internal/workerclient/command_queue.go
@@ -0,0 +1,104 @@
+package workerclient
+
+import "time"
+
+// commandQueue holds the commands that one connection has been given and that have no result yet. Those that are queued
+// wait for the connection's dial, in the order in which they were added. Every queued command is in flight too.
+type commandQueue struct {
+	inFlight  map[string]*command // by id
+	queued    []*command
+	requests  int       // in flight
+	recentIDs idHistory // of requests that were written and are no longer in flight
+}
+
+func newCommandQueue() commandQueue {
+	return commandQueue{inFlight: map[string]*command{}}
+}
+
+// add puts a command in flight.
+func (q *commandQueue) add(cmd *command) {
+	q.inFlight[cmd.id] = cmd
+	if cmd.request() != nil {
+		q.requests++
+	}
+}
+
+// enqueue has a command that is in flight wait for the dial.
+func (q *commandQueue) enqueue(cmd *command) { q.queued = append(q.queued, cmd) }
+
+// takeQueued empties the queue and returns what waited; it stays in flight.
+func (q *commandQueue) takeQueued() []*command {
+	queued := q.queued
+	q.queued = nil
+	return queued
+}
+
+// dequeue removes a command that waits for the dial. Any other it leaves.
+func (q *commandQueue) dequeue(cmd *command) {
+	for i, queued := range q.queued {
+		if queued == cmd {
+			q.queued = append(q.queued[:i], q.queued[i+1:]...)
+			q.remove(cmd)
+			return
+		}
+	}
+}
+
+// remove takes a command out of those in flight, if it still is. The id of a request that was written is remembered: it
+// is not used on this connection again.
+func (q *commandQueue) remove(cmd *command) {
+	if q.inFlight[cmd.id] != cmd {
+		return
+	}
+	delete(q.inFlight, cmd.id)
+	if cmd.request() == nil {
+		return
+	}
+	q.requests--
+	if cmd.delivery.written {
+		q.recentIDs.add(cmd.id)
+	}
+}
+
+// clear removes all commands.
+func (q *commandQueue) clear() {
+	clear(q.inFlight)
+	q.queued = nil
+	q.requests = 0
+}
+
+// empty reports whether nothing is in flight.
+func (q *commandQueue) empty() bool { return len(q.inFlight) == 0 }
+
+// has reports whether a command of that id is in flight.
+func (q *commandQueue) has(id string) bool { return q.inFlight[id] != nil }
+
+// acceptsRequest reports whether one more request may be added, of which at most limit may be in flight.
+func (q *commandQueue) acceptsRequest(id string, limit int) bool {
+	return q.requests < limit && !q.recentIDs.has(id) && !q.recentIDs.full()
+}
+
+// oldestRequest returns when the request was written that has been awaiting its response for longest. It returns false
+// where no request awaits one.
+func (q *commandQueue) oldestRequest() (sentAt time.Duration, found bool) {
+	for _, cmd := range q.inFlight {
+		if cmd.request() == nil || !cmd.delivery.written {
+			continue
+		}
+		if !found || cmd.delivery.sentAt < sentAt {
+			sentAt = cmd.delivery.sentAt
+			found = true
+		}
+	}
+	return sentAt, found
+}
+
+// inOrder returns what is in flight in a fixed order.
+func (q *commandQueue) inOrder() []*command {
+	commands := make([]*command, 0, len(q.inFlight))
+	for _, cmd := range q.inFlight {
+		commands = append(commands, cmd)
+	}
+	sortByID(commands)
+	return commands
+}
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -9,129 +9,131 @@
 	"crankhold/policy"
 )
 
+// dialer dials the addresses of a worker for one connection until the first dial comes up or the last one has failed.
+// Which address is next, and when, is decided by its race. Recovery dials are made apart from it.
+type dialer struct {
+	connection *connection
+	race       *endpoint.DialRace
+	inProgress []*dial
+	winner     *dial // the one that came up first; nil before
+}
+
 // dial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
-// what arrives once it has won the connection's race.
+// what arrives once it has won the race.
 type dial struct {
-	conn      *connection
+	dialer    *dialer
 	addr      endpoint.Addr
 	transport Transport
 	finished  bool
 }
 
-// startDials dials the next addresses of the connection's race as far as their time has come.
-func (c *connection) startDials() {
+// start dials the next addresses of the race as far as their time has come.
+func (d *dialer) start() {
 	for {
-		addr, ok := c.race.Next(c.pool.now, c.mayDial())
+		addr, ok := d.race.Next(d.connection.pool.now, d.mayOverlap())
 		if !ok {
 			return
 		}
-		c.startDial(addr)
+		d.dial(addr)
 	}
 }
 
-// mayDial reports whether the limits allow one more dial.
-func (c *connection) mayDial() bool {
-	if c.pool.dialsInProgress >= endpoint.MaxDials {
+// mayOverlap reports whether the limits allow one more dial.
+func (d *dialer) mayOverlap() bool {
+	p := d.connection.pool
+	if p.dialsInProgress >= endpoint.MaxDials {
 		return false
 	}
-	return len(c.dials) == 0 || c.pool.ensureCapacity()
-}
-
-func (c *connection) startDial(addr endpoint.Addr) {
-	d := &dial{conn: c, addr: addr}
-	c.dials = append(c.dials, d)
-	c.pool.Counters.Dials++
-	d.transport = c.pool.dial(addr, d)
+	return len(d.inProgress) == 0 || p.ensureCapacity()
 }
 
-// dial begins to connect to an address and counts the dial as in progress.
-func (p *Pool) dial(addr endpoint.Addr, handler eventloop.DialHandler) Transport {
-	p.dialsInProgress++
-	return p.cfg.Dial(addr.Network.String(), addr.Addr, p.cfg.DialTimeout, handler)
-}
-
-// finish takes a dial out of those in progress.
-func (d *dial) finish() {
-	d.finished = true
-	d.conn.pool.dialsInProgress--
-	d.conn.dials = slices.DeleteFunc(d.conn.dials, func(other *dial) bool { return other == d })
+func (d *dialer) dial(addr endpoint.Addr) {
+	attempt := &dial{dialer: d, addr: addr}
+	d.inProgress = append(d.inProgress, attempt)
+	p := d.connection.pool
+	p.Counters.Dials++
+	attempt.transport = p.dial(addr, attempt)
 }
 
-// cancelDials ends all dials of the connection that are in progress.
-func (c *connection) cancelDials() {
-	for _, d := range slices.Clone(c.dials) {
-		d.finish()
-		d.transport.Close()
+// cancel ends all dials that are in progress.
+func (d *dialer) cancel() {
+	for _, attempt := range slices.Clone(d.inProgress) {
+		attempt.finish()
+		attempt.transport.Close()
 	}
 }
 
-// redial begins anew, with the addresses that the worker has now. What is queued stays queued.
-func (c *connection) redial() {
-	c.cancelDials()
-	c.race = endpoint.NewDialRace(c.worker.addresses.Candidates(), c.pool.cfg.DialTimeout, 0)
-	c.startDials()
-}
-
-// DialCompleted handles the end of the dial.
-func (d *dial) DialCompleted(err error) {
-	switch {
-	case d.finished: // it was cancelled meanwhile
-		if err == nil {
-			d.transport.Close()
-		}
-	case err != nil:
-		d.finish()
-		d.conn.dialFailed(d, err)
-	default:
-		d.finish()
-		d.conn.dialSucceeded(d)
-	}
+// restart begins anew, with the addresses that the worker has now.
+func (d *dialer) restart() {
+	c := d.connection
+	d.cancel()
+	d.race = endpoint.NewDialRace(c.worker.addresses.Candidates(), c.pool.cfg.DialTimeout, 0)
+	d.start()
 }
 
-// dialFailed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has
-// failed is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the
-// worker.
-func (c *connection) dialFailed(d *dial, err error) {
-	p := c.pool
-	p.Counters.DialsFailed++
-	slog.Warn("worker_dial_failed", slog.String("addr", d.addr.String()), slog.Any("err", err))
+// failed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has failed
+// is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the worker.
+func (d *dialer) failed(attempt *dial, err error) {
+	c := d.connection
+	c.pool.Counters.DialsFailed++
+	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", attempt.addr.String()), slog.Any("err", err))
 	outcome := policy.NotSent
 	if !eventloop.IsLocalFault(err) {
 		outcome = policy.Unreachable
-		c.worker.addresses.Failed(p.now, d.addr)
+		c.worker.addresses.Failed(c.pool.now, attempt.addr)
 	}
-	if c.race.DialFailed() {
+	if d.race.DialFailed() {
 		c.terminate(outcome)
 		return
 	}
-	c.startDials()
+	d.start()
 }
 
-// dialSucceeded makes the first dial that comes up the connection, and closes any other.
-func (c *connection) dialSucceeded(d *dial) {
-	c.worker.addresses.Succeeded(c.pool.now, d.addr)
-	if !c.race.DialSucceeded() {
-		d.transport.Close()
+// succeeded makes the first dial that comes up the connection, and closes any other.
+func (d *dialer) succeeded(attempt *dial) {
+	c := d.connection
+	c.worker.addresses.Succeeded(c.pool.now, attempt.addr)
+	if !d.race.DialSucceeded() {
+		attempt.transport.Close()
 		return
 	}
-	c.winner = d
-	c.transport = d.transport
-	c.addr = d.addr
-	c.state = ready
-	c.cancelDials()
-	c.writeQueued()
+	d.winner = attempt
+	c.dialSucceeded(attempt)
+}
+
+// finish takes a dial out of those in progress.
+func (a *dial) finish() {
+	a.finished = true
+	a.dialer.connection.pool.dialsInProgress--
+	a.dialer.inProgress = slices.DeleteFunc(a.dialer.inProgress, func(other *dial) bool { return other == a })
+}
+
+// DialCompleted handles the end of the dial.
+func (a *dial) DialCompleted(err error) {
+	switch {
+	case a.finished: // it was cancelled meanwhile
+		if err == nil {
+			a.transport.Close()
+		}
+	case err != nil:
+		a.finish()
+		a.dialer.failed(a, err)
+	default:
+		a.finish()
+		a.dialer.succeeded(a)
+	}
 }
 
 // Data passes on what arrives.
-func (d *dial) Data(data []byte) {
-	if d.conn.winner == d {
-		d.conn.Data(data)
+func (a *dial) Data(data []byte) {
+	if a.dialer.winner == a {
+		a.dialer.connection.Data(data)
 	}
 }
 
 // Closed passes on the end of the connection.
-func (d *dial) Closed(err error) {
-	if d.conn.winner == d {
-		d.conn.Closed(err)
+func (a *dial) Closed(err error) {
+	if a.dialer.winner == a {
+		a.dialer.connection.Closed(err)
 	}
 }
--- a/internal/workerclient/doc.go
+++ b/internal/workerclient/doc.go
@@ -1,12 +1,16 @@
-// Package workerclient keeps the connections to the workers and carries commands over them: requests to run, orders to
-// load and unload, and health checks, many at a time on each connection.
+// Package workerclient keeps the connections to the workers and carries commands over them: requests, load and unload
+// commands, and health checks, many at a time on each connection.
 //
 // # Structure
 //
 // A [Pool] has one worker for each worker of the endpoint list, and each worker has up to ten connections. A command
 // goes to the preferred connection of its worker, queued while that is being dialled, and is in flight there until its
-// response has arrived or the connection has ended. What became of it goes to a [ResultHandler], exactly once, unless
-// the command was cancelled or abandoned first.
+// response has arrived or the connection has ended. Its result goes to a [ResultHandler], exactly once, unless the
+// command was cancelled or abandoned first.
+//
+// A connection has a part for each concern: a dialer, the outgoingStream that it writes to, a responseReader, a
+// commandQueue of what is in flight, and a livenessMonitor. Each kind of command is a commandKind with its own data.
+// The codec is in resp.go (arrays of bulk strings), command_encoding.go and response_decoding.go.
 //
 // Which address of a worker is dialled is decided by package endpoint; the sockets are those of package eventloop.
 //
@@ -30,6 +34,6 @@
 //
 // # Concurrency
 //
-// All methods and callbacks run on the event loop's goroutine. The package starts no goroutine and reads no clock:
-// [Pool.SetNow] and [Pool.Maintain] move its time on.
+// All methods and callbacks run on the event loop's goroutine, and none of them blocks. The package starts no goroutine
+// and reads no clock: [Pool.SetNow] and [Pool.Maintain] move its time on.
 package workerclient
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -230,10 +230,10 @@
 		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
-		asked := owner.pingedAt
+		asked := owner.liveness.pingedAt
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
-		if asked == 0 || owner.pingedAt != 0 || len(owner.inFlight) != 1 {
-			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pingedAt, len(owner.inFlight))
+		if asked == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
+			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.liveness.pingedAt, len(owner.commands.inFlight))
 		}
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.Closed)
--- /dev/null
+++ b/internal/workerclient/health_command.go
@@ -0,0 +1,69 @@
+package workerclient
+
+import (
+	"time"
+
+	"crankhold/policy"
+)
+
+// maxHealthCheckResends is how often a health check is sent again after its connection ended.
+const maxHealthCheckResends = 2
+
+// healthCheckCommand is an INFO: it asks whether a worker responds, and for its load report.
+type healthCheckCommand struct {
+	commandID       uint64 // of the decision module
+	lostConnections int    // that were reset under it
+}
+
+func (h *healthCheckCommand) refuse(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+	return policy.NotSent, false
+}
+
+func (h *healthCheckCommand) encode(id string, _ time.Duration) [][]byte {
+	return [][]byte{encodeInfo(id)}
+}
+
+func (h *healthCheckCommand) isHealthQuery() bool { return true }
+
+// outlivesDrain keeps the health check: workers that drain are checked as well.
+func (h *healthCheckCommand) outlivesDrain() (policy.Outcome, bool) { return policy.NotSent, true }
+
+// retryAfterReset has a few connections fail before the worker counts as failed. A connection that breaks says little
+// of its worker, which others may well be using. Over a new one a worker that died refuses, and one that is well
+// responds.
+func (h *healthCheckCommand) retryAfterReset() bool {
+	if h.lostConnections >= maxHealthCheckResends {
+		return false
+	}
+	h.lostConnections++
+	return true
+}
+
+func (h *healthCheckCommand) fail(results ResultHandler, outcome policy.Outcome) {
+	results.HealthCheckCompleted(h.commandID, outcome, nil)
+}
+
+func (h *healthCheckCommand) complete(c *connection, r response) {
+	report := r.fields.loadReport(c.pool.cfg.ReportFields)
+	c.pool.results.HealthCheckCompleted(h.commandID, outcomes[r.status], report)
+}
+
+// pingCommand is a NOOP: a keepalive ping that a connection sends on its own account. It has no result: that a response
+// arrived is all that counts.
+type pingCommand struct{}
+
+func (pingCommand) refuse(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+	return policy.NotSent, false
+}
+
+func (pingCommand) encode(id string, _ time.Duration) [][]byte { return [][]byte{encodeNoop(id)} }
+
+func (pingCommand) isHealthQuery() bool { return true }
+
+func (pingCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
+
+func (pingCommand) retryAfterReset() bool { return false }
+
+func (pingCommand) fail(ResultHandler, policy.Outcome) {}
+
+func (pingCommand) complete(*connection, response) {}
--- a/internal/workerclient/id_history.go
+++ b/internal/workerclient/id_history.go
@@ -3,16 +3,20 @@
 import "time"
 
 const (
-	idHistoryPeriod  = 8 * time.Second // for which ids are remembered at least, and twice that at most: longer than any request lasts
-	maxRememberedIDs = 2048            // on one connection; one with more takes no new requests
+	// idHistoryPeriod is for how long ids are remembered at least, and twice that at most. It is longer than any
+	// request lasts.
+	idHistoryPeriod = 8 * time.Second
+	// maxRememberedIDs bounds the ids that one connection remembers. One with so many takes no new requests.
+	maxRememberedIDs = 2048
 )
 
 // idHistory remembers the ids of the requests that ended on a connection, so that the connection carries none of them
 // again: a second copy of a response, or one that arrives after its request was cancelled, must not end a later attempt
 // of the same request. It forgets by generations.
 type idHistory struct {
-	current, previous map[string]struct{}
-	rotatedAt         time.Duration
+	current   map[string]struct{} // added since rotatedAt
+	previous  map[string]struct{} // added in the period before
+	rotatedAt time.Duration
 }
 
 func (h *idHistory) add(id string) {
--- a/internal/workerclient/ignored_field_log.go
+++ b/internal/workerclient/ignored_field_log.go
@@ -15,6 +15,7 @@
 // ignoredFieldLog logs the fields of responses that can't be used, at most one line a second: a worker could fill the
 // log otherwise.
 type ignoredFieldLog struct {
+	logger   *slog.Logger
 	count    int // since the last line
 	loggedAt time.Duration
 }
@@ -25,7 +26,7 @@
 	if l.loggedAt != 0 && now-l.loggedAt <= ignoredFieldLogInterval {
 		return
 	}
-	slog.Warn("worker_response_field_ignored",
+	l.logger.Warn("worker_response_field_ignored",
 		slog.String("addr", addr.String()),
 		slog.String("field", name),
 		slog.String("value", string(value[:min(len(value), maxLoggedValue)])),
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -12,72 +12,118 @@
 	partialResponseTimeout = 600 * time.Millisecond
 )
 
-// checkLiveness looks after a connection on which responses are due. One that is cut off stays open and says nothing,
-// while others to the same worker may be well: the worker as a whole is then no reason to go elsewhere. Only whole
-// responses count as signs of life, since bytes prove nothing.
+// livenessMonitor keeps what the responses on one connection say of whether it still works. A connection that is cut
+// off stays open and says nothing, while others to the same worker may be well: the worker as a whole is then no reason
+// to go elsewhere. Only whole responses count as signs of life, since bytes prove nothing.
+type livenessMonitor struct {
+	lastResponse         time.Duration // when the latest response arrived; 0: none has
+	lastRequestResponse  time.Duration // when the latest response to a request did
+	latestAnsweredSentAt time.Duration // when the command was sent, of those responded to, that was sent last
+	pingedAt             time.Duration // when the keepalive ping was sent that awaits a sign of life; 0: none does
+}
+
+// livenessState is what a connection's silence calls for.
+type livenessState uint8
+
+const (
+	connectionAlive livenessState = iota
+	pingDue                       // silent for unusually long
+	pingUnanswered                // silent since a keepalive ping
+)
+
+// String returns the state's name.
+func (s livenessState) String() string {
+	return [...]string{"alive", "ping due", "ping unanswered"}[s]
+}
+
+// check judges a silence on a connection on which responses are due. expectedSilence is a length that is not unusual.
+func (m *livenessMonitor) check(now, silence, expectedSilence time.Duration) livenessState {
+	switch {
+	case silence <= max(minSilenceBeforePing, expectedSilence):
+		return connectionAlive
+	case m.pingedAt == 0:
+		return pingDue
+	case now-m.pingedAt > pingTimeout:
+		return pingUnanswered
+	}
+	return connectionAlive
+}
+
+// recordResponse records that a response arrived, which ends the wait for a sign of life.
+func (m *livenessMonitor) recordResponse(now time.Duration) {
+	m.lastResponse = now
+	m.pingedAt = 0
+}
+
+// recordAnswered records that a response arrived to a command that was sent at an instant.
+func (m *livenessMonitor) recordAnswered(sentAt time.Duration) {
+	m.latestAnsweredSentAt = max(m.latestAnsweredSentAt, sentAt)
+}
+
+// awaitsPing reports whether a keepalive ping has had no response yet.
+func (m *livenessMonitor) awaitsPing() bool { return m.pingedAt > 0 }
+
+// checkLiveness closes a connection that does not go on with a response, or that stays silent after a keepalive ping
+// while its worker responds on another connection. One that is silent for unusually long is sent a ping.
 func (c *connection) checkLiveness() {
 	now := c.pool.now
-	if c.partial.Len() > 0 && now-c.partialSince > partialResponseTimeout {
+	if c.responses.incompleteFor(now) > partialResponseTimeout {
 		c.closeWithError(ErrResponseStalled)
 		return
 	}
-	silence, due := c.silentFor(c.lastResponse)
-	switch {
-	case !due || silence <= max(minSilenceBeforePing, c.pool.silence.typicalMaximum()):
-	case c.pingedAt == 0:
+	silence, due := c.silentSince(c.liveness.lastResponse)
+	if !due {
+		return
+	}
+	switch c.liveness.check(now, silence, c.pool.silence.typicalMaximum()) {
+	case connectionAlive:
+	case pingDue:
 		c.ping()
-	case now-c.pingedAt > pingTimeout && c.worker.respondedSince(c.pingedAt):
-		c.worker.addresses.Failed(now, c.addr)
-		c.closeWithError(ErrConnectionSilent)
+	case pingUnanswered:
+		if c.worker.respondedSince(c.liveness.pingedAt) {
+			c.worker.addresses.Failed(now, c.addr)
+			c.closeWithError(ErrConnectionSilent)
+		}
 	}
 }
 
-// ping sends a keepalive ping. Where the settings allow no probes the connection just takes nothing new until it
+// ping sends a keepalive ping. Where the settings allow no health checks the connection just takes nothing new until it
 // responds.
 func (c *connection) ping() {
 	p := c.pool
-	c.pingedAt = p.now
+	c.liveness.pingedAt = p.now
 	c.worker.addresses.Suspect(p.now, c.addr)
 	if !p.cfg.HealthChecksAllowed {
 		return
 	}
 	p.Counters.Pings++
 	p.pingSequence++
-	cmd := &command{kind: pingCommand, id: pingID(p.pingSequence)}
-	cmd.header = encodeNoop(cmd.id)
-	c.send(cmd)
+	c.send(&command{id: pingID(p.pingSequence), kind: pingCommand{}})
 }
 
-// recordResponse takes in that a response arrived; cmd is the command that it belongs to, or nil.
+// recordResponse records that a response arrived; cmd is the command that it belongs to, or nil.
 func (c *connection) recordResponse(cmd *command, status responseStatus) {
 	now := c.pool.now
-	if cmd != nil && cmd.kind == runCommand {
+	if cmd != nil && cmd.request() != nil {
 		if status == statusHit { // a miss arrives at once and says nothing of requests that run
 			// Responses to pings don't end a silence: they were asked for because it was long.
-			silence, _ := c.silentFor(c.lastRunResponse)
+			silence, _ := c.silentSince(c.liveness.lastRequestResponse)
 			c.pool.silence.observe(silence)
 		}
-		c.lastRunResponse = now
+		c.liveness.lastRequestResponse = now
 	}
-	c.lastResponse = now
-	c.pingedAt = 0
+	c.liveness.recordResponse(now)
 	c.worker.addresses.Responded(c.addr)
 }
 
-// silentFor returns for how long the response to a request has been due and none has arrived since lastReadAt. It
+// silentSince returns for how long the response to a request has been due and none has arrived since lastReadAt. It
 // returns false for due where no request awaits one.
-func (c *connection) silentFor(lastReadAt time.Duration) (silence time.Duration, due bool) {
-	var oldest time.Duration
-	for _, cmd := range c.inFlight {
-		if cmd.kind == runCommand && cmd.written && (!due || cmd.sentAt < oldest) {
-			oldest = cmd.sentAt
-			due = true
-		}
-	}
+func (c *connection) silentSince(lastReadAt time.Duration) (silence time.Duration, due bool) {
+	oldest, due := c.commands.oldestRequest()
 	return c.pool.now - max(oldest, lastReadAt), due
 }
 
 // stalled reports whether a response has begun to arrive and does not go on: what is sent now would be lost with it.
 func (c *connection) stalled() bool {
-	return c.partial.Len() > 0 && c.pool.now-c.partialSince > minSilenceBeforePing
+	return c.responses.incompleteFor(c.pool.now) > minSilenceBeforePing
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -352,8 +352,8 @@
 			if c.state == ready || c.state == draining {
 				held++
 			}
-			if c.state == connecting && len(c.dials) == 0 {
-				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.queued))
+			if c.state == connecting && len(c.dialer.inProgress) == 0 {
+				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.commands.queued))
 			}
 		}
 	}
@@ -412,12 +412,12 @@
 		}
 		fmt.Fprintf(&b, "{%v", p.addresses)
 		for _, c := range p.connections {
-			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.race.InProgress(), c.pingedAt)
-			for _, k := range c.queued {
+			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.dialer.race.InProgress(), c.liveness.pingedAt)
+			for _, k := range c.commands.queued {
 				fmt.Fprintf(&b, " q%s", k.id)
 			}
-			for _, k := range c.commandsInOrder() {
-				fmt.Fprintf(&b, " o%s %d %v", k.id, k.resends, k.written)
+			for _, k := range c.commands.inOrder() {
+				fmt.Fprintf(&b, " o%s %d %v", k.id, k.delivery.resends, k.delivery.written)
 			}
 			b.WriteByte(')')
 		}
@@ -448,14 +448,14 @@
 
 // planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
 var plantedFaults = []struct{ name, file, old, new string }{
-	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && !cmd.abandoned && cmd.resends < maxResends", "case !cmd.kind.isHealthQuery() && cmd.written && cmd.resends < maxResends"},
-	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.resends < maxResends && w.ready()", "cmd.resends < maxResends"},
-	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.queued) == 0 {", "if false {"},
+	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && cmd.mayBeResent()", "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends"},
+	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.mayBeResent() && w.ready()", "cmd.mayBeResent()"},
+	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {", "if false {"},
 	{"a reset counts as a refused dial", "internal/workerclient/connection.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
 	{"a failure counts as rejected", "internal/workerclient/response_decoding.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
-	{"dials that lost the race go on", "internal/workerclient/dialer.go", "\t\td.finish()\n\t\td.transport.Close()", "\t\td.finish()"},
+	{"dials that lost the race go on", "internal/workerclient/dialer.go", "\t\tattempt.finish()\n\t\tattempt.transport.Close()", "\t\tattempt.finish()"},
 	{"the connection of a recovery dial stays open", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
-	{"a cancelled request is sent all the same", "internal/workerclient/dispatch.go", "\tcmd.conn.dequeue(cmd)\n\treturn true", "\treturn true"},
+	{"a cancelled request is sent all the same", "internal/workerclient/attempts.go", "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true", "\treturn true"},
 	{"the module repeats what must not be", "policy/retries.go", "return withinLimit && (c.Idempotency == Idempotent ||", "return withinLimit && (c.Idempotency != IdempotentWithKey ||"},
 	{"a lost race is never reported", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
 }
--- /dev/null
+++ b/internal/workerclient/outgoing_stream.go
@@ -0,0 +1,30 @@
+package workerclient
+
+// outgoingStream is the sending side of a connection: its transport, and how much was written to it. Before a dial has
+// come up there is no transport, and nothing may be written.
+type outgoingStream struct {
+	transport    Transport
+	bytesWritten int
+}
+
+func (s *outgoingStream) write(buffers ...[]byte) {
+	for _, buffer := range buffers {
+		s.bytesWritten += len(buffer)
+	}
+	s.transport.Write(buffers...)
+}
+
+// arrivable is how many of the bytes that were written may have reached the worker. It is for a stream that has ended.
+func (s *outgoingStream) arrivable() int {
+	if s.transport == nil {
+		return s.bytesWritten
+	}
+	return s.bytesWritten - s.transport.UnsentBytes()
+}
+
+// close closes the transport, if there is one.
+func (s *outgoingStream) close() {
+	if s.transport != nil {
+		s.transport.Close()
+	}
+}
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -1,6 +1,7 @@
 package workerclient
 
 import (
+	"log/slog"
 	"slices"
 	"time"
 
@@ -13,27 +14,29 @@
 // MaintenanceInterval is how often Maintain is to be called.
 const MaintenanceInterval = 50 * time.Millisecond
 
-// ResultHandler receives the results of commands; a router.Core is one.
+// ResultHandler receives the results of commands; a router.Core is one. It is called on the event loop, also from
+// within methods of the Pool.
 type ResultHandler interface {
 	AttemptCompleted(a router.Attempt, r router.AttemptResult)
-	LoadCompleted(tag uint64, o policy.Outcome, count int)
-	HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64)
+	LoadCompleted(commandID uint64, o policy.Outcome, replicas int)
+	HealthCheckCompleted(commandID uint64, o policy.Outcome, report []float64)
 	// MaySendLoad reports whether a load that has waited for a connection is still within the budget: it counts when it
 	// arrives at its worker.
-	MaySendLoad(tag uint64) bool
+	MaySendLoad(commandID uint64) bool
 }
 
-// Transport is a connection to a worker; an eventloop.Conn is one.
+// Transport is a connection to a worker; an eventloop.Conn is one. None of its methods blocks.
 type Transport interface {
 	// Write queues buffers, which the transport keeps until they are written.
-	Write(bufs ...[]byte)
+	Write(buffers ...[]byte)
+	// Close closes the connection, or cancels its dial.
 	Close()
 	// UnsentBytes is how many of the last bytes that were written never left this program. It is for a connection
 	// that has ended: what a kernel took may have arrived.
 	UnsentBytes() int
 }
 
-// Config holds the deployment's figures.
+// Config holds the deployment's figures, and by what the pool reaches the network and the log.
 type Config struct {
 	Classes                  []string // their names, as workers know them
 	ReportFields             []string // of load reports
@@ -45,25 +48,32 @@
 	CancelSupported          bool          // workers may be told that a request is cancelled
 	HealthChecksAllowed      bool          // NOOP and INFO may be sent
 	Seed                     uint64        // spreads the backoff of addresses that failed
-	Dial                     func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
+	Logger                   *slog.Logger  // nil: slog.Default()
+	// Dial begins to connect and returns at once; the handler is notified of the end. It is called on the event loop.
+	Dial func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
 // Counters counts what became of connections.
 type Counters struct {
-	Dials, DialsFailed, RecoveryDials, RecoveryDialsFailed uint64
-	RequestsResent                                         uint64 // commands that never left one connection and went to another
-	Pings                                                  uint64 // keepalive pings
+	Dials               uint64 // that were started, recovery dials aside
+	DialsFailed         uint64
+	RecoveryDials       uint64 // that were started
+	RecoveryDialsFailed uint64
+	RequestsResent      uint64 // commands that never left one connection and went to another
+	Pings               uint64 // keepalive pings that were sent
 }
 
-// Pool holds the connections to all workers. Its methods are for one goroutine.
+// Pool holds the connections to all workers. Its owner is the event loop's goroutine, on which all of its methods are
+// to be called; none of them blocks.
 type Pool struct {
 	Counters Counters
 
 	cfg             Config
+	logger          *slog.Logger
 	results         ResultHandler
 	now             time.Duration
 	workers         map[policy.WorkerID]*worker
-	workersInOrder  []*worker                   // the same, as they were added: equal runs must do equal things
+	workersInOrder  []*worker                   // as they were added, so that equal runs do equal things
 	attempts        map[router.Attempt]*command // in flight, and queued
 	pingSequence    uint64                      // of the latest keepalive ping
 	silence         silenceEstimate
@@ -73,21 +83,29 @@
 
 // New returns a Pool that knows no worker.
 func New(cfg Config, results ResultHandler) *Pool {
+	logger := cfg.Logger
+	if logger == nil {
+		logger = slog.Default()
+	}
 	return &Pool{
-		cfg:      cfg,
-		results:  results,
-		workers:  map[policy.WorkerID]*worker{},
-		attempts: map[router.Attempt]*command{},
-		silence:  silenceEstimate{peak: cfg.SlowestObjective},
+		cfg:           cfg,
+		logger:        logger,
+		results:       results,
+		workers:       map[policy.WorkerID]*worker{},
+		attempts:      map[router.Attempt]*command{},
+		silence:       silenceEstimate{peak: cfg.SlowestObjective},
+		ignoredFields: ignoredFieldLog{logger: logger},
 	}
 }
 
-// SetNow moves the clock on.
+// SetNow moves the clock on, to a time on the event loop's monotonic clock. An earlier time is ignored.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
 // SetWorker sets a worker's state and its addresses; none leaves those that it has. What is queued behind a dial to a
 // worker that no longer takes anything new ends unsent.
-func (p *Pool) SetWorker(id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network) {
+func (p *Pool) SetWorker(
+	id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network,
+) {
 	w := p.workers[id]
 	if w == nil {
 		if state == policy.Gone {
@@ -116,6 +134,12 @@
 	}
 }
 
+// dial begins to connect to an address and counts the dial as in progress.
+func (p *Pool) dial(addr endpoint.Addr, handler eventloop.DialHandler) Transport {
+	p.dialsInProgress++
+	return p.cfg.Dial(addr.Network.String(), addr.Addr, p.cfg.DialTimeout, handler)
+}
+
 // CloseIdle closes the connections to a worker on which nothing is in flight.
 func (p *Pool) CloseIdle(id policy.WorkerID) {
 	w := p.workers[id]
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -273,8 +273,8 @@
 		p.Maintain(now)
 	}
 	for _, c := range p.workers[1].connections {
-		if len(c.recentIDs.current)+len(c.recentIDs.previous)+len(c.inFlight) != 0 {
-			t.Errorf("a connection still remembers %d ids", len(c.recentIDs.current)+len(c.recentIDs.previous))
+		if len(c.commands.recentIDs.current)+len(c.commands.recentIDs.previous)+len(c.commands.inFlight) != 0 {
+			t.Errorf("a connection still remembers %d ids", len(c.commands.recentIDs.current)+len(c.commands.recentIDs.previous))
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	if (*transports)[0].Closed || len(s.outcomes[stays]) != 0 || len(*transports) != 2 {
 		t.Errorf("closed %v, ended %v, %d connections", (*transports)[0].Closed, s.outcomes[stays], len(*transports))
 	}
-	if n := len(p.workers[1].connections[0].recentIDs.current); n != maxRememberedIDs {
+	if n := len(p.workers[1].connections[0].commands.recentIDs.current); n != maxRememberedIDs {
 		t.Errorf("%d ids are remembered", n)
 	}
 }
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -8,6 +8,9 @@
 	"crankhold/internal/eventloop"
 )
 
+// recoveryDialTimeouts is how many dial timeouts a recovery dial may take: one for the dial, one for the response.
+const recoveryDialTimeouts = 2
+
 // recoveryDial is a connection that carries nothing but a NOOP, by which an address that failed shows that it works
 // again.
 type recoveryDial struct {
@@ -20,13 +23,14 @@
 }
 
 // maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that
-// takes too long: the time of a dial, and as much again for the response.
+// takes too long.
 func (w *worker) maintainRecoveryDial() {
-	p, r := w.pool, w.recoveryDial
+	p := w.pool
+	r := w.recoveryDial
 	switch {
 	case r == nil:
 		w.startRecoveryDial()
-	case p.now-r.startedAt > 2*p.cfg.DialTimeout:
+	case p.now-r.startedAt > recoveryDialTimeouts*p.cfg.DialTimeout:
 		r.finish(ErrConnectionSilent)
 	}
 }
@@ -46,7 +50,7 @@
 	r.transport = p.dial(addr, r)
 }
 
-// cancelRecoveryDial ends a recovery dial that has told nothing.
+// cancelRecoveryDial ends a recovery dial before it has shown anything of its address.
 func (w *worker) cancelRecoveryDial() {
 	r := w.recoveryDial
 	if r != nil {
@@ -62,12 +66,13 @@
 	r.transport.Close()
 }
 
-// finish takes in how the recovery dial ended; nil is for an address that works.
+// finish records how the recovery dial ended; nil is for an address that works.
 func (r *recoveryDial) finish(err error) {
 	if r.finished {
 		return
 	}
-	now, addresses := r.pool.now, r.worker.addresses
+	now := r.pool.now
+	addresses := r.worker.addresses
 	switch {
 	case err == nil:
 		addresses.Succeeded(now, r.addr)
@@ -97,7 +102,7 @@
 	}
 }
 
-// Data takes in the response.
+// Data handles the response.
 func (r *recoveryDial) Data(data []byte) {
 	response, size, err := decodeResponse(data)
 	if err == nil && size > 0 && string(response.id) == recoveryPingID {
--- /dev/null
+++ b/internal/workerclient/request_command.go
@@ -0,0 +1,70 @@
+package workerclient
+
+import (
+	"bytes"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// requestCommand is a RUN: an attempt to have a worker process a request.
+type requestCommand struct {
+	attempt        router.Attempt
+	class          string
+	functionKey    string
+	idempotencyKey string // empty: none
+	body           []byte
+	deadline       time.Duration // when the time that the request has left is over
+	sendBy         time.Duration // it is not written later
+}
+
+// newRequestCommand returns the command for an attempt of r that has budget left at now.
+func newRequestCommand(
+	now time.Duration, attempt router.Attempt, r *router.Request, class string, budget time.Duration,
+) *command {
+	request := &requestCommand{
+		attempt:        attempt,
+		class:          class,
+		functionKey:    r.FunctionKey,
+		idempotencyKey: r.IdempotencyKey,
+		body:           r.Body,
+		deadline:       now + budget,
+	}
+	request.sendBy = request.deadline
+	if r.SendBy > 0 {
+		request.sendBy = min(request.sendBy, r.SendBy)
+	}
+	return &command{id: r.ID, kind: request}
+}
+
+// refuse ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
+func (q *requestCommand) refuse(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
+	return policy.Unreachable, now >= q.sendBy
+}
+
+// encode returns a RUN. Its body is written from where it lies.
+func (q *requestCommand) encode(id string, now time.Duration) [][]byte {
+	return [][]byte{encodeRun(id, q, q.deadline-now), q.body, lineEnd}
+}
+
+func (q *requestCommand) isHealthQuery() bool { return false }
+
+func (q *requestCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
+
+// retryAfterReset leaves it to the decision module whether a request that may have run is sent again.
+func (q *requestCommand) retryAfterReset() bool { return false }
+
+func (q *requestCommand) fail(results ResultHandler, outcome policy.Outcome) {
+	results.AttemptCompleted(q.attempt, router.AttemptResult{Outcome: outcome})
+}
+
+func (q *requestCommand) complete(c *connection, r response) {
+	c.pool.results.AttemptCompleted(q.attempt, router.AttemptResult{
+		Outcome:     outcomes[r.status],
+		LoadStatus:  r.fields.loadStatus(),
+		Concurrency: c.reportedConcurrency(r.fields),
+		Body:        bytes.Clone(r.body),
+		LoadReport:  r.fields.loadReport(c.pool.cfg.ReportFields),
+	})
+}
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -26,8 +26,13 @@
 
 // statusesByName are read exactly, in upper case: NONE, SHED and LATE prove that a request never ran.
 var statusesByName = map[string]responseStatus{
-	"HIT": statusHit, "NONE": statusNone, "SHED": statusShed, "FAULT": statusFault, "LATE": statusLate,
-	"PONG": statusPong, "SICK": statusSick,
+	"HIT":   statusHit,
+	"NONE":  statusNone,
+	"SHED":  statusShed,
+	"FAULT": statusFault,
+	"LATE":  statusLate,
+	"PONG":  statusPong,
+	"SICK":  statusSick,
 }
 
 // outcomes are what the statuses, the unknown one aside, mean for the decision module.
@@ -54,7 +59,7 @@
 // answersHealthQuery reports whether the status belongs to INFO and NOOP, and to no other command.
 func (s responseStatus) answersHealthQuery() bool { return s == statusPong || s == statusSick }
 
-// response is what a worker says to a command. Its slices point into the bytes that it was decoded from.
+// response is a worker's response to a command. Its slices point into the bytes that it was decoded from.
 type response struct {
 	id     []byte
 	status responseStatus
@@ -97,7 +102,10 @@
 
 // loadStatuses are the values of the field detail.
 var loadStatuses = map[string]policy.LoadStatus{
-	"hot": policy.AlreadyLoaded, "started": policy.StartedLoad, "waited": policy.WaitedForLoad, "broken": policy.LoadFailed,
+	"hot":     policy.AlreadyLoaded,
+	"started": policy.StartedLoad,
+	"waited":  policy.WaitedForLoad,
+	"broken":  policy.LoadFailed,
 }
 
 // get returns the value of a field, nil where there is none of that name.
@@ -114,7 +122,7 @@
 	return nil
 }
 
-// loadStatus returns what the field detail says; absent and unknown values say nothing.
+// loadStatus returns the value of the field detail, the zero LoadStatus where it is absent or unknown.
 func (f responseFields) loadStatus() policy.LoadStatus {
 	return loadStatuses[string(f.get(fieldDetail))]
 }
@@ -126,7 +134,7 @@
 }
 
 // concurrency returns how many requests for the function the worker had, 0 where the response does not say. It returns
-// false for a number that can't be.
+// false for a value that is no number from 0 to maxConcurrency.
 func (f responseFields) concurrency() (count int, ok bool) {
 	text := f.get(fieldConcurrency)
 	if len(text) == 0 {
@@ -139,8 +147,8 @@
 	return count, true
 }
 
-// loadReport returns the values of the field use, name:value;name:value, in the order of names. A report that lacks one
-// of the names says nothing: the result is nil.
+// loadReport returns the values of the field use, name:value;name:value, in the order of names. For a
+// report that lacks one of the names the result is nil.
 func (f responseFields) loadReport(names []string) []float64 {
 	text := f.get(fieldUse)
 	if len(text) == 0 {
--- a/internal/workerclient/silence.go
+++ b/internal/workerclient/silence.go
@@ -14,7 +14,7 @@
 // vary as those of requests do. It begins with the slowest latency objective.
 type silenceEstimate struct{ peak time.Duration }
 
-// observe takes in the length of a silence that has ended.
+// observe records the length of a silence that has ended.
 func (s *silenceEstimate) observe(length time.Duration) {
 	s.peak = max(length, s.peak-s.peak/silenceDecay)
 }
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -8,7 +8,8 @@
 	"crankhold/policy"
 )
 
-// worker is a worker with its addresses and connections.
+// worker is a worker with its addresses and connections. It stays in the pool until it is gone and its last connection
+// has ended.
 type worker struct {
 	pool         *Pool
 	id           policy.WorkerID
@@ -22,8 +23,8 @@
 // ready reports whether the worker takes new requests and loads.
 func (w *worker) ready() bool { return w.state == policy.Ready }
 
-// setAddresses takes in the listed addresses, where they changed: the worker restarted elsewhere, or has fewer
-// addresses, and whatever listens at an old one may be another worker.
+// setAddresses replaces the addresses by those that are listed, where they changed: the worker restarted elsewhere, or
+// has fewer addresses, and whatever listens at an old one may be another worker.
 func (w *worker) setAddresses(listed []endpoint.Addr) {
 	if len(listed) == 0 || slices.Equal(listed, w.listed) {
 		return
@@ -32,8 +33,8 @@
 	w.addresses.Update(w.pool.now, listed)
 	for _, c := range slices.Clone(w.connections) {
 		switch {
-		case !c.connected():
-			c.redial()
+		case !c.state.dialed():
+			c.dialer.restart()
 		case !w.addresses.Has(c.addr):
 			c.drain()
 		}
@@ -41,14 +42,14 @@
 	w.cancelRecoveryDial()
 }
 
-// setState takes in whether the worker takes anything new. What is queued behind a dial to one that does not ends
+// setState sets whether the worker takes anything new. What is queued behind a dial to one that does not ends
 // unsent: the dial may come up after the time in which the worker may still be sent requests.
 func (w *worker) setState(state policy.WorkerState) {
 	w.state = state
 	if !w.ready() {
 		for _, c := range slices.Clone(w.connections) {
 			c.failQueued()
-			if c.state == connecting && len(c.queued) == 0 {
+			if c.state == connecting && len(c.commands.queued) == 0 {
 				c.drain() // nobody waits for this dial
 			}
 		}
@@ -62,13 +63,13 @@
 // closeIdle closes the connections on which nothing is in flight.
 func (w *worker) closeIdle() {
 	for _, c := range w.connections {
-		if c.connected() && c.idle() {
+		if c.state.dialed() && c.idle() {
 			c.close()
 		}
 	}
 }
 
-// maintain looks after the worker's connections and addresses.
+// maintain does what is due on the worker's connections and addresses.
 func (w *worker) maintain() {
 	for _, c := range slices.Clone(w.connections) {
 		c.maintain()
@@ -79,7 +80,9 @@
 // respondedSince reports whether the worker responded to something that was sent after an instant, over any of its
 // connections.
 func (w *worker) respondedSince(instant time.Duration) bool {
-	return slices.ContainsFunc(w.connections, func(c *connection) bool { return c.latestAnswered > instant })
+	return slices.ContainsFunc(w.connections, func(c *connection) bool {
+		return c.liveness.latestAnsweredSentAt > instant
+	})
 }
 
 func (w *worker) removeConnection(c *connection) {
