--- a/internal/workerclient/resp.go
+++ b/internal/workerclient/resp.go
@@ -53,30 +53,48 @@
 // decodeLength reads the line of a type byte and a number up to limit that begins at offset. It returns the number and
 // the offset behind the line, 0 while the line is incomplete.
 func decodeLength(data []byte, offset int, typeByte byte, limit int) (length, next int, err error) {
-	line := data[offset:]
-	if len(line) > 0 && line[0] != typeByte {
-		return 0, 0, ErrMalformedResponse
+	line, err := cutLengthLine(data[offset:], typeByte)
+	if err != nil || line == nil {
+		return 0, 0, err
 	}
-	end := bytes.IndexByte(line[:min(len(line), maxLengthLine)], '\n')
+	length, err = parseLength(line[1:len(line)-len(lineEnd)], limit)
+	if err != nil {
+		return 0, 0, err
+	}
+	return length, offset + len(line), nil
+}
+
+// cutLengthLine returns the line that data begins with, from its type byte to its line end. It returns nil while the
+// line is incomplete.
+func cutLengthLine(data []byte, typeByte byte) (line []byte, err error) {
+	if len(data) > 0 && data[0] != typeByte {
+		return nil, ErrMalformedResponse
+	}
+	end := bytes.IndexByte(data[:min(len(data), maxLengthLine)], '\n')
 	if end < 0 {
-		if len(line) >= maxLengthLine {
-			return 0, 0, ErrMalformedResponse
+		if len(data) >= maxLengthLine {
+			return nil, ErrMalformedResponse
 		}
-		return 0, 0, nil
+		return nil, nil
 	}
-	if end < len("*0\r") || line[end-1] != '\r' {
-		return 0, 0, ErrMalformedResponse
+	if end < len("*0\r") || data[end-1] != '\r' {
+		return nil, ErrMalformedResponse
 	}
-	for _, digit := range line[1 : end-1] {
+	return data[:end+1], nil
+}
+
+// parseLength reads a decimal number without a sign.
+func parseLength(digits []byte, limit int) (length int, err error) {
+	for _, digit := range digits {
 		if digit < '0' || digit > '9' {
-			return 0, 0, ErrMalformedResponse
+			return 0, ErrMalformedResponse
 		}
 		length = length*10 + int(digit-'0')
 		if length > limit {
-			return 0, 0, ErrMalformedResponse
+			return 0, ErrMalformedResponse
 		}
 	}
-	return length, offset + end + 1, nil
+	return length, nil
 }
 
 // encodeHeader returns an array of elements and one more of bodySize bytes, up to where those begin: the body and the
