--- a/internal/workerclient/withdraw_test.go
+++ b/internal/workerclient/attempts_test.go
@@ -3,11 +3,9 @@
 import (
 	"errors"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
-	"crankhold/internal/eventloop"
 	"crankhold/internal/router"
 )
 
@@ -70,35 +68,3 @@
 		}
 	}
 }
-
-// A worker that can't be dialled because no descriptor is left here is no worse for it.
-func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
-	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
-		p, _, transports := newPool()
-		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-		(*transports)[0].handler.DialCompleted(err)
-		if down := p.workers[1].addresses.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
-			t.Errorf("%v: %d addresses are down", err, down)
-		}
-	}
-}
-
-// Guards other requests against a response that has begun and does not go on: what comes then goes over another connection,
-// while one that is only in parts for a moment is used on.
-func TestStalledResponseFailsNoOtherRequest(t *testing.T) {
-	for _, tt := range []struct {
-		after      time.Duration
-		transports int
-	}{{minSilenceBeforePing, 1}, {minSilenceBeforePing + time.Millisecond, 2}} {
-		p, _, transports := newPool()
-		p.SetNow(time.Hour)
-		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-		(*transports)[0].handler.DialCompleted(nil)
-		(*transports)[0].handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
-		p.SetNow(time.Hour + tt.after)
-		p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("fedcba9876543210"), time.Second)
-		if len(*transports) != tt.transports {
-			t.Errorf("%v after an answer halted: %d connections", tt.after, len(*transports))
-		}
-	}
-}
--- /dev/null
+++ b/internal/workerclient/dispatch_test.go
@@ -0,0 +1,56 @@
+package workerclient
+
+import (
+	"errors"
+	"slices"
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// What an end proves depends on whether the request left whole: one of which a byte is still here never ran and goes to
+// another connection of the same worker, as the same attempt; one that was handed on whole may have run.
+func TestOnlyWhatNeverLeftIsMoved(t *testing.T) {
+	for name, c := range map[string]struct {
+		left int
+		ends []policy.Outcome
+		on   []int
+	}{
+		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
+		"but its last byte": {1, nil, []int{0, 1}},
+		"not at all":        {100, nil, []int{0, 1}},
+	} {
+		p, s, transports, _ := newPoolWithTwoAddresses()
+		p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
+		(*transports)[0].handler.DialCompleted(nil)
+		(*transports)[0].Unsent = c.left
+		(*transports)[0].handler.Closed(errors.New("reset"))
+		if len(*transports) > 1 {
+			(*transports)[1].handler.DialCompleted(nil)
+		}
+		if on := transportsWithRun(*transports, requestID); !slices.Equal(on, c.on) || !slices.Equal(s.outcomes[attempt], c.ends) {
+			t.Errorf("%s: written over %v, ended %v", name, on, s.outcomes[attempt])
+		}
+	}
+	// It is not moved for ever, and not to a draining worker.
+	p, s, transports, _ := newPoolWithTwoAddresses()
+	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
+	for i := 0; i < len(*transports) && i < 20; i++ {
+		(*transports)[i].handler.DialCompleted(nil)
+		(*transports)[i].Unsent = 1
+		(*transports)[i].handler.Closed(errors.New("reset"))
+	}
+	if got := s.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Counters.RequestsResent != maxResends {
+		t.Errorf("ended %v after %d moves", got, p.Counters.RequestsResent)
+	}
+	p, s, transports, _ = newPoolWithTwoAddresses()
+	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
+	(*transports)[0].handler.DialCompleted(nil)
+	p.SetWorker(7, nil, policy.Draining)
+	(*transports)[0].Unsent = 1
+	(*transports)[0].handler.Closed(errors.New("reset"))
+	if got := s.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(*transports) != 1 {
+		t.Errorf("at a draining worker: ended %v on %d connections", got, len(*transports))
+	}
+}
--- /dev/null
+++ b/internal/workerclient/load_command_test.go
@@ -0,0 +1,47 @@
+package workerclient
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
+func TestLoadCommandBehindADialIsNotSentToADrainingWorker(t *testing.T) {
+	p, s, transports := newPool()
+	p.Load(1, 5, 1, 9)
+	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
+	(*transports)[0].handler.DialCompleted(nil)
+	if got := (*transports)[0].Written.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
+		t.Errorf("wrote %q, ended %v", got, s.commandOutcomes[9])
+	}
+}
+
+// Guards the budget of load commands: one that waited for a dial is not sent where the requests that paid for it have left
+// the budget's window meanwhile. One that is sent at once has just been decided on.
+func TestLoadBeyondItsBudgetIsNotSentAfterTheDial(t *testing.T) {
+	for _, beyond := range []bool{true, false} {
+		p, s, transports := newPool()
+		s.beyondBudget = beyond
+		p.Load(1, 5, 1, 9)
+		p.Load(1, 5, 0, 10) // asks, and orders nothing
+		p.SetNow(time.Second)
+		transport := (*transports)[0]
+		transport.handler.DialCompleted(nil)
+		if sent := strings.Contains(transport.Written.String(), "count=1"); sent == beyond {
+			t.Errorf("beyond its budget %v, sent %v", beyond, sent)
+		}
+		if beyond != slices.Equal(s.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
+			t.Errorf("beyond its budget %v, ended %v", beyond, s.commandOutcomes[9])
+		}
+		if !strings.Contains(transport.Written.String(), "count=0") {
+			t.Error("the question was not sent")
+		}
+		if p.Load(1, 6, 1, 11); !strings.Contains(transport.Written.String(), "h11") {
+			t.Error("a load that did not wait was not sent")
+		}
+	}
+}
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -1,21 +1,12 @@
 package workerclient
 
 import (
-	"errors"
 	"fmt"
-	"maps"
-	"os"
-	"os/exec"
-	"path/filepath"
-	"runtime"
-	"slices"
 	"strings"
-	"testing"
 	"time"
 
 	"crankhold/internal/endpoint"
 	"crankhold/internal/eventloop"
-	"crankhold/internal/modelcheck"
 	"crankhold/internal/router"
 	"crankhold/policy"
 )
@@ -29,65 +20,6 @@
 	maxStates                 int
 }
 
-// modelTransportState is where a connection of the model is in its life.
-type modelTransportState string
-
-const (
-	modelDialing modelTransportState = "dialing"
-	modelUp      modelTransportState = "up"
-	modelClosing modelTransportState = "closing" // by the pool; its end is under way
-	modelEnded   modelTransportState = "ended"
-)
-
-// modelTransport is a connection of the model, or a dial that is under way.
-type modelTransport struct {
-	model    *model
-	worker   int
-	addr     string
-	handler  eventloop.DialHandler
-	state    modelTransportState
-	written  []byte
-	decoded  int // parsed
-	messages []*modelMessage
-	unsent   int
-}
-
-// modelMessage is one that was written over a connection.
-type modelMessage struct {
-	name, id  string
-	endOffset int
-	answered  bool
-	notRun    bool // proven never to have run
-}
-
-func (l *modelTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		l.written = append(l.written, b...)
-	}
-	for {
-		var room [maxElements][]byte
-		words, n, err := decodeArray(l.written[l.decoded:], room[:0])
-		if err != nil || n == 0 {
-			break
-		}
-		l.decoded += n
-		f := &modelMessage{name: string(words[0]), id: string(words[1]), endOffset: l.decoded}
-		l.model.written(l, f)
-		l.messages = append(l.messages, f)
-	}
-}
-
-func (l *modelTransport) Close() {
-	switch l.state {
-	case modelDialing:
-		l.state = modelEnded // cancelled: nobody hears of it again
-	case modelUp:
-		l.state = modelClosing
-	}
-}
-
-func (l *modelTransport) UnsentBytes() int { return l.unsent }
-
 // model is the real core, decision module, pool and address sets, with a world of a few workers around them.
 type model struct {
 	scope
@@ -123,11 +55,14 @@
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
 	m.core.AttemptCompleted(a, r)
 }
+
 func (m *model) LoadCompleted(tag uint64, o policy.Outcome, count int) {
 	m.log("h%d=%d", tag, o)
 	m.core.LoadCompleted(tag, o, count)
 }
+
 func (m *model) MaySendLoad(tag uint64) bool { return m.core.MaySendLoad(tag) }
+
 func (m *model) HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64) {
 	m.log("p%d=%d", tag, o)
 	m.core.HealthCheckCompleted(tag, o, report)
@@ -212,126 +147,6 @@
 	}
 }
 
-type step struct {
-	name string
-	do   func()
-}
-
-// steps are all that may happen now.
-func (m *model) steps() (list []step) {
-	add := func(do func(), format string, args ...any) {
-		list = append(list, step{fmt.Sprintf(format, args...), do})
-	}
-	bad := func(do func(), format string, args ...any) {
-		if m.faults > 0 {
-			add(func() { m.faults--; do() }, format, args...)
-		}
-	}
-	if m.arrived < m.calls {
-		add(func() {
-			n := m.arrived
-			m.arrived++
-			k := &modelRequest{}
-			m.requests = append(m.requests, k)
-			id := fmt.Sprintf("%016x", n+1)
-			m.log("take%d", n)
-			m.ids[id] = m.core.Accept(m.now, router.Request{Responder: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
-				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
-		}, "call %d comes", m.arrived)
-	}
-	for i, l := range m.transports {
-		switch l.state {
-		case modelDialing:
-			add(func() { l.state = modelUp; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
-			bad(func() { l.state = modelEnded; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
-		case modelUp, modelClosing:
-			// The last message may not have left whole, unless it has its response.
-			cut := 0
-			if n := len(l.messages); n > 0 && !l.messages[n-1].answered {
-				cut = 1
-			}
-			end := func(left int) func() {
-				return func() { l.state, l.unsent = modelEnded, left; l.handler.Closed(errors.New("reset")) }
-			}
-			if l.state == modelClosing {
-				add(end(0), "the end of %d over %s", i, l.addr)
-				if cut > 0 {
-					add(end(cut), "the end of %d over %s, its last message cut", i, l.addr)
-				}
-				continue
-			}
-			bad(end(0), "a reset of %d over %s", i, l.addr)
-			if cut > 0 {
-				bad(end(cut), "a reset of %d over %s, its last message cut", i, l.addr)
-			}
-			for _, f := range l.messages {
-				if f.answered || f.name == "STOP" || f.name == "FREE" {
-					continue
-				}
-				answer := func(word string, unrun bool) func() {
-					return func() { f.answered, f.notRun = true, unrun; l.handler.Data(encodeResponse(f.id, word, "")) }
-				}
-				switch f.name {
-				case "RUN":
-					add(answer("HIT", false), "HIT for %s over %s", f.id, l.addr)
-					bad(answer("FAULT", false), "FAULT for %s over %s", f.id, l.addr)
-					bad(answer("NONE", true), "NONE for %s over %s", f.id, l.addr)
-				case "HOLD":
-					add(answer("HIT", false), "HIT for order %s over %s", f.id, l.addr)
-				default:
-					add(answer("PONG", false), "PONG for %s over %s", f.id, l.addr)
-				}
-			}
-		}
-	}
-	if m.drains > 0 {
-		for w, state := range m.workerStates {
-			if state == policy.Ready {
-				add(func() {
-					m.drains--
-					m.workerStates[w] = policy.Draining
-					m.log("drain%d", w)
-					m.list()
-				}, "worker %d drains", w)
-			}
-		}
-	}
-	if m.interrupts > 0 {
-		for n, k := range m.requests {
-			if !k.left && k.responses == 0 {
-				add(func() {
-					m.interrupts--
-					k.left = true
-					m.log("leave%d", n)
-					m.core.CancelRequest(m.now, m.ids[fmt.Sprintf("%016x", n+1)])
-				}, "the client of %d leaves", n)
-			}
-		}
-	}
-	if m.ticks > 0 {
-		add(func() {
-			m.ticks--
-			m.now += 650 * time.Millisecond
-			m.log("tick")
-			m.core.SetNow(m.now)
-			m.pool.Maintain(m.now)
-		}, "650 ms pass")
-	}
-	return list
-}
-
-func (m *model) Steps() (names []string) {
-	for _, s := range m.steps() {
-		names = append(names, s.name)
-	}
-	return names
-}
-
-func (m *model) Do(i int) {
-	m.steps()[i].do()
-	m.turn()
-}
-
 // Check tells what does not hold now.
 func (m *model) Check() error {
 	dialling, conns := 0, 0
@@ -425,77 +240,3 @@
 	}
 	return b.String()
 }
-
-// scopes are what CI goes through whole.
-var scopes = map[string]scope{
-	"one call":    {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
-	"two calls":   {workers: 2, addrs: 2, calls: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
-	"load orders": {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
-}
-
-// Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
-// request has one response, nothing new goes to a worker that is draining, and no dial or connection leaks.
-func TestEveryInterleaving(t *testing.T) {
-	for _, name := range slices.Sorted(maps.Keys(scopes)) {
-		s := scopes[name]
-		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.maxStates, runtime.GOMAXPROCS(0))
-		t.Logf("%s: %v", name, r)
-		if r.Err != nil || !r.Whole || r.States < 1000 {
-			t.Errorf("%s: %v", name, r)
-		}
-	}
-}
-
-// planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
-var plantedFaults = []struct{ name, file, old, new string }{
-	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && cmd.mayBeResent()", "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends"},
-	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.mayBeResent() && w.ready()", "cmd.mayBeResent()"},
-	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {", "if false {"},
-	{"a reset counts as a refused dial", "internal/workerclient/connection.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
-	{"a failure counts as rejected", "internal/workerclient/response_decoding.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
-	{"dials that lost the race go on", "internal/workerclient/dialer.go", "\t\tattempt.finish()\n\t\tattempt.transport.Close()", "\t\tattempt.finish()"},
-	{"the connection of a recovery dial stays open", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
-	{"a cancelled request is sent all the same", "internal/workerclient/attempts.go", "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true", "\treturn true"},
-	{"the module repeats what must not be", "policy/retries.go", "return withinLimit && (c.Idempotency == Idempotent ||", "return withinLimit && (c.Idempotency != IdempotentWithKey ||"},
-	{"a lost race is never reported", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
-}
-
-// Guards the check itself: each planted fault is found.
-func TestPlantedFaultsAreFound(t *testing.T) {
-	if os.Getenv("CRANKHOLD_PLANTED") != "" {
-		t.Skip("this is a run with a fault planted")
-	}
-	root, err := filepath.Abs("../..")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, f := range plantedFaults {
-		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
-			t.Parallel()
-			whole := filepath.Join(root, f.file)
-			text, err := os.ReadFile(whole)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if strings.Count(string(text), f.old) != 1 {
-				t.Fatalf("%s holds %q %d times", f.file, f.old, strings.Count(string(text), f.old))
-			}
-			dir := t.TempDir()
-			mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
-			if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), f.old, f.new, 1)), 0o644); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace": {%q: %q}}`, whole, mutant), 0o644); err != nil {
-				t.Fatal(err)
-			}
-			cmd := exec.Command("go", "test", "-overlay", overlay, "-vet=off", "-count=1", "-run", "TestEveryInterleaving", ".")
-			cmd.Env = append(os.Environ(), "CRANKHOLD_PLANTED=1")
-			out, err := cmd.CombinedOutput()
-			if err == nil {
-				t.Errorf("not found:\n%s", out)
-			} else if !strings.Contains(string(out), " after\n") && !strings.Contains(string(out), "panic") {
-				t.Errorf("the run failed in another way:\n%s", out)
-			}
-		})
-	}
-}
