--- a/internal/workerclient/budget_test.go
+++ b/internal/workerclient/budget_test.go
@@ -31,15 +31,15 @@
 	const budget = time.Second
 	for _, waits := range []time.Duration{0, 160 * time.Millisecond, 600 * time.Millisecond, budget} {
 		t.Run(fmt.Sprint("dial of ", waits), func(t *testing.T) {
-			p, s, transports := newPool()
+			p := newTestPool()
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, newRequest("0123456789abcdef"), budget)
 			p.SetNow(waits)
-			transport := (*transports)[0]
+			transport := p.transports[0]
 			transport.handler.DialCompleted(nil)
 			if waits == budget {
-				if got := writtenBudgets(t, transport); len(got) > 0 || len(s.outcomes[a]) != 1 || !s.outcomes[a][0].NeverRan() {
-					t.Errorf("with nothing left it was told %v and ended %v", got, s.outcomes[a])
+				if got := writtenBudgets(t, transport); len(got) > 0 || len(p.recorder.outcomes[a]) != 1 || !p.recorder.outcomes[a][0].NeverRan() {
+					t.Errorf("with nothing left it was told %v and ended %v", got, p.recorder.outcomes[a])
 				}
 				return
 			}
@@ -49,7 +49,7 @@
 			transport.Unsent = transport.Written.Len()
 			p.SetNow(waits + 200*time.Millisecond)
 			transport.handler.Closed(errors.New("reset"))
-			again := (*transports)[1]
+			again := p.transports[1]
 			again.handler.DialCompleted(nil)
 			if got := writtenBudgets(t, again); len(got) != 1 || got[0] != (budget-waits-200*time.Millisecond).Truncate(time.Millisecond) {
 				t.Errorf("told %v when it was sent again %v later", got, 200*time.Millisecond)
@@ -61,18 +61,17 @@
 // A request that its client has given up on is not sent again, though its connection ends before it has left: where the
 // settings don't let workers be told, it stays in flight until then.
 func TestAbandonedRequestIsNotSentAgain(t *testing.T) {
-	p, s, transports := newPool()
-	p.cfg.CancelSupported = false
+	p := newTestPool(func(cfg *Config) { cfg.CancelSupported = false })
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
-	transport := (*transports)[0]
+	transport := p.transports[0]
 	transport.handler.DialCompleted(nil)
 	if p.WithdrawUnsent(1, a) {
 		t.Fatal("what was written was withdrawn")
 	}
 	transport.Unsent = transport.Written.Len()
 	transport.handler.Closed(errors.New("reset"))
-	if len(*transports) > 1 || len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.Unreachable {
-		t.Errorf("%d connections, ended %v", len(*transports), s.outcomes[a])
+	if len(p.transports) > 1 || len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Unreachable {
+		t.Errorf("%d connections, ended %v", len(p.transports), p.recorder.outcomes[a])
 	}
 }
--- a/internal/workerclient/capacity_test.go
+++ b/internal/workerclient/capacity_test.go
@@ -11,19 +11,18 @@
 
 // Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
-	p, s, transports := newPool()
-	p.cfg.MaxConnections = 3
+	p := newTestPool(func(cfg *Config) { cfg.MaxConnections = 3 })
 	for w := range policy.WorkerID(5) {
 		p.SetWorker(w+1, tcp4(fmt.Sprintf("127.0.0.1:%d", w+1)), policy.Ready)
 		p.StartAttempt(w+1, router.Attempt{Request: policy.RequestID(w)}, newRequest(fmt.Sprintf("%016x", w)), time.Second)
 	}
-	if len(*transports) != 3 || s.outcomes[router.Attempt{Request: 4}][0] != policy.Unreachable {
-		t.Fatalf("%d connections, ended %v", len(*transports), s.outcomes)
+	if len(p.transports) != 3 || p.recorder.outcomes[router.Attempt{Request: 4}][0] != policy.Unreachable {
+		t.Fatalf("%d connections, ended %v", len(p.transports), p.recorder.outcomes)
 	}
-	(*transports)[0].handler.DialCompleted(nil)
-	(*transports)[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
+	p.transports[0].handler.DialCompleted(nil)
+	p.transports[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
 	p.StartAttempt(5, router.Attempt{Request: 9}, newRequest("00000000000000ff"), time.Second)
-	if len(*transports) != 4 || !(*transports)[0].Closed {
-		t.Errorf("%d connections, idle one closed: %v", len(*transports), (*transports)[0].Closed)
+	if len(p.transports) != 4 || !p.transports[0].Closed {
+		t.Errorf("%d connections, idle one closed: %v", len(p.transports), p.transports[0].Closed)
 	}
 }
--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -14,73 +14,73 @@
 
 // A refused dial goes on to the next address at once; a request behind it never left, and is written once.
 func TestRefusedDialFallsBack(t *testing.T) {
-	p, s, transports, dialled := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(errors.New("connection refused"))
-	if !slices.Equal(*dialled, []string{"/run/w.sock", "127.0.0.1:1"}) || len(s.outcomes) != 0 {
-		t.Fatalf("dialled %v, ended %v", *dialled, s.outcomes)
+	p.transports[0].handler.DialCompleted(errors.New("connection refused"))
+	if !slices.Equal(p.dialled, []string{"/run/w.sock", "127.0.0.1:1"}) || len(p.recorder.outcomes) != 0 {
+		t.Fatalf("dialled %v, ended %v", p.dialled, p.recorder.outcomes)
 	}
-	(*transports)[1].handler.DialCompleted(nil)
-	if on := transportsWithRun(*transports, requestID); !slices.Equal(on, []int{1}) {
+	p.transports[1].handler.DialCompleted(nil)
+	if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	if len(*dialled) != 2 {
-		t.Errorf("dialled %v with a connection up", *dialled)
+	if len(p.dialled) != 2 {
+		t.Errorf("dialled %v with a connection up", p.dialled)
 	}
 }
 
 // A dial that hangs has the next address tried beside it; the one that comes second is closed, and nothing is sent
 // over it.
 func TestHangingDialIsRaced(t *testing.T) {
-	p, _, transports, dialled := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), 2*time.Second)
 	p.Maintain(100 * time.Millisecond)
-	if len(*dialled) != 1 {
-		t.Fatalf("dialled %v too soon", *dialled)
+	if len(p.dialled) != 1 {
+		t.Fatalf("dialled %v too soon", p.dialled)
 	}
 	p.Maintain(300 * time.Millisecond)
-	if len(*dialled) != 2 || p.dialsInProgress != 2 {
-		t.Fatalf("dialled %v, %d under way", *dialled, p.dialsInProgress)
+	if len(p.dialled) != 2 || p.dialsInProgress != 2 {
+		t.Fatalf("dialled %v, %d under way", p.dialled, p.dialsInProgress)
 	}
-	(*transports)[1].handler.DialCompleted(nil)
-	if !(*transports)[0].Closed || p.dialsInProgress != 0 {
+	p.transports[1].handler.DialCompleted(nil)
+	if !p.transports[0].Closed || p.dialsInProgress != 0 {
 		t.Error("the dial that lost goes on")
 	}
-	(*transports)[0].handler.DialCompleted(nil) // it came up all the same
-	if on := transportsWithRun(*transports, requestID); !slices.Equal(on, []int{1}) {
+	p.transports[0].handler.DialCompleted(nil) // it came up all the same
+	if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
 }
 
 // All addresses failed: the worker is unreachable, which is told once and proves that nothing ran.
 func TestAllAddressesFail(t *testing.T) {
-	p, s, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(errors.New("refused"))
-	(*transports)[1].handler.DialCompleted(errors.New("no route"))
-	if got := s.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.workers[7].connections) != 0 || p.dialsInProgress != 0 {
+	p.transports[0].handler.DialCompleted(errors.New("refused"))
+	p.transports[1].handler.DialCompleted(errors.New("no route"))
+	if got := p.recorder.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.workers[7].connections) != 0 || p.dialsInProgress != 0 {
 		t.Errorf("ended %v, %d connections, %d dials", got, len(p.workers[7].connections), p.dialsInProgress)
 	}
 }
 
 // Out of descriptors nothing is learned about an address, nor about its worker, which Unreachable would have ejected.
 func TestDescriptorExhaustionIsNotTheWorkersFault(t *testing.T) {
-	p, s, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(syscall.EMFILE)
-	(*transports)[1].handler.DialCompleted(syscall.EMFILE)
-	if p.workers[7].addresses.Unavailable() != 0 || !slices.Equal(s.outcomes[attempt], []policy.Outcome{policy.NotSent}) {
-		t.Errorf("%d addresses are down, ended %v", p.workers[7].addresses.Unavailable(), s.outcomes[attempt])
+	p.transports[0].handler.DialCompleted(syscall.EMFILE)
+	p.transports[1].handler.DialCompleted(syscall.EMFILE)
+	if p.workers[7].addresses.Unavailable() != 0 || !slices.Equal(p.recorder.outcomes[attempt], []policy.Outcome{policy.NotSent}) {
+		t.Errorf("%d addresses are down, ended %v", p.workers[7].addresses.Unavailable(), p.recorder.outcomes[attempt])
 	}
 }
 
 // A worker that can't be dialled because no descriptor is left here is no worse for it.
 func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
-		p, _, transports := newPool()
+		p := newTestPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-		(*transports)[0].handler.DialCompleted(err)
+		p.transports[0].handler.DialCompleted(err)
 		if down := p.workers[1].addresses.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
 			t.Errorf("%v: %d addresses are down", err, down)
 		}
--- a/internal/workerclient/dispatch_test.go
+++ b/internal/workerclient/dispatch_test.go
@@ -21,36 +21,36 @@
 		"but its last byte": {1, nil, []int{0, 1}},
 		"not at all":        {100, nil, []int{0, 1}},
 	} {
-		p, s, transports, _ := newPoolWithTwoAddresses()
+		p := newTestPoolWithTwoAddresses()
 		p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-		(*transports)[0].handler.DialCompleted(nil)
-		(*transports)[0].Unsent = c.left
-		(*transports)[0].handler.Closed(errors.New("reset"))
-		if len(*transports) > 1 {
-			(*transports)[1].handler.DialCompleted(nil)
+		p.transports[0].handler.DialCompleted(nil)
+		p.transports[0].Unsent = c.left
+		p.transports[0].handler.Closed(errors.New("reset"))
+		if len(p.transports) > 1 {
+			p.transports[1].handler.DialCompleted(nil)
 		}
-		if on := transportsWithRun(*transports, requestID); !slices.Equal(on, c.on) || !slices.Equal(s.outcomes[attempt], c.ends) {
-			t.Errorf("%s: written over %v, ended %v", name, on, s.outcomes[attempt])
+		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, c.on) || !slices.Equal(p.recorder.outcomes[attempt], c.ends) {
+			t.Errorf("%s: written over %v, ended %v", name, on, p.recorder.outcomes[attempt])
 		}
 	}
 	// It is not moved for ever, and not to a draining worker.
-	p, s, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	for i := 0; i < len(*transports) && i < 20; i++ {
-		(*transports)[i].handler.DialCompleted(nil)
-		(*transports)[i].Unsent = 1
-		(*transports)[i].handler.Closed(errors.New("reset"))
+	for i := 0; i < len(p.transports) && i < 20; i++ {
+		p.transports[i].handler.DialCompleted(nil)
+		p.transports[i].Unsent = 1
+		p.transports[i].handler.Closed(errors.New("reset"))
 	}
-	if got := s.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Counters.RequestsResent != maxResends {
+	if got := p.recorder.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Counters.RequestsResent != maxResends {
 		t.Errorf("ended %v after %d moves", got, p.Counters.RequestsResent)
 	}
-	p, s, transports, _ = newPoolWithTwoAddresses()
+	p = newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(nil)
+	p.transports[0].handler.DialCompleted(nil)
 	p.SetWorker(7, nil, policy.Draining)
-	(*transports)[0].Unsent = 1
-	(*transports)[0].handler.Closed(errors.New("reset"))
-	if got := s.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(*transports) != 1 {
-		t.Errorf("at a draining worker: ended %v on %d connections", got, len(*transports))
+	p.transports[0].Unsent = 1
+	p.transports[0].handler.Closed(errors.New("reset"))
+	if got := p.recorder.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.transports) != 1 {
+		t.Errorf("at a draining worker: ended %v on %d connections", got, len(p.transports))
 	}
 }
--- a/internal/workerclient/errors_test.go
+++ b/internal/workerclient/errors_test.go
@@ -29,10 +29,10 @@
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	t.Cleanup(func() { slog.SetDefault(previous) })
-	p, _, transports := newPool()
+	p := newTestPool()
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(nil)
-	(*transports)[0].handler.Data([]byte("no response\r\n"))
+	p.transports[0].handler.DialCompleted(nil)
+	p.transports[0].handler.Data([]byte("no response\r\n"))
 	const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed answer"`
 	if !strings.Contains(log.String(), want) {
 		t.Errorf("logged %q, want %q", log.String(), want)
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -54,20 +54,21 @@
 }
 
 // newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
-func newGoldenPool() (*Pool, *decodedResults, *[]*fakeTransport) {
-	p, _, transports := newPool()
-	record := &decodedResults{}
-	p.results = record
-	p.cfg.ReportFields = []string{"inflight", "cpu"}
-	p.cfg.MaxRequestsPerConnection = 32
-	return p, record, transports
+func newGoldenPool() (*testPool, *decodedResults) {
+	p := newTestPool(func(cfg *Config) {
+		cfg.ReportFields = []string{"inflight", "cpu"}
+		cfg.MaxRequestsPerConnection = 32
+	})
+	results := &decodedResults{}
+	p.Pool.results = results
+	return p, results
 }
 
 // All that is written to a worker.
 func TestGoldenMessagesToWorkers(t *testing.T) {
-	p, _, transports := newGoldenPool()
+	p, _ := newGoldenPool()
 	p.CheckHealth(1, 1)
-	connection := (*transports)[0]
+	connection := p.transports[0]
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
@@ -97,8 +98,8 @@
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Maintain(time.Second) })
-	if len(*transports) != 1 || connection.Closed {
-		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.Closed)
+	if len(p.transports) != 1 || connection.Closed {
+		t.Errorf("%d connections, the first closed: %v", len(p.transports), connection.Closed)
 	}
 	messages = append(messages,
 		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
@@ -108,29 +109,29 @@
 
 // healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
 func healthCheckAfterReset() []byte {
-	p, _, transports := newGoldenPool()
+	p, _ := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*transports)[0].handler.DialCompleted(nil)
-	(*transports)[0].handler.Closed(errors.New("reset"))
-	(*transports)[1].handler.DialCompleted(nil)
-	return (*transports)[1].Written.Bytes()
+	p.transports[0].handler.DialCompleted(nil)
+	p.transports[0].handler.Closed(errors.New("reset"))
+	p.transports[1].handler.DialCompleted(nil)
+	return p.transports[1].Written.Bytes()
 }
 
 // openRecoveryDial returns the connection of a recovery dial that has come up.
 func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
-	p, _, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(errors.New("refused"))
-	(*transports)[1].handler.DialCompleted(nil)
-	for now := time.Duration(0); len(*transports) < 3 && now < time.Minute; now += MaintenanceInterval {
+	p.transports[0].handler.DialCompleted(errors.New("refused"))
+	p.transports[1].handler.DialCompleted(nil)
+	for now := time.Duration(0); len(p.transports) < 3 && now < time.Minute; now += MaintenanceInterval {
 		p.Maintain(now)
 	}
-	if len(*transports) < 3 {
+	if len(p.transports) < 3 {
 		t.Fatal("no trial was begun")
 	}
-	(*transports)[2].handler.DialCompleted(nil)
-	return (*transports)[2]
+	p.transports[2].handler.DialCompleted(nil)
+	return p.transports[2]
 }
 
 // Every form of a response to a request is decoded to a reply that is compared whole.
@@ -161,9 +162,9 @@
 		{"FAULT", router.AttemptResult{Outcome: policy.Failed, LoadStatus: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			p, record, transports := newGoldenPool()
+			p, record := newGoldenPool()
 			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-			connection := (*transports)[0]
+			connection := p.transports[0]
 			connection.handler.DialCompleted(nil)
 			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
@@ -187,9 +188,9 @@
 		{"HOLD answered by FAULT", loadResult{9, policy.Failed, 0}},
 		{"HOLD answered by LATE", loadResult{9, policy.NotSent, 0}},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.Load(1, 5, 2, 9)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
@@ -210,9 +211,9 @@
 		{"INFO answered by SICK", healthCheckResult{7, policy.Failed, []float64{3, 1}}},
 		{"INFO answered by SICK without a report", healthCheckResult{7, policy.Failed, nil}},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.CheckHealth(1, 7)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
@@ -224,9 +225,9 @@
 // The response to a NOOP shows that its connection works, and ends nothing that is open there.
 func TestGoldenResponsesToKeepalivePings(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
@@ -270,9 +271,9 @@
 		{"word that is longer than its length", true},
 		{"length over the limit", true},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed != test.closes {
--- a/internal/workerclient/health_command_test.go
+++ b/internal/workerclient/health_command_test.go
@@ -12,27 +12,30 @@
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		resets int
-		last   func(l *fakeTransport)
+		last   func(transport *fakeTransport)
 		want   policy.Outcome
 	}{
-		"well": {1, func(l *fakeTransport) {
-			l.handler.DialCompleted(nil)
-			l.handler.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n"))
+		"well": {1, func(transport *fakeTransport) {
+			transport.handler.DialCompleted(nil)
+			transport.handler.Data([]byte("*2\r\n$2\r\np7\r\n$4\r\nPONG\r\n"))
 		}, policy.Served},
-		"died":   {1, func(l *fakeTransport) { l.handler.DialCompleted(errors.New("refused")) }, policy.Unreachable},
-		"breaks": {maxHealthCheckResends, func(l *fakeTransport) { l.handler.DialCompleted(nil); l.handler.Closed(errors.New("reset")) }, policy.ConnectionReset},
+		"died": {1, func(transport *fakeTransport) { transport.handler.DialCompleted(errors.New("refused")) }, policy.Unreachable},
+		"breaks": {maxHealthCheckResends, func(transport *fakeTransport) {
+			transport.handler.DialCompleted(nil)
+			transport.handler.Closed(errors.New("reset"))
+		}, policy.ConnectionReset},
 	} {
-		p, s, transports := newPool()
+		p := newTestPool()
 		p.CheckHealth(1, 7)
 		for i := range c.resets {
-			(*transports)[i].handler.DialCompleted(nil)
-			if (*transports)[i].handler.Closed(errors.New("reset")); len(s.commandOutcomes[7]) != 0 || len(*transports) != i+2 {
-				t.Fatalf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*transports))
+			p.transports[i].handler.DialCompleted(nil)
+			if p.transports[i].handler.Closed(errors.New("reset")); len(p.recorder.commandOutcomes[7]) != 0 || len(p.transports) != i+2 {
+				t.Fatalf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 			}
 		}
-		c.last((*transports)[c.resets])
-		if len(s.commandOutcomes[7]) != 1 || s.commandOutcomes[7][0] != c.want || len(*transports) != c.resets+1 {
-			t.Errorf("%s: ended %v on %d connections", name, s.commandOutcomes[7], len(*transports))
+		c.last(p.transports[c.resets])
+		if len(p.recorder.commandOutcomes[7]) != 1 || p.recorder.commandOutcomes[7][0] != c.want || len(p.transports) != c.resets+1 {
+			t.Errorf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 		}
 	}
 }
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -18,39 +18,79 @@
 	handler eventloop.DialHandler
 }
 
-// resultRecorder keeps how attempts, orders and health checks ended.
+// resultRecorder keeps the results of attempts, load commands and health checks.
 type resultRecorder struct {
 	outcomes        map[router.Attempt][]policy.Outcome
-	commandOutcomes map[uint64][]policy.Outcome
-	beyondBudget    bool // of loads that have waited
 	results         map[router.Attempt]router.AttemptResult
+	commandOutcomes map[uint64][]policy.Outcome // by the id of the load or the health check
+	beyondBudget    bool                        // of loads that have waited
 }
 
-func (s *resultRecorder) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
-	s.outcomes[a] = append(s.outcomes[a], r.Outcome)
-	s.results[a] = r
+func newResultRecorder() *resultRecorder {
+	return &resultRecorder{
+		outcomes:        map[router.Attempt][]policy.Outcome{},
+		results:         map[router.Attempt]router.AttemptResult{},
+		commandOutcomes: map[uint64][]policy.Outcome{},
+	}
+}
+
+func (r *resultRecorder) AttemptCompleted(a router.Attempt, result router.AttemptResult) {
+	r.outcomes[a] = append(r.outcomes[a], result.Outcome)
+	r.results[a] = result
 }
 
-func (s *resultRecorder) LoadCompleted(tag uint64, o policy.Outcome, _ int) {
-	s.commandOutcomes[tag] = append(s.commandOutcomes[tag], o)
+func (r *resultRecorder) LoadCompleted(commandID uint64, o policy.Outcome, _ int) {
+	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
 }
 
-func (s *resultRecorder) MaySendLoad(uint64) bool { return !s.beyondBudget }
+func (r *resultRecorder) MaySendLoad(uint64) bool { return !r.beyondBudget }
+
+func (r *resultRecorder) HealthCheckCompleted(commandID uint64, o policy.Outcome, _ []float64) {
+	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
+}
 
-func (s *resultRecorder) HealthCheckCompleted(tag uint64, o policy.Outcome, _ []float64) {
-	s.commandOutcomes[tag] = append(s.commandOutcomes[tag], o)
+// testPool is a pool with the connections that it dialled and the results that it handed over.
+type testPool struct {
+	*Pool
+	recorder   *resultRecorder
+	transports []*fakeTransport // in the order in which they were dialled
+	dialled    []string         // their addresses
 }
 
-func newPool() (*Pool, *resultRecorder, *[]*fakeTransport) {
-	s := &resultRecorder{outcomes: map[router.Attempt][]policy.Outcome{}, commandOutcomes: map[uint64][]policy.Outcome{}, results: map[router.Attempt]router.AttemptResult{}}
-	var transports []*fakeTransport
-	p := New(Config{Classes: []string{"dim-level"}, ReportFields: []string{"inflight"}, DialTimeout: time.Second,
-		KeepAlive: 30 * time.Second, MaxRequestsPerConnection: 2, MaxConnections: 100, CancelSupported: true, HealthChecksAllowed: true, Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) Transport {
-			transports = append(transports, &fakeTransport{handler: h})
-			return transports[len(transports)-1]
-		}}, s)
+// newTestPool returns a pool with worker 1, which has one address. configure changes the settings.
+func newTestPool(configure ...func(*Config)) *testPool {
+	p := &testPool{recorder: newResultRecorder()}
+	cfg := Config{
+		Classes:                  []string{"dim-level"},
+		ReportFields:             []string{"inflight"},
+		DialTimeout:              time.Second,
+		KeepAlive:                30 * time.Second,
+		MaxRequestsPerConnection: 2,
+		MaxConnections:           100,
+		CancelSupported:          true,
+		HealthChecksAllowed:      true,
+		Dial:                     p.dialFake,
+	}
+	for _, change := range configure {
+		change(&cfg)
+	}
+	p.Pool = New(cfg, p.recorder)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
-	return p, s, &transports
+	return p
+}
+
+// newTestPoolWithTwoAddresses returns a pool that has a worker 7 as well, with twoAddresses.
+func newTestPoolWithTwoAddresses(configure ...func(*Config)) *testPool {
+	p := newTestPool(configure...)
+	p.SetWorker(7, twoAddresses, policy.Ready)
+	return p
+}
+
+func (p *testPool) dialFake(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
+	transport := &fakeTransport{handler: h}
+	p.transports = append(p.transports, transport)
+	p.dialled = append(p.dialled, addr)
+	return transport
 }
 
 // tcp4 is one address of IPv4.
@@ -60,33 +100,24 @@
 	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
 }
 
+// encodeResponse returns a response of four elements, with no fields.
 func encodeResponse(id, word, body string) []byte {
 	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n", len(id), id, len(word), word, len(body), body)
 }
 
-// transportsWithRun tells on which connections an id was sent.
+// transportsWithRun returns the indices of the connections on which a request of an id was written.
 func transportsWithRun(transports []*fakeTransport, id string) (on []int) {
-	for i, l := range transports {
-		if strings.Contains(l.Written.String(), "RUN\r\n$16\r\n"+id) {
+	for i, transport := range transports {
+		if strings.Contains(transport.Written.String(), "RUN\r\n$16\r\n"+id) {
 			on = append(on, i)
 		}
 	}
 	return on
 }
 
-var twoAddresses = []endpoint.Addr{{Network: endpoint.Unix, Addr: "/run/w.sock"}, {Network: endpoint.TCP4, Addr: "127.0.0.1:1"}}
-
-// newPoolWithTwoAddresses is a pool with a worker of two addresses; dialled keeps where each line goes.
-func newPoolWithTwoAddresses() (p *Pool, s *resultRecorder, transports *[]*fakeTransport, dialled *[]string) {
-	p, s, transports = newPool()
-	dialled = new([]string)
-	p.cfg.Dial = func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
-		*dialled = append(*dialled, addr)
-		*transports = append(*transports, &fakeTransport{handler: h})
-		return (*transports)[len(*transports)-1]
-	}
-	p.SetWorker(7, twoAddresses, policy.Ready)
-	return p, s, transports, dialled
+var twoAddresses = []endpoint.Addr{
+	{Network: endpoint.Unix, Addr: "/run/w.sock"},
+	{Network: endpoint.TCP4, Addr: "127.0.0.1:1"},
 }
 
 var attempt = router.Attempt{Request: 1}
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -14,12 +14,12 @@
 // connections, for that is for the module to judge.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	for _, well := range []bool{true, false} {
-		p, s, transports := newPool()
+		p := newTestPool()
 		now := time.Hour
 		p.Maintain(now)
 		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
 		p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
-		(*transports)[0].handler.DialCompleted(nil)
+		p.transports[0].handler.DialCompleted(nil)
 		pass := func(d time.Duration) {
 			for end := now + d; now < end; {
 				now += MaintenanceInterval
@@ -27,51 +27,50 @@
 			}
 		}
 		pass(minSilenceBeforePing + MaintenanceInterval)
-		if got := (*transports)[0].Written.String(); strings.Count(got, "NOOP") != 1 {
+		if got := p.transports[0].Written.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not asked for a sign of life: %q", got)
 		}
 		pass(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
-		if on := transportsWithRun(*transports, "00000000000000b2"); len(*transports) != 2 || len(on) != 0 {
-			t.Fatalf("a silent connection was chosen, of %d", len(*transports))
+		if on := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(on) != 0 {
+			t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
 		}
-		(*transports)[1].handler.DialCompleted(nil)
+		p.transports[1].handler.DialCompleted(nil)
 		if pass(MaintenanceInterval); well {
-			(*transports)[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
+			p.transports[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
-		if (*transports)[0].Closed {
+		if p.transports[0].Closed {
 			t.Fatal("closed before its time for a sign of life was up")
 		}
 		pass(pingTimeout + MaintenanceInterval)
-		if (*transports)[0].Closed != well {
-			t.Errorf("worker well: %v, silent connection closed: %v", well, (*transports)[0].Closed)
+		if p.transports[0].Closed != well {
+			t.Errorf("worker well: %v, silent connection closed: %v", well, p.transports[0].Closed)
 		}
-		if (*transports)[0].handler.Closed(nil); len(s.outcomes[a]) != 1 || s.outcomes[a][0] != policy.ConnectionReset {
-			t.Errorf("ended %v", s.outcomes[a])
+		if p.transports[0].handler.Closed(nil); len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.ConnectionReset {
+			t.Errorf("ended %v", p.recorder.outcomes[a])
 		}
 	}
-	p, _, transports := newPool() // a response to a ping makes it good again
+	p := newTestPool() // a response to a ping makes it good again
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("00000000000000a1"), time.Second)
-	(*transports)[0].handler.DialCompleted(nil)
+	p.transports[0].handler.DialCompleted(nil)
 	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
-	(*transports)[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
-	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(*transports) != 1 || (*transports)[0].Closed {
+	p.transports[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
+	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(p.transports) != 1 || p.transports[0].Closed {
 		t.Error("a connection that answered was left")
 	}
 }
 
 // Where the settings allow no probes, none is sent on a connection that is silent. It takes nothing new all the same.
 func TestNoHealthCheckIsSentWhereNoneIsAllowed(t *testing.T) {
-	p, _, transports := newPool()
-	p.cfg.HealthChecksAllowed = false
+	p := newTestPool(func(cfg *Config) { cfg.HealthChecksAllowed = false })
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Minute)
-	silent := (*transports)[0]
+	silent := p.transports[0]
 	silent.handler.DialCompleted(nil)
 	for at := time.Duration(0); at < 5*time.Second; at += MaintenanceInterval {
 		p.Maintain(at)
 	}
 	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("0123456789abcdee"), time.Minute)
-	if len(*transports) < 2 || strings.Contains(silent.Written.String(), "0123456789abcdee") {
+	if len(p.transports) < 2 || strings.Contains(silent.Written.String(), "0123456789abcdee") {
 		t.Error("a silent connection takes a further request")
 	}
 	if strings.Contains(silent.Written.String(), "NOOP") {
@@ -86,22 +85,22 @@
 
 // A silent connection has requests go to another address; a response there ends it, and no health check is needed.
 func TestSilentAddressIsLeft(t *testing.T) {
-	p, _, transports, dialled := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.SetNow(time.Hour)
 	p.StartAttempt(7, attempt, newRequest(requestID), 2*time.Second)
-	(*transports)[0].handler.DialCompleted(nil)
+	p.transports[0].handler.DialCompleted(nil)
 	p.Maintain(time.Hour + 200*time.Millisecond)
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), 2*time.Second)
-	if (*dialled)[len(*dialled)-1] != "127.0.0.1:1" {
-		t.Fatalf("dialled %v", *dialled)
+	if p.dialled[len(p.dialled)-1] != "127.0.0.1:1" {
+		t.Fatalf("dialled %v", p.dialled)
 	}
-	(*transports)[1].handler.DialCompleted(nil)
+	p.transports[1].handler.DialCompleted(nil)
 	p.SetNow(time.Hour + 250*time.Millisecond)
-	(*transports)[1].handler.Data(encodeResponse("00000000000000ff", "HIT", ""))
+	p.transports[1].handler.Data(encodeResponse("00000000000000ff", "HIT", ""))
 	p.StartAttempt(7, router.Attempt{Request: 3}, newRequest("00000000000000fe"), 2*time.Second)
 	p.SetNow(time.Hour + 300*time.Millisecond)
-	(*transports)[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
-	if p.Maintain(time.Hour + 500*time.Millisecond); !(*transports)[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
-		t.Errorf("the silent connection is closed: %v, %d addresses down", (*transports)[0].Closed, p.workers[7].addresses.Unavailable())
+	p.transports[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
+	if p.Maintain(time.Hour + 500*time.Millisecond); !p.transports[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
+		t.Errorf("the silent connection is closed: %v, %d addresses down", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
 	}
 }
--- a/internal/workerclient/load_command_test.go
+++ b/internal/workerclient/load_command_test.go
@@ -11,12 +11,12 @@
 
 // Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
 func TestLoadCommandBehindADialIsNotSentToADrainingWorker(t *testing.T) {
-	p, s, transports := newPool()
+	p := newTestPool()
 	p.Load(1, 5, 1, 9)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
-	(*transports)[0].handler.DialCompleted(nil)
-	if got := (*transports)[0].Written.String(); got != "" || len(s.commandOutcomes[9]) != 1 || s.commandOutcomes[9][0] != policy.Overloaded {
-		t.Errorf("wrote %q, ended %v", got, s.commandOutcomes[9])
+	p.transports[0].handler.DialCompleted(nil)
+	if got := p.transports[0].Written.String(); got != "" || len(p.recorder.commandOutcomes[9]) != 1 || p.recorder.commandOutcomes[9][0] != policy.Overloaded {
+		t.Errorf("wrote %q, ended %v", got, p.recorder.commandOutcomes[9])
 	}
 }
 
@@ -24,18 +24,18 @@
 // the budget's window meanwhile. One that is sent at once has just been decided on.
 func TestLoadBeyondItsBudgetIsNotSentAfterTheDial(t *testing.T) {
 	for _, beyond := range []bool{true, false} {
-		p, s, transports := newPool()
-		s.beyondBudget = beyond
+		p := newTestPool()
+		p.recorder.beyondBudget = beyond
 		p.Load(1, 5, 1, 9)
 		p.Load(1, 5, 0, 10) // asks, and orders nothing
 		p.SetNow(time.Second)
-		transport := (*transports)[0]
+		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
 		if sent := strings.Contains(transport.Written.String(), "count=1"); sent == beyond {
 			t.Errorf("beyond its budget %v, sent %v", beyond, sent)
 		}
-		if beyond != slices.Equal(s.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
-			t.Errorf("beyond its budget %v, ended %v", beyond, s.commandOutcomes[9])
+		if beyond != slices.Equal(p.recorder.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
+			t.Errorf("beyond its budget %v, ended %v", beyond, p.recorder.commandOutcomes[9])
 		}
 		if !strings.Contains(transport.Written.String(), "count=0") {
 			t.Error("the question was not sent")
--- a/internal/workerclient/recovery_test.go
+++ b/internal/workerclient/recovery_test.go
@@ -11,14 +11,13 @@
 
 // An address that failed counts again once it connects, where no probe may ask it for a sign of life.
 func TestAddressRecoversWithoutAHealthCheck(t *testing.T) {
-	p, _, transports, _ := newPoolWithTwoAddresses()
-	p.cfg.HealthChecksAllowed = false
+	p := newTestPoolWithTwoAddresses(func(cfg *Config) { cfg.HealthChecksAllowed = false })
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Minute)
-	(*transports)[0].handler.DialCompleted(errors.New("refused"))
-	(*transports)[1].handler.DialCompleted(nil)
+	p.transports[0].handler.DialCompleted(errors.New("refused"))
+	p.transports[1].handler.DialCompleted(nil)
 	for at := time.Duration(0); at < 20*time.Second; at += MaintenanceInterval {
 		p.Maintain(at)
-		for _, transport := range (*transports)[2:] {
+		for _, transport := range p.transports[2:] {
 			if !transport.Closed {
 				transport.handler.DialCompleted(nil)
 			}
@@ -27,7 +26,7 @@
 	if p.Counters.RecoveryDials == 0 || p.workers[7].addresses.Unavailable() > 0 {
 		t.Errorf("%d recovery dials, %d addresses are down", p.Counters.RecoveryDials, p.workers[7].addresses.Unavailable())
 	}
-	for i, transport := range *transports {
+	for i, transport := range p.transports {
 		if strings.Contains(transport.Written.String(), "NOOP") {
 			t.Errorf("connection %d was probed: %q", i, transport.Written.String())
 		}
@@ -37,23 +36,23 @@
 // An address that fails is tried by a connection that carries nothing but a NOOP, and takes requests again once that is
 // answered; one that accepts and says nothing has not come back.
 func TestRecoveryDial(t *testing.T) {
-	p, _, transports, dialled := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(errors.New("refused"))
-	(*transports)[1].handler.DialCompleted(nil)
+	p.transports[0].handler.DialCompleted(errors.New("refused"))
+	p.transports[1].handler.DialCompleted(nil)
 	now := time.Duration(0)
 	until := func(n int) {
 		t.Helper()
-		for len(*transports) < n && now < time.Minute {
+		for len(p.transports) < n && now < time.Minute {
 			now += MaintenanceInterval
 			p.Maintain(now)
 		}
-		if len(*transports) < n {
-			t.Fatalf("no trial: dialled %v", *dialled)
+		if len(p.transports) < n {
+			t.Fatalf("no trial: dialled %v", p.dialled)
 		}
 	}
 	until(3)
-	mute := (*transports)[2]
+	mute := p.transports[2]
 	mute.handler.DialCompleted(nil)
 	if got := mute.Written.String(); got != string(encodeArray("NOOP", "t")) {
 		t.Fatalf("wrote %q", got)
@@ -62,22 +61,22 @@
 	if !mute.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
 		t.Fatalf("%+v, closed %v", p.Counters, mute.Closed)
 	}
-	(*transports)[3].handler.DialCompleted(nil)
-	(*transports)[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
-	if p.workers[7].addresses.Unavailable() != 0 || !(*transports)[3].Closed || p.dialsInProgress != 0 {
+	p.transports[3].handler.DialCompleted(nil)
+	p.transports[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
+	if p.workers[7].addresses.Unavailable() != 0 || !p.transports[3].Closed || p.dialsInProgress != 0 {
 		t.Error("the trial was answered and the address is still down")
 	}
 	// Requests go back to the better address, after a time; the old connection ends once its request has.
 	for end := now + 7*time.Second; now < end; now += MaintenanceInterval {
 		p.Maintain(now)
-		(*transports)[1].handler.Data(encodeResponse("n1", "PONG", "")) // to a keepalive ping, where one was sent
+		p.transports[1].handler.Data(encodeResponse("n1", "PONG", "")) // to a keepalive ping, where one was sent
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	if (*dialled)[len(*dialled)-1] != "/run/w.sock" || (*transports)[1].Closed {
-		t.Errorf("dialled %v, the old connection closed: %v", *dialled, (*transports)[1].Closed)
+	if p.dialled[len(p.dialled)-1] != "/run/w.sock" || p.transports[1].Closed {
+		t.Errorf("dialled %v, the old connection closed: %v", p.dialled, p.transports[1].Closed)
 	}
-	(*transports)[1].handler.Data(encodeResponse(requestID, "HIT", ""))
-	if p.Maintain(now); !(*transports)[1].Closed {
+	p.transports[1].handler.Data(encodeResponse(requestID, "HIT", ""))
+	if p.Maintain(now); !p.transports[1].Closed {
 		t.Error("the old connection stays")
 	}
 }
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -17,19 +17,21 @@
 // a response to an attempt before it that was cancelled.
 func TestEachRequestEndsOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, s, transports := newPool()
+		p := newTestPool()
 		next, out, up := 0, []router.Attempt{}, map[*fakeTransport]bool{}
 		drop := func(i int) { out = append(out[:i], out[i+1:]...) }
 		wrote := func(id string) (on []*fakeTransport) {
-			for _, l := range *transports {
-				if strings.Contains(l.Written.String(), id) {
-					on = append(on, l)
+			for _, transport := range p.transports {
+				if strings.Contains(transport.Written.String(), id) {
+					on = append(on, transport)
 				}
 			}
 			return on
 		}
 		answered := map[*fakeTransport]map[string]int{}
-		runs := func(l *fakeTransport, id string) int { return strings.Count(l.Written.String(), "RUN\r\n$16\r\n"+id) }
+		runs := func(transport *fakeTransport, id string) int {
+			return strings.Count(transport.Written.String(), "RUN\r\n$16\r\n"+id)
+		}
 		id := func(a router.Attempt) string { return fmt.Sprintf("%016x", int(a.Request)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"run": func(t *rapid.T) {
@@ -44,50 +46,50 @@
 				}
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "i")
 				a := out[i]
-				if len(s.outcomes[a]) > 0 {
+				if len(p.recorder.outcomes[a]) > 0 {
 					return
 				}
 				late := map[*fakeTransport]bool{} // connections on which a response to an earlier attempt is due
-				for _, l := range *transports {
-					late[l] = runs(l, id(a)) > answered[l][id(a)]
+				for _, transport := range p.transports {
+					late[transport] = runs(transport, id(a)) > answered[transport][id(a)]
 				}
 				p.CancelAttempt(1, a)
 				drop(i)
 				b := router.Attempt{Request: a.Request, Number: a.Number + 1}
 				p.StartAttempt(1, b, newRequest(id(b)), time.Second)
 				out = append(out, b)
-				for _, l := range *transports {
-					if late[l] && !l.Closed {
-						if answered[l] == nil {
-							answered[l] = map[string]int{}
+				for _, transport := range p.transports {
+					if late[transport] && !transport.Closed {
+						if answered[transport] == nil {
+							answered[transport] = map[string]int{}
 						}
-						answered[l][id(b)]++
-						l.handler.Data([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
+						answered[transport][id(b)]++
+						transport.handler.Data([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
 					}
 				}
-				if string(s.results[b].Body) == "old" {
+				if string(p.recorder.results[b].Body) == "old" {
 					t.Fatal("the answer to the first attempt ended the second")
 				}
 			},
 			"dial": func(t *rapid.T) {
-				for _, l := range *transports {
-					if !up[l] && !l.Closed {
-						up[l] = true
+				for _, transport := range p.transports {
+					if !up[transport] && !transport.Closed {
+						up[transport] = true
 						if rapid.Bool().Draw(t, "fails") {
-							l.Closed = true
-							l.handler.DialCompleted(errors.New("refused"))
+							transport.Closed = true
+							transport.handler.DialCompleted(errors.New("refused"))
 						} else {
-							l.handler.DialCompleted(nil)
+							transport.handler.DialCompleted(nil)
 						}
 						return
 					}
 				}
 			},
 			"reset": func(t *rapid.T) {
-				for _, l := range *transports {
-					if up[l] && !l.Closed {
-						l.Closed = true
-						l.handler.Closed(errors.New("reset"))
+				for _, transport := range p.transports {
+					if up[transport] && !transport.Closed {
+						transport.Closed = true
+						transport.handler.Closed(errors.New("reset"))
 						return
 					}
 				}
@@ -95,19 +97,19 @@
 			"drain": func(t *rapid.T) { // what waits behind a dial ends unsent at once
 				p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
 				for _, a := range out {
-					if len(s.outcomes[a]) == 0 && len(wrote(id(a))) == 0 {
+					if len(p.recorder.outcomes[a]) == 0 && len(wrote(id(a))) == 0 {
 						t.Fatalf("%v still waits to be sent to a draining worker", a)
 					}
 				}
 				p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
 			},
 			"": func(t *rapid.T) {
-				for _, l := range *transports {
-					if text := l.Written.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
+				for _, transport := range p.transports {
+					if text := transport.Written.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
 						t.Fatalf("gave up what was never sent: %q", text)
 					}
 				}
-				for a, o := range s.outcomes {
+				for a, o := range p.recorder.outcomes {
 					if len(o) != 1 {
 						t.Fatalf("%v ended %v", a, o)
 					}
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -25,7 +25,7 @@
 	pings, last := uint64(0), 0
 	for seed := range routers {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		p, s, transports := newPool()
+		p := newTestPool()
 		p.silence.peak = 500 * time.Millisecond
 		now, asked := time.Hour, uint64(0)
 		for n := range calls {
@@ -37,24 +37,24 @@
 				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, newRequest(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
-				(*transports)[0].handler.Data(encodeResponse(id, "NONE", ""))
+				p.transports[0].handler.Data(encodeResponse(id, "NONE", ""))
 			}
 			id, a := fmt.Sprintf("%016x", n+1), router.Attempt{Request: policy.RequestID(n + 1)}
 			p.StartAttempt(1, a, newRequest(id), 3*time.Second)
 			if n == 0 {
-				(*transports)[0].handler.DialCompleted(nil)
+				p.transports[0].handler.DialCompleted(nil)
 			}
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
 				if p.Counters.Pings > asked { // the worker is well
 					asked = p.Counters.Pings
-					(*transports)[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
+					p.transports[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
-			(*transports)[0].handler.Data(encodeResponse(id, "HIT", ""))
-			if len(s.outcomes[a]) != 1 {
-				t.Fatalf("call %d ended %v", n, s.outcomes[a])
+			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
+			if len(p.recorder.outcomes[a]) != 1 {
+				t.Fatalf("call %d ended %v", n, p.recorder.outcomes[a])
 			}
 		}
 		pings += p.Counters.Pings
@@ -75,18 +75,18 @@
 		{"dense", 5 * time.Millisecond, minSilenceBeforePing, minSilenceBeforePing + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
 	} {
-		p, _, transports := newPool()
+		p := newTestPool()
 		now := time.Hour
 		for n := range 100 {
 			id := fmt.Sprintf("%016x", n+1)
 			p.SetNow(now)
 			p.StartAttempt(1, router.Attempt{Request: policy.RequestID(n + 1)}, newRequest(id), time.Second)
 			if n == 0 {
-				(*transports)[0].handler.DialCompleted(nil)
+				p.transports[0].handler.DialCompleted(nil)
 			}
 			now += c.usual
 			p.SetNow(now)
-			(*transports)[0].handler.Data(encodeResponse(id, "HIT", ""))
+			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
 		asked, began := p.Counters.Pings, now
 		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -12,20 +12,20 @@
 
 // Guards against a worker that took over the address of one that has gone.
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
-	p, _, transports := newPool()
+	p := newTestPool()
 	p.CheckHealth(1, 1)
 	p.RetainWorkers(map[policy.WorkerID]bool{2: true})
 	p.SetWorker(2, tcp4("127.0.0.1:1"), policy.Ready)
 	p.StartAttempt(2, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
-	if len(*transports) != 2 {
-		t.Errorf("%d connections", len(*transports))
+	if len(p.transports) != 2 {
+		t.Errorf("%d connections", len(p.transports))
 	}
 }
 
 // Guards the long day: generations of workers come and go, some at an address that was another's, and
 // nothing about those that are gone stays.
 func TestNothingStaysOfGoneWorkers(t *testing.T) {
-	p, _, transports := newPool()
+	p := newTestPool()
 	now := time.Duration(0)
 	for g := range 200 {
 		w := policy.WorkerID(g + 2)
@@ -34,9 +34,9 @@
 		a := router.Attempt{Request: policy.RequestID(g)}
 		p.StartAttempt(w, a, newRequest(fmt.Sprintf("%016x", g)), time.Second)
 		p.Load(w, 7, 1, uint64(g))
-		l := (*transports)[len(*transports)-1]
-		if l.handler.DialCompleted(nil); g%2 == 0 {
-			l.handler.Data(encodeResponse(fmt.Sprintf("%016x", g), "HIT", ""))
+		transport := p.transports[len(p.transports)-1]
+		if transport.handler.DialCompleted(nil); g%2 == 0 {
+			transport.handler.Data(encodeResponse(fmt.Sprintf("%016x", g), "HIT", ""))
 		} else {
 			p.CancelAttempt(w, a)
 		}
@@ -45,10 +45,10 @@
 		for range 3 {
 			now += MaintenanceInterval
 			p.Maintain(now)
-			for _, l := range *transports {
-				if l.Closed && l.handler != nil {
-					l.handler.Closed(nil)
-					l.handler = nil
+			for _, transport := range p.transports {
+				if transport.Closed && transport.handler != nil {
+					transport.handler.Closed(nil)
+					transport.handler = nil
 				}
 			}
 		}
@@ -60,46 +60,46 @@
 
 // A drain stops all addresses at once: what waits behind their dials, recovery dials under way.
 func TestDrainStopsAllAddresses(t *testing.T) {
-	p, s, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 	p.Load(7, 5, 1, 9)
 	p.Maintain(300 * time.Millisecond)
 	p.SetWorker(7, nil, policy.Draining)
-	for _, l := range *transports {
-		if !l.Closed {
-			l.handler.DialCompleted(nil)
+	for _, transport := range p.transports {
+		if !transport.Closed {
+			transport.handler.DialCompleted(nil)
 		}
 	}
-	for i, l := range *transports {
-		if l.Written.Len() > 0 {
-			t.Errorf("connection %d: wrote %q", i, l.Written.String())
+	for i, transport := range p.transports {
+		if transport.Written.Len() > 0 {
+			t.Errorf("connection %d: wrote %q", i, transport.Written.String())
 		}
 	}
-	if !slices.Equal(s.outcomes[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(s.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
-		t.Errorf("ended %v and %v", s.outcomes, s.commandOutcomes)
+	if !slices.Equal(p.recorder.outcomes[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(p.recorder.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
+		t.Errorf("ended %v and %v", p.recorder.outcomes, p.recorder.commandOutcomes)
 	}
 }
 
 // Two workers swap their addresses in one update: connections and dials go with the addresses, not with the ids.
 func TestSwappedAddresses(t *testing.T) {
-	p, _, transports, dialled := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	one, two := tcp4("127.0.0.1:11"), tcp4("127.0.0.1:12")
 	p.SetWorker(8, one, policy.Ready)
 	p.SetWorker(9, two, policy.Ready)
 	p.StartAttempt(8, attempt, newRequest(requestID), time.Second)
 	p.StartAttempt(9, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	(*transports)[0].handler.DialCompleted(nil) // the other one is still being dialled
+	p.transports[0].handler.DialCompleted(nil) // the other one is still being dialled
 	p.SetWorker(8, two, policy.Ready)
 	p.SetWorker(9, one, policy.Ready)
-	if !(*transports)[1].Closed || (*dialled)[2] != "127.0.0.1:11" {
-		t.Fatalf("dialled %v, the old dial closed: %v", *dialled, (*transports)[1].Closed)
+	if !p.transports[1].Closed || p.dialled[2] != "127.0.0.1:11" {
+		t.Fatalf("dialled %v, the old dial closed: %v", p.dialled, p.transports[1].Closed)
 	}
-	(*transports)[2].handler.DialCompleted(nil)
+	p.transports[2].handler.DialCompleted(nil)
 	p.StartAttempt(8, router.Attempt{Request: 3}, newRequest("00000000000000fe"), time.Second)
-	if (*dialled)[3] != "127.0.0.1:12" {
-		t.Errorf("dialled %v", *dialled)
+	if p.dialled[3] != "127.0.0.1:12" {
+		t.Errorf("dialled %v", p.dialled)
 	}
-	if on := transportsWithRun(*transports, "00000000000000ff"); !slices.Equal(on, []int{2}) {
+	if on := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(on, []int{2}) {
 		t.Errorf("the call that waited is written over %v", on)
 	}
 }
