--- a/internal/workerclient/attempts_test.go
+++ b/internal/workerclient/attempts_test.go
@@ -9,23 +9,24 @@
 	"crankhold/internal/router"
 )
 
-// Guards clients that leave while their request waits for a connection: what is withdrawn is not written when the dial
-// comes up, nor moved to the next connection, and nobody is told of its end. What was written can't be withdrawn.
+// Guards clients that disconnect while their request waits for a connection: what is withdrawn is not written when the
+// dial comes up, nor sent again over the next connection, and has no result. What was written can't be withdrawn.
 func TestRequestQueuedBehindADialIsWithdrawn(t *testing.T) {
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
 		p := newTestPool()
-		gone, stays := router.Attempt{Request: 1}, router.Attempt{Request: 2}
-		p.StartAttempt(1, gone, newRequest("0123456789abcdef"), time.Second)
-		p.StartAttempt(1, stays, newRequest("fedcba9876543210"), time.Second)
-		if !p.WithdrawUnsent(1, gone) || p.WithdrawUnsent(1, gone) {
-			t.Fatalf("%s: not taken back once", end)
+		withdrawn := router.Attempt{Request: 1}
+		other := router.Attempt{Request: 2}
+		p.StartAttempt(1, withdrawn, newRequest("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, other, newRequest("fedcba9876543210"), time.Second)
+		if !p.WithdrawUnsent(1, withdrawn) || p.WithdrawUnsent(1, withdrawn) {
+			t.Fatalf("%s: not withdrawn once", end)
 		}
 		transport := p.transports[0]
 		switch end {
 		case "comes up":
 			transport.handler.DialCompleted(nil)
-			if p.WithdrawUnsent(1, stays) {
-				t.Error("a call that was written was taken back")
+			if p.WithdrawUnsent(1, other) {
+				t.Error("a request that was written was withdrawn")
 			}
 		case "fails":
 			transport.handler.DialCompleted(errors.New("refused"))
@@ -40,16 +41,16 @@
 				t.Errorf("%s: written all the same: %q", end, transport.Written.String())
 			}
 		}
-		if len(p.recorder.outcomes[gone]) != 0 {
-			t.Errorf("%s: ended as %v", end, p.recorder.outcomes[gone])
+		if len(p.recorder.outcomes[withdrawn]) != 0 {
+			t.Errorf("%s: ended as %v", end, p.recorder.outcomes[withdrawn])
 		}
 		if sent := strings.Contains(p.transports[len(p.transports)-1].Written.String(), "fedcba9876543210"); sent == (end == "fails") {
-			t.Errorf("%s: the other call was sent: %v", end, sent)
+			t.Errorf("%s: the other request was sent: %v", end, sent)
 		}
 	}
 }
 
-// Guards workers that may not be told of requests that are cancelled: they are not, and the id is not used again there.
+// Where the settings forbid it no STOP is sent. The id of a canceled request is not used on its connection again.
 func TestNoCancelIsSentWhereTheSettingsForbidIt(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		p := newTestPool(func(cfg *Config) { cfg.CancelSupported = may })
@@ -58,8 +59,8 @@
 		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
 		p.CancelAttempt(1, a)
-		if told := strings.Contains(transport.Written.String(), "STOP\r\n"); told != may {
-			t.Errorf("may %v, told %v", may, told)
+		if sent := strings.Contains(transport.Written.String(), "STOP\r\n"); sent != may {
+			t.Errorf("may %v, sent %v", may, sent)
 		}
 		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
 		if n := strings.Count(transport.Written.String(), "RUN\r\n"); n != 1 || len(p.transports) != 2 {
--- a/internal/workerclient/budget_test.go
+++ b/internal/workerclient/budget_test.go
@@ -25,8 +25,8 @@
 	return budgets
 }
 
-// The budget that a worker is told is what is left when the command is written: less the time that it waited for a dial,
-// and less that which it spent on a connection that ended before it had left. With nothing left it is not sent.
+// The budget in a RUN is what is left when the command is written: less the time that it waited for a dial, and less
+// that which it spent on a connection that ended before it had left. With nothing left it is not sent.
 func TestBudgetIsWhatIsLeftWhenTheCommandIsWritten(t *testing.T) {
 	const budget = time.Second
 	for _, waits := range []time.Duration{0, 160 * time.Millisecond, 600 * time.Millisecond, budget} {
@@ -39,12 +39,12 @@
 			transport.handler.DialCompleted(nil)
 			if waits == budget {
 				if got := writtenBudgets(t, transport); len(got) > 0 || len(p.recorder.outcomes[a]) != 1 || !p.recorder.outcomes[a][0].NeverRan() {
-					t.Errorf("with nothing left it was told %v and ended %v", got, p.recorder.outcomes[a])
+					t.Errorf("with nothing left: wrote budgets %v, ended %v", got, p.recorder.outcomes[a])
 				}
 				return
 			}
 			if got := writtenBudgets(t, transport); len(got) != 1 || got[0] != (budget-waits).Truncate(time.Millisecond) {
-				t.Fatalf("told %v after %v of %v", got, waits, budget)
+				t.Fatalf("wrote budgets %v after %v of %v", got, waits, budget)
 			}
 			transport.Unsent = transport.Written.Len()
 			p.SetNow(waits + 200*time.Millisecond)
@@ -52,14 +52,14 @@
 			again := p.transports[1]
 			again.handler.DialCompleted(nil)
 			if got := writtenBudgets(t, again); len(got) != 1 || got[0] != (budget-waits-200*time.Millisecond).Truncate(time.Millisecond) {
-				t.Errorf("told %v when it was sent again %v later", got, 200*time.Millisecond)
+				t.Errorf("wrote budgets %v when it was sent again %v later", got, 200*time.Millisecond)
 			}
 		})
 	}
 }
 
-// A request that its client has given up on is not sent again, though its connection ends before it has left: where the
-// settings don't let workers be told, it stays in flight until then.
+// A canceled request is not sent again though its connection ends before it has left: where the settings forbid STOP, it
+// stays in flight until then.
 func TestAbandonedRequestIsNotSentAgain(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.CancelSupported = false })
 	a := router.Attempt{Request: 1}
--- a/internal/workerclient/command_queue_test.go
+++ b/internal/workerclient/command_queue_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a second copy of a response: of a miss, say, which would have the next attempt of the
-// same request count as one that never ran, and an order be sent once more.
+// same request count as one that never ran, and have a load command be sent once more.
 func TestSecondCopyEndsNoLaterAttempt(t *testing.T) {
 	p := newTestPool()
 	const id = "0123456789abcdef"
@@ -45,16 +45,16 @@
 // full gives way to another without a reset for the requests that are open on it.
 func TestCanceledRequestsCostNoOtherClientAConnection(t *testing.T) {
 	p := newTestPool()
-	stays := router.Attempt{Request: 9999}
-	p.StartAttempt(1, stays, newRequest("00000000000000ff"), time.Second)
+	other := router.Attempt{Request: 9999}
+	p.StartAttempt(1, other, newRequest("00000000000000ff"), time.Second)
 	p.transports[0].handler.DialCompleted(nil)
 	for i := range maxRememberedIDs + 10 {
 		a := router.Attempt{Request: policy.RequestID(i)}
 		p.StartAttempt(1, a, newRequest(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
 		p.CancelAttempt(1, a)
 	}
-	if p.transports[0].Closed || len(p.recorder.outcomes[stays]) != 0 || len(p.transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", p.transports[0].Closed, p.recorder.outcomes[stays], len(p.transports))
+	if p.transports[0].Closed || len(p.recorder.outcomes[other]) != 0 || len(p.transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", p.transports[0].Closed, p.recorder.outcomes[other], len(p.transports))
 	}
 	if n := len(p.workers[1].connections[0].commands.recentIDs.current); n != maxRememberedIDs {
 		t.Errorf("%d ids are remembered", n)
@@ -85,7 +85,7 @@
 				}
 			}
 			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Served {
-				t.Fatalf("call %d at %v ended %v on %d connections", n, now-time.Hour, p.recorder.outcomes[a], len(p.workers[1].connections))
+				t.Fatalf("request %d at %v ended %v on %d connections", n, now-time.Hour, p.recorder.outcomes[a], len(p.workers[1].connections))
 			}
 		}
 		now += MaintenanceInterval
--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// All addresses failed: the worker is unreachable, which is told once and proves that nothing ran.
+// All addresses failed: the worker is unreachable, which is reported once and proves that nothing ran.
 func TestAllAddressesFail(t *testing.T) {
 	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
--- a/internal/workerclient/errors_test.go
+++ b/internal/workerclient/errors_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// The log line of a connection that is given up names the address and the reason, each in its own attribute.
-func TestGivenUpConnectionIsLogged(t *testing.T) {
+// The log event of a connection that is closed for an error names the address and the reason, each in its own attribute.
+func TestConnectionClosedWithAnErrorIsLogged(t *testing.T) {
 	var log bytes.Buffer
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -28,7 +28,7 @@
 		}
 		pass(minSilenceBeforePing + MaintenanceInterval)
 		if got := p.transports[0].Written.String(); strings.Count(got, "NOOP") != 1 {
-			t.Fatalf("not asked for a sign of life: %q", got)
+			t.Fatalf("not pinged: %q", got)
 		}
 		pass(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
@@ -40,7 +40,7 @@
 			p.transports[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
 		if p.transports[0].Closed {
-			t.Fatal("closed before its time for a sign of life was up")
+			t.Fatal("closed before its ping had timed out")
 		}
 		pass(pingTimeout + MaintenanceInterval)
 		if p.transports[0].Closed != well {
@@ -56,7 +56,7 @@
 	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
 	p.transports[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(p.transports) != 1 || p.transports[0].Closed {
-		t.Error("a connection that answered was left")
+		t.Error("a connection that responded to its ping was left")
 	}
 }
 
@@ -74,7 +74,7 @@
 		t.Error("a silent connection takes a further request")
 	}
 	if strings.Contains(silent.Written.String(), "NOOP") {
-		t.Errorf("it was probed: %q", silent.Written.String())
+		t.Errorf("it was pinged: %q", silent.Written.String())
 	}
 	silent.handler.Data(encodeResponse("0123456789abcdef", "HIT", ""))
 	p.StartAttempt(1, router.Attempt{Request: 3}, newRequest("0123456789abcded"), time.Minute)
--- a/internal/workerclient/load_command_test.go
+++ b/internal/workerclient/load_command_test.go
@@ -9,7 +9,7 @@
 	"crankhold/policy"
 )
 
-// Guards the drain rule for orders: one queued behind a dial is not sent once its worker drains.
+// Guards the drain rule for load commands: one queued behind a dial is not sent once its worker drains.
 func TestLoadCommandBehindADialIsNotSentToADrainingWorker(t *testing.T) {
 	p := newTestPool()
 	p.Load(1, 5, 1, 9)
@@ -27,7 +27,7 @@
 		p := newTestPool()
 		p.recorder.beyondBudget = beyond
 		p.Load(1, 5, 1, 9)
-		p.Load(1, 5, 0, 10) // asks, and orders nothing
+		p.Load(1, 5, 0, 10) // only asks
 		p.SetNow(time.Second)
 		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
@@ -38,7 +38,7 @@
 			t.Errorf("beyond its budget %v, ended %v", beyond, p.recorder.commandOutcomes[9])
 		}
 		if !strings.Contains(transport.Written.String(), "count=0") {
-			t.Error("the question was not sent")
+			t.Error("the command that only asks was not sent")
 		}
 		if p.Load(1, 6, 1, 11); !strings.Contains(transport.Written.String(), "h11") {
 			t.Error("a load that did not wait was not sent")
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -14,11 +14,11 @@
 	"crankhold/internal/modelcheck"
 )
 
-// scopes are what CI goes through whole.
+// scopes are the ones that CI searches whole.
 var scopes = map[string]scope{
-	"one call":    {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
-	"two calls":   {workers: 2, addrs: 2, calls: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
-	"load orders": {workers: 2, addrs: 2, calls: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
+	"one request":   {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
+	"two requests":  {workers: 2, addrs: 2, requestCount: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
+	"load commands": {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
 }
 
 // Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
@@ -34,18 +34,73 @@
 	}
 }
 
-// planted are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
-var plantedFaults = []struct{ name, file, old, new string }{
-	{"requests that left whole are sent again", "internal/workerclient/dispatch.go", "case neverArrived && cmd.mayBeResent()", "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends"},
-	{"requests are sent again to a draining worker", "internal/workerclient/dispatch.go", "cmd.mayBeResent() && w.ready()", "cmd.mayBeResent()"},
-	{"draining leaves what is queued behind a dial", "internal/workerclient/worker.go", "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {", "if false {"},
-	{"a reset counts as a refused dial", "internal/workerclient/connection.go", "c.terminate(policy.ConnectionReset)", "c.terminate(policy.Unreachable)"},
-	{"a failure counts as rejected", "internal/workerclient/response_decoding.go", "statusFault: policy.Failed", "statusFault: policy.Overloaded"},
-	{"dials that lost the race go on", "internal/workerclient/dialer.go", "\t\tattempt.finish()\n\t\tattempt.transport.Close()", "\t\tattempt.finish()"},
-	{"the connection of a recovery dial stays open", "internal/workerclient/recovery.go", "r.pool.dialsInProgress--\n\tr.transport.Close()", "r.pool.dialsInProgress--"},
-	{"a cancelled request is sent all the same", "internal/workerclient/attempts.go", "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true", "\treturn true"},
-	{"the module repeats what must not be", "policy/retries.go", "return withinLimit && (c.Idempotency == Idempotent ||", "return withinLimit && (c.Idempotency != IdempotentWithKey ||"},
-	{"a lost race is never reported", "internal/endpoint/race.go", "return !r.won && r.inProgress == 0 && len(r.remaining) == 0", "return false"},
+// plantedFaults are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
+var plantedFaults = []struct {
+	name string
+	file string
+	old  string // text of the file
+	new  string // that replaces it
+}{
+	{
+		name: "requests that left whole are sent again",
+		file: "internal/workerclient/dispatch.go",
+		old:  "case neverArrived && cmd.mayBeResent()",
+		new:  "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends",
+	},
+	{
+		name: "requests are sent again to a draining worker",
+		file: "internal/workerclient/dispatch.go",
+		old:  "cmd.mayBeResent() && w.ready()",
+		new:  "cmd.mayBeResent()",
+	},
+	{
+		name: "draining leaves what is queued behind a dial",
+		file: "internal/workerclient/worker.go",
+		old:  "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {",
+		new:  "if false {",
+	},
+	{
+		name: "a reset counts as a refused dial",
+		file: "internal/workerclient/connection.go",
+		old:  "c.terminate(policy.ConnectionReset)",
+		new:  "c.terminate(policy.Unreachable)",
+	},
+	{
+		name: "a failure counts as rejected",
+		file: "internal/workerclient/response_decoding.go",
+		old:  "statusFault: policy.Failed",
+		new:  "statusFault: policy.Overloaded",
+	},
+	{
+		name: "dials that lost the race go on",
+		file: "internal/workerclient/dialer.go",
+		old:  "\t\tattempt.finish()\n\t\tattempt.transport.Close()",
+		new:  "\t\tattempt.finish()",
+	},
+	{
+		name: "the connection of a recovery dial stays open",
+		file: "internal/workerclient/recovery.go",
+		old:  "r.pool.dialsInProgress--\n\tr.transport.Close()",
+		new:  "r.pool.dialsInProgress--",
+	},
+	{
+		name: "a cancelled request is sent all the same",
+		file: "internal/workerclient/attempts.go",
+		old:  "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true",
+		new:  "\treturn true",
+	},
+	{
+		name: "the module repeats what must not be",
+		file: "policy/retries.go",
+		old:  "return withinLimit && (c.Idempotency == Idempotent ||",
+		new:  "return withinLimit && (c.Idempotency != IdempotentWithKey ||",
+	},
+	{
+		name: "a lost race is never reported",
+		file: "internal/endpoint/race.go",
+		old:  "return !r.won && r.inProgress == 0 && len(r.remaining) == 0",
+		new:  "return false",
+	},
 }
 
 // Guards the check itself: each planted fault is found.
--- a/internal/workerclient/model_steps_test.go
+++ b/internal/workerclient/model_steps_test.go
@@ -9,122 +9,196 @@
 	"crankhold/policy"
 )
 
+// modelTick is how far a step of the model moves the clock on.
+const modelTick = 650 * time.Millisecond
+
+// step is one thing that may happen next in the model.
 type step struct {
 	name string
 	do   func()
 }
 
-// steps are all that may happen now.
-func (m *model) steps() (list []step) {
-	add := func(do func(), format string, args ...any) {
-		list = append(list, step{fmt.Sprintf(format, args...), do})
+// stepList collects the steps that may happen now.
+type stepList struct {
+	model *model
+	steps []step
+}
+
+func (l *stepList) add(do func(), format string, args ...any) {
+	l.steps = append(l.steps, step{fmt.Sprintf(format, args...), do})
+}
+
+// addFault adds a step that is a fault, of which the scope allows few.
+func (l *stepList) addFault(do func(), format string, args ...any) {
+	if l.model.faults == 0 {
+		return
 	}
-	bad := func(do func(), format string, args ...any) {
-		if m.faults > 0 {
-			add(func() { m.faults--; do() }, format, args...)
-		}
+	l.add(func() {
+		l.model.faults--
+		do()
+	}, format, args...)
+}
+
+// Steps returns the names of all that may happen now.
+func (m *model) Steps() (names []string) {
+	for _, s := range m.steps() {
+		names = append(names, s.name)
 	}
-	if m.arrived < m.calls {
-		add(func() {
-			n := m.arrived
-			m.arrived++
-			k := &modelRequest{}
-			m.requests = append(m.requests, k)
-			id := fmt.Sprintf("%016x", n+1)
-			m.log("take%d", n)
-			m.ids[id] = m.core.Accept(m.now, router.Request{Responder: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
-				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
-		}, "call %d comes", m.arrived)
+	return names
+}
+
+// Do takes a step, by its position in Steps.
+func (m *model) Do(i int) {
+	m.steps()[i].do()
+	m.turn()
+}
+
+// steps returns all that may happen now, in a fixed order.
+func (m *model) steps() []step {
+	list := &stepList{model: m}
+	if m.arrived < m.requestCount {
+		list.add(m.acceptRequest, "request %d arrives", m.arrived)
 	}
-	for i, l := range m.transports {
-		switch l.state {
+	for i, transport := range m.transports {
+		switch transport.state {
 		case modelDialing:
-			add(func() { l.state = modelUp; l.handler.DialCompleted(nil) }, "dial %d over %s comes up", i, l.addr)
-			bad(func() { l.state = modelEnded; l.handler.DialCompleted(errors.New("refused")) }, "dial %d over %s is refused", i, l.addr)
-		case modelUp, modelClosing:
-			// The last message may not have left whole, unless it has its response.
-			cut := 0
-			if n := len(l.messages); n > 0 && !l.messages[n-1].answered {
-				cut = 1
-			}
-			end := func(left int) func() {
-				return func() { l.state, l.unsent = modelEnded, left; l.handler.Closed(errors.New("reset")) }
-			}
-			if l.state == modelClosing {
-				add(end(0), "the end of %d over %s", i, l.addr)
-				if cut > 0 {
-					add(end(cut), "the end of %d over %s, its last message cut", i, l.addr)
-				}
-				continue
-			}
-			bad(end(0), "a reset of %d over %s", i, l.addr)
-			if cut > 0 {
-				bad(end(cut), "a reset of %d over %s, its last message cut", i, l.addr)
-			}
-			for _, f := range l.messages {
-				if f.answered || f.name == "STOP" || f.name == "FREE" {
-					continue
-				}
-				answer := func(word string, unrun bool) func() {
-					return func() { f.answered, f.notRun = true, unrun; l.handler.Data(encodeResponse(f.id, word, "")) }
-				}
-				switch f.name {
-				case "RUN":
-					add(answer("HIT", false), "HIT for %s over %s", f.id, l.addr)
-					bad(answer("FAULT", false), "FAULT for %s over %s", f.id, l.addr)
-					bad(answer("NONE", true), "NONE for %s over %s", f.id, l.addr)
-				case "HOLD":
-					add(answer("HIT", false), "HIT for order %s over %s", f.id, l.addr)
-				default:
-					add(answer("PONG", false), "PONG for %s over %s", f.id, l.addr)
-				}
-			}
+			transport.addDialSteps(list, i)
+		case modelClosing:
+			transport.addEndSteps(list, i)
+		case modelUp:
+			transport.addResetSteps(list, i)
+			transport.addResponseSteps(list)
 		}
 	}
-	if m.drains > 0 {
-		for w, state := range m.workerStates {
-			if state == policy.Ready {
-				add(func() {
-					m.drains--
-					m.workerStates[w] = policy.Draining
-					m.log("drain%d", w)
-					m.list()
-				}, "worker %d drains", w)
-			}
+	m.addDrainSteps(list)
+	m.addCancelSteps(list)
+	if m.ticks > 0 {
+		list.add(m.tick, "%v pass", modelTick)
+	}
+	return list.steps
+}
+
+func (m *model) acceptRequest() {
+	index := m.arrived
+	m.arrived++
+	request := &modelRequest{}
+	m.requests = append(m.requests, request)
+	id := modelRequestID(index)
+	m.log("take%d", index)
+	m.ids[id] = m.core.Accept(m.now, router.Request{
+		Responder:   request,
+		ID:          id,
+		FunctionKey: "00000000000000aa",
+		Function:    0xaa,
+		Lanes:       1,
+		LoadTime:    500 * time.Millisecond,
+		Body:        []byte("x"),
+		Deadline:    m.now + 3*time.Second,
+	})
+}
+
+func (m *model) tick() {
+	m.ticks--
+	m.now += modelTick
+	m.log("tick")
+	m.core.SetNow(m.now)
+	m.pool.Maintain(m.now)
+}
+
+func (m *model) addDrainSteps(list *stepList) {
+	if m.drains == 0 {
+		return
+	}
+	for w, state := range m.workerStates {
+		if state != policy.Ready {
+			continue
 		}
+		list.add(func() {
+			m.drains--
+			m.workerStates[w] = policy.Draining
+			m.log("drain%d", w)
+			m.list()
+		}, "worker %d drains", w)
 	}
-	if m.interrupts > 0 {
-		for n, k := range m.requests {
-			if !k.left && k.responses == 0 {
-				add(func() {
-					m.interrupts--
-					k.left = true
-					m.log("leave%d", n)
-					m.core.CancelRequest(m.now, m.ids[fmt.Sprintf("%016x", n+1)])
-				}, "the client of %d leaves", n)
-			}
+}
+
+func (m *model) addCancelSteps(list *stepList) {
+	if m.interrupts == 0 {
+		return
+	}
+	for n, request := range m.requests {
+		if request.left || request.responses > 0 {
+			continue
 		}
+		list.add(func() {
+			m.interrupts--
+			request.left = true
+			m.log("leave%d", n)
+			m.core.CancelRequest(m.now, m.ids[modelRequestID(n)])
+		}, "the client of request %d disconnects", n)
 	}
-	if m.ticks > 0 {
-		add(func() {
-			m.ticks--
-			m.now += 650 * time.Millisecond
-			m.log("tick")
-			m.core.SetNow(m.now)
-			m.pool.Maintain(m.now)
-		}, "650 ms pass")
+}
+
+func (t *modelTransport) addDialSteps(list *stepList, index int) {
+	list.add(func() {
+		t.state = modelUp
+		t.handler.DialCompleted(nil)
+	}, "dial %d over %s comes up", index, t.addr)
+	list.addFault(func() {
+		t.state = modelEnded
+		t.handler.DialCompleted(errors.New("refused"))
+	}, "dial %d over %s is refused", index, t.addr)
+}
+
+// addEndSteps adds the end of a connection that the pool has closed.
+func (t *modelTransport) addEndSteps(list *stepList, index int) {
+	list.add(func() { t.end(0) }, "the end of %d over %s", index, t.addr)
+	if t.lastMessageMayBeCut() {
+		list.add(func() { t.end(1) }, "the end of %d over %s, its last message cut", index, t.addr)
 	}
-	return list
 }
 
-func (m *model) Steps() (names []string) {
-	for _, s := range m.steps() {
-		names = append(names, s.name)
+func (t *modelTransport) addResetSteps(list *stepList, index int) {
+	list.addFault(func() { t.end(0) }, "a reset of %d over %s", index, t.addr)
+	if t.lastMessageMayBeCut() {
+		list.addFault(func() { t.end(1) }, "a reset of %d over %s, its last message cut", index, t.addr)
 	}
-	return names
 }
 
-func (m *model) Do(i int) {
-	m.steps()[i].do()
-	m.turn()
+// lastMessageMayBeCut reports whether the last message may not have left whole: it has no response.
+func (t *modelTransport) lastMessageMayBeCut() bool {
+	count := len(t.messages)
+	return count > 0 && !t.messages[count-1].answered
+}
+
+// end ends the connection with that many bytes unsent.
+func (t *modelTransport) end(unsent int) {
+	t.state = modelEnded
+	t.unsent = unsent
+	t.handler.Closed(errors.New("reset"))
+}
+
+func (t *modelTransport) addResponseSteps(list *stepList) {
+	for _, message := range t.messages {
+		if message.answered || message.name == nameStop || message.name == nameFree {
+			continue
+		}
+		switch message.name {
+		case nameRun:
+			list.add(func() { t.respond(message, "HIT") }, "HIT for %s over %s", message.id, t.addr)
+			list.addFault(func() { t.respond(message, "FAULT") }, "FAULT for %s over %s", message.id, t.addr)
+			list.addFault(func() { t.respond(message, "NONE") }, "NONE for %s over %s", message.id, t.addr)
+		case nameHold:
+			list.add(func() { t.respond(message, "HIT") }, "HIT for load %s over %s", message.id, t.addr)
+		default:
+			list.add(func() { t.respond(message, "PONG") }, "PONG for %s over %s", message.id, t.addr)
+		}
+	}
+}
+
+// respond hands the pool the response to a message. NONE proves that it never ran.
+func (t *modelTransport) respond(message *modelMessage, status string) {
+	message.answered = true
+	message.notRun = status == "NONE"
+	t.handler.Data(encodeResponse(message.id, status, ""))
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -13,11 +13,15 @@
 
 // scope bounds what may happen in a model check.
 type scope struct {
-	workers, addrs, calls     int
-	faults                    int // refused dials, resets, misses and faults, together
-	drains, ticks, interrupts int
-	loadsRequired             bool // functions must be loaded first
-	maxStates                 int
+	workers       int
+	addrs         int  // of each worker
+	requestCount  int  // requests that arrive
+	faults        int  // refused dials, resets, misses and failures, together
+	drains        int  // workers that begin to drain
+	ticks         int  // steps of the clock
+	interrupts    int  // clients that disconnect
+	loadsRequired bool // functions must be loaded first
+	maxStates     int
 }
 
 // model is the real core, decision module, pool and address sets, with a world of a few workers around them.
@@ -35,37 +39,45 @@
 	violation    error
 }
 
+// modelRequest is a request of a client of the model. It is the request's responder.
 type modelRequest struct {
-	responses, responsesAfterLeaving int
-	left                             bool
+	responses             int
+	responsesAfterLeaving int
+	left                  bool // its client has disconnected
 }
 
-func (a *modelRequest) Respond(router.Response) {
-	a.responses++
-	if a.left {
-		a.responsesAfterLeaving++
+func (r *modelRequest) Respond(router.Response) {
+	r.responses++
+	if r.left {
+		r.responsesAfterLeaving++
 	}
 }
 
-// log adds an event of the core, or what the model asks of it, to the history.
+// modelRequestID returns the id of the request that arrives as the index-th, from 0.
+func modelRequestID(index int) string { return fmt.Sprintf("%016x", index+1) }
+
+// log adds an event of the core, or a step of the model, to the history.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
-// AttemptCompleted, LoadCompleted and HealthCheckCompleted hand on to the core.
+// AttemptCompleted logs the result and hands it on to the core.
 func (m *model) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
 	m.core.AttemptCompleted(a, r)
 }
 
-func (m *model) LoadCompleted(tag uint64, o policy.Outcome, count int) {
-	m.log("h%d=%d", tag, o)
-	m.core.LoadCompleted(tag, o, count)
+// LoadCompleted logs the result and hands it on to the core.
+func (m *model) LoadCompleted(commandID uint64, o policy.Outcome, replicas int) {
+	m.log("h%d=%d", commandID, o)
+	m.core.LoadCompleted(commandID, o, replicas)
 }
 
-func (m *model) MaySendLoad(tag uint64) bool { return m.core.MaySendLoad(tag) }
+// MaySendLoad asks the core.
+func (m *model) MaySendLoad(commandID uint64) bool { return m.core.MaySendLoad(commandID) }
 
-func (m *model) HealthCheckCompleted(tag uint64, o policy.Outcome, report []float64) {
-	m.log("p%d=%d", tag, o)
-	m.core.HealthCheckCompleted(tag, o, report)
+// HealthCheckCompleted logs the result and hands it on to the core.
+func (m *model) HealthCheckCompleted(commandID uint64, o policy.Outcome, report []float64) {
+	m.log("p%d=%d", commandID, o)
+	m.core.HealthCheckCompleted(commandID, o, report)
 }
 
 func newModel(s scope) *model {
@@ -78,12 +90,14 @@
 		panic(err)
 	}
 	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
-	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxRequestsPerConnection: 32, MaxConnections: 100,
-		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
-			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: modelDialing}
-			m.transports = append(m.transports, l)
-			return l
-		}}, m)
+	m.pool = New(Config{
+		Classes:                  []string{"repair-order"},
+		DialTimeout:              250 * time.Millisecond,
+		KeepAlive:                30 * time.Second,
+		MaxRequestsPerConnection: 32,
+		MaxConnections:           100,
+		Dial:                     m.dial,
+	}, m)
 	m.core.SetWorkerClient(m.pool)
 	m.core.SetNow(m.now)
 	m.pool.SetNow(m.now)
@@ -96,7 +110,15 @@
 	return m
 }
 
-// list tells of the workers, as the service does.
+// dial begins a dial of the model. An address begins with the worker's index.
+func (m *model) dial(_, addr string, _ time.Duration, handler eventloop.DialHandler) Transport {
+	worker := int(addr[0] - '0')
+	transport := &modelTransport{model: m, addr: addr, worker: worker, handler: handler, state: modelDialing}
+	m.transports = append(m.transports, transport)
+	return transport
+}
+
+// list hands the endpoint list to the pool and the core, as the service does.
 func (m *model) list() {
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w, state := range m.workerStates {
@@ -118,48 +140,54 @@
 	}
 }
 
-// written checks what a message may not be: a request that may have run and is written again, or anything new to a
-// worker that is draining.
-func (m *model) written(l *modelTransport, f *modelMessage) {
-	if f.name != "RUN" && f.name != "HOLD" {
+// checkWritten checks a message as it is written: it must be no request that may have run or that is over, and nothing
+// new to a worker that is draining.
+func (m *model) checkWritten(transport *modelTransport, message *modelMessage) {
+	if message.name != nameRun && message.name != nameHold {
 		return
 	}
-	if l.state != modelUp {
+	if transport.state != modelUp {
 		return // it never leaves
 	}
-	if m.workerStates[l.worker] != policy.Ready {
-		m.violate("%s %s goes to worker %d, which was told to drain", f.name, f.id, l.worker)
+	if m.workerStates[transport.worker] != policy.Ready {
+		m.violate("%s %s goes to worker %d, which is draining", message.name, message.id, transport.worker)
 	}
-	if f.name != "RUN" {
+	if message.name != nameRun {
 		return
 	}
-	for n, k := range m.requests {
-		if fmt.Sprintf("%016x", n+1) == f.id && (k.left || k.responses > 0) {
-			m.violate("%s is written, which is over", f.id)
+	for n, request := range m.requests {
+		if modelRequestID(n) == message.id && (request.left || request.responses > 0) {
+			m.violate("%s is written, which is over", message.id)
 		}
 	}
-	for _, o := range m.transports {
-		for _, g := range o.messages {
-			if g.name == "RUN" && g.id == f.id && !g.notRun && !(o.state == modelEnded && g.endOffset > len(o.written)-o.unsent) {
-				m.violate("the order %s, which may have run over %s, is written again over %s", f.id, o.addr, l.addr)
+	for _, other := range m.transports {
+		for _, earlier := range other.messages {
+			if earlier.id == message.id && other.mayHaveRun(earlier) {
+				m.violate("request %s, which may have run over %s, is written again over %s", message.id, other.addr, transport.addr)
 			}
 		}
 	}
 }
 
-// Check tells what does not hold now.
+// Check returns what does not hold now.
 func (m *model) Check() error {
-	dialling, conns := 0, 0
-	for _, l := range m.transports {
-		switch l.state {
-		case modelDialing:
-			dialling++
-		case modelUp:
-			conns++
+	if err := m.checkConnections(); err != nil {
+		return err
+	}
+	for n, request := range m.requests {
+		if request.responses > 1 || request.responsesAfterLeaving > 0 {
+			return fmt.Errorf("request %d has %d responses, %d of them after its client disconnected",
+				n, request.responses, request.responsesAfterLeaving)
 		}
 	}
-	if dialling != m.pool.dialsInProgress-m.recoveryConnections() {
-		return fmt.Errorf("%d dials are under way, the pool counts %d", dialling, m.pool.dialsInProgress)
+	return m.violation
+}
+
+// checkConnections compares the connections and dials that there are with those that the pool knows of: none leaks.
+func (m *model) checkConnections() error {
+	dialing := m.count(modelDialing)
+	if dialing != m.pool.dialsInProgress-m.recoveryConnections() {
+		return fmt.Errorf("%d dials are in progress, the pool counts %d", dialing, m.pool.dialsInProgress)
 	}
 	held := 0
 	for _, w := range m.pool.workers {
@@ -168,32 +196,37 @@
 				held++
 			}
 			if c.state == connecting && len(c.dialer.inProgress) == 0 {
-				return fmt.Errorf("a connection waits for no dial, with %d calls behind it", len(c.commands.queued))
+				return fmt.Errorf("a connection waits for no dial, with %d commands queued", len(c.commands.queued))
 			}
 		}
 	}
-	if conns != held+m.recoveryConnections() {
-		return fmt.Errorf("%d connections are open, the pool holds %d", conns, held)
+	if up := m.count(modelUp); up != held+m.recoveryConnections() {
+		return fmt.Errorf("%d connections are open, the pool holds %d", up, held)
 	}
-	for n, k := range m.requests {
-		if k.responses > 1 || k.responsesAfterLeaving > 0 {
-			return fmt.Errorf("call %d has %d answers, %d of them after its client left", n, k.responses, k.responsesAfterLeaving)
+	return nil
+}
+
+// count returns how many connections are in a state.
+func (m *model) count(state modelTransportState) (count int) {
+	for _, transport := range m.transports {
+		if transport.state == state {
+			count++
 		}
 	}
-	return m.violation
+	return count
 }
 
-// recoveryConnections is how many recovery dials are past their dial.
-func (m *model) recoveryConnections() (n int) {
+// recoveryConnections returns how many recovery dials have come up and await their response.
+func (m *model) recoveryConnections() (count int) {
 	for _, w := range m.pool.workers {
 		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == modelUp {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// End lets the time of all requests run out: each has one response, whose client has not left.
+// End lets the time of all requests run out: each has one response, unless its client has disconnected.
 func (m *model) End() error {
 	for range 50 {
 		m.now += 100 * time.Millisecond
@@ -201,9 +234,9 @@
 		m.pool.Maintain(m.now)
 		m.turn()
 	}
-	for n, k := range m.requests {
-		if k.responses != 1 && !k.left {
-			return fmt.Errorf("call %d has %d answers at the end", n, k.responses)
+	for n, request := range m.requests {
+		if request.responses != 1 && !request.left {
+			return fmt.Errorf("request %d has %d responses at the end", n, request.responses)
 		}
 	}
 	return m.Check()
@@ -213,30 +246,33 @@
 func (m *model) Key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.interrupts, m.workerStates)
-	for _, l := range m.transports {
-		fmt.Fprintf(&b, "%s %s %d[", l.addr, l.state, l.unsent)
-		for _, f := range l.messages {
-			fmt.Fprintf(&b, "%s %s %v %v,", f.name, f.id, f.answered, f.notRun)
+	for _, transport := range m.transports {
+		fmt.Fprintf(&b, "%s %s %d[", transport.addr, transport.state, transport.unsent)
+		for _, message := range transport.messages {
+			fmt.Fprintf(&b, "%s %s %v %v,", message.name, message.id, message.answered, message.notRun)
 		}
 		b.WriteByte(']')
 	}
 	for w := range m.workerStates {
-		p := m.pool.workers[policy.WorkerID(w+1)]
-		if p == nil {
-			continue
+		if worker := m.pool.workers[policy.WorkerID(w+1)]; worker != nil {
+			writeWorkerKey(&b, worker)
 		}
-		fmt.Fprintf(&b, "{%v", p.addresses)
-		for _, c := range p.connections {
-			fmt.Fprintf(&b, "(%v %v %d %v", c.addr, c.state, c.dialer.race.InProgress(), c.liveness.pingedAt)
-			for _, k := range c.commands.queued {
-				fmt.Fprintf(&b, " q%s", k.id)
-			}
-			for _, k := range c.commands.inOrder() {
-				fmt.Fprintf(&b, " o%s %d %v", k.id, k.delivery.resends, k.delivery.written)
-			}
-			b.WriteByte(')')
-		}
-		fmt.Fprintf(&b, "%v}", p.recoveryDial != nil)
 	}
 	return b.String()
 }
+
+// writeWorkerKey writes the state of a worker's addresses and connections.
+func writeWorkerKey(b *strings.Builder, w *worker) {
+	fmt.Fprintf(b, "{%v", w.addresses)
+	for _, c := range w.connections {
+		fmt.Fprintf(b, "(%v %v %d %v", c.addr, c.state, c.dialer.race.InProgress(), c.liveness.pingedAt)
+		for _, cmd := range c.commands.queued {
+			fmt.Fprintf(b, " q%s", cmd.id)
+		}
+		for _, cmd := range c.commands.inOrder() {
+			fmt.Fprintf(b, " o%s %d %v", cmd.id, cmd.delivery.resends, cmd.delivery.written)
+		}
+		b.WriteByte(')')
+	}
+	fmt.Fprintf(b, "%v}", w.recoveryDial != nil)
+}
--- a/internal/workerclient/model_transport_test.go
+++ b/internal/workerclient/model_transport_test.go
@@ -1,8 +1,6 @@
 package workerclient
 
-import (
-	"crankhold/internal/eventloop"
-)
+import "crankhold/internal/eventloop"
 
 // modelTransportState is where a connection of the model is in its life.
 type modelTransportState string
@@ -10,11 +8,11 @@
 const (
 	modelDialing modelTransportState = "dialing"
 	modelUp      modelTransportState = "up"
-	modelClosing modelTransportState = "closing" // by the pool; its end is under way
+	modelClosing modelTransportState = "closing" // closed by the pool; its end has yet to be reported
 	modelEnded   modelTransportState = "ended"
 )
 
-// modelTransport is a connection of the model, or a dial that is under way.
+// modelTransport is a connection of the model, or a dial that is in progress.
 type modelTransport struct {
 	model    *model
 	worker   int
@@ -22,43 +20,50 @@
 	handler  eventloop.DialHandler
 	state    modelTransportState
 	written  []byte
-	decoded  int // parsed
+	decoded  int // bytes of written that are in messages
 	messages []*modelMessage
-	unsent   int
+	unsent   int // bytes, of the last ones written
 }
 
 // modelMessage is one that was written over a connection.
 type modelMessage struct {
-	name, id  string
-	endOffset int
+	name      string
+	id        string
+	endOffset int // of its last byte in what was written, in bytes
 	answered  bool
 	notRun    bool // proven never to have run
 }
 
-func (l *modelTransport) Write(bufs ...[]byte) {
-	for _, b := range bufs {
-		l.written = append(l.written, b...)
+func (t *modelTransport) Write(buffers ...[]byte) {
+	for _, buffer := range buffers {
+		t.written = append(t.written, buffer...)
 	}
 	for {
-		var room [maxElements][]byte
-		words, n, err := decodeArray(l.written[l.decoded:], room[:0])
-		if err != nil || n == 0 {
+		var space [maxElements][]byte
+		elements, size, err := decodeArray(t.written[t.decoded:], space[:0])
+		if err != nil || size == 0 {
 			break
 		}
-		l.decoded += n
-		f := &modelMessage{name: string(words[0]), id: string(words[1]), endOffset: l.decoded}
-		l.model.written(l, f)
-		l.messages = append(l.messages, f)
+		t.decoded += size
+		message := &modelMessage{name: string(elements[0]), id: string(elements[1]), endOffset: t.decoded}
+		t.model.checkWritten(t, message)
+		t.messages = append(t.messages, message)
 	}
 }
 
-func (l *modelTransport) Close() {
-	switch l.state {
+func (t *modelTransport) Close() {
+	switch t.state {
 	case modelDialing:
-		l.state = modelEnded // cancelled: nobody hears of it again
+		t.state = modelEnded // cancelled: its end is not reported
 	case modelUp:
-		l.state = modelClosing
+		t.state = modelClosing
 	}
 }
 
-func (l *modelTransport) UnsentBytes() int { return l.unsent }
+func (t *modelTransport) UnsentBytes() int { return t.unsent }
+
+// mayHaveRun reports whether a RUN may have run: it may have left whole, and no response proves that it did not run.
+func (t *modelTransport) mayHaveRun(message *modelMessage) bool {
+	neverLeft := t.state == modelEnded && message.endOffset > len(t.written)-t.unsent
+	return message.name == nameRun && !message.notRun && !neverLeft
+}
--- a/internal/workerclient/recovery_test.go
+++ b/internal/workerclient/recovery_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/router"
 )
 
-// An address that failed counts again once it connects, where no probe may ask it for a sign of life.
+// An address that failed counts again once it connects, where no health check may be sent to it.
 func TestAddressRecoversWithoutAHealthCheck(t *testing.T) {
 	p := newTestPoolWithTwoAddresses(func(cfg *Config) { cfg.HealthChecksAllowed = false })
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Minute)
@@ -28,7 +28,7 @@
 	}
 	for i, transport := range p.transports {
 		if strings.Contains(transport.Written.String(), "NOOP") {
-			t.Errorf("connection %d was probed: %q", i, transport.Written.String())
+			t.Errorf("connection %d was pinged: %q", i, transport.Written.String())
 		}
 	}
 }
@@ -48,7 +48,7 @@
 			p.Maintain(now)
 		}
 		if len(p.transports) < n {
-			t.Fatalf("no trial: dialled %v", p.dialled)
+			t.Fatalf("no recovery dial: dialled %v", p.dialled)
 		}
 	}
 	until(3)
@@ -64,7 +64,7 @@
 	p.transports[3].handler.DialCompleted(nil)
 	p.transports[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
 	if p.workers[7].addresses.Unavailable() != 0 || !p.transports[3].Closed || p.dialsInProgress != 0 {
-		t.Error("the trial was answered and the address is still down")
+		t.Error("the recovery dial succeeded and the address is still unavailable")
 	}
 	// Requests go back to the better address, after a time; the old connection ends once its request has.
 	for end := now + 7*time.Second; now < end; now += MaintenanceInterval {
@@ -77,6 +77,6 @@
 	}
 	p.transports[1].handler.Data(encodeResponse(requestID, "HIT", ""))
 	if p.Maintain(now); !p.transports[1].Closed {
-		t.Error("the old connection stays")
+		t.Error("the old connection is kept")
 	}
 }
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -28,7 +28,7 @@
 			}
 			return on
 		}
-		answered := map[*fakeTransport]map[string]int{}
+		responded := map[*fakeTransport]map[string]int{}
 		runs := func(transport *fakeTransport, id string) int {
 			return strings.Count(transport.Written.String(), "RUN\r\n$16\r\n"+id)
 		}
@@ -51,7 +51,7 @@
 				}
 				late := map[*fakeTransport]bool{} // connections on which a response to an earlier attempt is due
 				for _, transport := range p.transports {
-					late[transport] = runs(transport, id(a)) > answered[transport][id(a)]
+					late[transport] = runs(transport, id(a)) > responded[transport][id(a)]
 				}
 				p.CancelAttempt(1, a)
 				drop(i)
@@ -60,15 +60,15 @@
 				out = append(out, b)
 				for _, transport := range p.transports {
 					if late[transport] && !transport.Closed {
-						if answered[transport] == nil {
-							answered[transport] = map[string]int{}
+						if responded[transport] == nil {
+							responded[transport] = map[string]int{}
 						}
-						answered[transport][id(b)]++
+						responded[transport][id(b)]++
 						transport.handler.Data([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
 					}
 				}
 				if string(p.recorder.results[b].Body) == "old" {
-					t.Fatal("the answer to the first attempt ended the second")
+					t.Fatal("the response to the first attempt ended the second")
 				}
 			},
 			"dial": func(t *rapid.T) {
--- a/internal/workerclient/response_decoding_test.go
+++ b/internal/workerclient/response_decoding_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A crowd is read from whatever response holds it. One that can't be true is passed over: the response, which is good,
+// A crowd is read from whatever response holds it. One that can't be true is ignored: the response, which is good,
 // ends its request, and the connection goes on.
 func TestConcurrencyReportsAreReadOrIgnored(t *testing.T) {
 	for fields, want := range map[string]int{
--- a/internal/workerclient/response_reader_test.go
+++ b/internal/workerclient/response_reader_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if !transport.Closed {
-		t.Fatal("the rest of an answer is still waited for")
+		t.Fatal("the rest of a response is still waited for")
 	}
 	transport.handler.Data(whole[3*(int(partialResponseTimeout/MaintenanceInterval)+2):]) // too late: nothing that follows counts
 	if len(p.recorder.outcomes[a]) != 0 {
@@ -78,7 +78,7 @@
 	}
 	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second)
 	if len(p.transports) != 2 {
-		t.Error("a call went to a connection that we closed")
+		t.Error("a request went to a connection that was closed by the pool")
 	}
 }
 
@@ -114,7 +114,7 @@
 		p.SetNow(time.Hour + tt.after)
 		p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("fedcba9876543210"), time.Second)
 		if len(p.transports) != tt.transports {
-			t.Errorf("%v after an answer halted: %d connections", tt.after, len(p.transports))
+			t.Errorf("%v after a response stalled: %d connections", tt.after, len(p.transports))
 		}
 	}
 }
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -15,20 +15,24 @@
 // requests' lengths do, over connections that carry hardly more than one at a time. Keepalive pings, which
 // are paid for like health checks, were sent with each request that took longer than 150 ms.
 func TestThinTrafficNeedsFewKeepalivePings(t *testing.T) {
-	const routers, calls = 20, 300
+	const routers = 20
+	const requests = 300
 	for _, misses := range []int{0, 1, 3} { // a request that has its response at once between two that run, as a miss is
-		thinTraffic(t, routers, calls, misses)
+		checkPingsUnderThinTraffic(t, routers, requests, misses)
 	}
 }
 
-func thinTraffic(t *testing.T, routers uint64, calls, misses int) {
-	pings, last := uint64(0), 0
+// checkPingsUnderThinTraffic fails the test if more than one request in 20 is accompanied by a keepalive ping.
+func checkPingsUnderThinTraffic(t *testing.T, routers uint64, requests, misses int) {
+	pings := uint64(0)
+	last := 0
 	for seed := range routers {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		p := newTestPool()
 		p.silence.peak = 500 * time.Millisecond
-		now, asked := time.Hour, uint64(0)
-		for n := range calls {
+		now := time.Hour
+		pinged := uint64(0)
+		for n := range requests {
 			now += time.Second
 			p.Maintain(now)
 			for range misses * min(n, 1) {
@@ -47,20 +51,20 @@
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
-				if p.Counters.Pings > asked { // the worker is well
-					asked = p.Counters.Pings
+				if p.Counters.Pings > pinged { // the worker is well
+					pinged = p.Counters.Pings
 					p.transports[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 			if len(p.recorder.outcomes[a]) != 1 {
-				t.Fatalf("call %d ended %v", n, p.recorder.outcomes[a])
+				t.Fatalf("request %d ended %v", n, p.recorder.outcomes[a])
 			}
 		}
 		pings += p.Counters.Pings
 	}
-	if most := routers * uint64(calls) / 20; pings > most {
-		t.Errorf("%d misses between: %d signs of life for %d calls, %d at most", misses, pings, routers*uint64(calls), most)
+	if most := routers * uint64(requests) / 20; pings > most {
+		t.Errorf("%d misses between: %d pings for %d requests, %d at most", misses, pings, routers*uint64(requests), most)
 	}
 }
 
@@ -88,14 +92,15 @@
 			p.SetNow(now)
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
-		asked, began := p.Counters.Pings, now
+		pinged := p.Counters.Pings
+		began := now
 		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
-		for p.Counters.Pings == asked && now < began+3*time.Second {
+		for p.Counters.Pings == pinged && now < began+3*time.Second {
 			now += MaintenanceInterval / 5
 			p.Maintain(now)
 		}
 		if after := now - began; after < c.least || after > c.most {
-			t.Errorf("%s: asked for a sign of life after %v, wanted from %v to %v", c.name, after, c.least, c.most)
+			t.Errorf("%s: pinged after %v, wanted from %v to %v", c.name, after, c.least, c.most)
 		}
 	}
 }
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards the long day: generations of workers come and go, some at an address that was another's, and
-// nothing about those that are gone stays.
+// nothing about those that are gone is kept.
 func TestNothingStaysOfGoneWorkers(t *testing.T) {
 	p := newTestPool()
 	now := time.Duration(0)
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(p.workers)+len(p.attempts) != 0 {
-		t.Errorf("%d workers and %d calls stay", len(p.workers), len(p.attempts))
+		t.Errorf("%d workers and %d attempts are kept", len(p.workers), len(p.attempts))
 	}
 }
 
@@ -100,6 +100,6 @@
 		t.Errorf("dialled %v", p.dialled)
 	}
 	if on := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(on, []int{2}) {
-		t.Errorf("the call that waited is written over %v", on)
+		t.Errorf("the request that waited is written over %v", on)
 	}
 }
