--- a/internal/workerclient/command_queue_test.go
+++ b/internal/workerclient/command_queue_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -98,3 +99,61 @@
 		}
 	}
 }
+
+// newTestRequest returns a command that is a request.
+func newTestRequest(id string) *command {
+	return &command{id: id, kind: &requestCommand{}}
+}
+
+func TestCommandQueueCountsRequestsAndRemembersTheirIDs(t *testing.T) {
+	queue := newCommandQueue()
+	written := newTestRequest("a1")
+	written.delivery.written = true
+	waiting := newTestRequest("b2")
+	ping := &command{id: "n1", kind: pingCommand{}}
+	for _, cmd := range []*command{written, waiting, ping} {
+		queue.add(cmd)
+	}
+	queue.enqueue(waiting)
+	if queue.requests != 2 || queue.acceptsRequest("c3", 2) || !queue.acceptsRequest("c3", 3) {
+		t.Errorf("%d requests in flight, want 2", queue.requests)
+	}
+	if order := queue.inOrder(); !slices.Equal(order, []*command{written, waiting, ping}) {
+		t.Errorf("in order: %v", order)
+	}
+	queue.dequeue(written) // it does not wait: nothing changes
+	if !queue.has("a1") {
+		t.Error("a command that was written has been dequeued")
+	}
+	queue.dequeue(waiting)
+	queue.remove(written)
+	queue.remove(written)
+	if queue.requests != 0 || queue.empty() || len(queue.takeQueued()) != 0 {
+		t.Errorf("%d requests in flight, %d commands", queue.requests, len(queue.inFlight))
+	}
+	if queue.acceptsRequest("a1", 1) || !queue.acceptsRequest("b2", 1) {
+		t.Error("only the id of the request that was written may not be used again")
+	}
+	queue.clear()
+	if !queue.empty() {
+		t.Error("a cleared queue is not empty")
+	}
+}
+
+func TestOldestRequestIsTheOneWrittenFirst(t *testing.T) {
+	queue := newCommandQueue()
+	queue.add(newTestRequest("a0")) // not written yet
+	if _, found := queue.oldestRequest(); found {
+		t.Error("a request that was not written awaits a response")
+	}
+	for id, sentAt := range map[string]time.Duration{"a1": 3 * time.Second, "a2": 2 * time.Second} {
+		cmd := newTestRequest(id)
+		cmd.delivery = delivery{written: true, sentAt: sentAt}
+		queue.add(cmd)
+	}
+	ping := &command{id: "n1", kind: pingCommand{}, delivery: delivery{written: true, sentAt: time.Second}}
+	queue.add(ping)
+	if sentAt, found := queue.oldestRequest(); !found || sentAt != 2*time.Second {
+		t.Errorf("the oldest request was sent at %v, found %v", sentAt, found)
+	}
+}
--- a/internal/workerclient/errors_test.go
+++ b/internal/workerclient/errors_test.go
@@ -23,18 +23,28 @@
 	}
 }
 
-// The log event of a connection that is closed for an error names the address and the reason, each in its own attribute.
+// The log event of a connection that is closed for an error names the address and the reason, each in its own
+// attribute. It goes to the configured logger, or to the default one.
 func TestConnectionClosedWithAnErrorIsLogged(t *testing.T) {
-	var log bytes.Buffer
-	previous := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-	t.Cleanup(func() { slog.SetDefault(previous) })
-	p := newTestPool()
-	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest(requestID), time.Second)
-	p.transports[0].handler.DialCompleted(nil)
-	p.transports[0].handler.Data([]byte("no response\r\n"))
-	const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed answer"`
-	if !strings.Contains(log.String(), want) {
-		t.Errorf("logged %q, want %q", log.String(), want)
+	for _, configured := range []bool{true, false} {
+		var log bytes.Buffer
+		logger := slog.New(slog.NewTextHandler(&log, nil))
+		if !configured {
+			previous := slog.Default()
+			slog.SetDefault(logger)
+			t.Cleanup(func() { slog.SetDefault(previous) })
+		}
+		p := newTestPool(func(cfg *Config) {
+			if configured {
+				cfg.Logger = logger
+			}
+		})
+		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest(requestID), time.Second)
+		p.transports[0].handler.DialCompleted(nil)
+		p.transports[0].handler.Data([]byte("no response\r\n"))
+		const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed answer"`
+		if !strings.Contains(log.String(), want) {
+			t.Errorf("logger configured %v: logged %q, want %q", configured, log.String(), want)
+		}
 	}
 }
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -104,3 +104,29 @@
 		t.Errorf("the silent connection is closed: %v, %d addresses down", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
 	}
 }
+
+func TestLivenessMonitorJudgesSilence(t *testing.T) {
+	const now = time.Hour
+	for _, test := range []struct {
+		name     string
+		silence  time.Duration
+		expected time.Duration
+		pingedAt time.Duration
+		want     livenessState
+	}{
+		{"short", minSilenceBeforePing, 0, 0, connectionAlive},
+		{"long", minSilenceBeforePing + 1, 0, 0, pingDue},
+		{"long but expected", time.Second, time.Second, 0, connectionAlive},
+		{"pinged a moment ago", time.Second, 0, now - pingTimeout, connectionAlive},
+		{"pinged long ago", time.Second, 0, now - pingTimeout - 1, pingUnanswered},
+	} {
+		monitor := livenessMonitor{pingedAt: test.pingedAt}
+		if got := monitor.check(now, test.silence, test.expected); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+		monitor.recordResponse(now)
+		if monitor.awaitsPing() || monitor.lastResponse != now {
+			t.Errorf("%s: %+v after a response", test.name, monitor)
+		}
+	}
+}
--- /dev/null
+++ b/internal/workerclient/outgoing_stream_test.go
@@ -0,0 +1,25 @@
+package workerclient
+
+import (
+	"testing"
+
+	"crankhold/internal/testutil"
+)
+
+func TestOutgoingStreamCountsWhatMayHaveArrived(t *testing.T) {
+	var stream outgoingStream
+	stream.close() // before a dial has come up there is nothing to close
+	if stream.arrivable() != 0 {
+		t.Errorf("%d bytes may have arrived without a transport", stream.arrivable())
+	}
+	transport := &testutil.Transport{Unsent: 3}
+	stream.transport = transport
+	stream.write([]byte("NOOP"), []byte("\r\n"))
+	if stream.bytesWritten != 6 || stream.arrivable() != 3 || transport.Written.String() != "NOOP\r\n" {
+		t.Errorf("%d bytes written, %d may have arrived", stream.bytesWritten, stream.arrivable())
+	}
+	stream.close()
+	if !transport.Closed {
+		t.Error("the transport is open")
+	}
+}
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -13,111 +14,148 @@
 	"crankhold/policy"
 )
 
-// The model of a connection: every request ends once, with Reset only if it was written, and never by
-// a response to an attempt before it that was cancelled.
+// requestModel sends attempts to one worker, over connections that come up, fail and break at random.
+type requestModel struct {
+	*testPool
+	requests    int              // that were started
+	outstanding []router.Attempt // the latest of each request
+	up          map[*fakeTransport]bool
+	answered    map[*fakeTransport]map[string]int // late responses that were sent, by request id
+}
+
+// TestEachRequestEndsOnceWithItsOwnResult is the model of a connection: every request ends once, with ConnectionReset
+// only if it was written, and never by a response to an attempt before it that was cancelled.
 func TestEachRequestEndsOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newTestPool()
-		next, out, up := 0, []router.Attempt{}, map[*fakeTransport]bool{}
-		drop := func(i int) { out = append(out[:i], out[i+1:]...) }
-		wrote := func(id string) (on []*fakeTransport) {
-			for _, transport := range p.transports {
-				if strings.Contains(transport.Written.String(), id) {
-					on = append(on, transport)
-				}
-			}
-			return on
-		}
-		responded := map[*fakeTransport]map[string]int{}
-		runs := func(transport *fakeTransport, id string) int {
-			return strings.Count(transport.Written.String(), "RUN\r\n$16\r\n"+id)
+		m := &requestModel{
+			testPool: newTestPool(),
+			up:       map[*fakeTransport]bool{},
+			answered: map[*fakeTransport]map[string]int{},
 		}
-		id := func(a router.Attempt) string { return fmt.Sprintf("%016x", int(a.Request)) }
 		t.Repeat(map[string]func(*rapid.T){
-			"run": func(t *rapid.T) {
-				next++
-				a := router.Attempt{Request: policy.RequestID(next)}
-				p.StartAttempt(1, a, newRequest(id(a)), time.Second)
-				out = append(out, a)
-			},
-			"again": func(t *rapid.T) { // cancelled, and sent again to the same worker under the same id
-				if len(out) == 0 {
-					return
-				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "i")
-				a := out[i]
-				if len(p.recorder.outcomes[a]) > 0 {
-					return
-				}
-				late := map[*fakeTransport]bool{} // connections on which a response to an earlier attempt is due
-				for _, transport := range p.transports {
-					late[transport] = runs(transport, id(a)) > responded[transport][id(a)]
-				}
-				p.CancelAttempt(1, a)
-				drop(i)
-				b := router.Attempt{Request: a.Request, Number: a.Number + 1}
-				p.StartAttempt(1, b, newRequest(id(b)), time.Second)
-				out = append(out, b)
-				for _, transport := range p.transports {
-					if late[transport] && !transport.Closed {
-						if responded[transport] == nil {
-							responded[transport] = map[string]int{}
-						}
-						responded[transport][id(b)]++
-						transport.handler.Data([]byte("*4\r\n$16\r\n" + id(b) + "\r\n$3\r\nHIT\r\n$1\r\n-\r\n$3\r\nold\r\n"))
-					}
-				}
-				if string(p.recorder.results[b].Body) == "old" {
-					t.Fatal("the response to the first attempt ended the second")
-				}
-			},
-			"dial": func(t *rapid.T) {
-				for _, transport := range p.transports {
-					if !up[transport] && !transport.Closed {
-						up[transport] = true
-						if rapid.Bool().Draw(t, "fails") {
-							transport.Closed = true
-							transport.handler.DialCompleted(errors.New("refused"))
-						} else {
-							transport.handler.DialCompleted(nil)
-						}
-						return
-					}
-				}
-			},
-			"reset": func(t *rapid.T) {
-				for _, transport := range p.transports {
-					if up[transport] && !transport.Closed {
-						transport.Closed = true
-						transport.handler.Closed(errors.New("reset"))
-						return
-					}
-				}
-			},
-			"drain": func(t *rapid.T) { // what waits behind a dial ends unsent at once
-				p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
-				for _, a := range out {
-					if len(p.recorder.outcomes[a]) == 0 && len(wrote(id(a))) == 0 {
-						t.Fatalf("%v still waits to be sent to a draining worker", a)
-					}
-				}
-				p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
-			},
-			"": func(t *rapid.T) {
-				for _, transport := range p.transports {
-					if text := transport.Written.String(); strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
-						t.Fatalf("gave up what was never sent: %q", text)
-					}
-				}
-				for a, o := range p.recorder.outcomes {
-					if len(o) != 1 {
-						t.Fatalf("%v ended %v", a, o)
-					}
-					if o[0] == policy.ConnectionReset && len(wrote(id(a))) == 0 {
-						t.Fatalf("%v was never written but counts as reset", a)
-					}
-				}
-			},
+			"run":   m.start,
+			"again": m.retry,
+			"dial":  m.completeDial,
+			"reset": m.reset,
+			"drain": m.drain,
+			"":      m.check,
 		})
 	})
 }
+
+func modelAttemptID(a router.Attempt) string { return fmt.Sprintf("%016x", int(a.Request)) }
+
+func (m *requestModel) start(*rapid.T) {
+	m.requests++
+	m.send(router.Attempt{Request: policy.RequestID(m.requests)})
+}
+
+func (m *requestModel) send(a router.Attempt) {
+	m.StartAttempt(1, a, newRequest(modelAttemptID(a)), time.Second)
+	m.outstanding = append(m.outstanding, a)
+}
+
+// retry cancels an attempt and sends its request again to the same worker under the same id. A response to the earlier
+// attempt that arrives then must not end the later one.
+func (m *requestModel) retry(t *rapid.T) {
+	if len(m.outstanding) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(m.outstanding)-1).Draw(t, "i")
+	first := m.outstanding[i]
+	if len(m.recorder.outcomes[first]) > 0 {
+		return
+	}
+	id := modelAttemptID(first)
+	responseDue := map[*fakeTransport]bool{}
+	for _, transport := range m.transports {
+		responseDue[transport] = writtenRuns(transport, id) > m.answered[transport][id]
+	}
+	m.CancelAttempt(1, first)
+	m.outstanding = slices.Delete(m.outstanding, i, i+1)
+	second := router.Attempt{Request: first.Request, Number: first.Number + 1}
+	m.send(second)
+	for _, transport := range m.transports {
+		if responseDue[transport] && !transport.Closed {
+			m.respondLate(transport, id)
+		}
+	}
+	if string(m.recorder.results[second].Body) == "old" {
+		t.Fatal("the response to the first attempt ended the second")
+	}
+}
+
+func (m *requestModel) respondLate(transport *fakeTransport, id string) {
+	if m.answered[transport] == nil {
+		m.answered[transport] = map[string]int{}
+	}
+	m.answered[transport][id]++
+	transport.handler.Data(encodeResponse(id, "HIT", "old"))
+}
+
+func (m *requestModel) completeDial(t *rapid.T) {
+	for _, transport := range m.transports {
+		if m.up[transport] || transport.Closed {
+			continue
+		}
+		m.up[transport] = true
+		if rapid.Bool().Draw(t, "fails") {
+			transport.Closed = true
+			transport.handler.DialCompleted(errors.New("refused"))
+		} else {
+			transport.handler.DialCompleted(nil)
+		}
+		return
+	}
+}
+
+func (m *requestModel) reset(*rapid.T) {
+	for _, transport := range m.transports {
+		if m.up[transport] && !transport.Closed {
+			transport.Closed = true
+			transport.handler.Closed(errors.New("reset"))
+			return
+		}
+	}
+}
+
+// drain has the worker drain for a moment. What waits behind a dial ends unsent at once.
+func (m *requestModel) drain(t *rapid.T) {
+	m.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
+	for _, a := range m.outstanding {
+		if len(m.recorder.outcomes[a]) == 0 && !m.wasWritten(a) {
+			t.Fatalf("%v still waits to be sent to a draining worker", a)
+		}
+	}
+	m.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
+}
+
+// check checks what must hold after each action.
+func (m *requestModel) check(t *rapid.T) {
+	for _, transport := range m.transports {
+		text := transport.Written.String()
+		if strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
+			t.Fatalf("cancelled what was never sent: %q", text)
+		}
+	}
+	for a, outcomes := range m.recorder.outcomes {
+		if len(outcomes) != 1 {
+			t.Fatalf("%v ended %v", a, outcomes)
+		}
+		if outcomes[0] == policy.ConnectionReset && !m.wasWritten(a) {
+			t.Fatalf("%v was never written but counts as reset", a)
+		}
+	}
+}
+
+// wasWritten reports whether the id of an attempt's request was written over any connection.
+func (m *requestModel) wasWritten(a router.Attempt) bool {
+	return slices.ContainsFunc(m.transports, func(transport *fakeTransport) bool {
+		return strings.Contains(transport.Written.String(), modelAttemptID(a))
+	})
+}
+
+// writtenRuns returns how many RUN commands of an id were written over a connection.
+func writtenRuns(transport *fakeTransport, id string) int {
+	return strings.Count(transport.Written.String(), "RUN\r\n$16\r\n"+id)
+}
--- a/internal/workerclient/response_reader_test.go
+++ b/internal/workerclient/response_reader_test.go
@@ -1,6 +1,7 @@
 package workerclient
 
 import (
+	"bytes"
 	"fmt"
 	"strings"
 	"testing"
@@ -118,3 +119,26 @@
 		}
 	}
 }
+
+func TestIncompleteResponseIsTimedFromItsBeginning(t *testing.T) {
+	var reader responseReader
+	decode := func(unread []byte) (size int, err error) { return bytes.IndexByte(unread, '\n') + 1, nil }
+	for _, test := range []struct {
+		at            time.Duration
+		data          string
+		incompleteFor time.Duration // a second later
+	}{
+		{time.Second, "one\n", 0},
+		{2 * time.Second, "tw", time.Second},
+		{3 * time.Second, "o", 2 * time.Second},
+		{4 * time.Second, "\nthr", time.Second}, // the beginning of another one
+		{5 * time.Second, "ee\n", 0},
+	} {
+		if err := reader.feed(test.at, []byte(test.data), decode); err != nil {
+			t.Fatal(err)
+		}
+		if got := reader.incompleteFor(test.at + time.Second); got != test.incompleteFor {
+			t.Errorf("%q: incomplete for %v, want %v", test.data, got, test.incompleteFor)
+		}
+	}
+}
