--- a/internal/workerclient/command_encoding.go
+++ b/internal/workerclient/command_encoding.go
@@ -11,7 +11,7 @@
 // The names of the commands that are sent to workers.
 const (
 	nameRun  = "RUN"  // runs a function: id, fields, body
-	nameStop = "STOP" // says that nobody waits for the response to a RUN any more: id
+	nameStop = "STOP" // cancels a RUN, whose response nobody waits for any more: id
 	nameHold = "HOLD" // loads replicas of a function, or asks how many there are: id, fields
 	nameFree = "FREE" // unloads the idle replicas of a function, and has no response: its key
 	nameInfo = "INFO" // checks health and asks for a load report: id
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -125,12 +125,15 @@
 	}
 }
 
-// maintainReady replaces a connection that has served its time, and otherwise checks that it still works.
+// maintainReady drains a connection that is to be replaced, closes one that is idle for long, and otherwise checks that
+// it still works.
 func (c *connection) maintainReady() {
 	now := c.pool.now
 	switch {
-	case c.commands.recentIDs.full(), c.worker.addresses.HasBetter(now, c.addr):
-		c.drain() // one that can remember no more ids takes no requests, and would keep its place for seconds
+	case c.commands.recentIDs.full(): // it takes no more requests, and would hold its slot for seconds
+		c.drain()
+	case c.worker.addresses.HasBetter(now, c.addr):
+		c.drain()
 	case c.idle() && now-c.lastUsed > c.maxIdle():
 		c.close()
 	default:
--- a/internal/workerclient/doc.go
+++ b/internal/workerclient/doc.go
@@ -29,8 +29,8 @@
 // # Liveness
 //
 // A connection can be cut off without an error. One that has been silent for unusually long while responses are due is
-// sent a keepalive ping, and is closed if it does not respond although the worker responds on another connection. A
-// worker that is silent on all connections is for health checks to judge.
+// sent a keepalive ping, and is closed if it does not respond although the worker responds on another connection.
+// Whether a worker that is silent on all connections has failed is decided by health checks.
 //
 // # Concurrency
 //
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/endpoint"
 )
 
-// The reasons for which the client gives up a connection.
+// The reasons for which the client closes a connection.
 var (
 	// ErrMalformedResponse is for a worker that broke the protocol.
 	ErrMalformedResponse = errors.New("malformed answer")
@@ -16,8 +16,8 @@
 	ErrConnectionSilent = errors.New("connection is silent while others to the worker are not")
 )
 
-// ConnectionError says why the client gave up a connection. Its message is the reason alone: log lines give the address
-// as an attribute of their own.
+// ConnectionError is the reason for which the client closed a connection. Its message leaves out the address, which log
+// events have as an attribute of its own.
 type ConnectionError struct {
 	Addr   endpoint.Addr // the worker's address that the connection led to
 	Reason error         // one of the sentinel errors of this package
--- a/internal/workerclient/health_command.go
+++ b/internal/workerclient/health_command.go
@@ -28,9 +28,8 @@
 // outlivesDrain keeps the health check: workers that drain are checked as well.
 func (h *healthCheckCommand) outlivesDrain() (policy.Outcome, bool) { return policy.NotSent, true }
 
-// retryAfterReset has a few connections fail before the worker counts as failed. A connection that breaks says little
-// of its worker, which others may well be using. Over a new one a worker that died refuses, and one that is well
-// responds.
+// retryAfterReset lets a few connections be reset before the worker counts as failed: one that breaks proves little,
+// since others may well be in use. Over a new one a worker that died refuses, and one that is well responds.
 func (h *healthCheckCommand) retryAfterReset() bool {
 	if h.lostConnections >= maxHealthCheckResends {
 		return false
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -45,7 +45,7 @@
 	SlowestObjective         time.Duration // the slowest latency objective of all classes
 	MaxRequestsPerConnection int           // requests in flight on one connection
 	MaxConnections           int           // to all workers together
-	CancelSupported          bool          // workers may be told that a request is cancelled
+	CancelSupported          bool          // STOP may be sent
 	HealthChecksAllowed      bool          // NOOP and INFO may be sent
 	Seed                     uint64        // spreads the backoff of addresses that failed
 	Logger                   *slog.Logger  // nil: slog.Default()
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -11,7 +11,7 @@
 // recoveryDialTimeouts is how many dial timeouts a recovery dial may take: one for the dial, one for the response.
 const recoveryDialTimeouts = 2
 
-// recoveryDial is a connection that carries nothing but a NOOP, by which an address that failed shows that it works
+// recoveryDial is a connection that carries nothing but a NOOP. A response shows that an address which failed works
 // again.
 type recoveryDial struct {
 	pool      *Pool
@@ -50,7 +50,7 @@
 	r.transport = p.dial(addr, r)
 }
 
-// cancelRecoveryDial ends a recovery dial before it has shown anything of its address.
+// cancelRecoveryDial ends a recovery dial, if there is one. Whether its address works stays unknown.
 func (w *worker) cancelRecoveryDial() {
 	r := w.recoveryDial
 	if r != nil {
@@ -85,8 +85,8 @@
 	r.close()
 }
 
-// DialCompleted asks for a sign of life: an address that accepts and says nothing does not work. Where the settings
-// allow no probes, one that accepts counts.
+// DialCompleted sends a NOOP: an address that accepts connections and does not respond does not work. Where the
+// settings allow no health checks, one that accepts counts as working.
 func (r *recoveryDial) DialCompleted(err error) {
 	switch {
 	case r.finished:
--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -39,28 +39,28 @@
 }
 
 // refuse ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
-func (q *requestCommand) refuse(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
-	return policy.Unreachable, now >= q.sendBy
+func (request *requestCommand) refuse(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
+	return policy.Unreachable, now >= request.sendBy
 }
 
 // encode returns a RUN. Its body is written from where it lies.
-func (q *requestCommand) encode(id string, now time.Duration) [][]byte {
-	return [][]byte{encodeRun(id, q, q.deadline-now), q.body, lineEnd}
+func (request *requestCommand) encode(id string, now time.Duration) [][]byte {
+	return [][]byte{encodeRun(id, request, request.deadline-now), request.body, lineEnd}
 }
 
-func (q *requestCommand) isHealthQuery() bool { return false }
+func (request *requestCommand) isHealthQuery() bool { return false }
 
-func (q *requestCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
+func (request *requestCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
 
 // retryAfterReset leaves it to the decision module whether a request that may have run is sent again.
-func (q *requestCommand) retryAfterReset() bool { return false }
+func (request *requestCommand) retryAfterReset() bool { return false }
 
-func (q *requestCommand) fail(results ResultHandler, outcome policy.Outcome) {
-	results.AttemptCompleted(q.attempt, router.AttemptResult{Outcome: outcome})
+func (request *requestCommand) fail(results ResultHandler, outcome policy.Outcome) {
+	results.AttemptCompleted(request.attempt, router.AttemptResult{Outcome: outcome})
 }
 
-func (q *requestCommand) complete(c *connection, r response) {
-	c.pool.results.AttemptCompleted(q.attempt, router.AttemptResult{
+func (request *requestCommand) complete(c *connection, r response) {
+	c.pool.results.AttemptCompleted(request.attempt, router.AttemptResult{
 		Outcome:     outcomes[r.status],
 		LoadStatus:  r.fields.loadStatus(),
 		Concurrency: c.reportedConcurrency(r.fields),
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -56,7 +56,7 @@
 	return "unknown"
 }
 
-// answersHealthQuery reports whether the status belongs to INFO and NOOP, and to no other command.
+// answersHealthQuery reports whether the status is one of responses to INFO and NOOP, and to no other command.
 func (s responseStatus) answersHealthQuery() bool { return s == statusPong || s == statusSick }
 
 // response is a worker's response to a command. Its slices point into the bytes that it was decoded from.
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -17,7 +17,7 @@
 	listed       []endpoint.Addr // as discovery listed them last
 	addresses    *endpoint.AddressSet
 	connections  []*connection
-	recoveryDial *recoveryDial // under way, or nil
+	recoveryDial *recoveryDial // in progress, or nil
 }
 
 // ready reports whether the worker takes new requests and loads.
@@ -42,8 +42,8 @@
 	w.cancelRecoveryDial()
 }
 
-// setState sets whether the worker takes anything new. What is queued behind a dial to one that does not ends
-// unsent: the dial may come up after the time in which the worker may still be sent requests.
+// setState sets whether the worker takes anything new. Where it does not, what is queued behind a dial ends unsent: the
+// dial may come up after the time in which the worker may still be sent requests.
 func (w *worker) setState(state policy.WorkerState) {
 	w.state = state
 	if !w.ready() {
