--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -50,7 +50,9 @@
 
 func (request *requestCommand) isHealthQuery() bool { return false }
 
-func (request *requestCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
+func (request *requestCommand) outlivesDrain() (policy.Outcome, bool) {
+	return policy.Unreachable, false
+}
 
 // retryAfterReset leaves it to the decision module whether a request that may have run is sent again.
 func (request *requestCommand) retryAfterReset() bool { return false }
