--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -8,9 +8,9 @@
 
 // Entry is an entry of an endpoint list.
 type Entry struct {
-	Name  string
-	Addrs []Addr
-	Same  string // the name of an entry that is said to be the same worker; empty: none
+	Name   string
+	Addrs  []Addr
+	SameAs string // the name of an entry that is said to be the same worker; empty: none
 }
 
 // GroupAliases sorts entries into workers. Two entries that have an address in common lead to one process, as do those
@@ -68,8 +68,8 @@
 		byName[entry.Name] = i
 	}
 	for i, entry := range list {
-		same, listed := byName[entry.Same]
-		if listed && entry.Same != "" {
+		same, listed := byName[entry.SameAs]
+		if listed && entry.SameAs != "" {
 			sets.join(i, same)
 		}
 	}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -135,9 +135,9 @@
 	entries := make([]endpoint.Entry, len(m.list))
 	for i, worker := range m.list {
 		entries[i] = endpoint.Entry{
-			Name:  worker.Name,
-			Addrs: slices.Concat(worker.Addrs, static[i].Addrs),
-			Same:  static[i].Same,
+			Name:   worker.Name,
+			Addrs:  slices.Concat(worker.Addrs, static[i].Addrs),
+			SameAs: static[i].Same,
 		}
 	}
 	var joined []joinedWorker
