--- a/internal/endpoint/addr.go
+++ b/internal/endpoint/addr.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Network is a kind of address, in the order of preference unless another is set: a socket on the same machine, then
+// Network is a kind of address. The networks are in the default order of preference: a socket on the same machine, then
 // IPv6 before IPv4 (RFC 6724, section 2.1).
 type Network uint8
 
@@ -18,10 +18,10 @@
 	networkCount
 )
 
-// String returns the network's name, as package net and the routes language word it.
+// String returns the network's name in package net and in the routes language.
 func (n Network) String() string { return [...]string{"unix", "tcp6", "tcp4"}[n] }
 
-// ParseNetwork reads such a name.
+// ParseNetwork returns the network of a name that String returns, and false for any other text.
 func ParseNetwork(s string) (Network, bool) {
 	for n := range networkCount {
 		if n.String() == s {
@@ -31,13 +31,13 @@
 	return 0, false
 }
 
-// Addr is an address. It is made by Parse, which words each in one way, so that equal addresses are the same.
+// Addr is an address of a worker. Parse makes it in a canonical form, so that equal addresses compare as equal.
 type Addr struct {
 	Network Network
-	Addr    string
+	Addr    string // host:port, or the path of a Unix socket
 }
 
-// String returns the address, with its network where that does not show.
+// String returns the address; the path of a Unix socket has its network before it.
 func (a Addr) String() string {
 	if a.Network == Unix {
 		return "unix:" + a.Addr
@@ -52,7 +52,7 @@
 	maxZoneLength     = 15  // bytes of an interface's name, as Linux has them
 )
 
-// ParseError says why a text is no address of its network.
+// ParseError is the reason for which a text is no address of its network.
 type ParseError struct {
 	Network Network
 	Text    string
@@ -62,8 +62,8 @@
 // Error returns the reason.
 func (e *ParseError) Error() string { return e.Reason }
 
-// Parse reads an address of a network: host:port with a numeric host, or the path of a Unix socket. A zone is taken
-// where it means something, with a link-local address (RFC 4007, section 11). Errors are of type *ParseError.
+// Parse reads an address of a network: host:port with a numeric host, or the path of a Unix socket. A zone is accepted
+// with a link-local address only, where it has a meaning (RFC 4007, section 11). Errors are of type *ParseError.
 func Parse(n Network, s string) (Addr, error) {
 	if n == Unix {
 		return parseUnix(s)
@@ -91,23 +91,35 @@
 	if err != nil {
 		return Addr{}, &ParseError{Network: n, Text: s, Reason: fmt.Sprintf("%q is no address with a port", s)}
 	}
-	ip, reason := addrPort.Addr(), ""
+	reason := unusableReason(n, s, addrPort)
+	if reason != "" {
+		return Addr{}, &ParseError{Network: n, Text: s, Reason: reason}
+	}
+	return Addr{n, addrPort.String()}, nil
+}
+
+// unusableReason returns why nothing of network n can be reached at an address, empty where it can be.
+func unusableReason(n Network, text string, addrPort netip.AddrPort) string {
+	ip := addrPort.Addr()
 	switch {
 	case ip.Is4In6():
-		reason = fmt.Sprintf("%s is an IPv4 address worded as an IPv6 one", s)
+		return fmt.Sprintf("%s is an IPv4 address worded as an IPv6 one", text)
 	case ip.Is4() != (n == TCP4):
-		reason = fmt.Sprintf("%s is no address of %v", s, n)
+		return fmt.Sprintf("%s is no address of %v", text, n)
 	case addrPort.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast():
-		reason = fmt.Sprintf("%s is nothing that one can connect to", s)
-	case ip.Zone() != "" && (!ip.IsLinkLocalUnicast() || len(ip.Zone()) > maxZoneLength):
-		reason = fmt.Sprintf("%s has a zone: only a link-local address has one, of up to %d bytes", s, maxZoneLength)
-	default:
-		return Addr{n, addrPort.String()}, nil
+		return fmt.Sprintf("%s is nothing that one can connect to", text)
+	case !zoneAllowed(ip):
+		return fmt.Sprintf("%s has a zone: only a link-local address has one, of up to %d bytes", text, maxZoneLength)
 	}
-	return Addr{}, &ParseError{Network: n, Text: s, Reason: reason}
+	return ""
+}
+
+// zoneAllowed reports whether an address has no zone, or one that it may have.
+func zoneAllowed(ip netip.Addr) bool {
+	return ip.Zone() == "" || ip.IsLinkLocalUnicast() && len(ip.Zone()) <= maxZoneLength
 }
 
-// ParseHost reads host:port of either IP network.
+// ParseHost reads host:port with a numeric host, of either IP network. Errors are of type *ParseError.
 func ParseHost(s string) (Addr, error) {
 	addr, err := Parse(TCP4, s)
 	if err == nil {
--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -10,15 +10,15 @@
 type Entry struct {
 	Name   string
 	Addrs  []Addr
-	SameAs string // the name of an entry that is said to be the same worker; empty: none
+	SameAs string // the name of an entry that is configured as the same worker; empty: none
 }
 
-// GroupAliases sorts entries into workers. Two entries that have an address in common lead to one process, as do those
-// that are said to: they are one worker, with the addresses of both. A group lists the indices of its entries in the
-// order of their names, and so do the groups.
+// GroupAliases groups the entries that lead to one worker: those that have an address in common, and those that are
+// configured as the same. Each group holds the indices of its entries in list, in the order of their names. The groups
+// are in the order of the names of their first entries.
 //
-// A group is known by all its names: where one of them leaves the list, the process that it named has ended, and what
-// is left is another worker, which inherits nothing.
+// A group is known by all its names. Where one of them leaves the list, the process that it named has ended: what is
+// left is another worker, which inherits nothing.
 func GroupAliases(list []Entry) (groups [][]int) {
 	sets := newDisjointSets(len(list))
 	joinByAddress(sets, list)
@@ -37,7 +37,7 @@
 	return groups
 }
 
-// GroupName is the name by which a group is known. That of a single entry is its own.
+// GroupName returns the name of a group, which joins those of its entries. That of a single entry is its own.
 func GroupName(list []Entry, group []int) string {
 	var names []string
 	for _, i := range group {
@@ -61,7 +61,7 @@
 	}
 }
 
-// joinByName joins each entry with the one that it is said to be the same as.
+// joinByName joins each entry with the one that it is configured to be the same as.
 func joinByName(sets disjointSets, list []Entry) {
 	byName := map[string]int{}
 	for i, entry := range list {
@@ -75,7 +75,7 @@
 	}
 }
 
-// disjointSets holds for each element the one above it in its set; a root is above itself.
+// disjointSets is a union-find structure. It holds the parent of each element; a root is its own parent.
 type disjointSets []int
 
 // newDisjointSets returns sets of one element each.
@@ -87,7 +87,7 @@
 	return sets
 }
 
-// find returns the root of the set that holds an element, and shortens the way there.
+// find returns the root of the set that holds an element, and halves the path to it.
 func (s disjointSets) find(element int) (root int) {
 	for s[element] != element {
 		s[element] = s[s[element]]
@@ -96,5 +96,5 @@
 	return element
 }
 
-// join makes the sets of two elements one.
+// join merges the sets of two elements.
 func (s disjointSets) join(a, b int) { s[s.find(a)] = s.find(b) }
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// AddressSet is the addresses of one worker with what is known of each.
+// AddressSet holds the addresses of one worker in the order in which they are tried, with the state of each.
 type AddressSet struct {
 	seed       uint64
-	preference []Network // all of them
+	preference []Network // all networks, the preferred one first
 	states     []*addressState
 }
 
-// NewAddressSet returns a set without addresses. prefer orders networks; those that it leaves out follow in their own
-// order. The spread of backoffs follows from seed.
+// NewAddressSet returns a set without addresses. prefer is the order of networks; those that it leaves out follow in
+// the default order. seed determines the spread of backoffs.
 func NewAddressSet(seed uint64, prefer ...Network) *AddressSet {
 	s := &AddressSet{seed: seed}
 	s.Prefer(prefer...)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Update replaces the addresses, which are listed in the order of preference within each network. Those that were there
-// keep what is known of them; what is beyond MaxAddresses is left out.
+// Update replaces the addresses, which are listed in the order of preference within each network. An address that was
+// in the set keeps its state. At most MaxAddresses are used.
 func (s *AddressSet) Update(now time.Duration, list []Addr) {
 	old := s.states
 	s.states = nil
@@ -58,8 +58,8 @@
 	s.arrange()
 }
 
-// arrange orders the addresses by network, but IPv6 and IPv4 in turn, so that a broken one of the two does not take the
-// time of all its addresses (RFC 8305, section 4).
+// arrange orders the addresses by network, but IPv6 and IPv4 alternate, so that dials over a broken one of the two do
+// not delay the others (RFC 8305, section 4).
 func (s *AddressSet) arrange() {
 	byNetwork := map[Network][]*addressState{}
 	for _, state := range s.states {
@@ -86,7 +86,7 @@
 	return TCP4
 }
 
-// interleave appends the elements of two lists in turn, the first of a before the first of b.
+// interleave appends the elements of a and b alternately, beginning with a.
 func interleave(out, a, b []*addressState) []*addressState {
 	for i := range max(len(a), len(b)) {
 		if i < len(a) {
@@ -113,12 +113,12 @@
 // Has reports whether an address is in the set.
 func (s *AddressSet) Has(addr Addr) bool { return s.find(addr) != nil }
 
-// Len is how many addresses there are.
+// Len returns how many addresses there are.
 func (s *AddressSet) Len() int { return len(s.states) }
 
-// Candidates are the addresses over which a connection for requests may be tried, the first one first. Unavailable ones
-// are left out; where all are, nothing is lost by trying, the one whose backoff ends first at the front. Addresses over
-// which a connection is silent come after the others.
+// Candidates returns the addresses over which a connection for requests may be dialled, in the order in which to try
+// them. Unavailable ones are left out. Where all are unavailable they are returned nevertheless, since nothing is lost
+// by trying, the one whose backoff ends first at the front. Addresses over which a connection is silent come last.
 func (s *AddressSet) Candidates() (candidates []Addr) {
 	var suspects []Addr
 	for _, state := range s.states {
@@ -142,8 +142,9 @@
 	return candidates
 }
 
-// HasBetter reports whether requests should go back from an address to a better one, which has been available for long
-// enough that a flapping one does not draw them to and fro. An address that is no longer listed is worse than any.
+// HasBetter reports whether requests should go back from an address to a better one. The better one must have been
+// available for a while, so that requests do not follow one that flaps. Any is better than one that is no longer
+// listed.
 func (s *AddressSet) HasBetter(now time.Duration, than Addr) bool {
 	for _, state := range s.states {
 		if state.Addr == than {
@@ -156,7 +157,7 @@
 	return true
 }
 
-// Unavailable is how many addresses count as failed.
+// Unavailable returns how many addresses count as failed.
 func (s *AddressSet) Unavailable() (count int) {
 	for _, state := range s.states {
 		if state.unavailable {
@@ -166,7 +167,7 @@
 	return count
 }
 
-// String describes the addresses with what is known of each.
+// String describes the addresses with the state of each.
 func (s *AddressSet) String() string {
 	var parts []string
 	for _, state := range s.states {
--- a/internal/endpoint/state.go
+++ b/internal/endpoint/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Times by which an address counts as failed and as working again. They are starting values, not measured ones.
+// Times after which an address counts as working again. They are chosen, not measured.
 const (
 	firstBackoff  = 500 * time.Millisecond // of a failed address; it doubles with each failure
 	maxBackoff    = 30 * time.Second
@@ -12,7 +12,7 @@
 	maxDoublings = 10 // of the backoff, so that the shift can't overflow
 )
 
-// addressState is an address with what is known of it.
+// addressState is an address with what dials and connections over it have shown.
 type addressState struct {
 	Addr
 	failures       int
@@ -28,9 +28,9 @@
 	return !a.unavailable && a.suspectSince == 0 && now-a.availableSince >= stablePeriod
 }
 
-// Failed takes in that a dial over an address failed, or that a connection over it was of no use. It is unavailable
-// until a recovery dial comes up, which is held off for longer with each failure. Many dials and connections that end
-// together are one failure.
+// Failed records that a dial over an address failed, or that a connection over it ended before it was of use. The
+// address is unavailable until a recovery dial succeeds. The backoff before that dial grows with each failure. Dials
+// and connections that end together count as one failure.
 func (s *AddressSet) Failed(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state == nil || state.unavailable && !state.recovering && now < state.retryAt {
@@ -46,15 +46,15 @@
 	state.retryAt = now + s.backoff(state)
 }
 
-// backoff returns how long recovery dials of an address are held off: doubled with each failure, spread by a quarter
+// backoff returns how long no recovery dial of an address is made: doubled with each failure, spread by a quarter
 // either way.
 func (s *AddressSet) backoff(state *addressState) time.Duration {
 	wait := min(firstBackoff<<min(state.failures-1, maxDoublings), maxBackoff)
 	return wait*3/4 + time.Duration(s.pseudoRandom(state)%uint64(wait/2))
 }
 
-// pseudoRandom returns a number that follows from the seed, the address and its failures: the steps of FNV-1a over the
-// address, and a finalizer that spreads its bits.
+// pseudoRandom returns a number that is determined by the seed, the address and its failures: the steps of FNV-1a over
+// the address, and a finalizer that spreads its bits.
 func (s *AddressSet) pseudoRandom(state *addressState) uint64 {
 	hash := s.seed ^ uint64(state.failures)*0x9e3779b97f4a7c15
 	for _, character := range []byte(state.Addr.Addr) {
@@ -65,7 +65,7 @@
 	return hash ^ hash>>29
 }
 
-// Succeeded takes in that a connection over an address came up.
+// Succeeded records that a connection over an address came up.
 func (s *AddressSet) Succeeded(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.unavailable {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Suspect takes in that a connection over an address is silent although responses are due on it.
+// Suspect records that a connection over an address is silent although responses are due on it.
 func (s *AddressSet) Suspect(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.suspectSince == 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// Responded takes in that a whole response arrived over an address, which ends a suspicion.
+// Responded records that a whole response arrived over an address: it is no longer suspected.
 func (s *AddressSet) Responded(addr Addr) {
 	state := s.find(addr)
 	if state != nil {
@@ -91,8 +91,9 @@
 	}
 }
 
-// NextRecoveryDial returns an unavailable address that may be tried by a connection without requests. Its end is told
-// by Succeeded, Failed or RecoveryInconclusive. A single address has no recovery dials: requests try it.
+// NextRecoveryDial returns an unavailable address to dial by a connection that carries no requests, and false where
+// none is due. The caller reports its end by Succeeded, Failed or RecoveryInconclusive. The only address of a worker
+// has no recovery dials, since requests are tried over it.
 func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
 	if len(s.states) <= 1 {
 		return Addr{}, false
@@ -106,8 +107,8 @@
 	return Addr{}, false
 }
 
-// RecoveryInconclusive takes in that a recovery dial ended without saying anything of its address: there was no
-// descriptor for it, say.
+// RecoveryInconclusive records that a recovery dial ended without showing whether its address works, for example
+// because no descriptor was left for it.
 func (s *AddressSet) RecoveryInconclusive(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.recovering {
