--- a/internal/endpoint/availability.go
+++ b/internal/endpoint/availability.go
@@ -7,26 +7,16 @@
 // and connections that end together count as one failure.
 func (s *AddressSet) Failed(now time.Duration, addr Addr) {
 	state := s.find(addr)
-	if state == nil || state.unavailable && !state.recovering && now < state.retryAt {
-		return
+	if state != nil && !state.inBackoff(now) {
+		state.markUnavailable(now, s.seed)
 	}
-	if !state.unavailable && now-state.availableSince > failureMemory {
-		state.failures = 0
-	}
-	state.failures++
-	state.unavailable = true
-	state.recovering = false
-	state.suspectSince = 0
-	state.retryAt = now + s.backoff(state)
 }
 
 // Succeeded records that a connection over an address came up.
 func (s *AddressSet) Succeeded(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.unavailable {
-		state.unavailable = false
-		state.recovering = false
-		state.availableSince = now
+		state.markAvailable(now)
 	}
 }
 
--- a/internal/endpoint/state.go
+++ b/internal/endpoint/state.go
@@ -28,18 +28,42 @@
 	return !a.unavailable && a.suspectSince == 0 && now-a.availableSince >= stablePeriod
 }
 
-// backoff returns how long no recovery dial of an address is made: doubled with each failure, spread by a quarter
+// inBackoff reports whether the address has failed and no dial over it is due or in progress.
+func (a *addressState) inBackoff(now time.Duration) bool {
+	return a.unavailable && !a.recovering && now < a.retryAt
+}
+
+// markUnavailable counts a failure, after which the address is unavailable.
+func (a *addressState) markUnavailable(now time.Duration, seed uint64) {
+	if !a.unavailable && now-a.availableSince > failureMemory {
+		a.failures = 0
+	}
+	a.failures++
+	a.unavailable = true
+	a.recovering = false
+	a.suspectSince = 0
+	a.retryAt = now + a.backoff(seed)
+}
+
+// markAvailable ends the backoff of an unavailable address.
+func (a *addressState) markAvailable(now time.Duration) {
+	a.unavailable = false
+	a.recovering = false
+	a.availableSince = now
+}
+
+// backoff returns how long no recovery dial of the address is made: doubled with each failure, spread by a quarter
 // either way.
-func (s *AddressSet) backoff(state *addressState) time.Duration {
-	wait := min(firstBackoff<<min(state.failures-1, maxDoublings), maxBackoff)
-	return wait*3/4 + time.Duration(s.pseudoRandom(state)%uint64(wait/2))
+func (a *addressState) backoff(seed uint64) time.Duration {
+	wait := min(firstBackoff<<min(a.failures-1, maxDoublings), maxBackoff)
+	return wait*3/4 + time.Duration(a.pseudoRandom(seed)%uint64(wait/2))
 }
 
-// pseudoRandom returns a number that is determined by the seed, the address and its failures: the steps of FNV-1a over
+// pseudoRandom returns a number that is determined by a seed, the address and its failures: the steps of FNV-1a over
 // the address, and a finalizer that spreads its bits.
-func (s *AddressSet) pseudoRandom(state *addressState) uint64 {
-	hash := s.seed ^ uint64(state.failures)*0x9e3779b97f4a7c15
-	for _, character := range []byte(state.Addr.Addr) {
+func (a *addressState) pseudoRandom(seed uint64) uint64 {
+	hash := seed ^ uint64(a.failures)*0x9e3779b97f4a7c15
+	for _, character := range []byte(a.Addr.Addr) {
 		hash = (hash ^ uint64(character)) * 0x100000001b3
 	}
 	hash ^= hash >> 31
