--- a/internal/endpoint/addr_test.go
+++ b/internal/endpoint/addr_test.go
@@ -7,21 +7,37 @@
 )
 
 func TestParse(t *testing.T) {
-	for _, c := range []struct {
-		n    Network
-		text string
-		want string // "" where it is refused
+	for _, test := range []struct {
+		network Network
+		text    string
+		want    string // empty: it is rejected
 	}{
-		{TCP4, "127.0.0.1:80", "127.0.0.1:80"}, {TCP4, "127.0.0.1:0", ""}, {TCP4, "0.0.0.0:80", ""}, {TCP4, "224.0.0.1:80", ""}, {TCP4, "[::1]:80", ""},
-		{TCP4, "worker7.example.org:80", ""}, {TCP6, "[::1]:80", "[::1]:80"}, {TCP6, "[0:0:0:0:0:0:0:1]:80", "[::1]:80"}, {TCP6, "::1:80", ""},
-		{TCP6, "[::ffff:127.0.0.1]:80", ""}, {TCP6, "[::]:80", ""}, {TCP6, "[ff02::1]:80", ""}, {TCP6, "[fe80::1%eth0]:80", "[fe80::1%eth0]:80"},
-		{TCP6, "[fd00::1%eth0]:80", ""}, {TCP6, "[fe80::1%an-interface-too-long]:80", ""}, {TCP6, "127.0.0.1:80", ""},
-		{Unix, "/run/w.sock", "unix:/run/w.sock"}, {Unix, "run/w.sock", ""}, {Unix, "", ""}, {Unix, "/a\x00b", ""},
-		{Unix, "/" + strings.Repeat("x", 106), "unix:/" + strings.Repeat("x", 106)}, {Unix, "/" + strings.Repeat("x", 107), ""},
+		{TCP4, "127.0.0.1:80", "127.0.0.1:80"},
+		{TCP4, "127.0.0.1:0", ""},
+		{TCP4, "0.0.0.0:80", ""},
+		{TCP4, "224.0.0.1:80", ""},
+		{TCP4, "[::1]:80", ""},
+		{TCP4, "worker7.example.org:80", ""},
+		{TCP6, "[::1]:80", "[::1]:80"},
+		{TCP6, "[0:0:0:0:0:0:0:1]:80", "[::1]:80"},
+		{TCP6, "::1:80", ""},
+		{TCP6, "[::ffff:127.0.0.1]:80", ""},
+		{TCP6, "[::]:80", ""},
+		{TCP6, "[ff02::1]:80", ""},
+		{TCP6, "[fe80::1%eth0]:80", "[fe80::1%eth0]:80"},
+		{TCP6, "[fd00::1%eth0]:80", ""},
+		{TCP6, "[fe80::1%an-interface-too-long]:80", ""},
+		{TCP6, "127.0.0.1:80", ""},
+		{Unix, "/run/w.sock", "unix:/run/w.sock"},
+		{Unix, "run/w.sock", ""},
+		{Unix, "", ""},
+		{Unix, "/a\x00b", ""},
+		{Unix, "/" + strings.Repeat("x", 106), "unix:/" + strings.Repeat("x", 106)},
+		{Unix, "/" + strings.Repeat("x", 107), ""},
 	} {
-		a, err := Parse(c.n, c.text)
-		if c.want == "" && err == nil || c.want != "" && (err != nil || a.String() != c.want) {
-			t.Errorf("%v %.40q: %v, %v, want %q", c.n, c.text, a, err, c.want)
+		a, err := Parse(test.network, test.text)
+		if test.want == "" && err == nil || test.want != "" && (err != nil || a.String() != test.want) {
+			t.Errorf("%v %.40q: %v, %v, want %q", test.network, test.text, a, err, test.want)
 		}
 	}
 }
--- a/internal/endpoint/alias_test.go
+++ b/internal/endpoint/alias_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestEntriesOfOneWorkerAreGrouped(t *testing.T) {
-	words := func(list []Entry) string {
+	names := func(list []Entry) string {
 		var out []string
 		for _, g := range GroupAliases(list) {
 			out = append(out, GroupName(list, g))
@@ -24,7 +24,7 @@
 		{"by a name that is not listed", "b", []Entry{{"b", []Addr{ipv6}, "a"}}},
 		{"swapped in one update", "a b", []Entry{{"a", []Addr{ipv6}, ""}, {"b", []Addr{ipv4}, ""}}},
 	} {
-		if got := words(c.list); got != c.want {
+		if got := names(c.list); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/internal/endpoint/availability_test.go
+++ b/internal/endpoint/availability_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// A failed address takes no calls until a recovery dial has come up; all others come first, and where all have failed nothing
-// is lost by trying.
+// A failed address is no candidate until a recovery dial has come up. Where all have failed, all are candidates.
 func TestFailedAddressRecoversAfterARecoveryDial(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
@@ -34,22 +33,23 @@
 	s.Failed(time.Second, ipv4)
 	s.Failed(2*time.Second, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4, unixSocket}) {
-		t.Errorf("all are down: %v, want the one whose back-off ends first", got)
+		t.Errorf("all are unavailable: %v, want the one whose backoff ends first", got)
 	}
 	one := NewAddressSet(1)
 	one.Update(0, []Addr{ipv4})
 	one.Failed(0, ipv4)
 	if _, ok := one.NextRecoveryDial(time.Hour); ok || len(one.Candidates()) != 1 {
-		t.Error("a single address is tried by calls")
+		t.Error("a single address has a recovery dial, or is no candidate")
 	}
 }
 
-// Back-off doubles with each failure up to its most, spread by a quarter either way, and forgets after a time of
-// being well. Many connections that end together are one failure.
+// The backoff doubles with each failure up to its maximum, spread by a quarter either way. Failures are forgotten after
+// the address has been available for a time. Many connections that end together are one failure.
 func TestBackoff(t *testing.T) {
 	s := NewAddressSet(7)
 	s.Update(0, []Addr{unixSocket, ipv4})
-	now, spread := time.Duration(0), map[time.Duration]bool{}
+	now := time.Duration(0)
+	spread := map[time.Duration]bool{}
 	for i := range 9 {
 		for range 5 {
 			s.Failed(now, unixSocket)
@@ -75,6 +75,6 @@
 	}
 	s.RecoveryInconclusive(now+time.Second, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second + firstBackoff); !ok {
-		t.Error("a recovery dial that told nothing is not made again")
+		t.Error("an inconclusive recovery dial is not made again")
 	}
 }
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The model of a race: at most MaxDialsPerWorker at once, each address once, the next at once when one fails, a lost race told
-// once and only when nothing is left, one winner.
+// The model of a race: at most MaxDialsPerWorker dials are in progress, each address is dialled once, the next one as soon
+// as one fails, there is one winner, and the race is reported as lost once and only when nothing is left.
 func TestDialRaceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Addr
@@ -31,10 +31,10 @@
 				inProgress++
 				last = now
 			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
-				t.Fatal("nothing is under way, addresses are left, and none is tried")
+				t.Fatal("no dial is in progress, addresses are left, and none is tried")
 			}
 			if inProgress > MaxDialsPerWorker || r.InProgress() != inProgress {
-				t.Fatalf("%d dials under way, %d counted", inProgress, r.InProgress())
+				t.Fatalf("%d dials in progress, %d counted", inProgress, r.InProgress())
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
@@ -42,7 +42,7 @@
 					inProgress--
 					if r.DialFailed() {
 						if over || won > 0 || len(tried) < len(list) || inProgress > 0 {
-							t.Fatal("the race is told to be lost and is not")
+							t.Fatal("the race is reported as lost and is not")
 						}
 						over = true
 					}
--- a/internal/endpoint/set_test.go
+++ b/internal/endpoint/set_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Calls go back to a better address once it has been well for a time, so that a flapping one draws none; a silent
-// one is tried last and is no better.
+// Requests go back to a better address once it has been available for a time, so that none follow one that flaps. A
+// silent one is tried last and is no better.
 func TestRequestsReturnToAStableAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
@@ -49,7 +49,7 @@
 			s.Succeeded(now+50*ms, a)
 		}
 		if s.HasBetter(now+60*ms, ipv4) {
-			t.Fatal("calls go back to a flapping address")
+			t.Fatal("requests go back to a flapping address")
 		}
 	}
 	if s.find(unixSocket).failures < 4 {
@@ -57,14 +57,14 @@
 	}
 	s.Succeeded(now, unixSocket)
 	if s.HasBetter(now+4*time.Second, ipv4) || !s.HasBetter(now+6*time.Second, ipv4) {
-		t.Error("calls don't go back after 5 s of being well")
+		t.Error("requests don't go back after 5 s of being available")
 	}
 	s.Suspect(now+6*time.Second, unixSocket)
 	if s.HasBetter(now+7*time.Second, ipv4) || s.Candidates()[0] != ipv4 {
 		t.Error("a silent address comes first")
 	}
 	if s.Responded(unixSocket); s.Candidates()[0] != unixSocket {
-		t.Error("an address that was heard again is still suspected")
+		t.Error("an address that has responded is still suspected")
 	}
 	s.Update(now, []Addr{unixSocket})
 	if !s.HasBetter(now+time.Minute, ipv4) {
@@ -72,8 +72,7 @@
 	}
 }
 
-// What is known of an address stays with it over a new list, and goes with it: one that comes back, or comes to
-// another worker, inherits nothing.
+// An address keeps its state over a new list that has it. One that was left out and comes back starts anew.
 func TestStateBelongsToTheAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
