--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -7,19 +7,19 @@
 // a large message in parts must not hold the memory for it while it has nothing to receive.
 const maxIdleCapacity = 4 << 10
 
-// Decoder takes one message off the front of unread and returns its size in bytes, 0 while the message is incomplete.
-// unread is valid until Feed returns.
+// Decoder decodes the message that unread begins with and returns its size in bytes, 0 while the message is incomplete.
+// unread is valid until Feed returns. An error is for a stream that can't be read any further.
 type Decoder func(unread []byte) (size int, err error)
 
-// Buffer keeps the beginning of an incomplete message from one read to the next. It grows with the message, so that
-// one that arrives a few bytes at a time is not copied anew for each of them. The zero Buffer is empty and ready to
-// use; it is not safe for concurrent use.
+// Buffer keeps the beginning of an incomplete message from one read to the next. It grows with the message, so that a
+// message that arrives a few bytes at a time is not copied anew for each of them. The zero Buffer is empty and ready to
+// use. A Buffer is not safe for concurrent use: the goroutine that reads its stream owns it. No method blocks.
 type Buffer struct {
 	partial []byte
 }
 
-// Feed hands what is buffered and data to decode, message by message, and buffers a copy of the rest. It returns how
-// many messages were complete. An error of decode ends it and empties the buffer: the stream can't be read any further.
+// Feed passes the buffered bytes and data to decode, message by message, and buffers a copy of the rest. It returns how
+// many messages were complete. At an error of decode it stops, empties the buffer and returns the error.
 func (b *Buffer) Feed(data []byte, decode Decoder) (messages int, err error) {
 	unread := data
 	if len(b.partial) > 0 {
@@ -54,11 +54,11 @@
 	b.partial = append(b.partial[:0], unread...)
 }
 
-// Compact releases what the buffer holds beyond the buffered bytes. It is for streams of which there are many, and
-// which may stay idle with the beginning of a message.
+// Compact releases the capacity beyond the buffered bytes. It is for streams of which there are many, and which may
+// stay idle with the beginning of a message.
 func (b *Buffer) Compact() { b.partial = bytes.Clone(b.partial[:len(b.partial):len(b.partial)]) }
 
-// Len is how many bytes of an incomplete message are buffered.
+// Len returns how many bytes of an incomplete message are buffered.
 func (b *Buffer) Len() int { return len(b.partial) }
 
 // Reset empties the buffer and releases its memory.
--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -31,7 +31,7 @@
 func (*servedCounter) MaySendLoad(uint64) bool                                { return true }
 func (*servedCounter) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
 
-// BenchmarkRequest sends a request over a connection that is up and takes in its response.
+// BenchmarkRequest sends a request over a connection that is up and handles its response.
 func BenchmarkRequest(b *testing.B) {
 	var handler eventloop.DialHandler
 	results := &servedCounter{}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -19,15 +19,15 @@
 )
 
 type loadResult struct {
-	tag     uint64
-	outcome policy.Outcome
-	count   int
+	commandID uint64
+	outcome   policy.Outcome
+	replicas  int
 }
 
 type healthCheckResult struct {
-	tag     uint64
-	outcome policy.Outcome
-	report  []float64
+	commandID uint64
+	outcome   policy.Outcome
+	report    []float64
 }
 
 // decodedResults keeps all that responses decode to.
@@ -38,19 +38,19 @@
 	healthChecks []healthCheckResult
 }
 
-func (r *decodedResults) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
+func (r *decodedResults) AttemptCompleted(a router.Attempt, result router.AttemptResult) {
 	r.attempts = append(r.attempts, a)
-	r.results = append(r.results, reply)
+	r.results = append(r.results, result)
 }
 
-func (r *decodedResults) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
-	r.loads = append(r.loads, loadResult{tag, outcome, count})
+func (r *decodedResults) LoadCompleted(commandID uint64, outcome policy.Outcome, replicas int) {
+	r.loads = append(r.loads, loadResult{commandID, outcome, replicas})
 }
 
 func (r *decodedResults) MaySendLoad(uint64) bool { return true }
 
-func (r *decodedResults) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
-	r.healthChecks = append(r.healthChecks, healthCheckResult{tag, outcome, report})
+func (r *decodedResults) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
+	r.healthChecks = append(r.healthChecks, healthCheckResult{commandID, outcome, report})
 }
 
 // newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
@@ -76,22 +76,22 @@
 		send()
 		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Written.Bytes())})
 	}
-	call := func(number int, r *router.Request, budget time.Duration) func() {
+	start := func(number int, r *router.Request, budget time.Duration) func() {
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", call(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
-	withOnce := newRequest("0000000000000002")
-	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	sent("RUN with uniq", call(2, withOnce, time.Second))
-	sent("RUN with less than a millisecond left", call(3, newRequest("0000000000000003"), time.Microsecond))
-	sent("nothing for a RUN with no time left", call(4, newRequest("0000000000000004"), -time.Second))
+	sent("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	withIdempotencyKey := newRequest("0000000000000002")
+	withIdempotencyKey.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	sent("RUN with uniq", start(2, withIdempotencyKey, time.Second))
+	sent("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
+	sent("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
 	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
-	sent("RUN with an empty body", call(5, emptyBody, time.Second))
+	sent("RUN with an empty body", start(5, emptyBody, time.Second))
 	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
-	sent("RUN with a binary body", call(6, binaryBody, time.Second))
+	sent("RUN with a binary body", start(6, binaryBody, time.Second))
 	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
 	sent("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
 	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
@@ -128,13 +128,13 @@
 		p.Maintain(now)
 	}
 	if len(p.transports) < 3 {
-		t.Fatal("no trial was begun")
+		t.Fatal("no recovery dial was started")
 	}
 	p.transports[2].handler.DialCompleted(nil)
 	return p.transports[2]
 }
 
-// Every form of a response to a request is decoded to a reply that is compared whole.
+// Every form of a response to a request is decoded to a result that is compared whole.
 func TestGoldenResponsesToRequests(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -231,10 +231,10 @@
 		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
-		asked := owner.liveness.pingedAt
+		pingedAt := owner.liveness.pingedAt
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
-		if asked == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
-			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.liveness.pingedAt, len(owner.commands.inFlight))
+		if pingedAt == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
+			t.Errorf("%s: pinged at %v, then %v, with %d in flight", label, pingedAt, owner.liveness.pingedAt, len(owner.commands.inFlight))
 		}
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.Closed)
@@ -245,7 +245,7 @@
 	down := worker.addresses.Unavailable()
 	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
 	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
+		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
 	}
 }
 
