--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -27,8 +27,8 @@
 	return [...]string{"connecting", "ready", "draining", "closing"}[s]
 }
 
-// dialed reports whether the dial has come up. It stays true for a connection that is being closed.
-func (s connectionState) dialed() bool { return s != connecting }
+// established reports whether a dial has come up. It stays true while the connection is being closed.
+func (s connectionState) established() bool { return s != connecting }
 
 // acceptsCommands reports whether a command may be given to the connection, which may have to queue it.
 func (s connectionState) acceptsCommands() bool { return s == connecting || s == ready }
@@ -61,7 +61,7 @@
 func (c *connection) send(cmd *command) {
 	cmd.delivery.connection = c
 	c.commands.add(cmd)
-	if !c.state.dialed() {
+	if !c.state.established() {
 		cmd.delivery.waited = true
 		c.commands.enqueue(cmd)
 		return
--- a/internal/workerclient/ignored_field_log.go
+++ b/internal/workerclient/ignored_field_log.go
@@ -8,19 +8,21 @@
 )
 
 const (
+	// ignoredFieldLogInterval is the time for which nothing more is logged after an event.
 	ignoredFieldLogInterval = time.Second
-	maxLoggedValue          = 32 // bytes
+	// maxLoggedValue is how much of a field's value is logged, in bytes.
+	maxLoggedValue = 32
 )
 
-// ignoredFieldLog logs the fields of responses that can't be used, at most one line a second: a worker could fill the
+// ignoredFieldLog logs the fields of responses that can't be used, at most one event a second: a worker could fill the
 // log otherwise.
 type ignoredFieldLog struct {
 	logger   *slog.Logger
-	count    int // since the last line
-	loggedAt time.Duration
+	count    int           // of fields since the last event
+	loggedAt time.Duration // when that was; 0: none was
 }
 
-// add counts a field, and logs it where a line is due.
+// add counts a field, and logs it where an event is due.
 func (l *ignoredFieldLog) add(now time.Duration, addr endpoint.Addr, name string, value []byte) {
 	l.count++
 	if l.loggedAt != 0 && now-l.loggedAt <= ignoredFieldLogInterval {
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -67,6 +67,14 @@
 	body   []byte
 }
 
+// The elements of a response, by their positions. The last two may be absent.
+const (
+	idElement = iota
+	statusElement
+	fieldsElement
+	bodyElement
+)
+
 // decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
 // returns the response's size in bytes, 0 while it is incomplete.
 func decodeResponse(data []byte) (r response, size int, err error) {
@@ -75,16 +83,16 @@
 	if err != nil || size == 0 {
 		return response{}, 0, err
 	}
-	if len(elements) < 2 {
+	if len(elements) <= statusElement {
 		return response{}, 0, ErrMalformedResponse
 	}
-	r.id = elements[0]
-	r.status = statusesByName[string(elements[1])]
-	if len(elements) > 2 {
-		r.fields = elements[2]
+	r.id = elements[idElement]
+	r.status = statusesByName[string(elements[statusElement])]
+	if len(elements) > fieldsElement {
+		r.fields = elements[fieldsElement]
 	}
-	if len(elements) > 3 {
-		r.body = elements[3]
+	if len(elements) > bodyElement {
+		r.body = elements[bodyElement]
 	}
 	return r, size, nil
 }
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -33,7 +33,7 @@
 	w.addresses.Update(w.pool.now, listed)
 	for _, c := range slices.Clone(w.connections) {
 		switch {
-		case !c.state.dialed():
+		case !c.state.established():
 			c.dialer.restart()
 		case !w.addresses.Has(c.addr):
 			c.drain()
@@ -63,7 +63,7 @@
 // closeIdle closes the connections on which nothing is in flight.
 func (w *worker) closeIdle() {
 	for _, c := range w.connections {
-		if c.state.dialed() && c.idle() {
+		if c.state.established() && c.idle() {
 			c.close()
 		}
 	}
--- a/internal/workerclient/worker_commands.go
+++ b/internal/workerclient/worker_commands.go
@@ -48,7 +48,7 @@
 		return
 	}
 	for _, c := range w.connections {
-		if c.state.dialed() {
+		if c.state.established() {
 			c.outgoing.write(encodeFree(f))
 			return
 		}
