--- a/internal/workerclient/capacity.go
+++ b/internal/workerclient/capacity.go
@@ -1,5 +1,10 @@
 package workerclient
 
+import (
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+)
+
 // ensureCapacity reports whether one more connection may be opened. At the limit it closes the one that has been idle
 // for longest, so that workers that are added late get theirs.
 func (p *Pool) ensureCapacity() bool {
@@ -38,3 +43,12 @@
 	}
 	return longest
 }
+
+// dialLimitReached reports whether as many dials are in progress as may be at once.
+func (p *Pool) dialLimitReached() bool { return p.dialsInProgress >= endpoint.MaxDials }
+
+// dial begins to connect to an address and counts the dial as in progress.
+func (p *Pool) dial(addr endpoint.Addr, handler eventloop.DialHandler) Transport {
+	p.dialsInProgress++
+	return p.cfg.Dial(addr.Network.String(), addr.Addr, p.cfg.DialTimeout, handler)
+}
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -41,7 +41,7 @@
 // mayOverlap reports whether the limits allow one more dial.
 func (d *dialer) mayOverlap() bool {
 	p := d.connection.pool
-	if p.dialsInProgress >= endpoint.MaxDials {
+	if p.dialLimitReached() {
 		return false
 	}
 	return len(d.inProgress) == 0 || p.ensureCapacity()
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -66,6 +66,7 @@
 // Pool holds the connections to all workers. Its owner is the event loop's goroutine, on which all of its methods are
 // to be called; none of them blocks.
 type Pool struct {
+	// Counters are for the owner to read.
 	Counters Counters
 
 	cfg             Config
@@ -134,12 +135,6 @@
 	}
 }
 
-// dial begins to connect to an address and counts the dial as in progress.
-func (p *Pool) dial(addr endpoint.Addr, handler eventloop.DialHandler) Transport {
-	p.dialsInProgress++
-	return p.cfg.Dial(addr.Network.String(), addr.Addr, p.cfg.DialTimeout, handler)
-}
-
 // CloseIdle closes the connections to a worker on which nothing is in flight.
 func (p *Pool) CloseIdle(id policy.WorkerID) {
 	w := p.workers[id]
