--- /dev/null
+++ b/internal/workerclient/attempts_test.go
@@ -0,0 +1,70 @@
+package workerclient
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+)
+
+// Guards clients that disconnect while their request waits for a connection: what is withdrawn is not written when the
+// dial comes up, nor sent again over the next connection, and has no result. What was written can't be withdrawn.
+func TestRequestQueuedBehindADialIsWithdrawn(t *testing.T) {
+	for _, end := range []string{"comes up", "fails", "ends under it"} {
+		p := newTestPool()
+		withdrawn := router.Attempt{Request: 1}
+		other := router.Attempt{Request: 2}
+		p.StartAttempt(1, withdrawn, newRequest("0123456789abcdef"), time.Second)
+		p.StartAttempt(1, other, newRequest("fedcba9876543210"), time.Second)
+		if !p.WithdrawUnsent(1, withdrawn) || p.WithdrawUnsent(1, withdrawn) {
+			t.Fatalf("%s: not withdrawn once", end)
+		}
+		transport := p.transports[0]
+		switch end {
+		case "comes up":
+			transport.handler.DialCompleted(nil)
+			if p.WithdrawUnsent(1, other) {
+				t.Error("a request that was written was withdrawn")
+			}
+		case "fails":
+			transport.handler.DialCompleted(errors.New("refused"))
+		case "ends under it":
+			transport.handler.DialCompleted(nil)
+			transport.Unsent = transport.Written.Len() // none of it left
+			transport.handler.Closed(errors.New("reset"))
+			p.transports[1].handler.DialCompleted(nil)
+		}
+		for _, transport := range p.transports {
+			if strings.Contains(transport.Written.String(), "0123456789abcdef") {
+				t.Errorf("%s: written all the same: %q", end, transport.Written.String())
+			}
+		}
+		if len(p.recorder.outcomes[withdrawn]) != 0 {
+			t.Errorf("%s: ended as %v", end, p.recorder.outcomes[withdrawn])
+		}
+		if sent := strings.Contains(p.transports[len(p.transports)-1].Written.String(), "fedcba9876543210"); sent == (end == "fails") {
+			t.Errorf("%s: the other request was sent: %v", end, sent)
+		}
+	}
+}
+
+// Where the settings forbid it no STOP is sent. The id of a canceled request is not used on its connection again.
+func TestNoCancelIsSentWhereTheSettingsForbidIt(t *testing.T) {
+	for _, may := range []bool{true, false} {
+		p := newTestPool(func(cfg *Config) { cfg.CancelSupported = may })
+		a := router.Attempt{Request: 1}
+		p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
+		transport := p.transports[0]
+		transport.handler.DialCompleted(nil)
+		p.CancelAttempt(1, a)
+		if sent := strings.Contains(transport.Written.String(), "STOP\r\n"); sent != may {
+			t.Errorf("may %v, sent %v", may, sent)
+		}
+		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
+		if n := strings.Count(transport.Written.String(), "RUN\r\n"); n != 1 || len(p.transports) != 2 {
+			t.Errorf("the id went %d times over one connection of %d", n, len(p.transports))
+		}
+	}
+}
--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -31,14 +31,14 @@
 func (*servedCounter) MaySendLoad(uint64) bool                                { return true }
 func (*servedCounter) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
 
-// BenchmarkRequest sends a request over a connection that is up and takes in its response.
+// BenchmarkRequest sends a request over a connection that is up and handles its response.
 func BenchmarkRequest(b *testing.B) {
 	var handler eventloop.DialHandler
 	results := &servedCounter{}
 	pool := workerclient.New(workerclient.Config{
 		HealthChecksAllowed: true,
 		Classes:             []string{"dim-level"}, ReportFields: []string{"inflight", "cpu"}, DialTimeout: time.Second,
-		KeepAlive: 10_000 * time.Hour, MaxCallsPerConnection: 32, MaxConnections: 100,
+		KeepAlive: 10_000 * time.Hour, MaxRequestsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, _ string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
 			handler = h
 			return discardTransport{}
--- /dev/null
+++ b/internal/workerclient/command_queue_test.go
@@ -0,0 +1,159 @@
+package workerclient
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// Guards against a second copy of a response: of a miss, say, which would have the next attempt of the
+// same request count as one that never ran, and have a load command be sent once more.
+func TestSecondCopyEndsNoLaterAttempt(t *testing.T) {
+	p := newTestPool()
+	const id = "0123456789abcdef"
+	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
+	p.StartAttempt(1, first, newRequest(id), time.Second)
+	transport := p.transports[0]
+	transport.handler.DialCompleted(nil)
+	transport.handler.Data(encodeResponse(id, "NONE", ""))
+	p.StartAttempt(1, second, newRequest(id), time.Second)
+	transport.handler.Data(encodeResponse(id, "NONE", ""))
+	transport.handler.Data(encodeResponse("unknown", "HIT", "ahead"))
+	if len(p.recorder.outcomes[second]) != 0 || transport.Closed || len(p.transports) != 2 {
+		t.Fatalf("second attempt ended %v on %d connections", p.recorder.outcomes[second], len(p.transports))
+	}
+	p.transports[1].handler.DialCompleted(nil)
+	p.transports[1].handler.Data(encodeResponse(id, "HIT", "done"))
+	if len(p.recorder.outcomes[second]) != 1 || string(p.recorder.results[second].Body) != "done" || len(transportsWithRun(p.transports, id)) != 2 {
+		t.Errorf("second attempt ended %v with %q", p.recorder.outcomes[second], p.recorder.results[second].Body)
+	}
+	for now := time.Duration(0); now <= 3*idHistoryPeriod; now += MaintenanceInterval {
+		p.Maintain(now)
+	}
+	for _, c := range p.workers[1].connections {
+		if len(c.commands.recentIDs.current)+len(c.commands.recentIDs.previous)+len(c.commands.inFlight) != 0 {
+			t.Errorf("a connection still remembers %d ids", len(c.commands.recentIDs.current)+len(c.commands.recentIDs.previous))
+		}
+	}
+}
+
+// Guards against a flood of cancelled requests: the ids that a connection remembers are bounded, and one that is
+// full gives way to another without a reset for the requests that are open on it.
+func TestCanceledRequestsCostNoOtherClientAConnection(t *testing.T) {
+	p := newTestPool()
+	other := router.Attempt{Request: 9999}
+	p.StartAttempt(1, other, newRequest("00000000000000ff"), time.Second)
+	p.transports[0].handler.DialCompleted(nil)
+	for i := range maxRememberedIDs + 10 {
+		a := router.Attempt{Request: policy.RequestID(i)}
+		p.StartAttempt(1, a, newRequest(fmt.Sprintf("%016x", 1<<20+i)), time.Second)
+		p.CancelAttempt(1, a)
+	}
+	if p.transports[0].Closed || len(p.recorder.outcomes[other]) != 0 || len(p.transports) != 2 {
+		t.Errorf("closed %v, ended %v, %d connections", p.transports[0].Closed, p.recorder.outcomes[other], len(p.transports))
+	}
+	if n := len(p.workers[1].connections[0].commands.recentIDs.current); n != maxRememberedIDs {
+		t.Errorf("%d ids are remembered", n)
+	}
+}
+
+// Guards a busy worker: a connection that has as many ids to remember as it may gives its place to a fresh one, so
+// that thousands of requests a second go on over a bounded number of connections.
+func TestFullConnectionsAreReplaced(t *testing.T) {
+	p := newTestPool(func(cfg *Config) { cfg.MaxRequestsPerConnection = 32 })
+	now, n := time.Hour, 0
+	for range 600 { // 30 s at 2,000 requests/s
+		for range 100 {
+			n++
+			id := fmt.Sprintf("%016x", n)
+			a := router.Attempt{Request: policy.RequestID(n)}
+			p.StartAttempt(1, a, newRequest(id), time.Second)
+			for _, transport := range p.transports {
+				if transport.handler != nil && transport.Written.Len() == 0 && !transport.Closed {
+					transport.handler.DialCompleted(nil)
+				}
+			}
+			for _, transport := range p.transports {
+				if transport.handler != nil && !transport.Closed && strings.Contains(transport.Written.String(), id) {
+					transport.handler.Data(encodeResponse(id, "HIT", ""))
+					transport.Written.Reset()
+					transport.Written.WriteString("-")
+				}
+			}
+			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Served {
+				t.Fatalf("request %d at %v ended %v on %d connections", n, now-time.Hour, p.recorder.outcomes[a], len(p.workers[1].connections))
+			}
+		}
+		now += MaintenanceInterval
+		p.Maintain(now)
+		for _, transport := range p.transports {
+			if transport.Closed && transport.handler != nil {
+				transport.handler.Closed(nil)
+				transport.handler = nil
+			}
+		}
+	}
+}
+
+// newTestRequest returns a command that is a request.
+func newTestRequest(id string) *command {
+	return &command{id: id, kind: &requestCommand{}}
+}
+
+func TestCommandQueueCountsRequestsAndRemembersTheirIDs(t *testing.T) {
+	queue := newCommandQueue()
+	written := newTestRequest("a1")
+	written.delivery.written = true
+	waiting := newTestRequest("b2")
+	ping := &command{id: "n1", kind: pingCommand{}}
+	for _, cmd := range []*command{written, waiting, ping} {
+		queue.add(cmd)
+	}
+	queue.enqueue(waiting)
+	if queue.requests != 2 || queue.acceptsRequest("c3", 2) || !queue.acceptsRequest("c3", 3) {
+		t.Errorf("%d requests in flight, want 2", queue.requests)
+	}
+	if order := queue.inOrder(); !slices.Equal(order, []*command{written, waiting, ping}) {
+		t.Errorf("in order: %v", order)
+	}
+	queue.dequeue(written) // it does not wait: nothing changes
+	if !queue.has("a1") {
+		t.Error("a command that was written has been dequeued")
+	}
+	queue.dequeue(waiting)
+	queue.remove(written)
+	queue.remove(written)
+	if queue.requests != 0 || queue.empty() || len(queue.takeQueued()) != 0 {
+		t.Errorf("%d requests in flight, %d commands", queue.requests, len(queue.inFlight))
+	}
+	if queue.acceptsRequest("a1", 1) || !queue.acceptsRequest("b2", 1) {
+		t.Error("only the id of the request that was written may not be used again")
+	}
+	queue.clear()
+	if !queue.empty() {
+		t.Error("a cleared queue is not empty")
+	}
+}
+
+func TestOldestRequestIsTheOneWrittenFirst(t *testing.T) {
+	queue := newCommandQueue()
+	queue.add(newTestRequest("a0")) // not written yet
+	if _, found := queue.oldestRequest(); found {
+		t.Error("a request that was not written awaits a response")
+	}
+	for id, sentAt := range map[string]time.Duration{"a1": 3 * time.Second, "a2": 2 * time.Second} {
+		cmd := newTestRequest(id)
+		cmd.delivery = delivery{written: true, sentAt: sentAt}
+		queue.add(cmd)
+	}
+	ping := &command{id: "n1", kind: pingCommand{}, delivery: delivery{written: true, sentAt: time.Second}}
+	queue.add(ping)
+	if sentAt, found := queue.oldestRequest(); !found || sentAt != 2*time.Second {
+		t.Errorf("the oldest request was sent at %v, found %v", sentAt, found)
+	}
+}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -19,15 +19,15 @@
 )
 
 type loadResult struct {
-	tag     uint64
-	outcome policy.Outcome
-	count   int
+	commandID uint64
+	outcome   policy.Outcome
+	replicas  int
 }
 
 type healthCheckResult struct {
-	tag     uint64
-	outcome policy.Outcome
-	report  []float64
+	commandID uint64
+	outcome   policy.Outcome
+	report    []float64
 }
 
 // decodedResults keeps all that responses decode to.
@@ -38,36 +38,37 @@
 	healthChecks []healthCheckResult
 }
 
-func (r *decodedResults) AttemptCompleted(a router.Attempt, reply router.AttemptResult) {
+func (r *decodedResults) AttemptCompleted(a router.Attempt, result router.AttemptResult) {
 	r.attempts = append(r.attempts, a)
-	r.results = append(r.results, reply)
+	r.results = append(r.results, result)
 }
 
-func (r *decodedResults) LoadCompleted(tag uint64, outcome policy.Outcome, count int) {
-	r.loads = append(r.loads, loadResult{tag, outcome, count})
+func (r *decodedResults) LoadCompleted(commandID uint64, outcome policy.Outcome, replicas int) {
+	r.loads = append(r.loads, loadResult{commandID, outcome, replicas})
 }
 
 func (r *decodedResults) MaySendLoad(uint64) bool { return true }
 
-func (r *decodedResults) HealthCheckCompleted(tag uint64, outcome policy.Outcome, report []float64) {
-	r.healthChecks = append(r.healthChecks, healthCheckResult{tag, outcome, report})
+func (r *decodedResults) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
+	r.healthChecks = append(r.healthChecks, healthCheckResult{commandID, outcome, report})
 }
 
 // newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
-func newGoldenPool() (*Pool, *decodedResults, *[]*fakeTransport) {
-	p, _, transports := newPool()
-	record := &decodedResults{}
-	p.results = record
-	p.cfg.ReportFields = []string{"inflight", "cpu"}
-	p.cfg.MaxCallsPerConnection = 32
-	return p, record, transports
+func newGoldenPool() (*testPool, *decodedResults) {
+	p := newTestPool(func(cfg *Config) {
+		cfg.ReportFields = []string{"inflight", "cpu"}
+		cfg.MaxRequestsPerConnection = 32
+	})
+	results := &decodedResults{}
+	p.Pool.results = results
+	return p, results
 }
 
 // All that is written to a worker.
 func TestGoldenMessagesToWorkers(t *testing.T) {
-	p, _, transports := newGoldenPool()
+	p, _ := newGoldenPool()
 	p.CheckHealth(1, 1)
-	connection := (*transports)[0]
+	connection := p.transports[0]
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
 	sent := func(label string, send func()) {
@@ -75,30 +76,30 @@
 		send()
 		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Written.Bytes())})
 	}
-	call := func(number int, r *router.Request, budget time.Duration) func() {
+	start := func(number int, r *router.Request, budget time.Duration) func() {
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", call(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
-	withOnce := newRequest("0000000000000002")
-	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	sent("RUN with uniq", call(2, withOnce, time.Second))
-	sent("RUN with less than a millisecond left", call(3, newRequest("0000000000000003"), time.Microsecond))
-	sent("nothing for a RUN with no time left", call(4, newRequest("0000000000000004"), -time.Second))
+	sent("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	withIdempotencyKey := newRequest("0000000000000002")
+	withIdempotencyKey.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	sent("RUN with uniq", start(2, withIdempotencyKey, time.Second))
+	sent("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
+	sent("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
 	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
-	sent("RUN with an empty body", call(5, emptyBody, time.Second))
+	sent("RUN with an empty body", start(5, emptyBody, time.Second))
 	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
-	sent("RUN with a binary body", call(6, binaryBody, time.Second))
+	sent("RUN with a binary body", start(6, binaryBody, time.Second))
 	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
 	sent("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
 	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
 	sent("FREE", func() { p.Unload(1, 0xaa) })
 	sent("INFO", func() { p.CheckHealth(1, 7) })
 	sent("NOOP", func() { p.Maintain(time.Second) })
-	if len(*transports) != 1 || connection.Closed {
-		t.Errorf("%d connections, the first closed: %v", len(*transports), connection.Closed)
+	if len(p.transports) != 1 || connection.Closed {
+		t.Errorf("%d connections, the first closed: %v", len(p.transports), connection.Closed)
 	}
 	messages = append(messages,
 		golden.Message{Label: "INFO sent again after a reset", Bytes: healthCheckAfterReset()},
@@ -108,32 +109,32 @@
 
 // healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
 func healthCheckAfterReset() []byte {
-	p, _, transports := newGoldenPool()
+	p, _ := newGoldenPool()
 	p.CheckHealth(1, 7)
-	(*transports)[0].handler.DialCompleted(nil)
-	(*transports)[0].handler.Closed(errors.New("reset"))
-	(*transports)[1].handler.DialCompleted(nil)
-	return (*transports)[1].Written.Bytes()
+	p.transports[0].handler.DialCompleted(nil)
+	p.transports[0].handler.Closed(errors.New("reset"))
+	p.transports[1].handler.DialCompleted(nil)
+	return p.transports[1].Written.Bytes()
 }
 
 // openRecoveryDial returns the connection of a recovery dial that has come up.
 func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
-	p, _, transports, _ := newPoolWithTwoAddresses()
+	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
-	(*transports)[0].handler.DialCompleted(errors.New("refused"))
-	(*transports)[1].handler.DialCompleted(nil)
-	for now := time.Duration(0); len(*transports) < 3 && now < time.Minute; now += MaintenanceInterval {
+	p.transports[0].handler.DialCompleted(errors.New("refused"))
+	p.transports[1].handler.DialCompleted(nil)
+	for now := time.Duration(0); len(p.transports) < 3 && now < time.Minute; now += MaintenanceInterval {
 		p.Maintain(now)
 	}
-	if len(*transports) < 3 {
-		t.Fatal("no trial was begun")
+	if len(p.transports) < 3 {
+		t.Fatal("no recovery dial was started")
 	}
-	(*transports)[2].handler.DialCompleted(nil)
-	return (*transports)[2]
+	p.transports[2].handler.DialCompleted(nil)
+	return p.transports[2]
 }
 
-// Every form of a response to a request is decoded to a reply that is compared whole.
+// Every form of a response to a request is decoded to a result that is compared whole.
 func TestGoldenResponsesToRequests(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -161,9 +162,9 @@
 		{"FAULT", router.AttemptResult{Outcome: policy.Failed, LoadStatus: policy.LoadFailed, Body: []byte("reason")}},
 	} {
 		t.Run(test.label, func(t *testing.T) {
-			p, record, transports := newGoldenPool()
+			p, record := newGoldenPool()
 			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-			connection := (*transports)[0]
+			connection := p.transports[0]
 			connection.handler.DialCompleted(nil)
 			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
@@ -187,9 +188,9 @@
 		{"HOLD answered by FAULT", loadResult{9, policy.Failed, 0}},
 		{"HOLD answered by LATE", loadResult{9, policy.NotSent, 0}},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.Load(1, 5, 2, 9)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
@@ -210,9 +211,9 @@
 		{"INFO answered by SICK", healthCheckResult{7, policy.Failed, []float64{3, 1}}},
 		{"INFO answered by SICK without a report", healthCheckResult{7, policy.Failed, nil}},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.CheckHealth(1, 7)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
@@ -224,16 +225,16 @@
 // The response to a NOOP shows that its connection works, and ends nothing that is open there.
 func TestGoldenResponsesToKeepalivePings(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
-		asked := owner.pingedAt
+		pingedAt := owner.liveness.pingedAt
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
-		if asked == 0 || owner.pingedAt != 0 || len(owner.inFlight) != 1 {
-			t.Errorf("%s: asked at %v, then %v, with %d open", label, asked, owner.pingedAt, len(owner.inFlight))
+		if pingedAt == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
+			t.Errorf("%s: pinged at %v, then %v, with %d in flight", label, pingedAt, owner.liveness.pingedAt, len(owner.commands.inFlight))
 		}
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v", label, record, connection.Closed)
@@ -244,7 +245,7 @@
 	down := worker.addresses.Unavailable()
 	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
 	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
-		t.Errorf("trial: %d addresses down before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
+		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
 	}
 }
 
@@ -270,9 +271,9 @@
 		{"word that is longer than its length", true},
 		{"length over the limit", true},
 	} {
-		p, record, transports := newGoldenPool()
+		p, record := newGoldenPool()
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
-		connection := (*transports)[0]
+		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
 		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed != test.closes {
--- /dev/null
+++ b/internal/workerclient/helpers_test.go
@@ -0,0 +1,125 @@
+package workerclient
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"crankhold/internal/endpoint"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/testutil"
+	"crankhold/policy"
+)
+
+// fakeTransport is a connection whose handler the test drives.
+type fakeTransport struct {
+	testutil.Transport
+	handler eventloop.DialHandler
+}
+
+// resultRecorder keeps the results of attempts, load commands and health checks.
+type resultRecorder struct {
+	outcomes        map[router.Attempt][]policy.Outcome
+	results         map[router.Attempt]router.AttemptResult
+	commandOutcomes map[uint64][]policy.Outcome // by the id of the load or the health check
+	beyondBudget    bool                        // of loads that have waited
+}
+
+func newResultRecorder() *resultRecorder {
+	return &resultRecorder{
+		outcomes:        map[router.Attempt][]policy.Outcome{},
+		results:         map[router.Attempt]router.AttemptResult{},
+		commandOutcomes: map[uint64][]policy.Outcome{},
+	}
+}
+
+func (r *resultRecorder) AttemptCompleted(a router.Attempt, result router.AttemptResult) {
+	r.outcomes[a] = append(r.outcomes[a], result.Outcome)
+	r.results[a] = result
+}
+
+func (r *resultRecorder) LoadCompleted(commandID uint64, o policy.Outcome, _ int) {
+	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
+}
+
+func (r *resultRecorder) MaySendLoad(uint64) bool { return !r.beyondBudget }
+
+func (r *resultRecorder) HealthCheckCompleted(commandID uint64, o policy.Outcome, _ []float64) {
+	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
+}
+
+// testPool is a pool with the connections that it dialled and the results that it handed over.
+type testPool struct {
+	*Pool
+	recorder   *resultRecorder
+	transports []*fakeTransport // in the order in which they were dialled
+	dialled    []string         // their addresses
+}
+
+// newTestPool returns a pool with worker 1, which has one address. configure changes the settings.
+func newTestPool(configure ...func(*Config)) *testPool {
+	p := &testPool{recorder: newResultRecorder()}
+	cfg := Config{
+		Classes:                  []string{"dim-level"},
+		ReportFields:             []string{"inflight"},
+		DialTimeout:              time.Second,
+		KeepAlive:                30 * time.Second,
+		MaxRequestsPerConnection: 2,
+		MaxConnections:           100,
+		CancelSupported:          true,
+		HealthChecksAllowed:      true,
+		Dial:                     p.dialFake,
+	}
+	for _, change := range configure {
+		change(&cfg)
+	}
+	p.Pool = New(cfg, p.recorder)
+	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
+	return p
+}
+
+// newTestPoolWithTwoAddresses returns a pool that has a worker 7 as well, with twoAddresses.
+func newTestPoolWithTwoAddresses(configure ...func(*Config)) *testPool {
+	p := newTestPool(configure...)
+	p.SetWorker(7, twoAddresses, policy.Ready)
+	return p
+}
+
+func (p *testPool) dialFake(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
+	transport := &fakeTransport{handler: h}
+	p.transports = append(p.transports, transport)
+	p.dialled = append(p.dialled, addr)
+	return transport
+}
+
+// tcp4 is one address of IPv4.
+func tcp4(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
+
+func newRequest(id string) *router.Request {
+	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
+}
+
+// encodeResponse returns a response of four elements, with no fields.
+func encodeResponse(id, word, body string) []byte {
+	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n", len(id), id, len(word), word, len(body), body)
+}
+
+// transportsWithRun returns the indices of the connections on which a request of an id was written.
+func transportsWithRun(transports []*fakeTransport, id string) (on []int) {
+	for i, transport := range transports {
+		if strings.Contains(transport.Written.String(), "RUN\r\n$16\r\n"+id) {
+			on = append(on, i)
+		}
+	}
+	return on
+}
+
+var twoAddresses = []endpoint.Addr{
+	{Network: endpoint.Unix, Addr: "/run/w.sock"},
+	{Network: endpoint.TCP4, Addr: "127.0.0.1:1"},
+}
+
+var attempt = router.Attempt{Request: 1}
+
+const requestID = "0123456789abcdef"
--- /dev/null
+++ b/internal/workerclient/liveness_test.go
@@ -0,0 +1,132 @@
+package workerclient
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+// Guards against a connection that was cut off: it stays open and says nothing while its worker is well.
+// Nothing more goes over it, and what is open on it ends; a worker that is silent altogether keeps its
+// connections, for that is for the module to judge.
+func TestSilentConnectionIsLeft(t *testing.T) {
+	for _, well := range []bool{true, false} {
+		p := newTestPool()
+		now := time.Hour
+		p.Maintain(now)
+		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
+		p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
+		p.transports[0].handler.DialCompleted(nil)
+		pass := func(d time.Duration) {
+			for end := now + d; now < end; {
+				now += MaintenanceInterval
+				p.Maintain(now)
+			}
+		}
+		pass(minSilenceBeforePing + MaintenanceInterval)
+		if got := p.transports[0].Written.String(); strings.Count(got, "NOOP") != 1 {
+			t.Fatalf("not pinged: %q", got)
+		}
+		pass(MaintenanceInterval)
+		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
+		if on := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(on) != 0 {
+			t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
+		}
+		p.transports[1].handler.DialCompleted(nil)
+		if pass(MaintenanceInterval); well {
+			p.transports[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
+		}
+		if p.transports[0].Closed {
+			t.Fatal("closed before its ping had timed out")
+		}
+		pass(pingTimeout + MaintenanceInterval)
+		if p.transports[0].Closed != well {
+			t.Errorf("worker well: %v, silent connection closed: %v", well, p.transports[0].Closed)
+		}
+		if p.transports[0].handler.Closed(nil); len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.ConnectionReset {
+			t.Errorf("ended %v", p.recorder.outcomes[a])
+		}
+	}
+	p := newTestPool() // a response to a ping makes it good again
+	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("00000000000000a1"), time.Second)
+	p.transports[0].handler.DialCompleted(nil)
+	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
+	p.transports[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
+	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(p.transports) != 1 || p.transports[0].Closed {
+		t.Error("a connection that responded to its ping was left")
+	}
+}
+
+// Where the settings allow no probes, none is sent on a connection that is silent. It takes nothing new all the same.
+func TestNoHealthCheckIsSentWhereNoneIsAllowed(t *testing.T) {
+	p := newTestPool(func(cfg *Config) { cfg.HealthChecksAllowed = false })
+	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Minute)
+	silent := p.transports[0]
+	silent.handler.DialCompleted(nil)
+	for at := time.Duration(0); at < 5*time.Second; at += MaintenanceInterval {
+		p.Maintain(at)
+	}
+	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("0123456789abcdee"), time.Minute)
+	if len(p.transports) < 2 || strings.Contains(silent.Written.String(), "0123456789abcdee") {
+		t.Error("a silent connection takes a further request")
+	}
+	if strings.Contains(silent.Written.String(), "NOOP") {
+		t.Errorf("it was pinged: %q", silent.Written.String())
+	}
+	silent.handler.Data(encodeResponse("0123456789abcdef", "HIT", ""))
+	p.StartAttempt(1, router.Attempt{Request: 3}, newRequest("0123456789abcded"), time.Minute)
+	if !strings.Contains(silent.Written.String(), "0123456789abcded") {
+		t.Error("a connection that has responded takes nothing")
+	}
+}
+
+// A silent connection has requests go to another address; a response there ends it, and no health check is needed.
+func TestSilentAddressIsLeft(t *testing.T) {
+	p := newTestPoolWithTwoAddresses()
+	p.SetNow(time.Hour)
+	p.StartAttempt(7, attempt, newRequest(requestID), 2*time.Second)
+	p.transports[0].handler.DialCompleted(nil)
+	p.Maintain(time.Hour + 200*time.Millisecond)
+	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), 2*time.Second)
+	if p.dialled[len(p.dialled)-1] != "127.0.0.1:1" {
+		t.Fatalf("dialled %v", p.dialled)
+	}
+	p.transports[1].handler.DialCompleted(nil)
+	p.SetNow(time.Hour + 250*time.Millisecond)
+	p.transports[1].handler.Data(encodeResponse("00000000000000ff", "HIT", ""))
+	p.StartAttempt(7, router.Attempt{Request: 3}, newRequest("00000000000000fe"), 2*time.Second)
+	p.SetNow(time.Hour + 300*time.Millisecond)
+	p.transports[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
+	if p.Maintain(time.Hour + 500*time.Millisecond); !p.transports[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
+		t.Errorf("the silent connection is closed: %v, %d addresses down", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
+	}
+}
+
+func TestLivenessMonitorJudgesSilence(t *testing.T) {
+	const now = time.Hour
+	for _, test := range []struct {
+		name     string
+		silence  time.Duration
+		expected time.Duration
+		pingedAt time.Duration
+		want     livenessState
+	}{
+		{"short", minSilenceBeforePing, 0, 0, connectionAlive},
+		{"long", minSilenceBeforePing + 1, 0, 0, pingDue},
+		{"long but expected", time.Second, time.Second, 0, connectionAlive},
+		{"pinged a moment ago", time.Second, 0, now - pingTimeout, connectionAlive},
+		{"pinged long ago", time.Second, 0, now - pingTimeout - 1, pingUnanswered},
+	} {
+		monitor := livenessMonitor{pingedAt: test.pingedAt}
+		if got := monitor.check(now, test.silence, test.expected); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+		monitor.recordResponse(now)
+		if monitor.awaitsPing() || monitor.lastResponse != now {
+			t.Errorf("%s: %+v after a response", test.name, monitor)
+		}
+	}
+}
--- /dev/null
+++ b/internal/workerclient/model_search_test.go
@@ -0,0 +1,144 @@
+package workerclient
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"strings"
+	"testing"
+
+	"crankhold/internal/modelcheck"
+)
+
+// scopes are the ones that CI searches whole.
+var scopes = map[string]scope{
+	"one request":   {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
+	"two requests":  {workers: 2, addrs: 2, requestCount: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
+	"load commands": {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
+}
+
+// Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
+// request has one response, nothing new goes to a worker that is draining, and no dial or connection leaks.
+func TestEveryInterleaving(t *testing.T) {
+	for _, name := range slices.Sorted(maps.Keys(scopes)) {
+		s := scopes[name]
+		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.maxStates, runtime.GOMAXPROCS(0))
+		t.Logf("%s: %v", name, r)
+		if r.Err != nil || !r.Whole || r.States < 1000 {
+			t.Errorf("%s: %v", name, r)
+		}
+	}
+}
+
+// plantedFaults are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
+var plantedFaults = []struct {
+	name string
+	file string
+	old  string // text of the file
+	new  string // that replaces it
+}{
+	{
+		name: "requests that left whole are sent again",
+		file: "internal/workerclient/dispatch.go",
+		old:  "case neverArrived && cmd.mayBeResent()",
+		new:  "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends",
+	},
+	{
+		name: "requests are sent again to a draining worker",
+		file: "internal/workerclient/dispatch.go",
+		old:  "cmd.mayBeResent() && w.ready()",
+		new:  "cmd.mayBeResent()",
+	},
+	{
+		name: "draining leaves what is queued behind a dial",
+		file: "internal/workerclient/worker.go",
+		old:  "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {",
+		new:  "if false {",
+	},
+	{
+		name: "a reset counts as a refused dial",
+		file: "internal/workerclient/connection.go",
+		old:  "c.terminate(policy.ConnectionReset)",
+		new:  "c.terminate(policy.Unreachable)",
+	},
+	{
+		name: "a failure counts as rejected",
+		file: "internal/workerclient/response_decoding.go",
+		old:  "statusFault: policy.Failed",
+		new:  "statusFault: policy.Overloaded",
+	},
+	{
+		name: "dials that lost the race go on",
+		file: "internal/workerclient/dialer.go",
+		old:  "\t\tattempt.finish()\n\t\tattempt.transport.Close()",
+		new:  "\t\tattempt.finish()",
+	},
+	{
+		name: "the connection of a recovery dial stays open",
+		file: "internal/workerclient/recovery.go",
+		old:  "r.pool.dialsInProgress--\n\tr.transport.Close()",
+		new:  "r.pool.dialsInProgress--",
+	},
+	{
+		name: "a cancelled request is sent all the same",
+		file: "internal/workerclient/attempts.go",
+		old:  "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true",
+		new:  "\treturn true",
+	},
+	{
+		name: "the module repeats what must not be",
+		file: "policy/retry_rules.go",
+		old:  "rules.deduplicatesAt(r, w))\n\tdefault:\n\t\treturn false",
+		new:  "rules.deduplicatesAt(r, w))\n\tdefault:\n\t\treturn true",
+	},
+	{
+		name: "a lost race is never reported",
+		file: "internal/endpoint/race.go",
+		old:  "return !r.won && r.inProgress == 0 && len(r.remaining) == 0",
+		new:  "return false",
+	},
+}
+
+// Guards the check itself: each planted fault is found.
+func TestPlantedFaultsAreFound(t *testing.T) {
+	if os.Getenv("CRANKHOLD_PLANTED") != "" {
+		t.Skip("this is a run with a fault planted")
+	}
+	root, err := filepath.Abs("../..")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range plantedFaults {
+		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
+			t.Parallel()
+			whole := filepath.Join(root, f.file)
+			text, err := os.ReadFile(whole)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if strings.Count(string(text), f.old) != 1 {
+				t.Fatalf("%s holds %q %d times", f.file, f.old, strings.Count(string(text), f.old))
+			}
+			dir := t.TempDir()
+			mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
+			if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), f.old, f.new, 1)), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace": {%q: %q}}`, whole, mutant), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			cmd := exec.Command("go", "test", "-overlay", overlay, "-vet=off", "-count=1", "-run", "TestEveryInterleaving", ".")
+			cmd.Env = append(os.Environ(), "CRANKHOLD_PLANTED=1")
+			out, err := cmd.CombinedOutput()
+			if err == nil {
+				t.Errorf("not found:\n%s", out)
+			} else if !strings.Contains(string(out), " after\n") && !strings.Contains(string(out), "panic") {
+				t.Errorf("the run failed in another way:\n%s", out)
+			}
+		})
+	}
+}
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -8,7 +8,10 @@
 	"crankhold/internal/eventloop"
 )
 
-// recoveryDial is a connection that carries nothing but a NOOP, by which an address that failed shows that it works
+// recoveryDialTimeouts is how many dial timeouts a recovery dial may take: one for the dial, one for the response.
+const recoveryDialTimeouts = 2
+
+// recoveryDial is a connection that carries nothing but a NOOP. A response shows that an address which failed works
 // again.
 type recoveryDial struct {
 	pool      *Pool
@@ -20,20 +23,21 @@
 }
 
 // maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that
-// takes too long: the time of a dial, and as much again for the response.
+// takes too long.
 func (w *worker) maintainRecoveryDial() {
-	p, r := w.pool, w.recoveryDial
+	p := w.pool
+	r := w.recoveryDial
 	switch {
 	case r == nil:
 		w.startRecoveryDial()
-	case p.now-r.startedAt > 2*p.cfg.DialTimeout:
+	case p.now-r.startedAt > recoveryDialTimeouts*p.cfg.DialTimeout:
 		r.finish(ErrConnectionSilent)
 	}
 }
 
 func (w *worker) startRecoveryDial() {
 	p := w.pool
-	if !w.ready() || p.dialsInProgress >= endpoint.MaxDials || !p.ensureCapacity() {
+	if !w.ready() || p.dialLimitReached() || !p.ensureCapacity() {
 		return
 	}
 	addr, ok := w.addresses.NextRecoveryDial(p.now)
@@ -46,7 +50,7 @@
 	r.transport = p.dial(addr, r)
 }
 
-// cancelRecoveryDial ends a recovery dial that has told nothing.
+// cancelRecoveryDial ends a recovery dial, if there is one. Whether its address works stays unknown.
 func (w *worker) cancelRecoveryDial() {
 	r := w.recoveryDial
 	if r != nil {
@@ -62,12 +66,13 @@
 	r.transport.Close()
 }
 
-// finish takes in how the recovery dial ended; nil is for an address that works.
+// finish records how the recovery dial ended; nil is for an address that works.
 func (r *recoveryDial) finish(err error) {
 	if r.finished {
 		return
 	}
-	now, addresses := r.pool.now, r.worker.addresses
+	now := r.pool.now
+	addresses := r.worker.addresses
 	switch {
 	case err == nil:
 		addresses.Succeeded(now, r.addr)
@@ -80,8 +85,8 @@
 	r.close()
 }
 
-// DialCompleted asks for a sign of life: an address that accepts and says nothing does not work. Where the settings
-// allow no probes, one that accepts counts.
+// DialCompleted sends a NOOP: an address that accepts connections and does not respond does not work. Where the
+// settings allow no health checks, one that accepts counts as working.
 func (r *recoveryDial) DialCompleted(err error) {
 	switch {
 	case r.finished:
@@ -97,7 +102,7 @@
 	}
 }
 
-// Data takes in the response.
+// Data handles the response.
 func (r *recoveryDial) Data(data []byte) {
 	response, size, err := decodeResponse(data)
 	if err == nil && size > 0 && string(response.id) == recoveryPingID {
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response_decoding.go
@@ -26,8 +26,13 @@
 
 // statusesByName are read exactly, in upper case: NONE, SHED and LATE prove that a request never ran.
 var statusesByName = map[string]responseStatus{
-	"HIT": statusHit, "NONE": statusNone, "SHED": statusShed, "FAULT": statusFault, "LATE": statusLate,
-	"PONG": statusPong, "SICK": statusSick,
+	"HIT":   statusHit,
+	"NONE":  statusNone,
+	"SHED":  statusShed,
+	"FAULT": statusFault,
+	"LATE":  statusLate,
+	"PONG":  statusPong,
+	"SICK":  statusSick,
 }
 
 // outcomes are what the statuses, the unknown one aside, mean for the decision module.
@@ -51,10 +56,10 @@
 	return "unknown"
 }
 
-// answersHealthQuery reports whether the status belongs to INFO and NOOP, and to no other command.
+// answersHealthQuery reports whether the status is one of responses to INFO and NOOP, and to no other command.
 func (s responseStatus) answersHealthQuery() bool { return s == statusPong || s == statusSick }
 
-// response is what a worker says to a command. Its slices point into the bytes that it was decoded from.
+// response is a worker's response to a command. Its slices point into the bytes that it was decoded from.
 type response struct {
 	id     []byte
 	status responseStatus
@@ -62,6 +67,14 @@
 	body   []byte
 }
 
+// The elements of a response, by their positions. The last two may be absent.
+const (
+	idElement = iota
+	statusElement
+	fieldsElement
+	bodyElement
+)
+
 // decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
 // returns the response's size in bytes, 0 while it is incomplete.
 func decodeResponse(data []byte) (r response, size int, err error) {
@@ -70,16 +83,16 @@
 	if err != nil || size == 0 {
 		return response{}, 0, err
 	}
-	if len(elements) < 2 {
+	if len(elements) <= statusElement {
 		return response{}, 0, ErrMalformedResponse
 	}
-	r.id = elements[0]
-	r.status = statusesByName[string(elements[1])]
-	if len(elements) > 2 {
-		r.fields = elements[2]
+	r.id = elements[idElement]
+	r.status = statusesByName[string(elements[statusElement])]
+	if len(elements) > fieldsElement {
+		r.fields = elements[fieldsElement]
 	}
-	if len(elements) > 3 {
-		r.body = elements[3]
+	if len(elements) > bodyElement {
+		r.body = elements[bodyElement]
 	}
 	return r, size, nil
 }
@@ -97,7 +110,10 @@
 
 // loadStatuses are the values of the field detail.
 var loadStatuses = map[string]policy.LoadStatus{
-	"hot": policy.AlreadyLoaded, "started": policy.StartedLoad, "waited": policy.WaitedForLoad, "broken": policy.LoadFailed,
+	"hot":     policy.AlreadyLoaded,
+	"started": policy.StartedLoad,
+	"waited":  policy.WaitedForLoad,
+	"broken":  policy.LoadFailed,
 }
 
 // get returns the value of a field, nil where there is none of that name.
@@ -114,7 +130,7 @@
 	return nil
 }
 
-// loadStatus returns what the field detail says; absent and unknown values say nothing.
+// loadStatus returns the value of the field detail, the zero LoadStatus where it is absent or unknown.
 func (f responseFields) loadStatus() policy.LoadStatus {
 	return loadStatuses[string(f.get(fieldDetail))]
 }
@@ -126,7 +142,7 @@
 }
 
 // concurrency returns how many requests for the function the worker had, 0 where the response does not say. It returns
-// false for a number that can't be.
+// false for a value that is no number from 0 to maxConcurrency.
 func (f responseFields) concurrency() (count int, ok bool) {
 	text := f.get(fieldConcurrency)
 	if len(text) == 0 {
@@ -139,8 +155,8 @@
 	return count, true
 }
 
-// loadReport returns the values of the field use, name:value;name:value, in the order of names. A report that lacks one
-// of the names says nothing: the result is nil.
+// loadReport returns the values of the field use, name:value;name:value, in the order of names. For a
+// report that lacks one of the names the result is nil.
 func (f responseFields) loadReport(names []string) []float64 {
 	text := f.get(fieldUse)
 	if len(text) == 0 {
