--- a/internal/eventloop/crossings_test.go
+++ b/internal/eventloop/crossings_test.go
@@ -74,7 +74,7 @@
 // none has them make room, oldest first, and comes up. It runs in a process of its own, whose limit it lowers.
 func TestIdleClientsAreClosedForADial(t *testing.T) {
 	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestIdleClientsMakeRoomForADial$", "-test.v")
+		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
 		cmd.Env = append(os.Environ(), "CRANKHOLD_FEW_FILES=1")
 		if out, err := cmd.CombinedOutput(); err != nil || !strings.Contains(string(out), "a dial came up") {
 			t.Fatalf("%v\n%s", err, out)
