--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -61,9 +61,8 @@
 // slow client's response would be cut off with the process.
 func TestWhatIsQueuedIsUnwritten(t *testing.T) {
 	l := New(Config{})
-	c := &Conn{loop: l, handler: &echo{}, established: true}
-	l.accepted[c] = struct{}{}
-	c.countUnread(3)
+	c := addClient(l, &echo{}, clientActivity{})
+	c.writer.countUnread(3)
 	c.Write([]byte("four"), []byte("!"))
 	if n := l.UnwrittenBytes(); n != 8 {
 		t.Errorf("%d bytes are unwritten, not 8", n)
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -106,7 +106,7 @@
 	peer.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	l.awaitPoller(ctx)
+	l.poller.awaitRunning(ctx)
 	if ctx.Err() != nil {
 		t.Error("the poller did not show that it runs")
 	}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -1,39 +1,45 @@
 package eventloop
 
 import (
+	"errors"
 	"net"
 	"net/netip"
-	"sync"
-	"sync/atomic"
 
 	"github.com/lesismal/nbio"
 )
 
-// Conn is a connection as its handler sees it. Its methods are for the loop's goroutine.
+// Conn is a connection as its handler sees it. Its methods run on the loop's goroutine, which owns its fields; only
+// reader and writer say what they share with pollers.
 type Conn struct {
 	loop       *Loop
-	socket     *nbio.Conn // nil until a dial has come up
-	accept     acceptFunc // of an accepted connection; nil where no listener has its address
-	isAccepted bool       // by a listener; else this program opened it
-	handler    Handler    // of an accepted connection from the turn on in which it is accepted
-
-	isUnix         bool // it is a Unix socket, which this program opened
-	established    bool // it came up, and its handler knows
-	closeOnceTaken bool // by sweep, once the peer has taken what was written
-	closed         bool // by this side: nothing is written to it or taken from it any more
-	ended          bool // the poller reported its end
+	socket     *nbio.Conn // nil until a dial has succeeded
+	accept     acceptFunc // of an accepted connection; nil when no listener has its address
+	isAccepted bool       // by a listener; otherwise this program opened it
+	handler    Handler    // of an accepted connection: nil until the turn in which the loop accepts it
+	state      connState
+	activity   clientActivity // of an accepted connection
+	reader     connReader
+	writer     connWriter
+}
 
-	outgoing     [][]byte     // what this turn writes
-	unreadByPeer atomic.Int64 // bytes that the peer has yet to take; the poller takes them off
-	unsentBytes  int          // that had not left when it ended
-	activity     clientActivity
+// connState is how far a connection has come. The loop's goroutine owns it.
+type connState struct {
+	established bool // the connection is open, and its handler knows
+	closing     bool // the sweep closes it once the peer has read what was written
+	closed      bool // by this side: nothing more is written to it or handled of it
+	ended       bool // the poller reported its end
+}
 
-	reading        sync.Mutex   // held while the connection is read
-	readingStopped bool         // nothing more is read; guarded by reading
-	queuedReads    atomic.Int32 // reads that wait for the loop
+// newConn returns a connection that has no socket yet. Any goroutine may call it.
+func newConn(loop *Loop, handler Handler) *Conn {
+	c := &Conn{loop: loop, handler: handler}
+	c.reader.conn = c
+	c.reader.queue = loop.queue
+	c.writer.total = loop.unread
+	return c
 }
 
-// RemoteAddr is the address at the other end.
+// RemoteAddr is the address of the peer. It is zero when the peer has no TCP address.
 func (c *Conn) RemoteAddr() netip.AddrPort {
 	addr, ok := c.socket.RemoteAddr().(*net.TCPAddr)
 	if !ok {
@@ -42,43 +48,154 @@
 	return addr.AddrPort()
 }
 
-// receive hands data to the handler.
-func (c *Conn) receive(data []byte) {
-	c.queuedReads.Add(-1)
-	if c.handler == nil || c.closed {
+// Write queues buffers for the end of the turn. The connection keeps them until then.
+func (c *Conn) Write(bufs ...[]byte) {
+	if c.state.closed {
 		return
 	}
-	c.handler.Data(data)
-	c.noteMessages()
+	if c.writer.queue(bufs) {
+		c.loop.flushes.add(c)
+	}
+	c.activity.recordResponse(c.loop.now)
 }
 
-// Close ends the connection; what this turn queued for it is dropped. Its handler's Closed is called in a later turn,
-// if it ever was up.
+// Close closes the connection and drops what this turn queued for it. Its handler's Closed is called in a later turn,
+// if the connection was ever established.
 func (c *Conn) Close() {
-	if !c.closed {
+	if !c.state.closed {
 		c.fail(nil)
 	}
 }
 
-// CloseAfterFlush writes what is queued and closes once the peer has taken it.
+// CloseAfterFlush writes what is queued, and closes the connection once the peer has read it.
 func (c *Conn) CloseAfterFlush() {
-	if !c.closed && c.established {
-		err := c.writeOutgoing()
+	if !c.state.closed && c.state.established {
+		err := c.writeQueued()
 		if err != nil {
 			c.fail(err)
 		}
-		c.outgoing = c.outgoing[:0]
-		if err == nil && c.unreadByPeer.Load() > 0 {
-			c.closeOnceTaken = true // by sweep, which also ends one that takes nothing
+		c.writer.queued = c.writer.queued[:0]
+		if err == nil && c.writer.hasUnread() {
+			c.state.closing = true // the sweep also closes it when its peer reads nothing
 			return
 		}
 	}
 	c.Close()
 }
 
-// fail closes the connection for a reason; the handler hears of it in a later turn.
+// UnsentBytes is the number of bytes that never left this program, of those that were written last to a connection that
+// has ended: the kernel did not accept them. The others may have reached the peer.
+func (c *Conn) UnsentBytes() int { return c.writer.unsent() }
+
+// flush writes what is queued, and reports whether nothing has to be written again.
+func (c *Conn) flush() bool {
+	switch {
+	case c.state.closed || !c.state.established:
+		c.writer.drop()
+	case c.writer.isUnixSocket:
+		done, err := c.writer.writeUnix(c.socket)
+		if err == nil && !done {
+			return false
+		}
+		if err != nil {
+			c.writer.drop()
+			c.fail(err)
+		}
+	default:
+		err := c.writeQueued()
+		if err != nil {
+			c.fail(err)
+		}
+	}
+	c.writer.clear()
+	return true
+}
+
+// writeQueued writes what is queued for a socket other than a Unix socket. It returns a SlowPeerError when the peer
+// has bytes to read and all peers together leave too many unread.
+func (c *Conn) writeQueued() error {
+	err := c.writer.write(c.socket)
+	if err != nil {
+		return err
+	}
+	unread := c.writer.unreadBytes.Load()
+	if unread > 0 && c.loop.unread.isExceeded() {
+		return &SlowPeerError{Addr: c.RemoteAddr(), UnreadBytes: int(unread)}
+	}
+	return nil
+}
+
+// receive passes data to the handler.
+func (c *Conn) receive(data []byte) {
+	c.reader.handled()
+	if c.handler == nil || c.state.closed {
+		return
+	}
+	c.handler.Data(data)
+	c.recordMessages()
+}
+
+// recordMessages records what messages an accepted connection has sent.
+func (c *Conn) recordMessages() {
+	handler, ok := c.handler.(AcceptedHandler)
+	if ok {
+		messages, begun := handler.Messages()
+		c.activity.recordMessages(c.loop.now, messages, begun)
+	}
+}
+
+// dialEnded records the result of a dial: a socket, or the error that it failed with.
+func (c *Conn) dialEnded(socket *nbio.Conn, err error) {
+	c.socket = socket
+	if c.state.closed { // the handler closed the connection during the dial
+		if socket != nil {
+			socket.Close()
+		}
+		return
+	}
+	if c.state.ended { // the connection ended before the loop handled the dial's success
+		err = errors.Join(err, net.ErrClosed)
+	}
+	c.state.established = err == nil
+	c.state.closed = err != nil
+	c.handler.(DialHandler).DialCompleted(err)
+}
+
+// connectionEnded records that the poller reported the end, and reports whether it is the first report.
+func (c *Conn) connectionEnded() (first bool) {
+	c.writer.connectionEnded()
+	first = !c.state.ended
+	c.state.ended = true
+	return first
+}
+
+// notifyClosed notifies the handler of the end, if it knows of the connection.
+func (c *Conn) notifyClosed(err error) {
+	if c.handler != nil && c.state.established {
+		c.state.closed = true
+		c.handler.Closed(err)
+	}
+}
+
+// isBusy reports whether a response is due on an accepted connection.
+func (c *Conn) isBusy() bool { return c.handler.(AcceptedHandler).Busy() }
+
+// owesResponse reports whether a response on an accepted connection is due, or has yet to leave. Closing the connection
+// would drop what is queued, and with it the only response to a request.
+func (c *Conn) owesResponse() bool { return c.isBusy() || !c.writer.isEmpty() }
+
+// closeAtRest closes an accepted connection on which no response is due and nothing has arrived, and reports whether it
+// did.
+func (c *Conn) closeAtRest() bool {
+	if c.state.closed || c.owesResponse() {
+		return false
+	}
+	return c.reader.stopIfDrained(c.socket, c.loop.clients.buffer, c.Close)
+}
+
+// fail closes the connection with the error that its handler's Closed receives in a later turn.
 func (c *Conn) fail(err error) {
-	c.closed = true
+	c.state.closed = true
 	if c.socket != nil {
 		c.socket.CloseWithError(err)
 	}
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -4,46 +4,57 @@
 	"context"
 	"net"
 	"strings"
+	"sync"
 	"time"
 
 	"github.com/lesismal/nbio"
 )
 
-// The first pause before a dial that failed by a fault of this machine is tried again, and the longest.
+// The first pause before a dial that failed by a fault of this machine is retried, and the longest.
 const (
 	firstDialPause   = 2 * time.Millisecond
 	longestDialPause = 50 * time.Millisecond
 )
 
-// connectFunc opens a connection and makes it nbio's.
+// connectFunc opens a connection and makes it nbio's. It blocks until then, or until ctx is done.
 type connectFunc = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error)
 
-// Dial opens a connection and returns at once. A net.Dialer does it on a goroutine of its own: in nbio 1.6.8 a refused
-// DialAsync is first reported as connected, and one that connects at once leaves its write event set, on which the
-// poller then spins.
-func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
-	c := &Conn{loop: l, handler: h, isUnix: network == "unix"}
-	l.dials.Go(func() {
-		socket, err := l.dial(network, addr, timeout)
+// dialer opens connections, each on a goroutine of its own that lives at most as long as the dial's timeout. The loop's
+// goroutine starts dials; a dial shares only the queue and the poller with it.
+type dialer struct {
+	connect    connectFunc
+	loopEnded  context.Context    // is done when the loop has ended, and ends dials
+	cancel     context.CancelFunc // of loopEnded
+	inProgress sync.WaitGroup     // goroutines of dials
+	queue      *queue
+	poller     *poller
+	idleCloser *idleCloser
+}
+
+// start opens a socket for c and returns at once. The result is queued as an event. A net.Dialer opens the socket,
+// because nbio 1.6.8 first reports a refused DialAsync as connected. One that connects at once leaves its write event
+// set, on which the poller then spins.
+func (d *dialer) start(c *Conn, network, addr string, timeout time.Duration) {
+	d.inProgress.Go(func() {
+		socket, err := d.dial(network, addr, timeout)
 		if err == nil {
-			err = l.register(socket, c)
+			err = d.register(socket, c)
 		}
-		l.queue.push(event{kind: dialEnded, conn: c, socket: socket, err: err})
+		d.queue.push(event{kind: dialEnded, conn: c, socket: socket, err: err})
 	})
-	return c
 }
 
-// dial opens a socket within a time. A fault of this machine is outlasted, since it says nothing of the peer; where no
-// descriptor is left, idle clients make room.
-func (l *Loop) dial(network, addr string, timeout time.Duration) (*nbio.Conn, error) {
-	ctx, cancel := context.WithTimeout(l.dialContext, timeout)
+// dial opens a socket within a timeout. It retries after a fault of this machine, which says nothing about the peer.
+// When no descriptor is left, idle clients are closed to free one. It blocks and must not be called on the event loop.
+func (d *dialer) dial(network, addr string, timeout time.Duration) (*nbio.Conn, error) {
+	ctx, cancel := context.WithTimeout(d.loopEnded, timeout)
 	defer cancel()
 	for pause := firstDialPause; ; pause = min(2*pause, longestDialPause) {
-		socket, err := l.connect(ctx, network, addr, timeout)
+		socket, err := d.connect(ctx, network, addr, timeout)
 		if !IsLocalFault(err) {
 			return socket, err
 		}
-		if IsDescriptorExhausted(err) && l.CloseIdleClients() {
+		if IsDescriptorExhausted(err) && d.idleCloser.closeOne() {
 			continue
 		}
 		select {
@@ -55,20 +66,24 @@
 }
 
 // register has the poller watch a socket for c.
-func (l *Loop) register(socket *nbio.Conn, c *Conn) error {
-	if l.dialContext.Err() != nil {
+func (d *dialer) register(socket *nbio.Conn, c *Conn) error {
+	if d.loopEnded.Err() != nil {
 		socket.Close()
 		return errLoopEnded
 	}
-	socket.SetSession(c)
-	l.registrations.Add(1)
-	_, err := l.engine.AddConn(socket)
-	return err
+	return d.poller.watch(socket, c)
+}
+
+// close cancels all dials and waits until their goroutines have ended, or ctx is done.
+func (d *dialer) close(ctx context.Context) {
+	d.cancel()
+	await(ctx, &d.inProgress)
 }
 
-// connect opens a connection and makes it nbio's. For a moment it takes two descriptors.
+// connect opens a connection and makes it nbio's. For a moment it takes two descriptors. It blocks and must not be
+// called on the event loop.
 func connect(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
-	std, err := dialer(network, timeout).DialContext(ctx, network, addr)
+	std, err := netDialer(network, timeout).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -79,9 +94,9 @@
 	return socket, err
 }
 
-// dialer opens sockets of a network. Those for datagrams are bound before they are connected, to what the system would
-// choose too: not every system tells the address of one that was only connected, and nbio needs it.
-func dialer(network string, timeout time.Duration) *net.Dialer {
+// netDialer returns a dialer for a network. Datagram sockets are bound before they are connected, to what the system
+// would choose too: some systems do not report the address of one that was only connected, and nbio needs it.
+func netDialer(network string, timeout time.Duration) *net.Dialer {
 	d := &net.Dialer{Timeout: timeout}
 	if strings.HasPrefix(network, "udp") {
 		d.LocalAddr = &net.UDPAddr{}
@@ -89,7 +104,8 @@
 	return d
 }
 
-// adopt makes a socket nbio's. NBConn panics at one for datagrams that has no local address.
+// adopt makes a socket nbio's. It returns errNoLocalAddress for a socket without a local address, at which NBConn
+// would panic.
 func adopt(std net.Conn) (*nbio.Conn, error) {
 	if std.LocalAddr() == nil {
 		return nil, errNoLocalAddress
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -9,18 +9,18 @@
 )
 
 var (
-	// ErrTooManyConnections is for an accepted connection beyond the limit on them.
+	// ErrTooManyConnections is the reason for which an accepted connection beyond the limit is closed.
 	ErrTooManyConnections = errors.New("too many accepted connections")
-	// ErrSlowPeer is for a peer that does not read while all peers together leave too much unread.
+	// ErrSlowPeer is the reason for which a peer is closed that does not read while all peers leave too much unread.
 	ErrSlowPeer = errors.New("peer does not read")
 
-	// errNoLocalAddress is for a socket of which the system does not tell the own address.
+	// errNoLocalAddress is returned for a socket whose local address the system does not report.
 	errNoLocalAddress = errors.New("socket has no local address")
-	// errLoopEnded is for a dial that came up when the loop had ended.
+	// errLoopEnded is the result of a dial that succeeded after the loop had ended.
 	errLoopEnded = errors.New("event loop has ended")
 )
 
-// ListenError is for an address that can't be listened on.
+// ListenError is returned by Loop.Start for an address that can't be listened on.
 type ListenError struct {
 	Addr string // as it was given to Listen
 	Err  error  // from package net
@@ -44,19 +44,19 @@
 // Unwrap returns ErrSlowPeer.
 func (e *SlowPeerError) Unwrap() error { return ErrSlowPeer }
 
-// localFaults are errors of system calls that a dial shows for reasons of this machine, and as a rule for a moment.
+// localFaults are the errors of system calls by which a dial fails because of this machine, as a rule for a moment.
 var localFaults = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// IsLocalFault reports whether an error is of this machine and says nothing of a peer.
+// IsLocalFault reports whether an error is caused by this machine and says nothing about a peer.
 func IsLocalFault(err error) bool {
 	return slices.ContainsFunc(localFaults, func(fault syscall.Errno) bool { return errors.Is(err, fault) })
 }
 
-// IsDescriptorExhausted reports whether an error is of this machine and says nothing of a peer: no descriptor or buffer
-// is left.
+// IsDescriptorExhausted reports whether an error means that this machine has no descriptor or buffer left. It says
+// nothing about a peer.
 func IsDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS)
 }
--- a/internal/eventloop/fault_test.go
+++ b/internal/eventloop/fault_test.go
@@ -29,7 +29,7 @@
 			attempts := 0
 			d := &dialled{make(chan error, 1), make(chan error, 1)}
 			l.Post(func() {
-				l.connect = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
+				l.dialer.connect = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
 					if attempts++; attempts <= 3 {
 						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", fault.errno)}
 					}
@@ -49,7 +49,7 @@
 	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
 	d := &dialled{make(chan error, 1), make(chan error, 1)}
 	l.Post(func() {
-		l.connect = func(context.Context, string, string, time.Duration) (*nbio.Conn, error) {
+		l.dialer.connect = func(context.Context, string, string, time.Duration) (*nbio.Conn, error) {
 			return nil, fmt.Errorf("dial: %w", syscall.EADDRNOTAVAIL)
 		}
 		l.Dial("tcp", l.Addrs()[0], 50*time.Millisecond, d)
@@ -82,7 +82,7 @@
 			t.Parallel()
 			var faulty *faultyListener
 			l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
-			l.listen = func(network, addr string) (net.Listener, error) {
+			l.listeners.listen = func(network, addr string) (net.Listener, error) {
 				listener, err := net.Listen(network, addr)
 				faulty = &faultyListener{Listener: listener}
 				faulty.fault.Store(&fault)
--- /dev/null
+++ b/internal/eventloop/handler.go
@@ -0,0 +1,25 @@
+package eventloop
+
+// Handler handles what happens on a connection. All its methods run on the loop's goroutine and must not block.
+type Handler interface {
+	// Data receives bytes, which the handler may keep.
+	Data(b []byte)
+	// Closed is the last call, once for each connection. err is nil when this side closed it without a fault.
+	Closed(err error)
+}
+
+// AcceptedHandler is the handler of an accepted connection.
+type AcceptedHandler interface {
+	Handler
+	// Busy reports whether the connection has open requests, and so must not be closed.
+	Busy() bool
+	// Messages returns the number of whole messages that have arrived, and whether a part of another has.
+	Messages() (whole int, begun bool)
+}
+
+// DialHandler is the handler of a connection that this program opens.
+type DialHandler interface {
+	Handler
+	// DialCompleted receives the result of the dial. With an error it is the last call.
+	DialCompleted(err error)
+}
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -1,158 +1,145 @@
 package eventloop
 
 import (
+	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"runtime"
 	"strconv"
+	"sync"
 	"time"
 
 	"github.com/lesismal/nbio"
-	"github.com/lesismal/nbio/logging"
 )
 
 const (
-	maxUnwritten = 640 << 10 // bytes a peer may leave unread: 32 responses of 16 KiB and their heads
+	// maxUnwritten is how many bytes a peer may leave unread: 32 responses of 16 KiB and their heads.
+	maxUnwritten = 640 << 10
 
-	// acceptPause is how long accepting waits after an error. Out of descriptors accept fails at once, and nbio would
+	// acceptPause is how long accepting waits after an error. Without descriptors accept fails at once, and nbio would
 	// call it again without end.
 	acceptPause = 20 * time.Millisecond
-
-	minDescriptors = 1024 // of the table that nbio keeps of connections
 )
 
-// acceptFunc returns the handler of an accepted connection.
+// acceptFunc returns the handler of an accepted connection. It runs on the loop's goroutine.
 type acceptFunc = func(*Conn) AcceptedHandler
 
 // listenFunc opens a listener.
 type listenFunc = func(network, addr string) (net.Listener, error)
 
-// Listen has connections to addr handled by what accept returns. It is called before Start.
-func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) { l.listeners[addr] = accept }
-
-// Start opens the listeners and begins to queue what happens. Its error is a ListenError where an address can't be
-// listened on.
-func (l *Loop) Start() error {
-	logging.SetLevel(logging.LevelNone) // its errors reach our log by the callbacks
-	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(l.cfg.MaxDescriptors, minDescriptors)*2)
-	bound := bindings{}
-	engine := nbio.NewEngine(l.engineConfig(bound))
-	engine.OnOpen(func(socket *nbio.Conn) { l.opened(socket, bound) })
-	engine.OnRead(l.readable)
-	engine.OnWrittenSize(func(socket *nbio.Conn, _ []byte, size int) {
-		c, ok := socket.Session().(*Conn)
-		if ok {
-			c.countUnread(-size)
-		}
-	})
-	engine.OnClose(func(socket *nbio.Conn, err error) {
-		c, ok := socket.Session().(*Conn)
-		if ok {
-			l.queue.push(event{kind: connectionEnded, conn: c, err: err})
-		}
-	})
-	engine.OnAcceptError(l.acceptFailed)
-	err := engine.Start()
-	var listenError *ListenError
-	switch {
-	case errors.As(err, &listenError):
-		return listenError
-	case err != nil:
-		return fmt.Errorf("listen: %w", err)
-	}
-	l.engine = engine
-	return nil
+// listeners opens the listeners and queues the connections that they accept. Before Start the caller of Listen owns it.
+// After it the fields do not change, and each listener's goroutine calls connectionOpened and acceptFailed.
+type listeners struct {
+	loop      *Loop
+	listen    listenFunc
+	accepts   map[string]acceptFunc // by the address that was given to Listen
+	bound     bindings
+	opened    []net.Listener
+	acceptors sync.WaitGroup // goroutines of listeners
+	logger    *slog.Logger
 }
 
-// engineConfig returns nbio's configuration, by which the listeners enter themselves into bound.
-func (l *Loop) engineConfig(bound bindings) nbio.Config {
-	cfg := nbio.Config{
-		Network:            "tcp",
-		NPoller:            1,
-		MaxWriteBufferSize: maxUnwritten,
-		Listen: func(network, addr string) (net.Listener, error) {
-			listener, err := l.listen(network, addr)
-			if err != nil {
-				return nil, &ListenError{Addr: addr, Err: err}
-			}
-			bound.add(listener.Addr(), l.listeners[addr])
-			l.openListeners = append(l.openListeners, listener)
-			l.acceptors.Add(1)
-			return &admittingListener{Listener: listener, loop: l}, nil
-		},
+// newListeners returns listeners of no address.
+func newListeners(loop *Loop, logger *slog.Logger) *listeners {
+	return &listeners{
+		loop:    loop,
+		listen:  net.Listen,
+		accepts: map[string]acceptFunc{},
+		bound:   bindings{},
+		logger:  logger,
 	}
-	for addr := range l.listeners {
-		cfg.Addrs = append(cfg.Addrs, addr)
+}
+
+// addrs returns the addresses to listen on.
+func (l *listeners) addrs() (addrs []string) {
+	for addr := range l.accepts {
+		addrs = append(addrs, addr)
 	}
-	return cfg
+	return addrs
 }
 
-// Addrs lists the addresses that the loop listens on.
-func (l *Loop) Addrs() []string { return l.engine.Addrs }
+// open opens a listener. nbio calls it at its start, for each address, and runs a goroutine that accepts from it.
+func (l *listeners) open(network, addr string) (net.Listener, error) {
+	listener, err := l.listen(network, addr)
+	if err != nil {
+		return nil, &ListenError{Addr: addr, Err: err}
+	}
+	l.bound.add(listener.Addr(), l.accepts[addr])
+	l.opened = append(l.opened, listener)
+	l.acceptors.Add(1)
+	return &admittingListener{Listener: listener, loop: l.loop}, nil
+}
 
-// opened is called by a listener, and by a dial whose connection is announced once it can be written to.
-func (l *Loop) opened(socket *nbio.Conn, bound bindings) {
-	if socket.Session() != nil {
+// connectionOpened is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
+// once that can be written to. It blocks while the loop has too many accepted connections to handle.
+func (l *listeners) connectionOpened(socket *nbio.Conn) {
+	if socket.Session() != nil { // dialled
 		return
 	}
-	c := &Conn{loop: l, socket: socket, accept: bound.find(socket.LocalAddr()), isAccepted: true}
-	socket.SetSession(c)
-	l.registrations.Add(1)
-	l.acceptedCount.Add(1)
-	if !l.queue.push(event{kind: connectionAccepted, conn: c}) {
+	c := newConn(l.loop, nil)
+	c.socket = socket
+	c.accept = l.bound.find(socket.LocalAddr())
+	c.isAccepted = true
+	l.loop.poller.announce(socket, c)
+	l.loop.admission.opened()
+	if !l.loop.queue.push(event{kind: connectionAccepted, conn: c}) {
 		socket.Close()
 	}
 }
 
-// acceptFailed is called by a listener.
-func (l *Loop) acceptFailed(err error) {
+// acceptFailed is called by a listener's goroutine. It blocks for acceptPause.
+func (l *listeners) acceptFailed(err error) {
 	if errors.Is(err, net.ErrClosed) {
 		// The loop has closed the listener. nbio would end the goroutine by a flag, which the goroutine clears when it
-		// starts: one that starts late would accept for ever.
+		// starts: one that starts late would accept forever.
 		l.acceptors.Done()
 		runtime.Goexit()
 	}
-	slog.Warn("accept_failed", slog.Any("err", err))
+	l.logger.Warn("accept_failed", slog.Any("err", err))
 	if IsDescriptorExhausted(err) {
-		l.Post(func() { l.closeIdleClient() })
+		l.loop.idleCloser.request()
 	}
 	time.Sleep(acceptPause)
 }
 
-// admittingListener takes a connection in before nbio has its poller read it: where there is no room, it is closed and
-// nothing of it has been read.
+// closeAll closes the listeners. It does not wait for their goroutines.
+func (l *listeners) closeAll() {
+	for _, listener := range l.opened {
+		listener.Close()
+	}
+}
+
+// awaitEnd returns when no goroutine accepts any more, or ctx is done. It blocks and must not be called on the event
+// loop.
+func (l *listeners) awaitEnd(ctx context.Context) { await(ctx, &l.acceptors) }
+
+// admittingListener admits a connection before nbio's poller reads it: one that is rejected is closed, and none of its
+// bytes has been read.
 type admittingListener struct {
 	net.Listener
 	loop *Loop
 }
 
-// Accept waits for a connection that there is room for.
+// Accept returns the next connection that is admitted. It blocks and must not be called on the event loop.
 func (a *admittingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := a.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if a.loop.ensureAcceptCapacity() {
+		if a.loop.admission.admit() {
 			return conn, nil
 		}
 		conn.Close()
-		a.loop.Post(func() { a.loop.rejected.count++ })
+		a.loop.Post(func() { a.loop.clients.rejections.count++ })
 	}
 }
 
-// ensureAcceptCapacity reports whether one more connection may be accepted, for which an idle one is closed where there
-// are too many. It is called by listeners.
-func (l *Loop) ensureAcceptCapacity() bool {
-	return l.acceptedCount.Load() < int64(l.cfg.MaxAccepted) || l.CloseIdleClients()
-}
-
 // bindings finds the listener of a connection by the address that it was made to.
 type bindings map[string]acceptFunc
 
-// add enters a listener; one on all addresses is known by its port alone, since each of its connections has the address
+// add adds a listener. One on all addresses is found by its port alone, since each of its connections has the address
 // that the peer chose.
 func (b bindings) add(addr net.Addr, accept acceptFunc) {
 	tcp, ok := addr.(*net.TCPAddr)
@@ -163,7 +150,7 @@
 	b[addr.String()] = accept
 }
 
-// find returns what a listener accepts with, nil for an address that none listens on.
+// find returns the accept function of a listener. It returns nil for an address that none listens on.
 func (b bindings) find(addr net.Addr) acceptFunc {
 	accept := b[addr.String()]
 	if accept != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,126 +1,115 @@
 package eventloop
 
 import (
+	"cmp"
 	"context"
-	"errors"
-	"net"
-	"sync"
-	"sync/atomic"
+	"log/slog"
 	"time"
-
-	"github.com/lesismal/nbio"
-)
-
-const (
-	epoch         = time.Hour // the clock's first reading, so that earlier instants are positive too
-	sweepInterval = 200 * time.Millisecond
 )
 
-// Handler takes what happens on a connection. All its methods run on the loop's goroutine.
-type Handler interface {
-	// Data takes bytes in; they are the handler's to keep.
-	Data(b []byte)
-	// Closed is the last call, once for each connection.
-	Closed(err error)
-}
-
-// AcceptedHandler is the handler of an accepted connection.
-type AcceptedHandler interface {
-	Handler
-	// Busy reports whether the connection has open requests and must be left alone.
-	Busy() bool
-	// Messages is how many whole messages have arrived, and whether the beginning of another has.
-	Messages() (whole int, begun bool)
-}
-
-// DialHandler is the handler of a connection that this program opens.
-type DialHandler interface {
-	Handler
-	// DialCompleted tells how the dial ended. With an error it is the last call.
-	DialCompleted(err error)
-}
-
-// Config bounds a Loop.
+// Config configures a Loop.
 type Config struct {
 	MaxAccepted    int // accepted connections at once
 	MaxDescriptors int // descriptors of the process
 	MaxQueuedBytes int // bytes queued for the loop; beyond it the pollers wait
 	MaxUnreadBytes int // bytes that all peers together may leave unread
+
+	Logger *slog.Logger // nil: slog.Default()
 }
 
-// Loop owns nbio's engine, the queue between it and the goroutine in Run, and the connections.
+// Loop runs the handlers of all connections on one goroutine, that of Run. Methods run on that goroutine, except for
+// those that say otherwise.
 type Loop struct {
-	cfg           Config
-	startedAt     time.Time
-	engine        *nbio.Engine
-	listeners     map[string]acceptFunc // by the address that was given to Listen
-	openListeners []net.Listener
-	acceptors     sync.WaitGroup // goroutines of listeners
-	queue         *queue
-	unreadByPeers atomic.Int64 // bytes that peers have yet to take
-	acceptedCount atomic.Int64 // accepted connections that have not ended, those included that the loop has not seen
-	pollerBuffer  []byte       // what the poller reads into
-
-	// registrations counts connections that were handed to the poller. nbio hands them over by way of the kernel, which
-	// orders memory but is nothing that the race detector knows; it knows of this.
-	registrations atomic.Int64
-
-	connect     connectFunc     // opens a socket; tests have it fail
-	listen      listenFunc      // opens a listener; the same
-	dialContext context.Context // ends with the loop
-	cancelDials context.CancelFunc
-	dials       sync.WaitGroup // goroutines of dials
+	clock clock
+
+	// Shared with other goroutines; each type says how.
+	queue      *queue
+	poller     *poller
+	listeners  *listeners
+	admission  *admission
+	idleCloser *idleCloser
+	dialer     *dialer
+	unread     *unreadTotal
 
 	// Owned by Run's goroutine.
-	now      time.Duration
-	arrived  time.Duration // when the data was read that is being handled; else now
-	accepted map[*Conn]struct{}
-	toFlush  []*Conn // with something to write at the end of the turn
-	sweptAt  time.Duration
-	stopped  bool
-	rejected rejectionLog
-
-	closingClients bool   // for good, and none is accepted any more
-	closingBuffer  []byte // what is read into before a connection is closed
+	turnTimes
+	clients *acceptedClients
+	flushes flushList
+	stopped bool
+}
+
+// turnTimes holds the times of the present turn. The loop's goroutine owns it.
+type turnTimes struct {
+	now     time.Duration // the turn's one reading of the clock
+	arrived time.Duration // when the data was read that is being handled; otherwise now
 }
 
-// New returns a Loop that listens nowhere yet.
+// New returns a Loop without listeners. The caller ends it by Close.
 func New(cfg Config) *Loop {
+	logger := cmp.Or(cfg.Logger, slog.Default())
+	clock := clock{startedAt: time.Now()}
+	ctx, cancel := context.WithCancel(context.Background())
+	queue := newQueue(clock.now, cfg.MaxQueuedBytes)
+	started := clock.now()
 	l := &Loop{
-		cfg:       cfg,
-		startedAt: time.Now(),
-		listeners: map[string]acceptFunc{},
-		accepted:  map[*Conn]struct{}{},
-		connect:   connect,
-		listen:    net.Listen,
-
-		pollerBuffer:  make([]byte, readBuffer),
-		closingBuffer: make([]byte, readBuffer),
+		clock:     clock,
+		queue:     queue,
+		poller:    newPoller(queue, cfg.MaxDescriptors),
+		unread:    &unreadTotal{max: int64(cfg.MaxUnreadBytes)},
+		turnTimes: turnTimes{now: started, arrived: started},
+		clients:   newAcceptedClients(logger),
+	}
+	l.idleCloser = &idleCloser{queue: queue, closeIdle: l.closeIdleClient, loopEnded: ctx}
+	l.admission = &admission{limit: int64(cfg.MaxAccepted), idleCloser: l.idleCloser}
+	l.listeners = newListeners(l, logger)
+	l.dialer = &dialer{
+		connect:    connect,
+		loopEnded:  ctx,
+		cancel:     cancel,
+		queue:      queue,
+		poller:     l.poller,
+		idleCloser: l.idleCloser,
 	}
-	l.queue = newQueue(l.clock, cfg.MaxQueuedBytes)
-	l.dialContext, l.cancelDials = context.WithCancel(context.Background())
-	l.now = l.clock()
-	l.arrived = l.now
 	return l
 }
 
-// clock reads the monotonic clock in whole microseconds.
-func (l *Loop) clock() time.Duration {
-	return (epoch + time.Since(l.startedAt)).Truncate(time.Microsecond)
+// Listen has connections to addr handled by what accept returns, which runs on the loop's goroutine. It is called
+// before Start, on the same goroutine.
+func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
+	l.listeners.accepts[addr] = accept
 }
 
-// Now is the time of the present turn.
+// Start opens the listeners and begins to queue events. It is called once, before Run. Its error is a ListenError when
+// an address can't be listened on.
+func (l *Loop) Start() error { return l.poller.start(l.listeners) }
+
+// Addrs lists the addresses that the loop listens on. It is called after Start, on any goroutine.
+func (l *Loop) Addrs() []string { return l.poller.engine.Addrs }
+
+// Now is the time of the present turn, in whole microseconds on the monotonic clock.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// ArrivedAt is when the data was read that a handler is being given: before the turn, by as much as the loop was held
-// up. What a client waits for counts from then, and what goes out by Now. Outside of Handler.Data it is Now.
+// ArrivedAt is the time at which the data was read that a handler receives. It is earlier than Now by as much as the
+// loop was held up. What a client waits for counts from ArrivedAt, and what goes out by Now. Outside of Handler.Data it
+// is Now.
 func (l *Loop) ArrivedAt() time.Duration { return l.arrived }
 
-// Post has call run on the loop's goroutine.
+// Post has call run on the loop's goroutine. It returns at once, and any goroutine may call it. Once the loop has
+// ended, calls are dropped.
 func (l *Loop) Post(call func()) { l.queue.push(event{kind: callPosted, call: call}) }
 
-// Run serves until Stop, and then ends the loop's goroutines. Each turn it calls begin with the time, then the handlers
-// of what is queued, then turn, which returns when it wants to be called again at the latest.
+// Dial opens a connection and returns at once. The handler's DialCompleted receives the result within timeout, or a
+// little later.
+func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
+	c := newConn(l, h)
+	c.writer.isUnixSocket = network == "unix"
+	l.dialer.start(c, network, addr, timeout)
+	return c
+}
+
+// Run handles events until Stop. Each turn it calls begin with the time, then the handlers of what is queued, and then
+// turn. turn returns the time at which it wants to be called again at the latest. Run blocks; its goroutine is the
+// loop's.
 func (l *Loop) Run(begin func(now time.Duration), turn func(now time.Duration) time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -130,7 +119,6 @@
 		case <-l.queue.wake:
 		case <-timer.C:
 		}
-		// The turn's one reading of the clock.
 		batch, now := l.queue.take(spare[:0])
 		l.now = now
 		l.arrived = now
@@ -138,24 +126,38 @@
 		l.dispatch(batch)
 		spare = batch
 		next := turn(now)
-		l.flush()
-		if l.closingClients {
-			l.closeClientsAtRest()
-		}
-		if now-l.sweptAt > sweepInterval {
-			l.sweep()
-		}
-		if len(l.toFlush) > 0 {
+		l.flushes.flush()
+		l.clients.endTurn(now)
+		if !l.flushes.isEmpty() {
 			next = min(next, now+stalledPause)
 		}
-		timer.Reset(max(min(next, now+sweepInterval)-l.clock(), 0))
+		timer.Reset(max(min(next, now+sweepInterval)-l.clock.now(), 0))
 	}
 }
 
 // Stop has Run return after this turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// dispatch hands events to their handlers, and clears them so that batch holds on to nothing.
+// CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at
+// rest: no response is due on it, its peer has read all that was written, and no part of a message has arrived.
+func (l *Loop) CloseClients() {
+	l.clients.closeAll()
+	l.listeners.closeAll()
+}
+
+// CloseIdleClients closes an idle client to free its descriptor, and reports whether there was one. Clients may hold
+// all descriptors that are left, and discovery and the workers must be reached all the same. It blocks and must not be
+// called on the event loop.
+func (l *Loop) CloseIdleClients() bool { return l.idleCloser.closeOne() }
+
+// AcceptedCount is the number of accepted connections that have not ended. Any goroutine may call it.
+func (l *Loop) AcceptedCount() int { return int(l.admission.count.Load()) }
+
+// UnwrittenBytes is the number of bytes to accepted peers that have yet to leave this program, including those that
+// this turn queued.
+func (l *Loop) UnwrittenBytes() int { return l.clients.unwrittenBytes() }
+
+// dispatch passes events to their handlers in order, and clears them so that batch retains nothing.
 func (l *Loop) dispatch(batch []event) {
 	for i := range batch {
 		e := &batch[i]
@@ -163,7 +165,7 @@
 		case callPosted:
 			e.call()
 		case connectionAccepted:
-			l.accept(e.conn)
+			l.clients.add(e.conn, l.now)
 		case dialEnded:
 			e.conn.dialEnded(e.socket, e.err)
 		case dataReceived:
@@ -177,38 +179,17 @@
 	}
 }
 
-// connectionEnded handles the end of a connection, which the poller found or this program caused.
+// connectionEnded handles the end of a connection, which the peer or this program caused.
 func (l *Loop) connectionEnded(c *Conn, err error) {
-	delete(l.accepted, c)
-	unread := c.unreadByPeer.Swap(0) // nobody takes it any more
-	l.unreadByPeers.Add(-unread)
-	c.unsentBytes += int(max(unread, 0))
-	if c.ended {
+	l.clients.remove(c)
+	if !c.connectionEnded() {
 		return
 	}
-	c.ended = true
 	if c.isAccepted {
-		l.acceptedCount.Add(-1)
-	}
-	if c.handler != nil && c.established {
-		c.closed = true
-		c.handler.Closed(err)
+		l.admission.ended()
 	}
+	c.notifyClosed(err)
 }
 
-// dialEnded handles the end of a dial: a socket, or the error that it failed with.
-func (c *Conn) dialEnded(socket *nbio.Conn, err error) {
-	c.socket = socket
-	if c.closed { // it was cancelled meanwhile
-		if socket != nil {
-			socket.Close()
-		}
-		return
-	}
-	if c.ended { // the connection ended before this turn heard that it had come up
-		err = errors.Join(err, net.ErrClosed)
-	}
-	c.established = err == nil
-	c.closed = err != nil
-	c.handler.(DialHandler).DialCompleted(err)
-}
+// closeIdleClient closes an idle client, and reports whether there was one.
+func (l *Loop) closeIdleClient() bool { return l.clients.closeIdle(l.now) }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -90,6 +90,15 @@
 	}
 }
 
+// addClient adds an established connection without a socket to the accepted clients of a loop that does not run.
+func addClient(l *Loop, h AcceptedHandler, activity clientActivity) *Conn {
+	c := newConn(l, h)
+	c.state.established = true
+	c.activity = activity
+	l.clients.conns[c] = struct{}{}
+	return c
+}
+
 func dial(t *testing.T, l *Loop) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addrs()[0])
@@ -228,14 +237,13 @@
 	} {
 		l := New(Config{})
 		e := &echo{}
-		conn := &Conn{loop: l, handler: e, established: true, activity: clientActivity{activeAt: l.now}}
-		l.accepted[conn] = struct{}{}
+		conn := addClient(l, e, clientActivity{activeAt: l.now})
 		start, closed := l.now, time.Minute
 		for at := time.Duration(0); at < time.Minute; at += step {
 			if l.now = start + at; c.feed(e, at) {
-				conn.noteMessages()
+				conn.recordMessages()
 			}
-			if l.sweep(); conn.closed {
+			if l.clients.sweep(l.now); conn.state.closed {
 				closed = at
 				break
 			}
@@ -252,9 +260,7 @@
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(whole int, busy bool, heard time.Duration) *Conn {
-		c := &Conn{loop: l, handler: &echo{busy: busy}, established: true, activity: clientActivity{messages: whole, activeAt: heard}}
-		l.accepted[c] = struct{}{}
-		return c
+		return addClient(l, &echo{busy: busy}, clientActivity{messages: whole, activeAt: heard})
 	}
 	now := l.now
 	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
@@ -262,13 +268,13 @@
 	busy := add(0, true, 0)
 	queued, unread := add(1, false, 0), add(1, false, 0)
 	queued.Write([]byte("answer"))
-	unread.countUnread(1)
+	unread.writer.countUnread(1)
 	for i, c := range order {
-		if !l.closeIdleClient() || !c.closed {
+		if !l.closeIdleClient() || !c.state.closed {
 			t.Fatalf("connection %d was not the one to make room", i)
 		}
 	}
-	if l.closeIdleClient() || busy.closed || queued.closed || unread.closed {
+	if l.closeIdleClient() || busy.state.closed || queued.state.closed || unread.state.closed {
 		t.Error("a connection that is owed an answer made room")
 	}
 	if queued.activity.activeAt != now {
@@ -348,11 +354,11 @@
 // all the same is an error, not a panic that ends the program.
 func TestDatagramSocketsHaveAnAddress(t *testing.T) {
 	for _, network := range []string{"udp", "udp4", "udp6"} {
-		if a, ok := dialer(network, time.Second).LocalAddr.(*net.UDPAddr); !ok || a.Port != 0 {
+		if a, ok := netDialer(network, time.Second).LocalAddr.(*net.UDPAddr); !ok || a.Port != 0 {
 			t.Errorf("%s is not bound to an address of the system's choice", network)
 		}
 	}
-	if dialer("tcp4", time.Second).LocalAddr != nil {
+	if netDialer("tcp4", time.Second).LocalAddr != nil {
 		t.Error("a stream is bound without need")
 	}
 	peer, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -360,7 +366,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	std, err := dialer("udp", time.Second).Dial("udp", peer.LocalAddr().String())
+	std, err := netDialer("udp", time.Second).Dial("udp", peer.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/eventloop/poller.go
@@ -0,0 +1,167 @@
+package eventloop
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+
+	"github.com/lesismal/nbio"
+	"github.com/lesismal/nbio/logging"
+)
+
+// minDescriptors is the smallest size of the table of connections that nbio is configured for.
+const minDescriptors = 1024
+
+// poller runs nbio's engine: one goroutine that polls all connections, and one for each listener. Its callbacks queue
+// what happened and touch no state of the loop.
+type poller struct {
+	engine         *nbio.Engine // nil until start
+	maxDescriptors int          // of the process
+	queue          *queue
+	buffer         []byte // what is read into; owned by the polling goroutine
+
+	// registrations counts connections that were handed to the polling goroutine. nbio hands them over by way of the
+	// kernel. That orders memory, but the race detector does not know it; it knows this counter.
+	registrations atomic.Int64
+}
+
+// newPoller returns a poller that does not run yet.
+func newPoller(queue *queue, maxDescriptors int) *poller {
+	return &poller{queue: queue, maxDescriptors: maxDescriptors, buffer: make([]byte, readBuffer)}
+}
+
+// start opens the listeners and starts the goroutines. Its error wraps a ListenError when an address can't be listened
+// on.
+func (p *poller) start(listeners *listeners) error {
+	logging.SetLevel(logging.LevelNone) // the callbacks report its errors to our log
+	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
+	engine := nbio.NewEngine(nbio.Config{
+		Network:            "tcp",
+		Addrs:              listeners.addrs(),
+		NPoller:            1,
+		MaxWriteBufferSize: maxUnwritten,
+		Listen:             listeners.open,
+	})
+	engine.OnOpen(listeners.connectionOpened)
+	engine.OnRead(p.readable)
+	engine.OnWrittenSize(p.written)
+	engine.OnClose(p.connectionEnded)
+	engine.OnAcceptError(listeners.acceptFailed)
+	err := engine.Start()
+	var listenError *ListenError
+	switch {
+	case errors.As(err, &listenError):
+		return listenError
+	case err != nil:
+		return fmt.Errorf("listen: %w", err)
+	}
+	p.engine = engine
+	return nil
+}
+
+// announce sets the session of a socket before the polling goroutine may read it.
+func (p *poller) announce(socket *nbio.Conn, session any) {
+	socket.SetSession(session)
+	p.registrations.Add(1)
+}
+
+// watch has the polling goroutine poll a socket. Any goroutine may call it.
+func (p *poller) watch(socket *nbio.Conn, session any) error {
+	p.announce(socket, session)
+	_, err := p.engine.AddConn(socket)
+	return err
+}
+
+// readable is called by nbio when a connection has something to read. It blocks while the queue is full.
+func (p *poller) readable(socket *nbio.Conn) {
+	p.registrations.Load()
+	switch session := socket.Session().(type) {
+	case *Conn:
+		session.reader.readAvailable(socket, p.buffer)
+	case *pollerSignal:
+		session.received()
+	}
+}
+
+// written is called by nbio when the kernel has accepted bytes that nbio held.
+func (p *poller) written(socket *nbio.Conn, _ []byte, size int) {
+	c, ok := socket.Session().(*Conn)
+	if ok {
+		c.writer.countUnread(-size)
+	}
+}
+
+// connectionEnded is called by nbio when a connection has ended.
+func (p *poller) connectionEnded(socket *nbio.Conn, err error) {
+	c, ok := socket.Session().(*Conn)
+	if ok {
+		p.queue.push(event{kind: connectionEnded, conn: c, err: err})
+	}
+}
+
+// pollerSignal is the session of a connection by which the poller shows that it runs.
+type pollerSignal struct {
+	once    sync.Once
+	running chan struct{} // closed when data has arrived
+}
+
+// received is called by the polling goroutine.
+func (s *pollerSignal) received() { s.once.Do(func() { close(s.running) }) }
+
+// awaitRunning returns once the polling goroutine runs, or when ctx is done. nbio ends that goroutine by a flag, which
+// the goroutine clears when it starts: one that starts late would poll forever. When the sockets for the check can't be
+// made, it returns at once. It blocks and must not be called on the event loop.
+func (p *poller) awaitRunning(ctx context.Context) {
+	socket, peer, err := socketPair()
+	if err != nil {
+		return
+	}
+	defer peer.Close()
+	signal := &pollerSignal{running: make(chan struct{})}
+	err = p.watch(socket, signal)
+	if err != nil {
+		return
+	}
+	defer socket.Close()
+	_, err = peer.Write([]byte{0})
+	if err != nil {
+		return
+	}
+	select {
+	case <-signal.running:
+	case <-ctx.Done():
+	}
+}
+
+// shutdown ends the goroutines, or stops waiting for them when ctx is done.
+func (p *poller) shutdown(ctx context.Context) {
+	_ = p.engine.Shutdown(ctx) // its only error is that of ctx
+}
+
+// socketPair returns two sockets that are connected to each other, of which the first is nbio's.
+func socketPair() (socket *nbio.Conn, peer *os.File, err error) {
+	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
+	if err != nil {
+		return nil, nil, err
+	}
+	peer = os.NewFile(uintptr(fds[1]), "peer")
+	own := os.NewFile(uintptr(fds[0]), "own")
+	defer own.Close()
+	std, err := net.FileConn(own)
+	if err != nil {
+		peer.Close()
+		return nil, nil, err
+	}
+	socket, err = adopt(std)
+	if err != nil {
+		std.Close()
+		peer.Close()
+		return nil, nil, err
+	}
+	return socket, peer, nil
+}
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -10,7 +10,7 @@
 // maxUnseenConnections is how many accepted connections may wait for the loop; beyond it none is accepted.
 const maxUnseenConnections = 8
 
-// eventKind is what happened.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -21,7 +21,7 @@
 	callPosted                          // call
 )
 
-// event is what a poller, a dial or another goroutine tells the loop. It is one struct for all kinds, and not an
+// event notifies the loop of what a poller, a dial or another goroutine did. It is one struct for all kinds, and not an
 // interface, since it is queued by value: boxing it would cost an allocation for each read.
 type event struct {
 	kind   eventKind
@@ -33,33 +33,36 @@
 	at     time.Duration // of dataReceived: when it was read
 }
 
-// mayWait reports whether the goroutine that queues the event may be made to wait. Only what peers cause waits: a
-// poller or a listener then slows them down.
+// mayWait reports whether the goroutine that queues the event may block. Only events that peers cause do: a poller or a
+// listener that waits slows the peers down.
 func (e *event) mayWait() bool { return e.kind == dataReceived || e.kind == connectionAccepted }
 
-// queue takes events from many goroutines to the loop's.
+// queue passes events from many goroutines to the loop's, in the order in which they were pushed. It is safe for
+// concurrent use. A reader's mu may be held when mu is locked, and no lock is taken while mu is held.
 type queue struct {
 	clock    func() time.Duration
-	maxBytes int
-	wake     chan struct{} // holds one value where something is queued
+	maxBytes int           // of data; beyond it pollers wait
+	wake     chan struct{} // holds one value when something is queued
 
+	// Guarded by mu.
 	mu                sync.Mutex
-	space             *sync.Cond // a turn has taken what was queued, or the queue is closed
+	space             *sync.Cond // signals that a turn has taken the events, or that the queue is closed
 	events            []event
 	bytes             int // of data in events
-	unseenConnections int // accepted ones in events
+	unseenConnections int // accepted connections in events
 	closed            bool
 }
 
+// newQueue returns an empty queue, which stamps turns by clock.
 func newQueue(clock func() time.Duration, maxBytes int) *queue {
 	q := &queue{clock: clock, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
 	q.space = sync.NewCond(&q.mu)
 	return q
 }
 
-// push queues an event and wakes the loop. Where too much is queued a poller waits for the next turn, and so does a
-// listener, since connections that the loop has not seen hold descriptors beyond the limit on them. push returns
-// false once the queue is closed.
+// push queues an event and wakes the loop. It returns false once the queue is closed. When too much is queued, it
+// blocks a poller until the next turn. It blocks a listener too, since connections that the loop has not seen hold
+// descriptors beyond the limit on them. For these two it must not be called on the event loop.
 func (q *queue) push(e event) bool {
 	q.mu.Lock()
 	for e.mayWait() && q.full(e.kind) && !q.closed {
@@ -70,14 +73,15 @@
 	return queued
 }
 
-// pushNow queues an event of the loop's own goroutine, for which it never waits: only a turn makes room.
+// pushNow queues an event without blocking. The loop's goroutine uses it for data: waiting would block the turn that
+// empties the queue.
 func (q *queue) pushNow(e event) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.add(e)
 }
 
-// add queues an event and wakes the loop, or returns false once the queue is closed. The caller holds the lock.
+// add queues an event and wakes the loop, or returns false once the queue is closed. The caller holds mu.
 func (q *queue) add(e event) bool {
 	if q.closed {
 		return false
@@ -94,7 +98,7 @@
 	return true
 }
 
-// full reports whether an event of a kind has to wait. The caller holds the lock.
+// full reports whether an event of a kind has to wait. The caller holds mu.
 func (q *queue) full(kind eventKind) bool {
 	if kind == connectionAccepted {
 		return q.unseenConnections >= maxUnseenConnections
@@ -102,8 +106,9 @@
 	return q.bytes > q.maxBytes
 }
 
-// take returns what is queued and lets those that wait go on; spare, which must be empty, receives what is queued next.
-// It also returns the time of the turn, which is the present.
+// take returns the queued events and releases the goroutines that wait. The queue uses spare, which must be empty, for
+// the next events. take also returns the present, which becomes the time of the turn: no data in the batch was
+// read after it.
 func (q *queue) take(spare []event) (batch []event, now time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -115,7 +120,7 @@
 	return batch, q.clock()
 }
 
-// close drops what is queued from now on and releases those that wait.
+// close drops what is queued from now on, and releases the goroutines that wait.
 func (q *queue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -10,47 +12,49 @@
 )
 
 const (
-	readBuffer = 32 << 10 // of the one poller, not of each connection
+	readBuffer = 32 << 10 // bytes, for the one poller and not for each connection
 
-	// maxReads is how many buffers the poller reads of a connection before others have their turn. It is a worker's 32
+	// maxReads is how many buffers the poller reads of a connection before it reads others. It holds a worker's 32
 	// responses of 16 KiB and their heads.
 	maxReads = maxUnwritten / readBuffer
 
-	// readPause is how long the poller waits after a read that failed for want of memory, since it is called again at
+	// readPause is how long the poller waits after a read that failed for lack of memory, since nbio calls it again at
 	// once.
 	readPause = time.Millisecond
 )
 
-// readable is called by the poller when a connection has something to read.
-func (l *Loop) readable(socket *nbio.Conn) {
-	l.registrations.Load()
-	switch session := socket.Session().(type) {
-	case *Conn:
-		session.readAvailable(socket)
-	case *pollerSignal:
-		session.received()
-	}
+// connReader reads one connection and queues what it has read for the loop. The poller and the loop's goroutine share
+// it: whoever reads the socket holds mu. Data is queued in the order in which it was read.
+type connReader struct {
+	conn  *Conn
+	queue *queue
+
+	mu      sync.Mutex // held while the socket is read
+	stopped bool       // nothing more is read; guarded by mu
+
+	queuedReads atomic.Int32 // reads that are queued for the loop and not handled
 }
 
-// readAvailable reads what the kernel has and queues it for the loop. The poller closes the connection after it where
-// the peer has ended, so then it reads to the end.
-func (c *Conn) readAvailable(socket *nbio.Conn) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	for reads := 0; !c.readingStopped; reads++ {
+// readAvailable reads what the kernel holds and queues it for the loop. The poller calls it. It blocks while the queue
+// is full and must not be called on the event loop. When the peer has ended the connection, it reads to the end,
+// because the poller closes the connection after it.
+func (r *connReader) readAvailable(socket *nbio.Conn, pollerBuffer []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for reads := 0; !r.stopped; reads++ {
 		if reads >= maxReads && !hasEnded(socket) {
 			return
 		}
-		buffer := c.loop.pollerBuffer
+		buffer := pollerBuffer
 		_, size, err := socket.ReadAndGetConn(&buffer)
 		if size > 0 {
-			c.queueData(buffer[:size], (*queue).push)
+			r.queue.push(r.newEvent(buffer[:size]))
 		}
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
 			return
-		case errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS): // of this machine, and for a moment
+		case errors.Is(err, syscall.ENOMEM), errors.Is(err, syscall.ENOBUFS): // a brief fault of this machine
 			time.Sleep(readPause)
 			return
 		case err != nil:
@@ -62,58 +66,61 @@
 	}
 }
 
-// queueData queues a copy of data for the loop. The caller holds c.reading.
-func (c *Conn) queueData(data []byte, push func(*queue, event) bool) {
-	c.queuedReads.Add(1)
-	push(c.loop.queue, event{kind: dataReceived, conn: c, data: append([]byte(nil), data...), at: c.loop.clock()})
+// newEvent returns the event of a read, with a copy of its data, and counts it. The caller holds mu and queues it.
+func (r *connReader) newEvent(data []byte) event {
+	r.queuedReads.Add(1)
+	return event{kind: dataReceived, conn: r.conn, data: append([]byte(nil), data...), at: r.queue.clock()}
 }
 
-// hasEnded reports whether the peer of a stream has ended it. What it sent before may be yet to be read.
-func hasEnded(socket *nbio.Conn) bool {
-	ended := false
-	raw, err := socket.SyscallConn()
-	if err != nil {
-		return false
-	}
-	_ = raw.Control(func(fd uintptr) { // nbio's never fails
-		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		ready, err := unix.Poll(state, 0)
-		ended = err == nil && ready > 0
-	})
-	return ended
-}
+// handled records that the loop has begun to handle a queued read.
+func (r *connReader) handled() { r.queuedReads.Add(-1) }
 
-// closeAtRest closes an accepted connection on which no response is due and nothing has arrived, and reports whether it
-// did. It reads once more, under the lock that keeps the poller from reading: whatever has been read is handled, and
-// what comes later finds the connection closed.
-func (c *Conn) closeAtRest() bool {
-	if c.closed || c.owesResponse() || !c.reading.TryLock() {
+// stopIfDrained stops reading when nothing has arrived that the loop has not handled, calls closeSocket, and reports
+// whether it did. It reads once more under mu, which keeps the poller from reading: whatever has been read is handled,
+// and what arrives later finds the connection closed. The loop's goroutine calls it. It does not wait for mu.
+func (r *connReader) stopIfDrained(socket *nbio.Conn, buffer []byte, closeSocket func()) bool {
+	if !r.mu.TryLock() {
 		return false
 	}
-	defer c.reading.Unlock()
-	if c.queuedReads.Load() > 0 || c.readOnce() {
+	defer r.mu.Unlock()
+	if r.queuedReads.Load() > 0 || r.readOnce(socket, buffer) {
 		return false
 	}
-	c.readingStopped = true
-	c.Close()
+	r.stopped = true
+	closeSocket()
 	return true
 }
 
-// readOnce queues what the kernel holds, up to a buffer's size, and reports whether that was anything. The caller holds
-// c.reading; it is the loop's goroutine, which must not wait for the queue.
-func (c *Conn) readOnce() bool {
-	if c.socket == nil {
+// readOnce queues what the kernel holds, up to the size of buffer, and reports whether there was anything. The caller
+// holds mu. It runs on the loop's goroutine, which must not wait for the queue.
+func (r *connReader) readOnce(socket *nbio.Conn, buffer []byte) bool {
+	if socket == nil {
 		return false
 	}
-	buffer := c.loop.closingBuffer
 	for {
-		_, size, err := c.socket.ReadAndGetConn(&buffer)
+		available := buffer
+		_, size, err := socket.ReadAndGetConn(&available)
 		if errors.Is(err, syscall.EINTR) {
 			continue
 		}
 		if size > 0 {
-			c.queueData(buffer[:size], (*queue).pushNow)
+			r.queue.pushNow(r.newEvent(available[:size]))
 		}
 		return size > 0
 	}
 }
+
+// hasEnded reports whether the peer of a stream has ended it. What it sent before may still have to be read.
+func hasEnded(socket *nbio.Conn) bool {
+	ended := false
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return false
+	}
+	_ = raw.Control(func(fd uintptr) { // nbio's never fails
+		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		ready, err := unix.Poll(state, 0)
+		ended = err == nil && ready > 0
+	})
+	return ended
+}
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -2,116 +2,132 @@
 
 import (
 	"errors"
+	"sync/atomic"
 	"syscall"
+
+	"github.com/lesismal/nbio"
 )
 
-// maxVectors is how many buffers one gathered write takes; the kernel takes 1,024.
+// maxVectors is how many buffers one gathered write passes; the kernel accepts 1,024.
 const maxVectors = 512
 
-// Write queues buffers for the end of the turn; the connection keeps them until then.
-func (c *Conn) Write(bufs ...[]byte) {
-	if c.closed {
-		return
-	}
-	if len(c.outgoing) == 0 {
-		c.loop.toFlush = append(c.loop.toFlush, c)
-	}
-	c.activity.noteResponse(c.loop.now)
-	c.outgoing = append(c.outgoing, bufs...)
+// connWriter holds the bytes that were written to one connection and have not left this program: first those that nbio
+// holds, then those that are queued for the end of the turn. The loop's goroutine owns it. Pollers only call
+// countUnread.
+type connWriter struct {
+	queued       [][]byte
+	unsentBytes  int          // bytes that had not left when the connection ended
+	unreadBytes  atomic.Int64 // bytes that nbio holds; the poller subtracts what it has written
+	total        *unreadTotal
+	isUnixSocket bool
 }
 
-// flush writes what this turn queued.
-func (l *Loop) flush() {
-	stalled := l.toFlush[:0]
-	for _, c := range l.toFlush {
-		if !c.flush() {
-			stalled = append(stalled, c)
-		}
-	}
-	l.toFlush = stalled // to be flushed again in the next turn
+// unreadTotal counts the bytes that nbio holds for all connections of the loop: those that their peers have yet to
+// read. It is safe for concurrent use.
+type unreadTotal struct {
+	max   int64 // bytes; a peer that reads too slowly beyond it is closed
+	bytes atomic.Int64
 }
 
-// flush writes what is queued, and reports whether nothing is left that has to be written again.
-func (c *Conn) flush() bool {
-	switch {
-	case c.closed || !c.established:
-		c.unsentBytes += totalSize(c.outgoing)
-	case c.isUnix:
-		done, err := c.writeUnix()
-		if err == nil && !done {
-			return false
-		}
-		if err != nil {
-			c.unsentBytes += totalSize(c.outgoing)
-			c.fail(err)
-		}
-	default:
-		err := c.writeOutgoing()
-		if err != nil {
-			c.fail(err)
-		}
-	}
-	clear(c.outgoing)
-	c.outgoing = c.outgoing[:0]
-	return true
+// add adds bytes; a negative size subtracts them.
+func (u *unreadTotal) add(size int64) { u.bytes.Add(size) }
+
+// isExceeded reports whether peers leave too many bytes unread.
+func (u *unreadTotal) isExceeded() bool { return u.bytes.Load() > u.max }
+
+// queue adds buffers and reports whether they are the first. The writer keeps them until they are written.
+func (w *connWriter) queue(bufs [][]byte) (first bool) {
+	first = len(w.queued) == 0
+	w.queued = append(w.queued, bufs...)
+	return first
+}
+
+// countUnread adds bytes to those that nbio holds; a negative size subtracts them. Any goroutine may call it.
+func (w *connWriter) countUnread(size int) {
+	w.unreadBytes.Add(int64(size))
+	w.total.add(int64(size))
 }
 
-// writeOutgoing writes what is queued in as few system calls as it takes, and keeps count of what the peer has yet to
-// take. It fails with a SlowPeerError where that and what all others have yet to take is too much.
-func (c *Conn) writeOutgoing() error {
-	for rest := c.outgoing; len(rest) > 0; {
+// hasUnread reports whether nbio holds bytes, which the peer has yet to read.
+func (w *connWriter) hasUnread() bool { return w.unreadBytes.Load() > 0 }
+
+// isEmpty reports whether all bytes have left this program.
+func (w *connWriter) isEmpty() bool { return len(w.queued) == 0 && !w.hasUnread() }
+
+// pendingBytes is the number of bytes that have not left this program.
+func (w *connWriter) pendingBytes() int { return int(w.unreadBytes.Load()) + totalSize(w.queued) }
+
+// unsent is the number of bytes that had not left when the connection ended, and of those that were queued later.
+func (w *connWriter) unsent() int { return w.unsentBytes + totalSize(w.queued) }
+
+// connectionEnded counts the bytes that nbio held as unsent: no peer can read them any more.
+func (w *connWriter) connectionEnded() {
+	unread := w.unreadBytes.Swap(0)
+	w.total.add(-unread)
+	w.unsentBytes += int(max(unread, 0))
+}
+
+// drop counts the queued bytes as unsent. The caller clears the queue.
+func (w *connWriter) drop() { w.unsentBytes += totalSize(w.queued) }
+
+// clear empties the queue and keeps its memory.
+func (w *connWriter) clear() {
+	clear(w.queued)
+	w.queued = w.queued[:0]
+}
+
+// write writes the queued buffers in as few system calls as possible. The caller clears the queue.
+func (w *connWriter) write(socket *nbio.Conn) error {
+	for rest := w.queued; len(rest) > 0; {
 		batch := rest[:min(len(rest), maxVectors)]
 		rest = rest[len(batch):]
-		written, err := c.writeVectors(batch)
+		written, err := w.writeVectors(socket, batch)
 		if err != nil {
-			c.unsentBytes += totalSize(batch) + totalSize(rest)
+			w.unsentBytes += totalSize(batch) + totalSize(rest)
 			return err
 		}
-		unsent, err := c.bufferRest(batch, written)
+		unsent, err := w.bufferRest(socket, batch, written)
 		if err != nil {
-			c.unsentBytes += unsent + totalSize(rest)
+			w.unsentBytes += unsent + totalSize(rest)
 			return err
 		}
 	}
-	unread := c.unreadByPeer.Load()
-	if unread > 0 && c.loop.unreadByPeers.Load() > int64(c.loop.cfg.MaxUnreadBytes) {
-		return &SlowPeerError{Addr: c.RemoteAddr(), UnreadBytes: int(unread)}
-	}
 	return nil
 }
 
-// writeVectors writes as much of batch as the kernel takes at once, by one system call, and returns how many bytes that
-// was. It writes nothing behind bytes that still wait: nbio's Writev tells of what it wrote (OnWrittenSize) only where
-// that was short, so there it would not be known whether it wrote or kept.
-func (c *Conn) writeVectors(batch [][]byte) (written int, err error) {
-	if len(batch) == 1 || c.unreadByPeer.Load() != 0 {
+// writeVectors writes as much of batch as the kernel accepts in one system call, and returns the number of bytes. It
+// writes nothing while nbio holds bytes: nbio's Writev reports what it wrote (OnWrittenSize) only after a short write,
+// so the caller could not know whether nbio wrote the bytes or held them.
+func (w *connWriter) writeVectors(socket *nbio.Conn, batch [][]byte) (written int, err error) {
+	if len(batch) == 1 || w.unreadBytes.Load() != 0 {
 		return 0, nil
 	}
-	written, err = c.socket.Writev(batch)
+	written, err = socket.Writev(batch)
 	if err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR) {
 		return 0, err
 	}
 	written = max(written, 0)
 	if written > 0 && written < totalSize(batch) {
-		c.countUnread(written) // as OnWrittenSize has already taken off
+		w.countUnread(written) // OnWrittenSize has already subtracted it
 	}
 	return written, nil
 }
 
-// bufferRest has nbio keep what is left of batch after its first written bytes. nbio's Writev keeps only the buffer in
-// which a short write ended and drops those after it, and keeps nothing when the socket takes no byte at all; what it
-// leaves out is handed to Write, which keeps all. After an error it returns how many bytes were not handed over.
-func (c *Conn) bufferRest(batch [][]byte, written int) (unsent int, err error) {
+// bufferRest has nbio hold what is left of batch after its first written bytes. nbio's Writev holds only the buffer in
+// which a short write ended and drops those after it. It holds nothing when the socket accepts no byte at all. What it
+// leaves out is passed to Write, which holds everything. With an error it returns the number of bytes that were not
+// passed on.
+func (w *connWriter) bufferRest(socket *nbio.Conn, batch [][]byte, written int) (unsent int, err error) {
 	for i, buf := range batch {
 		switch {
 		case written >= len(buf):
 			written -= len(buf)
-		case written > 0: // Writev kept the rest of this one
-			c.countUnread(len(buf) - written)
+		case written > 0: // Writev holds the rest of this one
+			w.countUnread(len(buf) - written)
 			written = 0
 		default:
-			c.countUnread(len(buf))
-			_, err := c.socket.Write(buf)
+			w.countUnread(len(buf))
+			_, err := socket.Write(buf)
 			if err != nil {
 				return totalSize(batch[i+1:]), err
 			}
@@ -120,28 +136,10 @@
 	return 0, nil
 }
 
+// totalSize is the number of bytes in buffers.
 func totalSize(bufs [][]byte) (size int) {
 	for _, buf := range bufs {
 		size += len(buf)
 	}
 	return size
 }
-
-// countUnread counts bytes that the peer has yet to take; a negative count is of bytes that it took.
-func (c *Conn) countUnread(size int) {
-	c.unreadByPeer.Add(int64(size))
-	c.loop.unreadByPeers.Add(int64(size))
-}
-
-// UnsentBytes is how many of the last bytes that were written to a connection that has ended never left this program:
-// the kernel did not take them. What it took may have reached the peer.
-func (c *Conn) UnsentBytes() int { return c.unsentBytes + totalSize(c.outgoing) }
-
-// UnwrittenBytes is how many bytes accepted peers have yet to take, what this turn queued for them included.
-func (l *Loop) UnwrittenBytes() int {
-	sum := int64(0)
-	for c := range l.accepted {
-		sum += c.unreadByPeer.Load() + int64(totalSize(c.outgoing))
-	}
-	return int(sum)
-}
--- a/internal/eventloop/writer_unix.go
+++ b/internal/eventloop/writer_unix.go
@@ -4,32 +4,35 @@
 	"errors"
 	"syscall"
 	"time"
+
+	"github.com/lesismal/nbio"
 )
 
-// stalledPause is the time until what a Unix socket did not take is written again.
+// stalledPause is the time until a Unix socket that accepted no more bytes is written to again.
 const stalledPause = 2 * time.Millisecond
 
-// writeUnix writes what is queued for a Unix socket, and reports whether the kernel took it all. What it did not take
-// stays queued and is written again: nbio keeps the rest of a short write for TCP alone, but for that of the buffer in
-// which a gathered write ended. Until that has left nothing is written behind it.
-func (c *Conn) writeUnix() (done bool, err error) {
-	for len(c.outgoing) > 0 {
-		if c.unreadByPeer.Load() > 0 {
-			return false, c.checkStalled()
+// writeUnix writes the queued buffers to a Unix socket, and reports whether the kernel accepted them all. The others
+// stay queued and are written again: after a short write to a Unix socket nbio holds only the rest of the buffer in
+// which a gathered write ended. Nothing is written behind that rest until it has left.
+func (w *connWriter) writeUnix(socket *nbio.Conn) (done bool, err error) {
+	for len(w.queued) > 0 {
+		if w.hasUnread() {
+			return false, w.checkStalled()
 		}
-		written, err := c.socket.Writev(gathered(c.outgoing))
+		written, err := socket.Writev(gathered(w.queued))
 		if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
-			return false, c.checkStalled()
+			return false, w.checkStalled()
 		}
 		if err != nil {
 			return false, err
 		}
-		c.dropWritten(written)
+		w.dropWritten(written)
 	}
 	return true, nil
 }
 
-// gathered returns as many buffers as one call takes, two at the least: nbio writes a single one in another way.
+// gathered returns as many buffers as one system call accepts. It returns at least two, since nbio writes a single
+// buffer in another way.
 func gathered(bufs [][]byte) [][]byte {
 	batch := bufs[:min(len(bufs), maxVectors)]
 	if len(batch) == 1 {
@@ -38,25 +41,24 @@
 	return batch
 }
 
-// dropWritten takes what was written off the queue, and with it the buffer that was written in part, whose rest nbio
-// keeps.
-func (c *Conn) dropWritten(written int) {
-	if written < totalSize(c.outgoing[:min(len(c.outgoing), maxVectors)]) {
-		c.countUnread(written) // as OnWrittenSize has already taken off
+// dropWritten removes the written buffers from the queue, and the buffer that was written in part: nbio holds its rest.
+func (w *connWriter) dropWritten(written int) {
+	if written < totalSize(w.queued[:min(len(w.queued), maxVectors)]) {
+		w.countUnread(written) // OnWrittenSize has already subtracted it
 	}
-	for len(c.outgoing) > 0 && written >= len(c.outgoing[0]) {
-		written -= len(c.outgoing[0])
-		c.outgoing = c.outgoing[1:]
+	for len(w.queued) > 0 && written >= len(w.queued[0]) {
+		written -= len(w.queued[0])
+		w.queued = w.queued[1:]
 	}
 	if written > 0 {
-		c.countUnread(len(c.outgoing[0]) - written)
-		c.outgoing = c.outgoing[1:]
+		w.countUnread(len(w.queued[0]) - written)
+		w.queued = w.queued[1:]
 	}
 }
 
-// checkStalled fails with a SlowPeerError where more is queued than a peer may leave unread.
-func (c *Conn) checkStalled() error {
-	if size := totalSize(c.outgoing); size > maxUnwritten {
+// checkStalled returns a SlowPeerError when more bytes are queued than a peer may leave unread.
+func (w *connWriter) checkStalled() error {
+	if size := totalSize(w.queued); size > maxUnwritten {
 		return &SlowPeerError{UnreadBytes: size}
 	}
 	return nil
