--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -1,144 +1,124 @@
 package eventloop
 
 import (
-	"io"
-	"net"
-	"os"
-	"os/exec"
-	"strings"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// reader is a dialled connection that counts what it is handed.
-type reader struct {
-	dialled
-	got atomic.Int64
+// Guards the time that a client has for its message: whole messages count, not the bytes that trickle in,
+// and one that sent a request may hold its connection for longer.
+func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
+	const step = 100 * time.Millisecond
+	for name, c := range map[string]struct {
+		feed func(e *echo, at time.Duration) bool // reports whether bytes arrive
+		gone time.Duration
+	}{
+		"silent":            {func(*echo, time.Duration) bool { return false }, messageTimeout},
+		"trickles":          {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
+		"sent one and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
+		"half a second one": {func(e *echo, at time.Duration) bool {
+			e.whole, e.begun = 1, at >= 5*time.Second
+			return at == 0 || e.begun
+		}, 5*time.Second + messageTimeout},
+		"goes on sending": {func(e *echo, _ time.Duration) bool { e.whole++; return true }, time.Minute},
+		"response due":    {func(e *echo, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
+	} {
+		l := New(Config{})
+		e := &echo{}
+		conn := addClient(l, e, clientActivity{activeAt: l.now})
+		start, closed := l.now, time.Minute
+		for at := time.Duration(0); at < time.Minute; at += step {
+			if l.now = start + at; c.feed(e, at) {
+				conn.recordMessages()
+			}
+			if l.clients.sweep(l.now); conn.state.closed {
+				closed = at
+				break
+			}
+		}
+		if closed < c.gone || closed > c.gone+2*step {
+			t.Errorf("%s: closed after %v, want %v", name, closed, c.gone)
+		}
+	}
 }
 
-func (r *reader) Data(b []byte) { r.got.Add(int64(len(b))) }
-
-// Guards responses that a worker wrote just before it closed: while the poller is held up they and the end come together,
-// and nbio forgets what it has not read of a connection once it has heard of its end.
-func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
-	// The poller waits behind a byte.
-	l := startWith(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
-		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
-	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
-	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
-	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	held, release := make(chan bool), make(chan bool)
-	l.Post(func() {
-		c.socket.SetReadBuffer(1 << 20) // as large as the kernel lets a busy connection's grow
-		close(held)
-		<-release
-	})
-	<-held
-	for range 3 { // the third byte finds the queue full, and the poller waits with it
-		dial(t, l).Write([]byte("x"))
+// Guards clients that sent requests against connections that are opened by hundreds and say nothing: those make
+// room for each other, the oldest first. One that has only just come may have its request on the way, and
+// one whose response is queued or not yet read would lose it.
+func TestSilentConnectionsAreClosedFirst(t *testing.T) {
+	l := New(Config{})
+	add := func(whole int, busy bool, heard time.Duration) *Conn {
+		return addClient(l, &echo{busy: busy}, clientActivity{messages: whole, activeAt: heard})
 	}
-	for queued := 0; queued < 2; {
-		l.queue.mu.Lock()
-		queued = l.queue.bytes
-		l.queue.mu.Unlock()
+	now := l.now
+	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
+		add(3, false, now-2), add(0, false, now-requestGracePeriod), add(0, false, now)}
+	busy := add(0, true, 0)
+	queued, unread := add(1, false, 0), add(1, false, 0)
+	queued.Write([]byte("answer"))
+	unread.writer.countUnread(1)
+	for i, c := range order {
+		if !l.closeIdleClient() || !c.state.closed {
+			t.Fatalf("connection %d was not the one to make room", i)
+		}
 	}
-	const size = 10 * (16<<10 + 100) // ten responses
-	if _, err := peer.Write(make([]byte, size)); err != nil {
-		t.Fatal(err)
+	if l.closeIdleClient() || busy.state.closed || queued.state.closed || unread.state.closed {
+		t.Error("a connection that is owed an answer made room")
 	}
-	peer.(*net.TCPConn).CloseWrite()
-	close(release)
-	<-r.closed
-	if got := r.got.Load(); got != size {
-		t.Errorf("%d of %d bytes were read before the end", got, size)
+	if queued.activity.activeAt != now {
+		t.Error("a connection counts as idle though it was just answered")
 	}
-	peer.Close()
 }
 
-// Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
-// slow client's response would be cut off with the process.
-func TestWhatIsQueuedIsUnwritten(t *testing.T) {
-	l := New(Config{})
-	c := addClient(l, &echo{}, clientActivity{})
-	c.writer.countUnread(3)
-	c.Write([]byte("four"), []byte("!"))
-	if n := l.UnwrittenBytes(); n != 8 {
-		t.Errorf("%d bytes are unwritten, not 8", n)
+// A request that the poller has read is answered although its connection is the one to make room in the same turn.
+func TestWhatWasReadIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+	accepted := make(chan *echo, 10)
+	l := start(t, 1, func(c *Conn) AcceptedHandler {
+		e := &echo{c: c, times: 1, ends: make(chan error, 1)}
+		accepted <- e
+		return e
+	})
+	first := dial(t, l)
+	<-accepted
+	release := hold(l)
+	dial(t, l) // finds no room, and the first connection is idle as far as the loop knows
+	if _, err := first.Write([]byte("request")); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(20 * time.Millisecond) // the poller reads it, if it may
+	release()
+	response := make([]byte, len("request|"))
+	if n, err := first.Read(response); err != nil || string(response[:n]) != "request|" {
+		t.Errorf("response %q, %v", response[:n], err)
 	}
 }
 
-// Guards the workers and discovery against clients that hold every descriptor and say nothing: a dial that finds
-// none has them make room, oldest first, and comes up. It runs in a process of its own, whose limit it lowers.
-func TestIdleClientsAreClosedForADial(t *testing.T) {
-	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
-		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
-		cmd.Env = append(os.Environ(), "CRANKHOLD_FEW_FILES=1")
-		if out, err := cmd.CombinedOutput(); err != nil || !strings.Contains(string(out), "a dial came up") {
-			t.Fatalf("%v\n%s", err, out)
-		}
-		return
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	accepted := make(chan bool, 100)
-	l := start(t, 1000, func(c *Conn) AcceptedHandler {
-		accepted <- true
-		return &echo{c: c, ends: make(chan error, 1)}
+// A request that is in the kernel's buffer when its idle connection is about to make room is read and answered.
+func TestRequestInTheKernelIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+	accepted := make(chan *echo, 10)
+	l := startWith(t, Config{MaxAccepted: 2, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20}, func(c *Conn) AcceptedHandler {
+		e := &echo{c: c, times: 1, ends: make(chan error, 1)}
+		accepted <- e
+		return e
 	})
-	var idle []net.Conn
-	for range 8 {
-		idle = append(idle, dial(t, l))
-		<-accepted
-	}
-	take := func() (files []*os.File) { // every descriptor that is left
-		var limit syscall.Rlimit
-		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-			t.Fatal(err)
-		}
-		next, err := os.Open(os.DevNull)
-		if err != nil {
-			t.Fatal(err)
-		}
-		limit.Cur = uint64(next.Fd()) + 8 // what is open stays, nbio's of an earlier process too
-		files = append(files, next)
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+	idle, flood := dial(t, l), dial(t, l)
+	<-accepted
+	<-accepted
+	release := hold(l)
+	for range 3 { // the poller waits with the third byte, and reads nothing more until the loop goes on
+		if _, err := flood.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		for {
-			f, err := os.Open(os.DevNull)
-			if err != nil {
-				return files
-			}
-			files = append(files, f)
-		}
-	}
-	files := take()
-	if len(files) == 0 {
-		t.Fatal("no descriptor was left to take")
-	}
-	for _, network := range []string{"tcp", "udp"} {
-		d := &dialled{make(chan error, 1), make(chan error, 1)}
-		l.Post(func() { l.Dial(network, ln.Addr().String(), time.Second, d) })
-		if err := <-d.opened; err != nil {
-			t.Fatalf("%s: %v", network, err)
-		}
+		time.Sleep(5 * time.Millisecond)
 	}
-	t.Log("a dial came up")
-	gone := 0
-	for _, c := range idle {
-		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
-			gone++
-		}
-	}
-	if gone == 0 || gone == len(idle) {
-		t.Errorf("%d of %d idle clients made room", gone, len(idle))
+	awaitQueuedBytes(l, 2)
+	if _, err := idle.Write([]byte("request")); err != nil {
+		t.Fatal(err)
 	}
-	for _, f := range files {
-		f.Close()
+	l.Post(func() { l.closeIdleClient() })
+	release()
+	response := make([]byte, len("request|"))
+	if n, err := idle.Read(response); err != nil || string(response[:n]) != "request|" {
+		t.Errorf("response %q, %v", response[:n], err)
 	}
 }
--- /dev/null
+++ b/internal/eventloop/dialer_test.go
@@ -0,0 +1,194 @@
+package eventloop
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/lesismal/nbio"
+)
+
+func TestDialsEndOnceAndTruly(t *testing.T) {
+	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := free.Addr().String()
+	free.Close()
+	refused := &dialled{make(chan error, 2), make(chan error, 2)}
+	l.Post(func() { l.Dial("tcp", addr, time.Second, refused) })
+	if err := <-refused.opened; !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("a refused dial: %v", err)
+	}
+	up := &dialled{make(chan error, 2), make(chan error, 2)}
+	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, up) })
+	if err := <-up.opened; err != nil {
+		t.Errorf("a dial: %v", err)
+	}
+}
+
+// Faults of this machine that connect(2) and socket(2) may show for a moment end no dial: it is tried again within its
+// time. What says something of the peer ends it at once.
+func TestDialOutlastsFaultsOfThisMachine(t *testing.T) {
+	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	for _, fault := range []struct {
+		errno    syscall.Errno
+		outlasts bool
+	}{
+		{syscall.EADDRNOTAVAIL, true}, {syscall.ENETUNREACH, true}, {syscall.ENOBUFS, true}, {syscall.ENFILE, true}, {syscall.EMFILE, true},
+		{syscall.ENOMEM, true}, {syscall.EAGAIN, true}, {syscall.EINTR, true}, {syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false},
+		{syscall.ETIMEDOUT, false}, {syscall.ECONNRESET, false},
+	} {
+		t.Run(fault.errno.Error(), func(t *testing.T) {
+			attempts := 0
+			d := &dialled{make(chan error, 1), make(chan error, 1)}
+			l.Post(func() {
+				l.dialer.connect = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
+					if attempts++; attempts <= 3 {
+						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", fault.errno)}
+					}
+					return connect(ctx, network, addr, timeout)
+				}
+				l.Dial("tcp", l.Addrs()[0], 2*time.Second, d)
+			})
+			if err := <-d.opened; (err == nil) != fault.outlasts {
+				t.Errorf("the dial ended with %v after %d attempts", err, attempts)
+			}
+		})
+	}
+}
+
+// A fault of this machine that lasts ends the dial when its time is over, as a fault of this machine.
+func TestDialEndsWhereAFaultOfThisMachineLasts(t *testing.T) {
+	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	d := &dialled{make(chan error, 1), make(chan error, 1)}
+	l.Post(func() {
+		l.dialer.connect = func(context.Context, string, string, time.Duration) (*nbio.Conn, error) {
+			return nil, fmt.Errorf("dial: %w", syscall.EADDRNOTAVAIL)
+		}
+		l.Dial("tcp", l.Addrs()[0], 50*time.Millisecond, d)
+	})
+	if err := <-d.opened; !IsLocalFault(err) {
+		t.Errorf("the dial ended with %v", err)
+	}
+}
+
+// nameless is a connected socket of which the system does not tell the own address, as getsockname did for
+// datagram sockets on the operators' full fleet, where every router died of it before it served.
+type nameless struct{ net.Conn }
+
+func (nameless) LocalAddr() net.Addr { return nil }
+
+// Guards the start: sockets for datagrams are bound, so that their address is known, and one that is unknown
+// all the same is an error, not a panic that ends the program.
+func TestDatagramSocketsHaveAnAddress(t *testing.T) {
+	for _, network := range []string{"udp", "udp4", "udp6"} {
+		if a, ok := netDialer(network, time.Second).LocalAddr.(*net.UDPAddr); !ok || a.Port != 0 {
+			t.Errorf("%s is not bound to an address of the system's choice", network)
+		}
+	}
+	if netDialer("tcp4", time.Second).LocalAddr != nil {
+		t.Error("a stream is bound without need")
+	}
+	peer, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer peer.Close()
+	std, err := netDialer("udp", time.Second).Dial("udp", peer.LocalAddr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer std.Close()
+	if _, err := adopt(nameless{std}); !errors.Is(err, errNoLocalAddress) {
+		t.Errorf("a socket without an address: %v", err)
+	}
+	nc, err := adopt(std)
+	if err != nil {
+		t.Fatal(err)
+	}
+	nc.Close()
+}
+
+// Guards the workers and discovery against clients that hold every descriptor and say nothing: a dial that finds
+// none has them make room, oldest first, and comes up. It runs in a process of its own, whose limit it lowers.
+func TestIdleClientsAreClosedForADial(t *testing.T) {
+	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
+		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
+		cmd.Env = append(os.Environ(), "CRANKHOLD_FEW_FILES=1")
+		if out, err := cmd.CombinedOutput(); err != nil || !strings.Contains(string(out), "a dial came up") {
+			t.Fatalf("%v\n%s", err, out)
+		}
+		return
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	accepted := make(chan bool, 100)
+	l := start(t, 1000, func(c *Conn) AcceptedHandler {
+		accepted <- true
+		return &echo{c: c, ends: make(chan error, 1)}
+	})
+	var idle []net.Conn
+	for range 8 {
+		idle = append(idle, dial(t, l))
+		<-accepted
+	}
+	take := func() (files []*os.File) { // every descriptor that is left
+		var limit syscall.Rlimit
+		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+			t.Fatal(err)
+		}
+		next, err := os.Open(os.DevNull)
+		if err != nil {
+			t.Fatal(err)
+		}
+		limit.Cur = uint64(next.Fd()) + 8 // what is open stays, nbio's of an earlier process too
+		files = append(files, next)
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+			t.Fatal(err)
+		}
+		for {
+			f, err := os.Open(os.DevNull)
+			if err != nil {
+				return files
+			}
+			files = append(files, f)
+		}
+	}
+	files := take()
+	if len(files) == 0 {
+		t.Fatal("no descriptor was left to take")
+	}
+	for _, network := range []string{"tcp", "udp"} {
+		d := &dialled{make(chan error, 1), make(chan error, 1)}
+		l.Post(func() { l.Dial(network, ln.Addr().String(), time.Second, d) })
+		if err := <-d.opened; err != nil {
+			t.Fatalf("%s: %v", network, err)
+		}
+	}
+	t.Log("a dial came up")
+	gone := 0
+	for _, c := range idle {
+		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
+			gone++
+		}
+	}
+	if gone == 0 || gone == len(idle) {
+		t.Errorf("%d of %d idle clients made room", gone, len(idle))
+	}
+	for _, f := range files {
+		f.Close()
+	}
+}
--- /dev/null
+++ b/internal/eventloop/listeners_test.go
@@ -0,0 +1,79 @@
+package eventloop
+
+import (
+	"net"
+	"net/netip"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Guards against a listener on all addresses whose connections, each with an address of its own, are
+// taken for nobody's.
+func TestConnectionsFindTheirListener(t *testing.T) {
+	which := ""
+	accept := func(name string) func(*Conn) AcceptedHandler {
+		return func(*Conn) AcceptedHandler { which = name; return nil }
+	}
+	addr := func(text string) net.Addr { return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(text)) }
+	b := bindings{}
+	b.add(addr("127.0.0.1:80"), accept("one"))
+	b.add(addr("0.0.0.0:90"), accept("all"))
+	b.add(addr("127.0.0.3:90"), accept("own"))
+	for to, want := range map[string]string{"127.0.0.1:80": "one", "127.0.0.2:90": "all", "127.0.0.3:90": "own", "[::1]:90": "all"} {
+		if b.find(addr(to))(nil); which != want {
+			t.Errorf("%s went to %s", to, which)
+		}
+	}
+	if b.find(addr("127.0.0.2:80")) != nil {
+		t.Error("another address on a bound port has a listener")
+	}
+}
+
+// faultyListener fails while it is told to, and counts how often it is asked.
+type faultyListener struct {
+	net.Listener
+	fault atomic.Pointer[syscall.Errno]
+	asked atomic.Int32
+}
+
+func (l *faultyListener) Accept() (net.Conn, error) {
+	l.asked.Add(1)
+	if fault := l.fault.Load(); fault != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", *fault)}
+	}
+	return l.Listener.Accept()
+}
+
+// A listener whose accept fails for a moment neither ends nor spins, and accepts again.
+func TestListenerOutlastsFaultsOfAccept(t *testing.T) {
+	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
+		syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
+		t.Run(fault.Error(), func(t *testing.T) {
+			t.Parallel()
+			var faulty *faultyListener
+			l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
+			l.listeners.listen = func(network, addr string) (net.Listener, error) {
+				listener, err := net.Listen(network, addr)
+				faulty = &faultyListener{Listener: listener}
+				faulty.fault.Store(&fault)
+				return faulty, err
+			}
+			runLoop(t, l, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+			time.Sleep(200 * time.Millisecond)
+			if asked := faulty.asked.Load(); asked < 1 || asked > 30 {
+				t.Errorf("accept was called %d times in 0.2 s", asked)
+			}
+			faulty.fault.Store(nil)
+			client := dial(t, l)
+			if _, err := client.Write([]byte("x")); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := client.Read(make([]byte, 1)); err != nil {
+				t.Errorf("after the fault: %v", err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/eventloop/queue_test.go
@@ -0,0 +1,30 @@
+package eventloop
+
+import (
+	"testing"
+)
+
+// Guards the descriptors: while the loop is held up no more than a few connections are accepted.
+func TestAcceptingWaitsForTheLoop(t *testing.T) {
+	l := New(Config{})
+	pushed := make(chan int, 100)
+	go func() {
+		for i := range 3 * maxUnseenConnections {
+			l.queue.push(event{conn: &Conn{loop: l}, kind: connectionAccepted})
+			pushed <- i
+		}
+		close(pushed)
+	}()
+	for range maxUnseenConnections {
+		<-pushed
+	}
+	turns, most := 0, 0
+	for open := true; open; turns++ { // each turn takes what is queued, and lets as many in
+		batch, _ := l.queue.take(nil)
+		most = max(most, len(batch))
+		_, open = <-pushed
+	}
+	if most > maxUnseenConnections || turns < 2 {
+		t.Errorf("%d connections waited at once, %d turns", most, turns)
+	}
+}
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -58,3 +58,40 @@
 		t.Errorf("%d of %d bytes were read before the end", got, size)
 	}
 }
+
+// Guards responses that a worker wrote just before it closed: while the poller is held up they and the end come together,
+// and nbio forgets what it has not read of a connection once it has heard of its end.
+func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
+	// The poller waits behind a byte.
+	l := startWith(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
+		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
+	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
+	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
+	held, release := make(chan bool), make(chan bool)
+	l.Post(func() {
+		c.socket.SetReadBuffer(1 << 20) // as large as the kernel lets a busy connection's grow
+		close(held)
+		<-release
+	})
+	<-held
+	for range 3 { // the third byte finds the queue full, and the poller waits with it
+		dial(t, l).Write([]byte("x"))
+	}
+	for queued := 0; queued < 2; {
+		l.queue.mu.Lock()
+		queued = l.queue.bytes
+		l.queue.mu.Unlock()
+	}
+	const size = 10 * (16<<10 + 100) // ten responses
+	if _, err := peer.Write(make([]byte, size)); err != nil {
+		t.Fatal(err)
+	}
+	peer.(*net.TCPConn).CloseWrite()
+	close(release)
+	<-r.closed
+	if got := r.got.Load(); got != size {
+		t.Errorf("%d of %d bytes were read before the end", got, size)
+	}
+	peer.Close()
+}
--- /dev/null
+++ b/internal/eventloop/writer_test.go
@@ -0,0 +1,133 @@
+package eventloop
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// Guards against nbio's Writev, which drops the buffers behind a short write: a reader that starts
+// late, so that the socket fills, still gets every byte in order.
+func TestNothingIsLostInShortWrites(t *testing.T) {
+	e := &echo{times: 3000, ends: make(chan error, 1)}
+	wrote := make(chan struct{}, 1)
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
+		// The kernel's buffer is made small, so that little is needed to fill it.
+		c.socket.SetWriteBuffer(4 << 10)
+		e.c = c
+		return e
+	})
+	c := dial(t, l)
+	c.(*net.TCPConn).SetReadBuffer(64 << 10)
+	text := bytes.Repeat([]byte("0123456789"), 20)
+	c.Write(text)
+	for behind := 0; behind == 0; { // until the loop has written, and more than the kernel holds
+		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+		<-wrote
+	}
+	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
+	got := make([]byte, len(want))
+	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("bytes differ, %v", err)
+	}
+	for behind := 1; behind != 0; { // the poller may still have to count its last write
+		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+		<-wrote
+	}
+}
+
+func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
+	e := &echo{times: 40000, ends: make(chan error, 1)}
+	l := start(t, 10, func(c *Conn) AcceptedHandler {
+		c.socket.SetWriteBuffer(4 << 10)
+		e.c = c
+		return e
+	})
+	c := dial(t, l)
+	c.(*net.TCPConn).SetReadBuffer(4 << 10)
+	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of responses
+	if err := <-e.ends; err == nil {
+		t.Error("closed without a reason")
+	}
+}
+
+// Guards the proof that a request never left: of what was written to a peer that takes little, UnsentBytes is what the kernel
+// did not take; of a short message that was handed on, nothing.
+func TestUnsentIsWhatNeverLeft(t *testing.T) {
+	for _, size := range []int{100, 6 << 20} {
+		l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+		d := &dialled{make(chan error, 1), make(chan error, 1)}
+		c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", d, d.opened)
+		wrote := make(chan bool)
+		l.Post(func() {
+			for rest := size; rest > 0; rest -= min(rest, 64<<10) {
+				c.Write(make([]byte, min(rest, 64<<10)))
+			}
+			l.Post(func() { close(wrote) }) // behind the turn that hands it on
+		})
+		<-wrote
+		got := 0
+		if size < 1000 {
+			read, err := io.ReadFull(peer, make([]byte, size))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got = read
+		}
+		peer.(*net.TCPConn).SetLinger(0)
+		peer.Close()
+		<-d.closed
+		unsent := make(chan int)
+		l.Post(func() { unsent <- c.UnsentBytes() })
+		switch n := <-unsent; {
+		case size < 1000 && n != 0:
+			t.Errorf("%d bytes of %d never left, though %d arrived", n, size, got)
+		case size > 1000 && (n <= 0 || n > size):
+			t.Errorf("%d bytes of %d never left a connection whose peer took none", n, size)
+		}
+	}
+}
+
+// Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
+// slow client's response would be cut off with the process.
+func TestWhatIsQueuedIsUnwritten(t *testing.T) {
+	l := New(Config{})
+	c := addClient(l, &echo{}, clientActivity{})
+	c.writer.countUnread(3)
+	c.Write([]byte("four"), []byte("!"))
+	if n := l.UnwrittenBytes(); n != 8 {
+		t.Errorf("%d bytes are unwritten, not 8", n)
+	}
+}
+
+// A connection that is closed behind a response which its client takes slowly is closed once the client has it.
+func TestResponseIsTakenBeforeItsConnectionCloses(t *testing.T) {
+	const size = 80 << 10
+	l := start(t, 1, func(c *Conn) AcceptedHandler {
+		c.socket.SetWriteBuffer(4 << 10)
+		return &closingHandler{echo{c: c, ends: make(chan error, 1)}, size}
+	})
+	client := dial(t, l)
+	client.(*net.TCPConn).SetReadBuffer(4 << 10)
+	if _, err := client.Write([]byte("request")); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full, and the rest waits
+	got, err := io.ReadAll(client)
+	if err != nil || len(got) != size {
+		t.Errorf("%d of %d bytes arrived, %v", len(got), size, err)
+	}
+}
+
+// closingHandler responds to whatever it is sent, and closes.
+type closingHandler struct {
+	echo
+	size int
+}
+
+func (h *closingHandler) Data([]byte) {
+	h.c.Write(make([]byte, h.size))
+	h.c.CloseAfterFlush()
+}
