--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -10,21 +10,21 @@
 func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		feed func(e *echo, at time.Duration) bool // reports whether bytes arrive
+		feed func(e *echoHandler, at time.Duration) bool // reports whether bytes arrive
 		gone time.Duration
 	}{
-		"silent":            {func(*echo, time.Duration) bool { return false }, messageTimeout},
-		"trickles":          {func(e *echo, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
-		"sent one and held": {func(e *echo, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
-		"half a second one": {func(e *echo, at time.Duration) bool {
+		"silent":            {func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
+		"trickles":          {func(e *echoHandler, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
+		"sent one and held": {func(e *echoHandler, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
+		"half a second one": {func(e *echoHandler, at time.Duration) bool {
 			e.whole, e.begun = 1, at >= 5*time.Second
 			return at == 0 || e.begun
 		}, 5*time.Second + messageTimeout},
-		"goes on sending": {func(e *echo, _ time.Duration) bool { e.whole++; return true }, time.Minute},
-		"response due":    {func(e *echo, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
+		"goes on sending": {func(e *echoHandler, _ time.Duration) bool { e.whole++; return true }, time.Minute},
+		"response due":    {func(e *echoHandler, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
 	} {
 		l := New(Config{})
-		e := &echo{}
+		e := &echoHandler{}
 		conn := addClient(l, e, clientActivity{activeAt: l.now})
 		start, closed := l.now, time.Minute
 		for at := time.Duration(0); at < time.Minute; at += step {
@@ -42,46 +42,42 @@
 	}
 }
 
-// Guards clients that sent requests against connections that are opened by hundreds and say nothing: those make
-// room for each other, the oldest first. One that has only just come may have its request on the way, and
-// one whose response is queued or not yet read would lose it.
+// Guards clients that sent requests against a flood of silent connections: the oldest of these is closed first to free
+// a connection slot. One that has only just connected may have its request on the way, and one whose response is queued
+// or not yet read would lose it.
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(whole int, busy bool, heard time.Duration) *Conn {
-		return addClient(l, &echo{busy: busy}, clientActivity{messages: whole, activeAt: heard})
+		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: whole, activeAt: heard})
 	}
 	now := l.now
 	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
 		add(3, false, now-2), add(0, false, now-requestGracePeriod), add(0, false, now)}
 	busy := add(0, true, 0)
 	queued, unread := add(1, false, 0), add(1, false, 0)
-	queued.Write([]byte("answer"))
+	queued.Write([]byte("response"))
 	unread.writer.countUnread(1)
 	for i, c := range order {
 		if !l.closeIdleClient() || !c.state.closed {
-			t.Fatalf("connection %d was not the one to make room", i)
+			t.Fatalf("connection %d was not the one to be closed", i)
 		}
 	}
 	if l.closeIdleClient() || busy.state.closed || queued.state.closed || unread.state.closed {
-		t.Error("a connection that is owed an answer made room")
+		t.Error("a connection on which a response is due was closed")
 	}
 	if queued.activity.activeAt != now {
-		t.Error("a connection counts as idle though it was just answered")
+		t.Error("a connection counts as idle though it has just had a response")
 	}
 }
 
-// A request that the poller has read is answered although its connection is the one to make room in the same turn.
+// A request that the poller has read is answered although its connection is to be closed in the same turn, to free a slot.
 func TestWhatWasReadIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
-	accepted := make(chan *echo, 10)
-	l := start(t, 1, func(c *Conn) AcceptedHandler {
-		e := &echo{c: c, times: 1, ends: make(chan error, 1)}
-		accepted <- e
-		return e
-	})
+	accepted := make(chan *echoHandler, 10)
+	l := start(t, 1, acceptInto(accepted, false))
 	first := dial(t, l)
 	<-accepted
 	release := hold(l)
-	dial(t, l) // finds no room, and the first connection is idle as far as the loop knows
+	dial(t, l) // finds no free slot, and the first connection is idle as far as the loop knows
 	if _, err := first.Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
@@ -93,14 +89,10 @@
 	}
 }
 
-// A request that is in the kernel's buffer when its idle connection is about to make room is read and answered.
+// A request that is in the kernel's buffer when its idle connection is to be closed, to free a slot, is read and answered.
 func TestRequestInTheKernelIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
-	accepted := make(chan *echo, 10)
-	l := startWith(t, Config{MaxAccepted: 2, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20}, func(c *Conn) AcceptedHandler {
-		e := &echo{c: c, times: 1, ends: make(chan error, 1)}
-		accepted <- e
-		return e
-	})
+	accepted := make(chan *echoHandler, 10)
+	l := startWith(t, oneByteQueue(2), acceptInto(accepted, false))
 	idle, flood := dial(t, l), dial(t, l)
 	<-accepted
 	<-accepted
--- /dev/null
+++ b/internal/eventloop/clock_test.go
@@ -0,0 +1,19 @@
+package eventloop
+
+import (
+	"testing"
+	"time"
+)
+
+// The clock begins at the epoch, never goes back and counts whole microseconds.
+func TestClockCountsWholeMicroseconds(t *testing.T) {
+	c := clock{startedAt: time.Now()}
+	last := epoch
+	for range 1000 {
+		now := c.now()
+		if now < last || now%time.Microsecond != 0 {
+			t.Fatalf("read %d ns after %d ns", now, last)
+		}
+		last = now
+	}
+}
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -14,7 +14,7 @@
 	buf := make([]byte, 1<<20)
 	buf = buf[:runtime.Stack(buf, true)]
 	for _, stack := range bytes.Split(buf, []byte("\n\n")) {
-		if bytes.Contains(stack, []byte("eventloop.(*Loop)")) || bytes.Contains(stack, []byte("lesismal/nbio")) {
+		if bytes.Contains(stack, []byte("internal/eventloop.(*")) || bytes.Contains(stack, []byte("lesismal/nbio")) {
 			stacks = append(stacks, string(stack))
 		}
 	}
@@ -38,8 +38,8 @@
 // Close ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
 func TestNoGoroutineIsLeftAfterClose(t *testing.T) {
 	requireNoLoopGoroutines(t)
-	l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20})
-	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+	l := New(oneByteQueue(10))
+	l.Listen("127.0.0.1:0", acceptSilent)
 	if err := l.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -49,32 +49,23 @@
 		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
 		l.Close()
 	}()
-	peer := &dialled{make(chan error, 1), make(chan error, 1)}
+	peer := newDialRecorder()
 	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, peer) })
 	if err := <-peer.opened; err != nil {
 		t.Fatal(err)
 	}
 	clients := []net.Conn{dial(t, l), dial(t, l), dial(t, l)}
-	held, release := make(chan struct{}), make(chan struct{})
-	l.Post(func() {
+	release := hold(l, func() {
 		l.Stop()
-		l.Dial("tcp", "192.0.2.1:80", time.Minute, &dialled{make(chan error, 1), make(chan error, 1)}) // to nowhere
-		close(held)
-		<-release
+		l.Dial("tcp", "192.0.2.1:80", time.Minute, newDialRecorder()) // to nowhere
 	})
-	<-held
 	for _, c := range clients {
 		if _, err := c.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for queued := 0; queued < 2; { // the third byte finds the queue full, and the poller waits with it
-		l.queue.mu.Lock()
-		queued = l.queue.bytes
-		l.queue.mu.Unlock()
-		time.Sleep(time.Millisecond)
-	}
-	close(release)
+	awaitQueuedBytes(l, 2) // the third byte finds the queue full, and the poller waits with it
+	release()
 	<-done
 	requireNoLoopGoroutines(t)
 	if _, err := clients[0].Read(make([]byte, 1)); err == nil {
@@ -97,7 +88,7 @@
 
 // nbio's poller clears the flag by which it is told to end when it starts, so Close waits until it runs.
 func TestPollerIsAwaited(t *testing.T) {
-	l := start(t, 1, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
+	l := start(t, 1, acceptSilent)
 	socket, peer, err := socketPair()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -16,20 +16,20 @@
 	"github.com/lesismal/nbio"
 )
 
-func TestDialsEndOnceAndTruly(t *testing.T) {
-	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+func TestDialReportsItsResult(t *testing.T) {
+	l := start(t, 10, acceptEcho)
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := free.Addr().String()
 	free.Close()
-	refused := &dialled{make(chan error, 2), make(chan error, 2)}
+	refused := newDialRecorder()
 	l.Post(func() { l.Dial("tcp", addr, time.Second, refused) })
 	if err := <-refused.opened; !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a refused dial: %v", err)
 	}
-	up := &dialled{make(chan error, 2), make(chan error, 2)}
+	up := newDialRecorder()
 	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, up) })
 	if err := <-up.opened; err != nil {
 		t.Errorf("a dial: %v", err)
@@ -39,7 +39,7 @@
 // Faults of this machine that connect(2) and socket(2) may show for a moment end no dial: it is tried again within its
 // time. What says something of the peer ends it at once.
 func TestDialOutlastsFaultsOfThisMachine(t *testing.T) {
-	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+	l := start(t, 10, acceptEcho)
 	for _, fault := range []struct {
 		errno    syscall.Errno
 		outlasts bool
@@ -50,7 +50,7 @@
 	} {
 		t.Run(fault.errno.Error(), func(t *testing.T) {
 			attempts := 0
-			d := &dialled{make(chan error, 1), make(chan error, 1)}
+			d := newDialRecorder()
 			l.Post(func() {
 				l.dialer.connect = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
 					if attempts++; attempts <= 3 {
@@ -69,8 +69,8 @@
 
 // A fault of this machine that lasts ends the dial when its time is over, as a fault of this machine.
 func TestDialEndsWhereAFaultOfThisMachineLasts(t *testing.T) {
-	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
-	d := &dialled{make(chan error, 1), make(chan error, 1)}
+	l := start(t, 10, acceptEcho)
+	d := newDialRecorder()
 	l.Post(func() {
 		l.dialer.connect = func(context.Context, string, string, time.Duration) (*nbio.Conn, error) {
 			return nil, fmt.Errorf("dial: %w", syscall.EADDRNOTAVAIL)
@@ -82,11 +82,11 @@
 	}
 }
 
-// nameless is a connected socket of which the system does not tell the own address, as getsockname did for
+// connWithoutAddress is a connected socket whose local address the system does not report, as getsockname did for
 // datagram sockets on the operators' full fleet, where every router died of it before it served.
-type nameless struct{ net.Conn }
+type connWithoutAddress struct{ net.Conn }
 
-func (nameless) LocalAddr() net.Addr { return nil }
+func (connWithoutAddress) LocalAddr() net.Addr { return nil }
 
 // Guards the start: sockets for datagrams are bound, so that their address is known, and one that is unknown
 // all the same is an error, not a panic that ends the program.
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	defer std.Close()
-	if _, err := adopt(nameless{std}); !errors.Is(err, errNoLocalAddress) {
+	if _, err := adopt(connWithoutAddress{std}); !errors.Is(err, errNoLocalAddress) {
 		t.Errorf("a socket without an address: %v", err)
 	}
 	nc, err := adopt(std)
@@ -119,8 +119,33 @@
 	nc.Close()
 }
 
-// Guards the workers and discovery against clients that hold every descriptor and say nothing: a dial that finds
-// none has them make room, oldest first, and comes up. It runs in a process of its own, whose limit it lowers.
+// exhaustDescriptors lowers the limit of this process and opens a file for every descriptor that is left.
+func exhaustDescriptors(t *testing.T) (files []*os.File) {
+	t.Helper()
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		t.Fatal(err)
+	}
+	next, err := os.Open(os.DevNull)
+	if err != nil {
+		t.Fatal(err)
+	}
+	limit.Cur = uint64(next.Fd()) + 8 // what is open stays, nbio's of an earlier process too
+	files = append(files, next)
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
+		t.Fatal(err)
+	}
+	for {
+		f, err := os.Open(os.DevNull)
+		if err != nil {
+			return files
+		}
+		files = append(files, f)
+	}
+}
+
+// Guards the workers and discovery against silent clients that hold every descriptor: a dial that finds none has the
+// oldest of them closed, and succeeds. The test runs in a process of its own, whose limit it lowers.
 func TestIdleClientsAreClosedForADial(t *testing.T) {
 	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
@@ -137,41 +162,19 @@
 	accepted := make(chan bool, 100)
 	l := start(t, 1000, func(c *Conn) AcceptedHandler {
 		accepted <- true
-		return &echo{c: c, ends: make(chan error, 1)}
+		return newEchoHandler(c, 0)
 	})
 	var idle []net.Conn
 	for range 8 {
 		idle = append(idle, dial(t, l))
 		<-accepted
 	}
-	take := func() (files []*os.File) { // every descriptor that is left
-		var limit syscall.Rlimit
-		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-			t.Fatal(err)
-		}
-		next, err := os.Open(os.DevNull)
-		if err != nil {
-			t.Fatal(err)
-		}
-		limit.Cur = uint64(next.Fd()) + 8 // what is open stays, nbio's of an earlier process too
-		files = append(files, next)
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
-			t.Fatal(err)
-		}
-		for {
-			f, err := os.Open(os.DevNull)
-			if err != nil {
-				return files
-			}
-			files = append(files, f)
-		}
-	}
-	files := take()
+	files := exhaustDescriptors(t)
 	if len(files) == 0 {
-		t.Fatal("no descriptor was left to take")
+		t.Fatal("no descriptor was left to open")
 	}
 	for _, network := range []string{"tcp", "udp"} {
-		d := &dialled{make(chan error, 1), make(chan error, 1)}
+		d := newDialRecorder()
 		l.Post(func() { l.Dial(network, ln.Addr().String(), time.Second, d) })
 		if err := <-d.opened; err != nil {
 			t.Fatalf("%s: %v", network, err)
@@ -181,12 +184,12 @@
 	gone := 0
 	for _, c := range idle {
 		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-		if _, err := c.Read(make([]byte, 1)); err == io.EOF {
+		if _, err := c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 			gone++
 		}
 	}
 	if gone == 0 || gone == len(idle) {
-		t.Errorf("%d of %d idle clients made room", gone, len(idle))
+		t.Errorf("%d of %d idle clients were closed", gone, len(idle))
 	}
 	for _, f := range files {
 		f.Close()
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// echo writes back what it receives, as often as it is told to.
-type echo struct {
+// echoHandler writes back what it receives, as often as times says.
+type echoHandler struct {
 	c     *Conn
 	times int
 	busy  bool
@@ -17,36 +17,69 @@
 	ends  chan error
 }
 
-func (e *echo) Data(b []byte) {
+// newEchoHandler returns a handler of c that does not wait for its ends to be received.
+func newEchoHandler(c *Conn, times int) *echoHandler {
+	return &echoHandler{c: c, times: times, ends: make(chan error, 1)}
+}
+
+// acceptEcho accepts connections that write back what they receive.
+func acceptEcho(c *Conn) AcceptedHandler { return newEchoHandler(c, 1) }
+
+// acceptSilent accepts connections that write nothing.
+func acceptSilent(c *Conn) AcceptedHandler { return newEchoHandler(c, 0) }
+
+// acceptInto accepts connections that write back what they receive, and sends their handlers to accepted.
+func acceptInto(accepted chan<- *echoHandler, busy bool) func(*Conn) AcceptedHandler {
+	return func(c *Conn) AcceptedHandler {
+		e := newEchoHandler(c, 1)
+		e.busy = busy
+		accepted <- e
+		return e
+	}
+}
+
+func (e *echoHandler) Data(b []byte) {
 	for range e.times {
 		e.c.Write(b, nil, []byte("|"))
 	}
 }
 
-func (e *echo) Closed(err error)      { e.ends <- err }
-func (e *echo) Busy() bool            { return e.busy }
-func (e *echo) Messages() (int, bool) { return e.whole, e.begun }
+func (e *echoHandler) Closed(err error)      { e.ends <- err }
+func (e *echoHandler) Busy() bool            { return e.busy }
+func (e *echoHandler) Messages() (int, bool) { return e.whole, e.begun }
+
+// dialRecorder is the handler of a dialled connection that reports how the dial and the connection ended.
+type dialRecorder struct{ opened, closed chan error }
 
-// dialled reports how a dial and its connection ended.
-type dialled struct{ opened, closed chan error }
+// newDialRecorder returns a handler that does not block the loop, even if it is called twice.
+func newDialRecorder() *dialRecorder {
+	return &dialRecorder{opened: make(chan error, 2), closed: make(chan error, 2)}
+}
 
-func (d *dialled) Data([]byte)             {}
-func (d *dialled) DialCompleted(err error) { d.opened <- err }
-func (d *dialled) Closed(err error)        { d.closed <- err }
+func (d *dialRecorder) Data([]byte)             {}
+func (d *dialRecorder) DialCompleted(err error) { d.opened <- err }
+func (d *dialRecorder) Closed(err error)        { d.closed <- err }
 
-// reader is a dialled connection that counts what it is handed.
-type reader struct {
-	dialled
+// countingHandler is the handler of a dialled connection that counts the bytes that it receives.
+type countingHandler struct {
+	*dialRecorder
 	got atomic.Int64
 }
 
-func (r *reader) Data(b []byte) { r.got.Add(int64(len(b))) }
+func (r *countingHandler) Data(b []byte) { r.got.Add(int64(len(b))) }
+
+// oneByteQueue configures a loop whose poller waits when more than a byte is queued.
+func oneByteQueue(maxAccepted int) Config {
+	return Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20}
+}
 
+// start runs a loop that accepts up to maxAccepted connections until the test ends.
 func start(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
 	return startWith(t, Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
 }
 
+// startWith runs a loop of a configuration until the test ends.
 func startWith(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
 	l := New(cfg)
@@ -73,6 +106,7 @@
 	})
 }
 
+// dial connects a client to a loop until the test ends.
 func dial(t *testing.T, l *Loop) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addrs()[0])
@@ -114,10 +148,14 @@
 	return c
 }
 
-// hold stops the loop until the returned function is called, so that what happens meanwhile is handled in one turn.
-func hold(l *Loop) (release func()) {
+// hold runs calls on the loop's goroutine and then blocks it until release is called, so that what happens meanwhile is
+// handled in one turn.
+func hold(l *Loop, calls ...func()) (release func()) {
 	held, released := make(chan struct{}), make(chan struct{})
 	l.Post(func() {
+		for _, call := range calls {
+			call()
+		}
 		close(held)
 		<-released
 	})
--- a/internal/eventloop/listeners_test.go
+++ b/internal/eventloop/listeners_test.go
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Guards against a listener on all addresses whose connections, each with an address of its own, are
-// taken for nobody's.
+// Guards a listener on all addresses: each of its connections has an address of its own, and finds it by the port.
 func TestConnectionsFindTheirListener(t *testing.T) {
 	which := ""
 	accept := func(name string) func(*Conn) AcceptedHandler {
@@ -61,7 +60,7 @@
 				faulty.fault.Store(&fault)
 				return faulty, err
 			}
-			runLoop(t, l, func(c *Conn) AcceptedHandler { return &echo{c: c, times: 1, ends: make(chan error, 1)} })
+			runLoop(t, l, acceptEcho)
 			time.Sleep(200 * time.Millisecond)
 			if asked := faulty.asked.Load(); asked < 1 || asked > 30 {
 				t.Errorf("accept was called %d times in 0.2 s", asked)
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -8,7 +8,7 @@
 
 // timedHandler keeps how long ago, by the loop's clock, data arrived when it is handled.
 type timedHandler struct {
-	echo
+	*echoHandler
 	waited chan time.Duration
 }
 
@@ -19,7 +19,7 @@
 	const wait = 50 * time.Millisecond
 	waited := make(chan time.Duration, 1)
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
-		return &timedHandler{echo{c: c, ends: make(chan error, 1)}, waited}
+		return &timedHandler{newEchoHandler(c, 0), waited}
 	})
 	client := dial(t, l)
 	release := hold(l)
@@ -36,9 +36,8 @@
 
 // Data that a peer wrote before it closed is read to its end, also where it is more than the poller reads in one go.
 func TestAllOfALongResponseIsReadBeforeAnEnd(t *testing.T) {
-	l := startWith(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
-		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
-	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
+	l := startWith(t, oneByteQueue(4), acceptSilent)
+	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(4 << 20)
 	c.socket.SetReadBuffer(4 << 20)
@@ -59,39 +58,48 @@
 	}
 }
 
-// Guards responses that a worker wrote just before it closed: while the poller is held up they and the end come together,
-// and nbio forgets what it has not read of a connection once it has heard of its end.
+// Guards responses that a worker wrote just before it closed: while the poller waits, they and the end arrive together.
+// nbio drops what it has not read of a connection once it has seen its end.
 func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
 	// The poller waits behind a byte.
-	l := startWith(t, Config{MaxAccepted: 4, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20},
-		func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
-	r := &reader{dialled: dialled{make(chan error, 1), make(chan error, 1)}}
+	l := startWith(t, oneByteQueue(4), acceptSilent)
+	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	held, release := make(chan bool), make(chan bool)
-	l.Post(func() {
-		c.socket.SetReadBuffer(1 << 20) // as large as the kernel lets a busy connection's grow
-		close(held)
-		<-release
-	})
-	<-held
-	for range 3 { // the third byte finds the queue full, and the poller waits with it
+	release := hold(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets a busy one grow
+	for range 3 {                                                  // the third byte finds the queue full, and the poller waits with it
 		dial(t, l).Write([]byte("x"))
 	}
-	for queued := 0; queued < 2; {
-		l.queue.mu.Lock()
-		queued = l.queue.bytes
-		l.queue.mu.Unlock()
-	}
+	awaitQueuedBytes(l, 2)
 	const size = 10 * (16<<10 + 100) // ten responses
 	if _, err := peer.Write(make([]byte, size)); err != nil {
 		t.Fatal(err)
 	}
 	peer.(*net.TCPConn).CloseWrite()
-	close(release)
+	release()
 	<-r.closed
 	if got := r.got.Load(); got != size {
 		t.Errorf("%d of %d bytes were read before the end", got, size)
 	}
 	peer.Close()
 }
+
+// Reading does not stop while the poller reads, nor before the loop has handled all that was read.
+func TestReaderStopsOnceItIsDrained(t *testing.T) {
+	r := &newConn(New(Config{}), nil).reader
+	closes := 0
+	stop := func() bool { return r.stopIfDrained(nil, nil, func() { closes++ }) }
+	r.mu.Lock()
+	if stop() {
+		t.Error("stopped while the poller reads")
+	}
+	e := r.newEvent([]byte("x"))
+	r.mu.Unlock()
+	if stop() {
+		t.Error("stopped before the loop handled a read")
+	}
+	e.conn.receive(e.data)
+	if !stop() || !r.stopped || closes != 1 {
+		t.Errorf("stopped: %v, closed %d times", r.stopped, closes)
+	}
+}
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -11,7 +11,7 @@
 // Guards against nbio's Writev, which drops the buffers behind a short write: a reader that starts
 // late, so that the socket fills, still gets every byte in order.
 func TestNothingIsLostInShortWrites(t *testing.T) {
-	e := &echo{times: 3000, ends: make(chan error, 1)}
+	e := newEchoHandler(nil, 3000)
 	wrote := make(chan struct{}, 1)
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		// The kernel's buffer is made small, so that little is needed to fill it.
@@ -39,7 +39,7 @@
 }
 
 func TestPeerThatDoesNotReadIsClosed(t *testing.T) {
-	e := &echo{times: 40000, ends: make(chan error, 1)}
+	e := newEchoHandler(nil, 40000)
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
 		c.socket.SetWriteBuffer(4 << 10)
 		e.c = c
@@ -53,12 +53,12 @@
 	}
 }
 
-// Guards the proof that a request never left: of what was written to a peer that takes little, UnsentBytes is what the kernel
-// did not take; of a short message that was handed on, nothing.
+// Guards the proof that a request never left: UnsentBytes is what the kernel did not accept of bytes to a peer that reads
+// little, and is 0 for a short message that the kernel accepted.
 func TestUnsentIsWhatNeverLeft(t *testing.T) {
 	for _, size := range []int{100, 6 << 20} {
-		l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
-		d := &dialled{make(chan error, 1), make(chan error, 1)}
+		l := start(t, 10, acceptSilent)
+		d := newDialRecorder()
 		c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", d, d.opened)
 		wrote := make(chan bool)
 		l.Post(func() {
@@ -94,7 +94,7 @@
 // slow client's response would be cut off with the process.
 func TestWhatIsQueuedIsUnwritten(t *testing.T) {
 	l := New(Config{})
-	c := addClient(l, &echo{}, clientActivity{})
+	c := addClient(l, &echoHandler{}, clientActivity{})
 	c.writer.countUnread(3)
 	c.Write([]byte("four"), []byte("!"))
 	if n := l.UnwrittenBytes(); n != 8 {
@@ -102,12 +102,12 @@
 	}
 }
 
-// A connection that is closed behind a response which its client takes slowly is closed once the client has it.
+// A connection that is closed behind a response which its client reads slowly is closed once the client has it.
 func TestResponseIsTakenBeforeItsConnectionCloses(t *testing.T) {
 	const size = 80 << 10
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		c.socket.SetWriteBuffer(4 << 10)
-		return &closingHandler{echo{c: c, ends: make(chan error, 1)}, size}
+		return &closingHandler{newEchoHandler(c, 0), size}
 	})
 	client := dial(t, l)
 	client.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -123,7 +123,7 @@
 
 // closingHandler responds to whatever it is sent, and closes.
 type closingHandler struct {
-	echo
+	*echoHandler
 	size int
 }
 
@@ -131,3 +131,17 @@
 	h.c.Write(make([]byte, h.size))
 	h.c.CloseAfterFlush()
 }
+
+// What nbio holds when a connection ends is unsent, and is no longer part of what all peers leave unread.
+func TestEndOfAConnectionMakesItsBytesUnsent(t *testing.T) {
+	l := New(Config{MaxUnreadBytes: 9})
+	c := newConn(l, nil)
+	c.writer.countUnread(10)
+	if !c.writer.hasUnread() || !l.unread.isExceeded() {
+		t.Error("10 bytes do not exceed a limit of 9")
+	}
+	c.writer.connectionEnded()
+	if c.UnsentBytes() != 10 || c.writer.hasUnread() || l.unread.bytes.Load() != 0 {
+		t.Errorf("%d bytes are unsent, %d unread, want 10 and 0", c.UnsentBytes(), l.unread.bytes.Load())
+	}
+}
--- a/internal/eventloop/writer_unix_test.go
+++ b/internal/eventloop/writer_unix_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// All that is written over a Unix socket arrives, also where the peer takes it slowly: nbio drops what a write to one leaves
+// All that is written over a Unix socket arrives, also where the peer reads it slowly: nbio drops what a write to one leaves
 // over.
 func TestNothingIsLostOverASlowUnixSocket(t *testing.T) {
-	l := start(t, 10, func(c *Conn) AcceptedHandler { return &echo{c: c, ends: make(chan error, 1)} })
-	d := &dialled{make(chan error, 1), make(chan error, 1)}
+	l := start(t, 10, acceptSilent)
+	d := newDialRecorder()
 	c, peer := dialPeer(t, l, "unix", filepath.Join(t.TempDir(), "worker.sock"), d, d.opened)
 	const writes = 30
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<10)
