--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -1,4 +1,5 @@
-// Package timerheap orders values by the time at which they are due. It reads no clock: its user says what time it is.
+// Package timerheap orders values by the time at which they are due. It reads no clock: its caller passes the time, as
+// an offset from any fixed point.
 package timerheap
 
 import (
@@ -7,25 +8,25 @@
 )
 
 // Heap holds values until they are due. Values that are due at the same time leave in the order in which they were
-// added, so that equal runs do equal things. The zero Heap is empty and ready to use; it is not safe for concurrent
-// use.
+// added, so that equal runs give equal results. The zero Heap is empty and ready to use. It is not safe for concurrent
+// use: the goroutine that adds values owns it.
 type Heap[T any] struct {
 	entries entries[T]
-	added   uint64
+	added   uint64 // values so far, for the sequence of the next
 }
 
 // Entry is a value in a Heap, by which it can be removed.
 type Entry[T any] struct {
 	Value    T
 	due      time.Duration
-	sequence uint64
-	index    int // in the heap, or removed
+	sequence uint64 // orders entries that are due at the same time
+	index    int    // in the heap, or removed
 }
 
 // removed is the index of an entry that has left its heap.
 const removed = -1
 
-// Add puts a value into the heap.
+// Add adds a value, and returns the entry by which it can be removed. It takes logarithmic time, as does each removal.
 func (h *Heap[T]) Add(due time.Duration, value T) *Entry[T] {
 	h.added++
 	entry := &Entry[T]{Value: value, due: due, sequence: h.added}
@@ -33,14 +34,14 @@
 	return entry
 }
 
-// Remove takes an entry out before it is due. It does nothing for nil and for an entry that has left the heap.
+// Remove removes an entry before it is due. It does nothing for nil and for an entry that has left the heap.
 func (h *Heap[T]) Remove(entry *Entry[T]) {
 	if entry != nil && entry.index != removed {
 		heap.Remove(&h.entries, entry.index)
 	}
 }
 
-// PopDue removes the first value that is due by now. It returns false where there is none.
+// PopDue removes the first value that is due by now. It returns false when there is none.
 func (h *Heap[T]) PopDue(now time.Duration) (entry *Entry[T], ok bool) {
 	if len(h.entries) == 0 || h.entries[0].due > now {
 		return nil, false
@@ -48,7 +49,7 @@
 	return heap.Pop(&h.entries).(*Entry[T]), true
 }
 
-// Next is when the first value is due. It returns false where the heap is empty.
+// Next returns the time at which the first value is due. It returns false when the heap is empty.
 func (h *Heap[T]) Next() (due time.Duration, ok bool) {
 	if len(h.entries) == 0 {
 		return 0, false
@@ -59,7 +60,7 @@
 // Len is the number of values in the heap.
 func (h *Heap[T]) Len() int { return len(h.entries) }
 
-// Due is when the value is due.
+// Due is the time at which the value is due.
 func (e *Entry[T]) Due() time.Duration { return e.due }
 
 // entries implements heap.Interface.
@@ -79,7 +80,8 @@
 // Swap implements sort.Interface.
 func (e entries[T]) Swap(i, j int) {
 	e[i], e[j] = e[j], e[i]
-	e[i].index, e[j].index = i, j
+	e[i].index = i
+	e[j].index = j
 }
 
 // Push implements heap.Interface.
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -26,8 +26,8 @@
 	// 2s second
 }
 
-// Values that are due together leave in the order in which they came, and only those that are due.
-func TestOrder(t *testing.T) {
+// Values that are due together leave in the order in which they were added, and only those that are due.
+func TestValuesLeaveInOrder(t *testing.T) {
 	var timers Heap[int]
 	for i := range 50 {
 		timers.Add(time.Duration(i%5), i)
@@ -53,8 +53,8 @@
 	}
 }
 
-// An entry is removed once; removing it again, or after it has left, takes nothing else out.
-func TestRemove(t *testing.T) {
+// An entry is removed once; removing it again, or after it has left, removes nothing else.
+func TestRemovingAnEntryAgainDoesNothing(t *testing.T) {
 	var timers Heap[string]
 	kept := timers.Add(1, "kept")
 	gone := timers.Add(2, "gone")
