--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,6 @@
 // Package logging sets the form of the program's log lines: the text handler of log/slog, with the time of day to the
-// microsecond and the message under the key event. It imports the standard library alone.
+// microsecond and the message under the key event. It imports only the standard library. Other packages log
+// through log/slog.
 package logging
 
 import (
@@ -13,12 +14,12 @@
 	timeLayout = "15:04:05.000000"
 )
 
-// New returns a logger that writes lines of at least a level to w.
+// New returns a logger that writes lines of at least a level to w, one write a line. It is safe for concurrent use.
 func New(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttribute}))
 }
 
-// replaceAttribute words the time and renames the message; the attributes of groups stay.
+// replaceAttribute formats the time and renames the key of the message. It leaves the attributes of groups alone.
 func replaceAttribute(groups []string, attribute slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return attribute
@@ -32,12 +33,12 @@
 	return attribute
 }
 
-// LevelError says that a text names no level.
+// LevelError is returned for a text that names no level.
 type LevelError struct {
-	Level string
+	Level string // the text
 }
 
-// Error names the levels that there are.
+// Error lists the levels that exist.
 func (e *LevelError) Error() string {
 	return fmt.Sprintf("log level %q is none of debug, info, warn and error", e.Level)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,9 +11,9 @@
 // Programs read the log: a line has time, level and event, then key=value, with quotes where they are needed.
 func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
-	l := New(&out, slog.LevelInfo)
-	l.Debug("unseen")
-	l.Warn("worker_dial_failed", "addr", "127.0.0.1:1", "err", errors.New("connection refused"))
+	logger := New(&out, slog.LevelInfo)
+	logger.Debug("unseen")
+	logger.Warn("worker_dial_failed", "addr", "127.0.0.1:1", "err", errors.New("connection refused"))
 	want := `^time=\d\d:\d\d:\d\d\.\d{6} level=WARN event=worker_dial_failed addr=127\.0\.0\.1:1 err="connection refused"\n$`
 	if !regexp.MustCompile(want).MatchString(out.String()) {
 		t.Errorf("%q, want %s", out.String(), want)
@@ -28,7 +28,7 @@
 	} else if err.Error() != `log level "loud" is none of debug, info, warn and error` {
 		t.Errorf("error text %q", err)
 	}
-	if v, err := ParseLevel("warn"); err != nil || v != slog.LevelWarn {
-		t.Errorf("%v, %v", v, err)
+	if level, err := ParseLevel("warn"); err != nil || level != slog.LevelWarn {
+		t.Errorf("%v, %v", level, err)
 	}
 }
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,26 +8,27 @@
 	"syscall"
 )
 
-// stopCapacity is how many signals wait in Stop: more add nothing, since the first ends the program.
-const stopCapacity = 1
+// capacity is the number of signals that wait in a channel. A further one is dropped: it would have no effect beyond
+// that of the first.
+const capacity = 1
 
-// Signals holds the signals that were caught and that nobody has received yet.
+// Signals holds the signals that were caught and not received yet. Any goroutine may receive from its channels.
 type Signals struct {
-	// Stop delivers the signals that end the program (SIGTERM, SIGINT). Each of the others has a channel of its own, so
-	// that repeated ones can't displace a SIGTERM.
+	// Stop delivers the signals that end the program (SIGTERM, SIGINT). The others have channels of their own, so that
+	// repeated ones can't displace a SIGTERM.
 	Stop chan os.Signal
-	// Report delivers SIGUSR1, which asks for the counters. While one waits a further one adds nothing.
+	// Report delivers SIGUSR1, which requests the counters.
 	Report chan os.Signal
-	// Reload delivers SIGHUP, which asks to read the configuration again. While one waits a further one adds nothing.
+	// Reload delivers SIGHUP, which requests that the configuration is read again.
 	Reload chan os.Signal
 }
 
-// Notify begins to catch signals. The caller ends it by Close or Release.
+// Notify begins to catch signals. The caller ends that by Close or Release.
 func Notify() *Signals {
 	s := &Signals{
-		Stop:   make(chan os.Signal, stopCapacity),
-		Report: make(chan os.Signal, 1),
-		Reload: make(chan os.Signal, 1),
+		Stop:   make(chan os.Signal, capacity),
+		Report: make(chan os.Signal, capacity),
+		Reload: make(chan os.Signal, capacity),
 	}
 	signal.Notify(s.Stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.Report, syscall.SIGUSR1)
@@ -35,15 +36,15 @@
 	return s
 }
 
-// Close stops catching signals and drops those that wait: they were meant for what has ended.
+// Close stops catching signals. Those that wait are dropped, since what they were sent to has ended.
 func (s *Signals) Close() {
 	signal.Stop(s.Stop)
 	signal.Stop(s.Report)
 	signal.Stop(s.Reload)
 }
 
-// Release stops catching signals and raises those that wait again, so that they do to the program what they do by
-// default. It is for programs that don't react to signals themselves.
+// Release stops catching signals and raises those that wait again, so that they take their default action on the
+// program. It is for commands that don't react to signals themselves.
 func (s *Signals) Release() {
 	s.Close()
 	for {
@@ -60,7 +61,7 @@
 	}
 }
 
-// raise sends a signal to this process.
+// raise sends a signal to this process. Its error is ignored: a process may always signal itself.
 func raise(caught os.Signal) {
 	if number, ok := caught.(syscall.Signal); ok {
 		syscall.Kill(syscall.Getpid(), number)
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -10,16 +10,16 @@
 
 // Caught signals wait until they are received, SIGHUP apart from those that end the program, and none of them ends it.
 func TestCaughtSignalsWait(t *testing.T) {
-	c := Notify()
-	defer c.Close()
+	caught := Notify()
+	defer caught.Close()
 	for range 3 {
 		syscall.Kill(syscall.Getpid(), syscall.SIGHUP)
 	}
 	syscall.Kill(syscall.Getpid(), syscall.SIGTERM)
-	if s := <-c.Stop; s != syscall.SIGTERM {
+	if s := <-caught.Stop; s != syscall.SIGTERM {
 		t.Errorf("caught %v", s)
 	}
-	if s := <-c.Reload; s != syscall.SIGHUP {
+	if s := <-caught.Reload; s != syscall.SIGHUP {
 		t.Errorf("caught %v", s)
 	}
 }
@@ -28,16 +28,16 @@
 // program.
 func TestReleasedSignalsTakeTheirDefaultAction(t *testing.T) {
 	if action := os.Getenv("CRANKHOLD_SIGNAL"); action != "" {
-		c := Notify()
+		caught := Notify()
 		syscall.Kill(syscall.Getpid(), syscall.SIGTERM)
-		for len(c.Stop) == 0 {
+		for len(caught.Stop) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		if action == "release" {
-			c.Release()
+			caught.Release()
 			time.Sleep(10 * time.Second) // it has ended long before
 		}
-		c.Close()
+		caught.Close()
 		return
 	}
 	for action, ends := range map[string]bool{"release": true, "drop": false} {
