--- a/internal/stats/bucket.go
+++ b/internal/stats/bucket.go
@@ -5,11 +5,11 @@
 // TokenBucket is an allowance that refills at a rate up to a capacity. Tokens may fall below zero; such a debt is
 // refilled first.
 type TokenBucket struct {
-	Tokens   float64
-	Capacity float64
+	Tokens   float64 // those left; may be less than 0
+	Capacity float64 // tokens at most
 	Rate     float64 // tokens per second, for Refill
 
-	refilled time.Duration
+	refilled time.Duration // when Refill was called last
 }
 
 // Refill adds the tokens for the time since the last Refill, or since time 0.
--- a/internal/stats/clamp.go
+++ b/internal/stats/clamp.go
@@ -1,6 +1,6 @@
 package stats
 
-// Clamp returns v within low and high, and low for what is no number.
+// Clamp returns v limited to the range from low to high. It returns low for NaN.
 func Clamp(v, low, high float64) float64 {
 	if v >= low {
 		return min(v, high)
--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -10,11 +10,13 @@
 type DecayingMean struct {
 	// Span is the time in which an observation's weight falls to 1/e.
 	Span time.Duration
-	// Few is the number of observations below which they decay more slowly, in proportion to their number.
+	// Few is the number of observations below which they decay more slowly, in proportion to their number. It is more
+	// than 0.
 	Few float64
 
-	sum, weight float64
-	updated     time.Duration
+	sum     float64       // of values, decayed, as of updated
+	weight  float64       // number of observations, decayed, as of updated
+	updated time.Duration // when the last value was observed
 }
 
 // Observe adds a value that was observed now.
@@ -27,7 +29,7 @@
 
 // Mean returns the mean as of now.
 func (m *DecayingMean) Mean(now time.Duration) float64 {
-	if m.sum == 0 { // at any time
+	if m.sum == 0 { // and so the mean, at any time
 		return 0
 	}
 	retained := m.retained(now)
@@ -40,13 +42,13 @@
 // Updated returns the time of the last observation, and 0 where there is none.
 func (m *DecayingMean) Updated() time.Duration { return m.updated }
 
-// retained is the part of the weight at the last observation that is left now.
+// retained is the fraction of the weight at the last observation that is left now.
 func (m *DecayingMean) retained(now time.Duration) float64 {
 	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
 }
 
 // RunningMean is a mean of the observations so far or, once these are more than a limit, one in which each new
-// observation has the weight 1/limit. Mean may be set to a first guess, which the first observation replaces.
+// observation has the weight 1/limit. Mean may be set to an initial value, which the first observation replaces.
 type RunningMean struct {
 	Mean  float64
 	Count float64 // of observations, up to the limit
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -15,7 +15,7 @@
 	first int // index of the oldest that counts
 }
 
-// Add enters an event at a time and drops those that are more than span before it.
+// Add adds an event at a time and drops those that are more than span before it.
 func (w *SlidingWindow) Add(at, span time.Duration) {
 	w.CountSince(at - span)
 	w.times = append(w.times, at)
@@ -34,7 +34,7 @@
 	return len(w.times) - w.first
 }
 
-// Remove takes out one event at a time, where there is one.
+// Remove removes one event at a time, if there is one.
 func (w *SlidingWindow) Remove(at time.Duration) {
 	if i, found := slices.BinarySearch(w.times[w.first:], at); found {
 		w.times = slices.Delete(w.times, w.first+i, w.first+i+1)
