--- a/internal/eventloop/clients.go
+++ b/internal/eventloop/clients.go
@@ -26,7 +26,7 @@
 func newAcceptedClients(logger *slog.Logger) *acceptedClients {
 	return &acceptedClients{
 		conns:      map[*Conn]struct{}{},
-		buffer:     make([]byte, readBuffer),
+		buffer:     make([]byte, readBufferSize),
 		rejections: rejectionLog{logger: logger},
 	}
 }
--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -1,6 +1,9 @@
 package eventloop
 
 import (
+	"bytes"
+	"log/slog"
+	"strings"
 	"testing"
 	"time"
 )
@@ -114,3 +117,21 @@
 		t.Errorf("response %q, %v", response[:n], err)
 	}
 }
+
+// Rejected connections are logged by the loop's logger, at most once in a time and with their number.
+func TestRejectionsAreLoggedTogether(t *testing.T) {
+	var lines bytes.Buffer
+	l := New(Config{Logger: slog.New(slog.NewTextHandler(&lines, nil))})
+	now := l.now
+	for _, count := range []int{2, 3, 0} {
+		l.clients.rejections.count += count
+		l.clients.sweep(now)
+		now += rejectionLogInterval
+	}
+	l.clients.sweep(now)
+	want := []string{"msg=client_connections_rejected count=2", "msg=client_connections_rejected count=3"}
+	got := lines.String()
+	if strings.Count(got, "\n") != len(want) || !strings.Contains(got, want[0]) || !strings.Contains(got, want[1]) {
+		t.Errorf("logged %q, want %q", got, want)
+	}
+}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -30,12 +30,28 @@
 	ended       bool // the poller reported its end
 }
 
-// newConn returns a connection that has no socket yet. Any goroutine may call it.
-func newConn(loop *Loop, handler Handler) *Conn {
-	c := &Conn{loop: loop, handler: handler}
-	c.reader.conn = c
-	c.reader.queue = loop.queue
-	c.writer.total = loop.unread
+// newAcceptedConn returns a connection that a listener has accepted. accept is nil when no listener has its address. A
+// listener's goroutine calls it.
+func newAcceptedConn(loop *Loop, socket *nbio.Conn, accept acceptFunc) *Conn {
+	c := &Conn{
+		loop:       loop,
+		socket:     socket,
+		accept:     accept,
+		isAccepted: true,
+		writer:     connWriter{total: loop.unread},
+	}
+	c.reader = connReader{conn: c, queue: loop.queue}
+	return c
+}
+
+// newDialledConn returns a connection that this program is about to open.
+func newDialledConn(loop *Loop, network string, handler DialHandler) *Conn {
+	c := &Conn{
+		loop:    loop,
+		handler: handler,
+		writer:  connWriter{total: loop.unread, isUnixSocket: network == "unix"},
+	}
+	c.reader = connReader{conn: c, queue: loop.queue}
 	return c
 }
 
@@ -74,7 +90,7 @@
 		if err != nil {
 			c.fail(err)
 		}
-		c.writer.queued = c.writer.queued[:0]
+		c.writer.clear()
 		if err == nil && c.writer.hasUnread() {
 			c.state.closing = true // the sweep also closes it when its peer reads nothing
 			return
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -141,7 +141,8 @@
 
 // addClient adds an established connection without a socket to the accepted clients of a loop that does not run.
 func addClient(l *Loop, h AcceptedHandler, activity clientActivity) *Conn {
-	c := newConn(l, h)
+	c := newAcceptedConn(l, nil, nil)
+	c.handler = h
 	c.state.established = true
 	c.activity = activity
 	l.clients.conns[c] = struct{}{}
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -13,14 +13,9 @@
 	"github.com/lesismal/nbio"
 )
 
-const (
-	// maxUnwritten is how many bytes a peer may leave unread: 32 responses of 16 KiB and their heads.
-	maxUnwritten = 640 << 10
-
-	// acceptPause is how long accepting waits after an error. Without descriptors accept fails at once, and nbio would
-	// call it again without end.
-	acceptPause = 20 * time.Millisecond
-)
+// acceptPause is how long accepting waits after an error. Without descriptors accept fails at once, and nbio would call
+// it again without end.
+const acceptPause = 20 * time.Millisecond
 
 // acceptFunc returns the handler of an accepted connection. It runs on the loop's goroutine.
 type acceptFunc = func(*Conn) AcceptedHandler
@@ -77,10 +72,7 @@
 	if socket.Session() != nil { // dialled
 		return
 	}
-	c := newConn(l.loop, nil)
-	c.socket = socket
-	c.accept = l.bound.find(socket.LocalAddr())
-	c.isAccepted = true
+	c := newAcceptedConn(l.loop, socket, l.bound.find(socket.LocalAddr()))
 	l.loop.poller.announce(socket, c)
 	l.loop.admission.opened()
 	if !l.loop.queue.push(event{kind: connectionAccepted, conn: c}) {
--- a/internal/eventloop/listeners_test.go
+++ b/internal/eventloop/listeners_test.go
@@ -1,6 +1,7 @@
 package eventloop
 
 import (
+	"log/slog"
 	"net"
 	"net/netip"
 	"os"
@@ -53,7 +54,7 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			var faulty *faultyListener
-			l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
+			l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20, Logger: slog.New(slog.DiscardHandler)})
 			l.listeners.listen = func(network, addr string) (net.Listener, error) {
 				listener, err := net.Listen(network, addr)
 				faulty = &faultyListener{Listener: listener}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -101,8 +101,7 @@
 // Dial opens a connection and returns at once. The handler's DialCompleted receives the result within timeout, or a
 // little later.
 func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
-	c := newConn(l, h)
-	c.writer.isUnixSocket = network == "unix"
+	c := newDialledConn(l, network, h)
 	l.dialer.start(c, network, addr, timeout)
 	return c
 }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -32,7 +32,7 @@
 
 // newPoller returns a poller that does not run yet.
 func newPoller(queue *queue, maxDescriptors int) *poller {
-	return &poller{queue: queue, maxDescriptors: maxDescriptors, buffer: make([]byte, readBuffer)}
+	return &poller{queue: queue, maxDescriptors: maxDescriptors, buffer: make([]byte, readBufferSize)}
 }
 
 // start opens the listeners and starts the goroutines. Its error wraps a ListenError when an address can't be listened
@@ -44,7 +44,7 @@
 		Network:            "tcp",
 		Addrs:              listeners.addrs(),
 		NPoller:            1,
-		MaxWriteBufferSize: maxUnwritten,
+		MaxWriteBufferSize: maxUnreadByPeer,
 		Listen:             listeners.open,
 	})
 	engine.OnOpen(listeners.connectionOpened)
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	readBuffer = 32 << 10 // bytes, for the one poller and not for each connection
+	readBufferSize = 32 << 10 // bytes, for the one poller and not for each connection
 
 	// maxReads is how many buffers the poller reads of a connection before it reads others. It holds a worker's 32
 	// responses of 16 KiB and their heads.
-	maxReads = maxUnwritten / readBuffer
+	maxReads = maxUnreadByPeer / readBufferSize
 
 	// readPause is how long the poller waits after a read that failed for lack of memory, since nbio calls it again at
 	// once.
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -86,7 +86,7 @@
 
 // Reading does not stop while the poller reads, nor before the loop has handled all that was read.
 func TestReaderStopsOnceItIsDrained(t *testing.T) {
-	r := &newConn(New(Config{}), nil).reader
+	r := &newAcceptedConn(New(Config{}), nil, nil).reader
 	closes := 0
 	stop := func() bool { return r.stopIfDrained(nil, nil, func() { closes++ }) }
 	r.mu.Lock()
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -8,8 +8,12 @@
 	"github.com/lesismal/nbio"
 )
 
-// maxVectors is how many buffers one gathered write passes; the kernel accepts 1,024.
-const maxVectors = 512
+const (
+	// maxUnreadByPeer is how many bytes one peer may leave unread: 32 responses of 16 KiB and their heads.
+	maxUnreadByPeer = 640 << 10
+	// maxVectors is how many buffers one gathered write passes; the kernel accepts 1,024.
+	maxVectors = 512
+)
 
 // connWriter holds the bytes that were written to one connection and have not left this program: first those that nbio
 // holds, then those that are queued for the end of the turn. The loop's goroutine owns it. Pollers only call
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -135,7 +135,7 @@
 // What nbio holds when a connection ends is unsent, and is no longer part of what all peers leave unread.
 func TestEndOfAConnectionMakesItsBytesUnsent(t *testing.T) {
 	l := New(Config{MaxUnreadBytes: 9})
-	c := newConn(l, nil)
+	c := newDialledConn(l, "tcp", newDialRecorder())
 	c.writer.countUnread(10)
 	if !c.writer.hasUnread() || !l.unread.isExceeded() {
 		t.Error("10 bytes do not exceed a limit of 9")
--- a/internal/eventloop/writer_unix.go
+++ b/internal/eventloop/writer_unix.go
@@ -58,7 +58,7 @@
 
 // checkStalled returns a SlowPeerError when more bytes are queued than a peer may leave unread.
 func (w *connWriter) checkStalled() error {
-	if size := totalSize(w.queued); size > maxUnwritten {
+	if size := totalSize(w.queued); size > maxUnreadByPeer {
 		return &SlowPeerError{UnreadBytes: size}
 	}
 	return nil
