--- /dev/null
+++ b/internal/eventloop/clients_test.go
@@ -0,0 +1,137 @@
+package eventloop
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Guards the time that a client has for its message: whole messages count, not the bytes that trickle in,
+// and one that sent a request may hold its connection for longer.
+func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
+	const step = 100 * time.Millisecond
+	for name, c := range map[string]struct {
+		feed func(e *echoHandler, at time.Duration) bool // reports whether bytes arrive
+		gone time.Duration
+	}{
+		"silent":            {func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
+		"trickles":          {func(e *echoHandler, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
+		"sent one and held": {func(e *echoHandler, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
+		"half a second one": {func(e *echoHandler, at time.Duration) bool {
+			e.whole, e.begun = 1, at >= 5*time.Second
+			return at == 0 || e.begun
+		}, 5*time.Second + messageTimeout},
+		"goes on sending": {func(e *echoHandler, _ time.Duration) bool { e.whole++; return true }, time.Minute},
+		"response due":    {func(e *echoHandler, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
+	} {
+		l := New(Config{})
+		e := &echoHandler{}
+		conn := addClient(l, e, clientActivity{activeAt: l.now})
+		start, closed := l.now, time.Minute
+		for at := time.Duration(0); at < time.Minute; at += step {
+			if l.now = start + at; c.feed(e, at) {
+				conn.recordMessages()
+			}
+			if l.clients.sweep(l.now); conn.state.closed {
+				closed = at
+				break
+			}
+		}
+		if closed < c.gone || closed > c.gone+2*step {
+			t.Errorf("%s: closed after %v, want %v", name, closed, c.gone)
+		}
+	}
+}
+
+// Guards clients that sent requests against a flood of silent connections: the oldest of these is closed first to free
+// a connection slot. One that has only just connected may have its request on the way, and one whose response is queued
+// or not yet read would lose it.
+func TestSilentConnectionsAreClosedFirst(t *testing.T) {
+	l := New(Config{})
+	add := func(whole int, busy bool, heard time.Duration) *Conn {
+		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: whole, activeAt: heard})
+	}
+	now := l.now
+	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
+		add(3, false, now-2), add(0, false, now-requestGracePeriod), add(0, false, now)}
+	busy := add(0, true, 0)
+	queued, unread := add(1, false, 0), add(1, false, 0)
+	queued.Write([]byte("response"))
+	unread.writer.countUnread(1)
+	for i, c := range order {
+		if !l.closeIdleClient() || !c.state.closed {
+			t.Fatalf("connection %d was not the one to be closed", i)
+		}
+	}
+	if l.closeIdleClient() || busy.state.closed || queued.state.closed || unread.state.closed {
+		t.Error("a connection on which a response is due was closed")
+	}
+	if queued.activity.activeAt != now {
+		t.Error("a connection counts as idle though it has just had a response")
+	}
+}
+
+// A request that the poller has read is answered although its connection is to be closed in the same turn, to free a slot.
+func TestWhatWasReadIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+	accepted := make(chan *echoHandler, 10)
+	l := start(t, 1, acceptInto(accepted, false))
+	first := dial(t, l)
+	<-accepted
+	release := hold(l)
+	dial(t, l) // finds no free slot, and the first connection is idle as far as the loop knows
+	if _, err := first.Write([]byte("request")); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(20 * time.Millisecond) // the poller reads it, if it may
+	release()
+	response := make([]byte, len("request|"))
+	if n, err := first.Read(response); err != nil || string(response[:n]) != "request|" {
+		t.Errorf("response %q, %v", response[:n], err)
+	}
+}
+
+// A request that is in the kernel's buffer when its idle connection is to be closed, to free a slot, is read and answered.
+func TestRequestInTheKernelIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+	accepted := make(chan *echoHandler, 10)
+	l := startWith(t, oneByteQueue(2), acceptInto(accepted, false))
+	idle, flood := dial(t, l), dial(t, l)
+	<-accepted
+	<-accepted
+	release := hold(l)
+	for range 3 { // the poller waits with the third byte, and reads nothing more until the loop goes on
+		if _, err := flood.Write([]byte("x")); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	awaitQueuedBytes(l, 2)
+	if _, err := idle.Write([]byte("request")); err != nil {
+		t.Fatal(err)
+	}
+	l.Post(func() { l.closeIdleClient() })
+	release()
+	response := make([]byte, len("request|"))
+	if n, err := idle.Read(response); err != nil || string(response[:n]) != "request|" {
+		t.Errorf("response %q, %v", response[:n], err)
+	}
+}
+
+// Rejected connections are logged by the loop's logger, at most once in a time and with their number.
+func TestRejectionsAreLoggedTogether(t *testing.T) {
+	var lines bytes.Buffer
+	l := New(Config{Logger: slog.New(slog.NewTextHandler(&lines, nil))})
+	now := l.now
+	for _, count := range []int{2, 3, 0} {
+		l.clients.rejections.count += count
+		l.clients.sweep(now)
+		now += rejectionLogInterval
+	}
+	l.clients.sweep(now)
+	want := []string{"msg=client_connections_rejected count=2", "msg=client_connections_rejected count=3"}
+	got := lines.String()
+	if strings.Count(got, "\n") != len(want) || !strings.Contains(got, want[0]) || !strings.Contains(got, want[1]) {
+		t.Errorf("logged %q, want %q", got, want)
+	}
+}
--- /dev/null
+++ b/internal/eventloop/helpers_test.go
@@ -0,0 +1,174 @@
+package eventloop
+
+import (
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// echoHandler writes back what it receives, as often as times says.
+type echoHandler struct {
+	c     *Conn
+	times int
+	busy  bool
+	whole int
+	begun bool
+	ends  chan error
+}
+
+// newEchoHandler returns a handler of c that does not wait for its ends to be received.
+func newEchoHandler(c *Conn, times int) *echoHandler {
+	return &echoHandler{c: c, times: times, ends: make(chan error, 1)}
+}
+
+// acceptEcho accepts connections that write back what they receive.
+func acceptEcho(c *Conn) AcceptedHandler { return newEchoHandler(c, 1) }
+
+// acceptSilent accepts connections that write nothing.
+func acceptSilent(c *Conn) AcceptedHandler { return newEchoHandler(c, 0) }
+
+// acceptInto accepts connections that write back what they receive, and sends their handlers to accepted.
+func acceptInto(accepted chan<- *echoHandler, busy bool) func(*Conn) AcceptedHandler {
+	return func(c *Conn) AcceptedHandler {
+		e := newEchoHandler(c, 1)
+		e.busy = busy
+		accepted <- e
+		return e
+	}
+}
+
+func (e *echoHandler) Data(b []byte) {
+	for range e.times {
+		e.c.Write(b, nil, []byte("|"))
+	}
+}
+
+func (e *echoHandler) Closed(err error)      { e.ends <- err }
+func (e *echoHandler) Busy() bool            { return e.busy }
+func (e *echoHandler) Messages() (int, bool) { return e.whole, e.begun }
+
+// dialRecorder is the handler of a dialled connection that reports how the dial and the connection ended.
+type dialRecorder struct{ opened, closed chan error }
+
+// newDialRecorder returns a handler that does not block the loop, even if it is called twice.
+func newDialRecorder() *dialRecorder {
+	return &dialRecorder{opened: make(chan error, 2), closed: make(chan error, 2)}
+}
+
+func (d *dialRecorder) Data([]byte)             {}
+func (d *dialRecorder) DialCompleted(err error) { d.opened <- err }
+func (d *dialRecorder) Closed(err error)        { d.closed <- err }
+
+// countingHandler is the handler of a dialled connection that counts the bytes that it receives.
+type countingHandler struct {
+	*dialRecorder
+	got atomic.Int64
+}
+
+func (r *countingHandler) Data(b []byte) { r.got.Add(int64(len(b))) }
+
+// oneByteQueue configures a loop whose poller waits when more than a byte is queued.
+func oneByteQueue(maxAccepted int) Config {
+	return Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20}
+}
+
+// start runs a loop that accepts up to maxAccepted connections until the test ends.
+func start(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
+	t.Helper()
+	return startWith(t, Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
+}
+
+// startWith runs a loop of a configuration until the test ends.
+func startWith(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
+	t.Helper()
+	l := New(cfg)
+	runLoop(t, l, accept)
+	return l
+}
+
+// runLoop runs a loop that listens on a free port until the test ends.
+func runLoop(t *testing.T, l *Loop, accept func(*Conn) AcceptedHandler) {
+	t.Helper()
+	l.Listen("127.0.0.1:0", accept)
+	if err := l.Start(); err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	go func() {
+		l.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Hour })
+		l.Close()
+		close(done)
+	}()
+	t.Cleanup(func() {
+		l.Post(l.Stop)
+		<-done
+	})
+}
+
+// dial connects a client to a loop until the test ends.
+func dial(t *testing.T, l *Loop) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", l.Addrs()[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// dialPeer opens a connection of a loop to a listener of the test's, and returns both ends.
+func dialPeer(t *testing.T, l *Loop, network, addr string, h DialHandler, opened <-chan error) (c *Conn, peer net.Conn) {
+	t.Helper()
+	ln, err := net.Listen(network, addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	made := make(chan *Conn, 1)
+	l.Post(func() { made <- l.Dial(network, ln.Addr().String(), time.Second, h) })
+	peer, err = ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { peer.Close() })
+	if err := <-opened; err != nil {
+		t.Fatal(err)
+	}
+	return <-made, peer
+}
+
+// addClient adds an established connection without a socket to the accepted clients of a loop that does not run.
+func addClient(l *Loop, h AcceptedHandler, activity clientActivity) *Conn {
+	c := newAcceptedConn(l, nil, nil)
+	c.handler = h
+	c.state.established = true
+	c.activity = activity
+	l.clients.conns[c] = struct{}{}
+	return c
+}
+
+// hold runs calls on the loop's goroutine and then blocks it until release is called, so that what happens meanwhile is
+// handled in one turn.
+func hold(l *Loop, calls ...func()) (release func()) {
+	held, released := make(chan struct{}), make(chan struct{})
+	l.Post(func() {
+		for _, call := range calls {
+			call()
+		}
+		close(held)
+		<-released
+	})
+	<-held
+	return func() { close(released) }
+}
+
+// awaitQueuedBytes waits until the poller has queued so many bytes for the loop, which is held.
+func awaitQueuedBytes(l *Loop, size int) {
+	for queued := 0; queued < size; time.Sleep(time.Millisecond) {
+		l.queue.mu.Lock()
+		queued = l.queue.bytes
+		l.queue.mu.Unlock()
+	}
+}
