--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -64,7 +64,7 @@
 		})
 	}
 	site, err := fake.NewSite(discoveryAddr, workers, func(e fake.Event) {
-		log.Printf("%s: %s %s %s %s", e.Worker.Name, e.What, e.Class, e.Key, e.ID)
+		log.Printf("%s: %s %s %s %s", e.Worker.Name, e.Kind, e.Class, e.FunctionKey, e.ID)
 	})
 	if err != nil {
 		return err
@@ -81,18 +81,18 @@
 		return err
 	}
 	defer client.Close()
-	answer, err := client.Do(fake.Call{
-		Class: "dim-level",
-		ID:    fmt.Sprintf("%016x", rand.Uint64()),
-		Key:   functionKey,
-		Wait:  1500 * time.Millisecond,
-		Props: "memory_mb:512;lanes:2;load_ms:640",
-		Body:  []byte("lamp 17 to 40%"),
+	response, err := client.Do(fake.Request{
+		Class:       "dim-level",
+		ID:          fmt.Sprintf("%016x", rand.Uint64()),
+		FunctionKey: functionKey,
+		Timeout:     1500 * time.Millisecond,
+		Properties:  "memory_mb:512;lanes:2;load_ms:640",
+		Body:        []byte("lamp 17 to 40%"),
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s %q\n", answer.Status, answer.Body)
+	fmt.Printf("%s %q\n", response.Status, response.Body)
 	return nil
 }
 
--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -25,16 +25,16 @@
 // addressRun is one load and what came of it.
 type addressRun struct {
 	*record
-	total     tally
-	p99       float64       // milliseconds
-	cpu       time.Duration // processor time of the router
-	extra     int           // responses to no request
-	faults    int
-	drains    int
-	lateSends int // messages to a worker after its drain
+	total              tally
+	p99                float64       // milliseconds
+	cpu                time.Duration // processor time of the router
+	unmatchedResponses int           // responses to no request
+	faults             int
+	drains             int
+	lateSends          int // messages to a worker after its drain
 	// The router's own counters, as its log has them.
 	recoveryDials string
-	moved         string // requests that went over another connection, for they had not left
+	resent        string // requests that went over another connection, for they had not left
 }
 
 // cpuPerRequest is the router's processor time for a request, in microseconds.
@@ -109,12 +109,12 @@
 	f.mustBeZero("late_sends", faulty.lateSends)
 	f.mustBeZero("answers_missing", v.lost)
 	f.mustBeZero("answers_late", v.late)
-	f.mustBeZero("extra_answers", faulty.extra)
+	f.mustBeZero("extra_answers", faulty.unmatchedResponses)
 	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
 	f.must("faults", faulty.faults, faulty.faults > 0)
 	f.must("drains", faulty.drains, faulty.drains > 0)
 	f.add("trials", faulty.recoveryDials)
-	f.add("moved", faulty.moved)
+	f.add("moved", faulty.resent)
 	f.add("served_no_faults", servedCalm)
 	f.must("served", served, served >= servedCalm-maxServedLoss)
 }
@@ -126,7 +126,7 @@
 		return nil, err
 	}
 	fmt.Fprintf(out, "%-22s %8d %8d %8d %8d %8.1f %8d %10.1f %10s\n", name, len(r.requests), r.total.served, r.total.rejected, r.total.failed,
-		r.p99, r.faults, r.cpuPerRequest(), r.moved)
+		r.p99, r.faults, r.cpuPerRequest(), r.resent)
 	return r, nil
 }
 
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	defer bed.Close()
-	bed.Site.Directory.Set(listTwice(bed.Site, noDrain))
+	bed.Site.Discovery.Set(listTwice(bed.Site, noDrain))
 	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
 	if err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 	}
 	newMixedLoad(r.record, clients, a.Rate, a.Length, a.Seed).run(begun)
 	faults.Wait()
-	r.extra = awaitResponses(clients)
+	r.unmatchedResponses = awaitResponses(clients)
 	router.stop()
 	r.summarize(router, begun)
 	return r, nil
@@ -195,5 +195,5 @@
 	r.p99 = r.latencyPercentile(0.99)
 	r.cpu = router.cpuTimeAtEnd()
 	r.recoveryDials = router.counter("dials", "recovery_dials")
-	r.moved = router.counter("dials", "resent")
+	r.resent = router.counter("dials", "resent")
 }
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -24,7 +24,7 @@
 )
 
 // burstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
-const burstSize = 60
+const burstRequests = 60
 
 // Run measures look-ups and checks, and then a load with a reload each second and the death of a pool.
 func (c Config) Run(out io.Writer) error {
@@ -61,29 +61,29 @@
 	}
 }
 
-// configRun is one load with reloads and the death of a pool, and what came of it.
-type configRun struct {
+// reloadRun is one load with reloads and the death of a pool, and what came of it.
+type reloadRun struct {
 	*record
-	pools   *poolWatch
-	bed     *fake.Testbed
-	router  *process
-	routes  string // the path of the routes file
-	reloads int
-	extra   int // responses to no request
+	pools              *poolWatch
+	bed                *fake.Testbed
+	router             *process
+	routesPath         string // the path of the routes file
+	reloads            int
+	unmatchedResponses int // responses to no request
 
-	begun time.Time
-	dies  time.Time // the large workers are killed
-	back  time.Time // and started again
-	end   time.Time
+	startedAt       time.Time
+	poolKilledAt    time.Time // the large workers are killed
+	poolRestartedAt time.Time // and started again
+	endsAt          time.Time
 }
 
 // load starts a router before workers of three kinds, and loads it.
-func (c Config) load() (*configRun, error) {
+func (c Config) load() (*reloadRun, error) {
 	program, err := findRouter(c.Router)
 	if err != nil {
 		return nil, err
 	}
-	run := &configRun{record: newRecord(), pools: newPoolWatch()}
+	run := &reloadRun{record: newRecord(), pools: newPoolWatch()}
 	run.record.watch = run.pools.event
 	if err := run.start(program); err != nil {
 		return nil, err
@@ -97,29 +97,29 @@
 	defer closeClients(clients)
 
 	length := c.loadLength()
-	run.begun = time.Now()
-	run.dies = run.begun.Add(length * 4 / 10)
-	run.back = run.begun.Add(length * 6 / 10)
-	run.end = run.begun.Add(length)
+	run.startedAt = time.Now()
+	run.poolKilledAt = run.startedAt.Add(length * 4 / 10)
+	run.poolRestartedAt = run.startedAt.Add(length * 6 / 10)
+	run.endsAt = run.startedAt.Add(length)
 	disturbed := make(chan error, 1)
 	go func() { disturbed <- run.disturb() }()
 	load := newMixedLoad(run.record, clients, c.Rate, length, c.Seed)
-	load.burst = func(n int) int {
+	load.burstSize = func(n int) int {
 		if n%c.Rate == c.Rate/2 {
-			return burstSize
+			return burstRequests
 		}
 		return 0
 	}
-	load.run(run.begun)
+	load.run(run.startedAt)
 	if err := <-disturbed; err != nil {
 		return nil, err
 	}
-	run.extra = awaitResponses(clients)
+	run.unmatchedResponses = awaitResponses(clients)
 	return run, nil
 }
 
 // start starts the fakes and the router, which routes by routesA.
-func (r *configRun) start(program string) error {
+func (r *reloadRun) start(program string) error {
 	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
 		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
 	kinds := []string{kindLarge, kindLarge, kindSmall, kindSmall, kindSpare}
@@ -131,12 +131,12 @@
 		return err
 	}
 	r.bed = bed
-	r.routes = bed.Path("routes.crank")
+	r.routesPath = bed.Path("routes.crank")
 	if err := r.writeRoutes(0); err != nil {
 		bed.Close()
 		return err
 	}
-	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+r.routes)
+	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+r.routesPath)
 	if err != nil {
 		bed.Close()
 		return err
@@ -145,26 +145,26 @@
 	return nil
 }
 
-func (r *configRun) writeRoutes(file int) error {
+func (r *reloadRun) writeRoutes(file int) error {
 	_, err := r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 	return err
 }
 
 // disturb reloads the other routes file each second, and kills the large workers for a time.
-func (r *configRun) disturb() error {
+func (r *reloadRun) disturb() error {
 	dead := false
 	for n := 1; ; n++ {
-		next := r.begun.Add(time.Duration(n) * time.Second)
-		if next.After(r.end) {
+		next := r.startedAt.Add(time.Duration(n) * time.Second)
+		if next.After(r.endsAt) {
 			return nil
 		}
 		time.Sleep(time.Until(next))
 		now := time.Now()
 		switch {
-		case !dead && now.After(r.dies) && now.Before(r.back):
+		case !dead && now.After(r.poolKilledAt) && now.Before(r.poolRestartedAt):
 			r.killPool()
 			dead = true
-		case dead && now.After(r.back):
+		case dead && now.After(r.poolRestartedAt):
 			if err := r.restartPool(); err != nil {
 				return err
 			}
@@ -177,7 +177,7 @@
 }
 
 // poolWorkers returns the workers of the pool that dies.
-func (r *configRun) poolWorkers() (list []*fake.Worker) {
+func (r *reloadRun) poolWorkers() (list []*fake.Worker) {
 	for _, w := range r.bed.Site.Workers {
 		if w.Kind == kindLarge {
 			list = append(list, w)
@@ -186,13 +186,13 @@
 	return list
 }
 
-func (r *configRun) killPool() {
+func (r *reloadRun) killPool() {
 	for _, w := range r.poolWorkers() {
 		w.Kill()
 	}
 }
 
-func (r *configRun) restartPool() error {
+func (r *reloadRun) restartPool() error {
 	for _, w := range r.poolWorkers() {
 		if err := w.Start(); err != nil {
 			return err
@@ -202,7 +202,7 @@
 }
 
 // reload replaces the routes file and has the router follow.
-func (r *configRun) reload(file int) error {
+func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
 	r.pools.reloadBegins(file)
 	r.mu.Unlock()
@@ -220,7 +220,7 @@
 }
 
 // printPhases prints a row for each class before, during and after the death of the pool.
-func (r *configRun) printPhases(out io.Writer) {
+func (r *reloadRun) printPhases(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
@@ -228,9 +228,9 @@
 		name     string
 		from, to time.Time
 	}{
-		{"before the pool dies", r.begun, r.dies},
-		{"while it is dead", r.dies.Add(time.Second), r.back},
-		{"after its return", r.back.Add(time.Second), r.end},
+		{"before the pool dies", r.startedAt, r.poolKilledAt},
+		{"while it is dead", r.poolKilledAt.Add(time.Second), r.poolRestartedAt},
+		{"after its return", r.poolRestartedAt.Add(time.Second), r.endsAt},
 	} {
 		for _, class := range classes {
 			t := r.tally(class, phase.from, phase.to)
@@ -241,9 +241,9 @@
 
 // secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
 // a second, or -1.
-func (r *configRun) secondsUntilServed() int {
+func (r *reloadRun) secondsUntilServed() int {
 	for s := range 60 {
-		from := r.back.Add(time.Duration(s) * time.Second)
+		from := r.poolRestartedAt.Add(time.Duration(s) * time.Second)
 		t := r.tally(classDimLevel, from, from.Add(time.Second))
 		if t.sent > 0 && t.served*100 >= t.sent*95 {
 			return s
@@ -253,10 +253,10 @@
 }
 
 // maxSpillTolerance is what the platform allows for requests that are under way.
-const maxSpillTolerance = 1.02
+const overflowTolerance = 1.02
 
 // report adds the load's figures.
-func (r *configRun) report(f *figures) {
+func (r *reloadRun) report(f *figures) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.violations(classRepairOrder)
@@ -266,7 +266,7 @@
 	f.must("reloads", r.reloads, r.reloads > 0)
 	f.mustBeZero("lost", v.lost)
 	f.mustBeZero("late", v.late)
-	f.mustBeZero("extra_answers", r.extra)
+	f.mustBeZero("extra_answers", r.unmatchedResponses)
 	f.add("orders", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("outside_pool", r.pools.outsidePool)
@@ -277,7 +277,7 @@
 	spilled := len(r.pools.overflowed)
 	share := r.pools.maxOverflowShare(r.record)
 	f.must("spilled", spilled, spilled > 0)
-	f.must("spill_share_max", share, share <= spillLimit*maxSpillTolerance)
-	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.back, r.back.Add(10*time.Second)))
+	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
+	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.poolRestartedAt, r.poolRestartedAt.Add(10*time.Second)))
 	f.add("p99_ms", r.latencyPercentile(0.99))
 }
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Core measures what a call costs the core and the module by the size of the fleet, in virtual time: no sockets, one
+// Core measures what a request costs the core and the module by the size of the fleet, in virtual time: no sockets, one
 // goroutine, the code that serves.
 type Core struct {
 	Short bool  `help:"Fewer calls."`
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -17,7 +17,7 @@
 )
 
 // flapModes are what the flapping address is, one after the other.
-var flapModes = []fake.PortMode{fake.ModeWell, fake.ModeRefuse, fake.ModeWell, fake.ModeReset}
+var flapModes = []fake.PortMode{fake.ModeHealthy, fake.ModeRefuse, fake.ModeHealthy, fake.ModeReset}
 
 // addressFault is an address that fails until a time.
 type addressFault struct {
@@ -45,9 +45,9 @@
 		}
 	}
 	for _, fault := range faults {
-		fault.port.Set(fake.ModeWell)
+		fault.port.Set(fake.ModeHealthy)
 	}
-	flapping.Set(fake.ModeWell)
+	flapping.Set(fake.ModeHealthy)
 	return count
 }
 
@@ -57,7 +57,7 @@
 		if now.Before(fault.end) {
 			remaining = append(remaining, fault)
 		} else {
-			fault.port.Set(fake.ModeWell)
+			fault.port.Set(fake.ModeHealthy)
 		}
 	}
 	return remaining
@@ -72,8 +72,8 @@
 	mode := fake.Modes[1+random.IntN(len(fake.Modes)-1)]
 	span := (maxFaultDuration - minFaultDuration).Milliseconds()
 	duration := minFaultDuration + time.Duration(random.IntN(int(span)))*time.Millisecond
-	possible := mode != fake.ModeStale || port.Network == "unix"
-	if !possible || port.Mode() != fake.ModeWell || countWell(ports) < 2 {
+	possible := mode != fake.ModeStaleSocket || port.Network == "unix"
+	if !possible || port.Mode() != fake.ModeHealthy || countWell(ports) < 2 {
 		return addressFault{}, false
 	}
 	port.Set(mode)
@@ -82,7 +82,7 @@
 
 func countWell(ports []*fake.Port) (n int) {
 	for _, port := range ports {
-		if port.Mode() == fake.ModeWell {
+		if port.Mode() == fake.ModeHealthy {
 			n++
 		}
 	}
@@ -94,8 +94,8 @@
 
 // listTwice lists every third worker a second time, with the same addresses under another name. The worker of an index
 // drains under that second name.
-func listTwice(site *fake.Site, draining int) (list []fake.Entry) {
-	for i, entry := range site.Entries() {
+func listTwice(site *fake.Site, draining int) (list []fake.Endpoint) {
+	for i, entry := range site.Endpoints() {
 		list = append(list, entry)
 		if i%3 != 0 {
 			continue
@@ -120,24 +120,24 @@
 	for n := 0; time.Now().Add(5 * time.Second).Before(until); n++ {
 		time.Sleep(drainPause)
 		index := n * 3 % len(site.Workers)
-		serial := site.Directory.Set(listTwice(site, index))
+		serial := site.Discovery.Set(listTwice(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
-		answered := site.Directory.AnsweredAt(serial)
+		answered := site.Discovery.AnsweredAt(serial)
 		end := time.Now()
-		site.Directory.Set(listTwice(site, noDrain))
+		site.Discovery.Set(listTwice(site, noDrain))
 		if !answered.IsZero() {
 			r.lateSends += r.countArrivals(site.Workers[index], answered.Add(drainGracePeriod), end)
 		}
 	}
 }
 
-// countArrivals counts the requests and load orders that came to a worker between two times.
+// countArrivals counts the requests and load commands that came to a worker between two times.
 func (r *record) countArrivals(worker *fake.Worker, after, before time.Time) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.events {
-		if e.Worker == worker && e.Arrival() && e.At.After(after) && e.At.Before(before) {
+		if e.Worker == worker && e.IsArrival() && e.At.After(after) && e.At.Before(before) {
 			n++
 		}
 	}
--- a/internal/benchmark/knee.go
+++ b/internal/benchmark/knee.go
@@ -10,23 +10,23 @@
 
 // bracket holds the rates between which the knee is. A rate of 0 is not known yet.
 type bracket struct {
-	kept   int // the router kept up with it
-	missed int // it did not
+	sustained   int // the router kept up with it
+	unsustained int // it did not
 }
 
 // narrow takes in a measurement.
 func (b *bracket) narrow(m *measurement) {
 	if m.keepsUp() {
-		b.kept = m.rate
+		b.sustained = m.rate
 	} else {
-		b.missed = m.rate
+		b.unsustained = m.rate
 	}
 }
 
 // middle returns the rate to measure next, or false if the bracket can't be narrowed.
 func (b *bracket) middle() (rate int, ok bool) {
-	rate = (b.kept + b.missed) / 2
-	return rate, b.missed != 0 && rate != b.kept
+	rate = (b.sustained + b.unsustained) / 2
+	return rate, b.unsustained != 0 && rate != b.sustained
 }
 
 // knee finds the highest rate that the router keeps up with, and measures below it.
@@ -70,7 +70,7 @@
 // does not keep up with the first rate.
 func (l *loadRun) findKnee() (rate int, err error) {
 	var b bracket
-	for rate := l.Rate; b.missed == 0 && rate <= maxRate; rate *= 2 {
+	for rate := l.Rate; b.unsustained == 0 && rate <= maxRate; rate *= 2 {
 		m, err := l.measure(rate)
 		if err != nil {
 			return 0, err
@@ -88,5 +88,5 @@
 		}
 		b.narrow(m)
 	}
-	return b.kept, nil
+	return b.sustained, nil
 }
--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -147,7 +147,7 @@
 		}
 		b.narrow(measured(rate))
 	}
-	if b.kept != 687 || b.missed != 750 {
-		t.Errorf("between %d and %d", b.kept, b.missed)
+	if b.sustained != 687 || b.unsustained != 750 {
+		t.Errorf("between %d and %d", b.sustained, b.unsustained)
 	}
 }
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -67,11 +67,11 @@
 }
 
 // complete counts a response.
-func (m *measurement) complete(verdict fake.ResponseStatus, latency time.Duration) {
+func (m *measurement) complete(status fake.ResponseStatus, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight--
-	switch verdict {
+	switch status {
 	case fake.Served:
 		m.served++
 		m.latencies.RecordValue(max(latency.Microseconds(), 1))
@@ -135,6 +135,6 @@
 		}
 		key := functionKey(random.IntN(l.Keys))
 		id := fmt.Sprintf("%016x", random.Uint64())
-		l.target.send(key, id, func(verdict fake.ResponseStatus) { m.complete(verdict, time.Since(due)) })
+		l.target.send(key, id, func(status fake.ResponseStatus) { m.complete(status, time.Since(due)) })
 	}
 }
--- a/internal/benchmark/mixedload.go
+++ b/internal/benchmark/mixedload.go
@@ -46,7 +46,7 @@
 	random  *rand.Rand
 	// burst, which may be nil, says how many requests of the class dim-level are sent at once in place of the
 	// n-th; 0 for none.
-	burst func(n int) int
+	burstSize func(n int) int
 }
 
 func newMixedLoad(r *record, clients []*fake.Client, rate int, length time.Duration, seed uint64) *mixedLoad {
@@ -59,8 +59,8 @@
 	for n := 0; time.Since(begun) < l.length; n++ {
 		time.Sleep(time.Until(begun.Add(time.Duration(n) * interval)))
 		class := classMix[l.random.IntN(len(classMix))]
-		if l.burst != nil && l.burst(n) > 0 {
-			l.sendBurst(l.burst(n))
+		if l.burstSize != nil && l.burstSize(n) > 0 {
+			l.sendBurst(l.burstSize(n))
 			continue
 		}
 		l.send(class)
@@ -78,12 +78,12 @@
 	client := l.clients[l.random.IntN(len(l.clients))]
 	id := fmt.Sprintf("%016x", l.random.Uint64())
 	key := functionKey(l.random.IntN(mixedLoadFunctions))
-	l.record.call(client, fake.Call{
-		Class: class,
-		ID:    id,
-		Key:   key,
-		Wait:  classTimeouts[class],
-		Props: "memory_mb:256;lanes:8;load_ms:300",
-		Body:  []byte("x"),
+	l.record.send(client, fake.Request{
+		Class:       class,
+		ID:          id,
+		FunctionKey: key,
+		Timeout:     classTimeouts[class],
+		Properties:  "memory_mb:256;lanes:8;load_ms:300",
+		Body:        []byte("x"),
 	})
 }
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -84,14 +84,14 @@
 			p.overflowed[e.ID] = e.At // the first sign of it there, whether it ran or not
 		}
 	}
-	if e.What == fake.EventStarted && !p.mayRun(request, kind) {
+	if e.Kind == fake.EventStarted && !p.mayRun(request, kind) {
 		p.outsidePool++
 	}
 }
 
 // countInFlight counts the requests in flight in the pool that has a cap.
 func (p *poolWatch) countInFlight(e fake.Event, request *recordedRequest) {
-	switch e.What {
+	switch e.Kind {
 	case fake.EventStarted:
 		p.inFlight++
 		p.maxInFlight = max(p.maxInFlight, p.inFlight)
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -8,14 +8,14 @@
 	"crankhold/internal/fake"
 )
 
-// lost is the verdict on a request whose connection ended before its response.
-const lost fake.ResponseStatus = "lost"
+// statusLost is the status of a request whose connection ended before its response.
+const statusLost fake.ResponseStatus = "lost"
 
 // responseSlack is how late a response may come on a loaded machine and still count, as on the platform.
 const responseSlack = 66 * time.Millisecond
 
-// The load budget of the fake site's configuration, and what the platform adds to it for orders that are under way on
-// sockets: a share and one order more.
+// The load budget of the fake site's configuration, and what the platform adds to it for load commands in flight on
+// sockets: a share and one load command.
 const (
 	loadBudgetWindow  = 10 * time.Second
 	loadBudgetMinimum = 4
@@ -27,14 +27,14 @@
 type recordedRequest struct {
 	class   string
 	sentAt  time.Time
-	verdict fake.ResponseStatus // empty until its response
+	status  fake.ResponseStatus // empty until its response
 	latency time.Duration
 	late    bool // its response came after its timeout
 	runs    int  // at workers
 }
 
 // isLost reports whether the request has no response.
-func (r *recordedRequest) isLost() bool { return r.verdict == "" || r.verdict == lost }
+func (r *recordedRequest) isLost() bool { return r.status == "" || r.status == statusLost }
 
 // record is what happened in an experiment.
 type record struct {
@@ -57,7 +57,7 @@
 	if request == nil {
 		return
 	}
-	if e.What == fake.EventStarted {
+	if e.Kind == fake.EventStarted {
 		request.runs++
 	}
 	if r.watch != nil {
@@ -65,22 +65,22 @@
 	}
 }
 
-// call sends a request and records its response.
-func (r *record) call(c *fake.Client, call fake.Call) {
-	request := &recordedRequest{class: call.Class, sentAt: time.Now()}
+// send sends a request and records its response.
+func (r *record) send(c *fake.Client, sent fake.Request) {
+	request := &recordedRequest{class: sent.Class, sentAt: time.Now()}
 	r.mu.Lock()
-	r.byID[call.ID] = request
+	r.byID[sent.ID] = request
 	r.requests = append(r.requests, request)
 	r.mu.Unlock()
-	c.Go(call, func(answer fake.Response, err error) {
+	c.Go(sent, func(response fake.Response, err error) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		request.latency = time.Since(request.sentAt)
-		request.verdict = answer.Status
+		request.status = response.Status
 		if err != nil {
-			request.verdict = lost
+			request.status = statusLost
 		}
-		request.late = request.latency > call.Wait+responseSlack
+		request.late = request.latency > sent.Timeout+responseSlack
 	})
 }
 
@@ -99,7 +99,7 @@
 			continue
 		}
 		t.sent++
-		switch request.verdict {
+		switch request.status {
 		case fake.Served:
 			t.served++
 		case fake.Rejected:
@@ -117,7 +117,7 @@
 	late               int // responses after the timeout
 	notIdempotent      int // requests that may not run twice
 	doubled            int // those that did
-	loadBudgetBreaches int // load orders beyond the budget
+	loadBudgetBreaches int // load commands beyond the budget
 }
 
 // violations checks all that was recorded. Requests of the class given may not run twice.
@@ -142,22 +142,22 @@
 	return v
 }
 
-// loadCommandTimes returns when load orders came to workers.
+// loadCommandTimes returns when load commands came to workers.
 func (r *record) loadCommandTimes() (times []time.Time) {
 	for _, e := range r.events {
-		if e.What == fake.EventLoadCommand {
+		if e.Kind == fake.EventLoadCommand {
 			times = append(times, e.At)
 		}
 	}
 	return times
 }
 
-// loadBudgetBreaches counts the load orders that exceed the budget, as the platform counts them. Both lists are in
+// loadBudgetBreaches counts the load commands that exceed the budget, as the platform counts them. Both lists are in
 // ascending order.
-func loadBudgetBreaches(orders, requests []time.Time) (breaches int) {
-	for _, at := range orders {
+func loadBudgetBreaches(commands, requests []time.Time) (breaches int) {
+	for _, at := range commands {
 		budget := loadBudgetMinimum + loadBudgetRatio*float64(countInWindow(requests, at))
-		if float64(countInWindow(orders, at)) > budget*loadBudgetSlack+1 {
+		if float64(countInWindow(commands, at)) > budget*loadBudgetSlack+1 {
 			breaches++
 		}
 	}
@@ -177,7 +177,7 @@
 	return beyond - first
 }
 
-// loadCommandsBetween counts the load orders of a time.
+// loadCommandsBetween counts the load commands of a time.
 func (r *record) loadCommandsBetween(from, to time.Time) (n int) {
 	for _, at := range r.loadCommandTimes() {
 		if !at.Before(from) && at.Before(to) {
@@ -191,7 +191,7 @@
 func (r *record) latencyPercentile(p float64) float64 {
 	var latencies []time.Duration
 	for _, request := range r.requests {
-		if request.verdict == fake.Served {
+		if request.status == fake.Served {
 			latencies = append(latencies, request.latency)
 		}
 	}
--- a/internal/benchmark/record_test.go
+++ b/internal/benchmark/record_test.go
@@ -29,20 +29,20 @@
 
 func TestViolationsAreCounted(t *testing.T) {
 	r := newRecord()
-	r.add(0, recordedRequest{class: classDimLevel, verdict: fake.Served, runs: 2})
-	r.add(1, recordedRequest{class: classDimLevel, verdict: fake.Rejected, late: true})
+	r.add(0, recordedRequest{class: classDimLevel, status: fake.Served, runs: 2})
+	r.add(1, recordedRequest{class: classDimLevel, status: fake.Rejected, late: true})
 	r.add(2, recordedRequest{class: classDimLevel})
-	r.add(3, recordedRequest{class: classRepairOrder, verdict: lost, late: true})
-	r.add(4, recordedRequest{class: classRepairOrder, verdict: fake.Failed, runs: 2})
+	r.add(3, recordedRequest{class: classRepairOrder, status: statusLost, late: true})
+	r.add(4, recordedRequest{class: classRepairOrder, status: fake.Failed, runs: 2})
 	expectEqual(t, r.violations(classRepairOrder), violations{lost: 2, late: 1, notIdempotent: 2, doubled: 1})
 	expectEqual(t, r.tally(classDimLevel, start, start.Add(2)), tally{sent: 2, served: 1, rejected: 1})
 	expectEqual(t, r.tally("", start, start.Add(time.Second)), tally{sent: 5, served: 1, rejected: 1, failed: 1})
 }
 
-// Four orders are allowed, 15 in 100 of them and one more for what is under way: the sixth is a breach, unless it comes
+// Four load commands are allowed, 15 in 100 of them and one more for what is under way: the sixth is a breach, unless it comes
 // after the window or with enough requests.
 func TestLoadCommandsBeyondTheBudgetAreBreaches(t *testing.T) {
-	orders := func(n int, interval time.Duration) (times []time.Time) {
+	commands := func(n int, interval time.Duration) (times []time.Time) {
 		for i := range n {
 			times = append(times, start.Add(time.Duration(i)*interval))
 		}
@@ -54,24 +54,24 @@
 	}
 	for _, tt := range []struct {
 		name     string
-		orders   []time.Time
+		commands []time.Time
 		requests []time.Time
 		want     int
 	}{
-		{"five at once", orders(5, 0), nil, 0},
-		{"six at once", orders(6, 0), nil, 6},
-		{"six in a window", orders(6, time.Second), nil, 1},
-		{"six in more than a window", orders(6, 3*time.Second), nil, 0},
-		{"six at once, with requests", orders(6, 0), requests, 0},
+		{"five at once", commands(5, 0), nil, 0},
+		{"six at once", commands(6, 0), nil, 6},
+		{"six in a window", commands(6, time.Second), nil, 1},
+		{"six in more than a window", commands(6, 3*time.Second), nil, 0},
+		{"six at once, with requests", commands(6, 0), requests, 0},
 	} {
-		t.Run(tt.name, func(t *testing.T) { expectEqual(t, loadBudgetBreaches(tt.orders, tt.requests), tt.want) })
+		t.Run(tt.name, func(t *testing.T) { expectEqual(t, loadBudgetBreaches(tt.commands, tt.requests), tt.want) })
 	}
 }
 
 // runAt has the watch see a request run at a worker of a kind.
 func (p *poolWatch) runAt(kind string, request *recordedRequest) {
 	worker := &fake.Worker{WorkerConfig: fake.WorkerConfig{Kind: kind}}
-	p.event(fake.Event{At: request.sentAt, Worker: worker, What: fake.EventStarted, ID: "1"}, request)
+	p.event(fake.Event{At: request.sentAt, Worker: worker, Kind: fake.EventStarted, ID: "1"}, request)
 }
 
 func TestRunsOutsideThePoolAreCounted(t *testing.T) {
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -70,9 +70,9 @@
 
 // Figures of routesA and routesB.
 const (
-	routesACap = 24 // requests in flight of the pool "fast"
-	routesBCap = 16
-	spillLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
+	routesACap    = 24 // requests in flight of the pool "fast"
+	routesBCap    = 16
+	overflowLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
 )
 
 // routesWithLines returns a file of about so many lines, and as many routes as fit.
--- a/internal/benchmark/starts.go
+++ b/internal/benchmark/starts.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	defer bed.Close()
-	bed.Site.Directory.Close() // queries are refused
+	bed.Site.Discovery.Close() // queries are refused
 	var routers []*process
 	defer func() {
 		for _, p := range routers {
@@ -164,6 +164,6 @@
 		return false
 	}
 	defer client.Close()
-	healthy, err := client.Check()
+	healthy, err := client.CheckHealth()
 	return err == nil && healthy
 }
--- a/internal/benchmark/target.go
+++ b/internal/benchmark/target.go
@@ -14,7 +14,7 @@
 
 // sender sends requests to a router.
 type sender interface {
-	// send sends a request for a function. done is called once, from any goroutine, with its verdict.
+	// send sends a request for a function. done is called once, from any goroutine, with its status.
 	send(key, id string, done func(fake.ResponseStatus))
 	// close closes all connections.
 	close()
@@ -124,13 +124,13 @@
 }
 
 func (s *thriftSender) send(key, id string, done func(fake.ResponseStatus)) {
-	call := fake.Call{Class: s.class, ID: id, Key: key, Wait: s.timeout, Props: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}
-	s.pick().Go(call, func(answer fake.Response, err error) {
+	request := fake.Request{Class: s.class, ID: id, FunctionKey: key, Timeout: s.timeout, Properties: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}
+	s.pick().Go(request, func(response fake.Response, err error) {
 		if err != nil {
-			done(lost)
+			done(statusLost)
 			return
 		}
-		done(answer.Status)
+		done(response.Status)
 	})
 }
 
@@ -139,7 +139,7 @@
 	s.next++
 	first := s.clients[s.next%len(s.clients)]
 	second := s.clients[(s.next*7+3)%len(s.clients)]
-	if second.Open() < first.Open() {
+	if second.RequestsInFlight() < first.RequestsInFlight() {
 		return second
 	}
 	return first
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -73,10 +73,10 @@
 func awaitResponses(clients []*fake.Client) (extra int) {
 	for _, c := range clients {
 		limit := time.Now().Add(responseWait)
-		for c.Open() > 0 && time.Now().Before(limit) {
+		for c.RequestsInFlight() > 0 && time.Now().Before(limit) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		extra += c.Extra()
+		extra += c.UnmatchedResponses()
 	}
 	return extra
 }
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -51,11 +51,11 @@
 // id is a random one of its own, so that no two runs share one.
 func (s *webhookSender) send(key, _ string, done func(fake.ResponseStatus)) {
 	go func() {
-		verdict, err := s.deliver(key)
+		status, err := s.deliver(key)
 		if err != nil {
-			verdict = lost
+			status = statusLost
 		}
-		done(verdict)
+		done(status)
 	}()
 }
 
@@ -71,7 +71,7 @@
 	}
 	defer response.Body.Close()
 	io.Copy(io.Discard, response.Body) // so that the connection is used again
-	return verdictOfStatus(response.StatusCode), nil
+	return responseStatusOf(response.StatusCode), nil
 }
 
 func (s *webhookSender) request(key string) (*http.Request, error) {
@@ -98,8 +98,8 @@
 // close closes idle connections. Requests in flight end by themselves.
 func (s *webhookSender) close() { s.client.CloseIdleConnections() }
 
-// verdictOfStatus returns what a router says by an HTTP status, or lost for one that it does not send.
-func verdictOfStatus(status int) fake.ResponseStatus {
+// responseStatusOf returns what a router says by an HTTP status, or lost for one that it does not send.
+func responseStatusOf(status int) fake.ResponseStatus {
 	switch status {
 	case http.StatusOK:
 		return fake.Served
@@ -108,6 +108,6 @@
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		return fake.Failed
 	default:
-		return lost
+		return statusLost
 	}
 }
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -9,13 +9,13 @@
 	"crankhold/internal/fake"
 )
 
-// verdicts are what is shown of each class.
-var verdicts = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
+// statuses are what is shown of each class.
+var statuses = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
 
-// response is what is counted at the client.
-type response struct {
-	class   string
-	verdict fake.ResponseStatus
+// countedResponse is what is counted at the client.
+type countedResponse struct {
+	class  string
+	status fake.ResponseStatus
 }
 
 // workerCounts is what is counted at a worker.
@@ -27,12 +27,12 @@
 // counts is what happened since the last line.
 type counts struct {
 	mu        sync.Mutex
-	responses map[response]int
+	responses map[countedResponse]int
 	workers   map[*fake.Worker]workerCounts
 }
 
 func newCounts() *counts {
-	return &counts{responses: map[response]int{}, workers: map[*fake.Worker]workerCounts{}}
+	return &counts{responses: map[countedResponse]int{}, workers: map[*fake.Worker]workerCounts{}}
 }
 
 // event counts an event at a worker.
@@ -40,7 +40,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	worker := c.workers[e.Worker]
-	switch e.What {
+	switch e.Kind {
 	case fake.EventStarted:
 		worker.runs++
 	case fake.EventLoadCommand:
@@ -50,13 +50,13 @@
 }
 
 // response counts a response at the client.
-func (c *counts) response(class string, verdict fake.ResponseStatus) {
+func (c *counts) response(class string, status fake.ResponseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.responses[response{class, verdict}]++
+	c.responses[countedResponse{class, status}]++
 }
 
-// line returns the line for what was counted, and begins anew. Of the verdicts that never came, it shows served alone.
+// line returns the line for what was counted, and begins anew. Of the statuses that never came, it shows served alone.
 func (c *counts) line(elapsed time.Duration, workers []*fake.Worker) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,10 +64,10 @@
 	fmt.Fprintf(&b, "%4.0fs", elapsed.Seconds())
 	for _, class := range classes {
 		fmt.Fprintf(&b, "  %s", class.name)
-		for _, verdict := range verdicts {
-			n := c.responses[response{class.name, verdict}]
-			if n > 0 || verdict == fake.Served {
-				fmt.Fprintf(&b, " %s=%d", verdict, n)
+		for _, status := range statuses {
+			n := c.responses[countedResponse{class.name, status}]
+			if n > 0 || status == fake.Served {
+				fmt.Fprintf(&b, " %s=%d", status, n)
 			}
 		}
 	}
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -107,17 +107,17 @@
 // sendRequest sends a request of a random class for a random function.
 func (s *show) sendRequest() {
 	class := classMix[s.random.IntN(len(classMix))]
-	call := fake.Call{
-		Class: class.name,
-		ID:    fmt.Sprintf("%016x", s.random.Uint64()),
-		Key:   fmt.Sprintf("%016x", uint64(s.random.IntN(requestedFunctions))*0x1111111111111111),
-		Wait:  class.timeout,
-		Props: "memory_mb:512;lanes:2;load_ms:600",
-		Body:  []byte("lamp 17"),
+	request := fake.Request{
+		Class:       class.name,
+		ID:          fmt.Sprintf("%016x", s.random.Uint64()),
+		FunctionKey: fmt.Sprintf("%016x", uint64(s.random.IntN(requestedFunctions))*0x1111111111111111),
+		Timeout:     class.timeout,
+		Properties:  "memory_mb:512;lanes:2;load_ms:600",
+		Body:        []byte("lamp 17"),
 	}
-	s.client.Go(call, func(answer fake.Response, err error) {
+	s.client.Go(request, func(response fake.Response, err error) {
 		if err == nil {
-			s.counts.response(class.name, answer.Status)
+			s.counts.response(class.name, response.Status)
 		}
 	})
 }
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Call is a request as a client words it.
-type Call struct {
-	Class string
-	ID    string // 16 hex digits
-	Key   string // of the function, 16 hex digits
-	Wait  time.Duration
-	Props string // of the function, as name:value;name:value
-	Body  []byte
+// Request is a request by a client.
+type Request struct {
+	Class       string
+	ID          string // 16 hex digits
+	FunctionKey string // of the function, 16 hex digits
+	Timeout     time.Duration
+	Properties  string // of the function, as name:value;name:value
+	Body        []byte
 
-	Tenant string   // left out if empty
-	Once   string   // the idempotency key, left out if empty
-	More   []string // further fields, a name and a value in turn
+	Tenant         string   // left out if empty
+	IdempotencyKey string   // the idempotency key, left out if empty
+	ExtraFields    []string // further fields, a name and a value in turn
 }
 
 // fields returns the fields of the request, a name and a value in turn.
-func (c *Call) fields() []string {
-	fields := []string{"class", c.Class, "id", c.ID, "wait", strconv.FormatInt(c.Wait.Milliseconds(), 10), "key", c.Key}
-	for _, optional := range []struct{ name, value string }{{"props", c.Props}, {"tenant", c.Tenant}, {"once", c.Once}} {
+func (c *Request) fields() []string {
+	fields := []string{"class", c.Class, "id", c.ID, "wait", strconv.FormatInt(c.Timeout.Milliseconds(), 10), "key", c.FunctionKey}
+	for _, optional := range []struct{ name, value string }{{"props", c.Properties}, {"tenant", c.Tenant}, {"once", c.IdempotencyKey}} {
 		if optional.value != "" {
 			fields = append(fields, optional.name, optional.value)
 		}
 	}
-	return append(fields, c.More...)
+	return append(fields, c.ExtraFields...)
 }
 
-// ResponseStatus is how a router answered a request.
+// ResponseStatus is the outcome of a request in a router's response.
 type ResponseStatus = string
 
-// Verdicts, in the words of the platform.
+// Statuses of responses, in the words of the platform.
 const (
 	Served   ResponseStatus = "served"
 	Rejected ResponseStatus = "refused" // it never ran: trying again is harmless
@@ -55,11 +55,11 @@
 type Client struct {
 	conn net.Conn
 
-	mu       sync.Mutex
-	lastSeq  uint32
-	inFlight map[uint32]func(Response, error)
-	extra    int   // responses to no request in flight
-	broken   error // what ended the connection
+	mu        sync.Mutex
+	lastSeq   uint32
+	inFlight  map[uint32]func(Response, error)
+	unmatched int   // responses to no request in flight
+	broken    error // what ended the connection
 }
 
 // Dial connects to a router.
@@ -76,46 +76,46 @@
 // Close closes the connection. Requests in flight end with an error.
 func (c *Client) Close() { c.conn.Close() }
 
-// Extra returns how many responses came to no request in flight.
-func (c *Client) Extra() int {
+// UnmatchedResponses returns how many responses came to no request in flight.
+func (c *Client) UnmatchedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.extra
+	return c.unmatched
 }
 
-// Open returns how many requests are in flight.
-func (c *Client) Open() int {
+// RequestsInFlight returns how many requests are in flight.
+func (c *Client) RequestsInFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.inFlight)
 }
 
 // Go sends a request. done is called once, with the response or with what ended the connection.
-func (c *Client) Go(call Call, done func(Response, error)) {
-	c.send("execute", executeArguments(&call), done)
+func (c *Client) Go(request Request, done func(Response, error)) {
+	c.send("execute", executeArguments(&request), done)
 }
 
 // Do sends a request and waits for its response.
-func (c *Client) Do(call Call) (Response, error) {
-	return wait(func(done func(Response, error)) { c.Go(call, done) })
+func (c *Client) Do(request Request) (Response, error) {
+	return wait(func(done func(Response, error)) { c.Go(request, done) })
 }
 
-// Check asks whether the router accepts requests.
-func (c *Client) Check() (healthy bool, err error) {
-	answer, err := wait(func(done func(Response, error)) { c.send("check", noArguments(), done) })
-	return answer.Healthy, err
+// CheckHealth asks whether the router accepts requests.
+func (c *Client) CheckHealth() (healthy bool, err error) {
+	response, err := wait(func(done func(Response, error)) { c.send("check", noArguments(), done) })
+	return response.Healthy, err
 }
 
 // wait returns what send's callback is called with.
-func wait(send func(done func(Response, error))) (answer Response, err error) {
+func wait(send func(done func(Response, error))) (response Response, err error) {
 	ended := make(chan struct{})
-	send(func(a Response, e error) {
-		answer = a
+	send(func(r Response, e error) {
+		response = r
 		err = e
 		close(ended)
 	})
 	<-ended
-	return answer, err
+	return response, err
 }
 
 // Interrupt cancels a request by its sequence number, the first of a client being 1. No response follows.
@@ -128,13 +128,13 @@
 
 // GoInHalves sends the first half of a request, and the rest when the function that it returns is called. Nothing else
 // may be sent in between. It calls done as Go does.
-func (c *Client) GoInHalves(call Call, done func(Response, error)) (rest func()) {
+func (c *Client) GoInHalves(request Request, done func(Response, error)) (rest func()) {
 	var message []byte
 	c.sendBy(func(whole []byte) error {
 		message = whole
 		_, err := c.conn.Write(whole[:len(whole)/2])
 		return err
-	}, "execute", executeArguments(&call), done)
+	}, "execute", executeArguments(&request), done)
 	return func() { c.conn.Write(message[len(message)/2:]) }
 }
 
@@ -167,25 +167,25 @@
 func (c *Client) read() {
 	in := bufio.NewReader(c.conn)
 	for {
-		seq, answer, err := readAnswer(in)
+		seq, response, err := readResponse(in)
 		if err != nil {
 			c.fail(err)
 			return
 		}
-		c.deliver(seq, answer)
+		c.deliver(seq, response)
 	}
 }
 
-func (c *Client) deliver(seq uint32, answer Response) {
+func (c *Client) deliver(seq uint32, response Response) {
 	c.mu.Lock()
 	done := c.inFlight[seq]
 	delete(c.inFlight, seq)
 	if done == nil {
-		c.extra++
+		c.unmatched++
 	}
 	c.mu.Unlock()
 	if done != nil {
-		done(answer, nil)
+		done(response, nil)
 	}
 }
 
--- a/internal/fake/client_test.go
+++ b/internal/fake/client_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// A request's bytes follow the platform's protocol: a framed call of Thrift's strict binary protocol.
+// A request's bytes follow the platform's protocol: a framed call message of Thrift's strict binary protocol.
 func TestRequestEncoding(t *testing.T) {
-	call := Call{Class: "c", ID: "1", Key: "2", Wait: 1500 * time.Millisecond, Once: "k", Body: []byte("x")}
-	got := encodeMessage(messageCall, "execute", 7, executeArguments(&call))
+	request := Request{Class: "c", ID: "1", FunctionKey: "2", Timeout: 1500 * time.Millisecond, IdempotencyKey: "k", Body: []byte("x")}
+	got := encodeMessage(messageCall, "execute", 7, executeArguments(&request))
 	want := "" +
 		"00000067" + "80010001" + "00000007" + hex.EncodeToString([]byte("execute")) + "00000007" +
 		"0d0001" + "0b0b" + "00000005" +
@@ -51,7 +51,7 @@
 		{"an exception", "80010003" + "00000000" + "00000009", Response{Status: Failed}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			seq, got, err := parseAnswer(decodeHex(t, tt.frame))
+			seq, got, err := parseResponse(decodeHex(t, tt.frame))
 			if err != nil || seq != 9 || !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("%d, %+v, %v; want %+v", seq, got, err, tt.want)
 			}
@@ -71,12 +71,12 @@
 		"no end":            reply + "0c0000",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, got, err := parseAnswer(decodeHex(t, frame)); !errors.Is(err, errMalformedAnswer) {
+			if _, got, err := parseResponse(decodeHex(t, frame)); !errors.Is(err, errMalformedResponse) {
 				t.Errorf("%+v, %v", got, err)
 			}
 		})
 	}
-	if _, _, err := readAnswer(bytes.NewReader(decodeHex(t, "7fffffff"))); err == nil {
+	if _, _, err := readResponse(bytes.NewReader(decodeHex(t, "7fffffff"))); err == nil {
 		t.Error("a frame beyond the limit is read")
 	}
 }
@@ -98,15 +98,15 @@
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	client.Go(Call{}, func(_ Response, err error) { ended <- err })
-	if _, err := bufio.NewReader(router).ReadByte(); err != nil || client.Open() != 1 {
-		t.Fatalf("%d in flight, %v", client.Open(), err)
+	client.Go(Request{}, func(_ Response, err error) { ended <- err })
+	if _, err := bufio.NewReader(router).ReadByte(); err != nil || client.RequestsInFlight() != 1 {
+		t.Fatalf("%d in flight, %v", client.RequestsInFlight(), err)
 	}
 	router.Close()
 	if err := <-ended; err == nil {
 		t.Error("a request without a response has no error")
 	}
-	if _, err := client.Do(Call{}); err == nil || client.Open() != 0 {
-		t.Errorf("after the connection's end: %v, %d in flight", err, client.Open())
+	if _, err := client.Do(Request{}); err == nil || client.RequestsInFlight() != 0 {
+		t.Errorf("after the connection's end: %v, %d in flight", err, client.RequestsInFlight())
 	}
 }
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -47,13 +47,13 @@
 
 // execution is a request that a worker has accepted.
 type execution struct {
-	connection *connection
-	id         string
-	class      string
-	function   string
-	body       string
-	waited     bool // for its function's load
-	over       bool // responded to, canceled, or its connection was lost
+	connection    *connection
+	id            string
+	class         string
+	functionKey   string
+	body          string
+	waitedForLoad bool // for its function's load
+	over          bool // responded to, canceled, or its connection was lost
 }
 
 // serve handles the commands of a connection until it ends.
@@ -97,7 +97,7 @@
 }
 
 func (c *connection) run(id, fields, body string) {
-	e := &execution{connection: c, id: id, class: fieldValue(fields, "queue"), function: fieldValue(fields, "path"), body: body}
+	e := &execution{connection: c, id: id, class: fieldValue(fields, "queue"), functionKey: fieldValue(fields, "path"), body: body}
 	c.worker.mu.Lock()
 	rejection, accepted := c.accept(e)
 	c.worker.mu.Unlock()
@@ -109,7 +109,7 @@
 // accept begins or queues a request, or returns the response that rejects it. The worker must be locked.
 func (c *connection) accept(e *execution) (rejection responseWord, accepted bool) {
 	w := c.worker
-	r := w.replica(e.function)
+	r := w.replica(e.functionKey)
 	if r == nil {
 		e.recordEvent(EventNotLoaded)
 		return responseNotLoaded, false
@@ -121,7 +121,7 @@
 	c.inFlight[e.id] = e
 	w.inFlight++
 	e.recordEvent(EventStarted)
-	e.waited = !r.ready
+	e.waitedForLoad = !r.ready
 	r.waiting = append(r.waiting, e)
 	w.startWaiting(r)
 	return "", true
@@ -148,7 +148,7 @@
 		c.respond(e.id, responseFault, noFields, "")
 	default:
 		detail := "hot"
-		if e.waited {
+		if e.waitedForLoad {
 			detail = "waited"
 		}
 		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
@@ -168,7 +168,7 @@
 
 func (e *execution) recordEvent(what EventKind) {
 	w := e.connection.worker
-	w.record(Event{At: time.Now(), Worker: w, What: what, ID: e.id, Class: e.class, Key: e.function})
+	w.record(Event{At: time.Now(), Worker: w, Kind: what, ID: e.id, Class: e.class, FunctionKey: e.functionKey})
 }
 
 func (c *connection) cancel(id string) {
@@ -179,7 +179,7 @@
 	}
 }
 
-// load carries out an order to load a replica, and responds to its tag once one is loaded. An order for none asks
+// load carries out a load command, and responds to its tag once a replica is loaded. A command for no replicas asks
 // whether one is.
 func (c *connection) load(tag, fields string) {
 	w := c.worker
@@ -190,7 +190,7 @@
 	w.mu.Lock()
 	r := w.replica(function)
 	if count > 0 {
-		w.record(Event{At: time.Now(), Worker: w, What: EventLoadCommand, Key: function})
+		w.record(Event{At: time.Now(), Worker: w, Kind: EventLoadCommand, FunctionKey: function})
 	}
 	if r == nil && count > 0 {
 		r = w.startLoad(function)
@@ -232,7 +232,7 @@
 
 // respond writes a response, unless the address is mute. Errors are the reader's to find.
 func (c *connection) respond(tag string, word responseWord, fields, body string) {
-	if c.port.Mode() == ModeMute {
+	if c.port.Mode() == ModeUnresponsive {
 		return
 	}
 	c.writing.Lock()
--- a/internal/fake/directory.go
+++ b/internal/fake/directory.go
@@ -24,8 +24,8 @@
 // maxQuerySize is the size of the largest query that is read (RFC 1035, section 4.2.1).
 const maxQuerySize = 512
 
-// Entry is an endpoint in the discovery server's list.
-type Entry struct {
+// Endpoint is an endpoint in the discovery server's list.
+type Endpoint struct {
 	Name      string
 	Addr      string
 	Kind      string
@@ -37,35 +37,35 @@
 }
 
 // host returns the entry's host name.
-func (e Entry) host() string { return e.Name + "." + e.Zone + ".hosts" }
+func (e Endpoint) host() string { return e.Name + "." + e.Zone + ".hosts" }
 
-// Directory is a fake discovery server: it answers queries by DNS over UDP with its endpoint list.
-type Directory struct {
+// DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list.
+type DiscoveryServer struct {
 	conn  net.PacketConn
 	ended chan struct{}
 
 	mu         sync.Mutex
 	serial     uint32
-	list       []Entry
+	list       []Endpoint
 	answeredAt map[uint32]time.Time // by serial, when it was first answered with
 }
 
-// NewDirectory starts a discovery server with a list of serial 1.
-func NewDirectory(addr string, list []Entry) (*Directory, error) {
+// NewDiscoveryServer starts a discovery server with a list of serial 1.
+func NewDiscoveryServer(addr string, list []Endpoint) (*DiscoveryServer, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Directory{conn: conn, ended: make(chan struct{}), serial: 1, list: list, answeredAt: map[uint32]time.Time{}}
+	d := &DiscoveryServer{conn: conn, ended: make(chan struct{}), serial: 1, list: list, answeredAt: map[uint32]time.Time{}}
 	go d.serve()
 	return d, nil
 }
 
 // Addr returns the address that the server listens on.
-func (d *Directory) Addr() string { return d.conn.LocalAddr().String() }
+func (d *DiscoveryServer) Addr() string { return d.conn.LocalAddr().String() }
 
 // Set replaces the list and returns the new one's serial.
-func (d *Directory) Set(list []Entry) uint32 {
+func (d *DiscoveryServer) Set(list []Endpoint) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.serial++
@@ -74,20 +74,20 @@
 }
 
 // AnsweredAt returns when a query was first answered with the list of a serial, or the zero time.
-func (d *Directory) AnsweredAt(serial uint32) time.Time {
+func (d *DiscoveryServer) AnsweredAt(serial uint32) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.answeredAt[serial]
 }
 
 // Close ends the server, and returns once it has ended. It may be called again.
-func (d *Directory) Close() {
+func (d *DiscoveryServer) Close() {
 	d.conn.Close()
 	<-d.ended
 }
 
 // serve answers queries until the socket is closed.
-func (d *Directory) serve() {
+func (d *DiscoveryServer) serve() {
 	defer close(d.ended)
 	query := make([]byte, maxQuerySize)
 	for {
@@ -103,7 +103,7 @@
 
 // answer answers a query with the whole list, whatever the question: SRV records, the zone's serial, and each host's
 // addresses and labels.
-func (d *Directory) answer(query []byte) []byte {
+func (d *DiscoveryServer) answer(query []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, known := d.answeredAt[d.serial]; !known {
@@ -121,7 +121,7 @@
 }
 
 // addService adds an endpoint's SRV record. An address that can't be read is left out.
-func (r *dnsResponse) addService(entry Entry) {
+func (r *dnsResponse) addService(entry Endpoint) {
 	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
 	if err != nil {
 		return
@@ -135,7 +135,7 @@
 }
 
 // addHost adds the addresses and labels of an endpoint's host. IPv6 has records of its own; a Unix socket is a label.
-func (r *dnsResponse) addHost(entry Entry) {
+func (r *dnsResponse) addHost(entry Endpoint) {
 	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
 	if err != nil {
 		return
--- a/internal/fake/event.go
+++ b/internal/fake/event.go
@@ -11,24 +11,24 @@
 	EventCompleted      EventKind = "done"   // it was worked on to its end
 	EventCanceled       EventKind = "stop"   // the router canceled it
 	EventConnectionLost EventKind = "broken" // the connection ended before its response
-	EventLoadCommand    EventKind = "hold"   // the router ordered a replica
+	EventLoadCommand    EventKind = "hold"   // the router commanded a load
 	EventOverloaded     EventKind = "shed"   // a request was rejected, for the queue was full
 	EventNotLoaded      EventKind = "miss"   // a request was rejected, for its function was not loaded
 )
 
 // Event is something that happened at a worker.
 type Event struct {
-	At     time.Time
-	Worker *Worker
-	What   EventKind
-	ID     string // of the request; empty for a load order
-	Class  string // of the request; empty for a load order
-	Key    string // of the function
+	At          time.Time
+	Worker      *Worker
+	Kind        EventKind
+	ID          string // of the request; empty for a load command
+	Class       string // of the request; empty for a load command
+	FunctionKey string // of the function
 }
 
-// Arrival reports whether the event is the arrival of a request or of a load order.
-func (e Event) Arrival() bool {
-	switch e.What {
+// IsArrival reports whether the event is the arrival of a request or of a load command.
+func (e Event) IsArrival() bool {
+	switch e.Kind {
 	case EventStarted, EventLoadCommand, EventNotLoaded:
 		return true
 	default:
--- a/internal/fake/example_test.go
+++ b/internal/fake/example_test.go
@@ -15,7 +15,7 @@
 		return
 	}
 	defer bed.Close()
-	record := func(e fake.Event) { fmt.Println(e.Worker.Name, e.What, e.ID) }
+	record := func(e fake.Event) { fmt.Println(e.Worker.Name, e.Kind, e.ID) }
 	err = bed.Start([]fake.WorkerConfig{
 		{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
 		{Name: "s-2", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
@@ -32,7 +32,7 @@
 	_ = configPath // the router is started with EDGE_CONFIG=configPath
 	_ = listen     // and then fake.Dial(listen) connects a client to it
 
-	for _, entry := range bed.Site.Entries() {
+	for _, entry := range bed.Site.Endpoints() {
 		fmt.Println(entry.Name, "is listed as a worker of kind", entry.Kind)
 	}
 	bed.Site.Workers[0].Kill()
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -28,12 +28,12 @@
 	site := newSite(t, WorkerConfig{ServiceTime: time.Hour, LoadTime: time.Hour, Warm: true, Lanes: 1, Queue: 4}, func(e Event) { started <- e })
 	router := newRouterConn(t, site.Workers[0].Addr)
 	router.send("RUN", "1", "queue=dim-level,path="+functionKey, "")
-	if e := <-started; e.What != EventStarted || e.ID != "1" || e.Class != "dim-level" || e.Key != functionKey {
+	if e := <-started; e.Kind != EventStarted || e.ID != "1" || e.Class != "dim-level" || e.FunctionKey != functionKey {
 		t.Errorf("%+v", e)
 	}
 	site.Close()
-	if e := <-started; e.What != EventConnectionLost {
-		t.Errorf("after the worker's end: %s", e.What)
+	if e := <-started; e.Kind != EventConnectionLost {
+		t.Errorf("after the worker's end: %s", e.Kind)
 	}
 	for limit := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > before; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -14,16 +14,16 @@
 
 // Modes of an address.
 const (
-	ModeWell   PortMode = "well"
-	ModeRefuse PortMode = "refuse" // nothing listens
-	ModeStale  PortMode = "stale"  // a Unix socket's file exists and nothing listens
-	ModeMute   PortMode = "mute"   // requests are accepted and worked on, and never responded to
-	ModeReset  PortMode = "reset"  // connections are reset, new ones as soon as they are accepted
-	ModeFull   PortMode = "full"   // the backlog is full, so that dials hang
+	ModeHealthy      PortMode = "well"
+	ModeRefuse       PortMode = "refuse" // nothing listens
+	ModeStaleSocket  PortMode = "stale"  // a Unix socket's file exists and nothing listens
+	ModeUnresponsive PortMode = "mute"   // requests are accepted and worked on, and never responded to
+	ModeReset        PortMode = "reset"  // connections are reset, new ones as soon as they are accepted
+	ModeBacklogFull  PortMode = "full"   // the backlog is full, so that dials hang
 )
 
 // Modes are all modes of an address, the good one first.
-var Modes = []PortMode{ModeWell, ModeRefuse, ModeStale, ModeMute, ModeReset, ModeFull}
+var Modes = []PortMode{ModeHealthy, ModeRefuse, ModeStaleSocket, ModeUnresponsive, ModeReset, ModeBacklogFull}
 
 // How often, and after what pause, a port tries to listen while connections of its last mode end.
 const (
@@ -64,7 +64,7 @@
 	}
 	p.stopListening(mode)
 	p.mode = mode
-	if mode == ModeRefuse || mode == ModeStale {
+	if mode == ModeRefuse || mode == ModeStaleSocket {
 		return nil
 	}
 	if err := p.listen(); err != nil {
@@ -72,7 +72,7 @@
 		return fmt.Errorf("%s %s: %w", p.Network, p.Addr, err)
 	}
 	switch mode {
-	case ModeFull:
+	case ModeBacklogFull:
 		p.fillBacklog()
 	case ModeReset:
 		p.resetConns()
@@ -87,7 +87,7 @@
 func (p *Port) stopListening(next PortMode) {
 	if p.listener != nil {
 		if unix, ok := p.listener.(*net.UnixListener); ok {
-			unix.SetUnlinkOnClose(next != ModeStale)
+			unix.SetUnlinkOnClose(next != ModeStaleSocket)
 		}
 		p.listener.Close()
 		p.listener = nil
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -8,7 +8,7 @@
 	lastUsed time.Time
 	busy     int          // lanes in use
 	waiting  []*execution // for a lane, or for the load
-	onLoaded []func()     // responses to load orders that came during the load
+	onLoaded []func()     // responses to load commands that came during the load
 }
 
 // replica returns a function's replica or nil, without one that was idle for too long. The worker must be locked.
@@ -37,7 +37,7 @@
 	return r
 }
 
-// loaded ends the load of a replica: waiting requests begin, and load orders are responded to.
+// loaded ends the load of a replica: waiting requests begin, and load commands are responded to.
 func (w *Worker) loaded(r *replica) {
 	w.mu.Lock()
 	r.ready = true
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -11,7 +11,7 @@
 // Site is a fake installation: workers, and a discovery server that lists them.
 type Site struct {
 	Workers   []*Worker
-	Directory *Directory
+	Discovery *DiscoveryServer
 }
 
 // NewSite starts workers and a discovery server at an address. It calls record, which may be nil, for every event at a
@@ -26,20 +26,20 @@
 		}
 		s.Workers = append(s.Workers, w)
 	}
-	d, err := NewDirectory(directory, s.Entries())
+	d, err := NewDiscoveryServer(directory, s.Endpoints())
 	if err != nil {
 		s.Close()
 		return nil, err
 	}
-	s.Directory = d
+	s.Discovery = d
 	return s, nil
 }
 
-// Entries returns the endpoint list in which all workers are ready.
-func (s *Site) Entries() []Entry {
-	list := make([]Entry, 0, len(s.Workers))
+// Endpoints returns the endpoint list in which all workers are ready.
+func (s *Site) Endpoints() []Endpoint {
+	list := make([]Endpoint, 0, len(s.Workers))
 	for _, w := range s.Workers {
-		entry := Entry{Name: w.Name, Addr: w.Addr, Kind: w.Kind, Zone: w.Zone, Cell: w.Cell}
+		entry := Endpoint{Name: w.Name, Addr: w.Addr, Kind: w.Kind, Zone: w.Zone, Cell: w.Cell}
 		for _, p := range w.ports[1:] {
 			entry.MoreAddrs = append(entry.MoreAddrs, p.Network+":"+p.Addr)
 		}
@@ -53,8 +53,8 @@
 	for _, w := range s.Workers {
 		w.Close()
 	}
-	if s.Directory != nil {
-		s.Directory.Close()
+	if s.Discovery != nil {
+		s.Discovery.Close()
 	}
 }
 
@@ -81,7 +81,7 @@
 		"listen":   listen,
 		"seed":     "8c1f30d27a5be964",
 		"limits":   object{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"names":    s.Directory.Addr(),
+		"names":    s.Discovery.Addr(),
 		"known":    object{"offset": 1, "batch": []object{{"offset": 1, "topology": topology}}},
 		"settings": settings(kinds, zones),
 	}, "", "  ")
--- a/internal/fake/thrift.go
+++ b/internal/fake/thrift.go
@@ -36,7 +36,7 @@
 )
 
 // errMalformedAnswer is returned for a response that can't be read.
-var errMalformedAnswer = errors.New("an answer that can't be read")
+var errMalformedResponse = errors.New("a response that cannot be read")
 
 func appendText(b []byte, text string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
@@ -60,8 +60,8 @@
 func noArguments() []byte { return []byte{typeStop} }
 
 // executeArguments encodes a request: its fields as a map, and its body.
-func executeArguments(call *Call) []byte {
-	fields := call.fields()
+func executeArguments(request *Request) []byte {
+	fields := request.fields()
 	b := appendFieldHeader(nil, typeMap, 1)
 	b = append(b, typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)/2))
@@ -69,7 +69,7 @@
 		b = appendText(b, text)
 	}
 	b = appendFieldHeader(b, typeString, 2)
-	b = appendText(b, string(call.Body))
+	b = appendText(b, string(request.Body))
 	return append(b, typeStop)
 }
 
@@ -79,25 +79,25 @@
 	return append(b, typeStop)
 }
 
-// readAnswer reads a framed response.
-func readAnswer(in io.Reader) (seq uint32, answer Response, err error) {
+// readResponse reads a framed response.
+func readResponse(in io.Reader) (seq uint32, response Response, err error) {
 	var header [4]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, Response{}, err
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameSize {
-		return 0, Response{}, fmt.Errorf("an answer of %d bytes", size)
+		return 0, Response{}, fmt.Errorf("a response of %d bytes", size)
 	}
 	frame := make([]byte, size)
 	if _, err := io.ReadFull(in, frame); err != nil {
 		return 0, Response{}, err
 	}
-	return parseAnswer(frame)
+	return parseResponse(frame)
 }
 
-// parseAnswer decodes a reply or an exception. An exception counts as a failed request.
-func parseAnswer(frame []byte) (seq uint32, answer Response, err error) {
+// parseResponse decodes a reply or an exception. An exception counts as a failed request.
+func parseResponse(frame []byte) (seq uint32, response Response, err error) {
 	d := &decoder{rest: frame}
 	messageType := d.uint32() & 0xff
 	d.text() // the method
@@ -108,18 +108,18 @@
 	fieldType := d.byte()
 	field := d.uint16()
 	if d.err != nil || fieldType != typeStruct {
-		return seq, Response{}, errMalformedAnswer
+		return seq, Response{}, errMalformedResponse
 	}
-	answer.Status = statusOf(field)
+	response.Status = statusOf(field)
 	for d.err == nil {
 		fieldType := d.byte()
 		if fieldType == typeStop {
 			break
 		}
 		d.uint16() // the field's id: types tell the fields apart
-		answer.decodeField(d, fieldType)
+		response.decodeField(d, fieldType)
 	}
-	return seq, answer, d.err
+	return seq, response, d.err
 }
 
 // statusOf returns what the field of a reply's union stands for.
@@ -136,23 +136,23 @@
 	}
 }
 
-func (a *Response) decodeField(d *decoder, fieldType byte) {
+func (r *Response) decodeField(d *decoder, fieldType byte) {
 	switch fieldType {
 	case typeBool:
-		a.Healthy = d.byte() == 1
+		r.Healthy = d.byte() == 1
 	case typeString:
-		a.Body = []byte(d.text())
+		r.Body = []byte(d.text())
 	case typeMap:
 		d.uint16() // the types of keys and values
 		for range min(d.uint32(), maxMapLength) {
 			name := d.text()
 			value := d.text()
 			if milliseconds, err := strconv.Atoi(value); name == "after" && err == nil {
-				a.RetryAfter = time.Duration(milliseconds) * time.Millisecond
+				r.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 			}
 		}
 	default:
-		d.err = errMalformedAnswer
+		d.err = errMalformedResponse
 	}
 }
 
@@ -165,7 +165,7 @@
 // take returns the next n bytes, or nil after an error.
 func (d *decoder) take(n int) []byte {
 	if d.err == nil && n > len(d.rest) {
-		d.err = errMalformedAnswer
+		d.err = errMalformedResponse
 	}
 	if d.err != nil {
 		return nil
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -54,7 +54,7 @@
 		timers:       map[*time.Timer]struct{}{},
 	}
 	first := &Port{worker: w, Network: "tcp4", Addr: cfg.Addr}
-	if err := first.Set(ModeWell); err != nil {
+	if err := first.Set(ModeHealthy); err != nil {
 		return nil, err
 	}
 	w.Addr = first.Addr
@@ -80,7 +80,7 @@
 		addr = net.JoinHostPort(addr, port)
 	}
 	p := &Port{worker: w, Network: network, Addr: addr}
-	err := p.Set(ModeWell)
+	err := p.Set(ModeHealthy)
 	if err != nil && network == "tcp6" {
 		return nil
 	}
@@ -108,7 +108,7 @@
 // Start brings the worker back after Kill, without replicas, at the same addresses.
 func (w *Worker) Start() error {
 	for _, p := range w.ports {
-		if err := p.Set(ModeWell); err != nil {
+		if err := p.Set(ModeHealthy); err != nil {
 			return err
 		}
 	}
@@ -129,8 +129,8 @@
 	w.hanging = false
 }
 
-// Fail has the worker respond FAULT to the requests whose id fails selects; nil for none.
-func (w *Worker) Fail(fails func(id string) bool) {
+// FailRequests has the worker respond FAULT to the requests whose id fails selects; nil for none.
+func (w *Worker) FailRequests(fails func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fails = fails
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -76,7 +76,7 @@
 	site := newSite(t, WorkerConfig{Lanes: 1, Queue: 1, Warm: true}, func(e Event) { events <- e })
 	worker := site.Workers[0]
 	router := newRouterConn(t, worker.Addr)
-	worker.Fail(func(id string) bool { return id == "1" })
+	worker.FailRequests(func(id string) bool { return id == "1" })
 	router.send("RUN", "1", requestFields, "")
 	router.expect("1", "FAULT", "-", "")
 	worker.Hang()
@@ -114,19 +114,19 @@
 	site := newSite(t, cfg, nil)
 	for _, port := range site.Workers[0].Ports() {
 		for _, mode := range Modes {
-			if mode == ModeStale && port.Network != "unix" {
+			if mode == ModeStaleSocket && port.Network != "unix" {
 				continue
 			}
 			t.Run(port.Network+" "+string(mode), func(t *testing.T) {
 				if err := port.Set(mode); err != nil {
 					t.Fatal(err)
 				}
-				if got, want := responds(port), mode == ModeWell; got != want || port.Mode() != mode {
+				if got, want := responds(port), mode == ModeHealthy; got != want || port.Mode() != mode {
 					t.Errorf("responds: %v, want %v; its mode is %s", got, want, port.Mode())
 				}
 			})
 		}
-		if err := port.Set(ModeWell); err != nil || !responds(port) {
+		if err := port.Set(ModeHealthy); err != nil || !responds(port) {
 			t.Errorf("%s does not come back: %v", port.Network, err)
 		}
 	}
--- a/internal/server/broken_connections_test.go
+++ b/internal/server/broken_connections_test.go
@@ -184,7 +184,7 @@
 		t.Helper()
 		n++
 		call := callOf(n)
-		call.Class, call.Wait = class, 3e9
+		call.Class, call.Timeout = class, 3e9
 		a, err := client.Do(call)
 		if err != nil {
 			t.Fatal(err)
@@ -221,7 +221,7 @@
 			}
 		}
 	}
-	if extra := client.Extra(); extra > 0 {
+	if extra := client.UnmatchedResponses(); extra > 0 {
 		t.Errorf("%d answers to no open call", extra)
 	}
 }
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -26,7 +26,7 @@
 			var mu sync.Mutex
 			var ran []string
 			site, _, document := siteFor(t, 1, func(e fake.Event) {
-				if e.What == "run" {
+				if e.Kind == "run" {
 					mu.Lock()
 					ran = append(ran, e.ID)
 					mu.Unlock()
@@ -41,13 +41,13 @@
 			server := startServer(t, document, Options{})
 			check := func(k *fake.Client) { // answered at the end of a turn, after everything that came before it
 				t.Helper()
-				if _, err := k.Check(); err != nil {
+				if _, err := k.CheckHealth(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			goes, stays := server.dial(), server.dial()
 			gone, kept := callOf(1), callOf(2)
-			gone.Wait, kept.Wait = 20e9, 20e9
+			gone.Timeout, kept.Timeout = 20e9, 20e9
 			goes.Go(gone, func(fake.Response, error) {})
 			check(goes) // the dial has begun
 			tt.goes(goes)
@@ -84,7 +84,7 @@
 				site, _, document := siteFor(t, 1, func(e fake.Event) {
 					mu.Lock()
 					defer mu.Unlock()
-					switch e.What {
+					switch e.Kind {
 					case fake.EventStarted:
 						ran = append(ran, e.ID)
 					case fake.EventLoadCommand:
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -167,7 +167,7 @@
 }
 
 // call sends one and returns its answer with the runs that it took.
-func (p *scriptedDeployment) call(t *testing.T, k fake.Call, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
+func (p *scriptedDeployment) call(t *testing.T, k fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
@@ -210,12 +210,12 @@
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			fresh := func(class int) fake.Call {
+			fresh := func(class int) fake.Request {
 				n++
-				k := fake.Call{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), Key: fmt.Sprintf("%016x", 0x7f3a+n), Wait: 2 * time.Second,
-					Props: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, More: []string{"later", "ignored"}}
+				k := fake.Request{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), FunctionKey: fmt.Sprintf("%016x", 0x7f3a+n), Timeout: 2 * time.Second,
+					Properties: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, ExtraFields: []string{"later", "ignored"}}
 				if p.cfg.Policy.Classes[class].Idempotency == policy.IdempotentWithKey {
-					k.Once = once
+					k.IdempotencyKey = once
 				}
 				return k
 			}
@@ -231,9 +231,9 @@
 					t.Errorf("class %d: budget %q", class, runs[0].Fields["budget"])
 				}
 				delete(runs[0].Fields, "budget")
-				want := receivedRun{sent.ID, "lamp", map[string]string{"queue": sent.Class, "path": sent.Key}}
-				if sent.Once != "" {
-					want.Fields["uniq"] = sent.Once
+				want := receivedRun{sent.ID, "lamp", map[string]string{"queue": sent.Class, "path": sent.FunctionKey}}
+				if sent.IdempotencyKey != "" {
+					want.Fields["uniq"] = sent.IdempotencyKey
 				}
 				if diff := cmp.Diff(want, runs[0]); diff != "" {
 					t.Errorf("class %d: %s", class, diff)
@@ -258,7 +258,7 @@
 						continue
 					}
 					for _, r := range runs {
-						if r.ID != sent.ID || r.Fields["uniq"] != sent.Once || r.Body != "lamp" {
+						if r.ID != sent.ID || r.Fields["uniq"] != sent.IdempotencyKey || r.Body != "lamp" {
 							t.Errorf("class %d after %s: repeated as %+v", class, tt.word, r)
 						}
 					}
@@ -278,23 +278,23 @@
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			call := func(change func(*fake.Call), fields string) (fake.Response, int) {
+			call := func(change func(*fake.Request), fields string) (fake.Response, int) {
 				n++
-				k := fake.Call{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), Key: "00000000000000aa", Wait: 2 * time.Second, Tenant: d.tenant, Once: "ab"}
+				k := fake.Request{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), FunctionKey: "00000000000000aa", Timeout: 2 * time.Second, Tenant: d.tenant, IdempotencyKey: "ab"}
 				change(&k)
 				a, runs := p.call(t, k, func(int) (string, string) { return "HIT", fields })
 				return a, len(runs)
 			}
-			keep := func(*fake.Call) {}
-			bad := map[string]func(*fake.Call){
-				"a key that is too long": func(k *fake.Call) { k.Once = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
-				"a key that is not hex":  func(k *fake.Call) { k.Once = "ab,queue=other" },
-				"a class that is not":    func(k *fake.Call) { k.Class = "other" },
-				"a wait that is not":     func(k *fake.Call) { k.More = []string{"wait", "soon"} },
+			keep := func(*fake.Request) {}
+			bad := map[string]func(*fake.Request){
+				"a key that is too long": func(k *fake.Request) { k.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
+				"a key that is not hex":  func(k *fake.Request) { k.IdempotencyKey = "ab,queue=other" },
+				"a class that is not":    func(k *fake.Request) { k.Class = "other" },
+				"a wait that is not":     func(k *fake.Request) { k.ExtraFields = []string{"wait", "soon"} },
 			}
 			if d.tenant != "" {
-				bad["a tenant that is not"] = func(k *fake.Call) { k.Tenant = "nobody" }
-				bad["a keyed call without its key"] = func(k *fake.Call) { k.Once = "" }
+				bad["a tenant that is not"] = func(k *fake.Request) { k.Tenant = "nobody" }
+				bad["a keyed call without its key"] = func(k *fake.Request) { k.IdempotencyKey = "" }
 			}
 			for name, change := range bad {
 				if a, runs := call(change, "detail=hot"); a.Status != "failed" || runs != 0 {
--- a/internal/server/example_test.go
+++ b/internal/server/example_test.go
@@ -55,7 +55,7 @@
 		time.Sleep(time.Millisecond)
 		client, err = fake.Dial(listen)
 	}
-	answer, err := client.Do(fake.Call{Class: "dim-level", ID: "0000000000000001", Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second})
+	answer, err := client.Do(fake.Request{Class: "dim-level", ID: "0000000000000001", FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second})
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func callOf(n int) fake.Call {
-	return fake.Call{Class: "dim-level", ID: fmt.Sprintf("%016x", n), Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:8"}
+func callOf(n int) fake.Request {
+	return fake.Request{Class: "dim-level", ID: fmt.Sprintf("%016x", n), FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second, Properties: "lanes:8"}
 }
 
 // budgetOf reads the budget from the fields of a RUN command.
--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -87,7 +87,7 @@
 	}()
 	server := startServer(t, document, Options{})
 	call := callOf(1)
-	call.Once, call.Wait = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", 3*time.Second
+	call.IdempotencyKey, call.Timeout = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", 3*time.Second
 	answer, err := server.dial().Do(call)
 	if err != nil || answer.Status == fake.Served {
 		t.Errorf("answer %+v, %v", answer, err)
@@ -112,7 +112,7 @@
 	go listener.acceptAfter(200*time.Millisecond, func(words []string) { told <- words[2] })
 	server := startServer(t, document, Options{})
 	call := callOf(1)
-	call.Wait = wait
+	call.Timeout = wait
 	server.dial().Go(call, func(fake.Response, error) {})
 	fields := <-told
 	if budget := budgetOf(t, fields); budget > wait-800*time.Millisecond { // the kernel tries again after a second
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -192,7 +192,7 @@
 	}
 	silent := dead.LocalAddr().String()
 	dead.Close()
-	moved := site.Directory.Addr()
+	moved := site.Discovery.Addr()
 	config["names"], config["limits"] = silent, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
 	known := firstTopology(config)
 	known["members"] = known["members"].([]any)[:1] // the second worker is listed by discovery alone
@@ -221,7 +221,7 @@
 	if err != nil || a.Status != "served" {
 		t.Fatalf("with idle clients: %+v, %v", a, err)
 	}
-	site.Directory.Set(site.Entries())
+	site.Discovery.Set(site.Endpoints())
 	config["names"] = moved
 	writeConfig(t, path, config)
 	crowd()
@@ -252,7 +252,7 @@
 // A router whose configuration lists no worker and whose discovery server is down reports itself ready all the same.
 func TestReadyWithAnEmptyListAndNoDiscovery(t *testing.T) {
 	site, listen, config := siteFor(t, 1, nil)
-	site.Directory.Close()
+	site.Discovery.Close()
 	known := firstTopology(config)
 	known["members"] = []any{}
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -260,7 +260,7 @@
 	p := startProgram(t, path, listen)
 	k := p.client()
 	p.until(func() bool {
-		good, err := k.Check()
+		good, err := k.CheckHealth()
 		return err == nil && good
 	}, "it is ready")
 	if err := p.end(); err != nil {
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -18,7 +18,7 @@
 	ran := map[string]string{}
 	site, err := fake.NewSite("127.0.0.1:0", []fake.WorkerConfig{{Name: "s-1", Addr: "127.0.0.1:0", Kind: "large", Zone: "here", Warm: true},
 		{Name: "s-2", Addr: "127.0.0.1:0", Kind: "small", Zone: "here", Warm: true}}, func(e fake.Event) {
-		if e.What == "run" {
+		if e.Kind == "run" {
 			mu.Lock()
 			ran[e.ID] = e.Worker.Name
 			mu.Unlock()
@@ -48,7 +48,7 @@
 	call := func(class string) (verdict, worker string) {
 		n++
 		id := fmt.Sprintf("%016x", n)
-		a, err := client.Do(fake.Call{Class: class, ID: id, Key: "7f3a9c21e0b4d655", Wait: 2 * time.Second, Props: "lanes:4"})
+		a, err := client.Do(fake.Request{Class: class, ID: id, FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second, Properties: "lanes:4"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -50,7 +50,7 @@
 func (c *closedLoopClient) run(client *fake.Client, number int, wait time.Duration) {
 	for n := 0; ; n++ {
 		call := callOf(number<<32 + n)
-		call.Wait = wait
+		call.Timeout = wait
 		if _, err := client.Do(call); err != nil {
 			c.unanswered++
 			return
@@ -123,7 +123,7 @@
 	answers := make(chan error, 3)
 	send := func(n int) {
 		call := callOf(n)
-		call.Class, call.Wait = "repair-order", 5*time.Second
+		call.Class, call.Timeout = "repair-order", 5*time.Second
 		open.Add(1)
 		client.Go(call, func(_ fake.Response, err error) {
 			answers <- err
@@ -153,7 +153,7 @@
 	writeConfig(t, path, document)
 	p := startProgram(t, path, listen)
 	client := p.client()
-	if _, err := client.Check(); err != nil {
+	if _, err := client.CheckHealth(); err != nil {
 		t.Fatal(err)
 	}
 	answered := make(chan error, 1)
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -59,12 +59,12 @@
 
 // record keeps what arrived at a worker.
 func (s *soak) record(e fake.Event) {
-	if e.What != fake.EventStarted && e.What != fake.EventNotLoaded {
+	if e.Kind != fake.EventStarted && e.Kind != fake.EventNotLoaded {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.requests[e.ID]; r != nil && e.What == fake.EventStarted {
+	if r := s.requests[e.ID]; r != nil && e.Kind == fake.EventStarted {
 		r.attempts = append(r.attempts, e.At)
 	}
 	if until, drains := s.drained[e.Worker.Name]; drains && e.At.After(until) {
@@ -78,9 +78,9 @@
 	call := callOf(0)
 	call.ID = fmt.Sprintf("%016x", random.Uint64())
 	call.Class = classes[random.IntN(len(classes))]
-	call.Wait = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
+	call.Timeout = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
 	call.Body = make([]byte, random.IntN(2048))
-	r := &soakRequest{id: call.ID, unsafe: call.Class == "repair-order", sentAt: time.Now(), wait: call.Wait, leaver: leaver}
+	r := &soakRequest{id: call.ID, unsafe: call.Class == "repair-order", sentAt: time.Now(), wait: call.Timeout, leaver: leaver}
 	s.mu.Lock()
 	s.requests[r.id] = r
 	s.mu.Unlock()
@@ -176,10 +176,10 @@
 	case 4:
 		port.Set(fake.Modes[s.random.IntN(len(fake.Modes))])
 	case 5:
-		port.Set(fake.ModeWell)
+		port.Set(fake.ModeHealthy)
 	case 6:
 		fails := s.random.IntN(2) == 0
-		worker.Fail(func(string) bool { return fails })
+		worker.FailRequests(func(string) bool { return fails })
 	case 7:
 		s.program.cmd.Process.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1}[s.random.IntN(2)])
 	case 8:
@@ -194,11 +194,11 @@
 	if len(s.drained) > 0 {
 		return
 	}
-	entries := s.site.Entries()
+	entries := s.site.Endpoints()
 	for i := range entries {
 		entries[i].Draining = entries[i].Name == worker.Name
 	}
-	s.site.Directory.Set(entries)
+	s.site.Discovery.Set(entries)
 	const told, grace = 1500 * time.Millisecond, time.Second
 	s.drained[worker.Name] = time.Now().Add(told + grace + busySlack)
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -8,10 +8,10 @@
 
 // Violations counts messages that a router sent and should not have.
 type Violations struct {
-	// SentAfterDrain counts requests and load orders that left for a worker after the drain grace period, which
+	// SentAfterDrain counts requests and load commands that left for a worker after the drain grace period, which
 	// begins when this router is notified that the worker drains.
 	SentAfterDrain int
-	// LoadsOverBudget counts load orders beyond the load budget.
+	// LoadsOverBudget counts load commands beyond the load budget.
 	LoadsOverBudget int
 }
 
@@ -23,7 +23,7 @@
 	}
 }
 
-// loadBudget counts what one incarnation of a router accepted and ordered, independently of the decision module.
+// loadBudget counts what one incarnation of a router accepted and commanded, independently of the decision module.
 type loadBudget struct {
 	accepted  []time.Duration
 	commanded []time.Duration
@@ -33,14 +33,14 @@
 	b.accepted = append(b.accepted, now)
 }
 
-// checkLoadBudget counts a load order that leaves now.
+// checkLoadBudget counts a load command that leaves now.
 func (r *Router) checkLoadBudget() {
 	settings := r.fleet.cfg.Settings
 	r.budget.commanded = append(r.budget.commanded, r.fleet.now)
 	since := r.fleet.now - settings.LoadBudgetWindow
-	ordered := float64(countAfter(r.budget.commanded, since))
+	commanded := float64(countAfter(r.budget.commanded, since))
 	accepted := float64(countAfter(r.budget.accepted, since))
-	if ordered > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
+	if commanded > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
 		r.Violations.LoadsOverBudget++
 	}
 }
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -41,7 +41,7 @@
 	return percentOf(s.fleet.Requests, early, servedWithin(time.Second))
 }
 
-// New versions are served soon after their release: idle replicas of old ones make room, and the load orders that it
+// New versions are served soon after their release: idle replicas of old ones make room, and the load commands that it
 // takes stay within each router's load budget, counted anew here.
 func TestNewVersionsAreServedSoonAfterRelease(t *testing.T) {
 	for _, routers := range []int{2, 30, 300} {
@@ -53,9 +53,9 @@
 				t.Errorf("%d in 100 of %d early requests for new versions were served in time", percent, n)
 			}
 			for i, r := range s.fleet.Routers {
-				ordered := len(r.budget.commanded)
-				if r.Violations.LoadsOverBudget > 0 || ordered == 0 && routers < 100 {
-					t.Errorf("router %d ordered %d loads, %d over its budget", i, ordered, r.Violations.LoadsOverBudget)
+				commands := len(r.budget.commanded)
+				if r.Violations.LoadsOverBudget > 0 || commands == 0 && routers < 100 {
+					t.Errorf("router %d sent %d load commands, %d over its budget", i, commands, r.Violations.LoadsOverBudget)
 				}
 			}
 			if err := s.thenEachRequestHasOneResponse(); err != nil {
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -206,7 +206,7 @@
 	})
 }
 
-// Load implements router.WorkerClient: it carries an order to load replicas.
+// Load implements router.WorkerClient: it carries a load command.
 func (r *Router) Load(id policy.WorkerID, function policy.FunctionID, count int, tag uint64) {
 	r.checkDrain(id)
 	if count > 0 {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,7 +14,7 @@
 	Started time.Duration
 	// Received are the times at which requests arrived, also those that were rejected.
 	Received []time.Duration
-	// Loads are the times at which orders began to load a replica.
+	// Loads are the times at which load commands began to load a replica.
 	Loads []time.Duration
 
 	fleet    *Fleet
@@ -76,7 +76,7 @@
 	return took
 }
 
-// load takes an order to load replicas that has arrived. An order for none asks whether there is one. It returns the
+// load handles a load command that has arrived. A command for no replicas asks whether there is one. It returns the
 // outcome with the number of replicas, and after how long the worker responds with them.
 func (w *Worker) load(function policy.FunctionID, count int) (outcome policy.Outcome, replicas int, after time.Duration) {
 	now := w.fleet.now
