--- a/internal/benchmark/knee.go
+++ b/internal/benchmark/knee.go
@@ -62,7 +62,7 @@
 	warm := *l
 	warm.out = io.Discard
 	warm.log = nil
-	_, err := warm.measure(l.Rate)
+	_, err := warm.measure(l.Pace.Rate)
 	return err
 }
 
@@ -70,7 +70,7 @@
 // does not keep up with the first rate.
 func (l *loadRun) findKnee() (rate int, err error) {
 	var b bracket
-	for rate := l.Rate; b.unsustained == 0 && rate <= maxRate; rate *= 2 {
+	for rate := l.Pace.Rate; b.unsustained == 0 && rate <= maxRate; rate *= 2 {
 		m, err := l.measure(rate)
 		if err != nil {
 			return 0, err
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -12,51 +12,71 @@
 
 // Bounds on what the load tool sends, whatever it is asked for.
 const (
-	maxRate     = 100_000 // requests per second
-	maxLength   = time.Hour
-	maxConns    = 256
-	maxInFlight = 50_000
+	maxRate        = 100_000 // requests per second
+	maxLength      = time.Hour
+	maxConnections = 256
+	maxInFlight    = 50_000 // requests
 )
 
-// Load is an open-loop load: calls leave when they are due, whether the earlier ones were answered or not, and times
+// Load is an open-loop load: requests leave when they are due, whether earlier ones were answered or not, and latencies
 // count from when each was due, so that a router that stalls can't hide it (coordinated omission).
 type Load struct {
-	Addr   string        `help:"The router's address for Thrift, on loopback. Without one, a router and twelve stand-in workers are started."`
-	Hook   string        `help:"Send signed webhooks to this URL in place of Thrift; its host must be a loopback address."`
-	Key    string        `help:"The webhooks' key file." type:"path"`
-	Router string        `help:"The program to start; the one beside this one unless given." type:"path"`
-	Rate   int           `help:"Calls a second; where a ramp begins." default:"500"`
-	To     int           `help:"Ramp up to this rate." default:"0"`
-	Steps  int           `help:"Steps of the ramp." default:"5"`
-	Length time.Duration `help:"How long each step lasts." default:"5s"`
-	Class  string        `help:"Of all calls." default:"dim-level"`
-	Wait   time.Duration `help:"How long a client waits." default:"2s"`
-	Keys   int           `help:"Functions that are called." default:"12"`
-	Conns  int           `help:"Connections." default:"8"`
-	Log    string        `help:"Write an HdrHistogram log here." type:"path"`
-	Knee   bool          `help:"Find the rate at which the router no longer keeps up, then measure at 50 and 80% of it."`
-	Short  bool          `help:"Take under a minute."`
-	Seed   uint64        `help:"Of the calls." default:"1"`
+	Target  TargetFlags  `embed:""`
+	Pace    PaceFlags    `embed:""`
+	Traffic TrafficFlags `embed:""`
+	Log     string       `help:"Write an HdrHistogram log here." type:"path"`
+	Knee    bool         `help:"Find the rate at which the router no longer keeps up, then measure at 50 and 80% of it."`
+	Short   bool         `help:"Take under a minute."`
+	Seed    uint64       `help:"Of the calls." default:"1"`
 }
 
+// TargetFlags name the router to load: one that runs already, or the program to start.
+type TargetFlags struct {
+	Addr    string `help:"The router's address for Thrift, on loopback. Without one, a router and twelve stand-in workers are started."`
+	HookURL string `name:"hook" help:"Send signed webhooks to this URL in place of Thrift; its host must be a loopback address."`
+	KeyFile string `name:"key" help:"The webhooks' key file." type:"path"`
+	Router  string `help:"The program to start; the one beside this one unless given." type:"path"`
+}
+
+// PaceFlags say how many requests are sent, and when.
+type PaceFlags struct {
+	Rate      int           `help:"Calls a second; where a ramp begins." default:"500"`
+	FinalRate int           `name:"to" help:"Ramp up to this rate." default:"0"`
+	Steps     int           `help:"Steps of the ramp." default:"5"`
+	Length    time.Duration `help:"How long each step lasts." default:"5s"`
+}
+
+// TrafficFlags say what requests are sent, and over how many connections.
+type TrafficFlags struct {
+	Class       string        `help:"Of all calls." default:"dim-level"`
+	Timeout     time.Duration `name:"wait" help:"How long a client waits." default:"2s"`
+	Functions   int           `name:"keys" help:"Functions that are called." default:"12"`
+	Connections int           `name:"conns" help:"Connections." default:"8"`
+}
+
+// errOutOfBounds is returned for a load that may exceed what the tool is allowed to send.
+var errOutOfBounds = fmt.Errorf("out of bounds: 1 to %d calls/s, up to %v in all, 1 to %d connections",
+	maxRate, maxLength, maxConnections)
+
 // validate checks the bounds.
 func (l Load) validate() error {
-	inBounds := l.Rate >= 1 && max(l.Rate, l.To) <= maxRate &&
-		l.Length > 0 && l.Length*time.Duration(max(l.Steps, 1)) <= maxLength &&
-		l.Conns >= 1 && l.Conns <= maxConns && l.Keys >= 1
+	totalLength := l.Pace.Length * time.Duration(max(l.Pace.Steps, 1))
+	inBounds := l.Pace.Rate >= 1 && max(l.Pace.Rate, l.Pace.FinalRate) <= maxRate &&
+		l.Pace.Length > 0 && totalLength <= maxLength &&
+		l.Traffic.Connections >= 1 && l.Traffic.Connections <= maxConnections && l.Traffic.Functions >= 1
 	if !inBounds {
-		return fmt.Errorf("out of bounds: 1 to %d calls/s, up to %v in all, 1 to %d connections", maxRate, maxLength, maxConns)
+		return errOutOfBounds
 	}
 	return nil
 }
 
-// Run loads the router.
+// Run loads the router and prints a row for each rate. It blocks until the load has ended.
 func (l Load) Run(out io.Writer) error {
 	if err := l.validate(); err != nil {
 		return err
 	}
 	if l.Short {
-		l.Length = 2 * time.Second
+		l.Pace.Length = 2 * time.Second
 	}
 	target, err := l.connect()
 	if err != nil {
@@ -75,7 +95,8 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%8s %8s %8s %8s %8s %6s %9s %9s %9s %7s\n", "calls/s", "sent", "served", "refused", "failed", "lost", "p50 ms", "p99 ms", "p99.9 ms", "cores")
+	fmt.Fprintf(out, "%8s %8s %8s %8s %8s %6s %9s %9s %9s %7s\n",
+		"calls/s", "sent", "served", "refused", "failed", "lost", "p50 ms", "p99 ms", "p99.9 ms", "cores")
 	if l.Knee {
 		return run.knee()
 	}
@@ -93,7 +114,7 @@
 // ramp measures at each rate of the ramp, or at one rate if there is none.
 func (l *loadRun) ramp() error {
 	f := &figures{}
-	for _, rate := range l.rates() {
+	for _, rate := range l.Pace.rates() {
 		m, err := l.measure(rate)
 		if err != nil {
 			return err
@@ -106,13 +127,13 @@
 }
 
 // rates returns the rates of the ramp.
-func (l Load) rates() []int {
-	if l.To <= 0 || l.Steps <= 1 {
-		return []int{l.Rate}
+func (p PaceFlags) rates() []int {
+	if p.FinalRate <= 0 || p.Steps <= 1 {
+		return []int{p.Rate}
 	}
-	rates := make([]int, l.Steps)
+	rates := make([]int, p.Steps)
 	for i := range rates {
-		rates[i] = l.Rate + (l.To-l.Rate)*i/(l.Steps-1)
+		rates[i] = p.Rate + (p.FinalRate-p.Rate)*i/(p.Steps-1)
 	}
 	return rates
 }
--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -1,9 +1,9 @@
 package benchmark
 
 import (
+	"errors"
 	"io"
 	"net"
-	"strings"
 	"testing"
 	"time"
 
@@ -12,7 +12,11 @@
 
 // validLoad returns a load that is within all bounds.
 func validLoad() Load {
-	return Load{Addr: "127.0.0.1:80", Rate: 1, Length: time.Second, Conns: 1, Keys: 1}
+	return Load{
+		Target:  TargetFlags{Addr: "127.0.0.1:80"},
+		Pace:    PaceFlags{Rate: 1, Length: time.Second},
+		Traffic: TrafficFlags{Connections: 1, Functions: 1},
+	}
 }
 
 func TestCheckLoopbackAcceptsLoopbackAddressesAlone(t *testing.T) {
@@ -39,18 +43,18 @@
 	for _, tt := range []struct {
 		name   string
 		change func(*Load)
-		want   string
+		want   error
 	}{
-		{"another machine", func(l *Load) { l.Addr = "10.1.2.3:80" }, "no loopback address"},
-		{"a webhook without a port", func(l *Load) { l.Addr, l.Hook = "", "http://127.0.0.1/hooks" }, "is no address"},
-		{"a rate too high", func(l *Load) { l.Rate = maxRate + 1 }, "out of bounds"},
-		{"two hours", func(l *Load) { l.Length, l.Steps = time.Hour, 2 }, "out of bounds"},
+		{"another machine", func(l *Load) { l.Target.Addr = "10.1.2.3:80" }, errNotLoopback},
+		{"a webhook without a port", func(l *Load) { l.Target = TargetFlags{HookURL: "http://127.0.0.1/hooks"} }, errNoAddress},
+		{"a rate too high", func(l *Load) { l.Pace.Rate = maxRate + 1 }, errOutOfBounds},
+		{"two hours", func(l *Load) { l.Pace = PaceFlags{Rate: 1, Length: time.Hour, Steps: 2} }, errOutOfBounds},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			l := validLoad()
 			tt.change(&l)
-			if err := l.Run(io.Discard); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("%v, want %s", err, tt.want)
+			if err := l.Run(io.Discard); !errors.Is(err, tt.want) {
+				t.Errorf("%v, want %v", err, tt.want)
 			}
 		})
 	}
@@ -62,7 +66,10 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	target, err := Load{Addr: listener.Addr().String(), Conns: 3}.connect()
+	target, err := Load{
+		Target:  TargetFlags{Addr: listener.Addr().String()},
+		Traffic: TrafficFlags{Connections: 3},
+	}.connect()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,14 +89,14 @@
 func TestRampRates(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		load Load
+		pace PaceFlags
 		want []int
 	}{
-		{"one rate", Load{Rate: 500, Steps: 5}, []int{500}},
-		{"a ramp", Load{Rate: 500, To: 1000, Steps: 3}, []int{500, 750, 1000}},
-		{"a ramp of one step", Load{Rate: 500, To: 1000, Steps: 1}, []int{500}},
+		{"one rate", PaceFlags{Rate: 500, Steps: 5}, []int{500}},
+		{"a ramp", PaceFlags{Rate: 500, FinalRate: 1000, Steps: 3}, []int{500, 750, 1000}},
+		{"a ramp of one step", PaceFlags{Rate: 500, FinalRate: 1000, Steps: 1}, []int{500}},
 	} {
-		t.Run(tt.name, func(t *testing.T) { expectEqual(t, tt.load.rates(), tt.want) })
+		t.Run(tt.name, func(t *testing.T) { expectEqual(t, tt.pace.rates(), tt.want) })
 	}
 }
 
@@ -112,7 +119,7 @@
 
 func TestMeasurementCountsResponses(t *testing.T) {
 	l := validLoad()
-	l.Length = 100 * time.Millisecond
+	l.Pace.Length = 100 * time.Millisecond
 	run := &loadRun{Load: l, target: &loadTarget{sender: &cappedSender{serve: 90}}, out: io.Discard}
 	m, err := run.measure(5000)
 	if err != nil {
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(begun).Seconds()
-	limit := time.Now().Add(l.Wait + time.Second)
+	limit := time.Now().Add(l.Traffic.Timeout + time.Second)
 	for m.requestsInFlight() > 0 && time.Now().Before(limit) {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -123,7 +123,7 @@
 	interval := float64(time.Second) / float64(m.rate)
 	for n := 0; ; n++ {
 		due := begun.Add(time.Duration(float64(n) * interval))
-		if due.Sub(begun) >= l.Length {
+		if due.Sub(begun) >= l.Pace.Length {
 			return nil
 		}
 		time.Sleep(time.Until(due))
@@ -133,7 +133,7 @@
 		if err := m.begin(); err != nil {
 			return err
 		}
-		key := functionKey(random.IntN(l.Keys))
+		key := functionKey(random.IntN(l.Traffic.Functions))
 		id := fmt.Sprintf("%016x", random.Uint64())
 		l.target.send(key, id, func(status fake.ResponseStatus) { m.complete(status, time.Since(due)) })
 	}
--- a/internal/benchmark/target.go
+++ b/internal/benchmark/target.go
@@ -1,6 +1,7 @@
 package benchmark
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/netip"
@@ -9,8 +10,8 @@
 	"crankhold/internal/fake"
 )
 
-// minOwnConns is the least number of connections to a router that the tool started itself.
-const minOwnConns = 64
+// minOwnConnections is the least number of connections to a router that the tool started itself.
+const minOwnConnections = 64
 
 // sender sends requests to a router.
 type sender interface {
@@ -50,7 +51,7 @@
 
 // connect connects to the router that the flags name, or to one that it starts.
 func (l Load) connect() (*loadTarget, error) {
-	if l.Hook != "" {
+	if l.Target.HookURL != "" {
 		webhooks, err := newWebhookSender(l)
 		if err != nil {
 			return nil, err
@@ -58,13 +59,13 @@
 		return &loadTarget{sender: webhooks}, nil
 	}
 	target := &loadTarget{}
-	if l.Addr == "" {
-		if err := target.start(l.Router); err != nil {
+	if l.Target.Addr == "" {
+		if err := target.start(l.Target.Router); err != nil {
 			target.close()
 			return nil, err
 		}
-		l.Addr = target.router.listen
-		l.Conns = max(l.Conns, minOwnConns)
+		l.Target.Addr = target.router.listen
+		l.Traffic.Connections = max(l.Traffic.Connections, minOwnConnections)
 	}
 	thrift, err := newThriftSender(l)
 	if err != nil {
@@ -81,8 +82,14 @@
 	if err != nil {
 		return err
 	}
-	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{Kind: "std",
-		ServiceTime: time.Millisecond, LoadTime: 100 * time.Millisecond, KeepAlive: time.Minute, Lanes: 32, Queue: 256})
+	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
+		Kind:        "std",
+		ServiceTime: time.Millisecond,
+		LoadTime:    100 * time.Millisecond,
+		KeepAlive:   time.Minute,
+		Lanes:       32,
+		Queue:       256,
+	})
 	t.bed, err = startTestbed(workers, nil)
 	if err != nil {
 		return err
@@ -91,15 +98,21 @@
 	return err
 }
 
+// Errors of addresses that the load tool does not send to.
+var (
+	errNoAddress   = errors.New("no address with a port")
+	errNotLoopback = errors.New("no loopback address: the load tool sends nowhere else")
+)
+
 // checkLoopback rejects every address that is not on this machine's loopback.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%q is no address with a port", addr)
+		return fmt.Errorf("%q is %w", addr, errNoAddress)
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil || !ip.IsLoopback() {
-		return fmt.Errorf("%s is no loopback address: the load tool sends nowhere else", addr)
+		return fmt.Errorf("%s is %w", addr, errNotLoopback)
 	}
 	return nil
 }
@@ -113,18 +126,25 @@
 }
 
 func newThriftSender(l Load) (*thriftSender, error) {
-	if err := checkLoopback(l.Addr); err != nil {
+	if err := checkLoopback(l.Target.Addr); err != nil {
 		return nil, err
 	}
-	clients, err := dialClients(l.Addr, l.Conns)
+	clients, err := dialClients(l.Target.Addr, l.Traffic.Connections)
 	if err != nil {
 		return nil, err
 	}
-	return &thriftSender{class: l.Class, timeout: l.Wait, clients: clients}, nil
+	return &thriftSender{class: l.Traffic.Class, timeout: l.Traffic.Timeout, clients: clients}, nil
 }
 
 func (s *thriftSender) send(key, id string, done func(fake.ResponseStatus)) {
-	request := fake.Request{Class: s.class, ID: id, FunctionKey: key, Timeout: s.timeout, Properties: "memory_mb:256;lanes:32;load_ms:300", Body: []byte("x")}
+	request := fake.Request{
+		Class:       s.class,
+		ID:          id,
+		FunctionKey: key,
+		Timeout:     s.timeout,
+		Properties:  "memory_mb:256;lanes:32;load_ms:300",
+		Body:        []byte("x"),
+	}
 	s.pick().Go(request, func(response fake.Response, err error) {
 		if err != nil {
 			done(statusLost)
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -24,25 +24,25 @@
 }
 
 func newWebhookSender(l Load) (*webhookSender, error) {
-	u, err := url.Parse(l.Hook)
+	u, err := url.Parse(l.Target.HookURL)
 	if err != nil {
 		return nil, err
 	}
 	if err := checkLoopback(u.Host); err != nil {
 		return nil, err
 	}
-	key, err := fake.ReadWebhookKey(l.Key)
+	key, err := fake.ReadWebhookKey(l.Target.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("the webhooks' key: %w", err)
 	}
 	return &webhookSender{
-		url:     l.Hook,
-		class:   l.Class,
-		timeout: l.Wait,
+		url:     l.Target.HookURL,
+		class:   l.Traffic.Class,
+		timeout: l.Traffic.Timeout,
 		key:     key,
 		client: &http.Client{
-			Timeout:   l.Wait + time.Second,
-			Transport: &http.Transport{MaxIdleConnsPerHost: l.Conns, MaxConnsPerHost: l.Conns},
+			Timeout:   l.Traffic.Timeout + time.Second,
+			Transport: &http.Transport{MaxIdleConnsPerHost: l.Traffic.Connections, MaxConnsPerHost: l.Traffic.Connections},
 		},
 	}, nil
 }
