--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -194,6 +194,6 @@
 	r.total = r.tally("", begun, time.Now())
 	r.p99 = r.latencyPercentile(0.99)
 	r.cpu = router.cpuTimeAtEnd()
-	r.recoveryDials = router.counter("dials", "recovery_dials")
-	r.resent = router.counter("dials", "resent")
+	r.recoveryDials = router.log.counter("dials", "recovery_dials")
+	r.resent = router.log.counter("dials", "resent")
 }
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -1,18 +1,13 @@
 package benchmark
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
-	"strings"
-	"sync"
 	"syscall"
 	"time"
 )
@@ -24,24 +19,15 @@
 	stopTimeout   = 10 * time.Second
 )
 
-// eventRoutesReloaded is the log event by which a router tells that it has replaced its routes.
-const eventRoutesReloaded = "routes_reloaded"
-
-// maxUnreadEvents bounds how many events of a name wait to be read; further ones are dropped.
-const maxUnreadEvents = 1000
-
 // process is the built program, started as the platform would.
 type process struct {
 	cmd    *exec.Cmd
 	listen string
-	ended  chan struct{}
-
-	mu     sync.Mutex
-	log    []string                 // lines
-	events map[string]chan struct{} // by name, one value per line
+	log    *routerLog
+	ended  chan struct{} // closed once the program has ended and its log is complete
 }
 
-// findRouter returns the program's path: what was asked for, or the one beside this program.
+// findRouter returns the path of the program to measure: the given one, or the one beside this program.
 func findRouter(path string) (string, error) {
 	if path == "" {
 		self, err := os.Executable()
@@ -56,53 +42,29 @@
 	return path, nil
 }
 
-// launch starts the program with further environment variables.
+// launch starts the program with further environment variables. It does not wait until the program listens.
 func launch(path, listen string, env ...string) (*process, error) {
-	p := &process{cmd: exec.Command(path), listen: listen, ended: make(chan struct{}), events: map[string]chan struct{}{}}
+	p := &process{cmd: exec.Command(path), listen: listen, log: newRouterLog(), ended: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
-	log, err := p.cmd.StderrPipe()
+	output, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.readLog(log)
+	go p.follow(output)
 	return p, nil
 }
 
-// readLog collects the log until the program ends.
-func (p *process) readLog(log io.Reader) {
+// follow reads the log until the program ends.
+func (p *process) follow(output io.Reader) {
 	defer close(p.ended)
-	in := bufio.NewScanner(log)
-	for in.Scan() {
-		line := in.Text()
-		p.mu.Lock()
-		p.log = append(p.log, line)
-		p.mu.Unlock()
-		name, ok := logAttribute(line, "event")
-		if !ok {
-			continue
-		}
-		select {
-		case p.event(name) <- struct{}{}:
-		default:
-		}
-	}
+	p.log.readFrom(output)
 	p.cmd.Wait()
 }
 
-// logAttribute returns the value of an attribute, without blanks, in a line of the log.
-func logAttribute(line, name string) (value string, ok bool) {
-	_, rest, ok := strings.Cut(line, " "+name+"=")
-	if !ok {
-		return "", false
-	}
-	value, _, _ = strings.Cut(rest, " ")
-	return value, true
-}
-
-// startRouter starts the program and waits until it accepts connections.
+// startRouter starts the program and blocks until it accepts connections.
 func startRouter(path, listen string, env ...string) (*process, error) {
 	p, err := launch(path, listen, env...)
 	if err != nil {
@@ -111,7 +73,7 @@
 	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-p.ended:
-			return nil, fmt.Errorf("the router ended: %s", p.wholeLog())
+			return nil, fmt.Errorf("the router ended: %s", p.log.whole())
 		default:
 		}
 		if conn, err := net.Dial("tcp", listen); err == nil {
@@ -120,24 +82,12 @@
 		}
 	}
 	p.stop()
-	return nil, fmt.Errorf("the router does not listen: %s", p.wholeLog())
-}
-
-// event returns the channel that has a value for each line with an event.
-func (p *process) event(name string) chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	events := p.events[name]
-	if events == nil {
-		events = make(chan struct{}, maxUnreadEvents)
-		p.events[name] = events
-	}
-	return events
+	return nil, fmt.Errorf("the router does not listen: %s", p.log.whole())
 }
 
-// reload sends SIGHUP and waits until the router has replaced its routes.
+// reload sends SIGHUP and blocks until the router has replaced its routes.
 func (p *process) reload() error {
-	reloaded := p.event(eventRoutesReloaded)
+	reloaded := p.log.event(eventRoutesReloaded)
 	for len(reloaded) > 0 {
 		<-reloaded
 	}
@@ -150,36 +100,11 @@
 	case <-p.ended:
 		return errors.New("the router ended at a reload")
 	case <-time.After(reloadTimeout):
-		return fmt.Errorf("the router did not take a reload over: %s", p.lastLines(5, "\n"))
+		return fmt.Errorf("the router did not complete a reload: %s", p.log.lastLines())
 	}
 }
 
-// wholeLog returns the log on one line.
-func (p *process) wholeLog() string { return p.lastLines(math.MaxInt, "; ") }
-
-// lastLines returns the end of the log.
-func (p *process) lastLines(n int, separator string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return strings.Join(p.log[len(p.log)-min(n, len(p.log)):], separator)
-}
-
-// counter returns an attribute of the last line of the log that has another attribute, or an empty string.
-func (p *process) counter(lineWith, name string) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i := len(p.log) - 1; i >= 0; i-- {
-		if _, ok := logAttribute(p.log[i], lineWith); !ok {
-			continue
-		}
-		if value, ok := logAttribute(p.log[i], name); ok {
-			return value
-		}
-	}
-	return ""
-}
-
-// stop ends the program gracefully, or by force if it takes too long, and waits for it.
+// stop ends the program gracefully, or by force after stopTimeout. It blocks until the program has ended.
 func (p *process) stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -189,36 +114,8 @@
 	}
 }
 
-// kill ends the program by force and waits for it.
+// kill ends the program by force. It blocks until the program has ended.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.ended
 }
-
-// clockTick is the unit of the times in /proc, of which Linux has a hundred a second.
-const clockTick = 10 * time.Millisecond
-
-// cpuTime returns the processor time that the running program has used, or 0 where it can't be read (proc(5), stat).
-func (p *process) cpuTime() time.Duration {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
-	if err != nil {
-		return 0
-	}
-	_, afterName, _ := strings.Cut(string(stat), ") ")
-	fields := strings.Fields(afterName)
-	if len(fields) < 13 {
-		return 0
-	}
-	user, _ := strconv.Atoi(fields[11])
-	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * clockTick
-}
-
-// cpuTimeAtEnd returns the processor time that the program used, once it has ended.
-func (p *process) cpuTimeAtEnd() time.Duration {
-	state := p.cmd.ProcessState
-	if state == nil {
-		return 0
-	}
-	return state.UserTime() + state.SystemTime()
-}
--- a/internal/benchmark/starts.go
+++ b/internal/benchmark/starts.go
@@ -150,11 +150,11 @@
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("a router ended: %s", p.lastLines(5, "\n"))
+			return fmt.Errorf("a router ended: %s", p.log.lastLines())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("a router is not ready: %s", p.lastLines(5, "\n"))
+	return fmt.Errorf("a router is not ready: %s", p.log.lastLines())
 }
 
 // isReady asks a router once.
