--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -100,7 +100,7 @@
 
 // reportAddresses adds the figures of the run with faults, which are compared with those of the run without.
 func reportAddresses(f *figures, calm, faulty *addressRun) {
-	v := faulty.violations(classRepairOrder)
+	v := faulty.violations(fake.RepairOrder.Name)
 	served := faulty.total.servedShare()
 	servedCalm := calm.total.servedShare()
 	f.add("calls", len(faulty.requests))
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -232,9 +232,9 @@
 		{"while it is dead", r.poolKilledAt.Add(time.Second), r.poolRestartedAt},
 		{"after its return", r.poolRestartedAt.Add(time.Second), r.endsAt},
 	} {
-		for _, class := range classes {
-			t := r.tally(class, phase.from, phase.to)
-			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class[:3], t.sent, t.served, t.rejected, t.failed)
+		for _, class := range fake.Classes {
+			t := r.tally(class.Name, phase.from, phase.to)
+			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class.Name[:3], t.sent, t.served, t.rejected, t.failed)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 func (r *reloadRun) secondsUntilServed() int {
 	for s := range 60 {
 		from := r.poolRestartedAt.Add(time.Duration(s) * time.Second)
-		t := r.tally(classDimLevel, from, from.Add(time.Second))
+		t := r.tally(fake.DimLevel.Name, from, from.Add(time.Second))
 		if t.sent > 0 && t.served*100 >= t.sent*95 {
 			return s
 		}
@@ -259,7 +259,7 @@
 func (r *reloadRun) report(f *figures) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.violations(classRepairOrder)
+	v := r.violations(fake.RepairOrder.Name)
 	returned := r.secondsUntilServed()
 	f.must("seconds_until_95_in_100", returned, returned >= 0)
 	f.add("calls", len(r.requests))
--- a/internal/benchmark/mixedload.go
+++ b/internal/benchmark/mixedload.go
@@ -8,26 +8,6 @@
 	"crankhold/internal/fake"
 )
 
-// Classes of the fake site's configuration.
-const (
-	classDimLevel    = "dim-level"
-	classFaultCheck  = "fault-check"
-	classRepairOrder = "repair-order" // not idempotent
-)
-
-// classes are all classes, in the order in which they are reported.
-var classes = []string{classDimLevel, classFaultCheck, classRepairOrder}
-
-// classMix is what the class of a request is drawn from.
-var classMix = []string{classDimLevel, classDimLevel, classFaultCheck, classRepairOrder}
-
-// classTimeouts is how long clients wait for a response.
-var classTimeouts = map[string]time.Duration{
-	classDimLevel:    2 * time.Second,
-	classFaultCheck:  2500 * time.Millisecond,
-	classRepairOrder: 3 * time.Second,
-}
-
 // How many functions are requested, and connections used, by a mixed load.
 const (
 	mixedLoadFunctions = 12
@@ -35,7 +15,7 @@
 )
 
 // functionKey returns the key of a function by its number, from 0.
-func functionKey(n int) string { return fmt.Sprintf("%016x", uint64(1+n)*0x1111111111111111) }
+func functionKey(n int) string { return fake.FunctionKey(1 + n) }
 
 // mixedLoad sends requests of all classes at a constant rate and records their responses.
 type mixedLoad struct {
@@ -58,7 +38,7 @@
 	interval := time.Second / time.Duration(l.rate)
 	for n := 0; time.Since(begun) < l.length; n++ {
 		time.Sleep(time.Until(begun.Add(time.Duration(n) * interval)))
-		class := classMix[l.random.IntN(len(classMix))]
+		class := fake.ClassMix[l.random.IntN(len(fake.ClassMix))]
 		if l.burstSize != nil && l.burstSize(n) > 0 {
 			l.sendBurst(l.burstSize(n))
 			continue
@@ -69,20 +49,20 @@
 
 func (l *mixedLoad) sendBurst(size int) {
 	for range size {
-		l.send(classDimLevel)
+		l.send(fake.DimLevel)
 	}
 }
 
 // send sends a request of a class for a random function over a random connection.
-func (l *mixedLoad) send(class string) {
+func (l *mixedLoad) send(class fake.Class) {
 	client := l.clients[l.random.IntN(len(l.clients))]
 	id := fmt.Sprintf("%016x", l.random.Uint64())
 	key := functionKey(l.random.IntN(mixedLoadFunctions))
 	l.record.send(client, fake.Request{
-		Class:       class,
+		Class:       class.Name,
 		ID:          id,
 		FunctionKey: key,
-		Timeout:     classTimeouts[class],
+		Timeout:     class.Timeout,
 		Properties:  "memory_mb:256;lanes:8;load_ms:300",
 		Body:        []byte("x"),
 	})
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -46,9 +46,9 @@
 // allows reports whether a routes file lets a class run at a kind of workers.
 func allows(file int, class, kind string) bool {
 	switch class {
-	case classDimLevel:
+	case fake.DimLevel.Name:
 		return kind == kindLarge || kind == kindSpare
-	case classFaultCheck:
+	case fake.FaultCheck.Name:
 		return kind == watchedRoutes[file].checksKind
 	default:
 		return kind == kindLarge || kind == kindSmall
@@ -76,10 +76,10 @@
 // event checks an event at a worker of a request.
 func (p *poolWatch) event(e fake.Event, request *recordedRequest) {
 	kind := e.Worker.Kind
-	if request.class == classDimLevel && kind == kindLarge {
+	if request.class == fake.DimLevel.Name && kind == kindLarge {
 		p.countInFlight(e, request)
 	}
-	if request.class == classDimLevel && kind == kindSpare {
+	if request.class == fake.DimLevel.Name && kind == kindSpare {
 		if _, known := p.overflowed[e.ID]; !known {
 			p.overflowed[e.ID] = e.At // the first sign of it there, whether it ran or not
 		}
@@ -129,7 +129,7 @@
 func (p *poolWatch) maxOverflowShare(r *record) float64 {
 	var sent []time.Time
 	for _, request := range r.requests {
-		if request.class == classDimLevel {
+		if request.class == fake.DimLevel.Name {
 			sent = append(sent, request.sentAt)
 		}
 	}
--- a/internal/benchmark/record_test.go
+++ b/internal/benchmark/record_test.go
@@ -29,13 +29,13 @@
 
 func TestViolationsAreCounted(t *testing.T) {
 	r := newRecord()
-	r.add(0, recordedRequest{class: classDimLevel, status: fake.Served, runs: 2})
-	r.add(1, recordedRequest{class: classDimLevel, status: fake.Rejected, late: true})
-	r.add(2, recordedRequest{class: classDimLevel})
-	r.add(3, recordedRequest{class: classRepairOrder, status: statusLost, late: true})
-	r.add(4, recordedRequest{class: classRepairOrder, status: fake.Failed, runs: 2})
-	expectEqual(t, r.violations(classRepairOrder), violations{lost: 2, late: 1, notIdempotent: 2, doubled: 1})
-	expectEqual(t, r.tally(classDimLevel, start, start.Add(2)), tally{sent: 2, served: 1, rejected: 1})
+	r.add(0, recordedRequest{class: fake.DimLevel.Name, status: fake.Served, runs: 2})
+	r.add(1, recordedRequest{class: fake.DimLevel.Name, status: fake.Rejected, late: true})
+	r.add(2, recordedRequest{class: fake.DimLevel.Name})
+	r.add(3, recordedRequest{class: fake.RepairOrder.Name, status: statusLost, late: true})
+	r.add(4, recordedRequest{class: fake.RepairOrder.Name, status: fake.Failed, runs: 2})
+	expectEqual(t, r.violations(fake.RepairOrder.Name), violations{lost: 2, late: 1, notIdempotent: 2, doubled: 1})
+	expectEqual(t, r.tally(fake.DimLevel.Name, start, start.Add(2)), tally{sent: 2, served: 1, rejected: 1})
 	expectEqual(t, r.tally("", start, start.Add(time.Second)), tally{sent: 5, served: 1, rejected: 1, failed: 1})
 }
 
@@ -83,12 +83,12 @@
 		after time.Duration // since the reload to routesA
 		want  int
 	}{
-		{"in the pool", classFaultCheck, kindSmall, settled, 0},
-		{"in the pool of the file before", classFaultCheck, kindSpare, settled, 1},
-		{"in the pool of the file before, just after a reload", classFaultCheck, kindSpare, 0, 0},
-		{"in no pool, just after a reload", classFaultCheck, kindLarge, 0, 1},
-		{"at a spare worker", classDimLevel, kindSpare, settled, 0},
-		{"an order at a spare worker", classRepairOrder, kindSpare, settled, 1},
+		{"in the pool", fake.FaultCheck.Name, kindSmall, settled, 0},
+		{"in the pool of the file before", fake.FaultCheck.Name, kindSpare, settled, 1},
+		{"in the pool of the file before, just after a reload", fake.FaultCheck.Name, kindSpare, 0, 0},
+		{"in no pool, just after a reload", fake.FaultCheck.Name, kindLarge, 0, 1},
+		{"at a spare worker", fake.DimLevel.Name, kindSpare, settled, 0},
+		{"an order at a spare worker", fake.RepairOrder.Name, kindSpare, settled, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPoolWatch()
@@ -103,7 +103,7 @@
 	p := newPoolWatch()
 	p.reloadBegins(1)
 	p.reloaded = start
-	request := &recordedRequest{class: classDimLevel, sentAt: start.Add(time.Second)}
+	request := &recordedRequest{class: fake.DimLevel.Name, sentAt: start.Add(time.Second)}
 	for range routesBCap + 1 {
 		p.runAt(kindLarge, request)
 	}
--- a/internal/benchmark/starts.go
+++ b/internal/benchmark/starts.go
@@ -1,7 +1,6 @@
 package benchmark
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"slices"
@@ -43,7 +42,8 @@
 		median := times[len(times)/2]
 		ninth := times[len(times)*9/10]
 		slowest := times[len(times)-1]
-		fmt.Fprintf(out, "%6d %10d %10d %10d\n", n+1, median.Milliseconds(), ninth.Milliseconds(), slowest.Milliseconds())
+		fmt.Fprintf(out, "%6d %10d %10d %10d\n",
+			n+1, median.Milliseconds(), ninth.Milliseconds(), slowest.Milliseconds())
 		all = append(all, times...)
 	}
 	return s.report(out, all)
@@ -96,10 +96,7 @@
 	}
 	config := bed.Site.Config(listen)
 	if n%2 == 1 {
-		config, err = withoutWorkers(config)
-		if err != nil {
-			return nil, err
-		}
+		config = bed.Site.ConfigWithoutWorkers(listen)
 	}
 	path, err := bed.WriteFile(fmt.Sprintf("%d.json", n), config)
 	if err != nil {
@@ -108,20 +105,6 @@
 	return launch(program, listen, "EDGE_CONFIG="+path)
 }
 
-// object is a JSON object.
-type object = map[string]any
-
-// withoutWorkers returns a configuration with an empty endpoint list.
-func withoutWorkers(text []byte) ([]byte, error) {
-	var config object
-	if err := json.Unmarshal(text, &config); err != nil {
-		return nil, err
-	}
-	topology := object{"complete": true, "members": []object{}}
-	config["known"] = object{"offset": 1, "batch": []object{{"offset": 1, "topology": topology}}}
-	return json.Marshal(config)
-}
-
 // awaitReady asks all routers at once and returns how long after the beginning each was ready, or the first error.
 func awaitReady(routers []*process, begun time.Time) ([]time.Duration, error) {
 	times := make([]time.Duration, len(routers))
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -62,10 +62,10 @@
 	defer c.mu.Unlock()
 	var b strings.Builder
 	fmt.Fprintf(&b, "%4.0fs", elapsed.Seconds())
-	for _, class := range classes {
-		fmt.Fprintf(&b, "  %s", class.name)
+	for _, class := range fake.Classes {
+		fmt.Fprintf(&b, "  %s", class.Name)
 		for _, status := range statuses {
-			n := c.responses[countedResponse{class.name, status}]
+			n := c.responses[countedResponse{class.Name, status}]
 			if n > 0 || status == fake.Served {
 				fmt.Fprintf(&b, " %s=%d", status, n)
 			}
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -20,23 +20,6 @@
 // requestedFunctions is how many functions are requested.
 const requestedFunctions = 6
 
-// class is a class of requests, with how long the client waits for a response.
-type class struct {
-	name    string
-	timeout time.Duration
-}
-
-var (
-	dimLevel    = class{"dim-level", 2 * time.Second}
-	faultCheck  = class{"fault-check", 2500 * time.Millisecond}
-	repairOrder = class{"repair-order", 3 * time.Second}
-
-	classes = []class{dimLevel, faultCheck, repairOrder}
-
-	// classMix is what the class of a request is drawn from.
-	classMix = []class{dimLevel, dimLevel, faultCheck, repairOrder}
-)
-
 // show sends requests, takes workers down, and writes what comes of it.
 type show struct {
 	out    io.Writer
@@ -106,18 +89,18 @@
 
 // sendRequest sends a request of a random class for a random function.
 func (s *show) sendRequest() {
-	class := classMix[s.random.IntN(len(classMix))]
+	class := fake.ClassMix[s.random.IntN(len(fake.ClassMix))]
 	request := fake.Request{
-		Class:       class.name,
+		Class:       class.Name,
 		ID:          fmt.Sprintf("%016x", s.random.Uint64()),
-		FunctionKey: fmt.Sprintf("%016x", uint64(s.random.IntN(requestedFunctions))*0x1111111111111111),
-		Timeout:     class.timeout,
+		FunctionKey: fake.FunctionKey(s.random.IntN(requestedFunctions)),
+		Timeout:     class.Timeout,
 		Properties:  "memory_mb:512;lanes:2;load_ms:600",
 		Body:        []byte("lamp 17"),
 	}
 	s.client.Go(request, func(response fake.Response, err error) {
 		if err == nil {
-			s.counts.response(class.name, response.Status)
+			s.counts.response(class.Name, response.Status)
 		}
 	})
 }
