--- /dev/null
+++ b/internal/benchmark/poolwatch_test.go
@@ -0,0 +1,54 @@
+package benchmark
+
+import (
+	"testing"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// runAt has the watch see a request run at a worker of a kind.
+func (p *poolWatch) runAt(kind string, request *recordedRequest) {
+	worker := &fake.Worker{WorkerConfig: fake.WorkerConfig{Kind: kind}}
+	p.event(fake.Event{At: request.sentAt, Worker: worker, Kind: fake.EventStarted, ID: "1"}, request)
+}
+
+func TestRunsOutsideThePoolAreCounted(t *testing.T) {
+	settled := time.Second
+	for _, tt := range []struct {
+		name  string
+		class string
+		kind  string
+		after time.Duration // since the reload to routesA
+		want  int
+	}{
+		{"in the pool", fake.FaultCheck.Name, kindSmall, settled, 0},
+		{"in the pool of the file before", fake.FaultCheck.Name, kindSpare, settled, 1},
+		{"in the pool of the file before, just after a reload", fake.FaultCheck.Name, kindSpare, 0, 0},
+		{"in no pool, just after a reload", fake.FaultCheck.Name, kindLarge, 0, 1},
+		{"at a spare worker", fake.DimLevel.Name, kindSpare, settled, 0},
+		{"an order at a spare worker", fake.RepairOrder.Name, kindSpare, settled, 1},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			p := newPoolWatch()
+			p.reloaded = start
+			p.runAt(tt.kind, &recordedRequest{class: tt.class, sentAt: start.Add(tt.after)})
+			expectEqual(t, p.outsidePool, tt.want)
+		})
+	}
+}
+
+func TestRequestsOverTheCapAreCounted(t *testing.T) {
+	p := newPoolWatch()
+	p.reloadBegins(1)
+	p.reloaded = start
+	request := &recordedRequest{class: fake.DimLevel.Name, sentAt: start.Add(time.Second)}
+	for range routesBCap + 1 {
+		p.runAt(kindLarge, request)
+	}
+	expectEqual(t, p.overCap, 1)
+	p.reloadBegins(1) // while a reload is under way, the larger cap of both counts
+	p.runAt(kindLarge, request)
+	expectEqual(t, p.overCap, 1)
+	expectEqual(t, p.maxInFlight, routesBCap+2)
+}
--- /dev/null
+++ b/internal/benchmark/reloadreport.go
@@ -0,0 +1,72 @@
+package benchmark
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"crankhold/internal/fake"
+)
+
+// printPhases prints a row for each class before, during and after the death of the pool.
+func (r *reloadRun) printPhases(out io.Writer) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
+	for _, phase := range []struct {
+		name     string
+		from, to time.Time
+	}{
+		{"before the pool dies", r.startedAt, r.poolKilledAt},
+		{"while it is dead", r.poolKilledAt.Add(time.Second), r.poolRestartedAt},
+		{"after its return", r.poolRestartedAt.Add(time.Second), r.endsAt},
+	} {
+		for _, class := range fake.Classes {
+			t := r.tally(class.Name, phase.from, phase.to)
+			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class.Name[:3], t.sent, t.served, t.rejected, t.failed)
+		}
+	}
+}
+
+// secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
+// a second, or -1.
+func (r *reloadRun) secondsUntilServed() int {
+	for s := range 60 {
+		from := r.poolRestartedAt.Add(time.Duration(s) * time.Second)
+		t := r.tally(fake.DimLevel.Name, from, from.Add(time.Second))
+		if t.sent > 0 && t.served*100 >= t.sent*95 {
+			return s
+		}
+	}
+	return -1
+}
+
+// maxSpillTolerance is what the platform allows for requests that are under way.
+const overflowTolerance = 1.02
+
+// report adds the load's figures.
+func (r *reloadRun) report(f *figures) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	v := r.violations(fake.RepairOrder.Name)
+	returned := r.secondsUntilServed()
+	f.must("seconds_until_95_in_100", returned, returned >= 0)
+	f.add("calls", len(r.requests))
+	f.must("reloads", r.reloads, r.reloads > 0)
+	f.mustBeZero("lost", v.lost)
+	f.mustBeZero("late", v.late)
+	f.mustBeZero("extra_answers", r.unmatchedResponses)
+	f.add("orders", v.notIdempotent)
+	f.mustBeZero("doubled", v.doubled)
+	f.mustBeZero("outside_pool", r.pools.outsidePool)
+	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
+	f.mustBeZero("over_cap", r.pools.overCap)
+	peak := r.pools.maxInFlight
+	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
+	spilled := len(r.pools.overflowed)
+	share := r.pools.maxOverflowShare(r.record)
+	f.must("spilled", spilled, spilled > 0)
+	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
+	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.poolRestartedAt, r.poolRestartedAt.Add(10*time.Second)))
+	f.add("p99_ms", r.latencyPercentile(0.99))
+}
--- a/internal/fake/class.go
+++ b/internal/fake/class.go
@@ -47,5 +47,5 @@
 // functionKeyStep spreads the keys of FunctionKey over all keys.
 const functionKeyStep = 0x1111111111111111
 
-// FunctionKey returns the key, of 16 hex digits, of a function by its number, from 0 to 15.
+// FunctionKey returns the key, of 16 hex digits, of a function by its number, from 0.
 func FunctionKey(n int) string { return fmt.Sprintf("%016x", uint64(n)*functionKeyStep) }
