--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -64,7 +64,8 @@
 		}
 	}
 	f := &figures{}
-	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n", "run", "calls", "served", "refused", "failed", "p99 ms", "faults", "cpu us", "moved")
+	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n",
+		"run", "calls", "served", "refused", "failed", "p99 ms", "faults", "cpu us", "moved")
 	calm, err := a.measure(out, "no faults", program, withoutFaults)
 	if err != nil {
 		return err
@@ -125,14 +126,15 @@
 	if err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(out, "%-22s %8d %8d %8d %8d %8.1f %8d %10.1f %10s\n", name, len(r.requests), r.total.served, r.total.rejected, r.total.failed,
+	fmt.Fprintf(out, "%-22s %8d %8d %8d %8d %8.1f %8d %10.1f %10s\n",
+		name, len(r.requests), r.total.served, r.total.rejected, r.total.failed,
 		r.p99, r.faults, r.cpuPerRequest(), r.resent)
 	return r, nil
 }
 
 // load starts a router and twelve workers of three addresses each, and loads it.
 func (a Addresses) load(program string, mode faultMode) (*addressRun, error) {
-	r := &addressRun{record: newRecord()}
+	r := &addressRun{record: newRecord(nil)}
 	bed, err := startAddressTestbed(r.event)
 	if err != nil {
 		return nil, err
@@ -160,7 +162,13 @@
 		faults.Go(func() { r.faults = failAddresses(bed.Site, a.Seed, begun.Add(a.Length)) })
 		faults.Go(func() { r.drainWorkers(bed.Site, begun.Add(a.Length)) })
 	}
-	newMixedLoad(r.record, clients, a.Rate, a.Length, a.Seed).run(begun)
+	newMixedLoad(mixedLoadConfig{
+		record:  r.record,
+		clients: clients,
+		rate:    a.Rate,
+		length:  a.Length,
+		seed:    a.Seed,
+	}).run(begun)
 	faults.Wait()
 	r.unmatchedResponses = awaitResponses(clients)
 	router.stop()
@@ -174,8 +182,14 @@
 	if err != nil {
 		return nil, err
 	}
-	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{Kind: "std",
-		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
+	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{
+		Kind:        "std",
+		ServiceTime: 20 * time.Millisecond,
+		LoadTime:    300 * time.Millisecond,
+		KeepAlive:   10 * time.Second,
+		Lanes:       8,
+		Queue:       64,
+	})
 	for i := range workers {
 		socket := bed.Path(fmt.Sprintf("w%d.sock", i+1))
 		workers[i].MoreAddrs = []string{"tcp6:::1", "unix:" + socket}
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -21,10 +21,11 @@
 	maxCheckMilliseconds = 200
 )
 
-// burstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
-const burstRequests = 60
+// reloadBurstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
+const reloadBurstSize = 60
 
-// Run measures look-ups and checks, and then a load with a reload each second and the death of a pool.
+// Run measures look-ups and checks, and then a load with a reload each second and the death of a pool. It blocks until
+// the load has ended.
 func (c Config) Run(out io.Writer) error {
 	f := &figures{}
 	for _, n := range []int{10, 1000} {
@@ -65,13 +66,11 @@
 	if err != nil {
 		return nil, err
 	}
-	run := &reloadRun{record: newRecord(), pools: newPoolWatch()}
-	run.record.watch = run.pools.event
-	if err := run.start(program); err != nil {
+	run, err := startReloadRun(program)
+	if err != nil {
 		return nil, err
 	}
-	defer run.bed.Close()
-	defer run.router.stop()
+	defer run.close()
 	clients, err := dialClients(run.router.listen, mixedLoadClients)
 	if err != nil {
 		return nil, err
@@ -79,20 +78,17 @@
 	defer closeClients(clients)
 
 	length := c.loadLength()
-	run.startedAt = time.Now()
-	run.poolKilledAt = run.startedAt.Add(length * 4 / 10)
-	run.poolRestartedAt = run.startedAt.Add(length * 6 / 10)
-	run.endsAt = run.startedAt.Add(length)
+	run.schedule = newReloadSchedule(time.Now(), length)
 	disturbed := make(chan error, 1)
 	go func() { disturbed <- run.disturb() }()
-	load := newMixedLoad(run.record, clients, c.Rate, length, c.Seed)
-	load.burstSize = func(n int) int {
-		if n%c.Rate == c.Rate/2 {
-			return burstRequests
-		}
-		return 0
-	}
-	load.run(run.startedAt)
+	newMixedLoad(mixedLoadConfig{
+		record:    run.record,
+		clients:   clients,
+		rate:      c.Rate,
+		length:    length,
+		seed:      c.Seed,
+		burstSize: reloadBurstSize,
+	}).run(run.schedule.startedAt)
 	if err := <-disturbed; err != nil {
 		return nil, err
 	}
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -37,7 +37,8 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%8d %10d %10.2f %10.1f %12.0f\n", workers, requestsPerWorker*workers, cost.microseconds, cost.allocations, cost.bytes)
+		fmt.Fprintf(out, "%8d %10d %10.2f %10.1f %12.0f\n",
+			workers, requestsPerWorker*workers, cost.microseconds, cost.allocations, cost.bytes)
 		f.add(fmt.Sprintf("us_%d", workers), cost.microseconds)
 		f.add(fmt.Sprintf("allocs_%d", workers), cost.allocations)
 	}
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -57,7 +57,8 @@
 	f.core.SetWorkerClient(f)
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for n := range workers {
-		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(n + 1), State: policy.Ready, Weight: 1})
+		endpoint := policy.Endpoint{Worker: policy.WorkerID(n + 1), State: policy.Ready, Weight: 1}
+		list.Workers = append(list.Workers, endpoint)
 	}
 	f.core.SetEndpoints(list)
 	f.nextTurn = f.core.Process(f.now)
@@ -66,13 +67,31 @@
 
 func corePolicyConfig() policy.Config {
 	return policy.Config{
-		Routers: 1, Tick: 4 * time.Millisecond, MaxAttempts: 3,
-		CancelSupported: true, HealthCheckSupported: true, HedgingAllowed: true, LoadCommandsSupported: true,
-		MissWhenNotLoaded: true, LoadStatusReported: true, RetryAfterSupported: true, MaxRetryAfter: time.Second,
-		OverQuotaWeight: 1, KeepAlive: coreKeepAlive, LoadTimeout: 10 * time.Second,
-		LoadBudgetWindow: loadBudgetWindow, LoadBudgetMinimum: loadBudgetMinimum, LoadBudgetRatio: loadBudgetRatio,
-		DrainGracePeriod: time.Second, LoadReportFields: []string{"inflight"}, InlineLoadReports: true,
-		Classes: []policy.Class{{LatencyObjective: 400 * time.Millisecond, Deadline: coreTimeout, PriorityWeight: 3}},
+		Routers:               1,
+		Tick:                  4 * time.Millisecond,
+		MaxAttempts:           3,
+		CancelSupported:       true,
+		HealthCheckSupported:  true,
+		HedgingAllowed:        true,
+		LoadCommandsSupported: true,
+		MissWhenNotLoaded:     true,
+		LoadStatusReported:    true,
+		RetryAfterSupported:   true,
+		MaxRetryAfter:         time.Second,
+		OverQuotaWeight:       1,
+		KeepAlive:             coreKeepAlive,
+		LoadTimeout:           10 * time.Second,
+		LoadBudgetWindow:      loadBudgetWindow,
+		LoadBudgetMinimum:     loadBudgetMinimum,
+		LoadBudgetRatio:       loadBudgetRatio,
+		DrainGracePeriod:      time.Second,
+		LoadReportFields:      []string{"inflight"},
+		InlineLoadReports:     true,
+		Classes: []policy.Class{{
+			LatencyObjective: 400 * time.Millisecond,
+			Deadline:         coreTimeout,
+			PriorityWeight:   3,
+		}},
 	}
 }
 
@@ -128,7 +147,9 @@
 func (f *coreFleet) after(d time.Duration, respond func()) { f.responses.Add(f.now+d, respond) }
 
 // StartAttempt implements router.WorkerClient.
-func (f *coreFleet) StartAttempt(worker policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
+func (f *coreFleet) StartAttempt(
+	worker policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration,
+) {
 	id := replicaID{worker, request.Function}
 	if f.replicas[id] < f.now {
 		f.after(coreRejectionTime, func() {
@@ -138,7 +159,11 @@
 	}
 	f.replicas[id] = f.now + coreKeepAlive
 	f.after(coreServiceTime, func() {
-		f.core.AttemptCompleted(attempt, router.AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded, LoadReport: []float64{1}})
+		f.core.AttemptCompleted(attempt, router.AttemptResult{
+			Outcome:    policy.Served,
+			LoadStatus: policy.AlreadyLoaded,
+			LoadReport: []float64{1},
+		})
 	})
 }
 
--- a/internal/benchmark/knee.go
+++ b/internal/benchmark/knee.go
@@ -14,7 +14,7 @@
 	unsustained int // it did not
 }
 
-// narrow takes in a measurement.
+// narrow moves one end of the bracket to the rate of a measurement.
 func (b *bracket) narrow(m *measurement) {
 	if m.keepsUp() {
 		b.sustained = m.rate
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -32,10 +32,13 @@
 	behind int64   // requests that left late
 	cores  float64 // that the router used
 
-	mu                     sync.Mutex
-	served, rejected       int64
-	failed, lost, inFlight int64
-	latencies              *hdrhistogram.Histogram // of served requests, in microseconds
+	mu        sync.Mutex // guards what follows, which responses change
+	served    int64
+	rejected  int64
+	failed    int64
+	lost      int64
+	inFlight  int64
+	latencies *hdrhistogram.Histogram // of served requests, in microseconds
 }
 
 func newMeasurement(rate int) *measurement {
@@ -51,7 +54,8 @@
 
 // keepsUp reports whether the router kept up with the rate.
 func (m *measurement) keepsUp() bool {
-	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && m.behind*maxBehindOneIn < m.sent
+	sentInTime := m.behind*maxBehindOneIn < m.sent
+	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && sentInTime
 }
 
 // begin counts a request that leaves, unless too many are in flight.
@@ -59,7 +63,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inFlight >= maxInFlight {
-		return fmt.Errorf("%d calls are open: the router answers none", maxInFlight)
+		return fmt.Errorf("%d requests are in flight: the router responds to none", maxInFlight)
 	}
 	m.inFlight++
 	m.sent++
@@ -90,7 +94,8 @@
 	return m.inFlight
 }
 
-// measure loads the router at one rate, prints the row, and writes it to the log if there is one.
+// measure loads the router at one rate, prints the row, and writes it to the log if there is one. It blocks until all
+// responses have come or timed out.
 func (l *loadRun) measure(rate int) (*measurement, error) {
 	m := newMeasurement(rate)
 	cpuBefore := l.target.cpuTime()
@@ -108,7 +113,8 @@
 	defer m.mu.Unlock()
 	m.lost += m.inFlight
 	m.latencies.SetEndTimeMs(time.Now().UnixMilli())
-	fmt.Fprintf(l.out, "%8d %8d %8d %8d %8d %6d %9.1f %9.1f %9.1f %7.2f\n", rate, m.sent, m.served, m.rejected, m.failed, m.lost,
+	fmt.Fprintf(l.out, "%8d %8d %8d %8d %8d %6d %9.1f %9.1f %9.1f %7.2f\n",
+		rate, m.sent, m.served, m.rejected, m.failed, m.lost,
 		m.latencyPercentile(50), m.latencyPercentile(99), m.latencyPercentile(99.9), m.cores)
 	if l.log == nil {
 		return m, nil
@@ -117,7 +123,7 @@
 	return m, l.log.OutputIntervalHistogram(m.latencies)
 }
 
-// sendAll sends each request when it is due. Latencies count from then.
+// sendAll sends each request when it is due. Latencies count from then. It blocks until the last one has left.
 func (l *loadRun) sendAll(m *measurement, begun time.Time) error {
 	random := rand.New(rand.NewPCG(l.Seed, uint64(m.rate)))
 	interval := float64(time.Second) / float64(m.rate)
--- a/internal/benchmark/mixedload.go
+++ b/internal/benchmark/mixedload.go
@@ -17,38 +17,44 @@
 // functionKey returns the key of a function by its number, from 0.
 func functionKey(n int) string { return fake.FunctionKey(1 + n) }
 
-// mixedLoad sends requests of all classes at a constant rate and records their responses.
-type mixedLoad struct {
+// mixedLoadConfig describes a mixedLoad.
+type mixedLoadConfig struct {
 	record  *record
 	clients []*fake.Client
 	rate    int // requests per second
 	length  time.Duration
-	random  *rand.Rand
-	// burst, which may be nil, says how many requests of the class dim-level are sent at once in place of the
-	// n-th; 0 for none.
-	burstSize func(n int) int
+	seed    uint64
+	// burstSize is how many requests of the class dim-level are sent at once, once a second, in place of a single
+	// request; 0 for no bursts.
+	burstSize int
+}
+
+// mixedLoad sends requests of all classes at a constant rate and records their responses.
+type mixedLoad struct {
+	mixedLoadConfig
+	random *rand.Rand
 }
 
-func newMixedLoad(r *record, clients []*fake.Client, rate int, length time.Duration, seed uint64) *mixedLoad {
-	return &mixedLoad{record: r, clients: clients, rate: rate, length: length, random: rand.New(rand.NewPCG(seed, 7))}
+func newMixedLoad(cfg mixedLoadConfig) *mixedLoad {
+	return &mixedLoad{mixedLoadConfig: cfg, random: rand.New(rand.NewPCG(cfg.seed, 7))}
 }
 
-// run sends the load from a time on, until its length has passed.
+// run sends the load from a time on. It blocks until the load's length has passed.
 func (l *mixedLoad) run(begun time.Time) {
 	interval := time.Second / time.Duration(l.rate)
 	for n := 0; time.Since(begun) < l.length; n++ {
 		time.Sleep(time.Until(begun.Add(time.Duration(n) * interval)))
 		class := fake.ClassMix[l.random.IntN(len(fake.ClassMix))]
-		if l.burstSize != nil && l.burstSize(n) > 0 {
-			l.sendBurst(l.burstSize(n))
+		if l.burstSize > 0 && n%l.rate == l.rate/2 {
+			l.sendBurst()
 			continue
 		}
 		l.send(class)
 	}
 }
 
-func (l *mixedLoad) sendBurst(size int) {
-	for range size {
+func (l *mixedLoad) sendBurst() {
+	for range l.burstSize {
 		l.send(fake.DimLevel)
 	}
 }
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -27,19 +27,25 @@
 // isLost reports whether the request has no response.
 func (r *recordedRequest) isLost() bool { return r.status == "" || r.status == statusLost }
 
-// record is what happened in an experiment.
+// record is what happened in an experiment: what clients sent and were answered, and what workers saw. Fakes add to it
+// from their own goroutines; mu guards all of it.
 type record struct {
 	mu       sync.Mutex
 	byID     map[string]*recordedRequest
 	requests []*recordedRequest // in the order in which they were sent
 	events   []fake.Event
-	// watch, which may be nil, is called for each event with the record locked.
-	watch func(e fake.Event, request *recordedRequest)
+	watch    eventWatch // may be nil
 }
 
-func newRecord() *record { return &record{byID: map[string]*recordedRequest{}} }
+// eventWatch is called for each event of a recorded request, with the record locked.
+type eventWatch func(e fake.Event, request *recordedRequest)
 
-// event records what a worker saw.
+// newRecord returns an empty record. watch may be nil.
+func newRecord(watch eventWatch) *record {
+	return &record{byID: map[string]*recordedRequest{}, watch: watch}
+}
+
+// event records what a worker saw. It is called by fakes, from any goroutine.
 func (r *record) event(e fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,10 +83,13 @@
 
 // tally counts requests by what became of them.
 type tally struct {
-	sent, served, rejected, failed int
+	sent     int
+	served   int
+	rejected int
+	failed   int
 }
 
-// servedShare is the share of the requests that were served.
+// servedShare returns the share, from 0 to 1, of the requests that were served.
 func (t tally) servedShare() float64 { return float64(t.served) / float64(t.sent) }
 
 // tally counts the requests of a class, or of all classes if it is empty, that were sent in a time.
--- a/internal/benchmark/record_test.go
+++ b/internal/benchmark/record_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestViolationsAreCounted(t *testing.T) {
-	r := newRecord()
+	r := newRecord(nil)
 	r.add(0, recordedRequest{class: fake.DimLevel.Name, status: fake.Served, runs: 2})
 	r.add(1, recordedRequest{class: fake.DimLevel.Name, status: fake.Rejected, late: true})
 	r.add(2, recordedRequest{class: fake.DimLevel.Name})
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -14,16 +14,18 @@
 	defer r.mu.Unlock()
 	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
 	for _, phase := range []struct {
-		name     string
-		from, to time.Time
+		name string
+		from time.Time
+		to   time.Time
 	}{
-		{"before the pool dies", r.startedAt, r.poolKilledAt},
-		{"while it is dead", r.poolKilledAt.Add(time.Second), r.poolRestartedAt},
-		{"after its return", r.poolRestartedAt.Add(time.Second), r.endsAt},
+		{"before the pool dies", r.schedule.startedAt, r.schedule.poolKilledAt},
+		{"while it is dead", r.schedule.poolKilledAt.Add(time.Second), r.schedule.poolRestartedAt},
+		{"after its return", r.schedule.poolRestartedAt.Add(time.Second), r.schedule.endsAt},
 	} {
 		for _, class := range fake.Classes {
 			t := r.tally(class.Name, phase.from, phase.to)
-			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class.Name[:3], t.sent, t.served, t.rejected, t.failed)
+			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n",
+				phase.name+", "+class.Name[:3], t.sent, t.served, t.rejected, t.failed)
 		}
 	}
 }
@@ -32,7 +34,7 @@
 // a second, or -1.
 func (r *reloadRun) secondsUntilServed() int {
 	for s := range 60 {
-		from := r.poolRestartedAt.Add(time.Duration(s) * time.Second)
+		from := r.schedule.poolRestartedAt.Add(time.Duration(s) * time.Second)
 		t := r.tally(fake.DimLevel.Name, from, from.Add(time.Second))
 		if t.sent > 0 && t.served*100 >= t.sent*95 {
 			return s
@@ -41,10 +43,10 @@
 	return -1
 }
 
-// maxSpillTolerance is what the platform allows for requests that are under way.
+// overflowTolerance is what the platform allows for requests that are in flight.
 const overflowTolerance = 1.02
 
-// report adds the load's figures.
+// report adds the figures of the load to f.
 func (r *reloadRun) report(f *figures) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,6 +69,7 @@
 	share := r.pools.maxOverflowShare(r.record)
 	f.must("spilled", spilled, spilled > 0)
 	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
-	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.poolRestartedAt, r.poolRestartedAt.Add(10*time.Second)))
+	restarted := r.schedule.poolRestartedAt
+	f.add("loads_in_10s_after_return", r.loadCommandsBetween(restarted, restarted.Add(10*time.Second)))
 	f.add("p99_ms", r.latencyPercentile(0.99))
 }
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -9,78 +9,113 @@
 // reloadRun is one load with reloads and the death of a pool, and what came of it.
 type reloadRun struct {
 	*record
-	pools              *poolWatch
+	pools              *poolWatch // guarded by the record's lock
 	bed                *fake.Testbed
 	router             *process
-	routesPath         string // the path of the routes file
+	schedule           reloadSchedule
 	reloads            int
 	unmatchedResponses int // responses to no request
+}
 
+// reloadSchedule says when the large workers, which are the pool of the class dim-level, are killed.
+type reloadSchedule struct {
 	startedAt       time.Time
-	poolKilledAt    time.Time // the large workers are killed
-	poolRestartedAt time.Time // and started again
+	poolKilledAt    time.Time
+	poolRestartedAt time.Time
 	endsAt          time.Time
 }
 
-// start starts the fakes and the router, which routes by routesA.
-func (r *reloadRun) start(program string) error {
-	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
-		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
-	kinds := []string{kindLarge, kindLarge, kindSmall, kindSmall, kindSpare}
-	for i := range workers {
-		workers[i].Kind = kinds[i%len(kinds)]
+func newReloadSchedule(startedAt time.Time, length time.Duration) reloadSchedule {
+	return reloadSchedule{
+		startedAt:       startedAt,
+		poolKilledAt:    startedAt.Add(length * 4 / 10),
+		poolRestartedAt: startedAt.Add(length * 6 / 10),
+		endsAt:          startedAt.Add(length),
 	}
-	bed, err := startTestbed(workers, r.event)
+}
+
+// poolIsDown reports whether the large workers are to be down at a time.
+func (s reloadSchedule) poolIsDown(at time.Time) bool {
+	return at.After(s.poolKilledAt) && at.Before(s.poolRestartedAt)
+}
+
+// startReloadRun starts the fakes and the router, which routes by routesA.
+func startReloadRun(program string) (*reloadRun, error) {
+	pools := newPoolWatch()
+	r := &reloadRun{record: newRecord(pools.event), pools: pools}
+	bed, err := startTestbed(reloadWorkers(), r.event)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	r.bed = bed
-	r.routesPath = bed.Path("routes.crank")
-	if err := r.writeRoutes(0); err != nil {
+	routes, err := r.writeRoutes(0)
+	if err != nil {
 		bed.Close()
-		return err
+		return nil, err
 	}
-	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+r.routesPath)
+	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+routes)
 	if err != nil {
 		bed.Close()
-		return err
+		return nil, err
 	}
-	r.pools.reloadEnds()
-	return nil
+	pools.reloadEnds()
+	return r, nil
+}
+
+// close ends the router and the fakes. It blocks until they have ended.
+func (r *reloadRun) close() {
+	r.router.stop()
+	r.bed.Close()
+}
+
+// reloadWorkers describes twelve workers of three kinds.
+func reloadWorkers() []fake.WorkerConfig {
+	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
+		ServiceTime: 20 * time.Millisecond,
+		LoadTime:    300 * time.Millisecond,
+		KeepAlive:   10 * time.Second,
+		Lanes:       8,
+		Queue:       64,
+	})
+	kinds := []string{kindLarge, kindLarge, kindSmall, kindSmall, kindSpare}
+	for i := range workers {
+		workers[i].Kind = kinds[i%len(kinds)]
+	}
+	return workers
 }
 
-func (r *reloadRun) writeRoutes(file int) error {
-	_, err := r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
-	return err
+// writeRoutes replaces the routes file and returns its path.
+func (r *reloadRun) writeRoutes(file int) (path string, err error) {
+	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
 
-// disturb reloads the other routes file each second, and kills the large workers for a time.
+// disturb reloads the other routes file each second, and kills the large workers for a time. It blocks until the end of
+// the schedule.
 func (r *reloadRun) disturb() error {
-	dead := false
+	down := false
 	for n := 1; ; n++ {
-		next := r.startedAt.Add(time.Duration(n) * time.Second)
-		if next.After(r.endsAt) {
+		next := r.schedule.startedAt.Add(time.Duration(n) * time.Second)
+		if next.After(r.schedule.endsAt) {
 			return nil
 		}
 		time.Sleep(time.Until(next))
-		now := time.Now()
+		wantDown := r.schedule.poolIsDown(time.Now())
 		switch {
-		case !dead && now.After(r.poolKilledAt) && now.Before(r.poolRestartedAt):
+		case wantDown && !down:
 			r.killPool()
-			dead = true
-		case dead && now.After(r.poolRestartedAt):
+		case !wantDown && down:
 			if err := r.restartPool(); err != nil {
 				return err
 			}
-			dead = false
 		}
+		down = wantDown
 		if err := r.reload(n % len(watchedRoutes)); err != nil {
 			return err
 		}
 	}
 }
 
-// poolWorkers returns the workers of the pool that dies.
+// poolWorkers returns the workers of the pool that is killed.
 func (r *reloadRun) poolWorkers() (list []*fake.Worker) {
 	for _, w := range r.bed.Site.Workers {
 		if w.Kind == kindLarge {
@@ -110,7 +145,7 @@
 	r.mu.Lock()
 	r.pools.reloadBegins(file)
 	r.mu.Unlock()
-	if err := r.writeRoutes(file); err != nil {
+	if _, err := r.writeRoutes(file); err != nil {
 		return err
 	}
 	if err := r.router.reload(); err != nil {
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -82,12 +82,21 @@
 	var b strings.Builder
 	b.WriteString(header)
 	for i := range (lines - headerLines) / linesPerRoute {
-		fmt.Fprintf(&b, "route \"r%d\" {\n\tfunction = \"%04x*\", \"%016x\"\n\ttenant = \"t%d\"\n\tpool = \"p\"\n\tpolicy = \"k\"\n}\n", i, i, scattered(uint64(i+1)), i%40)
+		fmt.Fprintf(&b, routeFormat, i, i, scattered(uint64(i+1)), i%40)
 	}
 	return b.String()
 }
 
-// linesPerRoute is how many lines a route of routesWithLines has.
+// routeFormat formats a route of routesWithLines, which has linesPerRoute lines: its number twice, a function's key, and
+// the number of a tenant.
+const routeFormat = `route "r%d" {
+	function = "%04x*", "%016x"
+	tenant = "t%d"
+	pool = "p"
+	policy = "k"
+}
+`
+
 const linesPerRoute = 6
 
 // scattered spreads small numbers over all function keys.
