--- a/cmd/benchmark/main.go
+++ b/cmd/benchmark/main.go
@@ -11,16 +11,34 @@
 	"crankhold/internal/benchmark"
 )
 
+// commandLine has a sub-command for each experiment.
+type commandLine struct {
+	Addresses benchmark.Addresses `cmd:"" help:"${addresses_help}"`
+	Core      benchmark.Core      `cmd:"" help:"What a request costs the core and the module, by fleet size."`
+	Load      benchmark.Load      `cmd:"" help:"${load_help}"`
+	Starts    benchmark.Starts    `cmd:"" help:"${starts_help}"`
+	Config    benchmark.Config    `cmd:"" help:"${config_help}"`
+}
+
+// helpTexts are the help texts that are too long for a tag.
+var helpTexts = kong.Vars{
+	"addresses_help": "Workers with several addresses, which fail at random: " +
+		"share served, requests that ran twice, late sends, cost.",
+	"load_help": "An open-loop load by Thrift or signed webhooks, corrected for coordinated omission; " +
+		"with --knee, the highest rate that a router keeps up with.",
+	"starts_help": "Many routers started at once while discovery is down: how long until they are ready.",
+	"config_help": "The routes language and its routing: cost, " +
+		"and a load with a reload each second and the death of a pool.",
+}
+
 func main() {
-	var cli struct {
-		Addresses benchmark.Addresses `cmd:"" help:"Workers with several addresses, which fail at random: service, doubled orders, late sends, cost."`
-		Core      benchmark.Core      `cmd:"" help:"What a call costs the core and the module, by the size of the fleet."`
-		Load      benchmark.Load      `cmd:"" help:"An open-loop load by Thrift or signed webhooks, corrected for coordinated omission; with --knee, where a router no longer keeps up."`
-		Starts    benchmark.Starts    `cmd:"" help:"Many routers started at once while the directory is down: how long until they are ready."`
-		Config    benchmark.Config    `cmd:"" help:"The configuration language and its routing: cost, and a load with a reload each second and the death of a pool."`
-	}
-	k := kong.Parse(&cli, kong.Name("benchmark"), kong.Description("Measures the router on this machine's loopback."), kong.BindTo(os.Stdout, (*io.Writer)(nil)))
-	if err := k.Run(); err != nil {
+	var cli commandLine
+	command := kong.Parse(&cli,
+		kong.Name("benchmark"),
+		kong.Description("Measures the router on this machine's loopback."),
+		helpTexts,
+		kong.BindTo(os.Stdout, (*io.Writer)(nil)))
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "benchmark:", err)
 		os.Exit(1)
 	}
--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -14,7 +14,7 @@
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
 	Before string        `help:"A build to measure on the same faults too." type:"path"`
-	Rate   int           `help:"Calls a second." default:"500"`
+	Rate   int           `help:"Requests per second." default:"500"`
 	Length time.Duration `help:"How long each load lasts; ten minutes, or 15 s with --short, unless given."`
 	Seed   uint64        `help:"Of the load and the faults." default:"1"`
 }
@@ -65,7 +65,7 @@
 	}
 	f := &figures{}
 	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n",
-		"run", "calls", "served", "refused", "failed", "p99 ms", "faults", "cpu us", "moved")
+		"run", "requests", "served", "rejected", "failed", "p99 ms", "faults", "cpu us", "resent")
 	calm, err := a.measure(out, "no faults", program, withoutFaults)
 	if err != nil {
 		return err
@@ -104,8 +104,8 @@
 	v := faulty.violations(fake.RepairOrder.Name)
 	served := faulty.total.servedShare()
 	servedCalm := calm.total.servedShare()
-	f.add("calls", len(faulty.requests))
-	f.add("orders", v.notIdempotent)
+	f.add("requests", len(faulty.requests))
+	f.add("not_idempotent", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("late_sends", faulty.lateSends)
 	f.mustBeZero("answers_missing", v.lost)
@@ -114,8 +114,8 @@
 	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
 	f.must("faults", faulty.faults, faulty.faults > 0)
 	f.must("drains", faulty.drains, faulty.drains > 0)
-	f.add("trials", faulty.recoveryDials)
-	f.add("moved", faulty.resent)
+	f.add("recovery_dials", faulty.recoveryDials)
+	f.add("resent", faulty.resent)
 	f.add("served_no_faults", servedCalm)
 	f.must("served", served, served >= servedCalm-maxServedLoss)
 }
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -10,7 +10,7 @@
 type Config struct {
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
-	Rate   int           `help:"Calls a second." default:"500"`
+	Rate   int           `help:"Requests per second." default:"500"`
 	Length time.Duration `help:"How long the load lasts; a minute, or 20 s with --short, unless given."`
 	Seed   uint64        `help:"Of the load." default:"1"`
 }
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -10,9 +10,9 @@
 // Core measures what a request costs the core and the module by the size of the fleet, in virtual time: no sockets, one
 // goroutine, the code that serves.
 type Core struct {
-	Short bool  `help:"Fewer calls."`
+	Short bool  `help:"Fewer requests."`
 	Sizes []int `help:"Workers." default:"12,100,1000,5000"`
-	Calls int   `help:"Calls measured at each size, after as many to warm up." default:"40000"`
+	Calls int   `help:"Requests measured at each size, after as many to warm up." default:"40000"`
 }
 
 // requestsPerWorker is the rate of the load, per second.
@@ -31,7 +31,7 @@
 		c.Calls /= 4
 	}
 	f := &figures{}
-	fmt.Fprintf(out, "%8s %10s %10s %10s %12s\n", "workers", "calls/s", "us/call", "allocs", "bytes/call")
+	fmt.Fprintf(out, "%8s %10s %10s %10s %12s\n", "workers", "req/s", "us/req", "allocs", "bytes/req")
 	for _, workers := range c.Sizes {
 		cost, err := measureCore(workers, c.Calls)
 		if err != nil {
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -25,22 +25,22 @@
 	Pace    PaceFlags    `embed:""`
 	Traffic TrafficFlags `embed:""`
 	Log     string       `help:"Write an HdrHistogram log here." type:"path"`
-	Knee    bool         `help:"Find the rate at which the router no longer keeps up, then measure at 50 and 80% of it."`
+	Knee    bool         `help:"Find the highest rate that the router keeps up with, then measure at 50 and 80% of it."`
 	Short   bool         `help:"Take under a minute."`
-	Seed    uint64       `help:"Of the calls." default:"1"`
+	Seed    uint64       `help:"Of the requests." default:"1"`
 }
 
 // TargetFlags name the router to load: one that runs already, or the program to start.
 type TargetFlags struct {
-	Addr    string `help:"The router's address for Thrift, on loopback. Without one, a router and twelve stand-in workers are started."`
-	HookURL string `name:"hook" help:"Send signed webhooks to this URL in place of Thrift; its host must be a loopback address."`
+	Addr    string `help:"The router's loopback address for Thrift. Without it, a router and fake workers are started."`
+	HookURL string `name:"hook" help:"Send signed webhooks to this URL, on loopback, in place of Thrift."`
 	KeyFile string `name:"key" help:"The webhooks' key file." type:"path"`
 	Router  string `help:"The program to start; the one beside this one unless given." type:"path"`
 }
 
 // PaceFlags say how many requests are sent, and when.
 type PaceFlags struct {
-	Rate      int           `help:"Calls a second; where a ramp begins." default:"500"`
+	Rate      int           `help:"Requests per second; where a ramp begins." default:"500"`
 	FinalRate int           `name:"to" help:"Ramp up to this rate." default:"0"`
 	Steps     int           `help:"Steps of the ramp." default:"5"`
 	Length    time.Duration `help:"How long each step lasts." default:"5s"`
@@ -48,14 +48,14 @@
 
 // TrafficFlags say what requests are sent, and over how many connections.
 type TrafficFlags struct {
-	Class       string        `help:"Of all calls." default:"dim-level"`
+	Class       string        `help:"Of all requests." default:"dim-level"`
 	Timeout     time.Duration `name:"wait" help:"How long a client waits." default:"2s"`
-	Functions   int           `name:"keys" help:"Functions that are called." default:"12"`
+	Functions   int           `name:"keys" help:"Functions that are requested." default:"12"`
 	Connections int           `name:"conns" help:"Connections." default:"8"`
 }
 
 // errOutOfBounds is returned for a load that may exceed what the tool is allowed to send.
-var errOutOfBounds = fmt.Errorf("out of bounds: 1 to %d calls/s, up to %v in all, 1 to %d connections",
+var errOutOfBounds = fmt.Errorf("out of bounds: 1 to %d requests/s, up to %v in all, 1 to %d connections",
 	maxRate, maxLength, maxConnections)
 
 // validate checks the bounds.
@@ -96,7 +96,7 @@
 		}
 	}
 	fmt.Fprintf(out, "%8s %8s %8s %8s %8s %6s %9s %9s %9s %7s\n",
-		"calls/s", "sent", "served", "refused", "failed", "lost", "p50 ms", "p99 ms", "p99.9 ms", "cores")
+		"req/s", "sent", "served", "rejected", "failed", "lost", "p50 ms", "p99 ms", "p99.9 ms", "cores")
 	if l.Knee {
 		return run.knee()
 	}
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -12,7 +12,7 @@
 func (r *reloadRun) printPhases(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
+	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "requests", "served", "rejected", "failed")
 	for _, phase := range []struct {
 		name string
 		from time.Time
@@ -53,21 +53,21 @@
 	v := r.violations(fake.RepairOrder.Name)
 	returned := r.secondsUntilServed()
 	f.must("seconds_until_95_in_100", returned, returned >= 0)
-	f.add("calls", len(r.requests))
+	f.add("requests", len(r.requests))
 	f.must("reloads", r.reloads, r.reloads > 0)
 	f.mustBeZero("lost", v.lost)
 	f.mustBeZero("late", v.late)
 	f.mustBeZero("extra_answers", r.unmatchedResponses)
-	f.add("orders", v.notIdempotent)
+	f.add("not_idempotent", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("outside_pool", r.pools.outsidePool)
 	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
 	f.mustBeZero("over_cap", r.pools.overCap)
 	peak := r.pools.maxInFlight
 	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
-	spilled := len(r.pools.overflowed)
+	overflows := len(r.pools.overflowed)
 	share := r.pools.maxOverflowShare(r.record)
-	f.must("spilled", spilled, spilled > 0)
+	f.must("overflows", overflows, overflows > 0)
 	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
 	restarted := r.schedule.poolRestartedAt
 	f.add("loads_in_10s_after_return", r.loadCommandsBetween(restarted, restarted.Add(10*time.Second)))
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -75,20 +75,20 @@
 	overflowLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
 )
 
-// routesWithLines returns a file of about so many lines, and as many routes as fit.
-func routesWithLines(lines int) string {
-	const header = "pool \"p\" {}\npolicy \"k\" {\n\tattempts = 2\n}\nroute \"rest\" {\n\tpool = \"p\"\n}\n"
-	const headerLines = 7
-	var b strings.Builder
-	b.WriteString(header)
-	for i := range (lines - headerLines) / linesPerRoute {
-		fmt.Fprintf(&b, routeFormat, i, i, scattered(uint64(i+1)), i%40)
-	}
-	return b.String()
+// routesHeader begins a file of routesWithLines, with routesHeaderLines lines.
+const routesHeader = `pool "p" {}
+policy "k" {
+	attempts = 2
 }
+route "rest" {
+	pool = "p"
+}
+`
 
-// routeFormat formats a route of routesWithLines, which has linesPerRoute lines: its number twice, a function's key, and
-// the number of a tenant.
+const routesHeaderLines = 7
+
+// routeFormat formats a route of routesWithLines, which has linesPerRoute lines. Its arguments are the route's number
+// twice, a function's key and a tenant's number.
 const routeFormat = `route "r%d" {
 	function = "%04x*", "%016x"
 	tenant = "t%d"
@@ -99,6 +99,16 @@
 
 const linesPerRoute = 6
 
+// routesWithLines returns a file of about so many lines, and as many routes as fit.
+func routesWithLines(lines int) string {
+	var b strings.Builder
+	b.WriteString(routesHeader)
+	for i := range (lines - routesHeaderLines) / linesPerRoute {
+		fmt.Fprintf(&b, routeFormat, i, i, scattered(uint64(i+1)), i%40)
+	}
+	return b.String()
+}
+
 // scattered spreads small numbers over all function keys.
 func scattered(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
 
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -59,14 +59,17 @@
 		timeout: l.Traffic.Timeout,
 		key:     key,
 		client: &http.Client{
-			Timeout:   l.Traffic.Timeout + time.Second,
-			Transport: &http.Transport{MaxIdleConnsPerHost: l.Traffic.Connections, MaxConnsPerHost: l.Traffic.Connections},
+			Timeout: l.Traffic.Timeout + time.Second,
+			Transport: &http.Transport{
+				MaxIdleConnsPerHost: l.Traffic.Connections,
+				MaxConnsPerHost:     l.Traffic.Connections,
+			},
 		},
 	}, nil
 }
 
 // send sends a webhook from a goroutine of its own, which ends with the client's timeout at the latest. The webhook's
-// id is a random one of its own, so that no two runs share one.
+// id is random and not the request's, so that no two runs share one.
 func (s *webhookSender) send(key, _ string, done func(fake.ResponseStatus)) {
 	go func() {
 		status, err := s.deliver(key)
