--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -45,17 +45,6 @@
 	inFlight map[string]*execution // by id, guarded by the worker's lock
 }
 
-// execution is a request that a worker has accepted.
-type execution struct {
-	connection    *connection
-	id            string
-	class         string
-	functionKey   string
-	body          string
-	waitedForLoad bool // for its function's load
-	over          bool // responded to, canceled, or its connection was lost
-}
-
 // serve handles the commands of a connection until it ends.
 func (w *Worker) serve(port *Port, conn net.Conn) {
 	c := &connection{worker: w, port: port, conn: conn, inFlight: map[string]*execution{}}
@@ -127,50 +116,6 @@
 	return "", true
 }
 
-// complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
-func (e *execution) complete(r *replica) {
-	c := e.connection
-	w := c.worker
-	w.mu.Lock()
-	r.busy--
-	r.lastUsed = time.Now()
-	failed := w.fails != nil && w.fails(e.id)
-	silent := w.hanging || e.over
-	if !w.hanging {
-		c.end(e, EventCompleted)
-	}
-	inFlight := w.inFlight
-	w.startWaiting(r)
-	w.mu.Unlock()
-	switch {
-	case silent:
-	case failed:
-		c.respond(e.id, responseFault, noFields, "")
-	default:
-		detail := "hot"
-		if e.waitedForLoad {
-			detail = "waited"
-		}
-		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
-	}
-}
-
-// end records that a request is over, once. The worker must be locked.
-func (c *connection) end(e *execution, what EventKind) {
-	if e.over {
-		return
-	}
-	e.over = true
-	delete(c.inFlight, e.id)
-	c.worker.inFlight--
-	e.recordEvent(what)
-}
-
-func (e *execution) recordEvent(what EventKind) {
-	w := e.connection.worker
-	w.record(Event{At: time.Now(), Worker: w, Kind: what, ID: e.id, Class: e.class, FunctionKey: e.functionKey})
-}
-
 func (c *connection) cancel(id string) {
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
@@ -210,15 +155,6 @@
 	respond(replicas)
 }
 
-// unload drops a function's replica if it is idle.
-func (w *Worker) unload(function string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.replicas[function]; r != nil && r.ready && r.busy == 0 {
-		delete(w.replicas, function)
-	}
-}
-
 // pong responds to a health check with a load report, unless the worker hangs.
 func (c *connection) pong(tag string) {
 	c.worker.mu.Lock()
--- /dev/null
+++ b/internal/fake/execution.go
@@ -0,0 +1,61 @@
+package fake
+
+import (
+	"fmt"
+	"time"
+)
+
+// execution is a request that a worker has accepted.
+type execution struct {
+	connection    *connection
+	id            string
+	class         string
+	functionKey   string
+	body          string
+	waitedForLoad bool // for its function's load
+	over          bool // responded to, canceled, or its connection was lost
+}
+
+// complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
+func (e *execution) complete(r *replica) {
+	c := e.connection
+	w := c.worker
+	w.mu.Lock()
+	r.busy--
+	r.lastUsed = time.Now()
+	failed := w.fails != nil && w.fails(e.id)
+	silent := w.hanging || e.over
+	if !w.hanging {
+		c.end(e, EventCompleted)
+	}
+	inFlight := w.inFlight
+	w.startWaiting(r)
+	w.mu.Unlock()
+	switch {
+	case silent:
+	case failed:
+		c.respond(e.id, responseFault, noFields, "")
+	default:
+		detail := "hot"
+		if e.waitedForLoad {
+			detail = "waited"
+		}
+		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
+	}
+}
+
+// end records that a request is over, once. The worker must be locked.
+func (c *connection) end(e *execution, what EventKind) {
+	if e.over {
+		return
+	}
+	e.over = true
+	delete(c.inFlight, e.id)
+	c.worker.inFlight--
+	e.recordEvent(what)
+}
+
+func (e *execution) recordEvent(what EventKind) {
+	w := e.connection.worker
+	w.record(Event{At: time.Now(), Worker: w, Kind: what, ID: e.id, Class: e.class, FunctionKey: e.functionKey})
+}
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -63,3 +63,12 @@
 		w.after(w.ServiceTime, func() { e.complete(r) })
 	}
 }
+
+// unload drops a function's replica if it is idle.
+func (w *Worker) unload(function string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if r := w.replicas[function]; r != nil && r.ready && r.busy == 0 {
+		delete(w.replicas, function)
+	}
+}
--- a/internal/fake/thrift.go
+++ b/internal/fake/thriftdecoder.go
@@ -9,26 +9,6 @@
 	"time"
 )
 
-// Message types of Thrift's binary protocol.
-const (
-	messageCall      = 1
-	messageException = 3
-	messageOneway    = 4
-)
-
-// thriftVersion is the first half of a message's header in the strict binary protocol.
-const thriftVersion = 0x8001
-
-// Field types of Thrift's binary protocol.
-const (
-	typeStop   = 0
-	typeBool   = 2
-	typeI32    = 8
-	typeString = 11
-	typeStruct = 12
-	typeMap    = 13
-)
-
 // Limits of the responses that a client reads.
 const (
 	maxFrameSize = 1 << 20
@@ -38,47 +18,6 @@
 // errMalformedAnswer is returned for a response that can't be read.
 var errMalformedResponse = errors.New("a response that cannot be read")
 
-func appendText(b []byte, text string) []byte {
-	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
-	return append(b, text...)
-}
-
-func appendFieldHeader(b []byte, fieldType byte, id uint16) []byte {
-	return binary.BigEndian.AppendUint16(append(b, fieldType), id)
-}
-
-// encodeMessage returns a framed message.
-func encodeMessage(messageType byte, method string, seq uint32, arguments []byte) []byte {
-	message := binary.BigEndian.AppendUint32(nil, thriftVersion<<16|uint32(messageType))
-	message = appendText(message, method)
-	message = binary.BigEndian.AppendUint32(message, seq)
-	message = append(message, arguments...)
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
-	return append(frame, message...)
-}
-
-func noArguments() []byte { return []byte{typeStop} }
-
-// executeArguments encodes a request: its fields as a map, and its body.
-func executeArguments(request *Request) []byte {
-	fields := request.fields()
-	b := appendFieldHeader(nil, typeMap, 1)
-	b = append(b, typeString, typeString)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)/2))
-	for _, text := range fields {
-		b = appendText(b, text)
-	}
-	b = appendFieldHeader(b, typeString, 2)
-	b = appendText(b, string(request.Body))
-	return append(b, typeStop)
-}
-
-func interruptArguments(seq uint32) []byte {
-	b := appendFieldHeader(nil, typeI32, 1)
-	b = binary.BigEndian.AppendUint32(b, seq)
-	return append(b, typeStop)
-}
-
 // readResponse reads a framed response.
 func readResponse(in io.Reader) (seq uint32, response Response, err error) {
 	var header [4]byte
