--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -32,10 +32,18 @@
 	responsePong       responseWord = "PONG"
 )
 
+// Names of the fields of commands.
+const (
+	fieldClass    = "queue"
+	fieldFunction = "path"
+	fieldCount    = "count"
+)
+
 // noFields stands where a response has no fields.
 const noFields = "-"
 
-// connection is a router's connection to a worker, with the requests that are in flight on it.
+// connection is a router's connection to a worker, with the requests that are in flight on it. A goroutine of its own
+// carries out commands; responses are written by timers of the worker too.
 type connection struct {
 	worker *Worker
 	port   *Port
@@ -86,7 +94,13 @@
 }
 
 func (c *connection) run(id, fields, body string) {
-	e := &execution{connection: c, id: id, class: fieldValue(fields, "queue"), functionKey: fieldValue(fields, "path"), body: body}
+	e := &execution{
+		connection:  c,
+		id:          id,
+		class:       fieldValue(fields, fieldClass),
+		functionKey: fieldValue(fields, fieldFunction),
+		body:        body,
+	}
 	c.worker.mu.Lock()
 	rejection, accepted := c.accept(e)
 	c.worker.mu.Unlock()
@@ -128,8 +142,8 @@
 // whether one is.
 func (c *connection) load(tag, fields string) {
 	w := c.worker
-	function := fieldValue(fields, "path")
-	count, _ := strconv.Atoi(fieldValue(fields, "count")) // a count that is no number asks for none
+	function := fieldValue(fields, fieldFunction)
+	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // a count that is no number asks for none
 	respond := func(replicas int) { c.respond(tag, responseServed, fmt.Sprintf("count=%d", replicas), "") }
 
 	w.mu.Lock()
--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -5,14 +5,20 @@
 	"time"
 )
 
-// execution is a request that a worker has accepted.
+// What a response says of the replica.
+const (
+	loadStatusLoaded = "hot"
+	loadStatusWaited = "waited"
+)
+
+// execution is a request that a worker has accepted. Its worker's lock guards it.
 type execution struct {
 	connection    *connection
 	id            string
 	class         string
 	functionKey   string
 	body          string
-	waitedForLoad bool // for its function's load
+	waitedForLoad bool
 	over          bool // responded to, canceled, or its connection was lost
 }
 
@@ -36,26 +42,33 @@
 	case failed:
 		c.respond(e.id, responseFault, noFields, "")
 	default:
-		detail := "hot"
+		detail := loadStatusLoaded
 		if e.waitedForLoad {
-			detail = "waited"
+			detail = loadStatusWaited
 		}
 		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
 	}
 }
 
 // end records that a request is over, once. The worker must be locked.
-func (c *connection) end(e *execution, what EventKind) {
+func (c *connection) end(e *execution, kind EventKind) {
 	if e.over {
 		return
 	}
 	e.over = true
 	delete(c.inFlight, e.id)
 	c.worker.inFlight--
-	e.recordEvent(what)
+	e.recordEvent(kind)
 }
 
-func (e *execution) recordEvent(what EventKind) {
+func (e *execution) recordEvent(kind EventKind) {
 	w := e.connection.worker
-	w.record(Event{At: time.Now(), Worker: w, Kind: what, ID: e.id, Class: e.class, FunctionKey: e.functionKey})
+	w.record(Event{
+		At:          time.Now(),
+		Worker:      w,
+		Kind:        kind,
+		ID:          e.id,
+		Class:       e.class,
+		FunctionKey: e.functionKey,
+	})
 }
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -33,7 +33,7 @@
 func (w *Worker) startLoad(function string) *replica {
 	r := &replica{}
 	w.replicas[function] = r
-	w.after(w.LoadTime, func() { w.loaded(r) })
+	w.timers.after(w.LoadTime, func() { w.loaded(r) })
 	return r
 }
 
@@ -60,7 +60,7 @@
 			continue
 		}
 		r.busy++
-		w.after(w.ServiceTime, func() { e.complete(r) })
+		w.timers.after(w.ServiceTime, func() { e.complete(r) })
 	}
 }
 
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -24,25 +24,23 @@
 	Warm        bool          // every function counts as loaded
 }
 
-// Worker is a fake worker.
+// Worker is a fake worker: its ports accept connections, and a goroutine for each of them carries out commands. All
+// methods may be called from any goroutine.
 type Worker struct {
 	WorkerConfig
 	ports  []*Port
 	record func(Event)
+	timers *timers // of the work on requests and of loads
 
-	mu       sync.Mutex
+	mu       sync.Mutex          // guards what follows, and the state of replicas, connections and executions
 	replicas map[string]*replica // by function key
-	inFlight int
+	inFlight int                 // requests that were accepted and are not over
 	hanging  bool
-	fails    func(id string) bool
-
-	closed  bool
-	timers  map[*time.Timer]struct{}
-	running sync.WaitGroup // functions that timers are to call, or are calling
+	fails    func(id string) bool // selects the requests that fail; nil for none
 }
 
-// NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with a lock
-// held: record must not call the worker.
+// NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with the worker
+// locked: record must not call the worker.
 func NewWorker(cfg WorkerConfig, record func(Event)) (*Worker, error) {
 	if record == nil {
 		record = func(Event) {}
@@ -51,7 +49,7 @@
 		WorkerConfig: cfg,
 		record:       record,
 		replicas:     map[string]*replica{},
-		timers:       map[*time.Timer]struct{}{},
+		timers:       newTimers(),
 	}
 	first := &Port{worker: w, Network: "tcp4", Addr: cfg.Addr}
 	if err := first.Set(ModeHealthy); err != nil {
@@ -122,55 +120,25 @@
 	w.hanging = true
 }
 
-// Resume has a worker that hangs respond to requests again. Those that it worked on meanwhile have no response.
+// Resume ends Hang. Requests whose work ended meanwhile never have a response.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hanging = false
 }
 
-// FailRequests has the worker respond FAULT to the requests whose id fails selects; nil for none.
+// FailRequests has the worker respond with an error to the requests that fails selects by their ids; nil for none.
 func (w *Worker) FailRequests(fails func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fails = fails
 }
 
-// Close ends the worker for good. It returns once all its goroutines have ended.
+// Close ends the worker for good. It blocks until all its goroutines have ended.
 func (w *Worker) Close() {
 	w.Kill()
-	w.mu.Lock()
-	w.closed = true
-	for timer := range w.timers {
-		if timer.Stop() {
-			w.running.Done()
-		}
-	}
-	clear(w.timers)
-	w.mu.Unlock()
-	w.running.Wait()
+	w.timers.close()
 	for _, p := range w.ports {
 		p.serving.Wait()
 	}
 }
-
-// after calls do once d has passed, unless the worker is closed by then. The worker must be locked; do is called
-// unlocked.
-func (w *Worker) after(d time.Duration, do func()) {
-	if w.closed {
-		return
-	}
-	w.running.Add(1)
-	var timer *time.Timer
-	timer = time.AfterFunc(d, func() {
-		defer w.running.Done()
-		w.mu.Lock()
-		delete(w.timers, timer)
-		closed := w.closed
-		w.mu.Unlock()
-		if !closed {
-			do()
-		}
-	})
-	w.timers[timer] = struct{}{}
-}
