--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -192,7 +192,10 @@
 	})
 	for i := range workers {
 		socket := bed.Path(fmt.Sprintf("w%d.sock", i+1))
-		workers[i].MoreAddrs = []string{"tcp6:::1", "unix:" + socket}
+		workers[i].MoreAddrs = []fake.Address{
+			{Network: fake.NetworkTCP6, Addr: "::1"},
+			{Network: fake.NetworkUnix, Addr: socket},
+		}
 	}
 	if err := bed.Start(workers, record); err != nil {
 		bed.Close()
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -12,14 +12,14 @@
 // listTwice lists every third worker a second time, with the same addresses under another name. The worker of an index
 // drains under that second name.
 func listTwice(site *fake.Site, draining int) (list []fake.Endpoint) {
-	for i, entry := range site.Endpoints() {
-		list = append(list, entry)
+	for i, endpoint := range site.Endpoints() {
+		list = append(list, endpoint)
 		if i%3 != 0 {
 			continue
 		}
-		entry.Name += "-local"
-		entry.Draining = i == draining
-		list = append(list, entry)
+		endpoint.Name += "-local"
+		endpoint.Draining = i == draining
+		list = append(list, endpoint)
 	}
 	return list
 }
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -72,7 +72,7 @@
 	mode := fake.Modes[1+random.IntN(len(fake.Modes)-1)]
 	span := (maxFaultDuration - minFaultDuration).Milliseconds()
 	duration := minFaultDuration + time.Duration(random.IntN(int(span)))*time.Millisecond
-	possible := mode != fake.ModeStaleSocket || port.Network == "unix"
+	possible := mode != fake.ModeStaleSocket || port.Network == fake.NetworkUnix
 	if !possible || port.Mode() != fake.ModeHealthy || countWell(ports) < 2 {
 		return addressFault{}, false
 	}
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -3,54 +3,9 @@
 import (
 	"bufio"
 	"net"
-	"strconv"
 	"sync"
-	"time"
 )
 
-// Request is a request by a client.
-type Request struct {
-	Class       string
-	ID          string // 16 hex digits
-	FunctionKey string // of the function, 16 hex digits
-	Timeout     time.Duration
-	Properties  string // of the function, as name:value;name:value
-	Body        []byte
-
-	Tenant         string   // left out if empty
-	IdempotencyKey string   // the idempotency key, left out if empty
-	ExtraFields    []string // further fields, a name and a value in turn
-}
-
-// fields returns the fields of the request, a name and a value in turn.
-func (c *Request) fields() []string {
-	fields := []string{"class", c.Class, "id", c.ID, "wait", strconv.FormatInt(c.Timeout.Milliseconds(), 10), "key", c.FunctionKey}
-	for _, optional := range []struct{ name, value string }{{"props", c.Properties}, {"tenant", c.Tenant}, {"once", c.IdempotencyKey}} {
-		if optional.value != "" {
-			fields = append(fields, optional.name, optional.value)
-		}
-	}
-	return append(fields, c.ExtraFields...)
-}
-
-// ResponseStatus is the outcome of a request in a router's response.
-type ResponseStatus = string
-
-// Statuses of responses, in the words of the platform.
-const (
-	Served   ResponseStatus = "served"
-	Rejected ResponseStatus = "refused" // it never ran: trying again is harmless
-	Failed   ResponseStatus = "failed"  // it may have run
-)
-
-// Response is a router's response.
-type Response struct {
-	Status     ResponseStatus
-	Body       []byte
-	RetryAfter time.Duration // of a rejected request: how long to stay away
-	Healthy    bool          // in response to a health check
-}
-
 // Client is a fake client: one connection by Thrift, with many requests in flight.
 type Client struct {
 	conn net.Conn
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"strings"
 	"sync"
 	"time"
 )
@@ -30,13 +29,13 @@
 	Addr      string
 	Kind      string
 	Zone      string
-	MoreAddrs []string // further addresses, as network:address
+	MoreAddrs []Address // further addresses
 	Cell      int
 	Draining  bool
 	Started   int64 // Unix milliseconds, or 0
 }
 
-// host returns the entry's host name.
+// host returns the endpoint's host name.
 func (e Endpoint) host() string { return e.Name + "." + e.Zone + ".hosts" }
 
 // DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list.
@@ -80,7 +79,7 @@
 	return d.answeredAt[serial]
 }
 
-// Close ends the server, and returns once it has ended. It may be called again.
+// Close ends the server. It blocks until the server has ended. It may be called again.
 func (d *DiscoveryServer) Close() {
 	d.conn.Close()
 	<-d.ended
@@ -110,52 +109,51 @@
 		d.answeredAt[d.serial] = time.Now()
 	}
 	response := newDNSResponse(query)
-	for _, entry := range d.list {
-		response.addService(entry)
+	for _, endpoint := range d.list {
+		response.addService(endpoint)
 	}
 	response.add(sectionAuthority, zoneName, recordSOA, soaData(zoneName, d.serial))
-	for _, entry := range d.list {
-		response.addHost(entry)
+	for _, endpoint := range d.list {
+		response.addHost(endpoint)
 	}
 	return response.message
 }
 
 // addService adds an endpoint's SRV record. An address that can't be read is left out.
-func (r *dnsResponse) addService(entry Endpoint) {
-	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
+func (r *dnsResponse) addService(endpoint Endpoint) {
+	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 	if err != nil {
 		return
 	}
 	priority := uint16(priorityReady)
-	if entry.Draining {
+	if endpoint.Draining {
 		priority = priorityDraining
 	}
-	data := srvData(priority, endpointWeight, uint16(addr.Port), entry.host())
+	data := srvData(priority, endpointWeight, uint16(addr.Port), endpoint.host())
 	r.add(sectionAnswer, serviceName, recordSRV, data)
 }
 
 // addHost adds the addresses and labels of an endpoint's host. IPv6 has records of its own; a Unix socket is a label.
-func (r *dnsResponse) addHost(entry Endpoint) {
-	addr, err := net.ResolveTCPAddr("tcp", entry.Addr)
+func (r *dnsResponse) addHost(endpoint Endpoint) {
+	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 	if err != nil {
 		return
 	}
-	r.add(sectionAdditional, entry.host(), recordA, addr.IP.To4())
+	r.add(sectionAdditional, endpoint.host(), recordA, addr.IP.To4())
 	labels := []string{
-		"kind=" + entry.Kind,
-		fmt.Sprintf("cell=%d", entry.Cell),
-		fmt.Sprintf("started=%d", entry.Started),
+		"kind=" + endpoint.Kind,
+		fmt.Sprintf("cell=%d", endpoint.Cell),
+		fmt.Sprintf("started=%d", endpoint.Started),
 	}
-	for _, more := range entry.MoreAddrs {
-		network, address, _ := strings.Cut(more, ":")
-		switch network {
-		case "unix":
-			labels = append(labels, "unix="+address)
-		case "tcp6":
-			if ipv6, err := net.ResolveTCPAddr("tcp6", address); err == nil {
-				r.add(sectionAdditional, entry.host(), recordAAAA, ipv6.IP.To16())
+	for _, more := range endpoint.MoreAddrs {
+		switch more.Network {
+		case NetworkUnix:
+			labels = append(labels, "unix="+more.Addr)
+		case NetworkTCP6:
+			if ipv6, err := net.ResolveTCPAddr(more.Network, more.Addr); err == nil {
+				r.add(sectionAdditional, endpoint.host(), recordAAAA, ipv6.IP.To16())
 			}
 		}
 	}
-	r.add(sectionAdditional, entry.host(), recordTXT, txtData(labels))
+	r.add(sectionAdditional, endpoint.host(), recordTXT, txtData(labels))
 }
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -31,11 +31,10 @@
 	listenRetryDelay = 10 * time.Millisecond
 )
 
-// Port is one address of a fake worker, which can be made to fail.
+// Port is one address of a fake worker, which can be made to fail. Its methods may be called from any goroutine.
 type Port struct {
-	Network string
-	Addr    string
-	worker  *Worker
+	Address
+	worker *Worker
 
 	accepting sync.WaitGroup
 	serving   sync.WaitGroup
@@ -100,7 +99,7 @@
 
 // listen opens the listener, once connections of the last mode leave the address. The port must be locked.
 func (p *Port) listen() (err error) {
-	if p.Network == "unix" {
+	if p.Network == NetworkUnix {
 		os.Remove(p.Addr) // a stale socket's file
 	}
 	for range listenAttempts {
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -11,9 +11,8 @@
 	Discovery *DiscoveryServer
 }
 
-// NewSite starts workers and a discovery server at an address. It calls record, which may be nil, for every event at a
-// worker, from any goroutine.
-func NewSite(directory string, workers []WorkerConfig, record func(Event)) (*Site, error) {
+// NewSite starts workers, and a discovery server at an address. It calls record as NewWorker does.
+func NewSite(discoveryAddr string, workers []WorkerConfig, record func(Event)) (*Site, error) {
 	s := &Site{}
 	for _, cfg := range workers {
 		w, err := NewWorker(cfg, record)
@@ -23,7 +22,7 @@
 		}
 		s.Workers = append(s.Workers, w)
 	}
-	d, err := NewDiscoveryServer(directory, s.Endpoints())
+	d, err := NewDiscoveryServer(discoveryAddr, s.Endpoints())
 	if err != nil {
 		s.Close()
 		return nil, err
@@ -36,16 +35,16 @@
 func (s *Site) Endpoints() []Endpoint {
 	list := make([]Endpoint, 0, len(s.Workers))
 	for _, w := range s.Workers {
-		entry := Endpoint{Name: w.Name, Addr: w.Addr, Kind: w.Kind, Zone: w.Zone, Cell: w.Cell}
+		endpoint := Endpoint{Name: w.Name, Addr: w.Addr, Kind: w.Kind, Zone: w.Zone, Cell: w.Cell}
 		for _, p := range w.ports[1:] {
-			entry.MoreAddrs = append(entry.MoreAddrs, p.Network+":"+p.Addr)
+			endpoint.MoreAddrs = append(endpoint.MoreAddrs, p.Address)
 		}
-		list = append(list, entry)
+		list = append(list, endpoint)
 	}
 	return list
 }
 
-// Close ends the workers and the discovery server, and returns once all their goroutines have ended.
+// Close ends the workers and the discovery server, and blocks until all their goroutines have ended.
 func (s *Site) Close() {
 	for _, w := range s.Workers {
 		w.Close()
--- a/internal/fake/thriftencoder.go
+++ b/internal/fake/thriftencoder.go
@@ -22,11 +22,13 @@
 	typeMap    = 13
 )
 
+// appendText appends a string with its length.
 func appendText(b []byte, text string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
 }
 
+// appendFieldHeader appends what begins a field of a struct.
 func appendFieldHeader(b []byte, fieldType byte, id uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(b, fieldType), id)
 }
@@ -41,6 +43,7 @@
 	return append(frame, message...)
 }
 
+// noArguments encodes a struct without fields.
 func noArguments() []byte { return []byte{typeStop} }
 
 // executeArguments encodes a request: its fields as a map, and its body.
@@ -48,15 +51,17 @@
 	fields := request.fields()
 	b := appendFieldHeader(nil, typeMap, 1)
 	b = append(b, typeString, typeString)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)/2))
-	for _, text := range fields {
-		b = appendText(b, text)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
+	for _, field := range fields {
+		b = appendText(b, field.Name)
+		b = appendText(b, field.Value)
 	}
 	b = appendFieldHeader(b, typeString, 2)
 	b = appendText(b, string(request.Body))
 	return append(b, typeStop)
 }
 
+// interruptArguments encodes the sequence number of the request to cancel.
 func interruptArguments(seq uint32) []byte {
 	b := appendFieldHeader(nil, typeI32, 1)
 	b = binary.BigEndian.AppendUint32(b, seq)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"strings"
 	"sync"
 	"time"
 )
@@ -10,8 +9,8 @@
 // WorkerConfig describes a fake worker.
 type WorkerConfig struct {
 	Name      string
-	Addr      string   // to listen on, by IPv4; port 0 takes a free one
-	MoreAddrs []string // further addresses, as network:address; tcp6 takes the port of Addr
+	Addr      string    // to listen on, by IPv4; port 0 takes a free one
+	MoreAddrs []Address // further addresses; one by NetworkTCP6 is a host without a port and takes the port of Addr
 	Kind      string
 	Zone      string
 	Cell      int
@@ -51,7 +50,7 @@
 		replicas:     map[string]*replica{},
 		timers:       newTimers(),
 	}
-	first := &Port{worker: w, Network: "tcp4", Addr: cfg.Addr}
+	first := &Port{worker: w, Address: Address{Network: NetworkTCP4, Addr: cfg.Addr}}
 	if err := first.Set(ModeHealthy); err != nil {
 		return nil, err
 	}
@@ -66,20 +65,18 @@
 	return w, nil
 }
 
-// listen adds a further address, given as network:address. IPv6 is left out where this machine has none or the port is
-// taken there.
-func (w *Worker) listen(address string) error {
-	network, addr, _ := strings.Cut(address, ":")
-	if network == "tcp6" {
+// listen adds a further address. IPv6 is left out where this machine has none or the port is taken there.
+func (w *Worker) listen(address Address) error {
+	if address.Network == NetworkTCP6 {
 		_, port, err := net.SplitHostPort(w.Addr)
 		if err != nil {
 			return err
 		}
-		addr = net.JoinHostPort(addr, port)
+		address.Addr = net.JoinHostPort(address.Addr, port)
 	}
-	p := &Port{worker: w, Network: network, Addr: addr}
+	p := &Port{worker: w, Address: address}
 	err := p.Set(ModeHealthy)
-	if err != nil && network == "tcp6" {
+	if err != nil && address.Network == NetworkTCP6 {
 		return nil
 	}
 	if err != nil {
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -110,11 +110,11 @@
 }
 
 func TestOnlyAPortThatIsWellResponds(t *testing.T) {
-	cfg := WorkerConfig{Warm: true, MoreAddrs: []string{"unix:" + t.TempDir() + "/w.sock"}}
+	cfg := WorkerConfig{Warm: true, MoreAddrs: []Address{{NetworkUnix, t.TempDir() + "/w.sock"}}}
 	site := newSite(t, cfg, nil)
 	for _, port := range site.Workers[0].Ports() {
 		for _, mode := range Modes {
-			if mode == ModeStaleSocket && port.Network != "unix" {
+			if mode == ModeStaleSocket && port.Network != NetworkUnix {
 				continue
 			}
 			t.Run(port.Network+" "+string(mode), func(t *testing.T) {
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -213,7 +213,7 @@
 			fresh := func(class int) fake.Request {
 				n++
 				k := fake.Request{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), FunctionKey: fmt.Sprintf("%016x", 0x7f3a+n), Timeout: 2 * time.Second,
-					Properties: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, ExtraFields: []string{"later", "ignored"}}
+					Properties: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, ExtraFields: []fake.Field{{Name: "later", Value: "ignored"}}}
 				if p.cfg.Policy.Classes[class].Idempotency == policy.IdempotentWithKey {
 					k.IdempotencyKey = once
 				}
@@ -253,7 +253,7 @@
 					if tt.repeat {
 						verdict, times = "served", 2
 					}
-					if a.Status != verdict || len(runs) != times {
+					if string(a.Status) != verdict || len(runs) != times {
 						t.Errorf("class %d after %s: %s after %d runs", class, tt.word, a.Status, len(runs))
 						continue
 					}
@@ -290,7 +290,7 @@
 				"a key that is too long": func(k *fake.Request) { k.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
 				"a key that is not hex":  func(k *fake.Request) { k.IdempotencyKey = "ab,queue=other" },
 				"a class that is not":    func(k *fake.Request) { k.Class = "other" },
-				"a wait that is not":     func(k *fake.Request) { k.ExtraFields = []string{"wait", "soon"} },
+				"a wait that is not":     func(k *fake.Request) { k.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
 			}
 			if d.tenant != "" {
 				bad["a tenant that is not"] = func(k *fake.Request) { k.Tenant = "nobody" }
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -54,7 +54,7 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		return a.Status, ran[id]
+		return string(a.Status), ran[id]
 	}
 	// reload returns once requests go where they should: the routes are replaced a turn after they have been read.
 	reload := func(s, dims string) {
