--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -135,7 +135,7 @@
 // load starts a router and twelve workers of three addresses each, and loads it.
 func (a Addresses) load(program string, mode faultMode) (*addressRun, error) {
 	r := &addressRun{record: newRecord(nil)}
-	bed, err := startAddressTestbed(r.event)
+	bed, err := startTestbed(addressWorkers(), r.event)
 	if err != nil {
 		return nil, err
 	}
@@ -176,12 +176,8 @@
 	return r, nil
 }
 
-// startAddressTestbed starts workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
-func startAddressTestbed(record func(fake.Event)) (*fake.Testbed, error) {
-	bed, err := fake.NewTestbed(testbedPrefix)
-	if err != nil {
-		return nil, err
-	}
+// addressWorkers describes twelve workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
+func addressWorkers() []fake.WorkerConfig {
 	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{
 		Kind:        "std",
 		ServiceTime: 20 * time.Millisecond,
@@ -191,17 +187,12 @@
 		Queue:       64,
 	})
 	for i := range workers {
-		socket := bed.Path(fmt.Sprintf("w%d.sock", i+1))
 		workers[i].MoreAddrs = []fake.Address{
 			{Network: fake.NetworkTCP6, Addr: "::1"},
-			{Network: fake.NetworkUnix, Addr: socket},
+			{Network: fake.NetworkUnix, Addr: fmt.Sprintf("w%d.sock", i+1)},
 		}
 	}
-	if err := bed.Start(workers, record); err != nil {
-		bed.Close()
-		return nil, err
-	}
-	return bed, nil
+	return workers
 }
 
 // summarize takes the figures of a load that has ended.
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -12,18 +12,10 @@
 
 // startTestbed starts the fakes around a router. The router is started by startRouterOn.
 func startTestbed(workers []fake.WorkerConfig, record func(fake.Event)) (*fake.Testbed, error) {
-	bed, err := fake.NewTestbed(testbedPrefix)
-	if err != nil {
-		return nil, err
-	}
-	if err := bed.Start(workers, record); err != nil {
-		bed.Close()
-		return nil, err
-	}
-	return bed, nil
+	return fake.StartTestbed(fake.TestbedConfig{Prefix: testbedPrefix, Workers: workers, Record: record})
 }
 
-// startRouterOn starts a program as the router of a testbed, with further environment variables, and waits until it
+// startRouterOn starts a program as the router of a testbed, with further environment variables, and blocks until it
 // accepts connections.
 func startRouterOn(bed *fake.Testbed, program string, env ...string) (*process, error) {
 	listen, configPath, err := bed.WriteConfig("config.json")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -19,15 +19,16 @@
 
 // Run shows the demo until stop is closed or a signal comes. It writes a line a second to out.
 func Run(out io.Writer, stop <-chan struct{}) error {
-	bed, err := fake.NewTestbed("crankhold-demo-")
+	counts := newCounts()
+	bed, err := fake.StartTestbed(fake.TestbedConfig{
+		Prefix:  "crankhold-demo-",
+		Workers: workerConfigs(),
+		Record:  counts.event,
+	})
 	if err != nil {
 		return err
 	}
 	defer bed.Close()
-	counts := newCounts()
-	if err := bed.Start(workerConfigs(), counts.event); err != nil {
-		return err
-	}
 	listen, configPath, err := bed.WriteConfig("config.json")
 	if err != nil {
 		return err
--- a/internal/fake/example_test.go
+++ b/internal/fake/example_test.go
@@ -9,21 +9,19 @@
 // A testbed holds everything that a router needs to be started: workers, a discovery server, and a configuration that
 // names them.
 func Example() {
-	bed, err := fake.NewTestbed("crankhold-example-")
+	bed, err := fake.StartTestbed(fake.TestbedConfig{
+		Prefix: "crankhold-example-",
+		Workers: []fake.WorkerConfig{
+			{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
+			{Name: "s-2", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
+		},
+		Record: func(e fake.Event) { fmt.Println(e.Worker.Name, e.Kind, e.ID) },
+	})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer bed.Close()
-	record := func(e fake.Event) { fmt.Println(e.Worker.Name, e.Kind, e.ID) }
-	err = bed.Start([]fake.WorkerConfig{
-		{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
-		{Name: "s-2", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32},
-	}, record)
-	if err != nil {
-		fmt.Println(err)
-		return
-	}
 	listen, configPath, err := bed.WriteConfig("config.json")
 	if err != nil {
 		fmt.Println(err)
@@ -32,8 +30,8 @@
 	_ = configPath // the router is started with EDGE_CONFIG=configPath
 	_ = listen     // and then fake.Dial(listen) connects a client to it
 
-	for _, entry := range bed.Site.Endpoints() {
-		fmt.Println(entry.Name, "is listed as a worker of kind", entry.Kind)
+	for _, endpoint := range bed.Site.Endpoints() {
+		fmt.Println(endpoint.Name, "is listed as a worker of kind", endpoint.Kind)
 	}
 	bed.Site.Workers[0].Kill()
 	fmt.Println(bed.Site.Workers[0].Name, "has the mode", bed.Site.Workers[0].Ports()[0].Mode())
--- a/internal/fake/testbed.go
+++ b/internal/fake/testbed.go
@@ -3,37 +3,55 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 )
 
 // Testbed is what it takes to start a router on this machine: a site, and a temporary folder for its configuration.
 type Testbed struct {
 	Dir  string
-	Site *Site // nil before Start
+	Site *Site
 }
 
-// NewTestbed makes the temporary folder, whose name begins with a prefix.
-func NewTestbed(prefix string) (*Testbed, error) {
-	dir, err := os.MkdirTemp("", prefix)
+// TestbedConfig describes a testbed.
+type TestbedConfig struct {
+	Prefix  string         // begins the name of the temporary folder
+	Workers []WorkerConfig // the relative path of a Unix socket is in the temporary folder
+	Record  func(Event)    // called as by NewWorker; may be nil
+}
+
+// StartTestbed makes the temporary folder, and starts workers and a discovery server on a free port.
+func StartTestbed(cfg TestbedConfig) (*Testbed, error) {
+	dir, err := os.MkdirTemp("", cfg.Prefix)
 	if err != nil {
 		return nil, err
 	}
-	return &Testbed{Dir: dir}, nil
+	site, err := NewSite("127.0.0.1:0", placeSockets(cfg.Workers, dir), cfg.Record)
+	if err != nil {
+		os.RemoveAll(dir)
+		return nil, err
+	}
+	return &Testbed{Dir: dir, Site: site}, nil
 }
 
-// Start starts workers, and a discovery server on a free port.
-func (t *Testbed) Start(workers []WorkerConfig, record func(Event)) error {
-	site, err := NewSite("127.0.0.1:0", workers, record)
-	if err != nil {
-		return err
+// placeSockets returns the workers with relative paths of Unix sockets placed in a folder.
+func placeSockets(workers []WorkerConfig, dir string) []WorkerConfig {
+	placed := slices.Clone(workers)
+	for i := range placed {
+		placed[i].MoreAddrs = slices.Clone(placed[i].MoreAddrs)
+		for j := range placed[i].MoreAddrs {
+			address := &placed[i].MoreAddrs[j]
+			if address.Network == NetworkUnix && !filepath.IsAbs(address.Addr) {
+				address.Addr = filepath.Join(dir, address.Addr)
+			}
+		}
 	}
-	t.Site = site
-	return nil
+	return placed
 }
 
 // Path returns the path of a file in the folder.
 func (t *Testbed) Path(name string) string { return filepath.Join(t.Dir, name) }
 
-// WriteFile writes a file of the folder and returns its path. A reader never sees half of it.
+// WriteFile writes a file of the folder and returns its path. The file takes its name once it is complete.
 func (t *Testbed) WriteFile(name string, content []byte) (path string, err error) {
 	path = t.Path(name)
 	if err := os.WriteFile(path+".new", content, 0o644); err != nil {
@@ -53,10 +71,8 @@
 	return listen, path, err
 }
 
-// Close ends the site and removes the folder.
+// Close ends the site and removes the folder. It blocks until all goroutines of the site have ended.
 func (t *Testbed) Close() {
-	if t.Site != nil {
-		t.Site.Close()
-	}
+	t.Site.Close()
 	os.RemoveAll(t.Dir)
 }
