--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files instead of comparing with them; read the difference before it is committed")
+var update = flag.Bool("update", false,
+	"write the golden files instead of comparing with them; read the difference before it is committed")
 
 // Compare fails the test unless the file at path holds exactly the bytes of got. A missing file is a failure, so that
 // a golden file can't be lost unnoticed. With -update it writes the file instead.
@@ -61,12 +62,13 @@
 
 // difference is a line that two texts don't have in common.
 type difference struct {
-	line      int // its number, from 1
-	got, want string
+	line int // its number, from 1
+	got  string
+	want string
 }
 
-// firstDifference returns the first line that is not the same in both texts. A text that ends earlier counts as
-// different from one that goes on with an empty line.
+// firstDifference returns the first line that differs between two texts. A text that ends earlier differs from one that
+// goes on with an empty line.
 func firstDifference(got, want string) difference {
 	for line := 1; ; line++ {
 		gotLine, gotRest, gotMore := strings.Cut(got, "\n")
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,8 +7,10 @@
 
 func TestFirstDifference(t *testing.T) {
 	for _, test := range []struct {
-		name, got, want string
-		difference      difference
+		name string
+		got  string
+		want string
+		diff difference
 	}{
 		{"a line differs", "a\nb\nc", "a\nx\nc", difference{2, "b", "x"}},
 		{"got goes on", "a\nb", "a", difference{1, "a", "a"}},
@@ -16,8 +18,8 @@
 		{"line end at the end", "a\n", "a", difference{1, "a", "a"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if found := firstDifference(test.got, test.want); found != test.difference {
-				t.Errorf("found %+v, want %+v", found, test.difference)
+			if found := firstDifference(test.got, test.want); found != test.diff {
+				t.Errorf("found %+v, want %+v", found, test.diff)
 			}
 		})
 	}
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"fmt"
+	"slices"
 	"sync"
 )
 
@@ -17,6 +18,7 @@
 // stateKey is a hash of System.Key.
 type stateKey [16]byte
 
+// keyOf returns the key of a system's state.
 func keyOf(s System) (key stateKey) {
 	sum := sha256.Sum256([]byte(s.Key()))
 	copy(key[:], sum[:])
@@ -31,8 +33,8 @@
 	trace []string // to it
 }
 
-// Search follows all steps, breadth first, until a property is broken or it has seen maxStates states. It works on
-// several goroutines; the result does not depend on how many.
+// Search follows all steps, breadth first, until a property is broken or it has seen maxStates states. It blocks until
+// then. It works on several goroutines; the result does not depend on how many.
 func Search(start func() System, maxStates, goroutines int) Result {
 	s := &search{
 		start:      start,
@@ -51,7 +53,7 @@
 	return s.result
 }
 
-// search is a search under way.
+// search is a search in progress. The goroutine of Search owns it; others read start and goroutines alone.
 type search struct {
 	start      func() System
 	maxStates  int
@@ -75,28 +77,26 @@
 	return transitions
 }
 
-// collect adds a level's transitions to the result and returns the paths to its new states. done tells that a property
-// is broken or that there are too many states.
+// collect adds a level's transitions to the result and returns the paths to its new states. It reports the search as
+// done if a property is broken or there are too many states.
 func (s *search) collect(level [][]transition) (next []path, done bool) {
-	for _, transitions := range level {
-		for _, t := range transitions {
-			s.result.Transitions++
-			if t.err != nil {
-				s.result.Err = t.err
-				s.result.Trace = t.trace
-				return nil, true
-			}
-			if t.path == nil || s.seen[t.key] {
-				continue
-			}
-			if s.result.States >= s.maxStates {
-				s.result.Whole = false
-				return nil, true
-			}
-			s.seen[t.key] = true
-			s.result.States++
-			next = append(next, t.path)
+	for _, t := range slices.Concat(level...) {
+		s.result.Transitions++
+		if t.err != nil {
+			s.result.Err = t.err
+			s.result.Trace = t.trace
+			return nil, true
+		}
+		if t.path == nil || s.seen[t.key] {
+			continue
+		}
+		if s.result.States >= s.maxStates {
+			s.result.Whole = false
+			return nil, true
 		}
+		s.seen[t.key] = true
+		s.result.States++
+		next = append(next, t.path)
 	}
 	return next, false
 }
@@ -127,8 +127,8 @@
 	return transition{path: p, key: keyOf(s)}
 }
 
-// replay runs a path from the start. It checks the properties after the last step alone, for they were checked after
-// the others before.
+// replay runs a path from the start. It checks the properties after the last step only: they were checked after earlier
+// steps when their own paths were run.
 func replay(start func() System, p path) (s System, trace []string, err error) {
 	s = start()
 	for n, step := range p {
@@ -146,6 +146,7 @@
 	return s, trace, nil
 }
 
+// takeStep does a step, and returns a panic of it as an error.
 func takeStep(s System, step int) error {
 	return catchPanic(func() error {
 		s.Do(step)
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -9,7 +9,9 @@
 
 // counters is a system of two counters, each of which goes up to a limit.
 type counters struct {
-	a, b, limit int
+	a     int
+	b     int
+	limit int
 	// forbidden are the values that the counters may not have together.
 	forbidden [2]int
 	// missing is what End returns.
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -26,7 +26,7 @@
 	LoadTime time.Duration
 	// ReplicasPerWorker is how many replicas fit into a worker's memory; 0 for any number.
 	ReplicasPerWorker int
-	// KeepIdleReplicas has idle replicas stay in memory, where they otherwise are unloaded to make room for others.
+	// KeepIdleReplicas has idle replicas stay in memory. Otherwise they are unloaded when others need the memory.
 	KeepIdleReplicas bool
 	// UnevenTraffic has some routers receive several times the mean of the requests.
 	UnevenTraffic bool
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -22,7 +22,7 @@
 
 // Router is one router of the fleet: a core, and the worker client that carries its messages to the simulated workers.
 type Router struct {
-	// Down tells that the router's process has ended.
+	// Down reports whether the router's process has ended.
 	Down bool
 	// Violations counts what the router sent against the rules.
 	Violations Violations
@@ -90,10 +90,10 @@
 	})
 }
 
-// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for the linger, then rejects them,
-// and ends once it has sent all its responses.
-func (r *Router) Terminate(linger time.Duration) {
-	r.fleet.After(linger, func() {
+// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for a grace period, then rejects
+// them, and ends once it has sent all its responses.
+func (r *Router) Terminate(gracePeriod time.Duration) {
+	r.fleet.After(gracePeriod, func() {
 		r.core.Draining = true
 		r.endWhenDrained()
 	})
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -17,14 +17,15 @@
 // Request is a client's request and what became of it.
 type Request struct {
 	Tenant     string
-	NewVersion bool          // the function was released anew during the run
+	NewVersion bool          // a new version of the function was released during the run
 	SentAt     time.Duration // virtual time
 	Timeout    time.Duration // after SentAt
 	Responses  []router.Response
 	Latency    time.Duration // until the last response
-	// SentWhileDraining tells that the router was past its linger when the request came, and had to reject it.
+	// SentWhileDraining reports whether the request came after the router's grace period, so that the router had to
+	// reject it.
 	SentWhileDraining bool
-	// RouterKilled tells that the router was killed while it owed the response.
+	// RouterKilled reports whether the router was killed while it owed the response.
 	RouterKilled bool
 
 	router *Router
@@ -70,7 +71,14 @@
 // send has a client of a router request a random function.
 func (f *Fleet) send(r *Router, tenant string, class int) {
 	timeout := f.cfg.Settings.Classes[class].Deadline
-	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.core.Draining, router: r, fleet: f}
+	request := &Request{
+		Tenant:            tenant,
+		SentAt:            f.now,
+		Timeout:           timeout,
+		SentWhileDraining: r.core.Draining,
+		router:            r,
+		fleet:             f,
+	}
 	f.Requests = append(f.Requests, request)
 	function := policy.FunctionID(f.random.IntN(f.cfg.Functions) + 1)
 	if version, released := f.versions[function]; released {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -78,7 +78,9 @@
 
 // load handles a load command that has arrived. A command for no replicas asks whether there is one. It returns the
 // outcome with the number of replicas, and after how long the worker responds with them.
-func (w *Worker) load(function policy.FunctionID, count int) (outcome policy.Outcome, replicas int, after time.Duration) {
+func (w *Worker) load(
+	function policy.FunctionID, count int,
+) (outcome policy.Outcome, replicas int, after time.Duration) {
 	now := w.fleet.now
 	if _, known := w.replicas[function]; !known && count > 0 {
 		if !w.ensureCapacity() {
