--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,5 +1,5 @@
-// Command toy stands in for what a function router talks to, so that a newcomer can try one on a
-// single machine: a discovery server, two workers that respond at once, and a client.
+// Command toy is what a function router talks to, so that a newcomer can try one on a single machine: a discovery
+// server, two workers that respond at once, and a client.
 //
 //	toy           serve as the discovery server and the workers
 //	toy call      send one request by Thrift and print the response
@@ -7,7 +7,7 @@
 package main
 
 import (
-	"encoding/base64"
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
@@ -55,12 +55,19 @@
 	}
 }
 
-// serve serves until it is interrupted. Every function counts as loaded.
+// serve starts the discovery server and the workers, and blocks until the process is interrupted. Every function counts
+// as loaded.
 func serve() error {
 	var workers []fake.WorkerConfig
 	for i, addr := range workerAddrs {
 		workers = append(workers, fake.WorkerConfig{
-			Name: fmt.Sprintf("s-%d", i+1), Addr: addr, Kind: "std", Zone: "here", Warm: true, Lanes: 4, Queue: 32,
+			Name:  fmt.Sprintf("s-%d", i+1),
+			Addr:  addr,
+			Kind:  "std",
+			Zone:  "here",
+			Warm:  true,
+			Lanes: 4,
+			Queue: 32,
 		})
 	}
 	site, err := fake.NewSite(discoveryAddr, workers, func(e fake.Event) {
@@ -82,7 +89,7 @@
 	}
 	defer client.Close()
 	response, err := client.Do(fake.Request{
-		Class:       "dim-level",
+		Class:       fake.DimLevel.Name,
 		ID:          fmt.Sprintf("%016x", rand.Uint64()),
 		FunctionKey: functionKey,
 		Timeout:     1500 * time.Millisecond,
@@ -102,12 +109,15 @@
 	if err != nil {
 		return err
 	}
-	body := webhookBody()
-	request, err := http.NewRequest(http.MethodPost, webhookURL, strings.NewReader(body))
+	body, err := encodeRepairOrder()
 	if err != nil {
 		return err
 	}
-	key.Sign(request.Header, id, time.Now(), []byte(body))
+	request, err := http.NewRequest(http.MethodPost, webhookURL, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	key.Sign(request.Header, id, time.Now(), body)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
@@ -121,10 +131,16 @@
 	return nil
 }
 
-// webhookBody returns an event. Its time stays the same over redeliveries: here it is the start of the hour.
-func webhookBody() string {
-	at := time.Now().UTC().Truncate(time.Hour).Format(time.RFC3339)
-	payload := base64.StdEncoding.EncodeToString([]byte("lamp 17 is dark"))
-	return fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":"repair-order","key":%q,"wait_ms":1500,`+
-		`"memory_mb":512,"lanes":1,"load_ms":640,"body":%q}}`, at, functionKey, payload)
+// encodeRepairOrder returns the body of a webhook. Its time stays the same over redeliveries: here it is the start of
+// the hour.
+func encodeRepairOrder() ([]byte, error) {
+	return fake.EncodeWebhook(time.Now().Truncate(time.Hour), fake.WebhookRequest{
+		Class:       fake.RepairOrder.Name,
+		FunctionKey: functionKey,
+		TimeoutMs:   1500,
+		MemoryMB:    512,
+		Lanes:       1,
+		LoadMs:      640,
+		Body:        []byte("lamp 17 is dark"),
+	})
 }
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,24 +13,6 @@
 	"crankhold/internal/fake"
 )
 
-// webhookEvent is the body of a webhook, as the platform's page on webhooks describes it.
-type webhookEvent struct {
-	Data      webhookRequest `json:"data"`
-	Timestamp string         `json:"timestamp"` // RFC 3339
-	Type      string         `json:"type"`
-}
-
-// webhookRequest is the request that a webhook makes.
-type webhookRequest struct {
-	Body        []byte `json:"body"`
-	Class       string `json:"class"`
-	FunctionKey string `json:"key"`
-	Lanes       int    `json:"lanes"`
-	LoadMs      int    `json:"load_ms"`
-	MemoryMB    int    `json:"memory_mb"`
-	TimeoutMs   int64  `json:"wait_ms"`
-}
-
 // webhookSender sends requests as signed webhooks.
 type webhookSender struct {
 	url     string
@@ -97,18 +78,14 @@
 
 func (s *webhookSender) request(key string) (*http.Request, error) {
 	now := time.Now()
-	body, err := json.Marshal(webhookEvent{
-		Type:      "call.requested",
-		Timestamp: now.UTC().Format(time.RFC3339),
-		Data: webhookRequest{
-			Class:       s.class,
-			FunctionKey: key,
-			TimeoutMs:   s.timeout.Milliseconds(),
-			MemoryMB:    256,
-			Lanes:       32,
-			LoadMs:      300,
-			Body:        []byte("x"),
-		},
+	body, err := fake.EncodeWebhook(now, fake.WebhookRequest{
+		Class:       s.class,
+		FunctionKey: key,
+		TimeoutMs:   s.timeout.Milliseconds(),
+		MemoryMB:    256,
+		Lanes:       32,
+		LoadMs:      300,
+		Body:        []byte("x"),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -38,12 +38,13 @@
 // host returns the endpoint's host name.
 func (e Endpoint) host() string { return e.Name + "." + e.Zone + ".hosts" }
 
-// DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list.
+// DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list,
+// on a goroutine of its own.
 type DiscoveryServer struct {
 	conn  net.PacketConn
 	ended chan struct{}
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards what follows
 	serial     uint32
 	list       []Endpoint
 	answeredAt map[uint32]time.Time // by serial, when it was first answered with
@@ -55,7 +56,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &DiscoveryServer{conn: conn, ended: make(chan struct{}), serial: 1, list: list, answeredAt: map[uint32]time.Time{}}
+	d := &DiscoveryServer{
+		conn:       conn,
+		ended:      make(chan struct{}),
+		serial:     1,
+		list:       list,
+		answeredAt: map[uint32]time.Time{},
+	}
 	go d.serve()
 	return d, nil
 }
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -14,15 +14,15 @@
 
 // Modes of an address.
 const (
-	ModeHealthy      PortMode = "well"
-	ModeRefuse       PortMode = "refuse" // nothing listens
-	ModeStaleSocket  PortMode = "stale"  // a Unix socket's file exists and nothing listens
-	ModeUnresponsive PortMode = "mute"   // requests are accepted and worked on, and never responded to
-	ModeReset        PortMode = "reset"  // connections are reset, new ones as soon as they are accepted
-	ModeBacklogFull  PortMode = "full"   // the backlog is full, so that dials hang
+	ModeHealthy      PortMode = "healthy"
+	ModeRefuse       PortMode = "refuse"       // nothing listens
+	ModeStaleSocket  PortMode = "stale socket" // a Unix socket's file exists and nothing listens
+	ModeUnresponsive PortMode = "unresponsive" // requests are accepted and worked on, and never responded to
+	ModeReset        PortMode = "reset"        // connections are reset, new ones as soon as they are accepted
+	ModeBacklogFull  PortMode = "backlog full" // the backlog is full, so that dials hang
 )
 
-// Modes are all modes of an address, the good one first.
+// Modes are all modes of an address, ModeHealthy first.
 var Modes = []PortMode{ModeHealthy, ModeRefuse, ModeStaleSocket, ModeUnresponsive, ModeReset, ModeBacklogFull}
 
 // How often, and after what pause, a port tries to listen while connections of its last mode end.
@@ -36,14 +36,20 @@
 	Address
 	worker *Worker
 
-	accepting sync.WaitGroup
-	serving   sync.WaitGroup
+	accepting sync.WaitGroup // goroutines that accept connections
+	serving   sync.WaitGroup // goroutines that serve them
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows, and Addr while Set changes it
 	mode     PortMode
 	listener net.Listener
 	conns    map[net.Conn]struct{}
-	backlog  []net.Conn // ModeFull: what fills the listener's backlog
+	backlog  []net.Conn // of ModeBacklogFull: what fills the listener's backlog
+}
+
+// openPort begins to listen for a worker.
+func openPort(worker *Worker, address Address) (*Port, error) {
+	p := &Port{Address: address, worker: worker, conns: map[net.Conn]struct{}{}}
+	return p, p.Set(ModeHealthy)
 }
 
 // Mode returns how the address behaves.
@@ -133,9 +139,6 @@
 // startServing has the worker serve a connection.
 func (p *Port) startServing(conn net.Conn) {
 	p.mu.Lock()
-	if p.conns == nil {
-		p.conns = map[net.Conn]struct{}{}
-	}
 	p.conns[conn] = struct{}{}
 	p.mu.Unlock()
 	p.serving.Add(1)
@@ -161,10 +164,10 @@
 	}
 }
 
-// shutDown refuses new connections and resets all that are open.
+// shutDown refuses new connections and resets all that are open. It blocks until the last one accepted is known.
 func (p *Port) shutDown() {
-	p.Set(ModeRefuse)  // which cannot fail
-	p.accepting.Wait() // the last connection accepted is known
+	p.Set(ModeRefuse) // which cannot fail
+	p.accepting.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.resetConns()
@@ -177,6 +180,7 @@
 	}
 }
 
+// forget drops a connection that has ended.
 func (p *Port) forget(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/webhook.go
+++ b/internal/fake/webhook.go
@@ -4,6 +4,7 @@
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/base64"
+	"encoding/json"
 	"io"
 	"net/http"
 	"os"
@@ -38,3 +39,29 @@
 	header.Set("webhook-timestamp", timestamp)
 	header.Set("webhook-signature", "v1,"+base64.StdEncoding.EncodeToString(mac.Sum(nil)))
 }
+
+// webhookType is the type of the events that make requests.
+const webhookType = "call.requested"
+
+// webhookEvent is the body of a webhook.
+type webhookEvent struct {
+	Type      string         `json:"type"`
+	Timestamp string         `json:"timestamp"` // RFC 3339
+	Data      WebhookRequest `json:"data"`
+}
+
+// WebhookRequest is the request that a webhook makes, with the platform's keys.
+type WebhookRequest struct {
+	Class       string `json:"class"`
+	FunctionKey string `json:"key"` // 16 hex digits
+	TimeoutMs   int64  `json:"wait_ms"`
+	MemoryMB    int    `json:"memory_mb"`
+	Lanes       int    `json:"lanes"`
+	LoadMs      int    `json:"load_ms"`
+	Body        []byte `json:"body"`
+}
+
+// EncodeWebhook returns the body of a webhook whose event happened at a time.
+func EncodeWebhook(at time.Time, request WebhookRequest) ([]byte, error) {
+	return json.Marshal(webhookEvent{Type: webhookType, Timestamp: at.UTC().Format(time.RFC3339), Data: request})
+}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -50,8 +50,8 @@
 		replicas:     map[string]*replica{},
 		timers:       newTimers(),
 	}
-	first := &Port{worker: w, Address: Address{Network: NetworkTCP4, Addr: cfg.Addr}}
-	if err := first.Set(ModeHealthy); err != nil {
+	first, err := openPort(w, Address{Network: NetworkTCP4, Addr: cfg.Addr})
+	if err != nil {
 		return nil, err
 	}
 	w.Addr = first.Addr
@@ -74,8 +74,7 @@
 		}
 		address.Addr = net.JoinHostPort(address.Addr, port)
 	}
-	p := &Port{worker: w, Address: address}
-	err := p.Set(ModeHealthy)
+	p, err := openPort(w, address)
 	if err != nil && address.Network == NetworkTCP6 {
 		return nil
 	}
@@ -89,7 +88,7 @@
 // Ports returns the worker's addresses, the one of IPv4 first.
 func (w *Worker) Ports() []*Port { return w.ports }
 
-// Kill ends the process that the worker stands for: its connections are reset, new ones refused, and its replicas
+// Kill ends the process that the worker simulates: its connections are reset, new ones refused, and its replicas
 // are lost. It does nothing at one that is down.
 func (w *Worker) Kill() {
 	for _, p := range w.ports {
