--- a/internal/simulation/features/fleet.feature
+++ b/internal/simulation/features/fleet.feature
@@ -35,7 +35,7 @@
     And 1500 requests per second for 6 s
     When after 2 s a tenth of the routers are terminated
     Then each request has one response within its timeout
-    And what comes to a router past its linger is rejected
+    And what comes to a router past its grace period is rejected
     And at least 95 in 100 requests are served
     And the terminated routers have ended
 
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -67,7 +67,7 @@
 			}
 		})
 	}
-	t.Run("a router that serves requests past its linger", func(t *testing.T) {
+	t.Run("a router that serves requests past its grace period", func(t *testing.T) {
 		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
 		if err := s.whenRoutersAreTerminated(2); err != nil {
 			t.Fatal(err)
--- /dev/null
+++ b/internal/simulation/storychecks_test.go
@@ -0,0 +1,118 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"crankhold/internal/router"
+	"crankhold/policy"
+)
+
+func (s *story) thenDrainIsFollowed(worker int) error {
+	late := 0
+	for _, r := range s.fleet.Routers {
+		late += r.Violations.SentAfterDrain
+	}
+	if received := len(s.fleet.Workers[policy.WorkerID(worker)].Received); late > 0 || received == 0 {
+		return fmt.Errorf("%d sent too late; the worker received %d in all", late, received)
+	}
+	return nil
+}
+
+func (s *story) thenEachRequestHasOneResponse() error {
+	if len(s.fleet.Requests) < 1000 {
+		return fmt.Errorf("only %d requests", len(s.fleet.Requests))
+	}
+	for _, r := range s.fleet.Requests {
+		if len(r.Responses) != 1 || r.Latency > r.Timeout {
+			return fmt.Errorf("a request at %v has %d responses, the last after %v", r.SentAt, len(r.Responses), r.Latency)
+		}
+	}
+	return nil
+}
+
+// percentOf returns how many in a hundred of the selected requests match, and how many are selected.
+func percentOf(requests []*Request, selected, match func(*Request) bool) (percent, n int) {
+	matching := 0
+	for _, r := range requests {
+		if !selected(r) {
+			continue
+		}
+		n++
+		if match(r) {
+			matching++
+		}
+	}
+	return matching * 100 / max(n, 1), n
+}
+
+func servedWithin(limit time.Duration) func(*Request) bool {
+	return func(r *Request) bool {
+		return len(r.Responses) == 1 && r.Responses[0].Status == router.Served && r.Latency <= limit
+	}
+}
+
+func (s *story) thenServed(least int) error {
+	beforeEnd := func(r *Request) bool { return !r.SentWhileDraining }
+	if percent, n := percentOf(s.fleet.Requests, beforeEnd, servedWithin(time.Hour)); percent < least {
+		return fmt.Errorf("%d in 100 of %d requests were served", percent, n)
+	}
+	return nil
+}
+
+func (s *story) thenTenantServed(least int, tenant string) error {
+	ofTenant := func(r *Request) bool { return r.Tenant == tenant }
+	if percent, n := percentOf(s.fleet.Requests, ofTenant, servedWithin(time.Second)); percent < least || n == 0 {
+		return fmt.Errorf("%d in 100 of %d requests were served in time", percent, n)
+	}
+	return nil
+}
+
+// thenNotOverloaded counts what the started worker received in each second. At its start it can do a fifth of what a
+// warm one can, and falls over beyond a multiple of that.
+func (s *story) thenNotOverloaded() error {
+	warm := float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds()
+	allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warm
+	received := s.started.Received
+	for i, from := range received {
+		n := 0
+		for _, at := range received[i:] {
+			if at < from+s.cfg.Settings.OverloadWindow {
+				n++
+			}
+		}
+		if float64(n) > allowed {
+			return fmt.Errorf("%d requests within a second, %.0f allowed", n, allowed)
+		}
+	}
+	return nil
+}
+
+func (s *story) thenReceivesSome() error {
+	if len(s.started.Received) < 10 {
+		return fmt.Errorf("it received %d requests", len(s.started.Received))
+	}
+	return nil
+}
+
+func (s *story) thenLateRequestsAreRejected() error {
+	late := func(r *Request) bool { return r.SentWhileDraining }
+	rejectedAtOnce := func(r *Request) bool { return r.Responses[0].Status == router.Rejected && r.Latency == 0 }
+	if percent, n := percentOf(s.fleet.Requests, late, rejectedAtOnce); percent != 100 && n > 0 {
+		return fmt.Errorf("%d in 100 of %d requests past the grace period were rejected at once", percent, n)
+	}
+	return nil
+}
+
+func (s *story) thenTerminatedHaveEnded() error {
+	for _, r := range s.terminated {
+		if !r.Down || r.OpenRequests() > 0 {
+			return fmt.Errorf("down %v with %d open", r.Down, r.OpenRequests())
+		}
+	}
+	if len(s.terminated) == 0 {
+		return errors.New("none was terminated")
+	}
+	return nil
+}
