--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -1,38 +1,24 @@
 package eventloop
 
 import (
-	"bytes"
 	"context"
 	"net"
-	"runtime"
+	"strings"
 	"testing"
 	"time"
+
+	"crankhold/internal/testutil"
 )
 
-// loopGoroutines returns the stacks of the goroutines that loops and nbio have started.
-func loopGoroutines() (stacks []string) {
-	buf := make([]byte, 1<<20)
-	buf = buf[:runtime.Stack(buf, true)]
-	for _, stack := range bytes.Split(buf, []byte("\n\n")) {
-		if bytes.Contains(stack, []byte("internal/eventloop.(*")) || bytes.Contains(stack, []byte("lesismal/nbio")) {
-			stacks = append(stacks, string(stack))
-		}
-	}
-	return stacks
+// isOfALoop reports whether a stack is that of a goroutine that a loop or nbio has started.
+func isOfALoop(stack string) bool {
+	return strings.Contains(stack, "internal/eventloop.(*") || strings.Contains(stack, "lesismal/nbio")
 }
 
 // requireNoLoopGoroutines fails the test where a goroutine of a loop is left after a time.
 func requireNoLoopGoroutines(t *testing.T) {
 	t.Helper()
-	deadline := time.Now().Add(5 * time.Second)
-	left := loopGoroutines()
-	for len(left) > 0 && time.Now().Before(deadline) {
-		time.Sleep(time.Millisecond)
-		left = loopGoroutines()
-	}
-	for _, stack := range left {
-		t.Errorf("goroutine left:\n%s", stack)
-	}
+	testutil.RequireGoroutines(t, 0, 5*time.Second, isOfALoop)
 }
 
 // Close ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
--- a/internal/ledger/file_test.go
+++ b/internal/ledger/file_test.go
@@ -5,6 +5,8 @@
 	"io/fs"
 	"path/filepath"
 	"testing"
+
+	"crankhold/internal/testutil"
 )
 
 // What was written and not counted is cut off, and lines are appended behind what counts.
@@ -21,7 +23,7 @@
 			t.Fatal(step)
 		}
 	}
-	if got := string(readFile(t, path)); got != "one\ntwo\n" || file.size != 8 {
+	if got := string(testutil.ReadFile(t, path)); got != "one\ntwo\n" || file.size != 8 {
 		t.Errorf("the file is %q, its size %d", got, file.size)
 	}
 	if file.hasCapacity([]byte("x")) || !file.hasCapacity(nil) {
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"crankhold/internal/golden"
+	"crankhold/internal/testutil"
 )
 
 // The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b wrote
@@ -100,11 +101,11 @@
 func TestLedgerWritesTheGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	writeGolden(t, path, noon.Add(-2*time.Hour), goldenFirstEntries)
-	golden.Compare(t, goldenFirstRun, readFile(t, path))
+	golden.Compare(t, goldenFirstRun, testutil.ReadFile(t, path))
 	writeGolden(t, path, noon, goldenSecondEntries)
-	golden.Compare(t, goldenSecondRun, readFile(t, path))
+	golden.Compare(t, goldenSecondRun, testutil.ReadFile(t, path))
 	writeGolden(t, path, noon.Add(time.Hour), nil)
-	golden.Compare(t, goldenCompacted, readFile(t, path))
+	golden.Compare(t, goldenCompacted, testutil.ReadFile(t, path))
 }
 
 // Each record of the files that the code of commit 90e713b wrote is read as it was meant.
@@ -124,7 +125,7 @@
 				wantEntries = append(wantEntries, e.entry)
 			}
 			var got []Entry
-			content := readFile(t, path)
+			content := testutil.ReadFile(t, path)
 			size, err := readEntries(path, bytes.NewReader(content), func(e Entry) { got = append(got, e) })
 			if err != nil || size != int64(len(content)) {
 				t.Errorf("%d of %d bytes were read: %v", size, len(content), err)
@@ -139,7 +140,7 @@
 // A ledger that the code of commit 90e713b left behind opens with the last entry of each order that it retains.
 func TestGoldenLedgerIsOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	if err := os.WriteFile(path, readFile(t, goldenSecondRun), fileMode); err != nil {
+	if err := os.WriteFile(path, testutil.ReadFile(t, goldenSecondRun), fileMode); err != nil {
 		t.Fatal(err)
 	}
 	l, content := openGolden(t, path, noon.Add(time.Hour))
@@ -152,5 +153,5 @@
 	if horizon := noon.Add(-90 * time.Minute); !content.RetentionHorizon.Equal(horizon) {
 		t.Errorf("the retention horizon is %v, want %v", content.RetentionHorizon, horizon)
 	}
-	golden.Compare(t, goldenCompacted, readFile(t, path))
+	golden.Compare(t, goldenCompacted, testutil.ReadFile(t, path))
 }
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -1,10 +1,6 @@
 package ledger
 
-import (
-	"os"
-	"testing"
-	"time"
-)
+import "time"
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
@@ -19,12 +15,3 @@
 	l.Begin(entry, noon, func(err error) { recorded <- err })
 	return <-recorded
 }
-
-func readFile(t *testing.T, path string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"crankhold/internal/testutil"
 )
 
 // The model of the ledger: each entry that was acknowledged as written is there after a crash, and a line that the crash
@@ -100,7 +102,7 @@
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if lines := bytes.Count(readFile(t, path), []byte("\n")); lines != orders {
+	if lines := bytes.Count(testutil.ReadFile(t, path), []byte("\n")); lines != orders {
 		t.Errorf("the ledger has %d lines, want %d", lines, orders)
 	}
 }
--- a/internal/webhook/golden_ledger_test.go
+++ b/internal/webhook/golden_ledger_test.go
@@ -76,26 +76,17 @@
 	if err := receiver.Close(); err != nil {
 		t.Fatal(err)
 	}
-	content := readFile(t, path)
+	content := testutil.ReadFile(t, path)
 	if err := os.Truncate(path, int64(len(content)-tornBytes)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func readFile(t *testing.T, path string) []byte {
-	t.Helper()
-	content, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return content
-}
-
 // The bytes of the ledger are fixed: an earlier or later version has to be able to read it.
 func TestGoldenLedgerIsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	writeLedger(t, path)
-	golden.Compare(t, ledgerFile, readFile(t, path))
+	golden.Compare(t, ledgerFile, testutil.ReadFile(t, path))
 }
 
 // A ledger that an earlier version wrote is read as it was meant: which deliveries are answered with the first
@@ -104,12 +95,12 @@
 	testutil.FixRandom(t)
 	dir := t.TempDir()
 	path := filepath.Join(dir, "ledger")
-	if err := os.WriteFile(path, readFile(t, ledgerFile), 0o600); err != nil {
+	if err := os.WriteFile(path, testutil.ReadFile(t, ledgerFile), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	core := &fakeCore{}
 	receiver, posts := newTestReceiver(t, core, path)
-	golden.Compare(t, compactFile, readFile(t, path))
+	golden.Compare(t, compactFile, testutil.ReadFile(t, path))
 
 	orders := ledgerOrders()
 	orders = append(orders,
--- a/internal/webhook/order_test.go
+++ b/internal/webhook/order_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"net/netip"
 	"path/filepath"
-	"runtime"
 	"strconv"
+	"strings"
 	"testing"
 	"time"
 
@@ -89,9 +89,9 @@
 // Closing the receiver ends the ledger's goroutine, after all that was recorded is in the file.
 func TestCloseWritesTheQueueAndLeavesNoGoroutine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	waitForLedgerGoroutines(t, 0) // of the tests before
+	requireLedgerWriters(t, 0) // of the tests before
 	receiver, _ := newTestReceiver(t, &fakeCore{}, path)
-	waitForLedgerGoroutines(t, 1)
+	requireLedgerWriters(t, 1)
 	const orders = 20
 	for i := range orders {
 		order := ledger.Entry{ID: strconv.Itoa(i), EventTime: noon, State: ledger.Ended, Status: 200}
@@ -100,24 +100,17 @@
 	if err := receiver.Close(); err != nil {
 		t.Fatal(err)
 	}
-	waitForLedgerGoroutines(t, 0)
-	content := readFile(t, path)
+	requireLedgerWriters(t, 0)
+	content := testutil.ReadFile(t, path)
 	if lines := bytes.Count(content, []byte("\n")); lines != orders {
 		t.Errorf("the ledger has %d lines, want %d", lines, orders)
 	}
 }
 
-// waitForLedgerGoroutines fails the test unless so many goroutines write ledgers. One that has just reported its end may
-// take a moment to be gone.
-func waitForLedgerGoroutines(t *testing.T, want int) {
+// requireLedgerWriters fails the test unless so many goroutines write ledgers, at once or soon.
+func requireLedgerWriters(t *testing.T, want int) {
 	t.Helper()
-	got := -1
-	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		stacks := make([]byte, 1<<20)
-		stacks = stacks[:runtime.Stack(stacks, true)]
-		if got = bytes.Count(stacks, []byte("ledger.(*writer).run(")); got == want {
-			return
-		}
-	}
-	t.Fatalf("%d goroutines write ledgers, want %d", got, want)
+	testutil.RequireGoroutines(t, want, 10*time.Second, func(stack string) bool {
+		return strings.Contains(stack, "ledger.(*writer).run(")
+	})
 }
