--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -22,7 +22,7 @@
 // maxServedLoss is by how much faults may lower the share of served requests.
 const maxServedLoss = 0.02
 
-// addressRun is one load and what came of it.
+// addressRun is one load and what came of it. The fields beside the record are complete once load has returned.
 type addressRun struct {
 	*record
 	total              tally
@@ -37,7 +37,7 @@
 	resent        string // requests that went over another connection, for they had not left
 }
 
-// cpuPerRequest is the router's processor time for a request, in microseconds.
+// cpuPerRequest returns the router's processor time for a request, in microseconds.
 func (r *addressRun) cpuPerRequest() float64 {
 	return float64(r.cpu.Microseconds()) / float64(r.total.sent)
 }
@@ -51,7 +51,7 @@
 	withFaults
 )
 
-// Run loads the router without faults, with them, and the build before alike.
+// Run loads the router without faults and with them, and the build before alike. It blocks until the loads have ended.
 func (a Addresses) Run(out io.Writer) error {
 	program, err := findRouter(a.Router)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return f.print(out)
 }
 
-// compareWithBefore measures the build before.
+// compareWithBefore measures the build before and adds its figures to f.
 func (a Addresses) compareWithBefore(out io.Writer, f *figures, calm *addressRun) error {
 	calmBefore, err := a.measure(out, "no faults, before", a.Before, withoutFaults)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return r, nil
 }
 
-// load starts a router and twelve workers of three addresses each, and loads it.
+// load starts a router and twelve workers of three addresses each, and loads it. It blocks until the load has ended.
 func (a Addresses) load(program string, mode faultMode) (*addressRun, error) {
 	r := &addressRun{record: newRecord(nil)}
 	bed, err := startTestbed(addressWorkers(), r.event)
@@ -159,7 +159,7 @@
 	begun := time.Now()
 	var faults sync.WaitGroup
 	if mode == withFaults {
-		faults.Go(func() { r.faults = failAddresses(bed.Site, a.Seed, begun.Add(a.Length)) })
+		faults.Go(func() { r.injectFaults(bed.Site, a.Seed, begun.Add(a.Length)) })
 		faults.Go(func() { r.drainWorkers(bed.Site, begun.Add(a.Length)) })
 	}
 	newMixedLoad(mixedLoadConfig{
@@ -176,6 +176,13 @@
 	return r, nil
 }
 
+// injectFaults has addresses fail until a time, and blocks until then.
+func (r *addressRun) injectFaults(site *fake.Site, seed uint64, until time.Time) {
+	injector := newFaultInjector(site, seed)
+	injector.run(until)
+	r.faults = injector.count
+}
+
 // addressWorkers describes twelve workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
 func addressWorkers() []fake.WorkerConfig {
 	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{
@@ -195,7 +202,7 @@
 	return workers
 }
 
-// summarize takes the figures of a load that has ended.
+// summarize computes the figures of a load that has ended.
 func (r *addressRun) summarize(router *process, begun time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -24,27 +24,29 @@
 	return list
 }
 
-// Times of a drain, and what a router may take to follow it.
+// Times of a drain, and how long after it a router may still send.
 const (
 	drainPause       = 1500 * time.Millisecond
 	drainDuration    = 3 * time.Second
 	drainGracePeriod = time.Second
+	// drainMargin is how long before the end the last drain begins.
+	drainMargin = 5 * time.Second
 )
 
-// drainWorkers has workers that are listed twice drain under their second name, one after the other until a time, and
-// counts what was sent to any address of theirs after the grace period.
+// drainWorkers has workers that are listed twice drain under their second name, one after the other until a time. It
+// counts what was sent to any address of theirs after the grace period, and blocks until the last drain is over.
 func (r *addressRun) drainWorkers(site *fake.Site, until time.Time) {
-	for n := 0; time.Now().Add(5 * time.Second).Before(until); n++ {
+	for n := 0; time.Now().Add(drainMargin).Before(until); n++ {
 		time.Sleep(drainPause)
 		index := n * 3 % len(site.Workers)
 		serial := site.Discovery.Set(listTwice(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
-		answered := site.Discovery.AnsweredAt(serial)
+		answeredAt := site.Discovery.AnsweredAt(serial)
 		end := time.Now()
 		site.Discovery.Set(listTwice(site, noDrain))
-		if !answered.IsZero() {
-			r.lateSends += r.countArrivals(site.Workers[index], answered.Add(drainGracePeriod), end)
+		if !answeredAt.IsZero() {
+			r.lateSends += r.countArrivals(site.Workers[index], answeredAt.Add(drainGracePeriod), end)
 		}
 	}
 }
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -12,12 +12,12 @@
 	faultInterval    = 100 * time.Millisecond
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3300 * time.Millisecond
-	// turnsOfFlapping are how many intervals the flapping address flaps, and stays well, in turn.
-	turnsOfFlapping = 100
+	// flappingTicks is how many intervals the flapping address flaps, and then stays healthy, in turn.
+	flappingTicks = 100
 )
 
-// flapModes are what the flapping address is, one after the other.
-var flapModes = []fake.PortMode{fake.ModeHealthy, fake.ModeRefuse, fake.ModeHealthy, fake.ModeReset}
+// flappingModes are the modes of the flapping address, one after the other.
+var flappingModes = []fake.PortMode{fake.ModeHealthy, fake.ModeRefuse, fake.ModeHealthy, fake.ModeReset}
 
 // addressFault is an address that fails until a time.
 type addressFault struct {
@@ -25,62 +25,71 @@
 	end  time.Time
 }
 
-// failAddresses has addresses fail at random until a time, and returns how often. Each worker keeps one that is well.
-// One address of the first worker flaps.
-func failAddresses(site *fake.Site, seed uint64, until time.Time) (count int) {
-	random := rand.New(rand.NewPCG(seed, 11))
-	flapping := site.Workers[0].Ports()[0]
-	var faults []addressFault
+// faultInjector has addresses fail at random. Each worker keeps a healthy one. One address of the first worker flaps;
+// its other addresses never fail. It is used by one goroutine.
+type faultInjector struct {
+	workers  []*fake.Worker // that fail at random
+	flapping *fake.Port
+	random   *rand.Rand
+	faults   []addressFault // in progress
+	count    int            // faults begun, and changes of the flapping address
+}
+
+func newFaultInjector(site *fake.Site, seed uint64) *faultInjector {
+	return &faultInjector{
+		workers:  site.Workers[1:],
+		flapping: site.Workers[0].Ports()[0],
+		random:   rand.New(rand.NewPCG(seed, 11)),
+	}
+}
+
+// run injects faults until a time, and blocks until then. Afterwards all addresses are healthy.
+func (i *faultInjector) run(until time.Time) {
 	for n := 0; time.Now().Before(until); n++ {
 		time.Sleep(faultInterval)
 		now := time.Now()
-		faults = endFaults(faults, now)
-		if n/turnsOfFlapping%2 == 1 {
-			flapping.Set(flapModes[n%len(flapModes)])
-			count++
+		i.endFaults(func(fault addressFault) bool { return !now.Before(fault.end) })
+		if n/flappingTicks%2 == 1 {
+			i.flapping.Set(flappingModes[n%len(flappingModes)])
+			i.count++
 		}
-		if fault, begun := beginFault(site, random, now); begun {
-			faults = append(faults, fault)
-			count++
-		}
-	}
-	for _, fault := range faults {
-		fault.port.Set(fake.ModeHealthy)
+		i.beginFault(now)
 	}
-	flapping.Set(fake.ModeHealthy)
-	return count
+	i.endFaults(func(addressFault) bool { return true })
+	i.flapping.Set(fake.ModeHealthy)
 }
 
-// endFaults has addresses be well again whose time is up, and returns the other faults.
-func endFaults(faults []addressFault, now time.Time) (remaining []addressFault) {
-	for _, fault := range faults {
-		if now.Before(fault.end) {
+// endFaults has the addresses of the selected faults be healthy again.
+func (i *faultInjector) endFaults(selected func(addressFault) bool) {
+	var remaining []addressFault
+	for _, fault := range i.faults {
+		if !selected(fault) {
 			remaining = append(remaining, fault)
-		} else {
-			fault.port.Set(fake.ModeHealthy)
+			continue
 		}
+		fault.port.Set(fake.ModeHealthy)
 	}
-	return remaining
+	i.faults = remaining
 }
 
-// beginFault draws an address, a mode and a duration. It does nothing if the address can't fail so, fails already, or
-// is the worker's last one that is well.
-func beginFault(site *fake.Site, random *rand.Rand, now time.Time) (fault addressFault, begun bool) {
-	worker := site.Workers[1+random.IntN(len(site.Workers)-1)]
-	ports := worker.Ports()
-	port := ports[random.IntN(len(ports))]
-	mode := fake.Modes[1+random.IntN(len(fake.Modes)-1)]
+// beginFault draws an address, a mode and a duration. It does nothing if the address can't fail in that mode, fails
+// already, or is the worker's last healthy one.
+func (i *faultInjector) beginFault(now time.Time) {
+	ports := i.workers[i.random.IntN(len(i.workers))].Ports()
+	port := ports[i.random.IntN(len(ports))]
+	mode := fake.Modes[1+i.random.IntN(len(fake.Modes)-1)]
 	span := (maxFaultDuration - minFaultDuration).Milliseconds()
-	duration := minFaultDuration + time.Duration(random.IntN(int(span)))*time.Millisecond
+	duration := minFaultDuration + time.Duration(i.random.IntN(int(span)))*time.Millisecond
 	possible := mode != fake.ModeStaleSocket || port.Network == fake.NetworkUnix
-	if !possible || port.Mode() != fake.ModeHealthy || countWell(ports) < 2 {
-		return addressFault{}, false
+	if !possible || port.Mode() != fake.ModeHealthy || countHealthy(ports) < 2 {
+		return
 	}
 	port.Set(mode)
-	return addressFault{port: port, end: now.Add(duration)}, true
+	i.faults = append(i.faults, addressFault{port: port, end: now.Add(duration)})
+	i.count++
 }
 
-func countWell(ports []*fake.Port) (n int) {
+func countHealthy(ports []*fake.Port) (n int) {
 	for _, port := range ports {
 		if port.Mode() == fake.ModeHealthy {
 			n++
--- a/internal/benchmark/figures.go
+++ b/internal/benchmark/figures.go
@@ -12,7 +12,7 @@
 	failed []string // pairs of figures that had to hold and did not
 }
 
-// add notes a figure.
+// add adds a figure.
 func (f *figures) add(name string, value any) {
 	format := "%s=%v"
 	if _, isFloat := value.(float64); isFloat {
@@ -21,7 +21,7 @@
 	f.pairs = append(f.pairs, fmt.Sprintf(format, name, value))
 }
 
-// must notes a figure that has to hold.
+// must adds a figure that has to hold.
 func (f *figures) must(name string, value any, holds bool) {
 	f.add(name, value)
 	if !holds {
@@ -29,10 +29,10 @@
 	}
 }
 
-// mustBeZero notes a count of what may not happen.
+// mustBeZero adds a count of what must not happen.
 func (f *figures) mustBeZero(name string, count int) { f.must(name, count, count == 0) }
 
-// print writes the last line. The error names the figures that do not hold.
+// print writes the figures as the last line. It returns an error that names those that do not hold.
 func (f *figures) print(out io.Writer) error {
 	fmt.Fprintln(out, strings.Join(f.pairs, " "))
 	if len(f.failed) > 0 {
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -1,7 +1,6 @@
 package benchmark
 
 import (
-	"slices"
 	"time"
 
 	"crankhold/internal/fake"
@@ -21,22 +20,26 @@
 // cap. Its record's lock guards it.
 type poolWatch struct {
 	file int // in force: the index of routesA or routesB
-	// reloaded is when the reload to the file was confirmed; zero while it is under way.
+	// reloaded is when the reload to the file was confirmed; zero while the reload is in progress.
 	reloaded time.Time
 
 	inFlight    int // in the pool with a cap
 	maxInFlight int
 	overCap     int // requests beyond the cap
-	outsidePool int // requests that ran at workers of no pool of theirs
-	overflowed  map[string]time.Time
+	outsidePool int // requests that ran at workers outside their pools
+	// overflowed maps requests to when they first reached the pool for overflow.
+	overflowed map[string]time.Time
 }
 
-// watchedRoutes are the two files that take each other's place, with what the watch holds of each.
-var watchedRoutes = [2]struct {
+// watchedFile is a routes file, with what the watch checks of it.
+type watchedFile struct {
 	text       string
-	cap        int
+	cap        int    // of the pool "fast", in requests in flight
 	checksKind string // of workers for the class fault-check
-}{
+}
+
+// watchedRoutes are the two files that replace each other.
+var watchedRoutes = [2]watchedFile{
 	{routesA, routesACap, kindSmall},
 	{routesB, routesBCap, kindSpare},
 }
@@ -55,13 +58,13 @@
 	}
 }
 
-// reloadBegins notes that a file takes the other's place.
+// reloadBegins records that a file replaces the other one.
 func (p *poolWatch) reloadBegins(file int) {
 	p.file = file
 	p.reloaded = time.Time{}
 }
 
-// reloadEnds notes that the file is in force.
+// reloadEnds records that the file is in force.
 func (p *poolWatch) reloadEnds() { p.reloaded = time.Now() }
 
 // settledFor returns how long before a request the file in force was, less the time for messages on their way. It is
@@ -73,7 +76,7 @@
 	return request.sentAt.Sub(p.reloaded) - reloadSettleTime
 }
 
-// event checks an event at a worker of a request.
+// event checks an event of a request at a worker. It implements eventWatch.
 func (p *poolWatch) event(e fake.Event, request *recordedRequest) {
 	kind := e.Worker.Kind
 	if request.class == fake.DimLevel.Name && kind == kindLarge {
@@ -81,7 +84,7 @@
 	}
 	if request.class == fake.DimLevel.Name && kind == kindSpare {
 		if _, known := p.overflowed[e.ID]; !known {
-			p.overflowed[e.ID] = e.At // the first sign of it there, whether it ran or not
+			p.overflowed[e.ID] = e.At // its first event there, whether it ran or not
 		}
 	}
 	if e.Kind == fake.EventStarted && !p.mayRun(request, kind) {
@@ -97,7 +100,7 @@
 		p.maxInFlight = max(p.maxInFlight, p.inFlight)
 		limit := watchedRoutes[p.file].cap
 		if p.settledFor(request) < 0 {
-			limit = max(routesACap, routesBCap) // it may be held to the file before, until it ends
+			limit = max(routesACap, routesBCap) // it may count by the file before
 		}
 		if p.inFlight > limit {
 			p.overCap++
@@ -115,47 +118,3 @@
 	}
 	return p.settledFor(request) <= 0 && allows(1-p.file, request.class, kind)
 }
-
-// Windows of the overflow's share.
-const (
-	overflowWindow        = 10 * time.Second
-	minRequestsInWindow   = 100
-	maxOverflowsInspected = 2000 // with more of them, a sample is inspected
-	overflowSampling      = 7
-)
-
-// maxOverflowShare returns the largest share that overflowed requests of any window were of the class's requests in it,
-// windows with few requests left out.
-func (p *poolWatch) maxOverflowShare(r *record) float64 {
-	var sent []time.Time
-	for _, request := range r.requests {
-		if request.class == fake.DimLevel.Name {
-			sent = append(sent, request.sentAt)
-		}
-	}
-	var overflowed []time.Time
-	for _, at := range p.overflowed {
-		overflowed = append(overflowed, at)
-	}
-	slices.SortFunc(overflowed, time.Time.Compare)
-	largest := 0.0
-	for i, end := range overflowed {
-		if i%overflowSampling > 0 && len(overflowed) > maxOverflowsInspected {
-			continue
-		}
-		if n := countSince(sent, end); n >= minRequestsInWindow {
-			largest = max(largest, float64(countSince(overflowed, end))/float64(n))
-		}
-	}
-	return largest
-}
-
-// countSince returns how many of the times are in the overflow window that ends at a time, which it includes.
-func countSince(times []time.Time, end time.Time) (n int) {
-	for _, at := range times {
-		if !at.After(end) && at.After(end.Add(-overflowWindow)) {
-			n++
-		}
-	}
-	return n
-}
--- a/internal/benchmark/target_test.go
+++ b/internal/benchmark/target_test.go
@@ -1,6 +1,7 @@
 package benchmark
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -8,21 +9,23 @@
 )
 
 func TestCheckLoopbackAcceptsLoopbackAddressesAlone(t *testing.T) {
-	for addr, ok := range map[string]bool{
-		"127.0.0.1:80":         true,
-		"127.9.9.9:80":         true,
-		"[::1]:80":             true,
-		"10.0.0.1:80":          false,
-		"192.168.0.1:80":       false,
-		"0.0.0.0:80":           false,
-		"example.org:80":       false,
-		"localhost:80":         false,
-		"127.0.0.1":            false,
-		"[::ffff:10.0.0.1]:80": false,
+	for addr, want := range map[string]error{
+		"127.0.0.1:80":         nil,
+		"127.9.9.9:80":         nil,
+		"[::1]:80":             nil,
+		"10.0.0.1:80":          errNotLoopback,
+		"192.168.0.1:80":       errNotLoopback,
+		"0.0.0.0:80":           errNotLoopback,
+		"example.org:80":       errNotLoopback,
+		"localhost:80":         errNotLoopback,
+		"127.0.0.1":            errNoAddress,
+		"[::ffff:10.0.0.1]:80": errNotLoopback,
 	} {
-		if err := checkLoopback(addr); (err == nil) != ok {
-			t.Errorf("%s: %v", addr, err)
-		}
+		t.Run(addr, func(t *testing.T) {
+			if err := checkLoopback(addr); !errors.Is(err, want) {
+				t.Errorf("%v, want %v", err, want)
+			}
+		})
 	}
 }
 
