--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -42,7 +42,7 @@
 		serial := site.Discovery.Set(listTwice(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
-		answeredAt := site.Discovery.AnsweredAt(serial)
+		answeredAt := site.Discovery.FirstServedAt(serial)
 		end := time.Now()
 		site.Discovery.Set(listTwice(site, noDrain))
 		if !answeredAt.IsZero() {
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -104,13 +104,13 @@
 	var b strings.Builder
 	b.WriteString(routesHeader)
 	for i := range (lines - routesHeaderLines) / linesPerRoute {
-		fmt.Fprintf(&b, routeFormat, i, i, scattered(uint64(i+1)), i%40)
+		fmt.Fprintf(&b, routeFormat, i, i, scatter(uint64(i+1)), i%40)
 	}
 	return b.String()
 }
 
-// scattered spreads small numbers over all function keys.
-func scattered(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
+// scatter spreads small numbers over all function keys.
+func scatter(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
 
 // checkRoutes checks a routes file's text.
 func checkRoutes(text string) (*lang.Result, error) {
@@ -135,7 +135,7 @@
 	measured := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range uint64(b.N) {
-			table.Match(route.Request{Front: route.Webhook, Function: scattered(i), Tenant: "t7"})
+			table.Match(route.Request{Front: route.Webhook, Function: scatter(i), Tenant: "t7"})
 		}
 	})
 	return float64(measured.T.Nanoseconds()) / float64(measured.N), measured.AllocsPerOp()
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -9,22 +9,22 @@
 	"crankhold/internal/fake"
 )
 
-// statuses are what is shown of each class.
+// statuses are those that a line shows of each class.
 var statuses = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
 
-// countedResponse is what is counted at the client.
+// countedResponse is a kind of response that the client counts.
 type countedResponse struct {
 	class  string
 	status fake.ResponseStatus
 }
 
-// workerCounts is what is counted at a worker.
+// workerCounts are the events at a worker.
 type workerCounts struct {
 	runs  int
 	loads int
 }
 
-// counts is what happened since the last line.
+// counts is what happened since the last line. The client and the fakes add to it from their own goroutines.
 type counts struct {
 	mu        sync.Mutex
 	responses map[countedResponse]int
@@ -56,7 +56,8 @@
 	c.responses[countedResponse{class, status}]++
 }
 
-// line returns the line for what was counted, and begins anew. Of the statuses that never came, it shows served alone.
+// line returns the line for what was counted and resets the counts. It leaves out statuses that were not counted,
+// except served.
 func (c *counts) line(elapsed time.Duration, workers []*fake.Worker) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -12,12 +12,12 @@
 	"crankhold/internal/server"
 )
 
-// Routes is the routes file that the demo serves by.
+// Routes is the routes file of the demo's router.
 //
 //go:embed routes.crank
 var Routes []byte
 
-// Run shows the demo until stop is closed or a signal comes. It writes a line a second to out.
+// Run runs the demo and writes a line a second to out. It blocks until stop is closed or a signal comes.
 func Run(out io.Writer, stop <-chan struct{}) error {
 	counts := newCounts()
 	bed, err := fake.StartTestbed(fake.TestbedConfig{
@@ -44,8 +44,7 @@
 	}
 	fmt.Fprintf(out, "router on %s; workers %s; routes in %s\n", listen, describe(bed.Site.Workers), routes)
 
-	show := &show{out: out, site: bed.Site, listen: listen, counts: counts}
-	stopShow := show.start()
+	stopShow := newShow(out, bed.Site, listen, counts).start()
 	defer stopShow()
 	return server.Serve(cfg, server.Options{Routes: routes, Stop: stop}, read)
 }
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -9,18 +9,18 @@
 	"crankhold/internal/fake"
 )
 
-// The pace of the demo.
+// How often the demo sends requests, writes lines and kills workers.
 const (
 	requestInterval = 25 * time.Millisecond
 	lineInterval    = time.Second
-	faultInterval   = 15 * time.Second // between deaths of workers
-	faultDuration   = 5 * time.Second
+	killInterval    = 15 * time.Second // between kills of workers
+	downtime        = 5 * time.Second
 )
 
 // requestedFunctions is how many functions are requested.
 const requestedFunctions = 6
 
-// show sends requests, takes workers down, and writes what comes of it.
+// show sends requests, kills workers for a time, and writes what happens. A goroutine of its own owns it.
 type show struct {
 	out    io.Writer
 	site   *fake.Site
@@ -31,11 +31,22 @@
 	random *rand.Rand
 	client *fake.Client // nil until the router accepts connections
 	lines  int
-	deaths int
-	dead   *fake.Worker // nil while all workers are up
+	kills  int
+	killed *fake.Worker // nil while all workers are up
 }
 
-// start runs the show on a goroutine of its own. stop ends it, and returns once it has ended.
+func newShow(out io.Writer, site *fake.Site, listen string, counts *counts) *show {
+	return &show{
+		out:    out,
+		site:   site,
+		listen: listen,
+		counts: counts,
+		begun:  time.Now(),
+		random: rand.New(rand.NewPCG(1, 2)),
+	}
+}
+
+// start runs the show on a goroutine of its own. stop ends it, and blocks until it has ended.
 func (s *show) start() (stop func()) {
 	stopping := make(chan struct{})
 	ended := make(chan struct{})
@@ -50,8 +61,6 @@
 }
 
 func (s *show) run(stopping <-chan struct{}) {
-	s.begun = time.Now()
-	s.random = rand.New(rand.NewPCG(1, 2))
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	defer func() {
@@ -69,7 +78,7 @@
 	}
 }
 
-// tick does what is due when some time has passed since the beginning.
+// tick does what is due once some time has passed since the beginning.
 func (s *show) tick(elapsed time.Duration) {
 	if s.client == nil {
 		client, err := fake.Dial(s.listen)
@@ -105,19 +114,19 @@
 	})
 }
 
-// disturb kills the next worker, or starts the dead one, when that is due.
+// disturb kills the next worker, or starts the killed one, when that is due.
 func (s *show) disturb(elapsed time.Duration) {
-	if s.dead == nil && elapsed > time.Duration(s.deaths+1)*faultInterval {
-		s.dead = s.site.Workers[s.deaths%len(s.site.Workers)]
-		s.deaths++
-		fmt.Fprintf(s.out, "       %s dies\n", s.dead.Name)
-		s.dead.Kill()
+	if s.killed == nil && elapsed > time.Duration(s.kills+1)*killInterval {
+		s.killed = s.site.Workers[s.kills%len(s.site.Workers)]
+		s.kills++
+		fmt.Fprintf(s.out, "       %s dies\n", s.killed.Name)
+		s.killed.Kill()
 		return
 	}
-	if s.dead != nil && elapsed > time.Duration(s.deaths)*faultInterval+faultDuration {
-		if s.dead.Start() == nil {
-			fmt.Fprintf(s.out, "       %s is back\n", s.dead.Name)
+	if s.killed != nil && elapsed > time.Duration(s.kills)*killInterval+downtime {
+		if s.killed.Start() == nil {
+			fmt.Fprintf(s.out, "       %s is back\n", s.killed.Name)
 		}
-		s.dead = nil
+		s.killed = nil
 	}
 }
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -6,11 +6,12 @@
 	"sync"
 )
 
-// Client is a fake client: one connection by Thrift, with many requests in flight.
+// Client is a fake client: one connection by Thrift, with many requests in flight. Its methods may be called from any
+// goroutine; a goroutine of its own reads responses and calls back.
 type Client struct {
 	conn net.Conn
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards what follows
 	lastSeq   uint32
 	inFlight  map[uint32]func(Response, error)
 	unmatched int   // responses to no request in flight
@@ -45,23 +46,24 @@
 	return len(c.inFlight)
 }
 
-// Go sends a request. done is called once, with the response or with what ended the connection.
+// Go sends a request. done is called once, with the response or with what ended the connection. It must not block: no
+// other response is read meanwhile.
 func (c *Client) Go(request Request, done func(Response, error)) {
 	c.send("execute", executeArguments(&request), done)
 }
 
-// Do sends a request and waits for its response.
+// Do sends a request and blocks until its response.
 func (c *Client) Do(request Request) (Response, error) {
 	return wait(func(done func(Response, error)) { c.Go(request, done) })
 }
 
-// CheckHealth asks whether the router accepts requests.
+// CheckHealth asks whether the router accepts requests. It blocks until the response.
 func (c *Client) CheckHealth() (healthy bool, err error) {
 	response, err := wait(func(done func(Response, error)) { c.send("check", noArguments(), done) })
 	return response.Healthy, err
 }
 
-// wait returns what send's callback is called with.
+// wait blocks until send's callback is called, and returns what it is called with.
 func wait(send func(done func(Response, error))) (response Response, err error) {
 	ended := make(chan struct{})
 	send(func(r Response, e error) {
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -39,7 +39,7 @@
 	fieldCount    = "count"
 )
 
-// noFields stands where a response has no fields.
+// noFields is sent where a response has no fields.
 const noFields = "-"
 
 // connection is a router's connection to a worker, with the requests that are in flight on it. A goroutine of its own
@@ -53,8 +53,8 @@
 	inFlight map[string]*execution // by id, guarded by the worker's lock
 }
 
-// serve handles the commands of a connection until it ends.
-func (w *Worker) serve(port *Port, conn net.Conn) {
+// serveConnection carries out the commands of a connection. It blocks until the connection ends.
+func (w *Worker) serveConnection(port *Port, conn net.Conn) {
 	c := &connection{worker: w, port: port, conn: conn, inFlight: map[string]*execution{}}
 	defer c.close()
 	in := bufio.NewReader(conn)
@@ -89,7 +89,7 @@
 	case command == commandUnload:
 		c.worker.unload(args[0])
 	case command == commandPing, command == commandInfo:
-		c.pong(args[0])
+		c.reportLoad(args[0])
 	}
 }
 
@@ -143,7 +143,7 @@
 func (c *connection) load(tag, fields string) {
 	w := c.worker
 	function := fieldValue(fields, fieldFunction)
-	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // a count that is no number asks for none
+	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // 0 for a count that is no number
 	respond := func(replicas int) { c.respond(tag, responseServed, fmt.Sprintf("count=%d", replicas), "") }
 
 	w.mu.Lock()
@@ -169,8 +169,8 @@
 	respond(replicas)
 }
 
-// pong responds to a health check with a load report, unless the worker hangs.
-func (c *connection) pong(tag string) {
+// reportLoad responds to a health check with a load report, unless the worker hangs.
+func (c *connection) reportLoad(tag string) {
 	c.worker.mu.Lock()
 	hanging := c.worker.hanging
 	inFlight := c.worker.inFlight
@@ -180,7 +180,7 @@
 	}
 }
 
-// respond writes a response, unless the address is mute. Errors are the reader's to find.
+// respond writes a response, unless the address is unresponsive. After a failed write the connection's next read fails.
 func (c *connection) respond(tag string, word responseWord, fields, body string) {
 	if c.port.Mode() == ModeUnresponsive {
 		return
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -13,7 +13,7 @@
 	serviceName = "_back._tcp.pool.lan"
 )
 
-// Priorities by which an SRV record tells whether a worker drains, and the weight that all have.
+// Priorities of SRV records, which show whether a worker drains, and the weight that all of them have.
 const (
 	priorityReady    = 0
 	priorityDraining = 1
@@ -44,10 +44,10 @@
 	conn  net.PacketConn
 	ended chan struct{}
 
-	mu         sync.Mutex // guards what follows
-	serial     uint32
-	list       []Endpoint
-	answeredAt map[uint32]time.Time // by serial, when it was first answered with
+	mu            sync.Mutex // guards what follows
+	serial        uint32
+	list          []Endpoint
+	firstServedAt map[uint32]time.Time // by serial, when a query was first answered with it
 }
 
 // NewDiscoveryServer starts a discovery server with a list of serial 1.
@@ -57,11 +57,11 @@
 		return nil, err
 	}
 	d := &DiscoveryServer{
-		conn:       conn,
-		ended:      make(chan struct{}),
-		serial:     1,
-		list:       list,
-		answeredAt: map[uint32]time.Time{},
+		conn:          conn,
+		ended:         make(chan struct{}),
+		serial:        1,
+		list:          list,
+		firstServedAt: map[uint32]time.Time{},
 	}
 	go d.serve()
 	return d, nil
@@ -79,11 +79,11 @@
 	return d.serial
 }
 
-// AnsweredAt returns when a query was first answered with the list of a serial, or the zero time.
-func (d *DiscoveryServer) AnsweredAt(serial uint32) time.Time {
+// FirstServedAt returns when a query was first answered with the list of a serial, or the zero time if none was.
+func (d *DiscoveryServer) FirstServedAt(serial uint32) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.answeredAt[serial]
+	return d.firstServedAt[serial]
 }
 
 // Close ends the server. It blocks until the server has ended. It may be called again.
@@ -102,18 +102,18 @@
 			return
 		}
 		if n > dnsHeaderSize {
-			d.conn.WriteTo(d.answer(query[:n]), from)
+			d.conn.WriteTo(d.respondTo(query[:n]), from)
 		}
 	}
 }
 
-// answer answers a query with the whole list, whatever the question: SRV records, the zone's serial, and each host's
-// addresses and labels.
-func (d *DiscoveryServer) answer(query []byte) []byte {
+// respondTo returns the response to a query, which is the whole list whatever the question: SRV records, the zone's
+// serial, and each host's addresses and labels.
+func (d *DiscoveryServer) respondTo(query []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, known := d.answeredAt[d.serial]; !known {
-		d.answeredAt[d.serial] = time.Now()
+	if _, known := d.firstServedAt[d.serial]; !known {
+		d.firstServedAt[d.serial] = time.Now()
 	}
 	response := newDNSResponse(query)
 	for _, endpoint := range d.list {
--- a/internal/fake/dns.go
+++ b/internal/fake/dns.go
@@ -18,7 +18,7 @@
 // dnsHeaderSize is the size of a message's header (RFC 1035, section 4.1.1).
 const dnsHeaderSize = 12
 
-// dnsSection is where in the header a section's records are counted.
+// dnsSection is the offset, in the header, of the number of a section's records.
 type dnsSection int
 
 // Sections of a response.
--- a/internal/fake/event.go
+++ b/internal/fake/event.go
@@ -5,10 +5,10 @@
 // EventKind is what happened at a worker.
 type EventKind string
 
-// Kinds of events. The values are the words in which the example prints them.
+// Kinds of events. The values are the words that the example prints.
 const (
 	EventStarted        EventKind = "run"    // a request was accepted
-	EventCompleted      EventKind = "done"   // it was worked on to its end
+	EventCompleted      EventKind = "done"   // its work was completed
 	EventCanceled       EventKind = "stop"   // the router canceled it
 	EventConnectionLost EventKind = "broken" // the connection ended before its response
 	EventLoadCommand    EventKind = "hold"   // the router commanded a load
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -144,7 +144,7 @@
 	p.serving.Add(1)
 	go func() {
 		defer p.serving.Done()
-		p.worker.serve(p, conn)
+		p.worker.serveConnection(p, conn)
 	}()
 }
 
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -11,7 +11,7 @@
 	onLoaded []func()     // responses to load commands that came during the load
 }
 
-// replica returns a function's replica or nil, without one that was idle for too long. The worker must be locked.
+// replica returns a function's replica, or nil if there is none or it was idle for too long. The worker must be locked.
 func (w *Worker) replica(function string) *replica {
 	r := w.replicas[function]
 	if r != nil && w.expired(r) {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -123,7 +123,8 @@
 	w.hanging = false
 }
 
-// FailRequests has the worker respond with an error to the requests that fails selects by their ids; nil for none.
+// FailRequests has the worker respond with an error to the requests whose ids fails selects. If fails is nil, no
+// request fails any more.
 func (w *Worker) FailRequests(fails func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -69,7 +69,7 @@
 		r.core.SetRoutes(f.cfg.Routes())
 	}
 	r.applyEndpoints()
-	r.wake()
+	r.requestTurn()
 	return nil
 }
 
@@ -121,7 +121,7 @@
 	r.endpoints[endpoint.Worker] = endpoint
 	r.core.SetNow(r.fleet.now)
 	r.applyEndpoints()
-	r.wake()
+	r.requestTurn()
 }
 
 // applyEndpoints hands the core the whole endpoint list as this incarnation knows it.
@@ -153,11 +153,11 @@
 func (r *Router) accept(request router.Request) {
 	r.budget.requestAccepted(r.fleet.now)
 	r.core.Accept(r.fleet.now, request)
-	r.wake()
+	r.requestTurn()
 }
 
-// wake has the core take a turn at the present time, after everything that is already due at it.
-func (r *Router) wake() { r.scheduleTurn(r.fleet.now) }
+// requestTurn has the core take a turn now, after everything else that is already due.
+func (r *Router) requestTurn() { r.scheduleTurn(r.fleet.now) }
 
 // scheduleTurn has the core take a turn at a time, unless it takes an earlier one, which will schedule the next.
 func (r *Router) scheduleTurn(due time.Duration) {
@@ -191,7 +191,7 @@
 		}
 		r.core.SetNow(r.fleet.now)
 		deliver()
-		r.wake()
+		r.requestTurn()
 	})
 }
 
