--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -140,12 +140,7 @@
 		return nil, err
 	}
 	defer bed.Close()
-	bed.Site.Discovery.Set(listTwice(bed.Site, noDrain))
-	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
-	if err != nil {
-		return nil, err
-	}
-	router, err := startRouterOn(bed, program, "CRANKHOLD_ADDRESSES="+addresses)
+	router, err := startAddressRouter(bed, program)
 	if err != nil {
 		return nil, err
 	}
@@ -176,6 +171,16 @@
 	return r, nil
 }
 
+// startAddressRouter starts a router that uses the workers' Unix sockets, with every third worker listed twice.
+func startAddressRouter(bed *fake.Testbed, program string) (*process, error) {
+	bed.Site.Discovery.Set(listTwice(bed.Site, noDrain))
+	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
+	if err != nil {
+		return nil, err
+	}
+	return startRouterOn(bed, program, "CRANKHOLD_ADDRESSES="+addresses)
+}
+
 // injectFaults has addresses fail until a time, and blocks until then.
 func (r *addressRun) injectFaults(site *fake.Site, seed uint64, until time.Time) {
 	injector := newFaultInjector(site, seed)
--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -24,7 +24,11 @@
 		want   error
 	}{
 		{"another machine", func(l *Load) { l.Target.Addr = "10.1.2.3:80" }, errNotLoopback},
-		{"a webhook without a port", func(l *Load) { l.Target = TargetFlags{HookURL: "http://127.0.0.1/hooks"} }, errNoAddress},
+		{
+			"a webhook without a port",
+			func(l *Load) { l.Target = TargetFlags{HookURL: "http://127.0.0.1/hooks"} },
+			errNoAddress,
+		},
 		{"a rate too high", func(l *Load) { l.Pace.Rate = maxRate + 1 }, errOutOfBounds},
 		{"two hours", func(l *Load) { l.Pace = PaceFlags{Rate: 1, Length: time.Hour, Steps: 2} }, errOutOfBounds},
 	} {
--- a/internal/benchmark/loadbudget_test.go
+++ b/internal/benchmark/loadbudget_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Four load commands are allowed, 15 in 100 of them and one more for what is under way: the sixth is a breach, unless it comes
-// after the window or with enough requests.
+// Four load commands are allowed, and 15 in 100 of them and one more for those in flight: the sixth is a breach, unless
+// it comes after the window or with enough requests.
 func TestLoadCommandsBeyondTheBudgetAreBreaches(t *testing.T) {
 	commands := func(n int, interval time.Duration) (times []time.Time) {
 		for i := range n {
--- a/internal/benchmark/measurement_test.go
+++ b/internal/benchmark/measurement_test.go
@@ -34,6 +34,7 @@
 		t.Fatal(err)
 	}
 	if m.sent != 500 || m.served != 450 || m.rejected != 50 || m.lost != 0 || m.keepsUp() {
-		t.Errorf("sent %d, served %d, rejected %d, lost %d, keeps up %v", m.sent, m.served, m.rejected, m.lost, m.keepsUp())
+		t.Errorf("sent %d, served %d, rejected %d, lost %d, keeps up %v",
+			m.sent, m.served, m.rejected, m.lost, m.keepsUp())
 	}
 }
--- a/internal/fake/platformconfig_test.go
+++ b/internal/fake/platformconfig_test.go
@@ -8,14 +8,30 @@
 
 func TestConfigListsTheSitesWorkers(t *testing.T) {
 	site := newSite(t, WorkerConfig{Kind: "std", Zone: "here", Cell: 2}, nil)
-	worker := listedEndpoint{Cell: 2, Kind: "std", Addr: site.Workers[0].Addr, Name: "s-1", Zone: "here", State: "Ready", Weight: 1}
+	worker := listedEndpoint{
+		Cell:   2,
+		Kind:   "std",
+		Addr:   site.Workers[0].Addr,
+		Name:   "s-1",
+		Zone:   "here",
+		State:  "Ready",
+		Weight: 1,
+	}
 	for _, tt := range []struct {
 		name string
 		text []byte
 		want endpointList
 	}{
-		{"with workers", site.Config("127.0.0.1:1"), endpointList{Complete: true, Members: []listedEndpoint{worker}, Revision: 1}},
-		{"without workers", site.ConfigWithoutWorkers("127.0.0.1:1"), endpointList{Complete: true, Members: []listedEndpoint{}}},
+		{
+			"with workers",
+			site.Config("127.0.0.1:1"),
+			endpointList{Complete: true, Members: []listedEndpoint{worker}, Revision: 1},
+		},
+		{
+			"without workers",
+			site.ConfigWithoutWorkers("127.0.0.1:1"),
+			endpointList{Complete: true, Members: []listedEndpoint{}},
+		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var config platformConfig
--- a/internal/fake/site_test.go
+++ b/internal/fake/site_test.go
@@ -25,7 +25,8 @@
 func TestGoroutinesEndWithClose(t *testing.T) {
 	before := runtime.NumGoroutine()
 	started := make(chan Event, 16)
-	site := newSite(t, WorkerConfig{ServiceTime: time.Hour, LoadTime: time.Hour, Warm: true, Lanes: 1, Queue: 4}, func(e Event) { started <- e })
+	cfg := WorkerConfig{ServiceTime: time.Hour, LoadTime: time.Hour, Warm: true, Lanes: 1, Queue: 4}
+	site := newSite(t, cfg, func(e Event) { started <- e })
 	router := newRouterConn(t, site.Workers[0].Addr)
 	router.send("RUN", "1", "queue=dim-level,path="+functionKey, "")
 	if e := <-started; e.Kind != EventStarted || e.ID != "1" || e.Class != "dim-level" || e.FunctionKey != functionKey {
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -76,7 +76,7 @@
 	return table
 }
 
-// replaceWorkers starts ten workers in steps, and drains ten others. What discovery says of a start passes through listed.
+// replaceWorkers starts ten workers in steps, and drains ten others. listed maps what discovery says of a start.
 func (s *story) replaceWorkers(listed func(policy.Endpoint) policy.Endpoint) {
 	for i := range 10 {
 		step := time.Duration(i) * time.Second
@@ -89,7 +89,8 @@
 
 func (s *story) startListed(listed func(policy.Endpoint) policy.Endpoint) {
 	w := s.fleet.StartWorker()
-	s.fleet.Notify(1500*ms, listed(policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()}))
+	started := policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()}
+	s.fleet.Notify(1500*ms, listed(started))
 }
 
 // restartRouters kills all routers, a tenth at a time; they come back knowing nothing. One router alone stays.
@@ -171,7 +172,11 @@
 // A worker in slow start is not overloaded by the sum of what all routers send it, however many they are: it receives
 // no more than its budget and what is put down to chance.
 func TestWorkersInSlowStartAreNotOverloadedByTheSum(t *testing.T) {
-	for _, run := range []slowStartRun{{name: "replaced"}, {name: "lost", lost: []time.Duration{9 * time.Second}}, {name: "lull", lull: 6 * time.Second}} {
+	for _, run := range []slowStartRun{
+		{name: "replaced"},
+		{name: "lost", lost: []time.Duration{9 * time.Second}},
+		{name: "lull", lull: 6 * time.Second},
+	} {
 		for _, routers := range []int{1, 2, 20, 30, 300} {
 			t.Run(fmt.Sprintf("%s, %d routers", run.name, routers), func(t *testing.T) {
 				t.Parallel()
@@ -179,7 +184,8 @@
 					s := runSlowStart(t, routers, seed, run, asStarted)
 					units, over := s.excess()
 					received := s.receivedByStarted()
-					t.Logf("%d routers, seed %d: largest excess %.1f roots of N; %d requests at started workers", routers, seed, units, received)
+					t.Logf("%d routers, seed %d: largest excess %.1f roots of N; %d requests at started workers",
+						routers, seed, units, received)
 					if over > 0 {
 						t.Errorf("seed %d: %.0f requests beyond N + 2 root N + 2", seed, over)
 					}
--- a/internal/testutil/transport.go
+++ b/internal/testutil/transport.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// Transport is a fake connection. It keeps what is written to it, and tells what the test wants it to tell.
+// Transport is a fake connection. It keeps what is written to it, and reports what a test has set.
 type Transport struct {
 	Written bytes.Buffer // all that was written, in order
 	Closed  bool         // Close or CloseAfterFlush was called
 	Unsent  int          // bytes, of the last ones written, that UnsentBytes reports
 }
 
-// Write keeps the content of the buffers.
+// Write appends the buffers to Written.
 func (t *Transport) Write(buffers ...[]byte) {
 	for _, buffer := range buffers {
 		t.Written.Write(buffer)
