--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -1,9 +1,11 @@
 package fake
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -31,6 +33,9 @@
 	listenRetryDelay = 10 * time.Millisecond
 )
 
+// errUnknownMode is returned for a mode that is not one of Modes.
+var errUnknownMode = errors.New("no mode of an address")
+
 // Port is one address of a fake worker, which can be made to fail. Its methods may be called from any goroutine.
 type Port struct {
 	Address
@@ -60,8 +65,11 @@
 }
 
 // Set changes how the address behaves. Open connections stay, except in ModeReset. If the address can't be listened on,
-// it is left in ModeRefuse.
+// it is left in ModeRefuse. A mode that is not one of Modes is an error.
 func (p *Port) Set(mode PortMode) error {
+	if !slices.Contains(Modes, mode) {
+		return fmt.Errorf("%q is %w", mode, errUnknownMode)
+	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode == p.mode {
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"net"
 	"slices"
 	"testing"
@@ -132,6 +133,14 @@
 	}
 }
 
+func TestPortKeepsItsModeWhereTheNewOneIsUnknown(t *testing.T) {
+	site := newSite(t, WorkerConfig{Warm: true}, nil)
+	port := site.Workers[0].Ports()[0]
+	if err := port.Set("well"); !errors.Is(err, errUnknownMode) || port.Mode() != ModeHealthy {
+		t.Errorf("%v, in mode %s", err, port.Mode())
+	}
+}
+
 func TestKilledWorkerComesBackWithoutReplicas(t *testing.T) {
 	site := newSite(t, WorkerConfig{Lanes: 1, Queue: 1}, nil)
 	worker := site.Workers[0]
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -26,7 +26,7 @@
 			var mu sync.Mutex
 			var ran []string
 			site, _, document := siteFor(t, 1, func(e fake.Event) {
-				if e.Kind == "run" {
+				if e.Kind == fake.EventStarted {
 					mu.Lock()
 					ran = append(ran, e.ID)
 					mu.Unlock()
@@ -35,7 +35,7 @@
 			limits := document["settings"].(map[string]any)["limits"].(map[string]any)
 			limits["cancel"], limits["dialTimeoutMs"] = tt.cancel, 20000
 			port := site.Workers[0].Ports()[0]
-			if err := port.Set("full"); err != nil {
+			if err := port.Set(fake.ModeBacklogFull); err != nil {
 				t.Fatal(err)
 			}
 			server := startServer(t, document, Options{})
@@ -57,7 +57,7 @@
 			answer := make(chan fake.Response, 1)
 			stays.Go(kept, func(a fake.Response, _ error) { answer <- a })
 			check(stays)
-			if err := port.Set("well"); err != nil {
+			if err := port.Set(fake.ModeHealthy); err != nil {
 				t.Fatal(err)
 			}
 			if a := <-answer; a.Status != "served" {
