--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -47,14 +47,21 @@
 		return nil, err
 	}
 	f := &coreFleet{
-		core: router.New(module, router.Limits{MaxConcurrentRequests: 1 << 20, MaxBytes: 1 << 30, MaxAttempts: 3,
-			LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond}),
 		workers:  workers,
 		now:      time.Hour,
 		replicas: map[replicaID]time.Duration{},
 		random:   rand.New(rand.NewPCG(1, 2)),
 	}
-	f.core.SetWorkerClient(f)
+	f.core = router.New(module, router.Config{
+		Limits: router.Limits{
+			MaxConcurrentRequests: 1 << 20,
+			MaxBytes:              1 << 30,
+			MaxAttempts:           3,
+			LoadTimeout:           10 * time.Second,
+			HealthCheckTimeout:    250 * time.Millisecond,
+		},
+		NewWorkerClient: func(*router.Core) router.WorkerClient { return f },
+	})
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for n := range workers {
 		list.Workers = append(list.Workers, policy.Endpoint{Worker: policy.WorkerID(n + 1), State: policy.Ready, Weight: 1})
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -62,7 +62,7 @@
 // hasCapacity reports whether a further request with a body of the given size may be accepted. It bounds the
 // program's memory, and lets a draining program exit while clients go on sending.
 func (c *Core) hasCapacity(bodySize int) bool {
-	return !c.Draining &&
+	return !c.rejectsNew &&
 		c.openRequests < c.limits.MaxConcurrentRequests &&
 		c.openBytes+bodySize <= c.limits.MaxBytes
 }
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -12,7 +12,7 @@
 func TestDrainingCoreRejectsNewRequests(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
-	core.Draining = true
+	core.RejectNew()
 	responder := &recordingResponder{}
 	core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
 	core.Process(start)
@@ -114,8 +114,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := New(module, Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20, Tenants: []string{"small", "large"}})
-	core.SetWorkerClient(newFakeWorkerClient(core))
+	core := New(module, Config{
+		Limits:          Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20},
+		Tenants:         []string{"small", "large"},
+		NewWorkerClient: newFakeWorkerClient().connect,
+	})
 	core.SetEndpoints(readyWorkers(1))
 	now := time.Second
 	rejected := map[string]int{}
@@ -197,11 +200,19 @@
 		}, "abandoned"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			core, workers := newTestCore(t, 1)
-			var completions []string
-			core.OnCompleted = func(_ time.Duration, r *Request, completion Completion) {
-				completions = append(completions, r.ID+" "+string(completion))
+			module, err := policy.New(testPolicyConfig(), 1)
+			if err != nil {
+				t.Fatal(err)
 			}
+			workers := newFakeWorkerClient()
+			var completions []string
+			core := New(module, Config{
+				Limits:          testLimits(),
+				NewWorkerClient: workers.connect,
+				OnCompleted: func(_ time.Duration, r *Request, completion Completion) {
+					completions = append(completions, r.ID+" "+string(completion))
+				},
+			})
 			id, _ := sendTestRequest(t, core, workers)
 			core.Accept(start, Request{Responder: &recordingResponder{}, ID: "a", Deadline: start + time.Second}) // a duplicate fails
 			test.end(core, workers, id)
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -19,7 +19,19 @@
 	MaxAttempts           int           // attempts of one request; 0 for no limit
 	LoadTimeout           time.Duration // a load that is not answered within it has timed out
 	HealthCheckTimeout    time.Duration // a health check that is not answered within it has timed out
-	Tenants               []string      // tenant names, in the order of policy.Config.Tenants
+}
+
+// Config is what a Core is made from, beside the decision module.
+type Config struct {
+	// Limits bounds the core.
+	Limits Limits
+	// Tenants are the tenants' names, in the order of policy.Config.Tenants.
+	Tenants []string
+	// NewWorkerClient returns the client that carries messages to workers. New calls it once, with the core to which the
+	// client reports its results. It must not call the core.
+	NewWorkerClient func(core *Core) WorkerClient
+	// OnCompleted is called once for each request that was handed in, when it completes. It may be nil.
+	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
 // Core is the function router. It belongs to one goroutine and is not safe for concurrent use.
@@ -48,37 +60,38 @@
 	routes       *route.Table   // nil: every request may go to every worker
 	routeWorkers []route.Worker
 
+	rejectsNew  bool // RejectNew has been called
+	onCompleted func(now time.Duration, r *Request, completion Completion)
+
 	// Counters counts what the core has accepted, sent and completed.
 	Counters Counters
-	// Draining has the core reject every request from now on, because the program is about to exit.
-	Draining bool
-	// OnCompleted, where set, is called once for each request that was handed in, when it completes.
-	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
-// New returns a Core that acts on the decisions of p. SetWorkerClient must be called before it is used.
-func New(p *policy.Policy, limits Limits) *Core {
+// New returns a Core that acts on the decisions of p.
+func New(p *policy.Policy, config Config) *Core {
 	c := &Core{
 		policy:       p,
-		limits:       limits,
+		limits:       config.Limits,
+		onCompleted:  config.OnCompleted,
 		policyTimers: map[uint64]*timerEntry{},
 		requests:     map[policy.RequestID]*trackedRequest{},
 		clientIDs:    map[string]struct{}{},
 		commands:     map[uint64]*pendingCommand{},
 		tenants:      map[string]int{},
 	}
-	for i, name := range limits.Tenants {
+	for i, name := range config.Tenants {
 		c.tenants[name] = i
 	}
+	c.workers = config.NewWorkerClient(c)
 	return c
 }
 
-// SetWorkerClient sets the client that carries messages to workers. It is called once, before anything else.
-func (c *Core) SetWorkerClient(w WorkerClient) { c.workers = w }
-
 // OpenRequests returns the number of requests that are owed a response.
 func (c *Core) OpenRequests() int { return c.openRequests }
 
+// RejectNew has the core reject every request from now on, because the program is about to exit.
+func (c *Core) RejectNew() { c.rejectsNew = true }
+
 // SetEndpoints hands in the endpoint list, or a change of it.
 func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
 
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -18,7 +18,7 @@
 // # Ownership and time
 //
 // A Core belongs to one goroutine, that of the event loop, and has no locks. All its methods, and all calls that it
-// makes to responders, worker client, decision module and OnCompleted, run on that goroutine. Time is a
+// makes to responders, worker client, decision module and Config.OnCompleted, run on that goroutine. Time is a
 // time.Duration on the owner's monotonic clock; the owner moves it forward with SetNow and Process. Process hands
 // over what has gathered, fires the timers that are due, and returns when it has to be called again.
 //
@@ -31,7 +31,7 @@
 //     load, timers to set, or a rejection.
 //  3. Attempts complete through AttemptCompleted. The first served one gives the request its response. The others go
 //     to the module, which may start further attempts.
-//  4. A request completes as served, rejected, failed or canceled; OnCompleted is called once. Attempts that no byte
+//  4. A request completes as served, rejected, failed or canceled; Config.OnCompleted is called once. Attempts that no byte
 //     has been sent for are withdrawn. The module ends requests before their deadline; should it not, the deadline
 //     timer does.
 //  5. A completed request leaves the table when its last attempt has ended. Until then its ID stays reserved, since
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -56,11 +56,13 @@
 
 	// The core around it, with a client for the workers and one worker.
 	workers := &printingWorkerClient{}
-	core := router.New(module, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3})
-	core.SetWorkerClient(workers)
-	core.OnCompleted = func(_ time.Duration, r *router.Request, completion router.Completion) {
-		fmt.Printf("completed: request %s, %s\n", r.ID, completion)
-	}
+	core := router.New(module, router.Config{
+		Limits:          router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3},
+		NewWorkerClient: func(*router.Core) router.WorkerClient { return workers },
+		OnCompleted: func(_ time.Duration, r *router.Request, completion router.Completion) {
+			fmt.Printf("completed: request %s, %s\n", r.ID, completion)
+		},
+	})
 	core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{
 		{Worker: 7, State: policy.Ready},
 	}})
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -26,9 +26,8 @@
 	healthChecks map[uint64]bool
 }
 
-func newFakeWorkerClient(core *Core) *fakeWorkerClient {
+func newFakeWorkerClient() *fakeWorkerClient {
 	return &fakeWorkerClient{
-		core:         core,
 		started:      map[policy.RequestID][]Attempt{},
 		inFlight:     map[Attempt]policy.WorkerID{},
 		unsent:       map[Attempt]bool{},
@@ -113,28 +112,37 @@
 	}
 }
 
+// connect makes the client the one of a core; it is a Config.NewWorkerClient.
+func (f *fakeWorkerClient) connect(core *Core) WorkerClient {
+	f.core = core
+	return f
+}
+
 // newTestCore returns a core with testPolicyConfig and a fake worker client.
 func newTestCore(t rapid.TB, seed uint64) (*Core, *fakeWorkerClient) {
 	t.Helper()
 	return newTestCoreWith(t, testPolicyConfig(), seed)
 }
 
-func newTestCoreWith(t rapid.TB, config policy.Config, seed uint64) (*Core, *fakeWorkerClient) {
+func newTestCoreWith(t rapid.TB, policyConfig policy.Config, seed uint64) (*Core, *fakeWorkerClient) {
 	t.Helper()
-	module, err := policy.New(config, seed)
+	module, err := policy.New(policyConfig, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := New(module, Limits{
+	workers := newFakeWorkerClient()
+	return New(module, Config{Limits: testLimits(), NewWorkerClient: workers.connect}), workers
+}
+
+// testLimits are the limits of the tests' cores.
+func testLimits() Limits {
+	return Limits{
 		MaxConcurrentRequests: 50,
 		MaxBytes:              1 << 16,
 		MaxAttempts:           3,
 		LoadTimeout:           10 * time.Second,
 		HealthCheckTimeout:    250 * ms,
-	})
-	workers := newFakeWorkerClient(core)
-	core.SetWorkerClient(workers)
-	return core, workers
+	}
 }
 
 // readyWorkers is an endpoint list of ready workers.
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -59,10 +59,10 @@
 	c.release(tracked)
 }
 
-// notifyCompleted calls OnCompleted, where one is set.
+// notifyCompleted calls Config.OnCompleted, where one is set.
 func (c *Core) notifyCompleted(r *Request, completion Completion) {
-	if c.OnCompleted != nil {
-		c.OnCompleted(c.now, r, completion)
+	if c.onCompleted != nil {
+		c.onCompleted(c.now, r, completion)
 	}
 }
 
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -35,9 +35,7 @@
 	s := &Server{config: cfg, options: options, reread: reread, closed: make(chan struct{})}
 	s.drainSchedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
 	s.loop = newEventLoop(cfg)
-	s.core = newCore(cfg, scheduler)
-	s.workers = newWorkerClient(cfg, s.loop, s.core)
-	s.core.SetWorkerClient(s.workers)
+	s.core = s.newCore(scheduler)
 	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
 	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
 	s.discovery.Confirmed = s.membership.listConfirmed
@@ -58,15 +56,26 @@
 	})
 }
 
-func newCore(cfg *config.Config, scheduler *policy.Policy) *router.Core {
-	return router.New(scheduler, router.Limits{
-		MaxConcurrentRequests: cfg.MaxConcurrentRequests(),
-		MaxBytes:              cfg.ScaleToMemory(maxRequestBytes),
-		RetryAfter:            cfg.RejectionRetryAfter(),
-		MaxAttempts:           cfg.Policy.MaxAttempts,
-		LoadTimeout:           cfg.Policy.LoadTimeout,
-		HealthCheckTimeout:    healthCheckTimeout,
-		Tenants:               cfg.TenantNames(),
+// newCore returns the core, and keeps the worker client that the core is given.
+func (s *Server) newCore(scheduler *policy.Policy) *router.Core {
+	cfg := s.config
+	return router.New(scheduler, router.Config{
+		Limits: router.Limits{
+			MaxConcurrentRequests: cfg.MaxConcurrentRequests(),
+			MaxBytes:              cfg.ScaleToMemory(maxRequestBytes),
+			RetryAfter:            cfg.RejectionRetryAfter(),
+			MaxAttempts:           cfg.Policy.MaxAttempts,
+			LoadTimeout:           cfg.Policy.LoadTimeout,
+			HealthCheckTimeout:    healthCheckTimeout,
+		},
+		Tenants: cfg.TenantNames(),
+		NewWorkerClient: func(core *router.Core) router.WorkerClient {
+			s.workers = newWorkerClient(cfg, s.loop, core)
+			return s.workers
+		},
+		OnCompleted: func(now time.Duration, r *router.Request, completion router.Completion) {
+			s.integrations.requestCompleted(now, r, completion) // Start sets them before a front listens
+		},
 	})
 }
 
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -31,8 +31,7 @@
 	listenAddrs [2]netip.AddrPort
 }
 
-// newIntegrations reads the operators' files, connects what they turn on to the event loop and the core, and registers
-// for completed requests.
+// newIntegrations reads the operators' files, and connects what they turn on to the event loop and the core.
 func newIntegrations(options Options, cfg *config.Config, loop *eventloop.Loop, core *router.Core) (*integrations, error) {
 	n := &integrations{config: cfg}
 	n.listenAddrs[router.Thrift], _ = netip.ParseAddrPort(cfg.Listen) // config.Read has checked it
@@ -44,7 +43,6 @@
 		n.close()
 		return nil, err
 	}
-	core.OnCompleted = n.requestCompleted
 	return n, nil
 }
 
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -37,16 +37,19 @@
 		t.Fatal(err)
 	}
 	m := &testMembership{}
-	core := router.New(module, router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16})
-	pool := workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxCallsPerConnection: 32, MaxConnections: 100,
-		Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
-			transport := &testutil.Transport{}
-			m.dialled = append(m.dialled, network+" "+addr)
-			m.transports = append(m.transports, transport)
-			m.handlers = append(m.handlers, h)
-			return transport
-		}}, core)
-	core.SetWorkerClient(pool)
+	var pool *workerclient.Pool
+	newPool := func(core *router.Core) router.WorkerClient {
+		pool = workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxCallsPerConnection: 32, MaxConnections: 100,
+			Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
+				transport := &testutil.Transport{}
+				m.dialled = append(m.dialled, network+" "+addr)
+				m.transports = append(m.transports, transport)
+				m.handlers = append(m.handlers, h)
+				return transport
+			}}, core)
+		return pool
+	}
+	core := router.New(module, router.Config{Limits: router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16}, NewWorkerClient: newPool})
 	m.membership = newMembership(eventloop.New(eventloop.Config{}), core, pool, &config.Config{})
 	return m
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -84,7 +84,7 @@
 		s.loop.CloseClients()
 	}
 	if elapsed >= s.drainSchedule.reject {
-		s.core.Draining = true
+		s.core.RejectNew()
 		s.stopIfDrained(elapsed)
 	}
 	return now + drainCheckInterval
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -31,6 +31,7 @@
 	index         int
 	trafficWeight float64 // share of the traffic, relative to the other routers
 	core          *router.Core
+	rejectsNew    bool // this incarnation drains and rejects new requests
 
 	// incarnation changes whenever the process ends or starts, so that responses to an earlier one are dropped.
 	incarnation uint64
@@ -51,16 +52,19 @@
 	if err != nil {
 		return err
 	}
-	r.core = router.New(module, router.Limits{
-		MaxConcurrentRequests: maxConcurrentRequests,
-		MaxBytes:              maxRequestBytes,
-		MaxAttempts:           f.cfg.Settings.MaxAttempts,
-		LoadTimeout:           f.cfg.Settings.LoadTimeout,
-		HealthCheckTimeout:    healthCheckTimeout,
-		Tenants:               f.cfg.Tenants,
+	r.core = router.New(module, router.Config{
+		Limits: router.Limits{
+			MaxConcurrentRequests: maxConcurrentRequests,
+			MaxBytes:              maxRequestBytes,
+			MaxAttempts:           f.cfg.Settings.MaxAttempts,
+			LoadTimeout:           f.cfg.Settings.LoadTimeout,
+			HealthCheckTimeout:    healthCheckTimeout,
+		},
+		Tenants:         f.cfg.Tenants,
+		NewWorkerClient: func(*router.Core) router.WorkerClient { return r },
 	})
-	r.core.SetWorkerClient(r)
 	r.Down = false
+	r.rejectsNew = false
 	r.nextTurn = 0
 	r.endpoints = maps.Clone(f.endpoints)
 	r.drainNotified = map[policy.WorkerID]time.Duration{}
@@ -94,7 +98,8 @@
 // and ends once it has sent all its responses.
 func (r *Router) Terminate(linger time.Duration) {
 	r.fleet.After(linger, func() {
-		r.core.Draining = true
+		r.rejectsNew = true
+		r.core.RejectNew()
 		r.endWhenDrained()
 	})
 }
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -70,7 +70,7 @@
 // send has a client of a router request a random function.
 func (f *Fleet) send(r *Router, tenant string, class int) {
 	timeout := f.cfg.Settings.Classes[class].Deadline
-	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.core.Draining, router: r, fleet: f}
+	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.rejectsNew, router: r, fleet: f}
 	f.Requests = append(f.Requests, request)
 	function := policy.FunctionID(f.random.IntN(f.cfg.Functions) + 1)
 	if version, released := f.versions[function]; released {
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -81,8 +81,15 @@
 		t.Fatal(err)
 	}
 	server := &testServer{loop: eventloop.New(eventloop.Config{MaxAccepted: 50, MaxDescriptors: 1024}), runs: runs, done: make(chan struct{})}
-	server.core = router.New(decisions, router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second})
-	server.core.SetWorkerClient(server)
+	server.core = router.New(decisions, router.Config{
+		Limits:          router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second},
+		NewWorkerClient: func(*router.Core) router.WorkerClient { return server },
+		OnCompleted: func(now time.Duration, r *router.Request, end router.Completion) {
+			if notices != "" {
+				server.sender.Notify(now, r, end)
+			}
+		},
+	})
 	server.core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
 	if server.receiver, err = NewReceiver(testConfig(ledger), server.core, classes, 16<<20, server.loop, wallAtNoon, server.loop.Post); err != nil {
 		t.Fatal(err)
@@ -101,11 +108,6 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	server.core.OnCompleted = func(now time.Duration, r *router.Request, end router.Completion) {
-		if notices != "" {
-			server.sender.Notify(now, r, end)
-		}
-	}
 	server.loop.Listen("127.0.0.1:0", server.receiver.Accept)
 	if err := server.loop.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -142,14 +142,16 @@
 	if err != nil {
 		panic(err)
 	}
-	m.core = router.New(p, router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond})
 	m.pool = New(Config{Classes: []string{"repair-order"}, DialTimeout: 250 * time.Millisecond, KeepAlive: 30 * time.Second, MaxCallsPerConnection: 32, MaxConnections: 100,
 		Dial: func(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
 			l := &modelTransport{model: m, addr: addr, worker: int(addr[0] - '0'), handler: h, state: modelDialing}
 			m.transports = append(m.transports, l)
 			return l
 		}}, m)
-	m.core.SetWorkerClient(m.pool)
+	m.core = router.New(p, router.Config{
+		Limits:          router.Limits{MaxConcurrentRequests: 50, MaxBytes: 1 << 16, MaxAttempts: 3, LoadTimeout: 10 * time.Second, HealthCheckTimeout: 250 * time.Millisecond},
+		NewWorkerClient: func(*router.Core) router.WorkerClient { return m.pool },
+	})
 	m.core.SetNow(m.now)
 	m.pool.SetNow(m.now)
 	m.workerStates = make([]policy.WorkerState, s.workers)
