--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -19,7 +19,7 @@
 		c.failDuplicate(r)
 		return 0
 	}
-	requestPolicy, ok := c.route(r.Front, r.Tenant, r.Class, r.Function)
+	requestPolicy, ok := c.routing.route(&r, c.now)
 	if !ok {
 		c.Counters.RejectedUnrouted[r.Front]++
 		c.reject(r)
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -56,9 +56,8 @@
 	commands      map[uint64]*pendingCommand
 	lastCommandID uint64
 
-	tenants      map[string]int // index in the module's configuration, by name
-	routes       *route.Table   // nil: every request may go to every worker
-	routeWorkers []route.Worker
+	tenants map[string]int // index in the module's configuration, by name
+	routing routing
 
 	rejectsNew  bool // RejectNew has been called
 	onCompleted func(now time.Duration, r *Request, completion Completion)
@@ -95,6 +94,16 @@
 // SetEndpoints hands in the endpoint list, or a change of it.
 func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
 
+// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
+func (c *Core) SetRouteWorkers(list []route.Worker) { c.routing.setWorkers(list) }
+
+// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
+// nil every request may go to every worker.
+func (c *Core) SetRoutes(t *route.Table) { c.routing.setTable(t) }
+
+// Routes returns the route table in force, or nil.
+func (c *Core) Routes() *route.Table { return c.routing.table }
+
 // SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
 // the present one changes nothing.
 func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -1,49 +1,57 @@
 package router
 
 import (
+	"time"
+
 	"crankhold/internal/route"
 	"crankhold/policy"
 )
 
-// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
-func (c *Core) SetRouteWorkers(list []route.Worker) {
-	c.routeWorkers = list
-	if c.routes != nil {
-		c.routes.SetWorkers(list)
+// routing owns the route table in force and what its pools are formed from. It belongs to the core's goroutine.
+type routing struct {
+	table   *route.Table   // nil: every request may go to every worker
+	workers []route.Worker // from which the pools of each table are formed
+}
+
+// setWorkers forms the pools of the table anew, and those of later tables.
+func (r *routing) setWorkers(workers []route.Worker) {
+	r.workers = workers
+	if r.table != nil {
+		r.table.SetWorkers(workers)
 	}
 }
 
-// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
-// nil every request may go to every worker.
-func (c *Core) SetRoutes(t *route.Table) {
-	if c.routes != nil && t != nil {
-		t.CarryOver(c.routes)
+// setTable replaces the table. Counters are carried over by name.
+func (r *routing) setTable(table *route.Table) {
+	if r.table != nil && table != nil {
+		table.CarryOver(r.table)
 	}
-	c.routes = t
-	if t != nil {
-		t.SetWorkers(c.routeWorkers)
+	r.table = table
+	if table != nil {
+		table.SetWorkers(r.workers)
 	}
 }
 
-// Routes returns the route table in force, or nil.
-func (c *Core) Routes() *route.Table { return c.routes }
-
 // route returns what the route table tightens for a request, nil where there is no table. It returns false where no
 // route matches the request, or one that rejects it.
-func (c *Core) route(front Front, tenant string, class int, function policy.FunctionID) (*policy.RequestPolicy, bool) {
-	if c.routes == nil {
+func (r *routing) route(request *Request, now time.Duration) (*policy.RequestPolicy, bool) {
+	if r.table == nil {
 		return nil, true
 	}
-	request := route.Request{Front: route.Front(front), Class: class, Function: uint64(function)}
-	if front == Webhook {
+	key := route.Request{
+		Front:    route.Front(request.Front),
+		Class:    request.Class,
+		Function: uint64(request.Function),
+	}
+	if request.Front == Webhook {
 		// Routes see tenants of webhooks only, as the routes language promises: a tenant that arrives by Thrift counts
 		// for its quota alone.
-		request.Tenant = tenant
+		key.Tenant = request.Tenant
 	}
-	matched := c.routes.Match(request)
+	matched := r.table.Match(key)
 	if matched == nil || matched.Pool == nil {
 		return nil, false
 	}
-	matched.Pool.RequestRouted(c.now)
-	return c.routes.RequestPolicy(matched, class), true
+	matched.Pool.RequestRouted(now)
+	return r.table.RequestPolicy(matched, request.Class), true
 }
