--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -19,16 +19,16 @@
 		c.failDuplicate(r)
 		return 0
 	}
-	requestPolicy, ok := c.routing.route(&r, c.now)
+	requestPolicy, ok := c.routing.route(&r, c.timers.now)
 	if !ok {
 		c.Counters.RejectedUnrouted[r.Front]++
 		c.reject(r)
 		return 0
 	}
-	r.AcceptedAt = c.now
+	r.AcceptedAt = c.timers.now
 	tracked := c.track(r)
 	c.announce(tracked, requestPolicy)
-	c.startDeadline(tracked)
+	tracked.deadline = c.timers.addRequestDeadline(tracked.id, tracked.request.Deadline)
 	return tracked.id
 }
 
@@ -91,7 +91,7 @@
 		Lanes:     r.Lanes,
 		MemoryMB:  r.MemoryMB,
 		LoadTime:  r.LoadTime,
-		Remaining: max(r.Deadline-c.now, 0),
+		Remaining: max(r.Deadline-c.timers.now, 0),
 		Policy:    requestPolicy,
 	})
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -20,8 +20,8 @@
 	if tracked == nil {
 		return
 	}
-	attempt := tracked.addAttempt(action.Worker, c.now)
-	budget := tracked.request.Deadline - c.now
+	attempt := tracked.addAttempt(action.Worker, c.timers.now)
+	budget := tracked.request.Deadline - c.timers.now
 	if action.Limit > 0 {
 		budget = min(budget, action.Limit)
 	}
@@ -30,11 +30,11 @@
 		return
 	}
 	if budget == action.Limit { // otherwise the request's deadline comes first
-		tracked.attempts[attempt.Number].timeout = c.addAttemptTimeout(attempt, budget)
+		tracked.attempts[attempt.Number].timeout = c.timers.addAttemptTimeout(attempt, budget)
 	}
 	tracked.request.SendBy = 0
 	if action.SendWithin > 0 {
-		tracked.request.SendBy = c.now + action.SendWithin
+		tracked.request.SendBy = c.timers.now + action.SendWithin
 	}
 	c.Counters.AttemptsStarted++
 	c.workers.StartAttempt(action.Worker, attempt, &tracked.request, budget)
@@ -75,7 +75,7 @@
 		LoadStatus:  result.LoadStatus,
 		Concurrency: result.Concurrency,
 		Closed:      tracked.completed,
-		Took:        c.now - attempt.startedAt,
+		Took:        c.timers.now - attempt.startedAt,
 		Report:      result.LoadReport,
 	})
 	if served {
@@ -100,7 +100,7 @@
 // endAttempt records the end of an attempt.
 func (c *Core) endAttempt(tracked *trackedRequest, attempt *trackedAttempt, outcome policy.Outcome) {
 	attempt.ended = true
-	c.timers.Remove(attempt.timeout)
+	c.timers.remove(attempt.timeout)
 	tracked.inFlight--
 	if !outcome.NeverRan() {
 		tracked.mayHaveRun = true
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -246,14 +246,14 @@
 func TestCompletedAttemptLeavesNoTimer(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	id, _ := sendTestRequest(t, core, workers)
-	timers := core.timers.Len()
+	timers := core.timers.heap.Len()
 	core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: 100 * ms})
-	if core.timers.Len() != timers+1 {
-		t.Fatalf("%d timers, want %d", core.timers.Len(), timers+1)
+	if core.timers.heap.Len() != timers+1 {
+		t.Fatalf("%d timers, want %d", core.timers.heap.Len(), timers+1)
 	}
 	core.AttemptCompleted(workers.started[id][1], AttemptResult{Outcome: policy.Failed})
-	if core.timers.Len() != timers {
-		t.Errorf("%d timers are left, want %d", core.timers.Len(), timers)
+	if core.timers.heap.Len() != timers {
+		t.Errorf("%d timers are left, want %d", core.timers.heap.Len(), timers)
 	}
 }
 
--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -50,8 +50,8 @@
 func (c *Core) addCommand(command pendingCommand, timeout time.Duration) uint64 {
 	c.lastCommandID++
 	id := c.lastCommandID
-	command.issuedAt = c.now
-	command.timeout = c.addCommandTimeout(id, timeout)
+	command.issuedAt = c.timers.now
+	command.timeout = c.timers.addCommandTimeout(id, timeout)
 	c.commands[id] = &command
 	return id
 }
@@ -63,7 +63,7 @@
 		return nil
 	}
 	delete(c.commands, id)
-	c.timers.Remove(command.timeout)
+	c.timers.remove(command.timeout)
 	return command
 }
 
@@ -79,7 +79,7 @@
 		Worker:   command.worker,
 		Function: command.function,
 		Outcome:  outcome,
-		Took:     c.now - command.issuedAt,
+		Took:     c.timers.now - command.issuedAt,
 		Count:    count,
 	})
 }
@@ -87,7 +87,7 @@
 // MaySendLoad reports whether a load that waited for a connection may be sent now.
 func (c *Core) MaySendLoad(commandID uint64) bool {
 	command := c.commands[commandID]
-	return command != nil && command.kind == loadCommand && c.policy.MayStillLoad(c.now)
+	return command != nil && command.kind == loadCommand && c.policy.MayStillLoad(c.timers.now)
 }
 
 // HealthCheckCompleted tells the core how a health check ended, with the worker's load report in the order of
@@ -101,7 +101,7 @@
 	c.events.add(policy.HealthCheckCompleted{
 		Worker:  command.worker,
 		Outcome: outcome,
-		Took:    c.now - command.issuedAt,
+		Took:    c.timers.now - command.issuedAt,
 		Report:  report,
 	})
 }
--- a/internal/router/commands_test.go
+++ b/internal/router/commands_test.go
@@ -32,8 +32,8 @@
 	core.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
 	core.execute(policy.CheckHealth{Worker: 1})
 	const loadID, healthCheckID = 1, 2
-	if !workers.loads[loadID] || !workers.healthChecks[healthCheckID] || core.timers.Len() != 2 {
-		t.Fatalf("loads %v, health checks %v, %d timers", workers.loads, workers.healthChecks, core.timers.Len())
+	if !workers.loads[loadID] || !workers.healthChecks[healthCheckID] || core.timers.heap.Len() != 2 {
+		t.Fatalf("loads %v, health checks %v, %d timers", workers.loads, workers.healthChecks, core.timers.heap.Len())
 	}
 	core.LoadCompleted(healthCheckID, policy.Served, 1)
 	core.HealthCheckCompleted(loadID, policy.Served, nil)
@@ -42,7 +42,7 @@
 	}
 	core.LoadCompleted(loadID, policy.Served, 1)
 	core.HealthCheckCompleted(healthCheckID, policy.Served, nil)
-	if len(core.commands) != 0 || core.timers.Len() != 0 {
-		t.Errorf("%d commands and %d timers are left, want none", len(core.commands), core.timers.Len())
+	if len(core.commands) != 0 || core.timers.heap.Len() != 0 {
+		t.Errorf("%d commands and %d timers are left, want none", len(core.commands), core.timers.heap.Len())
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"crankhold/internal/route"
-	"crankhold/internal/timerheap"
 	"crankhold/policy"
 )
 
@@ -39,13 +38,11 @@
 	policy  *policy.Policy
 	workers WorkerClient
 	limits  Limits
-	now     time.Duration
 
 	events  eventQueue
 	actions []policy.Action // reused by each batch
 
-	timers       timerheap.Heap[timer]
-	policyTimers map[uint64]*timerEntry // by the module's token, the last one set under it
+	timers timerQueue
 
 	requests      map[policy.RequestID]*trackedRequest
 	clientIDs     map[string]struct{} // Request.ID of each tracked request
@@ -69,14 +66,14 @@
 // New returns a Core that acts on the decisions of p.
 func New(p *policy.Policy, config Config) *Core {
 	c := &Core{
-		policy:       p,
-		limits:       config.Limits,
-		onCompleted:  config.OnCompleted,
-		policyTimers: map[uint64]*timerEntry{},
-		requests:     map[policy.RequestID]*trackedRequest{},
-		clientIDs:    map[string]struct{}{},
-		commands:     map[uint64]*pendingCommand{},
-		tenants:      map[string]int{},
+		policy:      p,
+		limits:      config.Limits,
+		onCompleted: config.OnCompleted,
+		timers:      newTimerQueue(),
+		requests:    map[policy.RequestID]*trackedRequest{},
+		clientIDs:   map[string]struct{}{},
+		commands:    map[uint64]*pendingCommand{},
+		tenants:     map[string]int{},
 	}
 	for i, name := range config.Tenants {
 		c.tenants[name] = i
@@ -106,7 +103,7 @@
 
 // SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
 // the present one changes nothing.
-func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
+func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
 
 // Process fires the timers that are due, hands the gathered events to the decision module and carries out its actions,
 // until nothing is left to do. It returns the time by which it has to be called again.
@@ -120,19 +117,46 @@
 		c.handleEvents()
 		c.executeActions()
 	}
-	if due, ok := c.timers.Next(); ok {
+	if due, ok := c.timers.heap.Next(); ok {
 		return due
 	}
 	return now + idleInterval
 }
 
+// fireDueTimers fires all timers that are due, those included that a fired one sets for now.
+func (c *Core) fireDueTimers() {
+	for {
+		due, ok := c.timers.popDue()
+		if !ok {
+			return
+		}
+		c.fire(due)
+	}
+}
+
+// fire does what a timer is for.
+func (c *Core) fire(entry *timerEntry) {
+	t := entry.Value
+	switch t.kind {
+	case policyTimer:
+		c.timers.policyTimerFired(entry)
+		c.events.add(policy.TimerFired{Token: t.token})
+	case attemptTimeout:
+		c.cancelAttempt(Attempt{Request: t.requestID, Number: t.attempt}, policy.TimedOut)
+	case commandTimeout:
+		c.commandTimedOut(t.commandID)
+	case requestDeadline:
+		c.deadlineExceeded(t.requestID)
+	}
+}
+
 // handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
 func (c *Core) handleEvents() {
 	c.actions = c.actions[:0]
 	batch := c.events.take()
 	for _, event := range batch {
 		if event != nil {
-			c.actions = c.policy.Handle(c.now, event, c.actions)
+			c.actions = c.policy.Handle(c.timers.now, event, c.actions)
 		}
 	}
 	c.events.recycle(batch)
@@ -166,8 +190,8 @@
 	case policy.CloseIdleConnections:
 		c.workers.CloseIdle(a.Worker)
 	case policy.SetTimer:
-		c.setPolicyTimer(a)
+		c.timers.setPolicyTimer(a)
 	case policy.ClearTimer:
-		c.clearPolicyTimer(a)
+		c.timers.clearPolicyTimer(a)
 	}
 }
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -38,8 +38,8 @@
 
 // StartAttempt implements WorkerClient. It panics for a budget that is empty or ends behind the request's deadline.
 func (f *fakeWorkerClient) StartAttempt(worker policy.WorkerID, a Attempt, r *Request, budget time.Duration) {
-	if budget <= 0 || f.core.now+budget > r.Deadline {
-		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, f.core.now, r.Deadline))
+	if budget <= 0 || f.core.timers.now+budget > r.Deadline {
+		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, f.core.timers.now, r.Deadline))
 	}
 	f.inFlight[a] = worker
 	if f.dialing {
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -62,7 +62,7 @@
 // notifyCompleted calls Config.OnCompleted, where one is set.
 func (c *Core) notifyCompleted(r *Request, completion Completion) {
 	if c.onCompleted != nil {
-		c.onCompleted(c.now, r, completion)
+		c.onCompleted(c.timers.now, r, completion)
 	}
 }
 
@@ -71,7 +71,7 @@
 	if !tracked.completed || tracked.inFlight > 0 || c.requests[tracked.id] != tracked {
 		return
 	}
-	c.timers.Remove(tracked.deadline)
+	c.timers.remove(tracked.deadline)
 	delete(c.requests, tracked.id)
 	delete(c.clientIDs, tracked.request.ID)
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -26,7 +26,7 @@
 		return
 	}
 	response.MayHaveRun = tracked.mayHaveRun || tracked.inFlight > 0
-	response.DeadlineExceeded = c.now >= tracked.request.Deadline-deadlineTolerance
+	response.DeadlineExceeded = c.timers.now >= tracked.request.Deadline-deadlineTolerance
 	completion := c.countUnserved(tracked.request.Front, response.Status)
 	tracked.request.Responder.Respond(response)
 	c.complete(tracked, completion)
@@ -41,6 +41,28 @@
 	}
 }
 
+// deadlineExceeded ends a request whose time is over. The module ends each request before that; should it not, the
+// client still gets its response in time, as failed unless it is proven that no attempt ever ran.
+func (c *Core) deadlineExceeded(id policy.RequestID) {
+	tracked := c.requests[id]
+	if tracked == nil {
+		return
+	}
+	for number := range tracked.attempts {
+		c.cancelAttempt(Attempt{Request: id, Number: number}, policy.TimedOut)
+	}
+	if tracked.completed {
+		return
+	}
+	c.Counters.DeadlineExceeded++
+	status := Failed
+	if !tracked.mayHaveRun {
+		status = Rejected
+	}
+	c.respondUnserved(id, Response{Status: status})
+	c.events.add(policy.RequestCanceled{Request: id})
+}
+
 // countUnserved counts a response that is not a worker's, and returns the completion that it stands for.
 func (c *Core) countUnserved(front Front, status ResponseStatus) Completion {
 	if status == Rejected {
@@ -53,7 +75,7 @@
 
 // respondUntracked responds to a request that never enters the table and that the module does not see.
 func (c *Core) respondUntracked(r Request, completion Completion, response Response) {
-	r.AcceptedAt = c.now
+	r.AcceptedAt = c.timers.now
 	c.notifyCompleted(&r, completion)
 	r.Responder.Respond(response)
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -27,91 +27,61 @@
 	attempt   int              // number of the attempt of an attemptTimeout
 }
 
-// timerEntry is a timer in the heap. Timers of all kinds share one heap, so that those that are due at the same time
-// fire in the order in which they were set.
+// timerEntry is a timer in the heap.
 type timerEntry = timerheap.Entry[timer]
 
-// fireDueTimers fires all timers that are due, those included that a fired one sets for now.
-func (c *Core) fireDueTimers() {
-	for {
-		due, ok := c.timers.PopDue(c.now)
-		if !ok {
-			return
-		}
-		c.fire(due)
-	}
+// timerQueue owns the core's clock and the timers that are set on it. It belongs to the core's goroutine. Timers of all
+// kinds share one heap, so that those that are due at the same time fire in the order in which they were set.
+type timerQueue struct {
+	now          time.Duration // on the monotonic clock of the core's owner; it never goes back
+	heap         timerheap.Heap[timer]
+	policyTimers map[uint64]*timerEntry // by the module's token, the last one set under it
 }
 
-// fire does what a timer is for.
-func (c *Core) fire(entry *timerEntry) {
-	t := entry.Value
-	switch t.kind {
-	case policyTimer:
-		c.policyTimerFired(entry)
-	case attemptTimeout:
-		c.cancelAttempt(Attempt{Request: t.requestID, Number: t.attempt}, policy.TimedOut)
-	case commandTimeout:
-		c.commandTimedOut(t.commandID)
-	case requestDeadline:
-		c.deadlineExceeded(t.requestID)
-	}
+func newTimerQueue() timerQueue {
+	return timerQueue{policyTimers: map[uint64]*timerEntry{}}
 }
 
+// setNow moves the clock forward. A time before the present one changes nothing.
+func (q *timerQueue) setNow(now time.Duration) { q.now = max(q.now, now) }
+
+// popDue removes and returns the first timer that is due. It returns false where there is none.
+func (q *timerQueue) popDue() (*timerEntry, bool) { return q.heap.PopDue(q.now) }
+
+// remove removes a timer that has not fired. It does nothing for nil and for a timer that has fired.
+func (q *timerQueue) remove(entry *timerEntry) { q.heap.Remove(entry) }
+
 // setPolicyTimer sets a timer of the decision module. A further one under the same token does not clear the first.
-func (c *Core) setPolicyTimer(action policy.SetTimer) {
-	due := c.now + max(action.After, 0)
-	c.policyTimers[action.Token] = c.timers.Add(due, timer{kind: policyTimer, token: action.Token})
+func (q *timerQueue) setPolicyTimer(action policy.SetTimer) {
+	due := q.now + max(action.After, 0)
+	q.policyTimers[action.Token] = q.heap.Add(due, timer{kind: policyTimer, token: action.Token})
 }
 
 // clearPolicyTimer clears the module's last timer under a token.
-func (c *Core) clearPolicyTimer(action policy.ClearTimer) {
-	c.timers.Remove(c.policyTimers[action.Token])
-	delete(c.policyTimers, action.Token)
+func (q *timerQueue) clearPolicyTimer(action policy.ClearTimer) {
+	q.heap.Remove(q.policyTimers[action.Token])
+	delete(q.policyTimers, action.Token)
 }
 
-// policyTimerFired tells the decision module that one of its timers is due.
-func (c *Core) policyTimerFired(entry *timerEntry) {
+// policyTimerFired forgets a timer of the module that has fired, unless its token stands for a later one.
+func (q *timerQueue) policyTimerFired(entry *timerEntry) {
 	token := entry.Value.token
-	if c.policyTimers[token] == entry {
-		delete(c.policyTimers, token)
+	if q.policyTimers[token] == entry {
+		delete(q.policyTimers, token)
 	}
-	c.events.add(policy.TimerFired{Token: token})
 }
 
 // addAttemptTimeout limits the time of an attempt.
-func (c *Core) addAttemptTimeout(a Attempt, limit time.Duration) *timerEntry {
-	return c.timers.Add(c.now+limit, timer{kind: attemptTimeout, requestID: a.Request, attempt: a.Number})
+func (q *timerQueue) addAttemptTimeout(a Attempt, limit time.Duration) *timerEntry {
+	return q.heap.Add(q.now+limit, timer{kind: attemptTimeout, requestID: a.Request, attempt: a.Number})
 }
 
 // addCommandTimeout limits the time in which a command must be answered.
-func (c *Core) addCommandTimeout(commandID uint64, limit time.Duration) *timerEntry {
-	return c.timers.Add(c.now+limit, timer{kind: commandTimeout, commandID: commandID})
+func (q *timerQueue) addCommandTimeout(commandID uint64, limit time.Duration) *timerEntry {
+	return q.heap.Add(q.now+limit, timer{kind: commandTimeout, commandID: commandID})
 }
 
-// startDeadline sets the deadline timer of a tracked request.
-func (c *Core) startDeadline(tracked *trackedRequest) {
-	deadline := timer{kind: requestDeadline, requestID: tracked.id}
-	tracked.deadline = c.timers.Add(tracked.request.Deadline, deadline)
-}
-
-// deadlineExceeded ends a request whose time is over. The module ends each request before that; should it not, the
-// client still gets its response in time, as failed unless it is proven that no attempt ever ran.
-func (c *Core) deadlineExceeded(id policy.RequestID) {
-	tracked := c.requests[id]
-	if tracked == nil {
-		return
-	}
-	for number := range tracked.attempts {
-		c.cancelAttempt(Attempt{Request: id, Number: number}, policy.TimedOut)
-	}
-	if tracked.completed {
-		return
-	}
-	c.Counters.DeadlineExceeded++
-	status := Failed
-	if !tracked.mayHaveRun {
-		status = Rejected
-	}
-	c.respondUnserved(id, Response{Status: status})
-	c.events.add(policy.RequestCanceled{Request: id})
+// addRequestDeadline sets the deadline timer of a tracked request.
+func (q *timerQueue) addRequestDeadline(id policy.RequestID, deadline time.Duration) *timerEntry {
+	return q.heap.Add(deadline, timer{kind: requestDeadline, requestID: id})
 }
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -36,7 +36,7 @@
 				t.Fatalf("deadline timer %+v", deadline)
 			}
 			fireBeforeTheModule(t, core, deadline)
-			core.Process(core.now)
+			core.Process(core.timers.now)
 			wantResponses(t, responder, 1)
 			response := responder.responses[0]
 			if response.Status != test.wantStatus || !response.DeadlineExceeded {
@@ -52,12 +52,12 @@
 // fireBeforeTheModule fires a timer that is set, ahead of those of the module that are due before it.
 func fireBeforeTheModule(t *testing.T, core *Core, entry *timerEntry) {
 	t.Helper()
-	set := core.timers.Len()
-	core.timers.Remove(entry)
-	if core.timers.Len() != set-1 {
+	set := core.timers.heap.Len()
+	core.timers.remove(entry)
+	if core.timers.heap.Len() != set-1 {
 		t.Fatal("the timer is not set")
 	}
-	core.now = entry.Due()
+	core.timers.now = entry.Due()
 	core.fire(entry)
 }
 
@@ -68,7 +68,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	now := start
 	core.Process(now)
-	timersAtStart := core.timers.Len()
+	timersAtStart := core.timers.heap.Len()
 	for i := range 500 {
 		id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
 		core.Process(now)
@@ -89,8 +89,8 @@
 		now += ms
 		core.Process(now)
 	}
-	if core.timers.Len() > timersAtStart+2 || len(core.policyTimers) > timersAtStart+2 || len(core.requests) > 0 {
+	if core.timers.heap.Len() > timersAtStart+2 || len(core.timers.policyTimers) > timersAtStart+2 || len(core.requests) > 0 {
 		t.Errorf("%d timers, %d of them the module's, and %d requests are left; there were %d timers at the start",
-			core.timers.Len(), len(core.policyTimers), len(core.requests), timersAtStart)
+			core.timers.heap.Len(), len(core.timers.policyTimers), len(core.requests), timersAtStart)
 	}
 }
