--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -24,99 +24,119 @@
 	timeout  *timerEntry
 }
 
-// load orders a worker to load replicas of a function.
-func (c *Core) load(action policy.Load) {
-	c.Counters.LoadsSent++
-	command := pendingCommand{kind: loadCommand, worker: action.Worker, function: action.Function}
-	id := c.addCommand(command, c.limits.LoadTimeout)
-	c.workers.Load(action.Worker, action.Function, action.Count, id)
+// commandTracker issues commands that belong to no request, and keeps each load and health check until it is answered
+// or has timed out. Each kept command has a timer. It belongs to the core's goroutine.
+type commandTracker struct {
+	limits   Limits
+	workers  WorkerClient
+	timers   *timerQueue
+	events   *eventQueue
+	counters *Counters
+
+	pending map[uint64]*pendingCommand
+	lastID  uint64
+}
+
+// execute carries out an action of the decision module that concerns no request.
+func (t *commandTracker) execute(action policy.Action) {
+	switch a := action.(type) {
+	case policy.Load:
+		t.load(a)
+	case policy.CheckHealth:
+		t.checkHealth(a)
+	case policy.Unload:
+		t.counters.Unloads++
+		t.workers.Unload(a.Worker, a.Function) // no answer follows
+	case policy.CloseIdleConnections:
+		t.workers.CloseIdle(a.Worker)
+	}
 }
 
-// unload orders a worker to drop the idle replicas of a function. No answer follows.
-func (c *Core) unload(action policy.Unload) {
-	c.Counters.Unloads++
-	c.workers.Unload(action.Worker, action.Function)
+// load sends a worker a command to load replicas of a function.
+func (t *commandTracker) load(action policy.Load) {
+	t.counters.LoadsSent++
+	command := pendingCommand{kind: loadCommand, worker: action.Worker, function: action.Function}
+	id := t.add(command, t.limits.LoadTimeout)
+	t.workers.Load(action.Worker, action.Function, action.Count, id)
 }
 
 // checkHealth sends a health check to a worker.
-func (c *Core) checkHealth(action policy.CheckHealth) {
-	c.Counters.HealthChecks++
+func (t *commandTracker) checkHealth(action policy.CheckHealth) {
+	t.counters.HealthChecks++
 	command := pendingCommand{kind: healthCheckCommand, worker: action.Worker}
-	id := c.addCommand(command, c.limits.HealthCheckTimeout)
-	c.workers.CheckHealth(action.Worker, id)
+	id := t.add(command, t.limits.HealthCheckTimeout)
+	t.workers.CheckHealth(action.Worker, id)
 }
 
-// addCommand keeps a command until it is answered or times out, and returns its identifier.
-func (c *Core) addCommand(command pendingCommand, timeout time.Duration) uint64 {
-	c.lastCommandID++
-	id := c.lastCommandID
-	command.issuedAt = c.timers.now
-	command.timeout = c.timers.addCommandTimeout(id, timeout)
-	c.commands[id] = &command
+// add keeps a command until it is answered or times out, and returns its identifier.
+func (t *commandTracker) add(command pendingCommand, timeout time.Duration) uint64 {
+	t.lastID++
+	id := t.lastID
+	command.issuedAt = t.timers.now
+	command.timeout = t.timers.addCommandTimeout(id, timeout)
+	t.pending[id] = &command
 	return id
 }
 
-// takeCommand removes and returns the pending command of that kind, or nil where there is none.
-func (c *Core) takeCommand(id uint64, kind commandKind) *pendingCommand {
-	command := c.commands[id]
+// take removes and returns the pending command of that kind, or nil where there is none.
+func (t *commandTracker) take(id uint64, kind commandKind) *pendingCommand {
+	command := t.pending[id]
 	if command == nil || command.kind != kind {
 		return nil
 	}
-	delete(c.commands, id)
-	c.timers.remove(command.timeout)
+	delete(t.pending, id)
+	t.timers.remove(command.timeout)
 	return command
 }
 
-// LoadCompleted tells the core how a load ended, and how many replicas of its function the worker holds. It ignores a
-// load that has ended already.
-func (c *Core) LoadCompleted(commandID uint64, outcome policy.Outcome, count int) {
-	command := c.takeCommand(commandID, loadCommand)
+// isPendingLoad reports whether a load still awaits its answer.
+func (t *commandTracker) isPendingLoad(id uint64) bool {
+	command := t.pending[id]
+	return command != nil && command.kind == loadCommand
+}
+
+// loadCompleted records the end of a load. It ignores a load that has ended already.
+func (t *commandTracker) loadCompleted(id uint64, outcome policy.Outcome, count int) {
+	command := t.take(id, loadCommand)
 	if command == nil {
 		return
 	}
-	c.Counters.LoadsByOutcome[outcome]++
-	c.events.add(policy.LoadCompleted{
+	t.counters.LoadsByOutcome[outcome]++
+	t.events.add(policy.LoadCompleted{
 		Worker:   command.worker,
 		Function: command.function,
 		Outcome:  outcome,
-		Took:     c.timers.now - command.issuedAt,
+		Took:     t.timers.now - command.issuedAt,
 		Count:    count,
 	})
 }
 
-// MaySendLoad reports whether a load that waited for a connection may be sent now.
-func (c *Core) MaySendLoad(commandID uint64) bool {
-	command := c.commands[commandID]
-	return command != nil && command.kind == loadCommand && c.policy.MayStillLoad(c.timers.now)
-}
-
-// HealthCheckCompleted tells the core how a health check ended, with the worker's load report in the order of
-// policy.Config.LoadReportFields. It ignores a health check that has ended already.
-func (c *Core) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
-	command := c.takeCommand(commandID, healthCheckCommand)
+// healthCheckCompleted records the end of a health check. It ignores a health check that has ended already.
+func (t *commandTracker) healthCheckCompleted(id uint64, outcome policy.Outcome, report []float64) {
+	command := t.take(id, healthCheckCommand)
 	if command == nil {
 		return
 	}
-	c.Counters.HealthChecksByOutcome[outcome]++
-	c.events.add(policy.HealthCheckCompleted{
+	t.counters.HealthChecksByOutcome[outcome]++
+	t.events.add(policy.HealthCheckCompleted{
 		Worker:  command.worker,
 		Outcome: outcome,
-		Took:    c.timers.now - command.issuedAt,
+		Took:    t.timers.now - command.issuedAt,
 		Report:  report,
 	})
 }
 
-// commandTimedOut ends a command that was not answered in time.
-func (c *Core) commandTimedOut(id uint64) {
-	command := c.commands[id]
+// timedOut ends a command that was not answered in time.
+func (t *commandTracker) timedOut(id uint64) {
+	command := t.pending[id]
 	if command == nil {
 		return
 	}
-	c.workers.AbandonCommand(command.worker, id)
+	t.workers.AbandonCommand(command.worker, id)
 	switch command.kind {
 	case loadCommand:
-		c.LoadCompleted(id, policy.TimedOut, 0)
+		t.loadCompleted(id, policy.TimedOut, 0)
 	case healthCheckCommand:
-		c.HealthCheckCompleted(id, policy.TimedOut, nil)
+		t.healthCheckCompleted(id, policy.TimedOut, nil)
 	}
 }
--- a/internal/router/commands_test.go
+++ b/internal/router/commands_test.go
@@ -37,12 +37,12 @@
 	}
 	core.LoadCompleted(healthCheckID, policy.Served, 1)
 	core.HealthCheckCompleted(loadID, policy.Served, nil)
-	if len(core.commands) != 2 {
-		t.Fatalf("%d commands are pending after answers of the other kind, want 2", len(core.commands))
+	if len(core.commands.pending) != 2 {
+		t.Fatalf("%d commands are pending after answers of the other kind, want 2", len(core.commands.pending))
 	}
 	core.LoadCompleted(loadID, policy.Served, 1)
 	core.HealthCheckCompleted(healthCheckID, policy.Served, nil)
-	if len(core.commands) != 0 || core.timers.heap.Len() != 0 {
-		t.Errorf("%d commands and %d timers are left, want none", len(core.commands), core.timers.heap.Len())
+	if len(core.commands.pending) != 0 || core.timers.heap.Len() != 0 {
+		t.Errorf("%d commands and %d timers are left, want none", len(core.commands.pending), core.timers.heap.Len())
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -50,8 +50,7 @@
 	openRequests  int // tracked requests that are owed a response
 	openBytes     int // bytes of their bodies
 
-	commands      map[uint64]*pendingCommand
-	lastCommandID uint64
+	commands commandTracker
 
 	tenants map[string]int // index in the module's configuration, by name
 	routing routing
@@ -72,13 +71,20 @@
 		timers:      newTimerQueue(),
 		requests:    map[policy.RequestID]*trackedRequest{},
 		clientIDs:   map[string]struct{}{},
-		commands:    map[uint64]*pendingCommand{},
 		tenants:     map[string]int{},
 	}
 	for i, name := range config.Tenants {
 		c.tenants[name] = i
 	}
 	c.workers = config.NewWorkerClient(c)
+	c.commands = commandTracker{
+		limits:   config.Limits,
+		workers:  c.workers,
+		timers:   &c.timers,
+		events:   &c.events,
+		counters: &c.Counters,
+		pending:  map[uint64]*pendingCommand{},
+	}
 	return c
 }
 
@@ -101,6 +107,23 @@
 // Routes returns the route table in force, or nil.
 func (c *Core) Routes() *route.Table { return c.routing.table }
 
+// LoadCompleted notifies the core of how a load ended, and of how many replicas of its function the worker holds. It
+// ignores a load that has ended already.
+func (c *Core) LoadCompleted(commandID uint64, outcome policy.Outcome, count int) {
+	c.commands.loadCompleted(commandID, outcome, count)
+}
+
+// MaySendLoad reports whether a load that waited for a connection may be sent now.
+func (c *Core) MaySendLoad(commandID uint64) bool {
+	return c.commands.isPendingLoad(commandID) && c.policy.MayStillLoad(c.timers.now)
+}
+
+// HealthCheckCompleted notifies the core of how a health check ended, with the worker's load report in the order of
+// policy.Config.LoadReportFields. It ignores a health check that has ended already.
+func (c *Core) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
+	c.commands.healthCheckCompleted(commandID, outcome, report)
+}
+
 // SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
 // the present one changes nothing.
 func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
@@ -144,7 +167,7 @@
 	case attemptTimeout:
 		c.cancelAttempt(Attempt{Request: t.requestID, Number: t.attempt}, policy.TimedOut)
 	case commandTimeout:
-		c.commandTimedOut(t.commandID)
+		c.commands.timedOut(t.commandID)
 	case requestDeadline:
 		c.deadlineExceeded(t.requestID)
 	}
@@ -181,14 +204,8 @@
 		c.respondUnserved(a.Request, Response{Status: Rejected, RetryAfter: a.RetryAfter})
 	case policy.FailRequest:
 		c.respondUnserved(a.Request, Response{Status: Failed})
-	case policy.Load:
-		c.load(a)
-	case policy.CheckHealth:
-		c.checkHealth(a)
-	case policy.Unload:
-		c.unload(a)
-	case policy.CloseIdleConnections:
-		c.workers.CloseIdle(a.Worker)
+	case policy.Load, policy.Unload, policy.CheckHealth, policy.CloseIdleConnections:
+		c.commands.execute(action)
 	case policy.SetTimer:
 		c.timers.setPolicyTimer(a)
 	case policy.ClearTimer:
