--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -54,8 +54,8 @@
 	if body := string(firstResponder.responses[0].Body); body != "done" {
 		t.Fatalf("the first request got the body %q", body)
 	}
-	if len(workers.started) != 1 || len(core.clientIDs) != 0 || len(core.requests) != 0 {
-		t.Fatalf("%d requests sent, %d IDs reserved, %d requests tracked", len(workers.started), len(core.clientIDs), len(core.requests))
+	if len(workers.started) != 1 || len(core.requests.table.clientIDs) != 0 || len(core.requests.table.requests) != 0 {
+		t.Fatalf("%d requests sent, %d IDs reserved, %d requests tracked", len(workers.started), len(core.requests.table.clientIDs), len(core.requests.table.requests))
 	}
 	if again, _ := send(Thrift, "again"); again == 0 {
 		t.Error("the ID of a request that has ended is still reserved")
@@ -149,7 +149,7 @@
 		id := core.Accept(start, Request{Responder: responder, ID: clientID, Body: make([]byte, bodySize), Deadline: start + time.Second})
 		return id, responder
 	}
-	large, _ := send("large", core.limits.MaxBytes)
+	large, _ := send("large", core.requests.limits.MaxBytes)
 	if large == 0 {
 		t.Fatal("a body of just the allowed size is not accepted")
 	}
@@ -159,7 +159,7 @@
 		t.Fatalf("one byte more: request %d, response %+v", small, responder.responses[0])
 	}
 	core.CancelRequest(start, large)
-	if again, _ := send("again", core.limits.MaxBytes); again == 0 {
+	if again, _ := send("again", core.requests.limits.MaxBytes); again == 0 {
 		t.Error("a completed request's body still counts")
 	}
 }
@@ -173,7 +173,7 @@
 	if first := send("a"); first != 1 {
 		t.Fatalf("the first request is %d, want 1", first)
 	}
-	core.lastRequestID = ^policy.RequestID(0)
+	core.requests.table.lastID = ^policy.RequestID(0)
 	if next := send("b"); next != 2 {
 		t.Errorf("the request behind the highest identifier is %d, want 2: 0 is none and 1 is tracked", next)
 	}
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -42,9 +42,9 @@
 			if len(workers.unsent) != 0 || len(workers.inFlight) != 0 {
 				t.Errorf("%d attempts wait for a dial and %d are in flight, want none", len(workers.unsent), len(workers.inFlight))
 			}
-			if core.OpenRequests() != 0 || len(core.requests) != 0 || len(core.clientIDs) != 0 {
+			if core.OpenRequests() != 0 || len(core.requests.table.requests) != 0 || len(core.requests.table.clientIDs) != 0 {
 				t.Errorf("%d requests open, %d tracked, %d IDs reserved, want none",
-					core.OpenRequests(), len(core.requests), len(core.clientIDs))
+					core.OpenRequests(), len(core.requests.table.requests), len(core.requests.table.clientIDs))
 			}
 			wantResponses(t, responder, test.wantResponses)
 			for _, response := range responder.responses {
@@ -168,8 +168,8 @@
 	if core.Counters.Canceled[Thrift] != 1 || core.Counters.Served[Thrift] != 0 {
 		t.Errorf("counters %+v", core.Counters)
 	}
-	if len(core.requests) != 0 {
-		t.Errorf("%d requests tracked, want none", len(core.requests))
+	if len(core.requests.table.requests) != 0 {
+		t.Errorf("%d requests tracked, want none", len(core.requests.table.requests))
 	}
 }
 
@@ -267,8 +267,8 @@
 	}
 	wantResponses(t, responder, 0)
 	counted := core.Counters.AttemptsByOutcome
-	if counted[policy.Failed] != 1 || counted[policy.Served] != 0 || core.requests[id].inFlight != 1 {
-		t.Errorf("outcomes %v, %d attempts in flight, want one failed and one in flight", counted, core.requests[id].inFlight)
+	if counted[policy.Failed] != 1 || counted[policy.Served] != 0 || core.requests.table.requests[id].inFlight != 1 {
+		t.Errorf("outcomes %v, %d attempts in flight, want one failed and one in flight", counted, core.requests.table.requests[id].inFlight)
 	}
 }
 
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -33,53 +33,41 @@
 	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
-// Core is the function router. It belongs to one goroutine and is not safe for concurrent use.
+// Core is the function router. It passes what happens to the part that it concerns, hands the events that follow to the
+// decision module, and has the parts carry out the module's actions. It belongs to one goroutine and is not safe for
+// concurrent use.
 type Core struct {
 	policy  *policy.Policy
-	workers WorkerClient
-	limits  Limits
-
 	events  eventQueue
 	actions []policy.Action // reused by each batch
 
-	timers timerQueue
-
-	requests      map[policy.RequestID]*trackedRequest
-	clientIDs     map[string]struct{} // Request.ID of each tracked request
-	lastRequestID policy.RequestID
-	openRequests  int // tracked requests that are owed a response
-	openBytes     int // bytes of their bodies
-
+	timers   timerQueue
+	routing  routing
+	requests requestTracker
 	commands commandTracker
 
-	tenants map[string]int // index in the module's configuration, by name
-	routing routing
-
-	rejectsNew  bool // RejectNew has been called
-	onCompleted func(now time.Duration, r *Request, completion Completion)
-
 	// Counters counts what the core has accepted, sent and completed.
 	Counters Counters
 }
 
 // New returns a Core that acts on the decisions of p.
 func New(p *policy.Policy, config Config) *Core {
-	c := &Core{
-		policy:      p,
+	c := &Core{policy: p, timers: newTimerQueue()}
+	workers := config.NewWorkerClient(c)
+	c.requests = requestTracker{
 		limits:      config.Limits,
+		tenants:     tenantIndexes(config.Tenants),
 		onCompleted: config.OnCompleted,
-		timers:      newTimerQueue(),
-		requests:    map[policy.RequestID]*trackedRequest{},
-		clientIDs:   map[string]struct{}{},
-		tenants:     map[string]int{},
-	}
-	for i, name := range config.Tenants {
-		c.tenants[name] = i
+		workers:     workers,
+		routing:     &c.routing,
+		timers:      &c.timers,
+		events:      &c.events,
+		counters:    &c.Counters,
+		table:       newRequestTable(),
 	}
-	c.workers = config.NewWorkerClient(c)
 	c.commands = commandTracker{
 		limits:   config.Limits,
-		workers:  c.workers,
+		workers:  workers,
 		timers:   &c.timers,
 		events:   &c.events,
 		counters: &c.Counters,
@@ -88,24 +76,44 @@
 	return c
 }
 
-// OpenRequests returns the number of requests that are owed a response.
-func (c *Core) OpenRequests() int { return c.openRequests }
+// SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
+// the present one changes nothing.
+func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
 
-// RejectNew has the core reject every request from now on, because the program is about to exit.
-func (c *Core) RejectNew() { c.rejectsNew = true }
+// Accept hands in a request and returns its identifier in the core, or 0 where the core responded at once and does
+// not track it. The response may be given before Accept returns.
+func (c *Core) Accept(now time.Duration, r Request) policy.RequestID {
+	c.SetNow(now)
+	return c.requests.accept(r)
+}
 
-// SetEndpoints hands in the endpoint list, or a change of it.
-func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
+// RejectUnaccepted rejects a request for want of capacity of a front. The decision module does not see it.
+func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
+	c.SetNow(now)
+	c.requests.rejectUnaccepted(r)
+}
 
-// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
-func (c *Core) SetRouteWorkers(list []route.Worker) { c.routing.setWorkers(list) }
+// CancelRequest notifies the core that the client no longer waits for a request. It gets no response.
+func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
+	c.SetNow(now)
+	c.requests.cancel(id)
+}
 
-// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
-// nil every request may go to every worker.
-func (c *Core) SetRoutes(t *route.Table) { c.routing.setTable(t) }
+// RejectNew has the core reject every request from now on, because the program is about to exit: it can't while clients
+// go on sending.
+func (c *Core) RejectNew() { c.requests.rejectsNew = true }
 
-// Routes returns the route table in force, or nil.
-func (c *Core) Routes() *route.Table { return c.routing.table }
+// EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is
+// about to end.
+func (c *Core) EndOpenRequests() { c.requests.endOpenRequests() }
+
+// OpenRequests returns the number of requests that are owed a response.
+func (c *Core) OpenRequests() int { return c.requests.table.openCount }
+
+// AttemptCompleted notifies the core of how an attempt ended. It ignores an attempt that has ended already.
+func (c *Core) AttemptCompleted(a Attempt, result AttemptResult) {
+	c.requests.attemptCompleted(a, result)
+}
 
 // LoadCompleted notifies the core of how a load ended, and of how many replicas of its function the worker holds. It
 // ignores a load that has ended already.
@@ -124,91 +132,15 @@
 	c.commands.healthCheckCompleted(commandID, outcome, report)
 }
 
-// SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
-// the present one changes nothing.
-func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
-
-// Process fires the timers that are due, hands the gathered events to the decision module and carries out its actions,
-// until nothing is left to do. It returns the time by which it has to be called again.
-func (c *Core) Process(now time.Duration) (next time.Duration) {
-	c.SetNow(now)
-	for {
-		c.fireDueTimers()
-		if c.events.empty() {
-			break
-		}
-		c.handleEvents()
-		c.executeActions()
-	}
-	if due, ok := c.timers.heap.Next(); ok {
-		return due
-	}
-	return now + idleInterval
-}
-
-// fireDueTimers fires all timers that are due, those included that a fired one sets for now.
-func (c *Core) fireDueTimers() {
-	for {
-		due, ok := c.timers.popDue()
-		if !ok {
-			return
-		}
-		c.fire(due)
-	}
-}
-
-// fire does what a timer is for.
-func (c *Core) fire(entry *timerEntry) {
-	t := entry.Value
-	switch t.kind {
-	case policyTimer:
-		c.timers.policyTimerFired(entry)
-		c.events.add(policy.TimerFired{Token: t.token})
-	case attemptTimeout:
-		c.cancelAttempt(Attempt{Request: t.requestID, Number: t.attempt}, policy.TimedOut)
-	case commandTimeout:
-		c.commands.timedOut(t.commandID)
-	case requestDeadline:
-		c.deadlineExceeded(t.requestID)
-	}
-}
+// SetEndpoints hands in the endpoint list, or a change of it.
+func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
 
-// handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
-func (c *Core) handleEvents() {
-	c.actions = c.actions[:0]
-	batch := c.events.take()
-	for _, event := range batch {
-		if event != nil {
-			c.actions = c.policy.Handle(c.timers.now, event, c.actions)
-		}
-	}
-	c.events.recycle(batch)
-}
+// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
+func (c *Core) SetRouteWorkers(list []route.Worker) { c.routing.setWorkers(list) }
 
-// executeActions carries out the actions of the last batch, in order.
-func (c *Core) executeActions() {
-	for _, action := range c.actions {
-		c.execute(action)
-	}
-}
+// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
+// nil every request may go to every worker.
+func (c *Core) SetRoutes(t *route.Table) { c.routing.setTable(t) }
 
-// execute carries out one action. Actions that are not listed ask for what this deployment does not have: endpoint
-// lists arrive without a subscription, and the settings allow no gossip. The module's log lines are dropped.
-func (c *Core) execute(action policy.Action) {
-	switch a := action.(type) {
-	case policy.StartAttempt:
-		c.startAttempt(a)
-	case policy.CancelAttempt:
-		c.cancelAttempt(Attempt{Request: a.Request, Number: a.Attempt}, policy.Canceled)
-	case policy.Reject:
-		c.respondUnserved(a.Request, Response{Status: Rejected, RetryAfter: a.RetryAfter})
-	case policy.FailRequest:
-		c.respondUnserved(a.Request, Response{Status: Failed})
-	case policy.Load, policy.Unload, policy.CheckHealth, policy.CloseIdleConnections:
-		c.commands.execute(action)
-	case policy.SetTimer:
-		c.timers.setPolicyTimer(a)
-	case policy.ClearTimer:
-		c.timers.clearPolicyTimer(a)
-	}
-}
+// Routes returns the route table in force, or nil.
+func (c *Core) Routes() *route.Table { return c.routing.table }
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -26,3 +26,13 @@
 
 	DeadlineExceeded uint64 // requests that the core's deadline timer completed, not the module
 }
+
+// countUnserved counts a response that is not a worker's, and returns the completion that it stands for.
+func (c *Counters) countUnserved(front Front, status ResponseStatus) Completion {
+	if status == Rejected {
+		c.Rejected[front]++
+		return CompletionRejected
+	}
+	c.Failed[front]++
+	return CompletionFailed
+}
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -48,6 +48,9 @@
 // popDue removes and returns the first timer that is due. It returns false where there is none.
 func (q *timerQueue) popDue() (*timerEntry, bool) { return q.heap.PopDue(q.now) }
 
+// next returns when the first timer is due. It returns false where none is set.
+func (q *timerQueue) next() (due time.Duration, ok bool) { return q.heap.Next() }
+
 // remove removes a timer that has not fired. It does nothing for nil and for a timer that has fired.
 func (q *timerQueue) remove(entry *timerEntry) { q.heap.Remove(entry) }
 
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -31,7 +31,7 @@
 				t.Fatalf("%d attempts, want %d", len(workers.started[id]), test.wantAttempts)
 			}
 
-			deadline := core.requests[id].deadline
+			deadline := core.requests.table.requests[id].deadline
 			if deadline.Value.kind != requestDeadline || deadline.Due() != start+3*time.Second {
 				t.Fatalf("deadline timer %+v", deadline)
 			}
@@ -89,8 +89,8 @@
 		now += ms
 		core.Process(now)
 	}
-	if core.timers.heap.Len() > timersAtStart+2 || len(core.timers.policyTimers) > timersAtStart+2 || len(core.requests) > 0 {
+	if core.timers.heap.Len() > timersAtStart+2 || len(core.timers.policyTimers) > timersAtStart+2 || len(core.requests.table.requests) > 0 {
 		t.Errorf("%d timers, %d of them the module's, and %d requests are left; there were %d timers at the start",
-			core.timers.heap.Len(), len(core.timers.policyTimers), len(core.requests), timersAtStart)
+			core.timers.heap.Len(), len(core.timers.policyTimers), len(core.requests.table.requests), timersAtStart)
 	}
 }
