--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// The bodies of all open requests together are bounded. A completed request makes room.
+// The bodies of all open requests together are bounded. A completed request frees its share.
 func TestBodiesOfOpenRequestsAreBounded(t *testing.T) {
 	core, _ := newTestCore(t, 1)
 	send := func(clientID string, bodySize int) (policy.RequestID, *recordingResponder) {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -26,8 +26,8 @@
 	Limits Limits
 	// Tenants are the tenants' names, in the order of policy.Config.Tenants.
 	Tenants []string
-	// NewWorkerClient returns the client that carries messages to workers. New calls it once, with the core to which the
-	// client reports its results. It must not call the core.
+	// NewWorkerClient returns the client that carries messages to workers. New calls it once, with the core that the
+	// client notifies of its results. It must not call the core.
 	NewWorkerClient func(core *Core) WorkerClient
 	// OnCompleted is called once for each request that was handed in, when it completes. It may be nil.
 	OnCompleted func(now time.Duration, r *Request, completion Completion)
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -15,6 +15,17 @@
 //   - The route table (internal/route), where one is set, chooses the pool of workers that a request may go to before
 //     the module sees the request.
 //
+// # Parts of the core
+//
+// Core is what the parts around it call, and the loop of Process. Each part of its state is owned by one type:
+//
+//   - requestTracker carries requests from their arrival through their attempts to their completion. Its requestTable
+//     has the tracked requests, and counts what they take of the Limits.
+//   - commandTracker has the loads and health checks that await an answer.
+//   - timerQueue has the clock, and the timers of the core and of the decision module.
+//   - routing has the route table in force.
+//   - eventQueue has what the decision module has not seen yet.
+//
 // # Ownership and time
 //
 // A Core belongs to one goroutine, that of the event loop, and has no locks. All its methods, and all calls that it
@@ -31,8 +42,8 @@
 //     load, timers to set, or a rejection.
 //  3. Attempts complete through AttemptCompleted. The first served one gives the request its response. The others go
 //     to the module, which may start further attempts.
-//  4. A request completes as served, rejected, failed or canceled; Config.OnCompleted is called once. Attempts that no byte
-//     has been sent for are withdrawn. The module ends requests before their deadline; should it not, the deadline
+//  4. A request completes as served, rejected, failed or canceled; Config.OnCompleted is called once. Attempts that no
+//     byte has been sent for are withdrawn. The module ends requests before their deadline; should it not, the deadline
 //     timer does.
 //  5. A completed request leaves the table when its last attempt has ended. Until then its ID stays reserved, since
 //     workers tell requests apart by ID.
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -48,7 +48,7 @@
 	LoadTime        time.Duration // usual time of a load; 0 for unknown
 	Body            []byte
 	Deadline        time.Duration // the final response must have left by then
-	SendBy          time.Duration // an attempt that starts now is not sent later; 0 for no limit but its own; set by the core
+	SendBy          time.Duration // set by the core: an attempt that starts now is not sent later; 0 for no such limit
 	Tenant          string        // who sends it, where the front has proof of that; "" otherwise
 	IdempotencyKey  string        // passed on to the worker unchanged; "" for none
 
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -94,3 +94,26 @@
 			core.timers.heap.Len(), len(core.timers.policyTimers), len(core.requests.table.requests), timersAtStart)
 	}
 }
+
+// A token stands for the module's last timer under it: to clear it leaves the earlier one, which fires.
+func TestTimerQueueClearsTheLastTimerUnderAToken(t *testing.T) {
+	queue := newTimerQueue()
+	queue.setNow(start)
+	queue.setNow(start - time.Second)
+	if queue.now != start {
+		t.Fatalf("the clock went back to %v", queue.now)
+	}
+	queue.setPolicyTimer(policy.SetTimer{Token: 1, After: -ms})
+	queue.setPolicyTimer(policy.SetTimer{Token: 1, After: ms})
+	queue.clearPolicyTimer(policy.ClearTimer{Token: 1})
+	if due, ok := queue.next(); !ok || due != start {
+		t.Errorf("the next timer is due at %v (%v), want %v", due, ok, start)
+	}
+	fired, ok := queue.popDue()
+	if !ok || fired.Value.token != 1 {
+		t.Fatalf("the first timer did not fire: %+v, %v", fired, ok)
+	}
+	if _, ok := queue.popDue(); ok || len(queue.policyTimers) != 0 {
+		t.Error("a timer that was cleared is left")
+	}
+}
