--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -36,19 +36,41 @@
 	return string(text)
 }
 
+// flowchartLines returns the lines of the page's flowcharts, which draw imports. Drawings of other kinds, such as a
+// state diagram, have arrows that are none.
+func flowchartLines(page string) []string {
+	var lines []string
+	drawing, inFlowchart := false, false
+	for line := range strings.Lines(page) {
+		line = strings.TrimRight(line, "\n")
+		switch {
+		case line == "```mermaid":
+			drawing = true
+		case line == "```":
+			drawing, inFlowchart = false, false
+		case drawing && strings.HasPrefix(line, "flowchart "):
+			inFlowchart = true
+		case inFlowchart:
+			lines = append(lines, line)
+		}
+	}
+	return lines
+}
+
 // drawnImports returns the packages that the page draws, each with the packages that its arrows lead to.
 func drawnImports(t *testing.T, page string) map[string][]string {
 	t.Helper()
 	packages := map[string]string{}
 	imports := map[string][]string{}
-	for line := range strings.Lines(page) {
-		if m := drawnNode.FindStringSubmatch(strings.TrimRight(line, "\n")); m != nil {
+	lines := flowchartLines(page)
+	for _, line := range lines {
+		if m := drawnNode.FindStringSubmatch(line); m != nil {
 			packages[m[1]] = m[2]
 			imports[m[2]] = []string{}
 		}
 	}
-	for line := range strings.Lines(page) {
-		m := drawnEdge.FindStringSubmatch(strings.TrimRight(line, "\n"))
+	for _, line := range lines {
+		m := drawnEdge.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
