--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	s := &Server{config: cfg, options: options, reread: reread, closed: make(chan struct{})}
-	s.drainSchedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
+	s.lifecycle.schedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
 	s.loop = newEventLoop(cfg)
 	s.core = s.newCore(scheduler)
 	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
--- /dev/null
+++ b/internal/server/lifecycle_test.go
@@ -0,0 +1,94 @@
+package server
+
+import (
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// The steps of a drain follow from the longest deadline, and all of them lie before the platform's kill.
+func TestDrainScheduleFollowsTheLongestDeadline(t *testing.T) {
+	for _, test := range []struct {
+		longestDeadline time.Duration
+		want            drainSchedule
+	}{
+		{100 * ms, drainSchedule{reject: 600 * ms, close: 600 * ms, stop: 740 * ms}},
+		{time.Second, drainSchedule{reject: 750 * ms, close: 1500 * ms, stop: 1640 * ms}},
+		{3 * time.Second, drainSchedule{reject: 750 * ms, close: 3500 * ms, stop: 3640 * ms}},
+		{time.Minute, drainSchedule{reject: 750 * ms, close: 3500 * ms, stop: 3640 * ms}},
+	} {
+		t.Run(test.longestDeadline.String(), func(t *testing.T) {
+			if got := newDrainSchedule(test.longestDeadline); got != test.want {
+				t.Errorf("schedule %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+// Each state is left for the one that is due at a time and for no other.
+func TestLifecycleTransitions(t *testing.T) {
+	const begun = time.Hour
+	for _, test := range []struct {
+		name    string
+		state   lifecycleState
+		elapsed time.Duration // since the drain began
+		drained bool
+		want    lifecycleState
+		rejects bool // new requests, in the state that was moved to
+	}{
+		{"starting stays", starting, time.Hour, true, starting, false},
+		{"serving stays", serving, time.Hour, true, serving, false},
+		{"new requests are served", draining, 749 * ms, false, draining, false},
+		{"clients may still come", draining, 749 * ms, true, draining, false},
+		{"new requests are rejected", draining, 750 * ms, false, draining, true},
+		{"drained before the close", draining, 750 * ms, true, stopped, true},
+		{"not closed too early", draining, 1499 * ms, false, draining, true},
+		{"closing", draining, 1500 * ms, false, closing, true},
+		{"closing comes first", draining, 1500 * ms, true, closing, true},
+		{"closing comes first after a late turn", draining, time.Minute, false, closing, true},
+		{"closed and drained", closing, 1500 * ms, true, stopped, true},
+		{"not stopped too early", closing, 1639 * ms, false, closing, true},
+		{"out of time", closing, 1640 * ms, false, stopped, true},
+		{"stopped stays", stopped, time.Hour, false, stopped, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l := lifecycle{state: test.state, schedule: newDrainSchedule(time.Second), drainingSince: begun}
+			now := begun + test.elapsed
+			moved := l.advance(now, test.drained)
+			if l.state != test.want || moved != (test.want != test.state) {
+				t.Errorf("state %d, moved %v, want state %d", l.state, moved, test.want)
+			}
+			if l.rejectsNew(now) != test.rejects {
+				t.Errorf("rejects new requests: %v, want %v", !test.rejects, test.rejects)
+			}
+		})
+	}
+}
+
+// A drain begins once, also where a signal comes before the server serves.
+func TestDrainBeginsOnce(t *testing.T) {
+	for _, test := range []struct {
+		state lifecycleState
+		want  bool
+	}{
+		{starting, true},
+		{serving, true},
+		{draining, false},
+		{closing, false},
+		{stopped, false},
+	} {
+		l := lifecycle{state: test.state, drainingSince: time.Second}
+		if began := l.beginDrain(time.Hour); began != test.want || (l.drainingSince == time.Hour) != test.want {
+			t.Errorf("from state %d: a drain began %v, since %v", test.state, began, l.drainingSince)
+		}
+		if test.want && l.state != draining {
+			t.Errorf("from state %d: moved to state %d", test.state, l.state)
+		}
+	}
+	l := lifecycle{}
+	l.serve(time.Hour)
+	if l.state != serving || l.isDraining() || l.servingSince != time.Hour {
+		t.Errorf("after the start: %+v", l)
+	}
+}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -47,10 +47,7 @@
 	discovery    *discovery.Client
 	integrations *integrations
 
-	startedAt       time.Duration
-	drainSchedule   drainSchedule
-	drainingSince   time.Duration // 0 while the server is not draining
-	closingClients  bool          // the drain has come to close its clients' connections
+	lifecycle       lifecycle
 	lastMaintenance time.Duration
 	lastSweep       time.Duration
 
@@ -96,13 +93,14 @@
 		return err
 	}
 	s.integrations = integrations
-	s.startedAt = s.loop.Now()
+	startedAt := s.loop.Now()
 	front := thrift.New(s.core, thriftConfig(s.config), s.loop, s.ready)
 	s.loop.Listen(s.config.Listen, front.Accept)
 	if err := s.loop.Start(); err != nil {
 		s.integrations.close()
 		return err
 	}
+	s.lifecycle.serve(startedAt)
 	slog.Info("server_started", slog.String("name", s.config.Name), slog.String("listen", s.config.Listen))
 	return nil
 }
@@ -110,10 +108,11 @@
 // ready reports whether clients should send requests: there is a worker to send them to, or no news of one to wait
 // for, and the server is not draining.
 func (s *Server) ready() bool {
-	if s.drainingSince > 0 {
+	if s.lifecycle.state != serving {
 		return false
 	}
-	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 || s.loop.Now()-s.startedAt >= firstListTimeout
+	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 ||
+		s.loop.Now()-s.lifecycle.servingSince >= firstListTimeout
 }
 
 // Run serves until a drain has ended. It is called once, after Start.
@@ -146,7 +145,7 @@
 		s.lastSweep = now
 		s.integrations.sweep(now)
 	}
-	if s.drainingSince > 0 {
+	if s.lifecycle.isDraining() {
 		next = min(next, s.continueDrain(now))
 	}
 	return next
