--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"log/slog"
 	"time"
 
 	"crankhold/internal/config"
@@ -32,18 +33,31 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{config: cfg, options: options, reread: reread, closed: make(chan struct{})}
+	if options.Logger == nil {
+		options.Logger = slog.Default()
+	}
+	s := &Server{config: cfg, options: options, logger: options.Logger, closed: make(chan struct{})}
 	s.lifecycle.schedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
 	s.loop = newEventLoop(cfg)
 	s.core = s.newCore(scheduler)
-	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
-	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
-	s.discovery.Confirmed = s.membership.listConfirmed
+	membership := newMembership(s.loop, s.core, s.workers, cfg, s.logger)
+	s.discovery = newDiscoveryClient(cfg, s.loop, membership.update)
+	s.discovery.Confirmed = membership.listConfirmed
 	addresses, err := readAddresses(options.Addresses)
 	if err != nil {
 		return nil, err
 	}
 	s.discovery.UnixInTXT = addresses.UnixInTXT
+	s.reloader = &reloader{
+		config:     cfg,
+		options:    options,
+		reread:     reread,
+		logger:     s.logger,
+		loop:       s.loop,
+		core:       s.core,
+		discovery:  s.discovery,
+		membership: membership,
+	}
 	return s, nil
 }
 
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -17,19 +17,21 @@
 	s.logWorkerCounters()
 	s.logPoolCounters()
 	s.integrations.logCounters()
-	logCounterLine(slog.Uint64("discovery_queries", s.discovery.QueriesSent), slog.Uint64("discovery_responses", s.discovery.ResponsesRead))
+	logCounterLine(s.logger,
+		slog.Uint64("discovery_queries", s.discovery.QueriesSent),
+		slog.Uint64("discovery_responses", s.discovery.ResponsesRead))
 }
 
 // logCounterLine logs one line of counters.
-func logCounterLine(attributes ...slog.Attr) {
-	slog.LogAttrs(context.Background(), slog.LevelInfo, "counters_reported", attributes...)
+func logCounterLine(logger *slog.Logger, attributes ...slog.Attr) {
+	logger.LogAttrs(context.Background(), slog.LevelInfo, "counters_reported", attributes...)
 }
 
 // logRequestCounters logs one line for each front.
 func (s *Server) logRequestCounters() {
 	counters := &s.core.Counters
 	for front, name := range frontNames {
-		logCounterLine(
+		logCounterLine(s.logger,
 			slog.String("front", name),
 			slog.Uint64("accepted", counters.Accepted[front]),
 			slog.Uint64("served", counters.Served[front]),
@@ -44,15 +46,18 @@
 // logWorkerCounters logs what went to the workers, and what became of the connections to them.
 func (s *Server) logWorkerCounters() {
 	counters := &s.core.Counters
-	attempts := []slog.Attr{slog.Uint64("attempts_sent", counters.AttemptsStarted), slog.Uint64("deadline_exceeded", counters.DeadlineExceeded)}
-	logCounterLine(append(attempts, outcomeAttributes(counters.AttemptsByOutcome)...)...)
+	attempts := []slog.Attr{
+		slog.Uint64("attempts_sent", counters.AttemptsStarted),
+		slog.Uint64("deadline_exceeded", counters.DeadlineExceeded),
+	}
+	logCounterLine(s.logger, append(attempts, outcomeAttributes(counters.AttemptsByOutcome)...)...)
 	loads := []slog.Attr{slog.Uint64("loads_sent", counters.LoadsSent), slog.Uint64("unloads", counters.Unloads)}
-	logCounterLine(append(loads, outcomeAttributes(counters.LoadsByOutcome)...)...)
+	logCounterLine(s.logger, append(loads, outcomeAttributes(counters.LoadsByOutcome)...)...)
 	healthChecks := []slog.Attr{slog.Uint64("health_checks", counters.HealthChecks)}
-	logCounterLine(append(healthChecks, outcomeAttributes(counters.HealthChecksByOutcome)...)...)
+	logCounterLine(s.logger, append(healthChecks, outcomeAttributes(counters.HealthChecksByOutcome)...)...)
 
 	connections := s.workers.Counters
-	logCounterLine(
+	logCounterLine(s.logger,
 		slog.Uint64("dials", connections.Dials),
 		slog.Uint64("dials_failed", connections.DialsFailed),
 		slog.Uint64("recovery_dials", connections.RecoveryDials),
@@ -68,7 +73,7 @@
 		return
 	}
 	for _, pool := range table.Pools() {
-		logCounterLine(
+		logCounterLine(s.logger,
 			slog.String("pool", pool.Spec.Name),
 			slog.Int("workers", pool.Size()),
 			slog.Uint64("requests", pool.Requests),
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -19,7 +19,7 @@
 //
 // # Reload
 //
-// SIGHUP rereads the configuration and the routes file. Reload reads and checks both on the calling goroutine and
+// SIGHUP rereads the configuration and the routes file. A reloader reads and checks both on a goroutine of its own and
 // applies them in one turn of the event loop. Only the discovery server's address and the routes change; other settings
 // that differ are logged as config_restart_required. A file that can't be used changes nothing, and open requests end
 // under the routes that they began with.
@@ -27,8 +27,15 @@
 // # Graceful shutdown
 //
 // SIGTERM and SIGINT begin a drain. Requests are accepted for drainServingPeriod more, because clients learn late that
-// the router is leaving, and are rejected after that. The loop stops once no request is open and either all
-// responses have been written and all notices delivered, or flushTimeout is over.
+// the router is leaving, and are rejected after that. Shortly before the platform kills the process, open requests get
+// their final responses and clients' connections are closed. The loop stops once no client is connected and all notices
+// are delivered, or when the schedule's time is over. The states and their transitions are those of lifecycle, which
+// knows no sockets; Server acts on them.
+//
+// # Integrations
+//
+// Webhook deliveries, notices of completed requests and the export of flows are off unless the operators' files turn
+// them on. Each has a type of its own with its counters, and integrations calls those that are on.
 //
 // # What a restart loses
 //
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -27,6 +27,7 @@
 	core    *router.Core
 	workers *workerclient.Pool
 	config  *config.Config
+	logger  *slog.Logger
 
 	starts   *startTimes
 	lastList time.Duration // when the list was last confirmed before the present one; 0: never
@@ -38,19 +39,21 @@
 	returnedAt map[string]time.Duration
 }
 
-func newMembership(loop *eventloop.Loop, core *router.Core, workers *workerclient.Pool, cfg *config.Config) *membership {
+func newMembership(loop *eventloop.Loop, core *router.Core, workers *workerclient.Pool, cfg *config.Config,
+	logger *slog.Logger) *membership {
 	return &membership{
 		loop:       loop,
 		core:       core,
 		workers:    workers,
 		config:     cfg,
+		logger:     logger,
 		starts:     newStartTimes(time.Now, loop.Now()),
 		departed:   map[string]bool{},
 		returnedAt: map[string]time.Duration{},
 	}
 }
 
-// update replaces the endpoint list by a newer one. A list without any worker proves of no process that it ended.
+// update replaces the endpoint list by a newer one. An empty list is no evidence that any process ended.
 func (m *membership) update(list []discovery.Worker) {
 	if len(list) > 0 {
 		m.detectRestarts(list)
@@ -63,7 +66,7 @@
 	m.publish()
 }
 
-// listConfirmed takes in that discovery has said that the list is the present one.
+// listConfirmed records that discovery has confirmed the list as the present one.
 func (m *membership) listConfirmed() { m.lastList = m.loop.Now() }
 
 // detectRestarts records which names left the list and which came back. A name that comes back belongs to a new
@@ -120,8 +123,12 @@
 		present[e.Worker] = true
 		list.Workers = append(list.Workers, e)
 		labels = append(labels, worker.labels...)
-		slog.Info("worker_updated", slog.String("name", worker.name), slog.String("addrs", fmt.Sprint(worker.addrs)),
-			slog.Any("state", e.State), slog.Float64("weight", e.Weight), slog.Int64("started", worker.started))
+		m.logger.Info("worker_updated",
+			slog.String("name", worker.name),
+			slog.String("addrs", fmt.Sprint(worker.addrs)),
+			slog.Any("state", e.State),
+			slog.Float64("weight", e.Weight),
+			slog.Int64("started", worker.started))
 	}
 	m.workers.RetainWorkers(present)
 	m.core.SetEndpoints(list)
@@ -147,7 +154,7 @@
 	return joined
 }
 
-// staticWorkers returns what the routes file says of each worker of the list.
+// staticWorkers returns what the routes file adds to each worker of the list.
 func (m *membership) staticWorkers() []route.Worker {
 	static := make([]route.Worker, len(m.list))
 	table := m.core.Routes()
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -50,7 +50,7 @@
 		return pool
 	}
 	core := router.New(module, router.Config{Limits: router.Limits{MaxConcurrentRequests: 10, MaxBytes: 1 << 16}, NewWorkerClient: newPool})
-	m.membership = newMembership(eventloop.New(eventloop.Config{}), core, pool, &config.Config{})
+	m.membership = newMembership(eventloop.New(eventloop.Config{}), core, pool, &config.Config{}, slog.Default())
 	return m
 }
 
@@ -152,7 +152,7 @@
 }
 
 // A name that had left the list and is back is a new process, which goes through slow start although discovery reports no
-// start of it. A start time that discovery reports takes precedence, and a list without any worker proves of none that it ended.
+// start of it. A start time that discovery reports takes precedence, and an empty list is no evidence that any process ended.
 func TestReturningWorkerGoesThroughSlowStart(t *testing.T) {
 	m := newTestMembership(t)
 	one, two := listed(t, "s-1", policy.Ready, "127.0.0.1:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:2")
--- /dev/null
+++ b/internal/server/notices.go
@@ -0,0 +1,49 @@
+package server
+
+import (
+	"log/slog"
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/webhook"
+	"crankhold/policy"
+)
+
+// noticeSender sends notices of completed requests that must not run twice. It belongs to the event loop's goroutine.
+type noticeSender struct {
+	sender  *webhook.Sender
+	classes []policy.Class
+	logger  *slog.Logger
+}
+
+func newNoticeSender(hooks *webhook.Config, cfg *config.Config, loop *eventloop.Loop,
+	logger *slog.Logger) (*noticeSender, error) {
+	dial := func(addr string, timeout time.Duration, handler eventloop.DialHandler) webhook.Transport {
+		return loop.Dial("tcp", addr, timeout, handler)
+	}
+	sender, err := webhook.NewSender(hooks, time.Now, dial)
+	if err != nil {
+		return nil, err
+	}
+	return &noticeSender{sender: sender, classes: cfg.Policy.Classes, logger: logger}, nil
+}
+
+// requestCompleted queues a notice of a request whose class is not idempotent.
+func (s *noticeSender) requestCompleted(now time.Duration, r *router.Request, completion router.Completion) {
+	if s.classes[r.Class].Idempotency == policy.NotIdempotent {
+		s.sender.Notify(now, r, completion)
+	}
+}
+
+func (s *noticeSender) logCounters() {
+	counters := s.sender.Counters
+	logCounterLine(s.logger,
+		slog.Uint64("notices_queued", counters.Queued),
+		slog.Uint64("dropped", counters.Dropped),
+		slog.Uint64("delivered", counters.Delivered),
+		slog.Uint64("retried", counters.Retried),
+		slog.Uint64("abandoned", counters.Abandoned),
+		slog.Int("open", s.sender.Pending()))
+}
--- a/internal/server/options.go
+++ b/internal/server/options.go
@@ -1,6 +1,10 @@
 package server
 
-import "crankhold/internal/signals"
+import (
+	"log/slog"
+
+	"crankhold/internal/signals"
+)
 
 // Options names what a server reads beside the platform's configuration, and what ends it. An empty file name
 // turns off what the file configures.
@@ -19,4 +23,6 @@
 	Stop <-chan struct{}
 	// Signals delivers the signals caught since the program began. If it is nil, Serve catches them itself.
 	Signals *signals.Signals
+	// Logger is where the server logs. If it is nil, that is slog.Default().
+	Logger *slog.Logger
 }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -8,7 +8,6 @@
 	"path/filepath"
 	"strings"
 
-	"crankhold/internal/config"
 	"crankhold/internal/lang"
 	"crankhold/internal/lang/syntax"
 	"crankhold/internal/route"
@@ -29,72 +28,81 @@
 	return lang.Check(root.FS(), file, filepath.ToSlash(filepath.Clean(dir)), platform)
 }
 
-// readRoutes compiles the routes file, and logs the checker's warnings. It returns nil where there is no file.
-func readRoutes(options Options, cfg *config.Config) (*route.Table, error) {
-	if options.Routes == "" {
+// readRoutes compiles the routes file, and logs the checker's warnings. It returns nil where there is no file. It
+// blocks while it reads.
+func (r *reloader) readRoutes() (*route.Table, error) {
+	if r.options.Routes == "" {
 		return nil, nil
 	}
-	result, err := CheckRoutesFile(options.Routes, cfg.RoutingPlatform())
-	if options.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
+	result, err := CheckRoutesFile(r.options.Routes, r.config.RoutingPlatform())
+	if r.options.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	for _, note := range result.Notes {
-		slog.Warn("routes_warned", slog.String("at", note.Pos.String()), slog.String("note", note.Msg))
+		r.logger.Warn("routes_warned", slog.String("at", note.Pos.String()), slog.String("note", note.Msg))
 	}
 	if err := result.Err(); err != nil {
 		return nil, err
 	}
-	return route.Compile(&result.Spec, cfg.ClassNames())
+	return route.Compile(&result.Spec, r.config.ClassNames())
 }
 
 // loadFirstRoutes reads the routes file at the start and enables its routes.
-func (s *Server) loadFirstRoutes() error {
-	table, err := readRoutes(s.options, s.config)
+func (r *reloader) loadFirstRoutes() error {
+	table, err := r.readRoutes()
 	if err != nil || table == nil {
 		return err
 	}
-	s.enableRoutes(table)
-	s.membership.publish()
+	r.enableRoutes(table)
+	r.membership.publish()
 	return nil
 }
 
 // enableRoutes puts a first table in force.
-func (s *Server) enableRoutes(table *route.Table) {
-	s.core.SetRoutes(table)
-	slog.Info("routes_enabled", slog.Int("routes", len(table.Routes())), slog.Int("pools", len(table.Pools())))
+func (r *reloader) enableRoutes(table *route.Table) {
+	r.core.SetRoutes(table)
+	r.logger.Info("routes_enabled",
+		slog.Int("routes", len(table.Routes())),
+		slog.Int("pools", len(table.Pools())))
 }
 
 // replaceRoutes puts the table of a reload in force and logs what it changes. Open requests end under the old one.
 // Where the file is gone (fresh is nil) the routes in force stay: to turn routes off takes a restart.
-func (s *Server) replaceRoutes(fresh *route.Table) {
-	current := s.core.Routes()
+func (r *reloader) replaceRoutes(fresh *route.Table) {
+	current := r.core.Routes()
 	switch {
 	case fresh == nil && current == nil:
 	case fresh == nil:
-		slog.Error("routes_rejected", slog.String("err", "the file is gone; the routes that it held stay in force"))
+		r.logger.Error("routes_rejected", slog.String("err", "the file is gone; the routes that it held stay in force"))
 	case current == nil:
-		s.enableRoutes(fresh)
+		r.enableRoutes(fresh)
 	default:
-		s.swapRoutes(current, fresh)
+		r.swapRoutes(current, fresh)
 	}
 }
 
-func (s *Server) swapRoutes(current, fresh *route.Table) {
-	changes := route.Diff(current, fresh, s.config.NotIdempotent(), false)
-	s.core.SetRoutes(fresh)
-	slog.Info("routes_reloaded", slog.Int("changes", len(changes)), slog.Int("routes", len(fresh.Routes())))
+// swapRoutes puts a table in force in place of another one, and logs how they differ.
+func (r *reloader) swapRoutes(current, fresh *route.Table) {
+	changes := route.Diff(current, fresh, r.config.NotIdempotent(), false)
+	r.core.SetRoutes(fresh)
+	r.logger.Info("routes_reloaded",
+		slog.Int("changes", len(changes)),
+		slog.Int("routes", len(fresh.Routes())))
 	for _, change := range changes {
-		slog.Info("route_changed", slog.String("of", change.Subject()), slog.String("before", change.Before), slog.String("after", change.After))
+		r.logger.Info("route_changed",
+			slog.String("of", change.Subject()),
+			slog.String("before", change.Before),
+			slog.String("after", change.After))
 	}
 }
 
 // logRejectedRoutes logs each fault of a routes file that can't be used.
-func logRejectedRoutes(err error) {
+func (r *reloader) logRejectedRoutes(err error) {
 	for _, line := range faultLines(err) {
-		slog.Error("routes_rejected", slog.String("err", line))
+		r.logger.Error("routes_rejected", slog.String("err", line))
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,9 +28,6 @@
 	// reports itself ready all the same. Requests then wait for a worker: the discovery server may be down for
 	// longer than a start may take.
 	firstListTimeout = 2 * time.Second
-
-	// sweepInterval is the time between removals of expired webhook outcomes.
-	sweepInterval = time.Second
 )
 
 // Server is one function router with all its connections. Its fields are owned by the goroutine that calls Run, except
@@ -38,18 +35,17 @@
 type Server struct {
 	config  *config.Config
 	options Options
-	reread  func() (*config.Config, error)
+	logger  *slog.Logger
 
 	loop         *eventloop.Loop
 	core         *router.Core
 	workers      *workerclient.Pool
-	membership   *membership
 	discovery    *discovery.Client
+	reloader     *reloader
 	integrations *integrations
 
 	lifecycle       lifecycle
-	lastMaintenance time.Duration
-	lastSweep       time.Duration
+	lastMaintenance time.Duration // of the connections to workers
 
 	closed chan struct{} // ends the goroutines that wait for signals
 }
@@ -85,7 +81,7 @@
 	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
 		return err
 	}
-	if err := s.loadFirstRoutes(); err != nil {
+	if err := s.reloader.loadFirstRoutes(); err != nil {
 		return err
 	}
 	integrations, err := newIntegrations(s.options, s.config, s.loop, s.core)
@@ -101,7 +97,9 @@
 		return err
 	}
 	s.lifecycle.serve(startedAt)
-	slog.Info("server_started", slog.String("name", s.config.Name), slog.String("listen", s.config.Listen))
+	s.logger.Info("server_started",
+		slog.String("name", s.config.Name),
+		slog.String("listen", s.config.Listen))
 	return nil
 }
 
@@ -117,12 +115,12 @@
 
 // Run serves until a drain has ended. It is called once, after Start.
 func (s *Server) Run() {
-	go s.watchReloadSignals()
+	go s.reloader.watch(s.options.Signals.Reload, s.closed)
 	go s.watchStopSignals()
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.integrations.close()
 	s.logCounters()
-	slog.Info("server_stopped")
+	s.logger.Info("server_stopped")
 }
 
 // beginTurn sets the clocks before the handlers of a turn are called.
@@ -141,10 +139,7 @@
 		s.lastMaintenance = now
 		s.workers.Maintain(now)
 	}
-	if now-s.lastSweep >= sweepInterval {
-		s.lastSweep = now
-		s.integrations.sweep(now)
-	}
+	s.integrations.sweep(now)
 	if s.lifecycle.isDraining() {
 		next = min(next, s.continueDrain(now))
 	}
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -35,7 +35,7 @@
 		return
 	}
 	s.logCounters()
-	slog.Info("server_draining", slog.String("signal", received.String()))
+	s.logger.Info("server_draining", slog.String("signal", received.String()))
 }
 
 // continueDrain takes the steps of the drain that are due, and returns when to check again.
@@ -58,7 +58,7 @@
 // stop stops the event loop, and logs what a drain leaves that has run out of time.
 func (s *Server) stop() {
 	if !s.drained() {
-		slog.Warn("drain_incomplete",
+		s.logger.Warn("drain_incomplete",
 			slog.Int("clients", s.loop.AcceptedCount()),
 			slog.Int("requests", s.core.OpenRequests()),
 			slog.Int("unwritten_bytes", s.loop.UnwrittenBytes()),
--- /dev/null
+++ b/internal/server/webhook_receiver.go
@@ -0,0 +1,92 @@
+package server
+
+import (
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"crankhold/internal/config"
+	"crankhold/internal/eventloop"
+	"crankhold/internal/router"
+	"crankhold/internal/webhook"
+	"crankhold/policy"
+)
+
+// sweepInterval is the time between removals of expired webhook outcomes.
+const sweepInterval = time.Second
+
+// webhookReceiver is the front for signed webhook deliveries, with its ledger. It belongs to the event loop's
+// goroutine.
+type webhookReceiver struct {
+	receiver   *webhook.Receiver
+	listenAddr netip.AddrPort
+	lastSweep  time.Duration
+	logger     *slog.Logger
+}
+
+// newWebhookReceiver opens the ledger, and has the event loop listen for deliveries once it starts.
+func newWebhookReceiver(hooks *webhook.Config, cfg *config.Config, loop *eventloop.Loop, core *router.Core,
+	logger *slog.Logger) (*webhookReceiver, error) {
+	maxOutcomeBytes := cfg.ScaleToMemory(maxWebhookOutcomeBytes)
+	receiver, err := webhook.NewReceiver(hooks, core, webhookClasses(cfg), maxOutcomeBytes, loop, time.Now, loop.Post)
+	if err != nil {
+		return nil, err
+	}
+	settings := &hooks.Receiver
+	loop.Listen(settings.Listen, receiver.Accept)
+	logger.Info("webhooks_enabled",
+		slog.String("listen", settings.Listen),
+		slog.String("path", settings.Path),
+		slog.String("ledger", settings.Ledger.Path))
+	return &webhookReceiver{
+		receiver:   receiver,
+		listenAddr: addrPort(settings.Listen), // webhook.ReadConfig has checked it
+		logger:     logger,
+	}, nil
+}
+
+// webhookClasses returns what the webhook receiver checks deliveries against.
+func webhookClasses(cfg *config.Config) []webhook.Class {
+	var classes []webhook.Class
+	names := cfg.ClassNames()
+	for i, class := range cfg.Policy.Classes {
+		classes = append(classes, webhook.Class{
+			Name:                   names[i],
+			NotIdempotent:          class.Idempotency != policy.Idempotent,
+			RequiresIdempotencyKey: class.Idempotency == policy.IdempotentWithKey,
+			MaxWait:                class.Deadline,
+		})
+	}
+	return classes
+}
+
+// sweep removes outcomes that have expired, once each sweepInterval.
+func (w *webhookReceiver) sweep(now time.Duration) {
+	if now-w.lastSweep < sweepInterval {
+		return
+	}
+	w.lastSweep = now
+	w.receiver.Sweep(now)
+}
+
+// close closes the ledger, which must be written before the program ends. It blocks until that is done.
+func (w *webhookReceiver) close() {
+	if err := w.receiver.Close(); err != nil {
+		w.logger.Error("ledger_close_failed", slog.Any("err", err))
+	}
+}
+
+func (w *webhookReceiver) logCounters() {
+	counters := w.receiver.Counters
+	ledger := w.receiver.LedgerCounters()
+	logCounterLine(w.logger,
+		slog.Uint64("deliveries", counters.Deliveries),
+		slog.Uint64("unauthorized", counters.Unauthorized),
+		slog.Uint64("malformed", counters.Malformed),
+		slog.Uint64("replayed", counters.Replayed),
+		slog.Uint64("joined", counters.Joined),
+		slog.Uint64("ledger_rejected", counters.LedgerRejected),
+		slog.Uint64("ledger_failures", ledger.Failures),
+		slog.Uint64("ledger_recoveries", ledger.Recoveries),
+		slog.Uint64("ledger_unwritten", ledger.Unwritten))
+}
