--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -43,6 +43,19 @@
 	return batch[0].(map[string]any)["topology"].(map[string]any)
 }
 
+// setDeadlines gives all classes of a configuration document one deadline.
+func setDeadlines(document map[string]any, deadline time.Duration) {
+	for _, class := range document["settings"].(map[string]any)["classes"].([]any) {
+		class.(map[string]any)["deadlineMs"] = deadline.Milliseconds()
+		class.(map[string]any)["goalTimeMs"] = deadline.Milliseconds() / 2
+	}
+}
+
+// killAfter is when the platform kills a router at the earliest, counted from SIGTERM.
+func killAfter(longestDeadline time.Duration) time.Duration {
+	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
+}
+
 func writeConfig(t *testing.T, path string, document map[string]any) {
 	t.Helper()
 	text, err := json.Marshal(document)
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -1,135 +1,15 @@
 package server
 
 import (
-	"bufio"
-	"bytes"
 	"encoding/json"
-	"fmt"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
-
-	"crankhold/internal/fake"
 )
 
-// built is the program, built once for the tests that need a process of its own.
-var built = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "crankhold-test-")
-	if err != nil {
-		return "", err
-	}
-	out, err := exec.Command("go", "build", "-o", dir+"/", "crankhold/cmd/crankhold").CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
-	}
-	return filepath.Join(dir, "crankhold"), nil
-})
-
-func TestMain(m *testing.M) {
-	code := m.Run()
-	if path, err := built(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
-	}
-	os.Exit(code)
-}
-
-// program is the router in a process of its own.
-type program struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	listen string
-	mu     sync.Mutex
-	log    bytes.Buffer
-	ended  chan error
-}
-
-// startProgram starts the program with a configuration file. Wrapper is a command that runs the program, such as a
-// shell that sets other limits.
-func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
-	t.Helper()
-	path, err := built()
-	if err != nil {
-		t.Fatal(err)
-	}
-	args := append(wrapper, path)
-	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), listen: listen, ended: make(chan error, 1)}
-	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
-	out, err := p.cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() {
-		for in := bufio.NewScanner(out); in.Scan(); {
-			p.mu.Lock()
-			p.log.WriteString(in.Text() + "\n")
-			p.mu.Unlock()
-		}
-		p.ended <- p.cmd.Wait()
-	}()
-	t.Cleanup(func() {
-		p.cmd.Process.Kill()
-		if t.Failed() {
-			t.Log(p.output())
-		}
-	})
-	return p
-}
-
-// output returns what the program has logged so far.
-func (p *program) output() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.log.String()
-}
-
-// await waits until the log contains a text.
-func (p *program) await(text string) {
-	p.t.Helper()
-	p.until(func() bool { return strings.Contains(p.output(), text) }, text)
-}
-
-// until waits until a condition holds. It fails the test if the program ends first or half a minute passes.
-func (p *program) until(holds func() bool, what string) {
-	p.t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		select {
-		case err := <-p.ended:
-			p.t.Fatalf("the program ended (%v) before: %s", err, what)
-		default:
-		}
-		if time.Since(begun) > 30*time.Second {
-			p.t.Fatalf("not within half a minute: %s", what)
-		}
-	}
-}
-
-// client connects once the program listens.
-func (p *program) client() (k *fake.Client) {
-	p.t.Helper()
-	p.until(func() bool {
-		var err error
-		k, err = fake.Dial(p.listen)
-		return err == nil
-	}, "it listens")
-	p.t.Cleanup(k.Close)
-	return k
-}
-
-// end terminates the program and returns how it ended.
-func (p *program) end() error {
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	return <-p.ended
-}
-
 // Signals that come while the program starts are handled: SIGHUP reads the configuration once more and does not end the program,
 // and SIGTERM shuts it down in order. The program is held while it reads its configuration, from a pipe that nobody has
 // written to yet.
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"path/filepath"
-	"regexp"
-	"strconv"
 	"sync"
 	"syscall"
 	"testing"
@@ -13,33 +11,6 @@
 	"crankhold/internal/fake"
 )
 
-// setDeadlines gives all classes of a configuration document one deadline.
-func setDeadlines(document map[string]any, deadline time.Duration) {
-	for _, class := range document["settings"].(map[string]any)["classes"].([]any) {
-		class.(map[string]any)["deadlineMs"] = deadline.Milliseconds()
-		class.(map[string]any)["goalTimeMs"] = deadline.Milliseconds() / 2
-	}
-}
-
-// killAfter is when the platform kills a router at the earliest, counted from SIGTERM.
-func killAfter(longestDeadline time.Duration) time.Duration {
-	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
-}
-
-// counter reads a counter of the Thrift front from the last line of counters in a program's log.
-func counter(t *testing.T, log, name string) int {
-	t.Helper()
-	lines := regexp.MustCompile(`front=thrift.*?\b`+name+`=(\d+)`).FindAllStringSubmatch(log, -1)
-	if len(lines) == 0 {
-		t.Fatalf("the log has no counter %s", name)
-	}
-	value, err := strconv.Atoi(lines[len(lines)-1][1])
-	if err != nil {
-		t.Fatal(err)
-	}
-	return value
-}
-
 // closedLoopClient sends its next request once it has the answer to the last, until its connection ends.
 type closedLoopClient struct {
 	answered   int
