--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -20,8 +20,8 @@
 // maxDepartedNames bounds the names that are remembered after they left the endpoint list.
 const maxDepartedNames = 4096
 
-// membership joins discovery's endpoint list with what the routes file says of workers, and publishes the result to
-// the core, the routes and the worker client.
+// membership joins discovery's endpoint list with what the routes file adds to workers, and publishes the result to
+// the core, the routes and the worker client. It belongs to the event loop's goroutine.
 type membership struct {
 	loop    *eventloop.Loop
 	core    *router.Core
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -187,11 +187,8 @@
 // Each publication logs one line for each worker, with its state as a word.
 func TestWorkerUpdatesAreLogged(t *testing.T) {
 	var log bytes.Buffer
-	previous := slog.Default()
-	slog.SetDefault(logging.New(&log, slog.LevelInfo))
-	t.Cleanup(func() { slog.SetDefault(previous) })
-
 	m := newTestMembership(t)
+	m.logger = logging.New(&log, slog.LevelInfo)
 	second := listed(t, "s-2", policy.Draining, "127.0.0.1:2", "[::1]:2")
 	second.Weight, second.Started = 0.5, 1700000000123
 	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1"), second})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -50,8 +50,8 @@
 	closed chan struct{} // ends the goroutines that wait for signals
 }
 
-// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. On
-// SIGHUP it applies the configuration that reread returns, and reads the routes again.
+// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. It
+// blocks. On SIGHUP it applies the configuration that reread returns, and reads the routes again.
 func Serve(cfg *config.Config, options Options, reread func() (*config.Config, error)) error {
 	if options.Signals == nil {
 		options.Signals = signals.Notify()
@@ -76,7 +76,8 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * goMemoryPercent / 100)
 }
 
-// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens.
+// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens. It
+// blocks while it reads files.
 func (s *Server) Start() error {
 	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
 		return err
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// ready reports whether clients should send requests: there is a worker to send them to, or no news of one to wait
-// for, and the server is not draining.
+// ready reports whether clients should send requests. It does while the server serves, from when a worker is listed,
+// discovery has responded or firstListTimeout is over.
 func (s *Server) ready() bool {
 	if s.lifecycle.state != serving {
 		return false
@@ -113,7 +114,8 @@
 		s.loop.Now()-s.lifecycle.servingSince >= firstListTimeout
 }
 
-// Run serves until a drain has ended. It is called once, after Start.
+// Run serves until a drain has ended. It blocks, and its goroutine is that of the event loop. It is called once, after
+// Start.
 func (s *Server) Run() {
 	go s.reloader.watch(s.options.Signals.Reload, s.closed)
 	go s.watchStopSignals()
--- a/internal/server/start_times_test.go
+++ b/internal/server/start_times_test.go
@@ -9,7 +9,7 @@
 	"crankhold/policy"
 )
 
-// A step of the wall clock changes no start time: what discovery reports is compared with the wall clock when it is told,
+// A step of the wall clock changes no start time: what discovery reports is compared with the wall clock when it first is,
 // and kept on the monotonic one. A start that can't be true is bounded by the last list that did not have it.
 func TestStartTimesOutlastSteppedClocks(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 10 * time.Second, -10 * time.Second} {
