--- a/internal/server/broken_connections_test.go
+++ b/internal/server/broken_connections_test.go
@@ -24,30 +24,17 @@
 
 // responseTo is the response of a loaded function to the request of that id.
 func responseTo(id string) string {
-	return fmt.Sprintf("*4\r\n$%d\r\n%s\r\n$3\r\nHIT\r\n$10\r\ndetail=hot\r\n$4\r\ndone\r\n", len(id), id)
+	return encodeWords(id, "HIT", "detail=hot", "done")
 }
 
 func (w *faultyWorker) listen(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go w.serve(c.(*net.TCPConn))
-		}
-	}()
+	ln := listenLoopback(t)
+	go serveConnections(ln, func(c net.Conn) { w.serve(c.(*net.TCPConn)) })
 	return ln.Addr().String()
 }
 
 func (w *faultyWorker) serve(c *net.TCPConn) {
-	defer c.Close()
 	w.mu.Lock()
 	partial := w.partial
 	w.partial = 0
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -91,12 +92,8 @@
 	p := &scriptedDeployment{out: map[string]int{}}
 	var members []any
 	for i := range 2 {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { ln.Close() })
-		go p.accept(ln)
+		ln := listenLoopback(t)
+		go serveConnections(ln, p.serve)
 		members = append(members, map[string]any{"id": fmt.Sprint("s-", i), "host_port": ln.Addr().String(), "phase": "Ready", "size": 1})
 	}
 	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
@@ -119,24 +116,8 @@
 	return p
 }
 
-func (p *scriptedDeployment) accept(ln net.Listener) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		go p.serve(c)
-	}
-}
-
 func (p *scriptedDeployment) serve(c net.Conn) {
-	defer c.Close()
-	answer := func(words ...string) {
-		fmt.Fprintf(c, "*%d\r\n", len(words))
-		for _, w := range words {
-			fmt.Fprintf(c, "$%d\r\n%s\r\n", len(w), w)
-		}
-	}
+	answer := func(words ...string) { io.WriteString(c, encodeWords(words...)) }
 	for in := bufio.NewReader(c); ; {
 		words, err := readWords(in)
 		if err != nil || len(words) < 2 {
--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -20,12 +20,7 @@
 
 func newFullListener(t *testing.T) fullListener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	return fullListener{listener.(*net.TCPListener), t}
+	return fullListener{listenLoopback(t).(*net.TCPListener), t}
 }
 
 // fill has dials hang until connections are accepted again.
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -76,9 +76,7 @@
 	config["names"], config["limits"] = silent, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
 	known := firstTopology(config)
 	known["members"] = known["members"].([]any)[:1] // the second worker is listed by discovery alone
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, config)
-	p := startProgram(t, path, listen, "bash", "-c", fewFiles)
+	p := startProgramWith(t, config, listen, "bash", "-c", fewFiles)
 	p.client().Close()
 	var idle []net.Conn
 	defer func() {
@@ -103,7 +101,7 @@
 	}
 	site.Directory.Set(site.Entries())
 	config["names"] = moved
-	writeConfig(t, path, config)
+	writeConfig(t, p.config, config)
 	crowd()
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.await("event=config_reloaded")
@@ -135,9 +133,7 @@
 	site.Directory.Close()
 	known := firstTopology(config)
 	known["members"] = []any{}
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, config)
-	p := startProgram(t, path, listen)
+	p := startProgramWith(t, config, listen)
 	k := p.client()
 	p.until(func() bool {
 		good, err := k.Check()
--- a/internal/server/program_test.go
+++ b/internal/server/program_test.go
@@ -43,12 +43,21 @@
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
+	config string // path of its configuration
 	listen string
 	mu     sync.Mutex
 	log    bytes.Buffer
 	ended  chan error
 }
 
+// startProgramWith starts the program with a configuration document.
+func startProgramWith(t *testing.T, document map[string]any, listen string, wrapper ...string) *program {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, document)
+	return startProgram(t, path, listen, wrapper...)
+}
+
 // startProgram starts the program with a configuration file. Wrapper is a command that runs the program, such as a
 // shell that sets other limits.
 func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
@@ -58,7 +67,7 @@
 		t.Fatal(err)
 	}
 	args := append(wrapper, path)
-	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), listen: listen, ended: make(chan error, 1)}
+	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), config: config, listen: listen, ended: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
--- a/internal/server/resting_connection_test.go
+++ b/internal/server/resting_connection_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"bufio"
-	"fmt"
+	"io"
 	"net"
 	"testing"
 	"time"
@@ -13,13 +13,8 @@
 // restingWorker listens as a worker that closes a connection on which nothing arrives for a time.
 func restingWorker(t *testing.T, keepAlive time.Duration) (addr string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { listener.Close() })
-	serve := func(conn net.Conn) {
-		defer conn.Close()
+	listener := listenLoopback(t)
+	go serveConnections(listener, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
 			conn.SetReadDeadline(time.Now().Add(keepAlive))
 			words, err := readWords(in)
@@ -28,21 +23,12 @@
 			}
 			switch words[0] {
 			case "RUN":
-				fmt.Fprint(conn, responseTo(words[1]))
+				io.WriteString(conn, responseTo(words[1]))
 			case "NOOP", "INFO":
-				fmt.Fprintf(conn, "*4\r\n$%d\r\n%s\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n", len(words[1]), words[1])
-			}
-		}
-	}
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
+				io.WriteString(conn, encodeWords(words[1], "PONG", "-", ""))
 			}
-			go serve(conn)
 		}
-	}()
+	})
 	return listener.Addr().String()
 }
 
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,13 +1,11 @@
 package server
 
 import (
-	"bufio"
 	"encoding/binary"
 	"fmt"
 	"io"
 	"net"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -23,63 +21,17 @@
 // echoWorker starts a worker that answers each RUN with the body that it was sent, behind the word done.
 func echoWorker(t *testing.T) (addr string, runs chan string) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
+	ln := listenLoopback(t)
 	runs = make(chan string, 100)
 	go serveCommands(ln, func(c net.Conn, words []string) {
 		if len(words) == 4 && words[0] == "RUN" {
 			runs <- words[3]
-			body := "done " + words[3]
-			fmt.Fprintf(c, "*4\r\n$%d\r\n%s\r\n$3\r\nHIT\r\n$10\r\ndetail=hot\r\n$%d\r\n%s\r\n", len(words[1]), words[1], len(body), body)
+			io.WriteString(c, encodeWords(words[1], "HIT", "detail=hot", "done "+words[3]))
 		}
 	})
 	return ln.Addr().String(), runs
 }
 
-// serveCommands accepts connections until the listener is closed, and has handle take each command that arrives.
-func serveCommands(listener net.Listener, handle func(c net.Conn, words []string)) {
-	for {
-		c, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			defer c.Close()
-			for in := bufio.NewReader(c); ; {
-				words, err := readWords(in)
-				if err != nil {
-					return
-				}
-				handle(c, words)
-			}
-		}()
-	}
-}
-
-// readWords reads a RESP array of bulk strings.
-func readWords(in *bufio.Reader) (words []string, err error) {
-	line, err := in.ReadString('\n')
-	if err != nil {
-		return nil, err
-	}
-	n, _ := strconv.Atoi(strings.TrimSpace(line[1:]))
-	for range n {
-		if line, err = in.ReadString('\n'); err != nil {
-			return nil, err
-		}
-		size, _ := strconv.Atoi(strings.TrimSpace(line[1:]))
-		b := make([]byte, size+2)
-		if _, err = io.ReadFull(in, b); err != nil {
-			return nil, err
-		}
-		words = append(words, string(b[:size]))
-	}
-	return words, nil
-}
-
 // writeRequest writes one execute call by Thrift.
 func writeRequest(c net.Conn, seq uint32, id, body string) {
 	text := func(b []byte, s string) []byte { return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...) }
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"testing"
@@ -38,9 +37,7 @@
 		t.Run(fmt.Sprint("deadlines of ", deadline), func(t *testing.T) {
 			_, listen, document := siteFor(t, 3, nil)
 			setDeadlines(document, deadline)
-			path := filepath.Join(t.TempDir(), "config.json")
-			writeConfig(t, path, document)
-			p := startProgram(t, path, listen)
+			p := startProgramWith(t, document, listen)
 			p.client().Close()
 			clients := make([]closedLoopClient, 16)
 			var running sync.WaitGroup
@@ -80,9 +77,7 @@
 	const deadline = 500 * time.Millisecond
 	site, listen, document := siteFor(t, 2, nil)
 	setDeadlines(document, deadline)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, document)
-	p := startProgram(t, path, listen)
+	p := startProgramWith(t, document, listen)
 	client := p.client()
 	if answer, err := client.Do(callOf(1)); err != nil || answer.Status != fake.Served {
 		t.Fatalf("answer %+v, %v", answer, err)
@@ -120,9 +115,7 @@
 // A request of which the first half has come when a shutdown begins is answered once the rest has.
 func TestRequestThatASignalCutsInHalfIsAnswered(t *testing.T) {
 	_, listen, document := siteFor(t, 1, nil)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, document)
-	p := startProgram(t, path, listen)
+	p := startProgramWith(t, document, listen)
 	client := p.client()
 	if _, err := client.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/server/signals_process_test.go
+++ b/internal/server/signals_process_test.go
@@ -60,9 +60,7 @@
 // files can't be used and change nothing.
 func TestLastOfManyReloadsWins(t *testing.T) {
 	_, listen, document := siteFor(t, 2, nil)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, document)
-	p := startProgram(t, path, listen)
+	p := startProgramWith(t, document, listen)
 	client := p.client()
 	last, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
 	if err != nil {
@@ -75,12 +73,12 @@
 		if n == reloads-1 {
 			document["names"] = last.LocalAddr().String()
 		}
-		fresh := path + ".fresh"
+		fresh := p.config + ".fresh"
 		writeConfig(t, fresh, document)
 		if n%7 == 3 {
 			writeText(t, fresh, `{"names":`)
 		}
-		if err := os.Rename(fresh, path); err != nil {
+		if err := os.Rename(fresh, p.config); err != nil {
 			t.Fatal(err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"strconv"
 	"sync"
 	"syscall"
@@ -161,8 +160,7 @@
 			s.checkGone(r)
 			continue
 		}
-		if r.answers == 0 && r.endedAt.Before(closing) && !s.crowded { // where it is, the count of what was read tells
-
+		if r.answers == 0 && r.endedAt.Before(closing) && !s.crowded { // where it is, the count of what was read shows it
 			s.t.Errorf("%s, sent %v after SIGTERM, has no answer, %v later", r.id, r.sentAt.Sub(terminated), r.endedAt.Sub(r.sentAt))
 		}
 		if took := r.endedAt.Sub(r.sentAt); took > r.wait+answerSlack {
@@ -221,9 +219,7 @@
 	}
 	s.leavers = s.random.IntN(2) == 0
 	s.drawSettings(document)
-	path := filepath.Join(t.TempDir(), "config.json")
-	writeConfig(t, path, document)
-	s.program = startProgram(t, path, listen)
+	s.program = startProgramWith(t, document, listen)
 	s.program.client().Close()
 	clients := 12
 	if s.crowded || s.random.IntN(3) == 0 {
