--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -123,9 +123,7 @@
 	f.core.Accept(f.now, router.Request{
 		Responder: f,
 		ID:        fmt.Sprint(n, f.now),
-		Function:  policy.FunctionID(function),
-		Lanes:     2,
-		LoadTime:  coreLoadTime,
+		Function:  router.Function{ID: policy.FunctionID(function), Lanes: 2, LoadTime: coreLoadTime},
 		Deadline:  f.now + coreTimeout,
 	})
 	f.nextTurn = f.core.Process(f.now)
@@ -136,7 +134,7 @@
 
 // StartAttempt implements router.WorkerClient.
 func (f *coreFleet) StartAttempt(worker policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
-	id := replicaID{worker, request.Function}
+	id := replicaID{worker, request.Function.ID}
 	if f.replicas[id] < f.now {
 		f.after(coreRejectionTime, func() {
 			f.core.AttemptCompleted(attempt, router.AttemptResult{Outcome: policy.NotLoaded})
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -14,7 +14,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	core.RejectNew()
 	responder := &recordingResponder{}
-	core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+	core.Accept(start, Request{Responder: responder, Class: 1, Function: Function{ID: 7}, Deadline: start + 3*time.Second})
 	core.Process(start)
 	wantResponses(t, responder, 1)
 	if responder.responses[0].Status != Rejected || responder.responses[0].MayHaveRun {
@@ -32,7 +32,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	send := func(front Front, body string) (policy.RequestID, *recordingResponder) {
 		responder := &recordingResponder{}
-		id := core.Accept(start, Request{Front: front, Responder: responder, ID: "00000000000000aa", Function: 7, Body: []byte(body),
+		id := core.Accept(start, Request{Front: front, Responder: responder, ID: "00000000000000aa", Function: Function{ID: 7}, Body: []byte(body),
 			Deadline: start + 2*time.Second})
 		return id, responder
 	}
@@ -70,7 +70,7 @@
 	core.SetEndpoints(readyWorkers(1))
 	core.Process(now)
 	send := func(n uint64) policy.RequestID {
-		return core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(n), FunctionKey: "00000000000000aa", Function: 0xaa,
+		return core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(n), Function: Function{Key: "00000000000000aa", ID: 0xaa},
 			Deadline: now + time.Second})
 	}
 	send(1) // this one stays
@@ -131,7 +131,7 @@
 					rejected[tenant]++
 				}
 			})
-			core.Accept(now, Request{ID: hexID(sent), FunctionKey: hexID(7), Function: 7, LoadTime: 200 * ms, Tenant: tenant,
+			core.Accept(now, Request{ID: hexID(sent), Function: Function{Key: hexID(7), ID: 7, LoadTime: 200 * ms}, Tenant: tenant,
 				Deadline: 3 * time.Second, Responder: countRejected})
 		}
 		core.Process(now)
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -30,7 +30,7 @@
 			core.Process(start)
 			workers.dialing = true
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Responder: responder, ID: "a", FunctionKey: "00000000000000aa", Function: 0xaa,
+			id := core.Accept(start, Request{Responder: responder, ID: "a", Function: Function{Key: "00000000000000aa", ID: 0xaa},
 				Deadline: start + 2*time.Second})
 			core.Process(start)
 			if len(workers.unsent) != 1 {
@@ -82,8 +82,8 @@
 			sent := uint64(0)
 			send := func() policy.RequestID {
 				sent++
-				id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(sent), FunctionKey: hexID(sent),
-					Function: policy.FunctionID(sent), Deadline: now + 2*time.Second})
+				id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(sent), Function: Function{Key: hexID(sent), ID: policy.FunctionID(sent)},
+					Deadline: now + 2*time.Second})
 				core.Process(now)
 				return id
 			}
@@ -139,7 +139,7 @@
 			core, workers := newTestCore(t, 1)
 			core.SetEndpoints(readyWorkers(1, 2))
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: Function{ID: 7}, Deadline: start + 3*time.Second})
 			core.Process(start)
 			if len(workers.started[id]) != 1 {
 				t.Fatal("the request was not sent")
@@ -159,7 +159,7 @@
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
 	responder := &recordingResponder{}
-	id := core.Accept(start, Request{Responder: responder, Class: 0, Function: 7, Deadline: start + 2*time.Second})
+	id := core.Accept(start, Request{Responder: responder, Class: 0, Function: Function{ID: 7}, Deadline: start + 2*time.Second})
 	core.Process(start)
 	core.CancelRequest(start+ms, id)
 	core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
@@ -178,7 +178,7 @@
 	t.Helper()
 	core.SetEndpoints(readyWorkers(1, 2))
 	responder := &recordingResponder{}
-	id := core.Accept(start, Request{Responder: responder, ID: "a", Function: 7, Deadline: start + 2*time.Second})
+	id := core.Accept(start, Request{Responder: responder, ID: "a", Function: Function{ID: 7}, Deadline: start + 2*time.Second})
 	core.Process(start)
 	if len(workers.started[id]) != 1 {
 		t.Fatalf("%d attempts, want 1", len(workers.started[id]))
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -70,15 +70,12 @@
 	// A front hands in a request. Process has the module choose a worker, and forwards the request to it.
 	now := time.Duration(0) // the event loop's clock
 	core.Accept(now, router.Request{
-		Front:       router.Thrift,
-		Responder:   printingFront{},
-		ID:          "9b1f03aa5c7e2d41",
-		FunctionKey: "7f3a9c21e0b4d655",
-		Function:    0x7f3a9c21e0b4d655,
-		Lanes:       4,
-		LoadTime:    time.Second,
-		Body:        []byte("in"),
-		Deadline:    now + 2*time.Second,
+		Front:     router.Thrift,
+		Responder: printingFront{},
+		ID:        "9b1f03aa5c7e2d41",
+		Function:  router.Function{Key: "7f3a9c21e0b4d655", ID: 0x7f3a9c21e0b4d655, Lanes: 4, LoadTime: time.Second},
+		Body:      []byte("in"),
+		Deadline:  now + 2*time.Second,
 	})
 	core.Process(now)
 
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -66,15 +66,17 @@
 	request.deadline = m.now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "time to deadline in ms"))*ms
 	m.sent++
 	id := m.core.Accept(m.now, Request{
-		Responder:   request.responder,
-		ID:          hexID(uint64(m.sent)),
-		Class:       request.class,
-		FunctionKey: "00000000000000aa",
-		Function:    policy.FunctionID(rapid.IntRange(1, 3).Draw(t, "function")),
-		Lanes:       1,
-		LoadTime:    500 * ms,
-		Body:        make([]byte, rapid.IntRange(0, 4000).Draw(t, "body size")),
-		Deadline:    request.deadline,
+		Responder: request.responder,
+		ID:        hexID(uint64(m.sent)),
+		Class:     request.class,
+		Function: Function{
+			Key:      "00000000000000aa",
+			ID:       policy.FunctionID(rapid.IntRange(1, 3).Draw(t, "function")),
+			Lanes:    1,
+			LoadTime: 500 * ms,
+		},
+		Body:     make([]byte, rapid.IntRange(0, 4000).Draw(t, "body size")),
+		Deadline: request.deadline,
 	})
 	if id != 0 {
 		m.requests[id] = request
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -36,24 +36,34 @@
 
 // Request is a request as a front hands it in.
 type Request struct {
-	Front           Front
-	Responder       Responder // gets the final response
-	ID              string    // the client's text; workers tell requests apart by it
-	ClientReference string    // the client's own name for the request, where that is not the ID
-	Class           int       // index in policy.Config.Classes
-	FunctionKey     string    // the function, as the client's text
-	Function        policy.FunctionID
-	MemoryMB        float64       // memory of one replica
-	Lanes           float64       // requests that one replica runs at a time
-	LoadTime        time.Duration // usual time of a load; 0 for unknown
-	Body            []byte
-	Deadline        time.Duration // the final response must have left by then
-	SendBy          time.Duration // set by the core: an attempt that starts now is not sent later; 0 for no such limit
-	Tenant          string        // who sends it, where the front has proof of that; "" otherwise
-	IdempotencyKey  string        // passed on to the worker unchanged; "" for none
-
-	Client     netip.AddrPort // only for flow records
-	AcceptedAt time.Duration  // set by the core
+	Front          Front
+	Client         Client
+	Responder      Responder // gets the final response
+	ID             string    // the client's text; workers tell requests apart by it
+	Tenant         string    // who sends it, where the front has proof of that; "" otherwise
+	Class          int       // index in policy.Config.Classes
+	Function       Function
+	IdempotencyKey string // passed on to the worker unchanged; "" for none
+	Body           []byte
+	Deadline       time.Duration // the final response must have left by then
+
+	AcceptedAt time.Duration // set by the core
+	SendBy     time.Duration // set by the core: an attempt that starts now is not sent later; 0 for no such limit
+}
+
+// Function is the function that a request calls, as its client describes it.
+type Function struct {
+	Key      string            // the client's text
+	ID       policy.FunctionID // the number that Key stands for
+	MemoryMB float64           // memory of one replica
+	Lanes    float64           // requests that one replica runs at a time
+	LoadTime time.Duration     // usual time of a load; 0 for unknown
+}
+
+// Client is where a request comes from. The core passes it on, for flow records and notices.
+type Client struct {
+	Address   netip.AddrPort
+	Reference string // the client's own name for the request, where that is not Request.ID
 }
 
 // Responder is owed the final response to a request.
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -41,7 +41,7 @@
 	key := route.Request{
 		Front:    route.Front(request.Front),
 		Class:    request.Class,
-		Function: uint64(request.Function),
+		Function: uint64(request.Function.ID),
 	}
 	if request.Front == Webhook {
 		// Routes see tenants of webhooks only, as the routes language promises: a tenant that arrives by Thrift counts
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -86,7 +86,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			responder := &recordingResponder{}
 			id := core.Accept(start, Request{Front: test.front, Responder: responder, ID: test.name, Class: test.class,
-				Function: test.function, Tenant: test.tenant, Deadline: start + 2*time.Second})
+				Function: Function{ID: test.function}, Tenant: test.tenant, Deadline: start + 2*time.Second})
 			core.Process(start)
 			if test.want == rejected {
 				wantResponses(t, responder, 1)
@@ -114,7 +114,7 @@
 	core.SetRoutes(newTestRoutes(t, 2))
 	send := func(clientID string) (policy.RequestID, *recordingResponder) {
 		responder := &recordingResponder{}
-		id := core.Accept(start, Request{Responder: responder, ID: clientID, Function: 7, Deadline: start + 2*time.Second})
+		id := core.Accept(start, Request{Responder: responder, ID: clientID, Function: Function{ID: 7}, Deadline: start + 2*time.Second})
 		core.Process(start)
 		return id, responder
 	}
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -25,7 +25,7 @@
 				core.SetEndpoints(test.endpoints)
 			}
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: Function{ID: 7}, Deadline: start + 3*time.Second})
 			core.Process(start)
 			if len(workers.started[id]) != test.wantAttempts {
 				t.Fatalf("%d attempts, want %d", len(workers.started[id]), test.wantAttempts)
@@ -70,7 +70,7 @@
 	core.Process(now)
 	timersAtStart := core.timers.heap.Len()
 	for i := range 500 {
-		id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: fmt.Sprint(i), Function: 7, Deadline: now + 10*time.Minute})
+		id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: fmt.Sprint(i), Function: Function{ID: 7}, Deadline: now + 10*time.Minute})
 		core.Process(now)
 		if i%2 == 0 {
 			core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
--- a/internal/server/flow_export.go
+++ b/internal/server/flow_export.go
@@ -41,7 +41,7 @@
 func (f *flowExport) requestCompleted(now time.Duration, r *router.Request) {
 	wall := time.Now()
 	f.exporter.Add(ipfix.Flow{
-		Client: r.Client,
+		Client: r.Client.Address,
 		Server: f.listenAddrs[r.Front],
 		Start:  wall.Add(r.AcceptedAt - now),
 		End:    wall,
--- a/internal/server/integrations_test.go
+++ b/internal/server/integrations_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("the Thrift front listens on %v, want %v", flows.listenAddrs[router.Thrift], want)
 	}
 	for class := range 2 {
-		flows.requestCompleted(time.Second, &router.Request{Class: class, Client: netip.MustParseAddrPort("127.0.0.1:5000")})
+		flows.requestCompleted(time.Second, &router.Request{Class: class, Client: router.Client{Address: netip.MustParseAddrPort("127.0.0.1:5000")}})
 	}
 	flows.logCounters()
 	for _, line := range []string{"event=export_enabled collector=127.0.0.1:4739", "event=counters_reported flow_records=2 "} {
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -70,7 +70,7 @@
 // send starts an attempt at a worker and returns the address that was dialled for it, or "" where none was.
 func (m *testMembership) send(w policy.WorkerID, n int) (dialled string) {
 	before := len(m.dialled)
-	m.workers.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), FunctionKey: "00000000000000aa"}, time.Second)
+	m.workers.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Function: router.Function{Key: "00000000000000aa"}}, time.Second)
 	if len(m.dialled) == before {
 		return ""
 	}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -204,7 +204,7 @@
 func (r *Router) StartAttempt(id policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
 	r.checkDrain(id)
 	worker := r.fleet.Workers[id]
-	function := request.Function
+	function := request.Function.ID
 	r.fleet.After(networkDelay, func() {
 		result, after := worker.execute(function)
 		r.receive(after, func() { r.core.AttemptCompleted(attempt, result) })
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -78,15 +78,17 @@
 		request.NewVersion = true
 	}
 	r.accept(router.Request{
-		Responder:   request,
-		ID:          fmt.Sprintf("%016x", len(f.Requests)),
-		Class:       class,
-		Tenant:      tenant,
-		Function:    function,
-		FunctionKey: fmt.Sprintf("%016x", uint64(function)),
-		Lanes:       requestLanes,
-		MemoryMB:    requestMemoryMB,
-		LoadTime:    f.cfg.LoadTime,
-		Deadline:    f.now + timeout - router.ResponseMargin,
+		Responder: request,
+		ID:        fmt.Sprintf("%016x", len(f.Requests)),
+		Class:     class,
+		Tenant:    tenant,
+		Function: router.Function{
+			Key:      fmt.Sprintf("%016x", uint64(function)),
+			ID:       function,
+			MemoryMB: requestMemoryMB,
+			Lanes:    requestLanes,
+			LoadTime: f.cfg.LoadTime,
+		},
+		Deadline: f.now + timeout - router.ResponseMargin,
 	})
 }
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -133,7 +133,7 @@
 		c.transport.Write(encodeLost(sequence, detailReason, rejected.Field))
 		return nil
 	}
-	request.Client = c.peer
+	request.Client.Address = c.peer
 	c.acceptRequest(sequence, request, body)
 	return nil
 }
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -18,7 +18,7 @@
 type upperCaseCore struct{}
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
-	fmt.Printf("accepted request %s for function %s\n", r.ID, r.FunctionKey)
+	fmt.Printf("accepted request %s for function %s\n", r.ID, r.Function.Key)
 	r.Responder.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
 	return 1
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -35,17 +35,16 @@
 // Every form of an execute is decoded to a request that is compared whole.
 func TestGoldenCallsAreDecoded(t *testing.T) {
 	minimal := router.Request{
-		Front:       router.Thrift,
-		ID:          "9b1f03aa5c7e2d41",
-		Class:       1,
-		FunctionKey: "7f3a9c21e0b4d655",
-		Function:    policy.FunctionID(0x7f3a9c21e0b4d655),
-		Body:        []byte("body"),
-		Deadline:    time.Hour + 1460*time.Millisecond,
-		Client:      goldenPeer,
+		Front:    router.Thrift,
+		ID:       "9b1f03aa5c7e2d41",
+		Class:    1,
+		Function: router.Function{Key: "7f3a9c21e0b4d655", ID: policy.FunctionID(0x7f3a9c21e0b4d655)},
+		Body:     []byte("body"),
+		Deadline: time.Hour + 1460*time.Millisecond,
+		Client:   router.Client{Address: goldenPeer},
 	}
 	withProps := minimal
-	withProps.MemoryMB, withProps.Lanes, withProps.LoadTime = 512, 2, 640*time.Millisecond
+	withProps.Function.MemoryMB, withProps.Function.Lanes, withProps.Function.LoadTime = 512, 2, 640*time.Millisecond
 	withOnce := minimal
 	withOnce.Class, withOnce.IdempotencyKey = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	withTenant := minimal
@@ -54,7 +53,7 @@
 	complete.Class, complete.IdempotencyKey, complete.Tenant = 2, withOnce.IdempotencyKey, "east"
 	fractions := minimal
 	fractions.Class, fractions.Deadline = 0, time.Hour+210500*time.Microsecond
-	fractions.MemoryMB, fractions.Lanes, fractions.LoadTime = 0.5, 0.25, 1500*time.Microsecond
+	fractions.Function.MemoryMB, fractions.Function.Lanes, fractions.Function.LoadTime = 0.5, 0.25, 1500*time.Microsecond
 	withoutBody := minimal
 	withoutBody.Body = nil
 	emptyBody := minimal
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -82,17 +82,17 @@
 		Front:          router.Thrift,
 		Class:          class,
 		ID:             fields.text(fieldID),
-		FunctionKey:    fields.text(fieldFunction),
+		Function:       router.Function{Key: fields.text(fieldFunction)},
 		IdempotencyKey: fields.text(fieldIdempotencyKey),
 	}
 	if _, ok := router.ParseFunctionKey(request.ID); !ok {
 		return request, fields.unusable(fieldID)
 	}
-	function, ok := router.ParseFunctionKey(request.FunctionKey)
+	function, ok := router.ParseFunctionKey(request.Function.Key)
 	if !ok {
 		return request, fields.unusable(fieldFunction)
 	}
-	request.Function = policy.FunctionID(function)
+	request.Function.ID = policy.FunctionID(function)
 	if !f.config.Classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
 		return request, fields.unusable(fieldIdempotencyKey)
 	}
@@ -105,7 +105,7 @@
 		return request, fields.unusable(fieldWait)
 	}
 	request.Deadline = f.clock.ArrivedAt() + milliseconds(wait) - router.ResponseMargin
-	if !decodeProperties(fields.text(fieldProperties), &request) {
+	if !decodeProperties(fields.text(fieldProperties), &request.Function) {
 		return request, fields.unusable(fieldProperties)
 	}
 	return request, nil
@@ -131,9 +131,9 @@
 	return tenant, slices.Contains(f.config.Tenants, tenant)
 }
 
-// decodeProperties reads the properties into a request. It reports false where one of them is not a number in its
-// range.
-func decodeProperties(text string, request *router.Request) bool {
+// decodeProperties reads the properties of a request into its function. It reports false where one of them is not a
+// number in its range.
+func decodeProperties(text string, function *router.Function) bool {
 	for text != "" {
 		var property string
 		property, text, _ = strings.Cut(text, ";")
@@ -144,11 +144,11 @@
 		}
 		switch name {
 		case propertyMemory:
-			request.MemoryMB = number
+			function.MemoryMB = number
 		case propertyLanes:
-			request.Lanes = number
+			function.Lanes = number
 		case propertyLoadTime:
-			request.LoadTime = milliseconds(number)
+			function.LoadTime = milliseconds(number)
 		}
 	}
 	return true
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -106,8 +106,8 @@
 				feed(executeFrame(seq, "body", validFields...))
 				open[seq] = len(core.accepted) - 1
 				r := core.accepted[len(core.accepted)-1]
-				if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
-					r.Lanes != 2 || r.MemoryMB != 512 || r.LoadTime != 640*time.Millisecond ||
+				if r.Class != 1 || r.ID != "9b1f03aa5c7e2d41" || r.Function.ID != 0x7f3a9c21e0b4d655 || string(r.Body) != "body" ||
+					r.Function.Lanes != 2 || r.Function.MemoryMB != 512 || r.Function.LoadTime != 640*time.Millisecond ||
 					r.Deadline != time.Hour+1500*time.Millisecond-router.ResponseMargin {
 					t.Fatalf("accepted %+v", r)
 				}
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -85,8 +85,8 @@
 		c.respond(unavailable)
 		return
 	}
-	request.Client = c.peer
-	request.ClientReference = id
+	request.Client.Address = c.peer
+	request.Client.Reference = id
 	if class.RequiresIdempotencyKey {
 		request.IdempotencyKey = hexDigest([]byte(id))
 	}
--- a/internal/webhook/example_test.go
+++ b/internal/webhook/example_test.go
@@ -22,7 +22,7 @@
 type upperCaseCore struct{}
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
-	fmt.Printf("accepted a request for function %s of webhook %s\n", r.FunctionKey, r.ClientReference)
+	fmt.Printf("accepted a request for function %s of webhook %s\n", r.Function.Key, r.Client.Reference)
 	r.Responder.Respond(router.Response{Status: router.Served, Body: bytes.ToUpper(r.Body)})
 	return 1
 }
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -50,8 +50,8 @@
 func describeRequest(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
-		r.Class, r.ID, r.FunctionKey, uint64(r.Function), r.Tenant, r.IdempotencyKey,
-		r.ClientReference, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
+		r.Class, r.ID, r.Function.Key, uint64(r.Function.ID), r.Tenant, r.IdempotencyKey,
+		r.Client.Reference, r.Client.Address, r.Function.MemoryMB, r.Function.Lanes, r.Function.LoadTime, r.Deadline, r.Body)
 }
 
 // exchange is what a client sends on one connection, and what becomes of the requests in it.
@@ -224,15 +224,15 @@
 		plainURL = "http://hooks.example.org/notices"
 		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
 	)
-	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", ClientReference: "msg_1", FunctionKey: "7f3a9c21e0b4d655"}
-	byOther := router.Request{ID: "order-17", FunctionKey: "7f3a9c21e0b4d655"}
+	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Client: router.Client{Reference: "msg_1"}, Function: router.Function{Key: "7f3a9c21e0b4d655"}}
+	byOther := router.Request{ID: "order-17", Function: router.Function{Key: "7f3a9c21e0b4d655"}}
 	for _, n := range []noticeCase{
 		{"served", plainURL, "served", byWebhook, []string{accepted}},
 		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
 		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
 		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
 		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
-		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, ClientReference: "msg_<&>", FunctionKey: "é"}, []string{accepted}},
+		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, Client: router.Client{Reference: "msg_<&>"}, Function: router.Function{Key: "é"}}, []string{accepted}},
 		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
 		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
 		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
--- a/internal/webhook/outcome_test.go
+++ b/internal/webhook/outcome_test.go
@@ -24,7 +24,7 @@
 	(<-posts)()
 	receiver.serve(transports[2], netip.AddrPort{}).Data(delivery) // and after
 	first.Closed(nil)
-	if len(core.accepted) != 1 || core.accepted[0].ClientReference != "m" {
+	if len(core.accepted) != 1 || core.accepted[0].Client.Reference != "m" {
 		t.Fatalf("the core has %+v", core.accepted)
 	}
 	core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -118,17 +118,19 @@
 		}
 	}
 	request = router.Request{
-		Front:       router.Webhook,
-		Class:       classIndex,
-		ID:          newRequestID(),
-		FunctionKey: p.Data.Key,
-		Function:    policy.FunctionID(function),
-		Tenant:      p.Data.Tenant,
-		MemoryMB:    p.Data.MemoryMB,
-		Lanes:       p.Data.Lanes,
-		LoadTime:    milliseconds(p.Data.LoadMs),
-		Body:        p.Data.Body,
-		Deadline:    r.clock.ArrivedAt() + p.wait(class) - router.ResponseMargin,
+		Front: router.Webhook,
+		Class: classIndex,
+		ID:    newRequestID(),
+		Function: router.Function{
+			Key:      p.Data.Key,
+			ID:       policy.FunctionID(function),
+			MemoryMB: p.Data.MemoryMB,
+			Lanes:    p.Data.Lanes,
+			LoadTime: milliseconds(p.Data.LoadMs),
+		},
+		Tenant:   p.Data.Tenant,
+		Body:     p.Data.Body,
+		Deadline: r.clock.ArrivedAt() + p.wait(class) - router.ResponseMargin,
 	}
 	return request, p.Timestamp, nil
 }
--- a/internal/webhook/sender.go
+++ b/internal/webhook/sender.go
@@ -111,7 +111,7 @@
 	body, err := json.Marshal(noticePayload{
 		Type:      noticeTypePrefix + string(outcome),
 		Timestamp: s.wallClock().UTC(),
-		Data:      noticeData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
+		Data:      noticeData{ID: r.ID, WebhookID: r.Client.Reference, Key: r.Function.Key},
 	})
 	if err != nil {
 		s.Counters.Dropped++
--- a/internal/webhook/sender_test.go
+++ b/internal/webhook/sender_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		sender.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", FunctionKey: "7f3a9c21e0b4d655"}, "served")
+		sender.Notify(time.Hour, &router.Request{ID: "9b1f03aa5c7e2d41", Function: router.Function{Key: "7f3a9c21e0b4d655"}}, "served")
 	}
 	ids := map[string]int{}
 	now := time.Hour
--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -53,7 +53,7 @@
 	var responses [ids][]byte
 	for i := range ids {
 		id := fmt.Sprintf("%016x", i)
-		requests[i] = &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: make([]byte, 1000)}
+		requests[i] = &router.Request{ID: id, Function: router.Function{Key: "00000000000000aa"}, Body: make([]byte, 1000)}
 		responses[i] = []byte("*4\r\n$16\r\n" + id + "\r\n$3\r\nHIT\r\n$41\r\ndetail=hot,crowd=3,use=inflight:7;cpu:0.5\r\n$6\r\nresult\r\n")
 	}
 	b.ReportAllocs()
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -25,7 +25,7 @@
 	cmd.run = &runParameters{
 		id:             r.ID,
 		class:          p.cfg.Classes[r.Class],
-		functionKey:    r.FunctionKey,
+		functionKey:    r.Function.Key,
 		idempotencyKey: r.IdempotencyKey,
 		bodySize:       len(r.Body),
 	}
--- a/internal/workerclient/example_test.go
+++ b/internal/workerclient/example_test.go
@@ -57,7 +57,7 @@
 	addresses := []endpoint.Addr{{Network: endpoint.TCP4, Addr: "192.0.2.1:80"}}
 	pool.SetWorker(worker, addresses, policy.Ready)
 
-	request := &router.Request{ID: "0123456789abcdef", FunctionKey: "00000000000000aa", Body: []byte("input")}
+	request := &router.Request{ID: "0123456789abcdef", Function: router.Function{Key: "00000000000000aa"}, Body: []byte("input")}
 	pool.StartAttempt(worker, router.Attempt{Request: 7, Number: 1}, request, time.Second)
 	transport.handler.DialCompleted(nil)
 	transport.handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nHIT\r\n$1\r\n-\r\n$6\r\noutput\r\n"))
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -237,8 +237,8 @@
 			m.requests = append(m.requests, k)
 			id := fmt.Sprintf("%016x", n+1)
 			m.log("take%d", n)
-			m.ids[id] = m.core.Accept(m.now, router.Request{Responder: k, ID: id, FunctionKey: "00000000000000aa", Function: 0xaa, Lanes: 1,
-				LoadTime: 500 * time.Millisecond, Body: []byte("x"), Deadline: m.now + 3*time.Second})
+			m.ids[id] = m.core.Accept(m.now, router.Request{Responder: k, ID: id, Function: router.Function{Key: "00000000000000aa", ID: 0xaa, Lanes: 1, LoadTime: 500 * time.Millisecond},
+				Body: []byte("x"), Deadline: m.now + 3*time.Second})
 		}, "call %d comes", m.arrived)
 	}
 	for i, l := range m.transports {
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -59,7 +59,7 @@
 func tcp4(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func newRequest(id string) *router.Request {
-	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
+	return &router.Request{ID: id, Function: router.Function{Key: "00000000000000aa"}, Body: []byte("hello")}
 }
 
 func TestResponsesAreReadHoweverTheyAreSplit(t *testing.T) {
