--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,9 +1,11 @@
 package server
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"path/filepath"
 	"strings"
@@ -12,6 +14,7 @@
 	"time"
 
 	"crankhold/internal/fake"
+	"crankhold/internal/logging"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -111,3 +114,20 @@
 		t.Error(err)
 	}
 }
+
+// A server that is given a logger logs its life there, in the order of its states.
+func TestServerLogsToTheLoggerOfItsOptions(t *testing.T) {
+	_, _, document := siteFor(t, 1, nil)
+	var log bytes.Buffer
+	server := startServer(t, document, Options{Logger: logging.New(&log, slog.LevelInfo)})
+	server.dial().Close()
+	server.drain() // after it nothing writes to the log
+	rest := log.String()
+	for _, event := range []string{"worker_updated", "server_started", "counters_reported", "server_draining", "server_stopped"} {
+		_, behind, found := strings.Cut(rest, "event="+event)
+		if !found {
+			t.Fatalf("no %s in its place: %s", event, log.String())
+		}
+		rest = behind
+	}
+}
