--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -30,7 +30,7 @@
 			core.Process(start)
 			workers.dialing = true
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Responder: responder, ID: "a", FunctionKey: "00000000000000aa", Function: 0xaa,
+			id := core.Accept(start, Request{Responder: responder, ID: "a", Function: Function{Key: "00000000000000aa", ID: 0xaa},
 				Deadline: start + 2*time.Second})
 			core.Process(start)
 			if len(workers.unsent) != 1 {
@@ -42,9 +42,9 @@
 			if len(workers.unsent) != 0 || len(workers.inFlight) != 0 {
 				t.Errorf("%d attempts wait for a dial and %d are in flight, want none", len(workers.unsent), len(workers.inFlight))
 			}
-			if core.OpenRequests() != 0 || len(core.requests) != 0 || len(core.clientIDs) != 0 {
+			if core.OpenRequests() != 0 || len(core.requests.table.requests) != 0 || len(core.requests.table.clientIDs) != 0 {
 				t.Errorf("%d requests open, %d tracked, %d IDs reserved, want none",
-					core.OpenRequests(), len(core.requests), len(core.clientIDs))
+					core.OpenRequests(), len(core.requests.table.requests), len(core.requests.table.clientIDs))
 			}
 			wantResponses(t, responder, test.wantResponses)
 			for _, response := range responder.responses {
@@ -82,8 +82,8 @@
 			sent := uint64(0)
 			send := func() policy.RequestID {
 				sent++
-				id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(sent), FunctionKey: hexID(sent),
-					Function: policy.FunctionID(sent), Deadline: now + 2*time.Second})
+				id := core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(sent), Function: Function{Key: hexID(sent), ID: policy.FunctionID(sent)},
+					Deadline: now + 2*time.Second})
 				core.Process(now)
 				return id
 			}
@@ -139,7 +139,7 @@
 			core, workers := newTestCore(t, 1)
 			core.SetEndpoints(readyWorkers(1, 2))
 			responder := &recordingResponder{}
-			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: 7, Deadline: start + 3*time.Second})
+			id := core.Accept(start, Request{Responder: responder, Class: 1, Function: Function{ID: 7}, Deadline: start + 3*time.Second})
 			core.Process(start)
 			if len(workers.started[id]) != 1 {
 				t.Fatal("the request was not sent")
@@ -159,7 +159,7 @@
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
 	responder := &recordingResponder{}
-	id := core.Accept(start, Request{Responder: responder, Class: 0, Function: 7, Deadline: start + 2*time.Second})
+	id := core.Accept(start, Request{Responder: responder, Class: 0, Function: Function{ID: 7}, Deadline: start + 2*time.Second})
 	core.Process(start)
 	core.CancelRequest(start+ms, id)
 	core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
@@ -168,8 +168,8 @@
 	if core.Counters.Canceled[Thrift] != 1 || core.Counters.Served[Thrift] != 0 {
 		t.Errorf("counters %+v", core.Counters)
 	}
-	if len(core.requests) != 0 {
-		t.Errorf("%d requests tracked, want none", len(core.requests))
+	if len(core.requests.table.requests) != 0 {
+		t.Errorf("%d requests tracked, want none", len(core.requests.table.requests))
 	}
 }
 
@@ -178,7 +178,7 @@
 	t.Helper()
 	core.SetEndpoints(readyWorkers(1, 2))
 	responder := &recordingResponder{}
-	id := core.Accept(start, Request{Responder: responder, ID: "a", Function: 7, Deadline: start + 2*time.Second})
+	id := core.Accept(start, Request{Responder: responder, ID: "a", Function: Function{ID: 7}, Deadline: start + 2*time.Second})
 	core.Process(start)
 	if len(workers.started[id]) != 1 {
 		t.Fatalf("%d attempts, want 1", len(workers.started[id]))
@@ -246,14 +246,14 @@
 func TestCompletedAttemptLeavesNoTimer(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	id, _ := sendTestRequest(t, core, workers)
-	timers := core.timers.Len()
+	timers := core.timers.heap.Len()
 	core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: 100 * ms})
-	if core.timers.Len() != timers+1 {
-		t.Fatalf("%d timers, want %d", core.timers.Len(), timers+1)
+	if core.timers.heap.Len() != timers+1 {
+		t.Fatalf("%d timers, want %d", core.timers.heap.Len(), timers+1)
 	}
 	core.AttemptCompleted(workers.started[id][1], AttemptResult{Outcome: policy.Failed})
-	if core.timers.Len() != timers {
-		t.Errorf("%d timers are left, want %d", core.timers.Len(), timers)
+	if core.timers.heap.Len() != timers {
+		t.Errorf("%d timers are left, want %d", core.timers.heap.Len(), timers)
 	}
 }
 
@@ -267,8 +267,8 @@
 	}
 	wantResponses(t, responder, 0)
 	counted := core.Counters.AttemptsByOutcome
-	if counted[policy.Failed] != 1 || counted[policy.Served] != 0 || core.requests[id].inFlight != 1 {
-		t.Errorf("outcomes %v, %d attempts in flight, want one failed and one in flight", counted, core.requests[id].inFlight)
+	if counted[policy.Failed] != 1 || counted[policy.Served] != 0 || core.requests.table.requests[id].inFlight != 1 {
+		t.Errorf("outcomes %v, %d attempts in flight, want one failed and one in flight", counted, core.requests.table.requests[id].inFlight)
 	}
 }
 
--- a/internal/router/commands_test.go
+++ b/internal/router/commands_test.go
@@ -32,17 +32,17 @@
 	core.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
 	core.execute(policy.CheckHealth{Worker: 1})
 	const loadID, healthCheckID = 1, 2
-	if !workers.loads[loadID] || !workers.healthChecks[healthCheckID] || core.timers.Len() != 2 {
-		t.Fatalf("loads %v, health checks %v, %d timers", workers.loads, workers.healthChecks, core.timers.Len())
+	if !workers.loads[loadID] || !workers.healthChecks[healthCheckID] || core.timers.heap.Len() != 2 {
+		t.Fatalf("loads %v, health checks %v, %d timers", workers.loads, workers.healthChecks, core.timers.heap.Len())
 	}
 	core.LoadCompleted(healthCheckID, policy.Served, 1)
 	core.HealthCheckCompleted(loadID, policy.Served, nil)
-	if len(core.commands) != 2 {
-		t.Fatalf("%d commands are pending after answers of the other kind, want 2", len(core.commands))
+	if len(core.commands.pending) != 2 {
+		t.Fatalf("%d commands are pending after answers of the other kind, want 2", len(core.commands.pending))
 	}
 	core.LoadCompleted(loadID, policy.Served, 1)
 	core.HealthCheckCompleted(healthCheckID, policy.Served, nil)
-	if len(core.commands) != 0 || core.timers.Len() != 0 {
-		t.Errorf("%d commands and %d timers are left, want none", len(core.commands), core.timers.Len())
+	if len(core.commands.pending) != 0 || core.timers.heap.Len() != 0 {
+		t.Errorf("%d commands and %d timers are left, want none", len(core.commands.pending), core.timers.heap.Len())
 	}
 }
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"crankhold/internal/route"
-	"crankhold/internal/timerheap"
 	"crankhold/policy"
 )
 
@@ -19,133 +18,129 @@
 	MaxAttempts           int           // attempts of one request; 0 for no limit
 	LoadTimeout           time.Duration // a load that is not answered within it has timed out
 	HealthCheckTimeout    time.Duration // a health check that is not answered within it has timed out
-	Tenants               []string      // tenant names, in the order of policy.Config.Tenants
 }
 
-// Core is the function router. It belongs to one goroutine and is not safe for concurrent use.
+// Config is what a Core is made from, beside the decision module.
+type Config struct {
+	// Limits bounds the core.
+	Limits Limits
+	// Tenants are the tenants' names, in the order of policy.Config.Tenants.
+	Tenants []string
+	// NewWorkerClient returns the client that carries messages to workers. New calls it once, with the core that the
+	// client notifies of its results. It must not call the core.
+	NewWorkerClient func(core *Core) WorkerClient
+	// OnCompleted is called once for each request that was handed in, when it completes. It may be nil.
+	OnCompleted func(now time.Duration, r *Request, completion Completion)
+}
+
+// Core is the function router. It passes what happens to the part that it concerns, hands the events that follow to the
+// decision module, and has the parts carry out the module's actions. It belongs to one goroutine and is not safe for
+// concurrent use.
 type Core struct {
 	policy  *policy.Policy
-	workers WorkerClient
-	limits  Limits
-	now     time.Duration
-
 	events  eventQueue
 	actions []policy.Action // reused by each batch
 
-	timers       timerheap.Heap[timer]
-	policyTimers map[uint64]*timerEntry // by the module's token, the last one set under it
-
-	requests      map[policy.RequestID]*trackedRequest
-	clientIDs     map[string]struct{} // Request.ID of each tracked request
-	lastRequestID policy.RequestID
-	openRequests  int // tracked requests that are owed a response
-	openBytes     int // bytes of their bodies
-
-	commands      map[uint64]*pendingCommand
-	lastCommandID uint64
-
-	tenants      map[string]int // index in the module's configuration, by name
-	routes       *route.Table   // nil: every request may go to every worker
-	routeWorkers []route.Worker
+	timers   timerQueue
+	routing  routing
+	requests requestTracker
+	commands commandTracker
 
 	// Counters counts what the core has accepted, sent and completed.
 	Counters Counters
-	// Draining has the core reject every request from now on, because the program is about to exit.
-	Draining bool
-	// OnCompleted, where set, is called once for each request that was handed in, when it completes.
-	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
-// New returns a Core that acts on the decisions of p. SetWorkerClient must be called before it is used.
-func New(p *policy.Policy, limits Limits) *Core {
-	c := &Core{
-		policy:       p,
-		limits:       limits,
-		policyTimers: map[uint64]*timerEntry{},
-		requests:     map[policy.RequestID]*trackedRequest{},
-		clientIDs:    map[string]struct{}{},
-		commands:     map[uint64]*pendingCommand{},
-		tenants:      map[string]int{},
+// New returns a Core that acts on the decisions of p.
+func New(p *policy.Policy, config Config) *Core {
+	c := &Core{policy: p, timers: newTimerQueue()}
+	workers := config.NewWorkerClient(c)
+	c.requests = requestTracker{
+		limits:      config.Limits,
+		tenants:     tenantIndexes(config.Tenants),
+		onCompleted: config.OnCompleted,
+		workers:     workers,
+		routing:     &c.routing,
+		timers:      &c.timers,
+		events:      &c.events,
+		counters:    &c.Counters,
+		table:       newRequestTable(),
 	}
-	for i, name := range limits.Tenants {
-		c.tenants[name] = i
+	c.commands = commandTracker{
+		limits:   config.Limits,
+		workers:  workers,
+		timers:   &c.timers,
+		events:   &c.events,
+		counters: &c.Counters,
+		pending:  map[uint64]*pendingCommand{},
 	}
 	return c
 }
 
-// SetWorkerClient sets the client that carries messages to workers. It is called once, before anything else.
-func (c *Core) SetWorkerClient(w WorkerClient) { c.workers = w }
-
-// OpenRequests returns the number of requests that are owed a response.
-func (c *Core) OpenRequests() int { return c.openRequests }
-
-// SetEndpoints hands in the endpoint list, or a change of it.
-func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
-
 // SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
 // the present one changes nothing.
-func (c *Core) SetNow(now time.Duration) { c.now = max(c.now, now) }
+func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
 
-// Process fires the timers that are due, hands the gathered events to the decision module and carries out its actions,
-// until nothing is left to do. It returns the time by which it has to be called again.
-func (c *Core) Process(now time.Duration) (next time.Duration) {
+// Accept hands in a request and returns its identifier in the core, or 0 where the core responded at once and does
+// not track it. The response may be given before Accept returns.
+func (c *Core) Accept(now time.Duration, r Request) policy.RequestID {
 	c.SetNow(now)
-	for {
-		c.fireDueTimers()
-		if c.events.empty() {
-			break
-		}
-		c.handleEvents()
-		c.executeActions()
-	}
-	if due, ok := c.timers.Next(); ok {
-		return due
-	}
-	return now + idleInterval
+	return c.requests.accept(r)
 }
 
-// handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
-func (c *Core) handleEvents() {
-	c.actions = c.actions[:0]
-	batch := c.events.take()
-	for _, event := range batch {
-		if event != nil {
-			c.actions = c.policy.Handle(c.now, event, c.actions)
-		}
-	}
-	c.events.recycle(batch)
+// RejectUnaccepted rejects a request for want of capacity of a front. The decision module does not see it.
+func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
+	c.SetNow(now)
+	c.requests.rejectUnaccepted(r)
 }
 
-// executeActions carries out the actions of the last batch, in order.
-func (c *Core) executeActions() {
-	for _, action := range c.actions {
-		c.execute(action)
-	}
+// CancelRequest notifies the core that the client no longer waits for a request. It gets no response.
+func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
+	c.SetNow(now)
+	c.requests.cancel(id)
 }
 
-// execute carries out one action. Actions that are not listed ask for what this deployment does not have: endpoint
-// lists arrive without a subscription, and the settings allow no gossip. The module's log lines are dropped.
-func (c *Core) execute(action policy.Action) {
-	switch a := action.(type) {
-	case policy.StartAttempt:
-		c.startAttempt(a)
-	case policy.CancelAttempt:
-		c.cancelAttempt(Attempt{Request: a.Request, Number: a.Attempt}, policy.Canceled)
-	case policy.Reject:
-		c.respondUnserved(a.Request, Response{Status: Rejected, RetryAfter: a.RetryAfter})
-	case policy.FailRequest:
-		c.respondUnserved(a.Request, Response{Status: Failed})
-	case policy.Load:
-		c.load(a)
-	case policy.CheckHealth:
-		c.checkHealth(a)
-	case policy.Unload:
-		c.unload(a)
-	case policy.CloseIdleConnections:
-		c.workers.CloseIdle(a.Worker)
-	case policy.SetTimer:
-		c.setPolicyTimer(a)
-	case policy.ClearTimer:
-		c.clearPolicyTimer(a)
-	}
+// RejectNew has the core reject every request from now on, because the program is about to exit: it can't while clients
+// go on sending.
+func (c *Core) RejectNew() { c.requests.rejectsNew = true }
+
+// EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is
+// about to end.
+func (c *Core) EndOpenRequests() { c.requests.endOpenRequests() }
+
+// OpenRequests returns the number of requests that are owed a response.
+func (c *Core) OpenRequests() int { return c.requests.table.openCount }
+
+// AttemptCompleted notifies the core of how an attempt ended. It ignores an attempt that has ended already.
+func (c *Core) AttemptCompleted(a Attempt, result AttemptResult) {
+	c.requests.attemptCompleted(a, result)
+}
+
+// LoadCompleted notifies the core of how a load ended, and of how many replicas of its function the worker holds. It
+// ignores a load that has ended already.
+func (c *Core) LoadCompleted(commandID uint64, outcome policy.Outcome, count int) {
+	c.commands.loadCompleted(commandID, outcome, count)
+}
+
+// MaySendLoad reports whether a load that waited for a connection may be sent now.
+func (c *Core) MaySendLoad(commandID uint64) bool {
+	return c.commands.isPendingLoad(commandID) && c.policy.MayStillLoad(c.timers.now)
+}
+
+// HealthCheckCompleted notifies the core of how a health check ended, with the worker's load report in the order of
+// policy.Config.LoadReportFields. It ignores a health check that has ended already.
+func (c *Core) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
+	c.commands.healthCheckCompleted(commandID, outcome, report)
 }
+
+// SetEndpoints hands in the endpoint list, or a change of it.
+func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
+
+// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
+func (c *Core) SetRouteWorkers(list []route.Worker) { c.routing.setWorkers(list) }
+
+// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
+// nil every request may go to every worker.
+func (c *Core) SetRoutes(t *route.Table) { c.routing.setTable(t) }
+
+// Routes returns the route table in force, or nil.
+func (c *Core) Routes() *route.Table { return c.routing.table }
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"log/slog"
 	"time"
 
 	"crankhold/internal/config"
@@ -32,45 +33,70 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{config: cfg, options: options, reread: reread, closed: make(chan struct{})}
-	s.drainSchedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
-	s.loop = newEventLoop(cfg)
-	s.core = newCore(cfg, scheduler)
-	s.workers = newWorkerClient(cfg, s.loop, s.core)
-	s.core.SetWorkerClient(s.workers)
-	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
-	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
-	s.discovery.Confirmed = s.membership.listConfirmed
+	if options.Logger == nil {
+		options.Logger = slog.Default()
+	}
+	s := &Server{config: cfg, options: options, logger: options.Logger, closed: make(chan struct{})}
+	s.lifecycle.schedule = newDrainSchedule(longestDeadline(cfg.Policy.Classes))
+	s.loop = newEventLoop(cfg, s.logger)
+	s.core = s.newCore(scheduler)
+	membership := newMembership(s.loop, s.core, s.workers, cfg, s.logger)
+	s.discovery = newDiscoveryClient(cfg, s.loop, membership.update)
+	s.discovery.Confirmed = membership.listConfirmed
 	addresses, err := readAddresses(options.Addresses)
 	if err != nil {
 		return nil, err
 	}
 	s.discovery.UnixInTXT = addresses.UnixInTXT
+	s.reloader = &reloader{
+		config:     cfg,
+		options:    options,
+		reread:     reread,
+		logger:     s.logger,
+		loop:       s.loop,
+		core:       s.core,
+		discovery:  s.discovery,
+		membership: membership,
+	}
 	return s, nil
 }
 
-func newEventLoop(cfg *config.Config) *eventloop.Loop {
+func newEventLoop(cfg *config.Config, logger *slog.Logger) *eventloop.Loop {
 	return eventloop.New(eventloop.Config{
 		MaxAccepted:    cfg.MaxClientConnections(),
 		MaxDescriptors: cfg.Limits.Sockets,
 		MaxQueuedBytes: cfg.ScaleToMemory(maxQueuedBytes),
 		MaxUnreadBytes: cfg.ScaleToMemory(maxUnreadBytes),
+		Logger:         logger,
 	})
 }
 
-func newCore(cfg *config.Config, scheduler *policy.Policy) *router.Core {
-	return router.New(scheduler, router.Limits{
-		MaxConcurrentRequests: cfg.MaxConcurrentRequests(),
-		MaxBytes:              cfg.ScaleToMemory(maxRequestBytes),
-		RetryAfter:            cfg.RejectionRetryAfter(),
-		MaxAttempts:           cfg.Policy.MaxAttempts,
-		LoadTimeout:           cfg.Policy.LoadTimeout,
-		HealthCheckTimeout:    healthCheckTimeout,
-		Tenants:               cfg.TenantNames(),
+// newCore returns the core, and keeps the worker client that the core is given.
+func (s *Server) newCore(scheduler *policy.Policy) *router.Core {
+	cfg := s.config
+	return router.New(scheduler, router.Config{
+		Limits: router.Limits{
+			MaxConcurrentRequests: cfg.MaxConcurrentRequests(),
+			MaxBytes:              cfg.ScaleToMemory(maxRequestBytes),
+			RetryAfter:            cfg.RejectionRetryAfter(),
+			MaxAttempts:           cfg.Policy.MaxAttempts,
+			LoadTimeout:           cfg.Policy.LoadTimeout,
+			HealthCheckTimeout:    healthCheckTimeout,
+		},
+		Tenants: cfg.TenantNames(),
+		NewWorkerClient: func(core *router.Core) router.WorkerClient {
+			s.workers = newWorkerClient(cfg, s.loop, core, s.logger)
+			return s.workers
+		},
+		OnCompleted: func(now time.Duration, r *router.Request, completion router.Completion) {
+			s.integrations.requestCompleted(now, r, completion) // Start sets them before a front listens
+		},
 	})
 }
 
-func newWorkerClient(cfg *config.Config, loop *eventloop.Loop, results workerclient.ResultHandler) *workerclient.Pool {
+func newWorkerClient(
+	cfg *config.Config, loop *eventloop.Loop, results workerclient.ResultHandler, logger *slog.Logger,
+) *workerclient.Pool {
 	limits := cfg.Network.Limits
 	return workerclient.New(workerclient.Config{
 		Classes:                  cfg.ClassNames(),
@@ -83,6 +109,7 @@
 		CancelSupported:          cfg.Policy.CancelSupported,
 		HealthChecksAllowed:      cfg.Policy.HealthCheckSupported,
 		Seed:                     cfg.SeedValue,
+		Logger:                   logger,
 		Dial: func(network, addr string, timeout time.Duration, handler eventloop.DialHandler) workerclient.Transport {
 			return loop.Dial(network, addr, timeout, handler)
 		},
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,9 +28,6 @@
 	// reports itself ready all the same. Requests then wait for a worker: the discovery server may be down for
 	// longer than a start may take.
 	firstListTimeout = 2 * time.Second
-
-	// sweepInterval is the time between removals of expired webhook outcomes.
-	sweepInterval = time.Second
 )
 
 // Server is one function router with all its connections. Its fields are owned by the goroutine that calls Run, except
@@ -38,27 +35,23 @@
 type Server struct {
 	config  *config.Config
 	options Options
-	reread  func() (*config.Config, error)
+	logger  *slog.Logger
 
 	loop         *eventloop.Loop
 	core         *router.Core
 	workers      *workerclient.Pool
-	membership   *membership
 	discovery    *discovery.Client
+	reloader     *reloader
 	integrations *integrations
 
-	startedAt       time.Duration
-	drainSchedule   drainSchedule
-	drainingSince   time.Duration // 0 while the server is not draining
-	closingClients  bool          // the drain has come to close its clients' connections
-	lastMaintenance time.Duration
-	lastSweep       time.Duration
+	lifecycle       lifecycle
+	lastMaintenance time.Duration // of the connections to workers
 
 	closed chan struct{} // ends the goroutines that wait for signals
 }
 
-// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. On
-// SIGHUP it applies the configuration that reread returns, and reads the routes again.
+// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. It
+// blocks. On SIGHUP it applies the configuration that reread returns, and reads the routes again.
 func Serve(cfg *config.Config, options Options, reread func() (*config.Config, error)) error {
 	if options.Signals == nil {
 		options.Signals = signals.Notify()
@@ -83,12 +76,13 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * goMemoryPercent / 100)
 }
 
-// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens.
+// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens. It
+// blocks while it reads files.
 func (s *Server) Start() error {
 	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
 		return err
 	}
-	if err := s.loadFirstRoutes(); err != nil {
+	if err := s.reloader.loadFirstRoutes(); err != nil {
 		return err
 	}
 	integrations, err := newIntegrations(s.options, s.config, s.loop, s.core)
@@ -96,34 +90,39 @@
 		return err
 	}
 	s.integrations = integrations
-	s.startedAt = s.loop.Now()
+	startedAt := s.loop.Now()
 	front := thrift.New(s.core, thriftConfig(s.config), s.loop, s.ready)
 	s.loop.Listen(s.config.Listen, front.Accept)
 	if err := s.loop.Start(); err != nil {
 		s.integrations.close()
 		return err
 	}
-	slog.Info("server_started", slog.String("name", s.config.Name), slog.String("listen", s.config.Listen))
+	s.lifecycle.serve(startedAt)
+	s.logger.Info("server_started",
+		slog.String("name", s.config.Name),
+		slog.String("listen", s.config.Listen))
 	return nil
 }
 
-// ready reports whether clients should send requests: there is a worker to send them to, or no news of one to wait
-// for, and the server is not draining.
+// ready reports whether clients should send requests. It does while the server serves, from when a worker is listed,
+// discovery has responded or firstListTimeout is over.
 func (s *Server) ready() bool {
-	if s.drainingSince > 0 {
+	if s.lifecycle.state != serving {
 		return false
 	}
-	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 || s.loop.Now()-s.startedAt >= firstListTimeout
+	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 ||
+		s.loop.Now()-s.lifecycle.servingSince >= firstListTimeout
 }
 
-// Run serves until a drain has ended. It is called once, after Start.
+// Run serves until a drain has ended. It blocks, and its goroutine is that of the event loop. It is called once, after
+// Start.
 func (s *Server) Run() {
-	go s.watchReloadSignals()
+	go s.reloader.watch(s.options.Signals.Reload, s.closed)
 	go s.watchStopSignals()
 	s.loop.Run(s.beginTurn, s.endTurn)
 	s.integrations.close()
 	s.logCounters()
-	slog.Info("server_stopped")
+	s.logger.Info("server_stopped")
 }
 
 // beginTurn sets the clocks before the handlers of a turn are called.
@@ -142,11 +141,8 @@
 		s.lastMaintenance = now
 		s.workers.Maintain(now)
 	}
-	if now-s.lastSweep >= sweepInterval {
-		s.lastSweep = now
-		s.integrations.sweep(now)
-	}
-	if s.drainingSince > 0 {
+	s.integrations.sweep(now)
+	if s.lifecycle.isDraining() {
 		next = min(next, s.continueDrain(now))
 	}
 	return next
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -70,7 +70,7 @@
 // send has a client of a router request a random function.
 func (f *Fleet) send(r *Router, tenant string, class int) {
 	timeout := f.cfg.Settings.Classes[class].Deadline
-	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.core.Draining, router: r, fleet: f}
+	request := &Request{Tenant: tenant, SentAt: f.now, Timeout: timeout, SentWhileDraining: r.rejectsNew, router: r, fleet: f}
 	f.Requests = append(f.Requests, request)
 	function := policy.FunctionID(f.random.IntN(f.cfg.Functions) + 1)
 	if version, released := f.versions[function]; released {
@@ -78,15 +78,17 @@
 		request.NewVersion = true
 	}
 	r.accept(router.Request{
-		Responder:   request,
-		ID:          fmt.Sprintf("%016x", len(f.Requests)),
-		Class:       class,
-		Tenant:      tenant,
-		Function:    function,
-		FunctionKey: fmt.Sprintf("%016x", uint64(function)),
-		Lanes:       requestLanes,
-		MemoryMB:    requestMemoryMB,
-		LoadTime:    f.cfg.LoadTime,
-		Deadline:    f.now + timeout - router.ResponseMargin,
+		Responder: request,
+		ID:        fmt.Sprintf("%016x", len(f.Requests)),
+		Class:     class,
+		Tenant:    tenant,
+		Function: router.Function{
+			Key:      fmt.Sprintf("%016x", uint64(function)),
+			ID:       function,
+			MemoryMB: requestMemoryMB,
+			Lanes:    requestLanes,
+			LoadTime: f.cfg.LoadTime,
+		},
+		Deadline: f.now + timeout - router.ResponseMargin,
 	})
 }
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -28,8 +28,8 @@
 func describeRequest(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
-		r.Class, r.ID, r.FunctionKey, uint64(r.Function), r.Tenant, r.IdempotencyKey,
-		r.ClientReference, r.Client, r.MemoryMB, r.Lanes, r.LoadTime, r.Deadline, r.Body)
+		r.Class, r.ID, r.Function.Key, uint64(r.Function.ID), r.Tenant, r.IdempotencyKey,
+		r.Client.Reference, r.Client.Address, r.Function.MemoryMB, r.Function.Lanes, r.Function.LoadTime, r.Deadline, r.Body)
 }
 
 // exchange is what a client sends on one connection, and what becomes of the requests in it.
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -97,7 +97,7 @@
 func tcp4(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func newRequest(id string) *router.Request {
-	return &router.Request{ID: id, FunctionKey: "00000000000000aa", Body: []byte("hello")}
+	return &router.Request{ID: id, Function: router.Function{Key: "00000000000000aa"}, Body: []byte("hello")}
 }
 
 // encodeResponse returns a response of four elements, with no fields.
--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -26,7 +26,7 @@
 	request := &requestCommand{
 		attempt:        attempt,
 		class:          class,
-		functionKey:    r.FunctionKey,
+		functionKey:    r.Function.Key,
 		idempotencyKey: r.IdempotencyKey,
 		body:           r.Body,
 		deadline:       now + budget,
