--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -138,24 +138,76 @@
 
 // The functions and types that the page names exist, so that its step-by-step descriptions can be followed in the code.
 func TestNamesOnThePageExist(t *testing.T) {
-	folders := map[string]string{}
-	for dir := range moduleImports(t) {
-		folders[path.Base(dir)] = dir
-	}
 	names := pageName.FindAllStringSubmatch(readPage(t), -1)
 	if len(names) < 20 {
 		t.Errorf("%s names %d functions; it tells the way of a request by at least 20", architecturePage, len(names))
 	}
+	code := newNamesOfCode(t)
 	for _, m := range names {
-		folder, ok := folders[m[1]]
-		if !ok {
-			t.Errorf("%s: %s names no package", architecturePage, m[0])
+		code.expect(t, architecturePage, strings.Trim(m[0], "`"))
+	}
+}
+
+// auditPage says for each clause of the operators' pages where the code keeps it.
+const auditPage = "docs/terms-audit.md"
+
+// auditName is a name of code in the column of auditPage that says where a clause is kept.
+var auditName = regexp.MustCompile("`([a-z]+\\.\\w+(?:\\.\\w+)?)`")
+
+// The code that the audit names exists, so that whoever changes it finds the clauses that rest on it.
+func TestCodeNamedByTheAuditExists(t *testing.T) {
+	const keptIn = 5 // column, counted from 1
+	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(auditPage)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	code := newNamesOfCode(t)
+	named := 0
+	for line := range strings.Lines(string(text)) {
+		cells := strings.Split(line, "|")
+		if len(cells) <= keptIn {
 			continue
 		}
-		if declared := declarations(t, folder); !declared[strings.Trim(m[0], "`")[len(m[1])+1:]] {
-			t.Errorf("%s: %s is not declared in %s", architecturePage, m[0], folder)
+		for _, m := range auditName.FindAllStringSubmatch(cells[keptIn], -1) {
+			named++
+			code.expect(t, auditPage, m[1])
 		}
 	}
+	if named < 50 {
+		t.Errorf("%s names code %d times; the check does not see it", auditPage, named)
+	}
+}
+
+// namesOfCode finds what the module's packages declare.
+type namesOfCode struct {
+	folders  map[string]string          // by the package's name
+	declared map[string]map[string]bool // by the folder
+}
+
+func newNamesOfCode(t *testing.T) *namesOfCode {
+	t.Helper()
+	code := &namesOfCode{folders: map[string]string{}, declared: map[string]map[string]bool{}}
+	for dir := range moduleImports(t) {
+		code.folders[path.Base(dir)] = dir
+	}
+	return code
+}
+
+// expect fails the test unless a page's name of a function, a type or a member is declared, as package.Type.member.
+func (n *namesOfCode) expect(t *testing.T, page, name string) {
+	t.Helper()
+	packageName, declaration, _ := strings.Cut(name, ".")
+	folder, ok := n.folders[packageName]
+	if !ok {
+		t.Errorf("%s: %s names no package", page, name)
+		return
+	}
+	if n.declared[folder] == nil {
+		n.declared[folder] = declarations(t, folder)
+	}
+	if !n.declared[folder][declaration] {
+		t.Errorf("%s: %s is not declared in %s", page, name, folder)
+	}
 }
 
 // declarations returns the names that a package's non-test files declare: functions, types, variables and
--- a/internal/archtest/logs_test.go
+++ b/internal/archtest/logs_test.go
@@ -58,6 +58,21 @@
 func loggedEvents(t *testing.T) map[string]string {
 	t.Helper()
 	events := map[string]string{}
+	forEachSource(t, func(text string) {
+		for _, m := range loggedEvent.FindAllStringSubmatch(text, -1) {
+			level := strings.ToLower(m[1] + m[2])
+			if level == "" {
+				level = "warn"
+			}
+			events[m[3]] = level
+		}
+	})
+	return events
+}
+
+// forEachSource calls visit with the text of each of the program's non-test files.
+func forEachSource(t *testing.T, visit func(text string)) {
+	t.Helper()
 	root := filepath.Join("..", "..", "internal")
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
@@ -67,19 +82,12 @@
 		if err != nil {
 			return err
 		}
-		for _, m := range loggedEvent.FindAllStringSubmatch(string(text), -1) {
-			level := strings.ToLower(m[1] + m[2])
-			if level == "" {
-				level = "warn"
-			}
-			events[m[3]] = level
-		}
+		visit(string(text))
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return events
 }
 
 // Alerts rest on keys: the page lists each key that is logged, and none that is not.
@@ -122,22 +130,10 @@
 	for outcome := range policy.NotLoaded + 1 {
 		keys[outcome.String()] = true
 	}
-	root := filepath.Join("..", "..", "internal")
-	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
-			return err
-		}
-		text, err := os.ReadFile(name)
-		if err != nil {
-			return err
-		}
-		for _, m := range loggedKey.FindAllStringSubmatch(string(text), -1) {
+	forEachSource(t, func(text string) {
+		for _, m := range loggedKey.FindAllStringSubmatch(text, -1) {
 			keys[m[1]] = true
 		}
-		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
 	return keys
 }
