--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -71,10 +71,10 @@
 
 // fault reports what is wrong at a position within a block.
 func (c *checker) fault(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Faults = append(c.result.Faults, b.source.Fault(pos, format, args...))
+	c.result.Faults = append(c.result.Faults, b.source.FaultAt(pos, format, args...))
 }
 
 // note reports what is allowed and may not be meant.
 func (c *checker) note(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Notes = append(c.result.Notes, b.source.Fault(pos, format, args...))
+	c.result.Notes = append(c.result.Notes, b.source.FaultAt(pos, format, args...))
 }
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -23,9 +23,9 @@
 
 func chainText(chain []string) string { return strings.Join(chain, " > ") }
 
-// fault reports what is wrong with an include.
-func (l *loader) fault(s *includeStatement, format string, args ...any) {
-	l.faults = append(l.faults, s.source.Fault(s.At, format, args...))
+// reportFault reports what is wrong with an include.
+func (l *loader) reportFault(s *includeStatement, format string, args ...any) {
+	l.faults = append(l.faults, s.source.FaultAt(s.At, format, args...))
 }
 
 // include reads the files that an include names.
@@ -49,17 +49,17 @@
 func (l *loader) includePattern(s *includeStatement) (pattern string, ok bool) {
 	text := s.Path.Text()
 	if text == "" {
-		l.fault(s, "the include names no file")
+		l.reportFault(s, "the include names no file")
 		return "", false
 	}
 	if path.IsAbs(text) || strings.ContainsRune(text, '\\') {
-		l.fault(s, "the include %s must be relative to its file, with slashes", s.Path.Raw)
+		l.reportFault(s, "the include %s must be relative to its file, with slashes", s.Path.Raw)
 		return "", false
 	}
 	including := s.chain[len(s.chain)-1]
 	pattern = path.Join(path.Dir(including), text)
 	if pattern == ".." || strings.HasPrefix(pattern, "../") {
-		l.fault(s, "the include %s leaves the directory of the first file", s.Path.Raw)
+		l.reportFault(s, "the include %s leaves the directory of the first file", s.Path.Raw)
 		return "", false
 	}
 	return pattern, true
@@ -72,11 +72,11 @@
 	}
 	names, err := fs.Glob(l.fsys, pattern)
 	if err != nil {
-		l.fault(s, "the include %s is no pattern of file names", s.Path.Raw)
+		l.reportFault(s, "the include %s is no pattern of file names", s.Path.Raw)
 		return nil, false
 	}
 	if len(names) == 0 {
-		l.fault(s, "no file matches the include %s", s.Path.Raw)
+		l.reportFault(s, "no file matches the include %s", s.Path.Raw)
 		return nil, false
 	}
 	return names, true
@@ -88,18 +88,18 @@
 	first, again := l.includeChains[name]
 	switch {
 	case slices.Contains(s.chain, name):
-		l.fault(s, "include cycle: %s", s.chainTo(name))
+		l.reportFault(s, "include cycle: %s", s.chainTo(name))
 	case again:
-		l.fault(s, "%s is included twice: by %s, and by %s", name, chainText(first), s.chainTo(name))
+		l.reportFault(s, "%s is included twice: by %s, and by %s", name, chainText(first), s.chainTo(name))
 	case len(s.chain) >= maxIncludeDepth:
-		l.fault(s, "includes are nested more than %d deep: %s", maxIncludeDepth, s.chainTo(name))
+		l.reportFault(s, "includes are nested more than %d deep: %s", maxIncludeDepth, s.chainTo(name))
 	case len(l.includeChains) >= maxFiles:
-		l.fault(s, "more than %d files are included; the rest was not read", maxFiles)
+		l.reportFault(s, "more than %d files are included; the rest was not read", maxFiles)
 		l.filesExceeded = true
 		return false
 	default:
 		if err := l.load(name, s.chain); err != nil {
-			l.fault(s, "the include %s can't be read: %v (%s)", s.Path.Raw, pathErrorReason(err), s.chainTo(name))
+			l.reportFault(s, "the include %s can't be read: %v (%s)", s.Path.Raw, pathErrorReason(err), s.chainTo(name))
 		}
 	}
 	return true
--- a/internal/lang/readblock.go
+++ b/internal/lang/readblock.go
@@ -24,10 +24,10 @@
 // buildBlock reads a block at the top of a file and has its type build its part of the Spec.
 func (c *checker) buildBlock(syntaxBlock *syntax.Block) {
 	source := c.sources[syntaxBlock.At.File]
-	t, keywords := findBlockType(blockTypes, syntaxBlock.Word)
+	t, keywords := findBlockType(blockTypes, syntaxBlock.Keyword)
 	if t == nil {
-		suggestion := suggest(syntaxBlock.Word, append(keywords, includeKeyword))
-		c.result.Faults = append(c.result.Faults, source.Fault(syntaxBlock.At, "unknown block %s%s", syntaxBlock.Word, suggestion))
+		suggestion := suggest(syntaxBlock.Keyword, append(keywords, includeKeyword))
+		c.result.Faults = append(c.result.Faults, source.FaultAt(syntaxBlock.At, "unknown block %s%s", syntaxBlock.Keyword, suggestion))
 		return
 	}
 	b := c.readBlock(syntaxBlock, t, source)
@@ -121,9 +121,9 @@
 
 // readNestedBlock reads a block within a block.
 func (c *checker) readNestedBlock(b *block, syntaxBlock *syntax.Block) {
-	t, keywords := findBlockType(b.blockType.blocks, syntaxBlock.Word)
+	t, keywords := findBlockType(b.blockType.blocks, syntaxBlock.Keyword)
 	if t == nil {
-		c.fault(b, syntaxBlock.At, "unknown block %s in %s%s", syntaxBlock.Word, b.blockType.keyword, suggest(syntaxBlock.Word, keywords))
+		c.fault(b, syntaxBlock.At, "unknown block %s in %s%s", syntaxBlock.Keyword, b.blockType.keyword, suggest(syntaxBlock.Keyword, keywords))
 		return
 	}
 	nested := c.readBlock(syntaxBlock, t, b.source)
--- a/internal/lang/reference.go
+++ b/internal/lang/reference.go
@@ -43,7 +43,7 @@
 
 // recordLine records a line as one that says something of a block; see Result.Lines.
 func (c *checker) recordLine(id blockID, b *block, pos syntax.Pos) {
-	line := b.source.Fault(pos, "")
+	line := b.source.FaultAt(pos, "")
 	line.Line = strings.TrimSpace(line.Line)
 	c.result.lines[id] = append(c.result.lines[id], line)
 }
--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -40,7 +40,7 @@
 type Block struct {
 	Trivia
 	At               Pos
-	Word             string
+	Keyword          string
 	Label            *Value // nil: none
 	OpenComment      string // behind the opening brace
 	Entries          []Entry
--- a/internal/lang/syntax/parse_entry.go
+++ b/internal/lang/syntax/parse_entry.go
@@ -20,7 +20,7 @@
 	case depth == 0 && word == includeKeyword:
 		return p.parseInclude(pos)
 	case depth == 0 && p.token.isPunctuation("="):
-		p.fault(pos, "a setting stands in a block: %s is outside of any", word)
+		p.reportFault(pos, "a setting stands in a block: %s is outside of any", word)
 		p.skipLine()
 		return nil
 	case p.token.isPunctuation("="):
@@ -42,7 +42,7 @@
 
 // parseBlock parses a block behind its word.
 func (p *parser) parseBlock(pos Pos, word string, depth int) Entry {
-	b := &Block{At: pos, Word: word}
+	b := &Block{At: pos, Keyword: word}
 	if p.token.kind == stringToken {
 		label := p.parseValue()
 		b.Label = &label
@@ -56,7 +56,7 @@
 		return nil
 	}
 	if depth+1 > MaxDepth {
-		p.fault(pos, "blocks are nested more than %d deep; the rest of the file was not read", MaxDepth)
+		p.reportFault(pos, "blocks are nested more than %d deep; the rest of the file was not read", MaxDepth)
 		p.stop(pos)
 		return nil
 	}
@@ -65,7 +65,7 @@
 	p.skipNewline()
 	b.Entries, b.TrailingComments = p.parseEntries(depth + 1)
 	if !p.token.isPunctuation("}") {
-		p.fault(pos, "the block %s is not closed", word)
+		p.reportFault(pos, "the block %s is not closed", word)
 		return b
 	}
 	p.advance()
--- a/internal/lang/syntax/parse_test.go
+++ b/internal/lang/syntax/parse_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("%q, want %q", got, want)
 	}
 	long := NewSource("f", []byte(strings.Repeat("é", 1000)))
-	if f := long.Fault(Pos{"f", 1, 900}, "x"); len([]rune(f.Line)) > 200 {
+	if f := long.FaultAt(Pos{"f", 1, 900}, "x"); len([]rune(f.Line)) > 200 {
 		t.Errorf("a long line is quoted whole: %d characters", len([]rune(f.Line)))
 	}
 }
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -10,7 +10,7 @@
 	}
 	source := NewSource(name, text)
 	if line := findLongLine(text); line > 0 {
-		fault := source.Fault(Pos{name, line, 1}, "the line is longer than 4096 bytes")
+		fault := source.FaultAt(Pos{name, line, 1}, "the line is longer than 4096 bytes")
 		return &File{Name: name}, source, Faults{fault}
 	}
 	var faults Faults
@@ -45,7 +45,7 @@
 func (p *parser) advance() {
 	p.token = p.scanner.next()
 	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
-		p.scanner.fault(p.token.pos, "too many faults; the rest of the file was not read")
+		p.scanner.reportFault(p.token.pos, "too many faults; the rest of the file was not read")
 		p.stopped = true
 	}
 	if p.stopped {
@@ -59,16 +59,16 @@
 	p.token = token{kind: endOfFile, pos: pos}
 }
 
-func (p *parser) fault(pos Pos, format string, args ...any) {
+func (p *parser) reportFault(pos Pos, format string, args ...any) {
 	if !p.stopped {
-		p.scanner.fault(pos, format, args...)
+		p.scanner.reportFault(pos, format, args...)
 	}
 }
 
 // reportExpected reports what should stand in place of the current token, and skips its line.
 func (p *parser) reportExpected(what string) {
 	if p.token.kind != invalidToken { // the scanner has reported those
-		p.fault(p.token.pos, "expected %s, found %s", what, p.token)
+		p.reportFault(p.token.pos, "expected %s, found %s", what, p.token)
 	}
 	p.skipLine()
 }
@@ -134,7 +134,7 @@
 		case p.token.kind == commentToken:
 			r.readComment()
 		case p.token.isPunctuation("}"):
-			p.fault(p.token.pos, "a closing brace with no block to close")
+			p.reportFault(p.token.pos, "a closing brace with no block to close")
 			p.advance()
 		default:
 			r.readEntry()
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -6,7 +6,7 @@
 // sign, at most one empty line between entries, and all comments. Formatting it again changes nothing.
 func Format(f *File) []byte {
 	p := &printer{}
-	p.entries(f.Entries, f.TrailingComments, 0)
+	p.writeEntries(f.Entries, f.TrailingComments, 0)
 	return []byte(p.text.String())
 }
 
@@ -16,16 +16,16 @@
 	needsSeparator bool // something stands above in this block
 }
 
-// blankLine writes an empty line if it is wanted, but not where a block or the file begins.
-func (p *printer) blankLine(wanted bool) {
+// writeBlankLine writes an empty line if it is wanted, but not where a block or the file begins.
+func (p *printer) writeBlankLine(wanted bool) {
 	if wanted && p.needsSeparator {
 		p.text.WriteByte('\n')
 	}
 	p.needsSeparator = true
 }
 
-// line writes a line of these parts.
-func (p *printer) line(depth int, parts ...string) {
+// writeLine writes a line of these parts.
+func (p *printer) writeLine(depth int, parts ...string) {
 	p.text.WriteString(indentation(depth))
 	for _, part := range parts {
 		p.text.WriteString(part)
@@ -33,58 +33,58 @@
 	p.text.WriteByte('\n')
 }
 
-func (p *printer) comments(comments []Comment, depth int) {
+func (p *printer) writeComments(comments []Comment, depth int) {
 	for _, c := range comments {
-		p.blankLine(c.BlankBefore)
-		p.line(depth, c.Text)
+		p.writeBlankLine(c.BlankBefore)
+		p.writeLine(depth, c.Text)
 	}
 }
 
-func (p *printer) entries(entries []Entry, trailingComments []Comment, depth int) {
+func (p *printer) writeEntries(entries []Entry, trailingComments []Comment, depth int) {
 	for _, entry := range entries {
 		t := entry.trivia()
-		p.comments(t.LeadingComments, depth)
-		p.blankLine(t.BlankBefore)
+		p.writeComments(t.LeadingComments, depth)
+		p.writeBlankLine(t.BlankBefore)
 		lineComment := afterSpace(t.LineComment)
 		switch entry := entry.(type) {
 		case *Include:
-			p.line(depth, includeKeyword, " ", entry.Path.Raw, lineComment)
+			p.writeLine(depth, includeKeyword, " ", entry.Path.Raw, lineComment)
 		case *Setting:
-			p.setting(entry, depth, lineComment)
+			p.writeSetting(entry, depth, lineComment)
 		case *Block:
-			p.block(entry, depth, lineComment)
+			p.writeBlock(entry, depth, lineComment)
 		}
 	}
-	p.comments(trailingComments, depth)
+	p.writeComments(trailingComments, depth)
 }
 
-func (p *printer) block(b *Block, depth int, lineComment string) {
-	head := b.Word
+func (p *printer) writeBlock(b *Block, depth int, lineComment string) {
+	head := b.Keyword
 	if b.Label != nil {
 		head += " " + b.Label.Raw
 	}
 	if len(b.Entries) == 0 && len(b.TrailingComments) == 0 && b.OpenComment == "" {
-		p.line(depth, head, " {}", lineComment)
+		p.writeLine(depth, head, " {}", lineComment)
 		return
 	}
-	p.line(depth, head, " {", afterSpace(b.OpenComment))
+	p.writeLine(depth, head, " {", afterSpace(b.OpenComment))
 	p.needsSeparator = false
-	p.entries(b.Entries, b.TrailingComments, depth+1)
+	p.writeEntries(b.Entries, b.TrailingComments, depth+1)
 	p.needsSeparator = true
-	p.line(depth, "}", lineComment)
+	p.writeLine(depth, "}", lineComment)
 }
 
 // maxListLine is the length in bytes beyond which a list continues on a further line.
 const maxListLine = 100
 
-// setting writes a list with the line breaks that it came with, and further ones where it is long.
-func (p *printer) setting(s *Setting, depth int, lineComment string) {
+// writeSetting writes a list with the line breaks that it came with, and further ones where it is long.
+func (p *printer) writeSetting(s *Setting, depth int, lineComment string) {
 	p.text.WriteString(indentation(depth) + s.Name + " =")
 	length := depth + len(s.Name) + len(" =")
 	for i, v := range s.Values {
 		tooLong := length+len(v.Raw)+len(" ,") > maxListLine
 		if i > 0 && (v.startsLine || tooLong) {
-			p.listLineBreak(v.leadingComments, depth+1)
+			p.writeListLineBreak(v.leadingComments, depth+1)
 			length = depth + 1
 		} else {
 			p.text.WriteByte(' ')
@@ -100,11 +100,11 @@
 	p.text.WriteString(lineComment + "\n")
 }
 
-// listLineBreak ends a line of a list and begins the next one, with the comments that stand between them.
-func (p *printer) listLineBreak(comments []Comment, depth int) {
+// writeListLineBreak ends a line of a list and begins the next one, with the comments that stand between them.
+func (p *printer) writeListLineBreak(comments []Comment, depth int) {
 	p.text.WriteByte('\n')
 	for _, c := range comments {
-		p.line(depth, c.Text)
+		p.writeLine(depth, c.Text)
 	}
 	p.text.WriteString(indentation(depth))
 }
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -33,10 +33,10 @@
 	return &scanner{source: source, text: strings.TrimPrefix(string(text), string(byteOrderMark)), line: 1, column: 1, faults: faults}
 }
 
-func (s *scanner) pos() Pos { return Pos{s.source.Name, s.line, s.column} }
+func (s *scanner) position() Pos { return Pos{s.source.Name, s.line, s.column} }
 
-func (s *scanner) fault(pos Pos, format string, args ...any) {
-	*s.faults = append(*s.faults, s.source.Fault(pos, format, args...))
+func (s *scanner) reportFault(pos Pos, format string, args ...any) {
+	*s.faults = append(*s.faults, s.source.FaultAt(pos, format, args...))
 }
 
 // atEnd reports whether all bytes have been read.
@@ -45,7 +45,7 @@
 // next returns the next token.
 func (s *scanner) next() token {
 	s.skipSpace()
-	t := token{pos: s.pos()}
+	t := token{pos: s.position()}
 	if s.atEnd() {
 		return t // the end of the file
 	}
@@ -123,13 +123,13 @@
 	s.offset += size
 	switch {
 	case isInvalidUTF8(r, size):
-		s.fault(pos, "byte 0x%02x is not UTF-8", first)
+		s.reportFault(pos, "byte 0x%02x is not UTF-8", first)
 	case r == byteOrderMark:
-		s.fault(pos, "a byte order mark may only begin a file")
+		s.reportFault(pos, "a byte order mark may only begin a file")
 	case isControl(r):
-		s.fault(pos, "control character 0x%02x", first)
+		s.reportFault(pos, "control character 0x%02x", first)
 	default:
-		s.fault(pos, "unexpected character %q", r)
+		s.reportFault(pos, "unexpected character %q", r)
 	}
 	s.skipWhile(func(c byte) bool { return c == first })
 }
@@ -150,7 +150,7 @@
 	if len(t.raw) <= limit {
 		return t.kind
 	}
-	s.fault(t.pos, "a %s is longer than %d bytes", name, limit)
+	s.reportFault(t.pos, "a %s is longer than %d bytes", name, limit)
 	return invalidToken
 }
 
@@ -160,7 +160,7 @@
 	s.skipWhile(func(c byte) bool { return c != '\n' })
 	comment := strings.TrimRight(s.text[start:s.offset], " \t\r")
 	if len(comment) > maxCommentBytes {
-		s.fault(pos, "a comment is longer than %d bytes", maxCommentBytes)
+		s.reportFault(pos, "a comment is longer than %d bytes", maxCommentBytes)
 		return "#"
 	}
 	invalid := strings.IndexFunc(comment, isInvalidInComment)
@@ -168,7 +168,7 @@
 		return comment
 	}
 	pos.Col += utf8.RuneCountInString(comment[:invalid])
-	s.fault(pos, "a comment holds a byte that is no text")
+	s.reportFault(pos, "a comment holds a byte that is no text")
 	return removeInvalid(comment)
 }
 
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -26,8 +26,8 @@
 	return &Source{name, strings.Split(strings.TrimPrefix(string(text), string(byteOrderMark)), "\n")}
 }
 
-// Fault returns a fault at a position of this source, with its line quoted.
-func (s *Source) Fault(pos Pos, format string, args ...any) Fault {
+// FaultAt returns a fault at a position of this source, with its line quoted.
+func (s *Source) FaultAt(pos Pos, format string, args ...any) Fault {
 	f := Fault{Pos: pos, Msg: fmt.Sprintf(format, args...)}
 	if pos.Line >= 1 && pos.Line <= len(s.lines) {
 		f.Line = excerpt(s.lines[pos.Line-1])
--- a/internal/lang/syntax/strings.go
+++ b/internal/lang/syntax/strings.go
@@ -16,16 +16,16 @@
 			s.offset++
 			return kind
 		case '\n':
-			s.fault(pos, "a string does not end on its line")
+			s.reportFault(pos, "a string does not end on its line")
 			return invalidToken
 		}
 		message := s.scanStringCharacter()
 		if message != "" && kind == stringToken {
-			s.fault(pos, "%s", message)
+			s.reportFault(pos, "%s", message)
 			kind = invalidToken
 		}
 	}
-	s.fault(pos, "a string does not end on its line")
+	s.reportFault(pos, "a string does not end on its line")
 	return invalidToken
 }
 
--- a/internal/lang/syntax/tree_test.go
+++ b/internal/lang/syntax/tree_test.go
@@ -28,7 +28,7 @@
 }
 
 func drawBlock(t *rapid.T, trivia Trivia, depth int) *Block {
-	b := &Block{Trivia: trivia, Word: drawWord(t)}
+	b := &Block{Trivia: trivia, Keyword: drawWord(t)}
 	if rapid.Bool().Draw(t, "label") {
 		label := drawValue(t, StringValue)
 		b.Label = &label
@@ -124,7 +124,7 @@
 				s += fmt.Sprintf("%d:%s,", v.Kind, v.Raw)
 			}
 		case *Block:
-			s += e.Word
+			s += e.Keyword
 			if e.Label != nil {
 				s += " " + e.Label.Raw
 			}
