--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -1,16 +1,16 @@
 package syntax
 
-// File is one file's tree.
+// File is the syntax tree of one file.
 type File struct {
 	Name             string
 	Entries          []Entry
-	TrailingComments []Comment // behind the last entry
+	TrailingComments []Comment // after the last entry
 }
 
 // Comment is a comment on a line of its own.
 type Comment struct {
 	Text        string // with its #
-	BlankBefore bool   // an empty line goes before it
+	BlankBefore bool   // an empty line precedes it
 }
 
 // Entry is an *Include, a *Block or a *Setting.
@@ -20,34 +20,34 @@
 	trivia() *Trivia
 }
 
-// Trivia is the comments and empty lines around an entry, which mean nothing.
+// Trivia is the comments and empty lines around an entry. They have no meaning; Format preserves them.
 type Trivia struct {
 	LeadingComments []Comment // on the lines before it
-	BlankBefore     bool      // an empty line goes before it, behind its comments
-	LineComment     string    // on its last line
+	BlankBefore     bool      // an empty line precedes it, after its leading comments
+	LineComment     string    // at the end of its last line; "": none
 }
 
 func (t *Trivia) trivia() *Trivia { return t }
 
-// Include names further files.
+// Include is a statement that names further files to read.
 type Include struct {
 	Trivia
 	At   Pos
 	Path Value
 }
 
-// Block is a block with what it holds.
+// Block is a block with its entries.
 type Block struct {
 	Trivia
 	At               Pos
-	Keyword          string
-	Label            *Value // nil: none
-	OpenComment      string // behind the opening brace
+	Keyword          string // the word that begins it
+	Label            *Value // the string after the keyword; nil: none
+	OpenComment      string // after the opening brace; "": none
 	Entries          []Entry
 	TrailingComments []Comment // before the closing brace
 }
 
-// Setting gives a name one or more values.
+// Setting assigns one or more values to a name.
 type Setting struct {
 	Trivia
 	At     Pos
@@ -72,11 +72,12 @@
 	Raw  string // as it stands in the file
 
 	leadingComments []Comment // on the lines before it, within a list
-	lineComment     string    // behind the comma
-	startsLine      bool
+	lineComment     string    // after the comma; "": none
+	startsLine      bool      // the first value on its line, within a list
 }
 
-// Text returns what a string says, and any other value as it stands in the file.
+// Text returns the text that a string stands for, without quotes and escapes. Any other value is returned as it stands
+// in the file.
 func (v Value) Text() string {
 	if v.Kind == StringValue {
 		return unquote(v.Raw)
--- a/internal/lang/syntax/fault.go
+++ b/internal/lang/syntax/fault.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// Pos is a position in a file. Lines and columns count from 1, columns in characters.
+// Pos is a position in a file. The JSON output of the command check has its fields' names.
 type Pos struct {
-	File      string
-	Line, Col int
+	File string
+	Line int // from 1
+	Col  int // column in characters, from 1
 }
 
 // String returns file:line:column.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Valid reports whether p is a position at all.
+// Valid reports whether p is a position; the zero value is none.
 func (p Pos) Valid() bool { return p.Line > 0 }
 
 // Compare orders positions by file, line and column.
@@ -24,17 +25,17 @@
 	return cmp.Or(strings.Compare(p.File, q.File), cmp.Compare(p.Line, q.Line), cmp.Compare(p.Col, q.Col))
 }
 
-// Fault is one diagnostic: a thing that is wrong in a file, or that may not be meant.
+// Fault is one diagnostic: an error in a file, or a note on what is allowed and may not be meant.
 type Fault struct {
 	Pos  Pos    `json:"pos"`
-	Msg  string `json:"message"`
+	Msg  string `json:"message"`        // without the position
 	Line string `json:"line,omitempty"` // the text of the line, cut where it is long
 }
 
 // Error returns the fault on one line.
 func (f Fault) Error() string { return f.Pos.String() + ": " + f.Msg }
 
-// Quoted returns the fault, its line, and a mark under the column.
+// Quoted returns the fault, the line that it concerns, and a mark under the column, on three lines.
 func (f Fault) Quoted() string {
 	if f.Line == "" {
 		return f.Error()
@@ -74,8 +75,13 @@
 	return l
 }
 
-// Sort orders faults by position and drops repetitions.
+// Sort orders faults by position and message, and removes duplicates.
 func (l *Faults) Sort() {
-	slices.SortStableFunc(*l, func(a, b Fault) int { return cmp.Or(a.Pos.Compare(b.Pos), strings.Compare(a.Msg, b.Msg)) })
-	*l = slices.CompactFunc(*l, func(a, b Fault) bool { return a.Pos == b.Pos && a.Msg == b.Msg })
+	slices.SortStableFunc(*l, Fault.compare)
+	*l = slices.CompactFunc(*l, func(a, b Fault) bool { return a.compare(b) == 0 })
+}
+
+// compare orders faults by position and message.
+func (f Fault) compare(other Fault) int {
+	return cmp.Or(f.Pos.Compare(other.Pos), strings.Compare(f.Msg, other.Msg))
 }
--- a/internal/lang/syntax/parse_entry.go
+++ b/internal/lang/syntax/parse_entry.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// parseInclude parses an include behind its keyword.
+// parseInclude parses the rest of an include, after its keyword.
 func (p *parser) parseInclude(pos Pos) Entry {
 	if p.token.kind != stringToken {
 		p.reportExpected("the path of a file in quotes")
@@ -40,9 +40,9 @@
 	return &Include{At: pos, Path: p.parseValue()}
 }
 
-// parseBlock parses a block behind its word.
-func (p *parser) parseBlock(pos Pos, word string, depth int) Entry {
-	b := &Block{At: pos, Keyword: word}
+// parseBlock parses the rest of a block, after its keyword.
+func (p *parser) parseBlock(pos Pos, keyword string, depth int) Entry {
+	b := &Block{At: pos, Keyword: keyword}
 	if p.token.kind == stringToken {
 		label := p.parseValue()
 		b.Label = &label
@@ -65,15 +65,14 @@
 	p.skipNewline()
 	b.Entries, b.TrailingComments = p.parseEntries(depth + 1)
 	if !p.token.isPunctuation("}") {
-		p.reportFault(pos, "the block %s is not closed", word)
+		p.reportFault(pos, "the block %s is not closed", keyword)
 		return b
 	}
 	p.advance()
 	return b
 }
 
-// parseSetting parses a setting's values behind the equals sign. A list continues behind a comma, on the next lines
-// too.
+// parseSetting parses a setting's values, after the equals sign. A comma continues the list, also on the next line.
 func (p *parser) parseSetting(pos Pos, name string) Entry {
 	s := &Setting{At: pos, Name: name}
 	for {
@@ -101,8 +100,8 @@
 	}
 }
 
-// skipLineBreaks skips the ends of lines and the comments within a list. It returns the comments and whether there was
-// anything to skip.
+// skipLineBreaks skips the ends of lines and the comments within a list. It returns the comments, and whether it
+// skipped anything.
 func (p *parser) skipLineBreaks() (comments []Comment, skipped bool) {
 	for p.token.kind == newlineToken || p.token.kind == commentToken {
 		if p.token.kind == commentToken {
@@ -114,10 +113,10 @@
 	return comments, skipped
 }
 
-// valueKinds are the kinds of values by those of their tokens.
+// valueKinds maps the kind of a token to the kind of the value that it stands for.
 var valueKinds = map[tokenKind]ValueKind{stringToken: StringValue, quantityToken: QuantityValue, wordToken: WordValue}
 
-// parseValue takes the current token as a value.
+// parseValue consumes the current token as a value.
 func (p *parser) parseValue() Value {
 	v := Value{At: p.token.pos, Raw: p.token.raw, Kind: valueKinds[p.token.kind]}
 	p.advance()
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -2,7 +2,8 @@
 
 import "bytes"
 
-// Parse reads a file. It always returns a tree, of what could be read, and all faults that it found.
+// Parse parses a file; name is the file's name in positions. It always returns a tree of what could be parsed, the
+// source for further faults, and all faults in the file's syntax.
 func Parse(name string, text []byte) (*File, *Source, Faults) {
 	if len(text) > MaxBytes {
 		fault := Fault{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}
@@ -33,15 +34,15 @@
 	return 0
 }
 
-// parser is a recursive descent parser with one token of look-ahead. It continues behind a fault, on the next line.
-// Depth is the number of blocks around what is parsed.
+// parser is a recursive descent parser with one token of look-ahead. After a fault it continues on the next line. The
+// parameter depth of its methods is the number of blocks around what is parsed.
 type parser struct {
 	scanner *scanner
 	token   token
 	stopped bool // too many faults, or too deep: nothing more is read
 }
 
-// advance reads the next token.
+// advance reads the next token. After a stop it yields the end of the file alone.
 func (p *parser) advance() {
 	p.token = p.scanner.next()
 	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
@@ -53,12 +54,13 @@
 	}
 }
 
-// stop has the parser read nothing more.
+// stop makes the parser ignore the rest of the file, which begins at pos.
 func (p *parser) stop(pos Pos) {
 	p.stopped = true
 	p.token = token{kind: endOfFile, pos: pos}
 }
 
+// reportFault reports what is wrong at a position, unless the parser has stopped.
 func (p *parser) reportFault(pos Pos, format string, args ...any) {
 	if !p.stopped {
 		p.scanner.reportFault(pos, format, args...)
@@ -118,13 +120,13 @@
 type entryReader struct {
 	*parser
 	depth    int
-	newlines int       // since the last text; more than one make an empty line
+	newlines int       // since the last entry or comment; more than one are an empty line
 	comments []Comment // since the last entry
 	entries  []Entry
 }
 
-// parseEntries parses what a file, or a block at this depth, holds, up to its end. It returns the comments behind the
-// last entry too.
+// parseEntries parses the entries of a file, or of a block at this depth, up to its end. It also returns the comments
+// after the last entry.
 func (p *parser) parseEntries(depth int) ([]Entry, []Comment) {
 	r := &entryReader{parser: p, depth: depth}
 	for !p.atEndOfEntries(depth) {
@@ -151,7 +153,7 @@
 	r.endLine()
 }
 
-// readEntry reads an entry with its comments and the end of its line.
+// readEntry reads an entry, with its comments, and the end of its line.
 func (r *entryReader) readEntry() {
 	blankBefore := r.newlines > 1
 	r.newlines = 0
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -2,21 +2,21 @@
 
 import "strings"
 
-// Format returns a file's text in the one form: an entry a line, blocks indented by tabs, one space round an equals
-// sign, at most one empty line between entries, and all comments. Formatting it again changes nothing.
+// Format returns a file's text in canonical form: one entry a line, blocks indented by tabs, one space around an equals
+// sign, at most one empty line between entries, and all comments. Formatting is idempotent.
 func Format(f *File) []byte {
 	p := &printer{}
 	p.writeEntries(f.Entries, f.TrailingComments, 0)
 	return []byte(p.text.String())
 }
 
-// printer writes a tree. Depth is the number of blocks around what is written.
+// printer writes a tree. The parameter depth of its methods is the number of blocks around what is written.
 type printer struct {
 	text           strings.Builder
-	needsSeparator bool // something stands above in this block
+	needsSeparator bool // a line was written before in this block, so that an empty line may follow
 }
 
-// writeBlankLine writes an empty line if it is wanted, but not where a block or the file begins.
+// writeBlankLine writes an empty line if it is wanted, but never at the beginning of a block or the file.
 func (p *printer) writeBlankLine(wanted bool) {
 	if wanted && p.needsSeparator {
 		p.text.WriteByte('\n')
@@ -24,7 +24,7 @@
 	p.needsSeparator = true
 }
 
-// writeLine writes a line of these parts.
+// writeLine writes an indented line that consists of these parts.
 func (p *printer) writeLine(depth int, parts ...string) {
 	p.text.WriteString(indentation(depth))
 	for _, part := range parts {
@@ -74,10 +74,10 @@
 	p.writeLine(depth, "}", lineComment)
 }
 
-// maxListLine is the length in bytes beyond which a list continues on a further line.
+// maxListLine is the length in bytes beyond which a list continues on the next line.
 const maxListLine = 100
 
-// writeSetting writes a list with the line breaks that it came with, and further ones where it is long.
+// writeSetting writes a setting. It keeps the line breaks of a list, and adds further ones to a long list.
 func (p *printer) writeSetting(s *Setting, depth int, lineComment string) {
 	p.text.WriteString(indentation(depth) + s.Name + " =")
 	length := depth + len(s.Name) + len(" =")
@@ -111,7 +111,7 @@
 
 func indentation(depth int) string { return strings.Repeat("\t", depth) }
 
-// afterSpace returns a comment with a space before it, or "" where there is none.
+// afterSpace returns a comment with a leading space, or "" where there is none.
 func afterSpace(comment string) string {
 	if comment == "" {
 		return ""
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// The most bytes of a token. Together they keep a line that the formatter writes below MaxLine.
+// The longest tokens in bytes. They are small enough that no line that the formatter writes exceeds MaxLine.
 const (
 	maxCommentBytes  = 1024
 	maxStringBytes   = 1024
@@ -16,21 +16,32 @@
 // byteOrderMark may begin a file, and is skipped.
 const byteOrderMark = '\uFEFF'
 
+// withoutByteOrderMark returns a file's text without the mark that may begin it.
+func withoutByteOrderMark(text []byte) string {
+	return strings.TrimPrefix(string(text), string(byteOrderMark))
+}
+
 // deleteCharacter is the control character behind the printable ones of ASCII.
 const deleteCharacter = 0x7f
 
-// scanner cuts a file into tokens. It reports each byte that belongs to none, once.
+// scanner splits a file into tokens. It reports each byte that belongs to no token, once.
 type scanner struct {
 	source *Source
 	text   string
-	offset int // of the next byte
-	line   int // of the next byte, from 1
-	column int // of the next byte in characters, from 1
-	faults *Faults
+	offset int     // of the next byte
+	line   int     // of the next byte, from 1
+	column int     // of the next byte in characters, from 1
+	faults *Faults // shared with the parser
 }
 
 func newScanner(source *Source, text []byte, faults *Faults) *scanner {
-	return &scanner{source: source, text: strings.TrimPrefix(string(text), string(byteOrderMark)), line: 1, column: 1, faults: faults}
+	return &scanner{
+		source: source,
+		text:   withoutByteOrderMark(text),
+		line:   1,
+		column: 1,
+		faults: faults,
+	}
 }
 
 func (s *scanner) position() Pos { return Pos{s.source.Name, s.line, s.column} }
@@ -68,12 +79,18 @@
 
 // skipSpace skips spaces, tabs, and the carriage return of a line that ends in CR LF.
 func (s *scanner) skipSpace() {
-	for !s.atEnd() && (s.text[s.offset] == ' ' || s.text[s.offset] == '\t' || strings.HasPrefix(s.text[s.offset:], "\r\n")) {
+	for !s.atEnd() && s.atSpace() {
 		s.offset++
 		s.column++
 	}
 }
 
+// atSpace reports whether the next byte separates tokens without ending the line.
+func (s *scanner) atSpace() bool {
+	next := s.text[s.offset]
+	return next == ' ' || next == '\t' || strings.HasPrefix(s.text[s.offset:], "\r\n")
+}
+
 func (s *scanner) scanNewline() {
 	s.offset++
 	s.line++
@@ -101,8 +118,8 @@
 	}
 }
 
-// atSignedNumber reports whether a number with a sign follows. The language has none; it is a token so that the fault
-// names it whole.
+// atSignedNumber reports whether a number with a sign follows. The language has no such numbers. They are scanned as
+// one token so that the fault quotes the whole number.
 func (s *scanner) atSignedNumber() bool {
 	c := s.text[s.offset]
 	return (c == '-' || c == '+') && s.offset+1 < len(s.text) && isDigit(s.text[s.offset+1])
@@ -115,8 +132,8 @@
 	}
 }
 
-// scanUnexpected skips a character that begins no token, and the bytes behind it that equal its first one: a run of
-// the same is one fault.
+// scanUnexpected reports and skips a character that begins no token. It also skips the following bytes that equal the
+// character's first byte, so that a run of the same character is one fault.
 func (s *scanner) scanUnexpected(pos Pos) {
 	first := s.text[s.offset]
 	r, size := utf8.DecodeRuneInString(s.text[s.offset:])
@@ -134,23 +151,26 @@
 	s.skipWhile(func(c byte) bool { return c == first })
 }
 
-// limitLength reports a token that is too long, and returns its kind after that.
+// lengthLimit is the maximum length of the tokens of a kind.
+type lengthLimit struct {
+	tokenName string // in faults
+	maxBytes  int
+}
+
+// lengthLimits are the limits of the kinds of tokens that limitLength checks.
+var lengthLimits = map[tokenKind]lengthLimit{
+	wordToken:     {"name", maxWordBytes},
+	stringToken:   {"string", maxStringBytes},
+	quantityToken: {"number", maxQuantityBytes},
+}
+
+// limitLength returns the token's kind, or reports a token that is too long and returns invalidToken.
 func (s *scanner) limitLength(t token) tokenKind {
-	name, limit := "", 0
-	switch t.kind {
-	case wordToken:
-		name, limit = "name", maxWordBytes
-	case stringToken:
-		name, limit = "string", maxStringBytes
-	case quantityToken:
-		name, limit = "number", maxQuantityBytes
-	default:
-		return t.kind
-	}
-	if len(t.raw) <= limit {
+	limit, limited := lengthLimits[t.kind]
+	if !limited || len(t.raw) <= limit.maxBytes {
 		return t.kind
 	}
-	s.reportFault(t.pos, "a %s is longer than %d bytes", name, limit)
+	s.reportFault(t.pos, "a %s is longer than %d bytes", limit.tokenName, limit.maxBytes)
 	return invalidToken
 }
 
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-// Limits on one file. What exceeds one gets a single fault that names the limit.
+// Limits on one file. A file that exceeds a limit gets one fault for it, which names the limit.
 const (
 	MaxBytes  = 4 << 20 // bytes of a file
 	MaxLine   = 4 << 10 // bytes of a line
@@ -14,7 +14,7 @@
 	MaxFaults = 100     // faults reported of one file
 )
 
-// Source is the text of one file, by lines.
+// Source is the text of one file, split into lines. Faults quote their line from it.
 type Source struct {
 	Name  string
 	lines []string
@@ -23,7 +23,7 @@
 // NewSource splits text into lines. It keeps no more than MaxBytes of it.
 func NewSource(name string, text []byte) *Source {
 	text = text[:min(len(text), MaxBytes)]
-	return &Source{name, strings.Split(strings.TrimPrefix(string(text), string(byteOrderMark)), "\n")}
+	return &Source{name, strings.Split(withoutByteOrderMark(text), "\n")}
 }
 
 // FaultAt returns a fault at a position of this source, with its line quoted.
@@ -38,7 +38,7 @@
 // maxExcerpt is how many characters of a line a fault quotes.
 const maxExcerpt = 160
 
-// excerpt returns a line such that it can be shown: cut where it is long, with ? for what can't be printed.
+// excerpt returns a line as a fault quotes it: truncated to maxExcerpt characters, with ? for what can't be printed.
 func excerpt(line string) string {
 	line = strings.ToValidUTF8(strings.TrimRight(line, "\r"), "?")
 	if utf8.RuneCountInString(line) > maxExcerpt {
--- a/internal/lang/syntax/strings.go
+++ b/internal/lang/syntax/strings.go
@@ -6,7 +6,7 @@
 )
 
 // scanString scans a string and returns stringToken, or invalidToken after a fault. A string ends on the line on which
-// it begins. Of its characters only the first fault is reported.
+// it begins. Only the first invalid character is reported.
 func (s *scanner) scanString(pos Pos) tokenKind {
 	kind := stringToken
 	s.offset++
@@ -29,7 +29,7 @@
 	return invalidToken
 }
 
-// escapedCharacters may stand behind a backslash.
+// escapedCharacters may follow a backslash.
 const escapedCharacters = `"\nt`
 
 // scanStringCharacter skips one character or escape of a string, and returns what is wrong with it, or "".
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// unquote returns the text that a string token stands for.
+// unquote returns the text that a string token stands for, without quotes and escapes.
 func unquote(raw string) string {
 	text := raw[1 : len(raw)-1]
 	if !strings.Contains(text, `\`) {
--- a/internal/lang/syntax/token.go
+++ b/internal/lang/syntax/token.go
@@ -19,14 +19,14 @@
 	invalidToken     // reported as a fault by the scanner
 )
 
-// token is a token with its text as it stands in the file.
+// token is a lexical unit with its text as it stands in the file.
 type token struct {
 	kind tokenKind
 	pos  Pos
 	raw  string
 }
 
-// isPunctuation reports whether t is this mark.
+// isPunctuation reports whether t is this punctuation mark.
 func (t token) isPunctuation(mark string) bool { return t.kind == punctuationToken && t.raw == mark }
 
 // isValue reports whether t is a value of a setting.
