--- a/internal/lang/suggest.go
+++ b/internal/lang/suggest.go
@@ -5,14 +5,17 @@
 	"strings"
 )
 
-// suggest returns text that offers the known name that is nearest to a mistyped one, or "" where none is near.
+// suggest returns the end of a message that proposes the known name that is most similar to a mistyped one, or "" where
+// none is similar. The longer the name, the more edits it may differ by.
 func suggest(name string, known []string) string {
 	limit := 1 + len(name)/3
-	nearest, found := "", false
+	nearest := ""
+	found := false
 	for _, candidate := range known {
 		distance := editDistance(strings.ToLower(name), strings.ToLower(candidate), limit+1)
 		if distance < limit || distance == limit && !found {
-			nearest, found = candidate, true
+			nearest = candidate
+			found = true
 			limit = distance
 		}
 	}
@@ -28,27 +31,55 @@
 	if len(a)-len(b) >= limit || len(b)-len(a) >= limit {
 		return limit
 	}
-	var beforePrevious, previous []int
-	row := make([]int, len(b)+1) // distances from a[:i] to each prefix of b
+	d := newDistanceRows(a, b)
+	for i := range len(a) {
+		d.advance(i)
+	}
+	return d.current[len(b)]
+}
+
+// distanceRows computes the distances from one text to another row by row. Row i has the distances from a[:i] to each
+// prefix of b; the three latest rows are kept.
+type distanceRows struct {
+	a              string
+	b              string
+	beforePrevious []int
+	previous       []int
+	current        []int
+}
+
+// newDistanceRows returns the first row, of the distances from the empty text.
+func newDistanceRows(a, b string) *distanceRows {
+	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
-	for i := range len(a) {
-		beforePrevious, previous, row = previous, row, make([]int, len(b)+1)
-		row[0] = i + 1
-		for j := range len(b) {
-			substitution := previous[j]
-			if a[i] != b[j] {
-				substitution++
-			}
-			deletion := previous[j+1] + 1
-			insertion := row[j] + 1
-			row[j+1] = min(substitution, deletion, insertion)
-			if i > 0 && j > 0 && a[i] == b[j-1] && a[i-1] == b[j] {
-				transposition := beforePrevious[j-1] + 1
-				row[j+1] = min(row[j+1], transposition)
-			}
-		}
+	return &distanceRows{a: a, b: b, current: row}
+}
+
+// advance computes the row of a[:i+1] from the rows before it.
+func (d *distanceRows) advance(i int) {
+	d.beforePrevious = d.previous
+	d.previous = d.current
+	d.current = make([]int, len(d.b)+1)
+	d.current[0] = i + 1
+	for j := range len(d.b) {
+		d.current[j+1] = d.distance(i, j)
+	}
+}
+
+// distance returns the distance from a[:i+1] to b[:j+1]: the least of those by each edit that may come last.
+func (d *distanceRows) distance(i, j int) int {
+	substitution := d.previous[j]
+	if d.a[i] != d.b[j] {
+		substitution++
+	}
+	deletion := d.previous[j+1] + 1
+	insertion := d.current[j] + 1
+	least := min(substitution, deletion, insertion)
+	if i > 0 && j > 0 && d.a[i] == d.b[j-1] && d.a[i-1] == d.b[j] {
+		transposition := d.beforePrevious[j-1] + 1
+		least = min(least, transposition)
 	}
-	return row[len(b)]
+	return least
 }
--- a/internal/lang/units.go
+++ b/internal/lang/units.go
@@ -9,26 +9,51 @@
 	"crankhold/internal/lang/syntax"
 )
 
+// quantityKind is a kind of quantity with the units that it may be given in.
+type quantityKind struct {
+	description string // in messages, with its article
+	units       []unit
+}
+
 // unit is a unit with its factor to the base unit of its kind.
 type unit struct {
 	name   string
 	factor float64
 }
 
-// The units of each kind of quantity.
+// The kinds of quantities.
 var (
-	timeUnits   = []unit{{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6}}
-	memoryUnits = []unit{{"KB", 1e-3}, {"MB", 1}, {"GB", 1e3}, {"KiB", 1024e-6}, {"MiB", 1.048576}, {"GiB", 1073.741824}}
-	shareUnits  = []unit{{"%", 0.01}}
-	rateUnits   = []unit{{"/s", 1}, {"/m", 1. / 60}, {"/h", 1. / 3600}}
+	durationKind = quantityKind{"a time", []unit{ // in microseconds
+		{"us", 1},
+		{"ms", 1e3},
+		{"s", 1e6},
+		{"m", 60e6},
+		{"h", 3600e6},
+	}}
+	memoryKind = quantityKind{"an amount of memory", []unit{ // in megabytes, of 10^6 bytes
+		{"KB", 1e-3},
+		{"MB", 1},
+		{"GB", 1e3},
+		{"KiB", 1024e-6},
+		{"MiB", 1.048576},
+		{"GiB", 1073.741824},
+	}}
+	shareKind = quantityKind{"a share", []unit{ // as a fraction
+		{"%", 0.01},
+	}}
+	rateKind = quantityKind{"a rate", []unit{ // per second
+		{"/s", 1},
+		{"/m", 1. / 60},
+		{"/h", 1. / 3600},
+	}}
 )
 
 // The largest quantities.
 const (
 	maxDuration = 24 * time.Hour
 	maxMemoryMB = 1e9
-	maxRate     = 1e6 // per second
-	maxNumber   = 1e15
+	maxRate     = 1e6  // per second
+	maxNumber   = 1e15 // in the unit that the file gives
 	maxDigits   = 30
 )
 
@@ -37,7 +62,7 @@
 
 // readDuration reads a time above zero, in whole microseconds.
 func readDuration(raw syntax.Value) (value, error) {
-	microseconds, err := readScaled(raw, "a time", timeUnits)
+	microseconds, err := durationKind.read(raw)
 	switch {
 	case err != nil:
 		return value{}, err
@@ -51,9 +76,9 @@
 	return value{pos: raw.At, duration: time.Duration(math.Round(microseconds)) * time.Microsecond}, nil
 }
 
-// readMemory reads an amount of memory above zero.
+// readMemory reads an amount of memory above zero, in MB.
 func readMemory(raw syntax.Value) (value, error) {
-	megabytes, err := readScaled(raw, "an amount of memory", memoryUnits)
+	megabytes, err := memoryKind.read(raw)
 	switch {
 	case err != nil:
 		return value{}, err
@@ -65,9 +90,9 @@
 	return value{pos: raw.At, number: megabytes}, nil
 }
 
-// readShare reads a part of a whole, from 0% to 100%.
+// readShare reads a share of a whole, from 0% to 100%, as a fraction.
 func readShare(raw syntax.Value) (value, error) {
-	share, err := readScaled(raw, "a share", shareUnits)
+	share, err := shareKind.read(raw)
 	switch {
 	case err != nil:
 		return value{}, err
@@ -77,7 +102,7 @@
 	return value{pos: raw.At, number: share}, nil
 }
 
-// readShareOrRate reads a share, or a number per time.
+// readShareOrRate reads a share, as a fraction, or a rate, per second.
 func readShareOrRate(raw syntax.Value) (value, error) {
 	q, err := parseQuantity(raw)
 	switch {
@@ -88,7 +113,7 @@
 	case !strings.HasPrefix(q.unit, "/"):
 		return value{}, invalidValue("takes a share (30%%) or a rate (120/s, 120/m, 120/h), found %s", raw.Raw)
 	}
-	rate, err := readScaled(raw, "a rate", rateUnits)
+	rate, err := rateKind.read(raw)
 	switch {
 	case err != nil:
 		return value{}, err
@@ -98,24 +123,25 @@
 	return value{pos: raw.At, number: rate, isRate: true}, nil
 }
 
-// readScaled reads a number with one of some units and returns it in the base unit. what names the kind of quantity in
-// messages.
-func readScaled(raw syntax.Value, what string, units []unit) (float64, error) {
+// read reads a number with a unit of the kind and returns it in the base unit.
+func (k quantityKind) read(raw syntax.Value) (float64, error) {
 	q, err := parseQuantity(raw)
 	if err != nil {
 		return 0, err
 	}
 	var names []string
-	for _, u := range units {
+	for _, u := range k.units {
 		if u.name == q.unit {
 			return q.number * u.factor, nil
 		}
 		names = append(names, u.name)
 	}
+	known := strings.Join(names, ", ")
 	if q.unit == "" {
-		return 0, invalidValue("takes %s with its unit (%s), found %s", what, strings.Join(names, ", "), raw.Raw)
+		return 0, invalidValue("takes %s with its unit (%s), found %s", k.description, known, raw.Raw)
 	}
-	return 0, invalidValue("takes %s (%s), and %s has the unit %q%s", what, strings.Join(names, ", "), raw.Raw, q.unit, suggest(q.unit, names))
+	return 0, invalidValue("takes %s (%s), and %s has the unit %q%s",
+		k.description, known, raw.Raw, q.unit, suggest(q.unit, names))
 }
 
 // quantity is a number with its unit, "" for none.
@@ -124,7 +150,7 @@
 	unit   string
 }
 
-// parseQuantity parts a number from its unit.
+// parseQuantity separates a number from its unit.
 func parseQuantity(value syntax.Value) (quantity, error) {
 	raw := value.Raw
 	switch {
@@ -150,7 +176,7 @@
 	return quantity{number, unit}, nil
 }
 
-// isPlainNumber reports whether digits have no leading zero, and some digits behind a point.
+// isPlainNumber reports whether digits have no leading zero, and some digits after a decimal point.
 func isPlainNumber(digits string) bool {
 	whole, fraction, hasPoint := strings.Cut(digits, ".")
 	if len(whole) > 1 && whole[0] == '0' {
--- a/internal/lang/values.go
+++ b/internal/lang/values.go
@@ -9,14 +9,15 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// value is a value that has been read as its setting requires.
+// value is a value that has been read as its setting requires. Which field beside the position is set depends on the
+// setting's valueReader.
 type value struct {
 	pos      syntax.Pos
 	text     string
 	count    int
 	duration time.Duration
 	number   float64 // a share as a fraction, a rate per second, memory in MB
-	isRate   bool    // of a setting that takes a share or a rate
+	isRate   bool    // number is a rate, of a setting that takes a share or a rate
 }
 
 // valueReader reads a value as a setting requires. The error is a *valueError or a *route.PatternError: it continues a
@@ -55,14 +56,15 @@
 				return value{pos: raw.At, text: word}, nil
 			}
 		}
-		return value{}, invalidValue("takes %s, found %s%s", strings.Join(words, " or "), raw.Raw, suggest(raw.Text(), words))
+		suggestion := suggest(raw.Text(), words)
+		return value{}, invalidValue("takes %s, found %s%s", strings.Join(words, " or "), raw.Raw, suggestion)
 	}
 }
 
 // maxCount is the largest count.
 const maxCount = 1_000_000
 
-// readCount reads a whole number from a minimum on.
+// readCount reads a whole number of at least a minimum.
 func readCount(minimum int) valueReader {
 	return func(raw syntax.Value) (value, error) {
 		q, err := parseQuantity(raw)
