--- a/internal/lang/block.go
+++ b/internal/lang/block.go
@@ -23,12 +23,21 @@
 	keyword    string
 	named      bool // the block has a name, which is its own among the blocks of its type
 	settings   map[string]settingType
-	anySetting bool // settings of any name are lists of strings
-	blocks     []*blockType
+	anySetting bool         // settings of any name are lists of strings
+	nested     []*blockType // of the blocks within it
 	build      func(*checker, *block)
 	check      func(*checker) // after all blocks of all types are built; nil: nothing to check
 }
 
+// settingType returns how a setting's values are read; ok is false where the block has no such setting.
+func (t *blockType) settingType(name string) (setting settingType, ok bool) {
+	if t.anySetting {
+		return listOf(readText), true
+	}
+	setting, ok = t.settings[name]
+	return setting, ok
+}
+
 // settingType says how the values of a setting are read.
 type settingType struct {
 	read valueReader
@@ -49,7 +58,7 @@
 	name      string
 	values    map[string][]value    // by setting
 	positions map[string]syntax.Pos // of the settings that are present
-	blocks    []*block
+	nested    []*block
 }
 
 // hasValue reports whether a setting is present and its value could be read.
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -21,20 +21,22 @@
 			t.check(c)
 		}
 	}
-	if len(c.result.Faults) == 0 {
+	if len(c.report.faults) == 0 {
 		c.checkTable()
 	}
-	c.result.Faults.Sort()
-	c.result.Notes.Sort()
+	c.report.sort()
+	c.result.Faults = c.report.faults
+	c.result.Notes = c.report.notes
 	return c.result, nil
 }
 
 // checker builds a Spec out of the blocks of all files, and collects their faults.
 type checker struct {
-	sources  map[string]*syntax.Source // by file
-	platform *Platform                 // nil: not known
-	complete bool                      // all files were read without a fault: what is missing is missing
+	platform *Platform // nil: not known
+	complete bool      // all files were read without a fault: what is missing is missing
 	result   *Result
+	report   *reporter
+	reader   *blockReader
 
 	blocks     map[string]map[string]*block // by keyword and name
 	referenced map[blockID]bool             // the names that other blocks refer to, defined or not
@@ -45,11 +47,13 @@
 }
 
 func newChecker(l *loader, platform *Platform) *checker {
+	report := &reporter{faults: l.faults}
 	return &checker{
-		sources:    l.sources,
 		platform:   platform,
 		complete:   len(l.faults) == 0,
-		result:     &Result{Faults: l.faults, lines: map[blockID][]syntax.Fault{}},
+		result:     &Result{lines: map[blockID][]syntax.Fault{}},
+		report:     report,
+		reader:     &blockReader{report: report, sources: l.sources},
 		blocks:     map[string]map[string]*block{},
 		referenced: map[blockID]bool{},
 		unresolved: map[string]bool{},
@@ -69,12 +73,10 @@
 	}
 }
 
-// fault reports what is wrong at a position within a block.
-func (c *checker) fault(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Faults = append(c.result.Faults, b.source.FaultAt(pos, format, args...))
-}
-
-// note reports what is allowed and may not be meant.
-func (c *checker) note(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Notes = append(c.result.Notes, b.source.FaultAt(pos, format, args...))
+// buildBlock reads a block at the top level of a file and has its type build its part of the Spec.
+func (c *checker) buildBlock(syntaxBlock *syntax.Block) {
+	if b := c.reader.read(syntaxBlock); b != nil {
+		c.define(b)
+		b.blockType.build(c, b)
+	}
 }
--- a/internal/lang/checktable.go
+++ b/internal/lang/checktable.go
@@ -22,7 +22,7 @@
 	c.checkRoutesOfTable(table)
 	first := c.blocks[routeKeyword][table.Routes()[0].Spec.Name]
 	for _, region := range table.UnmatchedRegions(!c.result.classesComplete) {
-		c.note(first, first.pos, "no route takes %v; they are refused (%v)", region, region.Example)
+		c.report.note(first, first.pos, "no route takes %v; they are refused (%v)", region, region.Example)
 	}
 }
 
@@ -35,7 +35,7 @@
 		name = ambiguous.Second.Name
 	}
 	b := c.blocks[routeKeyword][name]
-	c.fault(b, b.pos, "%v", err)
+	c.report.fault(b, b.pos, "%v", err)
 }
 
 // checkRoutesOfTable reports routes that no request takes, and policies that don't fit the classes of the requests that
@@ -49,7 +49,7 @@
 		}
 		b := c.blocks[routeKeyword][r.Spec.Name]
 		if !slices.Contains(reached, true) {
-			c.fault(b, b.pos, "route %q can't be reached: closer matches take all of its calls", r.Spec.Name)
+			c.report.fault(b, b.pos, "route %q can't be reached: closer matches take all of its calls", r.Spec.Name)
 			continue
 		}
 		if r.Pool == nil || r.Spec.Policy == "" {
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -29,12 +29,12 @@
 	}
 	if class.Name == neverIdempotentClass {
 		if b.value(runsSetting).text == runsRepeatable {
-			c.fault(b, b.value(runsSetting).pos, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
+			c.report.faultAtSetting(b, runsSetting, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
 		}
 		class.NotIdempotent = true
 	}
 	if class.Deadline > 0 && class.LatencyObjective > class.Deadline {
-		c.fault(b, b.value(latencyObjectiveSetting).pos, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
+		c.report.faultAtSetting(b, latencyObjectiveSetting, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
 	}
 	if c.platform != nil && !c.checkAgainstPlatform(b, class) {
 		return
@@ -50,17 +50,17 @@
 func (c *checker) checkAgainstPlatform(b *block, class Class) bool {
 	platformClass, ok := c.platform.class(class.Name)
 	if !ok {
-		c.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggest(class.Name, c.platform.classNames()))
+		c.report.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggest(class.Name, c.platform.classNames()))
 		return false
 	}
 	if platformClass.NotIdempotent && b.value(runsSetting).text == runsRepeatable {
-		c.fault(b, b.value(runsSetting).pos, "the platform's settings say that class %q must never run twice", class.Name)
+		c.report.faultAtSetting(b, runsSetting, "the platform's settings say that class %q must never run twice", class.Name)
 	}
 	if b.hasValue(deadlineSetting) && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
-		c.fault(b, b.value(deadlineSetting).pos, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
+		c.report.faultAtSetting(b, deadlineSetting, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
 	}
 	if b.hasValue(latencyObjectiveSetting) && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
-		c.fault(b, b.value(latencyObjectiveSetting).pos, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
+		c.report.faultAtSetting(b, latencyObjectiveSetting, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
 	}
 	return true
 }
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -36,7 +36,7 @@
 
 // fault reports what is wrong with a setting, where that is given: it may be in a policy that this one inherits from.
 func (p *policyBlock) fault(c *checker, setting, format string, args ...any) {
-	c.fault(p.origins[setting], p.effective[setting].pos, format, args...)
+	c.report.fault(p.origins[setting], p.effective[setting].pos, format, args...)
 }
 
 func buildPolicy(c *checker, b *block) {
@@ -77,7 +77,7 @@
 	}
 	if i := slices.Index(chain, p.name); i >= 0 {
 		cycle := append(chain[i:], p.name)
-		c.fault(p.block, p.value(likeSetting).pos, "policies are like each other in a circle: %s", strings.Join(cycle, " > "))
+		c.report.fault(p.block, p.value(likeSetting).pos, "policies are like each other in a circle: %s", strings.Join(cycle, " > "))
 		p.inherited = true
 		return
 	}
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -18,7 +18,7 @@
 		fallbackSetting:  single(readText),
 		overflowSetting:  single(readShareOrRate),
 	},
-	blocks: []*blockType{selectorType},
+	nested: []*blockType{selectorType},
 	build:  buildPool,
 	check:  checkPools,
 }
@@ -47,7 +47,7 @@
 			p.OverflowShare = spill.number
 		}
 	}
-	for _, workers := range b.blocks {
+	for _, workers := range b.nested {
 		p.Workers = append(p.Workers, c.buildSelector(workers))
 	}
 	c.result.Spec.Pools = append(c.result.Spec.Pools, p)
@@ -61,9 +61,9 @@
 			continue
 		}
 		c.checkFallback(b)
-		for i, workers := range b.blocks {
+		for i, workers := range b.nested {
 			if reason := c.unsatisfiable(p.Workers[i]); reason != "" {
-				c.fault(workers, workers.pos, "no worker can be in pool %q by this: %s", p.Name, reason)
+				c.report.fault(workers, workers.pos, "no worker can be in pool %q by this: %s", p.Name, reason)
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 		shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadShare))
 		const whole = 1 + shareTolerance
 		if before <= whole && total > whole {
-			c.fault(b, b.value(loadShareSetting).pos, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
+			c.report.faultAtSetting(b, loadShareSetting, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
 		}
 	}
 }
@@ -96,9 +96,9 @@
 func (c *checker) checkFallback(b *block) {
 	switch {
 	case b.hasValue(fallbackSetting) && !b.isPresent(overflowSetting):
-		c.fault(b, b.value(fallbackSetting).pos, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
+		c.report.faultAtSetting(b, fallbackSetting, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
 	case b.hasValue(overflowSetting) && !b.isPresent(fallbackSetting):
-		c.fault(b, b.value(overflowSetting).pos, "pool %q has a spill and no fallback to spill to", b.name)
+		c.report.faultAtSetting(b, overflowSetting, "pool %q has a spill and no fallback to spill to", b.name)
 	}
 	if c.resolveReference(b, fallbackSetting, poolKeyword) {
 		c.reportFallbackCycle(b)
@@ -113,7 +113,7 @@
 		next := pool.value(fallbackSetting).text
 		if next == b.name {
 			if slices.Min(chain) == b.name {
-				c.fault(b, b.value(fallbackSetting).pos, "pools fall back in a circle: %s", strings.Join(append(chain, next), " > "))
+				c.report.faultAtSetting(b, fallbackSetting, "pools fall back in a circle: %s", strings.Join(append(chain, next), " > "))
 			}
 			return
 		}
--- a/internal/lang/reference.go
+++ b/internal/lang/reference.go
@@ -20,7 +20,7 @@
 		c.blocks[keyword] = blocks
 	}
 	if first := blocks[b.name]; first != nil {
-		c.fault(b, b.pos, "%s %q is defined twice, first at %v", keyword, b.name, first.pos)
+		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", keyword, b.name, first.pos)
 		return
 	}
 	blocks[b.name] = b
@@ -63,7 +63,7 @@
 	c.unresolved[keyword] = true
 	if c.complete {
 		suggestion := suggest(v.text, slices.Sorted(maps.Keys(c.blocks[keyword])))
-		c.fault(b, v.pos, "no %s %q%s", keyword, v.text, suggestion)
+		c.report.fault(b, v.pos, "no %s %q%s", keyword, v.text, suggestion)
 	}
 	return false
 }
@@ -76,7 +76,7 @@
 	}
 	for name, b := range c.blocks[keyword] {
 		if !c.referenced[blockID{keyword, name}] {
-			c.fault(b, b.pos, "%s %q is not used by any %s", keyword, name, referrers)
+			c.report.fault(b, b.pos, "%s %q is not used by any %s", keyword, name, referrers)
 		}
 	}
 }
--- /dev/null
+++ b/internal/lang/report.go
@@ -0,0 +1,33 @@
+package lang
+
+import "crankhold/internal/lang/syntax"
+
+// reporter collects the faults and notes of a check, in any order.
+type reporter struct {
+	faults syntax.Faults
+	notes  syntax.Faults
+}
+
+// add records a fault that concerns no block that could be read.
+func (r *reporter) add(fault syntax.Fault) { r.faults = append(r.faults, fault) }
+
+// fault records a fault at a position within a block.
+func (r *reporter) fault(b *block, pos syntax.Pos, format string, args ...any) {
+	r.add(b.source.FaultAt(pos, format, args...))
+}
+
+// faultAtSetting records a fault at the value of a setting, which must have one.
+func (r *reporter) faultAtSetting(b *block, setting, format string, args ...any) {
+	r.fault(b, b.value(setting).pos, format, args...)
+}
+
+// note records what is allowed and may not be meant.
+func (r *reporter) note(b *block, pos syntax.Pos, format string, args ...any) {
+	r.notes = append(r.notes, b.source.FaultAt(pos, format, args...))
+}
+
+// sort orders faults and notes by position, and removes duplicates.
+func (r *reporter) sort() {
+	r.faults.Sort()
+	r.notes.Sort()
+}
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -53,12 +53,12 @@
 	}
 	switch {
 	case b.hasValue(rejectSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
-		c.fault(b, b.value(rejectSetting).pos, "route %q refuses its calls: it takes no pool and no policy", r.Name)
+		c.report.faultAtSetting(b, rejectSetting, "route %q refuses its calls: it takes no pool and no policy", r.Name)
 	case !b.isPresent(rejectSetting) && !b.isPresent(poolSetting):
-		c.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
+		c.report.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
 	}
 	if len(r.Tenants) > 0 && len(r.Fronts) > 0 && !slices.Contains(r.Fronts, route.Webhook) {
-		c.fault(b, b.value(tenantSetting).pos, "route %q can't be reached: only webhooks name a tenant", r.Name)
+		c.report.faultAtSetting(b, tenantSetting, "route %q can't be reached: only webhooks name a tenant", r.Name)
 	}
 	c.result.Spec.Routes = append(c.result.Spec.Routes, r)
 }
@@ -83,12 +83,12 @@
 		c.resolveReference(b, policySetting, policyKeyword)
 		for _, v := range b.values[classSetting] {
 			if len(classes) > 0 && c.complete && !slices.Contains(classes, v.text) {
-				c.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
+				c.report.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
 			}
 		}
 	}
 	if c.complete && len(c.blocks[routeKeyword]) == 0 {
 		start := syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}
-		c.result.Faults = append(c.result.Faults, syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
+		c.report.add(syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
 	}
 }
--- a/internal/lang/selector.go
+++ b/internal/lang/selector.go
@@ -18,7 +18,7 @@
 		cellSetting:          listOf(readCount(0)),
 		memoryAtLeastSetting: single(readMemory),
 	},
-	blocks: []*blockType{labelsType},
+	nested: []*blockType{labelsType},
 }
 
 func (c *checker) buildSelector(b *block) route.Selector {
@@ -31,14 +31,14 @@
 	for _, cell := range b.values[cellSetting] {
 		s.Cells = append(s.Cells, cell.count)
 	}
-	for _, labels := range b.blocks {
+	for _, labels := range b.nested {
 		for name := range labels.values {
 			s.Labels = append(s.Labels, route.Label{Name: name, Values: labels.texts(name)})
 		}
 	}
 	slices.SortFunc(s.Labels, func(a, b route.Label) int { return strings.Compare(a.Name, b.Name) })
 	if len(b.positions) == 0 && len(s.Labels) == 0 {
-		c.fault(b, b.pos, "workers picks nothing out: leave the block away for all workers")
+		c.report.fault(b, b.pos, "workers picks nothing out: leave the block away for all workers")
 	}
 	return s
 }
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -24,7 +24,7 @@
 		preferSetting:          listOf(readOneOf(endpoint.Unix.String(), endpoint.TCP6.String(), endpoint.TCP4.String())),
 		sameAsSetting:          single(readText),
 	},
-	blocks: []*blockType{labelsType},
+	nested: []*blockType{labelsType},
 	build:  buildWorker,
 	check:  checkWorkers,
 }
@@ -80,7 +80,7 @@
 			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
 			addrs = append(addrs, addr)
 			if len(addrs) == endpoint.MaxAddresses+1 {
-				c.fault(b, v.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
+				c.report.fault(b, v.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
 			}
 		}
 	}
@@ -90,13 +90,13 @@
 // buildLabels returns the labels of a worker block, each of one value.
 func (c *checker) buildLabels(b *block) map[string]string {
 	labels := map[string]string{}
-	for _, nested := range b.blocks {
+	for _, nested := range b.nested {
 		for name, values := range nested.values {
 			if len(values) > 1 {
-				c.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
+				c.report.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
 			}
 			if _, again := labels[name]; again {
-				c.fault(nested, nested.positions[name], "label %s is given twice", name)
+				c.report.fault(nested, nested.positions[name], "label %s is given twice", name)
 			}
 			labels[name] = values[0].text
 		}
@@ -119,7 +119,7 @@
 			continue
 		}
 		if w.Same == w.Name && w.Same != "" {
-			c.fault(b, b.value(sameAsSetting).pos, "worker %q is the same as itself", w.Name)
+			c.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", w.Name)
 		}
 		c.checkAddresses(b, claims)
 	}
@@ -132,7 +132,7 @@
 			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
 			first, claimed := claims[addr]
 			if claimed && first.worker != b.name && !c.areAliases(b.name, first.worker) {
-				c.fault(b, v.pos, "%v is an address of worker %q too, at %v: say same-as where they are one", addr, first.worker, first.pos)
+				c.report.fault(b, v.pos, "%v is an address of worker %q too, at %v: say same-as where they are one", addr, first.worker, first.pos)
 			}
 			claims[addr] = addressClaim{b.name, v.pos}
 		}
@@ -149,7 +149,7 @@
 func (c *checker) checkListed(b *block, setting, listName string, list []string) {
 	for _, v := range b.values[setting] {
 		if len(list) > 0 && !matchesAnyOf(v.text, list) {
-			c.fault(b, v.pos, "%s %q is none of %s%s", setting, v.text, listName, suggest(v.text, list))
+			c.report.fault(b, v.pos, "%s %q is none of %s%s", setting, v.text, listName, suggest(v.text, list))
 		}
 	}
 }
