--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -27,20 +27,20 @@
 	c.report.sort()
 	c.result.Faults = c.report.faults
 	c.result.Notes = c.report.notes
+	c.result.lines = c.lines
 	return c.result, nil
 }
 
 // checker builds a Spec out of the blocks of all files, and collects their faults.
 type checker struct {
 	platform *Platform // nil: not known
-	complete bool      // all files were read without a fault: what is missing is missing
 	result   *Result
 	report   *reporter
 	reader   *blockReader
 
-	blocks     map[string]map[string]*block // by keyword and name
-	referenced map[blockID]bool             // the names that other blocks refer to, defined or not
-	unresolved map[string]bool              // keywords of which a reference is not defined, or can't be read
+	symbols    *symbolTable
+	references *referenceResolver
+	lines      definingLines
 
 	policies    map[string]*policyBlock
 	policyOrder []*policyBlock // in the order of the files
@@ -48,15 +48,15 @@
 
 func newChecker(l *loader, platform *Platform) *checker {
 	report := &reporter{faults: l.faults}
+	symbols := newSymbolTable(len(l.faults) == 0)
 	return &checker{
 		platform:   platform,
-		complete:   len(l.faults) == 0,
-		result:     &Result{lines: map[blockID][]syntax.Fault{}},
+		result:     &Result{},
 		report:     report,
 		reader:     &blockReader{report: report, sources: l.sources},
-		blocks:     map[string]map[string]*block{},
-		referenced: map[blockID]bool{},
-		unresolved: map[string]bool{},
+		symbols:    symbols,
+		references: newReferenceResolver(report, symbols),
+		lines:      definingLines{},
 		policies:   map[string]*policyBlock{},
 	}
 }
@@ -80,3 +80,15 @@
 		b.blockType.build(c, b)
 	}
 }
+
+// define enters a block that has a name. The name must be its own among the blocks of its type.
+func (c *checker) define(b *block) {
+	if !b.blockType.named {
+		return
+	}
+	if first := c.symbols.define(b); first != nil {
+		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", b.blockType.keyword, b.name, first.pos)
+		return
+	}
+	c.lines.addBlock(b)
+}
--- a/internal/lang/checktable.go
+++ b/internal/lang/checktable.go
@@ -20,7 +20,7 @@
 		return
 	}
 	c.checkRoutesOfTable(table)
-	first := c.blocks[routeKeyword][table.Routes()[0].Spec.Name]
+	first := c.symbols.find(routeKeyword, table.Routes()[0].Spec.Name)
 	for _, region := range table.UnmatchedRegions(!c.result.classesComplete) {
 		c.report.note(first, first.pos, "no route takes %v; they are refused (%v)", region, region.Example)
 	}
@@ -34,7 +34,7 @@
 	if errors.As(err, &ambiguous) {
 		name = ambiguous.Second.Name
 	}
-	b := c.blocks[routeKeyword][name]
+	b := c.symbols.find(routeKeyword, name)
 	c.report.fault(b, b.pos, "%v", err)
 }
 
@@ -47,7 +47,7 @@
 		if c.result.classesComplete {
 			reached = reached[:len(c.result.classes)] // without the entry for all other classes
 		}
-		b := c.blocks[routeKeyword][r.Spec.Name]
+		b := c.symbols.find(routeKeyword, r.Spec.Name)
 		if !slices.Contains(reached, true) {
 			c.report.fault(b, b.pos, "route %q can't be reached: closer matches take all of its calls", r.Spec.Name)
 			continue
@@ -72,7 +72,7 @@
 		}
 		return classes, true
 	}
-	if len(c.blocks[classKeyword]) > 0 {
+	if len(c.symbols.names(classKeyword)) > 0 {
 		return c.result.classes, true
 	}
 	names := map[string]bool{neverIdempotentClass: true}
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -54,7 +54,7 @@
 
 func checkPolicies(c *checker) {
 	for _, p := range c.policyOrder {
-		c.resolveReference(p.block, likeSetting, policyKeyword)
+		c.references.resolve(p.block, likeSetting, policyKeyword)
 	}
 	for _, p := range c.policyOrder {
 		c.inherit(p, nil)
@@ -67,7 +67,7 @@
 			c.checkPolicyAgainstPlatform(p)
 		}
 	}
-	c.reportUnused(policyKeyword, "route or policy")
+	c.references.reportUnused(policyKeyword, "route or policy")
 }
 
 // inherit completes a policy with the settings of the one that it is like. chain is the policies that inherit from it.
@@ -97,7 +97,7 @@
 		origin := base.origins[setting]
 		p.effective[setting] = base.effective[setting]
 		p.origins[setting] = origin
-		c.recordLine(blockID{policyKeyword, p.name}, origin, origin.positions[setting])
+		c.lines.add(blockID{policyKeyword, p.name}, origin, origin.positions[setting])
 	}
 }
 
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -56,8 +56,8 @@
 func checkPools(c *checker) {
 	c.checkLoadShares()
 	for _, p := range c.result.Spec.Pools {
-		b := c.definition(poolKeyword, p.Name, p.At)
-		if b == nil {
+		b := c.symbols.find(poolKeyword, p.Name)
+		if fileLine(b.pos) != p.At {
 			continue
 		}
 		c.checkFallback(b)
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	c.reportUnused(poolKeyword, "route or fallback")
+	c.references.reportUnused(poolKeyword, "route or fallback")
 }
 
 // shareTolerance is what rounding may add to shares that make up the whole.
@@ -78,8 +78,8 @@
 	total := 0.0
 	var shares []string
 	for _, p := range c.result.Spec.Pools {
-		b := c.definition(poolKeyword, p.Name, p.At)
-		if b == nil || p.LoadShare == route.Unset {
+		b := c.symbols.find(poolKeyword, p.Name)
+		if fileLine(b.pos) != p.At || p.LoadShare == route.Unset {
 			continue
 		}
 		before := total
@@ -100,7 +100,7 @@
 	case b.hasValue(overflowSetting) && !b.isPresent(fallbackSetting):
 		c.report.faultAtSetting(b, overflowSetting, "pool %q has a spill and no fallback to spill to", b.name)
 	}
-	if c.resolveReference(b, fallbackSetting, poolKeyword) {
+	if c.references.resolve(b, fallbackSetting, poolKeyword) {
 		c.reportFallbackCycle(b)
 	}
 }
@@ -121,6 +121,6 @@
 			return // a cycle that this pool only leads to
 		}
 		chain = append(chain, next)
-		pool = c.blocks[poolKeyword][next]
+		pool = c.symbols.find(poolKeyword, next)
 	}
 }
--- a/internal/lang/reference.go
+++ b/internal/lang/reference.go
@@ -1,82 +1,50 @@
 package lang
 
-import (
-	"maps"
-	"slices"
-	"strings"
-
-	"crankhold/internal/lang/syntax"
-)
-
-// define records a block under its name, which is its own among the blocks of its type.
-func (c *checker) define(b *block) {
-	if !b.blockType.named {
-		return
-	}
-	keyword := b.blockType.keyword
-	blocks := c.blocks[keyword]
-	if blocks == nil {
-		blocks = map[string]*block{}
-		c.blocks[keyword] = blocks
-	}
-	if first := blocks[b.name]; first != nil {
-		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", keyword, b.name, first.pos)
-		return
-	}
-	blocks[b.name] = b
-	id := blockID{keyword, b.name}
-	c.recordLine(id, b, b.pos)
-	for _, setting := range slices.Sorted(maps.Keys(b.positions)) {
-		c.recordLine(id, b, b.positions[setting])
-	}
+// referenceResolver resolves the names by which blocks refer to each other, and keeps which names are referred to.
+type referenceResolver struct {
+	report     *reporter
+	symbols    *symbolTable
+	referenced map[blockID]bool // defined or not
+	unresolved map[string]bool  // keywords of which a reference is not defined, or can't be read
 }
 
-// definition returns the block that is defined under a name, or nil where that is not the block at this file:line but
-// an earlier one of the same name.
-func (c *checker) definition(keyword, name, at string) *block {
-	b := c.blocks[keyword][name]
-	if fileLine(b.pos) != at {
-		return nil
+func newReferenceResolver(report *reporter, symbols *symbolTable) *referenceResolver {
+	return &referenceResolver{
+		report:     report,
+		symbols:    symbols,
+		referenced: map[blockID]bool{},
+		unresolved: map[string]bool{},
 	}
-	return b
-}
-
-// recordLine records a line as one that says something of a block; see Result.Lines.
-func (c *checker) recordLine(id blockID, b *block, pos syntax.Pos) {
-	line := b.source.FaultAt(pos, "")
-	line.Line = strings.TrimSpace(line.Line)
-	c.result.lines[id] = append(c.result.lines[id], line)
 }
 
-// resolveReference records that a setting, if it is present, refers to a block by its name, and reports whether there
-// is such a block.
-func (c *checker) resolveReference(b *block, setting, keyword string) bool {
+// resolve records that a setting, if it is present, refers to a block with a keyword by its name, and reports whether
+// there is such a block. It reports a fault where there is none, unless a file that could not be read may define it.
+func (r *referenceResolver) resolve(b *block, setting, keyword string) bool {
 	if !b.hasValue(setting) {
-		c.unresolved[keyword] = c.unresolved[keyword] || b.isPresent(setting)
+		r.unresolved[keyword] = r.unresolved[keyword] || b.isPresent(setting)
 		return false
 	}
-	v := b.value(setting)
-	c.referenced[blockID{keyword, v.text}] = true
-	if c.blocks[keyword][v.text] != nil {
+	name := b.value(setting).text
+	r.referenced[blockID{keyword, name}] = true
+	if r.symbols.find(keyword, name) != nil {
 		return true
 	}
-	c.unresolved[keyword] = true
-	if c.complete {
-		suggestion := suggest(v.text, slices.Sorted(maps.Keys(c.blocks[keyword])))
-		c.report.fault(b, v.pos, "no %s %q%s", keyword, v.text, suggestion)
+	r.unresolved[keyword] = true
+	if r.symbols.complete {
+		r.report.faultAtSetting(b, setting, "no %s %q%s", keyword, name, suggest(name, r.symbols.names(keyword)))
 	}
 	return false
 }
 
-// reportUnused reports blocks that no other block refers to. It reports none where some reference is not defined: the
-// unused block may be the one that was meant.
-func (c *checker) reportUnused(keyword, referrers string) {
-	if !c.complete || c.unresolved[keyword] {
+// reportUnused reports blocks that no other block refers to; referrers names what could. It reports none where some
+// reference could not be resolved: the unused block may be the one that was meant.
+func (r *referenceResolver) reportUnused(keyword, referrers string) {
+	if !r.symbols.complete || r.unresolved[keyword] {
 		return
 	}
-	for name, b := range c.blocks[keyword] {
-		if !c.referenced[blockID{keyword, name}] {
-			c.report.fault(b, b.pos, "%s %q is not used by any %s", keyword, name, referrers)
+	for _, b := range r.symbols.definitions(keyword) {
+		if !r.referenced[blockID{keyword, b.name}] {
+			r.report.fault(b, b.pos, "%s %q is not used by any %s", keyword, b.name, referrers)
 		}
 	}
 }
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -14,14 +14,11 @@
 	Notes  syntax.Faults // what is allowed and may not be meant
 	Files  []string      // that were read
 
-	lines           map[blockID][]syntax.Fault
+	lines           definingLines
 	classes         []Class // of the platform or of the files' own class blocks
 	classesComplete bool    // there are no further classes
 }
 
-// blockID identifies a block that has a name.
-type blockID struct{ keyword, name string }
-
 // Classes returns the names of the classes that the configuration can tell apart.
 func (r *Result) Classes() []string {
 	var names []string
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -1,7 +1,6 @@
 package lang
 
 import (
-	"maps"
 	"slices"
 
 	"crankhold/internal/lang/syntax"
@@ -76,18 +75,18 @@
 	if c.platform != nil {
 		classes = c.platform.classNames()
 	} else {
-		classes = slices.Sorted(maps.Keys(c.blocks[classKeyword]))
+		classes = c.symbols.names(classKeyword)
 	}
-	for _, b := range c.blocks[routeKeyword] {
-		c.resolveReference(b, poolSetting, poolKeyword)
-		c.resolveReference(b, policySetting, policyKeyword)
+	for _, b := range c.symbols.definitions(routeKeyword) {
+		c.references.resolve(b, poolSetting, poolKeyword)
+		c.references.resolve(b, policySetting, policyKeyword)
 		for _, v := range b.values[classSetting] {
-			if len(classes) > 0 && c.complete && !slices.Contains(classes, v.text) {
+			if len(classes) > 0 && c.symbols.complete && !slices.Contains(classes, v.text) {
 				c.report.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
 			}
 		}
 	}
-	if c.complete && len(c.blocks[routeKeyword]) == 0 {
+	if c.symbols.complete && len(c.symbols.names(routeKeyword)) == 0 {
 		start := syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}
 		c.report.add(syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
 	}
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -114,8 +114,8 @@
 func checkWorkers(c *checker) {
 	claims := map[endpoint.Addr]addressClaim{}
 	for _, w := range c.result.Spec.Workers {
-		b := c.definition(workerKeyword, w.Name, w.At)
-		if b == nil {
+		b := c.symbols.find(workerKeyword, w.Name)
+		if fileLine(b.pos) != w.At {
 			continue
 		}
 		if w.Same == w.Name && w.Same != "" {
@@ -141,8 +141,8 @@
 
 // areAliases reports whether one of two worker blocks says that it is the same worker as the other.
 func (c *checker) areAliases(a, b string) bool {
-	workers := c.blocks[workerKeyword]
-	return workers[a].value(sameAsSetting).text == b || workers[b].value(sameAsSetting).text == a
+	sameAs := func(name string) string { return c.symbols.find(workerKeyword, name).value(sameAsSetting).text }
+	return sameAs(a) == b || sameAs(b) == a
 }
 
 // checkListed checks that a setting's values are on a list, where there is one.
