--- /dev/null
+++ b/internal/lang/address.go
@@ -0,0 +1,55 @@
+package lang
+
+import (
+	"crankhold/internal/endpoint"
+	"crankhold/internal/lang/syntax"
+)
+
+// workerAddress is an address in a worker block.
+type workerAddress struct {
+	addr endpoint.Addr
+	pos  syntax.Pos
+}
+
+// addressesOf returns the addresses of a worker block, of one network after the other.
+func addressesOf(b *block) []workerAddress {
+	var addresses []workerAddress
+	for _, network := range networks {
+		for _, v := range b.values[network.String()] {
+			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
+			addresses = append(addresses, workerAddress{addr, v.pos})
+		}
+	}
+	return addresses
+}
+
+// addressClaim is a worker that an address leads to, and where that is said.
+type addressClaim struct {
+	worker string
+	pos    syntax.Pos
+}
+
+// addressClaims checks that no address leads to two workers, unless they are aliases of one.
+type addressClaims struct {
+	report  *reporter
+	symbols *symbolTable
+	latest  map[endpoint.Addr]addressClaim
+}
+
+// add enters the addresses of a worker block, and reports those that another worker has too.
+func (c *addressClaims) add(b *block) {
+	for _, a := range addressesOf(b) {
+		other, claimed := c.latest[a.addr]
+		if claimed && other.worker != b.name && !c.areAliases(b.name, other.worker) {
+			c.report.fault(b, a.pos, "%v is an address of worker %q too, at %v: say same-as where they are one",
+				a.addr, other.worker, other.pos)
+		}
+		c.latest[a.addr] = addressClaim{b.name, a.pos}
+	}
+}
+
+// areAliases reports whether one of two worker blocks says that it is the same worker as the other.
+func (c *addressClaims) areAliases(a, b string) bool {
+	sameAs := func(name string) string { return c.symbols.find(workerKeyword, name).value(sameAsSetting).text }
+	return sameAs(a) == b || sameAs(b) == a
+}
--- a/internal/lang/block.go
+++ b/internal/lang/block.go
@@ -15,18 +15,17 @@
 	policyKeyword = "policy"
 )
 
-// blockTypes are the blocks that a file may hold. A further one is added here, with a file of its own.
+// blockTypes are the blocks that a file may hold at its top level, in the order in which they are checked. A further
+// one is added here and to newChecker, with a file of its own.
 var blockTypes = []*blockType{workerType, classType, routeType, poolType, policyType}
 
-// blockType says what a kind of block is called, what it holds, and what is made of it.
+// blockType describes a kind of block: its keyword, and what it may hold.
 type blockType struct {
 	keyword    string
 	named      bool // the block has a name, which is its own among the blocks of its type
 	settings   map[string]settingType
 	anySetting bool         // settings of any name are lists of strings
 	nested     []*blockType // of the blocks within it
-	build      func(*checker, *block)
-	check      func(*checker) // after all blocks of all types are built; nil: nothing to check
 }
 
 // settingType returns how a setting's values are read; ok is false where the block has no such setting.
@@ -50,7 +49,7 @@
 // listOf is a setting that takes one value or more.
 func listOf(read valueReader) settingType { return settingType{read: read, list: true} }
 
-// block is a block whose settings have been read.
+// block is a block whose settings have been read. Settings whose values can't be read have a position and no value.
 type block struct {
 	blockType *blockType
 	pos       syntax.Pos
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -5,6 +5,7 @@
 	"path"
 
 	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
 )
 
 // Check reads a file and all that it includes, and checks them; platform may be nil. Names in messages get the prefix
@@ -14,70 +15,85 @@
 	if err := l.load(name, nil); err != nil {
 		return nil, &FileError{File: path.Join(prefix, name), Err: pathErrorReason(err)}
 	}
-	c := newChecker(l, platform)
-	c.buildBlocks(l.files)
-	for _, t := range blockTypes {
-		if t.check != nil {
-			t.check(c)
-		}
-	}
-	if len(c.report.faults) == 0 {
-		c.checkTable()
-	}
-	c.report.sort()
-	c.result.Faults = c.report.faults
-	c.result.Notes = c.report.notes
-	c.result.lines = c.lines
-	return c.result, nil
+	return newChecker(l, platform).check(l.files), nil
 }
 
-// checker builds a Spec out of the blocks of all files, and collects their faults.
+// checker carries a configuration through the steps of a check: it has each block read, entered into the symbol table
+// and built, then each kind of block checked, and at last the compiled table.
 type checker struct {
-	platform *Platform // nil: not known
-	result   *Result
-	report   *reporter
+	builderContext
 	reader   *blockReader
-
-	symbols    *symbolTable
-	references *referenceResolver
-	lines      definingLines
-
-	policies    map[string]*policyBlock
-	policyOrder []*policyBlock // in the order of the files
+	lines    definingLines
+	workers  *workerBuilder
+	classes  *classBuilder
+	routes   *routeBuilder
+	pools    *poolBuilder
+	policies *policyBuilder
+	builders map[string]blockBuilder // all of them, by keyword
 }
 
 func newChecker(l *loader, platform *Platform) *checker {
 	report := &reporter{faults: l.faults}
 	symbols := newSymbolTable(len(l.faults) == 0)
-	return &checker{
-		platform:   platform,
-		result:     &Result{},
+	context := builderContext{
 		report:     report,
-		reader:     &blockReader{report: report, sources: l.sources},
 		symbols:    symbols,
 		references: newReferenceResolver(report, symbols),
-		lines:      definingLines{},
-		policies:   map[string]*policyBlock{},
+		platform:   platform,
 	}
+	c := &checker{
+		builderContext: context,
+		reader:         &blockReader{report: report, sources: l.sources},
+		lines:          definingLines{},
+	}
+	c.workers = &workerBuilder{builderContext: context}
+	c.classes = &classBuilder{builderContext: context}
+	c.routes = &routeBuilder{builderContext: context, firstFile: l.files[0].Name}
+	c.pools = &poolBuilder{builderContext: context, workers: c.workers}
+	c.policies = newPolicyBuilder(context, c.lines)
+	c.builders = map[string]blockBuilder{
+		workerKeyword: c.workers,
+		classKeyword:  c.classes,
+		routeKeyword:  c.routes,
+		poolKeyword:   c.pools,
+		policyKeyword: c.policies,
+	}
+	return c
 }
 
-// buildBlocks reads all blocks and has each one's type build its part of the Spec.
-func (c *checker) buildBlocks(files []*syntax.File) {
+// check checks the blocks of all files.
+func (c *checker) check(files []*syntax.File) *Result {
+	r := &Result{lines: c.lines}
 	for _, file := range files {
-		c.result.Files = append(c.result.Files, file.Name)
-		for _, entry := range file.Entries {
-			if b, ok := entry.(*syntax.Block); ok {
-				c.buildBlock(b)
-			}
-		}
+		r.Files = append(r.Files, file.Name)
+		c.buildFile(file)
 	}
+	for _, t := range blockTypes {
+		c.builders[t.keyword].check()
+	}
+	r.Spec = c.spec()
+	r.classes = knownClasses{list: c.classes.declared}
+	if len(c.report.faults) == 0 {
+		r.classes = c.classes.known(c.routes.specs)
+		c.checkTable(&r.Spec, r.classes)
+	}
+	c.report.sort()
+	r.Faults = c.report.faults
+	r.Notes = c.report.notes
+	return r
 }
 
-// buildBlock reads a block at the top level of a file and has its type build its part of the Spec.
-func (c *checker) buildBlock(syntaxBlock *syntax.Block) {
-	if b := c.reader.read(syntaxBlock); b != nil {
-		c.define(b)
-		b.blockType.build(c, b)
+// buildFile reads and builds the blocks of a file.
+func (c *checker) buildFile(file *syntax.File) {
+	for _, entry := range file.Entries {
+		syntaxBlock, ok := entry.(*syntax.Block)
+		if !ok {
+			continue
+		}
+		if b := c.reader.read(syntaxBlock); b != nil {
+			c.define(b)
+			c.builders[b.blockType.keyword].build(b)
+		}
 	}
 }
 
@@ -92,3 +108,23 @@
 	}
 	c.lines.addBlock(b)
 }
+
+// spec returns what the builders have built.
+func (c *checker) spec() route.Spec {
+	return route.Spec{
+		Workers:              c.workers.workers,
+		Pools:                c.pools.specs(),
+		Policies:             c.policies.specs,
+		Routes:               c.routes.specs,
+		NotIdempotentClasses: c.classes.notIdempotent(),
+	}
+}
+
+// checkTable checks what the spec means as a whole, once it has no faults.
+func (c *checker) checkTable(spec *route.Spec, classes knownClasses) {
+	if c.platform != nil {
+		spec.LoadWindow = c.platform.LoadWindow
+	}
+	t := &tableChecker{report: c.report, symbols: c.symbols, policies: c.policies, classes: classes}
+	t.check(spec)
+}
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -1,14 +1,20 @@
 package lang
 
+import (
+	"maps"
+	"slices"
+
+	"crankhold/internal/route"
+)
+
 // The words that the setting runs of a class block takes.
 const (
 	runsOnce       = "once"
 	runsRepeatable = "repeatable"
 )
 
-// classType says of a class what the platform's settings would, so that a configuration can be checked without them.
-// With them it must agree, but may have a class never run twice that they let run again. Where a configuration has
-// class blocks and no platform, they are all the classes there are.
+// classType says of a class what the platform's settings would, so that a configuration can be checked without them. A
+// block must agree with them, with one exception: it may forbid a class to run twice that they allow to.
 var classType = &blockType{
 	keyword: classKeyword,
 	named:   true,
@@ -17,50 +23,108 @@
 		deadlineSetting:         single(readDuration),
 		latencyObjectiveSetting: single(readDuration),
 	},
-	build: buildClass,
 }
 
-func buildClass(c *checker, b *block) {
+// classBuilder builds classes out of class blocks.
+type classBuilder struct {
+	builderContext
+	declared classList // by class blocks, in the order of the files
+}
+
+// build adds a class, unless the platform has no such class.
+func (c *classBuilder) build(b *block) {
 	class := Class{
 		Name:             b.name,
-		NotIdempotent:    b.value(runsSetting).text == runsOnce,
+		NotIdempotent:    b.name == neverIdempotentClass || b.value(runsSetting).text == runsOnce,
 		Deadline:         b.value(deadlineSetting).duration,
 		LatencyObjective: b.value(latencyObjectiveSetting).duration,
 	}
-	if class.Name == neverIdempotentClass {
-		if b.value(runsSetting).text == runsRepeatable {
-			c.report.faultAtSetting(b, runsSetting, "%s must never run twice: it can't be made repeatable", neverIdempotentClass)
-		}
-		class.NotIdempotent = true
+	if class.Name == neverIdempotentClass && b.value(runsSetting).text == runsRepeatable {
+		c.report.faultAtSetting(b, runsSetting,
+			"%s must never run twice: it can't be made repeatable", neverIdempotentClass)
 	}
 	if class.Deadline > 0 && class.LatencyObjective > class.Deadline {
-		c.report.faultAtSetting(b, latencyObjectiveSetting, "the aim %v of class %q is beyond its deadline %v", class.LatencyObjective, class.Name, class.Deadline)
+		c.report.faultAtSetting(b, latencyObjectiveSetting, "the aim %v of class %q is beyond its deadline %v",
+			class.LatencyObjective, class.Name, class.Deadline)
 	}
 	if c.platform != nil && !c.checkAgainstPlatform(b, class) {
 		return
 	}
-	c.result.classes = append(c.result.classes, class)
-	if class.NotIdempotent {
-		c.result.Spec.NotIdempotentClasses = append(c.result.Spec.NotIdempotentClasses, class.Name)
-	}
+	c.declared = append(c.declared, class)
 }
 
+// check does nothing: each class was checked when it was built, and no setting of a class refers to another block.
+func (c *classBuilder) check() {}
+
 // checkAgainstPlatform reports where a class block contradicts the platform's settings. It returns false where the
 // platform has no such class.
-func (c *checker) checkAgainstPlatform(b *block, class Class) bool {
-	platformClass, ok := c.platform.class(class.Name)
+func (c *classBuilder) checkAgainstPlatform(b *block, class Class) bool {
+	platformClass, ok := c.platform.classes().find(class.Name)
 	if !ok {
-		c.report.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggest(class.Name, c.platform.classNames()))
+		suggestion := suggest(class.Name, c.platform.classes().names())
+		c.report.fault(b, b.pos, "class %q is none of the platform's%s", class.Name, suggestion)
 		return false
 	}
 	if platformClass.NotIdempotent && b.value(runsSetting).text == runsRepeatable {
-		c.report.faultAtSetting(b, runsSetting, "the platform's settings say that class %q must never run twice", class.Name)
+		c.report.faultAtSetting(b, runsSetting,
+			"the platform's settings say that class %q must never run twice", class.Name)
 	}
 	if b.hasValue(deadlineSetting) && platformClass.Deadline > 0 && class.Deadline != platformClass.Deadline {
-		c.report.faultAtSetting(b, deadlineSetting, "the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
+		c.report.faultAtSetting(b, deadlineSetting,
+			"the deadline of class %q is %v by the platform's settings", class.Name, platformClass.Deadline)
 	}
-	if b.hasValue(latencyObjectiveSetting) && platformClass.LatencyObjective > 0 && class.LatencyObjective != platformClass.LatencyObjective {
-		c.report.faultAtSetting(b, latencyObjectiveSetting, "the aim of class %q is %v by the platform's settings", class.Name, platformClass.LatencyObjective)
+	objective := platformClass.LatencyObjective
+	if b.hasValue(latencyObjectiveSetting) && objective > 0 && class.LatencyObjective != objective {
+		c.report.faultAtSetting(b, latencyObjectiveSetting,
+			"the aim of class %q is %v by the platform's settings", class.Name, objective)
 	}
 	return true
 }
+
+// notIdempotent returns the names of the declared classes that must never run twice.
+func (c *classBuilder) notIdempotent() []string {
+	var names []string
+	for _, class := range c.declared {
+		if class.NotIdempotent {
+			names = append(names, class.Name)
+		}
+	}
+	return names
+}
+
+// known returns the classes that the configuration can tell apart. They are the platform's; without a platform the
+// declared ones; and where none is declared, those that routes name.
+func (c *classBuilder) known(routes []route.RouteSpec) knownClasses {
+	if c.platform != nil {
+		return knownClasses{list: c.platformClasses(), complete: true}
+	}
+	if len(c.declared) > 0 {
+		return knownClasses{list: c.declared, complete: true}
+	}
+	return knownClasses{list: classesOfRoutes(routes)}
+}
+
+// platformClasses returns the platform's classes, each as not idempotent where a class block says so.
+func (c *classBuilder) platformClasses() classList {
+	var classes classList
+	for _, class := range c.platform.Classes {
+		class.NotIdempotent = class.NotIdempotent || c.declared.isNotIdempotent(class.Name)
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+// classesOfRoutes returns the classes that routes name, and the one that is never idempotent, sorted by name.
+func classesOfRoutes(routes []route.RouteSpec) classList {
+	names := map[string]bool{neverIdempotentClass: true}
+	for _, r := range routes {
+		for _, name := range r.Classes {
+			names[name] = true
+		}
+	}
+	var classes classList
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		classes = append(classes, Class{Name: name, NotIdempotent: name == neverIdempotentClass})
+	}
+	return classes
+}
--- /dev/null
+++ b/internal/lang/classlist.go
@@ -0,0 +1,50 @@
+package lang
+
+import (
+	"slices"
+	"time"
+)
+
+// Class is a class of requests.
+type Class struct {
+	Name             string
+	NotIdempotent    bool          // must never run twice
+	Deadline         time.Duration // 0: not known
+	LatencyObjective time.Duration // 0: not known
+}
+
+// neverIdempotentClass must never run twice, whatever a file or the platform's settings say.
+const neverIdempotentClass = "repair-order"
+
+// classList is classes in the order in which they were given.
+type classList []Class
+
+// find returns the class of a name.
+func (l classList) find(name string) (class Class, ok bool) {
+	i := slices.IndexFunc(l, func(class Class) bool { return class.Name == name })
+	if i < 0 {
+		return Class{}, false
+	}
+	return l[i], true
+}
+
+// names returns the names of the classes.
+func (l classList) names() []string {
+	var names []string
+	for _, class := range l {
+		names = append(names, class.Name)
+	}
+	return names
+}
+
+// isNotIdempotent reports whether a class must never run twice, as one of the list or in any case.
+func (l classList) isNotIdempotent(name string) bool {
+	return name == neverIdempotentClass ||
+		slices.ContainsFunc(l, func(class Class) bool { return class.Name == name && class.NotIdempotent })
+}
+
+// knownClasses are the classes that a configuration can tell apart.
+type knownClasses struct {
+	list     classList
+	complete bool // there are no further classes
+}
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -29,19 +29,24 @@
 // Unwrap returns the reason, such as fs.ErrNotExist.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// loader reads the files of a configuration.
+// loader reads the files of a configuration, each once: the first one, and those that are included.
 type loader struct {
 	fsys          fs.FS
-	prefix        string // folder of the names that messages show
-	files         []*syntax.File
-	sources       map[string]*syntax.Source // by shown name
+	prefix        string                    // folder of the names that messages show
+	files         []*syntax.File            // that were read, the first one first
+	sources       map[string]*syntax.Source // by the name that messages show
 	includeChains map[string][]string       // by file, the chain of includes that led to it
-	faults        syntax.Faults
-	filesExceeded bool // maxFiles was reached: nothing more is read
+	faults        syntax.Faults             // of syntax and includes
+	filesExceeded bool                      // maxFiles was reached: nothing more is read
 }
 
 func newLoader(fsys fs.FS, prefix string) *loader {
-	return &loader{fsys: fsys, prefix: prefix, sources: map[string]*syntax.Source{}, includeChains: map[string][]string{}}
+	return &loader{
+		fsys:          fsys,
+		prefix:        prefix,
+		sources:       map[string]*syntax.Source{},
+		includeChains: map[string][]string{},
+	}
 }
 
 // load reads a file and all that it includes, each once. Names are relative to fsys, whose root no include may leave;
@@ -65,7 +70,7 @@
 	return nil
 }
 
-// errIrregular is the error of what is no regular file: reading a pipe could take forever.
+// errIrregular is the error for what is no regular file. Reading a pipe could block forever.
 var errIrregular = errors.New("it is no regular file")
 
 // readFile reads a file, up to one byte more than a file may have.
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -19,12 +19,24 @@
 		overflowSetting:  single(readShareOrRate),
 	},
 	nested: []*blockType{selectorType},
-	build:  buildPool,
-	check:  checkPools,
 }
 
-func buildPool(c *checker, b *block) {
-	p := route.PoolSpec{
+// poolBuilder builds pools out of pool blocks.
+type poolBuilder struct {
+	builderContext
+	workers *workerBuilder // its workers are complete once check is called
+	pools   []builtPool    // in the order of the files
+}
+
+// builtPool is a pool with the block that it was built from.
+type builtPool struct {
+	block *block
+	spec  route.PoolSpec
+}
+
+// build adds a pool.
+func (p *poolBuilder) build(b *block) {
+	spec := route.PoolSpec{
 		Name:          b.name,
 		MaxInFlight:   route.Unset,
 		LoadShare:     route.Unset,
@@ -34,86 +46,116 @@
 		At:            fileLine(b.pos),
 	}
 	if b.hasValue(capSetting) {
-		p.MaxInFlight = b.value(capSetting).count
+		spec.MaxInFlight = b.value(capSetting).count
 	}
 	if b.hasValue(loadShareSetting) {
-		p.LoadShare = b.value(loadShareSetting).number
+		spec.LoadShare = b.value(loadShareSetting).number
 	}
 	if b.hasValue(overflowSetting) {
-		spill := b.value(overflowSetting)
-		if spill.isRate {
-			p.OverflowRate = spill.number
-		} else {
-			p.OverflowShare = spill.number
-		}
+		setOverflow(&spec, b.value(overflowSetting))
 	}
 	for _, workers := range b.nested {
-		p.Workers = append(p.Workers, c.buildSelector(workers))
+		spec.Workers = append(spec.Workers, p.buildSelector(workers))
 	}
-	c.result.Spec.Pools = append(c.result.Spec.Pools, p)
+	p.pools = append(p.pools, builtPool{b, spec})
 }
 
-func checkPools(c *checker) {
-	c.checkLoadShares()
-	for _, p := range c.result.Spec.Pools {
-		b := c.symbols.find(poolKeyword, p.Name)
-		if fileLine(b.pos) != p.At {
-			continue
-		}
-		c.checkFallback(b)
-		for i, workers := range b.nested {
-			if reason := c.unsatisfiable(p.Workers[i]); reason != "" {
-				c.report.fault(workers, workers.pos, "no worker can be in pool %q by this: %s", p.Name, reason)
-			}
-		}
+// setOverflow sets the limit on what goes to the fallback: a rate or a share.
+func setOverflow(spec *route.PoolSpec, overflow value) {
+	if overflow.isRate {
+		spec.OverflowRate = overflow.number
+	} else {
+		spec.OverflowShare = overflow.number
+	}
+}
+
+// buildSelector returns the selector of a block within a pool.
+func (p *poolBuilder) buildSelector(b *block) route.Selector {
+	s := newSelector(b)
+	if len(b.positions) == 0 && len(s.Labels) == 0 {
+		p.report.fault(b, b.pos, "workers picks nothing out: leave the block away for all workers")
+	}
+	return s
+}
+
+// specs returns the specs of the pools.
+func (p *poolBuilder) specs() []route.PoolSpec {
+	var specs []route.PoolSpec
+	for _, pool := range p.pools {
+		specs = append(specs, pool.spec)
 	}
-	c.references.reportUnused(poolKeyword, "route or fallback")
+	return specs
+}
+
+// check checks the pools' shares, fallbacks and selectors.
+func (p *poolBuilder) check() {
+	pools := slices.DeleteFunc(slices.Clone(p.pools), func(pool builtPool) bool {
+		return !p.symbols.isDefinition(pool.block) // defined twice
+	})
+	p.checkLoadShares(pools)
+	for _, pool := range pools {
+		p.checkFallback(pool.block)
+		p.checkSelectors(pool)
+	}
+	p.references.reportUnused(poolKeyword, "route or fallback")
 }
 
 // shareTolerance is what rounding may add to shares that make up the whole.
 const shareTolerance = 1e-9
 
-// checkLoadShares reports the pool with which the shares of the load budget come to more than the whole.
-func (c *checker) checkLoadShares() {
+// checkLoadShares reports the pool with which the sum of the shares of the load budget exceeds the whole.
+func (p *poolBuilder) checkLoadShares(pools []builtPool) {
+	const whole = 1 + shareTolerance
 	total := 0.0
 	var shares []string
-	for _, p := range c.result.Spec.Pools {
-		b := c.symbols.find(poolKeyword, p.Name)
-		if fileLine(b.pos) != p.At || p.LoadShare == route.Unset {
+	for _, pool := range pools {
+		if pool.spec.LoadShare == route.Unset {
 			continue
 		}
 		before := total
-		total += p.LoadShare
-		shares = append(shares, fmt.Sprintf("%s %.6g%%", p.Name, 100*p.LoadShare))
-		const whole = 1 + shareTolerance
+		total += pool.spec.LoadShare
+		shares = append(shares, fmt.Sprintf("%s %.6g%%", pool.spec.Name, 100*pool.spec.LoadShare))
 		if before <= whole && total > whole {
-			c.report.faultAtSetting(b, loadShareSetting, "the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
+			p.report.faultAtSetting(pool.block, loadShareSetting,
+				"the pools' shares of the load orders come to %.6g%%: %s", 100*total, strings.Join(shares, ", "))
+		}
+	}
+}
+
+// checkSelectors reports the selectors of a pool that no worker can match.
+func (p *poolBuilder) checkSelectors(pool builtPool) {
+	checker := selectorChecker{platform: p.platform, workers: p.workers.workers}
+	for i, b := range pool.block.nested {
+		if reason := checker.unsatisfiable(pool.spec.Workers[i]); reason != "" {
+			p.report.fault(b, b.pos, "no worker can be in pool %q by this: %s", pool.spec.Name, reason)
 		}
 	}
 }
 
 // checkFallback checks a pool's fallback and the limit on what goes there.
-func (c *checker) checkFallback(b *block) {
+func (p *poolBuilder) checkFallback(b *block) {
 	switch {
 	case b.hasValue(fallbackSetting) && !b.isPresent(overflowSetting):
-		c.report.faultAtSetting(b, fallbackSetting, "pool %q has a fallback and no spill, which bounds what goes there", b.name)
+		p.report.faultAtSetting(b, fallbackSetting,
+			"pool %q has a fallback and no spill, which bounds what goes there", b.name)
 	case b.hasValue(overflowSetting) && !b.isPresent(fallbackSetting):
-		c.report.faultAtSetting(b, overflowSetting, "pool %q has a spill and no fallback to spill to", b.name)
+		p.report.faultAtSetting(b, overflowSetting, "pool %q has a spill and no fallback to spill to", b.name)
 	}
-	if c.references.resolve(b, fallbackSetting, poolKeyword) {
-		c.reportFallbackCycle(b)
+	if p.references.resolve(b, fallbackSetting, poolKeyword) {
+		p.reportFallbackCycle(b)
 	}
 }
 
 // reportFallbackCycle reports a pool whose chain of fallbacks leads back to it, once for each cycle: at the pool whose
 // name is the first in alphabetical order.
-func (c *checker) reportFallbackCycle(b *block) {
+func (p *poolBuilder) reportFallbackCycle(b *block) {
 	chain := []string{b.name}
 	for pool := b; pool != nil && pool.hasValue(fallbackSetting); {
 		next := pool.value(fallbackSetting).text
 		if next == b.name {
 			if slices.Min(chain) == b.name {
-				c.report.faultAtSetting(b, fallbackSetting, "pools fall back in a circle: %s", strings.Join(append(chain, next), " > "))
+				cycle := strings.Join(append(chain, next), " > ")
+				p.report.faultAtSetting(b, fallbackSetting, "pools fall back in a circle: %s", cycle)
 			}
 			return
 		}
@@ -121,6 +163,6 @@
 			return // a cycle that this pool only leads to
 		}
 		chain = append(chain, next)
-		pool = c.symbols.find(poolKeyword, next)
+		pool = p.symbols.find(poolKeyword, next)
 	}
 }
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -7,44 +7,32 @@
 	"crankhold/internal/route"
 )
 
-// Result is what became of a configuration.
+// Result is the result of checking a configuration.
 type Result struct {
 	Spec   route.Spec
 	Faults syntax.Faults // any of them makes the configuration unusable
 	Notes  syntax.Faults // what is allowed and may not be meant
 	Files  []string      // that were read
 
-	lines           definingLines
-	classes         []Class // of the platform or of the files' own class blocks
-	classesComplete bool    // there are no further classes
+	lines   definingLines
+	classes knownClasses
 }
 
 // Classes returns the names of the classes that the configuration can tell apart.
-func (r *Result) Classes() []string {
-	var names []string
-	for _, class := range r.classes {
-		names = append(names, class.Name)
-	}
-	return names
-}
+func (r *Result) Classes() []string { return r.classes.list.names() }
 
 // ClassesComplete reports whether there are no classes beyond Classes.
-func (r *Result) ClassesComplete() bool { return r.classesComplete }
+func (r *Result) ClassesComplete() bool { return r.classes.complete }
 
 // NotIdempotent reports for each of some classes whether it must never run twice.
 func (r *Result) NotIdempotent(classes []string) []bool {
 	var notIdempotent []bool
 	for _, name := range classes {
-		notIdempotent = append(notIdempotent, name == neverIdempotentClass || r.declaredNotIdempotent(name))
+		notIdempotent = append(notIdempotent, r.classes.list.isNotIdempotent(name))
 	}
 	return notIdempotent
 }
 
-// declaredNotIdempotent reports whether the platform or a class block says that a class must never run twice.
-func (r *Result) declaredNotIdempotent(name string) bool {
-	return slices.ContainsFunc(r.classes, func(class Class) bool { return class.Name == name && class.NotIdempotent })
-}
-
 // Lines returns the lines that define a block, each as a fault without a message. The keyword is that of a route, a
 // pool or a policy.
 func (r *Result) Lines(keyword, name string) []syntax.Fault { return r.lines[blockID{keyword, name}] }
@@ -73,6 +61,6 @@
 	for i, inNew := range updated.NotIdempotent(classes) {
 		notIdempotent[i] = notIdempotent[i] && inNew
 	}
-	otherClasses := !old.classesComplete || !updated.classesComplete
+	otherClasses := !old.ClassesComplete() || !updated.ClassesComplete()
 	return route.Diff(oldTable, newTable, notIdempotent, otherClasses), nil
 }
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/route"
 )
 
-// routeType sends the requests that it matches to a pool, under a policy.
+// routeType sends the requests that it matches to a pool, under a policy, or rejects them.
 var routeType = &blockType{
 	keyword: routeKeyword,
 	named:   true,
@@ -20,8 +20,6 @@
 		policySetting:   single(readText),
 		rejectSetting:   single(readOneOf("yes")),
 	},
-	build: buildRoute,
-	check: checkRoutes,
 }
 
 // readFunction reads 16 hex digits, or fewer and a star.
@@ -34,8 +32,16 @@
 	return v, err
 }
 
-func buildRoute(c *checker, b *block) {
-	r := route.RouteSpec{
+// routeBuilder builds routes out of route blocks.
+type routeBuilder struct {
+	builderContext
+	firstFile string            // the name that messages show
+	specs     []route.RouteSpec // in the order of the files
+}
+
+// build adds a route.
+func (r *routeBuilder) build(b *block) {
+	spec := route.RouteSpec{
 		Name:    b.name,
 		Classes: b.texts(classSetting),
 		Tenants: b.texts(tenantSetting),
@@ -44,22 +50,17 @@
 		At:      fileLine(b.pos),
 	}
 	for _, front := range b.texts(frontSetting) {
-		r.Fronts = append(r.Fronts, frontNamed(front))
+		spec.Fronts = append(spec.Fronts, frontNamed(front))
 	}
 	for _, function := range b.texts(functionSetting) {
 		pattern, _ := route.ParsePattern(function) // checked when it was read
-		r.Functions = append(r.Functions, pattern)
-	}
-	switch {
-	case b.hasValue(rejectSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
-		c.report.faultAtSetting(b, rejectSetting, "route %q refuses its calls: it takes no pool and no policy", r.Name)
-	case !b.isPresent(rejectSetting) && !b.isPresent(poolSetting):
-		c.report.fault(b, b.pos, "route %q needs a pool, or refuse = yes", r.Name)
+		spec.Functions = append(spec.Functions, pattern)
 	}
-	if len(r.Tenants) > 0 && len(r.Fronts) > 0 && !slices.Contains(r.Fronts, route.Webhook) {
-		c.report.faultAtSetting(b, tenantSetting, "route %q can't be reached: only webhooks name a tenant", r.Name)
+	r.checkDestination(b)
+	if len(spec.Tenants) > 0 && len(spec.Fronts) > 0 && !slices.Contains(spec.Fronts, route.Webhook) {
+		r.report.faultAtSetting(b, tenantSetting, "route %q can't be reached: only webhooks name a tenant", spec.Name)
 	}
-	c.result.Spec.Routes = append(c.result.Spec.Routes, r)
+	r.specs = append(r.specs, spec)
 }
 
 // frontNamed returns the front of a name that readOneOf has checked.
@@ -70,24 +71,48 @@
 	return route.Thrift
 }
 
-func checkRoutes(c *checker) {
-	var classes []string
-	if c.platform != nil {
-		classes = c.platform.classNames()
-	} else {
-		classes = c.symbols.names(classKeyword)
+// checkDestination reports a route that neither rejects its requests nor has a pool for them, and one that does both.
+func (r *routeBuilder) checkDestination(b *block) {
+	switch {
+	case b.hasValue(rejectSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
+		r.report.faultAtSetting(b, rejectSetting, "route %q refuses its calls: it takes no pool and no policy", b.name)
+	case !b.isPresent(rejectSetting) && !b.isPresent(poolSetting):
+		r.report.fault(b, b.pos, "route %q needs a pool, or refuse = yes", b.name)
 	}
-	for _, b := range c.symbols.definitions(routeKeyword) {
-		c.references.resolve(b, poolSetting, poolKeyword)
-		c.references.resolve(b, policySetting, policyKeyword)
-		for _, v := range b.values[classSetting] {
-			if len(classes) > 0 && c.symbols.complete && !slices.Contains(classes, v.text) {
-				c.report.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
-			}
-		}
+}
+
+// check resolves the pools, policies and classes that routes name.
+func (r *routeBuilder) check() {
+	classes := r.classNames()
+	definitions := r.symbols.definitions(routeKeyword)
+	for _, b := range definitions {
+		r.references.resolve(b, poolSetting, poolKeyword)
+		r.references.resolve(b, policySetting, policyKeyword)
+		r.checkClasses(b, classes)
+	}
+	if r.symbols.complete && len(definitions) == 0 {
+		start := syntax.Pos{File: r.firstFile, Line: 1, Col: 1}
+		r.report.add(syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
+	}
+}
+
+// classNames returns the classes that a route may name: the platform's, or without a platform those of class blocks.
+// Where there are none, a route may name any class.
+func (r *routeBuilder) classNames() []string {
+	if r.platform != nil {
+		return r.platform.classes().names()
 	}
-	if c.symbols.complete && len(c.symbols.names(routeKeyword)) == 0 {
-		start := syntax.Pos{File: c.result.Files[0], Line: 1, Col: 1}
-		c.report.add(syntax.Fault{Pos: start, Msg: "there are no routes: every call would be refused"})
+	return r.symbols.names(classKeyword)
+}
+
+// checkClasses reports classes that a route names and that there are not.
+func (r *routeBuilder) checkClasses(b *block, classes []string) {
+	if len(classes) == 0 || !r.symbols.complete {
+		return
+	}
+	for _, v := range b.values[classSetting] {
+		if !slices.Contains(classes, v.text) {
+			r.report.fault(b, v.pos, "no class %q%s", v.text, suggest(v.text, classes))
+		}
 	}
 }
--- /dev/null
+++ b/internal/lang/selectorcheck.go
@@ -0,0 +1,163 @@
+package lang
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"crankhold/internal/route"
+)
+
+// selectorChecker finds selectors that no worker can match, by what the platform's settings and the worker blocks say.
+type selectorChecker struct {
+	platform *Platform      // nil: not known
+	workers  []route.Worker // of worker blocks
+}
+
+// unsatisfiable returns why no worker can match a selector, or "" where one may.
+func (c selectorChecker) unsatisfiable(s route.Selector) string {
+	if reason := c.excludedByPlatform(s); reason != "" {
+		return reason
+	}
+	matched, mismatchOfNamed := c.matchWorkerBlocks(s)
+	if matched {
+		return ""
+	}
+	if len(s.Labels) > 0 {
+		return c.missingLabel(s)
+	}
+	if c.namesOnlyWorkerBlocks(s) {
+		return mismatchOfNamed
+	}
+	if s.MemoryMB > 0 {
+		return c.insufficientMemory(s)
+	}
+	return ""
+}
+
+// excludedByPlatform returns why the platform has no worker of the selector's kinds or zones, or "".
+func (c selectorChecker) excludedByPlatform(s route.Selector) string {
+	if c.platform == nil {
+		return ""
+	}
+	for _, condition := range []struct {
+		name     string
+		wanted   []string
+		existing []string // empty: not known
+	}{
+		{"kind", s.Kinds, c.platform.Kinds},
+		{"zone", s.Zones, c.platform.Zones},
+	} {
+		if len(condition.existing) == 0 || len(condition.wanted) == 0 {
+			continue
+		}
+		exists := func(pattern string) bool { return matchesAnyOf(pattern, condition.existing) }
+		if !slices.ContainsFunc(condition.wanted, exists) {
+			return fmt.Sprintf("the platform has no %s %s, but %s", condition.name,
+				strings.Join(condition.wanted, " or "), strings.Join(condition.existing, ", "))
+		}
+	}
+	return ""
+}
+
+// matchWorkerBlocks reports whether a worker block matches the selector. Where none does, it returns why the last one
+// that the selector names by id does not, or "".
+func (c selectorChecker) matchWorkerBlocks(s route.Selector) (matched bool, mismatchOfNamed string) {
+	for _, w := range c.workers {
+		reason := mismatch(s, w)
+		if reason == "" {
+			return true, ""
+		}
+		if len(s.IDs) > 0 && (route.Selector{IDs: s.IDs}).Matches(w) {
+			mismatchOfNamed = fmt.Sprintf("worker %q %s", w.Name, reason)
+		}
+	}
+	return false, mismatchOfNamed
+}
+
+// missingLabel returns which of the selector's labels no worker block gives. No other workers have any labels.
+func (c selectorChecker) missingLabel(s route.Selector) string {
+	for _, label := range s.Labels {
+		hasLabel := func(w route.Worker) bool { return slices.Contains(label.Values, w.Labels[label.Name]) }
+		if !slices.ContainsFunc(c.workers, hasLabel) {
+			wanted := strings.Join(label.Values, " or ")
+			return fmt.Sprintf("no worker block gives the label %s = %s", label.Name, wanted)
+		}
+	}
+	return "no worker block fits all of it"
+}
+
+// namesOnlyWorkerBlocks reports whether the selector names workers by id, and all of them have worker blocks.
+func (c selectorChecker) namesOnlyWorkerBlocks(s route.Selector) bool {
+	if len(s.IDs) == 0 {
+		return false
+	}
+	for _, id := range s.IDs {
+		hasName := func(w route.Worker) bool { return w.Name == id }
+		if strings.HasSuffix(id, "*") || !slices.ContainsFunc(c.workers, hasName) {
+			return false
+		}
+	}
+	return true
+}
+
+// insufficientMemory returns why no worker has the memory that the selector asks for, or "" where one may.
+func (c selectorChecker) insufficientMemory(s route.Selector) string {
+	if c.platform == nil || len(c.platform.KindMemoryMB) == 0 {
+		return "no worker block tells of so much memory" // and nothing else does
+	}
+	largest := 0.0
+	for kind, memoryMB := range c.platform.KindMemoryMB {
+		if (route.Selector{Kinds: s.Kinds}).Matches(route.Worker{Kind: kind}) {
+			largest = max(largest, memoryMB)
+		}
+	}
+	if largest < s.MemoryMB {
+		return fmt.Sprintf("the platform's workers of that kind have %.6gMB at most", largest)
+	}
+	return ""
+}
+
+// mismatch returns which condition of a selector a worker block contradicts, or "".
+func mismatch(s route.Selector, w route.Worker) string {
+	s = withoutUnknown(s, w)
+	switch {
+	case !(route.Selector{IDs: s.IDs}).Matches(w):
+		return "has another id"
+	case !(route.Selector{Kinds: s.Kinds}).Matches(w):
+		return fmt.Sprintf("is of kind %s", w.Kind)
+	case !(route.Selector{Zones: s.Zones}).Matches(w):
+		return fmt.Sprintf("is in zone %s", w.Zone)
+	case !(route.Selector{Cells: s.Cells}).Matches(w):
+		return fmt.Sprintf("is in cell %d", w.Cell)
+	case w.MemoryMB < s.MemoryMB:
+		return fmt.Sprintf("has %.6gMB", w.MemoryMB)
+	case !(route.Selector{Labels: s.Labels}).Matches(w):
+		return "has other labels"
+	}
+	return ""
+}
+
+// withoutUnknown returns a selector without the conditions on what a worker block leaves open: discovery may report a
+// value that fits. Labels are given by worker blocks alone.
+func withoutUnknown(s route.Selector, w route.Worker) route.Selector {
+	if w.Kind == "" {
+		s.Kinds = nil
+	}
+	if w.Zone == "" {
+		s.Zones = nil
+	}
+	if w.Cell == route.UnknownCell {
+		s.Cells = nil
+	}
+	if w.MemoryMB == 0 {
+		s.MemoryMB = 0
+	}
+	return s
+}
+
+// matchesAnyOf reports whether a pattern, with or without a star at its end, matches one of the names.
+func matchesAnyOf(pattern string, names []string) bool {
+	selector := route.Selector{IDs: []string{pattern}}
+	return slices.ContainsFunc(names, func(name string) bool { return selector.Matches(route.Worker{Name: name}) })
+}
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -21,17 +21,24 @@
 		endpoint.Unix.String(): listOf(readAddress(endpoint.Unix)),
 		endpoint.TCP6.String(): listOf(readAddress(endpoint.TCP6)),
 		endpoint.TCP4.String(): listOf(readAddress(endpoint.TCP4)),
-		preferSetting:          listOf(readOneOf(endpoint.Unix.String(), endpoint.TCP6.String(), endpoint.TCP4.String())),
+		preferSetting:          listOf(readOneOf(networkNames()...)),
 		sameAsSetting:          single(readText),
 	},
 	nested: []*blockType{labelsType},
-	build:  buildWorker,
-	check:  checkWorkers,
 }
 
 // labelsType holds labels of the operators' own.
 var labelsType = &blockType{keyword: "labels", anySetting: true}
 
+// networkNames returns the names of the networks that a worker block may prefer.
+func networkNames() []string {
+	var names []string
+	for _, network := range networks {
+		names = append(names, network.String())
+	}
+	return names
+}
+
 // readAddress reads an address of a network.
 func readAddress(network endpoint.Network) valueReader {
 	return func(raw syntax.Value) (value, error) {
@@ -46,8 +53,16 @@
 	}
 }
 
-func buildWorker(c *checker, b *block) {
-	w := route.Worker{
+// workerBuilder builds what the configuration says of workers out of worker blocks.
+type workerBuilder struct {
+	builderContext
+	blocks  []*block
+	workers []route.Worker // in the order of the files
+}
+
+// build adds a worker.
+func (w *workerBuilder) build(b *block) {
+	worker := route.Worker{
 		Name:     b.name,
 		Kind:     b.value(kindSetting).text,
 		Zone:     b.value(zoneSetting).text,
@@ -57,46 +72,44 @@
 		At:       fileLine(b.pos),
 	}
 	if b.hasValue(cellSetting) {
-		w.Cell = b.value(cellSetting).count
+		worker.Cell = b.value(cellSetting).count
 	}
-	w.Addrs = c.buildAddresses(b)
+	worker.Addrs = w.buildAddresses(b)
 	for _, v := range b.values[preferSetting] {
 		network, _ := endpoint.ParseNetwork(v.text) // checked when it was read
-		w.Prefer = append(w.Prefer, network)
+		worker.Prefer = append(worker.Prefer, network)
 	}
-	w.Labels = c.buildLabels(b)
-	if c.platform != nil {
-		c.checkListed(b, kindSetting, "the platform's kinds", c.platform.Kinds)
-		c.checkListed(b, zoneSetting, "the platform's zones", c.platform.Zones)
+	worker.Labels = w.buildLabels(b)
+	if w.platform != nil {
+		w.checkListed(b, kindSetting, "the platform's kinds", w.platform.Kinds)
+		w.checkListed(b, zoneSetting, "the platform's zones", w.platform.Zones)
 	}
-	c.result.Spec.Workers = append(c.result.Spec.Workers, w)
+	w.blocks = append(w.blocks, b)
+	w.workers = append(w.workers, worker)
 }
 
 // buildAddresses returns the addresses of a worker block, of one network after the other.
-func (c *checker) buildAddresses(b *block) []endpoint.Addr {
+func (w *workerBuilder) buildAddresses(b *block) []endpoint.Addr {
 	var addrs []endpoint.Addr
-	for _, network := range networks {
-		for _, v := range b.values[network.String()] {
-			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
-			addrs = append(addrs, addr)
-			if len(addrs) == endpoint.MaxAddresses+1 {
-				c.report.fault(b, v.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
-			}
+	for _, a := range addressesOf(b) {
+		addrs = append(addrs, a.addr)
+		if len(addrs) == endpoint.MaxAddresses+1 {
+			w.report.fault(b, a.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
 		}
 	}
 	return addrs
 }
 
 // buildLabels returns the labels of a worker block, each of one value.
-func (c *checker) buildLabels(b *block) map[string]string {
+func (w *workerBuilder) buildLabels(b *block) map[string]string {
 	labels := map[string]string{}
 	for _, nested := range b.nested {
 		for name, values := range nested.values {
 			if len(values) > 1 {
-				c.report.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
+				w.report.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
 			}
 			if _, again := labels[name]; again {
-				c.report.fault(nested, nested.positions[name], "label %s is given twice", name)
+				w.report.fault(nested, nested.positions[name], "label %s is given twice", name)
 			}
 			labels[name] = values[0].text
 		}
@@ -104,52 +117,25 @@
 	return labels
 }
 
-// addressClaim is a worker that an address leads to.
-type addressClaim struct {
-	worker string
-	pos    syntax.Pos
-}
-
-// checkWorkers checks which workers are aliases of each other, and that no address leads to two workers.
-func checkWorkers(c *checker) {
-	claims := map[endpoint.Addr]addressClaim{}
-	for _, w := range c.result.Spec.Workers {
-		b := c.symbols.find(workerKeyword, w.Name)
-		if fileLine(b.pos) != w.At {
-			continue
-		}
-		if w.Same == w.Name && w.Same != "" {
-			c.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", w.Name)
+// checkListed checks that a setting's values are on a list, where there is one.
+func (w *workerBuilder) checkListed(b *block, setting, listName string, list []string) {
+	for _, v := range b.values[setting] {
+		if len(list) > 0 && !matchesAnyOf(v.text, list) {
+			w.report.fault(b, v.pos, "%s %q is none of %s%s", setting, v.text, listName, suggest(v.text, list))
 		}
-		c.checkAddresses(b, claims)
 	}
 }
 
-// checkAddresses reports addresses of a worker block that other workers claim, and claims them.
-func (c *checker) checkAddresses(b *block, claims map[endpoint.Addr]addressClaim) {
-	for _, network := range networks {
-		for _, v := range b.values[network.String()] {
-			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
-			first, claimed := claims[addr]
-			if claimed && first.worker != b.name && !c.areAliases(b.name, first.worker) {
-				c.report.fault(b, v.pos, "%v is an address of worker %q too, at %v: say same-as where they are one", addr, first.worker, first.pos)
-			}
-			claims[addr] = addressClaim{b.name, v.pos}
+// check checks which workers are aliases of each other, and that no address leads to two workers.
+func (w *workerBuilder) check() {
+	claims := addressClaims{report: w.report, symbols: w.symbols, latest: map[endpoint.Addr]addressClaim{}}
+	for _, b := range w.blocks {
+		if !w.symbols.isDefinition(b) {
+			continue // defined twice
 		}
-	}
-}
-
-// areAliases reports whether one of two worker blocks says that it is the same worker as the other.
-func (c *checker) areAliases(a, b string) bool {
-	sameAs := func(name string) string { return c.symbols.find(workerKeyword, name).value(sameAsSetting).text }
-	return sameAs(a) == b || sameAs(b) == a
-}
-
-// checkListed checks that a setting's values are on a list, where there is one.
-func (c *checker) checkListed(b *block, setting, listName string, list []string) {
-	for _, v := range b.values[setting] {
-		if len(list) > 0 && !matchesAnyOf(v.text, list) {
-			c.report.fault(b, v.pos, "%s %q is none of %s%s", setting, v.text, listName, suggest(v.text, list))
+		if b.value(sameAsSetting).text == b.name {
+			w.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", b.name)
 		}
+		claims.add(b)
 	}
 }
