--- a/internal/lang/class_test.go
+++ b/internal/lang/class_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"testing/fstest"
+
+	"crankhold/internal/route"
 )
 
 // Guards a class that the files have never run twice, though the platform's settings would let it.
@@ -14,3 +17,28 @@
 		t.Errorf("not idempotent: %v, %v", r.Spec.NotIdempotentClasses, r.NotIdempotent(r.Classes()))
 	}
 }
+
+// Guards which classes a configuration can tell apart: by the platform, by its own blocks, and by its routes.
+func TestKnownClasses(t *testing.T) {
+	routes := []route.RouteSpec{{Classes: []string{"dim-level"}}}
+	for _, c := range []struct {
+		name     string
+		platform *Platform
+		declared classList
+		want     []string
+		complete bool
+	}{
+		{"platform", testPlatform, nil, []string{"dim-level", "fault-check", "audit", "repair-order"}, true},
+		{"class blocks", nil, classList{{Name: "audit"}}, []string{"audit"}, true},
+		{"routes", nil, nil, []string{"dim-level", "repair-order"}, false},
+	} {
+		b := &classBuilder{builderContext: builderContext{platform: c.platform}, declared: c.declared}
+		known := b.known(routes)
+		if names := known.list.names(); !slices.Equal(names, c.want) || known.complete != c.complete {
+			t.Errorf("%s: %v, complete %v", c.name, names, known.complete)
+		}
+		if !known.list.isNotIdempotent(neverIdempotentClass) || known.list.isNotIdempotent("dim-level") {
+			t.Errorf("%s: not idempotent: %+v", c.name, known.list)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lang/selectorcheck_test.go
@@ -0,0 +1,33 @@
+package lang
+
+import (
+	"testing"
+
+	"crankhold/internal/route"
+)
+
+// Guards selectors over workers that the files describe in part: discovery may report the rest.
+func TestMismatchRespectsWhatABlockLeavesOpen(t *testing.T) {
+	known := route.Worker{Name: "s-1", Kind: "small", Cell: 3, MemoryMB: 100, Labels: map[string]string{"rack": "r1"}}
+	unknown := route.Worker{Name: "s-1", Cell: route.UnknownCell}
+	for _, c := range []struct {
+		selector  route.Selector
+		ofKnown   string
+		ofUnknown string
+	}{
+		{route.Selector{IDs: []string{"s-*"}}, "", ""},
+		{route.Selector{IDs: []string{"s-2"}}, "has another id", "has another id"},
+		{route.Selector{Kinds: []string{"large"}}, "is of kind small", ""},
+		{route.Selector{Zones: []string{"east"}}, "", ""},
+		{route.Selector{Cells: []int{4}}, "is in cell 3", ""},
+		{route.Selector{MemoryMB: 200}, "has 100MB", ""},
+		{route.Selector{Labels: []route.Label{{Name: "rack", Values: []string{"r2"}}}}, "has other labels", "has other labels"},
+	} {
+		if got := mismatch(c.selector, known); got != c.ofKnown {
+			t.Errorf("%v: known worker %q, want %q", c.selector, got, c.ofKnown)
+		}
+		if got := mismatch(c.selector, unknown); got != c.ofUnknown {
+			t.Errorf("%v: unknown worker %q, want %q", c.selector, got, c.ofUnknown)
+		}
+	}
+}
--- a/internal/lang/suggest_test.go
+++ b/internal/lang/suggest_test.go
@@ -15,3 +15,20 @@
 		}
 	}
 }
+
+func TestEditDistance(t *testing.T) {
+	for _, c := range []struct {
+		a, b string
+		want int
+	}{
+		{"", "abc", 3},
+		{"abc", "abc", 0},
+		{"abc", "acb", 1}, // a transposition
+		{"kitten", "sitting", 3},
+		{"abcdefghij", "", 9}, // the limit
+	} {
+		if got := editDistance(c.a, c.b, 9); got != c.want {
+			t.Errorf("%q to %q: %d, want %d", c.a, c.b, got, c.want)
+		}
+	}
+}
