--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -22,7 +22,7 @@
 		classes:       classes,
 		pools:         slices.SortedFunc(maps.Values(pools), comparePoolNames),
 		staticWorkers: map[string]Worker{},
-		exact:         map[uint64]*patternRoutes{},
+		matcher:       newMatcher(len(classes)),
 	}
 	for _, class := range classes {
 		t.notIdempotent = append(t.notIdempotent, slices.Contains(spec.NotIdempotentClasses, class))
@@ -33,7 +33,7 @@
 	if err := t.addRoutes(spec, pools); err != nil {
 		return nil, err
 	}
-	t.index()
+	t.matcher.resolve()
 	return t, nil
 }
 
@@ -45,30 +45,55 @@
 	for _, p := range spec.Policies {
 		policies[p.Name] = p
 	}
-	var patterns []Pattern
-	tenants := map[string]bool{}
+	var rules []matchRule
 	for i, routeSpec := range spec.Routes {
 		r, err := compileRoute(routeSpec, pools, policies)
 		if err != nil {
 			return err
 		}
 		t.routes = append(t.routes, r)
-		for _, rule := range routeSpec.matchRules(t.classes, i) {
-			before := t.addRule(rule)
-			if before != noRoute && before != int32(i) {
-				return &AmbiguousRoutesError{First: spec.Routes[before], Second: routeSpec}
-			}
-			patterns = append(patterns, rule.pattern)
-			if rule.tenant != "" {
-				tenants[rule.tenant] = true
-			}
+		rulesOfRoute := routeSpec.matchRules(t.classes, routeNumber(i))
+		if err := t.addRules(rulesOfRoute); err != nil {
+			return err
+		}
+		rules = append(rules, rulesOfRoute...)
+	}
+	t.patterns = newPatternSet(patternsOf(rules))
+	t.tenants = tenantsOf(rules)
+	return nil
+}
+
+// addRules adds the rules of one route. A rule that another route has too makes the two routes ambiguous.
+func (t *Table) addRules(rules []matchRule) error {
+	for _, rule := range rules {
+		before := t.matcher.add(rule)
+		if before != noRoute && before != rule.route {
+			return &AmbiguousRoutesError{First: t.routes[before].Spec, Second: t.routes[rule.route].Spec}
 		}
 	}
-	t.patterns = newPatternSet(patterns)
-	t.tenants = slices.Sorted(maps.Keys(tenants))
 	return nil
 }
 
+// patternsOf returns the patterns of rules, with repetitions.
+func patternsOf(rules []matchRule) []Pattern {
+	var patterns []Pattern
+	for _, rule := range rules {
+		patterns = append(patterns, rule.pattern)
+	}
+	return patterns
+}
+
+// tenantsOf returns the tenants that rules name, sorted and without repetitions.
+func tenantsOf(rules []matchRule) []string {
+	var tenants []string
+	for _, rule := range rules {
+		if rule.tenant != "" {
+			tenants = append(tenants, rule.tenant)
+		}
+	}
+	return sortedUnique(tenants)
+}
+
 // compileRoute joins a route to its pool and its policy.
 func compileRoute(spec RouteSpec, pools map[string]*Pool, policies map[string]PolicySpec) (*Route, error) {
 	r := &Route{Spec: spec, Policy: NoPolicy}
@@ -92,41 +117,3 @@
 	r.notIdempotentPolicy.Pool = r.Pool
 	return r, nil
 }
-
-// addRule declares a rule's route and returns the one that was declared there before, or noRoute.
-func (t *Table) addRule(rule matchRule) int32 {
-	return t.routesOf(rule.pattern).ofTenant(rule.tenant, len(t.classes)).declare(rule)
-}
-
-// routesOf returns the routes of a pattern, creating the entry where it is missing.
-func (t *Table) routesOf(p Pattern) *patternRoutes {
-	byPrefix := t.exact
-	if p.Digits < functionDigits {
-		if t.prefixes[p.Digits] == nil {
-			t.prefixes[p.Digits] = map[uint64]*patternRoutes{}
-		}
-		byPrefix = t.prefixes[p.Digits]
-	}
-	routes := byPrefix[p.Prefix]
-	if routes == nil {
-		routes = newPatternRoutes(len(t.classes))
-		byPrefix[p.Prefix] = routes
-	}
-	return routes
-}
-
-// index prepares what look-ups read, once all routes are added.
-func (t *Table) index() {
-	for _, routes := range t.exact {
-		routes.resolve(len(t.classes))
-	}
-	for digits, byPrefix := range slices.Backward(t.prefixes[:]) {
-		if byPrefix == nil {
-			continue
-		}
-		t.prefixLengths = append(t.prefixLengths, digits)
-		for _, routes := range byPrefix {
-			routes.resolve(len(t.classes))
-		}
-	}
-}
--- /dev/null
+++ b/internal/route/matcher.go
@@ -0,0 +1,75 @@
+package route
+
+import "slices"
+
+// matcher finds the route of a request by the rules of all routes. Rules are added first, then resolve is called once;
+// after that the matcher does not change and any goroutine may call match.
+type matcher struct {
+	classCount    int
+	exact         map[uint64]*patternRoutes                 // by function
+	prefixes      [functionDigits]map[uint64]*patternRoutes // by number of digits and prefix
+	prefixLengths []int                                     // numbers of digits that occur in prefixes, longest first
+}
+
+// newMatcher returns a matcher without rules, for requests of so many classes and of others.
+func newMatcher(classCount int) *matcher {
+	return &matcher{classCount: classCount, exact: map[uint64]*patternRoutes{}}
+}
+
+// add adds a rule and returns the route that had the same rule before, or noRoute.
+func (m *matcher) add(rule matchRule) routeNumber {
+	return m.routesOf(rule.pattern).ofTenant(rule.tenant, m.classCount).declare(rule)
+}
+
+// routesOf returns the routes of a pattern, creating the entry where it is missing.
+func (m *matcher) routesOf(p Pattern) *patternRoutes {
+	byPrefix := m.exact
+	if p.Digits < functionDigits {
+		if m.prefixes[p.Digits] == nil {
+			m.prefixes[p.Digits] = map[uint64]*patternRoutes{}
+		}
+		byPrefix = m.prefixes[p.Digits]
+	}
+	routes := byPrefix[p.Prefix]
+	if routes == nil {
+		routes = newPatternRoutes(m.classCount)
+		byPrefix[p.Prefix] = routes
+	}
+	return routes
+}
+
+// resolve prepares what match reads, once all rules are added.
+func (m *matcher) resolve() {
+	for _, routes := range m.exact {
+		routes.resolve(m.classCount)
+	}
+	for digits, byPrefix := range slices.Backward(m.prefixes[:]) {
+		if byPrefix == nil {
+			continue
+		}
+		m.prefixLengths = append(m.prefixLengths, digits)
+		for _, routes := range byPrefix {
+			routes.resolve(m.classCount)
+		}
+	}
+}
+
+// match returns the route of a request, or noRoute. It allocates nothing.
+func (m *matcher) match(r Request) routeNumber {
+	index := resolvedIndex(min(r.Class, m.classCount), r.Front)
+	if routes := m.exact[r.Function]; routes != nil {
+		if route := routes.match(r.Tenant, index); route != noRoute {
+			return route
+		}
+	}
+	for _, digits := range m.prefixLengths {
+		routes := m.prefixes[digits][r.Function&prefixMask(digits)]
+		if routes == nil {
+			continue
+		}
+		if route := routes.match(r.Tenant, index); route != noRoute {
+			return route
+		}
+	}
+	return noRoute
+}
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -1,59 +1,5 @@
 package route
 
-import "slices"
-
-// noRoute is the index of a route where there is none.
-const noRoute int32 = -1
-
-// anyClass is the class of a rule that fits all classes.
-const anyClass = -1
-
-// matchRule is one combination of the pattern, tenant, class and front that a route names.
-type matchRule struct {
-	pattern Pattern
-	tenant  string // "": any
-	class   int    // index into the table's classes, or anyClass
-	front   Front  // or anyFront
-	route   int
-}
-
-// matchRules returns all combinations of what the route names. Classes that the table does not list are left out.
-func (s RouteSpec) matchRules(classes []string, route int) []matchRule {
-	var rules []matchRule
-	for _, pattern := range orWildcard(s.Functions, Pattern{}) {
-		for _, tenant := range orWildcard(s.Tenants, "") {
-			for _, class := range s.classIndexes(classes) {
-				for _, front := range orWildcard(s.Fronts, anyFront) {
-					rules = append(rules, matchRule{pattern, tenant, class, front, route})
-				}
-			}
-		}
-	}
-	return rules
-}
-
-// classIndexes returns the indexes of the route's classes in the list.
-func (s RouteSpec) classIndexes(classes []string) []int {
-	if len(s.Classes) == 0 {
-		return []int{anyClass}
-	}
-	var indexes []int
-	for _, name := range s.Classes {
-		if index := slices.Index(classes, name); index >= 0 {
-			indexes = append(indexes, index)
-		}
-	}
-	return indexes
-}
-
-// orWildcard returns the list, or the wildcard alone where the list is empty.
-func orWildcard[T any](list []T, wildcard T) []T {
-	if len(list) == 0 {
-		return []T{wildcard}
-	}
-	return list
-}
-
 // patternRoutes holds the routes of one pattern.
 type patternRoutes struct {
 	byTenant  map[string]*classFrontRoutes
@@ -78,7 +24,7 @@
 }
 
 // match returns the route of a tenant's requests of the class and front that the index stands for.
-func (p *patternRoutes) match(tenant string, resolvedIndex int) int32 {
+func (p *patternRoutes) match(tenant string, resolvedIndex int) routeNumber {
 	if tenant != "" {
 		if routes := p.byTenant[tenant]; routes != nil && routes.resolved[resolvedIndex] != noRoute {
 			return routes.resolved[resolvedIndex]
@@ -98,12 +44,12 @@
 // classFrontRoutes holds the routes of one pattern and tenant by class and front: as the rules declare them, and with
 // the precedence of a class over a front applied.
 type classFrontRoutes struct {
-	declared []int32 // by declaredIndex
-	resolved []int32 // by resolvedIndex
+	declared []routeNumber // by declaredIndex
+	resolved []routeNumber // by resolvedIndex
 }
 
 func newClassFrontRoutes(classCount int) *classFrontRoutes {
-	declared := make([]int32, (classCount+1)*(int(frontCount)+1))
+	declared := make([]routeNumber, (classCount+1)*(int(frontCount)+1))
 	for i := range declared {
 		declared[i] = noRoute
 	}
@@ -125,16 +71,16 @@
 func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
 
 // declare sets the route of a rule's class and front and returns the route that was there before.
-func (c *classFrontRoutes) declare(rule matchRule) int32 {
+func (c *classFrontRoutes) declare(rule matchRule) routeNumber {
 	index := declaredIndex(rule.class, rule.front)
 	before := c.declared[index]
-	c.declared[index] = int32(rule.route)
+	c.declared[index] = rule.route
 	return before
 }
 
 // resolve fills in the route of each class, and of one that the table does not list, by each front.
 func (c *classFrontRoutes) resolve(classCount int) {
-	c.resolved = make([]int32, (classCount+1)*int(frontCount))
+	c.resolved = make([]routeNumber, (classCount+1)*int(frontCount))
 	for class := range classCount + 1 {
 		declaredClass := class
 		if class == classCount {
@@ -147,7 +93,7 @@
 }
 
 // closest returns the route of the closest rule: one that names the class goes before one that names the front.
-func (c *classFrontRoutes) closest(class int, front Front) int32 {
+func (c *classFrontRoutes) closest(class int, front Front) routeNumber {
 	candidates := [...]int{
 		declaredIndex(class, front),
 		declaredIndex(class, anyFront),
--- a/internal/route/reachable.go
+++ b/internal/route/reachable.go
@@ -1,17 +1,17 @@
 package route
 
-// Reachable returns for each route by which classes some request takes it. The class behind the listed ones stands
-// for all others.
+// Reachable returns for each route which classes reach it: for each class whether some request of it takes the route.
+// The element after those of the table's classes is for all other classes.
 func (t *Table) Reachable() [][]bool {
 	reached := make([][]bool, len(t.routes))
 	for i := range t.routes {
-		reached[i] = t.reachingClasses(i)
+		reached[i] = t.reachingClasses(routeNumber(i))
 	}
 	return reached
 }
 
 // reachingClasses returns for each class whether some request of it takes the route.
-func (t *Table) reachingClasses(route int) []bool {
+func (t *Table) reachingClasses(route routeNumber) []bool {
 	reached := make([]bool, len(t.classes)+1)
 	for _, rule := range t.routes[route].Spec.matchRules(t.classes, route) {
 		for _, function := range t.patterns.representatives(rule.pattern) {
@@ -37,16 +37,6 @@
 	}
 }
 
-// acceptsFront reports whether a request by the front can fit the rule; only webhooks name a tenant.
-func (r matchRule) acceptsFront(front Front) bool {
-	if front == Thrift && r.tenant != "" {
-		return false
-	}
-	return r.front == anyFront || r.front == front
-}
-
-func (r matchRule) acceptsClass(class int) bool { return r.class == anyClass || r.class == class }
-
 // representatives returns functions of p, such that each route for p that some request takes is taken by one of them.
 func (s *patternSet) representatives(p Pattern) []uint64 {
 	if function, ok := s.functionOf(p); ok {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -2,15 +2,15 @@
 
 import "crankhold/policy"
 
-// Request is what a route is chosen by.
+// Request is what of a request its route depends on.
 type Request struct {
 	Front    Front
-	Class    int // index into Table.Classes; beyond it: a class that the table does not list
-	Function uint64
-	Tenant   string // "": none was named
+	Class    int    // index into Table.Classes; beyond it: a class that the table does not list
+	Function uint64 // key of the function
+	Tenant   string // "": the request names none
 }
 
-// Route is a route of a table.
+// Route is a route of a table, joined to its pool and its policy.
 type Route struct {
 	Spec                RouteSpec
 	Policy              PolicySpec
@@ -19,39 +19,26 @@
 	notIdempotentPolicy policy.RequestPolicy // for classes that must never run twice
 }
 
-// Table finds the route of a request. A look-up allocates nothing.
+// Table has the routes and the pools of a configuration, and finds the route of a request. Its routes never change; its
+// pools count, and are owned by the event loop.
 type Table struct {
-	classes       []string
-	notIdempotent []bool // by class
-	routes        []*Route
+	classes       []string          // that Request.Class counts in
+	notIdempotent []bool            // by class
+	routes        []*Route          // in the order of the spec
 	pools         []*Pool           // sorted by name
 	staticWorkers map[string]Worker // by name
-	exact         map[uint64]*patternRoutes
-	prefixes      [functionDigits]map[uint64]*patternRoutes // by number of digits
-	prefixLengths []int                                     // numbers of digits that occur in prefixes, longest first
-	patterns      *patternSet                               // of all routes
-	tenants       []string                                  // that routes name, sorted
+	matcher       *matcher
+	patterns      *patternSet // of all routes
+	tenants       []string    // that routes name, sorted
 }
 
-// Match returns the route of a request, or nil where none matches.
+// Match returns the route of a request, or nil where none matches. It allocates nothing.
 func (t *Table) Match(r Request) *Route {
-	index := resolvedIndex(min(r.Class, len(t.classes)), r.Front)
-	if routes := t.exact[r.Function]; routes != nil {
-		if route := routes.match(r.Tenant, index); route != noRoute {
-			return t.routes[route]
-		}
+	route := t.matcher.match(r)
+	if route == noRoute {
+		return nil
 	}
-	for _, digits := range t.prefixLengths {
-		prefix := r.Function & prefixMask(digits)
-		routes := t.prefixes[digits][prefix]
-		if routes == nil {
-			continue
-		}
-		if route := routes.match(r.Tenant, index); route != noRoute {
-			return t.routes[route]
-		}
-	}
-	return nil
+	return t.routes[route]
 }
 
 // RequestPolicy returns what a route tightens for requests of a class.
