--- a/internal/route/describe.go
+++ b/internal/route/describe.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Describe says which workers the pool has, what they may use, and what takes its requests where they can't.
+// Describe returns text on which workers the pool has, what it may use, and what takes the requests that it can't.
 func (p *Pool) Describe() string {
 	text := p.Spec.description()
 	if p.fallback != nil {
@@ -27,7 +27,8 @@
 
 // selects reports whether a worker belongs to the pool.
 func (s PoolSpec) selects(w Worker) bool {
-	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, func(selector Selector) bool { return selector.Matches(w) })
+	matches := func(selector Selector) bool { return selector.Matches(w) }
+	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, matches)
 }
 
 // description describes the workers and the limits, in canonical order and without any names of pools.
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -5,10 +5,10 @@
 // Change is a difference in behaviour between two tables.
 type Change struct {
 	Regions  []Region // the requests that it concerns; none for a change of a pool
-	Before   string
-	After    string
-	BeforeAt string // file:line of what the old table says
-	AfterAt  string // file:line of what the new table says
+	Before   string   // what the old table does
+	After    string   // what the new table does
+	BeforeAt string   // file:line of what the old table says
+	AfterAt  string   // file:line of what the new table says
 }
 
 // Subject describes what the change concerns.
@@ -23,10 +23,10 @@
 	return strings.Join(regions, "; ")
 }
 
-// Diff returns what a table that replaces another changes: which requests go to another pool, get other attempts or
+// Diff returns what changes where a table replaces another: which requests go to another pool, get other attempts or
 // times, or are rejected, and which pools have other limits. Both tables must list the same classes; notIdempotent
-// says which of them must never run twice, and otherClasses whether there are further ones. Names, positions and the
-// order of things have no effect and make no difference.
+// says which of them must never run twice, and otherClasses whether there are further ones. Names, positions and order
+// have no effect on requests, so a change of these alone is no difference.
 func Diff(old, updated *Table, notIdempotent []bool, otherClasses bool) []Change {
 	c := &tableComparison{
 		old:           old,
@@ -39,13 +39,18 @@
 
 // tableComparison compares a table with the one that it replaces.
 type tableComparison struct {
-	old, updated  *Table
+	old           *Table
+	updated       *Table
 	notIdempotent []bool          // by class
 	replaced      map[*Pool]*Pool // by new pool, the old one that it replaces
 }
 
-// effectChange is what becomes of a request under the old and the new table. Effects are equal where the behaviour is.
-type effectChange struct{ before, after string }
+// effectChange is what becomes of a request under the old and the new table, as text. The texts are equal where the
+// behaviour is.
+type effectChange struct {
+	before string
+	after  string
+}
 
 // requestChanges returns the changes of what becomes of requests.
 func (c *tableComparison) requestChanges(otherClasses bool) []Change {
@@ -73,7 +78,8 @@
 
 // effectChange returns what becomes of a request under each table.
 func (c *tableComparison) effectChange(r Request) effectChange {
-	oldRoute, newRoute := c.old.Match(r), c.updated.Match(r)
+	oldRoute := c.old.Match(r)
+	newRoute := c.updated.Match(r)
 	notIdempotent := r.Class < len(c.notIdempotent) && c.notIdempotent[r.Class]
 	return effectChange{
 		before: oldRoute.effect(oldRoute.poolName(), notIdempotent),
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -3,11 +3,15 @@
 import "fmt"
 
 // AmbiguousRoutesError reports two routes that match some requests with the same precedence.
-type AmbiguousRoutesError struct{ First, Second RouteSpec }
+type AmbiguousRoutesError struct {
+	First  RouteSpec
+	Second RouteSpec
+}
 
 // Error names both routes and the position of the first.
 func (e *AmbiguousRoutesError) Error() string {
-	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match", e.Second.Name, e.First.Name, e.First.At)
+	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match",
+		e.Second.Name, e.First.Name, e.First.At)
 }
 
 // DuplicatePoolError reports two pools of one name.
--- /dev/null
+++ b/internal/route/functionset.go
@@ -0,0 +1,28 @@
+package route
+
+import "slices"
+
+// FunctionSet is the functions of a pattern without those of some others.
+type FunctionSet struct {
+	Pattern Pattern
+	Except  []Pattern
+}
+
+// Contains reports whether the function is in the set.
+func (s FunctionSet) Contains(function uint64) bool {
+	excepted := slices.ContainsFunc(s.Except, func(p Pattern) bool { return p.Matches(function) })
+	return s.Pattern.Matches(function) && !excepted
+}
+
+// String returns the pattern and its exceptions.
+func (s FunctionSet) String() string {
+	text := s.Pattern.String()
+	if len(s.Except) == 0 {
+		return text
+	}
+	text += " (but not"
+	for _, p := range s.Except {
+		text += " " + p.String()
+	}
+	return text + ")"
+}
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -8,16 +8,16 @@
 	"crankhold/policy"
 )
 
-// PolicySpec tightens what the platform's settings allow.
+// PolicySpec tightens what the platform's settings allow. A count that is Unset is as the settings allow.
 type PolicySpec struct {
 	Name                    string
-	MaxAttempts             int           // in all; Unset: as the settings allow
-	RetriesAfterPossibleRun int           // retries after an attempt that may have run; Unset: as the settings allow
-	RetriesAfterProvenNoRun int           // retries after an attempt that provably never ran; Unset: as the settings allow
+	MaxAttempts             int           // in all
+	RetriesAfterPossibleRun int           // after an attempt that may have run
+	RetriesAfterProvenNoRun int           // after an attempt that provably never ran
 	AttemptTimeout          time.Duration // 0: until the client gives up
 	HedgeDelay              time.Duration // delay of the hedged request; 0: none is sent
 	LatencyObjective        time.Duration // 0: the class's
-	At                      string
+	At                      string        // file:line
 }
 
 // NoPolicy is the policy of a route that names none.
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -8,12 +8,12 @@
 
 // Pool is a pool of workers, as the decision module sees it: which workers a request may go to, and whether a further
 // attempt, load or overflowing request is within the pool's limits. A table that replaces another takes the counters
-// over; see Table.CarryOver.
+// over; see Table.CarryOver. The event loop owns it.
 type Pool struct {
 	Spec      PoolSpec
-	fallback  *Pool // nil: none
-	members   map[policy.WorkerID]bool
-	loadShare float64 // of the load budget, as a fraction
+	fallback  *Pool                    // nil: none
+	members   map[policy.WorkerID]bool // the listed workers that are the pool's
+	loadShare float64                  // of the load budget, as a fraction
 	*poolCounters
 	loads *slidingWindow // loads that count against loadShare: its own, or those of all pools without a share
 }
@@ -22,15 +22,15 @@
 
 // poolCounters counts what happened in a pool.
 type poolCounters struct {
-	inFlight         int
+	inFlight         int // attempts
 	peak             int // highest inFlight
 	recentRequests   *slidingWindow
 	recentOverflows  *slidingWindow
 	ownLoads         *slidingWindow
-	Requests         uint64
-	Overflows        uint64
-	Loads            uint64
-	CapacityExceeded uint64 // requests that had to stay because the limit on overflow was reached
+	Requests         uint64 // routed here, or overflowed from another pool
+	Overflows        uint64 // requests that went to the fallback
+	Loads            uint64 // load commands
+	CapacityExceeded uint64 // requests that did not go to the fallback, because the limit on overflow was reached
 }
 
 func newPoolCounters(loadWindow time.Duration) *poolCounters {
--- a/internal/route/selector.go
+++ b/internal/route/selector.go
@@ -10,10 +10,12 @@
 // Selector selects the workers that meet all of its conditions. Each condition is a list of which any value fits; an
 // empty list fits all workers. A value of IDs, Kinds and Zones that ends in * is a prefix.
 type Selector struct {
-	IDs, Kinds, Zones []string
-	Cells             []int
-	MemoryMB          float64 // at least
-	Labels            []Label
+	IDs      []string
+	Kinds    []string
+	Zones    []string
+	Cells    []int
+	MemoryMB float64 // at least
+	Labels   []Label
 }
 
 // Label is a label's name and the values that fit.
--- a/internal/route/space.go
+++ b/internal/route/space.go
@@ -5,6 +5,7 @@
 // axis is one of the properties of a request by which tables tell requests apart.
 type axis int
 
+// The axes. The index of a point on each axis is that of a Front, a class, a pattern or a tenant of a requestSpace.
 const (
 	frontAxis axis = iota
 	classAxis
@@ -13,21 +14,21 @@
 	axisCount
 )
 
-// requestPoint is a request of a requestSpace by its index on each axis.
+// requestPoint stands for all requests that some tables can't tell apart, by its index on each axis.
 type requestPoint [axisCount]int
 
-// requestSpace has one point for each kind of requests that some tables can tell apart. Requests of one kind take the
-// same route in each of the tables.
+// requestSpace has one point for each set of requests that some tables can tell apart from others. All requests of a
+// point take the same route in each of the tables, so that one request stands for all; see request.
 type requestSpace struct {
 	classes      []string
-	otherClasses bool // classes beyond the listed ones exist
+	otherClasses bool // classes beyond the listed ones exist; they have the index after these
 	patternSet   *patternSet
 	patterns     []Pattern // those that match some function that no longer pattern matches
 	functions    []uint64  // one such function of each pattern
-	tenants      []string  // that routes name; the index behind them stands for any other
+	tenants      []string  // that routes name; the index after these is of any other, and of none
 }
 
-// newRequestSpace returns the space of tables that list the same classes.
+// newRequestSpace returns the space of tables, which must list the same classes.
 func newRequestSpace(otherClasses bool, tables ...*Table) *requestSpace {
 	s := &requestSpace{classes: slices.Clone(tables[0].classes), otherClasses: otherClasses}
 	var patterns []Pattern
@@ -56,6 +57,7 @@
 	return len(s.classes)
 }
 
+// className returns the name of the class of an index.
 func (s *requestSpace) className(class int) string {
 	if class < len(s.classes) {
 		return s.classes[class]
@@ -66,7 +68,7 @@
 // anyOtherTenant returns the index of all tenants that no route names, and of requests without a tenant.
 func (s *requestSpace) anyOtherTenant() int { return len(s.tenants) }
 
-// request returns the request of a point.
+// request returns one of the requests that a point stands for.
 func (s *requestSpace) request(p requestPoint) Request {
 	r := Request{Front: Front(p[frontAxis]), Class: p[classAxis], Function: s.functions[p[patternAxis]]}
 	if tenant := p[tenantAxis]; tenant != s.anyOtherTenant() {
@@ -75,7 +77,8 @@
 	return r
 }
 
-// points returns all points by pattern, tenant, class and front. Requests by Thrift name no tenant.
+// points returns all points, sorted by pattern, tenant, class and front. There are none of Thrift with a tenant:
+// requests by Thrift name none.
 func (s *requestSpace) points() []requestPoint {
 	var points []requestPoint
 	for pattern := range s.patterns {
@@ -91,15 +94,15 @@
 	return points
 }
 
-// regionGroup is the requests of which a classification says the same.
-type regionGroup[K comparable] struct {
+// requestGroup is the requests for which a function returns the same key.
+type requestGroup[K comparable] struct {
 	key     K
 	regions []Region
 }
 
-// groupRequests groups the requests of a space by what classify returns for them, leaving out those for which it
-// returns false. The groups are in the order of their first requests.
-func groupRequests[K comparable](s *requestSpace, classify func(Request) (K, bool)) []regionGroup[K] {
+// groupRequests groups the requests of a space by the key that classify returns for them. It leaves out those for which
+// classify returns false. The groups are in the order of their first points.
+func groupRequests[K comparable](s *requestSpace, classify func(Request) (K, bool)) []requestGroup[K] {
 	var keys []K
 	points := map[K][]requestPoint{}
 	for _, p := range s.points() {
@@ -112,9 +115,9 @@
 		}
 		points[key] = append(points[key], p)
 	}
-	var groups []regionGroup[K]
+	var groups []requestGroup[K]
 	for _, key := range keys {
-		groups = append(groups, regionGroup[K]{key, s.regions(points[key])})
+		groups = append(groups, requestGroup[K]{key, s.regions(points[key])})
 	}
 	return groups
 }
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -35,14 +35,18 @@
 
 // PoolSpec says which workers belong to a pool and what the pool may use.
 type PoolSpec struct {
-	Name          string
-	Workers       []Selector // any of them; none: all workers
-	MaxInFlight   int        // attempts in flight; Unset: no limit
-	LoadShare     float64    // of the load budget, as a fraction; Unset: what is left, together with other such pools
-	Fallback      string     // pool that takes what this one can't; "": none
-	OverflowShare float64    // of its requests of the last ten seconds that may go to the fallback; Unset: see OverflowRate
-	OverflowRate  float64    // requests per second that may go to the fallback; Unset: see OverflowShare
-	At            string
+	Name        string
+	Workers     []Selector // any of them; none: all workers
+	MaxInFlight int        // attempts in flight; Unset: no limit
+	LoadShare   float64    // of the load budget, as a fraction; Unset: what is left, together with other such pools
+	Fallback    string     // pool that takes what this one can't; "": none
+	// OverflowShare is how much of its requests of the last ten seconds may go to the fallback, as a fraction; Unset:
+	// see OverflowRate.
+	OverflowShare float64
+	// OverflowRate is how many requests per second may go to the fallback, over the last ten seconds; Unset: see
+	// OverflowShare.
+	OverflowRate float64
+	At           string // file:line
 }
 
 // RouteSpec sends the requests that it matches to a pool. An empty list matches all.
@@ -54,5 +58,5 @@
 	Tenants   []string
 	Pool      string // "": such requests are rejected
 	Policy    string // "": as the platform's settings allow
-	At        string
+	At        string // file:line
 }
--- a/internal/route/unmatched.go
+++ b/internal/route/unmatched.go
@@ -1,7 +1,7 @@
 package route
 
-// UnmatchedRegions returns the requests that no route matches, which are rejected. otherClasses says whether requests
-// of classes that the table does not list are to be expected.
+// UnmatchedRegions returns the requests that no route matches, which are rejected. otherClasses says whether there are
+// classes that the table does not list.
 func (t *Table) UnmatchedRegions(otherClasses bool) []Region {
 	isUnmatched := func(r Request) (unmatched, ok bool) { return true, t.Match(r) == nil }
 	var regions []Region
