--- /dev/null
+++ b/internal/route/box_test.go
@@ -0,0 +1,72 @@
+package route
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Guards the merging of points: the boxes hold exactly the points, each once.
+func TestCoverPointsHoldsEachPointOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		drawn := map[requestPoint]bool{}
+		var points []requestPoint
+		for range rapid.IntRange(0, 40).Draw(t, "points") {
+			var p requestPoint
+			for a := range p {
+				p[a] = rapid.IntRange(0, 2).Draw(t, "index")
+			}
+			if !drawn[p] {
+				drawn[p] = true
+				points = append(points, p)
+			}
+		}
+		boxes := coverPoints(points)
+		for _, p := range allPoints() {
+			holding := 0
+			for _, b := range boxes {
+				if b.holds(p) {
+					holding++
+				}
+			}
+			if drawn[p] && holding != 1 || !drawn[p] && holding != 0 {
+				t.Fatalf("%v, drawn: %v, is in %d boxes", p, drawn[p], holding)
+			}
+		}
+		for _, b := range boxes {
+			if !b.holds(b.examplePoint()) {
+				t.Fatalf("%v has the example %v", b, b.examplePoint())
+			}
+		}
+	})
+	if all := coverPoints(allPoints()); len(all) != 1 {
+		t.Errorf("all points are %d boxes", len(all))
+	}
+}
+
+// holds reports whether a point is in the box.
+func (b requestBox) holds(p requestPoint) bool {
+	for a, index := range p {
+		if !slices.Contains(b[a], index) {
+			return false
+		}
+	}
+	return true
+}
+
+// allPoints returns all points of axes with three indexes each.
+func allPoints() []requestPoint {
+	points := []requestPoint{{}}
+	for a := range points[0] {
+		var next []requestPoint
+		for _, p := range points {
+			for index := range 3 {
+				p[a] = index
+				next = append(next, p)
+			}
+		}
+		points = next
+	}
+	return points
+}
--- a/internal/route/matcher.go
+++ b/internal/route/matcher.go
@@ -18,7 +18,7 @@
 
 // add adds a rule and returns the route that had the same rule before, or noRoute.
 func (m *matcher) add(rule matchRule) routeNumber {
-	return m.routesOf(rule.pattern).ofTenant(rule.tenant, m.classCount).declare(rule)
+	return m.routesOf(rule.pattern).ofTenant(rule.tenant).declare(rule)
 }
 
 // routesOf returns the routes of a pattern, creating the entry where it is missing.
@@ -41,7 +41,7 @@
 // resolve prepares what match reads, once all rules are added.
 func (m *matcher) resolve() {
 	for _, routes := range m.exact {
-		routes.resolve(m.classCount)
+		routes.resolve()
 	}
 	for digits, byPrefix := range slices.Backward(m.prefixes[:]) {
 		if byPrefix == nil {
@@ -49,7 +49,7 @@
 		}
 		m.prefixLengths = append(m.prefixLengths, digits)
 		for _, routes := range byPrefix {
-			routes.resolve(m.classCount)
+			routes.resolve()
 		}
 	}
 }
--- a/internal/route/patternset.go
+++ b/internal/route/patternset.go
@@ -9,7 +9,7 @@
 type patternSet struct {
 	members   map[Pattern]bool
 	ancestors map[Pattern]bool // all patterns that have a longer member within them
-	sorted    []Pattern        // the members; those within a pattern follow right behind it
+	sorted    []Pattern        // the members; those within a pattern directly follow it
 }
 
 func newPatternSet(list []Pattern) *patternSet {
@@ -28,7 +28,7 @@
 	return s
 }
 
-// functionOf returns a function of p that no longer member matches; ok is false where such members cover all of p.
+// functionOf returns a function that p matches and no longer member does; ok is false where longer members cover p.
 func (s *patternSet) functionOf(p Pattern) (function uint64, ok bool) {
 	if !s.ancestors[p] {
 		return p.Prefix, true
@@ -45,7 +45,7 @@
 	return 0, false
 }
 
-// outermostWithin returns the wanted members that are longer than p and within it, without those that are within
+// outermostWithin returns the wanted members that are longer than p and within it, leaving out those that are within
 // another one of the result.
 func (s *patternSet) outermostWithin(p Pattern, wanted func(Pattern) bool) []Pattern {
 	first, found := slices.BinarySearchFunc(s.sorted, p, comparePatterns)
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -2,22 +2,27 @@
 
 // patternRoutes holds the routes of one pattern.
 type patternRoutes struct {
-	byTenant  map[string]*classFrontRoutes
-	anyTenant *classFrontRoutes
+	classCount int
+	byTenant   map[string]*classFrontRoutes // of routes that name a tenant
+	anyTenant  *classFrontRoutes            // of routes that name none
 }
 
 func newPatternRoutes(classCount int) *patternRoutes {
-	return &patternRoutes{byTenant: map[string]*classFrontRoutes{}, anyTenant: newClassFrontRoutes(classCount)}
+	return &patternRoutes{
+		classCount: classCount,
+		byTenant:   map[string]*classFrontRoutes{},
+		anyTenant:  newClassFrontRoutes(classCount),
+	}
 }
 
 // ofTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
-func (p *patternRoutes) ofTenant(tenant string, classCount int) *classFrontRoutes {
+func (p *patternRoutes) ofTenant(tenant string) *classFrontRoutes {
 	if tenant == "" {
 		return p.anyTenant
 	}
 	routes := p.byTenant[tenant]
 	if routes == nil {
-		routes = newClassFrontRoutes(classCount)
+		routes = newClassFrontRoutes(p.classCount)
 		p.byTenant[tenant] = routes
 	}
 	return routes
@@ -34,18 +39,19 @@
 }
 
 // resolve applies the precedence of classes and fronts to all tenants' routes.
-func (p *patternRoutes) resolve(classCount int) {
-	p.anyTenant.resolve(classCount)
+func (p *patternRoutes) resolve() {
+	p.anyTenant.resolve()
 	for _, routes := range p.byTenant {
-		routes.resolve(classCount)
+		routes.resolve()
 	}
 }
 
 // classFrontRoutes holds the routes of one pattern and tenant by class and front: as the rules declare them, and with
-// the precedence of a class over a front applied.
+// the precedence of a class over a front applied, once resolve has been called.
 type classFrontRoutes struct {
-	declared []routeNumber // by declaredIndex
-	resolved []routeNumber // by resolvedIndex
+	classCount int
+	declared   []routeNumber // by declaredIndex
+	resolved   []routeNumber // by resolvedIndex
 }
 
 func newClassFrontRoutes(classCount int) *classFrontRoutes {
@@ -53,10 +59,11 @@
 	for i := range declared {
 		declared[i] = noRoute
 	}
-	return &classFrontRoutes{declared: declared}
+	return &classFrontRoutes{classCount: classCount, declared: declared}
 }
 
-// declaredIndex is the place of a class and a front in classFrontRoutes.declared, where row and column 0 are for any.
+// declaredIndex is the index of a class and a front in classFrontRoutes.declared, a matrix with a row for each class
+// and a column for each front; row and column 0 are for any.
 func declaredIndex(class int, front Front) int {
 	row := class + 1 // anyClass is row 0
 	column := int(front) + 1
@@ -66,8 +73,8 @@
 	return row*(int(frontCount)+1) + column
 }
 
-// resolvedIndex is the place of a class and a front in classFrontRoutes.resolved. The class behind the listed ones
-// stands for all others.
+// resolvedIndex is the index of a class and a front in classFrontRoutes.resolved. The class after the listed ones is
+// for all others.
 func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
 
 // declare sets the route of a rule's class and front and returns the route that was there before.
@@ -79,11 +86,11 @@
 }
 
 // resolve fills in the route of each class, and of one that the table does not list, by each front.
-func (c *classFrontRoutes) resolve(classCount int) {
-	c.resolved = make([]routeNumber, (classCount+1)*int(frontCount))
-	for class := range classCount + 1 {
+func (c *classFrontRoutes) resolve() {
+	c.resolved = make([]routeNumber, (c.classCount+1)*int(frontCount))
+	for class := range c.classCount + 1 {
 		declaredClass := class
-		if class == classCount {
+		if class == c.classCount {
 			declaredClass = anyClass // only rules without a class fit a class that is not listed
 		}
 		for front := range frontCount {
@@ -92,7 +99,7 @@
 	}
 }
 
-// closest returns the route of the closest rule: one that names the class goes before one that names the front.
+// closest returns the route of the closest rule: one that names the class is closer than one that names the front.
 func (c *classFrontRoutes) closest(class int, front Front) routeNumber {
 	candidates := [...]int{
 		declaredIndex(class, front),
