--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -9,37 +9,41 @@
 	"crankhold/internal/signals"
 )
 
-// Env is what a command reaches of the system.
+// Env is what a command uses of the system.
 type Env struct {
-	Out, Err io.Writer
-	Getenv   func(string) string
-	Signals  *signals.Signals // from the program's first moment on; nil: none are caught yet
+	Out     io.Writer // standard output
+	Err     io.Writer // standard error
+	Getenv  func(string) string
+	Signals *signals.Signals // caught since the process started; nil: none are caught yet
 }
 
-// System returns the process's own environment.
-func System() Env { return Env{os.Stdout, os.Stderr, os.Getenv, signals.Notify()} }
+// System returns the process's own environment. It begins to catch signals.
+func System() Env {
+	return Env{Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Signals: signals.Notify()}
+}
 
 // commandLine is the grammar of the command line. The names of its fields, and of those of the commands without a
-// name of their own, are the commands' and flags' names.
+// name of their own, are the commands' and flags' names. Tags refer to texts in variables.
 type commandLine struct {
-	LogLevel string `help:"Lowest level of log lines: debug, info, warn or error." default:"info" env:"CRANKHOLD_LOG_LEVEL" name:"log-level"`
+	LogLevel string `help:"${log_level_help}" default:"${default_log_level}" env:"CRANKHOLD_LOG_LEVEL" name:"log-level"`
 
-	Serve   serveCommand   `cmd:"" default:"1" help:"Serve calls. The platform's JSON configuration is the file that EDGE_CONFIG names. This is what the program does without arguments."`
-	Check   checkCommand   `cmd:"" help:"Check routes files and say all that is wrong with them. Exits with 1 where something is."`
-	Fmt     formatCommand  `cmd:"" help:"Print routes files in their one form. With --check, exits with 1 where a file is not in it."`
-	Diff    diffCommand    `cmd:"" help:"Say what a routes file changes in behaviour against another. Exits with 1 where something changes."`
-	Explain explainCommand `cmd:"" help:"Say which route, pool and policy a call meets, and the lines that say so. Exits with 1 where it is refused."`
-	Demo    demoCommand    `cmd:"" help:"Serve a directory, three stand-in workers, a router and a trickle of calls in one process, and show what happens until it is interrupted."`
-	Version versionCommand `cmd:"" help:"Print the program's version."`
+	Serve   serveCommand   `cmd:"" default:"1" help:"${serve_help}"`
+	Check   checkCommand   `cmd:"" help:"${check_help}"`
+	Fmt     formatCommand  `cmd:"" help:"${fmt_help}"`
+	Diff    diffCommand    `cmd:"" help:"${diff_help}"`
+	Explain explainCommand `cmd:"" help:"${explain_help}"`
+	Demo    demoCommand    `cmd:"" help:"${demo_help}"`
+	Version versionCommand `cmd:"" help:"${version_help}"`
 }
 
 // defaultLogLevel is the default of commandLine.LogLevel.
 const defaultLogLevel = "info"
 
-// kongExit is the panic by which kong's wish to end the program, after --help, reaches Run.
+// kongExit is the panic by which kong ends a command line such as --help; Run recovers it. Its value is the exit
+// status.
 type kongExit int
 
-// Run carries out a command line and returns the exit status.
+// Run runs a command line and returns the exit status. It blocks until the command ends.
 func Run(args []string, env Env) (status int) {
 	defer func() {
 		switch r := recover().(type) {
@@ -62,6 +66,7 @@
 		kong.Writers(env.Out, env.Err),
 		kong.Exit(func(code int) { panic(kongExit(code)) }),
 		kong.Bind(env),
+		variables,
 		kong.UsageOnError())
 	if err != nil {
 		return &exitError{exitUsage, err}
--- a/internal/command/format.go
+++ b/internal/command/format.go
@@ -18,7 +18,7 @@
 	Check bool     `help:"Print the names of the files that are not in the one form, and change nothing."`
 }
 
-// Run formats files. One that can't be parsed as a whole is never written.
+// Run formats files. A file with faults is never written.
 func (c formatCommand) Run(env Env) error {
 	if c.Write && c.Check {
 		return usageError("fmt takes -w or --check, not both")
@@ -37,33 +37,39 @@
 	return nil
 }
 
-// formatFile formats one file. The status says whether it has faults or, with --check, is not in the one form; the
-// error is of what ends the command.
+// formatFile formats one file. The status says whether it has faults or, with --check, is not in canonical form. An
+// error ends the command.
 func (c formatCommand) formatFile(path string, env Env) (exitStatus, error) {
-	name := shownPath(path)
 	text, err := readFile(path)
 	if err != nil {
 		return exitUsage, unreadable(err)
 	}
-	file, _, faults := syntax.Parse(name, text)
+	file, _, faults := syntax.Parse(shownPath(path), text)
 	if len(faults) > 0 {
 		printFaults(env.Err, faults)
 		return exitUsage, nil
 	}
 	formatted := syntax.Format(file)
-	same := bytes.Equal(text, formatted)
-	switch {
-	case c.Check && !same:
-		fmt.Fprintln(env.Out, name)
+	if !c.Check && !c.Write {
+		return printFormatted(env.Out, formatted)
+	}
+	if bytes.Equal(text, formatted) {
+		return exitSuccess, nil
+	}
+	if c.Check {
+		fmt.Fprintln(env.Out, file.Name)
 		return exitFinding, nil
-	case c.Write && !same:
-		if err := replaceFile(path, formatted); err != nil {
-			return exitUsage, unreadable(err)
-		}
-	case !c.Check && !c.Write:
-		if _, err := env.Out.Write(formatted); err != nil {
-			return exitFinding, err
-		}
+	}
+	if err := replaceFile(path, formatted); err != nil {
+		return exitUsage, unreadable(err)
+	}
+	return exitSuccess, nil
+}
+
+// printFormatted prints a formatted file.
+func printFormatted(w io.Writer, formatted []byte) (exitStatus, error) {
+	if _, err := w.Write(formatted); err != nil {
+		return exitFinding, err
 	}
 	return exitSuccess, nil
 }
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -12,10 +12,10 @@
 
 // platformFlag is the flag by which routes files are checked against the platform's settings too.
 type platformFlag struct {
-	Platform string `help:"Check against the settings in the platform's JSON configuration too." placeholder:"CONFIG.json"`
+	Platform string `help:"${platform_help}" placeholder:"CONFIG.json"`
 }
 
-// read reads the settings that the flag names; nil where it names none.
+// read reads the settings that the flag names. It returns nil where the flag is not given.
 func (f platformFlag) read() (*lang.Platform, error) {
 	if f.Platform == "" {
 		return nil, nil
@@ -45,8 +45,8 @@
 	return r, nil
 }
 
-// loadRoutes checks a routes file that a command needs without faults. It prints the faults, and fails where there are
-// any.
+// loadRoutes checks a routes file that a command can only use without faults. If there are any, it prints them and
+// returns an error.
 func (f platformFlag) loadRoutes(file string, env Env) (*lang.Result, error) {
 	r, err := f.check(file)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return r, nil
 }
 
-// shownPath returns a path as the operator would write it: relative to the working directory, where it is below that.
+// shownPath returns a path as messages show it: relative to the working directory, if it is below that.
 func shownPath(path string) string {
 	workingDirectory, err := os.Getwd()
 	if err != nil {
