--- a/internal/command/example_test.go
+++ b/internal/command/example_test.go
@@ -40,7 +40,7 @@
 	// status 2
 }
 
-// The routes that the README sends a newcomer to are good, in the one form, and fit the example's configuration.
+// The example's routes, to which the README refers, have no faults, are in canonical form, and fit its configuration.
 func TestExampleRoutesAreGood(t *testing.T) {
 	const routes = "../../example/routes.crank"
 	for _, args := range [][]string{
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// writeScriptFiles writes the files of a script, each behind a line "-- NAME --", and returns their folder. The text
-// begins behind the dashes before the first name.
+// writeScriptFiles writes the files of a script, each after a line "-- NAME --", and returns their folder. The text
+// begins after the dashes before the first name.
 func writeScriptFiles(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/lang/address.go
+++ b/internal/lang/address.go
@@ -23,17 +23,17 @@
 	return addresses
 }
 
-// addressClaim is a worker that an address leads to, and where that is said.
+// addressClaim is a worker that has an address, and the position of the address in its block.
 type addressClaim struct {
 	worker string
 	pos    syntax.Pos
 }
 
-// addressClaims checks that no address leads to two workers, unless they are aliases of one.
+// addressClaims checks that no two workers have the same address, unless they are aliases of one.
 type addressClaims struct {
 	report  *reporter
 	symbols *symbolTable
-	latest  map[endpoint.Addr]addressClaim
+	latest  map[endpoint.Addr]addressClaim // the last worker so far that has the address
 }
 
 // add enters the addresses of a worker block, and reports those that another worker has too.
--- a/internal/lang/broken_test.go
+++ b/internal/lang/broken_test.go
@@ -13,10 +13,10 @@
 
 var update = flag.Bool("update", false, "write the faults of the broken files into testdata/broken.txt; read it before it is committed")
 
-// brokenFiles holds configurations with faults, and the faults that are expected.
+// brokenFiles is the file of configurations with faults, and of the faults that are expected.
 const brokenFiles = "testdata/broken.txt"
 
-// testPlatform is the settings that the cases with "platform" in their name are checked against.
+// testPlatform has the settings that the cases with "platform" in their name are checked against.
 var testPlatform = &Platform{
 	MaxAttempts:    3,
 	HedgingAllowed: true,
@@ -114,8 +114,8 @@
 	}
 }
 
-// Every one of the broken files that can be parsed is stable when formatted.
-func TestFormattingIsStableOnEveryFile(t *testing.T) {
+// Formatting a formatted file changes nothing, for each of the broken files that can be parsed.
+func TestFormattingIsIdempotentOnBrokenFiles(t *testing.T) {
 	for _, c := range readBrokenFiles(t) {
 		for name, f := range c.files {
 			tree, _, faults := syntax.Parse(name, f.Data)
--- a/internal/lang/check_test.go
+++ b/internal/lang/check_test.go
@@ -13,7 +13,7 @@
 // textFile returns a regular file.
 func textFile(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text), Mode: 0o644} }
 
-// mustCheck checks files that have to be without faults.
+// mustCheck checks files, and fails the test where they have faults.
 func mustCheck(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
 	t.Helper()
 	r, err := Check(files, "main.crank", prefix, platform)
@@ -107,8 +107,8 @@
 	}
 }
 
-// Guards edges that the broken files do not touch.
-func TestCheckAtTheEdges(t *testing.T) {
+// Boundary cases that testdata/broken.txt lacks.
+func TestCheckBoundaryCases(t *testing.T) {
 	const rest = "pool \"p\" {}\nroute \"r\" {\n\tpool = \"p\"\n\tpolicy = \"q\"\n}\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"a second copy as late as the attempt's end",
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -13,7 +13,7 @@
 	runsRepeatable = "repeatable"
 )
 
-// classType says of a class what the platform's settings would, so that a configuration can be checked without them. A
+// classType describes a class as the platform's settings would, so that a configuration can be checked without them. A
 // block must agree with them, with one exception: it may forbid a class to run twice that they allow to.
 var classType = &blockType{
 	keyword: classKeyword,
--- a/internal/lang/class_test.go
+++ b/internal/lang/class_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/route"
 )
 
-// Guards a class that the files have never run twice, though the platform's settings would let it.
+// A class block may forbid a class to run twice that the platform's settings allow to.
 func TestClassBlockMakesAClassNotIdempotent(t *testing.T) {
 	text := "class \"dim-level\" { runs = once }\npool \"p\" {}\nroute \"r\" { pool = \"p\" }\n"
 	r := mustCheck(t, fstest.MapFS{"main.crank": textFile(text)}, "", testPlatform)
@@ -18,7 +18,7 @@
 	}
 }
 
-// Guards which classes a configuration can tell apart: by the platform, by its own blocks, and by its routes.
+// The known classes are the platform's, or those of class blocks, or those that routes name.
 func TestKnownClasses(t *testing.T) {
 	routes := []route.RouteSpec{{Classes: []string{"dim-level"}}}
 	for _, c := range []struct {
--- a/internal/lang/doc.go
+++ b/internal/lang/doc.go
@@ -1,7 +1,7 @@
 // Package lang compiles configuration files into a route.Spec, or into a list of all faults in them, each at its
 // position. docs/language.md describes the language.
 //
-// Check works in steps, each of which reports its faults to a reporter and goes on:
+// Check works in steps, each of which reports its faults to a reporter and continues:
 //
 //  1. loader reads the first file and all that it includes (load.go, include.go).
 //  2. blockReader reads the settings of each block as the blockType requires (block.go, settings.go, readblock.go,
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -9,18 +9,19 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// includeStatement is an include with where it stands.
+// includeStatement is an include, with the file that contains it.
 type includeStatement struct {
 	*syntax.Include
 	source *syntax.Source
-	chain  []string // of files, the last of which holds the include
+	chain  []string // of files that include each other; the last one contains the statement
 }
 
-// chainTo returns the chain of includes that leads to a file, as text.
+// chainTo returns the chain of includes to a file that the statement includes, as messages show it.
 func (s *includeStatement) chainTo(name string) string {
 	return chainText(append(slices.Clip(s.chain), name))
 }
 
+// chainText returns a chain of files as messages show it.
 func chainText(chain []string) string { return strings.Join(chain, " > ") }
 
 // reportFault reports what is wrong with an include.
--- a/internal/lang/include_test.go
+++ b/internal/lang/include_test.go
@@ -10,7 +10,7 @@
 	"testing/fstest"
 )
 
-// Guards the limits on what is included: depth, files, and the memory and time of hostile ones.
+// Includes have limits on depth, number of files and size, so that hostile files cost little memory and time.
 func TestIncludesAreBounded(t *testing.T) {
 	check := func(t *testing.T, files fstest.MapFS) *Result {
 		t.Helper()
--- a/internal/lang/policy_test.go
+++ b/internal/lang/policy_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/route"
 )
 
-// Guards inheritance over several policies: the nearest one that gives a setting wins, and a cycle ends.
+// A policy inherits each setting from the nearest policy in the chain that gives it. A cycle is reported.
 func TestPoliciesInherit(t *testing.T) {
 	blocks := parseBlocks(t, `policy "c" {
 	like = "b"
--- a/internal/lang/readblock_test.go
+++ b/internal/lang/readblock_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// Guards the reader of blocks: what does not fit is reported and left out, and the rest is read.
+// What does not fit the block's type is reported and left out; the rest is read.
 func TestBlockReaderLeavesOutWhatDoesNotFit(t *testing.T) {
 	file, source, _ := syntax.Parse("f", []byte("pool \"p\" {\n\tcap = 0\n\tspill = 5/s\n\tcapp = 1\n\tworkers { cell = 1, x, 1 }\n}\n"))
 	report := &reporter{}
--- a/internal/lang/result_test.go
+++ b/internal/lang/result_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// Guards what explain shows: a policy's own lines, and those of the policy that it inherits from.
+// The lines of a policy, which explain shows, include those of the policy that it inherits from.
 func TestLinesIncludeInheritedSettings(t *testing.T) {
 	r := mustCheck(t, testFiles, "deploy", nil)
 	var lines []string
@@ -29,7 +29,7 @@
 	}
 }
 
-// Guards the behaviour that a file describes over formatting: the same files, formatted, differ in nothing.
+// Formatted files behave as the files before; a changed setting is a difference.
 func TestFormattingKeepsBehaviour(t *testing.T) {
 	formatted := fstest.MapFS{}
 	for name, f := range testFiles {
--- a/internal/lang/selectorcheck.go
+++ b/internal/lang/selectorcheck.go
@@ -104,7 +104,7 @@
 // insufficientMemory returns why no worker has the memory that the selector asks for, or "" where one may.
 func (c selectorChecker) insufficientMemory(s route.Selector) string {
 	if c.platform == nil || len(c.platform.KindMemoryMB) == 0 {
-		return "no worker block tells of so much memory" // and nothing else does
+		return "no worker block tells of so much memory" // nothing else gives the memory of workers then
 	}
 	largest := 0.0
 	for kind, memoryMB := range c.platform.KindMemoryMB {
--- a/internal/lang/selectorcheck_test.go
+++ b/internal/lang/selectorcheck_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/route"
 )
 
-// Guards selectors over workers that the files describe in part: discovery may report the rest.
+// A worker block that leaves a property open contradicts no condition on it: discovery may report a value that fits.
 func TestMismatchRespectsWhatABlockLeavesOpen(t *testing.T) {
 	known := route.Worker{Name: "s-1", Kind: "small", Cell: 3, MemoryMB: 100, Labels: map[string]string{"rack": "r1"}}
 	unknown := route.Worker{Name: "s-1", Cell: route.UnknownCell}
--- a/internal/lang/symbols_test.go
+++ b/internal/lang/symbols_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// parseBlocks reads the blocks of a text that has no faults.
+// parseBlocks reads the blocks of a text, and fails the test where it has faults.
 func parseBlocks(t *testing.T, text string) []*block {
 	t.Helper()
 	file, source, faults := syntax.Parse("f", []byte(text))
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards the reports of unused blocks: none where an unresolved reference may mean the block.
+// No block is reported as unused while a reference is unresolved, since that may mean the block.
 func TestUnusedBlocksAreReportedOnceAllReferencesResolve(t *testing.T) {
 	for _, c := range []struct{ fallback, want string }{
 		{"b", "f:1:1: pool \"a\" is not used by any pool"},
--- a/internal/lang/syntax/ebnf_test.go
+++ b/internal/lang/syntax/ebnf_test.go
@@ -56,7 +56,7 @@
 
 const ellipsis = "…"
 
-// grammarTokens cuts a grammar into literals, names and marks.
+// grammarTokens splits a grammar into literals, names and punctuation marks.
 func grammarTokens(text string) []string {
 	var tokens []string
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " \n") {
@@ -92,7 +92,7 @@
 	tokens []string
 }
 
-// take returns the next token and goes behind it.
+// take consumes the next token and returns it.
 func (g *grammarReader) take() string {
 	g.t.Helper()
 	if len(g.tokens) == 0 {
@@ -103,7 +103,7 @@
 	return token
 }
 
-// want takes a token, which must be this one.
+// want consumes the next token, which must be this one.
 func (g *grammarReader) want(token string) {
 	g.t.Helper()
 	if got := g.take(); got != token {
--- a/internal/lang/syntax/example_test.go
+++ b/internal/lang/syntax/example_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// A file is parsed and written in the one form.
+// A file is parsed and written in canonical form.
 func ExampleFormat() {
 	text := `pool   "large"{ # for the big functions
 cap=40
--- a/internal/lang/syntax/format_test.go
+++ b/internal/lang/syntax/format_test.go
@@ -6,12 +6,12 @@
 	"pgregory.net/rapid"
 )
 
-// Guards the formatter on trees of any shape: it loses no comment, changes no meaning, and is stable.
-func TestFormattingIsStable(t *testing.T) {
+// Formatting a tree of any shape loses no comment, changes no meaning, and is idempotent.
+func TestFormattingIsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &File{Name: "random"}
 		f.Entries, f.TrailingComments = drawEntries(t, 0)
-		checkStable(t, f)
+		checkFormatting(t, f)
 	})
 }
 
@@ -25,5 +25,5 @@
 	if got := string(Format(f)); got != want {
 		t.Errorf("formatted:\n%s\nwant:\n%s", got, want)
 	}
-	checkStable(t, f)
+	checkFormatting(t, f)
 }
--- a/internal/lang/syntax/grammar_test.go
+++ b/internal/lang/syntax/grammar_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// tokenProductions are the productions of tokens, which a space sets apart; within a token there is none.
+// tokenProductions are the productions of tokens, which a space separates; within a token there is none.
 var tokenProductions = []string{"string", "quantity", "word"}
 
 // deriveProduction appends a sentence of a production. Blocks are nested no deeper than a file may nest them.
@@ -61,8 +61,7 @@
 	d.derive(d.productions[name], depth)
 }
 
-// Holds the parser to the published grammar: what that text derives is read without a fault, and means the
-// same when it has been formatted.
+// What the published grammar derives is parsed without a fault, and means the same when it has been formatted.
 func TestParserAcceptsDerivedSentences(t *testing.T) {
 	productions := readGrammar(t)
 	for _, name := range []string{"File", "Block", "Setting", "Value", "string", "quantity", "word"} {
@@ -82,15 +81,14 @@
 		if len(faults) > 0 {
 			t.Fatalf("seed %d: %v\n%s", seed, faults, text)
 		}
-		checkStable(t, f)
+		checkFormatting(t, f)
 	}
 	if long < 50 {
 		t.Errorf("only %d derived files are longer than 200 bytes", long)
 	}
 }
 
-// Guards the other side: a sentence with one token taken out, doubled or swapped for another that the grammar
-// forbids there is a fault. The tokens are those that no grammatical file can end on or begin with.
+// A sentence that the grammar does not derive, since a token is missing, doubled or another one, has a fault.
 func TestParserRejectsInvalidSentences(t *testing.T) {
 	for _, text := range []string{"{", "}", "=", ",", "a", "a {", "a = 1", "a {}}", "a { b = }", "a { b = , 1 }", "a { = 1 }",
 		"a { b 1 }", "a b {}", "a {} b {}", `include`, `include a`, `include "a" "b"`, `"a" {}`, "1 {}", "a { b = 1 c = 2 }",
--- a/internal/lang/syntax/parse_test.go
+++ b/internal/lang/syntax/parse_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// Every broken text gets exactly these faults: none is missed, none told twice, and what follows is read on.
+// Each broken text has exactly these faults: none is missed or reported twice, and the parser continues after one.
 func TestParseReportsEachFault(t *testing.T) {
 	deep := strings.Repeat("a {\n", 10000)
 	for _, c := range []struct{ text, want string }{
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards the reader of messages: the mark stands under the column, tabs and wide characters before it or not.
+// The mark of a quoted fault is under the column, also after tabs and characters of several bytes.
 func TestQuotedMarksTheColumn(t *testing.T) {
 	_, _, faults := Parse("f", []byte("a {\n\tb = \"éé\" 2\n}"))
 	if len(faults) != 1 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// FuzzParse guards the parser against any bytes: it ends, and what it reads without a fault is stable.
+// FuzzParse checks that the parser ends on any bytes, and that formatting keeps what has no faults.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"", "a {}", "# c\nb \"x\" { # o\n c = 1, # d\n 2\n}", "include \"*\"\r\n", "a{b=\"\\\"\"}", "\uFEFFa{}", "a {\n{\n}\n}"} {
 		f.Add([]byte(s))
@@ -78,7 +78,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		tree, _, faults := Parse("fuzz", b)
 		if len(faults) == 0 {
-			checkStable(t, tree)
+			checkFormatting(t, tree)
 		}
 		for _, x := range faults {
 			if !x.Pos.Valid() || x.Msg == "" {
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -21,7 +21,7 @@
 	return strings.TrimPrefix(string(text), string(byteOrderMark))
 }
 
-// deleteCharacter is the control character behind the printable ones of ASCII.
+// deleteCharacter is the control character after the printable ones of ASCII.
 const deleteCharacter = 0x7f
 
 // scanner splits a file into tokens. It reports each byte that belongs to no token, once.
--- a/internal/lang/syntax/tree_test.go
+++ b/internal/lang/syntax/tree_test.go
@@ -92,8 +92,9 @@
 	return Value{Kind: k, Raw: drawWord(t)}
 }
 
-// checkStable checks that a tree keeps its meaning and its form when formatted, once and again.
-func checkStable(t rapid.TB, f *File) {
+// checkFormatting checks that formatting a tree keeps its meaning and its comments, and that formatting the result
+// again changes nothing.
+func checkFormatting(t rapid.TB, f *File) {
 	t.Helper()
 	once := Format(f)
 	g, _, faults := Parse(f.Name, once)
@@ -111,7 +112,7 @@
 	}
 }
 
-// meaning writes a tree without what means nothing.
+// meaning returns text of a tree without comments and empty lines.
 func meaning(list []Entry) string {
 	s := ""
 	for _, e := range list {
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -9,7 +9,7 @@
 // networks are those of which a worker block may give addresses; a setting has each one's name.
 var networks = []endpoint.Network{endpoint.Unix, endpoint.TCP6, endpoint.TCP4}
 
-// workerType adds to what discovery says of a worker; what it says takes precedence.
+// workerType adds to what discovery reports of a worker, and takes precedence over it.
 var workerType = &blockType{
 	keyword: workerKeyword,
 	named:   true,
@@ -53,7 +53,7 @@
 	}
 }
 
-// workerBuilder builds what the configuration says of workers out of worker blocks.
+// workerBuilder builds the static entries of workers out of worker blocks.
 type workerBuilder struct {
 	builderContext
 	blocks  []*block
@@ -126,7 +126,7 @@
 	}
 }
 
-// check checks which workers are aliases of each other, and that no address leads to two workers.
+// check checks which workers are aliases of each other, and that no two workers have the same address.
 func (w *workerBuilder) check() {
 	claims := addressClaims{report: w.report, symbols: w.symbols, latest: map[endpoint.Addr]addressClaim{}}
 	for _, b := range w.blocks {
--- a/internal/route/box_test.go
+++ b/internal/route/box_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards the merging of points: the boxes hold exactly the points, each once.
+// The boxes have exactly the points, each once.
 func TestCoverPointsHoldsEachPointOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := map[requestPoint]bool{}
--- a/internal/route/diff_test.go
+++ b/internal/route/diff_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Holds the diff to an evaluation of each request under both specs: nothing missed, nothing false, and no difference
-// for names, order or repetition. Pools keep their identity by their limits or their names.
+// Diff agrees with an evaluation of each request under both specs: it reports exactly the requests that change, and no
+// difference for names, order or repetition. A pool is identified by its limits or by its name.
 func TestDiffReportsExactlyTheChangedRequests(t *testing.T) {
 	effective := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -134,7 +134,7 @@
 	return fmt.Sprint(slices.Index(poolNames[:], s.Routes[i].Pool), p.MaxAttempts, retries)
 }
 
-// Guards pools that swap their names: a request that goes to another pool of the same name is reported.
+// Where pools swap their names, a request that goes to another pool of the same name is reported.
 func TestDiffDistinguishesPoolsOfOneName(t *testing.T) {
 	routes := []RouteSpec{{Name: "all", Pool: "a"}}
 	old := mustCompile(t, &Spec{Pools: []PoolSpec{cappedPool("a", 1), cappedPool("b", 2)}, Routes: routes})
--- a/internal/route/matcher_test.go
+++ b/internal/route/matcher_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Guards the order of precedence, property by property: each rule is closer than all before it.
+// Each rule is closer than all before it, by one property.
 func TestMatcherPrefersTheCloserRule(t *testing.T) {
 	pattern := mustParsePattern(t, "7f*")
 	exact := Pattern{Prefix: 0x7f3a9c21e0b4d655, Digits: functionDigits}
--- a/internal/route/pool_test.go
+++ b/internal/route/pool_test.go
@@ -30,8 +30,8 @@
 	return count
 }
 
-// Guards the limits on overflow, over any history: at no instant do more than the share of the last ten seconds'
-// requests, or the rate over them, go to the fallback, by exact counts.
+// By exact counts over any history, at no instant do more than the share of the last ten seconds' requests, or the rate
+// over them, go to the fallback.
 func TestOverflowStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -62,7 +62,7 @@
 	})
 }
 
-// Guards against a limit that is kept too strictly: nearly all of the share may overflow.
+// The limit is not kept too strictly: nearly all of the share may overflow.
 func TestOverflowUsesItsShare(t *testing.T) {
 	first := unlimitedPool("a")
 	first.Fallback, first.OverflowShare = "b", 0.5
@@ -80,8 +80,7 @@
 	}
 }
 
-// Guards the load budget: what pools load by their shares together is never more than the budget, whatever each asks
-// for and when.
+// What pools load by their shares together never exceeds the load budget, whatever each asks for and when.
 func TestLoadSharesStayWithinTheLoadBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		half, fifth := unlimitedPool("a"), unlimitedPool("b")
@@ -110,8 +109,8 @@
 	}
 }
 
-// Guards a reload: counters of a pool continue under its name or, renamed, by its limits; a lowered capacity holds for
-// what is still in flight; the loads of pools without a share stay one sum.
+// At a reload the counters of a pool continue under its name or, renamed, by its limits. A lowered capacity holds for
+// what is still in flight, and the loads of pools without a share stay one sum.
 func TestCarryOverKeepsPoolCounters(t *testing.T) {
 	old := compilePoolSpecs(t, cappedPool("a", 5), cappedPool("b", 7), cappedPool("c", 9))
 	for _, p := range old.pools {
@@ -141,7 +140,7 @@
 	}
 }
 
-// Guards membership: what the configuration says of a worker takes precedence over the endpoint list, and memory counts.
+// What the configuration says of a worker takes precedence over the endpoint list, and memory counts.
 func TestPoolsSelectWorkers(t *testing.T) {
 	s := &Spec{Workers: []Worker{{Name: "s-2", Kind: "large", Cell: UnknownCell, Labels: map[string]string{"rack": "r1"}}}}
 	cases := []struct {
--- a/internal/route/reachable.go
+++ b/internal/route/reachable.go
@@ -40,7 +40,7 @@
 // representatives returns functions of p, such that each route for p that some request takes is taken by one of them.
 func (s *patternSet) representatives(p Pattern) []uint64 {
 	if function, ok := s.functionOf(p); ok {
-		return []uint64{function} // whatever matches it matches all others of p too
+		return []uint64{function} // the routes that match it match all functions of p
 	}
 	var functions []uint64
 	for _, q := range s.outermostWithin(p, func(Pattern) bool { return true }) {
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -12,7 +12,7 @@
 	frontCount // number of fronts; as the front of a rule: any front
 )
 
-// anyFront stands in a rule of a route that names no front.
+// anyFront is the front of a rule that fits all fronts.
 const anyFront = frontCount
 
 // String returns the front's name as configurations spell it.
@@ -21,7 +21,7 @@
 // Unset is a count or a share that a configuration does not give.
 const Unset = -1
 
-// Spec is what a checked configuration says. Positions (At) are file:line.
+// Spec is a configuration in the form that Compile takes. Positions (At) are file:line.
 type Spec struct {
 	Workers  []Worker
 	Pools    []PoolSpec
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Holds the table to the rule as it is stated: the same route for every request, a tie where and only where two routes
-// are as close, every route that can be reached and every request that no route matches.
+// The table agrees with the rule of precedence as docs/language.md states it: on the route of each request, on ties, on
+// the routes that can be reached, and on the requests that no route matches.
 func TestMatchFollowsThePrecedenceRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -60,8 +60,7 @@
 	})
 }
 
-// Holds Reachable the other way round: a route that closer ones cover is not reachable, also where it takes all sixteen
-// prefixes together to cover it.
+// A route that closer ones cover is not reachable, also where it takes all sixteen prefixes together to cover it.
 func TestCoveredRoutesAreUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = append(s.Routes, RouteSpec{Name: "all", Pool: "a"})
@@ -78,7 +77,7 @@
 	}
 }
 
-// Guards the fronts' limits: requests by Thrift name no tenant, so that a route that asks for both matches none.
+// Requests by Thrift name no tenant, so that a route that names both matches none.
 func TestTenantRouteByThriftIsUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = []RouteSpec{
@@ -130,7 +129,7 @@
 	}
 }
 
-// tableOfSize has that many routes: exact functions, prefixes of all lengths, tenants and classes.
+// tableOfSize returns a table of that many routes, with exact functions, prefixes of all lengths, tenants and classes.
 func tableOfSize(t testing.TB, size int) *Table {
 	t.Helper()
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
@@ -152,7 +151,7 @@
 	return mustCompile(t, s)
 }
 
-// Guards the hot path: a look-up among a thousand routes allocates nothing.
+// A match among a thousand routes allocates nothing, since each request needs one.
 func TestMatchAllocatesNothing(t *testing.T) {
 	table, i := tableOfSize(t, 1000), uint64(0)
 	if n := testing.AllocsPerRun(1000, func() {
--- a/internal/route/window.go
+++ b/internal/route/window.go
@@ -8,9 +8,9 @@
 // ringSlots is how many slots are kept: those of the span, and the one that is partly within it.
 const ringSlots = windowSlots + 1
 
-// slidingWindow counts events of the last span, by slots. Of the oldest slot it can't tell which events are still
-// within the span: upperBound counts them all and lowerBound none, so that a limit that compares the two holds at
-// every instant.
+// slidingWindow counts the events of the last span, in slots. The oldest slot is partly within the span, and it is not
+// known which of its events are: upperBound counts them all and lowerBound none. A limit that compares an upper bound
+// with a lower bound therefore holds at every instant.
 type slidingWindow struct {
 	slotLength time.Duration
 	latestSlot int64 // number of the latest slot since time 0
--- a/internal/route/window_test.go
+++ b/internal/route/window_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Holds the window to exact counts: at every instant they lie between its two bounds, which differ by one slot at most.
+// At every instant the exact count is between the window's two bounds, which differ by one slot at most.
 func TestSlidingWindowBoundsTheExactCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * time.Second
