--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -96,9 +96,9 @@
 func explain(r *lang.Result, matched *route.Route, class string) []explanation {
 	switch {
 	case matched == nil:
-		return []explanation{{What: "route", Means: "none matches: refused at once"}}
+		return []explanation{{What: string(route.RouteBlock), Means: "none matches: refused at once"}}
 	case matched.Pool == nil:
-		return []explanation{explainBlock(r, "route", matched.Spec.Name, "refused at once")}
+		return []explanation{explainBlock(r, route.RouteBlock, matched.Spec.Name, "refused at once")}
 	}
 	notIdempotent := r.NotIdempotent([]string{class})[0]
 	policy := matched.Policy.Effective(notIdempotent).String()
@@ -106,17 +106,17 @@
 		policy += "; this class must never run twice"
 	}
 	return []explanation{
-		explainBlock(r, "route", matched.Spec.Name, "the closest match"),
-		explainBlock(r, "pool", matched.Pool.Spec.Name, matched.Pool.Describe()),
-		explainBlock(r, "policy", matched.Spec.Policy, policy),
+		explainBlock(r, route.RouteBlock, matched.Spec.Name, "the closest match"),
+		explainBlock(r, route.PoolBlock, matched.Pool.Spec.Name, matched.Pool.Describe()),
+		explainBlock(r, route.PolicyBlock, matched.Spec.Policy, policy),
 	}
 }
 
 // explainBlock returns the explanation of a block with the lines that define it. A request may have no policy; then
 // the name is "" and there are no lines.
-func explainBlock(r *lang.Result, keyword, name, meaning string) explanation {
-	e := explanation{What: keyword, Name: name, Means: meaning}
-	for _, line := range r.Lines(keyword, name) {
+func explainBlock(r *lang.Result, kind route.BlockKind, name, meaning string) explanation {
+	e := explanation{What: string(kind), Name: name, Means: meaning}
+	for _, line := range r.Lines(kind, name) {
 		e.Lines = append(e.Lines, line.Pos.String()+": "+line.Line)
 	}
 	return e
--- a/internal/lang/block.go
+++ b/internal/lang/block.go
@@ -4,15 +4,16 @@
 	"strings"
 
 	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
 )
 
 // The keywords of the blocks that a file may hold.
 const (
 	workerKeyword = "worker"
 	classKeyword  = "class"
-	routeKeyword  = "route"
-	poolKeyword   = "pool"
-	policyKeyword = "policy"
+	routeKeyword  = string(route.RouteBlock)
+	poolKeyword   = string(route.PoolBlock)
+	policyKeyword = string(route.PolicyBlock)
 )
 
 // blockTypes are the blocks that a file may hold at its top level, in the order in which they are checked. A further
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -11,15 +11,15 @@
 // Check reads a file and all that it includes, and checks them; platform may be nil. Names in messages get the prefix
 // as their folder. The error is a *FileError of the first file: it can't be read at all.
 func Check(fsys fs.FS, name, prefix string, platform *Platform) (*Result, error) {
-	l := newLoader(fsys, prefix)
+	l := newLoader(fsys, prefix, &reporter{})
 	if err := l.load(name, nil); err != nil {
 		return nil, &FileError{File: path.Join(prefix, name), Err: pathErrorReason(err)}
 	}
 	return newChecker(l, platform).check(l.files), nil
 }
 
-// checker carries a configuration through the steps of a check: it has each block read, entered into the symbol table
-// and built, then each kind of block checked, and at last the compiled table.
+// checker coordinates the steps of a check: it has each block read, entered into the symbol table and built, then each
+// kind of block checked, and at last the compiled table.
 type checker struct {
 	builderContext
 	reader   *blockReader
@@ -32,25 +32,25 @@
 	builders map[string]blockBuilder // all of them, by keyword
 }
 
+// newChecker returns the checker of what a loader has read.
 func newChecker(l *loader, platform *Platform) *checker {
-	report := &reporter{faults: l.faults}
-	symbols := newSymbolTable(len(l.faults) == 0)
-	context := builderContext{
-		report:     report,
+	symbols := newSymbolTable(len(l.report.faults) == 0)
+	shared := builderContext{
+		report:     l.report,
 		symbols:    symbols,
-		references: newReferenceResolver(report, symbols),
+		references: newReferenceResolver(l.report, symbols),
 		platform:   platform,
 	}
 	c := &checker{
-		builderContext: context,
-		reader:         &blockReader{report: report, sources: l.sources},
+		builderContext: shared,
+		reader:         &blockReader{report: l.report, sources: l.sources},
 		lines:          definingLines{},
 	}
-	c.workers = &workerBuilder{builderContext: context}
-	c.classes = &classBuilder{builderContext: context}
-	c.routes = &routeBuilder{builderContext: context, firstFile: l.files[0].Name}
-	c.pools = &poolBuilder{builderContext: context, workers: c.workers}
-	c.policies = newPolicyBuilder(context, c.lines)
+	c.workers = &workerBuilder{builderContext: shared}
+	c.classes = &classBuilder{builderContext: shared}
+	c.routes = &routeBuilder{builderContext: shared, firstFile: l.files[0].Name}
+	c.pools = &poolBuilder{builderContext: shared, workers: c.workers}
+	c.policies = newPolicyBuilder(shared, c.lines)
 	c.builders = map[string]blockBuilder{
 		workerKeyword: c.workers,
 		classKeyword:  c.classes,
@@ -61,7 +61,8 @@
 	return c
 }
 
-// check checks the blocks of all files.
+// check checks the blocks of all files. It compiles the spec only where there are no faults. Where there are, the known
+// classes are those that class blocks declare.
 func (c *checker) check(files []*syntax.File) *Result {
 	r := &Result{lines: c.lines}
 	for _, file := range files {
--- a/internal/lang/check_test.go
+++ b/internal/lang/check_test.go
@@ -13,13 +13,20 @@
 // textFile returns a regular file.
 func textFile(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text), Mode: 0o644} }
 
-// mustCheck checks files, and fails the test where they have faults.
-func mustCheck(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
+// checkFiles checks files, of which main.crank is the first, and fails the test where that can't be read.
+func checkFiles(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
 	t.Helper()
 	r, err := Check(files, "main.crank", prefix, platform)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return r
+}
+
+// mustCheck checks files, and fails the test where they have faults.
+func mustCheck(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
+	t.Helper()
+	r := checkFiles(t, files, prefix, platform)
 	if len(r.Faults) > 0 {
 		t.Fatal(r.Faults)
 	}
@@ -125,10 +132,7 @@
 			"main.crank:2:21: 10.0.0.1:80 is an address of worker \"a\" too, at main.crank:1:21: say same-as where they are one"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, err := Check(fstest.MapFS{"main.crank": textFile(c.text)}, "main.crank", "", nil)
-			if err != nil {
-				t.Fatal(err)
-			}
+			r := checkFiles(t, fstest.MapFS{"main.crank": textFile(c.text)}, "", nil)
 			if got := r.Faults.Error(); got != c.want {
 				t.Errorf("faults:\n%s\nwant\n%s", got, c.want)
 			}
--- a/internal/lang/checktable.go
+++ b/internal/lang/checktable.go
@@ -65,7 +65,7 @@
 	if r.Pool == nil || r.Spec.Policy == "" {
 		return
 	}
-	checker := t.policies.checker()
+	checker := t.policies.settingsChecker()
 	for i, class := range t.classes.list {
 		if reached[i] {
 			checker.checkForClass(b, t.policies.byName[r.Spec.Policy], class)
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -26,7 +26,7 @@
 
 // reportFault reports what is wrong with an include.
 func (l *loader) reportFault(s *includeStatement, format string, args ...any) {
-	l.faults = append(l.faults, s.source.FaultAt(s.At, format, args...))
+	l.report.add(s.source.FaultAt(s.At, format, args...))
 }
 
 // include reads the files that an include names.
--- a/internal/lang/include_test.go
+++ b/internal/lang/include_test.go
@@ -12,20 +12,12 @@
 
 // Includes have limits on depth, number of files and size, so that hostile files cost little memory and time.
 func TestIncludesAreBounded(t *testing.T) {
-	check := func(t *testing.T, files fstest.MapFS) *Result {
-		t.Helper()
-		r, err := Check(files, "main.crank", "", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return r
-	}
 	t.Run("depth", func(t *testing.T) {
 		files := fstest.MapFS{"main.crank": textFile("include \"a0.crank\"\n")}
 		for i := range 40 {
 			files[fmt.Sprintf("a%d.crank", i)] = textFile(fmt.Sprintf("include \"a%d.crank\"\n", i+1))
 		}
-		r := check(t, files)
+		r := checkFiles(t, files, "", nil)
 		if len(r.Files) != maxIncludeDepth || !strings.Contains(r.Faults.Error(), "includes are nested more than 16 deep: main.crank > a0.crank") {
 			t.Errorf("%d files, %v", len(r.Files), r.Faults)
 		}
@@ -35,13 +27,13 @@
 		for i := range 1200 {
 			files[fmt.Sprintf("d/%04d", i)] = textFile("# x\n")
 		}
-		r := check(t, files)
+		r := checkFiles(t, files, "", nil)
 		if len(r.Files) != maxFiles || !strings.Contains(r.Faults.Error(), "main.crank:1:1: more than 1000 files") {
 			t.Errorf("%d files, %.200v", len(r.Files), r.Faults)
 		}
 	})
 	t.Run("bytes", func(t *testing.T) {
-		r := check(t, fstest.MapFS{"main.crank": {Data: make([]byte, 50<<20), Mode: 0o644}})
+		r := checkFiles(t, fstest.MapFS{"main.crank": {Data: make([]byte, 50<<20), Mode: 0o644}}, "", nil)
 		if !strings.Contains(r.Faults.Error(), "larger than 4 MiB") {
 			t.Errorf("%.200v", r.Faults)
 		}
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -36,16 +36,17 @@
 	files         []*syntax.File            // that were read, the first one first
 	sources       map[string]*syntax.Source // by the name that messages show
 	includeChains map[string][]string       // by file, the chain of includes that led to it
-	faults        syntax.Faults             // of syntax and includes
+	report        *reporter                 // gets the faults of syntax and of includes
 	filesExceeded bool                      // maxFiles was reached: nothing more is read
 }
 
-func newLoader(fsys fs.FS, prefix string) *loader {
+func newLoader(fsys fs.FS, prefix string, report *reporter) *loader {
 	return &loader{
 		fsys:          fsys,
 		prefix:        prefix,
 		sources:       map[string]*syntax.Source{},
 		includeChains: map[string][]string{},
+		report:        report,
 	}
 }
 
@@ -61,7 +62,7 @@
 	file, source, faults := syntax.Parse(path.Join(l.prefix, name), text)
 	l.files = append(l.files, file)
 	l.sources[file.Name] = source
-	l.faults = append(l.faults, faults...)
+	l.report.add(faults...)
 	for _, entry := range file.Entries {
 		if include, ok := entry.(*syntax.Include); ok && !l.filesExceeded {
 			l.include(&includeStatement{include, source, chain})
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -94,7 +94,7 @@
 	for _, p := range b.policies {
 		b.inherit(p, nil)
 	}
-	c := b.checker()
+	c := b.settingsChecker()
 	for _, p := range b.policies {
 		spec := p.spec()
 		b.specs = append(b.specs, spec)
@@ -103,8 +103,8 @@
 	b.references.reportUnused(policyKeyword, "route or policy")
 }
 
-// checker returns the checker of the policies' settings.
-func (b *policyBuilder) checker() *policyChecker {
+// settingsChecker returns a checker of the policies' settings.
+func (b *policyBuilder) settingsChecker() *policyChecker {
 	return &policyChecker{report: b.report, platform: b.platform}
 }
 
--- a/internal/lang/readblock_test.go
+++ b/internal/lang/readblock_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestEveryBlockTypeHasABuilder(t *testing.T) {
-	c := newChecker(&loader{files: []*syntax.File{{Name: "f"}}}, nil)
+	c := newChecker(&loader{files: []*syntax.File{{Name: "f"}}, report: &reporter{}}, nil)
 	for _, blockType := range blockTypes {
 		if c.builders[blockType.keyword] == nil {
 			t.Errorf("%s has no builder", blockType.keyword)
--- a/internal/lang/report.go
+++ b/internal/lang/report.go
@@ -2,14 +2,14 @@
 
 import "crankhold/internal/lang/syntax"
 
-// reporter collects the faults and notes of a check, in any order.
+// reporter collects the faults and notes of a check, in the order in which they are found.
 type reporter struct {
 	faults syntax.Faults
 	notes  syntax.Faults
 }
 
-// add records a fault that concerns no block that could be read.
-func (r *reporter) add(fault syntax.Fault) { r.faults = append(r.faults, fault) }
+// add records faults that concern no block that could be read.
+func (r *reporter) add(faults ...syntax.Fault) { r.faults = append(r.faults, faults...) }
 
 // fault records a fault at a position within a block.
 func (r *reporter) fault(b *block, pos syntax.Pos, format string, args ...any) {
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -33,9 +33,10 @@
 	return notIdempotent
 }
 
-// Lines returns the lines that define a block, each as a fault without a message. The keyword is that of a route, a
-// pool or a policy.
-func (r *Result) Lines(keyword, name string) []syntax.Fault { return r.lines[blockID{keyword, name}] }
+// Lines returns the lines that define a block, each as a fault without a message.
+func (r *Result) Lines(kind route.BlockKind, name string) []syntax.Fault {
+	return r.lines[blockID{string(kind), name}]
+}
 
 // Err returns the faults as an error, or nil.
 func (r *Result) Err() error { return r.Faults.Err() }
--- a/internal/lang/result_test.go
+++ b/internal/lang/result_test.go
@@ -7,13 +7,14 @@
 	"testing/fstest"
 
 	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
 )
 
 // The lines of a policy, which explain shows, include those of the policy that it inherits from.
 func TestLinesIncludeInheritedSettings(t *testing.T) {
 	r := mustCheck(t, testFiles, "deploy", nil)
 	var lines []string
-	for _, f := range r.Lines("policy", "quick") {
+	for _, f := range r.Lines(route.PolicyBlock, "quick") {
 		lines = append(lines, f.Pos.String()+" "+f.Line)
 	}
 	want := []string{
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -23,7 +23,7 @@
 // Error names the pool.
 func (e *DuplicatePoolError) Error() string { return fmt.Sprintf("pool %q is there twice", e.Name) }
 
-// BlockKind is a kind of block that other blocks refer to by name.
+// BlockKind is a kind of block that other blocks refer to by name, as configurations spell it.
 type BlockKind string
 
 // The kinds of blocks that refer to each other.
