--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -5,76 +5,127 @@
 	"path"
 
 	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
 )
 
 // Check reads a file and all that it includes, and checks them; platform may be nil. Names in messages get the prefix
 // as their folder. The error is a *FileError of the first file: it can't be read at all.
 func Check(fsys fs.FS, name, prefix string, platform *Platform) (*Result, error) {
-	l := newLoader(fsys, prefix)
+	l := newLoader(fsys, prefix, &reporter{})
 	if err := l.load(name, nil); err != nil {
 		return nil, &FileError{File: path.Join(prefix, name), Err: pathErrorReason(err)}
 	}
-	c := newChecker(l, platform)
-	c.buildBlocks(l.files)
-	for _, t := range blockTypes {
-		if t.check != nil {
-			t.check(c)
-		}
-	}
-	if len(c.result.Faults) == 0 {
-		c.checkTable()
-	}
-	c.result.Faults.Sort()
-	c.result.Notes.Sort()
-	return c.result, nil
+	return newChecker(l, platform).check(l.files), nil
 }
 
-// checker builds a Spec out of the blocks of all files, and collects their faults.
+// checker coordinates the steps of a check: it has each block read, entered into the symbol table and built, then each
+// kind of block checked, and at last the compiled table.
 type checker struct {
-	sources  map[string]*syntax.Source // by file
-	platform *Platform                 // nil: not known
-	complete bool                      // all files were read without a fault: what is missing is missing
-	result   *Result
-
-	blocks     map[string]map[string]*block // by keyword and name
-	referenced map[blockID]bool             // the names that other blocks refer to, defined or not
-	unresolved map[string]bool              // keywords of which a reference is not defined, or can't be read
-
-	policies    map[string]*policyBlock
-	policyOrder []*policyBlock // in the order of the files
+	builderContext
+	reader   *blockReader
+	lines    definingLines
+	workers  *workerBuilder
+	classes  *classBuilder
+	routes   *routeBuilder
+	pools    *poolBuilder
+	policies *policyBuilder
+	builders map[string]blockBuilder // all of them, by keyword
 }
 
+// newChecker returns the checker of what a loader has read.
 func newChecker(l *loader, platform *Platform) *checker {
-	return &checker{
-		sources:    l.sources,
+	symbols := newSymbolTable(len(l.report.faults) == 0)
+	shared := builderContext{
+		report:     l.report,
+		symbols:    symbols,
+		references: newReferenceResolver(l.report, symbols),
 		platform:   platform,
-		complete:   len(l.faults) == 0,
-		result:     &Result{Faults: l.faults, lines: map[blockID][]syntax.Fault{}},
-		blocks:     map[string]map[string]*block{},
-		referenced: map[blockID]bool{},
-		unresolved: map[string]bool{},
-		policies:   map[string]*policyBlock{},
 	}
+	c := &checker{
+		builderContext: shared,
+		reader:         &blockReader{report: l.report, sources: l.sources},
+		lines:          definingLines{},
+	}
+	c.workers = &workerBuilder{builderContext: shared}
+	c.classes = &classBuilder{builderContext: shared}
+	c.routes = &routeBuilder{builderContext: shared, firstFile: l.files[0].Name}
+	c.pools = &poolBuilder{builderContext: shared, workers: c.workers}
+	c.policies = newPolicyBuilder(shared, c.lines)
+	c.builders = map[string]blockBuilder{
+		workerKeyword: c.workers,
+		classKeyword:  c.classes,
+		routeKeyword:  c.routes,
+		poolKeyword:   c.pools,
+		policyKeyword: c.policies,
+	}
+	return c
 }
 
-// buildBlocks reads all blocks and has each one's type build its part of the Spec.
-func (c *checker) buildBlocks(files []*syntax.File) {
+// check checks the blocks of all files. It compiles the spec only where there are no faults. Where there are, the known
+// classes are those that class blocks declare.
+func (c *checker) check(files []*syntax.File) *Result {
+	r := &Result{lines: c.lines}
 	for _, file := range files {
-		c.result.Files = append(c.result.Files, file.Name)
-		for _, entry := range file.Entries {
-			if b, ok := entry.(*syntax.Block); ok {
-				c.buildBlock(b)
-			}
+		r.Files = append(r.Files, file.Name)
+		c.buildFile(file)
+	}
+	for _, t := range blockTypes {
+		c.builders[t.keyword].check()
+	}
+	r.Spec = c.spec()
+	r.classes = knownClasses{list: c.classes.declared}
+	if len(c.report.faults) == 0 {
+		r.classes = c.classes.known(c.routes.specs)
+		c.checkTable(&r.Spec, r.classes)
+	}
+	c.report.sort()
+	r.Faults = c.report.faults
+	r.Notes = c.report.notes
+	return r
+}
+
+// buildFile reads and builds the blocks of a file.
+func (c *checker) buildFile(file *syntax.File) {
+	for _, entry := range file.Entries {
+		syntaxBlock, ok := entry.(*syntax.Block)
+		if !ok {
+			continue
 		}
+		if b := c.reader.read(syntaxBlock); b != nil {
+			c.define(b)
+			c.builders[b.blockType.keyword].build(b)
+		}
+	}
+}
+
+// define enters a block that has a name. The name must be its own among the blocks of its type.
+func (c *checker) define(b *block) {
+	if !b.blockType.named {
+		return
+	}
+	if first := c.symbols.define(b); first != nil {
+		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", b.blockType.keyword, b.name, first.pos)
+		return
 	}
+	c.lines.addBlock(b)
 }
 
-// fault reports what is wrong at a position within a block.
-func (c *checker) fault(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Faults = append(c.result.Faults, b.source.Fault(pos, format, args...))
+// spec returns what the builders have built.
+func (c *checker) spec() route.Spec {
+	return route.Spec{
+		Workers:              c.workers.workers,
+		Pools:                c.pools.specs(),
+		Policies:             c.policies.specs,
+		Routes:               c.routes.specs,
+		NotIdempotentClasses: c.classes.notIdempotent(),
+	}
 }
 
-// note reports what is allowed and may not be meant.
-func (c *checker) note(b *block, pos syntax.Pos, format string, args ...any) {
-	c.result.Notes = append(c.result.Notes, b.source.Fault(pos, format, args...))
+// checkTable checks what the spec means as a whole, once it has no faults.
+func (c *checker) checkTable(spec *route.Spec, classes knownClasses) {
+	if c.platform != nil {
+		spec.LoadWindow = c.platform.LoadWindow
+	}
+	t := &tableChecker{report: c.report, symbols: c.symbols, policies: c.policies, classes: classes}
+	t.check(spec)
 }
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -1,84 +1,35 @@
 package route
 
-import "slices"
-
-// noRoute is the index of a route where there is none.
-const noRoute int32 = -1
-
-// anyClass is the class of a rule that fits all classes.
-const anyClass = -1
-
-// matchRule is one combination of the pattern, tenant, class and front that a route names.
-type matchRule struct {
-	pattern Pattern
-	tenant  string // "": any
-	class   int    // index into the table's classes, or anyClass
-	front   Front  // or anyFront
-	route   int
-}
-
-// matchRules returns all combinations of what the route names. Classes that the table does not list are left out.
-func (s RouteSpec) matchRules(classes []string, route int) []matchRule {
-	var rules []matchRule
-	for _, pattern := range orWildcard(s.Functions, Pattern{}) {
-		for _, tenant := range orWildcard(s.Tenants, "") {
-			for _, class := range s.classIndexes(classes) {
-				for _, front := range orWildcard(s.Fronts, anyFront) {
-					rules = append(rules, matchRule{pattern, tenant, class, front, route})
-				}
-			}
-		}
-	}
-	return rules
-}
-
-// classIndexes returns the indexes of the route's classes in the list.
-func (s RouteSpec) classIndexes(classes []string) []int {
-	if len(s.Classes) == 0 {
-		return []int{anyClass}
-	}
-	var indexes []int
-	for _, name := range s.Classes {
-		if index := slices.Index(classes, name); index >= 0 {
-			indexes = append(indexes, index)
-		}
-	}
-	return indexes
-}
-
-// orWildcard returns the list, or the wildcard alone where the list is empty.
-func orWildcard[T any](list []T, wildcard T) []T {
-	if len(list) == 0 {
-		return []T{wildcard}
-	}
-	return list
-}
-
 // patternRoutes holds the routes of one pattern.
 type patternRoutes struct {
-	byTenant  map[string]*classFrontRoutes
-	anyTenant *classFrontRoutes
+	classCount int
+	byTenant   map[string]*classFrontRoutes // of routes that name a tenant
+	anyTenant  *classFrontRoutes            // of routes that name none
 }
 
 func newPatternRoutes(classCount int) *patternRoutes {
-	return &patternRoutes{byTenant: map[string]*classFrontRoutes{}, anyTenant: newClassFrontRoutes(classCount)}
+	return &patternRoutes{
+		classCount: classCount,
+		byTenant:   map[string]*classFrontRoutes{},
+		anyTenant:  newClassFrontRoutes(classCount),
+	}
 }
 
 // ofTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
-func (p *patternRoutes) ofTenant(tenant string, classCount int) *classFrontRoutes {
+func (p *patternRoutes) ofTenant(tenant string) *classFrontRoutes {
 	if tenant == "" {
 		return p.anyTenant
 	}
 	routes := p.byTenant[tenant]
 	if routes == nil {
-		routes = newClassFrontRoutes(classCount)
+		routes = newClassFrontRoutes(p.classCount)
 		p.byTenant[tenant] = routes
 	}
 	return routes
 }
 
 // match returns the route of a tenant's requests of the class and front that the index stands for.
-func (p *patternRoutes) match(tenant string, resolvedIndex int) int32 {
+func (p *patternRoutes) match(tenant string, resolvedIndex int) routeNumber {
 	if tenant != "" {
 		if routes := p.byTenant[tenant]; routes != nil && routes.resolved[resolvedIndex] != noRoute {
 			return routes.resolved[resolvedIndex]
@@ -88,29 +39,31 @@
 }
 
 // resolve applies the precedence of classes and fronts to all tenants' routes.
-func (p *patternRoutes) resolve(classCount int) {
-	p.anyTenant.resolve(classCount)
+func (p *patternRoutes) resolve() {
+	p.anyTenant.resolve()
 	for _, routes := range p.byTenant {
-		routes.resolve(classCount)
+		routes.resolve()
 	}
 }
 
 // classFrontRoutes holds the routes of one pattern and tenant by class and front: as the rules declare them, and with
-// the precedence of a class over a front applied.
+// the precedence of a class over a front applied, once resolve has been called.
 type classFrontRoutes struct {
-	declared []int32 // by declaredIndex
-	resolved []int32 // by resolvedIndex
+	classCount int
+	declared   []routeNumber // by declaredIndex
+	resolved   []routeNumber // by resolvedIndex
 }
 
 func newClassFrontRoutes(classCount int) *classFrontRoutes {
-	declared := make([]int32, (classCount+1)*(int(frontCount)+1))
+	declared := make([]routeNumber, (classCount+1)*(int(frontCount)+1))
 	for i := range declared {
 		declared[i] = noRoute
 	}
-	return &classFrontRoutes{declared: declared}
+	return &classFrontRoutes{classCount: classCount, declared: declared}
 }
 
-// declaredIndex is the place of a class and a front in classFrontRoutes.declared, where row and column 0 are for any.
+// declaredIndex is the index of a class and a front in classFrontRoutes.declared, a matrix with a row for each class
+// and a column for each front; row and column 0 are for any.
 func declaredIndex(class int, front Front) int {
 	row := class + 1 // anyClass is row 0
 	column := int(front) + 1
@@ -120,24 +73,24 @@
 	return row*(int(frontCount)+1) + column
 }
 
-// resolvedIndex is the place of a class and a front in classFrontRoutes.resolved. The class behind the listed ones
-// stands for all others.
+// resolvedIndex is the index of a class and a front in classFrontRoutes.resolved. The class after the listed ones is
+// for all others.
 func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
 
 // declare sets the route of a rule's class and front and returns the route that was there before.
-func (c *classFrontRoutes) declare(rule matchRule) int32 {
+func (c *classFrontRoutes) declare(rule matchRule) routeNumber {
 	index := declaredIndex(rule.class, rule.front)
 	before := c.declared[index]
-	c.declared[index] = int32(rule.route)
+	c.declared[index] = rule.route
 	return before
 }
 
 // resolve fills in the route of each class, and of one that the table does not list, by each front.
-func (c *classFrontRoutes) resolve(classCount int) {
-	c.resolved = make([]int32, (classCount+1)*int(frontCount))
-	for class := range classCount + 1 {
+func (c *classFrontRoutes) resolve() {
+	c.resolved = make([]routeNumber, (c.classCount+1)*int(frontCount))
+	for class := range c.classCount + 1 {
 		declaredClass := class
-		if class == classCount {
+		if class == c.classCount {
 			declaredClass = anyClass // only rules without a class fit a class that is not listed
 		}
 		for front := range frontCount {
@@ -146,8 +99,8 @@
 	}
 }
 
-// closest returns the route of the closest rule: one that names the class goes before one that names the front.
-func (c *classFrontRoutes) closest(class int, front Front) int32 {
+// closest returns the route of the closest rule: one that names the class is closer than one that names the front.
+func (c *classFrontRoutes) closest(class int, front Front) routeNumber {
 	candidates := [...]int{
 		declaredIndex(class, front),
 		declaredIndex(class, anyFront),
