--- a/internal/workerclient/command.go
+++ b/internal/workerclient/command.go
@@ -30,8 +30,8 @@
 // commandKind is what the kinds of commands do in different ways. Each kind keeps the data that it alone needs:
 // requestCommand, loadCommand, healthCheckCommand and pingCommand.
 type commandKind interface {
-	// refuse reports whether the command may not be written any more, and the outcome with which it ends then.
-	refuse(now time.Duration, waited bool, results ResultHandler) (outcome policy.Outcome, refused bool)
+	// mayNotSend reports whether the command may not be written any more, and the outcome with which it ends then.
+	mayNotSend(now time.Duration, waited bool, results ResultHandler) (outcome policy.Outcome, rejected bool)
 	// encode returns the bytes of a command as buffers that are written one after the other.
 	encode(id string, now time.Duration) [][]byte
 	// isHealthQuery reports whether the command asks how the worker is, and nothing that it may do only once.
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -72,8 +72,8 @@
 // writeCommand writes a command, or ends it where it may not be sent any more.
 func (c *connection) writeCommand(cmd *command) {
 	now := c.pool.now
-	outcome, refused := cmd.kind.refuse(now, cmd.delivery.waited, c.pool.results)
-	if refused {
+	outcome, rejected := cmd.kind.mayNotSend(now, cmd.delivery.waited, c.pool.results)
+	if rejected {
 		c.commands.remove(cmd)
 		c.pool.fail(cmd, outcome)
 		return
--- a/internal/workerclient/health_command.go
+++ b/internal/workerclient/health_command.go
@@ -15,7 +15,7 @@
 	lostConnections int    // that were reset under it
 }
 
-func (h *healthCheckCommand) refuse(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+func (h *healthCheckCommand) mayNotSend(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
 	return policy.NotSent, false
 }
 
@@ -51,7 +51,7 @@
 // arrived is all that counts.
 type pingCommand struct{}
 
-func (pingCommand) refuse(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+func (pingCommand) mayNotSend(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
 	return policy.NotSent, false
 }
 
--- a/internal/workerclient/load_command.go
+++ b/internal/workerclient/load_command.go
@@ -13,9 +13,9 @@
 	replicas  int // to load; 0 only asks
 }
 
-// refuse ends a load that waited for a connection while the budget of loads was used up. One that is sent at once has
+// mayNotSend ends a load that waited for a connection while the budget of loads was used up. One that is sent at once has
 // just been decided on.
-func (l *loadCommand) refuse(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
+func (l *loadCommand) mayNotSend(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
 	return policy.Overloaded, l.replicas > 0 && waited && !results.MaySendLoad(l.commandID)
 }
 
--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -38,8 +38,8 @@
 	return &command{id: r.ID, kind: request}
 }
 
-// refuse ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
-func (request *requestCommand) refuse(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
+// mayNotSend ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
+func (request *requestCommand) mayNotSend(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
 	return policy.Unreachable, now >= request.sendBy
 }
 
