--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -2,207 +2,211 @@
 
 import (
 	"log/slog"
-	"math/rand/v2"
-	"slices"
-	"strings"
 	"time"
 
-	"crankhold/internal/endpoint"
 	"crankhold/internal/eventloop"
-	"crankhold/policy"
 )
 
-const (
-	// AnnounceDelay is the time after an event at which it counts as announced, whether a router has heard of it or
-	// not.
-	AnnounceDelay = 1500 * time.Millisecond
+// Config is what a Client needs. Addr, Dial and ListChanged are required.
+type Config struct {
+	// Addr is the address of the discovery server, as ip:port.
+	Addr string
 
-	// pollsPerEvent is how many polls fall between an event and the time at which nothing new may be sent to its
-	// worker.
-	pollsPerEvent = 3
+	// Seed determines the jitter of the polls. Clients with different seeds spread their queries.
+	Seed uint64
 
-	// roundTripAllowance is more than a query and its response take.
-	roundTripAllowance = 80 * time.Millisecond
+	// DrainGracePeriod is how long after an event was announced new work may still be sent to its worker. The poll
+	// interval follows from it: each query is work for a server that all routers share, so there are no more than
+	// it takes to receive an event in time although responses are lost or outdated.
+	DrainGracePeriod time.Duration
 
-	// initialBackoff is the time after which a query without a response is repeated. It doubles up to the poll
-	// interval.
-	initialBackoff = 250 * time.Millisecond
+	// UnixInTXT accepts the text unix=/path in a worker's TXT record as one more address. It is an extension of the
+	// protocol.
+	UnixInTXT bool
 
-	// maxBackoffShift bounds the doublings, so that the shifted value can't overflow.
-	maxBackoffShift = 8
+	// Dial opens a socket to the discovery server and reports its events to the handler, which it may call before
+	// it returns.
+	Dial func(addr string, handler eventloop.DialHandler) Transport
 
-	// redialDelay is the time between a socket's failure and the next dial. It is short, since it adds to the
-	// time in which the discovery server is not heard.
-	redialDelay = 200 * time.Millisecond
+	// ListChanged is called with each list that replaces the one before, in the order of the workers' names.
+	ListChanged func([]Worker)
 
-	// jitterSeed keeps the client's random numbers apart from those that other packages draw by the same seed.
-	jitterSeed = 0x6469726563
-)
+	// ListConfirmed is called when a response has confirmed that the list is the current one; nil: not called.
+	ListConfirmed func()
 
-// Worker is one entry of the endpoint list.
-type Worker struct {
-	Name    string
-	Addrs   []endpoint.Addr
-	Zone    string
-	Kind    string
-	State   policy.WorkerState
-	Weight  float64
-	Cell    int
-	Started int64 // when its process started, in Unix milliseconds; 0 where that is not reported
+	// Logger logs failures of the discovery server; nil: slog.Default().
+	Logger *slog.Logger
 }
 
-// Transport is a socket to the discovery server; an eventloop.Conn is one.
-type Transport interface {
-	Write(bufs ...[]byte)
-	Close()
+// Counters counts queries and responses since the start.
+type Counters struct {
+	QueriesSent   uint64
+	ResponsesRead uint64 // the responses that could be used whole
 }
 
-// Client polls the discovery server and keeps the endpoint list.
+// Client polls the discovery server and keeps the endpoint list. It belongs to the event loop's goroutine.
 type Client struct {
-	// UnixInTXT accepts the text unix=/path in a worker's TXT record as one more address, which is an extension.
-	UnixInTXT bool
-	// Confirmed, where set, is called when a response has said that the list is the present one.
-	Confirmed func()
-	// QueriesSent counts the queries.
-	QueriesSent uint64
-	// ResponsesRead counts the responses that could be used whole.
-	ResponsesRead uint64
-
-	dial    func(addr string, handler eventloop.DialHandler) Transport
-	changed func([]Worker)
-	random  *rand.Rand
-
-	addr           string  // of the discovery server
-	socket         *socket // nil between a failure and the next dial
-	previousSocket *socket // to the former address, until the dial to the new one has ended
-	failureLogged  bool    // a failure has been logged since the last good response
-
-	now          time.Duration
-	pollInterval time.Duration // between queries that are answered, at most
-	nextTick     time.Duration
-	lastQuery    time.Duration
-	unanswered   int // queries since the last one that was answered with the current list
-
-	workers    map[string]Worker
-	serial     uint32
-	incomplete bool          // the current list had a record that could not be used
-	staleSince time.Duration // since when all responses have had lower serial numbers; 0 if the last one had not
+	Counters
+
+	logger        *slog.Logger
+	listChanged   func([]Worker)
+	listConfirmed func()
+
+	now           time.Duration // of the latest Tick
+	schedule      pollSchedule
+	sockets       serverSockets
+	joiner        recordJoiner
+	endpoints     endpointList
+	failureLogged bool // a failure has been logged since the last good response
 }
 
-// New returns a Client for the discovery server at addr. It calls changed with each list that is newer than the
-// one before.
-//
-// Grace is how long after an event was announced something new may still be sent to its worker. The poll interval
-// follows from it: each query is work for a server that all routers share, so there are no more than it takes to hear
-// of an event in time although responses are lost or outdated. Seed determines the jitter.
-func New(addr string, seed uint64, grace time.Duration, dial func(addr string, handler eventloop.DialHandler) Transport, changed func([]Worker)) *Client {
-	return &Client{
-		addr:         addr,
-		dial:         dial,
-		changed:      changed,
-		workers:      map[string]Worker{},
-		pollInterval: max((AnnounceDelay+grace)/pollsPerEvent-roundTripAllowance, initialBackoff),
-		random:       rand.New(rand.NewPCG(seed, jitterSeed)),
+// New returns a Client. It opens no socket: the first Tick does.
+func New(cfg Config) *Client {
+	client := &Client{
+		logger:        cfg.Logger,
+		listChanged:   cfg.ListChanged,
+		listConfirmed: cfg.ListConfirmed,
+		schedule:      newPollSchedule(cfg.Seed, cfg.DrainGracePeriod),
+		sockets:       serverSockets{dial: cfg.Dial, addr: cfg.Addr},
+		joiner:        recordJoiner{unixInTXT: cfg.UnixInTXT},
+		endpoints:     endpointList{workers: map[string]Worker{}},
+	}
+	if client.logger == nil {
+		client.logger = slog.Default()
 	}
+	if client.listConfirmed == nil {
+		client.listConfirmed = func() {}
+	}
+	return client
+}
+
+// LoadSnapshot applies the endpoint list of the configuration and calls ListChanged. Its error is a SnapshotError,
+// after which the client must not be used.
+func (c *Client) LoadSnapshot(snapshot Snapshot) error {
+	if err := c.endpoints.applySnapshot(snapshot); err != nil {
+		return err
+	}
+	c.listChanged(c.endpoints.sorted())
+	return nil
 }
 
 // WorkerCount returns how many workers the list holds.
-func (c *Client) WorkerCount() int { return len(c.workers) }
+func (c *Client) WorkerCount() int { return len(c.endpoints.workers) }
 
 // SetServer switches to the discovery server at addr, which is polled at once. The list and its serial number stay: the
 // new server continues them.
 func (c *Client) SetServer(now time.Duration, addr string) {
-	if addr == c.addr {
+	if addr == c.sockets.addr {
 		return
 	}
-	c.addr = addr
-	c.nextTick = now
+	c.schedule.pollAt(now)
 	c.failureLogged = false
-	c.staleSince = 0
-	if c.socket != nil {
-		// The socket keeps its descriptor until its successor has one: clients could take the last one in between.
-		c.closePreviousSocket()
-		c.previousSocket = c.socket
-		c.socket = nil
-	}
-}
-
-// closePreviousSocket closes the socket to the former address, if there is one.
-func (c *Client) closePreviousSocket() {
-	if c.previousSocket != nil {
-		c.previousSocket.transport.Close()
-		c.previousSocket = nil
-	}
+	c.endpoints.staleSince = 0
+	c.sockets.switchTo(addr)
 }
 
 // Tick dials or sends a query where that is due, and returns when it wants to be called again.
 func (c *Client) Tick(now time.Duration) time.Duration {
 	c.now = now
-	if now < c.nextTick {
-		return c.nextTick
-	}
-	if c.socket == nil {
-		c.nextTick = now + redialDelay
-		c.openSocket()
-		return c.nextTick
+	switch {
+	case now < c.schedule.next:
+		// Nothing is due.
+	case c.sockets.current == nil:
+		c.schedule.scheduleRedial(now)
+		c.sockets.open(c)
+	default:
+		c.poll()
 	}
-	c.nextTick = now + c.jitter(c.backoff())
-	if c.socket.connected {
-		c.unanswered++
-		c.lastQuery = now
-		c.socket.sendQuery()
+	return c.schedule.next
+}
+
+// poll sends a query if the socket is connected, and schedules the next one.
+func (c *Client) poll() {
+	c.schedule.scheduleRetry(c.now)
+	if !c.sockets.current.connected {
+		return
 	}
-	return c.nextTick
+	c.schedule.querySent(c.now)
+	c.QueriesSent++
+	c.sockets.current.sendQuery()
 }
 
-// openSocket begins a dial. The socket is set before the dial, which may call it back at once.
-func (c *Client) openSocket() {
-	s := &socket{client: c}
-	c.socket = s
-	s.transport = c.dial(c.addr, s)
+// dialCompleted handles the end of a socket's dial. The socket to the former address has kept its descriptor until now.
+func (c *Client) dialCompleted(s *socket, err error) {
+	if s != c.sockets.current {
+		return
+	}
+	c.sockets.closePrevious()
+	if err != nil {
+		c.socketClosed(s, err)
+		return
+	}
+	c.schedule.scheduleFirstQuery(c.now)
 }
 
-// backoff returns the time until the next query if the one that is sent now is not answered.
-func (c *Client) backoff() time.Duration {
-	return min(initialBackoff<<min(c.unanswered, maxBackoffShift), c.pollInterval)
+// socketClosed schedules the dial of the next socket, unless SetServer has replaced the one that was closed.
+func (c *Client) socketClosed(s *socket, err error) {
+	if s != c.sockets.current {
+		return
+	}
+	c.logFailure("discovery_connection_lost", err)
+	c.sockets.current = nil
+	c.schedule.scheduleRedial(c.now)
 }
 
-// jitter returns a random time between four fifths of longest and longest.
-func (c *Client) jitter(longest time.Duration) time.Duration {
-	return longest - time.Duration(c.random.Int64N(int64(longest/5)))
+// datagramReceived handles a datagram. Whatever is wrong with it is logged and has no other effect.
+func (c *Client) datagramReceived(s *socket, datagram []byte) {
+	if s != c.sockets.current {
+		return
+	}
+	r, err := s.match(datagram)
+	if err == nil {
+		err = c.handleResponse(r)
+	}
+	if err != nil {
+		c.logFailure("discovery_response_invalid", err)
+	}
 }
 
-// receive processes a response and schedules the next poll.
-func (c *Client) receive(r response) error {
+// handleResponse applies a response. If that confirms the current list, it schedules the next poll.
+func (c *Client) handleResponse(r response) error {
 	if err := c.apply(r); err != nil {
 		return err
 	}
 	c.failureLogged = false
 	c.ResponsesRead++
-	if r.serial == c.serial && !c.incomplete { // an outdated response says nothing of the present, so polling goes on
-		c.unanswered = 0
-		if c.Confirmed != nil {
-			c.Confirmed()
-		}
-		c.nextTick = max(c.now, c.lastQuery+c.jitter(c.pollInterval))
+	if c.endpoints.confirmedBy(r.serial) { // an outdated response does not confirm the list, so polling goes on
+		c.listConfirmed()
+		c.schedule.listConfirmed(c.now)
 	}
 	return nil
 }
 
-// notify calls changed with the list in the order of its names.
-func (c *Client) notify() {
-	list := make([]Worker, 0, len(c.workers))
-	for _, w := range c.workers {
-		list = append(list, w)
+// apply replaces the list by that of a response if it is newer, or if it completes the current one. A
+// MissingAddressError says that the list was applied, or stays in force, without some worker's new addresses.
+func (c *Client) apply(r response) error {
+	current := c.endpoints.serial
+	switch c.endpoints.compare(r.serial, c.now) {
+	case listStays:
+		return nil
+	case listRenumbered:
+		c.logger.Warn("discovery_serial_reset", slog.String("addr", c.sockets.addr),
+			slog.Uint64("before", uint64(current)), slog.Uint64("serial", uint64(r.serial)))
+	}
+	workers, err := c.joiner.workers(r, c.endpoints.workers)
+	incomplete := err != nil
+	if incomplete && r.serial == current { // no better than the current list of this number
+		return err
 	}
-	slices.SortFunc(list, func(a, b Worker) int { return strings.Compare(a.Name, b.Name) })
-	c.changed(list)
+	c.endpoints.replace(r.serial, workers, incomplete)
+	c.listChanged(c.endpoints.sorted())
+	return err
 }
 
 // logFailure logs the first failure after a good response; what follows it says nothing new.
 func (c *Client) logFailure(event string, err error) {
 	if !c.failureLogged {
-		slog.Warn(event, slog.String("addr", c.addr), slog.Any("err", err))
+		c.logger.Warn(event, slog.String("addr", c.sockets.addr), slog.Any("err", err))
 	}
 	c.failureLogged = true
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,26 +16,26 @@
 	if len(d.list) != 1 {
 		t.Fatalf("list %v", d.list)
 	}
-	d.socket.Data(responseTo(d.query(), 4, 0, 1))
+	d.sockets.current.Data(responseTo(d.query(), 4, 0, 1))
 	want := []Worker{{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
 		{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
 	if fmt.Sprint(d.list) != fmt.Sprint(want) {
 		t.Fatalf("list %v, want %v", d.list, want)
 	}
 	// A response with a fault changes nothing.
-	d.socket.Data(responseTo(d.query(), 3)) // outdated
+	d.sockets.current.Data(responseTo(d.query(), 3)) // outdated
 	id := d.query()
-	d.socket.Data(responseTo(id+1, 9, 0)) // to no query of this client
+	d.sockets.current.Data(responseTo(id+1, 9, 0)) // to no query of this client
 	answered := d.query()
-	d.socket.Data(responseTo(answered, 4, 0, 1))
-	d.socket.Data(responseTo(answered, 9, 0)) // to one that has been answered
+	d.sockets.current.Data(responseTo(answered, 4, 0, 1))
+	d.sockets.current.Data(responseTo(answered, 9, 0)) // to one that has been answered
 	for name, damage := range map[string]func(b []byte) []byte{
 		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
 		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
 		"a query":   func(b []byte) []byte { b[2] &^= 0x80; return b },
 		"other":     func(b []byte) []byte { b[13] = 'x'; return b },
 	} {
-		if d.socket.Data(damage(responseTo(d.query(), 9, 0))); fmt.Sprint(d.list) != fmt.Sprint(want) {
+		if d.sockets.current.Data(damage(responseTo(d.query(), 9, 0))); fmt.Sprint(d.list) != fmt.Sprint(want) {
 			t.Errorf("%s: list became %v", name, d.list)
 		}
 	}
@@ -43,7 +43,7 @@
 	for cut := range whole {
 		id := d.query()
 		b := responseTo(id, 9, 0)[:cut]
-		if d.socket.Data(b); fmt.Sprint(d.list) != fmt.Sprint(want) {
+		if d.sockets.current.Data(b); fmt.Sprint(d.list) != fmt.Sprint(want) {
 			t.Fatalf("cut at %d of %d: list became %v", cut, len(whole), d.list)
 		}
 	}
@@ -51,15 +51,15 @@
 	for range 3 { // a response counts although further queries were sent
 		d.query()
 	}
-	if d.socket.Data(responseTo(late, 5, 0)); len(d.list) != 1 {
+	if d.sockets.current.Data(responseTo(late, 5, 0)); len(d.list) != 1 {
 		t.Errorf("after a late response the list is %v", d.list)
 	}
-	if d.socket.Closed(errors.New("refused")); d.socket != nil || d.nextTick > d.now+redialDelay {
+	if d.sockets.current.Closed(errors.New("refused")); d.sockets.current != nil || d.schedule.next > d.now+redialDelay {
 		t.Error("a lost socket isn't opened again at once")
 	}
-	d.Tick(d.nextTick)
-	d.socket.DialCompleted(nil)
-	if d.socket.Data(responseTo(d.query(), 6, 0, 0)); len(d.list) != 2 {
+	d.Tick(d.schedule.next)
+	d.sockets.current.DialCompleted(nil)
+	if d.sockets.current.Data(responseTo(d.query(), 6, 0, 0)); len(d.list) != 2 {
 		t.Errorf("after a new socket the list is %v", d.list)
 	}
 }
@@ -68,7 +68,7 @@
 // after which nothing new may be sent to a worker that drains, however many are lost.
 func TestPollsAreFewAndJitteredAndThreeFollowAnEvent(t *testing.T) {
 	run := func(seed uint64, until time.Duration, answered func(n int) (serial uint32, ok bool)) (at []time.Duration) {
-		d := newSeededTestClient(t, seed)
+		d := newConfiguredTestClient(t, Config{Seed: seed})
 		start := d.now
 		for now := d.now; now < start+until; now += time.Millisecond {
 			l := d.transports[len(d.transports)-1]
@@ -77,7 +77,7 @@
 			if b := l.Written.Bytes(); len(b) > 0 {
 				at = append(at, now-start)
 				if serial, ok := answered(len(at)); ok {
-					d.socket.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
+					d.sockets.current.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
 				}
 			}
 		}
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -13,8 +13,7 @@
 // A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket where that extension is on.
 func TestWorkerHasAllItsAddresses(t *testing.T) {
 	for _, on := range []bool{false, true} {
-		d := newTestClient(t)
-		d.UnixInTXT = on
+		d := newConfiguredTestClient(t, Config{UnixInTXT: on})
 		b := responseTo(d.query(), 4, 0)
 		record := func(typ uint16, data []byte) {
 			binary.BigEndian.PutUint16(b[10:], binary.BigEndian.Uint16(b[10:])+1)
@@ -28,7 +27,7 @@
 		record(typeAAAA, netip.MustParseAddr("fd00::1").AsSlice())
 		record(typeAAAA, netip.MustParseAddr("ff02::1").AsSlice()) // multicast
 		record(typeTXT, append([]byte{byte(len("unix=/run/w.sock"))}, "unix=/run/w.sock"...))
-		d.socket.Data(b)
+		d.sockets.current.Data(b)
 		want := "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080]"
 		if on {
 			want = "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080 unix:/run/w.sock]"
@@ -57,24 +56,24 @@
 // address that it had, one that never had any is left out, and the list is applied again when it comes complete.
 func TestMissingAddressAffectsItsWorkerAlone(t *testing.T) {
 	d := newTestClient(t)
-	d.socket.Data(responseTo(d.query(), 4, 0, 0))
-	d.socket.Data(withoutAddress(t, responseTo(d.query(), 5, 0, 1, 0), 0)) // s-0 has lost its address, s-1 drains, s-2 is new
+	d.sockets.current.Data(responseTo(d.query(), 4, 0, 0))
+	d.sockets.current.Data(withoutAddress(t, responseTo(d.query(), 5, 0, 1, 0), 0)) // s-0 has lost its address, s-1 drains, s-2 is new
 	if len(d.list) != 3 || d.list[1].State != policy.Draining || d.list[0].Addrs[0].Addr != "10.1.0.0:10080" {
 		t.Fatalf("list %v", d.list)
 	}
-	d.socket.Data(withoutAddress(t, responseTo(d.query(), 6, 0, 1, 0, 0), 3)) // s-3 never had one
-	if len(d.list) != 3 || d.serial != 6 {
-		t.Fatalf("serial %d, list %v", d.serial, d.list)
+	d.sockets.current.Data(withoutAddress(t, responseTo(d.query(), 6, 0, 1, 0, 0), 3)) // s-3 never had one
+	if len(d.list) != 3 || d.endpoints.serial != 6 {
+		t.Fatalf("serial %d, list %v", d.endpoints.serial, d.list)
 	}
 	read := d.ResponsesRead
-	d.socket.Data(withoutAddress(t, responseTo(d.query(), 6, 0, 1, 0, 0), 3))
+	d.sockets.current.Data(withoutAddress(t, responseTo(d.query(), 6, 0, 1, 0, 0), 3))
 	if len(d.list) != 3 || d.ResponsesRead != read {
 		t.Errorf("the same incomplete list: read %d, list %v", d.ResponsesRead-read, d.list)
 	}
-	if d.socket.Data(responseTo(d.query(), 6, 0, 1, 0, 0)); len(d.list) != 4 {
+	if d.sockets.current.Data(responseTo(d.query(), 6, 0, 1, 0, 0)); len(d.list) != 4 {
 		t.Errorf("the same list, complete: %v", d.list)
 	}
-	if d.socket.Data(responseTo(d.query(), 6, 0)); len(d.list) != 4 {
+	if d.sockets.current.Data(responseTo(d.query(), 6, 0)); len(d.list) != 4 {
 		t.Errorf("a complete list was applied again: %v", d.list)
 	}
 }
@@ -87,24 +86,24 @@
 		applied bool
 	}{"reset": {2, true}, "late, and current once in between": {50, false}} {
 		d := newTestClient(t)
-		d.socket.Data(responseTo(d.query(), 50, 0, 1))
+		d.sockets.current.Data(responseTo(d.query(), 50, 0, 1))
 		d.SetServer(d.now, "new")
 		d.Tick(d.now)
-		d.socket.DialCompleted(nil)
+		d.sockets.current.DialCompleted(nil)
 		for begun := d.now; d.now < begun+serialResetAfter-time.Second; {
 			serial := uint32(2)
 			if d.now-begun > 8*time.Second && d.now-begun < 9*time.Second {
 				serial = tt.between
 			}
-			if d.socket.Data(responseTo(d.query(), serial, 0, 0, 0)); len(d.list) != 2 || d.serial != 50 {
+			if d.sockets.current.Data(responseTo(d.query(), serial, 0, 0, 0)); len(d.list) != 2 || d.endpoints.serial != 50 {
 				t.Fatalf("%s: after %v the list is %v", name, d.now-begun, d.list)
 			}
 		}
 		for begun := d.now; d.now < begun+3*time.Second; {
-			d.socket.Data(responseTo(d.query(), 2, 0, 0, 0))
+			d.sockets.current.Data(responseTo(d.query(), 2, 0, 0, 0))
 		}
-		if applied := d.serial == 2 && len(d.list) == 3; applied != tt.applied {
-			t.Errorf("%s: serial %d, list %v", name, d.serial, d.list)
+		if applied := d.endpoints.serial == 2 && len(d.list) == 3; applied != tt.applied {
+			t.Errorf("%s: serial %d, list %v", name, d.endpoints.serial, d.list)
 		}
 	}
 }
@@ -114,11 +113,40 @@
 	d := newTestClient(t)
 	for i, serial := range []uint32{1 << 30, 5 << 29, 1<<32 - 1, 0, 7} {
 		list := make([]uint16, i+1)
-		if d.socket.Data(responseTo(d.query(), serial, list...)); d.serial != serial || len(d.list) != i+1 {
-			t.Fatalf("serial %d is current after %d came, list %v", d.serial, serial, d.list)
+		if d.sockets.current.Data(responseTo(d.query(), serial, list...)); d.endpoints.serial != serial || len(d.list) != i+1 {
+			t.Fatalf("serial %d is current after %d came, list %v", d.endpoints.serial, serial, d.list)
 		}
 	}
-	if d.socket.Data(responseTo(d.query(), 1<<32-2, 0)); d.serial != 7 {
-		t.Errorf("an older serial was applied: %d", d.serial)
+	if d.sockets.current.Data(responseTo(d.query(), 1<<32-2, 0)); d.endpoints.serial != 7 {
+		t.Errorf("an older serial was applied: %d", d.endpoints.serial)
+	}
+}
+
+// A list replaces the current one if it is newer or completes it, and a lower number only once no other has come for
+// serialResetAfter.
+func TestEndpointListComparesSerialNumbers(t *testing.T) {
+	const start = time.Hour
+	for _, test := range []struct {
+		name       string
+		incomplete bool
+		staleSince time.Duration
+		serial     uint32
+		want       comparison
+	}{
+		{"newer", false, start, 51, listNewer},
+		{"same", false, start, 50, listStays},
+		{"same as an incomplete one", true, start, 50, listCompletes},
+		{"neither above nor below", false, start, 50 + 1<<31, listStays},
+		{"first lower one", false, 0, 49, listStays},
+		{"lower for a while", false, start - serialResetAfter + 1, 49, listStays},
+		{"lower for long", false, start - serialResetAfter, 49, listRenumbered},
+	} {
+		list := endpointList{serial: 50, incomplete: test.incomplete, staleSince: test.staleSince}
+		if got := list.compare(test.serial, start); got != test.want {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
+		}
+		if stale := list.staleSince > 0; stale != (test.serial == 49 && test.want == listStays) {
+			t.Errorf("%s: stale since %v", test.name, list.staleSince)
+		}
 	}
 }
--- a/internal/discovery/example_test.go
+++ b/internal/discovery/example_test.go
@@ -24,7 +24,13 @@
 			fmt.Println("  ", worker.Name, worker.Addrs)
 		}
 	}
-	client := New("127.0.0.1:53", 1, time.Second, dial, changed)
+	client := New(Config{
+		Addr:             "127.0.0.1:53",
+		Seed:             1,
+		DrainGracePeriod: time.Second,
+		Dial:             dial,
+		ListChanged:      changed,
+	})
 
 	fmt.Println("snapshot")
 	snapshot := Snapshot{Batch: make([]event, 1)}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -32,10 +32,10 @@
 	d := newTestClient(t)
 	connection := d.transports[0]
 	connection.Written.Reset()
-	d.Tick(d.nextTick)
+	d.Tick(d.schedule.next)
 	sent := connection.Written.Bytes()
-	if len(sent) < 2 || d.socket.pending[0] != binary.BigEndian.Uint16(sent) {
-		t.Fatalf("sent %x with %x pending", sent, d.socket.pending)
+	if len(sent) < 2 || d.sockets.current.pending[0] != binary.BigEndian.Uint16(sent) {
+		t.Fatalf("sent %x with %x pending", sent, d.sockets.current.pending)
 	}
 	golden.CompareMessages(t, goldenQueries, []golden.Message{
 		{Label: "query with a fixed id", Bytes: encodeQuery(goldenID, serviceName)},
@@ -119,11 +119,10 @@
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
 			}
-			d := newTestClient(t)
-			d.UnixInTXT = test.unixInTXT
-			d.socket.Data(withID(message, d.query()))
-			if !reflect.DeepEqual(d.list, test.workers) || d.serial != test.want.serial || d.incomplete != test.incomplete {
-				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.serial, d.incomplete, d.list, test.workers)
+			d := newConfiguredTestClient(t, Config{UnixInTXT: test.unixInTXT})
+			d.sockets.current.Data(withID(message, d.query()))
+			if !reflect.DeepEqual(d.list, test.workers) || d.endpoints.serial != test.want.serial || d.endpoints.incomplete != test.incomplete {
+				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.endpoints.serial, d.endpoints.incomplete, d.list, test.workers)
 			}
 		})
 	}
@@ -148,9 +147,9 @@
 		}
 		d := newTestClient(t)
 		before, read := d.list, d.ResponsesRead
-		d.socket.Data(withID(message, d.query()))
-		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.ResponsesRead != read {
-			t.Errorf("%s: serial %d, read %d, list %+v", label, d.serial, d.ResponsesRead-read, d.list)
+		d.sockets.current.Data(withID(message, d.query()))
+		if !reflect.DeepEqual(d.list, before) || d.endpoints.serial != 3 || d.ResponsesRead != read {
+			t.Errorf("%s: serial %d, read %d, list %+v", label, d.endpoints.serial, d.ResponsesRead-read, d.list)
 		}
 	}
 }
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"net"
 	"net/netip"
 	"strings"
 )
@@ -21,6 +22,12 @@
 	classIN  = 1
 )
 
+// addressSizes are the lengths of addresses in bytes by the types of their records.
+var addressSizes = map[uint16]int{
+	typeA:    net.IPv4len,
+	typeAAAA: net.IPv6len,
+}
+
 // The header of a message: RFC 1035, section 4.1.1.
 const (
 	headerSize = 12
@@ -190,23 +197,23 @@
 	end   int
 }
 
+// size returns the length of the record's data in bytes.
+func (r record) size() int { return r.end - r.start }
+
 // parseRecord parses the next record. Records of other types, owners and sizes than the protocol's are ignored.
 func (p *parser) parseRecord() error {
 	rec, err := p.nextRecord()
 	if err != nil {
 		return err
 	}
-	data := p.message[rec.start:rec.end]
-	switch {
-	case rec.kind == typeSRV && len(data) > serviceFixedSize && rec.owner == serviceName:
+	switch rec.kind {
+	case typeSRV:
 		return p.parseService(rec)
-	case rec.kind == typeA && len(data) == 4:
-		p.addAddress(rec.owner, netip.AddrFrom4([4]byte(data)))
-	case rec.kind == typeAAAA && len(data) == 16:
-		p.addAddress(rec.owner, netip.AddrFrom16([16]byte(data)))
-	case rec.kind == typeTXT:
+	case typeA, typeAAAA:
+		p.parseAddress(rec)
+	case typeTXT:
 		return p.parseTexts(rec)
-	case rec.kind == typeSOA:
+	case typeSOA:
 		return p.parseSerial(rec)
 	}
 	return nil
@@ -230,12 +237,22 @@
 	return rec, nil
 }
 
-func (p *parser) addAddress(owner string, addr netip.Addr) {
-	p.response.addresses[owner] = append(p.response.addresses[owner], addr)
+// parseAddress parses an A or an AAAA record. One whose data has another size than its type's addresses is ignored.
+func (p *parser) parseAddress(rec record) {
+	if rec.size() != addressSizes[rec.kind] {
+		return
+	}
+	addr, ok := netip.AddrFromSlice(p.message[rec.start:rec.end])
+	if ok {
+		p.response.addresses[rec.owner] = append(p.response.addresses[rec.owner], addr)
+	}
 }
 
-// parseService parses an SRV record (RFC 2782).
+// parseService parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
 func (p *parser) parseService(rec record) error {
+	if rec.owner != serviceName || rec.size() <= serviceFixedSize {
+		return nil
+	}
 	target, _, err := readName(p.message, rec.start+serviceFixedSize)
 	if err != nil {
 		return err
--- a/internal/discovery/name.go
+++ b/internal/discovery/name.go
@@ -9,6 +9,7 @@
 const (
 	maxNameLength = 255
 	maxPointers   = 16 // in one name
+	pointerSize   = 2  // bytes
 
 	labelTypeMask     = 0xc0 // bits of a length byte; 0 for a label
 	labelTypePointer  = 0xc0
@@ -16,62 +17,87 @@
 )
 
 // readName reads the name at an offset, compressed or not, and returns it in lower case with the offset of what follows
-// it.
+// it. Its error is a ParseError.
 func readName(message []byte, start int) (name string, next int, err error) {
-	var text []byte
-	at := start
-	for pointers := 0; ; {
-		if at >= len(message) {
-			return "", 0, &ParseError{Offset: at, Err: errMalformed}
+	r := nameReader{message: message, offset: start}
+	if err := r.read(); err != nil {
+		return "", 0, err
+	}
+	return strings.ToLower(string(r.name)), r.next, nil
+}
+
+// nameReader reads one name. Its methods for labels and pointers are called with offset at the first byte of one, which
+// is in the message.
+type nameReader struct {
+	message  []byte
+	offset   int    // of the next label or pointer
+	name     []byte // the labels so far, with dots between them
+	pointers int    // followed so far
+	next     int    // offset of what follows the name; 0 until the first pointer or the root was read
+}
+
+// read reads labels and follows pointers until the root, a label of length 0.
+func (r *nameReader) read() error {
+	for {
+		if r.offset >= len(r.message) {
+			return r.malformed()
 		}
-		length := int(message[at])
+		var err error
+		length := r.message[r.offset]
 		switch {
 		case length == 0:
-			if pointers == 0 {
-				next = at + 1
-			}
-			return strings.ToLower(string(text)), next, nil
+			r.endAt(r.offset + 1)
+			return nil
 		case length&labelTypeMask == labelTypePointer:
-			pointers++
-			target, err := readPointer(message, at)
-			if err != nil || pointers > maxPointers {
-				return "", 0, &ParseError{Offset: at, Err: errMalformed}
-			}
-			if pointers == 1 {
-				next = at + 2
-			}
-			at = target
+			err = r.followPointer()
 		default:
-			if text, err = appendLabel(text, message, at); err != nil {
-				return "", 0, err
-			}
-			at += 1 + length
+			err = r.readLabel()
+		}
+		if err != nil {
+			return err
 		}
 	}
 }
 
-// readPointer returns the offset that a compression pointer leads to. It must lead back, so that pointers can't form a
-// loop.
-func readPointer(message []byte, at int) (target int, err error) {
-	if at+2 > len(message) {
-		return 0, &ParseError{Offset: at, Err: errMalformed}
+// endAt sets the offset of what follows the name. Only the first call counts: a name that ends in a pointer ends behind
+// that pointer, wherever the labels that it leads to end.
+func (r *nameReader) endAt(offset int) {
+	if r.next == 0 {
+		r.next = offset
 	}
-	target = int(binary.BigEndian.Uint16(message[at:]) & pointerOffsetMask)
-	if target >= at {
-		return 0, &ParseError{Offset: at, Err: errMalformed}
+}
+
+// readLabel appends a label to the name, behind a dot unless it is the first.
+func (r *nameReader) readLabel() error {
+	length := int(r.message[r.offset])
+	end := r.offset + 1 + length
+	if length&labelTypeMask != 0 || end > len(r.message) || len(r.name)+length+1 > maxNameLength {
+		return r.malformed()
 	}
-	return target, nil
+	if len(r.name) > 0 {
+		r.name = append(r.name, '.')
+	}
+	r.name = append(r.name, r.message[r.offset+1:end]...)
+	r.offset = end
+	return nil
 }
 
-// appendLabel appends the label at an offset to a name, behind a dot unless it is the first.
-func appendLabel(name, message []byte, at int) ([]byte, error) {
-	length := int(message[at])
-	end := at + 1 + length
-	if length&labelTypeMask != 0 || end > len(message) || len(name)+length+1 > maxNameLength {
-		return nil, &ParseError{Offset: at, Err: errMalformed}
+// followPointer moves on to the offset that a compression pointer leads to. It must lead back, so that pointers can't
+// form a loop.
+func (r *nameReader) followPointer() error {
+	end := r.offset + pointerSize
+	if end > len(r.message) {
+		return r.malformed()
 	}
-	if len(name) > 0 {
-		name = append(name, '.')
+	target := int(binary.BigEndian.Uint16(r.message[r.offset:]) & pointerOffsetMask)
+	r.pointers++
+	if target >= r.offset || r.pointers > maxPointers {
+		return r.malformed()
 	}
-	return append(name, message[at+1:end]...), nil
+	r.endAt(end)
+	r.offset = target
+	return nil
 }
+
+// malformed returns the error of what stands at the offset.
+func (r *nameReader) malformed() error { return &ParseError{Offset: r.offset, Err: errMalformed} }
--- /dev/null
+++ b/internal/discovery/name_test.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"errors"
+	"testing"
+)
+
+// A name ends behind its root or its first pointer. Pointers lead back, and not over and over.
+func TestReadName(t *testing.T) {
+	const suffix = "\x03Lan\x00" // at offset 0, in mixed case
+	for _, test := range []struct {
+		label   string
+		message string
+		start   int
+		name    string
+		next    int // of a valid name
+		fault   int // offset of the error, or -1
+	}{
+		{"labels", suffix, 0, "lan", 5, -1},
+		{"root", suffix, 4, "", 5, -1},
+		{"label and pointer", suffix + "\x01a\xc0\x00", 5, "a.lan", 9, -1},
+		{"pointer to a pointer", suffix + "\xc0\x00\xc0\x05", 7, "lan", 9, -1},
+		{"pointer ahead", suffix + "\xc0\x07" + suffix, 5, "", 0, 5},
+		{"pointer cut short", suffix + "\xc0", 5, "", 0, 5},
+		{"label cut short", "\x03La", 0, "", 0, 0},
+		{"label of an unknown type", "\x40", 0, "", 0, 0},
+		{"no root", "\x03Lan", 0, "", 0, 4},
+	} {
+		name, next, err := readName([]byte(test.message), test.start)
+		if name != test.name || next != test.next || (err != nil) != (test.fault >= 0) {
+			t.Errorf("%s: %q, %d, %v", test.label, name, next, err)
+		}
+		var parseError *ParseError
+		if err != nil && (!errors.As(err, &parseError) || parseError.Offset != test.fault) {
+			t.Errorf("%s: error %#v, want offset %d", test.label, err, test.fault)
+		}
+	}
+}
--- a/internal/discovery/setserver_test.go
+++ b/internal/discovery/setserver_test.go
@@ -12,43 +12,43 @@
 	for _, connected := range []bool{true, false} { // the old socket is connected, or its dial has not ended
 		d := newTestClient(t)
 		if !connected {
-			d.socket.Closed(errors.New("refused"))
-			d.Tick(d.nextTick)
+			d.sockets.current.Closed(errors.New("refused"))
+			d.Tick(d.schedule.next)
 		}
 		id := uint16(0)
-		old := d.socket
+		old := d.sockets.current
 		transport := d.transports[len(d.transports)-1]
 		if connected {
 			id = d.query()
 		}
 		d.SetServer(d.now+time.Millisecond, "new")
 		d.Tick(d.now + time.Millisecond)
-		if transport.Closed || d.dialled[len(d.dialled)-1] != "new" || d.socket == old {
+		if transport.Closed || d.dialled[len(d.dialled)-1] != "new" || d.sockets.current == old {
 			t.Fatalf("dialled %v, old closed %v", d.dialled, transport.Closed) // its descriptor may be the last
 		}
-		fresh := d.socket
+		fresh := d.sockets.current
 		old.DialCompleted(nil)
 		old.Data(responseTo(id, 8, 0, 0))
 		old.Closed(errors.New("late"))
-		if d.socket != fresh || len(d.list) != 1 || d.serial != 3 {
+		if d.sockets.current != fresh || len(d.list) != 1 || d.endpoints.serial != 3 {
 			t.Fatalf("the old socket changed the list to %v", d.list)
 		}
 		if fresh.DialCompleted(nil); !transport.Closed {
 			t.Error("the old socket stays open beside the new one")
 		}
-		if d.nextTick > d.now+initialBackoff {
+		if d.schedule.next > d.now+initialBackoff {
 			t.Error("the new server isn't polled soon")
 		}
 		fresh.Data(responseTo(d.query(), 2, 0, 0)) // outdated
-		if d.serial != 3 {
-			t.Errorf("the serial number fell to %d", d.serial)
+		if d.endpoints.serial != 3 {
+			t.Errorf("the serial number fell to %d", d.endpoints.serial)
 		}
 		if fresh.Data(responseTo(d.query(), 4, 0, 0)); len(d.list) != 2 {
 			t.Errorf("list %v", d.list)
 		}
 		dials := len(d.dialled)
 		d.SetServer(d.now, "new") // a repeated signal changes nothing
-		if d.Tick(d.now); d.socket != fresh || len(d.dialled) != dials {
+		if d.Tick(d.now); d.sockets.current != fresh || len(d.dialled) != dials {
 			t.Error("the same address was dialled again")
 		}
 	}
@@ -67,15 +67,15 @@
 		t.Fatalf("closed: %v, %v", first.Closed, second.Closed)
 	}
 	d.Tick(d.now)
-	d.socket.DialCompleted(errors.New("no descriptor"))
-	if !second.Closed || d.socket != nil {
+	d.sockets.current.DialCompleted(errors.New("no descriptor"))
+	if !second.Closed || d.sockets.current != nil {
 		t.Fatal("a dial that failed kept the descriptor that it needs")
 	}
-	if d.Tick(d.now + redialDelay); d.dialled[len(d.dialled)-1] != "third" || d.socket == nil {
+	if d.Tick(d.now + redialDelay); d.dialled[len(d.dialled)-1] != "third" || d.sockets.current == nil {
 		t.Fatalf("dialled %v", d.dialled)
 	}
-	d.socket.DialCompleted(nil)
-	if d.socket.Data(responseTo(d.query(), 9, 0, 0)); len(d.list) != 2 {
+	d.sockets.current.DialCompleted(nil)
+	if d.sockets.current.Data(responseTo(d.query(), 9, 0, 0)); len(d.list) != 2 {
 		t.Errorf("list %v", d.list)
 	}
 }
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -59,27 +59,25 @@
 
 func (e unknownPhaseError) Error() string { return fmt.Sprintf("unknown phase %q", string(e)) }
 
-// LoadSnapshot applies the endpoint list of the configuration. Its error is a SnapshotError, after which the client
-// must not be used.
-func (c *Client) LoadSnapshot(snapshot Snapshot) error {
+// applySnapshot applies the lists and changes of a snapshot in their order. Its error is a SnapshotError.
+func (l *endpointList) applySnapshot(snapshot Snapshot) error {
 	for _, e := range snapshot.Batch {
 		if e.Topology.Complete {
-			clear(c.workers)
+			clear(l.workers)
 		}
 		for _, m := range e.Topology.Members {
-			if err := c.applyMember(m); err != nil {
+			if err := l.applyMember(m); err != nil {
 				return err
 			}
 		}
-		c.serial = max(c.serial, e.Offset)
+		l.serial = max(l.serial, e.Offset)
 	}
-	c.serial = max(c.serial, snapshot.Offset)
-	c.notify()
+	l.serial = max(l.serial, snapshot.Offset)
 	return nil
 }
 
 // applyMember adds, replaces or removes a worker.
-func (c *Client) applyMember(m member) error {
+func (l *endpointList) applyMember(m member) error {
 	addr, err := endpoint.ParseHost(m.HostPort)
 	if err != nil {
 		return &SnapshotError{Worker: m.ID, Field: "host_port", Err: err}
@@ -89,10 +87,10 @@
 		return &SnapshotError{Worker: m.ID, Field: "phase", Err: unknownPhaseError(m.Phase)}
 	}
 	if state == policy.Gone {
-		delete(c.workers, m.ID)
+		delete(l.workers, m.ID)
 		return nil
 	}
-	c.workers[m.ID] = Worker{
+	l.workers[m.ID] = Worker{
 		Name:    m.ID,
 		Addrs:   []endpoint.Addr{addr},
 		Zone:    m.Locality,
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -3,8 +3,6 @@
 import (
 	"errors"
 	"testing"
-
-	"crankhold/internal/eventloop"
 )
 
 // A worker of the configuration that can't be used is reported with its id and the field.
@@ -22,7 +20,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			snapshot := Snapshot{Batch: make([]event, 1)}
 			snapshot.Batch[0].Topology.Members = []member{test.member}
-			client := New("127.0.0.1:53", 1, 0, func(string, eventloop.DialHandler) Transport { return nil }, func([]Worker) {})
+			client := New(Config{Addr: "127.0.0.1:53", Seed: 1, ListChanged: func([]Worker) {}})
 			err := client.LoadSnapshot(snapshot)
 			var snapshotError *SnapshotError
 			if !errors.As(err, &snapshotError) || snapshotError.Worker != test.member.ID || snapshotError.Field != test.field {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -55,17 +55,23 @@
 }
 
 // newTestClient returns a client with a snapshot of one worker under serial number 3 and a connected socket.
-func newTestClient(t rapid.TB) *testClient { return newSeededTestClient(t, 1) }
+func newTestClient(t rapid.TB) *testClient { return newConfiguredTestClient(t, Config{Seed: 1}) }
 
-func newSeededTestClient(t rapid.TB, seed uint64) *testClient {
+// newConfiguredTestClient is newTestClient with a configuration, in which the server's address, the drain grace period
+// and functions are set.
+func newConfiguredTestClient(t rapid.TB, cfg Config) *testClient {
 	t.Helper()
 	d := &testClient{t: t}
-	d.Client = New("old", seed, time.Second, func(addr string, _ eventloop.DialHandler) Transport {
+	cfg.Addr = "old"
+	cfg.DrainGracePeriod = time.Second
+	cfg.Dial = func(addr string, _ eventloop.DialHandler) Transport {
 		transport := &testutil.Transport{}
 		d.transports = append(d.transports, transport)
 		d.dialled = append(d.dialled, addr)
 		return transport
-	}, func(w []Worker) { d.list = w })
+	}
+	cfg.ListChanged = func(list []Worker) { d.list = list }
+	d.Client = New(cfg)
 	var known Snapshot
 	known.Offset = 3
 	known.Batch = make([]event, 1)
@@ -75,7 +81,7 @@
 		t.Fatal(err)
 	}
 	d.Tick(time.Hour)
-	d.socket.DialCompleted(nil)
+	d.sockets.current.DialCompleted(nil)
 	return d
 }
 
@@ -84,7 +90,7 @@
 	d.t.Helper()
 	l := d.transports[len(d.transports)-1]
 	l.Written.Reset()
-	d.Tick(d.nextTick)
+	d.Tick(d.schedule.next)
 	b := l.Written.Bytes()
 	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
 		d.t.Fatalf("queried %x", b)
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -39,13 +39,11 @@
 	s.workers = newWorkerClient(cfg, s.loop, s.core)
 	s.core.SetWorkerClient(s.workers)
 	s.membership = newMembership(s.loop, s.core, s.workers, cfg)
-	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership.update)
-	s.discovery.Confirmed = s.membership.listConfirmed
 	addresses, err := readAddresses(options.Addresses)
 	if err != nil {
 		return nil, err
 	}
-	s.discovery.UnixInTXT = addresses.UnixInTXT
+	s.discovery = newDiscoveryClient(cfg, s.loop, s.membership, addresses.UnixInTXT)
 	return s, nil
 }
 
@@ -107,11 +105,18 @@
 	return longest
 }
 
-func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, changed func([]discovery.Worker)) *discovery.Client {
-	dial := func(addr string, handler eventloop.DialHandler) discovery.Transport {
-		return loop.Dial("udp", addr, discoveryDialTimeout, handler)
-	}
-	return discovery.New(cfg.DiscoveryAddr, cfg.SeedValue, cfg.Policy.DrainGracePeriod, dial, changed)
+func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, list *membership, unixInTXT bool) *discovery.Client {
+	return discovery.New(discovery.Config{
+		Addr:             cfg.DiscoveryAddr,
+		Seed:             cfg.SeedValue,
+		DrainGracePeriod: cfg.Policy.DrainGracePeriod,
+		UnixInTXT:        unixInTXT,
+		Dial: func(addr string, handler eventloop.DialHandler) discovery.Transport {
+			return loop.Dial("udp", addr, discoveryDialTimeout, handler)
+		},
+		ListChanged:   list.update,
+		ListConfirmed: list.listConfirmed,
+	})
 }
 
 // thriftConfig returns what the Thrift front checks requests against.
