--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,18 +21,18 @@
 
 // Values of settings that are absent or not above 0.
 const (
-	defaultDialTimeoutMs  = 250
-	defaultKeepAliveMs    = 30000
-	defaultMaxOpen        = 20000
-	defaultStreamsPerConn = 32
-	defaultMemoryMB       = 192
-	defaultSockets        = 1024
+	defaultDialTimeoutMs            = 250
+	defaultKeepAliveMs              = 30000
+	defaultMaxOpenRequests          = 20000
+	defaultMaxRequestsPerConnection = 32
+	defaultMemoryMB                 = 192
+	defaultMaxDescriptors           = 1024
 )
 
 // The least that a router can serve with.
 const (
-	minMemoryMB = 32
-	minSockets  = 64
+	minMemoryMB    = 32
+	minDescriptors = 64
 )
 
 // Config is what the platform tells a function router.
@@ -42,7 +42,7 @@
 	Seed          string             `json:"seed"`   // hexadecimal
 	Limits        Limits             `json:"limits"`
 	DiscoveryAddr string             `json:"names"`
-	Known         discovery.Snapshot `json:"known"` // the endpoint list at the start
+	Snapshot      discovery.Snapshot `json:"known"` // the endpoint list at the start
 	Settings      json.RawMessage    `json:"settings"`
 
 	// SeedValue is Seed as a number.
@@ -55,30 +55,30 @@
 
 // Limits is what the process may use. It is an alias, so that errors of encoding/json name fields by their keys alone.
 type Limits = struct {
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"` // descriptors
+	MemoryMB       int `json:"memory_mb"`
+	MaxDescriptors int `json:"sockets"` // descriptors
 }
 
 // Network is what connections need of the settings and the policy does not.
 type Network struct {
-	FailureDomains []string `json:"failureDomains"`
-	Kinds          []string `json:"kinds"`
-	Classes        []Named  `json:"classes"`
-	Accounts       []Named  `json:"accounts"`
-	Specifics      struct {
-		MemoryMbByKind []float64 `json:"memoryMbByKind"`
+	Zones     []string     `json:"failureDomains"`
+	Kinds     []string     `json:"kinds"`
+	Classes   []NamedEntry `json:"classes"`
+	Tenants   []NamedEntry `json:"accounts"`
+	Specifics struct {
+		MemoryMBByKind []float64 `json:"memoryMbByKind"`
 	} `json:"specifics"`
 	Limits struct {
-		DialTimeoutMs  float64 `json:"dialTimeoutMs"`
-		KeepaliveMs    float64 `json:"keepaliveMs"`
-		MaxOpen        int     `json:"maxOpen"`
-		StreamsPerConn int     `json:"streamsPerConn"`
+		DialTimeoutMs            float64 `json:"dialTimeoutMs"`
+		KeepAliveMs              float64 `json:"keepaliveMs"`
+		MaxOpenRequests          int     `json:"maxOpen"`
+		MaxRequestsPerConnection int     `json:"streamsPerConn"`
 	} `json:"limits"`
 }
 
-// Named is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at
+// NamedEntry is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at
 // Limits.
-type Named = struct {
+type NamedEntry = struct {
 	Name string `json:"name"`
 }
 
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	c.setDefaults()
-	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.MaxDescriptors < minDescriptors {
 		return nil, &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
 	}
 	return c, nil
@@ -149,13 +149,13 @@
 	if err := checkNames("class", c.Network.Classes); err != nil {
 		return &FileError{File: file, Err: err}
 	}
-	if err := checkNames("account", c.Network.Accounts); err != nil {
+	if err := checkNames("account", c.Network.Tenants); err != nil {
 		return &FileError{File: file, Err: err}
 	}
 	return nil
 }
 
-func checkNames(kind string, list []Named) error {
+func checkNames(kind string, list []NamedEntry) error {
 	for i, entry := range list {
 		if entry.Name == "" {
 			return &MissingNameError{Kind: kind, Index: i}
@@ -167,11 +167,11 @@
 func (c *Config) setDefaults() {
 	limits := &c.Network.Limits
 	setDefault(&limits.DialTimeoutMs, defaultDialTimeoutMs)
-	setDefault(&limits.KeepaliveMs, defaultKeepAliveMs)
-	setDefault(&limits.MaxOpen, defaultMaxOpen)
-	setDefault(&limits.StreamsPerConn, defaultStreamsPerConn)
+	setDefault(&limits.KeepAliveMs, defaultKeepAliveMs)
+	setDefault(&limits.MaxOpenRequests, defaultMaxOpenRequests)
+	setDefault(&limits.MaxRequestsPerConnection, defaultMaxRequestsPerConnection)
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
-	setDefault(&c.Limits.Sockets, defaultSockets)
+	setDefault(&c.Limits.MaxDescriptors, defaultMaxDescriptors)
 }
 
 // setDefault replaces a value that is absent or not above 0.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,8 +30,8 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	read := func(text string) (*Config, error) { return readText(path, text) }
 	c, err := read(goodConfig)
-	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Known.Offset != 3 ||
-		c.Network.Classes[0].Name != "repair-order" || c.Network.Limits.StreamsPerConn != 32 {
+	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Snapshot.Offset != 3 ||
+		c.Network.Classes[0].Name != "repair-order" || c.Network.Limits.MaxRequestsPerConnection != 32 {
 		t.Errorf("read %+v, %v", c, err)
 	}
 	for old, new := range map[string]string{
@@ -81,7 +81,7 @@
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, sockets := range []int{64, 256, 1024} {
 			var c Config
-			c.Limits.MemoryMB, c.Limits.Sockets, c.Network.Limits.MaxOpen = memory, sockets, 20000
+			c.Limits.MemoryMB, c.Limits.MaxDescriptors, c.Network.Limits.MaxOpenRequests = memory, sockets, 20000
 			held := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
 			if held > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
 				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.MaxConcurrentRequests())
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -22,11 +22,11 @@
 )
 
 // MaxClientConnections returns how many accepted connections there may be.
-func (c *Config) MaxClientConnections() int { return c.Limits.Sockets / clientShare }
+func (c *Config) MaxClientConnections() int { return c.Limits.MaxDescriptors / clientShare }
 
 // MaxWorkerConnections returns how many connections to workers there may be: what clients and the reserve leave.
 func (c *Config) MaxWorkerConnections() int {
-	return c.Limits.Sockets - c.MaxClientConnections() - min(reservedDescriptors, c.Limits.Sockets/4)
+	return c.Limits.MaxDescriptors - c.MaxClientConnections() - min(reservedDescriptors, c.Limits.MaxDescriptors/4)
 }
 
 // ScaleToMemory scales a bound in bytes that is right for referenceMemoryMB to the memory limit. The bounds on what is
@@ -37,7 +37,7 @@
 
 // MaxConcurrentRequests returns how many requests may be open at once.
 func (c *Config) MaxConcurrentRequests() int {
-	return min(c.Network.Limits.MaxOpen, c.Limits.MemoryMB*requestsPerMB)
+	return min(c.Network.Limits.MaxOpenRequests, c.Limits.MemoryMB*requestsPerMB)
 }
 
 // RejectionRetryAfter returns the Retry-After of requests that are rejected for want of room, or 0 where the settings
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -10,9 +10,9 @@
 func (c *Config) ClassNames() []string { return namesOf(c.Network.Classes) }
 
 // TenantNames returns the names of the tenants, in the order in which requests refer to them by index.
-func (c *Config) TenantNames() []string { return namesOf(c.Network.Accounts) }
+func (c *Config) TenantNames() []string { return namesOf(c.Network.Tenants) }
 
-func namesOf(list []Named) []string {
+func namesOf(list []NamedEntry) []string {
 	var names []string
 	for _, entry := range list {
 		names = append(names, entry.Name)
@@ -31,7 +31,7 @@
 
 // KindMemoryMB returns the memory of a kind of workers, or 0 where the settings don't say.
 func (c *Config) KindMemoryMB(kind string) float64 {
-	memory := c.Network.Specifics.MemoryMbByKind
+	memory := c.Network.Specifics.MemoryMBByKind
 	i := slices.Index(c.Network.Kinds, kind)
 	if i < 0 || i >= len(memory) {
 		return 0
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -9,7 +9,7 @@
 		HedgingAllowed: c.Policy.HedgingAllowed,
 		Kinds:          c.Network.Kinds,
 		KindMemoryMB:   map[string]float64{},
-		Zones:          c.Network.FailureDomains,
+		Zones:          c.Network.Zones,
 		LoadWindow:     c.Policy.LoadBudgetWindow,
 	}
 	notIdempotent := c.NotIdempotent()
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -50,7 +50,7 @@
 func newEventLoop(cfg *config.Config) *eventloop.Loop {
 	return eventloop.New(eventloop.Config{
 		MaxAccepted:    cfg.MaxClientConnections(),
-		MaxDescriptors: cfg.Limits.Sockets,
+		MaxDescriptors: cfg.Limits.MaxDescriptors,
 		MaxQueuedBytes: cfg.ScaleToMemory(maxQueuedBytes),
 		MaxUnreadBytes: cfg.ScaleToMemory(maxUnreadBytes),
 	})
@@ -74,9 +74,9 @@
 		Classes:               cfg.ClassNames(),
 		ReportFields:          cfg.Policy.LoadReportFields,
 		DialTimeout:           config.Millis(limits.DialTimeoutMs),
-		KeepAlive:             config.Millis(limits.KeepaliveMs),
+		KeepAlive:             config.Millis(limits.KeepAliveMs),
 		SlowestObjective:      slowestObjective(cfg.Policy.Classes),
-		MaxCallsPerConnection: limits.StreamsPerConn,
+		MaxCallsPerConnection: limits.MaxRequestsPerConnection,
 		MaxConnections:        cfg.MaxWorkerConnections(),
 		CancelSupported:       cfg.Policy.CancelSupported,
 		HealthChecksAllowed:   cfg.Policy.HealthCheckSupported,
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -170,7 +170,7 @@
 		State:  first.State,
 		Weight: first.Weight,
 		Cell:   first.Cell,
-		Zone:   max(slices.Index(m.config.Network.FailureDomains, first.Zone), 0),
+		Zone:   max(slices.Index(m.config.Network.Zones, first.Zone), 0),
 	}
 	e := &joined.endpoint
 	for _, i := range group {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -85,7 +85,7 @@
 
 // Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens.
 func (s *Server) Start() error {
-	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
+	if err := s.discovery.LoadSnapshot(s.config.Snapshot); err != nil {
 		return err
 	}
 	if err := s.loadFirstRoutes(); err != nil {
