--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 	listenVariable = "EDGE_LISTEN"
 )
 
-// Values of settings that are absent or not above 0.
+// Values that replace those which are absent or not above 0.
 const (
 	defaultDialTimeoutMs            = 250
 	defaultKeepAliveMs              = 30000
@@ -29,13 +29,14 @@
 	defaultMaxDescriptors           = 1024
 )
 
-// The least that a router can serve with.
+// The lowest limits that a router can serve with.
 const (
 	minMemoryMB    = 32
 	minDescriptors = 64
 )
 
-// Config is what the platform tells a function router.
+// Config is the platform's configuration of a function router. Read returns it checked and complete, and nothing
+// changes it afterwards.
 type Config struct {
 	Name          string             `json:"name"`
 	Listen        string             `json:"listen"` // the address of the Thrift front
@@ -45,6 +46,8 @@
 	Snapshot      discovery.Snapshot `json:"known"` // the endpoint list at the start
 	Settings      json.RawMessage    `json:"settings"`
 
+	// What Read derives from the file:
+
 	// SeedValue is Seed as a number.
 	SeedValue uint64
 	// Policy is the part of the settings that configures the policy.
@@ -53,13 +56,14 @@
 	Network Network
 }
 
-// Limits is what the process may use. It is an alias, so that errors of encoding/json name fields by their keys alone.
+// Limits is what the process may use. It is an alias, since errors of encoding/json would contain the name of a defined
+// type.
 type Limits = struct {
 	MemoryMB       int `json:"memory_mb"`
 	MaxDescriptors int `json:"sockets"` // descriptors
 }
 
-// Network is what connections need of the settings and the policy does not.
+// Network is the part of the settings that the policy does not read: names, and limits on connections.
 type Network struct {
 	Zones     []string     `json:"failureDomains"`
 	Kinds     []string     `json:"kinds"`
@@ -76,8 +80,7 @@
 	} `json:"limits"`
 }
 
-// NamedEntry is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at
-// Limits.
+// NamedEntry is a class or a tenant of the settings. It is an alias for the reason given at Limits.
 type NamedEntry = struct {
 	Name string `json:"name"`
 }
@@ -85,7 +88,8 @@
 // Millis converts milliseconds, the unit of durations in the settings.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Read reads and checks the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override what it says.
+// Read reads and checks the file that the environment variable EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override
+// the file. Its error is ErrNoFile, a FileError or a FieldError. It blocks and must not be called on the event loop.
 func Read(getenv func(string) string) (*Config, error) {
 	file := getenv(fileVariable)
 	if file == "" {
@@ -110,8 +114,8 @@
 		return nil, err
 	}
 	c.setDefaults()
-	if c.Limits.MemoryMB < minMemoryMB || c.Limits.MaxDescriptors < minDescriptors {
-		return nil, &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
+	if err := c.checkLimits(file); err != nil {
+		return nil, err
 	}
 	return c, nil
 }
@@ -126,6 +130,7 @@
 	}
 }
 
+// checkAddresses checks the addresses to listen on and of the discovery server.
 func (c *Config) checkAddresses(file string) error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return &FieldError{File: file, Field: "listen", Err: err}
@@ -155,6 +160,7 @@
 	return nil
 }
 
+// checkNames checks that each entry has a name. Its error is a MissingNameError.
 func checkNames(kind string, list []NamedEntry) error {
 	for i, entry := range list {
 		if entry.Name == "" {
@@ -164,6 +170,15 @@
 	return nil
 }
 
+// checkLimits checks that the limits, defaults included, leave the router enough to serve with.
+func (c *Config) checkLimits(file string) error {
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.MaxDescriptors < minDescriptors {
+		return &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
+	}
+	return nil
+}
+
+// setDefaults replaces values that are absent or not above 0.
 func (c *Config) setDefaults() {
 	limits := &c.Network.Limits
 	setDefault(&limits.DialTimeoutMs, defaultDialTimeoutMs)
@@ -175,8 +190,8 @@
 }
 
 // setDefault replaces a value that is absent or not above 0.
-func setDefault[T int | float64](value *T, standard T) {
+func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,9 +20,12 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	return Read(func(name string) string {
-		return map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n4"}[name]
-	})
+	return Read(environment(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n4"}))
+}
+
+// environment returns a getenv of these variables.
+func environment(variables map[string]string) func(string) string {
+	return func(name string) string { return variables[name] }
 }
 
 // A good file is read with the environment's overrides and the defaults; a fault is an error of one line.
@@ -47,7 +50,7 @@
 			t.Errorf("%s: %v", new, err)
 		}
 	}
-	if _, err := Read(func(string) string { return "" }); err == nil {
+	if _, err := Read(environment(nil)); err == nil {
 		t.Error("no file, no error")
 	}
 }
@@ -81,7 +84,9 @@
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, sockets := range []int{64, 256, 1024} {
 			var c Config
-			c.Limits.MemoryMB, c.Limits.MaxDescriptors, c.Network.Limits.MaxOpenRequests = memory, sockets, 20000
+			c.Limits.MemoryMB = memory
+			c.Limits.MaxDescriptors = sockets
+			c.Network.Limits.MaxOpenRequests = 20000
 			held := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
 			if held > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
 				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.MaxConcurrentRequests())
@@ -95,7 +100,8 @@
 	if c.RejectionRetryAfter() != 0 {
 		t.Error("Retry-After where the settings allow none")
 	}
-	c.Policy.RetryAfterSupported, c.Policy.MaxRetryAfter = true, 300*time.Millisecond
+	c.Policy.RetryAfterSupported = true
+	c.Policy.MaxRetryAfter = 300 * time.Millisecond
 	if c.RejectionRetryAfter() != c.Policy.MaxRetryAfter {
 		t.Errorf("Retry-After %v", c.RejectionRetryAfter())
 	}
@@ -137,11 +143,11 @@
 // A file that can't be read is named once, and the cause can be told: a reload retries when no descriptor was left.
 func TestReadErrorsKeepTheirCause(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.json")
-	_, err := Read(func(name string) string { return map[string]string{"EDGE_CONFIG": missing}[name] })
+	_, err := Read(environment(map[string]string{"EDGE_CONFIG": missing}))
 	if !errors.Is(err, fs.ErrNotExist) || err.Error() != "config: open "+missing+": no such file or directory" {
 		t.Errorf("error %v", err)
 	}
-	if _, err := Read(func(string) string { return "" }); !errors.Is(err, ErrNoFile) {
+	if _, err := Read(environment(nil)); !errors.Is(err, ErrNoFile) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -4,11 +4,14 @@
 
 const (
 	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the socket to the
-	// discovery server, notices, files, and an accepted connection that is yet to be closed for want of room.
+	// discovery server, notices, files, and an accepted connection beyond the limit that is yet to be closed.
 	reservedDescriptors = 32
 
-	// clientShare is the part of the descriptors, as its divisor, that accepted connections may take.
-	clientShare = 3
+	// clientConnectionDivisor sets how many accepted connections there may be: a third of the descriptors.
+	clientConnectionDivisor = 3
+
+	// maxReservedDivisor bounds reservedDescriptors by a quarter of all descriptors.
+	maxReservedDivisor = 4
 
 	// referenceMemoryMB is the memory limit at which ScaleToMemory returns bounds unchanged.
 	referenceMemoryMB = 192
@@ -17,16 +20,18 @@
 	// memory.
 	requestsPerMB = 32
 
-	// longestRejectionRetryAfter bounds the Retry-After of requests that are rejected for want of room.
+	// longestRejectionRetryAfter bounds the Retry-After of requests that are rejected for lack of capacity.
 	longestRejectionRetryAfter = time.Second
 )
 
 // MaxClientConnections returns how many accepted connections there may be.
-func (c *Config) MaxClientConnections() int { return c.Limits.MaxDescriptors / clientShare }
+func (c *Config) MaxClientConnections() int { return c.Limits.MaxDescriptors / clientConnectionDivisor }
 
-// MaxWorkerConnections returns how many connections to workers there may be: what clients and the reserve leave.
+// MaxWorkerConnections returns how many connections to workers there may be: what accepted connections and the reserve
+// leave.
 func (c *Config) MaxWorkerConnections() int {
-	return c.Limits.MaxDescriptors - c.MaxClientConnections() - min(reservedDescriptors, c.Limits.MaxDescriptors/4)
+	reserved := min(reservedDescriptors, c.Limits.MaxDescriptors/maxReservedDivisor)
+	return c.Limits.MaxDescriptors - c.MaxClientConnections() - reserved
 }
 
 // ScaleToMemory scales a bound in bytes that is right for referenceMemoryMB to the memory limit. The bounds on what is
@@ -40,8 +45,8 @@
 	return min(c.Network.Limits.MaxOpenRequests, c.Limits.MemoryMB*requestsPerMB)
 }
 
-// RejectionRetryAfter returns the Retry-After of requests that are rejected for want of room, or 0 where the settings
-// allow none.
+// RejectionRetryAfter returns the Retry-After of requests that are rejected for lack of capacity, or 0 where the
+// settings allow none.
 func (c *Config) RejectionRetryAfter() time.Duration {
 	if !c.Policy.RetryAfterSupported {
 		return 0
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-// KindMemoryMB returns the memory of a kind of workers, or 0 where the settings don't say.
+// KindMemoryMB returns the memory of a kind of workers in MB, or 0 where the settings have none for it.
 func (c *Config) KindMemoryMB(kind string) float64 {
 	memory := c.Network.Specifics.MemoryMBByKind
 	i := slices.Index(c.Network.Kinds, kind)
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// NeedsRestart returns the JSON keys of what fresh changes and a reload does not apply. The seed and the endpoint list
-// of the start have an effect at a start alone, so a change of them is not reported.
+// NeedsRestart returns the JSON keys whose values differ in fresh and that a reload does not apply. A change of the
+// seed or of the endpoint list is not reported, since both have an effect at the start alone.
 func (c *Config) NeedsRestart(fresh *Config) []string {
 	var changed []string
 	if c.Name != fresh.Name {
