--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -162,7 +162,7 @@
 		if id != interruptSequence || wireType != wireI32 {
 			return false
 		}
-		sequence = d.u32()
+		sequence = d.uint32()
 		return true
 	})
 	if err != nil {
--- a/internal/thrift/decoder.go
+++ b/internal/thrift/decoder.go
@@ -21,21 +21,21 @@
 	return taken
 }
 
-func (d *decoder) u8() byte {
+func (d *decoder) uint8() byte {
 	if b := d.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (d *decoder) u16() uint16 {
+func (d *decoder) uint16() uint16 {
 	if b := d.take(2); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (d *decoder) u32() uint32 {
+func (d *decoder) uint32() uint32 {
 	if b := d.take(4); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
@@ -43,7 +43,7 @@
 }
 
 // bytes takes a string. One that is longer than the rest of the message is malformed, before anything is allocated.
-func (d *decoder) bytes() []byte { return d.take(int(int32(d.u32()))) }
+func (d *decoder) bytes() []byte { return d.take(int(int32(d.uint32()))) }
 
 // skip takes a value of any type that stands at a depth of nesting.
 func (d *decoder) skip(wireType byte, depth int) {
@@ -77,18 +77,18 @@
 
 func (d *decoder) skipStruct(depth int) {
 	for !d.malformed {
-		fieldType := d.u8()
+		fieldType := d.uint8()
 		if fieldType == wireStop {
 			return
 		}
-		d.u16()
+		d.uint16()
 		d.skip(fieldType, depth+1)
 	}
 }
 
 func (d *decoder) skipMap(depth int) {
-	keyType := d.u8()
-	valueType := d.u8()
+	keyType := d.uint8()
+	valueType := d.uint8()
 	for range d.elementCount() {
 		d.skip(keyType, depth+1)
 		d.skip(valueType, depth+1)
@@ -96,7 +96,7 @@
 }
 
 func (d *decoder) skipList(depth int) {
-	elementType := d.u8()
+	elementType := d.uint8()
 	for range d.elementCount() {
 		d.skip(elementType, depth+1)
 	}
@@ -104,7 +104,7 @@
 
 // elementCount takes the number of elements of a container that is skipped.
 func (d *decoder) elementCount() int {
-	n := d.u32()
+	n := d.uint32()
 	if n > maxSkippedElements {
 		d.malformed = true
 		return 0
@@ -121,9 +121,9 @@
 
 // messageHeader takes a message's header; its arguments remain.
 func (d *decoder) messageHeader() (messageHeader, error) {
-	versionAndKind := d.u32()
+	versionAndKind := d.uint32()
 	name := d.bytes()
-	sequence := d.u32()
+	sequence := d.uint32()
 	if d.malformed || versionAndKind&versionMask != strictVersion || len(name) > maxMethodName {
 		return messageHeader{}, errMalformedMessage
 	}
@@ -134,11 +134,11 @@
 // skipped.
 func (d *decoder) structFields(visit func(wireType byte, id uint16) bool) error {
 	for !d.malformed {
-		wireType := d.u8()
+		wireType := d.uint8()
 		if wireType == wireStop && !d.malformed {
 			return nil
 		}
-		if id := d.u16(); !visit(wireType, id) {
+		if id := d.uint16(); !visit(wireType, id) {
 			d.skip(wireType, 1)
 		}
 	}
@@ -147,9 +147,9 @@
 
 // stringMap takes a map of strings. The values point into the message.
 func (d *decoder) stringMap() map[string][]byte {
-	keyType := d.u8()
-	valueType := d.u8()
-	size := d.u32()
+	keyType := d.uint8()
+	valueType := d.uint8()
+	size := d.uint32()
 	if size > maxMapEntries || size > 0 && (keyType != wireString || valueType != wireString) {
 		d.malformed = true
 		return nil
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -47,8 +47,8 @@
 	classIndex        map[string]int
 	clock             Clock
 	ready             func() bool
-	closedConnections rateLimitedCount // for breaking the protocol
-	rejectedRequests  rateLimitedCount // for a field that can't be used
+	closedConnections logLimiter // for breaking the protocol
+	rejectedRequests  logLimiter // for a field that can't be used
 }
 
 // New returns a Front. Ready is what check is answered with.
@@ -84,20 +84,20 @@
 	}
 }
 
-// rateLimitedCount counts what is logged at most once in logInterval: whoever can connect could fill the log otherwise.
-type rateLimitedCount struct {
-	count      int
-	reportedAt time.Duration // 0: never
+// logLimiter counts what is logged at most once in logInterval: whoever can connect could fill the log otherwise.
+type logLimiter struct {
+	count    int
+	loggedAt time.Duration // 0: never
 }
 
 // add counts one more. It returns how many there were since the last log line, or 0 where it is too early for another.
-func (c *rateLimitedCount) add(now time.Duration) int {
+func (c *logLimiter) add(now time.Duration) int {
 	c.count++
-	if c.reportedAt > 0 && now-c.reportedAt <= logInterval {
+	if c.loggedAt > 0 && now-c.loggedAt <= logInterval {
 		return 0
 	}
 	count := c.count
 	c.count = 0
-	c.reportedAt = now
+	c.loggedAt = now
 	return count
 }
