--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -20,14 +20,15 @@
 	Close()
 }
 
-// connection is a client's connection.
+// connection is a client's connection. It belongs to the event loop's goroutine and implements
+// eventloop.AcceptedHandler.
 type connection struct {
 	front        *Front
 	transport    Transport
 	peer         netip.AddrPort
 	partial      framing.Buffer          // the beginning of an incomplete frame
 	open         map[uint32]*openRequest // by sequence number
-	lastSequence uint32                  // the highest one of an execute
+	lastSequence uint32                  // the highest sequence number of an execute
 	messageCount int                     // complete messages received
 	closed       bool
 }
@@ -38,7 +39,7 @@
 // Messages returns how many complete messages were received, and whether the beginning of another was.
 func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, c.partial.Len() > 0 }
 
-// Data takes in frames, split in any way.
+// Data handles received bytes, in which frames may be split in any way.
 func (c *connection) Data(b []byte) {
 	if c.closed {
 		return
@@ -48,7 +49,7 @@
 	case err != nil:
 		c.closeMalformed(err)
 	case c.closed:
-		c.partial.Reset() // closed by one of the frames: what follows it counts for nothing
+		c.partial.Reset() // one of the frames closed the connection: what follows it is ignored
 	case frames > 0:
 		c.partial.Compact() // many clients may be connected: none keeps the memory of its largest frame
 	}
@@ -82,6 +83,7 @@
 // Closed cancels all open requests: nobody waits for their responses.
 func (c *connection) Closed(error) { c.cancelAll() }
 
+// cancelAll cancels all open requests and ignores whatever is received from now on.
 func (c *connection) cancelAll() {
 	c.closed = true
 	c.partial.Reset()
@@ -97,25 +99,40 @@
 	if err != nil {
 		return err
 	}
-	isCall := header.kind == messageCall
-	isOneway := header.kind == messageOneway
-	switch {
-	case header.name == methodExecute && isCall:
-		return c.handleExecute(&d, header.sequence)
-	case header.name == methodInterrupt && (isCall || isOneway):
-		return c.handleInterrupt(&d)
-	case header.name == methodCheck && isCall:
-		return c.handleCheck(&d, header.sequence)
-	case isCall:
-		c.transport.Write(encodeUnknownMethod(header.name, header.sequence))
-		return nil
-	case isOneway:
-		return nil
+	switch header.kind {
+	case messageCall:
+		return c.handleCall(&d, header)
+	case messageOneway:
+		return c.handleOneway(&d, header)
 	}
 	return errMalformedMessage
 }
 
-// handleExecute hands a request to the core. Whatever is wrong with it, short of its form, is answered.
+// handleCall handles a message that is answered, except for an interrupt, which has no reply.
+func (c *connection) handleCall(d *decoder, header messageHeader) error {
+	switch header.name {
+	case methodExecute:
+		return c.handleExecute(d, header.sequence)
+	case methodInterrupt:
+		return c.handleInterrupt(d)
+	case methodCheck:
+		return c.handleCheck(d, header.sequence)
+	}
+	c.transport.Write(encodeUnknownMethod(header.name, header.sequence))
+	return nil
+}
+
+// handleOneway handles a message that has no reply. Methods other than interrupt are ignored, since their outcome could
+// not be reported.
+func (c *connection) handleOneway(d *decoder, header messageHeader) error {
+	if header.name == methodInterrupt {
+		return c.handleInterrupt(d)
+	}
+	return nil
+}
+
+// handleExecute hands a request to the core. A field that can't be used is answered with a failure; a message whose
+// form is wrong is an error.
 func (c *connection) handleExecute(d *decoder, sequence uint32) error {
 	fields, body, err := d.executeArguments()
 	if err != nil {
@@ -146,7 +163,7 @@
 		front.core.RejectUnaccepted(front.clock.Now(), request)
 		return
 	}
-	request.Body = bytes.Clone(body) // a large read is not kept for one small body in it
+	request.Body = bytes.Clone(body) // a slice of the read would keep the whole read in memory
 	c.open[sequence] = opened
 	id := front.core.Accept(front.clock.Now(), request)
 	if !opened.completed {
@@ -175,8 +192,8 @@
 
 // handleCheck answers whether the router is ready. Arguments are ignored.
 func (c *connection) handleCheck(d *decoder, sequence uint32) error {
-	err := d.structFields(func(byte, uint16) bool { return false })
-	if err != nil {
+	skipField := func(byte, uint16) bool { return false }
+	if err := d.structFields(skipField); err != nil {
 		return err
 	}
 	head, tail := encodeAnswer(methodCheck, sequence, answer{ok: c.front.ready()})
--- a/internal/thrift/decoder.go
+++ b/internal/thrift/decoder.go
@@ -1,6 +1,9 @@
 package thrift
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+	"math"
+)
 
 // decoder takes values off the front of a message, in place. The first value that is not there in full, or can't be
 // right, sets malformed, and all that is taken after it is zero.
@@ -9,7 +12,7 @@
 	malformed bool
 }
 
-// take takes n bytes.
+// take takes n bytes, which are a slice of the message.
 func (d *decoder) take(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
 		d.malformed = true
@@ -45,7 +48,18 @@
 // bytes takes a string. One that is longer than the rest of the message is malformed, before anything is allocated.
 func (d *decoder) bytes() []byte { return d.take(int(int32(d.uint32()))) }
 
-// skip takes a value of any type that stands at a depth of nesting.
+// fixedSizes are the lengths in bytes of the types whose values all have the same length. It is 0 for all other types.
+var fixedSizes = [math.MaxUint8 + 1]int{
+	wireBool:   1,
+	wireByte:   1,
+	wireI16:    2,
+	wireI32:    4,
+	wireI64:    8,
+	wireDouble: 8,
+}
+
+// skip takes a value of any type. Depth is how many values contain it: a message that nests without end could exhaust
+// the stack.
 func (d *decoder) skip(wireType byte, depth int) {
 	if depth > maxNesting {
 		d.malformed = true
@@ -53,15 +67,11 @@
 	if d.malformed {
 		return
 	}
+	if size := fixedSizes[wireType]; size > 0 {
+		d.take(size)
+		return
+	}
 	switch wireType {
-	case wireBool, wireByte:
-		d.take(1)
-	case wireI16:
-		d.take(2)
-	case wireI32:
-		d.take(4)
-	case wireI64, wireDouble:
-		d.take(8)
 	case wireString:
 		d.bytes()
 	case wireStruct:
@@ -75,6 +85,7 @@
 	}
 }
 
+// skipStruct takes a struct: fields up to a stop.
 func (d *decoder) skipStruct(depth int) {
 	for !d.malformed {
 		fieldType := d.uint8()
@@ -86,6 +97,7 @@
 	}
 }
 
+// skipMap takes a map: the types of keys and values, their count, and as many pairs.
 func (d *decoder) skipMap(depth int) {
 	keyType := d.uint8()
 	valueType := d.uint8()
@@ -95,6 +107,7 @@
 	}
 }
 
+// skipList takes a set or a list: the type of its elements, their count, and as many elements.
 func (d *decoder) skipList(depth int) {
 	elementType := d.uint8()
 	for range d.elementCount() {
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -70,7 +70,8 @@
 	_, err = io.ReadFull(client, reply)
 	check(err)
 
-	// The reply repeats the method and the sequence number. The result's field 0 is an answer, whose field 1 is the body.
+	// The reply repeats the method and the sequence number. The result's field 0 is an answer, whose field 1 is the
+	// body.
 	kind, reply := reply[3], reply[4:]
 	method, reply := cutText(reply)
 	sequence, reply := binary.BigEndian.Uint32(reply), reply[4:]
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -10,18 +10,22 @@
 	"crankhold/policy"
 )
 
-// Core is what the front hands requests to.
+// Core is what the front hands requests to; a router.Core is one. Its methods may call the request's Responder before
+// they return.
 type Core interface {
+	// Accept begins a request.
 	Accept(now time.Duration, r router.Request) policy.RequestID
+	// RejectUnaccepted rejects a request that was not accepted.
 	RejectUnaccepted(now time.Duration, r router.Request)
+	// CancelRequest ends a request whose client no longer waits for a response.
 	CancelRequest(now time.Duration, id policy.RequestID)
 }
 
-// Clock tells times; an eventloop.Loop is one.
+// Clock is a monotonic clock; an eventloop.Loop is one.
 type Clock interface {
-	// Now is the present.
+	// Now returns the time at which the present turn of the event loop began.
 	Now() time.Duration
-	// ArrivedAt is when the message was read that is being handled.
+	// ArrivedAt returns when the message that is being handled was read.
 	ArrivedAt() time.Duration
 }
 
@@ -31,33 +35,49 @@
 	RequiresIdempotencyKey bool // each request carries an idempotency key, by which workers drop repeats
 }
 
-// Config is what the settings say of requests.
+// Config is what the front checks requests against, and where it logs.
 type Config struct {
 	Classes []Class
 	Tenants []string // empty: tenants are not distinguished
+
+	// Logger logs connections that were closed and requests that were rejected; nil: slog.Default().
+	Logger *slog.Logger
 }
 
-// Front serves Thrift clients.
+// Front serves Thrift clients. It belongs to the event loop's goroutine.
 type Front struct {
 	core              Core
-	config            Config
-	classIndex        map[string]int
 	clock             Clock
 	ready             func() bool
+	logger            *slog.Logger
+	classes           []Class
+	classIndex        map[string]int // by name, in classes
+	tenants           []string
 	closedConnections logLimiter // for breaking the protocol
 	rejectedRequests  logLimiter // for a field that can't be used
 }
 
-// New returns a Front. Ready is what check is answered with.
+// New returns a Front. Ready reports whether the router is ready, which is the answer to check.
 func New(core Core, cfg Config, clock Clock, ready func() bool) *Front {
-	f := &Front{core: core, config: cfg, classIndex: map[string]int{}, clock: clock, ready: ready}
+	front := &Front{
+		core:       core,
+		clock:      clock,
+		ready:      ready,
+		logger:     cfg.Logger,
+		classes:    cfg.Classes,
+		classIndex: map[string]int{},
+		tenants:    cfg.Tenants,
+	}
+	if front.logger == nil {
+		front.logger = slog.Default()
+	}
 	for i, class := range cfg.Classes {
-		f.classIndex[class.Name] = i
+		front.classIndex[class.Name] = i
 	}
-	return f
+	return front
 }
 
-// Accept serves a connection.
+// Accept serves a connection that the event loop has accepted.
 func (f *Front) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return f.serve(c, c.RemoteAddr())
 }
@@ -66,17 +86,22 @@
 	return &connection{front: f, transport: transport, peer: peer, open: map[uint32]*openRequest{}}
 }
 
-// logClosedConnection logs that a client broke the protocol.
+// logClosedConnection logs that a connection was closed since its client broke the protocol.
 func (f *Front) logClosedConnection(err error) {
-	if count := f.closedConnections.add(f.clock.Now()); count > 0 {
-		slog.Warn("client_connections_closed", slog.String("front", "thrift"), slog.Int("count", count), slog.Any("err", err))
+	count := f.closedConnections.add(f.clock.Now())
+	if count == 0 {
+		return
 	}
+	f.logger.Warn("client_connections_closed", slog.String("front", "thrift"), slog.Int("count", count),
+		slog.Any("err", err))
 }
 
 // logRejectedRequest logs a field that can't be used.
 func (f *Front) logRejectedRequest(rejected *FieldError) {
-	if count := f.rejectedRequests.add(f.clock.Now()); count > 0 {
-		slog.Warn("client_request_field_rejected", slog.String("front", "thrift"), slog.String("field", rejected.Field),
-			slog.String("value", rejected.Value), slog.Int("count", count))
+	count := f.rejectedRequests.add(f.clock.Now())
+	if count == 0 {
+		return
 	}
+	f.logger.Warn("client_request_field_rejected", slog.String("front", "thrift"),
+		slog.String("field", rejected.Field), slog.String("value", rejected.Value), slog.Int("count", count))
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -15,7 +15,8 @@
 	"crankhold/policy"
 )
 
-// The requests are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The requests are written by hand from the protocol's definition, so that no code of this package builds what it
+// reads.
 const (
 	goldenRequests = "testdata/requests.txt"
 	goldenReplies  = "testdata/replies.txt"
@@ -141,7 +142,8 @@
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
-// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection closes.
+// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection
+// closes.
 func TestGoldenErrorReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
--- a/internal/thrift/log_limiter.go
+++ b/internal/thrift/log_limiter.go
@@ -5,20 +5,22 @@
 // logInterval is the least time between two log lines of a kind.
 const logInterval = time.Second
 
-// logLimiter counts what is logged at most once in logInterval: whoever can connect could fill the log otherwise.
+// logLimiter counts events of a kind that is logged at most once in logInterval, since whoever can connect could fill
+// the log otherwise. The zero logLimiter is ready to use.
 type logLimiter struct {
-	count    int
+	count    int           // since the last log line
 	loggedAt time.Duration // 0: never
 }
 
-// add counts one more. It returns how many there were since the last log line, or 0 where it is too early for another.
-func (c *logLimiter) add(now time.Duration) int {
-	c.count++
-	if c.loggedAt > 0 && now-c.loggedAt <= logInterval {
+// add counts one more event. It returns how many there were since the last log line, or 0 if it is too early for
+// another.
+func (l *logLimiter) add(now time.Duration) int {
+	l.count++
+	if l.loggedAt > 0 && now-l.loggedAt <= logInterval {
 		return 0
 	}
-	count := c.count
-	c.count = 0
-	c.loggedAt = now
+	count := l.count
+	l.count = 0
+	l.loggedAt = now
 	return count
 }
--- a/internal/thrift/open_request.go
+++ b/internal/thrift/open_request.go
@@ -10,7 +10,7 @@
 	connection *connection
 	sequence   uint32
 	id         policy.RequestID // once the core has accepted it
-	completed  bool             // the response was given, or is owed no more
+	completed  bool             // the response was given, or is no longer owed
 }
 
 // Respond writes the response. A client that has left, or has interrupted the request, is owed none.
@@ -23,7 +23,7 @@
 	r.connection.transport.Write(encodeResponse(r.sequence, response)...)
 }
 
-// cancel tells the core that nobody waits for the response.
+// cancel notifies the core that nobody waits for the response.
 func (r *openRequest) cancel() {
 	delete(r.connection.open, r.sequence)
 	if r.completed {
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -63,6 +63,7 @@
 // executeFieldMap is the map of fields of an execute.
 type executeFieldMap map[string][]byte
 
+// text returns a field's value, "" if it is missing.
 func (m executeFieldMap) text(field string) string { return string(m[field]) }
 
 // unusable returns the error of a field.
@@ -71,8 +72,8 @@
 	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValue)])}
 }
 
-// decodeRequest reads the fields of an execute. The caller adds what is not among them. A field that can't be used
-// rejects the request, since it can't be forwarded unchanged.
+// decodeRequest decodes the fields of an execute to a request without client, body and responder, which the caller
+// sets. A field that can't be used rejects the request, since it can't be forwarded unchanged.
 func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
 	class, known := f.classIndex[fields.text(fieldClass)]
 	if !known {
@@ -93,7 +94,7 @@
 		return request, fields.unusable(fieldFunction)
 	}
 	request.Function = policy.FunctionID(function)
-	if !f.config.Classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
+	if !f.classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
 		return request, fields.unusable(fieldIdempotencyKey)
 	}
 	request.Tenant, ok = f.decodeTenant(fields)
@@ -121,14 +122,14 @@
 }
 
 // decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't
-// have. Where they have none at all, what the fields say is ignored.
+// have. If they have none at all, the field is ignored.
 func (f *Front) decodeTenant(fields executeFieldMap) (tenant string, ok bool) {
 	name, named := fields[fieldTenant]
-	if !named || len(f.config.Tenants) == 0 {
+	if !named || len(f.tenants) == 0 {
 		return "", true
 	}
 	tenant = string(name)
-	return tenant, slices.Contains(f.config.Tenants, tenant)
+	return tenant, slices.Contains(f.tenants, tenant)
 }
 
 // decodeProperties reads the properties into a request. It reports false where one of them is not a number in its
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// A sequence number that is used again closes the connection, whether its request is open or was answered: a reply could
-// be taken for the other request's.
+// A sequence number that is used again closes the connection, whether its request is open or was answered: a reply
+// could be taken for the other request's.
 func TestSequenceNumbersMustIncrease(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		for repeated := range uint32(3) {
@@ -248,8 +248,8 @@
 	}
 }
 
-// The beginning of a frame is not copied anew for each byte, and one small body does not keep the whole read that it came
-// in.
+// The beginning of a frame is not copied anew for each byte, and one small body does not keep the whole read that it
+// came in.
 func TestReadBuffersAreNeitherRecopiedNorRetained(t *testing.T) {
 	client, core, _ := newTestConnection()
 	whole := executeFrame(1, string(make([]byte, maxBody)), validFields...)
@@ -273,8 +273,8 @@
 	}
 }
 
-// The idempotency key and the tenant of a request reach the core as they were received. What can't be forwarded unchanged
-// is failed, never served as something else; what no class needs may be absent.
+// The idempotency key and the tenant of a request reach the core as they were received. What can't be forwarded
+// unchanged is failed, never served as something else; what no class needs may be absent.
 func TestIdempotencyKeysAndTenantsAreForwardedOrFailed(t *testing.T) {
 	const once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, tt := range []struct {
