--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -38,7 +38,7 @@
 		if err := h.handle(batch); err != nil {
 			return err
 		}
-		if err := h.reply.Flush(w, batch.Seq); err != nil {
+		if err := h.reply.Flush(w, batch.Sequence); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
--- a/internal/simulator/codes.go
+++ b/internal/simulator/codes.go
@@ -4,34 +4,34 @@
 
 // Codes of event records.
 const (
-	codeFirst    = 1
-	codeOutcome  = 2
-	codeAborted  = 3
-	codeKill     = 4
-	codeHealth   = 5
-	codeTargets  = 6
-	codeReminder = 7
-	codeMessage  = 8
-	codeInit     = 9
-	codeIncoming = 10
-	codeReady    = 11
+	codeResponseStarted      = 1
+	codeAttemptCompleted     = 2
+	codeRequestCanceled      = 3
+	codeKill                 = 4
+	codeHealthCheckCompleted = 5
+	codeEndpointList         = 6
+	codeTimerFired           = 7
+	codeGossipReceived       = 8
+	codeInit                 = 9
+	codeRequestArrived       = 10
+	codeLoadCompleted        = 11
 )
 
 // Codes of action records.
 const (
-	codeAfter     = 65
-	codeHangUp    = 66
-	codeDrop      = 67
-	codePlace     = 69
-	codeTell      = 70
-	codeSubscribe = 71
-	codeMount     = 72
-	codeAskLoad   = 73
-	codeUnmount   = 74
-	codeWriteLog  = 75
-	codeStop      = 76
-	codeSnapshot  = 77
-	codeDecline   = 78
+	codeSetTimer             = 65
+	codeCloseIdleConnections = 66
+	codeFailRequest          = 67
+	codeStartAttempt         = 69
+	codeSendGossip           = 70
+	codeSubscribe            = 71
+	codeLoad                 = 72
+	codeCheckHealth          = 73
+	codeUnload               = 74
+	codeLog                  = 75
+	codeCancelAttempt        = 76
+	codeFetchEndpoints       = 77
+	codeReject               = 78
 )
 
 // outcomes are the outcomes by their codes.
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -13,14 +13,14 @@
 // endpointBytes is the length of an endpoint in a list.
 const endpointBytes = 24
 
-var errShort = errors.New("record is cut short")
+var errRecordTruncated = errors.New("record is cut short")
 
 // decoder takes fields off the front of unread. What is malformed is noted in short and err, once for the record, so
 // that its fields can be read one after the other.
 type decoder struct {
-	unread []byte
-	short  bool  // the record goes on beyond unread
-	err    error // a field has a value that is not known
+	unread    []byte
+	truncated bool  // the record goes on beyond unread
+	err       error // a field has a value that is not known
 }
 
 // record decodes one record.
@@ -28,33 +28,33 @@
 	code := d.uint8()
 	record := Record{Instance: d.uint16()}
 	switch code {
-	case codeFirst:
+	case codeResponseStarted:
 		record.Event = d.responseStarted()
-	case codeOutcome:
+	case codeAttemptCompleted:
 		record.Event = d.attemptCompleted()
-	case codeAborted:
+	case codeRequestCanceled:
 		record.Event = policy.RequestCanceled{Request: d.request()}
 	case codeKill:
 		record.Event = Kill{}
-	case codeHealth:
+	case codeHealthCheckCompleted:
 		record.Event = d.healthCheckCompleted()
-	case codeTargets:
+	case codeEndpointList:
 		record.Event = d.endpointList()
-	case codeReminder:
+	case codeTimerFired:
 		record.Event = policy.TimerFired{Token: d.uint64()}
-	case codeMessage:
+	case codeGossipReceived:
 		record.Event = d.gossipReceived()
 	case codeInit:
 		record.Event = d.instanceStarted()
-	case codeIncoming:
+	case codeRequestArrived:
 		record.Event = d.requestArrived()
-	case codeReady:
+	case codeLoadCompleted:
 		record.Event = d.loadCompleted()
 	default:
 		return record, fmt.Errorf("unknown record code %d", code)
 	}
-	if d.short {
-		return record, errShort
+	if d.truncated {
+		return record, errRecordTruncated
 	}
 	return record, d.err
 }
@@ -148,7 +148,7 @@
 		return policy.EndpointList{}
 	}
 	if uint64(count)*endpointBytes > uint64(len(d.unread)) {
-		d.short = true
+		d.truncated = true
 		return policy.EndpointList{}
 	}
 	list := policy.EndpointList{Kind: policy.EndpointListKind(kind)}
@@ -180,7 +180,7 @@
 // take returns the next n bytes, or zeros where there are fewer.
 func (d *decoder) take(n int) []byte {
 	if n > len(d.unread) {
-		d.short = true
+		d.truncated = true
 		d.unread = nil
 		return make([]byte, n)
 	}
@@ -217,7 +217,7 @@
 func (d *decoder) loadReport() []float64 {
 	count := int(d.uint8())
 	if count*4 > len(d.unread) {
-		d.short = true
+		d.truncated = true
 		return nil
 	}
 	var report []float64
@@ -230,7 +230,7 @@
 // bytes returns a copy of the next n bytes, or nil where there are fewer.
 func (d *decoder) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(d.unread)) {
-		d.short = true
+		d.truncated = true
 		d.unread = nil
 		return nil
 	}
--- a/internal/simulator/encode.go
+++ b/internal/simulator/encode.go
@@ -25,35 +25,35 @@
 func (r *Reply) add(instance uint16, action policy.Action) {
 	switch a := action.(type) {
 	case policy.StartAttempt:
-		r.head(codePlace, instance)
+		r.beginRecord(codeStartAttempt, instance)
 		r.request(a.Request)
 		r.worker(a.Worker)
 		r.duration(a.Limit)
 	case policy.CancelAttempt:
-		r.head(codeStop, instance)
+		r.beginRecord(codeCancelAttempt, instance)
 		r.request(a.Request)
 		r.uint16(uint16(a.Attempt))
 	case policy.Reject:
-		r.head(codeDecline, instance)
+		r.beginRecord(codeReject, instance)
 		r.request(a.Request)
 		r.duration(a.RetryAfter)
 	case policy.FailRequest:
-		r.head(codeDrop, instance)
+		r.beginRecord(codeFailRequest, instance)
 		r.request(a.Request)
 	case policy.Load:
-		r.head(codeMount, instance)
+		r.beginRecord(codeLoad, instance)
 		r.uint8(uint8(a.Count))
 		r.uint64(uint64(a.Function))
 		r.worker(a.Worker)
 	case policy.Unload:
-		r.head(codeUnmount, instance)
+		r.beginRecord(codeUnload, instance)
 		r.worker(a.Worker)
 		r.uint64(uint64(a.Function))
 	case policy.CheckHealth:
-		r.head(codeAskLoad, instance)
+		r.beginRecord(codeCheckHealth, instance)
 		r.worker(a.Worker)
 	case policy.CloseIdleConnections:
-		r.head(codeHangUp, instance)
+		r.beginRecord(codeCloseIdleConnections, instance)
 		r.worker(a.Worker)
 	default:
 		r.addOwn(instance, action)
@@ -64,20 +64,20 @@
 func (r *Reply) addOwn(instance uint16, action policy.Action) {
 	switch a := action.(type) {
 	case policy.SendGossip:
-		r.head(codeTell, instance)
+		r.beginRecord(codeSendGossip, instance)
 		r.receiver(a.To)
 		r.bytes(a.Data)
 	case policy.SetTimer:
-		r.head(codeAfter, instance)
+		r.beginRecord(codeSetTimer, instance)
 		r.duration(a.After)
 		r.uint64(a.Token)
 	case policy.Subscribe:
-		r.head(codeSubscribe, instance)
+		r.beginRecord(codeSubscribe, instance)
 		r.bool(a.On)
 	case policy.FetchEndpoints:
-		r.head(codeSnapshot, instance)
+		r.beginRecord(codeFetchEndpoints, instance)
 	case policy.Log:
-		r.head(codeWriteLog, instance)
+		r.beginRecord(codeLog, instance)
 		r.bytes([]byte(a.Text))
 	}
 }
@@ -91,7 +91,7 @@
 	return err
 }
 
-func (r *Reply) head(code uint8, instance uint16) {
+func (r *Reply) beginRecord(code uint8, instance uint16) {
 	r.uint8(code)
 	r.uint16(instance)
 }
--- a/internal/simulator/example_test.go
+++ b/internal/simulator/example_test.go
@@ -35,7 +35,7 @@
 			fmt.Printf("at %v, instance %d: %+v\n", batch.Now, record.Instance, record.Event)
 			reply.Add(record.Instance, []policy.Action{policy.FailRequest{Request: 7}})
 		}
-		if err := reply.Flush(&output, batch.Seq); err != nil {
+		if err := reply.Flush(&output, batch.Sequence); err != nil {
 			fmt.Println(err)
 			return
 		}
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -32,9 +32,9 @@
 
 // Batch is one decoded batch.
 type Batch struct {
-	Seq     uint32
-	Now     time.Duration
-	Records []Record
+	Sequence uint32
+	Now      time.Duration
+	Records  []Record
 }
 
 // header is the beginning of a batch.
@@ -91,7 +91,7 @@
 
 // decodeBatch decodes the records of a batch.
 func decodeBatch(head header, body []byte) (Batch, error) {
-	batch := Batch{Seq: head.batch, Now: millis(head.clock)}
+	batch := Batch{Sequence: head.batch, Now: millis(head.clock)}
 	d := decoder{unread: body}
 	for i := range int(head.records) {
 		record, err := d.record()
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -10,47 +10,47 @@
 
 // settings mirrors the keys of the JSON that are read; all others are passed over.
 type settings struct {
-	PeersTotal      int      `json:"peersTotal"`
-	Zone            int      `json:"zone"`
-	GranularityMs   float64  `json:"granularityMs"`
-	CountedBy       string   `json:"countedBy"`
-	MembershipMode  string   `json:"membershipMode"`
-	OverQuotaWeight *float64 `json:"overShareWorth"`
-	Classes         []class  `json:"classes"`
-	Tenants         []tenant `json:"accounts"`
-	Report          struct {
+	Routers          int      `json:"peersTotal"`
+	Zone             int      `json:"zone"`
+	TickMs           float64  `json:"granularityMs"`
+	WeightUnit       string   `json:"countedBy"`
+	EndpointListMode string   `json:"membershipMode"`
+	OverQuotaWeight  *float64 `json:"overShareWorth"`
+	Classes          []class  `json:"classes"`
+	Tenants          []tenant `json:"accounts"`
+	Report           struct {
 		Fields []string `json:"fields"`
 		How    string   `json:"how"`
 	} `json:"report"`
 	Limits struct {
-		Cancel          bool    `json:"cancel"`
-		MayProbe        bool    `json:"mayProbe"`
-		Peers           bool    `json:"peers"`
-		SecondCopies    bool    `json:"secondCopies"`
-		RetryAfter      bool    `json:"retryAfter"`
-		MaxAttempts     int     `json:"maxAttempts"`
-		MaxRetryAfterMs float64 `json:"maxRetryAfterMs"`
+		CancelSupported      bool    `json:"cancel"`
+		HealthCheckSupported bool    `json:"mayProbe"`
+		GossipSupported      bool    `json:"peers"`
+		HedgingAllowed       bool    `json:"secondCopies"`
+		RetryAfterSupported  bool    `json:"retryAfter"`
+		MaxAttempts          int     `json:"maxAttempts"`
+		MaxRetryAfterMs      float64 `json:"maxRetryAfterMs"`
 	} `json:"limits"`
 	Rules struct {
-		AskWithinMs  float64 `json:"askWithinMs"`
-		ColdFrom     float64 `json:"coldFrom"`
-		ColdMs       float64 `json:"coldMs"`
-		DrainGraceMs float64 `json:"drainGraceMs"`
-		FallMs       float64 `json:"fallMs"`
-		FallMultiple float64 `json:"fallMultiple"`
+		PollIntervalMs           float64 `json:"askWithinMs"`
+		SlowStartInitialCapacity float64 `json:"coldFrom"`
+		SlowStartMs              float64 `json:"coldMs"`
+		DrainGracePeriodMs       float64 `json:"drainGraceMs"`
+		OverloadWindowMs         float64 `json:"fallMs"`
+		OverloadMultiple         float64 `json:"fallMultiple"`
 	} `json:"rules"`
 	Specifics struct {
-		IfCold           string    `json:"ifCold"`
-		LingerIdleMs     float64   `json:"lingerIdleMs"`
-		LoadFree         float64   `json:"loadFree"`
-		LoadPart         float64   `json:"loadPart"`
-		LoadWaitMs       float64   `json:"loadWaitMs"`
-		LoadsWithinMs    float64   `json:"loadsWithinMs"`
-		NotesPeersInHand bool      `json:"notesPeersInHand"`
-		PlacementCalls   bool      `json:"placementCalls"`
-		WarmNotes        bool      `json:"warmNotes"`
-		MemoryPrice      float64   `json:"memoryPrice"`
-		MemoryMbByKind   []float64 `json:"memoryMbByKind"`
+		WhenNotLoaded         string    `json:"ifCold"`
+		KeepAliveMs           float64   `json:"lingerIdleMs"`
+		LoadBudgetMinimum     float64   `json:"loadFree"`
+		LoadBudgetRatio       float64   `json:"loadPart"`
+		LoadTimeoutMs         float64   `json:"loadWaitMs"`
+		LoadBudgetWindowMs    float64   `json:"loadsWithinMs"`
+		ConcurrencyReported   bool      `json:"notesPeersInHand"`
+		LoadCommandsSupported bool      `json:"placementCalls"`
+		LoadStatusReported    bool      `json:"warmNotes"`
+		MemoryPrice           float64   `json:"memoryPrice"`
+		MemoryMBByKind        []float64 `json:"memoryMbByKind"`
 	} `json:"specifics"`
 }
 
@@ -93,40 +93,40 @@
 // config is the Config without classes and tenants.
 func (s *settings) config() policy.Config {
 	c := policy.Config{
-		Routers:                  s.PeersTotal,
+		Routers:                  s.Routers,
 		Zone:                     s.Zone,
-		WeightByWork:             s.CountedBy == "work",
-		Tick:                     millis(s.GranularityMs),
-		EndpointsByPolling:       s.MembershipMode == "subscribe",
+		WeightByWork:             s.WeightUnit == "work",
+		Tick:                     millis(s.TickMs),
+		EndpointsByPolling:       s.EndpointListMode == "subscribe",
 		LoadReportFields:         s.Report.Fields,
 		InlineLoadReports:        s.Report.How == "inline",
 		MaxAttempts:              s.Limits.MaxAttempts,
-		CancelSupported:          s.Limits.Cancel,
-		HealthCheckSupported:     s.Limits.MayProbe,
-		GossipSupported:          s.Limits.Peers,
-		HedgingAllowed:           s.Limits.SecondCopies,
-		RetryAfterSupported:      s.Limits.RetryAfter,
+		CancelSupported:          s.Limits.CancelSupported,
+		HealthCheckSupported:     s.Limits.HealthCheckSupported,
+		GossipSupported:          s.Limits.GossipSupported,
+		HedgingAllowed:           s.Limits.HedgingAllowed,
+		RetryAfterSupported:      s.Limits.RetryAfterSupported,
 		MaxRetryAfter:            millis(s.Limits.MaxRetryAfterMs),
 		OverQuotaWeight:          1,
-		PollInterval:             millis(s.Rules.AskWithinMs),
-		SlowStartInitialCapacity: s.Rules.ColdFrom,
-		SlowStartDuration:        millis(s.Rules.ColdMs),
-		OverloadMultiple:         s.Rules.FallMultiple,
-		OverloadWindow:           millis(s.Rules.FallMs),
-		DrainGracePeriod:         millis(s.Rules.DrainGraceMs),
-		MissWhenNotLoaded:        s.Specifics.IfCold == "miss",
-		LoadCommandsSupported:    s.Specifics.PlacementCalls,
-		LoadStatusReported:       s.Specifics.WarmNotes,
-		ConcurrencyReported:      s.Specifics.NotesPeersInHand,
-		KeepAlive:                millis(s.Specifics.LingerIdleMs),
-		LoadTimeout:              millis(s.Specifics.LoadWaitMs),
-		LoadBudgetWindow:         millis(s.Specifics.LoadsWithinMs),
-		LoadBudgetMinimum:        s.Specifics.LoadFree,
-		LoadBudgetRatio:          s.Specifics.LoadPart,
+		PollInterval:             millis(s.Rules.PollIntervalMs),
+		SlowStartInitialCapacity: s.Rules.SlowStartInitialCapacity,
+		SlowStartDuration:        millis(s.Rules.SlowStartMs),
+		OverloadMultiple:         s.Rules.OverloadMultiple,
+		OverloadWindow:           millis(s.Rules.OverloadWindowMs),
+		DrainGracePeriod:         millis(s.Rules.DrainGracePeriodMs),
+		MissWhenNotLoaded:        s.Specifics.WhenNotLoaded == "miss",
+		LoadCommandsSupported:    s.Specifics.LoadCommandsSupported,
+		LoadStatusReported:       s.Specifics.LoadStatusReported,
+		ConcurrencyReported:      s.Specifics.ConcurrencyReported,
+		KeepAlive:                millis(s.Specifics.KeepAliveMs),
+		LoadTimeout:              millis(s.Specifics.LoadTimeoutMs),
+		LoadBudgetWindow:         millis(s.Specifics.LoadBudgetWindowMs),
+		LoadBudgetMinimum:        s.Specifics.LoadBudgetMinimum,
+		LoadBudgetRatio:          s.Specifics.LoadBudgetRatio,
 		MemoryPrice:              s.Specifics.MemoryPrice,
 	}
-	for _, megabytes := range s.Specifics.MemoryMbByKind {
-		c.WorkerMemoryMB += megabytes / float64(len(s.Specifics.MemoryMbByKind))
+	for _, megabytes := range s.Specifics.MemoryMBByKind {
+		c.WorkerMemoryMB += megabytes / float64(len(s.Specifics.MemoryMBByKind))
 	}
 	if s.OverQuotaWeight != nil {
 		c.OverQuotaWeight = *s.OverQuotaWeight
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -39,7 +39,7 @@
 		{3, policy.TimerFired{Token: 77}},
 		{5, policy.RequestCanceled{Request: 0x0e6f2b19}},
 	}
-	if b.Seq != 12 || b.Now != 8412250*time.Microsecond || !reflect.DeepEqual(b.Records, want) {
+	if b.Sequence != 12 || b.Now != 8412250*time.Microsecond || !reflect.DeepEqual(b.Records, want) {
 		t.Errorf("got %+v", b)
 	}
 }
