--- a/internal/simulator/codes.go
+++ b/internal/simulator/codes.go
@@ -2,38 +2,51 @@
 
 import "crankhold/policy"
 
-// Codes of event records.
+// eventCode is the code of an event record. The comments have the simulator's names.
+type eventCode uint8
+
 const (
-	codeResponseStarted      = 1
-	codeAttemptCompleted     = 2
-	codeRequestCanceled      = 3
-	codeKill                 = 4
-	codeHealthCheckCompleted = 5
-	codeEndpointList         = 6
-	codeTimerFired           = 7
-	codeGossipReceived       = 8
-	codeInit                 = 9
-	codeRequestArrived       = 10
-	codeLoadCompleted        = 11
+	codeResponseStarted      eventCode = 1  // ACK_FIRST
+	codeAttemptCompleted     eventCode = 2  // OUTCOME
+	codeRequestCanceled      eventCode = 3  // ABORTED
+	codeKill                 eventCode = 4  // KILL
+	codeHealthCheckCompleted eventCode = 5  // HEALTH_RESULT
+	codeEndpointList         eventCode = 6  // TARGETS
+	codeTimerFired           eventCode = 7  // REMINDER
+	codeGossipReceived       eventCode = 8  // MESSAGE
+	codeInit                 eventCode = 9  // INIT
+	codeRequestArrived       eventCode = 10 // INCOMING
+	codeLoadCompleted        eventCode = 11 // READY_THERE
 )
 
-// Codes of action records.
+// actionCode is the code of an action record. The comments have the simulator's names.
+type actionCode uint8
+
 const (
-	codeSetTimer             = 65
-	codeCloseIdleConnections = 66
-	codeFailRequest          = 67
-	codeStartAttempt         = 69
-	codeSendGossip           = 70
-	codeSubscribe            = 71
-	codeLoad                 = 72
-	codeCheckHealth          = 73
-	codeUnload               = 74
-	codeLog                  = 75
-	codeCancelAttempt        = 76
-	codeFetchEndpoints       = 77
-	codeReject               = 78
+	codeSetTimer             actionCode = 65 // AFTER
+	codeCloseIdleConnections actionCode = 66 // HANG_UP
+	codeFailRequest          actionCode = 67 // DROP_REQUEST
+	codeStartAttempt         actionCode = 69 // PLACE
+	codeSendGossip           actionCode = 70 // TELL
+	codeSubscribe            actionCode = 71 // SUBSCRIBE
+	codeLoad                 actionCode = 72 // MOUNT
+	codeCheckHealth          actionCode = 73 // ASK_LOAD
+	codeUnload               actionCode = 74 // UNMOUNT
+	codeLog                  actionCode = 75 // WRITE_LOG
+	codeCancelAttempt        actionCode = 76 // STOP_ATTEMPT
+	codeFetchEndpoints       actionCode = 77 // SNAPSHOT
+	codeReject               actionCode = 78 // DECLINE
 )
 
 // outcomes are the outcomes by their codes.
-var outcomes = [...]policy.Outcome{policy.Served, policy.Failed, policy.Overloaded, policy.TimedOut,
-	policy.Unreachable, policy.ConnectionReset, policy.Canceled, policy.NotSent, policy.NotLoaded}
+var outcomes = [...]policy.Outcome{
+	policy.Served,
+	policy.Failed,
+	policy.Overloaded,
+	policy.TimedOut,
+	policy.Unreachable,
+	policy.ConnectionReset,
+	policy.Canceled,
+	policy.NotSent,
+	policy.NotLoaded,
+}
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -1,11 +1,7 @@
 package simulator
 
 import (
-	"encoding/binary"
-	"errors"
 	"fmt"
-	"math"
-	"time"
 
 	"crankhold/policy"
 )
@@ -13,50 +9,68 @@
 // endpointBytes is the length of an endpoint in a list.
 const endpointBytes = 24
 
-var errRecordTruncated = errors.New("record is cut short")
-
-// decoder takes fields off the front of unread. What is malformed is noted in short and err, once for the record, so
-// that its fields can be read one after the other.
-type decoder struct {
-	unread    []byte
-	truncated bool  // the record goes on beyond unread
-	err       error // a field has a value that is not known
-}
+// An attempt's load status and concurrency share a byte.
+const (
+	loadStatusMask   = 7
+	concurrencyShift = 3
+)
 
 // record decodes one record.
 func (d *decoder) record() (Record, error) {
 	code := d.uint8()
 	record := Record{Instance: d.uint16()}
+	record.Event = d.requestEvent(eventCode(code))
+	if record.Event == nil {
+		return record, fmt.Errorf("unknown record code %d", code)
+	}
+	if d.truncated {
+		return record, errRecordTruncated
+	}
+	return record, d.err
+}
+
+// requestEvent decodes the fields of an event of a request, and of any other event by the functions below. It returns
+// nil for an unknown code. These are switches, since a table of functions would have the decoder escape to the heap.
+func (d *decoder) requestEvent(code eventCode) any {
 	switch code {
+	case codeRequestArrived:
+		return d.requestArrived()
+	case codeRequestCanceled:
+		return policy.RequestCanceled{Request: d.request()}
 	case codeResponseStarted:
-		record.Event = d.responseStarted()
+		return d.responseStarted()
 	case codeAttemptCompleted:
-		record.Event = d.attemptCompleted()
-	case codeRequestCanceled:
-		record.Event = policy.RequestCanceled{Request: d.request()}
-	case codeKill:
-		record.Event = Kill{}
-	case codeHealthCheckCompleted:
-		record.Event = d.healthCheckCompleted()
+		return d.attemptCompleted()
+	}
+	return d.workerEvent(code)
+}
+
+// workerEvent decodes the fields of an event of workers, or of an instance.
+func (d *decoder) workerEvent(code eventCode) any {
+	switch code {
 	case codeEndpointList:
-		record.Event = d.endpointList()
-	case codeTimerFired:
-		record.Event = policy.TimerFired{Token: d.uint64()}
-	case codeGossipReceived:
-		record.Event = d.gossipReceived()
-	case codeInit:
-		record.Event = d.instanceStarted()
-	case codeRequestArrived:
-		record.Event = d.requestArrived()
+		return d.endpointList()
+	case codeHealthCheckCompleted:
+		return d.healthCheckCompleted()
 	case codeLoadCompleted:
-		record.Event = d.loadCompleted()
-	default:
-		return record, fmt.Errorf("unknown record code %d", code)
+		return d.loadCompleted()
 	}
-	if d.truncated {
-		return record, errRecordTruncated
+	return d.instanceEvent(code)
+}
+
+// instanceEvent decodes the fields of an event that is about neither requests nor workers.
+func (d *decoder) instanceEvent(code eventCode) any {
+	switch code {
+	case codeInit:
+		return d.instanceStarted()
+	case codeKill:
+		return Kill{}
+	case codeTimerFired:
+		return policy.TimerFired{Token: d.uint64()}
+	case codeGossipReceived:
+		return d.gossipReceived()
 	}
-	return record, d.err
+	return nil
 }
 
 func (d *decoder) instanceStarted() Init {
@@ -67,20 +81,20 @@
 
 func (d *decoder) requestArrived() policy.RequestArrived {
 	const (
-		hasWork = 1 << iota
-		isRetry
+		flagHasWork = 1 << iota
+		flagIsRetry
 	)
 	e := policy.RequestArrived{Request: d.request()}
 	e.Tenant = int(d.uint16())
 	e.LoadTime = d.shortDuration()
 	flags := d.uint8()
-	e.IsRetry = flags&isRetry != 0
+	e.IsRetry = flags&flagIsRetry != 0
 	e.Function = d.function()
 	e.Lanes = d.float32()
 	e.MemoryMB = d.float32()
 	e.Class = int(d.uint16())
 	work := d.duration()
-	if flags&hasWork != 0 {
+	if flags&flagHasWork != 0 {
 		e.Work = work
 	}
 	e.Remaining = d.duration()
@@ -90,8 +104,8 @@
 func (d *decoder) responseStarted() policy.ResponseStarted {
 	e := policy.ResponseStarted{Request: d.request()}
 	e.Attempt = int(d.uint16())
-	d.worker()
-	d.float64()
+	d.worker()  // is known from the attempt's start
+	d.float64() // the time since then, in milliseconds
 	return e
 }
 
@@ -109,11 +123,11 @@
 
 // loadStatus splits a byte into the load status and the number of requests that the worker held.
 func loadStatus(info uint8) (policy.LoadStatus, int) {
-	status := policy.LoadStatus(info & 7)
+	status := policy.LoadStatus(info & loadStatusMask)
 	if status > policy.LoadFailed {
 		status = policy.LoadStatusUnknown
 	}
-	return status, int(info >> 3)
+	return status, int(info >> concurrencyShift)
 }
 
 func (d *decoder) healthCheckCompleted() policy.HealthCheckCompleted {
@@ -141,98 +155,42 @@
 
 func (d *decoder) endpointList() policy.EndpointList {
 	kind := d.uint8()
-	d.uint32()
+	d.uint32() // the list's version, which the policy does not use
 	count := d.uint32()
 	if kind > uint8(policy.EndpointListFailed) {
 		d.invalid("list mode", kind)
 		return policy.EndpointList{}
 	}
+	// Checked before the entries are read, so that a count that is wrong allocates nothing.
 	if uint64(count)*endpointBytes > uint64(len(d.unread)) {
 		d.truncated = true
 		return policy.EndpointList{}
 	}
 	list := policy.EndpointList{Kind: policy.EndpointListKind(kind)}
 	for range count {
-		e := policy.Endpoint{Worker: d.worker()}
-		e.Zone = int(d.uint16())
-		state := d.uint8()
-		if state > uint8(policy.Draining) {
-			d.invalid("worker state", state)
+		entry, ok := d.endpoint()
+		if !ok {
 			return list
 		}
-		e.State = policy.WorkerState(state)
-		e.Weight = d.float32()
-		e.Cell = int(d.uint16())
-		d.uint8()
-		e.Started = d.duration()
-		list.Workers = append(list.Workers, e)
+		list.Workers = append(list.Workers, entry)
 	}
 	return list
 }
 
-// invalid notes a value that is not known.
-func (d *decoder) invalid(field string, value uint8) {
-	if d.err == nil {
-		d.err = fmt.Errorf("unknown %s %d", field, value)
-	}
-}
-
-// take returns the next n bytes, or zeros where there are fewer.
-func (d *decoder) take(n int) []byte {
-	if n > len(d.unread) {
-		d.truncated = true
-		d.unread = nil
-		return make([]byte, n)
-	}
-	taken := d.unread[:n]
-	d.unread = d.unread[n:]
-	return taken
-}
-
-func (d *decoder) uint8() uint8                 { return d.take(1)[0] }
-func (d *decoder) uint16() uint16               { return binary.BigEndian.Uint16(d.take(2)) }
-func (d *decoder) uint32() uint32               { return binary.BigEndian.Uint32(d.take(4)) }
-func (d *decoder) uint64() uint64               { return binary.BigEndian.Uint64(d.take(8)) }
-func (d *decoder) float32() float64             { return float64(math.Float32frombits(d.uint32())) }
-func (d *decoder) float64() float64             { return math.Float64frombits(d.uint64()) }
-func (d *decoder) duration() time.Duration      { return millis(d.float64()) }
-func (d *decoder) shortDuration() time.Duration { return millis(d.float32()) }
-func (d *decoder) request() policy.RequestID    { return policy.RequestID(d.uint32()) }
-func (d *decoder) function() policy.FunctionID  { return policy.FunctionID(d.uint64()) }
-
-func (d *decoder) worker() policy.WorkerID {
-	high := policy.WorkerID(d.uint32())
-	return high<<16 | policy.WorkerID(d.uint16())
-}
-
-func (d *decoder) outcome() policy.Outcome {
-	code := d.uint8()
-	if int(code) >= len(outcomes) {
-		d.invalid("outcome", code)
-		return 0
-	}
-	return outcomes[code]
-}
-
-func (d *decoder) loadReport() []float64 {
-	count := int(d.uint8())
-	if count*4 > len(d.unread) {
-		d.truncated = true
-		return nil
-	}
-	var report []float64
-	for range count {
-		report = append(report, d.float32())
-	}
-	return report
-}
-
-// bytes returns a copy of the next n bytes, or nil where there are fewer.
-func (d *decoder) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(d.unread)) {
-		d.truncated = true
-		d.unread = nil
-		return nil
+// endpoint decodes one entry of a list. It reports false, and leaves the rest of the entry unread, if the worker's
+// state is not known.
+func (d *decoder) endpoint() (entry policy.Endpoint, ok bool) {
+	entry.Worker = d.worker()
+	entry.Zone = int(d.uint16())
+	state := d.uint8()
+	if state > uint8(policy.Draining) {
+		d.invalid("worker state", state)
+		return entry, false
 	}
-	return append([]byte(nil), d.take(int(n))...)
+	entry.State = policy.WorkerState(state)
+	entry.Weight = d.float32()
+	entry.Cell = int(d.uint16())
+	d.uint8() // the kind of machine, which the policy does not use
+	entry.Started = d.duration()
+	return entry, true
 }
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -9,19 +9,25 @@
 	"time"
 )
 
+// The header of a batch.
 const (
-	headerBytes = 20
-	maxFrame    = 1 << 30 // bytes of a batch after its header
-	maxClock    = 1e12    // milliseconds
+	sequenceOffset = 0
+	sizeOffset     = 4
+	recordsOffset  = 8
+	clockOffset    = 12
+	headerBytes    = 20
 )
 
-// Init says that an instance starts with these settings and this seed.
+// maxFrame bounds a batch, in bytes after its header.
+const maxFrame = 1 << 30
+
+// Init is the start of an instance.
 type Init struct {
 	Seed     uint64
-	Settings []byte
+	Settings []byte // JSON for ParseSettings
 }
 
-// Kill says that an instance is killed.
+// Kill is the end of an instance, which gets no further events.
 type Kill struct{}
 
 // Record is one decoded record: Event holds a policy.Event, an Init or a Kill.
@@ -39,71 +45,99 @@
 
 // header is the beginning of a batch.
 type header struct {
-	batch   uint32
-	size    uint32 // bytes that follow
-	records uint32
-	clock   float64 // milliseconds
+	sequence uint32
+	size     uint32  // of what follows, in bytes
+	records  uint32  // how many follow
+	clock    float64 // milliseconds
+}
+
+// malformed returns the error of what stands at an offset in the frame, of no record of its own.
+func (h header) malformed(offset int, reason string) *FrameError {
+	return &FrameError{Batch: int64(h.sequence), Record: NoRecord, Offset: offset, Reason: reason}
+}
+
+// check checks the header's numbers.
+func (h header) check() error {
+	if math.IsNaN(h.clock) || h.clock < 0 || h.clock > maxMillis {
+		return h.malformed(clockOffset, "bad clock")
+	}
+	if h.size > maxFrame {
+		return h.malformed(sizeOffset, fmt.Sprintf("length %d is too large", h.size))
+	}
+	return nil
 }
 
-// ReadBatch reads one batch. At a clean end of input it returns io.EOF, and a *FrameError for a malformed frame.
+// ReadBatch reads one batch. At a clean end of input it returns io.EOF, and a *FrameError for a malformed frame. It
+// blocks until a whole batch was read.
 func ReadBatch(r io.Reader) (Batch, error) {
 	head, err := readHeader(r)
 	if err != nil {
 		return Batch{}, err
 	}
-	malformed := func(offset int, reason string, cause error) error {
-		return &FrameError{Batch: int64(head.batch), Record: NoRecord, Offset: offset, Reason: reason, Err: cause}
-	}
-	if math.IsNaN(head.clock) || head.clock < 0 || head.clock > maxClock {
-		return Batch{}, malformed(12, "bad clock", nil)
-	}
-	if head.size > maxFrame {
-		return Batch{}, malformed(4, fmt.Sprintf("length %d is too large", head.size), nil)
+	if err := head.check(); err != nil {
+		return Batch{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(head.size)))
+	body, err := readBody(r, head)
 	if err != nil {
-		return Batch{}, malformed(headerBytes+len(body), "", err)
-	}
-	if len(body) < int(head.size) {
-		reason := fmt.Sprintf("truncated at byte %d of %d", len(body), head.size)
-		return Batch{}, malformed(headerBytes+len(body), reason, nil)
+		return Batch{}, err
 	}
 	return decodeBatch(head, body)
 }
 
 // readHeader reads the header of a batch. It returns io.EOF where the input ends before one.
 func readHeader(r io.Reader) (header, error) {
-	var text [headerBytes]byte
-	n, err := io.ReadFull(r, text[:])
+	var encoded [headerBytes]byte
+	n, err := io.ReadFull(r, encoded[:])
 	if errors.Is(err, io.EOF) {
 		return header{}, io.EOF
 	}
 	if err != nil {
-		return header{}, &FrameError{Batch: NoBatch, Record: NoRecord, Offset: n, Reason: "truncated batch header", Err: err}
+		return header{}, &FrameError{
+			Batch:  NoBatch,
+			Record: NoRecord,
+			Offset: n,
+			Reason: "truncated batch header",
+			Err:    err,
+		}
 	}
 	return header{
-		batch:   binary.BigEndian.Uint32(text[0:]),
-		size:    binary.BigEndian.Uint32(text[4:]),
-		records: binary.BigEndian.Uint32(text[8:]),
-		clock:   math.Float64frombits(binary.BigEndian.Uint64(text[12:])),
+		sequence: binary.BigEndian.Uint32(encoded[sequenceOffset:]),
+		size:     binary.BigEndian.Uint32(encoded[sizeOffset:]),
+		records:  binary.BigEndian.Uint32(encoded[recordsOffset:]),
+		clock:    math.Float64frombits(binary.BigEndian.Uint64(encoded[clockOffset:])),
 	}, nil
 }
 
+// readBody reads what follows a header. It allocates no more than the input has, whatever size the header claims.
+func readBody(r io.Reader, head header) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, int64(head.size)))
+	if err != nil {
+		failure := head.malformed(headerBytes+len(body), "")
+		failure.Err = err
+		return nil, failure
+	}
+	if len(body) < int(head.size) {
+		reason := fmt.Sprintf("truncated at byte %d of %d", len(body), head.size)
+		return nil, head.malformed(headerBytes+len(body), reason)
+	}
+	return body, nil
+}
+
 // decodeBatch decodes the records of a batch.
 func decodeBatch(head header, body []byte) (Batch, error) {
-	batch := Batch{Sequence: head.batch, Now: millis(head.clock)}
+	batch := Batch{Sequence: head.sequence, Now: millis(head.clock)}
 	d := decoder{unread: body}
 	for i := range int(head.records) {
 		record, err := d.record()
 		if err != nil {
-			return Batch{}, &FrameError{Batch: int64(head.batch), Record: i,
-				Offset: headerBytes + len(body) - len(d.unread), Reason: err.Error()}
+			failure := head.malformed(headerBytes+len(body)-len(d.unread), err.Error())
+			failure.Record = i
+			return Batch{}, failure
 		}
 		batch.Records = append(batch.Records, record)
 	}
-	if len(d.unread) > 0 {
-		return Batch{}, &FrameError{Batch: int64(head.batch), Record: NoRecord,
-			Offset: headerBytes + len(body) - len(d.unread), Reason: fmt.Sprintf("%d bytes left over", len(d.unread))}
+	if left := len(d.unread); left > 0 {
+		return Batch{}, head.malformed(headerBytes+len(body)-left, fmt.Sprintf("%d bytes left over", left))
 	}
 	return batch, nil
 }
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -2,13 +2,12 @@
 
 import (
 	"encoding/json"
-	"math"
-	"time"
 
 	"crankhold/policy"
 )
 
-// settings mirrors the keys of the JSON that are read; all others are passed over.
+// settings mirrors the keys of the JSON that are read; all others are ignored. Its sections have no types of their own,
+// since errors of encoding/json would contain their names.
 type settings struct {
 	Routers          int      `json:"peersTotal"`
 	Zone             int      `json:"zone"`
@@ -54,6 +53,7 @@
 	} `json:"specifics"`
 }
 
+// class is a class of requests in the settings.
 type class struct {
 	DeadlineMs            float64 `json:"deadlineMs"`
 	LatencyObjectiveMs    float64 `json:"goalTimeMs"`
@@ -66,76 +66,94 @@
 	PriorityWeight        float64 `json:"worth"`
 }
 
+// tenant is a tenant in the settings.
 type tenant struct {
 	RequestsPerSecond float64 `json:"allowancePerS"`
 }
 
-// ParseSettings turns the settings of an Init into a policy.Config. It returns a *SettingsError for what it can't read.
+// ParseSettings returns the policy's configuration by the settings of an Init, or of a router's configuration. It
+// returns a *SettingsError for what it can't read.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return policy.Config{}, &SettingsError{Class: NoClass, Err: err}
 	}
 	c := s.config()
-	for i, k := range s.Classes {
-		class, err := k.policyClass(i)
+	for i := range s.Classes {
+		class, err := s.Classes[i].policyClass(i)
 		if err != nil {
 			return policy.Config{}, err
 		}
 		c.Classes = append(c.Classes, class)
 	}
-	for _, a := range s.Tenants {
-		c.Tenants = append(c.Tenants, policy.Tenant{RequestsPerSecond: a.RequestsPerSecond})
+	for _, t := range s.Tenants {
+		c.Tenants = append(c.Tenants, policy.Tenant{RequestsPerSecond: t.RequestsPerSecond})
 	}
 	return c, nil
 }
 
-// config is the Config without classes and tenants.
+// config returns the Config without classes and tenants.
 func (s *settings) config() policy.Config {
 	c := policy.Config{
-		Routers:                  s.Routers,
-		Zone:                     s.Zone,
-		WeightByWork:             s.WeightUnit == "work",
-		Tick:                     millis(s.TickMs),
-		EndpointsByPolling:       s.EndpointListMode == "subscribe",
-		LoadReportFields:         s.Report.Fields,
-		InlineLoadReports:        s.Report.How == "inline",
-		MaxAttempts:              s.Limits.MaxAttempts,
-		CancelSupported:          s.Limits.CancelSupported,
-		HealthCheckSupported:     s.Limits.HealthCheckSupported,
-		GossipSupported:          s.Limits.GossipSupported,
-		HedgingAllowed:           s.Limits.HedgingAllowed,
-		RetryAfterSupported:      s.Limits.RetryAfterSupported,
-		MaxRetryAfter:            millis(s.Limits.MaxRetryAfterMs),
-		OverQuotaWeight:          1,
-		PollInterval:             millis(s.Rules.PollIntervalMs),
-		SlowStartInitialCapacity: s.Rules.SlowStartInitialCapacity,
-		SlowStartDuration:        millis(s.Rules.SlowStartMs),
-		OverloadMultiple:         s.Rules.OverloadMultiple,
-		OverloadWindow:           millis(s.Rules.OverloadWindowMs),
-		DrainGracePeriod:         millis(s.Rules.DrainGracePeriodMs),
-		MissWhenNotLoaded:        s.Specifics.WhenNotLoaded == "miss",
-		LoadCommandsSupported:    s.Specifics.LoadCommandsSupported,
-		LoadStatusReported:       s.Specifics.LoadStatusReported,
-		ConcurrencyReported:      s.Specifics.ConcurrencyReported,
-		KeepAlive:                millis(s.Specifics.KeepAliveMs),
-		LoadTimeout:              millis(s.Specifics.LoadTimeoutMs),
-		LoadBudgetWindow:         millis(s.Specifics.LoadBudgetWindowMs),
-		LoadBudgetMinimum:        s.Specifics.LoadBudgetMinimum,
-		LoadBudgetRatio:          s.Specifics.LoadBudgetRatio,
-		MemoryPrice:              s.Specifics.MemoryPrice,
-	}
-	for _, megabytes := range s.Specifics.MemoryMBByKind {
-		c.WorkerMemoryMB += megabytes / float64(len(s.Specifics.MemoryMBByKind))
+		Routers:            s.Routers,
+		Zone:               s.Zone,
+		WeightByWork:       s.WeightUnit == "work",
+		Tick:               millis(s.TickMs),
+		EndpointsByPolling: s.EndpointListMode == "subscribe",
+		LoadReportFields:   s.Report.Fields,
+		InlineLoadReports:  s.Report.How == "inline",
+		OverQuotaWeight:    1,
 	}
 	if s.OverQuotaWeight != nil {
 		c.OverQuotaWeight = *s.OverQuotaWeight
 	}
+	s.applyLimits(&c)
+	s.applyRules(&c)
+	s.applySpecifics(&c)
 	return c
 }
 
-// policyClass is the class as package policy knows it; index is its own in the settings.
-func (k class) policyClass(index int) (policy.Class, error) {
+// applyLimits sets what the section "limits" allows the router to do.
+func (s *settings) applyLimits(c *policy.Config) {
+	c.MaxAttempts = s.Limits.MaxAttempts
+	c.CancelSupported = s.Limits.CancelSupported
+	c.HealthCheckSupported = s.Limits.HealthCheckSupported
+	c.GossipSupported = s.Limits.GossipSupported
+	c.HedgingAllowed = s.Limits.HedgingAllowed
+	c.RetryAfterSupported = s.Limits.RetryAfterSupported
+	c.MaxRetryAfter = millis(s.Limits.MaxRetryAfterMs)
+}
+
+// applyRules sets the figures of the section "rules", for workers that start or drain.
+func (s *settings) applyRules(c *policy.Config) {
+	c.PollInterval = millis(s.Rules.PollIntervalMs)
+	c.SlowStartInitialCapacity = s.Rules.SlowStartInitialCapacity
+	c.SlowStartDuration = millis(s.Rules.SlowStartMs)
+	c.OverloadMultiple = s.Rules.OverloadMultiple
+	c.OverloadWindow = millis(s.Rules.OverloadWindowMs)
+	c.DrainGracePeriod = millis(s.Rules.DrainGracePeriodMs)
+}
+
+// applySpecifics sets what the section "specifics" says of functions and their replicas.
+func (s *settings) applySpecifics(c *policy.Config) {
+	c.MissWhenNotLoaded = s.Specifics.WhenNotLoaded == "miss"
+	c.LoadCommandsSupported = s.Specifics.LoadCommandsSupported
+	c.LoadStatusReported = s.Specifics.LoadStatusReported
+	c.ConcurrencyReported = s.Specifics.ConcurrencyReported
+	c.KeepAlive = millis(s.Specifics.KeepAliveMs)
+	c.LoadTimeout = millis(s.Specifics.LoadTimeoutMs)
+	c.LoadBudgetWindow = millis(s.Specifics.LoadBudgetWindowMs)
+	c.LoadBudgetMinimum = s.Specifics.LoadBudgetMinimum
+	c.LoadBudgetRatio = s.Specifics.LoadBudgetRatio
+	c.MemoryPrice = s.Specifics.MemoryPrice
+	for _, megabytes := range s.Specifics.MemoryMBByKind {
+		c.WorkerMemoryMB += megabytes / float64(len(s.Specifics.MemoryMBByKind))
+	}
+}
+
+// policyClass returns the class for package policy. Index is that of the class in the settings, for its error, which is
+// a SettingsError.
+func (k *class) policyClass(index int) (policy.Class, error) {
 	c := policy.Class{
 		LatencyObjective:    millis(k.LatencyObjectiveMs),
 		Deadline:            millis(k.DeadlineMs),
@@ -165,11 +183,3 @@
 	}
 	return c, nil
 }
-
-// millis turns milliseconds into a Duration; what is no number, or out of range, becomes 0.
-func millis(ms float64) time.Duration {
-	if math.IsNaN(ms) || math.Abs(ms) > 1e12 {
-		return 0
-	}
-	return time.Duration(math.Round(ms * 1e6))
-}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -100,8 +100,8 @@
 	} {
 		var r Reply
 		r.Add(3, []policy.Action{c.action})
-		if !bytes.Equal(r.text, unhex(t, c.want)) {
-			t.Errorf("%T: got %x, want %s", c.action, r.text, c.want)
+		if !bytes.Equal(r.encoder.records, unhex(t, c.want)) {
+			t.Errorf("%T: got %x, want %s", c.action, r.encoder.records, c.want)
 		}
 	}
 }
