--- /dev/null
+++ b/internal/simulator/settings_test.go
@@ -0,0 +1,39 @@
+package simulator
+
+import (
+	"errors"
+	"math"
+	"testing"
+	"time"
+
+	"crankhold/policy"
+)
+
+// Settings that are read reach the policy, unknown keys are ignored, and an error names the class that it is about.
+func TestSettings(t *testing.T) {
+	c, err := ParseSettings([]byte(`{"unknown": [1], "peersTotal": 3, "classes": [{"deadlineMs": 4000, "goalTimeMs": 400,
+		"group": "all", "semantics": "keyed", "windowMs": 2500, "worth": 9}], "membershipMode": "subscribe",
+		"specifics": {"ifCold": "miss", "lingerIdleMs": 9200}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Routers != 3 || !c.EndpointsByPolling || !c.MissWhenNotLoaded || c.KeepAlive != 9200*time.Millisecond ||
+		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DeduplicationWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
+		t.Errorf("got %+v", c)
+	}
+	for bad, want := range map[string]struct {
+		class int
+		text  string
+	}{
+		`{`:                                     {NoClass, "settings: unexpected end of JSON input"},
+		`{"classes": [{"semantics": "maybe"}]}`: {0, `settings: class 0: unknown semantics "maybe"`},
+	} {
+		_, err := ParseSettings([]byte(bad))
+		if got := (*SettingsError)(nil); !errors.As(err, &got) || got.Class != want.class || err.Error() != want.text {
+			t.Errorf("%s: %v, want %q", bad, err, want.text)
+		}
+	}
+	if millis(math.NaN()) != 0 || millis(math.Inf(1)) != 0 {
+		t.Error("no number must count as absent")
+	}
+}
