--- a/internal/ipfix/config.go
+++ b/internal/ipfix/config.go
@@ -13,11 +13,16 @@
 // Config is the export file.
 type Config struct {
 	Enabled   bool   `toml:"enabled"`
-	Collector string `toml:"collector"`
+	Collector string `toml:"collector"` // ip:port; checked only if Enabled
 	Domain    uint32 `toml:"observation_domain"`
 }
 
-// ConfigError is an export file that can't be read or used.
+// unknownSettingError is the cause of a ConfigError for a key that export files do not have.
+type unknownSettingError string
+
+func (e unknownSettingError) Error() string { return "unknown setting " + string(e) }
+
+// ConfigError says why an export file can't be read or used.
 type ConfigError struct {
 	File string
 	Key  string // the setting; "" where the file as a whole can't be read
@@ -36,7 +41,8 @@
 // Unwrap returns what is wrong.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// ReadConfig reads and checks an export file. Its errors are ConfigErrors.
+// ReadConfig reads and checks an export file. Its error is a ConfigError. It blocks and must not be called on the event
+// loop.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +55,7 @@
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0].String()
-		return nil, &ConfigError{File: path, Key: key, Err: errors.New("unknown setting " + key)}
+		return nil, &ConfigError{File: path, Key: key, Err: unknownSettingError(key)}
 	}
 	if !config.Enabled {
 		return config, nil
--- a/internal/ipfix/example_test.go
+++ b/internal/ipfix/example_test.go
@@ -23,9 +23,13 @@
 	var sent datagrams
 	var handler eventloop.DialHandler
 	noon := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	exporter := ipfix.New(&ipfix.Config{Domain: 7}, func() time.Time { return noon }, func(h eventloop.DialHandler) ipfix.Transport {
-		handler = h
-		return &sent
+	exporter := ipfix.New(ipfix.ExporterConfig{
+		Domain:    7,
+		WallClock: func() time.Time { return noon },
+		Dial: func(h eventloop.DialHandler) ipfix.Transport {
+			handler = h
+			return &sent
+		},
 	})
 
 	// The first tick opens the socket; the loop reports that it is open.
@@ -43,8 +47,8 @@
 	})
 	exporter.Tick(now)
 
-	// A message begins with the version, its length, the time, a sequence number and the observation domain. Sets follow,
-	// each with its id and its length.
+	// A message begins with the version, its length, the time, a sequence number and the observation domain. Sets
+	// follow, each with its id and its length.
 	message := sent[0]
 	fmt.Println("version", binary.BigEndian.Uint16(message), "domain", binary.BigEndian.Uint32(message[12:]))
 	for sets := message[16:]; len(sets) > 0; {
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -11,44 +11,62 @@
 const (
 	maxQueuedRecords = 1024
 	flushInterval    = time.Second
-	templateInterval = time.Minute // between two transmissions of the templates (RFC 7011, section 8.4)
-	redialDelay      = 5 * time.Second
 )
 
 // errSocketClosed is the end of a socket for which the system gave no reason.
 var errSocketClosed = errors.New("closed")
 
-// Transport is a socket to the collector; an eventloop.Conn is one.
-type Transport interface {
-	Write(bufs ...[]byte)
-	Close()
+// ExporterConfig is what an Exporter needs. Dial and WallClock are required.
+type ExporterConfig struct {
+	// Domain is the observation domain, by which a collector tells exporters apart.
+	Domain uint32
+
+	// Dial opens a socket to the collector. Its events go to the handler, but only after Dial has returned.
+	Dial func(handler eventloop.DialHandler) Transport
+
+	// WallClock returns the time of day for the messages' headers.
+	WallClock func() time.Time
+
+	// Logger logs the failures of sockets; nil: slog.Default().
+	Logger *slog.Logger
 }
 
 // Counters counts records and messages by what became of them. A message that was sent may still be lost.
-type Counters struct{ Records, Sent, Dropped, Messages uint64 }
+type Counters struct {
+	Records  uint64 // added
+	Sent     uint64 // records, in messages that were sent
+	Dropped  uint64 // records
+	Messages uint64 // sent
+}
 
-// Exporter queues records and sends them to a collector.
+// Exporter queues records and sends them to a collector. It belongs to the event loop's goroutine, and is the
+// eventloop.DialHandler of its socket.
 type Exporter struct {
-	domain        uint32
-	dial          func(h eventloop.DialHandler) Transport
-	wallClock     func() time.Time
-	transport     Transport // nil: there is no socket
-	connected     bool
-	now           time.Duration
-	nextDial      time.Duration
-	nextFlush     time.Duration
-	nextTemplates time.Duration
-	queue         []record
-	sequence      uint32 // the number of records sent, modulo 2^32
-	Counters      Counters
+	// Counters is read by the owner alone.
+	Counters Counters
+
+	logger    *slog.Logger
+	socket    collectorSocket
+	messages  messageSequence
+	queue     []record // at most maxQueuedRecords
+	now       time.Duration
+	nextFlush time.Duration
 }
 
-// New returns an Exporter that opens its socket by dial.
-func New(c *Config, wallClock func() time.Time, dial func(h eventloop.DialHandler) Transport) *Exporter {
-	return &Exporter{domain: c.Domain, dial: dial, wallClock: wallClock}
+// New returns an Exporter. It opens no socket: the first Tick does.
+func New(cfg ExporterConfig) *Exporter {
+	exporter := &Exporter{
+		logger:   cfg.Logger,
+		socket:   collectorSocket{dial: cfg.Dial},
+		messages: messageSequence{domain: cfg.Domain, wallClock: cfg.WallClock},
+	}
+	if exporter.logger == nil {
+		exporter.logger = slog.Default()
+	}
+	return exporter
 }
 
-// Add queues the record of a flow, or drops it where the queue is full or no template can hold it.
+// Add queues the record of a flow, or drops it if the queue is full or no template fits its addresses.
 func (e *Exporter) Add(f Flow) {
 	e.Counters.Records++
 	if len(e.queue) >= maxQueuedRecords {
@@ -67,62 +85,51 @@
 // called again.
 func (e *Exporter) Tick(now time.Duration) time.Duration {
 	e.now = now
-	if e.transport == nil {
-		if now < e.nextDial {
-			return e.nextDial
-		}
-		e.nextDial = now + redialDelay
-		e.transport = e.dial(e)
+	if e.socket.transport == nil && now >= e.socket.nextDial {
+		e.socket.open(now, e)
 	}
-	if !e.connected {
-		return e.nextDial
+	if !e.socket.connected {
+		return e.socket.nextDial
 	}
 	if now < e.nextFlush {
 		return e.nextFlush
 	}
 	e.nextFlush = now + flushInterval
 	for len(e.queue) > 0 {
-		e.transport.Write(e.nextMessage())
+		e.sendMessage()
 	}
 	return e.nextFlush
 }
 
-// nextMessage takes as many records off the queue as fit into one message, with the templates where they are due.
-func (e *Exporter) nextMessage() []byte {
-	message := beginMessage()
-	if e.nextTemplates <= e.now {
-		e.nextTemplates = e.now + templateInterval
-		message = appendTemplateSet(message)
-	}
-	message, count := appendRecords(message, e.queue)
+// sendMessage sends as many queued records as fit into one message.
+func (e *Exporter) sendMessage() {
+	message, count := e.messages.next(e.now, e.queue)
 	e.queue = append(e.queue[:0], e.queue[count:]...)
-	finishMessage(message, messageHeader{exportTime: e.wallClock(), sequence: e.sequence, domain: e.domain})
-	e.sequence += uint32(count)
 	e.Counters.Sent += uint64(count)
 	e.Counters.Messages++
-	return message
+	e.socket.transport.Write(message)
 }
 
-// DialCompleted is the end of the dial. Templates go over a new socket first: its collector may know none.
+// DialCompleted is called when the dial has ended. Templates are sent first over a new socket: its collector may have
+// none.
 func (e *Exporter) DialCompleted(err error) {
 	if err != nil {
 		e.Closed(err)
 		return
 	}
-	e.connected = true
-	e.nextTemplates = 0
+	e.socket.connected = true
+	e.messages.nextTemplates = 0
 }
 
 // Data ignores what is received: IPFIX has no responses.
 func (e *Exporter) Data([]byte) {}
 
-// Closed has the socket opened again after redialDelay. A collector that is not there shows in this way too.
+// Closed is called when the socket was closed, also because no collector listens at the address. The next socket is
+// opened after redialDelay.
 func (e *Exporter) Closed(err error) {
 	if err == nil {
 		err = errSocketClosed
 	}
-	slog.Warn("collector_connection_lost", slog.Any("err", err))
-	e.transport = nil
-	e.connected = false
-	e.nextDial = e.now + redialDelay
+	e.logger.Warn("collector_connection_lost", slog.Any("err", err))
+	e.socket.closed(e.now)
 }
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -18,12 +18,21 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// An independent decoder reads what was added, in order, with the templates that it needs and sequence numbers that count
-// the records before.
+// newTestExporter returns an exporter of domain 7 whose sockets are all the same.
+func newTestExporter(transport Transport) *Exporter {
+	return New(ExporterConfig{
+		Domain:    7,
+		WallClock: func() time.Time { return noon },
+		Dial:      func(eventloop.DialHandler) Transport { return transport },
+	})
+}
+
+// An independent decoder reads what was added, in order, with the templates that it needs and sequence numbers that
+// count the records before.
 func TestCollectorDecodesAddedFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		transport := &testutil.Transport{}
-		exporter := New(&Config{Domain: 7}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return transport })
+		exporter := newTestExporter(transport)
 		now := time.Hour
 		exporter.Tick(now)
 		exporter.DialCompleted(nil)
@@ -90,7 +99,7 @@
 
 // The queue for a collector that is not there is bounded, and what is dropped is counted.
 func TestQueuedRecordsAreBounded(t *testing.T) {
-	exporter := New(&Config{}, func() time.Time { return noon }, func(eventloop.DialHandler) Transport { return &testutil.Transport{} })
+	exporter := newTestExporter(&testutil.Transport{})
 	for range maxQueuedRecords + 5 {
 		exporter.Add(Flow{Client: netip.MustParseAddrPort("127.0.0.9:1"), Server: netip.MustParseAddrPort("127.0.0.1:2")})
 	}
--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -37,9 +37,13 @@
 // newFakeCollector returns a collector whose exporter has no socket yet.
 func newFakeCollector() *fakeCollector {
 	c := &fakeCollector{now: time.Hour}
-	c.exporter = New(&Config{Domain: 0x01020304}, func() time.Time { return noon.Add(c.now) }, func(eventloop.DialHandler) Transport {
-		c.transport = &datagramTransport{}
-		return c.transport
+	c.exporter = New(ExporterConfig{
+		Domain:    0x01020304,
+		WallClock: func() time.Time { return noon.Add(c.now) },
+		Dial: func(eventloop.DialHandler) Transport {
+			c.transport = &datagramTransport{}
+			return c.transport
+		},
 	})
 	return c
 }
@@ -103,8 +107,8 @@
 	c.export("record of the largest number of octets", flushInterval, largest)
 	c.export("records of both kinds in turn", flushInterval, ipv4, ipv4, ipv6, ipv6, ipv4)
 	c.export("records of mixed or unknown addresses, dropped", flushInterval, flow(client4, server6, "dim-level"), Flow{Server: ipv4.Server})
-	// Records of 43 bytes fill a message as far as it goes. Of those of 46 bytes a message could hold one more, but each
-	// record is counted with a set header of its own.
+	// Records of 43 bytes fill a message as far as it goes. Of those of 46 bytes a message could hold one more, but
+	// each record is counted with a set header of its own.
 	c.export("records of 43 bytes for two messages", flushInterval, repeated(flow(client4, server4, "load"), 33)...)
 	c.export("records of 46 bytes for two messages", flushInterval, repeated(flow(client4, server4, "inspect"), 31)...)
 	c.export("templates again after a minute", templateInterval, ipv6)
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -8,6 +8,11 @@
 // The layout of messages and sets (RFC 7011, sections 3.1 and 3.3.2).
 const (
 	protocolVersion    = 10
+	versionOffset      = 0
+	lengthOffset       = 2
+	exportTimeOffset   = 4
+	sequenceOffset     = 8
+	domainOffset       = 12
 	messageHeaderBytes = 16
 	setHeaderBytes     = 4
 	setLengthOffset    = 2 // in a set's header
@@ -16,23 +21,48 @@
 	maxMessageBytes = 1400
 )
 
-// messageHeader is what a message's header says beside its length (section 3.1).
+// templateInterval is the time between two transmissions of the templates (section 8.4).
+const templateInterval = time.Minute
+
+// messageHeader is a message's header without its version and length (section 3.1).
 type messageHeader struct {
 	exportTime time.Time
 	sequence   uint32 // the number of records sent before
 	domain     uint32
 }
 
+// messageSequence builds the messages of one observation domain, whose headers count the records before.
+type messageSequence struct {
+	domain        uint32
+	wallClock     func() time.Time
+	sequence      uint32        // the number of records in messages so far, modulo 2^32
+	nextTemplates time.Duration // when the templates are due again; 0: with the next message
+}
+
+// next returns a message with as many of the records as fit, and how many those are. It begins with the templates if
+// they are due.
+func (s *messageSequence) next(now time.Duration, records []record) (message []byte, count int) {
+	message = beginMessage()
+	if s.nextTemplates <= now {
+		s.nextTemplates = now + templateInterval
+		message = appendTemplateSet(message)
+	}
+	message, count = appendRecords(message, records)
+	finishMessage(message, messageHeader{exportTime: s.wallClock(), sequence: s.sequence, domain: s.domain})
+	s.sequence += uint32(count)
+	return message, count
+}
+
 // beginMessage returns a message with room for its header.
 func beginMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
 
 // finishMessage writes the header of a message that is complete.
 func finishMessage(message []byte, header messageHeader) {
-	binary.BigEndian.PutUint16(message[0:], protocolVersion)
-	binary.BigEndian.PutUint16(message[2:], uint16(len(message)))
-	binary.BigEndian.PutUint32(message[4:], uint32(header.exportTime.Unix()))
-	binary.BigEndian.PutUint32(message[8:], header.sequence)
-	binary.BigEndian.PutUint32(message[12:], header.domain)
+	binary.BigEndian.PutUint16(message[versionOffset:], protocolVersion)
+	binary.BigEndian.PutUint16(message[lengthOffset:], uint16(len(message)))
+	binary.BigEndian.PutUint32(message[exportTimeOffset:], uint32(header.exportTime.Unix()))
+	binary.BigEndian.PutUint32(message[sequenceOffset:], header.sequence)
+	binary.BigEndian.PutUint32(message[domainOffset:], header.domain)
 }
 
 // appendRecords appends as many records as fit into a message, and returns how many those are. Records of one template
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -16,19 +16,21 @@
 
 // Flow is one request, from its client to the router.
 type Flow struct {
-	Client, Server netip.AddrPort
-	Start, End     time.Time
-	Octets         uint64 // of the request's body
-	Class          string
+	Client netip.AddrPort
+	Server netip.AddrPort // the router's own address
+	Start  time.Time
+	End    time.Time
+	Octets uint64 // of the request's body
+	Class  string // cut to maxClassBytes
 }
 
 // record is an encoded flow.
 type record struct {
-	template uint16
+	template uint16 // the id of its template
 	data     []byte
 }
 
-// encodeRecord returns the record of a flow in the order of its template's fields. It reports false where the addresses
+// encodeRecord returns the record of a flow in the order of its template's fields. It reports false if the addresses
 // are unknown, or of two families: no template has one of each.
 func encodeRecord(f Flow) (encoded record, ok bool) {
 	client := f.Client.Addr().Unmap()
@@ -50,7 +52,7 @@
 	data = append(data, byte(len(class)))
 	data = append(data, class...)
 	if client.Is4() {
-		return record{templateIPv4ID, data}, true
+		return record{template: templateIPv4ID, data: data}, true
 	}
-	return record{templateIPv6ID, data}, true
+	return record{template: templateIPv6ID, data: data}, true
 }
--- a/internal/ipfix/template.go
+++ b/internal/ipfix/template.go
@@ -29,8 +29,11 @@
 // variableLength is the length of a field whose values carry their own (section 7).
 const variableLength = 65535
 
-// fieldSpecifier says which information element a field is, and how many bytes it takes (section 3.2).
-type fieldSpecifier struct{ element, length uint16 }
+// fieldSpecifier is the information element and the length of a field (section 3.2).
+type fieldSpecifier struct {
+	element uint16
+	length  uint16 // bytes, or variableLength
+}
 
 // template describes records (section 3.4.1).
 type template struct {
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -126,8 +126,12 @@
 	if err != nil || !cfg.Enabled {
 		return err
 	}
-	n.exporter = ipfix.New(cfg, time.Now, func(handler eventloop.DialHandler) ipfix.Transport {
-		return loop.Dial("udp", cfg.Collector, collectorDialTimeout, handler)
+	n.exporter = ipfix.New(ipfix.ExporterConfig{
+		Domain:    cfg.Domain,
+		WallClock: time.Now,
+		Dial: func(handler eventloop.DialHandler) ipfix.Transport {
+			return loop.Dial("udp", cfg.Collector, collectorDialTimeout, handler)
+		},
 	})
 	slog.Info("export_enabled", slog.String("collector", cfg.Collector))
 	return nil
