--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -15,8 +15,16 @@
 	concurrencyShift = 3
 )
 
+// recordDecoder decodes records, of which its decoder takes the fields.
+type recordDecoder struct{ decoder }
+
+// newRecordDecoder returns a decoder of the records of a batch.
+func newRecordDecoder(records []byte) recordDecoder {
+	return recordDecoder{decoder: decoder{unread: records}}
+}
+
 // record decodes one record.
-func (d *decoder) record() (Record, error) {
+func (d *recordDecoder) record() (Record, error) {
 	code := d.uint8()
 	record := Record{Instance: d.uint16()}
 	record.Event = d.requestEvent(eventCode(code))
@@ -31,7 +39,7 @@
 
 // requestEvent decodes the fields of an event of a request, and of any other event by the functions below. It returns
 // nil for an unknown code. These are switches, since a table of functions would have the decoder escape to the heap.
-func (d *decoder) requestEvent(code eventCode) any {
+func (d *recordDecoder) requestEvent(code eventCode) any {
 	switch code {
 	case codeRequestArrived:
 		return d.requestArrived()
@@ -46,7 +54,7 @@
 }
 
 // workerEvent decodes the fields of an event of workers, or of an instance.
-func (d *decoder) workerEvent(code eventCode) any {
+func (d *recordDecoder) workerEvent(code eventCode) any {
 	switch code {
 	case codeEndpointList:
 		return d.endpointList()
@@ -59,7 +67,7 @@
 }
 
 // instanceEvent decodes the fields of an event that is about neither requests nor workers.
-func (d *decoder) instanceEvent(code eventCode) any {
+func (d *recordDecoder) instanceEvent(code eventCode) any {
 	switch code {
 	case codeInit:
 		return d.instanceStarted()
@@ -73,13 +81,13 @@
 	return nil
 }
 
-func (d *decoder) instanceStarted() Init {
+func (d *recordDecoder) instanceStarted() Init {
 	e := Init{Seed: d.uint64()}
 	e.Settings = d.bytes(d.uint32())
 	return e
 }
 
-func (d *decoder) requestArrived() policy.RequestArrived {
+func (d *recordDecoder) requestArrived() policy.RequestArrived {
 	const (
 		flagHasWork = 1 << iota
 		flagIsRetry
@@ -101,7 +109,7 @@
 	return e
 }
 
-func (d *decoder) responseStarted() policy.ResponseStarted {
+func (d *recordDecoder) responseStarted() policy.ResponseStarted {
 	e := policy.ResponseStarted{Request: d.request()}
 	e.Attempt = int(d.uint16())
 	d.worker()  // is known from the attempt's start
@@ -109,7 +117,7 @@
 	return e
 }
 
-func (d *decoder) attemptCompleted() policy.AttemptCompleted {
+func (d *recordDecoder) attemptCompleted() policy.AttemptCompleted {
 	e := policy.AttemptCompleted{Request: d.request()}
 	e.Worker = d.worker()
 	e.LoadStatus, e.Concurrency = loadStatus(d.uint8())
@@ -130,7 +138,7 @@
 	return status, int(info >> concurrencyShift)
 }
 
-func (d *decoder) healthCheckCompleted() policy.HealthCheckCompleted {
+func (d *recordDecoder) healthCheckCompleted() policy.HealthCheckCompleted {
 	e := policy.HealthCheckCompleted{Took: d.duration()}
 	e.Outcome = d.outcome()
 	e.Worker = d.worker()
@@ -138,7 +146,7 @@
 	return e
 }
 
-func (d *decoder) loadCompleted() policy.LoadCompleted {
+func (d *recordDecoder) loadCompleted() policy.LoadCompleted {
 	e := policy.LoadCompleted{Worker: d.worker()}
 	e.Function = d.function()
 	e.Outcome = d.outcome()
@@ -147,13 +155,13 @@
 	return e
 }
 
-func (d *decoder) gossipReceived() policy.GossipReceived {
+func (d *recordDecoder) gossipReceived() policy.GossipReceived {
 	e := policy.GossipReceived{From: int(d.uint16())}
 	e.Data = d.bytes(uint32(d.uint16()))
 	return e
 }
 
-func (d *decoder) endpointList() policy.EndpointList {
+func (d *recordDecoder) endpointList() policy.EndpointList {
 	kind := d.uint8()
 	d.uint32() // the list's version, which the policy does not use
 	count := d.uint32()
@@ -179,7 +187,7 @@
 
 // endpoint decodes one entry of a list. It reports false, and leaves the rest of the entry unread, if the worker's
 // state is not known.
-func (d *decoder) endpoint() (entry policy.Endpoint, ok bool) {
+func (d *recordDecoder) endpoint() (entry policy.Endpoint, ok bool) {
 	entry.Worker = d.worker()
 	entry.Zone = int(d.uint16())
 	state := d.uint8()
--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -26,7 +26,7 @@
 			Kind: policy.CachedEndpointSnapshot, Workers: []policy.Endpoint{{Worker: w, State: policy.Ready, Weight: 1.5,
 				Started: 6100 * time.Millisecond}}},
 	} {
-		d := decoder{unread: unhex(t, text)}
+		d := newRecordDecoder(unhex(t, text))
 		rec, err := d.record()
 		if err != nil || len(d.unread) > 0 || !reflect.DeepEqual(rec.Event, want) {
 			t.Errorf("%s:\ngot  %+v (%v, %d left)\nwant %+v", text, rec.Event, err, len(d.unread), want)
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -126,7 +126,7 @@
 // decodeBatch decodes the records of a batch.
 func decodeBatch(head header, body []byte) (Batch, error) {
 	batch := Batch{Sequence: head.sequence, Now: millis(head.clock)}
-	d := decoder{unread: body}
+	d := newRecordDecoder(body)
 	for i := range int(head.records) {
 		record, err := d.record()
 		if err != nil {
