--- /dev/null
+++ b/internal/discovery/parser.go
@@ -0,0 +1,193 @@
+package discovery
+
+import (
+	"encoding/binary"
+	"net/netip"
+)
+
+// parseResponse parses a response to one of the client's queries, and returns that query's id. Its error is a
+// ParseError.
+func parseResponse(message []byte) (id uint16, r response, err error) {
+	if len(message) < headerSize {
+		return 0, r, &ParseError{Offset: len(message), Err: errMalformed}
+	}
+	p := &parser{message: message, offset: headerSize}
+	p.response.addresses = map[string][]netip.Addr{}
+	p.response.texts = map[string][]string{}
+	err = p.parse()
+	return binary.BigEndian.Uint16(message), p.response, err
+}
+
+// parser parses one response from front to back.
+type parser struct {
+	message   []byte
+	offset    int // of the next question or record
+	response  response
+	hasSerial bool
+}
+
+// uint16At returns the number at an offset, which the caller has checked.
+func (p *parser) uint16At(offset int) uint16 { return binary.BigEndian.Uint16(p.message[offset:]) }
+
+func (p *parser) parse() error {
+	if err := p.checkHeader(); err != nil {
+		return err
+	}
+	for range p.uint16At(questionsOffset) {
+		if err := p.parseQuestion(); err != nil {
+			return err
+		}
+	}
+	records := int(p.uint16At(answersOffset)) + int(p.uint16At(authorityOffset)) + int(p.uint16At(additionalOffset))
+	if records > maxRecords {
+		return &ParseError{Offset: answersOffset, Err: errMalformed}
+	}
+	for range records {
+		if err := p.parseRecord(); err != nil {
+			return err
+		}
+	}
+	if !p.hasSerial {
+		return &ParseError{Offset: p.offset, Err: errNoSerial}
+	}
+	return nil
+}
+
+func (p *parser) checkHeader() error {
+	flags := p.message[flagsOffset]
+	if flags&flagResponse == 0 {
+		return &ParseError{Offset: flagsOffset, Err: errNotResponse}
+	}
+	if flags&flagTruncated != 0 {
+		return &ParseError{Offset: flagsOffset, Err: errTruncated}
+	}
+	if code := p.message[codeOffset] & codeMask; code != 0 {
+		return &ParseError{Offset: codeOffset, Err: responseCodeError(code)}
+	}
+	return nil
+}
+
+// parseQuestion checks that a question is the client's own.
+func (p *parser) parseQuestion() error {
+	start := p.offset
+	name, next, err := readName(p.message, start)
+	if err != nil {
+		return err
+	}
+	p.offset = next + questionTrailerSize
+	if len(p.message) < p.offset {
+		return &ParseError{Offset: next, Err: errMalformed}
+	}
+	if name != serviceName || p.uint16At(next) != typeSRV {
+		return &ParseError{Offset: start, Err: errOtherQuestion}
+	}
+	return nil
+}
+
+// record is where one record's data stands.
+type record struct {
+	owner string
+	kind  uint16
+	start int // of its data
+	end   int
+}
+
+// size returns the length of the record's data in bytes.
+func (r record) size() int { return r.end - r.start }
+
+// parseRecord parses the next record. Records of other types, owners and sizes than the protocol's are ignored.
+func (p *parser) parseRecord() error {
+	rec, err := p.nextRecord()
+	if err != nil {
+		return err
+	}
+	switch rec.kind {
+	case typeSRV:
+		return p.parseService(rec)
+	case typeA, typeAAAA:
+		p.parseAddress(rec)
+	case typeTXT:
+		return p.parseTexts(rec)
+	case typeSOA:
+		return p.parseSerial(rec)
+	}
+	return nil
+}
+
+// nextRecord reads the fixed part of the next record and moves on to the one after it.
+func (p *parser) nextRecord() (record, error) {
+	owner, next, err := readName(p.message, p.offset)
+	if err != nil {
+		return record{}, err
+	}
+	if len(p.message) < next+recordTrailerSize {
+		return record{}, &ParseError{Offset: next, Err: errMalformed}
+	}
+	rec := record{owner: owner, kind: p.uint16At(next), start: next + recordTrailerSize}
+	rec.end = rec.start + int(p.uint16At(rec.start-2)) // the length is the last two bytes of the fixed part
+	if len(p.message) < rec.end {
+		return record{}, &ParseError{Offset: rec.start, Err: errMalformed}
+	}
+	p.offset = rec.end
+	return rec, nil
+}
+
+// parseAddress parses an A or an AAAA record. One whose data has another size than its type's addresses is ignored.
+func (p *parser) parseAddress(rec record) {
+	if rec.size() != addressSizes[rec.kind] {
+		return
+	}
+	addr, ok := netip.AddrFromSlice(p.message[rec.start:rec.end])
+	if ok {
+		p.response.addresses[rec.owner] = append(p.response.addresses[rec.owner], addr)
+	}
+}
+
+// parseService parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
+func (p *parser) parseService(rec record) error {
+	if rec.owner != serviceName || rec.size() <= serviceFixedSize {
+		return nil
+	}
+	target, _, err := readName(p.message, rec.start+serviceFixedSize)
+	if err != nil {
+		return err
+	}
+	p.response.services = append(p.response.services, serviceRecord{
+		priority: p.uint16At(rec.start),
+		weight:   p.uint16At(rec.start + 2),
+		port:     p.uint16At(rec.start + 4),
+		target:   target,
+	})
+	return nil
+}
+
+// parseTexts parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
+func (p *parser) parseTexts(rec record) error {
+	for at := rec.start; at < rec.end; {
+		end := at + 1 + int(p.message[at])
+		if rec.end < end {
+			return &ParseError{Offset: at, Err: errMalformed}
+		}
+		p.response.texts[rec.owner] = append(p.response.texts[rec.owner], string(p.message[at+1:end]))
+		at = end
+	}
+	return nil
+}
+
+// parseSerial parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
+func (p *parser) parseSerial(rec record) error {
+	at := rec.start
+	for range 2 {
+		_, next, err := readName(p.message, at)
+		if err != nil {
+			return &ParseError{Offset: at, Err: errMalformed}
+		}
+		at = next
+	}
+	if rec.end < at+authorityFixedSize {
+		return &ParseError{Offset: at, Err: errMalformed}
+	}
+	p.response.serial = binary.BigEndian.Uint32(p.message[at:])
+	p.hasSerial = true
+	return nil
+}
