--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,7 +33,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	read := func(text string) (*Config, error) { return readText(path, text) }
 	c, err := read(goodConfig)
-	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Snapshot.Offset != 3 ||
+	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Snapshot.Serial != 3 ||
 		c.Network.Classes[0].Name != "repair-order" || c.Network.Limits.MaxRequestsPerConnection != 32 {
 		t.Errorf("read %+v, %v", c, err)
 	}
--- a/internal/discovery/example_test.go
+++ b/internal/discovery/example_test.go
@@ -33,9 +33,9 @@
 	})
 
 	fmt.Println("snapshot")
-	snapshot := Snapshot{Batch: make([]event, 1)}
-	snapshot.Batch[0].Topology.Complete = true
-	snapshot.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready"}}
+	snapshot := Snapshot{Changes: make([]event, 1)}
+	snapshot.Changes[0].List.Complete = true
+	snapshot.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready"}}
 	if err := client.LoadSnapshot(snapshot); err != nil {
 		fmt.Println(err)
 	}
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -9,14 +9,14 @@
 
 // Snapshot is the endpoint list in the platform's configuration.
 type Snapshot struct {
-	Offset uint32  `json:"offset"`
-	Batch  []event `json:"batch"`
+	Serial  uint32  `json:"offset"`
+	Changes []event `json:"batch"`
 }
 
 // event is a change of the list, or the whole list where it is complete.
 type event struct {
-	Offset   uint32 `json:"offset"`
-	Topology struct {
+	Serial uint32 `json:"offset"`
+	List   struct {
 		Complete bool     `json:"complete"`
 		Members  []member `json:"members"`
 	} `json:"topology"`
@@ -24,18 +24,18 @@
 
 // member is a worker as the configuration words it.
 type member struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+	Name    string  `json:"id"`
+	Addr    string  `json:"host_port"`
+	Zone    string  `json:"locality"`
+	Kind    string  `json:"flavor"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"phase"`
+	Weight  float64 `json:"size"`
+	Started int64   `json:"up_since_ms"`
 }
 
-// phases are the states of workers by the configuration's words for them.
-var phases = map[string]policy.WorkerState{
+// workerStates are the states of workers by the configuration's words for them.
+var workerStates = map[string]policy.WorkerState{
 	"Ready":       policy.Ready,
 	"Terminating": policy.Draining,
 	"Gone":        policy.Gone,
@@ -61,44 +61,44 @@
 
 // applySnapshot applies the lists and changes of a snapshot in their order. Its error is a SnapshotError.
 func (l *endpointList) applySnapshot(snapshot Snapshot) error {
-	for _, e := range snapshot.Batch {
-		if e.Topology.Complete {
+	for _, e := range snapshot.Changes {
+		if e.List.Complete {
 			clear(l.workers)
 		}
-		for _, m := range e.Topology.Members {
+		for _, m := range e.List.Members {
 			if err := l.applyMember(m); err != nil {
 				return err
 			}
 		}
-		l.serial = max(l.serial, e.Offset)
+		l.serial = max(l.serial, e.Serial)
 	}
-	l.serial = max(l.serial, snapshot.Offset)
+	l.serial = max(l.serial, snapshot.Serial)
 	return nil
 }
 
 // applyMember adds, replaces or removes a worker.
 func (l *endpointList) applyMember(m member) error {
-	addr, err := endpoint.ParseHost(m.HostPort)
+	addr, err := endpoint.ParseHost(m.Addr)
 	if err != nil {
-		return &SnapshotError{Worker: m.ID, Field: "host_port", Err: err}
+		return &SnapshotError{Worker: m.Name, Field: "host_port", Err: err}
 	}
-	state, known := phases[m.Phase]
+	state, known := workerStates[m.State]
 	if !known {
-		return &SnapshotError{Worker: m.ID, Field: "phase", Err: unknownPhaseError(m.Phase)}
+		return &SnapshotError{Worker: m.Name, Field: "phase", Err: unknownPhaseError(m.State)}
 	}
 	if state == policy.Gone {
-		delete(l.workers, m.ID)
+		delete(l.workers, m.Name)
 		return nil
 	}
-	l.workers[m.ID] = Worker{
-		Name:    m.ID,
+	l.workers[m.Name] = Worker{
+		Name:    m.Name,
 		Addrs:   []endpoint.Addr{addr},
-		Zone:    m.Locality,
-		Kind:    m.Flavor,
+		Zone:    m.Zone,
+		Kind:    m.Kind,
 		State:   state,
-		Weight:  m.Size,
+		Weight:  m.Weight,
 		Cell:    m.Cell,
-		Started: m.UpSince,
+		Started: m.Started,
 	}
 	return nil
 }
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -13,17 +13,17 @@
 		field  string
 		text   string
 	}{
-		{"phase", member{ID: "s-1", HostPort: "10.1.0.1:80", Phase: "Leaving"}, "phase", `known: worker "s-1": unknown phase "Leaving"`},
-		{"no phase", member{ID: "s-2", HostPort: "10.1.0.1:80"}, "phase", `known: worker "s-2": unknown phase ""`},
-		{"address", member{ID: "s-3", HostPort: "nowhere", Phase: "Ready"}, "host_port", ""},
+		{"phase", member{Name: "s-1", Addr: "10.1.0.1:80", State: "Leaving"}, "phase", `known: worker "s-1": unknown phase "Leaving"`},
+		{"no phase", member{Name: "s-2", Addr: "10.1.0.1:80"}, "phase", `known: worker "s-2": unknown phase ""`},
+		{"address", member{Name: "s-3", Addr: "nowhere", State: "Ready"}, "host_port", ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			snapshot := Snapshot{Batch: make([]event, 1)}
-			snapshot.Batch[0].Topology.Members = []member{test.member}
+			snapshot := Snapshot{Changes: make([]event, 1)}
+			snapshot.Changes[0].List.Members = []member{test.member}
 			client := New(Config{Addr: "127.0.0.1:53", Seed: 1, ListChanged: func([]Worker) {}})
 			err := client.LoadSnapshot(snapshot)
 			var snapshotError *SnapshotError
-			if !errors.As(err, &snapshotError) || snapshotError.Worker != test.member.ID || snapshotError.Field != test.field {
+			if !errors.As(err, &snapshotError) || snapshotError.Worker != test.member.Name || snapshotError.Field != test.field {
 				t.Fatalf("error %v", err)
 			}
 			if test.text != "" && err.Error() != test.text {
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -73,10 +73,10 @@
 	cfg.ListChanged = func(list []Worker) { d.list = list }
 	d.Client = New(cfg)
 	var known Snapshot
-	known.Offset = 3
-	known.Batch = make([]event, 1)
-	known.Batch[0].Topology.Complete = true
-	known.Batch[0].Topology.Members = []member{{ID: "s-9", HostPort: "10.1.0.9:10080", Phase: "Ready", Size: 4}}
+	known.Serial = 3
+	known.Changes = make([]event, 1)
+	known.Changes[0].List.Complete = true
+	known.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready", Weight: 4}}
 	if err := d.LoadSnapshot(known); err != nil {
 		t.Fatal(err)
 	}
