--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -45,16 +45,21 @@
 	codeMask             = 0x0f
 )
 
+// The fixed parts of questions and records.
 const (
 	questionTrailerSize = 4  // type and class behind a question's name
 	recordTrailerSize   = 10 // type, class, time to live and length behind a record's name
+	recordLengthOffset  = 8  // of the data's length, in a record's trailer
 	serviceFixedSize    = 6  // priority, weight and port before a service record's target
+	serviceWeightOffset = 2
+	servicePortOffset   = 4
 	authorityFixedSize  = 20 // the numbers behind the names of an SOA record, of which the first is the serial number
-
-	maxRecords = 1024
 )
 
-// What may be wrong with a response.
+// maxRecords bounds the records of a message.
+const maxRecords = 1024
+
+// Reasons of a ParseError, beside a responseCodeError.
 var (
 	errMalformed     = errors.New("malformed DNS message")
 	errNotResponse   = errors.New("not an answer")
@@ -80,7 +85,7 @@
 // Unwrap returns the reason.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// response is what a response holds of use.
+// response holds the records of a response that the client uses.
 type response struct {
 	serial    uint32
 	services  []serviceRecord
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -11,9 +11,7 @@
 	if len(message) < headerSize {
 		return 0, r, &ParseError{Offset: len(message), Err: errMalformed}
 	}
-	p := &parser{message: message, offset: headerSize}
-	p.response.addresses = map[string][]netip.Addr{}
-	p.response.texts = map[string][]string{}
+	p := newParser(message)
 	err = p.parse()
 	return binary.BigEndian.Uint16(message), p.response, err
 }
@@ -26,9 +24,22 @@
 	hasSerial bool
 }
 
+// newParser returns a parser of a message that has a whole header.
+func newParser(message []byte) *parser {
+	return &parser{
+		message: message,
+		offset:  headerSize,
+		response: response{
+			addresses: map[string][]netip.Addr{},
+			texts:     map[string][]string{},
+		},
+	}
+}
+
 // uint16At returns the number at an offset, which the caller has checked.
 func (p *parser) uint16At(offset int) uint16 { return binary.BigEndian.Uint16(p.message[offset:]) }
 
+// parse parses the whole message: the header, the questions, and the records of all sections alike.
 func (p *parser) parse() error {
 	if err := p.checkHeader(); err != nil {
 		return err
@@ -53,6 +64,7 @@
 	return nil
 }
 
+// checkHeader checks that the message is a whole response without an error.
 func (p *parser) checkHeader() error {
 	flags := p.message[flagsOffset]
 	if flags&flagResponse == 0 {
@@ -124,7 +136,7 @@
 		return record{}, &ParseError{Offset: next, Err: errMalformed}
 	}
 	rec := record{owner: owner, kind: p.uint16At(next), start: next + recordTrailerSize}
-	rec.end = rec.start + int(p.uint16At(rec.start-2)) // the length is the last two bytes of the fixed part
+	rec.end = rec.start + int(p.uint16At(next+recordLengthOffset))
 	if len(p.message) < rec.end {
 		return record{}, &ParseError{Offset: rec.start, Err: errMalformed}
 	}
@@ -154,8 +166,8 @@
 	}
 	p.response.services = append(p.response.services, serviceRecord{
 		priority: p.uint16At(rec.start),
-		weight:   p.uint16At(rec.start + 2),
-		port:     p.uint16At(rec.start + 4),
+		weight:   p.uint16At(rec.start + serviceWeightOffset),
+		port:     p.uint16At(rec.start + servicePortOffset),
 		target:   target,
 	})
 	return nil
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -7,9 +7,9 @@
 	"crankhold/policy"
 )
 
-// Snapshot is the endpoint list in the platform's configuration.
+// Snapshot is the endpoint list in the platform's configuration: changes that are applied in their order.
 type Snapshot struct {
-	Serial  uint32  `json:"offset"`
+	Serial  uint32  `json:"offset"` // of the list after all changes
 	Changes []event `json:"batch"`
 }
 
@@ -22,16 +22,16 @@
 	} `json:"topology"`
 }
 
-// member is a worker as the configuration words it.
+// member is a worker in the configuration.
 type member struct {
 	Name    string  `json:"id"`
 	Addr    string  `json:"host_port"`
 	Zone    string  `json:"locality"`
 	Kind    string  `json:"flavor"`
 	Cell    int     `json:"cell"`
-	State   string  `json:"phase"`
+	State   string  `json:"phase"` // a key of workerStates
 	Weight  float64 `json:"size"`
-	Started int64   `json:"up_since_ms"`
+	Started int64   `json:"up_since_ms"` // in Unix milliseconds
 }
 
 // workerStates are the states of workers by the configuration's words for them.
@@ -41,7 +41,7 @@
 	"Gone":        policy.Gone,
 }
 
-// SnapshotError says which worker of the configuration's endpoint list can't be used, and why.
+// SnapshotError says why a worker of the configuration's endpoint list can't be used.
 type SnapshotError struct {
 	Worker string // its id
 	Field  string // the JSON key of what is wrong
@@ -61,16 +61,16 @@
 
 // applySnapshot applies the lists and changes of a snapshot in their order. Its error is a SnapshotError.
 func (l *endpointList) applySnapshot(snapshot Snapshot) error {
-	for _, e := range snapshot.Changes {
-		if e.List.Complete {
+	for _, change := range snapshot.Changes {
+		if change.List.Complete {
 			clear(l.workers)
 		}
-		for _, m := range e.List.Members {
+		for _, m := range change.List.Members {
 			if err := l.applyMember(m); err != nil {
 				return err
 			}
 		}
-		l.serial = max(l.serial, e.Serial)
+		l.serial = max(l.serial, change.Serial)
 	}
 	l.serial = max(l.serial, snapshot.Serial)
 	return nil
