--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -59,11 +59,15 @@
 	service := serviceRecord{priority: 0, weight: 40, port: 10080, target: target}
 	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	described := plain
-	described.Kind, described.Cell, described.Started = "std", 2, 1700000000123
+	described.Kind = "std"
+	described.Cell = 2
+	described.Started = 1700000000123
 	compressed := plain
 	compressed.Kind = "std"
 	severalTexts := plain
-	severalTexts.Kind, severalTexts.Cell, severalTexts.Started = "a=b", 7, -5
+	severalTexts.Kind = "a=b"
+	severalTexts.Cell = 7
+	severalTexts.Started = -5
 	severalAddresses := plain
 	severalAddresses.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.TCP4, Addr: "10.1.0.77:10080"},
 		{Network: endpoint.TCP6, Addr: "[fd00::1]:10080"}}
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -46,7 +46,8 @@
 						Start: noon, End: noon.Add(time.Second), Octets: rapid.Uint64Range(0, 1<<14).Draw(t, "octets"),
 						Class: rapid.SampledFrom([]string{"dim-level", "repair-order", ""}).Draw(t, "class")}
 					if rapid.Bool().Draw(t, "six") {
-						f.Client, f.Server = netip.MustParseAddrPort("[::1]:4000"), netip.MustParseAddrPort("[::2]:10080")
+						f.Client = netip.MustParseAddrPort("[::1]:4000")
+						f.Server = netip.MustParseAddrPort("[::2]:10080")
 					}
 					exporter.Add(f)
 					want = append(want, fmt.Sprintf("%x %x %d %q", f.Client.Addr().AsSlice(), f.Server.Addr().AsSlice(), f.Octets, f.Class))
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -46,16 +46,24 @@
 		Client:      goldenPeer,
 	}
 	withProps := minimal
-	withProps.MemoryMB, withProps.Lanes, withProps.LoadTime = 512, 2, 640*time.Millisecond
+	withProps.MemoryMB = 512
+	withProps.Lanes = 2
+	withProps.LoadTime = 640 * time.Millisecond
 	withOnce := minimal
-	withOnce.Class, withOnce.IdempotencyKey = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	withOnce.Class = 2
+	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	withTenant := minimal
 	withTenant.Tenant = "west"
 	complete := withProps
-	complete.Class, complete.IdempotencyKey, complete.Tenant = 2, withOnce.IdempotencyKey, "east"
+	complete.Class = 2
+	complete.IdempotencyKey = withOnce.IdempotencyKey
+	complete.Tenant = "east"
 	fractions := minimal
-	fractions.Class, fractions.Deadline = 0, time.Hour+210500*time.Microsecond
-	fractions.MemoryMB, fractions.Lanes, fractions.LoadTime = 0.5, 0.25, 1500*time.Microsecond
+	fractions.Class = 0
+	fractions.Deadline = time.Hour + 210500*time.Microsecond
+	fractions.MemoryMB = 0.5
+	fractions.Lanes = 0.25
+	fractions.LoadTime = 1500 * time.Microsecond
 	withoutBody := minimal
 	withoutBody.Body = nil
 	emptyBody := minimal
