--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -13,6 +13,13 @@
 // service record without a usable address does not invalidate the others: its worker keeps the addresses that it had or
 // is left out, and the same list is applied again once it comes complete.
 //
+// # Structure
+//
+// Client joins the parts: pollSchedule decides when to dial and to query, serverSockets holds the sockets, each of
+// which matches responses to its queries, parser reads a response, endpointList compares its serial number with that of
+// the current list, and recordJoiner joins its records to workers. Package server calls Tick in each turn of the event
+// loop and is notified of each list.
+//
 // # Polling
 //
 // The client polls three times in the period that an event leaves until nothing new may be sent to its worker. A query
--- a/internal/ipfix/doc.go
+++ b/internal/ipfix/doc.go
@@ -9,6 +9,11 @@
 // application's name. Templates are sent first on each socket and repeated each minute, since a datagram may be lost
 // and collectors forget them (section 8.4).
 //
+// # Structure
+//
+// Exporter queues records and flushes them, collectorSocket opens the socket, and messageSequence builds messages.
+// Package server adds a flow for each completed request and calls Tick in each turn of the event loop.
+//
 // # Ownership
 //
 // An Exporter belongs to the event loop's goroutine, is not safe for concurrent use and starts no goroutine. It opens
--- a/internal/thrift/doc.go
+++ b/internal/thrift/doc.go
@@ -16,6 +16,12 @@
 // Replies may come in any order: a client finds its request by the sequence number. A method that the front does not
 // know is answered with an application exception.
 //
+// # Structure
+//
+// Front holds what all connections share. A connection takes frames out of what is received (handleFrame) and handles
+// messages by their method; decodeRequest checks the fields of an execute; openRequest is the router's Responder, which
+// encodes the response.
+//
 // # Ownership
 //
 // The Front and its connections belong to the event loop's goroutine and are not safe for concurrent use. They start no
