--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,32 +19,35 @@
 	listenVariable = "EDGE_LISTEN"
 )
 
-// Values of settings that are absent or not above 0.
+// Values that replace those which are absent or not above 0.
 const (
-	defaultDialTimeoutMs  = 250
-	defaultKeepAliveMs    = 30000
-	defaultMaxOpen        = 20000
-	defaultStreamsPerConn = 32
-	defaultMemoryMB       = 192
-	defaultSockets        = 1024
+	defaultDialTimeoutMs            = 250
+	defaultKeepAliveMs              = 30000
+	defaultMaxOpenRequests          = 20000
+	defaultMaxRequestsPerConnection = 32
+	defaultMemoryMB                 = 192
+	defaultMaxDescriptors           = 1024
 )
 
-// The least that a router can serve with.
+// The lowest limits that a router can serve with.
 const (
-	minMemoryMB = 32
-	minSockets  = 64
+	minMemoryMB    = 32
+	minDescriptors = 64
 )
 
-// Config is what the platform tells a function router.
+// Config is the platform's configuration of a function router. Read returns it checked and complete, and nothing
+// changes it afterwards.
 type Config struct {
 	Name          string             `json:"name"`
 	Listen        string             `json:"listen"` // the address of the Thrift front
 	Seed          string             `json:"seed"`   // hexadecimal
 	Limits        Limits             `json:"limits"`
 	DiscoveryAddr string             `json:"names"`
-	Known         discovery.Snapshot `json:"known"` // the endpoint list at the start
+	Snapshot      discovery.Snapshot `json:"known"` // the endpoint list at the start
 	Settings      json.RawMessage    `json:"settings"`
 
+	// What Read derives from the file:
+
 	// SeedValue is Seed as a number.
 	SeedValue uint64
 	// Policy is the part of the settings that configures the policy.
@@ -53,39 +56,40 @@
 	Network Network
 }
 
-// Limits is what the process may use. It is an alias, so that errors of encoding/json name fields by their keys alone.
+// Limits is what the process may use. It is an alias, since errors of encoding/json would contain the name of a defined
+// type.
 type Limits = struct {
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"` // descriptors
+	MemoryMB       int `json:"memory_mb"`
+	MaxDescriptors int `json:"sockets"` // descriptors
 }
 
-// Network is what connections need of the settings and the policy does not.
+// Network is the part of the settings that the policy does not read: names, and limits on connections.
 type Network struct {
-	FailureDomains []string `json:"failureDomains"`
-	Kinds          []string `json:"kinds"`
-	Classes        []Named  `json:"classes"`
-	Accounts       []Named  `json:"accounts"`
-	Specifics      struct {
-		MemoryMbByKind []float64 `json:"memoryMbByKind"`
+	Zones     []string     `json:"failureDomains"`
+	Kinds     []string     `json:"kinds"`
+	Classes   []NamedEntry `json:"classes"`
+	Tenants   []NamedEntry `json:"accounts"`
+	Specifics struct {
+		MemoryMBByKind []float64 `json:"memoryMbByKind"`
 	} `json:"specifics"`
 	Limits struct {
-		DialTimeoutMs  float64 `json:"dialTimeoutMs"`
-		KeepaliveMs    float64 `json:"keepaliveMs"`
-		MaxOpen        int     `json:"maxOpen"`
-		StreamsPerConn int     `json:"streamsPerConn"`
+		DialTimeoutMs            float64 `json:"dialTimeoutMs"`
+		KeepAliveMs              float64 `json:"keepaliveMs"`
+		MaxOpenRequests          int     `json:"maxOpen"`
+		MaxRequestsPerConnection int     `json:"streamsPerConn"`
 	} `json:"limits"`
 }
 
-// Named is a class or an account of the settings, as far as connections need it. It is an alias for the reason given at
-// Limits.
-type Named = struct {
+// NamedEntry is a class or a tenant of the settings. It is an alias for the reason given at Limits.
+type NamedEntry = struct {
 	Name string `json:"name"`
 }
 
 // Millis converts milliseconds, the unit of durations in the settings.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Read reads and checks the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override what it says.
+// Read reads and checks the file that the environment variable EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override
+// the file. Its error is ErrNoFile, a FileError or a FieldError. It blocks and must not be called on the event loop.
 func Read(getenv func(string) string) (*Config, error) {
 	file := getenv(fileVariable)
 	if file == "" {
@@ -110,8 +114,8 @@
 		return nil, err
 	}
 	c.setDefaults()
-	if c.Limits.MemoryMB < minMemoryMB || c.Limits.Sockets < minSockets {
-		return nil, &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
+	if err := c.checkLimits(file); err != nil {
+		return nil, err
 	}
 	return c, nil
 }
@@ -126,6 +130,7 @@
 	}
 }
 
+// checkAddresses checks the addresses to listen on and of the discovery server.
 func (c *Config) checkAddresses(file string) error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return &FieldError{File: file, Field: "listen", Err: err}
@@ -149,13 +154,14 @@
 	if err := checkNames("class", c.Network.Classes); err != nil {
 		return &FileError{File: file, Err: err}
 	}
-	if err := checkNames("account", c.Network.Accounts); err != nil {
+	if err := checkNames("account", c.Network.Tenants); err != nil {
 		return &FileError{File: file, Err: err}
 	}
 	return nil
 }
 
-func checkNames(kind string, list []Named) error {
+// checkNames checks that each entry has a name. Its error is a MissingNameError.
+func checkNames(kind string, list []NamedEntry) error {
 	for i, entry := range list {
 		if entry.Name == "" {
 			return &MissingNameError{Kind: kind, Index: i}
@@ -164,19 +170,28 @@
 	return nil
 }
 
+// checkLimits checks that the limits, defaults included, leave the router enough to serve with.
+func (c *Config) checkLimits(file string) error {
+	if c.Limits.MemoryMB < minMemoryMB || c.Limits.MaxDescriptors < minDescriptors {
+		return &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
+	}
+	return nil
+}
+
+// setDefaults replaces values that are absent or not above 0.
 func (c *Config) setDefaults() {
 	limits := &c.Network.Limits
 	setDefault(&limits.DialTimeoutMs, defaultDialTimeoutMs)
-	setDefault(&limits.KeepaliveMs, defaultKeepAliveMs)
-	setDefault(&limits.MaxOpen, defaultMaxOpen)
-	setDefault(&limits.StreamsPerConn, defaultStreamsPerConn)
+	setDefault(&limits.KeepAliveMs, defaultKeepAliveMs)
+	setDefault(&limits.MaxOpenRequests, defaultMaxOpenRequests)
+	setDefault(&limits.MaxRequestsPerConnection, defaultMaxRequestsPerConnection)
 	setDefault(&c.Limits.MemoryMB, defaultMemoryMB)
-	setDefault(&c.Limits.Sockets, defaultSockets)
+	setDefault(&c.Limits.MaxDescriptors, defaultMaxDescriptors)
 }
 
 // setDefault replaces a value that is absent or not above 0.
-func setDefault[T int | float64](value *T, standard T) {
+func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -2,14 +2,14 @@
 
 import "crankhold/internal/lang"
 
-// RoutingPlatform returns what the settings say that routes may not contradict.
+// RoutingPlatform returns the settings that routes may not contradict.
 func (c *Config) RoutingPlatform() *lang.Platform {
 	platform := &lang.Platform{
 		MaxAttempts:    c.Policy.MaxAttempts,
 		HedgingAllowed: c.Policy.HedgingAllowed,
 		Kinds:          c.Network.Kinds,
 		KindMemoryMB:   map[string]float64{},
-		Zones:          c.Network.FailureDomains,
+		Zones:          c.Network.Zones,
 		LoadWindow:     c.Policy.LoadBudgetWindow,
 	}
 	notIdempotent := c.NotIdempotent()
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -32,10 +32,10 @@
 	d := newTestClient(t)
 	connection := d.transports[0]
 	connection.Written.Reset()
-	d.Tick(d.nextTick)
+	d.Tick(d.schedule.next)
 	sent := connection.Written.Bytes()
-	if len(sent) < 2 || d.socket.pending[0] != binary.BigEndian.Uint16(sent) {
-		t.Fatalf("sent %x with %x pending", sent, d.socket.pending)
+	if len(sent) < 2 || d.sockets.current.pending[0] != binary.BigEndian.Uint16(sent) {
+		t.Fatalf("sent %x with %x pending", sent, d.sockets.current.pending)
 	}
 	golden.CompareMessages(t, goldenQueries, []golden.Message{
 		{Label: "query with a fixed id", Bytes: encodeQuery(goldenID, serviceName)},
@@ -59,11 +59,15 @@
 	service := serviceRecord{priority: 0, weight: 40, port: 10080, target: target}
 	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	described := plain
-	described.Kind, described.Cell, described.Started = "std", 2, 1700000000123
+	described.Kind = "std"
+	described.Cell = 2
+	described.Started = 1700000000123
 	compressed := plain
 	compressed.Kind = "std"
 	severalTexts := plain
-	severalTexts.Kind, severalTexts.Cell, severalTexts.Started = "a=b", 7, -5
+	severalTexts.Kind = "a=b"
+	severalTexts.Cell = 7
+	severalTexts.Started = -5
 	severalAddresses := plain
 	severalAddresses.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.TCP4, Addr: "10.1.0.77:10080"},
 		{Network: endpoint.TCP6, Addr: "[fd00::1]:10080"}}
@@ -119,11 +123,10 @@
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
 			}
-			d := newTestClient(t)
-			d.UnixInTXT = test.unixInTXT
-			d.socket.Data(withID(message, d.query()))
-			if !reflect.DeepEqual(d.list, test.workers) || d.serial != test.want.serial || d.incomplete != test.incomplete {
-				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.serial, d.incomplete, d.list, test.workers)
+			d := newConfiguredTestClient(t, Config{UnixInTXT: test.unixInTXT})
+			d.sockets.current.Data(withID(message, d.query()))
+			if !reflect.DeepEqual(d.list, test.workers) || d.endpoints.serial != test.want.serial || d.endpoints.incomplete != test.incomplete {
+				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.endpoints.serial, d.endpoints.incomplete, d.list, test.workers)
 			}
 		})
 	}
@@ -148,9 +151,9 @@
 		}
 		d := newTestClient(t)
 		before, read := d.list, d.ResponsesRead
-		d.socket.Data(withID(message, d.query()))
-		if !reflect.DeepEqual(d.list, before) || d.serial != 3 || d.ResponsesRead != read {
-			t.Errorf("%s: serial %d, read %d, list %+v", label, d.serial, d.ResponsesRead-read, d.list)
+		d.sockets.current.Data(withID(message, d.query()))
+		if !reflect.DeepEqual(d.list, before) || d.endpoints.serial != 3 || d.ResponsesRead != read {
+			t.Errorf("%s: serial %d, read %d, list %+v", label, d.endpoints.serial, d.ResponsesRead-read, d.list)
 		}
 	}
 }
--- /dev/null
+++ b/internal/discovery/record_join.go
@@ -0,0 +1,111 @@
+package discovery
+
+import (
+	"fmt"
+	"net/netip"
+	"strconv"
+	"strings"
+
+	"crankhold/internal/endpoint"
+	"crankhold/policy"
+)
+
+// weightScale is how many units of an SRV record's weight make a worker of weight 1.
+const weightScale = 10
+
+// MissingAddressError says that a service record names a target without a usable address.
+type MissingAddressError struct {
+	Target string // a domain name that begins with the worker's name
+}
+
+// Error names the target.
+func (e *MissingAddressError) Error() string { return fmt.Sprintf("no address for %s", e.Target) }
+
+// recordJoiner joins the records of a response to workers.
+type recordJoiner struct {
+	unixInTXT bool // accepts the extension of Config.UnixInTXT
+}
+
+// workers returns the workers of a response by name. A worker without a usable address keeps the addresses that it has
+// in the current list; one that has none there either is left out. If there were such workers, the error is a
+// MissingAddressError for the last of them.
+func (j recordJoiner) workers(r response, current map[string]Worker) (map[string]Worker, error) {
+	var missing error
+	workers := map[string]Worker{}
+	for _, service := range r.services {
+		worker := j.worker(service, r)
+		if len(worker.Addrs) == 0 {
+			missing = &MissingAddressError{Target: service.target}
+			worker.Addrs = current[worker.Name].Addrs
+		}
+		if len(worker.Addrs) == 0 {
+			continue
+		}
+		worker.Addrs = worker.Addrs[:min(len(worker.Addrs), endpoint.MaxAddresses)]
+		workers[worker.Name] = worker
+	}
+	return workers, missing
+}
+
+// worker joins the records of one worker. Its target is NAME.ZONE and further labels.
+func (j recordJoiner) worker(service serviceRecord, r response) Worker {
+	name, domain, _ := strings.Cut(service.target, ".")
+	zone, _, _ := strings.Cut(domain, ".")
+	worker := Worker{
+		Name:   name,
+		Addrs:  usableAddresses(r.addresses[service.target], service.port),
+		Zone:   zone,
+		State:  policy.Ready,
+		Weight: float64(service.weight) / weightScale,
+	}
+	if service.priority > 0 {
+		worker.State = policy.Draining
+	}
+	for _, text := range r.texts[service.target] {
+		j.applyText(&worker, text)
+	}
+	return worker
+}
+
+// usableAddresses returns the addresses that a connection can be made to. Others, such as multicast ones, are left out:
+// the same worker may have usable ones besides.
+func usableAddresses(hosts []netip.Addr, port uint16) []endpoint.Addr {
+	var usable []endpoint.Addr
+	for _, host := range hosts {
+		addr, err := endpoint.ParseHost(netip.AddrPortFrom(host, port).String())
+		if err == nil {
+			usable = append(usable, addr)
+		}
+	}
+	return usable
+}
+
+// applyText sets what a text NAME=VALUE of a TXT record says of a worker. Unknown names and malformed values are
+// ignored.
+func (j recordJoiner) applyText(worker *Worker, text string) {
+	name, value, _ := strings.Cut(text, "=")
+	switch name {
+	case "kind":
+		worker.Kind = value
+	case "unix":
+		j.addUnixAddress(worker, value)
+	case "cell":
+		if cell, err := strconv.ParseInt(value, 10, 64); err == nil {
+			worker.Cell = int(cell)
+		}
+	case "started":
+		if started, err := strconv.ParseInt(value, 10, 64); err == nil {
+			worker.Started = started
+		}
+	}
+}
+
+// addUnixAddress adds the path of a Unix domain socket, where the extension is on and the path is usable.
+func (j recordJoiner) addUnixAddress(worker *Worker, path string) {
+	if !j.unixInTXT {
+		return
+	}
+	if addr, err := endpoint.Parse(endpoint.Unix, path); err == nil {
+		worker.Addrs = append(worker.Addrs, addr)
+	}
+}
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -41,13 +41,11 @@
 	s.loop = newEventLoop(cfg, s.logger)
 	s.core = s.newCore(scheduler)
 	membership := newMembership(s.loop, s.core, s.workers, cfg, s.logger)
-	s.discovery = newDiscoveryClient(cfg, s.loop, membership.update)
-	s.discovery.Confirmed = membership.listConfirmed
 	addresses, err := readAddresses(options.Addresses)
 	if err != nil {
 		return nil, err
 	}
-	s.discovery.UnixInTXT = addresses.UnixInTXT
+	s.discovery = newDiscoveryClient(cfg, s.loop, membership, addresses.UnixInTXT)
 	s.reloader = &reloader{
 		config:     cfg,
 		options:    options,
@@ -64,7 +62,7 @@
 func newEventLoop(cfg *config.Config, logger *slog.Logger) *eventloop.Loop {
 	return eventloop.New(eventloop.Config{
 		MaxAccepted:    cfg.MaxClientConnections(),
-		MaxDescriptors: cfg.Limits.Sockets,
+		MaxDescriptors: cfg.Limits.MaxDescriptors,
 		MaxQueuedBytes: cfg.ScaleToMemory(maxQueuedBytes),
 		MaxUnreadBytes: cfg.ScaleToMemory(maxUnreadBytes),
 		Logger:         logger,
@@ -102,9 +100,9 @@
 		Classes:                  cfg.ClassNames(),
 		ReportFields:             cfg.Policy.LoadReportFields,
 		DialTimeout:              config.Millis(limits.DialTimeoutMs),
-		KeepAlive:                config.Millis(limits.KeepaliveMs),
+		KeepAlive:                config.Millis(limits.KeepAliveMs),
 		SlowestObjective:         slowestObjective(cfg.Policy.Classes),
-		MaxRequestsPerConnection: limits.StreamsPerConn,
+		MaxRequestsPerConnection: limits.MaxRequestsPerConnection,
 		MaxConnections:           cfg.MaxWorkerConnections(),
 		CancelSupported:          cfg.Policy.CancelSupported,
 		HealthChecksAllowed:      cfg.Policy.HealthCheckSupported,
@@ -134,16 +132,24 @@
 	return longest
 }
 
-func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, changed func([]discovery.Worker)) *discovery.Client {
-	dial := func(addr string, handler eventloop.DialHandler) discovery.Transport {
-		return loop.Dial("udp", addr, discoveryDialTimeout, handler)
-	}
-	return discovery.New(cfg.DiscoveryAddr, cfg.SeedValue, cfg.Policy.DrainGracePeriod, dial, changed)
+func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, list *membership, unixInTXT bool) *discovery.Client {
+	return discovery.New(discovery.Config{
+		Addr:             cfg.DiscoveryAddr,
+		Seed:             cfg.SeedValue,
+		DrainGracePeriod: cfg.Policy.DrainGracePeriod,
+		UnixInTXT:        unixInTXT,
+		Dial: func(addr string, handler eventloop.DialHandler) discovery.Transport {
+			return loop.Dial("udp", addr, discoveryDialTimeout, handler)
+		},
+		ListChanged:   list.update,
+		ListConfirmed: list.listConfirmed,
+		Logger:        list.logger,
+	})
 }
 
 // thriftConfig returns what the Thrift front checks requests against.
-func thriftConfig(cfg *config.Config) thrift.Config {
-	front := thrift.Config{Tenants: cfg.TenantNames()}
+func thriftConfig(cfg *config.Config, logger *slog.Logger) thrift.Config {
+	front := thrift.Config{Tenants: cfg.TenantNames(), Logger: logger}
 	names := cfg.ClassNames()
 	for i, class := range cfg.Policy.Classes {
 		front.Classes = append(front.Classes, thrift.Class{
--- a/internal/server/flow_export.go
+++ b/internal/server/flow_export.go
@@ -24,14 +24,15 @@
 
 // newFlowExport returns an export whose listenAddrs has the address of the Thrift front alone.
 func newFlowExport(export *ipfix.Config, cfg *config.Config, loop *eventloop.Loop, logger *slog.Logger) *flowExport {
-	dial := func(handler eventloop.DialHandler) ipfix.Transport {
-		return loop.Dial("udp", export.Collector, collectorDialTimeout, handler)
-	}
-	f := &flowExport{
-		exporter: ipfix.New(export, time.Now, dial),
-		config:   cfg,
-		logger:   logger,
-	}
+	exporter := ipfix.New(ipfix.ExporterConfig{
+		Domain:    export.Domain,
+		WallClock: time.Now,
+		Dial: func(handler eventloop.DialHandler) ipfix.Transport {
+			return loop.Dial("udp", export.Collector, collectorDialTimeout, handler)
+		},
+		Logger: logger,
+	})
+	f := &flowExport{exporter: exporter, config: cfg, logger: logger}
 	f.listenAddrs[router.Thrift] = addrPort(cfg.Listen) // config.Read has checked it
 	logger.Info("export_enabled", slog.String("collector", export.Collector))
 	return f
--- a/internal/server/integrations_test.go
+++ b/internal/server/integrations_test.go
@@ -22,7 +22,7 @@
 func twoClassConfig() *config.Config {
 	cfg := &config.Config{Listen: "127.0.0.1:10080"}
 	cfg.Policy.Classes = []policy.Class{{Idempotency: policy.Idempotent}, {Idempotency: policy.NotIdempotent}}
-	cfg.Network.Classes = make([]config.Named, 2)
+	cfg.Network.Classes = make([]config.NamedEntry, 2)
 	return cfg
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -79,7 +79,7 @@
 // Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens. It
 // blocks while it reads files.
 func (s *Server) Start() error {
-	if err := s.discovery.LoadSnapshot(s.config.Known); err != nil {
+	if err := s.discovery.LoadSnapshot(s.config.Snapshot); err != nil {
 		return err
 	}
 	if err := s.reloader.loadFirstRoutes(); err != nil {
@@ -91,7 +91,7 @@
 	}
 	s.integrations = integrations
 	startedAt := s.loop.Now()
-	front := thrift.New(s.core, thriftConfig(s.config), s.loop, s.ready)
+	front := thrift.New(s.core, thriftConfig(s.config, s.logger), s.loop, s.ready)
 	s.loop.Listen(s.config.Listen, front.Accept)
 	if err := s.loop.Start(); err != nil {
 		s.integrations.close()
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -15,7 +15,8 @@
 	"crankhold/policy"
 )
 
-// The requests are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The requests are written by hand from the protocol's definition, so that no code of this package builds what it
+// reads.
 const (
 	goldenRequests = "testdata/requests.txt"
 	goldenReplies  = "testdata/replies.txt"
@@ -44,16 +45,24 @@
 		Client:   router.Client{Address: goldenPeer},
 	}
 	withProps := minimal
-	withProps.Function.MemoryMB, withProps.Function.Lanes, withProps.Function.LoadTime = 512, 2, 640*time.Millisecond
+	withProps.Function.MemoryMB = 512
+	withProps.Function.Lanes = 2
+	withProps.Function.LoadTime = 640 * time.Millisecond
 	withOnce := minimal
-	withOnce.Class, withOnce.IdempotencyKey = 2, "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	withOnce.Class = 2
+	withOnce.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	withTenant := minimal
 	withTenant.Tenant = "west"
 	complete := withProps
-	complete.Class, complete.IdempotencyKey, complete.Tenant = 2, withOnce.IdempotencyKey, "east"
+	complete.Class = 2
+	complete.IdempotencyKey = withOnce.IdempotencyKey
+	complete.Tenant = "east"
 	fractions := minimal
-	fractions.Class, fractions.Deadline = 0, time.Hour+210500*time.Microsecond
-	fractions.Function.MemoryMB, fractions.Function.Lanes, fractions.Function.LoadTime = 0.5, 0.25, 1500*time.Microsecond
+	fractions.Class = 0
+	fractions.Deadline = time.Hour + 210500*time.Microsecond
+	fractions.Function.MemoryMB = 0.5
+	fractions.Function.Lanes = 0.25
+	fractions.Function.LoadTime = 1500 * time.Microsecond
 	withoutBody := minimal
 	withoutBody.Body = nil
 	emptyBody := minimal
@@ -140,7 +149,8 @@
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
-// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection closes.
+// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection
+// closes.
 func TestGoldenErrorReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
