--- a/internal/workerclient/load_command.go
+++ b/internal/workerclient/load_command.go
@@ -13,8 +13,8 @@
 	replicas  int // to load; 0 only asks
 }
 
-// mayNotSend ends a load that waited for a connection while the budget of loads was used up. One that is sent at once has
-// just been decided on.
+// mayNotSend ends a load that waited for a connection while the budget of loads was used up. One that is sent at once
+// has just been decided on.
 func (l *loadCommand) mayNotSend(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
 	return policy.Overloaded, l.replicas > 0 && waited && !results.MaySendLoad(l.commandID)
 }
