--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -7,41 +7,41 @@
 	"crankhold/policy"
 )
 
-// Snapshot is the endpoint list in the platform's configuration.
+// Snapshot is the endpoint list in the platform's configuration: changes that are applied in their order.
 type Snapshot struct {
-	Offset uint32  `json:"offset"`
-	Batch  []event `json:"batch"`
+	Serial  uint32  `json:"offset"` // of the list after all changes
+	Changes []event `json:"batch"`
 }
 
 // event is a change of the list, or the whole list where it is complete.
 type event struct {
-	Offset   uint32 `json:"offset"`
-	Topology struct {
+	Serial uint32 `json:"offset"`
+	List   struct {
 		Complete bool     `json:"complete"`
 		Members  []member `json:"members"`
 	} `json:"topology"`
 }
 
-// member is a worker as the configuration words it.
+// member is a worker in the configuration.
 type member struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+	Name    string  `json:"id"`
+	Addr    string  `json:"host_port"`
+	Zone    string  `json:"locality"`
+	Kind    string  `json:"flavor"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"phase"` // a key of workerStates
+	Weight  float64 `json:"size"`
+	Started int64   `json:"up_since_ms"` // in Unix milliseconds
 }
 
-// phases are the states of workers by the configuration's words for them.
-var phases = map[string]policy.WorkerState{
+// workerStates are the states of workers by the configuration's words for them.
+var workerStates = map[string]policy.WorkerState{
 	"Ready":       policy.Ready,
 	"Terminating": policy.Draining,
 	"Gone":        policy.Gone,
 }
 
-// SnapshotError says which worker of the configuration's endpoint list can't be used, and why.
+// SnapshotError says why a worker of the configuration's endpoint list can't be used.
 type SnapshotError struct {
 	Worker string // its id
 	Field  string // the JSON key of what is wrong
@@ -59,48 +59,46 @@
 
 func (e unknownPhaseError) Error() string { return fmt.Sprintf("unknown phase %q", string(e)) }
 
-// LoadSnapshot applies the endpoint list of the configuration. Its error is a SnapshotError, after which the client
-// must not be used.
-func (c *Client) LoadSnapshot(snapshot Snapshot) error {
-	for _, e := range snapshot.Batch {
-		if e.Topology.Complete {
-			clear(c.workers)
+// applySnapshot applies the lists and changes of a snapshot in their order. Its error is a SnapshotError.
+func (l *endpointList) applySnapshot(snapshot Snapshot) error {
+	for _, change := range snapshot.Changes {
+		if change.List.Complete {
+			clear(l.workers)
 		}
-		for _, m := range e.Topology.Members {
-			if err := c.applyMember(m); err != nil {
+		for _, m := range change.List.Members {
+			if err := l.applyMember(m); err != nil {
 				return err
 			}
 		}
-		c.serial = max(c.serial, e.Offset)
+		l.serial = max(l.serial, change.Serial)
 	}
-	c.serial = max(c.serial, snapshot.Offset)
-	c.notify()
+	l.serial = max(l.serial, snapshot.Serial)
 	return nil
 }
 
 // applyMember adds, replaces or removes a worker.
-func (c *Client) applyMember(m member) error {
-	addr, err := endpoint.ParseHost(m.HostPort)
+func (l *endpointList) applyMember(m member) error {
+	addr, err := endpoint.ParseHost(m.Addr)
 	if err != nil {
-		return &SnapshotError{Worker: m.ID, Field: "host_port", Err: err}
+		return &SnapshotError{Worker: m.Name, Field: "host_port", Err: err}
 	}
-	state, known := phases[m.Phase]
+	state, known := workerStates[m.State]
 	if !known {
-		return &SnapshotError{Worker: m.ID, Field: "phase", Err: unknownPhaseError(m.Phase)}
+		return &SnapshotError{Worker: m.Name, Field: "phase", Err: unknownPhaseError(m.State)}
 	}
 	if state == policy.Gone {
-		delete(c.workers, m.ID)
+		delete(l.workers, m.Name)
 		return nil
 	}
-	c.workers[m.ID] = Worker{
-		Name:    m.ID,
+	l.workers[m.Name] = Worker{
+		Name:    m.Name,
 		Addrs:   []endpoint.Addr{addr},
-		Zone:    m.Locality,
-		Kind:    m.Flavor,
+		Zone:    m.Zone,
+		Kind:    m.Kind,
 		State:   state,
-		Weight:  m.Size,
+		Weight:  m.Weight,
 		Cell:    m.Cell,
-		Started: m.UpSince,
+		Started: m.Started,
 	}
 	return nil
 }
--- a/internal/lang/block.go
+++ b/internal/lang/block.go
@@ -4,29 +4,38 @@
 	"strings"
 
 	"crankhold/internal/lang/syntax"
+	"crankhold/internal/route"
 )
 
 // The keywords of the blocks that a file may hold.
 const (
 	workerKeyword = "worker"
 	classKeyword  = "class"
-	routeKeyword  = "route"
-	poolKeyword   = "pool"
-	policyKeyword = "policy"
+	routeKeyword  = string(route.RouteBlock)
+	poolKeyword   = string(route.PoolBlock)
+	policyKeyword = string(route.PolicyBlock)
 )
 
-// blockTypes are the blocks that a file may hold. A further one is added here, with a file of its own.
+// blockTypes are the blocks that a file may hold at its top level, in the order in which they are checked. A further
+// one is added here and to newChecker, with a file of its own.
 var blockTypes = []*blockType{workerType, classType, routeType, poolType, policyType}
 
-// blockType says what a kind of block is called, what it holds, and what is made of it.
+// blockType describes a kind of block: its keyword, and what it may hold.
 type blockType struct {
 	keyword    string
 	named      bool // the block has a name, which is its own among the blocks of its type
 	settings   map[string]settingType
-	anySetting bool // settings of any name are lists of strings
-	blocks     []*blockType
-	build      func(*checker, *block)
-	check      func(*checker) // after all blocks of all types are built; nil: nothing to check
+	anySetting bool         // settings of any name are lists of strings
+	nested     []*blockType // of the blocks within it
+}
+
+// settingType returns how a setting's values are read; ok is false where the block has no such setting.
+func (t *blockType) settingType(name string) (setting settingType, ok bool) {
+	if t.anySetting {
+		return listOf(readText), true
+	}
+	setting, ok = t.settings[name]
+	return setting, ok
 }
 
 // settingType says how the values of a setting are read.
@@ -41,7 +50,7 @@
 // listOf is a setting that takes one value or more.
 func listOf(read valueReader) settingType { return settingType{read: read, list: true} }
 
-// block is a block whose settings have been read.
+// block is a block whose settings have been read. Settings whose values can't be read have a position and no value.
 type block struct {
 	blockType *blockType
 	pos       syntax.Pos
@@ -49,7 +58,7 @@
 	name      string
 	values    map[string][]value    // by setting
 	positions map[string]syntax.Pos // of the settings that are present
-	blocks    []*block
+	nested    []*block
 }
 
 // hasValue reports whether a setting is present and its value could be read.
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -41,7 +41,7 @@
 	body, err := json.Marshal(payload{
 		Type:      typePrefix + string(completion),
 		Timestamp: endedAt.UTC(),
-		Data:      payloadData{ID: r.ID, WebhookID: r.ClientReference, Key: r.FunctionKey},
+		Data:      payloadData{ID: r.ID, WebhookID: r.Client.Reference, Key: r.Function.Key},
 	})
 	if err != nil {
 		return nil, err
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -3,11 +3,15 @@
 import "fmt"
 
 // AmbiguousRoutesError reports two routes that match some requests with the same precedence.
-type AmbiguousRoutesError struct{ First, Second RouteSpec }
+type AmbiguousRoutesError struct {
+	First  RouteSpec
+	Second RouteSpec
+}
 
 // Error names both routes and the position of the first.
 func (e *AmbiguousRoutesError) Error() string {
-	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match", e.Second.Name, e.First.Name, e.First.At)
+	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match",
+		e.Second.Name, e.First.Name, e.First.At)
 }
 
 // DuplicatePoolError reports two pools of one name.
@@ -19,7 +23,7 @@
 // Error names the pool.
 func (e *DuplicatePoolError) Error() string { return fmt.Sprintf("pool %q is there twice", e.Name) }
 
-// BlockKind is a kind of block that other blocks refer to by name.
+// BlockKind is a kind of block that other blocks refer to by name, as configurations spell it.
 type BlockKind string
 
 // The kinds of blocks that refer to each other.
