--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -14,7 +14,7 @@
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
 	Before string        `help:"A build to measure on the same faults too." type:"path"`
-	Rate   int           `help:"Calls a second." default:"500"`
+	Rate   int           `help:"Requests per second." default:"500"`
 	Length time.Duration `help:"How long each load lasts; ten minutes, or 15 s with --short, unless given."`
 	Seed   uint64        `help:"Of the load and the faults." default:"1"`
 }
@@ -22,22 +22,22 @@
 // maxServedLoss is by how much faults may lower the share of served requests.
 const maxServedLoss = 0.02
 
-// addressRun is one load and what came of it.
+// addressRun is one load and what came of it. The fields beside the record are complete once load has returned.
 type addressRun struct {
 	*record
-	total     tally
-	p99       float64       // milliseconds
-	cpu       time.Duration // processor time of the router
-	extra     int           // responses to no request
-	faults    int
-	drains    int
-	lateSends int // messages to a worker after its drain
+	total              tally
+	p99                float64       // milliseconds
+	cpu                time.Duration // processor time of the router
+	unmatchedResponses int           // responses to no request
+	faults             int
+	drains             int
+	lateSends          int // messages to a worker after its drain
 	// The router's own counters, as its log has them.
 	recoveryDials string
-	moved         string // requests that went over another connection, for they had not left
+	resent        string // requests that went over another connection, for they had not left
 }
 
-// cpuPerRequest is the router's processor time for a request, in microseconds.
+// cpuPerRequest returns the router's processor time for a request, in microseconds.
 func (r *addressRun) cpuPerRequest() float64 {
 	return float64(r.cpu.Microseconds()) / float64(r.total.sent)
 }
@@ -51,7 +51,7 @@
 	withFaults
 )
 
-// Run loads the router without faults, with them, and the build before alike.
+// Run loads the router without faults and with them, and the build before alike. It blocks until the loads have ended.
 func (a Addresses) Run(out io.Writer) error {
 	program, err := findRouter(a.Router)
 	if err != nil {
@@ -64,7 +64,8 @@
 		}
 	}
 	f := &figures{}
-	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n", "run", "calls", "served", "refused", "failed", "p99 ms", "faults", "cpu us", "moved")
+	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n",
+		"run", "requests", "served", "rejected", "failed", "p99 ms", "faults", "cpu us", "resent")
 	calm, err := a.measure(out, "no faults", program, withoutFaults)
 	if err != nil {
 		return err
@@ -82,7 +83,7 @@
 	return f.print(out)
 }
 
-// compareWithBefore measures the build before.
+// compareWithBefore measures the build before and adds its figures to f.
 func (a Addresses) compareWithBefore(out io.Writer, f *figures, calm *addressRun) error {
 	calmBefore, err := a.measure(out, "no faults, before", a.Before, withoutFaults)
 	if err != nil {
@@ -100,21 +101,21 @@
 
 // reportAddresses adds the figures of the run with faults, which are compared with those of the run without.
 func reportAddresses(f *figures, calm, faulty *addressRun) {
-	v := faulty.violations(classRepairOrder)
+	v := faulty.violations(fake.RepairOrder.Name)
 	served := faulty.total.servedShare()
 	servedCalm := calm.total.servedShare()
-	f.add("calls", len(faulty.requests))
-	f.add("orders", v.notIdempotent)
+	f.add("requests", len(faulty.requests))
+	f.add("not_idempotent", v.notIdempotent)
 	f.mustBeZero("doubled", v.doubled)
 	f.mustBeZero("late_sends", faulty.lateSends)
 	f.mustBeZero("answers_missing", v.lost)
 	f.mustBeZero("answers_late", v.late)
-	f.mustBeZero("extra_answers", faulty.extra)
+	f.mustBeZero("extra_answers", faulty.unmatchedResponses)
 	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
 	f.must("faults", faulty.faults, faulty.faults > 0)
 	f.must("drains", faulty.drains, faulty.drains > 0)
-	f.add("trials", faulty.recoveryDials)
-	f.add("moved", faulty.moved)
+	f.add("recovery_dials", faulty.recoveryDials)
+	f.add("resent", faulty.resent)
 	f.add("served_no_faults", servedCalm)
 	f.must("served", served, served >= servedCalm-maxServedLoss)
 }
@@ -125,25 +126,21 @@
 	if err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(out, "%-22s %8d %8d %8d %8d %8.1f %8d %10.1f %10s\n", name, len(r.requests), r.total.served, r.total.rejected, r.total.failed,
-		r.p99, r.faults, r.cpuPerRequest(), r.moved)
+	fmt.Fprintf(out, "%-22s %8d %8d %8d %8d %8.1f %8d %10.1f %10s\n",
+		name, len(r.requests), r.total.served, r.total.rejected, r.total.failed,
+		r.p99, r.faults, r.cpuPerRequest(), r.resent)
 	return r, nil
 }
 
-// load starts a router and twelve workers of three addresses each, and loads it.
+// load starts a router and twelve workers of three addresses each, and loads it. It blocks until the load has ended.
 func (a Addresses) load(program string, mode faultMode) (*addressRun, error) {
-	r := &addressRun{record: newRecord()}
-	bed, err := startAddressTestbed(r.event)
+	r := &addressRun{record: newRecord(nil)}
+	bed, err := startTestbed(addressWorkers(), r.event)
 	if err != nil {
 		return nil, err
 	}
 	defer bed.Close()
-	bed.Site.Directory.Set(listTwice(bed.Site, noDrain))
-	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
-	if err != nil {
-		return nil, err
-	}
-	router, err := startRouterOn(bed, program, "CRANKHOLD_ADDRESSES="+addresses)
+	router, err := startAddressRouter(bed, program)
 	if err != nil {
 		return nil, err
 	}
@@ -157,43 +154,66 @@
 	begun := time.Now()
 	var faults sync.WaitGroup
 	if mode == withFaults {
-		faults.Go(func() { r.faults = failAddresses(bed.Site, a.Seed, begun.Add(a.Length)) })
+		faults.Go(func() { r.injectFaults(bed.Site, a.Seed, begun.Add(a.Length)) })
 		faults.Go(func() { r.drainWorkers(bed.Site, begun.Add(a.Length)) })
 	}
-	newMixedLoad(r.record, clients, a.Rate, a.Length, a.Seed).run(begun)
+	newMixedLoad(mixedLoadConfig{
+		record:  r.record,
+		clients: clients,
+		rate:    a.Rate,
+		length:  a.Length,
+		seed:    a.Seed,
+	}).run(begun)
 	faults.Wait()
-	r.extra = awaitResponses(clients)
+	r.unmatchedResponses = awaitResponses(clients)
 	router.stop()
 	r.summarize(router, begun)
 	return r, nil
 }
 
-// startAddressTestbed starts workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
-func startAddressTestbed(record func(fake.Event)) (*fake.Testbed, error) {
-	bed, err := fake.NewTestbed(testbedPrefix)
+// startAddressRouter starts a router that uses the workers' Unix sockets, with every third worker listed twice.
+func startAddressRouter(bed *fake.Testbed, program string) (*process, error) {
+	bed.Site.Discovery.Set(listTwice(bed.Site, noDrain))
+	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
 	if err != nil {
 		return nil, err
 	}
-	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{Kind: "std",
-		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
+	return startRouterOn(bed, program, "CRANKHOLD_ADDRESSES="+addresses)
+}
+
+// injectFaults has addresses fail until a time, and blocks until then.
+func (r *addressRun) injectFaults(site *fake.Site, seed uint64, until time.Time) {
+	injector := newFaultInjector(site, seed)
+	injector.run(until)
+	r.faults = injector.count
+}
+
+// addressWorkers describes twelve workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
+func addressWorkers() []fake.WorkerConfig {
+	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{
+		Kind:        "std",
+		ServiceTime: 20 * time.Millisecond,
+		LoadTime:    300 * time.Millisecond,
+		KeepAlive:   10 * time.Second,
+		Lanes:       8,
+		Queue:       64,
+	})
 	for i := range workers {
-		socket := bed.Path(fmt.Sprintf("w%d.sock", i+1))
-		workers[i].MoreAddrs = []string{"tcp6:::1", "unix:" + socket}
-	}
-	if err := bed.Start(workers, record); err != nil {
-		bed.Close()
-		return nil, err
+		workers[i].MoreAddrs = []fake.Address{
+			{Network: fake.NetworkTCP6, Addr: "::1"},
+			{Network: fake.NetworkUnix, Addr: fmt.Sprintf("w%d.sock", i+1)},
+		}
 	}
-	return bed, nil
+	return workers
 }
 
-// summarize takes the figures of a load that has ended.
+// summarize computes the figures of a load that has ended.
 func (r *addressRun) summarize(router *process, begun time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.total = r.tally("", begun, time.Now())
 	r.p99 = r.latencyPercentile(0.99)
 	r.cpu = router.cpuTimeAtEnd()
-	r.recoveryDials = router.counter("dials", "recovery_dials")
-	r.moved = router.counter("dials", "resent")
+	r.recoveryDials = router.log.counter("dials", "recovery_dials")
+	r.resent = router.log.counter("dials", "resent")
 }
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -4,15 +4,13 @@
 	"fmt"
 	"io"
 	"time"
-
-	"crankhold/internal/fake"
 )
 
 // Config measures the routes language and the routing that it describes.
 type Config struct {
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
-	Rate   int           `help:"Calls a second." default:"500"`
+	Rate   int           `help:"Requests per second." default:"500"`
 	Length time.Duration `help:"How long the load lasts; a minute, or 20 s with --short, unless given."`
 	Seed   uint64        `help:"Of the load." default:"1"`
 }
@@ -23,10 +21,11 @@
 	maxCheckMilliseconds = 200
 )
 
-// burstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
-const burstSize = 60
+// reloadBurstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
+const reloadBurstSize = 60
 
-// Run measures look-ups and checks, and then a load with a reload each second and the death of a pool.
+// Run measures look-ups and checks, and then a load with a reload each second and the death of a pool. It blocks until
+// the load has ended.
 func (c Config) Run(out io.Writer) error {
 	f := &figures{}
 	for _, n := range []int{10, 1000} {
@@ -61,35 +60,17 @@
 	}
 }
 
-// configRun is one load with reloads and the death of a pool, and what came of it.
-type configRun struct {
-	*record
-	pools   *poolWatch
-	bed     *fake.Testbed
-	router  *process
-	routes  string // the path of the routes file
-	reloads int
-	extra   int // responses to no request
-
-	begun time.Time
-	dies  time.Time // the large workers are killed
-	back  time.Time // and started again
-	end   time.Time
-}
-
 // load starts a router before workers of three kinds, and loads it.
-func (c Config) load() (*configRun, error) {
+func (c Config) load() (*reloadRun, error) {
 	program, err := findRouter(c.Router)
 	if err != nil {
 		return nil, err
 	}
-	run := &configRun{record: newRecord(), pools: newPoolWatch()}
-	run.record.watch = run.pools.event
-	if err := run.start(program); err != nil {
+	run, err := startReloadRun(program)
+	if err != nil {
 		return nil, err
 	}
-	defer run.bed.Close()
-	defer run.router.stop()
+	defer run.close()
 	clients, err := dialClients(run.router.listen, mixedLoadClients)
 	if err != nil {
 		return nil, err
@@ -97,187 +78,20 @@
 	defer closeClients(clients)
 
 	length := c.loadLength()
-	run.begun = time.Now()
-	run.dies = run.begun.Add(length * 4 / 10)
-	run.back = run.begun.Add(length * 6 / 10)
-	run.end = run.begun.Add(length)
+	run.schedule = newReloadSchedule(time.Now(), length)
 	disturbed := make(chan error, 1)
 	go func() { disturbed <- run.disturb() }()
-	load := newMixedLoad(run.record, clients, c.Rate, length, c.Seed)
-	load.burst = func(n int) int {
-		if n%c.Rate == c.Rate/2 {
-			return burstSize
-		}
-		return 0
-	}
-	load.run(run.begun)
+	newMixedLoad(mixedLoadConfig{
+		record:    run.record,
+		clients:   clients,
+		rate:      c.Rate,
+		length:    length,
+		seed:      c.Seed,
+		burstSize: reloadBurstSize,
+	}).run(run.schedule.startedAt)
 	if err := <-disturbed; err != nil {
 		return nil, err
 	}
-	run.extra = awaitResponses(clients)
+	run.unmatchedResponses = awaitResponses(clients)
 	return run, nil
 }
-
-// start starts the fakes and the router, which routes by routesA.
-func (r *configRun) start(program string) error {
-	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
-		ServiceTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond, KeepAlive: 10 * time.Second, Lanes: 8, Queue: 64})
-	kinds := []string{kindLarge, kindLarge, kindSmall, kindSmall, kindSpare}
-	for i := range workers {
-		workers[i].Kind = kinds[i%len(kinds)]
-	}
-	bed, err := startTestbed(workers, r.event)
-	if err != nil {
-		return err
-	}
-	r.bed = bed
-	r.routes = bed.Path("routes.crank")
-	if err := r.writeRoutes(0); err != nil {
-		bed.Close()
-		return err
-	}
-	r.router, err = startRouterOn(bed, program, "CRANKHOLD_ROUTES="+r.routes)
-	if err != nil {
-		bed.Close()
-		return err
-	}
-	r.pools.reloadEnds()
-	return nil
-}
-
-func (r *configRun) writeRoutes(file int) error {
-	_, err := r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
-	return err
-}
-
-// disturb reloads the other routes file each second, and kills the large workers for a time.
-func (r *configRun) disturb() error {
-	dead := false
-	for n := 1; ; n++ {
-		next := r.begun.Add(time.Duration(n) * time.Second)
-		if next.After(r.end) {
-			return nil
-		}
-		time.Sleep(time.Until(next))
-		now := time.Now()
-		switch {
-		case !dead && now.After(r.dies) && now.Before(r.back):
-			r.killPool()
-			dead = true
-		case dead && now.After(r.back):
-			if err := r.restartPool(); err != nil {
-				return err
-			}
-			dead = false
-		}
-		if err := r.reload(n % len(watchedRoutes)); err != nil {
-			return err
-		}
-	}
-}
-
-// poolWorkers returns the workers of the pool that dies.
-func (r *configRun) poolWorkers() (list []*fake.Worker) {
-	for _, w := range r.bed.Site.Workers {
-		if w.Kind == kindLarge {
-			list = append(list, w)
-		}
-	}
-	return list
-}
-
-func (r *configRun) killPool() {
-	for _, w := range r.poolWorkers() {
-		w.Kill()
-	}
-}
-
-func (r *configRun) restartPool() error {
-	for _, w := range r.poolWorkers() {
-		if err := w.Start(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// reload replaces the routes file and has the router follow.
-func (r *configRun) reload(file int) error {
-	r.mu.Lock()
-	r.pools.reloadBegins(file)
-	r.mu.Unlock()
-	if err := r.writeRoutes(file); err != nil {
-		return err
-	}
-	if err := r.router.reload(); err != nil {
-		return err
-	}
-	r.reloads++
-	r.mu.Lock()
-	r.pools.reloadEnds()
-	r.mu.Unlock()
-	return nil
-}
-
-// printPhases prints a row for each class before, during and after the death of the pool.
-func (r *configRun) printPhases(out io.Writer) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	fmt.Fprintf(out, "%-24s %8s %8s %8s %8s\n", "phase", "calls", "served", "refused", "failed")
-	for _, phase := range []struct {
-		name     string
-		from, to time.Time
-	}{
-		{"before the pool dies", r.begun, r.dies},
-		{"while it is dead", r.dies.Add(time.Second), r.back},
-		{"after its return", r.back.Add(time.Second), r.end},
-	} {
-		for _, class := range classes {
-			t := r.tally(class, phase.from, phase.to)
-			fmt.Fprintf(out, "%-24s %8d %8d %8d %8d\n", phase.name+", "+class[:3], t.sent, t.served, t.rejected, t.failed)
-		}
-	}
-}
-
-// secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
-// a second, or -1.
-func (r *configRun) secondsUntilServed() int {
-	for s := range 60 {
-		from := r.back.Add(time.Duration(s) * time.Second)
-		t := r.tally(classDimLevel, from, from.Add(time.Second))
-		if t.sent > 0 && t.served*100 >= t.sent*95 {
-			return s
-		}
-	}
-	return -1
-}
-
-// maxSpillTolerance is what the platform allows for requests that are under way.
-const maxSpillTolerance = 1.02
-
-// report adds the load's figures.
-func (r *configRun) report(f *figures) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v := r.violations(classRepairOrder)
-	returned := r.secondsUntilServed()
-	f.must("seconds_until_95_in_100", returned, returned >= 0)
-	f.add("calls", len(r.requests))
-	f.must("reloads", r.reloads, r.reloads > 0)
-	f.mustBeZero("lost", v.lost)
-	f.mustBeZero("late", v.late)
-	f.mustBeZero("extra_answers", r.extra)
-	f.add("orders", v.notIdempotent)
-	f.mustBeZero("doubled", v.doubled)
-	f.mustBeZero("outside_pool", r.pools.outsidePool)
-	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
-	f.mustBeZero("over_cap", r.pools.overCap)
-	peak := r.pools.maxInFlight
-	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
-	spilled := len(r.pools.overflowed)
-	share := r.pools.maxOverflowShare(r.record)
-	f.must("spilled", spilled, spilled > 0)
-	f.must("spill_share_max", share, share <= spillLimit*maxSpillTolerance)
-	f.add("loads_in_10s_after_return", r.loadCommandsBetween(r.back, r.back.Add(10*time.Second)))
-	f.add("p99_ms", r.latencyPercentile(0.99))
-}
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Core measures what a call costs the core and the module by the size of the fleet, in virtual time: no sockets, one
+// Core measures what a request costs the core and the module by the size of the fleet, in virtual time: no sockets, one
 // goroutine, the code that serves.
 type Core struct {
-	Short bool  `help:"Fewer calls."`
+	Short bool  `help:"Fewer requests."`
 	Sizes []int `help:"Workers." default:"12,100,1000,5000"`
-	Calls int   `help:"Calls measured at each size, after as many to warm up." default:"40000"`
+	Calls int   `help:"Requests measured at each size, after as many to warm up." default:"40000"`
 }
 
 // requestsPerWorker is the rate of the load, per second.
@@ -31,13 +31,14 @@
 		c.Calls /= 4
 	}
 	f := &figures{}
-	fmt.Fprintf(out, "%8s %10s %10s %10s %12s\n", "workers", "calls/s", "us/call", "allocs", "bytes/call")
+	fmt.Fprintf(out, "%8s %10s %10s %10s %12s\n", "workers", "req/s", "us/req", "allocs", "bytes/req")
 	for _, workers := range c.Sizes {
 		cost, err := measureCore(workers, c.Calls)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%8d %10d %10.2f %10.1f %12.0f\n", workers, requestsPerWorker*workers, cost.microseconds, cost.allocations, cost.bytes)
+		fmt.Fprintf(out, "%8d %10d %10.2f %10.1f %12.0f\n",
+			workers, requestsPerWorker*workers, cost.microseconds, cost.allocations, cost.bytes)
 		f.add(fmt.Sprintf("us_%d", workers), cost.microseconds)
 		f.add(fmt.Sprintf("allocs_%d", workers), cost.allocations)
 	}
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -12,12 +12,12 @@
 	faultInterval    = 100 * time.Millisecond
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3300 * time.Millisecond
-	// turnsOfFlapping are how many intervals the flapping address flaps, and stays well, in turn.
-	turnsOfFlapping = 100
+	// flappingTicks is how many intervals the flapping address flaps, and then stays healthy, in turn.
+	flappingTicks = 100
 )
 
-// flapModes are what the flapping address is, one after the other.
-var flapModes = []fake.PortMode{fake.ModeWell, fake.ModeRefuse, fake.ModeWell, fake.ModeReset}
+// flappingModes are the modes of the flapping address, one after the other.
+var flappingModes = []fake.PortMode{fake.ModeHealthy, fake.ModeRefuse, fake.ModeHealthy, fake.ModeReset}
 
 // addressFault is an address that fails until a time.
 type addressFault struct {
@@ -25,119 +25,73 @@
 	end  time.Time
 }
 
-// failAddresses has addresses fail at random until a time, and returns how often. Each worker keeps one that is well.
-// One address of the first worker flaps.
-func failAddresses(site *fake.Site, seed uint64, until time.Time) (count int) {
-	random := rand.New(rand.NewPCG(seed, 11))
-	flapping := site.Workers[0].Ports()[0]
-	var faults []addressFault
+// faultInjector has addresses fail at random. Each worker keeps a healthy one. One address of the first worker flaps;
+// its other addresses never fail. It is used by one goroutine.
+type faultInjector struct {
+	workers  []*fake.Worker // that fail at random
+	flapping *fake.Port
+	random   *rand.Rand
+	faults   []addressFault // in progress
+	count    int            // faults begun, and changes of the flapping address
+}
+
+func newFaultInjector(site *fake.Site, seed uint64) *faultInjector {
+	return &faultInjector{
+		workers:  site.Workers[1:],
+		flapping: site.Workers[0].Ports()[0],
+		random:   rand.New(rand.NewPCG(seed, 11)),
+	}
+}
+
+// run injects faults until a time, and blocks until then. Afterwards all addresses are healthy.
+func (i *faultInjector) run(until time.Time) {
 	for n := 0; time.Now().Before(until); n++ {
 		time.Sleep(faultInterval)
 		now := time.Now()
-		faults = endFaults(faults, now)
-		if n/turnsOfFlapping%2 == 1 {
-			flapping.Set(flapModes[n%len(flapModes)])
-			count++
-		}
-		if fault, begun := beginFault(site, random, now); begun {
-			faults = append(faults, fault)
-			count++
+		i.endFaults(func(fault addressFault) bool { return !now.Before(fault.end) })
+		if n/flappingTicks%2 == 1 {
+			i.flapping.Set(flappingModes[n%len(flappingModes)])
+			i.count++
 		}
+		i.beginFault(now)
 	}
-	for _, fault := range faults {
-		fault.port.Set(fake.ModeWell)
-	}
-	flapping.Set(fake.ModeWell)
-	return count
+	i.endFaults(func(addressFault) bool { return true })
+	i.flapping.Set(fake.ModeHealthy)
 }
 
-// endFaults has addresses be well again whose time is up, and returns the other faults.
-func endFaults(faults []addressFault, now time.Time) (remaining []addressFault) {
-	for _, fault := range faults {
-		if now.Before(fault.end) {
+// endFaults has the addresses of the selected faults be healthy again.
+func (i *faultInjector) endFaults(selected func(addressFault) bool) {
+	var remaining []addressFault
+	for _, fault := range i.faults {
+		if !selected(fault) {
 			remaining = append(remaining, fault)
-		} else {
-			fault.port.Set(fake.ModeWell)
+			continue
 		}
+		fault.port.Set(fake.ModeHealthy)
 	}
-	return remaining
+	i.faults = remaining
 }
 
-// beginFault draws an address, a mode and a duration. It does nothing if the address can't fail so, fails already, or
-// is the worker's last one that is well.
-func beginFault(site *fake.Site, random *rand.Rand, now time.Time) (fault addressFault, begun bool) {
-	worker := site.Workers[1+random.IntN(len(site.Workers)-1)]
-	ports := worker.Ports()
-	port := ports[random.IntN(len(ports))]
-	mode := fake.Modes[1+random.IntN(len(fake.Modes)-1)]
+// beginFault draws an address, a mode and a duration. It does nothing if the address can't fail in that mode, fails
+// already, or is the worker's last healthy one.
+func (i *faultInjector) beginFault(now time.Time) {
+	ports := i.workers[i.random.IntN(len(i.workers))].Ports()
+	port := ports[i.random.IntN(len(ports))]
+	mode := fake.Modes[1+i.random.IntN(len(fake.Modes)-1)]
 	span := (maxFaultDuration - minFaultDuration).Milliseconds()
-	duration := minFaultDuration + time.Duration(random.IntN(int(span)))*time.Millisecond
-	possible := mode != fake.ModeStale || port.Network == "unix"
-	if !possible || port.Mode() != fake.ModeWell || countWell(ports) < 2 {
-		return addressFault{}, false
+	duration := minFaultDuration + time.Duration(i.random.IntN(int(span)))*time.Millisecond
+	possible := mode != fake.ModeStaleSocket || port.Network == fake.NetworkUnix
+	if !possible || port.Mode() != fake.ModeHealthy || countHealthy(ports) < 2 {
+		return
 	}
 	port.Set(mode)
-	return addressFault{port: port, end: now.Add(duration)}, true
+	i.faults = append(i.faults, addressFault{port: port, end: now.Add(duration)})
+	i.count++
 }
 
-func countWell(ports []*fake.Port) (n int) {
+func countHealthy(ports []*fake.Port) (n int) {
 	for _, port := range ports {
-		if port.Mode() == fake.ModeWell {
-			n++
-		}
-	}
-	return n
-}
-
-// noDrain is given to listTwice where no worker drains.
-const noDrain = -1
-
-// listTwice lists every third worker a second time, with the same addresses under another name. The worker of an index
-// drains under that second name.
-func listTwice(site *fake.Site, draining int) (list []fake.Entry) {
-	for i, entry := range site.Entries() {
-		list = append(list, entry)
-		if i%3 != 0 {
-			continue
-		}
-		entry.Name += "-local"
-		entry.Draining = i == draining
-		list = append(list, entry)
-	}
-	return list
-}
-
-// Times of a drain, and what a router may take to follow it.
-const (
-	drainPause       = 1500 * time.Millisecond
-	drainDuration    = 3 * time.Second
-	drainGracePeriod = time.Second
-)
-
-// drainWorkers has workers that are listed twice drain under their second name, one after the other until a time, and
-// counts what was sent to any address of theirs after the grace period.
-func (r *addressRun) drainWorkers(site *fake.Site, until time.Time) {
-	for n := 0; time.Now().Add(5 * time.Second).Before(until); n++ {
-		time.Sleep(drainPause)
-		index := n * 3 % len(site.Workers)
-		serial := site.Directory.Set(listTwice(site, index))
-		r.drains++
-		time.Sleep(drainDuration)
-		answered := site.Directory.AnsweredAt(serial)
-		end := time.Now()
-		site.Directory.Set(listTwice(site, noDrain))
-		if !answered.IsZero() {
-			r.lateSends += r.countArrivals(site.Workers[index], answered.Add(drainGracePeriod), end)
-		}
-	}
-}
-
-// countArrivals counts the requests and load orders that came to a worker between two times.
-func (r *record) countArrivals(worker *fake.Worker, after, before time.Time) (n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, e := range r.events {
-		if e.Worker == worker && e.Arrival() && e.At.After(after) && e.At.Before(before) {
+		if port.Mode() == fake.ModeHealthy {
 			n++
 		}
 	}
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -70,28 +70,47 @@
 
 // Figures of routesA and routesB.
 const (
-	routesACap = 24 // requests in flight of the pool "fast"
-	routesBCap = 16
-	spillLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
+	routesACap    = 24 // requests in flight of the pool "fast"
+	routesBCap    = 16
+	overflowLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
 )
 
+// routesHeader begins a file of routesWithLines, with routesHeaderLines lines.
+const routesHeader = `pool "p" {}
+policy "k" {
+	attempts = 2
+}
+route "rest" {
+	pool = "p"
+}
+`
+
+const routesHeaderLines = 7
+
+// routeFormat formats a route of routesWithLines, which has linesPerRoute lines. Its arguments are the route's number
+// twice, a function's key and a tenant's number.
+const routeFormat = `route "r%d" {
+	function = "%04x*", "%016x"
+	tenant = "t%d"
+	pool = "p"
+	policy = "k"
+}
+`
+
+const linesPerRoute = 6
+
 // routesWithLines returns a file of about so many lines, and as many routes as fit.
 func routesWithLines(lines int) string {
-	const header = "pool \"p\" {}\npolicy \"k\" {\n\tattempts = 2\n}\nroute \"rest\" {\n\tpool = \"p\"\n}\n"
-	const headerLines = 7
 	var b strings.Builder
-	b.WriteString(header)
-	for i := range (lines - headerLines) / linesPerRoute {
-		fmt.Fprintf(&b, "route \"r%d\" {\n\tfunction = \"%04x*\", \"%016x\"\n\ttenant = \"t%d\"\n\tpool = \"p\"\n\tpolicy = \"k\"\n}\n", i, i, scattered(uint64(i+1)), i%40)
+	b.WriteString(routesHeader)
+	for i := range (lines - routesHeaderLines) / linesPerRoute {
+		fmt.Fprintf(&b, routeFormat, i, i, scatter(uint64(i+1)), i%40)
 	}
 	return b.String()
 }
 
-// linesPerRoute is how many lines a route of routesWithLines has.
-const linesPerRoute = 6
-
-// scattered spreads small numbers over all function keys.
-func scattered(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
+// scatter spreads small numbers over all function keys.
+func scatter(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
 
 // checkRoutes checks a routes file's text.
 func checkRoutes(text string) (*lang.Result, error) {
@@ -116,7 +135,7 @@
 	measured := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range uint64(b.N) {
-			table.Match(route.Request{Front: route.Webhook, Function: scattered(i), Tenant: "t7"})
+			table.Match(route.Request{Front: route.Webhook, Function: scatter(i), Tenant: "t7"})
 		}
 	})
 	return float64(measured.T.Nanoseconds()) / float64(measured.N), measured.AllocsPerOp()
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -24,38 +23,41 @@
 }
 
 func newWebhookSender(l Load) (*webhookSender, error) {
-	u, err := url.Parse(l.Hook)
+	u, err := url.Parse(l.Target.HookURL)
 	if err != nil {
 		return nil, err
 	}
 	if err := checkLoopback(u.Host); err != nil {
 		return nil, err
 	}
-	key, err := fake.ReadWebhookKey(l.Key)
+	key, err := fake.ReadWebhookKey(l.Target.KeyFile)
 	if err != nil {
 		return nil, fmt.Errorf("the webhooks' key: %w", err)
 	}
 	return &webhookSender{
-		url:     l.Hook,
-		class:   l.Class,
-		timeout: l.Wait,
+		url:     l.Target.HookURL,
+		class:   l.Traffic.Class,
+		timeout: l.Traffic.Timeout,
 		key:     key,
 		client: &http.Client{
-			Timeout:   l.Wait + time.Second,
-			Transport: &http.Transport{MaxIdleConnsPerHost: l.Conns, MaxConnsPerHost: l.Conns},
+			Timeout: l.Traffic.Timeout + time.Second,
+			Transport: &http.Transport{
+				MaxIdleConnsPerHost: l.Traffic.Connections,
+				MaxConnsPerHost:     l.Traffic.Connections,
+			},
 		},
 	}, nil
 }
 
 // send sends a webhook from a goroutine of its own, which ends with the client's timeout at the latest. The webhook's
-// id is a random one of its own, so that no two runs share one.
+// id is random and not the request's, so that no two runs share one.
 func (s *webhookSender) send(key, _ string, done func(fake.ResponseStatus)) {
 	go func() {
-		verdict, err := s.deliver(key)
+		status, err := s.deliver(key)
 		if err != nil {
-			verdict = lost
+			status = statusLost
 		}
-		done(verdict)
+		done(status)
 	}()
 }
 
@@ -71,16 +73,19 @@
 	}
 	defer response.Body.Close()
 	io.Copy(io.Discard, response.Body) // so that the connection is used again
-	return verdictOfStatus(response.StatusCode), nil
+	return responseStatusOf(response.StatusCode), nil
 }
 
 func (s *webhookSender) request(key string) (*http.Request, error) {
 	now := time.Now()
-	body, err := json.Marshal(object{
-		"type":      "call.requested",
-		"timestamp": now.UTC().Format(time.RFC3339),
-		"data": object{"class": s.class, "key": key, "wait_ms": s.timeout.Milliseconds(), "memory_mb": 256, "lanes": 32,
-			"load_ms": 300, "body": []byte("x")},
+	body, err := fake.EncodeWebhook(now, fake.WebhookRequest{
+		Class:       s.class,
+		FunctionKey: key,
+		TimeoutMs:   s.timeout.Milliseconds(),
+		MemoryMB:    256,
+		Lanes:       32,
+		LoadMs:      300,
+		Body:        []byte("x"),
 	})
 	if err != nil {
 		return nil, err
@@ -98,8 +103,8 @@
 // close closes idle connections. Requests in flight end by themselves.
 func (s *webhookSender) close() { s.client.CloseIdleConnections() }
 
-// verdictOfStatus returns what a router says by an HTTP status, or lost for one that it does not send.
-func verdictOfStatus(status int) fake.ResponseStatus {
+// responseStatusOf returns what a router says by an HTTP status, or lost for one that it does not send.
+func responseStatusOf(status int) fake.ResponseStatus {
 	switch status {
 	case http.StatusOK:
 		return fake.Served
@@ -108,6 +113,6 @@
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		return fake.Failed
 	default:
-		return lost
+		return statusLost
 	}
 }
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -9,30 +9,30 @@
 	"crankhold/internal/fake"
 )
 
-// verdicts are what is shown of each class.
-var verdicts = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
+// statuses are those that a line shows of each class.
+var statuses = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
 
-// response is what is counted at the client.
-type response struct {
-	class   string
-	verdict fake.ResponseStatus
+// countedResponse is a kind of response that the client counts.
+type countedResponse struct {
+	class  string
+	status fake.ResponseStatus
 }
 
-// workerCounts is what is counted at a worker.
+// workerCounts are the events at a worker.
 type workerCounts struct {
 	runs  int
 	loads int
 }
 
-// counts is what happened since the last line.
+// counts is what happened since the last line. The client and the fakes add to it from their own goroutines.
 type counts struct {
 	mu        sync.Mutex
-	responses map[response]int
+	responses map[countedResponse]int
 	workers   map[*fake.Worker]workerCounts
 }
 
 func newCounts() *counts {
-	return &counts{responses: map[response]int{}, workers: map[*fake.Worker]workerCounts{}}
+	return &counts{responses: map[countedResponse]int{}, workers: map[*fake.Worker]workerCounts{}}
 }
 
 // event counts an event at a worker.
@@ -40,7 +40,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	worker := c.workers[e.Worker]
-	switch e.What {
+	switch e.Kind {
 	case fake.EventStarted:
 		worker.runs++
 	case fake.EventLoadCommand:
@@ -50,24 +50,25 @@
 }
 
 // response counts a response at the client.
-func (c *counts) response(class string, verdict fake.ResponseStatus) {
+func (c *counts) response(class string, status fake.ResponseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.responses[response{class, verdict}]++
+	c.responses[countedResponse{class, status}]++
 }
 
-// line returns the line for what was counted, and begins anew. Of the verdicts that never came, it shows served alone.
+// line returns the line for what was counted and resets the counts. It leaves out statuses that were not counted,
+// except served.
 func (c *counts) line(elapsed time.Duration, workers []*fake.Worker) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var b strings.Builder
 	fmt.Fprintf(&b, "%4.0fs", elapsed.Seconds())
-	for _, class := range classes {
-		fmt.Fprintf(&b, "  %s", class.name)
-		for _, verdict := range verdicts {
-			n := c.responses[response{class.name, verdict}]
-			if n > 0 || verdict == fake.Served {
-				fmt.Fprintf(&b, " %s=%d", verdict, n)
+	for _, class := range fake.Classes {
+		fmt.Fprintf(&b, "  %s", class.Name)
+		for _, status := range statuses {
+			n := c.responses[countedResponse{class.Name, status}]
+			if n > 0 || status == fake.Served {
+				fmt.Fprintf(&b, " %s=%d", status, n)
 			}
 		}
 	}
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -32,10 +32,18 @@
 	responsePong       responseWord = "PONG"
 )
 
-// noFields stands where a response has no fields.
+// Names of the fields of commands.
+const (
+	fieldClass    = "queue"
+	fieldFunction = "path"
+	fieldCount    = "count"
+)
+
+// noFields is sent where a response has no fields.
 const noFields = "-"
 
-// connection is a router's connection to a worker, with the requests that are in flight on it.
+// connection is a router's connection to a worker, with the requests that are in flight on it. A goroutine of its own
+// carries out commands; responses are written by timers of the worker too.
 type connection struct {
 	worker *Worker
 	port   *Port
@@ -45,19 +53,8 @@
 	inFlight map[string]*execution // by id, guarded by the worker's lock
 }
 
-// execution is a request that a worker has accepted.
-type execution struct {
-	connection *connection
-	id         string
-	class      string
-	function   string
-	body       string
-	waited     bool // for its function's load
-	over       bool // responded to, canceled, or its connection was lost
-}
-
-// serve handles the commands of a connection until it ends.
-func (w *Worker) serve(port *Port, conn net.Conn) {
+// serveConnection carries out the commands of a connection. It blocks until the connection ends.
+func (w *Worker) serveConnection(port *Port, conn net.Conn) {
 	c := &connection{worker: w, port: port, conn: conn, inFlight: map[string]*execution{}}
 	defer c.close()
 	in := bufio.NewReader(conn)
@@ -92,12 +89,18 @@
 	case command == commandUnload:
 		c.worker.unload(args[0])
 	case command == commandPing, command == commandInfo:
-		c.pong(args[0])
+		c.reportLoad(args[0])
 	}
 }
 
 func (c *connection) run(id, fields, body string) {
-	e := &execution{connection: c, id: id, class: fieldValue(fields, "queue"), function: fieldValue(fields, "path"), body: body}
+	e := &execution{
+		connection:  c,
+		id:          id,
+		class:       fieldValue(fields, fieldClass),
+		functionKey: fieldValue(fields, fieldFunction),
+		body:        body,
+	}
 	c.worker.mu.Lock()
 	rejection, accepted := c.accept(e)
 	c.worker.mu.Unlock()
@@ -109,7 +112,7 @@
 // accept begins or queues a request, or returns the response that rejects it. The worker must be locked.
 func (c *connection) accept(e *execution) (rejection responseWord, accepted bool) {
 	w := c.worker
-	r := w.replica(e.function)
+	r := w.replica(e.functionKey)
 	if r == nil {
 		e.recordEvent(EventNotLoaded)
 		return responseNotLoaded, false
@@ -121,56 +124,12 @@
 	c.inFlight[e.id] = e
 	w.inFlight++
 	e.recordEvent(EventStarted)
-	e.waited = !r.ready
+	e.waitedForLoad = !r.ready
 	r.waiting = append(r.waiting, e)
 	w.startWaiting(r)
 	return "", true
 }
 
-// complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
-func (e *execution) complete(r *replica) {
-	c := e.connection
-	w := c.worker
-	w.mu.Lock()
-	r.busy--
-	r.lastUsed = time.Now()
-	failed := w.fails != nil && w.fails(e.id)
-	silent := w.hanging || e.over
-	if !w.hanging {
-		c.end(e, EventCompleted)
-	}
-	inFlight := w.inFlight
-	w.startWaiting(r)
-	w.mu.Unlock()
-	switch {
-	case silent:
-	case failed:
-		c.respond(e.id, responseFault, noFields, "")
-	default:
-		detail := "hot"
-		if e.waited {
-			detail = "waited"
-		}
-		c.respond(e.id, responseServed, fmt.Sprintf("detail=%s,use=inflight:%d", detail, inFlight), w.Name+" "+e.body)
-	}
-}
-
-// end records that a request is over, once. The worker must be locked.
-func (c *connection) end(e *execution, what EventKind) {
-	if e.over {
-		return
-	}
-	e.over = true
-	delete(c.inFlight, e.id)
-	c.worker.inFlight--
-	e.recordEvent(what)
-}
-
-func (e *execution) recordEvent(what EventKind) {
-	w := e.connection.worker
-	w.record(Event{At: time.Now(), Worker: w, What: what, ID: e.id, Class: e.class, Key: e.function})
-}
-
 func (c *connection) cancel(id string) {
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
@@ -179,18 +138,18 @@
 	}
 }
 
-// load carries out an order to load a replica, and responds to its tag once one is loaded. An order for none asks
+// load carries out a load command, and responds to its tag once a replica is loaded. A command for no replicas asks
 // whether one is.
 func (c *connection) load(tag, fields string) {
 	w := c.worker
-	function := fieldValue(fields, "path")
-	count, _ := strconv.Atoi(fieldValue(fields, "count")) // a count that is no number asks for none
+	function := fieldValue(fields, fieldFunction)
+	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // 0 for a count that is no number
 	respond := func(replicas int) { c.respond(tag, responseServed, fmt.Sprintf("count=%d", replicas), "") }
 
 	w.mu.Lock()
 	r := w.replica(function)
 	if count > 0 {
-		w.record(Event{At: time.Now(), Worker: w, What: EventLoadCommand, Key: function})
+		w.record(Event{At: time.Now(), Worker: w, Kind: EventLoadCommand, FunctionKey: function})
 	}
 	if r == nil && count > 0 {
 		r = w.startLoad(function)
@@ -210,17 +169,8 @@
 	respond(replicas)
 }
 
-// unload drops a function's replica if it is idle.
-func (w *Worker) unload(function string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if r := w.replicas[function]; r != nil && r.ready && r.busy == 0 {
-		delete(w.replicas, function)
-	}
-}
-
-// pong responds to a health check with a load report, unless the worker hangs.
-func (c *connection) pong(tag string) {
+// reportLoad responds to a health check with a load report, unless the worker hangs.
+func (c *connection) reportLoad(tag string) {
 	c.worker.mu.Lock()
 	hanging := c.worker.hanging
 	inFlight := c.worker.inFlight
@@ -230,9 +180,9 @@
 	}
 }
 
-// respond writes a response, unless the address is mute. Errors are the reader's to find.
+// respond writes a response, unless the address is unresponsive. After a failed write the connection's next read fails.
 func (c *connection) respond(tag string, word responseWord, fields, body string) {
-	if c.port.Mode() == ModeMute {
+	if c.port.Mode() == ModeUnresponsive {
 		return
 	}
 	c.writing.Lock()
--- /dev/null
+++ b/internal/fake/discoveryserver.go
@@ -0,0 +1,166 @@
+package fake
+
+import (
+	"fmt"
+	"net"
+	"sync"
+	"time"
+)
+
+// Names in the discovery server's zone.
+const (
+	zoneName    = "pool.lan"
+	serviceName = "_back._tcp.pool.lan"
+)
+
+// Priorities of SRV records, which show whether a worker drains, and the weight that all of them have.
+const (
+	priorityReady    = 0
+	priorityDraining = 1
+	endpointWeight   = 10
+)
+
+// maxQuerySize is the size of the largest query that is read (RFC 1035, section 4.2.1).
+const maxQuerySize = 512
+
+// Endpoint is an endpoint in the discovery server's list.
+type Endpoint struct {
+	Name      string
+	Addr      string
+	Kind      string
+	Zone      string
+	MoreAddrs []Address // further addresses
+	Cell      int
+	Draining  bool
+	Started   int64 // Unix milliseconds, or 0
+}
+
+// host returns the endpoint's host name.
+func (e Endpoint) host() string { return e.Name + "." + e.Zone + ".hosts" }
+
+// DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list,
+// on a goroutine of its own.
+type DiscoveryServer struct {
+	conn  net.PacketConn
+	ended chan struct{}
+
+	mu            sync.Mutex // guards what follows
+	serial        uint32
+	list          []Endpoint
+	firstServedAt map[uint32]time.Time // by serial, when a query was first answered with it
+}
+
+// NewDiscoveryServer starts a discovery server with a list of serial 1.
+func NewDiscoveryServer(addr string, list []Endpoint) (*DiscoveryServer, error) {
+	conn, err := net.ListenPacket("udp", addr)
+	if err != nil {
+		return nil, err
+	}
+	d := &DiscoveryServer{
+		conn:          conn,
+		ended:         make(chan struct{}),
+		serial:        1,
+		list:          list,
+		firstServedAt: map[uint32]time.Time{},
+	}
+	go d.serve()
+	return d, nil
+}
+
+// Addr returns the address that the server listens on.
+func (d *DiscoveryServer) Addr() string { return d.conn.LocalAddr().String() }
+
+// Set replaces the list and returns the new one's serial.
+func (d *DiscoveryServer) Set(list []Endpoint) uint32 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.serial++
+	d.list = list
+	return d.serial
+}
+
+// FirstServedAt returns when a query was first answered with the list of a serial, or the zero time if none was.
+func (d *DiscoveryServer) FirstServedAt(serial uint32) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.firstServedAt[serial]
+}
+
+// Close ends the server. It blocks until the server has ended. It may be called again.
+func (d *DiscoveryServer) Close() {
+	d.conn.Close()
+	<-d.ended
+}
+
+// serve answers queries until the socket is closed.
+func (d *DiscoveryServer) serve() {
+	defer close(d.ended)
+	query := make([]byte, maxQuerySize)
+	for {
+		n, from, err := d.conn.ReadFrom(query)
+		if err != nil {
+			return
+		}
+		if n > dnsHeaderSize {
+			d.conn.WriteTo(d.respondTo(query[:n]), from)
+		}
+	}
+}
+
+// respondTo returns the response to a query, which is the whole list whatever the question: SRV records, the zone's
+// serial, and each host's addresses and labels.
+func (d *DiscoveryServer) respondTo(query []byte) []byte {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if _, known := d.firstServedAt[d.serial]; !known {
+		d.firstServedAt[d.serial] = time.Now()
+	}
+	response := newDNSResponse(query)
+	for _, endpoint := range d.list {
+		response.addService(endpoint)
+	}
+	response.add(sectionAuthority, zoneName, recordSOA, soaData(zoneName, d.serial))
+	for _, endpoint := range d.list {
+		response.addHost(endpoint)
+	}
+	return response.message
+}
+
+// addService adds an endpoint's SRV record. An address that can't be read is left out.
+func (r *dnsResponse) addService(endpoint Endpoint) {
+	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
+	if err != nil {
+		return
+	}
+	priority := uint16(priorityReady)
+	if endpoint.Draining {
+		priority = priorityDraining
+	}
+	data := srvData(priority, endpointWeight, uint16(addr.Port), endpoint.host())
+	r.add(sectionAnswer, serviceName, recordSRV, data)
+}
+
+// addHost adds the addresses and labels of an endpoint's host. IPv6 has records of its own; a Unix socket is a label.
+func (r *dnsResponse) addHost(endpoint Endpoint) {
+	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
+	if err != nil {
+		return
+	}
+	r.add(sectionAdditional, endpoint.host(), recordA, addr.IP.To4())
+	labels := []string{
+		"kind=" + endpoint.Kind,
+		fmt.Sprintf("cell=%d", endpoint.Cell),
+		fmt.Sprintf("started=%d", endpoint.Started),
+	}
+	for _, more := range endpoint.MoreAddrs {
+		switch more.Network {
+		case NetworkUnix:
+			labels = append(labels, "unix="+more.Addr)
+		case NetworkTCP6:
+			if ipv6, err := net.ResolveTCPAddr(more.Network, more.Addr); err == nil {
+				r.add(sectionAdditional, endpoint.host(), recordAAAA, ipv6.IP.To16())
+			}
+		}
+	}
+	r.add(sectionAdditional, endpoint.host(), recordTXT, txtData(labels))
+}
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -1,9 +1,11 @@
 package fake
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -14,16 +16,16 @@
 
 // Modes of an address.
 const (
-	ModeWell   PortMode = "well"
-	ModeRefuse PortMode = "refuse" // nothing listens
-	ModeStale  PortMode = "stale"  // a Unix socket's file exists and nothing listens
-	ModeMute   PortMode = "mute"   // requests are accepted and worked on, and never responded to
-	ModeReset  PortMode = "reset"  // connections are reset, new ones as soon as they are accepted
-	ModeFull   PortMode = "full"   // the backlog is full, so that dials hang
+	ModeHealthy      PortMode = "healthy"
+	ModeRefuse       PortMode = "refuse"       // nothing listens
+	ModeStaleSocket  PortMode = "stale socket" // a Unix socket's file exists and nothing listens
+	ModeUnresponsive PortMode = "unresponsive" // requests are accepted and worked on, and never responded to
+	ModeReset        PortMode = "reset"        // connections are reset, new ones as soon as they are accepted
+	ModeBacklogFull  PortMode = "backlog full" // the backlog is full, so that dials hang
 )
 
-// Modes are all modes of an address, the good one first.
-var Modes = []PortMode{ModeWell, ModeRefuse, ModeStale, ModeMute, ModeReset, ModeFull}
+// Modes are all modes of an address, ModeHealthy first.
+var Modes = []PortMode{ModeHealthy, ModeRefuse, ModeStaleSocket, ModeUnresponsive, ModeReset, ModeBacklogFull}
 
 // How often, and after what pause, a port tries to listen while connections of its last mode end.
 const (
@@ -31,20 +33,28 @@
 	listenRetryDelay = 10 * time.Millisecond
 )
 
-// Port is one address of a fake worker, which can be made to fail.
+// errUnknownMode is returned for a mode that is not one of Modes.
+var errUnknownMode = errors.New("no mode of an address")
+
+// Port is one address of a fake worker, which can be made to fail. Its methods may be called from any goroutine.
 type Port struct {
-	Network string
-	Addr    string
-	worker  *Worker
+	Address
+	worker *Worker
 
-	accepting sync.WaitGroup
-	serving   sync.WaitGroup
+	accepting sync.WaitGroup // goroutines that accept connections
+	serving   sync.WaitGroup // goroutines that serve them
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows, and Addr while Set changes it
 	mode     PortMode
 	listener net.Listener
 	conns    map[net.Conn]struct{}
-	backlog  []net.Conn // ModeFull: what fills the listener's backlog
+	backlog  []net.Conn // of ModeBacklogFull: what fills the listener's backlog
+}
+
+// openPort begins to listen for a worker.
+func openPort(worker *Worker, address Address) (*Port, error) {
+	p := &Port{Address: address, worker: worker, conns: map[net.Conn]struct{}{}}
+	return p, p.Set(ModeHealthy)
 }
 
 // Mode returns how the address behaves.
@@ -55,8 +65,11 @@
 }
 
 // Set changes how the address behaves. Open connections stay, except in ModeReset. If the address can't be listened on,
-// it is left in ModeRefuse.
+// it is left in ModeRefuse. A mode that is not one of Modes is an error.
 func (p *Port) Set(mode PortMode) error {
+	if !slices.Contains(Modes, mode) {
+		return fmt.Errorf("%q is %w", mode, errUnknownMode)
+	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if mode == p.mode {
@@ -64,7 +77,7 @@
 	}
 	p.stopListening(mode)
 	p.mode = mode
-	if mode == ModeRefuse || mode == ModeStale {
+	if mode == ModeRefuse || mode == ModeStaleSocket {
 		return nil
 	}
 	if err := p.listen(); err != nil {
@@ -72,7 +85,7 @@
 		return fmt.Errorf("%s %s: %w", p.Network, p.Addr, err)
 	}
 	switch mode {
-	case ModeFull:
+	case ModeBacklogFull:
 		p.fillBacklog()
 	case ModeReset:
 		p.resetConns()
@@ -87,7 +100,7 @@
 func (p *Port) stopListening(next PortMode) {
 	if p.listener != nil {
 		if unix, ok := p.listener.(*net.UnixListener); ok {
-			unix.SetUnlinkOnClose(next != ModeStale)
+			unix.SetUnlinkOnClose(next != ModeStaleSocket)
 		}
 		p.listener.Close()
 		p.listener = nil
@@ -100,7 +113,7 @@
 
 // listen opens the listener, once connections of the last mode leave the address. The port must be locked.
 func (p *Port) listen() (err error) {
-	if p.Network == "unix" {
+	if p.Network == NetworkUnix {
 		os.Remove(p.Addr) // a stale socket's file
 	}
 	for range listenAttempts {
@@ -134,15 +147,12 @@
 // startServing has the worker serve a connection.
 func (p *Port) startServing(conn net.Conn) {
 	p.mu.Lock()
-	if p.conns == nil {
-		p.conns = map[net.Conn]struct{}{}
-	}
 	p.conns[conn] = struct{}{}
 	p.mu.Unlock()
 	p.serving.Add(1)
 	go func() {
 		defer p.serving.Done()
-		p.worker.serve(p, conn)
+		p.worker.serveConnection(p, conn)
 	}()
 }
 
@@ -162,10 +172,10 @@
 	}
 }
 
-// shutDown refuses new connections and resets all that are open.
+// shutDown refuses new connections and resets all that are open. It blocks until the last one accepted is known.
 func (p *Port) shutDown() {
-	p.Set(ModeRefuse)  // which cannot fail
-	p.accepting.Wait() // the last connection accepted is known
+	p.Set(ModeRefuse) // which cannot fail
+	p.accepting.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.resetConns()
@@ -178,6 +188,7 @@
 	}
 }
 
+// forget drops a connection that has ended.
 func (p *Port) forget(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -8,10 +8,10 @@
 	lastUsed time.Time
 	busy     int          // lanes in use
 	waiting  []*execution // for a lane, or for the load
-	onLoaded []func()     // responses to load orders that came during the load
+	onLoaded []func()     // responses to load commands that came during the load
 }
 
-// replica returns a function's replica or nil, without one that was idle for too long. The worker must be locked.
+// replica returns a function's replica, or nil if there is none or it was idle for too long. The worker must be locked.
 func (w *Worker) replica(function string) *replica {
 	r := w.replicas[function]
 	if r != nil && w.expired(r) {
@@ -33,11 +33,11 @@
 func (w *Worker) startLoad(function string) *replica {
 	r := &replica{}
 	w.replicas[function] = r
-	w.after(w.LoadTime, func() { w.loaded(r) })
+	w.timers.after(w.LoadTime, func() { w.loaded(r) })
 	return r
 }
 
-// loaded ends the load of a replica: waiting requests begin, and load orders are responded to.
+// loaded ends the load of a replica: waiting requests begin, and load commands are responded to.
 func (w *Worker) loaded(r *replica) {
 	w.mu.Lock()
 	r.ready = true
@@ -60,6 +60,15 @@
 			continue
 		}
 		r.busy++
-		w.after(w.ServiceTime, func() { e.complete(r) })
+		w.timers.after(w.ServiceTime, func() { e.complete(r) })
+	}
+}
+
+// unload drops a function's replica if it is idle.
+func (w *Worker) unload(function string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if r := w.replicas[function]; r != nil && r.ready && r.busy == 0 {
+		delete(w.replicas, function)
 	}
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"strings"
 	"sync"
 	"time"
 )
@@ -10,8 +9,8 @@
 // WorkerConfig describes a fake worker.
 type WorkerConfig struct {
 	Name      string
-	Addr      string   // to listen on, by IPv4; port 0 takes a free one
-	MoreAddrs []string // further addresses, as network:address; tcp6 takes the port of Addr
+	Addr      string    // to listen on, by IPv4; port 0 takes a free one
+	MoreAddrs []Address // further addresses; one by NetworkTCP6 is a host without a port and takes the port of Addr
 	Kind      string
 	Zone      string
 	Cell      int
@@ -24,25 +23,23 @@
 	Warm        bool          // every function counts as loaded
 }
 
-// Worker is a fake worker.
+// Worker is a fake worker: its ports accept connections, and a goroutine for each of them carries out commands. All
+// methods may be called from any goroutine.
 type Worker struct {
 	WorkerConfig
 	ports  []*Port
 	record func(Event)
+	timers *timers // of the work on requests and of loads
 
-	mu       sync.Mutex
+	mu       sync.Mutex          // guards what follows, and the state of replicas, connections and executions
 	replicas map[string]*replica // by function key
-	inFlight int
+	inFlight int                 // requests that were accepted and are not over
 	hanging  bool
-	fails    func(id string) bool
-
-	closed  bool
-	timers  map[*time.Timer]struct{}
-	running sync.WaitGroup // functions that timers are to call, or are calling
+	fails    func(id string) bool // selects the requests that fail; nil for none
 }
 
-// NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with a lock
-// held: record must not call the worker.
+// NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with the worker
+// locked: record must not call the worker.
 func NewWorker(cfg WorkerConfig, record func(Event)) (*Worker, error) {
 	if record == nil {
 		record = func(Event) {}
@@ -51,10 +48,10 @@
 		WorkerConfig: cfg,
 		record:       record,
 		replicas:     map[string]*replica{},
-		timers:       map[*time.Timer]struct{}{},
+		timers:       newTimers(),
 	}
-	first := &Port{worker: w, Network: "tcp4", Addr: cfg.Addr}
-	if err := first.Set(ModeWell); err != nil {
+	first, err := openPort(w, Address{Network: NetworkTCP4, Addr: cfg.Addr})
+	if err != nil {
 		return nil, err
 	}
 	w.Addr = first.Addr
@@ -68,20 +65,17 @@
 	return w, nil
 }
 
-// listen adds a further address, given as network:address. IPv6 is left out where this machine has none or the port is
-// taken there.
-func (w *Worker) listen(address string) error {
-	network, addr, _ := strings.Cut(address, ":")
-	if network == "tcp6" {
+// listen adds a further address. IPv6 is left out where this machine has none or the port is taken there.
+func (w *Worker) listen(address Address) error {
+	if address.Network == NetworkTCP6 {
 		_, port, err := net.SplitHostPort(w.Addr)
 		if err != nil {
 			return err
 		}
-		addr = net.JoinHostPort(addr, port)
+		address.Addr = net.JoinHostPort(address.Addr, port)
 	}
-	p := &Port{worker: w, Network: network, Addr: addr}
-	err := p.Set(ModeWell)
-	if err != nil && network == "tcp6" {
+	p, err := openPort(w, address)
+	if err != nil && address.Network == NetworkTCP6 {
 		return nil
 	}
 	if err != nil {
@@ -94,7 +88,7 @@
 // Ports returns the worker's addresses, the one of IPv4 first.
 func (w *Worker) Ports() []*Port { return w.ports }
 
-// Kill ends the process that the worker stands for: its connections are reset, new ones refused, and its replicas
+// Kill ends the process that the worker simulates: its connections are reset, new ones refused, and its replicas
 // are lost. It does nothing at one that is down.
 func (w *Worker) Kill() {
 	for _, p := range w.ports {
@@ -108,7 +102,7 @@
 // Start brings the worker back after Kill, without replicas, at the same addresses.
 func (w *Worker) Start() error {
 	for _, p := range w.ports {
-		if err := p.Set(ModeWell); err != nil {
+		if err := p.Set(ModeHealthy); err != nil {
 			return err
 		}
 	}
@@ -122,55 +116,26 @@
 	w.hanging = true
 }
 
-// Resume has a worker that hangs respond to requests again. Those that it worked on meanwhile have no response.
+// Resume ends Hang. Requests whose work ended meanwhile never have a response.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hanging = false
 }
 
-// Fail has the worker respond FAULT to the requests whose id fails selects; nil for none.
-func (w *Worker) Fail(fails func(id string) bool) {
+// FailRequests has the worker respond with an error to the requests whose ids fails selects. If fails is nil, no
+// request fails any more.
+func (w *Worker) FailRequests(fails func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fails = fails
 }
 
-// Close ends the worker for good. It returns once all its goroutines have ended.
+// Close ends the worker for good. It blocks until all its goroutines have ended.
 func (w *Worker) Close() {
 	w.Kill()
-	w.mu.Lock()
-	w.closed = true
-	for timer := range w.timers {
-		if timer.Stop() {
-			w.running.Done()
-		}
-	}
-	clear(w.timers)
-	w.mu.Unlock()
-	w.running.Wait()
+	w.timers.close()
 	for _, p := range w.ports {
 		p.serving.Wait()
 	}
 }
-
-// after calls do once d has passed, unless the worker is closed by then. The worker must be locked; do is called
-// unlocked.
-func (w *Worker) after(d time.Duration, do func()) {
-	if w.closed {
-		return
-	}
-	w.running.Add(1)
-	var timer *time.Timer
-	timer = time.AfterFunc(d, func() {
-		defer w.running.Done()
-		w.mu.Lock()
-		delete(w.timers, timer)
-		closed := w.closed
-		w.mu.Unlock()
-		if !closed {
-			do()
-		}
-	})
-	w.timers[timer] = struct{}{}
-}
--- a/internal/server/soak_clients_test.go
+++ b/internal/server/soak_clients_test.go
@@ -14,9 +14,9 @@
 	call := callOf(0)
 	call.ID = fmt.Sprintf("%016x", random.Uint64())
 	call.Class = classes[random.IntN(len(classes))]
-	call.Wait = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
+	call.Timeout = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
 	call.Body = make([]byte, random.IntN(2048))
-	r := &soakRequest{id: call.ID, unsafe: call.Class == "repair-order", sentAt: time.Now(), wait: call.Wait, leaver: leaver}
+	r := &soakRequest{id: call.ID, unsafe: call.Class == "repair-order", sentAt: time.Now(), wait: call.Timeout, leaver: leaver}
 	s.mu.Lock()
 	s.requests[r.id] = r
 	s.mu.Unlock()
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -22,7 +22,7 @@
 
 // Router is one router of the fleet: a core, and the worker client that carries its messages to the simulated workers.
 type Router struct {
-	// Down tells that the router's process has ended.
+	// Down reports whether the router's process has ended.
 	Down bool
 	// Violations counts what the router sent against the rules.
 	Violations Violations
@@ -73,7 +73,7 @@
 		r.core.SetRoutes(f.cfg.Routes())
 	}
 	r.applyEndpoints()
-	r.wake()
+	r.requestTurn()
 	return nil
 }
 
@@ -94,10 +94,10 @@
 	})
 }
 
-// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for the linger, then rejects them,
-// and ends once it has sent all its responses.
-func (r *Router) Terminate(linger time.Duration) {
-	r.fleet.After(linger, func() {
+// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for a grace period, then rejects
+// them, and ends once it has sent all its responses.
+func (r *Router) Terminate(gracePeriod time.Duration) {
+	r.fleet.After(gracePeriod, func() {
 		r.rejectsNew = true
 		r.core.RejectNew()
 		r.endWhenDrained()
@@ -126,7 +126,7 @@
 	r.endpoints[endpoint.Worker] = endpoint
 	r.core.SetNow(r.fleet.now)
 	r.applyEndpoints()
-	r.wake()
+	r.requestTurn()
 }
 
 // applyEndpoints hands the core the whole endpoint list as this incarnation knows it.
@@ -158,11 +158,11 @@
 func (r *Router) accept(request router.Request) {
 	r.budget.requestAccepted(r.fleet.now)
 	r.core.Accept(r.fleet.now, request)
-	r.wake()
+	r.requestTurn()
 }
 
-// wake has the core take a turn at the present time, after everything that is already due at it.
-func (r *Router) wake() { r.scheduleTurn(r.fleet.now) }
+// requestTurn has the core take a turn now, after everything else that is already due.
+func (r *Router) requestTurn() { r.scheduleTurn(r.fleet.now) }
 
 // scheduleTurn has the core take a turn at a time, unless it takes an earlier one, which will schedule the next.
 func (r *Router) scheduleTurn(due time.Duration) {
@@ -196,7 +196,7 @@
 		}
 		r.core.SetNow(r.fleet.now)
 		deliver()
-		r.wake()
+		r.requestTurn()
 	})
 }
 
@@ -211,7 +211,7 @@
 	})
 }
 
-// Load implements router.WorkerClient: it carries an order to load replicas.
+// Load implements router.WorkerClient: it carries a load command.
 func (r *Router) Load(id policy.WorkerID, function policy.FunctionID, count int, tag uint64) {
 	r.checkDrain(id)
 	if count > 0 {
