--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -93,7 +93,7 @@
 		if attempt.ended || !t.workers.WithdrawUnsent(attempt.worker, a) {
 			continue
 		}
-		// Not as policy.NotSent: that the attempt waited in vain tells the module of its worker's delay.
+		// Not as policy.NotSent: the wait shows the module how long its worker delays requests.
 		t.attemptCompleted(a, AttemptResult{Outcome: policy.Canceled})
 	}
 }
--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -12,7 +12,7 @@
 	Span time.Duration
 	// Few is the number of observations below which they decay more slowly, in proportion to their number. It is more
 	// than 0.
-	Few float64
+	MinCount float64
 
 	sum     float64       // of values, decayed, as of updated
 	weight  float64       // number of observations, decayed, as of updated
@@ -44,7 +44,7 @@
 
 // retained is the fraction of the weight at the last observation that is left now.
 func (m *DecayingMean) retained(now time.Duration) float64 {
-	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.Few))
+	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.MinCount))
 }
 
 // RunningMean is a mean of the observations so far or, once these are more than a limit, one in which each new
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -16,7 +16,7 @@
 	fmt.Printf("3 in flight: %.0f ms\n", delay.Predict(3, 1))
 
 	// Whether requests fail. Long after the last failure, the mean is near zero again.
-	failures := DecayingMean{Span: 3 * time.Second, Few: 1}
+	failures := DecayingMean{Span: 3 * time.Second, MinCount: 1}
 	failures.Observe(0, 1)
 	fmt.Printf("failing: %.2f, a minute later: %.2f\n", failures.Mean(0), failures.Mean(time.Minute))
 
@@ -46,7 +46,7 @@
 }
 
 func TestDecayingMean(t *testing.T) {
-	mean := DecayingMean{Span: time.Second, Few: 2}
+	mean := DecayingMean{Span: time.Second, MinCount: 2}
 	near(t, "the mean of nothing", mean.Mean(time.Hour), 0)
 	mean.Observe(0, 6)
 	near(t, "the mean of 6 and the zero", mean.Mean(0), 3)
--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -67,7 +67,7 @@
 
 // processStarted forgets what was learned of a worker's former process.
 func (e *latencyEstimator) processStarted(w *worker) {
-	delay := stats.DecayingMean{Span: queueSpan, Few: fewResponses}
+	delay := stats.DecayingMean{Span: queueSpan, MinCount: fewResponses}
 	w.latency = workerLatency{
 		queueDelay:   delay,
 		failureRates: slices.Repeat([]stats.DecayingMean{delay}, len(e.classes)),
