--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -10,7 +10,7 @@
 type DecayingMean struct {
 	// Span is the time in which an observation's weight falls to 1/e.
 	Span time.Duration
-	// Few is the number of observations below which they decay more slowly, in proportion to their number. It is more
+	// MinCount is the number of observations below which they decay more slowly, in proportion to their number. It is more
 	// than 0.
 	MinCount float64
 
