--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -10,8 +10,8 @@
 type DecayingMean struct {
 	// Span is the time in which an observation's weight falls to 1/e.
 	Span time.Duration
-	// MinCount is the number of observations below which they decay more slowly, in proportion to their number. It is more
-	// than 0.
+	// MinCount is the number of observations below which they decay more slowly, in proportion to their number. It is
+	// more than 0.
 	MinCount float64
 
 	sum     float64       // of values, decayed, as of updated
