--- a/policy/assembly.go
+++ b/policy/assembly.go
@@ -49,7 +49,13 @@
 }
 
 func (s *parts) newRuleGuard() ruleGuard {
-	return ruleGuard{cfg: s.cfg, tables: s.tables, retries: s.retries, slowStart: s.slowStart, budget: s.budget}
+	return ruleGuard{
+		cfg:       s.cfg,
+		tables:    s.tables,
+		retries:   s.retries,
+		slowStart: s.slowStart,
+		budget:    s.budget,
+	}
 }
 
 func (s *parts) newEndpointTracker() endpointTracker {
