--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -35,6 +35,6 @@
 // # Shutdown
 //
 // [Loop.Stop] has [Loop.Run] return after the present turn. [Loop.Close] then ends every goroutine that the loop
-// started: dials are cancelled, listeners and connections are closed, and pollers that wait for the queue are
+// started: dials are canceled, listeners and connections are closed, and pollers that wait for the queue are
 // released. Handlers are not notified of that, and what is posted later is dropped.
 package eventloop
--- a/internal/thrift/doc.go
+++ b/internal/thrift/doc.go
@@ -38,5 +38,5 @@
 //
 // A message whose form is wrong closes its connection. A field that can't be used fails its request with Lost, which
 // names the field, and nothing is forwarded. Both are logged at most once a second, with their count. When a connection
-// closes, its open requests are cancelled.
+// closes, its open requests are canceled.
 package thrift
--- a/internal/workerclient/command_queue_test.go
+++ b/internal/workerclient/command_queue_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against a flood of cancelled requests: the ids that a connection remembers are bounded, and one that is
+// Guards against a flood of canceled requests: the ids that a connection remembers are bounded, and one that is
 // full gives way to another without a reset for the requests that are open on it.
 func TestCanceledRequestsCostNoOtherClientAConnection(t *testing.T) {
 	p := newTestPool()
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -111,7 +111,7 @@
 // DialCompleted handles the end of the dial.
 func (a *dial) DialCompleted(err error) {
 	switch {
-	case a.finished: // it was cancelled meanwhile
+	case a.finished: // it was canceled meanwhile
 		if err == nil {
 			a.transport.Close()
 		}
--- a/internal/workerclient/doc.go
+++ b/internal/workerclient/doc.go
@@ -6,7 +6,7 @@
 // A [Pool] has one worker for each worker of the endpoint list, and each worker has up to ten connections. A command
 // goes to the preferred connection of its worker, queued while that is being dialled, and is in flight there until its
 // response has arrived or the connection has ended. Its result goes to a [ResultHandler], exactly once, unless the
-// command was cancelled or abandoned first.
+// command was canceled or abandoned first.
 //
 // A connection has a part for each concern: a dialer, the outgoingStream that it writes to, a responseReader, a
 // commandQueue of what is in flight, and a livenessMonitor. Each kind of command is a commandKind with its own data.
--- a/internal/workerclient/id_history.go
+++ b/internal/workerclient/id_history.go
@@ -11,7 +11,7 @@
 )
 
 // idHistory remembers the ids of the requests that ended on a connection, so that the connection carries none of them
-// again: a second copy of a response, or one that arrives after its request was cancelled, must not end a later attempt
+// again: a second copy of a response, or one that arrives after its request was canceled, must not end a later attempt
 // of the same request. It forgets by generations.
 type idHistory struct {
 	current   map[string]struct{} // added since rotatedAt
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -84,7 +84,7 @@
 		new:  "r.pool.dialsInProgress--",
 	},
 	{
-		name: "a cancelled request is sent all the same",
+		name: "a canceled request is sent all the same",
 		file: "internal/workerclient/attempts.go",
 		old:  "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true",
 		new:  "\treturn true",
--- a/internal/workerclient/model_transport_test.go
+++ b/internal/workerclient/model_transport_test.go
@@ -54,7 +54,7 @@
 func (t *modelTransport) Close() {
 	switch t.state {
 	case modelDialing:
-		t.state = modelEnded // cancelled: its end is not reported
+		t.state = modelEnded // canceled: its end is not reported
 	case modelUp:
 		t.state = modelClosing
 	}
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -26,7 +26,7 @@
 	cmd := c.commands.inFlight[string(r.id)]
 	c.recordResponse(cmd, r.status)
 	if cmd == nil {
-		return nil // a second copy, or of a request that was cancelled
+		return nil // a second copy, or of a request that was canceled
 	}
 	switch {
 	case r.status == statusUnknown, cmd.kind.isHealthQuery() != r.status.answersHealthQuery():
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -24,7 +24,7 @@
 }
 
 // TestEachRequestEndsOnceWithItsOwnResult is the model of a connection: every request ends once, with ConnectionReset
-// only if it was written, and never by a response to an attempt before it that was cancelled.
+// only if it was written, and never by a response to an attempt before it that was canceled.
 func TestEachRequestEndsOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &requestModel{
@@ -135,7 +135,7 @@
 	for _, transport := range m.transports {
 		text := transport.Written.String()
 		if strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
-			t.Fatalf("cancelled what was never sent: %q", text)
+			t.Fatalf("canceled what was never sent: %q", text)
 		}
 	}
 	for a, outcomes := range m.recorder.outcomes {
