--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -4,8 +4,8 @@
 
 // accept tracks a request and returns its identifier, or responds to it at once and returns 0.
 func (t *requestTracker) accept(r Request) policy.RequestID {
-	if t.rejectsNew || !t.table.hasCapacity(&t.limits, len(r.Body)) {
-		t.rejectUnaccepted(r)
+	if t.rejectNew || !t.table.hasCapacity(&t.limits, len(r.Body)) {
+		t.rejectAtCapacity(r)
 		return 0
 	}
 	t.counters.Accepted[r.Front]++
@@ -21,13 +21,13 @@
 	}
 	r.AcceptedAt = t.timers.now
 	tracked := t.table.add(r)
-	t.announce(tracked, requestPolicy)
+	t.queueArrival(tracked, requestPolicy)
 	tracked.deadline = t.timers.addRequestDeadline(tracked.id, tracked.request.Deadline)
 	return tracked.id
 }
 
-// rejectUnaccepted rejects a request for want of capacity; the decision module does not see it.
-func (t *requestTracker) rejectUnaccepted(r Request) {
+// rejectAtCapacity rejects a request for want of capacity; the decision module does not see it.
+func (t *requestTracker) rejectAtCapacity(r Request) {
 	t.counters.Accepted[r.Front]++
 	t.counters.RejectedUnaccepted[r.Front]++
 	t.reject(r)
@@ -52,8 +52,8 @@
 	r.Responder.Respond(response)
 }
 
-// announce queues the arrival of a tracked request for the decision module.
-func (t *requestTracker) announce(tracked *trackedRequest, requestPolicy *policy.RequestPolicy) {
+// queueArrival queues the arrival of a tracked request for the decision module.
+func (t *requestTracker) queueArrival(tracked *trackedRequest, requestPolicy *policy.RequestPolicy) {
 	r := &tracked.request
 	tracked.arrival = t.events.nextPosition()
 	t.events.add(policy.RequestArrived{
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -117,7 +117,7 @@
 	core := New(module, Config{
 		Limits:          Limits{MaxConcurrentRequests: 1000, MaxBytes: 1 << 20},
 		Tenants:         []string{"small", "large"},
-		NewWorkerClient: newFakeWorkerClient().connect,
+		NewWorkerClient: newFakeWorkerClient().attachTo,
 	})
 	core.SetEndpoints(readyWorkers(1))
 	now := time.Second
@@ -208,7 +208,7 @@
 			var completions []string
 			core := New(module, Config{
 				Limits:          testLimits(),
-				NewWorkerClient: workers.connect,
+				NewWorkerClient: workers.attachTo,
 				OnCompleted: func(_ time.Duration, r *Request, completion Completion) {
 					completions = append(completions, r.ID+" "+string(completion))
 				},
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -44,7 +44,7 @@
 		return
 	}
 	t.timers.remove(attempt.timeout)
-	tracked.endAttempt(attempt, result.Outcome)
+	tracked.completeAttempt(attempt, result.Outcome)
 	t.counters.AttemptsByOutcome[result.Outcome]++
 	served := result.Outcome == policy.Served
 	if served && !tracked.completed {
@@ -64,7 +64,7 @@
 	if served {
 		t.withdrawUnsentAttempts(tracked)
 	}
-	t.release(tracked)
+	t.removeIfCompleted(tracked)
 }
 
 // cancelAttempt ends an attempt before its worker has responded. The worker may go on with it, so it may have run,
@@ -90,7 +90,7 @@
 	for number := range tracked.attempts {
 		attempt := &tracked.attempts[number]
 		a := Attempt{Request: tracked.id, Number: number}
-		if attempt.ended || !t.workers.WithdrawUnsent(attempt.worker, a) {
+		if attempt.completed || !t.workers.WithdrawUnsent(attempt.worker, a) {
 			continue
 		}
 		// Not as policy.NotSent: the wait shows the module how long its worker delays requests.
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -94,7 +94,7 @@
 					core.Process(now)
 				}
 				workers.dialing = false
-				missOnceThenServe(core, workers, now, send())
+				respondNotLoadedThenServed(core, workers, now, send())
 				now += 5 * ms
 			}
 			const wantLoads = 64 // LoadBudgetMinimum 4, and LoadBudgetRatio 0.3 of 200
@@ -105,9 +105,9 @@
 	}
 }
 
-// missOnceThenServe has the first attempt of a request find its function not loaded, and the next ones served. All
+// respondNotLoadedThenServed has the first attempt of a request find its function not loaded, and the next ones served. All
 // loads succeed.
-func missOnceThenServe(core *Core, workers *fakeWorkerClient, now time.Duration, id policy.RequestID) {
+func respondNotLoadedThenServed(core *Core, workers *fakeWorkerClient, now time.Duration, id policy.RequestID) {
 	for number := 0; number < len(workers.started[id]); number++ {
 		attempt := workers.started[id][number]
 		outcome := policy.Served
@@ -155,7 +155,7 @@
 }
 
 // A worker's response that arrives in the turn in which the client canceled the request is dropped.
-func TestResponseBehindACancellationIsDropped(t *testing.T) {
+func TestResponseAfterCancellationIsDropped(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
 	responder := &recordingResponder{}
@@ -258,7 +258,7 @@
 }
 
 // A second report of an attempt changes nothing.
-func TestSecondReportOfAnAttemptIsIgnored(t *testing.T) {
+func TestSecondCompletionOfAnAttemptIsIgnored(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	id, responder := sendTestRequest(t, core, workers)
 	core.execute(policy.StartAttempt{Request: id, Worker: 2})
--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -78,8 +78,8 @@
 	return id
 }
 
-// take removes and returns the pending command of that kind, or nil where there is none.
-func (t *commandTracker) take(id uint64, kind commandKind) *pendingCommand {
+// removePending removes and returns the pending command of that kind, or nil where there is none.
+func (t *commandTracker) removePending(id uint64, kind commandKind) *pendingCommand {
 	command := t.pending[id]
 	if command == nil || command.kind != kind {
 		return nil
@@ -97,7 +97,7 @@
 
 // loadCompleted records the end of a load. It ignores a load that has ended already.
 func (t *commandTracker) loadCompleted(id uint64, outcome policy.Outcome, count int) {
-	command := t.take(id, loadCommand)
+	command := t.removePending(id, loadCommand)
 	if command == nil {
 		return
 	}
@@ -113,7 +113,7 @@
 
 // healthCheckCompleted records the end of a health check. It ignores a health check that has ended already.
 func (t *commandTracker) healthCheckCompleted(id uint64, outcome policy.Outcome, report []float64) {
-	command := t.take(id, healthCheckCommand)
+	command := t.removePending(id, healthCheckCommand)
 	if command == nil {
 		return
 	}
--- a/internal/router/commands_test.go
+++ b/internal/router/commands_test.go
@@ -7,7 +7,7 @@
 )
 
 // Loads and health checks that no worker answers time out, and later answers are ignored.
-func TestUnansweredCommandsTimeOut(t *testing.T) {
+func TestCommandsWithoutResponseTimeOut(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.execute(policy.CheckHealth{Worker: 1})
 	core.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
@@ -27,7 +27,7 @@
 }
 
 // A command that was answered leaves no time-out behind, and an answer counts for its own kind of command alone.
-func TestAnsweredCommandsLeaveNoTimers(t *testing.T) {
+func TestCompletedCommandsLeaveNoTimers(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.execute(policy.Load{Worker: 1, Function: 2, Count: 1})
 	core.execute(policy.CheckHealth{Worker: 1})
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -90,7 +90,7 @@
 // RejectUnaccepted rejects a request for want of capacity of a front. The decision module does not see it.
 func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
 	c.SetNow(now)
-	c.requests.rejectUnaccepted(r)
+	c.requests.rejectAtCapacity(r)
 }
 
 // CancelRequest notifies the core that the client no longer waits for a request. It gets no response.
@@ -101,11 +101,11 @@
 
 // RejectNew has the core reject every request from now on, because the program is about to exit: it can't while clients
 // go on sending.
-func (c *Core) RejectNew() { c.requests.rejectsNew = true }
+func (c *Core) RejectNew() { c.requests.rejectNew = true }
 
 // EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is
 // about to end.
-func (c *Core) EndOpenRequests() { c.requests.endOpenRequests() }
+func (c *Core) EndOpenRequests() { c.requests.completeOpenRequests() }
 
 // OpenRequests returns the number of requests that are owed a response.
 func (c *Core) OpenRequests() int { return c.requests.table.openCount }
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -5,9 +5,9 @@
 // eventQueue gathers events for the decision module, which takes them in batches. Two buffers take turns, so that a
 // steady load allocates none.
 type eventQueue struct {
-	pending []policy.Event
-	buffer  []policy.Event // of the previous batch, empty
-	batch   int            // number of the batch that is being gathered
+	pending     []policy.Event
+	spareBuffer []policy.Event // of the previous batch, empty
+	batch       int            // number of the batch that is being gathered
 }
 
 // eventPosition is where an event stands in its queue.
@@ -36,11 +36,11 @@
 	return true
 }
 
-// take returns the gathered batch and begins the next one. The batch goes back by recycle. Withdrawn events are nil.
-func (q *eventQueue) take() []policy.Event {
+// takeBatch returns the gathered batch and begins the next one. The batch goes back by recycle. Withdrawn events are nil.
+func (q *eventQueue) takeBatch() []policy.Event {
 	batch := q.pending
-	q.pending = q.buffer[:0]
-	q.buffer = nil
+	q.pending = q.spareBuffer[:0]
+	q.spareBuffer = nil
 	q.batch++
 	return batch
 }
@@ -48,5 +48,5 @@
 // recycle gives the buffer of a batch back, for a later one.
 func (q *eventQueue) recycle(batch []policy.Event) {
 	clear(batch)
-	q.buffer = batch[:0]
+	q.spareBuffer = batch[:0]
 }
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// connect makes the client the one of a core; it is a Config.NewWorkerClient.
-func (f *fakeWorkerClient) connect(core *Core) WorkerClient {
+// attachTo makes the client the one of a core; it is a Config.NewWorkerClient.
+func (f *fakeWorkerClient) attachTo(core *Core) WorkerClient {
 	f.core = core
 	return f
 }
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	workers := newFakeWorkerClient()
-	return New(module, Config{Limits: testLimits(), NewWorkerClient: workers.connect}), workers
+	return New(module, Config{Limits: testLimits(), NewWorkerClient: workers.attachTo}), workers
 }
 
 // testLimits are the limits of the tests' cores.
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -90,7 +90,7 @@
 }
 
 func (m *routerModel) completeAttempt(t *rapid.T) {
-	attempt, ok := pick(t, m.workers.inFlight)
+	attempt, ok := drawKey(t, m.workers.inFlight)
 	if !ok {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 func (m *routerModel) completeLoad(t *rapid.T) {
-	commandID, ok := pick(t, m.workers.loads)
+	commandID, ok := drawKey(t, m.workers.loads)
 	if !ok {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 func (m *routerModel) completeHealthCheck(t *rapid.T) {
-	commandID, ok := pick(t, m.workers.healthChecks)
+	commandID, ok := drawKey(t, m.workers.healthChecks)
 	if !ok {
 		return
 	}
@@ -126,7 +126,7 @@
 }
 
 func (m *routerModel) cancelRequest(t *rapid.T) {
-	id, ok := pick(t, m.requests)
+	id, ok := drawKey(t, m.requests)
 	if !ok || len(m.requests[id].responder.responses) > 0 {
 		return
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-// pick draws one key of m in a fixed order, so that a failing run can be repeated.
-func pick[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
+// drawKey draws one key of m in a fixed order, so that a failing run can be repeated.
+func drawKey[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	if len(m) == 0 {
 		var none K
 		return none, false
--- a/internal/router/process.go
+++ b/internal/router/process.go
@@ -54,7 +54,7 @@
 // handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
 func (c *Core) handleEvents() {
 	c.actions = c.actions[:0]
-	batch := c.events.take()
+	batch := c.events.takeBatch()
 	for _, event := range batch {
 		if event != nil {
 			c.actions = c.policy.Handle(c.timers.now, event, c.actions)
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -25,7 +25,7 @@
 }
 
 // Requests are routed by converting their Front, so the two types must agree.
-func TestFrontsAreThoseOfRoutes(t *testing.T) {
+func TestFrontsMatchRouteFronts(t *testing.T) {
 	for _, test := range []struct {
 		front Front
 		want  route.Front
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -18,8 +18,8 @@
 	events      *eventQueue
 	counters    *Counters
 
-	table      requestTable
-	rejectsNew bool // the program is about to exit
+	table     requestTable
+	rejectNew bool // the program is about to exit
 }
 
 // tenantIndexes returns the index of each tenant by name.
@@ -47,7 +47,7 @@
 
 // cancel ends a request whose client no longer waits for it, without a response.
 func (t *requestTracker) cancel(id policy.RequestID) {
-	tracked := t.table.open(id)
+	tracked := t.table.getOpen(id)
 	if tracked == nil {
 		return
 	}
@@ -67,7 +67,7 @@
 	tracked.completed = true
 	t.notifyCompleted(&tracked.request, completion)
 	t.table.freeCapacity(tracked)
-	t.release(tracked)
+	t.removeIfCompleted(tracked)
 }
 
 // notifyCompleted calls Config.OnCompleted, where one is set.
@@ -77,9 +77,9 @@
 	}
 }
 
-// release removes a request from the table once it has completed and none of its attempts is in flight.
-func (t *requestTracker) release(tracked *trackedRequest) {
-	if t.table.removeEnded(tracked) {
+// removeIfCompleted removes a request from the table once it has completed and none of its attempts is in flight.
+func (t *requestTracker) removeIfCompleted(tracked *trackedRequest) {
+	if t.table.removeIfCompleted(tracked) {
 		t.timers.remove(tracked.deadline)
 	}
 }
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -24,7 +24,7 @@
 type trackedAttempt struct {
 	worker    policy.WorkerID
 	startedAt time.Duration
-	ended     bool
+	completed bool
 	timeout   *timerEntry // nil: only the request's deadline limits it
 }
 
@@ -36,9 +36,9 @@
 	return attempt
 }
 
-// endAttempt records the end of an attempt that is in flight.
-func (r *trackedRequest) endAttempt(attempt *trackedAttempt, outcome policy.Outcome) {
-	attempt.ended = true
+// completeAttempt records the end of an attempt that is in flight.
+func (r *trackedRequest) completeAttempt(attempt *trackedAttempt, outcome policy.Outcome) {
+	attempt.completed = true
 	r.inFlight--
 	if !outcome.NeverRan() {
 		r.mayHaveRun = true
@@ -95,8 +95,8 @@
 // get returns a tracked request, or nil.
 func (t *requestTable) get(id policy.RequestID) *trackedRequest { return t.requests[id] }
 
-// open returns a tracked request that is owed a response, or nil.
-func (t *requestTable) open(id policy.RequestID) *trackedRequest {
+// getOpen returns a tracked request that is owed a response, or nil.
+func (t *requestTable) getOpen(id policy.RequestID) *trackedRequest {
 	tracked := t.requests[id]
 	if tracked == nil || tracked.completed {
 		return nil
@@ -111,14 +111,14 @@
 		return nil, nil
 	}
 	attempt := &tracked.attempts[a.Number]
-	if attempt.ended {
+	if attempt.completed {
 		return nil, nil
 	}
 	return tracked, attempt
 }
 
-// ids returns the identifiers of all tracked requests in ascending order.
-func (t *requestTable) ids() []policy.RequestID { return slices.Sorted(maps.Keys(t.requests)) }
+// sortedIDs returns the identifiers of all tracked requests in ascending order.
+func (t *requestTable) sortedIDs() []policy.RequestID { return slices.Sorted(maps.Keys(t.requests)) }
 
 // freeCapacity frees the capacity of a request that has completed, and what it holds of its client. It is called once
 // for each request.
@@ -129,8 +129,8 @@
 	tracked.request.Responder = nil
 }
 
-// removeEnded removes a request that has completed and of which no attempt is in flight, and reports whether it did.
-func (t *requestTable) removeEnded(tracked *trackedRequest) bool {
+// removeIfCompleted removes a request that has completed and of which no attempt is in flight, and reports whether it did.
+func (t *requestTable) removeIfCompleted(tracked *trackedRequest) bool {
 	if !tracked.completed || tracked.inFlight > 0 || t.requests[tracked.id] != tracked {
 		return false
 	}
--- a/internal/router/requesttable_test.go
+++ b/internal/router/requesttable_test.go
@@ -16,25 +16,25 @@
 	}
 	tracked := table.add(Request{ID: "a", Body: make([]byte, 4)})
 	attempt := tracked.addAttempt(7, start)
-	if table.hasCapacity(&limits, 0) || !table.isTracked("a") || table.open(tracked.id) != tracked {
+	if table.hasCapacity(&limits, 0) || !table.isTracked("a") || table.getOpen(tracked.id) != tracked {
 		t.Fatal("the request does not count as open")
 	}
 
 	tracked.completed = true
 	table.freeCapacity(tracked)
-	if !table.hasCapacity(&limits, 10) || table.open(tracked.id) != nil {
+	if !table.hasCapacity(&limits, 10) || table.getOpen(tracked.id) != nil {
 		t.Error("a completed request still counts as open")
 	}
-	if table.removeEnded(tracked) || !table.isTracked("a") {
+	if table.removeIfCompleted(tracked) || !table.isTracked("a") {
 		t.Error("a request left the table while its attempt was in flight")
 	}
 
 	_, inFlight := table.attemptInFlight(attempt)
-	tracked.endAttempt(inFlight, policy.Failed)
-	if !tracked.mayHaveRun || !table.removeEnded(tracked) || table.isTracked("a") {
+	tracked.completeAttempt(inFlight, policy.Failed)
+	if !tracked.mayHaveRun || !table.removeIfCompleted(tracked) || table.isTracked("a") {
 		t.Error("a request whose attempts have ended stays in the table")
 	}
-	if table.removeEnded(tracked) {
+	if table.removeIfCompleted(tracked) {
 		t.Error("a request left the table twice")
 	}
 }
@@ -52,7 +52,7 @@
 			t.Errorf("found attempt %+v, which was never added", absent)
 		}
 	}
-	if ids := table.ids(); !slices.Equal(ids, []policy.RequestID{1, 2}) {
+	if ids := table.sortedIDs(); !slices.Equal(ids, []policy.RequestID{1, 2}) {
 		t.Errorf("identifiers %v, want 1 and 2", ids)
 	}
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -19,7 +19,7 @@
 
 // respondUnserved gives an open request a response that is not a worker's: it is rejected, or has failed.
 func (t *requestTracker) respondUnserved(id policy.RequestID, response Response) {
-	tracked := t.table.open(id)
+	tracked := t.table.getOpen(id)
 	if tracked == nil {
 		return
 	}
@@ -31,9 +31,9 @@
 	t.withdrawUnsentAttempts(tracked)
 }
 
-// endOpenRequests gives each open request its final response, as its deadline would.
-func (t *requestTracker) endOpenRequests() {
-	for _, id := range t.table.ids() {
+// completeOpenRequests gives each open request its final response, as its deadline would.
+func (t *requestTracker) completeOpenRequests() {
+	for _, id := range t.table.sortedIDs() {
 		t.deadlineExceeded(id)
 	}
 }
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -109,7 +109,7 @@
 
 // SetRoutes swaps the table whole: open requests end under the table that they began with and stay counted, new ones
 // go by the new table, and workers that are listed later are sorted into its pools.
-func TestOpenRequestsEndUnderTheirRouteTable(t *testing.T) {
+func TestOpenRequestsKeepTheirRouteTable(t *testing.T) {
 	core, workers := newRoutedCore(t)
 	core.SetRoutes(newTestRoutes(t, 2))
 	send := func(clientID string) (policy.RequestID, *recordingResponder) {
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request that the module has not ended by its deadline is ended by the core: rejected only where nothing was sent.
-func TestDeadlineEndsRequestsThatTheModuleDidNot(t *testing.T) {
+func TestDeadlineCompletesRequestsThatTheModuleLeftOpen(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		endpoints    policy.EndpointList
@@ -35,7 +35,7 @@
 			if deadline.Value.kind != requestDeadline || deadline.Due() != start+3*time.Second {
 				t.Fatalf("deadline timer %+v", deadline)
 			}
-			fireBeforeTheModule(t, core, deadline)
+			fireBeforePolicyTimers(t, core, deadline)
 			core.Process(core.timers.now)
 			wantResponses(t, responder, 1)
 			response := responder.responses[0]
@@ -49,8 +49,8 @@
 	}
 }
 
-// fireBeforeTheModule fires a timer that is set, ahead of those of the module that are due before it.
-func fireBeforeTheModule(t *testing.T, core *Core, entry *timerEntry) {
+// fireBeforePolicyTimers fires a timer that is set, ahead of those of the module that are due before it.
+func fireBeforePolicyTimers(t *testing.T, core *Core, entry *timerEntry) {
 	t.Helper()
 	set := core.timers.heap.Len()
 	core.timers.remove(entry)
--- a/internal/router/validate.go
+++ b/internal/router/validate.go
@@ -17,7 +17,7 @@
 const functionKeyLength = 16
 
 // InRange reports whether a figure is a number from 0 to limit. NaN is not.
-func InRange(figure, limit float64) bool { return figure >= 0 && figure <= limit }
+func InRange(value, limit float64) bool { return value >= 0 && value <= limit }
 
 // ParseFunctionKey parses a function key or request ID: 16 hex digits in lower case. It returns false for any other
 // text of the same number, because workers compare keys as text, and a load names its function in this form.
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -38,7 +38,7 @@
 	// events: 10
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func wantNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s is %v, want %v", what, got, want)
@@ -47,18 +47,18 @@
 
 func TestDecayingMean(t *testing.T) {
 	mean := DecayingMean{Span: time.Second, MinCount: 2}
-	near(t, "the mean of nothing", mean.Mean(time.Hour), 0)
+	wantNear(t, "the mean of nothing", mean.Mean(time.Hour), 0)
 	mean.Observe(0, 6)
-	near(t, "the mean of 6 and the zero", mean.Mean(0), 3)
+	wantNear(t, "the mean of 6 and the zero", mean.Mean(0), 3)
 	// One observation is few: it decays half as fast.
 	retained := math.Exp(-0.5)
-	near(t, "the mean a second later", mean.Mean(time.Second), 6*retained/(retained+1))
+	wantNear(t, "the mean a second later", mean.Mean(time.Second), 6*retained/(retained+1))
 	mean.Observe(0, 9)
-	near(t, "the mean of 6, 9 and the zero", mean.Mean(0), 5)
+	wantNear(t, "the mean of 6, 9 and the zero", mean.Mean(0), 5)
 	retained = math.Exp(-1)
-	near(t, "the mean of two a second later", mean.Mean(time.Second), 15*retained/(2*retained+1))
+	wantNear(t, "the mean of two a second later", mean.Mean(time.Second), 15*retained/(2*retained+1))
 	mean.Observe(time.Second, 0)
-	near(t, "the weight", mean.Weight(), 2*retained+1)
+	wantNear(t, "the weight", mean.Weight(), 2*retained+1)
 	if mean.Updated() != time.Second {
 		t.Errorf("updated at %v", mean.Updated())
 	}
@@ -68,36 +68,36 @@
 	mean := RunningMean{Mean: 100} // a first guess
 	for _, step := range []struct{ value, want float64 }{{4, 4}, {8, 6}, {9, 7}, {13, 9}, {0, 6}} {
 		mean.Observe(step.value, 3)
-		near(t, fmt.Sprint("the mean after ", step.value), mean.Mean, step.want)
+		wantNear(t, fmt.Sprint("the mean after ", step.value), mean.Mean, step.want)
 	}
-	near(t, "the count", mean.Count, 3)
+	wantNear(t, "the count", mean.Count, 3)
 }
 
 func TestSkewedMean(t *testing.T) {
 	mean := SkewedMean{Mean: 100}
 	mean.Observe(120, 20, 4)
-	near(t, "the mean after a higher value", mean.Mean, 101)
+	wantNear(t, "the mean after a higher value", mean.Mean, 101)
 	mean.Observe(81, 20, 4)
-	near(t, "the mean after a lower value", mean.Mean, 96)
+	wantNear(t, "the mean after a lower value", mean.Mean, 96)
 	mean.Observe(96, 20, 4)
-	near(t, "the mean after the same value", mean.Mean, 96)
+	wantNear(t, "the mean after the same value", mean.Mean, 96)
 }
 
 func TestClamp(t *testing.T) {
 	for _, step := range []struct{ v, want float64 }{
 		{0.5, 0.5}, {-3, 0}, {7, 1}, {math.Inf(1), 1}, {math.Inf(-1), 0}, {math.NaN(), 0},
 	} {
-		near(t, fmt.Sprint("clamped ", step.v), Clamp(step.v, 0, 1), step.want)
+		wantNear(t, fmt.Sprint("clamped ", step.v), Clamp(step.v, 0, 1), step.want)
 	}
 }
 
 func TestRegression(t *testing.T) {
 	var line Regression
-	near(t, "a prediction from nothing", line.Predict(5, 1), 0)
+	wantNear(t, "a prediction from nothing", line.Predict(5, 1), 0)
 	line.Observe(0.25, 1, 0.5)
-	near(t, "a prediction from less than the minimum", line.Predict(5, 1), 5)
+	wantNear(t, "a prediction from less than the minimum", line.Predict(5, 1), 5)
 	line.Observe(3.875, 7.5, 0.5)
-	near(t, "a prediction", line.Predict(5, 1), 10)
+	wantNear(t, "a prediction", line.Predict(5, 1), 10)
 }
 
 func TestTokenBucket(t *testing.T) {
@@ -107,11 +107,11 @@
 		want float64
 	}{{time.Second, 1}, {1500 * time.Millisecond, 2}, {time.Minute, 4}, {time.Minute, 4}} {
 		bucket.Refill(step.at)
-		near(t, fmt.Sprint("level at ", step.at), bucket.Tokens, step.want)
+		wantNear(t, fmt.Sprint("level at ", step.at), bucket.Tokens, step.want)
 	}
 	bucket.Tokens--
 	bucket.Add(0.5)
-	near(t, "level after one was taken and half a one added", bucket.Tokens, 3.5)
+	wantNear(t, "level after one was taken and half a one added", bucket.Tokens, 3.5)
 }
 
 func TestSlidingWindow(t *testing.T) {
@@ -124,7 +124,7 @@
 			t.Fatalf("%d events at %v, want %d", got, at*time.Second, want)
 		}
 	}
-	if len(window.times) > 2*compactAfter+11 {
+	if len(window.times) > 2*compactThreshold+11 {
 		t.Errorf("%d times are kept", len(window.times))
 	}
 	window.Remove(995 * time.Second)
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// compactAfter is the number of dropped times from which on a SlidingWindow may move the rest to the front of its
+// compactThreshold is the number of dropped times from which on a SlidingWindow may move the rest to the front of its
 // memory.
-const compactAfter = 64
+const compactThreshold = 64
 
 // SlidingWindow counts events by their times, each at or after the one before. The zero SlidingWindow is empty.
 type SlidingWindow struct {
@@ -27,7 +27,7 @@
 	for w.first < len(w.times) && w.times[w.first] < from {
 		w.first++
 	}
-	if w.first > compactAfter && w.first > len(w.times)/2 {
+	if w.first > compactThreshold && w.first > len(w.times)/2 {
 		w.times = append(w.times[:0], w.times[w.first:]...)
 		w.first = 0
 	}
