--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -2,7 +2,7 @@
 
 import "crankhold/policy"
 
-// accept tracks a request and returns its identifier, or responds to it at once and returns 0.
+// accept adds a request to the table and returns its identifier, or responds to the request at once and returns 0.
 func (t *requestTracker) accept(r Request) policy.RequestID {
 	if t.rejectNew || !t.table.hasCapacity(&t.limits, len(r.Body)) {
 		t.rejectAtCapacity(r)
@@ -26,33 +26,34 @@
 	return tracked.id
 }
 
-// rejectAtCapacity rejects a request for want of capacity; the decision module does not see it.
+// rejectAtCapacity rejects a request because the core or its front has no capacity for it, or because the process is
+// about to exit. The decision module does not see the request.
 func (t *requestTracker) rejectAtCapacity(r Request) {
 	t.counters.Accepted[r.Front]++
 	t.counters.RejectedUnaccepted[r.Front]++
 	t.reject(r)
 }
 
-// failDuplicate fails a request under the ID of a tracked one. Workers tell requests apart by ID, so they could give
-// the response of one to the other; it is not known which of the two the client means.
+// failDuplicate fails a request that has the ID of a tracked request. Workers distinguish requests by ID, so they could
+// return the response of one to the other. The core does not know which of the two the client means.
 func (t *requestTracker) failDuplicate(r Request) {
 	t.counters.Failed[r.Front]++
 	t.respondUntracked(r, CompletionFailed, Response{Status: Failed})
 }
 
-// reject rejects a request that is not tracked.
+// reject responds to an untracked request with status Rejected.
 func (t *requestTracker) reject(r Request) {
 	t.respondUntracked(r, CompletionRejected, Response{Status: Rejected, RetryAfter: t.limits.RetryAfter})
 }
 
-// respondUntracked responds to a request that never enters the table and that the module does not see.
+// respondUntracked completes a request that does not enter the table and that the decision module does not see.
 func (t *requestTracker) respondUntracked(r Request, completion Completion, response Response) {
 	r.AcceptedAt = t.timers.now
 	t.notifyCompleted(&r, completion)
 	r.Responder.Respond(response)
 }
 
-// queueArrival queues the arrival of a tracked request for the decision module.
+// queueArrival adds the policy.RequestArrived event of a tracked request to the event queue.
 func (t *requestTracker) queueArrival(tracked *trackedRequest, requestPolicy *policy.RequestPolicy) {
 	r := &tracked.request
 	tracked.arrival = t.events.nextPosition()
@@ -69,7 +70,7 @@
 	})
 }
 
-// tenantIndex returns a tenant's index in the module's configuration, or policy.NoTenant.
+// tenantIndex returns a tenant's index in policy.Config.Tenants, or policy.NoTenant if the name is not configured.
 func (t *requestTracker) tenantIndex(name string) int {
 	if index, ok := t.tenants[name]; ok {
 		return index
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -2,7 +2,8 @@
 
 import "crankhold/policy"
 
-// startAttempt forwards a request to a worker. Where that is no longer allowed the attempt ends as not sent.
+// startAttempt forwards a request to a worker. If that is no longer allowed, the attempt completes with the outcome
+// policy.NotSent.
 func (t *requestTracker) startAttempt(action policy.StartAttempt) {
 	tracked := t.table.get(action.Request)
 	if tracked == nil {
@@ -18,7 +19,7 @@
 		t.attemptCompleted(attempt, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
-	if budget == action.Limit { // otherwise the request's deadline comes first
+	if budget == action.Limit { // otherwise the request's deadline is earlier
 		tracked.attempts[attempt.Number].timeout = t.timers.addAttemptTimeout(attempt, budget)
 	}
 	tracked.request.SendBy = 0
@@ -29,7 +30,7 @@
 	t.workers.StartAttempt(action.Worker, attempt, &tracked.request, budget)
 }
 
-// mayStart reports whether an attempt may be sent: its request is open, and has not used up its attempts.
+// mayStart reports whether an attempt may be sent: the request must be open and have attempts left.
 func (t *requestTracker) mayStart(tracked *trackedRequest, attempt Attempt) bool {
 	if tracked.completed {
 		return false
@@ -37,7 +38,7 @@
 	return t.limits.MaxAttempts <= 0 || attempt.Number < t.limits.MaxAttempts
 }
 
-// attemptCompleted records the end of an attempt. It ignores an attempt that has ended already.
+// attemptCompleted records the result of an attempt. It does nothing if the attempt has already completed.
 func (t *requestTracker) attemptCompleted(a Attempt, result AttemptResult) {
 	tracked, attempt := t.table.attemptInFlight(a)
 	if attempt == nil {
@@ -67,8 +68,9 @@
 	t.removeIfCompleted(tracked)
 }
 
-// cancelAttempt ends an attempt before its worker has responded. The worker may go on with it, so it may have run,
-// unless it is withdrawn before it was sent. An unsent attempt that timed out is one whose worker was not reached.
+// cancelAttempt completes an attempt before its worker has responded. If the attempt was sent, it may have run, because
+// the worker may not stop it. If it was not sent, it is withdrawn and never runs. An unsent attempt that timed out gets
+// the outcome policy.Unreachable, because its worker could not be reached.
 func (t *requestTracker) cancelAttempt(a Attempt, outcome policy.Outcome) {
 	_, attempt := t.table.attemptInFlight(a)
 	if attempt == nil {
@@ -84,8 +86,8 @@
 	t.attemptCompleted(a, AttemptResult{Outcome: outcome})
 }
 
-// withdrawUnsentAttempts ends the attempts of a completed request that wait to be sent. The module may cancel
-// attempts only where the settings let it, but what was not sent needs no worker's consent.
+// withdrawUnsentAttempts completes the attempts of a completed request that have not been sent yet. The module cancels
+// attempts only if the settings say that workers support it. An unsent attempt needs no such support.
 func (t *requestTracker) withdrawUnsentAttempts(tracked *trackedRequest) {
 	for number := range tracked.attempts {
 		attempt := &tracked.attempts[number]
@@ -93,7 +95,8 @@
 		if attempt.completed || !t.workers.WithdrawUnsent(attempt.worker, a) {
 			continue
 		}
-		// Not as policy.NotSent: the wait shows the module how long its worker delays requests.
+		// The outcome is not policy.NotSent, because the module learns from the time of a canceled attempt how long its
+		// worker delays requests.
 		t.attemptCompleted(a, AttemptResult{Outcome: policy.Canceled})
 	}
 }
--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -6,26 +6,26 @@
 	"crankhold/policy"
 )
 
-// commandKind is the kind of a command to a worker.
+// commandKind is the kind of a command that a worker responds to.
 type commandKind uint8
 
-// The kinds of commands that await an answer.
+// The kinds of commands that a worker responds to.
 const (
 	loadCommand commandKind = iota
 	healthCheckCommand
 )
 
-// pendingCommand is a load or a health check that awaits the worker's answer.
+// pendingCommand is a load command or a health check that has not completed.
 type pendingCommand struct {
 	kind     commandKind
 	worker   policy.WorkerID
-	function policy.FunctionID // of a load
+	function policy.FunctionID // of a load command
 	issuedAt time.Duration
 	timeout  *timerEntry
 }
 
-// commandTracker issues commands that belong to no request, and keeps each load and health check until it is answered
-// or has timed out. Each kept command has a timer. It belongs to the core's goroutine.
+// commandTracker sends workers the commands that belong to no request. It stores each load command and each health
+// check, with its timer, until the worker responds or the timer fires. It belongs to the core's goroutine.
 type commandTracker struct {
 	limits   Limits
 	workers  WorkerClient
@@ -37,7 +37,7 @@
 	lastID  uint64
 }
 
-// execute carries out an action of the decision module that concerns no request.
+// execute executes an action of the decision module that belongs to no request.
 func (t *commandTracker) execute(action policy.Action) {
 	switch a := action.(type) {
 	case policy.Load:
@@ -46,13 +46,13 @@
 		t.checkHealth(a)
 	case policy.Unload:
 		t.counters.Unloads++
-		t.workers.Unload(a.Worker, a.Function) // no answer follows
+		t.workers.Unload(a.Worker, a.Function) // the worker does not respond
 	case policy.CloseIdleConnections:
 		t.workers.CloseIdle(a.Worker)
 	}
 }
 
-// load sends a worker a command to load replicas of a function.
+// load sends a load command to a worker.
 func (t *commandTracker) load(action policy.Load) {
 	t.counters.LoadsSent++
 	command := pendingCommand{kind: loadCommand, worker: action.Worker, function: action.Function}
@@ -68,7 +68,7 @@
 	t.workers.CheckHealth(action.Worker, id)
 }
 
-// add keeps a command until it is answered or times out, and returns its identifier.
+// add stores a command, starts its timer and returns its identifier.
 func (t *commandTracker) add(command pendingCommand, timeout time.Duration) uint64 {
 	t.lastID++
 	id := t.lastID
@@ -78,7 +78,8 @@
 	return id
 }
 
-// removePending removes and returns the pending command of that kind, or nil where there is none.
+// removePending removes a command and its timer, and returns the command. It returns nil if no command with this
+// identifier and kind is pending.
 func (t *commandTracker) removePending(id uint64, kind commandKind) *pendingCommand {
 	command := t.pending[id]
 	if command == nil || command.kind != kind {
@@ -89,13 +90,13 @@
 	return command
 }
 
-// isPendingLoad reports whether a load still awaits its answer.
+// isPendingLoad reports whether id is that of a load command that has not completed.
 func (t *commandTracker) isPendingLoad(id uint64) bool {
 	command := t.pending[id]
 	return command != nil && command.kind == loadCommand
 }
 
-// loadCompleted records the end of a load. It ignores a load that has ended already.
+// loadCompleted records the outcome of a load command. It does nothing if the command has already completed.
 func (t *commandTracker) loadCompleted(id uint64, outcome policy.Outcome, count int) {
 	command := t.removePending(id, loadCommand)
 	if command == nil {
@@ -111,7 +112,8 @@
 	})
 }
 
-// healthCheckCompleted records the end of a health check. It ignores a health check that has ended already.
+// healthCheckCompleted records the outcome of a health check. It does nothing if the health check has already
+// completed.
 func (t *commandTracker) healthCheckCompleted(id uint64, outcome policy.Outcome, report []float64) {
 	command := t.removePending(id, healthCheckCommand)
 	if command == nil {
@@ -126,7 +128,7 @@
 	})
 }
 
-// timedOut ends a command that was not answered in time.
+// timedOut completes a command to which the worker did not respond in time.
 func (t *commandTracker) timedOut(id uint64) {
 	command := t.pending[id]
 	if command == nil {
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -7,39 +7,40 @@
 	"crankhold/policy"
 )
 
-// idleInterval is how long Process may go uncalled where no timer is set.
+// idleInterval is the time until the next call of Process if no timer is set.
 const idleInterval = time.Hour
 
-// Limits bounds a Core.
+// Limits bounds the requests, attempts and commands of a Core.
 type Limits struct {
 	MaxConcurrentRequests int           // requests that are open at the same time
-	MaxBytes              int           // bytes in the bodies of all open requests together
-	RetryAfter            time.Duration // Retry-After of requests that the core rejects itself; 0 for none
+	MaxBytes              int           // total size of the bodies of all open requests
+	RetryAfter            time.Duration // Retry-After of requests that the core itself rejects; 0 for none
 	MaxAttempts           int           // attempts of one request; 0 for no limit
-	LoadTimeout           time.Duration // a load that is not answered within it has timed out
-	HealthCheckTimeout    time.Duration // a health check that is not answered within it has timed out
+	LoadTimeout           time.Duration // time in which a worker must respond to a load command
+	HealthCheckTimeout    time.Duration // time in which a worker must respond to a health check
 }
 
-// Config is what a Core is made from, beside the decision module.
+// Config configures a Core.
 type Config struct {
-	// Limits bounds the core.
+	// Limits are the limits of the core.
 	Limits Limits
 	// Tenants are the tenants' names, in the order of policy.Config.Tenants.
 	Tenants []string
-	// NewWorkerClient returns the client that carries messages to workers. New calls it once, with the core that the
-	// client notifies of its results. It must not call the core.
+	// NewWorkerClient returns the client that sends messages to workers. New calls it once, with the core to which the
+	// client reports its results. NewWorkerClient must not call methods of the core.
 	NewWorkerClient func(core *Core) WorkerClient
-	// OnCompleted is called once for each request that was handed in, when it completes. It may be nil.
+	// OnCompleted is called once for each request that was passed to the core, when the request completes. It may be
+	// nil.
 	OnCompleted func(now time.Duration, r *Request, completion Completion)
 }
 
-// Core is the function router. It passes what happens to the part that it concerns, hands the events that follow to the
-// decision module, and has the parts carry out the module's actions. It belongs to one goroutine and is not safe for
-// concurrent use.
+// Core is the function router. It passes requests and results to the component that handles them, passes the resulting
+// events to the decision module, and lets its components execute the module's actions. It belongs to one goroutine and
+// is not safe for concurrent use.
 type Core struct {
 	policy  *policy.Policy
 	events  eventQueue
-	actions []policy.Action // reused by each batch
+	actions []policy.Action // of the current batch of events; the memory is reused for each batch
 
 	timers   timerQueue
 	routing  routing
@@ -50,7 +51,7 @@
 	Counters Counters
 }
 
-// New returns a Core that acts on the decisions of p.
+// New returns a Core that executes the decisions of p.
 func New(p *policy.Policy, config Config) *Core {
 	c := &Core{policy: p, timers: newTimerQueue()}
 	workers := config.NewWorkerClient(c)
@@ -76,70 +77,71 @@
 	return c
 }
 
-// SetNow moves the core's clock forward, before the events of a turn of the event loop are handed in. A time before
-// the present one changes nothing.
+// SetNow advances the core's clock. The event loop calls it before it passes the events of a turn to the core. A time
+// earlier than the current one has no effect.
 func (c *Core) SetNow(now time.Duration) { c.timers.setNow(now) }
 
-// Accept hands in a request and returns its identifier in the core, or 0 where the core responded at once and does
-// not track it. The response may be given before Accept returns.
+// Accept passes a request to the core and returns the core's identifier of it, or 0 if the core responded at once and
+// does not track the request. The core may respond before Accept returns.
 func (c *Core) Accept(now time.Duration, r Request) policy.RequestID {
 	c.SetNow(now)
 	return c.requests.accept(r)
 }
 
-// RejectUnaccepted rejects a request for want of capacity of a front. The decision module does not see it.
+// RejectUnaccepted rejects a request because a front has no capacity for it. The decision module does not see it.
 func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
 	c.SetNow(now)
 	c.requests.rejectAtCapacity(r)
 }
 
-// CancelRequest notifies the core that the client no longer waits for a request. It gets no response.
+// CancelRequest cancels a request because its client no longer waits for the response. The core gives no response to
+// it.
 func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
 	c.SetNow(now)
 	c.requests.cancel(id)
 }
 
-// RejectNew has the core reject every request from now on, because the program is about to exit: it can't while clients
-// go on sending.
+// RejectNew makes the core reject all further requests. It is called before the process exits: a client that kept
+// sending requests would otherwise delay the exit, because the process waits for open requests.
 func (c *Core) RejectNew() { c.requests.rejectNew = true }
 
-// EndOpenRequests gives each open request its final response now, as its deadline would. It is for a program that is
-// about to end.
+// EndOpenRequests completes each open request now, like the deadline of the request does. It is called before the
+// process exits.
 func (c *Core) EndOpenRequests() { c.requests.completeOpenRequests() }
 
-// OpenRequests returns the number of requests that are owed a response.
+// OpenRequests returns the number of requests without a final response.
 func (c *Core) OpenRequests() int { return c.requests.table.openCount }
 
-// AttemptCompleted notifies the core of how an attempt ended. It ignores an attempt that has ended already.
+// AttemptCompleted reports the result of an attempt. It does nothing if the attempt has already completed.
 func (c *Core) AttemptCompleted(a Attempt, result AttemptResult) {
 	c.requests.attemptCompleted(a, result)
 }
 
-// LoadCompleted notifies the core of how a load ended, and of how many replicas of its function the worker holds. It
-// ignores a load that has ended already.
+// LoadCompleted reports the outcome of a load command, and the number of replicas of its function at the worker. It
+// does nothing if the command has already completed.
 func (c *Core) LoadCompleted(commandID uint64, outcome policy.Outcome, count int) {
 	c.commands.loadCompleted(commandID, outcome, count)
 }
 
-// MaySendLoad reports whether a load that waited for a connection may be sent now.
+// MaySendLoad reports whether a load command that waited for a connection may be sent now.
 func (c *Core) MaySendLoad(commandID uint64) bool {
 	return c.commands.isPendingLoad(commandID) && c.policy.MayStillLoad(c.timers.now)
 }
 
-// HealthCheckCompleted notifies the core of how a health check ended, with the worker's load report in the order of
-// policy.Config.LoadReportFields. It ignores a health check that has ended already.
+// HealthCheckCompleted reports the outcome of a health check, and the worker's load report in the order of
+// policy.Config.LoadReportFields. It does nothing if the health check has already completed.
 func (c *Core) HealthCheckCompleted(commandID uint64, outcome policy.Outcome, report []float64) {
 	c.commands.healthCheckCompleted(commandID, outcome, report)
 }
 
-// SetEndpoints hands in the endpoint list, or a change of it.
+// SetEndpoints passes the endpoint list, or a change of it, to the decision module.
 func (c *Core) SetEndpoints(l policy.EndpointList) { c.events.add(l) }
 
-// SetRouteWorkers sets the workers from which the pools of the route table are formed, now and after each SetRoutes.
+// SetRouteWorkers sets the workers from which the route table in force, and each later one, selects its pools.
 func (c *Core) SetRouteWorkers(list []route.Worker) { c.routing.setWorkers(list) }
 
-// SetRoutes has requests routed by t from now on; those that are open end under the table that they began with. With
-// nil every request may go to every worker.
+// SetRoutes routes new requests by t. Open requests keep the table by which they were routed. If t is nil, every
+// request may go to every worker.
 func (c *Core) SetRoutes(t *route.Table) { c.routing.setTable(t) }
 
 // Routes returns the route table in force, or nil.
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -2,32 +2,32 @@
 
 import "crankhold/policy"
 
-// outcomeCount is the number of policy's outcomes.
+// outcomeCount is the number of values of policy.Outcome.
 const outcomeCount = policy.NotLoaded + 1
 
-// Counters counts what a Core has accepted, sent and completed since it was made.
+// Counters counts what a Core has accepted, sent and completed since it was created.
 type Counters struct {
-	Accepted           [frontCount]uint64 // requests handed in, by front, rejected ones included
+	Accepted           [frontCount]uint64 // requests passed to the core, by front, including those it rejected at once
 	Served             [frontCount]uint64 // completed with a worker's response
-	Rejected           [frontCount]uint64 // completed by a rejection, other than the two below
-	Failed             [frontCount]uint64 // completed by a failure
+	Rejected           [frontCount]uint64 // rejected for other reasons than the two below
+	Failed             [frontCount]uint64 // completed with status Failed
 	Canceled           [frontCount]uint64 // canceled by their clients
-	RejectedUnaccepted [frontCount]uint64 // rejected for want of capacity
-	RejectedUnrouted   [frontCount]uint64 // rejected because no route, or one without a pool, matched
+	RejectedUnaccepted [frontCount]uint64 // rejected because the core or the front had no capacity
+	RejectedUnrouted   [frontCount]uint64 // rejected because no route matched, or one without a pool
 
-	AttemptsStarted uint64 // attempts handed to the worker client
+	AttemptsStarted uint64 // attempts passed to the worker client
 	LoadsSent       uint64
 	HealthChecks    uint64
 	Unloads         uint64
 
-	AttemptsByOutcome     [outcomeCount]uint64 // attempts that ended, those not sent included
+	AttemptsByOutcome     [outcomeCount]uint64 // completed attempts, including those that were never sent
 	LoadsByOutcome        [outcomeCount]uint64
 	HealthChecksByOutcome [outcomeCount]uint64
 
-	DeadlineExceeded uint64 // requests that the core's deadline timer completed, not the module
+	DeadlineExceeded uint64 // requests that the core completed at their deadline because the module had not
 }
 
-// countUnserved counts a response that is not a worker's, and returns the completion that it stands for.
+// countUnserved counts a response with status Rejected or Failed, and returns the corresponding completion.
 func (c *Counters) countUnserved(front Front, status ResponseStatus) Completion {
 	if status == Rejected {
 		c.Rejected[front]++
--- a/internal/router/process.go
+++ b/internal/router/process.go
@@ -6,8 +6,8 @@
 	"crankhold/policy"
 )
 
-// Process fires the timers that are due, hands the gathered events to the decision module and carries out its actions,
-// until nothing is left to do. It returns the time by which it has to be called again.
+// Process fires the timers that are due, passes the queued events to the decision module and executes its actions. It
+// repeats this until no event is left, and returns the time by which it must be called again.
 func (c *Core) Process(now time.Duration) (next time.Duration) {
 	c.SetNow(now)
 	for {
@@ -24,7 +24,7 @@
 	return now + idleInterval
 }
 
-// fireDueTimers fires all timers that are due, those included that a fired one sets for now.
+// fireDueTimers fires all timers that are due, including those that are set for the current time while it runs.
 func (c *Core) fireDueTimers() {
 	for {
 		due, ok := c.timers.popDue()
@@ -35,7 +35,7 @@
 	}
 }
 
-// fire does what a timer is for.
+// fire handles a timer that is due.
 func (c *Core) fire(entry *timerEntry) {
 	t := entry.Value
 	switch t.kind {
@@ -51,7 +51,7 @@
 	}
 }
 
-// handleEvents hands the batch of gathered events to the decision module and keeps the actions that it returns.
+// handleEvents passes the queued events to the decision module and stores the actions that it returns in c.actions.
 func (c *Core) handleEvents() {
 	c.actions = c.actions[:0]
 	batch := c.events.takeBatch()
@@ -63,15 +63,15 @@
 	c.events.recycle(batch)
 }
 
-// executeActions carries out the actions of the last batch, in order.
+// executeActions executes the actions that the module returned for the last batch of events, in order.
 func (c *Core) executeActions() {
 	for _, action := range c.actions {
 		c.execute(action)
 	}
 }
 
-// execute carries out one action. Actions that are not listed ask for what this deployment does not have: endpoint
-// lists arrive without a subscription, and the settings allow no gossip. The module's log lines are dropped.
+// execute executes one action. It ignores the kinds that it does not list, because this deployment does not need them:
+// endpoint lists arrive without a subscription, and the settings disable gossip. It also drops the module's log lines.
 func (c *Core) execute(action policy.Action) {
 	switch a := action.(type) {
 	case policy.StartAttempt, policy.CancelAttempt, policy.Reject, policy.FailRequest:
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -7,12 +7,12 @@
 	"crankhold/policy"
 )
 
-// ResponseMargin is how long before a client's own deadline a front sets Request.Deadline. The way back takes a
-// millisecond; the rest is for a machine that stalls: on an overcommitted one requests were seen to take 46 ms (99th
-// percentile) to get through the program, and one response was late.
+// ResponseMargin is the time that a front subtracts from a client's deadline to get Request.Deadline. Returning the
+// response to the client takes a millisecond. The rest is a reserve for machines that stall: on an overcommitted
+// machine requests took 46 ms (99th percentile) to pass through the process, and one response was late.
 const ResponseMargin = 40 * time.Millisecond
 
-// Front identifies the front that a request arrived by. Its values are those of route.Front.
+// Front identifies the front that received a request. Its values equal those of route.Front.
 type Front uint8
 
 // The fronts.
@@ -34,61 +34,61 @@
 	}
 }
 
-// Request is a request as a front hands it in.
+// Request is a request as a front passes it to the core.
 type Request struct {
 	Front          Front
 	Client         Client
 	Responder      Responder // gets the final response
-	ID             string    // the client's text; workers tell requests apart by it
-	Tenant         string    // who sends it, where the front has proof of that; "" otherwise
+	ID             string    // chosen by the client; workers distinguish requests by it
+	Tenant         string    // the sender, if the front could verify it; "" otherwise
 	Class          int       // index in policy.Config.Classes
 	Function       Function
-	IdempotencyKey string // passed on to the worker unchanged; "" for none
+	IdempotencyKey string // forwarded to the worker unchanged; "" for none
 	Body           []byte
-	Deadline       time.Duration // the final response must have left by then
+	Deadline       time.Duration // when the final response must have been sent
 
 	AcceptedAt time.Duration // set by the core
-	SendBy     time.Duration // set by the core: an attempt that starts now is not sent later; 0 for no such limit
+	SendBy     time.Duration // set by the core: latest time to send the attempt that is being started; 0 for no limit
 }
 
 // Function is the function that a request calls, as its client describes it.
 type Function struct {
-	Key      string            // the client's text
-	ID       policy.FunctionID // the number that Key stands for
+	Key      string            // function key, as the client wrote it
+	ID       policy.FunctionID // Key as a number
 	MemoryMB float64           // memory of one replica
 	Lanes    float64           // requests that one replica runs at a time
-	LoadTime time.Duration     // usual time of a load; 0 for unknown
+	LoadTime time.Duration     // how long a load usually takes; 0 if unknown
 }
 
-// Client is where a request comes from. The core passes it on, for flow records and notices.
+// Client identifies the client of a request, for flow records and notices. The core does not use it.
 type Client struct {
 	Address   netip.AddrPort
-	Reference string // the client's own name for the request, where that is not Request.ID
+	Reference string // the client's own ID of the request, if it is not Request.ID
 }
 
-// Responder is owed the final response to a request.
+// Responder sends the final response to the client of a request.
 type Responder interface {
-	// Respond gives the final response. It is called at most once for a request.
+	// Respond sends the final response. The core calls it at most once for each request.
 	Respond(Response)
 }
 
 // Response is the final response to a request.
 type Response struct {
 	Status           ResponseStatus
-	Body             []byte        // of the worker, where Status is Served
-	RetryAfter       time.Duration // how long a rejected client should stay away; 0 for no advice
-	MayHaveRun       bool          // it is not proven that no attempt ever ran
-	DeadlineExceeded bool          // the request's time was over
+	Body             []byte        // from the worker, if Status is Served
+	RetryAfter       time.Duration // how long a rejected client should wait before it retries; 0 for no advice
+	MayHaveRun       bool          // an attempt ran, or may have run
+	DeadlineExceeded bool          // the request ran out of time; see deadlineTolerance
 }
 
-// ResponseStatus is the kind of a final response.
+// ResponseStatus is the status of a final response.
 type ResponseStatus uint8
 
 // The response statuses.
 const (
 	Served   ResponseStatus = iota // with the body that a worker returned
-	Rejected                       // trying again is harmless
-	Failed                         // without a promise: an attempt may have run
+	Rejected                       // a retry is safe
+	Failed                         // a retry may be unsafe, because an attempt may have run
 )
 
 // String returns the status in lower case.
@@ -105,8 +105,8 @@
 	}
 }
 
-// Completion is how a request ended. Its text is part of the type of webhook notices ("repair-order.refused"), so it
-// keeps the words of the operators' pages and must not change.
+// Completion is how a request completed. Its text is part of the type of webhook notices ("repair-order.refused") and
+// is documented for operators, so it must not change.
 type Completion string
 
 // The completions.
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -6,11 +6,11 @@
 	"crankhold/policy"
 )
 
-// requestTracker carries each request from its arrival to its completion, through its attempts. It gives each request
-// one final response at most, and calls onCompleted once for each. It belongs to the core's goroutine.
+// requestTracker takes each request from its arrival through its attempts to its completion. It responds to each
+// request at most once, and calls onCompleted once for each request. It belongs to the core's goroutine.
 type requestTracker struct {
 	limits      Limits
-	tenants     map[string]int // index in the module's configuration, by name
+	tenants     map[string]int // index in policy.Config.Tenants, by name
 	onCompleted func(now time.Duration, r *Request, completion Completion)
 	workers     WorkerClient
 	routing     *routing
@@ -19,10 +19,10 @@
 	counters    *Counters
 
 	table     requestTable
-	rejectNew bool // the program is about to exit
+	rejectNew bool // reject all further requests, because the process is about to exit
 }
 
-// tenantIndexes returns the index of each tenant by name.
+// tenantIndexes returns the index of each name in names.
 func tenantIndexes(names []string) map[string]int {
 	indexes := make(map[string]int, len(names))
 	for i, name := range names {
@@ -31,7 +31,7 @@
 	return indexes
 }
 
-// execute carries out an action of the decision module that concerns a request.
+// execute executes an action of the decision module that belongs to a request.
 func (t *requestTracker) execute(action policy.Action) {
 	switch a := action.(type) {
 	case policy.StartAttempt:
@@ -45,7 +45,7 @@
 	}
 }
 
-// cancel ends a request whose client no longer waits for it, without a response.
+// cancel completes a request without a response, because its client no longer waits for it.
 func (t *requestTracker) cancel(id policy.RequestID) {
 	tracked := t.table.getOpen(id)
 	if tracked == nil {
@@ -54,15 +54,15 @@
 	t.counters.Canceled[tracked.request.Front]++
 	t.complete(tracked, CompletionCanceled)
 	if t.events.withdraw(tracked.arrival) {
-		// The module has not seen the request and never will. Nothing was asked of it, so nothing may grow by a client
-		// that sends requests and cancels them, the load budget least of all.
+		// The module never sees the request. Otherwise a client that sends requests and cancels them at once
+		// would enlarge the module's counts, above all the load budget.
 		return
 	}
 	t.events.add(policy.RequestCanceled{Request: id})
 	t.withdrawUnsentAttempts(tracked)
 }
 
-// complete ends a request that has its response, or that was canceled.
+// complete marks a request as completed, after its response was given or its client canceled it.
 func (t *requestTracker) complete(tracked *trackedRequest, completion Completion) {
 	tracked.completed = true
 	t.notifyCompleted(&tracked.request, completion)
@@ -70,14 +70,15 @@
 	t.removeIfCompleted(tracked)
 }
 
-// notifyCompleted calls Config.OnCompleted, where one is set.
+// notifyCompleted calls Config.OnCompleted, if it is set.
 func (t *requestTracker) notifyCompleted(r *Request, completion Completion) {
 	if t.onCompleted != nil {
 		t.onCompleted(t.timers.now, r, completion)
 	}
 }
 
-// removeIfCompleted removes a request from the table once it has completed and none of its attempts is in flight.
+// removeIfCompleted removes a request and its deadline timer if the request has completed and none of its attempts is
+// in flight.
 func (t *requestTracker) removeIfCompleted(tracked *trackedRequest) {
 	if t.table.removeIfCompleted(tracked) {
 		t.timers.remove(tracked.deadline)
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -8,16 +8,16 @@
 	"crankhold/policy"
 )
 
-// trackedRequest is a request in the request table: it is owed a response, or attempts of it are in flight.
+// trackedRequest is a request in the request table. It has no final response yet, or attempts of it are in flight.
 type trackedRequest struct {
 	id         policy.RequestID
 	request    Request
-	arrival    eventPosition // of its policy.RequestArrived
+	arrival    eventPosition // of its policy.RequestArrived event
 	deadline   *timerEntry
 	attempts   []trackedAttempt
-	inFlight   int  // attempts that have not ended
-	mayHaveRun bool // an attempt ended without proof that it never ran
-	completed  bool // it has its response, or was canceled
+	inFlight   int  // number of attempts that have not completed
+	mayHaveRun bool // an attempt completed without proof that it never ran
+	completed  bool // it got its final response, or its client canceled it
 }
 
 // trackedAttempt is the state of one attempt of a tracked request.
@@ -25,10 +25,10 @@
 	worker    policy.WorkerID
 	startedAt time.Duration
 	completed bool
-	timeout   *timerEntry // nil: only the request's deadline limits it
+	timeout   *timerEntry // nil if only the request's deadline limits the attempt
 }
 
-// addAttempt adds an attempt that is in flight from now on.
+// addAttempt adds an attempt that is in flight, and returns its identifier.
 func (r *trackedRequest) addAttempt(worker policy.WorkerID, now time.Duration) Attempt {
 	attempt := Attempt{Request: r.id, Number: len(r.attempts)}
 	r.attempts = append(r.attempts, trackedAttempt{worker: worker, startedAt: now})
@@ -36,7 +36,7 @@
 	return attempt
 }
 
-// completeAttempt records the end of an attempt that is in flight.
+// completeAttempt marks an attempt that is in flight as completed.
 func (r *trackedRequest) completeAttempt(attempt *trackedAttempt, outcome policy.Outcome) {
 	attempt.completed = true
 	r.inFlight--
@@ -45,14 +45,14 @@
 	}
 }
 
-// requestTable owns the tracked requests. It has each of them under its identifier and, until it leaves the table, its
-// client's ID, and counts those whose capacity has not been freed. It belongs to the core's goroutine.
+// requestTable stores the tracked requests by identifier, and reserves the clients' IDs of these requests. It counts
+// the open requests and the bytes of their bodies. It belongs to the core's goroutine.
 type requestTable struct {
 	requests  map[policy.RequestID]*trackedRequest
 	clientIDs map[string]struct{} // Request.ID of each tracked request
 	lastID    policy.RequestID
-	openCount int // tracked requests that are owed a response
-	openBytes int // bytes of their bodies
+	openCount int // number of tracked requests that have not completed
+	openBytes int // total size of their bodies
 }
 
 func newRequestTable() requestTable {
@@ -62,18 +62,18 @@
 	}
 }
 
-// hasCapacity reports whether a further request with a body of the given size stays within the limits.
+// hasCapacity reports whether the limits allow one more request with a body of the given size.
 func (t *requestTable) hasCapacity(limits *Limits, bodySize int) bool {
 	return t.openCount < limits.MaxConcurrentRequests && t.openBytes+bodySize <= limits.MaxBytes
 }
 
-// isTracked reports whether a request under the client's ID is in the table.
+// isTracked reports whether the table has a request with this client's ID.
 func (t *requestTable) isTracked(clientID string) bool {
 	_, tracked := t.clientIDs[clientID]
 	return tracked
 }
 
-// add puts a request into the table, under a new identifier.
+// add adds a request to the table with a new identifier.
 func (t *requestTable) add(r Request) *trackedRequest {
 	tracked := &trackedRequest{id: t.nextID(), request: r}
 	t.requests[tracked.id] = tracked
@@ -83,7 +83,7 @@
 	return tracked
 }
 
-// nextID returns an identifier that no tracked request has. 0 stands for no request.
+// nextID returns an identifier that no tracked request has. It is never 0, which stands for no request.
 func (t *requestTable) nextID() policy.RequestID {
 	t.lastID++
 	for t.lastID == 0 || t.requests[t.lastID] != nil {
@@ -95,7 +95,7 @@
 // get returns a tracked request, or nil.
 func (t *requestTable) get(id policy.RequestID) *trackedRequest { return t.requests[id] }
 
-// getOpen returns a tracked request that is owed a response, or nil.
+// getOpen returns a tracked request that has not completed, or nil.
 func (t *requestTable) getOpen(id policy.RequestID) *trackedRequest {
 	tracked := t.requests[id]
 	if tracked == nil || tracked.completed {
@@ -104,7 +104,8 @@
 	return tracked
 }
 
-// attemptInFlight returns an attempt that has not ended, with its request, or nil for both.
+// attemptInFlight returns an attempt that has not completed, with its request. It returns nil for both if there is
+// none.
 func (t *requestTable) attemptInFlight(a Attempt) (*trackedRequest, *trackedAttempt) {
 	tracked := t.requests[a.Request]
 	if tracked == nil || a.Number >= len(tracked.attempts) {
@@ -120,8 +121,8 @@
 // sortedIDs returns the identifiers of all tracked requests in ascending order.
 func (t *requestTable) sortedIDs() []policy.RequestID { return slices.Sorted(maps.Keys(t.requests)) }
 
-// freeCapacity frees the capacity of a request that has completed, and what it holds of its client. It is called once
-// for each request.
+// freeCapacity subtracts a completed request from the counts of open requests, and releases its body and its responder.
+// It is called once for each request.
 func (t *requestTable) freeCapacity(tracked *trackedRequest) {
 	t.openCount--
 	t.openBytes -= len(tracked.request.Body)
@@ -129,7 +130,8 @@
 	tracked.request.Responder = nil
 }
 
-// removeIfCompleted removes a request that has completed and of which no attempt is in flight, and reports whether it did.
+// removeIfCompleted removes a request if it has completed and none of its attempts is in flight. It reports whether it
+// removed the request.
 func (t *requestTable) removeIfCompleted(tracked *trackedRequest) bool {
 	if !tracked.completed || tracked.inFlight > 0 || t.requests[tracked.id] != tracked {
 		return false
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -6,18 +6,18 @@
 	"crankhold/policy"
 )
 
-// deadlineTolerance is how close to its deadline a request without a response counts as out of time. The module ends
-// requests two of its ticks before, 8 ms with this deployment's settings.
+// deadlineTolerance is the time before a request's deadline from which on its response is marked DeadlineExceeded. The
+// module completes requests two of its ticks before their deadlines, which is 8 ms with this deployment's settings.
 const deadlineTolerance = 10 * time.Millisecond
 
-// respondServed gives a request the response of its worker.
+// respondServed completes a request with the response of its worker.
 func (t *requestTracker) respondServed(tracked *trackedRequest, body []byte) {
 	t.counters.Served[tracked.request.Front]++
 	tracked.request.Responder.Respond(Response{Status: Served, Body: body, MayHaveRun: true})
 	t.complete(tracked, CompletionServed)
 }
 
-// respondUnserved gives an open request a response that is not a worker's: it is rejected, or has failed.
+// respondUnserved completes an open request with a response of status Rejected or Failed.
 func (t *requestTracker) respondUnserved(id policy.RequestID, response Response) {
 	tracked := t.table.getOpen(id)
 	if tracked == nil {
@@ -31,15 +31,15 @@
 	t.withdrawUnsentAttempts(tracked)
 }
 
-// completeOpenRequests gives each open request its final response, as its deadline would.
+// completeOpenRequests completes each open request like its deadline does.
 func (t *requestTracker) completeOpenRequests() {
 	for _, id := range t.table.sortedIDs() {
 		t.deadlineExceeded(id)
 	}
 }
 
-// deadlineExceeded ends a request whose time is over. The module ends each request before that; should it not, the
-// client still gets its response in time, as failed unless it is proven that no attempt ever ran.
+// deadlineExceeded completes a request at its deadline. Usually the module completes each request before that. If it
+// does not, the client still gets a response in time: Rejected if it is proven that no attempt ever ran, else Failed.
 func (t *requestTracker) deadlineExceeded(id policy.RequestID) {
 	tracked := t.table.get(id)
 	if tracked == nil {
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -7,13 +7,13 @@
 	"crankhold/policy"
 )
 
-// routing owns the route table in force and what its pools are formed from. It belongs to the core's goroutine.
+// routing owns the route table in force and the workers of its pools. It belongs to the core's goroutine.
 type routing struct {
-	table   *route.Table   // nil: every request may go to every worker
-	workers []route.Worker // from which the pools of each table are formed
+	table   *route.Table   // nil if every request may go to every worker
+	workers []route.Worker // from which the pools of each table are selected
 }
 
-// setWorkers forms the pools of the table anew, and those of later tables.
+// setWorkers sets the workers from which the pools of this table and of later tables are selected.
 func (r *routing) setWorkers(workers []route.Worker) {
 	r.workers = workers
 	if r.table != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// setTable replaces the table. Counters are carried over by name.
+// setTable replaces the table. The pools of the new table continue with the counters of the pools that they replace.
 func (r *routing) setTable(table *route.Table) {
 	if r.table != nil && table != nil {
 		table.CarryOver(r.table)
@@ -32,8 +32,8 @@
 	}
 }
 
-// route returns what the route table tightens for a request, nil where there is no table. It returns false where no
-// route matches the request, or one that rejects it.
+// route returns the limits that the route table sets for a request, or nil if there is no table. It returns false if no
+// route matches the request, or if the route that matches rejects it.
 func (r *routing) route(request *Request, now time.Duration) (*policy.RequestPolicy, bool) {
 	if r.table == nil {
 		return nil, true
@@ -44,8 +44,8 @@
 		Function: uint64(request.Function.ID),
 	}
 	if request.Front == Webhook {
-		// Routes see tenants of webhooks only, as the routes language promises: a tenant that arrives by Thrift counts
-		// for its quota alone.
+		// The routes language specifies that routes match only the tenants of webhooks. The tenant of a Thrift request
+		// is used for its quota only.
 		key.Tenant = request.Tenant
 	}
 	matched := r.table.Match(key)
--- a/internal/router/validate.go
+++ b/internal/router/validate.go
@@ -1,7 +1,7 @@
 package router
 
-// The limits of a request's figures. A function beyond them is none that a worker could hold, and would spoil the
-// decision module's estimates.
+// The limits of the numbers in a request. No worker could load a function that exceeds them, and its numbers would
+// distort the decision module's estimates.
 const (
 	MaxMemoryMB = 1 << 20
 	MaxLanes    = 1024
@@ -9,18 +9,18 @@
 	MaxWaitMs   = 600_000
 )
 
-// MaxIdempotencyKeyLength is the length in bytes of the longest idempotency key that is passed on. Those of the
-// platform have 32 digits.
+// MaxIdempotencyKeyLength is the length in bytes of the longest idempotency key that is forwarded. Keys of the platform
+// have 32 digits.
 const MaxIdempotencyKeyLength = 64
 
 // functionKeyLength is the number of hex digits in a function key.
 const functionKeyLength = 16
 
-// InRange reports whether a figure is a number from 0 to limit. NaN is not.
+// InRange reports whether value is a number from 0 to limit. It returns false for NaN.
 func InRange(value, limit float64) bool { return value >= 0 && value <= limit }
 
-// ParseFunctionKey parses a function key or request ID: 16 hex digits in lower case. It returns false for any other
-// text of the same number, because workers compare keys as text, and a load names its function in this form.
+// ParseFunctionKey parses a function key or request ID of 16 lower-case hex digits. It returns false for every other
+// spelling of the same number, because workers compare keys as text and load commands use this spelling.
 func ParseFunctionKey(text string) (key uint64, ok bool) {
 	if len(text) != functionKeyLength {
 		return 0, false
@@ -35,8 +35,8 @@
 	return key, true
 }
 
-// ValidIdempotencyKey reports whether an idempotency key can be passed on: hex digits of either case, at least one and
-// at most MaxIdempotencyKeyLength.
+// ValidIdempotencyKey reports whether an idempotency key can be forwarded: it must consist of hex digits of either
+// case, at least one and at most MaxIdempotencyKeyLength.
 func ValidIdempotencyKey(text string) bool {
 	if len(text) == 0 || len(text) > MaxIdempotencyKeyLength {
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// lowerHexDigit returns the value of a decimal digit or a letter from a to f.
+// lowerHexDigit returns the value of a hex digit in lower case. It returns false for any other character.
 func lowerHexDigit(char byte) (value byte, ok bool) {
 	switch {
 	case char >= '0' && char <= '9':
--- a/internal/stats/bucket.go
+++ b/internal/stats/bucket.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// TokenBucket is an allowance that refills at a rate up to a capacity. Tokens may fall below zero; such a debt is
-// refilled first.
+// TokenBucket is a token bucket. Tokens may fall below 0; a refill then starts from the negative number.
 type TokenBucket struct {
-	Tokens   float64 // those left; may be less than 0
-	Capacity float64 // tokens at most
+	Tokens   float64 // tokens left; may be less than 0
+	Capacity float64 // highest number of tokens
 	Rate     float64 // tokens per second, for Refill
 
-	refilled time.Duration // when Refill was called last
+	refilled time.Duration // time of the last Refill
 }
 
-// Refill adds the tokens for the time since the last Refill, or since time 0.
+// Refill adds the tokens for the time since the last Refill, or since time 0 if this is the first.
 func (b *TokenBucket) Refill(now time.Duration) {
 	b.Add(b.Rate * (now - b.refilled).Seconds())
 	b.refilled = now
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -1,4 +1,4 @@
-// Package timerheap orders values by the time at which they are due. It reads no clock: its caller passes the time, as
+// Package timerheap orders values by the time at which they are due. It reads no clock: the caller passes the time as
 // an offset from any fixed point.
 package timerheap
 
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Heap holds values until they are due. Values that are due at the same time leave in the order in which they were
-// added, so that equal runs give equal results. The zero Heap is empty and ready to use. It is not safe for concurrent
-// use: the goroutine that adds values owns it.
+// Heap stores values until they are due. Values that are due at the same time are removed in the order in which they
+// were added, so that identical runs give identical results. The zero Heap is empty and ready to use. A Heap is not
+// safe for concurrent use.
 type Heap[T any] struct {
 	entries entries[T]
-	added   uint64 // values so far, for the sequence of the next
+	added   uint64 // number of values added so far; the sequence of the last one
 }
 
-// Entry is a value in a Heap, by which it can be removed.
+// Entry is a value in a Heap. It identifies the value for Heap.Remove.
 type Entry[T any] struct {
 	Value    T
 	due      time.Duration
 	sequence uint64 // orders entries that are due at the same time
-	index    int    // in the heap, or removed
+	index    int    // position in the heap, or removed
 }
 
-// removed is the index of an entry that has left its heap.
+// removed is the index of an entry that is no longer in its heap.
 const removed = -1
 
-// Add adds a value, and returns the entry by which it can be removed. It takes logarithmic time, as does each removal.
+// Add adds a value, and returns its entry. Add, Remove and PopDue take logarithmic time.
 func (h *Heap[T]) Add(due time.Duration, value T) *Entry[T] {
 	h.added++
 	entry := &Entry[T]{Value: value, due: due, sequence: h.added}
@@ -34,14 +34,14 @@
 	return entry
 }
 
-// Remove removes an entry before it is due. It does nothing for nil and for an entry that has left the heap.
+// Remove removes an entry before it is due. It does nothing for nil and for an entry that is no longer in the heap.
 func (h *Heap[T]) Remove(entry *Entry[T]) {
 	if entry != nil && entry.index != removed {
 		heap.Remove(&h.entries, entry.index)
 	}
 }
 
-// PopDue removes the first value that is due by now. It returns false when there is none.
+// PopDue removes and returns the first entry that is due at or before now. It returns false if there is none.
 func (h *Heap[T]) PopDue(now time.Duration) (entry *Entry[T], ok bool) {
 	if len(h.entries) == 0 || h.entries[0].due > now {
 		return nil, false
@@ -49,7 +49,7 @@
 	return heap.Pop(&h.entries).(*Entry[T]), true
 }
 
-// Next returns the time at which the first value is due. It returns false when the heap is empty.
+// Next returns the time at which the first value is due. It returns false if the heap is empty.
 func (h *Heap[T]) Next() (due time.Duration, ok bool) {
 	if len(h.entries) == 0 {
 		return 0, false
@@ -57,10 +57,10 @@
 	return h.entries[0].due, true
 }
 
-// Len is the number of values in the heap.
+// Len returns the number of values in the heap.
 func (h *Heap[T]) Len() int { return len(h.entries) }
 
-// Due is the time at which the value is due.
+// Due returns the time at which the value is due.
 func (e *Entry[T]) Due() time.Duration { return e.due }
 
 // entries implements heap.Interface.
