--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -65,7 +65,7 @@
 	if served {
 		t.withdrawUnsentAttempts(tracked)
 	}
-	t.removeIfCompleted(tracked)
+	t.releaseIfCompleted(tracked)
 }
 
 // cancelAttempt completes an attempt before its worker has responded. If the attempt was sent, it may have run, because
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -67,7 +67,7 @@
 	tracked.completed = true
 	t.notifyCompleted(&tracked.request, completion)
 	t.table.freeCapacity(tracked)
-	t.removeIfCompleted(tracked)
+	t.releaseIfCompleted(tracked)
 }
 
 // notifyCompleted calls Config.OnCompleted, if it is set.
@@ -77,9 +77,9 @@
 	}
 }
 
-// removeIfCompleted removes a request and its deadline timer if the request has completed and none of its attempts is
+// releaseIfCompleted removes a request and its deadline timer if the request has completed and none of its attempts is
 // in flight.
-func (t *requestTracker) removeIfCompleted(tracked *trackedRequest) {
+func (t *requestTracker) releaseIfCompleted(tracked *trackedRequest) {
 	if t.table.removeIfCompleted(tracked) {
 		t.timers.remove(tracked.deadline)
 	}
--- a/internal/router/requesttable.go
+++ b/internal/router/requesttable.go
@@ -118,8 +118,8 @@
 	return tracked, attempt
 }
 
-// sortedIDs returns the identifiers of all tracked requests in ascending order.
-func (t *requestTable) sortedIDs() []policy.RequestID { return slices.Sorted(maps.Keys(t.requests)) }
+// ids returns the identifiers of all tracked requests in ascending order.
+func (t *requestTable) ids() []policy.RequestID { return slices.Sorted(maps.Keys(t.requests)) }
 
 // freeCapacity subtracts a completed request from the counts of open requests, and releases its body and its responder.
 // It is called once for each request.
--- a/internal/router/requesttable_test.go
+++ b/internal/router/requesttable_test.go
@@ -52,7 +52,7 @@
 			t.Errorf("found attempt %+v, which was never added", absent)
 		}
 	}
-	if ids := table.sortedIDs(); !slices.Equal(ids, []policy.RequestID{1, 2}) {
+	if ids := table.ids(); !slices.Equal(ids, []policy.RequestID{1, 2}) {
 		t.Errorf("identifiers %v, want 1 and 2", ids)
 	}
 }
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -33,7 +33,7 @@
 
 // completeOpenRequests completes each open request like its deadline does.
 func (t *requestTracker) completeOpenRequests() {
-	for _, id := range t.table.sortedIDs() {
+	for _, id := range t.table.ids() {
 		t.deadlineExceeded(id)
 	}
 }
