--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -8,7 +8,8 @@
 	"crankhold/policy"
 )
 
-// A draining core rejects each new request, so that clients that go on sending don't hold up the program's exit.
+// A core that rejects new requests responds to each of them at once. Otherwise clients that keep sending requests would
+// delay the exit of the process.
 func TestDrainingCoreRejectsNewRequests(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
@@ -25,8 +26,8 @@
 	}
 }
 
-// A second request under the ID of an open one fails and reaches no worker, whatever fronts the two arrive by. The ID
-// is free again once the first has ended.
+// A request with the ID of an open request fails and reaches no worker, also if another front received it. The ID may
+// be used again after the first request has completed.
 func TestDuplicateOfAnOpenRequestFails(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
@@ -58,12 +59,12 @@
 		t.Fatalf("%d requests sent, %d IDs reserved, %d requests tracked", len(workers.started), len(core.requests.table.clientIDs), len(core.requests.table.requests))
 	}
 	if again, _ := send(Thrift, "again"); again == 0 {
-		t.Error("the ID of a request that has ended is still reserved")
+		t.Error("the ID of a completed request is still reserved")
 	}
 }
 
-// The module does not see requests that are canceled before the next Process, so a client that sends hundreds and
-// cancels each at once neither enlarges the load budget nor costs any scheduling.
+// The module does not see requests that are canceled before the next Process. Otherwise a client that sends hundreds of
+// requests and cancels each at once would enlarge the load budget and cause scheduling work.
 func TestRequestCanceledAtOnceNeverReachesTheModule(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	now := start
@@ -73,7 +74,7 @@
 		return core.Accept(now, Request{Responder: &recordingResponder{}, ID: hexID(n), Function: Function{Key: "00000000000000aa", ID: 0xaa},
 			Deadline: now + time.Second})
 	}
-	send(1) // this one stays
+	send(1) // not canceled
 	for n := range uint64(200) {
 		core.CancelRequest(now, send(2+n))
 	}
@@ -84,7 +85,7 @@
 		}
 	}
 	if waiting != 1 {
-		t.Fatalf("%d events wait for the module, want the arrival of the first request alone", waiting)
+		t.Fatalf("%d events wait for the module, want only the arrival of the first request", waiting)
 	}
 	core.Process(now)
 	if core.Counters.AttemptsStarted != 1 || len(workers.started) != 1 {
@@ -94,7 +95,7 @@
 		t.Fatalf("%d requests open, %d canceled, want 1 and 200", core.OpenRequests(), core.Counters.Canceled[Thrift])
 	}
 
-	now += ms // one that is canceled later is sent, and its attempt canceled
+	now += ms // a request that is canceled later is sent, and its attempt is canceled
 	late := send(300)
 	core.Process(now)
 	core.CancelRequest(now, late)
@@ -105,8 +106,8 @@
 	}
 }
 
-// Tenants are identified by name. One that floods is rejected beyond its quota while another is served, and requests
-// that name none of the configured tenants are beyond every quota.
+// Tenants are identified by name. Requests of one tenant above its quota are rejected while those of another are
+// served. Requests that name no configured tenant count as above quota and are rejected.
 func TestTenantsAreIdentifiedByName(t *testing.T) {
 	module, err := policy.New(policy.Config{Routers: 1, Tick: 4 * ms, MaxAttempts: 3, OverQuotaWeight: 0.2,
 		Tenants: []policy.Tenant{{RequestsPerSecond: 4}, {RequestsPerSecond: 1000}},
@@ -141,7 +142,7 @@
 	}
 }
 
-// The bodies of all open requests together are bounded. A completed request frees its share.
+// The total size of the bodies of all open requests is limited. The body of a completed request no longer counts.
 func TestBodiesOfOpenRequestsAreBounded(t *testing.T) {
 	core, _ := newTestCore(t, 1)
 	send := func(clientID string, bodySize int) (policy.RequestID, *recordingResponder) {
@@ -151,7 +152,7 @@
 	}
 	large, _ := send("large", core.requests.limits.MaxBytes)
 	if large == 0 {
-		t.Fatal("a body of just the allowed size is not accepted")
+		t.Fatal("a body of exactly the allowed size is not accepted")
 	}
 	small, responder := send("small", 1)
 	wantResponses(t, responder, 1)
@@ -164,7 +165,7 @@
 	}
 }
 
-// Identifiers begin again behind the highest one, without 0 and those of tracked requests.
+// After the highest identifier, numbering restarts at the lowest. It skips 0 and the identifiers of tracked requests.
 func TestRequestIDsInUseAreSkipped(t *testing.T) {
 	core, _ := newTestCore(t, 1)
 	send := func(clientID string) policy.RequestID {
@@ -175,11 +176,12 @@
 	}
 	core.requests.table.lastID = ^policy.RequestID(0)
 	if next := send("b"); next != 2 {
-		t.Errorf("the request behind the highest identifier is %d, want 2: 0 is none and 1 is tracked", next)
+		t.Errorf("the request after the highest identifier is %d, want 2: 0 stands for no request and 1 is tracked", next)
 	}
 }
 
-// OnCompleted is called once for each request that was handed in, with the words of the operators' pages.
+// OnCompleted is called once for each request that was passed to the core, with the completion text that is documented
+// for operators.
 func TestOnCompletedIsCalledOnceForEachRequest(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -8,8 +8,8 @@
 	"crankhold/policy"
 )
 
-// An attempt that waits for a dial is withdrawn as soon as its request is canceled or out of time, also where the
-// settings don't let the module cancel attempts, and nothing is sent for it later.
+// An attempt that waits for a dial is withdrawn when its request is canceled or reaches its deadline, also if the
+// settings do not let the module cancel attempts. Nothing is sent for it later.
 func TestUnsentAttemptsAreWithdrawnWhenTheirRequestEnds(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -62,19 +62,21 @@
 	}
 }
 
+// cancelAfter10ms cancels a request and returns the time.
 func cancelAfter10ms(core *Core, id policy.RequestID) time.Duration {
 	now := start + 10*ms
 	core.CancelRequest(now, id)
 	return now
 }
 
+// letDeadlinePass returns a time after the request's deadline.
 func letDeadlinePass(*Core, policy.RequestID) time.Duration { return start + 3*time.Second }
 
-// The load budget grows with requests that stay. Those that are canceled while their attempts wait for a dial don't
-// enlarge it.
+// The load budget grows with the requests that are not canceled. Requests that are canceled while their attempts wait
+// for a dial do not enlarge it.
 func TestCanceledUnsentRequestsDoNotEnlargeTheLoadBudget(t *testing.T) {
 	for _, canceledPerRequest := range []int{0, 3} {
-		t.Run(fmt.Sprintf("%d canceled for each that stays", canceledPerRequest), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d canceled for each that is not", canceledPerRequest), func(t *testing.T) {
 			core, workers := newTestCore(t, 1)
 			core.SetEndpoints(readyWorkers(1, 2))
 			now := start
@@ -97,16 +99,16 @@
 				respondNotLoadedThenServed(core, workers, now, send())
 				now += 5 * ms
 			}
-			const wantLoads = 64 // LoadBudgetMinimum 4, and LoadBudgetRatio 0.3 of 200
+			const wantLoads = 64 // LoadBudgetMinimum is 4, and LoadBudgetRatio allows 0.3 for each of 200 requests
 			if core.Counters.LoadsSent != wantLoads {
-				t.Errorf("%d loads ordered, want %d", core.Counters.LoadsSent, wantLoads)
+				t.Errorf("%d load commands sent, want %d", core.Counters.LoadsSent, wantLoads)
 			}
 		})
 	}
 }
 
-// respondNotLoadedThenServed has the first attempt of a request find its function not loaded, and the next ones served. All
-// loads succeed.
+// respondNotLoadedThenServed completes the first attempt of a request as not loaded, and the following ones as served.
+// All load commands succeed.
 func respondNotLoadedThenServed(core *Core, workers *fakeWorkerClient, now time.Duration, id policy.RequestID) {
 	for number := 0; number < len(workers.started[id]); number++ {
 		attempt := workers.started[id][number]
@@ -125,7 +127,7 @@
 	}
 }
 
-// A request that is not idempotent fails and is not sent again after an attempt that may have run.
+// A request that is not idempotent fails after an attempt that may have run, and is not sent again.
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -154,7 +156,7 @@
 	}
 }
 
-// A worker's response that arrives in the turn in which the client canceled the request is dropped.
+// A worker's response that arrives in the same turn as the client's cancellation, but after it, is dropped.
 func TestResponseAfterCancellationIsDropped(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
@@ -173,7 +175,7 @@
 	}
 }
 
-// sendTestRequest has a core accept a request of class 0 and hand it to the module, which starts its first attempt.
+// sendTestRequest passes a request of class 0 to a core, which starts its first attempt.
 func sendTestRequest(t *testing.T, core *Core, workers *fakeWorkerClient) (policy.RequestID, *recordingResponder) {
 	t.Helper()
 	core.SetEndpoints(readyWorkers(1, 2))
@@ -186,7 +188,7 @@
 	return id, responder
 }
 
-// An attempt that the module starts too late, or beyond the limit of attempts, ends as not sent.
+// An attempt that the module starts too late, or after the last attempt that is allowed, completes as not sent.
 func TestAttemptsThatMayNotStartAreNotSent(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -215,7 +217,7 @@
 	}
 }
 
-// An attempt with a limit of its own times out by it, unless the request's deadline comes first.
+// An attempt with a time limit of its own times out at that limit, unless the request's deadline is earlier.
 func TestAttemptTimesOutByItsOwnLimit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -223,7 +225,7 @@
 		wantTimedOut uint64
 	}{
 		{"limit before the deadline", 100 * ms, 1},
-		{"limit behind the deadline", time.Minute, 0},
+		{"limit after the deadline", time.Minute, 0},
 		{"no limit", 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -242,7 +244,7 @@
 	}
 }
 
-// An attempt that has ended leaves no time-out behind.
+// The timer of an attempt is removed when the attempt completes.
 func TestCompletedAttemptLeavesNoTimer(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	id, _ := sendTestRequest(t, core, workers)
@@ -253,11 +255,11 @@
 	}
 	core.AttemptCompleted(workers.started[id][1], AttemptResult{Outcome: policy.Failed})
 	if core.timers.heap.Len() != timers {
-		t.Errorf("%d timers are left, want %d", core.timers.heap.Len(), timers)
+		t.Errorf("%d timers remain, want %d", core.timers.heap.Len(), timers)
 	}
 }
 
-// A second report of an attempt changes nothing.
+// A second result of an attempt has no effect.
 func TestSecondCompletionOfAnAttemptIsIgnored(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	id, responder := sendTestRequest(t, core, workers)
@@ -272,7 +274,7 @@
 	}
 }
 
-// A request that has its final response withdraws the attempts that wait for a dial.
+// When a request gets its final response, its attempts that wait for a dial are withdrawn.
 func TestResponseWithdrawsUnsentAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -297,7 +299,7 @@
 			wantResponses(t, responder, 1)
 			response := responder.responses[0]
 			if response.Status != test.wantStatus || !response.MayHaveRun {
-				t.Errorf("response %+v, want %v that may have run, as an attempt was sent", response, test.wantStatus)
+				t.Errorf("response %+v, want %v that may have run, because an attempt was sent", response, test.wantStatus)
 			}
 			if len(workers.unsent) != 0 || core.Counters.AttemptsByOutcome[policy.Canceled] != 1 {
 				t.Errorf("%d attempts wait for a dial, %d canceled", len(workers.unsent), core.Counters.AttemptsByOutcome[policy.Canceled])
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -8,7 +8,7 @@
 	"crankhold/policy"
 )
 
-// printingFront stands for a front. It prints the response that it would send to its client.
+// printingFront is a fake front that prints each response.
 type printingFront struct{}
 
 // Respond implements router.Responder.
@@ -16,8 +16,8 @@
 	fmt.Printf("response: %v, %q\n", response.Status, response.Body)
 }
 
-// printingWorkerClient stands for the client that carries messages to workers. It prints what it would send, and keeps
-// the last attempt, to be completed when the worker responds.
+// printingWorkerClient is a fake worker client. It prints each attempt, and stores the last one so that the example can
+// complete it.
 type printingWorkerClient struct{ attempt router.Attempt }
 
 func (c *printingWorkerClient) StartAttempt(worker policy.WorkerID, attempt router.Attempt, r *router.Request, budget time.Duration) {
@@ -32,10 +32,10 @@
 func (c *printingWorkerClient) CheckHealth(worker policy.WorkerID, commandID uint64)      {}
 func (c *printingWorkerClient) CloseIdle(worker policy.WorkerID)                          {}
 
-// A core serves one request: a front hands it in, the core forwards it to a worker, and the worker's response becomes
-// the final response.
+// A core serves one request: a front passes it to the core, the core forwards it to a worker, and the worker's response
+// becomes the final response.
 func Example() {
-	// The decision module, with one class of requests.
+	// Create the decision module, with one class of requests.
 	module, err := policy.New(policy.Config{
 		Routers:         1,
 		Tick:            4 * time.Millisecond,
@@ -54,7 +54,7 @@
 		return
 	}
 
-	// The core around it, with a client for the workers and one worker.
+	// Create the core, with a worker client and one worker.
 	workers := &printingWorkerClient{}
 	core := router.New(module, router.Config{
 		Limits:          router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3},
@@ -67,7 +67,7 @@
 		{Worker: 7, State: policy.Ready},
 	}})
 
-	// A front hands in a request. Process has the module choose a worker, and forwards the request to it.
+	// A front passes a request to the core. Process lets the module choose a worker, and forwards the request to it.
 	now := time.Duration(0) // the event loop's clock
 	core.Accept(now, router.Request{
 		Front:     router.Thrift,
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -12,16 +12,16 @@
 
 const ms = time.Millisecond
 
-// start is the time at which most tests begin.
+// start is the time at which most tests start.
 const start = time.Hour
 
-// fakeWorkerClient keeps what it is handed, and lets a test decide how that ends.
+// fakeWorkerClient records attempts and commands. The tests complete them.
 type fakeWorkerClient struct {
 	core         *Core
-	started      map[policy.RequestID][]Attempt // all that were ever started, in order
+	started      map[policy.RequestID][]Attempt // all attempts that were ever started, in order
 	inFlight     map[Attempt]policy.WorkerID
-	unsent       map[Attempt]bool // in flight, and waiting for a dial
-	dialing      bool             // attempts that are started from now on wait for a dial
+	unsent       map[Attempt]bool // attempts in flight that wait for a dial
+	dialing      bool             // new attempts wait for a dial
 	loads        map[uint64]bool
 	healthChecks map[uint64]bool
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// StartAttempt implements WorkerClient. It panics for a budget that is empty or ends behind the request's deadline.
+// StartAttempt implements WorkerClient. It panics if the budget is not positive or ends after the request's deadline.
 func (f *fakeWorkerClient) StartAttempt(worker policy.WorkerID, a Attempt, r *Request, budget time.Duration) {
 	if budget <= 0 || f.core.timers.now+budget > r.Deadline {
 		panic(fmt.Sprintf("budget %v at %v, deadline %v", budget, f.core.timers.now, r.Deadline))
@@ -83,19 +83,19 @@
 // CloseIdle implements WorkerClient.
 func (f *fakeWorkerClient) CloseIdle(policy.WorkerID) {}
 
-// recordingResponder keeps the responses that it is given.
+// recordingResponder records the responses to a request.
 type recordingResponder struct{ responses []Response }
 
 // Respond implements Responder.
 func (r *recordingResponder) Respond(response Response) { r.responses = append(r.responses, response) }
 
-// responderFunc calls itself for each response.
+// responderFunc is a function that implements Responder.
 type responderFunc func(Response)
 
 // Respond implements Responder.
 func (f responderFunc) Respond(response Response) { f(response) }
 
-// testPolicyConfig has two classes: 0 is idempotent, 1 is not.
+// testPolicyConfig returns settings with two classes: class 0 is idempotent, class 1 is not.
 func testPolicyConfig() policy.Config {
 	return policy.Config{
 		Routers: 1, Tick: 4 * ms, MaxAttempts: 3, CancelSupported: true, HealthCheckSupported: true, LoadCommandsSupported: true,
@@ -112,18 +112,19 @@
 	}
 }
 
-// attachTo makes the client the one of a core; it is a Config.NewWorkerClient.
+// attachTo sets the core of the client and returns the client. It is used as Config.NewWorkerClient.
 func (f *fakeWorkerClient) attachTo(core *Core) WorkerClient {
 	f.core = core
 	return f
 }
 
-// newTestCore returns a core with testPolicyConfig and a fake worker client.
+// newTestCore returns a core with the settings of testPolicyConfig, and its fake worker client.
 func newTestCore(t rapid.TB, seed uint64) (*Core, *fakeWorkerClient) {
 	t.Helper()
 	return newTestCoreWith(t, testPolicyConfig(), seed)
 }
 
+// newTestCoreWith returns a core with the given settings, and its fake worker client.
 func newTestCoreWith(t rapid.TB, policyConfig policy.Config, seed uint64) (*Core, *fakeWorkerClient) {
 	t.Helper()
 	module, err := policy.New(policyConfig, seed)
@@ -134,7 +135,7 @@
 	return New(module, Config{Limits: testLimits(), NewWorkerClient: workers.attachTo}), workers
 }
 
-// testLimits are the limits of the tests' cores.
+// testLimits returns the limits of the cores in tests.
 func testLimits() Limits {
 	return Limits{
 		MaxConcurrentRequests: 50,
@@ -145,7 +146,7 @@
 	}
 }
 
-// readyWorkers is an endpoint list of ready workers.
+// readyWorkers returns an endpoint list of ready workers.
 func readyWorkers(ids ...policy.WorkerID) policy.EndpointList {
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for _, id := range ids {
@@ -154,10 +155,10 @@
 	return list
 }
 
-// hexID formats a number as clients format request IDs and function keys.
+// hexID formats a number like clients format request IDs and function keys.
 func hexID(n uint64) string { return fmt.Sprintf("%016x", n) }
 
-// wantResponses fails the test at once unless there are as many responses as wanted.
+// wantResponses stops the test unless the responder has the wanted number of responses.
 func wantResponses(t testing.TB, responder *recordingResponder, want int) {
 	t.Helper()
 	if len(responder.responses) != want {
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -12,27 +12,27 @@
 	"crankhold/policy"
 )
 
-// modelRequest is what the model knows of a request.
+// modelRequest is the model's state of a request.
 type modelRequest struct {
 	responder             *recordingResponder
 	class                 int
 	deadline              time.Duration
 	canceled              bool
-	mayHaveRun            bool // an attempt ended without proof that it never ran
-	startedWhenMayHaveRun int  // attempts that had been started when that became so
+	mayHaveRun            bool // an attempt completed without proof that it never ran
+	startedWhenMayHaveRun int  // number of attempts that had been started when mayHaveRun was last set
 }
 
-// routerModel drives a core at random and checks it after each step.
+// routerModel calls a core at random and checks it after each step.
 type routerModel struct {
 	core     *Core
 	workers  *fakeWorkerClient
 	now      time.Duration
 	requests map[policy.RequestID]*modelRequest
-	sent     int // requests handed in
+	sent     int // number of requests passed to the core
 }
 
-// Each request gets one final response, in time, that is true to whether it may have run; a request that is not
-// idempotent is not sent again once it may have run.
+// Each request that is not canceled gets one final response before its deadline. The response never denies that the
+// request may have run. A request that is not idempotent is not sent again once it may have run.
 func TestEachRequestGetsOneTruthfulResponse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core, workers := newTestCore(t, rapid.Uint64().Draw(t, "seed"))
@@ -82,7 +82,7 @@
 		m.requests[id] = request
 		return
 	}
-	// Rejected for want of capacity.
+	// The core had no capacity for the request and must have rejected it.
 	responses := request.responder.responses
 	if len(responses) != 1 || responses[0].Status != Rejected {
 		t.Fatal("not accepted and not rejected")
@@ -102,7 +102,7 @@
 		request.startedWhenMayHaveRun = len(m.workers.started[attempt.Request])
 	}
 	m.core.AttemptCompleted(attempt, AttemptResult{Outcome: outcome, Body: []byte("done")})
-	// A second report changes nothing.
+	// A second result has no effect.
 	m.core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Served, Body: []byte("again")})
 }
 
@@ -179,7 +179,7 @@
 	}
 }
 
-// drawKey draws one key of m in a fixed order, so that a failing run can be repeated.
+// drawKey draws one key of m, or returns false if m is empty. It sorts the keys so that a failing run can be repeated.
 func drawKey[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	if len(m) == 0 {
 		var none K
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Requests are routed by converting their Front, so the two types must agree.
+// Routing converts a request's Front to a route.Front, so the values of the two types must agree.
 func TestFrontsMatchRouteFronts(t *testing.T) {
 	for _, test := range []struct {
 		front Front
--- a/internal/router/requesttable_test.go
+++ b/internal/router/requesttable_test.go
@@ -7,7 +7,8 @@
 	"crankhold/policy"
 )
 
-// A request counts against the limits until its capacity is freed, and stays in the table until its attempts have ended.
+// A request counts against the limits until its capacity is freed. It stays in the table until its attempts have
+// completed.
 func TestRequestTableKeepsRequestsUntilTheirAttemptsEnd(t *testing.T) {
 	table := newRequestTable()
 	limits := Limits{MaxConcurrentRequests: 1, MaxBytes: 10}
@@ -32,14 +33,14 @@
 	_, inFlight := table.attemptInFlight(attempt)
 	tracked.completeAttempt(inFlight, policy.Failed)
 	if !tracked.mayHaveRun || !table.removeIfCompleted(tracked) || table.isTracked("a") {
-		t.Error("a request whose attempts have ended stays in the table")
+		t.Error("a request whose attempts have completed stays in the table")
 	}
 	if table.removeIfCompleted(tracked) {
 		t.Error("a request left the table twice")
 	}
 }
 
-// An attempt is found while it is in flight, by its request's identifier and its number.
+// An attempt in flight is found by its request's identifier and its number.
 func TestRequestTableFindsAttemptsInFlight(t *testing.T) {
 	table := newRequestTable()
 	first, second := table.add(Request{ID: "a"}), table.add(Request{ID: "b"})
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -8,9 +8,9 @@
 	"crankhold/policy"
 )
 
-// newTestRoutes compiles a table of two pools with a worker each, s-1 in "one" and s-2 in "two". Requests of class
-// dim-level go to "one"; those of the tenant "east" go to "two", and those by webhook for functions whose keys begin
-// with 00 are rejected. Requests of class repair-order have no route.
+// newTestRoutes compiles a table of two pools with one worker each: s-1 in "one" and s-2 in "two". Requests of class
+// dim-level go to "one", except that requests of the tenant "east" go to "two", and webhook requests for functions
+// whose keys start with 00 are rejected. Requests of class repair-order have no route.
 func newTestRoutes(t *testing.T, maxInFlightOfOne int) *route.Table {
 	t.Helper()
 	pool := func(name, worker string, maxInFlight int) route.PoolSpec {
@@ -43,7 +43,7 @@
 	return table
 }
 
-// newRoutedCore returns a core with the workers s-1 and s-2, ready.
+// newRoutedCore returns a core with the ready workers s-1 and s-2, and its fake worker client.
 func newRoutedCore(t *testing.T) (*Core, *fakeWorkerClient) {
 	t.Helper()
 	core, workers := newTestCore(t, 1)
@@ -53,16 +53,16 @@
 	return core, workers
 }
 
-// Requests of both fronts go where their routes lead. Those that no route matches, or one that rejects them, are
-// rejected at once and reach no worker.
+// Requests of both fronts go to the pools of their routes. A request is rejected at once and reaches no worker if no
+// route matches it, or if the route that matches rejects it.
 func TestRoutesApplyToBothFronts(t *testing.T) {
 	core, workers := newRoutedCore(t)
 	core.SetRoutes(newTestRoutes(t, route.Unset))
 	const (
 		dimLevel    = 0
 		repairOrder = 1
-		key00       = policy.FunctionID(7)       // its key begins with 00
-		key10       = policy.FunctionID(1 << 60) // its key begins with 10
+		key00       = policy.FunctionID(7)       // its key starts with 00
+		key10       = policy.FunctionID(1 << 60) // its key starts with 10
 		rejected    = policy.WorkerID(0)
 	)
 	for _, test := range []struct {
@@ -81,7 +81,7 @@
 		{"webhook, key 00", Webhook, dimLevel, key00, "", rejected},
 		{"webhook, key 00, tenant with a route", Webhook, dimLevel, key00, "east", rejected},
 		{"class without a route", Thrift, repairOrder, key00, "", rejected},
-		{"thrift, tenant counts for its quota alone", Thrift, dimLevel, key10, "east", 1},
+		{"thrift, tenant not matched by routes", Thrift, dimLevel, key10, "east", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			responder := &recordingResponder{}
@@ -92,7 +92,7 @@
 				wantResponses(t, responder, 1)
 				response := responder.responses[0]
 				if response.Status != Rejected || response.MayHaveRun || id != 0 {
-					t.Errorf("request %d, response %+v, want a rejection at once", id, response)
+					t.Errorf("request %d, response %+v, want an immediate rejection", id, response)
 				}
 				return
 			}
@@ -107,8 +107,8 @@
 	}
 }
 
-// SetRoutes swaps the table whole: open requests end under the table that they began with and stay counted, new ones
-// go by the new table, and workers that are listed later are sorted into its pools.
+// SetRoutes replaces the whole table. Open requests keep their old table and are counted in the new one too. New
+// requests are routed by the new table. Workers that are set later are assigned to the pools of the new table.
 func TestOpenRequestsKeepTheirRouteTable(t *testing.T) {
 	core, workers := newRoutedCore(t)
 	core.SetRoutes(newTestRoutes(t, 2))
@@ -146,7 +146,7 @@
 
 	core.SetRouteWorkers([]route.Worker{{ID: 2, Name: "s-2"}})
 	if poolOne.Size() != 0 || poolTwo.Size() != 1 {
-		t.Error("a later list is not sorted into the pools")
+		t.Error("workers that are set later are not assigned to the pools")
 	}
 
 	core.SetRoutes(nil)
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -8,7 +8,8 @@
 	"crankhold/policy"
 )
 
-// A request that the module has not ended by its deadline is ended by the core: rejected only where nothing was sent.
+// If the module has not completed a request by its deadline, the core does. It rejects the request if nothing was sent,
+// and fails it otherwise.
 func TestDeadlineCompletesRequestsThatTheModuleLeftOpen(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -49,7 +50,7 @@
 	}
 }
 
-// fireBeforePolicyTimers fires a timer that is set, ahead of those of the module that are due before it.
+// fireBeforePolicyTimers fires a timer of the core before the timers of the module that are due earlier.
 func fireBeforePolicyTimers(t *testing.T, core *Core, entry *timerEntry) {
 	t.Helper()
 	set := core.timers.heap.Len()
@@ -61,8 +62,8 @@
 	core.fire(entry)
 }
 
-// A completed request leaves no timer behind, of the core or of the module, however far its deadline. This bounds the
-// memory that clients with long deadlines take.
+// When a request completes, all its timers in the core and in the module are removed, even if its deadline is far away.
+// Otherwise requests with long deadlines would use memory long after they have completed.
 func TestCompletedRequestsLeaveNoTimers(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
@@ -90,12 +91,12 @@
 		core.Process(now)
 	}
 	if core.timers.heap.Len() > timersAtStart+2 || len(core.timers.policyTimers) > timersAtStart+2 || len(core.requests.table.requests) > 0 {
-		t.Errorf("%d timers, %d of them the module's, and %d requests are left; there were %d timers at the start",
+		t.Errorf("%d timers, %d of them the module's, and %d requests remain; there were %d timers at the start",
 			core.timers.heap.Len(), len(core.timers.policyTimers), len(core.requests.table.requests), timersAtStart)
 	}
 }
 
-// A token stands for the module's last timer under it: to clear it leaves the earlier one, which fires.
+// If the module sets two timers with the same token, clearing the token removes only the last one. The first one fires.
 func TestTimerQueueClearsTheLastTimerUnderAToken(t *testing.T) {
 	queue := newTimerQueue()
 	queue.setNow(start)
@@ -114,6 +115,6 @@
 		t.Fatalf("the first timer did not fire: %+v, %v", fired, ok)
 	}
 	if _, ok := queue.popDue(); ok || len(queue.policyTimers) != 0 {
-		t.Error("a timer that was cleared is left")
+		t.Error("a cleared timer is still set")
 	}
 }
--- a/internal/router/validate_test.go
+++ b/internal/router/validate_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// ParseFunctionKey reads what hexID writes, and accepts no other text.
+// ParseFunctionKey accepts the text that hexID formats, and no other text.
 func TestParseFunctionKeyAcceptsCanonicalTextOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Uint64().Draw(t, "n")
@@ -31,7 +31,7 @@
 		{"all digits", "0123456789abcdef", 0x0123456789abcdef, true},
 		{"highest", "ffffffffffffffff", math.MaxUint64, true},
 		{"upper case", "0123456789ABCDEF", 0, false},
-		{"letter behind f", "0123456789abcdeg", 0, false},
+		{"letter after f", "0123456789abcdeg", 0, false},
 		{"too short", "123456789abcdef", 0, false},
 		{"too long", "00123456789abcdef", 0, false},
 		{"empty", "", 0, false},
@@ -53,8 +53,8 @@
 		{"longest", strings.Repeat("a", MaxIdempotencyKeyLength), true},
 		{"too long", strings.Repeat("a", MaxIdempotencyKeyLength+1), false},
 		{"empty", "", false},
-		{"letter behind f", "g", false},
-		{"letter behind F", "G", false},
+		{"letter after f", "g", false},
+		{"letter after F", "G", false},
 		{"hyphen", "a-b", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -8,19 +8,19 @@
 )
 
 func Example() {
-	// Queueing delay in milliseconds, over the requests that were in flight.
+	// Queueing delay in milliseconds, by the number of requests in flight.
 	var delay Regression
 	for _, inFlight := range []float64{1, 2, 4} {
 		delay.Observe(inFlight, 10*inFlight, 0.9)
 	}
 	fmt.Printf("3 in flight: %.0f ms\n", delay.Predict(3, 1))
 
-	// Whether requests fail. Long after the last failure, the mean is near zero again.
+	// The share of requests that fail. Long after the last failure, the mean is near zero again.
 	failures := DecayingMean{Span: 3 * time.Second, MinCount: 1}
 	failures.Observe(0, 1)
 	fmt.Printf("failing: %.2f, a minute later: %.2f\n", failures.Mean(0), failures.Mean(time.Minute))
 
-	// Two requests per second, up to three at once.
+	// Two requests per second, and at most three at once.
 	quota := TokenBucket{Capacity: 3, Rate: 2}
 	quota.Refill(time.Second)
 	fmt.Println("tokens:", quota.Tokens)
@@ -38,6 +38,7 @@
 	// events: 10
 }
 
+// wantNear reports an error if got is not want, except for rounding.
 func wantNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
@@ -50,7 +51,7 @@
 	wantNear(t, "the mean of nothing", mean.Mean(time.Hour), 0)
 	mean.Observe(0, 6)
 	wantNear(t, "the mean of 6 and the zero", mean.Mean(0), 3)
-	// One observation is few: it decays half as fast.
+	// One observation is half of MinCount, so it decays half as fast.
 	retained := math.Exp(-0.5)
 	wantNear(t, "the mean a second later", mean.Mean(time.Second), 6*retained/(retained+1))
 	mean.Observe(0, 9)
@@ -65,7 +66,7 @@
 }
 
 func TestRunningMean(t *testing.T) {
-	mean := RunningMean{Mean: 100} // a first guess
+	mean := RunningMean{Mean: 100} // initial value
 	for _, step := range []struct{ value, want float64 }{{4, 4}, {8, 6}, {9, 7}, {13, 9}, {0, 6}} {
 		mean.Observe(step.value, 3)
 		wantNear(t, fmt.Sprint("the mean after ", step.value), mean.Mean, step.want)
@@ -125,10 +126,10 @@
 		}
 	}
 	if len(window.times) > 2*compactThreshold+11 {
-		t.Errorf("%d times are kept", len(window.times))
+		t.Errorf("%d times are stored, so dropped times were not released", len(window.times))
 	}
 	window.Remove(995 * time.Second)
-	window.Remove(995 * time.Second) // there is none any more
+	window.Remove(995 * time.Second) // already removed
 	window.Remove(time.Second)       // no longer in the window
 	if got := window.CountSince(990 * time.Second); got != 9 {
 		t.Errorf("%d events after a removal, want 9", got)
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -26,7 +26,8 @@
 	// 2s second
 }
 
-// Values that are due together leave in the order in which they were added, and only those that are due.
+// PopDue removes only values that are due. Values that are due at the same time are removed in the order in which they
+// were added.
 func TestValuesLeaveInOrder(t *testing.T) {
 	var timers Heap[int]
 	for i := range 50 {
@@ -49,11 +50,11 @@
 		t.Errorf("order (-want +got):\n%s", diff)
 	}
 	if due, ok := timers.Next(); timers.Len() != 20 || !ok || due != 3 {
-		t.Errorf("%d left, the next at %v, %v; want 20, 3, true", timers.Len(), due, ok)
+		t.Errorf("%d values remain, the next is due at %v, %v; want 20, 3, true", timers.Len(), due, ok)
 	}
 }
 
-// An entry is removed once; removing it again, or after it has left, removes nothing else.
+// An entry is removed only once. Removing it again, or after PopDue has removed it, does not remove another entry.
 func TestRemovingAnEntryAgainDoesNothing(t *testing.T) {
 	var timers Heap[string]
 	kept := timers.Add(1, "kept")
@@ -67,6 +68,6 @@
 	timers.Add(4, "later")
 	timers.Remove(kept)
 	if timers.Len() != 1 {
-		t.Errorf("%d left, want 1", timers.Len())
+		t.Errorf("%d values remain, want 1", timers.Len())
 	}
 }
