--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -184,9 +184,9 @@
 // for operators.
 func TestOnCompletedIsCalledOnceForEachRequest(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		end  func(core *Core, workers *fakeWorkerClient, id policy.RequestID)
-		want string
+		name     string
+		complete func(core *Core, workers *fakeWorkerClient, id policy.RequestID)
+		want     string
 	}{
 		{"served", func(core *Core, workers *fakeWorkerClient, id policy.RequestID) {
 			core.AttemptCompleted(workers.started[id][0], AttemptResult{Outcome: policy.Served, LoadStatus: policy.AlreadyLoaded})
@@ -217,7 +217,7 @@
 			})
 			id, _ := sendTestRequest(t, core, workers)
 			core.Accept(start, Request{Responder: &recordingResponder{}, ID: "a", Deadline: start + time.Second}) // a duplicate fails
-			test.end(core, workers, id)
+			test.complete(core, workers, id)
 			for _, attempt := range workers.started[id] {
 				core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Failed})
 			}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -69,7 +69,7 @@
 }
 
 // cancelAttempt completes an attempt before its worker has responded. If the attempt was sent, it may have run, because
-// the worker may not stop it. If it was not sent, it is withdrawn and never runs. An unsent attempt that timed out gets
+// the worker may continue it. If it was not sent, it is withdrawn and never runs. An unsent attempt that timed out gets
 // the outcome policy.Unreachable, because its worker could not be reached.
 func (t *requestTracker) cancelAttempt(a Attempt, outcome policy.Outcome) {
 	_, attempt := t.table.attemptInFlight(a)
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -14,7 +14,7 @@
 	for _, test := range []struct {
 		name            string
 		cancelSupported bool
-		end             func(core *Core, id policy.RequestID) (now time.Duration)
+		complete        func(core *Core, id policy.RequestID) (now time.Duration)
 		wantResponses   int
 	}{
 		{"canceled, cancel supported", true, cancelAfter10ms, 0},
@@ -37,7 +37,7 @@
 				t.Fatalf("%d attempts wait for a dial, want 1", len(workers.unsent))
 			}
 
-			now := test.end(core, id)
+			now := test.complete(core, id)
 			core.Process(now)
 			if len(workers.unsent) != 0 || len(workers.inFlight) != 0 {
 				t.Errorf("%d attempts wait for a dial and %d are in flight, want none", len(workers.unsent), len(workers.inFlight))
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -94,19 +94,18 @@
 	c.requests.rejectAtCapacity(r)
 }
 
-// CancelRequest cancels a request because its client no longer waits for the response. The core gives no response to
-// it.
+// CancelRequest cancels a request because its client no longer waits for the response. The core gives it no response.
 func (c *Core) CancelRequest(now time.Duration, id policy.RequestID) {
 	c.SetNow(now)
 	c.requests.cancel(id)
 }
 
-// RejectNew makes the core reject all further requests. It is called before the process exits: a client that kept
-// sending requests would otherwise delay the exit, because the process waits for open requests.
+// RejectNew makes the core reject all further requests. It is called before the process exits, because the process
+// cannot exit while clients keep sending requests.
 func (c *Core) RejectNew() { c.requests.rejectNew = true }
 
-// EndOpenRequests completes each open request now, like the deadline of the request does. It is called before the
-// process exits.
+// EndOpenRequests completes each open request now, with the response that it would get at its deadline. It is called
+// before the process exits.
 func (c *Core) EndOpenRequests() { c.requests.completeOpenRequests() }
 
 // OpenRequests returns the number of requests without a final response.
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -155,7 +155,7 @@
 	return list
 }
 
-// hexID formats a number like clients format request IDs and function keys.
+// hexID formats a number in the format of request IDs and function keys.
 func hexID(n uint64) string { return fmt.Sprintf("%016x", n) }
 
 // wantResponses stops the test unless the responder has the wanted number of responses.
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -182,8 +182,8 @@
 // drawKey draws one key of m, or returns false if m is empty. It sorts the keys so that a failing run can be repeated.
 func drawKey[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	if len(m) == 0 {
-		var none K
-		return none, false
+		var zero K
+		return zero, false
 	}
 	var keys []K
 	for key := range m {
--- a/internal/router/process.go
+++ b/internal/router/process.go
@@ -27,11 +27,11 @@
 // fireDueTimers fires all timers that are due, including those that are set for the current time while it runs.
 func (c *Core) fireDueTimers() {
 	for {
-		due, ok := c.timers.popDue()
+		entry, ok := c.timers.popDue()
 		if !ok {
 			return
 		}
-		c.fire(due)
+		c.fire(entry)
 	}
 }
 
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -60,7 +60,7 @@
 	LoadTime time.Duration     // how long a load usually takes; 0 if unknown
 }
 
-// Client identifies the client of a request, for flow records and notices. The core does not use it.
+// Client identifies the client of a request, for flow records and notices. The core only passes it on.
 type Client struct {
 	Address   netip.AddrPort
 	Reference string // the client's own ID of the request, if it is not Request.ID
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -31,7 +31,7 @@
 	t.withdrawUnsentAttempts(tracked)
 }
 
-// completeOpenRequests completes each open request like its deadline does.
+// completeOpenRequests completes each open request with the response that it would get at its deadline.
 func (t *requestTracker) completeOpenRequests() {
 	for _, id := range t.table.ids() {
 		t.deadlineExceeded(id)
--- a/internal/router/timers_test.go
+++ b/internal/router/timers_test.go
@@ -53,9 +53,9 @@
 // fireBeforePolicyTimers fires a timer of the core before the timers of the module that are due earlier.
 func fireBeforePolicyTimers(t *testing.T, core *Core, entry *timerEntry) {
 	t.Helper()
-	set := core.timers.heap.Len()
+	before := core.timers.heap.Len()
 	core.timers.remove(entry)
-	if core.timers.heap.Len() != set-1 {
+	if core.timers.heap.Len() != before-1 {
 		t.Fatal("the timer is not set")
 	}
 	core.timers.now = entry.Due()
--- a/internal/router/validate_test.go
+++ b/internal/router/validate_test.go
@@ -67,9 +67,9 @@
 
 func TestInRange(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		figure float64
-		want   bool
+		name  string
+		value float64
+		want  bool
 	}{
 		{"zero", 0, true},
 		{"limit", MaxLanes, true},
@@ -79,8 +79,8 @@
 		{"infinite", math.Inf(1), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := InRange(test.figure, MaxLanes); got != test.want {
-				t.Errorf("InRange(%v, %v) = %v", test.figure, MaxLanes, got)
+			if got := InRange(test.value, MaxLanes); got != test.want {
+				t.Errorf("InRange(%v, %v) = %v", test.value, MaxLanes, got)
 			}
 		})
 	}
