--- a/internal/router/requesttable_test.go
+++ b/internal/router/requesttable_test.go
@@ -7,7 +7,8 @@
 	"crankhold/policy"
 )
 
-// A request counts against the limits until its capacity is freed, and stays in the table until its attempts have ended.
+// A request counts against the limits until its capacity is freed. It stays in the table until its attempts have
+// completed.
 func TestRequestTableKeepsRequestsUntilTheirAttemptsEnd(t *testing.T) {
 	table := newRequestTable()
 	limits := Limits{MaxConcurrentRequests: 1, MaxBytes: 10}
@@ -16,30 +17,30 @@
 	}
 	tracked := table.add(Request{ID: "a", Body: make([]byte, 4)})
 	attempt := tracked.addAttempt(7, start)
-	if table.hasCapacity(&limits, 0) || !table.isTracked("a") || table.open(tracked.id) != tracked {
+	if table.hasCapacity(&limits, 0) || !table.isTracked("a") || table.getOpen(tracked.id) != tracked {
 		t.Fatal("the request does not count as open")
 	}
 
 	tracked.completed = true
 	table.freeCapacity(tracked)
-	if !table.hasCapacity(&limits, 10) || table.open(tracked.id) != nil {
+	if !table.hasCapacity(&limits, 10) || table.getOpen(tracked.id) != nil {
 		t.Error("a completed request still counts as open")
 	}
-	if table.removeEnded(tracked) || !table.isTracked("a") {
+	if table.removeIfCompleted(tracked) || !table.isTracked("a") {
 		t.Error("a request left the table while its attempt was in flight")
 	}
 
 	_, inFlight := table.attemptInFlight(attempt)
-	tracked.endAttempt(inFlight, policy.Failed)
-	if !tracked.mayHaveRun || !table.removeEnded(tracked) || table.isTracked("a") {
-		t.Error("a request whose attempts have ended stays in the table")
+	tracked.completeAttempt(inFlight, policy.Failed)
+	if !tracked.mayHaveRun || !table.removeIfCompleted(tracked) || table.isTracked("a") {
+		t.Error("a request whose attempts have completed stays in the table")
 	}
-	if table.removeEnded(tracked) {
+	if table.removeIfCompleted(tracked) {
 		t.Error("a request left the table twice")
 	}
 }
 
-// An attempt is found while it is in flight, by its request's identifier and its number.
+// An attempt in flight is found by its request's identifier and its number.
 func TestRequestTableFindsAttemptsInFlight(t *testing.T) {
 	table := newRequestTable()
 	first, second := table.add(Request{ID: "a"}), table.add(Request{ID: "b"})
