--- a/internal/endpoint/availability_test.go
+++ b/internal/endpoint/availability_test.go
@@ -68,7 +68,7 @@
 	if len(spread) < 6 {
 		t.Errorf("%d different spreads of 9", len(spread))
 	}
-	now += failureMemory + time.Second
+	now += failureResetPeriod + time.Second
 	s.Failed(now, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second); !ok {
 		t.Error("failures are not forgotten")
--- a/internal/endpoint/race.go
+++ b/internal/endpoint/race.go
@@ -7,7 +7,7 @@
 	// section 5). It is less where the dial timeout or the request's budget is short.
 	ConnectionAttemptDelay = 250 * time.Millisecond
 	// MaxDialsPerWorker is how many dials of one race may be in progress at once.
-	MaxDialsPerWorker = 4
+	MaxDialsPerRace = 4
 	// MaxDials is how many dials to all workers may be in progress at once.
 	MaxDials = 64
 
@@ -55,7 +55,7 @@
 
 // overlapDue reports whether the dials in progress have taken long enough for a further one.
 func (r *DialRace) overlapDue(now time.Duration) bool {
-	return r.inProgress < MaxDialsPerWorker && now-r.lastDialAt >= r.delay
+	return r.inProgress < MaxDialsPerRace && now-r.lastDialAt >= r.delay
 }
 
 // DialFailed records that a dial failed. It reports whether the race is lost: no dial is in progress and no address is
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -33,7 +33,7 @@
 			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
 				t.Fatal("no dial is in progress, addresses are left, and none is tried")
 			}
-			if inProgress > MaxDialsPerWorker || r.InProgress() != inProgress {
+			if inProgress > MaxDialsPerRace || r.InProgress() != inProgress {
 				t.Fatalf("%d dials in progress, %d counted", inProgress, r.InProgress())
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -31,7 +31,7 @@
 	for n := range networkCount {
 		s.appendPreference(n)
 	}
-	s.arrange()
+	s.applyPreference()
 }
 
 func (s *AddressSet) appendPreference(n Network) {
@@ -55,28 +55,28 @@
 		}
 		s.states = append(s.states, state)
 	}
-	s.arrange()
+	s.applyPreference()
 }
 
-// arrange orders the addresses by network, but IPv6 and IPv4 alternate, so that dials over a broken one of the two do
+// applyPreference orders the addresses by network, but IPv6 and IPv4 alternate, so that dials over a broken one of the two do
 // not delay the others (RFC 8305, section 4).
-func (s *AddressSet) arrange() {
+func (s *AddressSet) applyPreference() {
 	byNetwork := map[Network][]*addressState{}
 	for _, state := range s.states {
 		byNetwork[state.Network] = append(byNetwork[state.Network], state)
 	}
-	var arranged []*addressState
+	var ordered []*addressState
 	interleaved := false
 	for _, n := range s.preference {
 		switch {
 		case n == Unix:
-			arranged = append(arranged, byNetwork[Unix]...)
+			ordered = append(ordered, byNetwork[Unix]...)
 		case !interleaved:
-			arranged = interleave(arranged, byNetwork[n], byNetwork[otherIPNetwork(n)])
+			ordered = interleave(ordered, byNetwork[n], byNetwork[otherIPNetwork(n)])
 			interleaved = true
 		}
 	}
-	s.states = arranged
+	s.states = ordered
 }
 
 func otherIPNetwork(n Network) Network {
--- a/internal/endpoint/state.go
+++ b/internal/endpoint/state.go
@@ -4,10 +4,10 @@
 
 // Times after which an address counts as working again.
 const (
-	firstBackoff  = 500 * time.Millisecond // of a failed address; it doubles with each failure
-	maxBackoff    = 30 * time.Second
-	stablePeriod  = 5 * time.Second  // for which a better address must have been available before requests go back
-	failureMemory = 30 * time.Second // of being available, after which earlier failures no longer count
+	firstBackoff       = 500 * time.Millisecond // of a failed address; it doubles with each failure
+	maxBackoff         = 30 * time.Second
+	stablePeriod       = 5 * time.Second  // for which a better address must have been available before requests go back
+	failureResetPeriod = 30 * time.Second // of being available, after which earlier failures no longer count
 
 	maxDoublings = 10 // of the backoff, so that the shift can't overflow
 )
@@ -35,7 +35,7 @@
 
 // markUnavailable counts a failure, after which the address is unavailable.
 func (a *addressState) markUnavailable(now time.Duration, seed uint64) {
-	if !a.unavailable && now-a.availableSince > failureMemory {
+	if !a.unavailable && now-a.availableSince > failureResetPeriod {
 		a.failures = 0
 	}
 	a.failures++
--- a/internal/route/box_test.go
+++ b/internal/route/box_test.go
@@ -8,7 +8,7 @@
 )
 
 // The boxes have exactly the points, each once.
-func TestCoverPointsHoldsEachPointOnce(t *testing.T) {
+func TestCoverPointsCoversEachPointOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := map[requestPoint]bool{}
 		var points []requestPoint
@@ -24,18 +24,18 @@
 		}
 		boxes := coverPoints(points)
 		for _, p := range allPoints() {
-			holding := 0
+			containing := 0
 			for _, b := range boxes {
-				if b.holds(p) {
-					holding++
+				if b.contains(p) {
+					containing++
 				}
 			}
-			if drawn[p] && holding != 1 || !drawn[p] && holding != 0 {
-				t.Fatalf("%v, drawn: %v, is in %d boxes", p, drawn[p], holding)
+			if drawn[p] && containing != 1 || !drawn[p] && containing != 0 {
+				t.Fatalf("%v, drawn: %v, is in %d boxes", p, drawn[p], containing)
 			}
 		}
 		for _, b := range boxes {
-			if !b.holds(b.examplePoint()) {
+			if !b.contains(b.examplePoint()) {
 				t.Fatalf("%v has the example %v", b, b.examplePoint())
 			}
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// holds reports whether a point is in the box.
-func (b requestBox) holds(p requestPoint) bool {
+// contains reports whether a point is in the box.
+func (b requestBox) contains(p requestPoint) bool {
 	for a, index := range p {
 		if !slices.Contains(b[a], index) {
 			return false
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -52,11 +52,11 @@
 			return err
 		}
 		t.routes = append(t.routes, r)
-		rulesOfRoute := routeSpec.matchRules(t.classes, routeNumber(i))
-		if err := t.addRules(rulesOfRoute); err != nil {
+		routeRules := routeSpec.matchRules(t.classes, routeIndex(i))
+		if err := t.addRules(routeRules); err != nil {
 			return err
 		}
-		rules = append(rules, rulesOfRoute...)
+		rules = append(rules, routeRules...)
 	}
 	t.patterns = newPatternSet(patternsOf(rules))
 	t.tenants = tenantsOf(rules)
@@ -66,9 +66,9 @@
 // addRules adds the rules of one route. A rule that another route has too makes the two routes ambiguous.
 func (t *Table) addRules(rules []matchRule) error {
 	for _, rule := range rules {
-		before := t.matcher.add(rule)
-		if before != noRoute && before != rule.route {
-			return &AmbiguousRoutesError{First: t.routes[before].Spec, Second: t.routes[rule.route].Spec}
+		previous := t.matcher.add(rule)
+		if previous != noRoute && previous != rule.route {
+			return &AmbiguousRoutesError{First: t.routes[previous].Spec, Second: t.routes[rule.route].Spec}
 		}
 	}
 	return nil
--- a/internal/route/compilepools.go
+++ b/internal/route/compilepools.go
@@ -17,7 +17,7 @@
 	if err := distributeLoadBudget(specs, pools, loadWindow); err != nil {
 		return nil, err
 	}
-	if err := joinFallbacks(specs, pools); err != nil {
+	if err := linkFallbacks(specs, pools); err != nil {
 		return nil, err
 	}
 	return pools, nil
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// joinFallbacks joins the pools to their fallbacks and rejects cycles.
-func joinFallbacks(specs []PoolSpec, pools map[string]*Pool) error {
+// linkFallbacks joins the pools to their fallbacks and rejects cycles.
+func linkFallbacks(specs []PoolSpec, pools map[string]*Pool) error {
 	for _, spec := range specs {
 		if spec.Fallback == "" {
 			continue
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -45,22 +45,22 @@
 	replaced      map[*Pool]*Pool // by new pool, the old one that it replaces
 }
 
-// effectChange is what becomes of a request under the old and the new table, as text. The texts are equal where the
+// requestEffects is what becomes of a request under the old and the new table, as text. The texts are equal where the
 // behaviour is.
-type effectChange struct {
+type requestEffects struct {
 	before string
 	after  string
 }
 
 // requestChanges returns the changes of what becomes of requests.
 func (c *tableComparison) requestChanges(otherClasses bool) []Change {
-	firstRequests := map[effectChange]Request{}
-	groups := groupRequests(newRequestSpace(otherClasses, c.old, c.updated), func(r Request) (effectChange, bool) {
-		effect := c.effectChange(r)
-		if _, ok := firstRequests[effect]; !ok {
-			firstRequests[effect] = r
+	firstRequests := map[requestEffects]Request{}
+	groups := groupRequests(newRequestSpace(otherClasses, c.old, c.updated), func(r Request) (requestEffects, bool) {
+		effects := c.effectsOn(r)
+		if _, ok := firstRequests[effects]; !ok {
+			firstRequests[effects] = r
 		}
-		return effect, effect.before != effect.after
+		return effects, effects.before != effects.after
 	})
 	var changes []Change
 	for _, group := range groups {
@@ -76,20 +76,20 @@
 	return changes
 }
 
-// effectChange returns what becomes of a request under each table.
-func (c *tableComparison) effectChange(r Request) effectChange {
+// effectsOn returns what becomes of a request under each table.
+func (c *tableComparison) effectsOn(r Request) requestEffects {
 	oldRoute := c.old.Match(r)
 	newRoute := c.updated.Match(r)
 	notIdempotent := r.Class < len(c.notIdempotent) && c.notIdempotent[r.Class]
-	return effectChange{
+	return requestEffects{
 		before: oldRoute.effect(oldRoute.poolName(), notIdempotent),
-		after:  newRoute.effect(c.newPoolName(oldRoute, newRoute), notIdempotent),
+		after:  newRoute.effect(c.updatedPoolName(oldRoute, newRoute), notIdempotent),
 	}
 }
 
-// newPoolName returns the name of the new route's pool, such that it equals the name of the old route's pool where and
+// updatedPoolName returns the name of the new route's pool, such that it equals the name of the old route's pool where and
 // only where they are the same pool.
-func (c *tableComparison) newPoolName(oldRoute, newRoute *Route) string {
+func (c *tableComparison) updatedPoolName(oldRoute, newRoute *Route) string {
 	if newRoute == nil || newRoute.Pool == nil {
 		return ""
 	}
--- a/internal/route/diff_test.go
+++ b/internal/route/diff_test.go
@@ -26,8 +26,8 @@
 		diff := Diff(oldTable, newTable, notIdempotent, true)
 		changed := false
 		forEachRequest(func(r Request, class string) {
-			before := outcomeByRule(old, [3]string{"a", "b", "c"}, r, class)
-			after := outcomeByRule(m.spec, m.poolNames, r, class)
+			before := referenceOutcome(old, [3]string{"a", "b", "c"}, r, class)
+			after := referenceOutcome(m.spec, m.poolNames, r, class)
 			reported := slices.ContainsFunc(diff, func(d Change) bool {
 				return slices.ContainsFunc(d.Regions, func(region Region) bool { return region.Contains(r, class) })
 			})
@@ -114,9 +114,9 @@
 	m.poolNames = names
 }
 
-// outcomeByRule describes what becomes of a request: the index of its pool among the names, and its attempts.
-func outcomeByRule(s *Spec, poolNames [3]string, r Request, class string) string {
-	i, _ := matchByRule(s, r, class)
+// referenceOutcome describes what becomes of a request: the index of its pool among the names, and its attempts.
+func referenceOutcome(s *Spec, poolNames [3]string, r Request, class string) string {
+	i, _ := referenceMatch(s, r, class)
 	if i < 0 || s.Routes[i].Pool == "" {
 		return "rejected"
 	}
--- a/internal/route/helpers_test.go
+++ b/internal/route/helpers_test.go
@@ -96,13 +96,13 @@
 	return r
 }
 
-// matchByRule evaluates the rule of precedence as docs/language.md states it, one route after the other. It returns the
+// referenceMatch evaluates the rule of precedence as docs/language.md states it, one route after the other. It returns the
 // index of the route, -1 for none, and whether another one is as close.
-func matchByRule(s *Spec, request Request, class string) (best int, tie bool) {
+func referenceMatch(s *Spec, request Request, class string) (best int, tie bool) {
 	best = -1
 	var bestScore [4]int
 	for i, r := range s.Routes {
-		score, ok := scoreByRule(r, request, class)
+		score, ok := referenceScore(r, request, class)
 		if !ok {
 			continue
 		}
@@ -116,8 +116,8 @@
 	return best, tie
 }
 
-// scoreByRule returns how close a route matches: by function, tenant, class and front in this order.
-func scoreByRule(r RouteSpec, request Request, class string) (score [4]int, ok bool) {
+// referenceScore returns how close a route matches: by function, tenant, class and front in this order.
+func referenceScore(r RouteSpec, request Request, class string) (score [4]int, ok bool) {
 	if len(r.Functions) > 0 {
 		score[0] = -1
 		for _, p := range r.Functions {
--- a/internal/route/matcher.go
+++ b/internal/route/matcher.go
@@ -17,12 +17,12 @@
 }
 
 // add adds a rule and returns the route that had the same rule before, or noRoute.
-func (m *matcher) add(rule matchRule) routeNumber {
-	return m.routesOf(rule.pattern).ofTenant(rule.tenant).declare(rule)
+func (m *matcher) add(rule matchRule) routeIndex {
+	return m.forPattern(rule.pattern).forTenant(rule.tenant).declare(rule)
 }
 
-// routesOf returns the routes of a pattern, creating the entry where it is missing.
-func (m *matcher) routesOf(p Pattern) *patternRoutes {
+// forPattern returns the routes of a pattern, creating the entry where it is missing.
+func (m *matcher) forPattern(p Pattern) *patternRoutes {
 	byPrefix := m.exact
 	if p.Digits < functionDigits {
 		if m.prefixes[p.Digits] == nil {
@@ -55,7 +55,7 @@
 }
 
 // match returns the route of a request, or noRoute. It allocates nothing.
-func (m *matcher) match(r Request) routeNumber {
+func (m *matcher) match(r Request) routeIndex {
 	index := resolvedIndex(min(r.Class, m.classCount), r.Front)
 	if routes := m.exact[r.Function]; routes != nil {
 		if route := routes.match(r.Tenant, index); route != noRoute {
--- a/internal/route/matcher_test.go
+++ b/internal/route/matcher_test.go
@@ -16,11 +16,11 @@
 		{exact, "", anyClass, anyFront, 5},
 	}
 	for n := range rules {
-		if before := m.add(rules[n]); before != noRoute {
-			t.Fatalf("rule %d was there as %d", n, before)
+		if previous := m.add(rules[n]); previous != noRoute {
+			t.Fatalf("rule %d was there as %d", n, previous)
 		}
-		if again := m.add(rules[n]); again != rules[n].route {
-			t.Fatalf("rule %d: added again, before %d", n, again)
+		if previous := m.add(rules[n]); previous != rules[n].route {
+			t.Fatalf("rule %d: added again, before %d", n, previous)
 		}
 	}
 	m.resolve()
@@ -33,7 +33,7 @@
 		{Webhook, 0, function + 1, "east"},
 		{Webhook, 0, function, "east"},
 	} {
-		if got := m.match(r); got != routeNumber(want) {
+		if got := m.match(r); got != routeIndex(want) {
 			t.Errorf("%+v takes route %d, want %d", r, got, want)
 		}
 	}
--- a/internal/route/matchrule.go
+++ b/internal/route/matchrule.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// routeNumber is the index of a route in Table.routes.
-type routeNumber int32
+// routeIndex is the index of a route in Table.routes.
+type routeIndex int32
 
 // noRoute is the number of a route where there is none.
-const noRoute routeNumber = -1
+const noRoute routeIndex = -1
 
 // anyClass is the class of a rule that fits all classes.
 const anyClass = -1
@@ -18,11 +18,11 @@
 	tenant  string // "": any
 	class   int    // index into the table's classes, or anyClass
 	front   Front  // or anyFront
-	route   routeNumber
+	route   routeIndex
 }
 
 // matchRules returns all combinations of what the route names. Classes that the table does not list are left out.
-func (s RouteSpec) matchRules(classes []string, route routeNumber) []matchRule {
+func (s RouteSpec) matchRules(classes []string, route routeIndex) []matchRule {
 	var rules []matchRule
 	for _, pattern := range orWildcard(s.Functions, Pattern{}) {
 		for _, tenant := range orWildcard(s.Tenants, "") {
--- a/internal/route/patternset.go
+++ b/internal/route/patternset.go
@@ -28,8 +28,8 @@
 	return s
 }
 
-// functionOf returns a function that p matches and no longer member does; ok is false where longer members cover p.
-func (s *patternSet) functionOf(p Pattern) (function uint64, ok bool) {
+// uncoveredFunction returns a function that p matches and no longer member does; ok is false where longer members cover p.
+func (s *patternSet) uncoveredFunction(p Pattern) (function uint64, ok bool) {
 	if !s.ancestors[p] {
 		return p.Prefix, true
 	}
@@ -38,7 +38,7 @@
 		if s.members[child] {
 			continue
 		}
-		if function, ok := s.functionOf(child); ok {
+		if function, ok := s.uncoveredFunction(child); ok {
 			return function, true
 		}
 	}
--- a/internal/route/pool_test.go
+++ b/internal/route/pool_test.go
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestSoleUnsharedPoolIsBoundedByTheLoadBudgetAlone(t *testing.T) {
+func TestSinglePoolWithoutLoadShareAddsNoLoadLimit(t *testing.T) {
 	table := compilePoolSpecs(t, unlimitedPool("a"))
 	if !table.pool("a").MayLoad(0, 0) {
 		t.Error("a pool without a share, and none beside it, is bounded by the budget alone")
--- a/internal/route/pooldiff.go
+++ b/internal/route/pooldiff.go
@@ -26,14 +26,14 @@
 func poolAdded(p *Pool) Change {
 	return Change{
 		Before:  "no pool " + p.Spec.Name,
-		After:   poolText(p, p.describeWith(p.fallback)),
+		After:   poolDescription(p, p.describeWith(p.fallback)),
 		AfterAt: p.Spec.At,
 	}
 }
 
 func poolRemoved(p *Pool) Change {
 	return Change{
-		Before:   poolText(p, p.describeWith(p.fallback)),
+		Before:   poolDescription(p, p.describeWith(p.fallback)),
 		BeforeAt: p.Spec.At,
 		After:    "no pool " + p.Spec.Name,
 	}
@@ -52,9 +52,9 @@
 		return Change{}, false
 	}
 	return Change{
-		Before:   poolText(old, before),
+		Before:   poolDescription(old, before),
 		BeforeAt: old.Spec.At,
-		After:    poolText(updated, after),
+		After:    poolDescription(updated, after),
 		AfterAt:  updated.Spec.At,
 	}, true
 }
@@ -67,4 +67,6 @@
 	return p.Spec.description() + ", fallback " + fallback.Spec.Name
 }
 
-func poolText(p *Pool, description string) string { return "pool " + p.Spec.Name + ": " + description }
+func poolDescription(p *Pool, description string) string {
+	return "pool " + p.Spec.Name + ": " + description
+}
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// ofTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
-func (p *patternRoutes) ofTenant(tenant string) *classFrontRoutes {
+// forTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
+func (p *patternRoutes) forTenant(tenant string) *classFrontRoutes {
 	if tenant == "" {
 		return p.anyTenant
 	}
@@ -29,7 +29,7 @@
 }
 
 // match returns the route of a tenant's requests of the class and front that the index stands for.
-func (p *patternRoutes) match(tenant string, resolvedIndex int) routeNumber {
+func (p *patternRoutes) match(tenant string, resolvedIndex int) routeIndex {
 	if tenant != "" {
 		if routes := p.byTenant[tenant]; routes != nil && routes.resolved[resolvedIndex] != noRoute {
 			return routes.resolved[resolvedIndex]
@@ -50,12 +50,12 @@
 // the precedence of a class over a front applied, once resolve has been called.
 type classFrontRoutes struct {
 	classCount int
-	declared   []routeNumber // by declaredIndex
-	resolved   []routeNumber // by resolvedIndex
+	declared   []routeIndex // by declaredIndex
+	resolved   []routeIndex // by resolvedIndex
 }
 
 func newClassFrontRoutes(classCount int) *classFrontRoutes {
-	declared := make([]routeNumber, (classCount+1)*(int(frontCount)+1))
+	declared := make([]routeIndex, (classCount+1)*(int(frontCount)+1))
 	for i := range declared {
 		declared[i] = noRoute
 	}
@@ -78,16 +78,16 @@
 func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
 
 // declare sets the route of a rule's class and front and returns the route that was there before.
-func (c *classFrontRoutes) declare(rule matchRule) routeNumber {
+func (c *classFrontRoutes) declare(rule matchRule) routeIndex {
 	index := declaredIndex(rule.class, rule.front)
-	before := c.declared[index]
+	previous := c.declared[index]
 	c.declared[index] = rule.route
-	return before
+	return previous
 }
 
 // resolve fills in the route of each class, and of one that the table does not list, by each front.
 func (c *classFrontRoutes) resolve() {
-	c.resolved = make([]routeNumber, (c.classCount+1)*int(frontCount))
+	c.resolved = make([]routeIndex, (c.classCount+1)*int(frontCount))
 	for class := range c.classCount + 1 {
 		declaredClass := class
 		if class == c.classCount {
@@ -100,7 +100,7 @@
 }
 
 // closest returns the route of the closest rule: one that names the class is closer than one that names the front.
-func (c *classFrontRoutes) closest(class int, front Front) routeNumber {
+func (c *classFrontRoutes) closest(class int, front Front) routeIndex {
 	candidates := [...]int{
 		declaredIndex(class, front),
 		declaredIndex(class, anyFront),
--- a/internal/route/reachable.go
+++ b/internal/route/reachable.go
@@ -5,13 +5,13 @@
 func (t *Table) Reachable() [][]bool {
 	reached := make([][]bool, len(t.routes))
 	for i := range t.routes {
-		reached[i] = t.reachingClasses(routeNumber(i))
+		reached[i] = t.reachingClasses(routeIndex(i))
 	}
 	return reached
 }
 
 // reachingClasses returns for each class whether some request of it takes the route.
-func (t *Table) reachingClasses(route routeNumber) []bool {
+func (t *Table) reachingClasses(route routeIndex) []bool {
 	reached := make([]bool, len(t.classes)+1)
 	for _, rule := range t.routes[route].Spec.matchRules(t.classes, route) {
 		for _, function := range t.patterns.representatives(rule.pattern) {
@@ -39,7 +39,7 @@
 
 // representatives returns functions of p, such that each route for p that some request takes is taken by one of them.
 func (s *patternSet) representatives(p Pattern) []uint64 {
-	if function, ok := s.functionOf(p); ok {
+	if function, ok := s.uncoveredFunction(p); ok {
 		return []uint64{function} // the routes that match it match all functions of p
 	}
 	var functions []uint64
--- a/internal/route/space.go
+++ b/internal/route/space.go
@@ -39,7 +39,7 @@
 	s.tenants = sortedUnique(s.tenants)
 	s.patternSet = newPatternSet(patterns)
 	for _, p := range s.patternSet.sorted {
-		function, ok := s.patternSet.functionOf(p)
+		function, ok := s.patternSet.uncoveredFunction(p)
 		if !ok {
 			continue
 		}
@@ -65,13 +65,13 @@
 	return OtherClass
 }
 
-// anyOtherTenant returns the index of all tenants that no route names, and of requests without a tenant.
-func (s *requestSpace) anyOtherTenant() int { return len(s.tenants) }
+// otherTenantIndex returns the index of all tenants that no route names, and of requests without a tenant.
+func (s *requestSpace) otherTenantIndex() int { return len(s.tenants) }
 
 // request returns one of the requests that a point stands for.
 func (s *requestSpace) request(p requestPoint) Request {
 	r := Request{Front: Front(p[frontAxis]), Class: p[classAxis], Function: s.functions[p[patternAxis]]}
-	if tenant := p[tenantAxis]; tenant != s.anyOtherTenant() {
+	if tenant := p[tenantAxis]; tenant != s.otherTenantIndex() {
 		r.Tenant = s.tenants[tenant]
 	}
 	return r
@@ -82,9 +82,9 @@
 func (s *requestSpace) points() []requestPoint {
 	var points []requestPoint
 	for pattern := range s.patterns {
-		for tenant := s.anyOtherTenant(); tenant >= 0; tenant-- {
+		for tenant := s.otherTenantIndex(); tenant >= 0; tenant-- {
 			for class := range s.classCount() {
-				if tenant == s.anyOtherTenant() {
+				if tenant == s.otherTenantIndex() {
 					points = append(points, requestPoint{int(Thrift), class, pattern, tenant})
 				}
 				points = append(points, requestPoint{int(Webhook), class, pattern, tenant})
--- a/internal/route/spaceregion.go
+++ b/internal/route/spaceregion.go
@@ -56,7 +56,7 @@
 func (s *requestSpace) tenantSet(tenants []int) TenantSet {
 	set := TenantSet{
 		Any:    len(tenants) == len(s.tenants)+1,
-		Others: slices.Contains(tenants, s.anyOtherTenant()),
+		Others: slices.Contains(tenants, s.otherTenantIndex()),
 	}
 	for index, name := range s.tenants {
 		if slices.Contains(tenants, index) {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -17,7 +17,7 @@
 		table, err := Compile(spec, classes)
 		ties := false
 		forEachRequest(func(r Request, class string) {
-			_, tie := matchByRule(spec, r, class)
+			_, tie := referenceMatch(spec, r, class)
 			ties = ties || tie
 		})
 		if err != nil {
@@ -37,7 +37,7 @@
 		}
 		unmatched := table.UnmatchedRegions(true)
 		forEachRequest(func(r Request, class string) {
-			want, _ := matchByRule(spec, r, class)
+			want, _ := referenceMatch(spec, r, class)
 			got := table.Match(r)
 			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
 				t.Fatalf("%+v takes %+v, want route %d", r, got, want)
