--- a/internal/route/box.go
+++ b/internal/route/box.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// requestBox is a set of points of a requestSpace: all combinations of one index out of each axis's set.
+// requestBox is a set of points of a requestSpace: all combinations of one index from the set of each axis.
 type requestBox [axisCount][]int
 
-// mergeOrder is the order of the axes along which boxes are merged. It determines how regions read: classes are listed
-// together first, functions last.
+// mergeOrder is the order of the axes along which boxes are merged. It determines the wording of regions: classes are
+// merged into one list first, functions last.
 var mergeOrder = [...]axis{classAxis, frontAxis, tenantAxis, patternAxis}
 
-// coverPoints covers points by few boxes, no point twice. Each point begins as a box of its own.
+// coverPoints covers the points with few boxes that don't overlap. Each point starts as its own box.
 func coverPoints(points []requestPoint) []requestBox {
 	boxes := make([]requestBox, len(points))
 	for i, p := range points {
@@ -26,10 +26,10 @@
 	return boxes
 }
 
-// mergeBoxes merges the boxes that differ along one axis alone.
+// mergeBoxes merges the boxes that differ along only this axis.
 func mergeBoxes(boxes []requestBox, along axis) []requestBox {
 	var merged []requestBox
-	indexes := map[string]int{} // in merged, by keyWithout
+	indexes := map[string]int{} // indexes in merged, by keyWithout
 	for _, b := range boxes {
 		key := b.keyWithout(along)
 		index, ok := indexes[key]
@@ -46,18 +46,18 @@
 	return merged
 }
 
-// keyWithout returns text that is the same for boxes that differ along one axis alone.
+// keyWithout returns text that is equal for boxes that differ along only this axis.
 func (b requestBox) keyWithout(along axis) string {
 	b[along] = nil
 	return fmt.Sprint(b)
 }
 
-// examplePoint returns the first point of a box, preferably one without a tenant.
+// examplePoint returns the first point of a box, without a tenant if the box has such a point.
 func (b requestBox) examplePoint() requestPoint {
 	var point requestPoint
 	for a, indexes := range b {
 		point[a] = indexes[0]
 	}
-	point[tenantAxis] = slices.Max(b[tenantAxis]) // the last index is of requests without a named tenant
+	point[tenantAxis] = slices.Max(b[tenantAxis]) // the last index is for requests without a named tenant
 	return point
 }
--- a/internal/route/carryover.go
+++ b/internal/route/carryover.go
@@ -1,7 +1,7 @@
 package route
 
 // CarryOver makes the pools of t continue with the counters of the pools of old that they replace; see matchPools.
-// Requests in flight finish under old; since both tables share the counters, they are counted in t too.
+// Requests in flight complete under old. They are also counted in t, because both tables share the counters.
 func (t *Table) CarryOver(old *Table) {
 	if len(t.pools) == 0 || len(old.pools) == 0 {
 		return
@@ -20,7 +20,8 @@
 	}
 }
 
-// sharedLoads returns the window of the pools without a load share, or nil where each pool has one.
+// sharedLoads returns the window that counts the loads of all pools without a load share. It returns nil if every pool
+// has a load share.
 func (t *Table) sharedLoads() *slidingWindow {
 	for _, p := range t.pools {
 		if p.Spec.LoadShare == Unset {
@@ -30,8 +31,8 @@
 	return nil
 }
 
-// matchPools returns for each new pool the old one that it replaces: one that behaves the same, preferably of the same
-// name, or else the one of the same name. A pool that is only renamed stays the same pool.
+// matchPools returns, for each new pool, the old pool that it replaces: one with the same behaviour, preferably with
+// the same name too, or else one with the same name. A pool that is only renamed is therefore still the same pool.
 func matchPools(old, updated []*Pool) map[*Pool]*Pool {
 	sameName := func(o, n *Pool) bool { return o.Spec.Name == n.Spec.Name }
 	sameBehavior := func(o, n *Pool) bool { return o.fallbackChain() == n.fallbackChain() }
@@ -46,11 +47,11 @@
 type poolMatching struct {
 	old      []*Pool
 	updated  []*Pool
-	replaced map[*Pool]*Pool // by new pool, the old one
-	taken    map[*Pool]bool  // old pools that are in a pair
+	replaced map[*Pool]*Pool // from new pool to old pool
+	taken    map[*Pool]bool  // old pools that have a pair
 }
 
-// matchIf pairs each new pool that has no old one yet with the first old pool that fits and is in no pair.
+// matchIf pairs each new pool that has no pair yet with the first unpaired old pool that fits.
 func (m *poolMatching) matchIf(fits func(old, updated *Pool) bool) {
 	for _, n := range m.updated {
 		for _, o := range m.old {
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Compile makes a table for requests of these classes out of a spec. Of the routes that match a request the one with
-// the closest match is taken: first by function (exact, then the longest prefix), then one that names the tenant,
-// then one that names the class, then one that names the front. The order of the spec has no effect.
+// Compile builds a table from a spec, for requests of these classes. Of the routes that match a request, the closest
+// one is used: by function first (exact, then the longest prefix), then one that names the tenant, then one that names
+// the class, then one that names the front. The order of the routes in the spec has no effect.
 //
 // The error is an *AmbiguousRoutesError, *DuplicatePoolError, *UndefinedReferenceError, *FallbackCycleError or
 // *LoadShareError.
@@ -39,7 +39,7 @@
 
 func comparePoolNames(a, b *Pool) int { return strings.Compare(a.Spec.Name, b.Spec.Name) }
 
-// addRoutes adds the spec's routes with all of their rules.
+// addRoutes compiles the spec's routes and adds all of their rules to the matcher.
 func (t *Table) addRoutes(spec *Spec, pools map[string]*Pool) error {
 	policies := map[string]PolicySpec{}
 	for _, p := range spec.Policies {
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// addRules adds the rules of one route. A rule that another route has too makes the two routes ambiguous.
+// addRules adds the rules of one route. It fails if another route has one of these rules, because the two routes are
+// then ambiguous.
 func (t *Table) addRules(rules []matchRule) error {
 	for _, rule := range rules {
 		previous := t.matcher.add(rule)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// patternsOf returns the patterns of rules, with repetitions.
+// patternsOf returns the patterns of rules, with duplicates.
 func patternsOf(rules []matchRule) []Pattern {
 	var patterns []Pattern
 	for _, rule := range rules {
@@ -83,7 +84,7 @@
 	return patterns
 }
 
-// tenantsOf returns the tenants that rules name, sorted and without repetitions.
+// tenantsOf returns the tenants that rules name, sorted and without duplicates.
 func tenantsOf(rules []matchRule) []string {
 	var tenants []string
 	for _, rule := range rules {
@@ -94,7 +95,7 @@
 	return sortedUnique(tenants)
 }
 
-// compileRoute joins a route to its pool and its policy.
+// compileRoute resolves a route's references to its pool and its policy.
 func compileRoute(spec RouteSpec, pools map[string]*Pool, policies map[string]PolicySpec) (*Route, error) {
 	r := &Route{Spec: spec, Policy: NoPolicy}
 	if spec.Policy != "" {
--- a/internal/route/compilepools.go
+++ b/internal/route/compilepools.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// shareTolerance is what rounding may add to shares that make up the whole.
+// shareTolerance is how far rounding may raise the sum of the shares above 1.
 const shareTolerance = 1e-9
 
-// compilePools makes the pools of a spec and joins them to their fallbacks.
+// compilePools creates the pools of a spec, by name, and links them to their fallbacks.
 func compilePools(specs []PoolSpec, loadWindow time.Duration) (map[string]*Pool, error) {
 	pools := map[string]*Pool{}
 	for _, spec := range specs {
@@ -23,8 +23,8 @@
 	return pools, nil
 }
 
-// distributeLoadBudget gives each pool its share of the load budget. Pools without one have together what the others
-// leave, and count their loads in one window.
+// distributeLoadBudget sets each pool's share of the load budget. The pools without a configured share have what the
+// others leave in common, and count their loads in one shared window.
 func distributeLoadBudget(specs []PoolSpec, pools map[string]*Pool, loadWindow time.Duration) error {
 	remaining := 1.0
 	for _, spec := range specs {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// linkFallbacks joins the pools to their fallbacks and rejects cycles.
+// linkFallbacks links the pools to their fallbacks and rejects cycles.
 func linkFallbacks(specs []PoolSpec, pools map[string]*Pool) error {
 	for _, spec := range specs {
 		if spec.Fallback == "" {
--- a/internal/route/describe.go
+++ b/internal/route/describe.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Describe returns text on which workers the pool has, what it may use, and what takes the requests that it can't.
+// Describe describes the pool's workers, its limits and its fallback.
 func (p *Pool) Describe() string {
 	text := p.Spec.description()
 	if p.fallback != nil {
@@ -15,7 +15,7 @@
 	return text
 }
 
-// fallbackChain describes the pool and all of its fallbacks without their names. Pools of the same chain behave the
+// fallbackChain describes the pool and all of its fallbacks without their names. Pools with equal chains behave the
 // same.
 func (p *Pool) fallbackChain() string {
 	text := p.Spec.description()
@@ -31,7 +31,7 @@
 	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, matches)
 }
 
-// description describes the workers and the limits, in canonical order and without any names of pools.
+// description describes the workers and the limits in canonical order, without the names of pools.
 func (s PoolSpec) description() string {
 	var selectors []string
 	for _, selector := range s.Workers {
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("workers %s, %s", strings.Join(sortedUnique(selectors), " or "), s.limits())
 }
 
-// limits describes what the pool may use.
+// limits describes the limits on attempts in flight, loads and overflow.
 func (s PoolSpec) limits() string {
 	capacity := "no cap"
 	if s.MaxInFlight != Unset {
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Change is a difference in behaviour between two tables.
+// Change is one difference in behaviour between two tables.
 type Change struct {
-	Regions  []Region // the requests that it concerns; none for a change of a pool
+	Regions  []Region // the requests that change; empty if a pool changes
 	Before   string   // what the old table does
 	After    string   // what the new table does
-	BeforeAt string   // file:line of what the old table says
-	AfterAt  string   // file:line of what the new table says
+	BeforeAt string   // file:line of the route or pool in the old configuration
+	AfterAt  string   // file:line of the route or pool in the new configuration
 }
 
-// Subject describes what the change concerns.
+// Subject describes the requests that change, or returns "pools" for a change of a pool.
 func (c Change) Subject() string {
 	if len(c.Regions) == 0 {
 		return "pools"
@@ -23,10 +23,10 @@
 	return strings.Join(regions, "; ")
 }
 
-// Diff returns what changes where a table replaces another: which requests go to another pool, get other attempts or
-// times, or are rejected, and which pools have other limits. Both tables must list the same classes; notIdempotent
-// says which of them must never run twice, and otherClasses whether there are further ones. Names, positions and order
-// have no effect on requests, so a change of these alone is no difference.
+// Diff returns what changes when the updated table replaces the old one: which requests go to another pool, have other
+// limits on attempts or times, or are rejected, and which pools have other workers or limits. Both tables must list the
+// same classes. notIdempotent says which of them must never run twice, and otherClasses whether there are further
+// classes. Names, positions and order have no effect on requests, so Diff ignores changes of only these.
 func Diff(old, updated *Table, notIdempotent []bool, otherClasses bool) []Change {
 	c := &tableComparison{
 		old:           old,
@@ -42,17 +42,17 @@
 	old           *Table
 	updated       *Table
 	notIdempotent []bool          // by class
-	replaced      map[*Pool]*Pool // by new pool, the old one that it replaces
+	replaced      map[*Pool]*Pool // from new pool to the old pool that it replaces
 }
 
-// requestEffects is what becomes of a request under the old and the new table, as text. The texts are equal where the
-// behaviour is.
+// requestEffects describes what the old and the new table do with a request. The texts are equal if and only if the
+// behaviour is equal.
 type requestEffects struct {
 	before string
 	after  string
 }
 
-// requestChanges returns the changes of what becomes of requests.
+// requestChanges returns the changes that affect requests.
 func (c *tableComparison) requestChanges(otherClasses bool) []Change {
 	firstRequests := map[requestEffects]Request{}
 	groups := groupRequests(newRequestSpace(otherClasses, c.old, c.updated), func(r Request) (requestEffects, bool) {
@@ -76,7 +76,7 @@
 	return changes
 }
 
-// effectsOn returns what becomes of a request under each table.
+// effectsOn describes what each table does with a request.
 func (c *tableComparison) effectsOn(r Request) requestEffects {
 	oldRoute := c.old.Match(r)
 	newRoute := c.updated.Match(r)
@@ -87,15 +87,15 @@
 	}
 }
 
-// updatedPoolName returns the name of the new route's pool, such that it equals the name of the old route's pool where and
-// only where they are the same pool.
+// updatedPoolName returns a name for the new route's pool that equals the name of the old route's pool if and only if
+// the two are the same pool.
 func (c *tableComparison) updatedPoolName(oldRoute, newRoute *Route) string {
 	if newRoute == nil || newRoute.Pool == nil {
 		return ""
 	}
 	replaced := c.replaced[newRoute.Pool]
 	if replaced != nil && oldRoute != nil && oldRoute.Pool == replaced {
-		return oldRoute.poolName() // renamed at most
+		return oldRoute.poolName() // the same pool, possibly renamed
 	}
 	name := newRoute.poolName()
 	if name == oldRoute.poolName() {
@@ -104,7 +104,7 @@
 	return name
 }
 
-// effect describes what becomes of the requests that take the route; nil is the route of those that none matches.
+// effect describes what happens to the requests that take the route. A nil route is that of unmatched requests.
 func (r *Route) effect(poolName string, notIdempotent bool) string {
 	if r == nil || r.Pool == nil {
 		return "refused"
@@ -112,7 +112,7 @@
 	return "pool " + poolName + ", " + r.Policy.Effective(notIdempotent).String()
 }
 
-// poolName returns the name of the route's pool, or "" where its requests are rejected.
+// poolName returns the name of the route's pool, or "" if its requests are rejected.
 func (r *Route) poolName() string {
 	if r == nil || r.Pool == nil {
 		return ""
@@ -120,7 +120,7 @@
 	return r.Pool.Spec.Name
 }
 
-// position returns where the route is defined as file:line, or "" where there is no route.
+// position returns the position of the route's definition as file:line, or "" if there is no route.
 func (r *Route) position() string {
 	if r == nil {
 		return ""
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -8,25 +8,25 @@
 	Second RouteSpec
 }
 
-// Error names both routes and the position of the first.
+// Error returns a message with the names of both routes and the position of the first.
 func (e *AmbiguousRoutesError) Error() string {
 	return fmt.Sprintf("route %q matches the same calls as route %q at %s, and neither is the closer match",
 		e.Second.Name, e.First.Name, e.First.At)
 }
 
-// DuplicatePoolError reports two pools of one name.
+// DuplicatePoolError reports two pools with the same name.
 type DuplicatePoolError struct {
 	Name string
 	At   string // file:line of the second pool
 }
 
-// Error names the pool.
-func (e *DuplicatePoolError) Error() string { return fmt.Sprintf("pool %q is there twice", e.Name) }
+// Error returns a message with the name of the pool.
+func (e *DuplicatePoolError) Error() string { return fmt.Sprintf("pool %q is defined twice", e.Name) }
 
-// BlockKind is a kind of block that other blocks refer to by name, as configurations spell it.
+// BlockKind is a kind of named block, written as its keyword in the routes language.
 type BlockKind string
 
-// The kinds of blocks that refer to each other.
+// The kinds of blocks that refer to each other: a route refers to a pool and a policy, and a pool to its fallback.
 const (
 	PoolBlock   BlockKind = "pool"
 	PolicyBlock BlockKind = "policy"
@@ -35,35 +35,35 @@
 
 // UndefinedReferenceError reports a route or a pool that names a pool or a policy that does not exist.
 type UndefinedReferenceError struct {
-	Kind       BlockKind // of the block that holds the reference
-	Name       string
-	At         string // file:line of that block
-	TargetKind BlockKind
-	Target     string // the name that is not defined
+	Kind       BlockKind // kind of the block that contains the reference
+	Name       string    // name of that block
+	At         string    // file:line of that block
+	TargetKind BlockKind // kind of the missing block
+	Target     string    // name of the missing block
 }
 
-// Error names the block and what it refers to.
+// Error returns a message with the names of the block and of the missing block.
 func (e *UndefinedReferenceError) Error() string {
 	return fmt.Sprintf("%s %q: no %s %q", e.Kind, e.Name, e.TargetKind, e.Target)
 }
 
-// FallbackCycleError reports a pool whose chain of fallbacks never ends.
+// FallbackCycleError reports a pool whose fallback chain contains a cycle.
 type FallbackCycleError struct {
 	Name string
 	At   string // file:line of the pool
 }
 
-// Error names the pool.
+// Error returns a message with the name of the pool.
 func (e *FallbackCycleError) Error() string {
-	return fmt.Sprintf("pool %q falls back in a circle", e.Name)
+	return fmt.Sprintf("the fallback chain of pool %q contains a cycle", e.Name)
 }
 
-// LoadShareError reports pools whose shares of the load budget add up to more than the whole.
+// LoadShareError reports that the pools' shares of the load budget add up to more than 1.
 type LoadShareError struct {
 	Total float64 // sum of the shares as a fraction; more than 1
 }
 
-// Error gives the sum.
+// Error returns a message with the sum of the shares in percent.
 func (e *LoadShareError) Error() string {
-	return fmt.Sprintf("the pools' shares of the load orders come to %.4g%%", 100*e.Total)
+	return fmt.Sprintf("the pools' shares of the load budget add up to %.4g%%", 100*e.Total)
 }
--- a/internal/route/functionset.go
+++ b/internal/route/functionset.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// FunctionSet is the functions of a pattern without those of some others.
+// FunctionSet is the set of functions that a pattern matches, except those that other patterns match.
 type FunctionSet struct {
 	Pattern Pattern
 	Except  []Pattern
--- a/internal/route/matcher.go
+++ b/internal/route/matcher.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// matcher finds the route of a request by the rules of all routes. Rules are added first, then resolve is called once;
-// after that the matcher does not change and any goroutine may call match.
+// matcher finds the route of a request by the rules of all routes. All rules are added first, then resolve is called
+// once. After that the matcher does not change, and any goroutine may call match.
 type matcher struct {
 	classCount    int
 	exact         map[uint64]*patternRoutes                 // by function
 	prefixes      [functionDigits]map[uint64]*patternRoutes // by number of digits and prefix
-	prefixLengths []int                                     // numbers of digits that occur in prefixes, longest first
+	prefixLengths []int                                     // numbers of digits that occur in prefixes, largest first
 }
 
-// newMatcher returns a matcher without rules, for requests of so many classes and of others.
+// newMatcher returns a matcher without rules, for a table that lists this many classes.
 func newMatcher(classCount int) *matcher {
 	return &matcher{classCount: classCount, exact: map[uint64]*patternRoutes{}}
 }
 
-// add adds a rule and returns the route that had the same rule before, or noRoute.
+// add adds a rule. It returns the route that already had the same rule, or noRoute.
 func (m *matcher) add(rule matchRule) routeIndex {
 	return m.forPattern(rule.pattern).forTenant(rule.tenant).declare(rule)
 }
 
-// forPattern returns the routes of a pattern, creating the entry where it is missing.
+// forPattern returns the routes of a pattern, and creates the entry if it is missing.
 func (m *matcher) forPattern(p Pattern) *patternRoutes {
 	byPrefix := m.exact
 	if p.Digits < functionDigits {
@@ -38,7 +38,7 @@
 	return routes
 }
 
-// resolve prepares what match reads, once all rules are added.
+// resolve precomputes what match reads. It is called once, after all rules are added.
 func (m *matcher) resolve() {
 	for _, routes := range m.exact {
 		routes.resolve()
@@ -54,7 +54,7 @@
 	}
 }
 
-// match returns the route of a request, or noRoute. It allocates nothing.
+// match returns the route of a request, or noRoute if no rule matches. It allocates nothing.
 func (m *matcher) match(r Request) routeIndex {
 	index := resolvedIndex(min(r.Class, m.classCount), r.Front)
 	if routes := m.exact[r.Function]; routes != nil {
--- a/internal/route/matchrule.go
+++ b/internal/route/matchrule.go
@@ -5,13 +5,13 @@
 // routeIndex is the index of a route in Table.routes.
 type routeIndex int32
 
-// noRoute is the number of a route where there is none.
+// noRoute is the routeIndex that means no route.
 const noRoute routeIndex = -1
 
-// anyClass is the class of a rule that fits all classes.
+// anyClass is the class of a rule that matches all classes.
 const anyClass = -1
 
-// matchRule is one combination of the pattern, tenant, class and front that a route names. A route that names several
+// matchRule is one combination of a pattern, tenant, class and front that a route matches. A route that names several
 // values of a property has a rule for each combination.
 type matchRule struct {
 	pattern Pattern
@@ -21,7 +21,8 @@
 	route   routeIndex
 }
 
-// matchRules returns all combinations of what the route names. Classes that the table does not list are left out.
+// matchRules returns a rule for each combination of the values that the route names. Classes that the table does not
+// list are left out.
 func (s RouteSpec) matchRules(classes []string, route routeIndex) []matchRule {
 	var rules []matchRule
 	for _, pattern := range orWildcard(s.Functions, Pattern{}) {
@@ -36,7 +37,7 @@
 	return rules
 }
 
-// classIndexes returns the indexes of the route's classes in the list, or anyClass alone where the route names none.
+// classIndexes returns the indexes of the route's classes in the list, or only anyClass if the route names none.
 func (s RouteSpec) classIndexes(classes []string) []int {
 	if len(s.Classes) == 0 {
 		return []int{anyClass}
@@ -50,7 +51,7 @@
 	return indexes
 }
 
-// orWildcard returns the list, or the wildcard alone where the list is empty.
+// orWildcard returns the list, or a list of only the wildcard if the list is empty.
 func orWildcard[T any](list []T, wildcard T) []T {
 	if len(list) == 0 {
 		return []T{wildcard}
@@ -58,7 +59,7 @@
 	return list
 }
 
-// acceptsFront reports whether a request by the front can fit the rule; only webhooks name a tenant.
+// acceptsFront reports whether the rule can match a request by this front. Only webhooks name a tenant.
 func (r matchRule) acceptsFront(front Front) bool {
 	if front == Thrift && r.tenant != "" {
 		return false
@@ -66,5 +67,5 @@
 	return r.front == anyFront || r.front == front
 }
 
-// acceptsClass reports whether a request of the class can fit the rule.
+// acceptsClass reports whether the rule can match a request of this class.
 func (r matchRule) acceptsClass(class int) bool { return r.class == anyClass || r.class == class }
--- a/internal/route/overflow.go
+++ b/internal/route/overflow.go
@@ -7,11 +7,11 @@
 	"crankhold/policy"
 )
 
-// overflowWindow is the span over which the limit on overflow holds.
+// overflowWindow is the length of the sliding window of the overflow limit.
 const overflowWindow = 10 * time.Second
 
-// Overflow returns the pool that takes a request that this one can't, or nil where there is no fallback or the limit
-// on overflow is reached. It counts the request.
+// Overflow returns the pool that takes a request that this pool can't, and counts the request as an overflow. It
+// returns nil if there is no fallback or the overflow limit is reached.
 func (p *Pool) Overflow(now time.Duration) policy.Pool {
 	if p.fallback == nil {
 		return nil
@@ -26,7 +26,7 @@
 	return p.fallback
 }
 
-// maxOverflows returns how many requests may overflow within the window.
+// maxOverflows returns how many requests may overflow within the window that ends now.
 func (p *Pool) maxOverflows(now time.Duration) float64 {
 	limit := math.Inf(1)
 	if p.Spec.OverflowShare != Unset {
--- a/internal/route/patternset.go
+++ b/internal/route/patternset.go
@@ -8,8 +8,8 @@
 // patternSet is a set of patterns. The empty pattern, which matches all functions, is always in it.
 type patternSet struct {
 	members   map[Pattern]bool
-	ancestors map[Pattern]bool // all patterns that have a longer member within them
-	sorted    []Pattern        // the members; those within a pattern directly follow it
+	ancestors map[Pattern]bool // all patterns that contain a longer member
+	sorted    []Pattern        // the members; a pattern is directly followed by those within it
 }
 
 func newPatternSet(list []Pattern) *patternSet {
@@ -28,7 +28,8 @@
 	return s
 }
 
-// uncoveredFunction returns a function that p matches and no longer member does; ok is false where longer members cover p.
+// uncoveredFunction returns a function that p matches and that no longer member matches. ok is false if longer members
+// together match all functions of p.
 func (s *patternSet) uncoveredFunction(p Pattern) (function uint64, ok bool) {
 	if !s.ancestors[p] {
 		return p.Prefix, true
@@ -45,8 +46,8 @@
 	return 0, false
 }
 
-// outermostWithin returns the wanted members that are longer than p and within it, leaving out those that are within
-// another one of the result.
+// outermostWithin returns the wanted members that are longer than p and within it. It leaves out members that are
+// within another member of the result.
 func (s *patternSet) outermostWithin(p Pattern, wanted func(Pattern) bool) []Pattern {
 	first, found := slices.BinarySearchFunc(s.sorted, p, comparePatterns)
 	if found {
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -8,23 +8,24 @@
 	"crankhold/policy"
 )
 
-// PolicySpec tightens what the platform's settings allow. A count that is Unset is as the settings allow.
+// PolicySpec restricts what the platform's settings allow. A count that is Unset adds no restriction.
 type PolicySpec struct {
 	Name                    string
-	MaxAttempts             int           // in all
+	MaxAttempts             int           // including the first one
 	RetriesAfterPossibleRun int           // after an attempt that may have run
 	RetriesAfterProvenNoRun int           // after an attempt that provably never ran
-	AttemptTimeout          time.Duration // 0: until the client gives up
-	HedgeDelay              time.Duration // delay of the hedged request; 0: none is sent
-	LatencyObjective        time.Duration // 0: the class's
+	AttemptTimeout          time.Duration // 0: until the client cancels
+	HedgeDelay              time.Duration // delay of the hedged request; 0: no hedged request
+	LatencyObjective        time.Duration // 0: the latency objective of the class
 	At                      string        // file:line
 }
 
 // NoPolicy is the policy of a route that names none.
 var NoPolicy = PolicySpec{MaxAttempts: Unset, RetriesAfterPossibleRun: Unset, RetriesAfterProvenNoRun: Unset}
 
-// Effective returns the policy without the settings that have no effect on requests of a class. A class that is not
-// idempotent gets no retry after an attempt that may have run and no hedged request, whatever the policy says.
+// Effective returns the policy without the settings that have no effect on a class that is idempotent or not. A class
+// that is not idempotent gets no retry after an attempt that may have run, and no hedged request, whatever the policy
+// says.
 func (p PolicySpec) Effective(notIdempotent bool) PolicySpec {
 	if p.MaxAttempts != Unset {
 		maxRetries := p.MaxAttempts - 1
@@ -42,7 +43,7 @@
 	return p
 }
 
-// requestPolicy returns the policy in the decision module's form.
+// requestPolicy converts the policy to the type that the decision module takes.
 func (p PolicySpec) requestPolicy() policy.RequestPolicy {
 	return policy.RequestPolicy{
 		MaxAttempts:             max(p.MaxAttempts, 0),
@@ -54,7 +55,7 @@
 	}
 }
 
-// String lists what the policy tightens, in the words of the configuration language.
+// String lists the policy's restrictions in the words of the routes language.
 func (p PolicySpec) String() string {
 	var parts []string
 	addCount := func(name string, count int) {
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -6,23 +6,23 @@
 	"crankhold/policy"
 )
 
-// Pool is a pool of workers, as the decision module sees it: which workers a request may go to, and whether a further
-// attempt, load or overflowing request is within the pool's limits. A table that replaces another takes the counters
-// over; see Table.CarryOver. The event loop owns it.
+// Pool is a pool of workers. It tells the decision module which workers a request may go to, and whether one more
+// attempt, load or overflow is within the pool's limits. When a table replaces another, its pools continue with the old
+// counters; see Table.CarryOver. The event loop owns a Pool.
 type Pool struct {
 	Spec      PoolSpec
 	fallback  *Pool                    // nil: none
-	members   map[policy.WorkerID]bool // the listed workers that are the pool's
-	loadShare float64                  // of the load budget, as a fraction
+	members   map[policy.WorkerID]bool // the listed workers that belong to the pool
+	loadShare float64                  // fraction of the load budget
 	*poolCounters
-	loads *slidingWindow // loads that count against loadShare: its own, or those of all pools without a share
+	loads *slidingWindow // loads that count against loadShare: the pool's, or those of all pools without a share
 }
 
 var _ policy.Pool = (*Pool)(nil)
 
-// poolCounters counts what happened in a pool.
+// poolCounters holds the counters of a pool that survive a change of the table.
 type poolCounters struct {
-	inFlight         int // attempts
+	inFlight         int // attempts in flight
 	peak             int // highest inFlight
 	recentRequests   *slidingWindow
 	recentOverflows  *slidingWindow
@@ -30,7 +30,7 @@
 	Requests         uint64 // routed here, or overflowed from another pool
 	Overflows        uint64 // requests that went to the fallback
 	Loads            uint64 // load commands
-	CapacityExceeded uint64 // requests that did not go to the fallback, because the limit on overflow was reached
+	CapacityExceeded uint64 // requests that could not overflow because the overflow limit was reached
 }
 
 func newPoolCounters(loadWindow time.Duration) *poolCounters {
@@ -41,13 +41,13 @@
 	}
 }
 
-// Contains reports whether a worker is one of the pool's.
+// Contains reports whether a worker belongs to the pool.
 func (p *Pool) Contains(w policy.WorkerID) bool { return p.members[w] }
 
-// Size returns how many listed workers are the pool's.
+// Size returns how many listed workers belong to the pool.
 func (p *Pool) Size() int { return len(p.members) }
 
-// HasCapacity reports whether a further attempt may be in flight.
+// HasCapacity reports whether one more attempt may be in flight.
 func (p *Pool) HasCapacity() bool {
 	return p.Spec.MaxInFlight == Unset || p.inFlight < p.Spec.MaxInFlight
 }
@@ -55,10 +55,10 @@
 // InFlight returns how many attempts are in flight.
 func (p *Pool) InFlight() int { return p.inFlight }
 
-// Peak returns the most attempts that were in flight at once.
+// Peak returns the highest number of attempts that were in flight at once.
 func (p *Pool) Peak() int { return p.peak }
 
-// RequestRouted counts a request that a route, or a pool that overflows, sends to the pool.
+// RequestRouted counts a request that a route, or the overflow of another pool, sends to this pool.
 func (p *Pool) RequestRouted(now time.Duration) {
 	p.Requests++
 	p.recentRequests.add(now)
@@ -70,5 +70,5 @@
 	p.peak = max(p.peak, p.inFlight)
 }
 
-// AttemptFinished takes an attempt out of those in flight; it is called once for each AttemptStarted.
+// AttemptFinished counts an attempt as no longer in flight. It is called once for each AttemptStarted.
 func (p *Pool) AttemptFinished() { p.inFlight-- }
--- a/internal/route/pooldiff.go
+++ b/internal/route/pooldiff.go
@@ -1,6 +1,6 @@
 package route
 
-// poolChanges returns which pools have other workers or limits, are new, or are gone.
+// poolChanges returns the pools that have other workers, limits or fallbacks, are added, or are removed.
 func (c *tableComparison) poolChanges() []Change {
 	var changes []Change
 	kept := map[*Pool]bool{}
@@ -39,8 +39,8 @@
 	}
 }
 
-// poolChanged compares a pool with the one that replaces it. Fallbacks are compared by their old names, so that a pool
-// whose fallback is only renamed does not change.
+// poolChanged compares a pool with the one that replaces it, and returns false if they are equal. Fallbacks are
+// compared by their old names, so that a pool whose fallback is only renamed is not reported.
 func (c *tableComparison) poolChanged(old, updated *Pool) (Change, bool) {
 	fallback := updated.fallback
 	if replaced := c.replaced[fallback]; replaced != nil {
@@ -59,7 +59,7 @@
 	}, true
 }
 
-// describeWith describes the pool with this fallback's name, nil for none.
+// describeWith describes the pool with this fallback; nil is no fallback.
 func (p *Pool) describeWith(fallback *Pool) string {
 	if fallback == nil {
 		return p.Spec.description() + ", no fallback"
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -1,10 +1,10 @@
 package route
 
-// patternRoutes holds the routes of one pattern.
+// patternRoutes holds the routes of one pattern by tenant, class and front.
 type patternRoutes struct {
 	classCount int
-	byTenant   map[string]*classFrontRoutes // of routes that name a tenant
-	anyTenant  *classFrontRoutes            // of routes that name none
+	byTenant   map[string]*classFrontRoutes // routes that name a tenant
+	anyTenant  *classFrontRoutes            // routes that name no tenant
 }
 
 func newPatternRoutes(classCount int) *patternRoutes {
@@ -15,7 +15,7 @@
 	}
 }
 
-// forTenant returns the routes that name the tenant, creating the entry where it is missing; "" is any tenant.
+// forTenant returns the routes that name the tenant, or no tenant for "". It creates the entry if it is missing.
 func (p *patternRoutes) forTenant(tenant string) *classFrontRoutes {
 	if tenant == "" {
 		return p.anyTenant
@@ -28,7 +28,7 @@
 	return routes
 }
 
-// match returns the route of a tenant's requests of the class and front that the index stands for.
+// match returns the route of a tenant's requests whose class and front have this resolvedIndex, or noRoute.
 func (p *patternRoutes) match(tenant string, resolvedIndex int) routeIndex {
 	if tenant != "" {
 		if routes := p.byTenant[tenant]; routes != nil && routes.resolved[resolvedIndex] != noRoute {
@@ -38,7 +38,7 @@
 	return p.anyTenant.resolved[resolvedIndex]
 }
 
-// resolve applies the precedence of classes and fronts to all tenants' routes.
+// resolve applies the precedence of classes and fronts to the routes of all tenants.
 func (p *patternRoutes) resolve() {
 	p.anyTenant.resolve()
 	for _, routes := range p.byTenant {
@@ -46,8 +46,8 @@
 	}
 }
 
-// classFrontRoutes holds the routes of one pattern and tenant by class and front: as the rules declare them, and with
-// the precedence of a class over a front applied, once resolve has been called.
+// classFrontRoutes holds the routes of one pattern and tenant by class and front. declared has them as the rules name
+// them. resolved is filled in by resolve and has the closest route for each class and front.
 type classFrontRoutes struct {
 	classCount int
 	declared   []routeIndex // by declaredIndex
@@ -62,8 +62,8 @@
 	return &classFrontRoutes{classCount: classCount, declared: declared}
 }
 
-// declaredIndex is the index of a class and a front in classFrontRoutes.declared, a matrix with a row for each class
-// and a column for each front; row and column 0 are for any.
+// declaredIndex returns the index of a class and a front in classFrontRoutes.declared. That slice is a matrix with a
+// row for each class and a column for each front; row 0 is for anyClass and column 0 for anyFront.
 func declaredIndex(class int, front Front) int {
 	row := class + 1 // anyClass is row 0
 	column := int(front) + 1
@@ -73,11 +73,11 @@
 	return row*(int(frontCount)+1) + column
 }
 
-// resolvedIndex is the index of a class and a front in classFrontRoutes.resolved. The class after the listed ones is
-// for all others.
+// resolvedIndex returns the index of a class and a front in classFrontRoutes.resolved. The class after the listed ones
+// represents all others.
 func resolvedIndex(class int, front Front) int { return class*int(frontCount) + int(front) }
 
-// declare sets the route of a rule's class and front and returns the route that was there before.
+// declare sets the route of a rule's class and front. It returns the route that was set before, or noRoute.
 func (c *classFrontRoutes) declare(rule matchRule) routeIndex {
 	index := declaredIndex(rule.class, rule.front)
 	previous := c.declared[index]
@@ -85,13 +85,13 @@
 	return previous
 }
 
-// resolve fills in the route of each class, and of one that the table does not list, by each front.
+// resolve computes the closest route for each class, and for classes that the table does not list, by each front.
 func (c *classFrontRoutes) resolve() {
 	c.resolved = make([]routeIndex, (c.classCount+1)*int(frontCount))
 	for class := range c.classCount + 1 {
 		declaredClass := class
 		if class == c.classCount {
-			declaredClass = anyClass // only rules without a class fit a class that is not listed
+			declaredClass = anyClass // only rules without a class match a class that is not listed
 		}
 		for front := range frontCount {
 			c.resolved[resolvedIndex(class, front)] = c.closest(declaredClass, front)
@@ -99,7 +99,8 @@
 	}
 }
 
-// closest returns the route of the closest rule: one that names the class is closer than one that names the front.
+// closest returns the route of the closest rule for a class and a front, or noRoute. A rule that names the class is
+// closer than one that names only the front.
 func (c *classFrontRoutes) closest(class int, front Front) routeIndex {
 	candidates := [...]int{
 		declaredIndex(class, front),
--- a/internal/route/reachable.go
+++ b/internal/route/reachable.go
@@ -1,7 +1,7 @@
 package route
 
-// Reachable returns for each route which classes reach it: for each class whether some request of it takes the route.
-// The element after those of the table's classes is for all other classes.
+// Reachable returns, for each route and each class, whether some request of the class takes the route. The last element
+// of each route's slice, after the table's classes, is for all other classes.
 func (t *Table) Reachable() [][]bool {
 	reached := make([][]bool, len(t.routes))
 	for i := range t.routes {
@@ -10,7 +10,7 @@
 	return reached
 }
 
-// reachingClasses returns for each class whether some request of it takes the route.
+// reachingClasses returns, for each class, whether some request of the class takes the route.
 func (t *Table) reachingClasses(route routeIndex) []bool {
 	reached := make([]bool, len(t.classes)+1)
 	for _, rule := range t.routes[route].Spec.matchRules(t.classes, route) {
@@ -21,7 +21,7 @@
 	return reached
 }
 
-// markReached marks the classes of which a request for the function takes the rule's route.
+// markReached marks the classes for which a request for the function fits the rule and takes the rule's route.
 func (t *Table) markReached(reached []bool, rule matchRule, function uint64) {
 	for front := range frontCount {
 		if !rule.acceptsFront(front) {
@@ -37,10 +37,11 @@
 	}
 }
 
-// representatives returns functions of p, such that each route for p that some request takes is taken by one of them.
+// representatives returns functions of p that are enough to test reachability: if a rule with pattern p decides the
+// route of any request, it also decides the route of a request for one of these functions.
 func (s *patternSet) representatives(p Pattern) []uint64 {
 	if function, ok := s.uncoveredFunction(p); ok {
-		return []uint64{function} // the routes that match it match all functions of p
+		return []uint64{function} // each rule that matches it matches all functions of p
 	}
 	var functions []uint64
 	for _, q := range s.outermostWithin(p, func(Pattern) bool { return true }) {
--- a/internal/route/region.go
+++ b/internal/route/region.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// OtherClass is the name of the classes that a table does not list.
+// OtherClass is the name in place of all classes that a table does not list.
 const OtherClass = "(any other class)"
 
-// Region is a set of requests that can be said in few words: those by one of its fronts, of one of its classes, for one
-// of its functions and of one of its tenants.
+// Region is a set of requests that a short text can describe: all requests by one of its fronts, of one of its classes,
+// for one of its functions and of one of its tenants.
 type Region struct {
 	Fronts      []Front
-	Classes     []string // names; OtherClass stands for all that no table lists
-	AnyClass    bool     // Classes has all there are
+	Classes     []string // names; OtherClass represents all that no table lists
+	AnyClass    bool     // Classes has all classes
 	Functions   []FunctionSet
-	AnyFunction bool // Functions has all there are
+	AnyFunction bool // Functions has all functions
 	Tenants     TenantSet
 	Example     Example // one of the requests
 }
 
-// Contains reports whether a request of a class of this name is in the region.
+// Contains reports whether the region has a request; class is the name of the request's class, or OtherClass.
 func (r Region) Contains(request Request, class string) bool {
 	return slices.Contains(r.Fronts, request.Front) &&
 		slices.Contains(r.Classes, class) &&
@@ -51,13 +51,13 @@
 	return text
 }
 
-// Example is a request of a region.
+// Example is one request of a region.
 type Example struct {
 	Request Request
 	Class   string // name of the request's class
 }
 
-// String returns the request as arguments of the command explain.
+// String formats the request as arguments of the command explain.
 func (e Example) String() string {
 	class := e.Class
 	if class == OtherClass {
--- a/internal/route/selector.go
+++ b/internal/route/selector.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Selector selects the workers that meet all of its conditions. Each condition is a list of which any value fits; an
-// empty list fits all workers. A value of IDs, Kinds and Zones that ends in * is a prefix.
+// Selector selects the workers that meet all of its conditions. A worker meets a condition if any value of the list
+// matches, or if the list is empty. A value of IDs, Kinds and Zones that ends in * is a prefix.
 type Selector struct {
 	IDs      []string
 	Kinds    []string
 	Zones    []string
 	Cells    []int
-	MemoryMB float64 // at least
+	MemoryMB float64 // minimum
 	Labels   []Label
 }
 
-// Label is a label's name and the values that fit.
+// Label is a label's name and the values that match.
 type Label struct {
 	Name   string
 	Values []string
@@ -39,8 +39,8 @@
 		(len(s.Cells) == 0 || slices.Contains(s.Cells, w.Cell))
 }
 
-// matchesAny reports whether one of the patterns is the name, or, with a star at its end, a prefix of it. An empty
-// list matches every name.
+// matchesAny reports whether one of the patterns equals the name or, if it ends in *, is a prefix of it. An empty list
+// matches every name.
 func matchesAny(patterns []string, name string) bool {
 	if len(patterns) == 0 {
 		return true
@@ -51,7 +51,7 @@
 	})
 }
 
-// String returns the selector's conditions in canonical order, so that selectors that mean the same read the same.
+// String returns the selector's conditions in canonical order, so that equivalent selectors have the same text.
 func (s Selector) String() string {
 	var parts []string
 	add := func(name string, values []string) {
@@ -81,7 +81,7 @@
 	return strings.Join(parts, " and ")
 }
 
-// sortedUnique returns a sorted copy of the list without repetitions.
+// sortedUnique returns a sorted copy of the list without duplicates.
 func sortedUnique(list []string) []string {
 	list = slices.Clone(list)
 	slices.Sort(list)
--- a/internal/route/space.go
+++ b/internal/route/space.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// axis is one of the properties of a request by which tables tell requests apart.
+// axis is a property by which tables tell requests apart.
 type axis int
 
-// The axes. The index of a point on each axis is that of a Front, a class, a pattern or a tenant of a requestSpace.
+// The axes. The index of a point on an axis is a Front, or an index into the classes, patterns or tenants of a
+// requestSpace.
 const (
 	frontAxis axis = iota
 	classAxis
@@ -14,21 +15,22 @@
 	axisCount
 )
 
-// requestPoint stands for all requests that some tables can't tell apart, by its index on each axis.
+// requestPoint represents all requests that the tables of a requestSpace can't tell apart, by its index on each axis.
 type requestPoint [axisCount]int
 
-// requestSpace has one point for each set of requests that some tables can tell apart from others. All requests of a
-// point take the same route in each of the tables, so that one request stands for all; see request.
+// requestSpace has one point for each set of requests that its tables can't tell apart. All requests of a point take
+// the same route in each of the tables, so one request represents all of them; see request.
 type requestSpace struct {
 	classes      []string
-	otherClasses bool // classes beyond the listed ones exist; they have the index after these
+	otherClasses bool // there are classes that are not listed; they share the index after the listed ones
 	patternSet   *patternSet
-	patterns     []Pattern // those that match some function that no longer pattern matches
-	functions    []uint64  // one such function of each pattern
-	tenants      []string  // that routes name; the index after these is of any other, and of none
+	patterns     []Pattern // those that are the longest matching pattern of some function
+	functions    []uint64  // one such function for each of patterns
+	tenants      []string  // those that routes name; the index after them is for all others, and for no tenant
 }
 
-// newRequestSpace returns the space of tables, which must list the same classes.
+// newRequestSpace returns the space of these tables, which must list the same classes. otherClasses says whether there
+// are further classes.
 func newRequestSpace(otherClasses bool, tables ...*Table) *requestSpace {
 	s := &requestSpace{classes: slices.Clone(tables[0].classes), otherClasses: otherClasses}
 	var patterns []Pattern
@@ -49,7 +51,7 @@
 	return s
 }
 
-// classCount returns how many classes the space tells apart; all that are not listed count as one.
+// classCount returns the number of indexes on the class axis. All classes that are not listed share one.
 func (s *requestSpace) classCount() int {
 	if s.otherClasses {
 		return len(s.classes) + 1
@@ -57,7 +59,7 @@
 	return len(s.classes)
 }
 
-// className returns the name of the class of an index.
+// className returns the name of the class at an index, or OtherClass.
 func (s *requestSpace) className(class int) string {
 	if class < len(s.classes) {
 		return s.classes[class]
@@ -68,7 +70,7 @@
 // otherTenantIndex returns the index of all tenants that no route names, and of requests without a tenant.
 func (s *requestSpace) otherTenantIndex() int { return len(s.tenants) }
 
-// request returns one of the requests that a point stands for.
+// request returns one of the requests that a point represents.
 func (s *requestSpace) request(p requestPoint) Request {
 	r := Request{Front: Front(p[frontAxis]), Class: p[classAxis], Function: s.functions[p[patternAxis]]}
 	if tenant := p[tenantAxis]; tenant != s.otherTenantIndex() {
@@ -77,8 +79,8 @@
 	return r
 }
 
-// points returns all points, sorted by pattern, tenant, class and front. There are none of Thrift with a tenant:
-// requests by Thrift name none.
+// points returns all points in the order of pattern, tenant, class and front. There are no points for Thrift with a
+// named tenant, because requests by Thrift name no tenant.
 func (s *requestSpace) points() []requestPoint {
 	var points []requestPoint
 	for pattern := range s.patterns {
@@ -94,13 +96,13 @@
 	return points
 }
 
-// requestGroup is the requests for which a function returns the same key.
+// requestGroup is the set of requests that a function maps to the same key.
 type requestGroup[K comparable] struct {
 	key     K
 	regions []Region
 }
 
-// groupRequests groups the requests of a space by the key that classify returns for them. It leaves out those for which
+// groupRequests groups the requests of a space by the key that classify returns. It leaves out requests for which
 // classify returns false. The groups are in the order of their first points.
 func groupRequests[K comparable](s *requestSpace, classify func(Request) (K, bool)) []requestGroup[K] {
 	var keys []K
--- a/internal/route/spaceregion.go
+++ b/internal/route/spaceregion.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// regions covers the points by regions, no point twice.
+// regions covers the points with regions that don't overlap.
 func (s *requestSpace) regions(points []requestPoint) []Region {
 	var regions []Region
 	for _, b := range coverPoints(points) {
@@ -11,7 +11,7 @@
 	return regions
 }
 
-// region returns the requests of a box.
+// region describes the requests of a box as a Region.
 func (s *requestSpace) region(b requestBox) Region {
 	r := Region{
 		AnyClass:    len(b[classAxis]) == s.classCount(),
@@ -27,17 +27,18 @@
 	}
 	r.Tenants = s.tenantSet(b[tenantAxis])
 	if slices.Equal(r.Fronts, []Front{Thrift}) {
-		r.Tenants.Any = true // requests by Thrift name no tenant: there is nothing to tell apart
+		r.Tenants.Any = true // requests by Thrift name no tenant, so the region needs no tenant condition
 	}
 	return r
 }
 
-// example returns the request of a point, with the name of its class.
+// example returns one request of a point, with the name of its class.
 func (s *requestSpace) example(p requestPoint) Example {
 	return Example{Request: s.request(p), Class: s.className(p[classAxis])}
 }
 
-// functionSets returns the functions of which one of these patterns is the longest that matches.
+// functionSets returns the functions whose longest matching pattern is one of these; the arguments are indexes into
+// s.patterns.
 func (s *requestSpace) functionSets(patterns []int) []FunctionSet {
 	included := map[Pattern]bool{}
 	for _, p := range patterns {
@@ -52,7 +53,7 @@
 	return sets
 }
 
-// tenantSet returns the tenants of these indexes.
+// tenantSet returns the tenants at these indexes of the tenant axis.
 func (s *requestSpace) tenantSet(tenants []int) TenantSet {
 	set := TenantSet{
 		Any:    len(tenants) == len(s.tenants)+1,
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -2,27 +2,27 @@
 
 import "crankhold/policy"
 
-// Request is what of a request its route depends on.
+// Request holds the properties of a request that determine its route.
 type Request struct {
 	Front    Front
-	Class    int    // index into Table.Classes; beyond it: a class that the table does not list
+	Class    int    // index into Table.Classes; beyond the end: a class that the table does not list
 	Function uint64 // key of the function
 	Tenant   string // "": the request names none
 }
 
-// Route is a route of a table, joined to its pool and its policy.
+// Route is a route of a table with its pool and its policy.
 type Route struct {
 	Spec                RouteSpec
 	Policy              PolicySpec
-	Pool                *Pool // nil: its requests are rejected
+	Pool                *Pool // nil: the route rejects its requests
 	requestPolicy       policy.RequestPolicy
 	notIdempotentPolicy policy.RequestPolicy // for classes that must never run twice
 }
 
-// Table has the routes and the pools of a configuration, and finds the route of a request. Its routes never change; its
-// pools count, and are owned by the event loop.
+// Table holds the routes and the pools of a configuration, and finds the route of a request. Its routes never change.
+// Its pools count, and the event loop owns them.
 type Table struct {
-	classes       []string          // that Request.Class counts in
+	classes       []string          // indexed by Request.Class
 	notIdempotent []bool            // by class
 	routes        []*Route          // in the order of the spec
 	pools         []*Pool           // sorted by name
@@ -32,7 +32,7 @@
 	tenants       []string    // that routes name, sorted
 }
 
-// Match returns the route of a request, or nil where none matches. It allocates nothing.
+// Match returns the route of a request, or nil if none matches. It allocates nothing.
 func (t *Table) Match(r Request) *Route {
 	route := t.matcher.match(r)
 	if route == noRoute {
@@ -41,7 +41,7 @@
 	return t.routes[route]
 }
 
-// RequestPolicy returns what a route tightens for requests of a class.
+// RequestPolicy returns the policy that a route applies to requests of a class.
 func (t *Table) RequestPolicy(r *Route, class int) *policy.RequestPolicy {
 	if class < len(t.notIdempotent) && t.notIdempotent[class] {
 		return &r.notIdempotentPolicy
@@ -49,7 +49,7 @@
 	return &r.requestPolicy
 }
 
-// StaticWorker returns what the configuration says of the worker of that name.
+// StaticWorker returns the configuration's entry for the worker of that name, and whether there is one.
 func (t *Table) StaticWorker(name string) (Worker, bool) {
 	w, ok := t.staticWorkers[name]
 	return w, ok
@@ -61,5 +61,5 @@
 // Routes returns the routes in the order of the spec.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// Classes returns the names of the classes that Request.Class counts in.
+// Classes returns the names of the classes, indexed by Request.Class.
 func (t *Table) Classes() []string { return t.classes }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -100,13 +100,13 @@
 		err  error // the value of the error, for those that can be compared
 		spec *Spec
 	}{
-		{`pool "a" is there twice`, &DuplicatePoolError{"a", "f:2"},
+		{`pool "a" is defined twice`, &DuplicatePoolError{"a", "f:2"},
 			&Spec{Pools: []PoolSpec{pool("a", "", Unset), pool("a", "", Unset)}}},
 		{`pool "a": no pool "z"`, &UndefinedReferenceError{PoolBlock, "a", "f:2", PoolBlock, "z"},
 			&Spec{Pools: []PoolSpec{pool("a", "z", Unset)}}},
-		{`pool "a" falls back in a circle`, &FallbackCycleError{"a", "f:2"},
+		{`the fallback chain of pool "a" contains a cycle`, &FallbackCycleError{"a", "f:2"},
 			&Spec{Pools: []PoolSpec{pool("a", "a", Unset)}}},
-		{"the pools' shares of the load orders come to 120%", nil,
+		{"the pools' shares of the load budget add up to 120%", nil,
 			&Spec{Pools: []PoolSpec{pool("a", "", 0.6), pool("b", "", 0.6)}}},
 		{`route "r": no pool "z"`, &UndefinedReferenceError{RouteBlock, "r", "f:3", PoolBlock, "z"},
 			&Spec{Routes: []RouteSpec{{Name: "r", At: "f:3", Pool: "z"}}}},
--- a/internal/route/tenantset.go
+++ b/internal/route/tenantset.go
@@ -7,13 +7,13 @@
 
 // TenantSet is the tenants of the requests of a region.
 type TenantSet struct {
-	Any    bool     // whatever the tenant, also none
-	Names  []string // tenants that routes name
-	Others bool     // also any tenant that no route names, and no tenant
-	Except []string // the tenants that routes name beside Names; they are not in the set
+	Any    bool     // all tenants, and requests without a tenant
+	Names  []string // the tenants in the set that routes name
+	Others bool     // also all tenants that no route names, and requests without a tenant
+	Except []string // the other tenants that routes name; they are not in the set
 }
 
-// Contains reports whether requests of the tenant, or of none for "", are in the set.
+// Contains reports whether the set includes requests of the tenant; "" is a request without a tenant.
 func (s TenantSet) Contains(tenant string) bool {
 	if s.Any || slices.Contains(s.Names, tenant) {
 		return true
@@ -21,7 +21,7 @@
 	return s.Others && !slices.Contains(s.Except, tenant)
 }
 
-// String describes the tenants, as the end of a sentence on requests, or returns "" for any.
+// String describes the tenants as a phrase that follows a description of requests. It returns "" for any tenant.
 func (s TenantSet) String() string {
 	names := strings.Join(s.Names, " or ")
 	switch {
--- a/internal/route/unmatched.go
+++ b/internal/route/unmatched.go
@@ -1,6 +1,6 @@
 package route
 
-// UnmatchedRegions returns the requests that no route matches, which are rejected. otherClasses says whether there are
+// UnmatchedRegions describes the requests that no route matches; they are rejected. otherClasses says whether there are
 // classes that the table does not list.
 func (t *Table) UnmatchedRegions(otherClasses bool) []Region {
 	isUnmatched := func(r Request) (unmatched, ok bool) { return true, t.Match(r) == nil }
--- a/internal/route/window.go
+++ b/internal/route/window.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// windowSlots is how many slots the span of a sliding window is counted in.
+// windowSlots is the number of slots into which the span of a sliding window is divided.
 const windowSlots = 100
 
-// ringSlots is how many slots are kept: those of the span, and the one that is partly within it.
+// ringSlots is the number of slots in the ring buffer: those of the span, and one that is partly within it.
 const ringSlots = windowSlots + 1
 
-// slidingWindow counts the events of the last span, in slots. The oldest slot is partly within the span, and it is not
-// known which of its events are: upperBound counts them all and lowerBound none. A limit that compares an upper bound
-// with a lower bound therefore holds at every instant.
+// slidingWindow counts the events of the last span of time, in slots. The oldest slot is only partly within the span,
+// and which of its events are within it is unknown: upperBound counts all of them and lowerBound none. A limit that
+// compares an upper bound with a lower bound is therefore never exceeded.
 type slidingWindow struct {
 	slotLength time.Duration
-	latestSlot int64 // number of the latest slot since time 0
+	latestSlot int64 // number of the latest slot, counted from time 0
 	slotCounts [ringSlots]int
 	total      int
 }
@@ -22,7 +22,7 @@
 	return &slidingWindow{slotLength: span / windowSlots}
 }
 
-// advance clears the slots that are older than the span.
+// advance moves the window to the present and clears the slots that have left it.
 func (w *slidingWindow) advance(now time.Duration) {
 	slot := int64(now / w.slotLength)
 	if slot-w.latestSlot > ringSlots {
@@ -46,13 +46,13 @@
 	w.total++
 }
 
-// upperBound returns how many events there were within the span, or a few more.
+// upperBound returns at least the number of events within the span.
 func (w *slidingWindow) upperBound(now time.Duration) int {
 	w.advance(now)
 	return w.total
 }
 
-// lowerBound returns how many events there were within the span, or a few less.
+// lowerBound returns at most the number of events within the span.
 func (w *slidingWindow) lowerBound(now time.Duration) int {
 	w.advance(now)
 	oldest := w.slotCounts[(w.latestSlot+1)%ringSlots]
--- a/internal/route/worker.go
+++ b/internal/route/worker.go
@@ -5,26 +5,27 @@
 	"crankhold/policy"
 )
 
-// UnknownCell is the cell of a worker whose cell is not known.
+// UnknownCell is the value of Worker.Cell if the cell is not known.
 const UnknownCell = -1
 
-// Worker is a worker with what is known of it. In a Spec it adds to what discovery says of the worker of that name.
+// Worker describes a worker. In a Spec it is a static entry, which adds to the properties that discovery reports for
+// the worker of that name.
 type Worker struct {
-	ID       policy.WorkerID // of a listed worker
+	ID       policy.WorkerID // set for workers of the endpoint list
 	Name     string
 	Kind     string
 	Zone     string
-	Cell     int // UnknownCell: not known
+	Cell     int // or UnknownCell
 	MemoryMB float64
 	Labels   map[string]string
-	Addrs    []endpoint.Addr    // further addresses
-	Prefer   []endpoint.Network // the order of its networks
+	Addrs    []endpoint.Addr    // addresses in addition to those of the endpoint list
+	Prefer   []endpoint.Network // networks in order of preference
 	Same     string             // name of the worker that this one is an alias of
-	At       string
+	At       string             // file:line
 }
 
-// withStatic returns w with what a static entry says of it, which takes precedence. Labels come from static entries
-// alone.
+// withStatic returns w with the properties of its static entry, which take precedence. Labels come only from static
+// entries. If there is no static entry, its name is empty.
 func (w Worker) withStatic(static Worker) Worker {
 	if static.Name == "" {
 		return w
@@ -45,7 +46,7 @@
 	return w
 }
 
-// SetWorkers replaces the workers from which the pools select theirs.
+// SetWorkers replaces the list of workers, and selects each pool's workers from it.
 func (t *Table) SetWorkers(workers []Worker) {
 	for _, p := range t.pools {
 		p.members = map[policy.WorkerID]bool{}
