--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -56,7 +56,7 @@
 func (c *tableComparison) requestChanges(otherClasses bool) []Change {
 	firstRequests := map[requestEffects]Request{}
 	groups := groupRequests(newRequestSpace(otherClasses, c.old, c.updated), func(r Request) (requestEffects, bool) {
-		effects := c.effectsOn(r)
+		effects := c.requestEffects(r)
 		if _, ok := firstRequests[effects]; !ok {
 			firstRequests[effects] = r
 		}
@@ -76,8 +76,8 @@
 	return changes
 }
 
-// effectsOn describes what each table does with a request.
-func (c *tableComparison) effectsOn(r Request) requestEffects {
+// requestEffects describes what each table does with a request.
+func (c *tableComparison) requestEffects(r Request) requestEffects {
 	oldRoute := c.old.Match(r)
 	newRoute := c.updated.Match(r)
 	notIdempotent := r.Class < len(c.notIdempotent) && c.notIdempotent[r.Class]
--- a/internal/route/matcher_test.go
+++ b/internal/route/matcher_test.go
@@ -19,8 +19,8 @@
 		if previous := m.add(rules[n]); previous != noRoute {
 			t.Fatalf("rule %d was there as %d", n, previous)
 		}
-		if previous := m.add(rules[n]); previous != rules[n].route {
-			t.Fatalf("rule %d: added again, before %d", n, previous)
+		if again := m.add(rules[n]); again != rules[n].route {
+			t.Fatalf("rule %d: added again, before %d", n, again)
 		}
 	}
 	m.resolve()
