--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Entry is an entry of an endpoint list.
+// Entry is one entry of an endpoint list.
 type Entry struct {
 	Name   string
 	Addrs  []Addr
-	SameAs string // the name of an entry that is configured as the same worker; empty: none
+	SameAs string // name of an entry that the configuration declares to be the same worker; "": none
 }
 
-// GroupAliases groups the entries that lead to one worker: those that have an address in common, and those that are
-// configured as the same. Each group holds the indices of its entries in list, in the order of their names. The groups
-// are in the order of the names of their first entries.
+// GroupAliases groups the entries that are aliases of one worker: those that have an address in common, and those that
+// the configuration declares to be the same. Each group has the indexes of its entries in list, sorted by name. The
+// groups are sorted by the name of their first entry.
 //
-// A group is known by all its names. Where one of them leaves the list, the process that it named has ended: what is
-// left is another worker, which inherits nothing.
+// All names of a group together identify the worker. If one of them leaves the list, the process with that name has
+// exited. The remaining entries are then a different worker, which inherits no state.
 func GroupAliases(list []Entry) (groups [][]int) {
 	sets := newDisjointSets(len(list))
 	joinByAddress(sets, list)
@@ -37,7 +37,7 @@
 	return groups
 }
 
-// GroupName returns the name of a group, which joins those of its entries. That of a single entry is its own.
+// GroupName returns the name of a group: the names of its entries, joined with "+".
 func GroupName(list []Entry, group []int) string {
 	var names []string
 	for _, i := range group {
@@ -46,7 +46,7 @@
 	return strings.Join(names, "+")
 }
 
-// joinByAddress joins the entries that have an address in common.
+// joinByAddress merges the sets of entries that have an address in common.
 func joinByAddress(sets disjointSets, list []Entry) {
 	owner := map[Addr]int{}
 	for i, entry := range list {
@@ -61,7 +61,7 @@
 	}
 }
 
-// joinByName joins each entry with the one that it is configured to be the same as.
+// joinByName merges the set of each entry with that of its Entry.SameAs.
 func joinByName(sets disjointSets, list []Entry) {
 	byName := map[string]int{}
 	for i, entry := range list {
@@ -75,10 +75,10 @@
 	}
 }
 
-// disjointSets is a union-find structure. It holds the parent of each element; a root is its own parent.
+// disjointSets is a union-find structure: the parent of each element. A root is its own parent.
 type disjointSets []int
 
-// newDisjointSets returns sets of one element each.
+// newDisjointSets returns count sets of one element each.
 func newDisjointSets(count int) disjointSets {
 	sets := make(disjointSets, count)
 	for i := range sets {
@@ -87,7 +87,7 @@
 	return sets
 }
 
-// find returns the root of the set that holds an element, and halves the path to it.
+// find returns the root of an element's set. It shortens the path to the root by path halving.
 func (s disjointSets) find(element int) (root int) {
 	for s[element] != element {
 		s[element] = s[s[element]]
--- a/internal/endpoint/availability.go
+++ b/internal/endpoint/availability.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Failed records that a dial over an address failed, or that a connection over it ended before it was of use. The
-// address is unavailable until a recovery dial succeeds. The backoff before that dial grows with each failure. Dials
-// and connections that end together count as one failure.
+// Failed records that a dial to an address failed, or that a connection to it was of no use, because it closed before
+// its first response or stopped responding. The address is unavailable until a dial succeeds. The backoff before the
+// recovery dial grows with each failure. Failures during the backoff are not counted, so dials and connections that fail
+// together count as one failure.
 func (s *AddressSet) Failed(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && !state.inBackoff(now) {
@@ -12,7 +13,7 @@
 	}
 }
 
-// Succeeded records that a connection over an address came up.
+// Succeeded records that a connection to an address was established.
 func (s *AddressSet) Succeeded(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.unavailable {
@@ -20,7 +21,7 @@
 	}
 }
 
-// Suspect records that a connection over an address is silent although responses are due on it.
+// Suspect records that a connection to an address is silent although responses are due on it.
 func (s *AddressSet) Suspect(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.suspectSince == 0 {
@@ -28,7 +29,7 @@
 	}
 }
 
-// Responded records that a whole response arrived over an address: it is no longer suspected.
+// Responded records that a complete response arrived from an address, which is therefore no longer suspected.
 func (s *AddressSet) Responded(addr Addr) {
 	state := s.find(addr)
 	if state != nil {
@@ -36,9 +37,9 @@
 	}
 }
 
-// NextRecoveryDial returns an unavailable address to dial by a connection that carries no requests, and false where
-// none is due. The caller reports its end by Succeeded, Failed or RecoveryInconclusive. The only address of a worker
-// has no recovery dials, since requests are tried over it.
+// NextRecoveryDial returns an unavailable address for a recovery dial, whose connection carries no requests. It returns
+// false if no recovery dial is due. The caller reports the result by Succeeded, Failed or RecoveryInconclusive. An
+// address that is the only one of a worker gets no recovery dials, because requests are still attempted over it.
 func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
 	if len(s.states) <= 1 {
 		return Addr{}, false
@@ -53,7 +54,7 @@
 }
 
 // RecoveryInconclusive records that a recovery dial ended without showing whether its address works, for example
-// because no descriptor was left for it.
+// because no descriptor was available.
 func (s *AddressSet) RecoveryInconclusive(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.recovering {
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// AddressSet holds the addresses of one worker in the order in which they are tried, with the state of each.
+// AddressSet holds the addresses of one worker in order of preference, with the state of each.
 type AddressSet struct {
 	seed       uint64
 	preference []Network // all networks, the preferred one first
 	states     []*addressState
 }
 
-// NewAddressSet returns a set without addresses. prefer is the order of networks; those that it leaves out follow in
-// the default order. seed determines the spread of backoffs.
+// NewAddressSet returns a set without addresses. prefer is the order of networks; networks that it leaves out follow in
+// the default order. seed determines the jitter of backoffs.
 func NewAddressSet(seed uint64, prefer ...Network) *AddressSet {
 	s := &AddressSet{seed: seed}
 	s.Prefer(prefer...)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Update replaces the addresses, which are listed in the order of preference within each network. An address that was
-// in the set keeps its state. At most MaxAddresses are used.
+// Update replaces the addresses. list has the addresses of each network in order of preference. An address that was
+// already in the set keeps its state. At most MaxAddresses addresses are used.
 func (s *AddressSet) Update(now time.Duration, list []Addr) {
 	old := s.states
 	s.states = nil
@@ -58,8 +58,8 @@
 	s.applyPreference()
 }
 
-// applyPreference orders the addresses by network, but IPv6 and IPv4 alternate, so that dials over a broken one of the two do
-// not delay the others (RFC 8305, section 4).
+// applyPreference orders the addresses by network. IPv6 and IPv4 addresses alternate: if one of these networks is
+// broken, the dials over it don't delay those over the other (RFC 8305, section 4).
 func (s *AddressSet) applyPreference() {
 	byNetwork := map[Network][]*addressState{}
 	for _, state := range s.states {
@@ -86,7 +86,7 @@
 	return TCP4
 }
 
-// interleave appends the elements of a and b alternately, beginning with a.
+// interleave appends the elements of a and b alternately, starting with a.
 func interleave(out, a, b []*addressState) []*addressState {
 	for i := range max(len(a), len(b)) {
 		if i < len(a) {
@@ -116,9 +116,9 @@
 // Len returns how many addresses there are.
 func (s *AddressSet) Len() int { return len(s.states) }
 
-// Candidates returns the addresses over which a connection for requests may be dialled, in the order in which to try
-// them. Unavailable ones are left out. Where all are unavailable they are returned nevertheless, since nothing is lost
-// by trying, the one whose backoff ends first at the front. Addresses over which a connection is silent come last.
+// Candidates returns the addresses to dial for a connection that carries requests, in the order in which to dial them.
+// Addresses with a silent connection come last, and unavailable addresses are left out. If all addresses are
+// unavailable, all are returned, because a dial may still succeed; the one whose backoff ends first comes first.
 func (s *AddressSet) Candidates() (candidates []Addr) {
 	var suspects []Addr
 	for _, state := range s.states {
@@ -142,9 +142,9 @@
 	return candidates
 }
 
-// HasBetter reports whether requests should go back from an address to a better one. The better one must have been
-// available for a while, so that requests do not follow one that flaps. Any is better than one that is no longer
-// listed.
+// HasBetter reports whether requests should return from an address to a preferred one. The preferred address must have
+// been available for stablePeriod, so that requests don't follow an address that flaps. Any address is better than one
+// that is no longer listed.
 func (s *AddressSet) HasBetter(now time.Duration, than Addr) bool {
 	for _, state := range s.states {
 		if state.Addr == than {
@@ -157,7 +157,7 @@
 	return true
 }
 
-// Unavailable returns how many addresses count as failed.
+// Unavailable returns how many addresses are unavailable.
 func (s *AddressSet) Unavailable() (count int) {
 	for _, state := range s.states {
 		if state.unavailable {
@@ -167,7 +167,7 @@
 	return count
 }
 
-// String describes the addresses with the state of each.
+// String describes the addresses and the state of each.
 func (s *AddressSet) String() string {
 	var parts []string
 	for _, state := range s.states {
