--- a/internal/endpoint/addr_test.go
+++ b/internal/endpoint/addr_test.go
@@ -10,7 +10,7 @@
 	for _, test := range []struct {
 		network Network
 		text    string
-		want    string // empty: it is rejected
+		want    string // "": Parse rejects the text
 	}{
 		{TCP4, "127.0.0.1:80", "127.0.0.1:80"},
 		{TCP4, "127.0.0.1:0", ""},
--- a/internal/endpoint/availability.go
+++ b/internal/endpoint/availability.go
@@ -4,8 +4,8 @@
 
 // Failed records that a dial to an address failed, or that a connection to it was of no use, because it closed before
 // its first response or stopped responding. The address is unavailable until a dial succeeds. The backoff before the
-// recovery dial grows with each failure. Failures during the backoff are not counted, so dials and connections that fail
-// together count as one failure.
+// recovery dial grows with each failure. Failures during the backoff are not counted, so dials and connections that
+// fail together count as one failure.
 func (s *AddressSet) Failed(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && !state.inBackoff(now) {
--- a/internal/endpoint/availability_test.go
+++ b/internal/endpoint/availability_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A failed address is no candidate until a recovery dial has come up. Where all have failed, all are candidates.
+// A failed address is not a candidate until a recovery dial succeeds. If all addresses have failed, all are candidates.
 func TestFailedAddressRecoversAfterARecoveryDial(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
@@ -15,36 +15,37 @@
 		t.Fatalf("candidates %v", got)
 	}
 	if a, ok := s.NextRecoveryDial(100 * ms); ok {
-		t.Fatalf("a recovery dial of %v at once", a)
+		t.Fatalf("recovery dial of %v during the backoff", a)
 	}
 	if a, ok := s.NextRecoveryDial(700 * ms); !ok || a != unixSocket {
-		t.Fatalf("no recovery dial: %v", a)
+		t.Fatalf("no recovery dial of the failed address after its backoff, got %v", a)
 	}
 	if _, ok := s.NextRecoveryDial(700 * ms); ok {
-		t.Fatal("two recovery dials of one address at once")
+		t.Fatal("two concurrent recovery dials of one address")
 	}
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
-		t.Fatalf("candidates %v under a recovery dial", got)
+		t.Fatalf("candidates %v during a recovery dial", got)
 	}
 	s.Succeeded(720*ms, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{unixSocket, ipv4}) || s.Unavailable() != 0 {
-		t.Fatalf("candidates %v after a recovery dial", got)
+		t.Fatalf("candidates %v after a successful recovery dial", got)
 	}
 	s.Failed(time.Second, ipv4)
 	s.Failed(2*time.Second, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4, unixSocket}) {
-		t.Errorf("all are unavailable: %v, want the one whose backoff ends first", got)
+		t.Errorf("all addresses are unavailable: candidates %v, want first the one whose backoff ends first", got)
 	}
 	one := NewAddressSet(1)
 	one.Update(0, []Addr{ipv4})
 	one.Failed(0, ipv4)
 	if _, ok := one.NextRecoveryDial(time.Hour); ok || len(one.Candidates()) != 1 {
-		t.Error("a single address has a recovery dial, or is no candidate")
+		t.Error("the only address of a worker gets a recovery dial, or is not a candidate")
 	}
 }
 
-// The backoff doubles with each failure up to its maximum, spread by a quarter either way. Failures are forgotten after
-// the address has been available for a time. Many connections that end together are one failure.
+// The backoff doubles with each failure up to its maximum, with a jitter of a quarter either way. Failures no longer
+// count after the address has been available for failureResetPeriod. Connections that fail together count as one
+// failure.
 func TestBackoff(t *testing.T) {
 	s := NewAddressSet(7)
 	s.Update(0, []Addr{unixSocket, ipv4})
@@ -56,7 +57,7 @@
 		}
 		wait := min(firstBackoff<<i, maxBackoff)
 		if _, ok := s.NextRecoveryDial(now + wait*3/4 - ms); ok {
-			t.Fatalf("failure %d: a recovery dial too soon", i+1)
+			t.Fatalf("failure %d: recovery dial before the backoff ended", i+1)
 		}
 		if _, ok := s.NextRecoveryDial(now + wait*5/4 + ms); !ok {
 			t.Fatalf("failure %d: no recovery dial after %v", i+1, wait*5/4)
@@ -66,15 +67,15 @@
 		s.Succeeded(now, unixSocket)
 	}
 	if len(spread) < 6 {
-		t.Errorf("%d different spreads of 9", len(spread))
+		t.Errorf("%d different jitters of 9", len(spread))
 	}
 	now += failureResetPeriod + time.Second
 	s.Failed(now, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second); !ok {
-		t.Error("failures are not forgotten")
+		t.Error("earlier failures still count")
 	}
 	s.RecoveryInconclusive(now+time.Second, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second + firstBackoff); !ok {
-		t.Error("an inconclusive recovery dial is not made again")
+		t.Error("an inconclusive recovery dial is not repeated")
 	}
 }
--- a/internal/endpoint/example_test.go
+++ b/internal/endpoint/example_test.go
@@ -7,8 +7,8 @@
 	"crankhold/internal/endpoint"
 )
 
-// A worker has three addresses. A connection to it is dialled over one after the other, the next one 250 ms after a dial
-// that has not come up, or at once where it failed.
+// A worker has three addresses, which are dialled in turn to establish a connection. The next address is dialled when a
+// dial has been in progress for 250 ms, or at once when a dial fails.
 func ExampleDialRace() {
 	addresses := endpoint.NewAddressSet(1)
 	addresses.Update(0, []endpoint.Addr{
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The model of a race: at most MaxDialsPerWorker dials are in progress, each address is dialled once, the next one as soon
-// as one fails, there is one winner, and the race is reported as lost once and only when nothing is left.
+// Random schedules keep the rules of a race: at most MaxDialsPerRace dials are in progress, each address is dialled at
+// most once, a dial is due at once if none is in progress, there is one winner, and the race is reported as lost at most
+// once, only when no address and no dial in progress is left.
 func TestDialRaceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Addr
@@ -25,13 +26,13 @@
 			mayOverlap := rapid.Bool().Draw(t, "mayOverlap")
 			if a, ok := r.Next(now, mayOverlap); ok {
 				if over || won > 0 || slices.Contains(tried, a) || inProgress > 0 && (!mayOverlap || now-last < ms) {
-					t.Fatalf("dials %v: over %v, won %d, tried %v, %d in progress, may overlap %v", a, over, won, tried, inProgress, mayOverlap)
+					t.Fatalf("dials %v: lost %v, %d succeeded, dialled %v, %d in progress, may overlap %v", a, over, won, tried, inProgress, mayOverlap)
 				}
 				tried = append(tried, a)
 				inProgress++
 				last = now
 			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
-				t.Fatal("no dial is in progress, addresses are left, and none is tried")
+				t.Fatal("no dial is in progress, addresses are left, and none is dialled")
 			}
 			if inProgress > MaxDialsPerRace || r.InProgress() != inProgress {
 				t.Fatalf("%d dials in progress, %d counted", inProgress, r.InProgress())
@@ -42,7 +43,7 @@
 					inProgress--
 					if r.DialFailed() {
 						if over || won > 0 || len(tried) < len(list) || inProgress > 0 {
-							t.Fatal("the race is reported as lost and is not")
+							t.Fatal("the race is reported as lost while it is not")
 						}
 						over = true
 					}
--- a/internal/endpoint/set_test.go
+++ b/internal/endpoint/set_test.go
@@ -29,61 +29,62 @@
 		many = append(many, Addr{TCP4, fmt.Sprintf("127.0.0.%d:80", i+1)})
 	}
 	if s.Update(0, many); s.Len() != MaxAddresses {
-		t.Errorf("%d addresses of one worker, at most %d", s.Len(), MaxAddresses)
+		t.Errorf("%d addresses of one worker, want %d", s.Len(), MaxAddresses)
 	}
 }
 
-// Requests go back to a better address once it has been available for a time, so that none follow one that flaps. A
-// silent one is tried last and is no better.
+// Requests return to a better address after it has been available for stablePeriod, so that they don't follow an
+// address that flaps. An address with a silent connection comes last and is not better.
 func TestRequestsReturnToAStableAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
 	if s.HasBetter(time.Hour, unixSocket) || !s.HasBetter(time.Hour, ipv4) {
-		t.Error("the better address is not the first one")
+		t.Error("the first address does not count as the better one")
 	}
 	now := time.Hour
-	for range 200 { // fails every 100 ms
+	for range 200 { // the address fails every 100 ms
 		now += 100 * ms
 		s.Failed(now, unixSocket)
 		if a, ok := s.NextRecoveryDial(now + 50*ms); ok {
 			s.Succeeded(now+50*ms, a)
 		}
 		if s.HasBetter(now+60*ms, ipv4) {
-			t.Fatal("requests go back to a flapping address")
+			t.Fatal("requests return to a flapping address")
 		}
 	}
 	if s.find(unixSocket).failures < 4 {
-		t.Errorf("%d failures counted over 20 s of flapping", s.find(unixSocket).failures)
+		t.Errorf("%d failures counted in 20 s of flapping", s.find(unixSocket).failures)
 	}
 	s.Succeeded(now, unixSocket)
 	if s.HasBetter(now+4*time.Second, ipv4) || !s.HasBetter(now+6*time.Second, ipv4) {
-		t.Error("requests don't go back after 5 s of being available")
+		t.Error("requests don't return after the address has been available for 5 s")
 	}
 	s.Suspect(now+6*time.Second, unixSocket)
 	if s.HasBetter(now+7*time.Second, ipv4) || s.Candidates()[0] != ipv4 {
-		t.Error("a silent address comes first")
+		t.Error("an address with a silent connection is better or comes first")
 	}
 	if s.Responded(unixSocket); s.Candidates()[0] != unixSocket {
-		t.Error("an address that has responded is still suspected")
+		t.Error("an address that has responded is still suspect")
 	}
 	s.Update(now, []Addr{unixSocket})
 	if !s.HasBetter(now+time.Minute, ipv4) {
-		t.Error("connections to an address that is no longer listed stay")
+		t.Error("requests stay at an address that is no longer listed")
 	}
 }
 
-// An address keeps its state over a new list that has it. One that was left out and comes back starts anew.
+// An address keeps its state when a new list contains it. An address that was left out and is listed again starts
+// without state.
 func TestStateBelongsToTheAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
 	s.Failed(0, unixSocket)
 	s.Update(0, []Addr{ipv4, unixSocket, ipv6})
 	if s.Unavailable() != 1 {
-		t.Error("a failure is forgotten over a new list")
+		t.Error("an update of the list clears a failure")
 	}
 	s.Update(0, []Addr{ipv4})
 	s.Update(0, []Addr{ipv4, unixSocket})
 	if s.Unavailable() != 0 {
-		t.Error("an address that comes anew inherits a failure")
+		t.Error("an address that is listed again still has its failure")
 	}
 }
