--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -20,18 +20,18 @@
 		}
 		dialTimeout, budget := 250*ms, time.Duration(rapid.IntRange(0, 3000).Draw(t, "left"))*ms
 		r, now := NewDialRace(list, dialTimeout, budget), time.Duration(0)
-		var tried []Addr
-		inProgress, won, over, last := 0, 0, false, time.Duration(0)
+		var dialled []Addr
+		inProgress, succeeded, lost, lastDialAt := 0, 0, false, time.Duration(0)
 		for range 200 {
 			mayOverlap := rapid.Bool().Draw(t, "mayOverlap")
 			if a, ok := r.Next(now, mayOverlap); ok {
-				if over || won > 0 || slices.Contains(tried, a) || inProgress > 0 && (!mayOverlap || now-last < ms) {
-					t.Fatalf("dials %v: lost %v, %d succeeded, dialled %v, %d in progress, may overlap %v", a, over, won, tried, inProgress, mayOverlap)
+				if lost || succeeded > 0 || slices.Contains(dialled, a) || inProgress > 0 && (!mayOverlap || now-lastDialAt < ms) {
+					t.Fatalf("dials %v: lost %v, %d succeeded, dialled %v, %d in progress, may overlap %v", a, lost, succeeded, dialled, inProgress, mayOverlap)
 				}
-				tried = append(tried, a)
+				dialled = append(dialled, a)
 				inProgress++
-				last = now
-			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
+				lastDialAt = now
+			} else if inProgress == 0 && succeeded == 0 && len(dialled) < len(list) {
 				t.Fatal("no dial is in progress, addresses are left, and none is dialled")
 			}
 			if inProgress > MaxDialsPerRace || r.InProgress() != inProgress {
@@ -42,19 +42,19 @@
 				if inProgress > 0 {
 					inProgress--
 					if r.DialFailed() {
-						if over || won > 0 || len(tried) < len(list) || inProgress > 0 {
+						if lost || succeeded > 0 || len(dialled) < len(list) || inProgress > 0 {
 							t.Fatal("the race is reported as lost while it is not")
 						}
-						over = true
+						lost = true
 					}
 				}
 			case 1:
 				if inProgress > 0 {
 					inProgress--
-					if r.DialSucceeded() != (won == 0) {
+					if r.DialSucceeded() != (succeeded == 0) {
 						t.Fatal("two winners")
 					}
-					won++
+					succeeded++
 				}
 			default:
 				now += time.Duration(rapid.IntRange(1, 300).Draw(t, "passes")) * ms
