--- a/internal/route/box_test.go
+++ b/internal/route/box_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// The boxes have exactly the points, each once.
+// The boxes contain exactly the given points, each of them once.
 func TestCoverPointsCoversEachPointOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := map[requestPoint]bool{}
@@ -31,17 +31,17 @@
 				}
 			}
 			if drawn[p] && containing != 1 || !drawn[p] && containing != 0 {
-				t.Fatalf("%v, drawn: %v, is in %d boxes", p, drawn[p], containing)
+				t.Fatalf("point %v, drawn: %v, is in %d boxes", p, drawn[p], containing)
 			}
 		}
 		for _, b := range boxes {
 			if !b.contains(b.examplePoint()) {
-				t.Fatalf("%v has the example %v", b, b.examplePoint())
+				t.Fatalf("box %v does not contain its example %v", b, b.examplePoint())
 			}
 		}
 	})
 	if all := coverPoints(allPoints()); len(all) != 1 {
-		t.Errorf("all points are %d boxes", len(all))
+		t.Errorf("all points together give %d boxes, want 1", len(all))
 	}
 }
 
--- a/internal/route/diff_test.go
+++ b/internal/route/diff_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Diff agrees with an evaluation of each request under both specs: it reports exactly the requests that change, and no
-// difference for names, order or repetition. A pool is identified by its limits or by its name.
+// Diff agrees with a reference evaluation of each request under both specs: it reports exactly the requests whose
+// outcome changes. It reports no difference for names or order, nor for a table compared with itself. A pool that is
+// renamed or has other limits is still the same pool.
 func TestDiffReportsExactlyTheChangedRequests(t *testing.T) {
 	effective := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,7 +33,7 @@
 				return slices.ContainsFunc(d.Regions, func(region Region) bool { return region.Contains(r, class) })
 			})
 			if reported != (before != after) {
-				t.Fatalf("%+v %s: %s, then %s; reported: %v of %+v", r, class, before, after, reported, diff)
+				t.Fatalf("%+v of class %s: before %s, after %s; reported: %v in %+v", r, class, before, after, reported, diff)
 			}
 			changed = changed || reported
 		})
@@ -46,25 +47,25 @@
 			}
 		}
 		if (poolChanges > 0) != m.changesPool {
-			t.Fatalf("a pool changed: %v, reported: %+v", m.changesPool, diff)
+			t.Fatalf("pool limits changed: %v, reported: %+v", m.changesPool, diff)
 		}
 		if again := Diff(newTable, newTable, notIdempotent, true); len(again) > 0 {
 			t.Fatalf("a table differs from itself: %+v", again)
 		}
 	})
 	if effective < 20 {
-		t.Errorf("only %d of the drawn mutations change a request", effective)
+		t.Errorf("only %d of the drawn mutations change a request, want at least 20", effective)
 	}
 }
 
-// mutation is a changed spec.
+// mutation is a changed copy of a spec.
 type mutation struct {
 	spec        *Spec
 	poolNames   [3]string // the new names of the pools a, b and c
-	changesPool bool      // a pool has another limit
+	changesPool bool      // whether the limit of a pool is changed
 }
 
-// drawMutation changes one thing of a spec, and the names and the order of its routes.
+// drawMutation returns a copy of a spec with one change, other route names and another order of routes.
 func drawMutation(t *rapid.T, old *Spec) mutation {
 	m := mutation{
 		spec:      &Spec{Pools: slices.Clone(old.Pools), Policies: slices.Clone(old.Policies), Routes: slices.Clone(old.Routes)},
@@ -98,7 +99,7 @@
 	return m
 }
 
-// renamePools gives the pools a, b and c other names.
+// renamePools renames the pools a, b and c and updates the references to them.
 func (m *mutation) renamePools(names [3]string) {
 	for i := range m.spec.Pools {
 		m.spec.Pools[i].Name = names[i]
@@ -114,7 +115,8 @@
 	m.poolNames = names
 }
 
-// referenceOutcome describes what becomes of a request: the index of its pool among the names, and its attempts.
+// referenceOutcome describes what a spec does with a request: the index of its pool in poolNames, and its limits on
+// attempts.
 func referenceOutcome(s *Spec, poolNames [3]string, r Request, class string) string {
 	i, _ := referenceMatch(s, r, class)
 	if i < 0 || s.Routes[i].Pool == "" {
@@ -134,7 +136,7 @@
 	return fmt.Sprint(slices.Index(poolNames[:], s.Routes[i].Pool), p.MaxAttempts, retries)
 }
 
-// Where pools swap their names, a request that goes to another pool of the same name is reported.
+// If two pools swap their names, Diff reports that requests go to another pool of the same name.
 func TestDiffDistinguishesPoolsOfOneName(t *testing.T) {
 	routes := []RouteSpec{{Name: "all", Pool: "a"}}
 	old := mustCompile(t, &Spec{Pools: []PoolSpec{cappedPool("a", 1), cappedPool("b", 2)}, Routes: routes})
--- a/internal/route/example_test.go
+++ b/internal/route/example_test.go
@@ -6,7 +6,8 @@
 	"crankhold/internal/route"
 )
 
-// A table of two routes: lamps go to a pool of large workers, all other requests to a pool of all workers.
+// A table has two routes. Requests for functions whose keys start with 7f go to a pool of large workers, all other
+// requests go to a pool of all workers.
 func Example() {
 	lamps, err := route.ParsePattern("7f*")
 	if err != nil {
@@ -41,7 +42,7 @@
 	// 0000000000000010 takes route rest to pool all: attempts as the settings allow
 }
 
-// Diff says what a changed table means for requests.
+// Diff reports how a changed table affects requests and pools.
 func ExampleDiff() {
 	compile := func(maxInFlight int, pool string) *route.Table {
 		table, err := route.Compile(&route.Spec{
--- a/internal/route/helpers_test.go
+++ b/internal/route/helpers_test.go
@@ -12,7 +12,8 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// The requests of the tests: three classes and one more, and functions and tenants of which routes name some.
+// The tests use requests of these classes and of one that is not listed, for these functions and of these tenants.
+// Routes name some of the functions and tenants.
 var (
 	classes       = []string{"dim-level", "fault-check", "repair-order"}
 	notIdempotent = []bool{false, false, true}
@@ -25,14 +26,14 @@
 	return PoolSpec{Name: name, MaxInFlight: Unset, LoadShare: Unset, OverflowShare: Unset, OverflowRate: Unset}
 }
 
-// cappedPool returns a pool with a limit of the attempts in flight alone.
+// cappedPool returns a pool of all workers whose only limit is that on attempts in flight.
 func cappedPool(name string, maxInFlight int) PoolSpec {
 	p := unlimitedPool(name)
 	p.MaxInFlight = maxInFlight
 	return p
 }
 
-// mustCompile compiles a spec that has to be valid.
+// mustCompile compiles a spec, and fails the test if the spec is invalid.
 func mustCompile(t rapid.TB, s *Spec) *Table {
 	t.Helper()
 	table, err := Compile(s, classes)
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// drawSpec draws up to five routes over three pools, which differ in their limits, and two policies.
+// drawSpec draws a spec of at most five routes, three pools with different limits, and two policies.
 func drawSpec(t *rapid.T) *Spec {
 	s := &Spec{Policies: []PolicySpec{NoPolicy, NoPolicy}}
 	for i, name := range []string{"a", "b", "c"} {
@@ -96,8 +97,8 @@
 	return r
 }
 
-// referenceMatch evaluates the rule of precedence as docs/language.md states it, one route after the other. It returns the
-// index of the route, -1 for none, and whether another one is as close.
+// referenceMatch is the reference implementation of the precedence that docs/language.md defines: it compares all routes
+// in turn. It returns the index of the closest route, or -1 for none, and whether another route is equally close.
 func referenceMatch(s *Spec, request Request, class string) (best int, tie bool) {
 	best = -1
 	var bestScore [4]int
@@ -116,7 +117,8 @@
 	return best, tie
 }
 
-// referenceScore returns how close a route matches: by function, tenant, class and front in this order.
+// referenceScore returns how closely a route matches a request, by function, tenant, class and front in this order. It
+// returns false if the route does not match.
 func referenceScore(r RouteSpec, request Request, class string) (score [4]int, ok bool) {
 	if len(r.Functions) > 0 {
 		score[0] = -1
@@ -150,7 +152,7 @@
 	return score, true
 }
 
-// forEachRequest calls f with each of the tests' requests and the name of its class.
+// forEachRequest calls f with each request of the tests and the name of its class.
 func forEachRequest(f func(request Request, class string)) {
 	for front := range frontCount {
 		for class := range len(classes) + 1 {
--- a/internal/route/matcher_test.go
+++ b/internal/route/matcher_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each rule is closer than all before it, by one property.
+// Each rule is closer than all rules before it. Each request takes the rule with the same index, because that is the
+// closest rule that matches it.
 func TestMatcherPrefersTheCloserRule(t *testing.T) {
 	pattern := mustParsePattern(t, "7f*")
 	exact := Pattern{Prefix: 0x7f3a9c21e0b4d655, Digits: functionDigits}
@@ -17,10 +18,10 @@
 	}
 	for n := range rules {
 		if previous := m.add(rules[n]); previous != noRoute {
-			t.Fatalf("rule %d was there as %d", n, previous)
+			t.Fatalf("rule %d: route %d already has the same rule", n, previous)
 		}
 		if again := m.add(rules[n]); again != rules[n].route {
-			t.Fatalf("rule %d: added again, before %d", n, again)
+			t.Fatalf("rule %d: added twice, add returned route %d", n, again)
 		}
 	}
 	m.resolve()
--- a/internal/route/pattern_test.go
+++ b/internal/route/pattern_test.go
@@ -17,7 +17,7 @@
 func TestParsePattern(t *testing.T) {
 	for _, text := range []string{"*", "7*", "7f3a9c21e0b4d65*", "7f3a9c21e0b4d655", "0000000000000000"} {
 		if got := mustParsePattern(t, text).String(); got != text {
-			t.Errorf("%s reads as %s", text, got)
+			t.Errorf("%s is parsed as %s", text, got)
 		}
 	}
 	for text, want := range map[string]PatternError{
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -23,9 +23,9 @@
 // NoPolicy is the policy of a route that names none.
 var NoPolicy = PolicySpec{MaxAttempts: Unset, RetriesAfterPossibleRun: Unset, RetriesAfterProvenNoRun: Unset}
 
-// Effective returns the policy without the settings that have no effect on a class that is idempotent or not. A class
-// that is not idempotent gets no retry after an attempt that may have run, and no hedged request, whatever the policy
-// says.
+// Effective returns the policy without the settings that have no effect. With notIdempotent it is the policy for a class
+// that is not idempotent: such a class gets no retry after an attempt that may have run, and no hedged request, whatever
+// the policy says.
 func (p PolicySpec) Effective(notIdempotent bool) PolicySpec {
 	if p.MaxAttempts != Unset {
 		maxRetries := p.MaxAttempts - 1
--- a/internal/route/pool_test.go
+++ b/internal/route/pool_test.go
@@ -10,7 +10,7 @@
 	"crankhold/policy"
 )
 
-// compilePoolSpecs compiles pools, each with a route of its own.
+// compilePoolSpecs compiles a table of these pools, each with its own route.
 func compilePoolSpecs(t testing.TB, specs ...PoolSpec) *Table {
 	t.Helper()
 	s := &Spec{Pools: specs}
@@ -20,7 +20,7 @@
 	return mustCompile(t, s)
 }
 
-// countWithin returns how many of the times lie within the window that ends now.
+// countWithin returns how many of the times are within the window that ends now.
 func countWithin(window, now time.Duration, times []time.Duration) (count int) {
 	for _, at := range times {
 		if at > now-window {
@@ -30,8 +30,8 @@
 	return count
 }
 
-// By exact counts over any history, at no instant do more than the share of the last ten seconds' requests, or the rate
-// over them, go to the fallback.
+// At every instant of a random history, the exact number of overflows of the last ten seconds is at most the configured
+// share of the requests of that time, or the configured rate times ten seconds.
 func TestOverflowStaysWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
@@ -53,16 +53,16 @@
 			}
 			limit := share * float64(countWithin(overflowWindow, now, requests))
 			if got := countWithin(overflowWindow, now, overflowsOfA); float64(got) > limit {
-				t.Fatalf("at %v %d requests overflowed, the limit is %v", now, got, limit)
+				t.Fatalf("at %v: %d requests overflowed in ten seconds, the limit is %v", now, got, limit)
 			}
 			if got := countWithin(overflowWindow, now, overflowsOfB); got > 25 {
-				t.Fatalf("at %v %d requests overflowed in ten seconds, the limit is 25", now, got)
+				t.Fatalf("at %v: %d requests overflowed in ten seconds, the limit is 25", now, got)
 			}
 		}
 	})
 }
 
-// The limit is not kept too strictly: nearly all of the share may overflow.
+// The overflow limit is not too strict: nearly the whole share can overflow.
 func TestOverflowUsesItsShare(t *testing.T) {
 	first := unlimitedPool("a")
 	first.Fallback, first.OverflowShare = "b", 0.5
@@ -76,11 +76,11 @@
 		}
 	}
 	if overflowed < 480 || p.Overflows != uint64(overflowed) || p.CapacityExceeded != uint64(1000-overflowed) {
-		t.Errorf("%d of 1000 requests overflowed, half may", overflowed)
+		t.Errorf("%d of 1000 requests overflowed, want nearly 500", overflowed)
 	}
 }
 
-// What pools load by their shares together never exceeds the load budget, whatever each asks for and when.
+// The loads of all pools together never exceed the load budget, whichever pools load and when.
 func TestLoadSharesStayWithinTheLoadBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		half, fifth := unlimitedPool("a"), unlimitedPool("b")
@@ -105,12 +105,13 @@
 func TestSinglePoolWithoutLoadShareAddsNoLoadLimit(t *testing.T) {
 	table := compilePoolSpecs(t, unlimitedPool("a"))
 	if !table.pool("a").MayLoad(0, 0) {
-		t.Error("a pool without a share, and none beside it, is bounded by the budget alone")
+		t.Error("the only pool has no load share, and still limits loads by itself")
 	}
 }
 
-// At a reload the counters of a pool continue under its name or, renamed, by its limits. A lowered capacity holds for
-// what is still in flight, and the loads of pools without a share stay one sum.
+// After a reload, a pool continues with the counters of the old pool of the same name, or of the same limits if it is
+// renamed. A lowered limit also counts the attempts that are already in flight. The pools without a load share still
+// count their loads in one window.
 func TestCarryOverKeepsPoolCounters(t *testing.T) {
 	old := compilePoolSpecs(t, cappedPool("a", 5), cappedPool("b", 7), cappedPool("c", 9))
 	for _, p := range old.pools {
@@ -123,24 +124,25 @@
 	next.CarryOver(old)
 	for name, want := range map[string]int{"a": 5, "renamed": 7, "new": 0} {
 		if got := next.pool(name).InFlight(); got != want {
-			t.Errorf("pool %s continues with %d in flight, want %d", name, got, want)
+			t.Errorf("pool %s has %d attempts in flight after the reload, want %d", name, got, want)
 		}
 	}
 	for range 4 {
-		old.pool("a").AttemptFinished() // they began under the old table
+		old.pool("a").AttemptFinished() // these attempts started under the old table
 		if next.pool("a").HasCapacity() && next.pool("a").InFlight() >= 2 {
-			t.Error("capacity beyond the lowered limit")
+			t.Error("the pool has capacity beyond the lowered limit")
 		}
 	}
 	if !next.pool("a").HasCapacity() || next.pool("renamed").HasCapacity() || !next.pool("new").HasCapacity() {
-		t.Error("capacity is not counted over the reload")
+		t.Error("attempts in flight are not counted correctly after the reload")
 	}
 	if got := next.pool("new").loads.upperBound(0); got != 1 {
-		t.Errorf("%d loads of the pools without a share, want 1", got)
+		t.Errorf("%d loads of the pools without a load share, want 1", got)
 	}
 }
 
-// What the configuration says of a worker takes precedence over the endpoint list, and memory counts.
+// Each condition of a selector selects the right workers. The static entry of a worker takes precedence over the
+// endpoint list.
 func TestPoolsSelectWorkers(t *testing.T) {
 	s := &Spec{Workers: []Worker{{Name: "s-2", Kind: "large", Cell: UnknownCell, Labels: map[string]string{"rack": "r1"}}}}
 	cases := []struct {
@@ -170,7 +172,7 @@
 	for _, c := range cases {
 		for id := range policy.WorkerID(4) {
 			if table.pool(c.name).Contains(id) != slices.Contains(c.want, id) {
-				t.Errorf("pool %s: worker %d", c.name, id)
+				t.Errorf("pool %s: membership of worker %d is wrong", c.name, id)
 			}
 		}
 	}
--- a/internal/route/precedence_example_test.go
+++ b/internal/route/precedence_example_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/route"
 )
 
-// docSpec returns the routes of the worked example in the package's documentation.
+// docSpec returns the routes of the example in the package documentation.
 func docSpec() *route.Spec {
 	sevenF := []route.Pattern{{Prefix: 0x7f << 56, Digits: 2}}
 	pool := func(name string) route.PoolSpec {
@@ -29,7 +29,7 @@
 	}
 }
 
-// mustCompile compiles a spec for the classes of the worked example.
+// mustCompile compiles a spec for the classes of the example in the package documentation.
 func mustCompile(spec *route.Spec) *route.Table {
 	table, err := route.Compile(spec, []string{"dim-level", "audit"})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return table
 }
 
-// Of the routes that match a request the closest one is taken: by function, then tenant, class and front.
+// Of the routes that match a request, the closest one is used: by function, then tenant, class and front.
 func ExampleTable_Match() {
 	table := mustCompile(docSpec())
 	for _, request := range []route.Request{
@@ -56,7 +56,7 @@
 	// thrift dim-level takes rest
 }
 
-// The requests that a change concerns are described by regions: here those that the route audits rejected.
+// Regions describe the requests that a change affects, here those that the route audits rejected.
 func ExampleDiff_regions() {
 	updated := docSpec()
 	updated.Routes[1].Pool = "all"
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The table agrees with the rule of precedence as docs/language.md states it: on the route of each request, on ties, on
-// the routes that can be reached, and on the requests that no route matches.
+// The table agrees with the reference implementation of the precedence in docs/language.md: on the route of each
+// request, on ambiguous routes, on reachable routes, and on the requests that no route matches.
 func TestMatchFollowsThePrecedenceRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -28,7 +28,7 @@
 			return
 		}
 		if ties {
-			t.Fatal("two routes are equally close and the table takes one of them")
+			t.Fatal("two routes are equally close, and Compile returned no error")
 		}
 		reachable := table.Reachable()
 		reached := make([][]bool, len(spec.Routes))
@@ -40,11 +40,11 @@
 			want, _ := referenceMatch(spec, r, class)
 			got := table.Match(r)
 			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
-				t.Fatalf("%+v takes %+v, want route %d", r, got, want)
+				t.Fatalf("request %+v takes %+v, want route %d", r, got, want)
 			}
 			reported := slices.ContainsFunc(unmatched, func(region Region) bool { return region.Contains(r, class) })
 			if reported != (got == nil) {
-				t.Fatalf("%+v: reported as unmatched: %v, route %+v", r, reported, got)
+				t.Fatalf("request %+v: reported as unmatched: %v, route %+v", r, reported, got)
 			}
 			if want >= 0 {
 				reached[want][r.Class] = true
@@ -60,7 +60,7 @@
 	})
 }
 
-// A route that closer ones cover is not reachable, also where it takes all sixteen prefixes together to cover it.
+// A route is unreachable if closer routes match all of its requests, even if only all sixteen prefixes together do.
 func TestCoveredRoutesAreUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = append(s.Routes, RouteSpec{Name: "all", Pool: "a"})
@@ -73,11 +73,11 @@
 	byThrift := RouteSpec{Name: "front", Pool: "a", Fronts: []Front{Thrift}, Functions: []Pattern{{Prefix: 0xf << 60, Digits: 1}}}
 	s.Routes = append(s.Routes[:16:16], byThrift)
 	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], false) {
-		t.Errorf("the last sixteenth by webhook is left to the first route: %v", r[0])
+		t.Errorf("the first route is unreachable, but takes the webhook requests for the last sixteenth of the functions: %v", r[0])
 	}
 }
 
-// Requests by Thrift name no tenant, so that a route that names both matches none.
+// Requests by Thrift name no tenant, so a route that names both Thrift and a tenant is unreachable.
 func TestTenantRouteByThriftIsUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = []RouteSpec{
@@ -129,7 +129,8 @@
 	}
 }
 
-// tableOfSize returns a table of that many routes, with exact functions, prefixes of all lengths, tenants and classes.
+// tableOfSize returns a table of that many routes, with exact functions, prefixes of 4 to 15 digits, tenants and
+// classes.
 func tableOfSize(t testing.TB, size int) *Table {
 	t.Helper()
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
@@ -151,7 +152,7 @@
 	return mustCompile(t, s)
 }
 
-// A match among a thousand routes allocates nothing, since each request needs one.
+// Matching a request among a thousand routes allocates nothing, because every request is matched.
 func TestMatchAllocatesNothing(t *testing.T) {
 	table, i := tableOfSize(t, 1000), uint64(0)
 	if n := testing.AllocsPerRun(1000, func() {
--- a/internal/route/tenantset_test.go
+++ b/internal/route/tenantset_test.go
@@ -16,7 +16,7 @@
 			map[string]bool{"": true, "east": false, "west": true, "nobody": true}},
 	} {
 		if got := c.set.String(); got != c.text {
-			t.Errorf("%+v reads %q, want %q", c.set, got, c.text)
+			t.Errorf("%+v has the text %q, want %q", c.set, got, c.text)
 		}
 		for tenant, want := range c.has {
 			if got := c.set.Contains(tenant); got != want {
--- a/internal/route/window_test.go
+++ b/internal/route/window_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// At every instant the exact count is between the window's two bounds, which differ by one slot at most.
+// At every instant the exact count is between the window's two bounds, which differ by at most the events of one slot.
 func TestSlidingWindowBoundsTheExactCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 10 * time.Second
@@ -25,7 +25,7 @@
 				t.Fatalf("at %v: %d events, bounds %d and %d", now, exact, lower, upper)
 			}
 			if least := countWithin(span-span/windowSlots, now, times); lower < least {
-				t.Fatalf("at %v: lower bound %d, %d events are younger than the oldest slot", now, lower, least)
+				t.Fatalf("at %v: lower bound %d, but %d events are newer than the oldest slot", now, lower, least)
 			}
 		}
 	})
