--- a/internal/endpoint/availability_test.go
+++ b/internal/endpoint/availability_test.go
@@ -12,7 +12,7 @@
 	s.Update(0, []Addr{unixSocket, ipv4})
 	s.Failed(0, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
-		t.Fatalf("candidates %v", got)
+		t.Fatalf("candidates %v after a failed dial", got)
 	}
 	if a, ok := s.NextRecoveryDial(100 * ms); ok {
 		t.Fatalf("recovery dial of %v during the backoff", a)
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -104,7 +104,7 @@
 	return name
 }
 
-// effect describes what happens to the requests that take the route. A nil route is that of unmatched requests.
+// effect describes what happens to the requests that take the route. A nil route means that no route matches.
 func (r *Route) effect(poolName string, notIdempotent bool) string {
 	if r == nil || r.Pool == nil {
 		return "refused"
--- a/internal/route/patternset.go
+++ b/internal/route/patternset.go
@@ -28,8 +28,8 @@
 	return s
 }
 
-// uncoveredFunction returns a function that p matches and that no longer member matches. ok is false if longer members
-// together match all functions of p.
+// uncoveredFunction returns a function that p matches and that no member longer than p matches. ok is false if the
+// members longer than p together match all functions of p.
 func (s *patternSet) uncoveredFunction(p Pattern) (function uint64, ok bool) {
 	if !s.ancestors[p] {
 		return p.Prefix, true
--- a/internal/route/policy.go
+++ b/internal/route/policy.go
@@ -12,9 +12,9 @@
 type PolicySpec struct {
 	Name                    string
 	MaxAttempts             int           // including the first one
-	RetriesAfterPossibleRun int           // after an attempt that may have run
-	RetriesAfterProvenNoRun int           // after an attempt that provably never ran
-	AttemptTimeout          time.Duration // 0: until the client cancels
+	RetriesAfterPossibleRun int           // retries after an attempt that may have run
+	RetriesAfterProvenNoRun int           // retries after an attempt that provably never ran
+	AttemptTimeout          time.Duration // 0: until the request's deadline
 	HedgeDelay              time.Duration // delay of the hedged request; 0: no hedged request
 	LatencyObjective        time.Duration // 0: the latency objective of the class
 	At                      string        // file:line
@@ -23,9 +23,9 @@
 // NoPolicy is the policy of a route that names none.
 var NoPolicy = PolicySpec{MaxAttempts: Unset, RetriesAfterPossibleRun: Unset, RetriesAfterProvenNoRun: Unset}
 
-// Effective returns the policy without the settings that have no effect. With notIdempotent it is the policy for a class
-// that is not idempotent: such a class gets no retry after an attempt that may have run, and no hedged request, whatever
-// the policy says.
+// Effective returns the policy without the settings that have no effect. notIdempotent selects the policy for a class
+// that is not idempotent: such a class gets no retry after an attempt that may have run, and no hedged request, even if
+// the policy allows them.
 func (p PolicySpec) Effective(notIdempotent bool) PolicySpec {
 	if p.MaxAttempts != Unset {
 		maxRetries := p.MaxAttempts - 1
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -20,7 +20,7 @@
 
 var _ policy.Pool = (*Pool)(nil)
 
-// poolCounters holds the counters of a pool that survive a change of the table.
+// poolCounters holds the counters of a pool. Table.CarryOver passes them to the pool of a new table.
 type poolCounters struct {
 	inFlight         int // attempts in flight
 	peak             int // highest inFlight
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// classFrontRoutes holds the routes of one pattern and tenant by class and front. declared has them as the rules name
-// them. resolved is filled in by resolve and has the closest route for each class and front.
+// classFrontRoutes holds the routes of one pattern and tenant by class and front. declared has the route of each rule.
+// resolved, which resolve fills in, has the closest route for each class and front.
 type classFrontRoutes struct {
 	classCount int
 	declared   []routeIndex // by declaredIndex
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Front is the front that received a request.
+// Front is the interface that a request arrives by: Thrift or webhook.
 type Front uint8
 
 // The fronts, in the order of router.Front.
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -68,7 +68,7 @@
 		s.Routes = append(s.Routes, RouteSpec{Name: fmt.Sprint("r", d), Pool: "a", Functions: []Pattern{{Prefix: uint64(d) << 60, Digits: 1}}})
 	}
 	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], true) || slices.Contains(r[16], false) {
-		t.Errorf("reachable: %v and %v", r[0], r[16])
+		t.Errorf("classes that reach the first and the last route: %v and %v", r[0], r[16])
 	}
 	byThrift := RouteSpec{Name: "front", Pool: "a", Fronts: []Front{Thrift}, Functions: []Pattern{{Prefix: 0xf << 60, Digits: 1}}}
 	s.Routes = append(s.Routes[:16:16], byThrift)
@@ -86,7 +86,7 @@
 	}
 	r := mustCompile(t, s).Reachable()
 	if slices.Contains(r[0], true) || slices.Contains(r[1], false) {
-		t.Errorf("reachable: %v", r)
+		t.Errorf("classes that reach each route: %v", r)
 	}
 }
 
@@ -125,7 +125,7 @@
 	_, err := Compile(ambiguous, classes)
 	var routes *AmbiguousRoutesError
 	if !errors.As(err, &routes) || routes.First.Name != "q" || routes.Second.Name != "r" {
-		t.Errorf("error %#v", err)
+		t.Errorf("error %#v, want ambiguous routes q and r", err)
 	}
 }
 
