--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// The model of a race: at most MaxDialsPerWorker dials are in progress, each address is dialled once, the next one as soon
-// as one fails, there is one winner, and the race is reported as lost once and only when nothing is left.
+// Random schedules keep the rules of a race: at most MaxDialsPerRace dials are in progress, each address is dialled at
+// most once, a dial is due at once if none is in progress, there is one winner, and the race is reported as lost at most
+// once, only when no address and no dial in progress is left.
 func TestDialRaceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Addr
@@ -19,21 +20,21 @@
 		}
 		dialTimeout, budget := 250*ms, time.Duration(rapid.IntRange(0, 3000).Draw(t, "left"))*ms
 		r, now := NewDialRace(list, dialTimeout, budget), time.Duration(0)
-		var tried []Addr
-		inProgress, won, over, last := 0, 0, false, time.Duration(0)
+		var dialled []Addr
+		inProgress, succeeded, lost, lastDialAt := 0, 0, false, time.Duration(0)
 		for range 200 {
 			mayOverlap := rapid.Bool().Draw(t, "mayOverlap")
 			if a, ok := r.Next(now, mayOverlap); ok {
-				if over || won > 0 || slices.Contains(tried, a) || inProgress > 0 && (!mayOverlap || now-last < ms) {
-					t.Fatalf("dials %v: over %v, won %d, tried %v, %d in progress, may overlap %v", a, over, won, tried, inProgress, mayOverlap)
+				if lost || succeeded > 0 || slices.Contains(dialled, a) || inProgress > 0 && (!mayOverlap || now-lastDialAt < ms) {
+					t.Fatalf("dials %v: lost %v, %d succeeded, dialled %v, %d in progress, may overlap %v", a, lost, succeeded, dialled, inProgress, mayOverlap)
 				}
-				tried = append(tried, a)
+				dialled = append(dialled, a)
 				inProgress++
-				last = now
-			} else if inProgress == 0 && won == 0 && len(tried) < len(list) {
-				t.Fatal("no dial is in progress, addresses are left, and none is tried")
+				lastDialAt = now
+			} else if inProgress == 0 && succeeded == 0 && len(dialled) < len(list) {
+				t.Fatal("no dial is in progress, addresses are left, and none is dialled")
 			}
-			if inProgress > MaxDialsPerWorker || r.InProgress() != inProgress {
+			if inProgress > MaxDialsPerRace || r.InProgress() != inProgress {
 				t.Fatalf("%d dials in progress, %d counted", inProgress, r.InProgress())
 			}
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -41,19 +42,19 @@
 				if inProgress > 0 {
 					inProgress--
 					if r.DialFailed() {
-						if over || won > 0 || len(tried) < len(list) || inProgress > 0 {
-							t.Fatal("the race is reported as lost and is not")
+						if lost || succeeded > 0 || len(dialled) < len(list) || inProgress > 0 {
+							t.Fatal("the race is reported as lost while it is not")
 						}
-						over = true
+						lost = true
 					}
 				}
 			case 1:
 				if inProgress > 0 {
 					inProgress--
-					if r.DialSucceeded() != (won == 0) {
+					if r.DialSucceeded() != (succeeded == 0) {
 						t.Fatal("two winners")
 					}
-					won++
+					succeeded++
 				}
 			default:
 				now += time.Duration(rapid.IntRange(1, 300).Draw(t, "passes")) * ms
--- a/internal/route/box_test.go
+++ b/internal/route/box_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The boxes have exactly the points, each once.
-func TestCoverPointsHoldsEachPointOnce(t *testing.T) {
+// The boxes contain exactly the given points, each of them once.
+func TestCoverPointsCoversEachPointOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := map[requestPoint]bool{}
 		var points []requestPoint
@@ -24,29 +24,29 @@
 		}
 		boxes := coverPoints(points)
 		for _, p := range allPoints() {
-			holding := 0
+			containing := 0
 			for _, b := range boxes {
-				if b.holds(p) {
-					holding++
+				if b.contains(p) {
+					containing++
 				}
 			}
-			if drawn[p] && holding != 1 || !drawn[p] && holding != 0 {
-				t.Fatalf("%v, drawn: %v, is in %d boxes", p, drawn[p], holding)
+			if drawn[p] && containing != 1 || !drawn[p] && containing != 0 {
+				t.Fatalf("point %v, drawn: %v, is in %d boxes", p, drawn[p], containing)
 			}
 		}
 		for _, b := range boxes {
-			if !b.holds(b.examplePoint()) {
-				t.Fatalf("%v has the example %v", b, b.examplePoint())
+			if !b.contains(b.examplePoint()) {
+				t.Fatalf("box %v does not contain its example %v", b, b.examplePoint())
 			}
 		}
 	})
 	if all := coverPoints(allPoints()); len(all) != 1 {
-		t.Errorf("all points are %d boxes", len(all))
+		t.Errorf("all points together give %d boxes, want 1", len(all))
 	}
 }
 
-// holds reports whether a point is in the box.
-func (b requestBox) holds(p requestPoint) bool {
+// contains reports whether a point is in the box.
+func (b requestBox) contains(p requestPoint) bool {
 	for a, index := range p {
 		if !slices.Contains(b[a], index) {
 			return false
--- a/internal/route/matcher_test.go
+++ b/internal/route/matcher_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Each rule is closer than all before it, by one property.
+// Each rule is closer than all rules before it. Each request takes the rule with the same index, because that is the
+// closest rule that matches it.
 func TestMatcherPrefersTheCloserRule(t *testing.T) {
 	pattern := mustParsePattern(t, "7f*")
 	exact := Pattern{Prefix: 0x7f3a9c21e0b4d655, Digits: functionDigits}
@@ -16,11 +17,11 @@
 		{exact, "", anyClass, anyFront, 5},
 	}
 	for n := range rules {
-		if before := m.add(rules[n]); before != noRoute {
-			t.Fatalf("rule %d was there as %d", n, before)
+		if previous := m.add(rules[n]); previous != noRoute {
+			t.Fatalf("rule %d: route %d already has the same rule", n, previous)
 		}
 		if again := m.add(rules[n]); again != rules[n].route {
-			t.Fatalf("rule %d: added again, before %d", n, again)
+			t.Fatalf("rule %d: added twice, add returned route %d", n, again)
 		}
 	}
 	m.resolve()
@@ -33,7 +34,7 @@
 		{Webhook, 0, function + 1, "east"},
 		{Webhook, 0, function, "east"},
 	} {
-		if got := m.match(r); got != routeNumber(want) {
+		if got := m.match(r); got != routeIndex(want) {
 			t.Errorf("%+v takes route %d, want %d", r, got, want)
 		}
 	}
--- a/internal/route/pooldiff.go
+++ b/internal/route/pooldiff.go
@@ -1,6 +1,6 @@
 package route
 
-// poolChanges returns which pools have other workers or limits, are new, or are gone.
+// poolChanges returns the pools that have other workers, limits or fallbacks, are added, or are removed.
 func (c *tableComparison) poolChanges() []Change {
 	var changes []Change
 	kept := map[*Pool]bool{}
@@ -26,21 +26,21 @@
 func poolAdded(p *Pool) Change {
 	return Change{
 		Before:  "no pool " + p.Spec.Name,
-		After:   poolText(p, p.describeWith(p.fallback)),
+		After:   poolDescription(p, p.describeWith(p.fallback)),
 		AfterAt: p.Spec.At,
 	}
 }
 
 func poolRemoved(p *Pool) Change {
 	return Change{
-		Before:   poolText(p, p.describeWith(p.fallback)),
+		Before:   poolDescription(p, p.describeWith(p.fallback)),
 		BeforeAt: p.Spec.At,
 		After:    "no pool " + p.Spec.Name,
 	}
 }
 
-// poolChanged compares a pool with the one that replaces it. Fallbacks are compared by their old names, so that a pool
-// whose fallback is only renamed does not change.
+// poolChanged compares a pool with the one that replaces it, and returns false if they are equal. Fallbacks are
+// compared by their old names, so that a pool whose fallback is only renamed is not reported.
 func (c *tableComparison) poolChanged(old, updated *Pool) (Change, bool) {
 	fallback := updated.fallback
 	if replaced := c.replaced[fallback]; replaced != nil {
@@ -52,14 +52,14 @@
 		return Change{}, false
 	}
 	return Change{
-		Before:   poolText(old, before),
+		Before:   poolDescription(old, before),
 		BeforeAt: old.Spec.At,
-		After:    poolText(updated, after),
+		After:    poolDescription(updated, after),
 		AfterAt:  updated.Spec.At,
 	}, true
 }
 
-// describeWith describes the pool with this fallback's name, nil for none.
+// describeWith describes the pool with this fallback; nil is no fallback.
 func (p *Pool) describeWith(fallback *Pool) string {
 	if fallback == nil {
 		return p.Spec.description() + ", no fallback"
@@ -67,4 +67,6 @@
 	return p.Spec.description() + ", fallback " + fallback.Spec.Name
 }
 
-func poolText(p *Pool, description string) string { return "pool " + p.Spec.Name + ": " + description }
+func poolDescription(p *Pool, description string) string {
+	return "pool " + p.Spec.Name + ": " + description
+}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// The table agrees with the rule of precedence as docs/language.md states it: on the route of each request, on ties, on
-// the routes that can be reached, and on the requests that no route matches.
+// The table agrees with the reference implementation of the precedence in docs/language.md: on the route of each
+// request, on ambiguous routes, on reachable routes, and on the requests that no route matches.
 func TestMatchFollowsThePrecedenceRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
 		table, err := Compile(spec, classes)
 		ties := false
 		forEachRequest(func(r Request, class string) {
-			_, tie := matchByRule(spec, r, class)
+			_, tie := referenceMatch(spec, r, class)
 			ties = ties || tie
 		})
 		if err != nil {
@@ -28,7 +28,7 @@
 			return
 		}
 		if ties {
-			t.Fatal("two routes are equally close and the table takes one of them")
+			t.Fatal("two routes are equally close, and Compile returned no error")
 		}
 		reachable := table.Reachable()
 		reached := make([][]bool, len(spec.Routes))
@@ -37,14 +37,14 @@
 		}
 		unmatched := table.UnmatchedRegions(true)
 		forEachRequest(func(r Request, class string) {
-			want, _ := matchByRule(spec, r, class)
+			want, _ := referenceMatch(spec, r, class)
 			got := table.Match(r)
 			if want < 0 != (got == nil) || got != nil && got != table.routes[want] {
-				t.Fatalf("%+v takes %+v, want route %d", r, got, want)
+				t.Fatalf("request %+v takes %+v, want route %d", r, got, want)
 			}
 			reported := slices.ContainsFunc(unmatched, func(region Region) bool { return region.Contains(r, class) })
 			if reported != (got == nil) {
-				t.Fatalf("%+v: reported as unmatched: %v, route %+v", r, reported, got)
+				t.Fatalf("request %+v: reported as unmatched: %v, route %+v", r, reported, got)
 			}
 			if want >= 0 {
 				reached[want][r.Class] = true
@@ -60,7 +60,7 @@
 	})
 }
 
-// A route that closer ones cover is not reachable, also where it takes all sixteen prefixes together to cover it.
+// A route is unreachable if closer routes match all of its requests, even if only all sixteen prefixes together do.
 func TestCoveredRoutesAreUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = append(s.Routes, RouteSpec{Name: "all", Pool: "a"})
@@ -68,16 +68,16 @@
 		s.Routes = append(s.Routes, RouteSpec{Name: fmt.Sprint("r", d), Pool: "a", Functions: []Pattern{{Prefix: uint64(d) << 60, Digits: 1}}})
 	}
 	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], true) || slices.Contains(r[16], false) {
-		t.Errorf("reachable: %v and %v", r[0], r[16])
+		t.Errorf("classes that reach the first and the last route: %v and %v", r[0], r[16])
 	}
 	byThrift := RouteSpec{Name: "front", Pool: "a", Fronts: []Front{Thrift}, Functions: []Pattern{{Prefix: 0xf << 60, Digits: 1}}}
 	s.Routes = append(s.Routes[:16:16], byThrift)
 	if r := mustCompile(t, s).Reachable(); slices.Contains(r[0], false) {
-		t.Errorf("the last sixteenth by webhook is left to the first route: %v", r[0])
+		t.Errorf("the first route is unreachable, but takes the webhook requests for the last sixteenth of the functions: %v", r[0])
 	}
 }
 
-// Requests by Thrift name no tenant, so that a route that names both matches none.
+// Requests by Thrift name no tenant, so a route that names both Thrift and a tenant is unreachable.
 func TestTenantRouteByThriftIsUnreachable(t *testing.T) {
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
 	s.Routes = []RouteSpec{
@@ -86,7 +86,7 @@
 	}
 	r := mustCompile(t, s).Reachable()
 	if slices.Contains(r[0], true) || slices.Contains(r[1], false) {
-		t.Errorf("reachable: %v", r)
+		t.Errorf("classes that reach each route: %v", r)
 	}
 }
 
@@ -100,13 +100,13 @@
 		err  error // the value of the error, for those that can be compared
 		spec *Spec
 	}{
-		{`pool "a" is there twice`, &DuplicatePoolError{"a", "f:2"},
+		{`pool "a" is defined twice`, &DuplicatePoolError{"a", "f:2"},
 			&Spec{Pools: []PoolSpec{pool("a", "", Unset), pool("a", "", Unset)}}},
 		{`pool "a": no pool "z"`, &UndefinedReferenceError{PoolBlock, "a", "f:2", PoolBlock, "z"},
 			&Spec{Pools: []PoolSpec{pool("a", "z", Unset)}}},
-		{`pool "a" falls back in a circle`, &FallbackCycleError{"a", "f:2"},
+		{`the fallback chain of pool "a" contains a cycle`, &FallbackCycleError{"a", "f:2"},
 			&Spec{Pools: []PoolSpec{pool("a", "a", Unset)}}},
-		{"the pools' shares of the load orders come to 120%", nil,
+		{"the pools' shares of the load budget add up to 120%", nil,
 			&Spec{Pools: []PoolSpec{pool("a", "", 0.6), pool("b", "", 0.6)}}},
 		{`route "r": no pool "z"`, &UndefinedReferenceError{RouteBlock, "r", "f:3", PoolBlock, "z"},
 			&Spec{Routes: []RouteSpec{{Name: "r", At: "f:3", Pool: "z"}}}},
@@ -125,11 +125,12 @@
 	_, err := Compile(ambiguous, classes)
 	var routes *AmbiguousRoutesError
 	if !errors.As(err, &routes) || routes.First.Name != "q" || routes.Second.Name != "r" {
-		t.Errorf("error %#v", err)
+		t.Errorf("error %#v, want ambiguous routes q and r", err)
 	}
 }
 
-// tableOfSize returns a table of that many routes, with exact functions, prefixes of all lengths, tenants and classes.
+// tableOfSize returns a table of that many routes, with exact functions, prefixes of 4 to 15 digits, tenants and
+// classes.
 func tableOfSize(t testing.TB, size int) *Table {
 	t.Helper()
 	s := &Spec{Pools: []PoolSpec{unlimitedPool("a")}}
@@ -151,7 +152,7 @@
 	return mustCompile(t, s)
 }
 
-// A match among a thousand routes allocates nothing, since each request needs one.
+// Matching a request among a thousand routes allocates nothing, because every request is matched.
 func TestMatchAllocatesNothing(t *testing.T) {
 	table, i := tableOfSize(t, 1000), uint64(0)
 	if n := testing.AllocsPerRun(1000, func() {
