--- a/policy/assembly.go
+++ b/policy/assembly.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// parts are the types that several others of a Policy use. Each of those gets just what it needs of them.
-type parts struct {
+// sharedComponents are the types that several others of a Policy use. Each of those gets just what it needs of them.
+type sharedComponents struct {
 	cfg       *Config
 	rng       *rand.Rand
 	turn      *turn
@@ -21,7 +21,7 @@
 // assemble makes the parts of a Policy, which share its settings, tables, turn and random source.
 func (p *Policy) assemble(rng *rand.Rand, router WorkerID) {
 	cfg := &p.cfg
-	shared := &parts{
+	shared := &sharedComponents{
 		cfg:       cfg,
 		rng:       rng,
 		turn:      &p.turn,
@@ -48,7 +48,7 @@
 	p.scheduler = shared.newScheduler(router)
 }
 
-func (s *parts) newRuleGuard() ruleGuard {
+func (s *sharedComponents) newRuleGuard() ruleGuard {
 	return ruleGuard{
 		cfg:       s.cfg,
 		tables:    s.tables,
@@ -58,7 +58,7 @@
 	}
 }
 
-func (s *parts) newEndpointTracker() endpointTracker {
+func (s *sharedComponents) newEndpointTracker() endpointTracker {
 	return endpointTracker{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *parts) newHealthChecker() *healthChecker {
+func (s *sharedComponents) newHealthChecker() *healthChecker {
 	return &healthChecker{
 		turn:      s.turn,
 		retries:   s.retries,
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *parts) newOutcomeRecorder(health *healthChecker) *outcomeRecorder {
+func (s *sharedComponents) newOutcomeRecorder(health *healthChecker) *outcomeRecorder {
 	return &outcomeRecorder{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -93,7 +93,7 @@
 	}
 }
 
-func (s *parts) newLoader(health *healthChecker, outcomes *outcomeRecorder) loader {
+func (s *sharedComponents) newLoader(health *healthChecker, outcomes *outcomeRecorder) loader {
 	return loader{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -107,7 +107,7 @@
 	}
 }
 
-func (s *parts) newAttemptStarter(quotas *tenantQuotas) attemptStarter {
+func (s *sharedComponents) newAttemptStarter(quotas *tenantQuotas) attemptStarter {
 	return attemptStarter{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -120,7 +120,7 @@
 	}
 }
 
-func (s *parts) newScheduler(router WorkerID) *scheduler {
+func (s *sharedComponents) newScheduler(router WorkerID) *scheduler {
 	return &scheduler{
 		cfg:       s.cfg,
 		rng:       s.rng,
--- a/policy/attempt_starter.go
+++ b/policy/attempt_starter.go
@@ -21,15 +21,15 @@
 		return
 	}
 	a := &attempt{
-		request:      r,
-		worker:       w,
-		pool:         r.pool,
-		number:       len(r.attempts),
-		ahead:        len(w.inFlight),
-		startedAt:    s.turn.now,
-		expected:     chosen.predicted,
-		expectsLoad:  load > 0,
-		likelyLoaded: chosen.likelyLoaded,
+		request:         r,
+		worker:          w,
+		pool:            r.pool,
+		number:          len(r.attempts),
+		inFlightAtStart: len(w.inFlight),
+		startedAt:       s.turn.now,
+		expected:        chosen.predicted,
+		expectsLoad:     load > 0,
+		likelyLoaded:    chosen.likelyLoaded,
 	}
 	s.recordStart(a, entry)
 	if a.number == 0 {
@@ -43,7 +43,7 @@
 // action returns the action that sends a request to a worker.
 func (s *attemptStarter) action(r *request, w *worker) StartAttempt {
 	start := StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}
-	if r.possibleRun != nil && r.class.Idempotency == IdempotentWithKey {
+	if r.firstPossibleRun != nil && r.class.Idempotency == IdempotentWithKey {
 		start.SendWithin = s.retries.deduplicatedUntil(r) - s.turn.now
 	}
 	return start
@@ -59,8 +59,8 @@
 	r.inFlight++
 	entry.inFlight++
 	s.slowStart.charge(w, r.class)
-	if r.possibleRun != nil {
-		r.retriesAfterRun++
+	if r.firstPossibleRun != nil {
+		r.retriesAfterPossibleRun++
 	}
 }
 
--- a/policy/capacity_estimator.go
+++ b/policy/capacity_estimator.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	sizeRetention  = 0.995 // the effect of size remembers about 200 responses
-	sizePrior      = 0.5   // and begins with a dozen that show none
-	maxPowerGained = 2     // by which the power of a size may exceed 1
+	sizeRegressionRetention = 0.995 // the effect of size remembers about 200 responses
+	sizePriorWeight         = 0.5   // and begins with a dozen that show none
+	maxExtraExponent        = 2     // by which the power of a size may exceed 1
 )
 
 // workerCapacity is what capacityEstimator knows of a worker.
@@ -21,20 +21,20 @@
 // capacityEstimator estimates what workers can do if warm: their size to a power from 1 to 3, which it learns
 // from the runs at large and small workers.
 type capacityEstimator struct {
-	cfg        *Config
-	workers    *workerTable
-	sizeEffect stats.Regression // of runs: less time over the log of the size
+	cfg            *Config
+	workers        *workerTable
+	sizeRegression stats.Regression // of runs: less time over the log of the size
 }
 
 // observeRun learns from a run at a worker, as a multiple of the mean run.
 func (e *capacityEstimator) observeRun(w *worker, multiple float64) {
 	size := math.Log(w.size / e.workers.meanSize)
-	e.sizeEffect.Observe(size*size, size*(1-min(multiple, maxMultiple)), sizeRetention)
+	e.sizeRegression.Observe(size*size, size*(1-min(multiple, maxMultiple)), sizeRegressionRetention)
 }
 
 // update estimates the capacities of all workers anew.
 func (e *capacityEstimator) update() {
-	power := 1 + stats.Clamp(e.sizeEffect.SumY/(e.sizeEffect.SumX+sizePrior), 0, maxPowerGained)
+	power := 1 + stats.Clamp(e.sizeRegression.SumY/(e.sizeRegression.SumX+sizePriorWeight), 0, maxExtraExponent)
 	for _, w := range e.workers.fleet {
 		w.capacity.work = math.Pow(w.size, power)
 		w.capacity.hashWeight = math.Pow(w.capacity.work, 1-1/float64(e.cfg.Routers))
--- a/policy/class_state.go
+++ b/policy/class_state.go
@@ -17,8 +17,8 @@
 func newClassStates(classes []Class) []classState {
 	var states []classState
 	for _, c := range classes {
-		run := initialRun * float64(c.LatencyObjective)
-		sum := runPrior * run
+		run := initialRunRatio * float64(c.LatencyObjective)
+		sum := runPriorWeight * run
 		states = append(states, classState{
 			Class:           c,
 			run:             stats.RunningMean{Mean: run},
--- a/policy/config.go
+++ b/policy/config.go
@@ -98,15 +98,15 @@
 	WorkerMemoryMB float64 // memory of a worker, in the mean of the kinds; 0 where unknown
 }
 
-// amount is a setting that must be a number from 0 to a limit.
-type amount struct {
-	setting string
-	value   float64
-	limit   float64
+// numericSetting is a setting that must be a number from 0 to a limit.
+type numericSetting struct {
+	name  string
+	value float64
+	limit float64
 }
 
 // valid reports whether the amount is a number within its limit. NaN is not.
-func (a amount) valid() bool { return a.value >= 0 && a.value <= a.limit }
+func (a numericSetting) valid() bool { return a.value >= 0 && a.value <= a.limit }
 
 // validate returns a *ConfigError for settings that no platform can mean.
 func (c *Config) validate() error {
@@ -115,9 +115,9 @@
 			return &ConfigError{Class: i, Config: *c}
 		}
 	}
-	for _, a := range c.amounts() {
+	for _, a := range c.numericSettings() {
 		if !a.valid() {
-			return &ConfigError{Class: NoClass, Setting: a.setting, Config: *c}
+			return &ConfigError{Class: NoClass, Setting: a.name, Config: *c}
 		}
 	}
 	return nil
@@ -129,10 +129,10 @@
 		c.Idempotency <= NotIdempotent && c.DeduplicationScope <= DeduplicatedInCell
 }
 
-// amounts lists the settings that New checks one by one. Of Classes, those after the first count.
-func (c *Config) amounts() []amount {
+// numericSettings lists the settings that New checks one by one. Of Classes, those after the first count.
+func (c *Config) numericSettings() []numericSetting {
 	const finite = math.MaxFloat64
-	return []amount{
+	return []numericSetting{
 		{"Classes", float64(len(c.Classes) - 1), finite},
 		{"MaxAttempts", float64(c.MaxAttempts), finite},
 		{"Tick", float64(c.Tick), finite},
--- a/policy/endpoint_tracker.go
+++ b/policy/endpoint_tracker.go
@@ -1,7 +1,7 @@
 package policy
 
 // subscribeRetryPart is the part of the poll interval after which a failed subscription is tried again.
-const subscribeRetryPart = 8
+const subscribeRetryDivisor = 8
 
 // endpointTracker applies endpoint lists, and has the other parts forget what no longer holds.
 type endpointTracker struct {
@@ -37,7 +37,7 @@
 // listFailed has the list subscribed to again after a while.
 func (t *endpointTracker) listFailed() {
 	t.workers.subscribed = false
-	after := max(t.cfg.PollInterval/subscribeRetryPart, housekeepingInterval)
+	after := max(t.cfg.PollInterval/subscribeRetryDivisor, housekeepingInterval)
 	t.turn.emit(SetTimer{After: after, Token: timerToken{kind: subscribeTimer}.encode()})
 }
 
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -114,7 +114,7 @@
 	id, acts := b.arrive(0, 7)
 	s, _ := first[StartAttempt](acts)
 	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
-	if w := b.p.workers.byID[s.Worker]; !b.p.scheduler.estimator.beginsLoad(b.p.now, w, b.p.requests.byID[id]) {
+	if w := b.p.workers.byID[s.Worker]; !b.p.scheduler.estimator.startsLoad(b.p.now, w, b.p.requests.byID[id]) {
 		t.Errorf("a load is thought under way: %v left", b.p.scheduler.estimator.expectedLoadTime(b.p.now, w, b.p.requests.byID[id]))
 	}
 }
--- a/policy/gossiper.go
+++ b/policy/gossiper.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	gossipEntryBytes       = 16 // a worker and a function, 8 bytes each
-	gossipEntriesInMessage = 16
+	gossipEntryBytes = 16 // a worker and a function, 8 bytes each
+	maxGossipEntries = 16
 
 	// gossipMessagesPerRequest is how many messages to one router a request pays for, however many routers
 	// there are.
-	gossipMessagesPerRequest = 2
+	gossipTokensPerRequest = 2
 
 	// gossipRepeats is how often a replica is gossiped within its keep-alive.
-	gossipRepeats = 4
+	gossipsPerKeepAlive = 4
 )
 
 // gossiper collects the replicas that the other routers should know of, where the settings allow gossip.
@@ -31,13 +31,13 @@
 
 // requestArrived adds what a request pays for.
 func (g *gossiper) requestArrived() {
-	g.tokens = min(g.tokens+gossipMessagesPerRequest, float64(g.cfg.Routers))
+	g.tokens = min(g.tokens+gossipTokensPerRequest, float64(g.cfg.Routers))
 }
 
 // replicaLoaded queues an entry for a replica that was seen to be loaded.
 func (g *gossiper) replicaLoaded(now time.Duration, loaded *replica, f *function) {
 	gossips := g.cfg.GossipSupported && g.cfg.Routers > 1
-	if !gossips || now-loaded.gossipedAt <= g.cfg.KeepAlive/gossipRepeats {
+	if !gossips || now-loaded.gossipedAt <= g.cfg.KeepAlive/gossipsPerKeepAlive {
 		return
 	}
 	loaded.gossipedAt = now
@@ -48,7 +48,7 @@
 // takeMessage returns the message that is to be sent to all other routers now, or nil. Entries beyond one
 // message are dropped, the oldest first.
 func (g *gossiper) takeMessage() []byte {
-	excess := len(g.pending) - gossipEntriesInMessage*gossipEntryBytes
+	excess := len(g.pending) - maxGossipEntries*gossipEntryBytes
 	g.pending = g.pending[max(0, excess):]
 	others := float64(g.cfg.Routers - 1)
 	if len(g.pending) == 0 || g.tokens < others {
--- a/policy/gossiper_test.go
+++ b/policy/gossiper_test.go
@@ -39,7 +39,7 @@
 		g.replicaLoaded(time.Hour, &replica{worker: &worker{}}, &function{id: f})
 	}
 	message := g.takeMessage()
-	if len(message) != gossipEntriesInMessage*gossipEntryBytes || message[15] != 24 {
+	if len(message) != maxGossipEntries*gossipEntryBytes || message[15] != 24 {
 		t.Errorf("a message of %d bytes: % x", len(message), message)
 	}
 }
--- a/policy/health_checker.go
+++ b/policy/health_checker.go
@@ -15,7 +15,7 @@
 // recordResponse records that a worker responds. After an ejection it may be another process than before.
 func (h *healthChecker) recordResponse(w *worker) {
 	if h.outliers.recordResponse(h.turn.now, w) {
-		h.slowStart.workerReturned(h.turn.now, w)
+		h.slowStart.workerRecovered(h.turn.now, w)
 	}
 }
 
@@ -43,7 +43,7 @@
 
 // recordResult records the result of a health check.
 func (h *healthChecker) recordResult(w *worker, e HealthCheckCompleted) {
-	h.outliers.checkEnded(w)
+	h.outliers.checkCompleted(w)
 	switch e.Outcome {
 	case NotSent: // for a reason of this machine, which says nothing of the worker
 	case TimedOut, Unreachable, ConnectionReset:
@@ -62,7 +62,7 @@
 	}
 	h.outliers.eject(h.turn.now, w)
 	for _, a := range slices.Clone(w.inFlight) {
-		if h.retries.mayMove(h.turn.now, a) {
+		if h.retries.mayCancelAndRetry(h.turn.now, a) {
 			h.turn.cancel(a)
 		}
 	}
--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -10,15 +10,15 @@
 
 const (
 	regressionRetention = 0.97            // a regression remembers about 30 responses
-	slopePrior          = 8               // responses that the fleet's slope weighs in each worker's
-	runPrior            = 5               // responses that the class's run weighs in each function's
+	slopePriorWeight    = 8               // responses that the fleet's slope weighs in each worker's
+	runPriorWeight      = 5               // responses that the class's run weighs in each function's
 	runMemory           = 30              // responses that a run estimate remembers
 	queueSpan           = 3 * time.Second // memory of a worker's queue: it drains in about that
 	fewResponses        = 6               // fewer are remembered for longer: none newer come
 	maxMultiple         = 3               // a response counts as at most this multiple of the estimate
 	loadTimeWeight      = 0.2             // of one load in the ratio of measured to announced load time
-	initialRun          = 0.25            // part of the latency objective that a run takes at first
-	extraLaneLoad       = 0.3             // part of a load that a request beyond the lanes costs
+	initialRunRatio     = 0.25            // part of the latency objective that a run takes at first
+	extraLaneLoadRatio  = 0.3             // part of a load that a request beyond the lanes costs
 
 	minLoadTimeRatio = 0.2 // bounds on what one load may show
 	maxLoadTimeRatio = 10
@@ -77,8 +77,8 @@
 // queueingDelay predicts the delay at a worker where so many attempts of ours are in flight.
 func (e *latencyEstimator) queueingDelay(now time.Duration, w *worker, attempts int) nanoseconds {
 	slope := &w.latency.queueSlope
-	delays := slope.SumY + e.queueSlope.Predict(slopePrior, 1)
-	own := max(0, delays) / (slope.SumX + slopePrior) * float64(attempts)
+	delays := slope.SumY + e.queueSlope.Predict(slopePriorWeight, 1)
+	own := max(0, delays) / (slope.SumX + slopePriorWeight) * float64(attempts)
 	return nanoseconds(own + max(0, w.latency.queueDelay.Mean(now)))
 }
 
@@ -88,7 +88,7 @@
 		return nanoseconds(r.class.measuredWorkSum / r.class.hintedWorkSum * float64(r.Work))
 	}
 	run := &r.function.run
-	return nanoseconds((runPrior*r.class.run.Mean + run.Count*run.Mean) / (runPrior + run.Count))
+	return nanoseconds((runPriorWeight*r.class.run.Mean + run.Count*run.Mean) / (runPriorWeight + run.Count))
 }
 
 // fullLoadTime predicts a load that begins now: the announced time, by the ratio measured of late.
@@ -109,8 +109,8 @@
 	return e.fullLoadTime(r.function)
 }
 
-// beginsLoad reports whether a request would begin a load at a worker, as far as is known.
-func (e *latencyEstimator) beginsLoad(now time.Duration, w *worker, r *request) bool {
+// startsLoad reports whether a request would begin a load at a worker, as far as is known.
+func (e *latencyEstimator) startsLoad(now time.Duration, w *worker, r *request) bool {
 	entry := e.replicas.lookUp(w, r.function.id)
 	return (entry == nil || entry.loadDue == 0) && e.expectedLoadTime(now, w, r) > 0
 }
@@ -124,7 +124,7 @@
 	entry := e.replicas.lookUp(w, r.function.id)
 	if entry != nil && float64(entry.inFlight) >= max(r.Lanes, 1, float64(entry.lanes)) {
 		// No lane is free: the worker may load another replica.
-		latency += extraLaneLoad * e.fullLoadTime(r.function)
+		latency += extraLaneLoadRatio * e.fullLoadTime(r.function)
 	}
 	return latency + e.overdue(now, w)
 }
--- a/policy/latency_estimator_test.go
+++ b/policy/latency_estimator_test.go
@@ -49,7 +49,7 @@
 func TestEstimatesLearnWithinBounds(t *testing.T) {
 	e, w, r := newEstimator()
 	now := time.Hour
-	a := &attempt{request: r, worker: w, ahead: 2}
+	a := &attempt{request: r, worker: w, inFlightAtStart: 2}
 	run := e.runTime(r)
 	e.observeWithoutLoad(now, a, servedResponse{took: 1000 * run, run: run})
 	if got := e.runTime(r); got <= run || got > maxMultiple*run {
--- a/policy/latency_observations.go
+++ b/policy/latency_observations.go
@@ -37,7 +37,7 @@
 	response := servedResponse{
 		took:          nanoseconds(completed.Took),
 		run:           e.runTime(a.request),
-		queueing:      e.queueingDelay(now, a.worker, a.ahead),
+		queueing:      e.queueingDelay(now, a.worker, a.inFlightAtStart),
 		queue:         queue,
 		waitedForLoad: completed.LoadStatus == StartedLoad || completed.LoadStatus == WaitedForLoad,
 	}
@@ -78,8 +78,8 @@
 	queueing := float64(response.queueing)
 	own := queueing - max(0, w.latency.queueDelay.Mean(now)) // the part of our attempts
 	delay := stats.Clamp(took-run, -run, maxMultiple*(run+queueing))
-	w.latency.queueSlope.Observe(float64(a.ahead), delay, regressionRetention)
-	e.queueSlope.Observe(float64(a.ahead), delay, regressionRetention)
+	w.latency.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
+	e.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
 	mostDelay := maxMultiple * float64(a.request.class.LatencyObjective)
 	w.latency.queueDelay.Observe(now, min(took-run, mostDelay)-own)
 	if response.queue.known {
@@ -111,9 +111,9 @@
 	delay.Observe(now, max(atLeast, delay.Mean(now)))
 }
 
-// observeUnanswered records an attempt that ended before its response after a time. It would have taken
+// observeNoResponse records an attempt that ended before its response after a time. It would have taken
 // longer still. Where the worker has responded to later attempts, these show the delay better.
-func (e *latencyEstimator) observeUnanswered(now time.Duration, a *attempt, took time.Duration) {
+func (e *latencyEstimator) observeNoResponse(now time.Duration, a *attempt, took time.Duration) {
 	delay := &a.worker.latency.queueDelay
 	beyondRun := float64(nanoseconds(took) - e.runTime(a.request))
 	if a.expectsLoad || delay.Updated() >= a.startedAt || beyondRun <= delay.Mean(now) {
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	shedSlope           = 2   // requests shed, as a part, for each further part of the objective
+	shedRatioSlope      = 2   // requests shed, as a part, for each further part of the objective
 	maxShedRatio        = 0.9 // part of the requests that is shed at most
 	higherPriorityRatio = 1.5 // by how much the weight of another class is higher where it has priority
 
@@ -43,8 +43,8 @@
 	retryAfter nanoseconds // until the queue admits such requests again
 }
 
-// sheddingTerms are what the standing delay is compared with for a request.
-type sheddingTerms struct {
+// sheddingThreshold are what the standing delay is compared with for a request.
+type sheddingThreshold struct {
 	start     float64 // part of the objective from which on requests are shed
 	objective float64 // nanoseconds
 }
@@ -60,24 +60,24 @@
 func (s *loadShedder) decide(
 	now time.Duration, r *request, best *worker, expected nanoseconds,
 ) sheddingDecision {
-	terms := s.terms(r, expected)
+	terms := s.threshold(r, expected)
 	// What other routers queue at the best worker is a standing delay too.
 	others := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
 	delay := max(s.standingDelay.Mean, others)
-	ratio := min(shedSlope*(delay/terms.objective-terms.start), maxShedRatio)
+	ratio := min(shedRatioSlope*(delay/terms.objective-terms.start), maxShedRatio)
 	drawn := s.rng.Float64() < ratio
 	return sheddingDecision{
-		shed:       drawn && r.possibleRun == nil,
+		shed:       drawn && r.firstPossibleRun == nil,
 		retryAfter: nanoseconds(delay - terms.start*terms.objective),
 	}
 }
 
-// terms returns from which delay on a request is shed. The yardstick is the shortest objective among the
+// threshold returns from which delay on a request is shed. The yardstick is the shortest objective among the
 // classes that have priority over its own.
-func (s *loadShedder) terms(r *request, expected nanoseconds) sheddingTerms {
+func (s *loadShedder) threshold(r *request, expected nanoseconds) sheddingThreshold {
 	classObjective := r.class.LatencyObjective
 	own := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
-	terms := sheddingTerms{start: shedStart, objective: own}
+	terms := sheddingThreshold{start: shedStart, objective: own}
 	for i := range s.classes {
 		other := &s.classes[i]
 		if s.weightPerWork(other) > higherPriorityRatio*s.weightPerWork(r.class) {
--- a/policy/load_shedder_test.go
+++ b/policy/load_shedder_test.go
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &request{class: &s.classes[test.class], overQuota: test.overQuota}
 			r.Policy = &defaultRequestPolicy
-			if got := s.terms(r, nanoseconds(test.expected)); got.start != test.start || got.objective != float64(objective) {
+			if got := s.threshold(r, nanoseconds(test.expected)); got.start != test.start || got.objective != float64(objective) {
 				t.Errorf("shed from %v of %v on, want %v", got.start, time.Duration(got.objective), test.start)
 			}
 		})
@@ -47,7 +47,7 @@
 	if shed < 80 || shed == 100 {
 		t.Errorf("%d of 100 requests are shed, want about %v of them", shed, maxShedRatio)
 	}
-	r.possibleRun = &attempt{}
+	r.firstPossibleRun = &attempt{}
 	for range 100 {
 		if s.decide(time.Hour, r, &worker{}, 0).shed {
 			t.Fatal("a request that may have run is shed")
--- a/policy/loader.go
+++ b/policy/loader.go
@@ -7,7 +7,7 @@
 
 // loadTimePart is the part of the announced load time that a load must take to count as one: in less the
 // replica was loaded already, or nearly.
-const loadTimePart = 5
+const minLoadTimeDivisor = 5
 
 // loader sends load commands within the load budget, and decides how long an idle replica is kept.
 type loader struct {
@@ -73,7 +73,7 @@
 	l.health.recordResponse(entry.worker)
 	entry.loadedUntil = l.turn.now + l.cfg.KeepAlive
 	l.gossip.replicaLoaded(l.turn.now, entry, f)
-	if took > f.loadTime/loadTimePart {
+	if took > f.loadTime/minLoadTimeDivisor {
 		l.outcomes.recordLoadTime(nanoseconds(took), f)
 	}
 }
--- a/policy/outcome_recorder.go
+++ b/policy/outcome_recorder.go
@@ -27,7 +27,7 @@
 		}
 		o.health.recordConnectionFailure(a.worker, e.Outcome)
 	case Canceled, TimedOut:
-		o.estimator.observeUnanswered(o.turn.now, a, e.Took)
+		o.estimator.observeNoResponse(o.turn.now, a, e.Took)
 	}
 }
 
@@ -38,10 +38,10 @@
 	o.estimator.recordSuccess(o.turn.now, a)
 	o.slowStart.recordServed(a.worker, a.request.class)
 	response := o.estimator.measure(o.turn.now, a, e)
-	o.recordDelay(a, e, response)
+	o.updateStandingDelay(a, e, response)
 	entry.served(o.turn.now, o.cfg.KeepAlive)
 	o.gossip.replicaLoaded(o.turn.now, entry, f)
-	o.recordTimeliness(a, e, response)
+	o.updateCongestion(a, e, response)
 	unknownLoad := e.LoadStatus == LoadStatusUnknown && a.expectsLoad && response.waitedForLoad
 	switch {
 	case !response.waitedForLoad && (!a.expectsLoad || !o.cfg.MissWhenNotLoaded):
@@ -51,26 +51,26 @@
 	}
 }
 
-// recordDelay updates the standing delay by a response of a replica that was known to be loaded. Elsewhere a
+// updateStandingDelay updates the standing delay by a response of a replica that was known to be loaded. Elsewhere a
 // guessed load may be a queue.
-func (o *outcomeRecorder) recordDelay(a *attempt, e AttemptCompleted, response servedResponse) {
+func (o *outcomeRecorder) updateStandingDelay(a *attempt, e AttemptCompleted, response servedResponse) {
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded {
 		o.shedder.observe(response.took, a.request.class.LatencyObjective)
 	}
 }
 
-// recordTimeliness updates a function's congestion by a response.
-func (o *outcomeRecorder) recordTimeliness(a *attempt, e AttemptCompleted, response servedResponse) {
+// updateCongestion updates a function's congestion by a response.
+func (o *outcomeRecorder) updateCongestion(a *attempt, e AttemptCompleted, response servedResponse) {
 	f := a.request.function
 	if response.took < nanoseconds(a.request.class.LatencyObjective) {
 		f.recordTimelyResponse()
-	} else if a.countedOnReplica() && e.LoadStatus <= AlreadyLoaded {
+	} else if a.expectedReplica() && e.LoadStatus <= AlreadyLoaded {
 		f.recordCongestion(o.workers.ready)
 	}
 }
 
-// countedOnReplica reports whether an attempt was sent in the belief that a replica was loaded.
-func (a *attempt) countedOnReplica() bool { return !a.expectsLoad || a.likelyLoaded }
+// expectedReplica reports whether an attempt was sent in the belief that a replica was loaded.
+func (a *attempt) expectedReplica() bool { return !a.expectsLoad || a.likelyLoaded }
 
 // recordUnserved learns from a response other than a result.
 func (o *outcomeRecorder) recordUnserved(a *attempt, entry *replica, e AttemptCompleted) {
@@ -86,7 +86,7 @@
 		o.breaker.recordFailure(o.turn.now)
 	case e.Outcome == Failed:
 		o.estimator.recordFailure(o.turn.now, a)
-	case e.Outcome == Overloaded && a.countedOnReplica():
+	case e.Outcome == Overloaded && a.expectedReplica():
 		a.request.function.recordCongestion(o.workers.ready)
 		o.estimator.observeOverload(o.turn.now, a, e.Report)
 	}
--- a/policy/outlier_detector.go
+++ b/policy/outlier_detector.go
@@ -67,8 +67,8 @@
 	w.health.lastCheck = now
 }
 
-// checkEnded records that no health check is in flight any more.
-func (d *outlierDetector) checkEnded(w *worker) { w.health.checking = false }
+// checkCompleted records that no health check is in flight any more.
+func (d *outlierDetector) checkCompleted(w *worker) { w.health.checking = false }
 
 // respondedSinceCheck reports whether a worker has responded to something since its last health check was
 // sent.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -64,7 +64,7 @@
 // Handle takes one event and appends the actions that answer it to actions. A time before the last event's
 // counts as that event's time.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
-	p.begin(now, actions)
+	p.startTurn(now, actions)
 	if !p.maintenance.started {
 		p.maintenance.started = true
 		p.start()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -29,7 +29,7 @@
 	id, acts := b.arrive(2, 7)
 	s, _ := first[StartAttempt](acts)
 	r := b.p.requests.byID[id]
-	r.inFlight, r.possibleRun = 0, r.attempts[0]
+	r.inFlight, r.firstPossibleRun = 0, r.attempts[0]
 	if b.p.emit(StartAttempt{Request: id, Worker: 3 - s.Worker}) {
 		t.Error("a repeat of an unsafe request left")
 	}
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -8,22 +8,22 @@
 const (
 	// likelyChance is the chance of a replica from which on it is counted on where a wrong guess costs
 	// little.
-	likelyChance = 0.5
+	likelyProbability = 0.5
 
 	// chancePerRouter is the chance that a worker keeps a replica that this router has lost sight of, for
 	// each router.
-	chancePerRouter = 0.2
+	probabilityPerRouter = 0.2
 )
 
 // preferredWorker is the worker at which a request would begin a load, if it has to begin one.
 type preferredWorker struct {
-	worker        *worker // nil: a replica is known at every candidate
-	replicaChance float64 // that other routers keep a replica there
+	worker             *worker // nil: a replica is known at every candidate
+	replicaProbability float64 // that other routers keep a replica there
 }
 
 // likelyLoaded reports whether a worker is the preferred one and likely has a replica.
 func (p preferredWorker) likelyLoaded(w *worker) bool {
-	return w == p.worker && p.replicaChance >= likelyChance
+	return w == p.worker && p.replicaProbability >= likelyProbability
 }
 
 // rendezvousRanking ranks workers for a function alike at all routers, by rendezvous hashing, so that routers
@@ -50,17 +50,17 @@
 	for _, w := range candidates {
 		score := rendezvousScore(key, w.Worker, w.capacity.hashWeight, min(first, firstUnloaded))
 		first = max(first, score)
-		if score > firstUnloaded && ranking.estimator.beginsLoad(now, w, r) {
+		if score > firstUnloaded && ranking.estimator.startsLoad(now, w, r) {
 			preferred = w
 			firstUnloaded = score
 		}
 	}
 	// A lone router knows of all replicas but those that it has lost sight of.
-	chance := min(likelyChance, chancePerRouter*float64(ranking.cfg.Routers+1))
+	chance := min(likelyProbability, probabilityPerRouter*float64(ranking.cfg.Routers+1))
 	if preferred != nil && firstUnloaded == first {
-		chance = max(chance, ranking.chanceOfOthers(f, slots))
+		chance = max(chance, ranking.loadedByOthersProbability(f, slots))
 	}
-	return preferredWorker{worker: preferred, replicaChance: chance}
+	return preferredWorker{worker: preferred, replicaProbability: chance}
 }
 
 // slots returns how many slots a function has: more for a large share of our work or where it is congested.
@@ -86,9 +86,9 @@
 	return own
 }
 
-// chanceOfOthers returns the chance that requests of other routers keep a replica loaded at the first worker
+// loadedByOthersProbability returns the chance that requests of other routers keep a replica loaded at the first worker
 // of a slot.
-func (ranking *rendezvousRanking) chanceOfOthers(f *function, slots int) float64 {
+func (ranking *rendezvousRanking) loadedByOthersProbability(f *function, slots int) float64 {
 	others := f.recentRequests * float64(ranking.cfg.Routers-1) / float64(slots)
 	return 1 - math.Exp(-others*float64(ranking.cfg.KeepAlive)/float64(rateSpan))
 }
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -32,7 +32,7 @@
 	if second.worker == nil || second.worker == first {
 		t.Error("a worker that has a replica is preferred for a load")
 	}
-	if second.likelyLoaded(first) || preferred.replicaChance != likelyChance {
-		t.Errorf("chance %v of a replica that other routers keep", preferred.replicaChance)
+	if second.likelyLoaded(first) || preferred.replicaProbability != likelyProbability {
+		t.Errorf("chance %v of a replica that other routers keep", preferred.replicaProbability)
 	}
 }
--- a/policy/request_table.go
+++ b/policy/request_table.go
@@ -5,32 +5,32 @@
 // request is a request from its arrival until it has its final response and no attempt is in flight.
 type request struct {
 	RequestArrived
-	class           *classState
-	function        *function
-	deadline        time.Duration
-	pool            Pool // the workers that it may go to now
-	attempts        []*attempt
-	inFlight        int       // attempts that have not ended
-	possibleRun     *attempt  // the first that may have run
-	retriesAfterRun int       // attempts after that
-	excluded        []*worker // that rejected or failed it
+	class                   *classState
+	function                *function
+	deadline                time.Duration
+	pool                    Pool // the workers that it may go to now
+	attempts                []*attempt
+	inFlight                int       // attempts that have not ended
+	firstPossibleRun        *attempt  // the first that may have run
+	retriesAfterPossibleRun int       // attempts after that
+	excluded                []*worker // that rejected or failed it
 
 	overQuota bool // it was beyond its tenant's quota when it arrived
 	hedging   bool // its hedged attempt is being started
 	streaming bool // its response has begun
-	done      bool // it has its final response, or was canceled
+	complete  bool // it has its final response, or was canceled
 }
 
 // attempt is one forwarding of a request to a worker.
 type attempt struct {
-	request     *request
-	worker      *worker
-	pool        Pool
-	number      int // from 0, in the order of their starts
-	ahead       int // attempts that were in flight at the worker when it started
-	startedAt   time.Duration
-	expected    time.Duration // its predicted latency
-	expectsLoad bool          // no replica was known at the worker
+	request         *request
+	worker          *worker
+	pool            Pool
+	number          int // from 0, in the order of their starts
+	inFlightAtStart int // attempts that were in flight at the worker when it started
+	startedAt       time.Duration
+	expected        time.Duration // its predicted latency
+	expectsLoad     bool          // no replica was known at the worker
 
 	// likelyLoaded says that another router likely keeps a replica at the worker though none was known.
 	likelyLoaded bool
@@ -53,9 +53,9 @@
 // add enters a request.
 func (t *requestTable) add(r *request) { t.byID[r.Request] = r }
 
-// removeIfOver removes a request that is done and has no attempt in flight.
-func (t *requestTable) removeIfOver(r *request) {
-	if r.done && r.inFlight == 0 {
+// removeIfComplete removes a request that is done and has no attempt in flight.
+func (t *requestTable) removeIfComplete(r *request) {
+	if r.complete && r.inFlight == 0 {
 		delete(t.byID, r.Request)
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -49,7 +49,7 @@
 // requestCanceled ends a request whose client has left. It no longer counts towards the load budget.
 func (p *Policy) requestCanceled(e RequestCanceled) {
 	r := p.requests.get(e.Request)
-	if r == nil || r.done {
+	if r == nil || r.complete {
 		return
 	}
 	p.loads.budget.withdrawArrival(r.deadline - r.Remaining)
@@ -65,7 +65,7 @@
 
 // schedule sends a request to the worker with the lowest predicted latency, or rejects or defers it.
 func (p *Policy) schedule(r *request) {
-	if r.done || r.inFlight > 0 {
+	if r.complete || r.inFlight > 0 {
 		return
 	}
 	chosen := p.scheduler.choose(p.now, r)
@@ -94,8 +94,8 @@
 		p.closeRequest(r)
 	}
 	switch {
-	case r.done:
-		p.requests.removeIfOver(r)
+	case r.complete:
+		p.requests.removeIfComplete(r)
 	case r.inFlight == 0:
 		p.continueRequest(r, entry, e.Outcome)
 	}
@@ -110,8 +110,8 @@
 	entry.inFlight--
 	a.pool.AttemptFinished()
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(other *attempt) bool { return other == a })
-	if !outcome.NeverRan() && r.possibleRun == nil {
-		r.possibleRun = a
+	if !outcome.NeverRan() && r.firstPossibleRun == nil {
+		r.firstPossibleRun = a
 	}
 	// A first attempt whose connection broke may go to the same worker again, which has the replica.
 	if outcome != ConnectionReset || a.number > 0 {
@@ -137,7 +137,7 @@
 // advised to stay away for about a wait.
 func (p *Policy) reject(r *request, wait nanoseconds) {
 	rejection := Reject{Request: r.Request, RetryAfter: p.shedder.retryAfter(wait)}
-	if r.done {
+	if r.complete {
 		return
 	}
 	if !p.emit(rejection) {
@@ -148,12 +148,12 @@
 
 // closeRequest ends a request that has its final response, or needs none.
 func (p *Policy) closeRequest(r *request) {
-	r.done = true
+	r.complete = true
 	p.emit(ClearTimer{Token: deadlineTokenOf(r)})
 	for _, a := range r.attempts {
 		p.cancel(a)
 	}
-	p.requests.removeIfOver(r)
+	p.requests.removeIfComplete(r)
 }
 
 // startHedge sends a request to a second worker, one where it needs no load, when the first has not responded
--- a/policy/retry_rules.go
+++ b/policy/retry_rules.go
@@ -13,7 +13,7 @@
 
 // mayStart reports whether a request may go anywhere now: beside a first attempt only its hedged attempt.
 func (rules retryRules) mayStart(now time.Duration, r *request) bool {
-	if r.done || r.streaming {
+	if r.complete || r.streaming {
 		return false
 	}
 	isHedge := r.inFlight == 1 && r.hedging
@@ -26,12 +26,12 @@
 	if rules.attemptsUsedUp(r) {
 		return false
 	}
-	if r.possibleRun == nil {
+	if r.firstPossibleRun == nil {
 		limit := r.Policy.RetriesAfterProvenNoRun
 		return r.hedging || limit < 0 || len(r.attempts) <= limit
 	}
 	limit := r.Policy.RetriesAfterPossibleRun
-	withinLimit := limit < 0 || r.retriesAfterRun < limit
+	withinLimit := limit < 0 || r.retriesAfterPossibleRun < limit
 	return withinLimit && rules.mayRepeat(now, r, w)
 }
 
@@ -56,7 +56,7 @@
 
 // deduplicatesAt reports whether a worker drops a repeat of a request that may have run at another.
 func (rules retryRules) deduplicatesAt(r *request, w *worker) bool {
-	first := r.possibleRun.worker
+	first := r.firstPossibleRun.worker
 	switch r.class.DeduplicationScope {
 	case DeduplicatedEverywhere:
 		return true
@@ -71,7 +71,7 @@
 
 // deduplicatedUntil returns until when workers drop a repeat of a request, an attempt of which may have run.
 func (rules retryRules) deduplicatedUntil(r *request) time.Duration {
-	return r.possibleRun.startedAt + r.class.DeduplicationWindow - rules.cfg.Tick
+	return r.firstPossibleRun.startedAt + r.class.DeduplicationWindow - rules.cfg.Tick
 }
 
 // eligible reports whether a request may go to a worker, now or later.
@@ -80,11 +80,11 @@
 		rules.mayRetry(now, r, w)
 }
 
-// mayMove reports whether an attempt at a silent worker may be canceled, so that its request can go
+// mayCancelAndRetry reports whether an attempt at a silent worker may be canceled, so that its request can go
 // elsewhere.
-func (rules retryRules) mayMove(now time.Duration, a *attempt) bool {
+func (rules retryRules) mayCancelAndRetry(now time.Duration, a *attempt) bool {
 	r := a.request
-	if r.done || r.streaming {
+	if r.complete || r.streaming {
 		return false
 	}
 	switch r.class.Idempotency {
@@ -97,10 +97,10 @@
 	}
 }
 
-// harmlessToRepeat reports whether the client may send a request again wherever it likes, whatever became of
+// clientMayRetry reports whether the client may send a request again wherever it likes, whatever became of
 // it here.
-func (rules retryRules) harmlessToRepeat(r *request) bool {
-	neverRan := r.possibleRun == nil && r.inFlight == 0
+func (rules retryRules) clientMayRetry(r *request) bool {
+	neverRan := r.firstPossibleRun == nil && r.inFlight == 0
 	class := r.class
 	return neverRan || class.Idempotency == Idempotent ||
 		class.Idempotency == IdempotentWithKey && class.DeduplicationScope == DeduplicatedEverywhere
--- a/policy/retry_rules_test.go
+++ b/policy/retry_rules_test.go
@@ -42,7 +42,7 @@
 				r.attempts = append(r.attempts, first)
 			}
 			if test.ran {
-				r.possibleRun = first
+				r.firstPossibleRun = first
 			}
 			rules := retryRules{cfg: cfg}
 			if got := rules.mayRetry(max(test.now, start), r, test.worker); got != test.want {
--- a/policy/rule_guard.go
+++ b/policy/rule_guard.go
@@ -20,7 +20,7 @@
 	case CancelAttempt:
 		return g.cfg.CancelSupported
 	case Reject:
-		return g.retries.harmlessToRepeat(g.tables.requests.get(a.Request))
+		return g.retries.clientMayRetry(g.tables.requests.get(a.Request))
 	case Load:
 		return g.allowsLoad(now, a)
 	case Unload:
--- a/policy/rule_guard_test.go
+++ b/policy/rule_guard_test.go
@@ -41,7 +41,7 @@
 		"not idempotent, still running": {class: Class{Idempotency: NotIdempotent}, inFlight: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &request{class: &classState{Class: test.class}, possibleRun: test.ran, inFlight: test.inFlight}
+			r := &request{class: &classState{Class: test.class}, firstPossibleRun: test.ran, inFlight: test.inFlight}
 			shared := &tables{requests: requestTable{byID: map[RequestID]*request{7: r}}}
 			guard := ruleGuard{cfg: &Config{}, tables: shared}
 			if got := guard.allows(0, Reject{Request: 7}); got != test.want {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -270,7 +270,7 @@
 			}
 			before := map[RequestID]bool{}
 			for id, r := range p.requests.byID {
-				before[id] = !r.done
+				before[id] = !r.complete
 			}
 			over := map[RequestID]bool{}
 			for _, act := range p.Handle(now, ev, nil) {
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -76,7 +76,7 @@
 	if len(candidates) == 0 {
 		return s.deferOrReject(now, r, blockedUntil)
 	}
-	best := s.fastest(now, r, candidates, preferred)
+	best := s.selectBest(now, r, candidates, preferred)
 	return s.admitOrReject(now, r, best, preferred.likelyLoaded(best.worker))
 }
 
@@ -117,12 +117,12 @@
 ) []*worker {
 	firstAttempt := len(r.attempts) == 0
 	return slices.DeleteFunc(candidates, func(w *worker) bool {
-		return s.estimator.beginsLoad(now, w, r) && !(firstAttempt && preferred.likelyLoaded(w))
+		return s.estimator.startsLoad(now, w, r) && !(firstAttempt && preferred.likelyLoaded(w))
 	})
 }
 
-// fastest returns the candidate with the lowest score. Ties are broken at random.
-func (s *scheduler) fastest(
+// selectBest returns the candidate with the lowest score. Ties are broken at random.
+func (s *scheduler) selectBest(
 	now time.Duration, r *request, candidates []*worker, preferred preferredWorker,
 ) scoredWorker {
 	s.scoreBuffer = s.scoreBuffer[:0]
@@ -139,16 +139,16 @@
 			score = s.estimator.predictLatency(now, w, r)
 		}
 		if w == preferred.worker {
-			score -= nanoseconds(preferred.replicaChance) * load
+			score -= nanoseconds(preferred.replicaProbability) * load
 		}
 		s.scoreBuffer = append(s.scoreBuffer, score)
 		lowest = min(lowest, score)
 	}
-	return scoredWorker{worker: candidates[s.drawTied(lowest+tick)], score: lowest}
+	return scoredWorker{worker: candidates[s.pickTied(lowest+tick)], score: lowest}
 }
 
-// drawTied returns the index of one of the scores up to a limit, each with the same chance.
-func (s *scheduler) drawTied(limit nanoseconds) int {
+// pickTied returns the index of one of the scores up to a limit, each with the same chance.
+func (s *scheduler) pickTied(limit nanoseconds) int {
 	drawn := 0
 	tied := 0
 	for i, score := range s.scoreBuffer {
@@ -222,7 +222,7 @@
 	lowest := nanoseconds(r.deadline - now)
 	for _, w := range s.candidates(now, r) {
 		latency := s.estimator.predictLatency(now, w, r)
-		if w != first && !s.estimator.beginsLoad(now, w, r) && latency < lowest {
+		if w != first && !s.estimator.startsLoad(now, w, r) && latency < lowest {
 			second = w
 			lowest = latency
 		}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -25,9 +25,9 @@
 
 // workerSlowStart is what slowStart knows of a worker.
 type workerSlowStart struct {
-	tokens     stats.TokenBucket // work that may be sent there while it warms up, in nanoseconds of run time
-	returnedAt time.Duration     // it responded after an ejection; 0: it never did
-	servedWork float64           // nanoseconds of run time that it served for us, decaying over rateSpan
+	tokens      stats.TokenBucket // work that may be sent there while it warms up, in nanoseconds of run time
+	recoveredAt time.Duration     // it responded after an ejection; 0: it never did
+	servedWork  float64           // nanoseconds of run time that it served for us, decaying over rateSpan
 }
 
 // slowStart bounds what is sent to a worker that warms up. Routers share nothing, so each sends its own part.
@@ -52,10 +52,10 @@
 }
 
 // isWarm reports whether a worker has its full capacity.
-func (s *slowStart) isWarm(now time.Duration, w *worker) bool { return s.warmth(now, w) >= 1 }
+func (s *slowStart) isWarm(now time.Duration, w *worker) bool { return s.capacityShare(now, w) >= 1 }
 
-// warmth is the least share of its full capacity that a worker has now.
-func (s *slowStart) warmth(now time.Duration, w *worker) float64 {
+// capacityShare is the least share of its full capacity that a worker has now.
+func (s *slowStart) capacityShare(now time.Duration, w *worker) float64 {
 	c := s.cfg
 	started := s.presumedStart(now, w)
 	if started == 0 || c.SlowStartDuration <= 0 || c.OverloadWindow <= 0 || c.OverloadMultiple <= 0 {
@@ -68,7 +68,7 @@
 // presumedStart is when a worker started, 0 for long ago. One that could not be reached, or was silent, may
 // have been started anew before it responded again: it is presumed to, until that would have been reported.
 func (s *slowStart) presumedStart(now time.Duration, w *worker) time.Duration {
-	returnedAt := w.slowStart.returnedAt
+	returnedAt := w.slowStart.recoveredAt
 	if returnedAt > 0 && now-returnedAt < restartReportTime {
 		return max(w.Started, returnedAt)
 	}
@@ -78,18 +78,18 @@
 // processStarted forgets what was counted of a worker's former process.
 func (s *slowStart) processStarted(w *worker) {
 	w.slowStart.servedWork = 0
-	w.slowStart.returnedAt = 0
-	s.drawDebt(w)
+	w.slowStart.recoveredAt = 0
+	s.resetBucket(w)
 }
 
-// workerReturned records that a worker responded after an ejection.
-func (s *slowStart) workerReturned(now time.Duration, w *worker) {
-	w.slowStart.returnedAt = now
-	s.drawDebt(w)
+// workerRecovered records that a worker responded after an ejection.
+func (s *slowStart) workerRecovered(now time.Duration, w *worker) {
+	w.slowStart.recoveredAt = now
+	s.resetBucket(w)
 }
 
-// drawDebt has a worker's bucket begin with a debt of a random part of a request, so that routers take turns.
-func (s *slowStart) drawDebt(w *worker) {
+// resetBucket has a worker's bucket begin with a debt of a random part of a request, so that routers take turns.
+func (s *slowStart) resetBucket(w *worker) {
 	w.slowStart.tokens.Tokens = -s.rng.Float64() * s.classes[0].run.Mean
 }
 
@@ -101,7 +101,7 @@
 // refill adds the tokens of a housekeeping interval. Tokens expire: saved up in thin traffic, those of all
 // routers would be spent at the same time.
 func (s *slowStart) refill(now time.Duration, w *worker) {
-	rate := slowStartMargin * s.cfg.OverloadMultiple * s.warmth(now, w) * s.warmRate * w.capacity.work
+	rate := slowStartMargin * s.cfg.OverloadMultiple * s.capacityShare(now, w) * s.warmRate * w.capacity.work
 	windowTokens := rate * s.cfg.OverloadWindow.Seconds()
 	run := s.classes[0].run.Mean
 	bucket := &w.slowStart.tokens
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -30,8 +30,8 @@
 		"returned, no start reported": {returnedAt: now - restartReportTime, want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := &worker{Endpoint: Endpoint{Started: test.started}, slowStart: workerSlowStart{returnedAt: test.returnedAt}}
-			if got := s.warmth(now, w); math.Abs(got-test.want) > 1e-9 {
+			w := &worker{Endpoint: Endpoint{Started: test.started}, slowStart: workerSlowStart{recoveredAt: test.returnedAt}}
+			if got := s.capacityShare(now, w); math.Abs(got-test.want) > 1e-9 {
 				t.Errorf("warmth %v, want %v", got, test.want)
 			}
 		})
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -61,12 +61,12 @@
 	if table.findAttempt(5, 0) != nil || table.findAttempt(5, 1) != r.attempts[1] || table.findAttempt(5, 2) != nil {
 		t.Error("an attempt that has ended is found, or one in flight is not")
 	}
-	r.done = true
-	if table.removeIfOver(r); table.get(5) == nil {
+	r.complete = true
+	if table.removeIfComplete(r); table.get(5) == nil {
 		t.Error("a request leaves while an attempt is in flight")
 	}
 	r.inFlight = 0
-	if table.removeIfOver(r); table.get(5) != nil {
+	if table.removeIfComplete(r); table.get(5) != nil {
 		t.Error("a request that is over stays")
 	}
 	table.deferUntilHousekeeping(r)
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -10,8 +10,8 @@
 	guard   ruleGuard
 }
 
-// begin starts the handling of an event. A time before the last event's counts as that event's time.
-func (t *turn) begin(now time.Duration, actions []Action) {
+// startTurn starts the handling of an event. A time before the last event's counts as that event's time.
+func (t *turn) startTurn(now time.Duration, actions []Action) {
 	t.now = max(now, t.now)
 	t.actions = actions
 }
