--- a/policy/capacity_estimator.go
+++ b/policy/capacity_estimator.go
@@ -28,15 +28,15 @@
 
 // observeRun learns from a run at a worker, as a multiple of the mean run.
 func (e *capacityEstimator) observeRun(w *worker, multiple float64) {
-	size := math.Log(w.size / e.workers.meanSize)
-	e.sizeRegression.Observe(size*size, size*(1-min(multiple, maxMultiple)), sizeRegressionRetention)
+	logSize := math.Log(w.size / e.workers.meanSize)
+	e.sizeRegression.Observe(logSize*logSize, logSize*(1-min(multiple, maxMultiple)), sizeRegressionRetention)
 }
 
 // update estimates the capacities of all workers anew.
 func (e *capacityEstimator) update() {
-	power := 1 + stats.Clamp(e.sizeRegression.SumY/(e.sizeRegression.SumX+sizePriorWeight), 0, maxExtraExponent)
+	exponent := 1 + stats.Clamp(e.sizeRegression.SumY/(e.sizeRegression.SumX+sizePriorWeight), 0, maxExtraExponent)
 	for _, w := range e.workers.fleet {
-		w.capacity.work = math.Pow(w.size, power)
+		w.capacity.work = math.Pow(w.size, exponent)
 		w.capacity.hashWeight = math.Pow(w.capacity.work, 1-1/float64(e.cfg.Routers))
 	}
 }
--- a/policy/config.go
+++ b/policy/config.go
@@ -106,7 +106,7 @@
 }
 
 // valid reports whether the amount is a number within its limit. NaN is not.
-func (a numericSetting) valid() bool { return a.value >= 0 && a.value <= a.limit }
+func (s numericSetting) valid() bool { return s.value >= 0 && s.value <= s.limit }
 
 // validate returns a *ConfigError for settings that no platform can mean.
 func (c *Config) validate() error {
@@ -115,9 +115,9 @@
 			return &ConfigError{Class: i, Config: *c}
 		}
 	}
-	for _, a := range c.numericSettings() {
-		if !a.valid() {
-			return &ConfigError{Class: NoClass, Setting: a.name, Config: *c}
+	for _, s := range c.numericSettings() {
+		if !s.valid() {
+			return &ConfigError{Class: NoClass, Setting: s.name, Config: *c}
 		}
 	}
 	return nil
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		entry := p.replicas.get(w, f)
-		believedUntil := p.now + p.cfg.KeepAlive*gossipedKeepAlivePercent/100
-		entry.loadedUntil = max(entry.loadedUntil, believedUntil)
+		expectedUntil := p.now + p.cfg.KeepAlive*gossipedKeepAlivePercent/100
+		entry.loadedUntil = max(entry.loadedUntil, expectedUntil)
 	}
 }
--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -78,8 +78,8 @@
 func (e *latencyEstimator) queueingDelay(now time.Duration, w *worker, attempts int) nanoseconds {
 	slope := &w.latency.queueSlope
 	delays := slope.SumY + e.queueSlope.Predict(slopePriorWeight, 1)
-	own := max(0, delays) / (slope.SumX + slopePriorWeight) * float64(attempts)
-	return nanoseconds(own + max(0, w.latency.queueDelay.Mean(now)))
+	ownDelay := max(0, delays) / (slope.SumX + slopePriorWeight) * float64(attempts)
+	return nanoseconds(ownDelay + max(0, w.latency.queueDelay.Mean(now)))
 }
 
 // runTime predicts the time of a request's own work at a worker of the mean size.
--- a/policy/latency_observations.go
+++ b/policy/latency_observations.go
@@ -57,8 +57,8 @@
 	if length < 0 {
 		return reportedQueue{}
 	}
-	most := maxMultiple * float64(e.classes[0].LatencyObjective)
-	w.latency.queueDelay.Observe(now, min(e.reportSlope.Predict(length, 1), most))
+	maxDelay := maxMultiple * float64(e.classes[0].LatencyObjective)
+	w.latency.queueDelay.Observe(now, min(e.reportSlope.Predict(length, 1), maxDelay))
 	return reportedQueue{length: length, known: true}
 }
 
@@ -76,14 +76,14 @@
 	took := float64(response.took)
 	run := float64(response.run)
 	queueing := float64(response.queueing)
-	own := queueing - max(0, w.latency.queueDelay.Mean(now)) // the part of our attempts
+	ownDelay := queueing - max(0, w.latency.queueDelay.Mean(now)) // the part of our attempts
 	delay := stats.Clamp(took-run, -run, maxMultiple*(run+queueing))
 	w.latency.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
 	e.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
-	mostDelay := maxMultiple * float64(a.request.class.LatencyObjective)
-	w.latency.queueDelay.Observe(now, min(took-run, mostDelay)-own)
+	maxDelay := maxMultiple * float64(a.request.class.LatencyObjective)
+	w.latency.queueDelay.Observe(now, min(took-run, maxDelay)-ownDelay)
 	if response.queue.known {
-		e.reportSlope.Observe(response.queue.length, max(delay-own, 0), regressionRetention)
+		e.reportSlope.Observe(response.queue.length, max(delay-ownDelay, 0), regressionRetention)
 	}
 }
 
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -60,15 +60,15 @@
 func (s *loadShedder) decide(
 	now time.Duration, r *request, best *worker, expected nanoseconds,
 ) sheddingDecision {
-	terms := s.threshold(r, expected)
+	threshold := s.threshold(r, expected)
 	// What other routers queue at the best worker is a standing delay too.
-	others := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
-	delay := max(s.standingDelay.Mean, others)
-	ratio := min(shedRatioSlope*(delay/terms.objective-terms.start), maxShedRatio)
-	drawn := s.rng.Float64() < ratio
+	otherRoutersDelay := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
+	delay := max(s.standingDelay.Mean, otherRoutersDelay)
+	ratio := min(shedRatioSlope*(delay/threshold.objective-threshold.start), maxShedRatio)
+	picked := s.rng.Float64() < ratio
 	return sheddingDecision{
-		shed:       drawn && r.firstPossibleRun == nil,
-		retryAfter: nanoseconds(delay - terms.start*terms.objective),
+		shed:       picked && r.firstPossibleRun == nil,
+		retryAfter: nanoseconds(delay - threshold.start*threshold.objective),
 	}
 }
 
@@ -76,21 +76,21 @@
 // classes that have priority over its own.
 func (s *loadShedder) threshold(r *request, expected nanoseconds) sheddingThreshold {
 	classObjective := r.class.LatencyObjective
-	own := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
-	terms := sheddingThreshold{start: shedStart, objective: own}
+	objective := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
+	threshold := sheddingThreshold{start: shedStart, objective: objective}
 	for i := range s.classes {
 		other := &s.classes[i]
 		if s.weightPerWork(other) > higherPriorityRatio*s.weightPerWork(r.class) {
-			terms.start = shedStartLowPriority
-			terms.objective = min(terms.objective, float64(other.LatencyObjective))
+			threshold.start = shedStartLowPriority
+			threshold.objective = min(threshold.objective, float64(other.LatencyObjective))
 		}
 	}
 	if r.overQuota {
-		terms.start = shedStartLate * s.cfg.OverQuotaWeight
-	} else if float64(expected) > own {
-		terms.start = shedStartLate
+		threshold.start = shedStartLate * s.cfg.OverQuotaWeight
+	} else if float64(expected) > objective {
+		threshold.start = shedStartLate
 	}
-	return terms
+	return threshold
 }
 
 // weightPerWork is the priority weight of a class for each unit of work.
@@ -104,10 +104,10 @@
 // retryAfter returns the Retry-After of a rejected request, or 0 where the settings allow none. It is spread
 // at random, so that rejected clients do not come back together.
 func (s *loadShedder) retryAfter(wait nanoseconds) time.Duration {
-	most := float64(s.cfg.MaxRetryAfter)
-	if !s.cfg.RetryAfterSupported || most <= 0 {
+	maximum := float64(s.cfg.MaxRetryAfter)
+	if !s.cfg.RetryAfterSupported || maximum <= 0 {
 		return 0
 	}
-	longest := stats.Clamp(float64(wait), float64(housekeepingInterval), most)
+	longest := stats.Clamp(float64(wait), float64(housekeepingInterval), maximum)
 	return time.Duration(longest * (1 - s.rng.Float64()/2))
 }
--- a/policy/loader.go
+++ b/policy/loader.go
@@ -86,8 +86,8 @@
 		return l.cfg.KeepAlive
 	}
 	withLoad := l.estimator.fullLoadTime(r.function) + l.estimator.runTime(r)
-	late := min(float64(withLoad)/float64(r.class.LatencyObjective), 1)
-	lost := (1 - r.class.LatePriorityWeight) * late
-	lost *= l.cfg.WorkerMemoryMB * float64(max(l.workers.ready, 1)) * float64(l.cfg.LoadBudgetWindow)
-	return time.Duration(min(lost/memoryCost, float64(l.cfg.KeepAlive)))
+	lateRatio := min(float64(withLoad)/float64(r.class.LatencyObjective), 1)
+	loss := (1 - r.class.LatePriorityWeight) * lateRatio
+	loss *= l.cfg.WorkerMemoryMB * float64(max(l.workers.ready, 1)) * float64(l.cfg.LoadBudgetWindow)
+	return time.Duration(min(loss/memoryCost, float64(l.cfg.KeepAlive)))
 }
--- a/policy/outlier_detector.go
+++ b/policy/outlier_detector.go
@@ -81,8 +81,8 @@
 	if w.State == Gone || w.health.checking {
 		return false
 	}
-	ejectionOver := w.health.consecutiveFailures > 0 && now >= w.health.ejectedUntil
-	return ejectionOver || d.silent(now, w)
+	ejectionExpired := w.health.consecutiveFailures > 0 && now >= w.health.ejectedUntil
+	return ejectionExpired || d.silent(now, w)
 }
 
 // silent reports whether a worker's oldest attempt has been in flight for much longer than expected without
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -45,22 +45,22 @@
 	slots := ranking.slots(r)
 	key := f.id ^ FunctionID(ranking.ownSlot(f, slots))<<48
 	var preferred *worker
-	first := math.Inf(-1)
-	firstUnloaded := math.Inf(-1)
+	highest := math.Inf(-1)
+	highestUnloaded := math.Inf(-1)
 	for _, w := range candidates {
-		score := rendezvousScore(key, w.Worker, w.capacity.hashWeight, min(first, firstUnloaded))
-		first = max(first, score)
-		if score > firstUnloaded && ranking.estimator.startsLoad(now, w, r) {
+		score := rendezvousScore(key, w.Worker, w.capacity.hashWeight, min(highest, highestUnloaded))
+		highest = max(highest, score)
+		if score > highestUnloaded && ranking.estimator.startsLoad(now, w, r) {
 			preferred = w
-			firstUnloaded = score
+			highestUnloaded = score
 		}
 	}
 	// A lone router knows of all replicas but those that it has lost sight of.
-	chance := min(likelyProbability, probabilityPerRouter*float64(ranking.cfg.Routers+1))
-	if preferred != nil && firstUnloaded == first {
-		chance = max(chance, ranking.loadedByOthersProbability(f, slots))
+	probability := min(likelyProbability, probabilityPerRouter*float64(ranking.cfg.Routers+1))
+	if preferred != nil && highestUnloaded == highest {
+		probability = max(probability, ranking.loadedByOthersProbability(f, slots))
 	}
-	return preferredWorker{worker: preferred, replicaProbability: chance}
+	return preferredWorker{worker: preferred, replicaProbability: probability}
 }
 
 // slots returns how many slots a function has: more for a large share of our work or where it is congested.
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -125,8 +125,8 @@
 	if outcome == NotLoaded && p.loads.command(r, entry) {
 		return
 	}
-	timeOver := outcome == TimedOut && p.now >= r.deadline-p.deadlineMargin()
-	if outcome == NotSent || timeOver {
+	deadlineReached := outcome == TimedOut && p.now >= r.deadline-p.deadlineMargin()
+	if outcome == NotSent || deadlineReached {
 		p.reject(r, 0)
 		return
 	}
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -149,7 +149,7 @@
 
 // pickTied returns the index of one of the scores up to a limit, each with the same chance.
 func (s *scheduler) pickTied(limit nanoseconds) int {
-	drawn := 0
+	picked := 0
 	tied := 0
 	for i, score := range s.scoreBuffer {
 		if score > limit {
@@ -157,10 +157,10 @@
 		}
 		tied++
 		if s.rng.IntN(tied) == 0 {
-			drawn = i
+			picked = i
 		}
 	}
-	return drawn
+	return picked
 }
 
 // admitOrReject sends a request to the best worker unless its response would be late or load is shed. Once in
