--- a/policy/actions.go
+++ b/policy/actions.go
@@ -2,75 +2,78 @@
 
 import "time"
 
-// Action is something that the router is to do. Only this package's types are actions.
+// Action is an instruction for the router. Only types of this package implement it.
 type Action interface{ action() }
 
-// StartAttempt starts an attempt; attempts of a request are numbered from 0 in the order of their starts.
+// StartAttempt sends a request to a worker. The attempts of a request are numbered from 0 in the order in
+// which they start.
 type StartAttempt struct {
 	Request RequestID
 	Worker  WorkerID
-	Limit   time.Duration // timeout of the attempt; 0: until the client gives up
-	// SendWithin is how long it may wait before it is sent, 0 for as long as Limit allows: workers drop a
-	// repeat only so long.
+	Limit   time.Duration // timeout of the attempt; 0: the request's deadline
+	// SendWithin is the longest time that the attempt may wait before it is sent; 0: as long as Limit allows.
+	// It is set for a retry that workers deduplicate, because they do so for a limited time only.
 	SendWithin time.Duration
 }
 
-// CancelAttempt cancels an attempt.
+// CancelAttempt cancels an attempt that is in flight.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// Reject is the final response that trying again is harmless.
+// Reject gives the client the final response that its request was rejected and may safely be retried.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // how long to stay away; 0: no advice
+	RetryAfter time.Duration // how long the client should wait before a retry; 0: no advice
 }
 
-// FailRequest is the final response that promises nothing.
+// FailRequest gives the client the final response that its request failed. The request may have run, so a
+// retry may not be safe.
 type FailRequest struct{ Request RequestID }
 
-// Load orders a worker to have Count replicas of a function loaded; with Count 0 it only asks.
+// Load is a load command: the worker is to have Count replicas of a function loaded. With Count 0 it only
+// queries how many are loaded.
 type Load struct {
 	Worker   WorkerID
 	Function FunctionID
 	Count    int
 }
 
-// Unload drops the idle replicas of a function at a worker.
+// Unload removes the idle replicas of a function at a worker.
 type Unload struct {
 	Worker   WorkerID
 	Function FunctionID
 }
 
-// CheckHealth checks a worker; HealthCheckCompleted is the result.
+// CheckHealth sends a health check to a worker. HealthCheckCompleted reports the result.
 type CheckHealth struct{ Worker WorkerID }
 
-// SendGossip sends bytes to another router, or to all with To below 0.
+// SendGossip sends a gossip message to another router, or to all other routers if To is negative.
 type SendGossip struct {
 	To   int
 	Data []byte
 }
 
-// SetTimer asks for a TimerFired after a time.
+// SetTimer requests a TimerFired event with the same token after a time.
 type SetTimer struct {
 	After time.Duration
 	Token uint64
 }
 
-// ClearTimer drops a timer that no longer matters; hosts may ignore it.
+// ClearTimer cancels a timer that is no longer needed. The router may ignore it.
 type ClearTimer struct{ Token uint64 }
 
-// Subscribe asks for changes of the endpoint list from now on, or no longer.
+// Subscribe starts the subscription to changes of the endpoint list, or ends it if On is false.
 type Subscribe struct{ On bool }
 
-// FetchEndpoints asks for the whole endpoint list once.
+// FetchEndpoints requests the whole endpoint list once.
 type FetchEndpoints struct{}
 
 // CloseIdleConnections closes the idle connections to a worker.
 type CloseIdleConnections struct{ Worker WorkerID }
 
-// Log is a line for the operators.
+// Log writes a line to the log.
 type Log struct{ Text string }
 
 func (StartAttempt) action()         {}
--- a/policy/assembly.go
+++ b/policy/assembly.go
@@ -2,7 +2,8 @@
 
 import "math/rand/v2"
 
-// sharedComponents are the types that several others of a Policy use. Each of those gets just what it needs of them.
+// sharedComponents holds the settings, state and components that several components of a Policy use. Each
+// constructor below passes on only what its component needs.
 type sharedComponents struct {
 	cfg       *Config
 	rng       *rand.Rand
@@ -18,7 +19,7 @@
 	gossip    *gossiper
 }
 
-// assemble makes the parts of a Policy, which share its settings, tables, turn and random source.
+// assemble creates the components of a Policy. They share its settings, tables, turn and random source.
 func (p *Policy) assemble(rng *rand.Rand, router WorkerID) {
 	cfg := &p.cfg
 	shared := &sharedComponents{
--- a/policy/attempt_starter.go
+++ b/policy/attempt_starter.go
@@ -1,6 +1,6 @@
 package policy
 
-// attemptStarter sends requests to workers and counts what it sends.
+// attemptStarter sends requests to workers and updates the counts of attempts.
 type attemptStarter struct {
 	cfg       *Config
 	turn      *turn
@@ -12,7 +12,7 @@
 	quotas    *tenantQuotas
 }
 
-// start sends a request to a worker, unless that would break a rule.
+// start sends a request to a worker unless the guard rejects the attempt.
 func (s *attemptStarter) start(r *request, chosen placement) {
 	w := chosen.worker
 	load := s.estimator.expectedLoadTime(s.turn.now, w, r)
@@ -40,7 +40,8 @@
 	}
 }
 
-// action returns the action that sends a request to a worker.
+// action returns the action that sends a request to a worker. A retry that workers deduplicate must be sent
+// while they still do.
 func (s *attemptStarter) action(r *request, w *worker) StartAttempt {
 	start := StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}
 	if r.firstPossibleRun != nil && r.class.Idempotency == IdempotentWithKey {
@@ -49,7 +50,7 @@
 	return start
 }
 
-// recordStart counts an attempt as in flight and charges it to its worker's slow start.
+// recordStart counts an attempt as in flight and charges it to its worker's slow-start bucket.
 func (s *attemptStarter) recordStart(a *attempt, entry *replica) {
 	r := a.request
 	w := a.worker
@@ -64,7 +65,7 @@
 	}
 }
 
-// recordFirstAttempt sets the timer of a request's hedged attempt, and charges the request to its tenant.
+// recordFirstAttempt sets the timer of a request's hedged attempt and charges the request to its tenant.
 func (s *attemptStarter) recordFirstAttempt(r *request) {
 	if r.Policy.HedgeDelay > 0 {
 		token := timerToken{kind: hedgeTimer, request: r.Request}
@@ -75,7 +76,7 @@
 	}
 }
 
-// recordExpectedLoad records that an attempt likely begins a load.
+// recordExpectedLoad records that an attempt likely starts a load.
 func (s *attemptStarter) recordExpectedLoad(entry *replica, load nanoseconds) {
 	if !s.cfg.MissWhenNotLoaded && entry.loadDue == 0 {
 		entry.loadDue = s.turn.now + load.duration()
--- a/policy/class_state.go
+++ b/policy/class_state.go
@@ -2,18 +2,18 @@
 
 import "crankhold/internal/stats"
 
-// classState is a class of the settings with what has been measured of its requests.
+// classState holds the settings of a class and the estimates from the responses to its requests.
 type classState struct {
 	Class
-	run stats.RunningMean // of responses without a load, in nanoseconds
+	run stats.RunningMean // run time of requests that waited for no load, in nanoseconds
 
-	// Sums of measured work and of the work that requests hinted at, in nanoseconds. They begin alike: a hint
-	// counts as it is until responses say otherwise.
+	// Sums of measured work and of the work in the hints of requests, in nanoseconds. They start equal, so a
+	// hint is used unchanged until responses have been measured.
 	measuredWorkSum float64
 	hintedWorkSum   float64
 }
 
-// newClassStates returns the classes of the settings, with a first guess of their runs.
+// newClassStates returns the classes of the settings with initial estimates of their run times.
 func newClassStates(classes []Class) []classState {
 	var states []classState
 	for _, c := range classes {
--- a/policy/endpoint_tracker.go
+++ b/policy/endpoint_tracker.go
@@ -1,9 +1,10 @@
 package policy
 
-// subscribeRetryPart is the part of the poll interval after which a failed subscription is tried again.
+// subscribeRetryDivisor sets when a failed subscription is retried: after the poll interval divided by this.
 const subscribeRetryDivisor = 8
 
-// endpointTracker applies endpoint lists, and has the other parts forget what no longer holds.
+// endpointTracker applies endpoint lists. When a worker's process has restarted, it has the other components
+// discard what they learned about the former process.
 type endpointTracker struct {
 	cfg       *Config
 	turn      *turn
@@ -13,7 +14,7 @@
 	estimator *latencyEstimator
 }
 
-// apply applies an endpoint list, or a change of it.
+// apply applies an endpoint list or changes of it.
 func (t *endpointTracker) apply(list EndpointList) {
 	if list.Kind == EndpointListFailed {
 		t.listFailed()
@@ -34,15 +35,15 @@
 	t.updateCapacities()
 }
 
-// listFailed has the list subscribed to again after a while.
+// listFailed sets a timer after which the subscription is retried.
 func (t *endpointTracker) listFailed() {
 	t.workers.subscribed = false
 	after := max(t.cfg.PollInterval/subscribeRetryDivisor, housekeepingInterval)
 	t.turn.emit(SetTimer{After: after, Token: timerToken{kind: subscribeTimer}.encode()})
 }
 
-// applyEntry applies one entry. Nothing that was learned of a worker's former process holds for a new
-// one.
+// applyEntry applies one entry. If the worker is new or its process has restarted, nothing that was learned
+// about a former process is kept.
 func (t *endpointTracker) applyEntry(e Endpoint) {
 	w := t.workers.get(e.Worker)
 	isNew := w == nil
@@ -55,7 +56,7 @@
 	w.setEndpoint(e)
 }
 
-// processStarted forgets what was learned of a worker's former process.
+// processStarted discards what was learned about a worker's former process.
 func (t *endpointTracker) processStarted(w *worker) {
 	for _, entry := range w.replicas {
 		entry.unloaded()
@@ -65,7 +66,7 @@
 	t.estimator.processStarted(w)
 }
 
-// updateCapacities estimates the workers' capacities anew, and the rate at which warm ones serve.
+// updateCapacities recomputes the workers' capacities and the rate at which warm workers serve.
 func (t *endpointTracker) updateCapacities() {
 	t.estimator.capacities.update()
 	t.slowStart.updateWarmRate(t.turn.now)
--- a/policy/errors.go
+++ b/policy/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// NoClass is the Class of a ConfigError that is about the settings as a whole.
+// NoClass is the Class of a ConfigError that concerns no single class.
 const NoClass = -1
 
-// ConfigError is returned by New for settings that no platform can mean: they have no classes, or an amount
-// in them is negative, infinite or no number.
+// ConfigError is returned by New for invalid settings: there are no classes, a class is invalid, or a numeric
+// setting is negative, too large, infinite or NaN.
 type ConfigError struct {
-	Class   int    // index of the impossible class, or NoClass
-	Setting string // field of Config that is impossible, where it is no class of its own
-	Config  Config // as it was given
+	Class   int    // index of the invalid class, or NoClass
+	Setting string // name of the invalid field of Config if Class is NoClass
+	Config  Config // the settings as they were passed to New
 }
 
 // Error implements error.
@@ -21,6 +21,6 @@
 	case len(e.Config.Classes) == 0:
 		return "policy: no request classes"
 	default:
-		return fmt.Sprintf("policy: settings hold an impossible amount: %+v", e.Config)
+		return fmt.Sprintf("policy: setting out of range: %+v", e.Config)
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// RequestID names a request; it is never used twice.
+// RequestID identifies a request. It is never used twice.
 type RequestID uint32
 
-// WorkerID names a worker. It survives a restart of the worker's process.
+// WorkerID identifies a worker. It stays the same when the worker's process restarts.
 type WorkerID uint64
 
-// FunctionID names a function (a model) that workers load on demand.
+// FunctionID identifies a function (a model) that workers load on demand.
 type FunctionID uint64
 
-// Outcome is how an attempt, a health check or a load command ended.
+// Outcome is the result of an attempt, a health check or a load command.
 type Outcome uint8
 
-// The outcomes. Overloaded, Unreachable, NotSent and NotLoaded prove that an attempt never ran.
+// The outcomes. Overloaded, Unreachable, NotSent and NotLoaded prove that the attempt never ran.
 const (
 	Served          Outcome = iota
 	Failed                  // the worker responded with an error
-	Overloaded              // the worker rejected it unseen
+	Overloaded              // the worker rejected it without processing it
 	TimedOut                // no response in time
 	Unreachable             // no connection could be made
 	ConnectionReset         // the connection broke
 	Canceled                // canceled by the router or its client
-	NotSent                 // there was no time left to send it
-	NotLoaded               // the function is not loaded there
+	NotSent                 // the time in which it could be sent was over
+	NotLoaded               // the worker has no replica of the function
 )
 
 // NeverRan reports whether the outcome proves that the attempt never ran.
@@ -35,31 +35,31 @@
 	return o == Overloaded || o == Unreachable || o == NotSent || o == NotLoaded
 }
 
-// String returns the outcome in lower case. Log attributes that count outcomes have these names.
+// String returns the outcome in lower case. Log attributes that count outcomes use these names.
 func (o Outcome) String() string {
 	return nameOf("Outcome", o, "served", "failed", "overloaded", "timed_out", "unreachable", "connection_reset",
 		"canceled", "not_sent", "not_loaded")
 }
 
-// LoadStatus is what a response reports of the function's replica.
+// LoadStatus is a response's report on whether a replica was loaded when the request arrived at the worker.
 type LoadStatus uint8
 
-// The kinds of LoadStatus.
+// The load statuses.
 const (
 	LoadStatusUnknown LoadStatus = iota
 	AlreadyLoaded                // a replica was loaded
-	StartedLoad                  // this request began a load
-	WaitedForLoad                // it waited for a load begun before
-	LoadFailed                   // the load that it waited for failed
+	StartedLoad                  // the request started a load
+	WaitedForLoad                // the request waited for a load that had started before
+	LoadFailed                   // the load that the request waited for failed
 )
 
-// String returns the load status in lower-case words.
+// String returns the load status in lower case.
 func (s LoadStatus) String() string {
 	return nameOf("LoadStatus", s,
 		"unknown", "already loaded", "started load", "waited for load", "load failed")
 }
 
-// WorkerState is what the endpoint list says of a worker.
+// WorkerState is the state of a worker in the endpoint list.
 type WorkerState uint8
 
 // The worker states.
@@ -72,14 +72,14 @@
 // String returns the state in lower case.
 func (s WorkerState) String() string { return nameOf("WorkerState", s, "gone", "ready", "draining") }
 
-// Endpoint is one line of an endpoint list.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
 	Worker  WorkerID
 	State   WorkerState
 	Zone    int
 	Cell    int
-	Weight  float64       // size in comparison with other workers; 0 where unknown
-	Started time.Duration // clock time of its last start; 0: long ago
+	Weight  float64       // size relative to other workers; 0: unknown
+	Started time.Duration // when its process last started, on the clock of Handle; 0: long ago
 }
 
 // EndpointListKind is the kind of an EndpointList.
@@ -87,18 +87,18 @@
 
 // The kinds of EndpointList.
 const (
-	EndpointDelta          EndpointListKind = iota // changed entries only
+	EndpointDelta          EndpointListKind = iota // only the entries that changed
 	EndpointSnapshot                               // the whole list
-	CachedEndpointSnapshot                         // the whole list as last known, maybe old
+	CachedEndpointSnapshot                         // the whole list as last known; it may be out of date
 	EndpointListFailed                             // a query failed or the subscription broke; no entries
 )
 
-// String returns the kind in lower-case words.
+// String returns the kind in lower case.
 func (k EndpointListKind) String() string {
 	return nameOf("EndpointListKind", k, "delta", "snapshot", "cached snapshot", "failed")
 }
 
-// nameOf returns the name of a constant that counts from 0, or its type and number where it has none.
+// nameOf returns the name at the index value, or the type and the number of a value that has no name.
 func nameOf[T ~uint8](kind string, value T, names ...string) string {
 	if int(value) < len(names) {
 		return names[value]
@@ -106,80 +106,80 @@
 	return fmt.Sprintf("%s(%d)", kind, uint8(value))
 }
 
-// Event is something that happened to the router. Only this package's types are events.
+// Event is something that happened at the router. Only types of this package implement it.
 type Event interface{ event() }
 
-// EndpointList is the endpoint list, or a change of it.
+// EndpointList reports the endpoint list or changes of it.
 type EndpointList struct {
 	Kind    EndpointListKind
 	Workers []Endpoint
 }
 
-// NoTenant is the tenant of a request that names none of those that the settings know. Where they know any,
-// it is beyond everyone's quota.
+// NoTenant is the tenant of a request that names no tenant of the settings. If the settings have tenants,
+// such a request is always beyond its quota.
 const NoTenant = -1
 
-// RequestArrived is a new request, to which one final response is owed.
+// RequestArrived reports a new request, which must get exactly one final response.
 type RequestArrived struct {
 	Request   RequestID
 	Class     int
-	Tenant    int // NoTenant: none of those in the settings
+	Tenant    int // index in Config.Tenants, or NoTenant
 	Function  FunctionID
-	Lanes     float64        // requests that one replica runs at a time
+	Lanes     float64        // number of requests that one replica runs at a time
 	MemoryMB  float64        // memory of one replica
-	LoadTime  time.Duration  // usual time of a load; 0 where unknown
-	Work      time.Duration  // hint of its work; 0 where unknown
-	Remaining time.Duration  // until the client gives up
-	IsRetry   bool           // the client has tried before
-	Policy    *RequestPolicy // what its route tightens; nil: nothing
+	LoadTime  time.Duration  // usual duration of a load; 0: unknown
+	Work      time.Duration  // expected run time, as a hint of the client; 0: unknown
+	Remaining time.Duration  // time until the request's deadline
+	IsRetry   bool           // the client has sent the request before
+	Policy    *RequestPolicy // limits that its route adds; nil: none
 }
 
-// RequestCanceled says that the client has left; no response is owed any more.
+// RequestCanceled reports that the client canceled its request, which needs no response any more.
 type RequestCanceled struct{ Request RequestID }
 
-// TimerFired is a timer set by SetTimer.
+// TimerFired reports that a timer set by SetTimer fired.
 type TimerFired struct{ Token uint64 }
 
-// HealthCheckCompleted is the result of CheckHealth.
+// HealthCheckCompleted reports the result of CheckHealth.
 type HealthCheckCompleted struct {
 	Worker  WorkerID
 	Outcome Outcome
 	Took    time.Duration
-	Report  []float64 // in the order of Config.LoadReportFields; empty where none came
+	Report  []float64 // load report, in the order of Config.LoadReportFields; empty: none was received
 }
 
-// GossipReceived is a message of another router.
+// GossipReceived reports a gossip message from another router.
 type GossipReceived struct {
 	From int
 	Data []byte
 }
 
-// LoadCompleted is the result of a Load.
+// LoadCompleted reports the result of a Load.
 type LoadCompleted struct {
 	Worker   WorkerID
 	Function FunctionID
 	Outcome  Outcome
 	Took     time.Duration
-	Count    int // replicas that are loaded there
+	Count    int // number of replicas that are loaded at the worker
 }
 
-// ResponseStarted says that the response to a streamed request has begun.
+// ResponseStarted reports that the response to a streamed request has started.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 }
 
-// AttemptCompleted says how an attempt ended.
+// AttemptCompleted reports the result of an attempt.
 type AttemptCompleted struct {
 	Request     RequestID
 	Attempt     int
 	Worker      WorkerID
 	Outcome     Outcome
 	LoadStatus  LoadStatus
-	Concurrency int  // requests of the function that the worker held, with ConcurrencyReported
+	Concurrency int  // with ConcurrencyReported: requests of the function in flight at the worker
 	Closed      bool // the request has its final response
 	Took        time.Duration
-	Report      []float64
+	Report      []float64 // load report, in the order of Config.LoadReportFields; empty: none was received
 }
 
 func (EndpointList) event()         {}
--- a/policy/function_table.go
+++ b/policy/function_table.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// functionRetention is after how long without requests a function is forgotten.
+	// functionRetention is the time without requests after which a function is removed from the table.
 	functionRetention = 2 * time.Minute
 
-	// maxLoadTime bounds the load time that a request announces.
+	// maxLoadTime is the longest load time of a request that is used; a longer one counts as unknown.
 	maxLoadTime = time.Hour
 )
 
-// function is what is known of a function over all workers.
+// function holds the estimates for a function over all workers.
 type function struct {
 	id             FunctionID
-	run            stats.RunningMean // of responses without a load, in nanoseconds
-	recentRequests float64           // before the last, decaying over rateSpan
-	lastUsed       time.Duration
-	loadTime       time.Duration // as the last request announced it
-	idleLimit      time.Duration // how long an idle replica is worth its memory
+	run            stats.RunningMean // run time of requests that waited for no load, in nanoseconds
+	recentRequests float64           // requests before the last one, decaying over rateSpan
+	lastUsed       time.Duration     // when the last request arrived
+	loadTime       time.Duration     // as given by the last request
+	idleLimit      time.Duration     // how long an idle replica is worth its memory
 
-	// congestion counts responses that were late or rejected although a replica was loaded; responses in time
-	// reduce it. It gives the function further rendezvous slots, as at all routers.
+	// congestion counts responses that were late or rejected although a replica was loaded. Responses in time
+	// reduce it. A congested function gets more rendezvous slots; other routers do the same.
 	congestion float64
 }
 
@@ -37,14 +37,14 @@
 // recordTimelyResponse records a response within the latency objective.
 func (f *function) recordTimelyResponse() { f.congestion *= regressionRetention }
 
-// functionTable holds the functions that have been requested of late.
+// functionTable holds the functions that have been requested recently.
 type functionTable struct{ byID map[FunctionID]*function }
 
-// get returns a function, or nil where it is not known.
+// get returns a function, or nil if it is not in the table.
 func (t *functionTable) get(id FunctionID) *function { return t.byID[id] }
 
-// recordRequest returns the function of a request that arrives, and notes what the request announces. The
-// request itself counts towards recentRequests only after it has been scheduled.
+// recordRequest returns the function of a request that arrives, with its load time updated from the request.
+// The request itself is added to recentRequests only after it has been scheduled.
 func (t *functionTable) recordRequest(now time.Duration, e RequestArrived, class *classState) *function {
 	f := t.byID[e.Function]
 	if f == nil {
@@ -55,12 +55,12 @@
 	f.lastUsed = now
 	f.loadTime = e.LoadTime
 	if f.loadTime <= 0 || f.loadTime > maxLoadTime {
-		f.loadTime = class.LatencyObjective // unknown: as long as a response may take
+		f.loadTime = class.LatencyObjective // unknown: assume the longest time that a response may take
 	}
 	return f
 }
 
-// forgetUnused removes the functions that have not been requested for long.
+// forgetUnused removes the functions that have not been requested for functionRetention.
 func (t *functionTable) forgetUnused(now time.Duration) {
 	for id, f := range t.byID {
 		if now-f.lastUsed > functionRetention {
--- a/policy/gossiper.go
+++ b/policy/gossiper.go
@@ -11,30 +11,31 @@
 	gossipEntryBytes = 16 // a worker and a function, 8 bytes each
 	maxGossipEntries = 16
 
-	// gossipMessagesPerRequest is how many messages to one router a request pays for, however many routers
-	// there are.
+	// gossipTokensPerRequest is the number of tokens that a request adds, whatever the number of routers. One
+	// token allows a message to one router.
 	gossipTokensPerRequest = 2
 
-	// gossipRepeats is how often a replica is gossiped within its keep-alive.
+	// gossipsPerKeepAlive is how many times a replica in use is gossiped within one keep-alive.
 	gossipsPerKeepAlive = 4
 )
 
-// gossiper collects the replicas that the other routers should know of, where the settings allow gossip.
-// Without it each router loads replicas of its own.
+// gossiper collects the replicas that are reported to other routers if the settings allow gossip. Without
+// gossip, each router loads replicas of its own.
 //
-// Invariant: messages are paid for by requests, so that gossip stays below a fixed multiple of the traffic.
+// Invariant: each message to a router takes a token, and only requests add tokens, so that gossip stays below
+// a fixed multiple of the requests.
 type gossiper struct {
 	cfg     *Config
-	pending []byte  // entries that are yet to be sent
-	tokens  float64 // messages to one router that requests have paid for
+	pending []byte  // entries that have not been sent yet
+	tokens  float64 // number of messages to one router that may be sent
 }
 
-// requestArrived adds what a request pays for.
+// requestArrived adds the tokens for a request.
 func (g *gossiper) requestArrived() {
 	g.tokens = min(g.tokens+gossipTokensPerRequest, float64(g.cfg.Routers))
 }
 
-// replicaLoaded queues an entry for a replica that was seen to be loaded.
+// replicaLoaded queues an entry for a replica that is known to be loaded, unless one was queued recently.
 func (g *gossiper) replicaLoaded(now time.Duration, loaded *replica, f *function) {
 	gossips := g.cfg.GossipSupported && g.cfg.Routers > 1
 	if !gossips || now-loaded.gossipedAt <= g.cfg.KeepAlive/gossipsPerKeepAlive {
@@ -45,8 +46,8 @@
 	g.pending = binary.BigEndian.AppendUint64(g.pending, uint64(f.id))
 }
 
-// takeMessage returns the message that is to be sent to all other routers now, or nil. Entries beyond one
-// message are dropped, the oldest first.
+// takeMessage returns the message that is to be sent to all other routers now, or nil if there is none.
+// Entries that do not fit into one message are dropped, the oldest first.
 func (g *gossiper) takeMessage() []byte {
 	excess := len(g.pending) - maxGossipEntries*gossipEntryBytes
 	g.pending = g.pending[max(0, excess):]
@@ -60,7 +61,7 @@
 	return message
 }
 
-// gossipedReplicas returns the entries of a message. What is left behind the last whole entry is ignored.
+// gossipedReplicas returns the entries of a message. An incomplete entry at the end is ignored.
 func gossipedReplicas(message []byte) iter.Seq2[WorkerID, FunctionID] {
 	return func(yield func(WorkerID, FunctionID) bool) {
 		for ; len(message) >= gossipEntryBytes; message = message[gossipEntryBytes:] {
--- a/policy/health_checker.go
+++ b/policy/health_checker.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// healthChecker sends health checks and draws the consequences of what workers respond, or fail to:
-// ejections, and what these mean for slow start and for attempts in flight.
+// healthChecker sends health checks and handles responses and failures of workers: it ejects workers, ends
+// ejections, updates slow start, and cancels attempts at workers that fail.
 type healthChecker struct {
 	turn      *turn
 	retries   retryRules
@@ -12,29 +12,30 @@
 	estimator *latencyEstimator
 }
 
-// recordResponse records that a worker responds. After an ejection it may be another process than before.
+// recordResponse records that a worker responded. If this ends an ejection, its process may be a new one.
 func (h *healthChecker) recordResponse(w *worker) {
 	if h.outliers.recordResponse(h.turn.now, w) {
 		h.slowStart.workerRecovered(h.turn.now, w)
 	}
 }
 
-// recordConnectionFailure records that a connection could not be made, or broke. One that broke may have
-// broken alone, so a health check decides on an ejection.
+// recordConnectionFailure records that a connection could not be made or broke. A worker that can't be
+// reached is ejected at once. After a broken connection a health check decides, because the worker itself may
+// be well.
 func (h *healthChecker) recordConnectionFailure(w *worker, outcome Outcome) {
 	if outcome == Unreachable || !w.health.checking && !h.check(w) {
 		h.outliers.eject(h.turn.now, w)
 	}
 }
 
-// checkIfDue sends a health check to a worker that is silent, or whose ejection has lasted its time.
+// checkIfDue sends a health check to a worker that is silent or whose ejection time is over.
 func (h *healthChecker) checkIfDue(w *worker) {
 	if h.outliers.checkDue(h.turn.now, w) {
 		h.check(w)
 	}
 }
 
-// check sends a health check to a worker, and reports whether the settings allow it.
+// check sends a health check to a worker and reports whether the settings allow it.
 func (h *healthChecker) check(w *worker) bool {
 	sent := h.turn.emit(CheckHealth{Worker: w.Worker})
 	h.outliers.checkStarted(h.turn.now, w, sent)
@@ -45,7 +46,7 @@
 func (h *healthChecker) recordResult(w *worker, e HealthCheckCompleted) {
 	h.outliers.checkCompleted(w)
 	switch e.Outcome {
-	case NotSent: // for a reason of this machine, which says nothing of the worker
+	case NotSent: // the cause is local to this router, so the worker's health is unknown
 	case TimedOut, Unreachable, ConnectionReset:
 		h.recordFailedCheck(w)
 	default:
@@ -54,8 +55,8 @@
 	}
 }
 
-// recordFailedCheck ejects a worker that has responded to nothing since its health check was sent, and
-// cancels the attempts there that may be sent elsewhere.
+// recordFailedCheck ejects a worker that has not responded to anything since its health check was sent, and
+// cancels those of its attempts that may be retried at another worker.
 func (h *healthChecker) recordFailedCheck(w *worker) {
 	if h.outliers.respondedSinceCheck(w) {
 		return
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	housekeepingInterval = 50 * time.Millisecond // well below any latency objective, cheap enough
+	housekeepingInterval = 50 * time.Millisecond // well below any latency objective, and cheap enough
 	sweepInterval        = time.Second
 
-	// gossipedKeepAlivePercent is the part of its keep-alive for which a replica is believed in that another
-	// router reports: the report is a while old.
+	// gossipedKeepAlivePercent is the part of the keep-alive for which a replica that another router reports
+	// is taken to be loaded. It is less than all, because the report is out of date by some time.
 	gossipedKeepAlivePercent = 90
 )
 
-// housekeep does what is due at each housekeepingInterval.
+// housekeep does the work that is due at each housekeepingInterval.
 func (p *Policy) housekeep() {
 	p.emit(SetTimer{After: housekeepingInterval, Token: timerToken{kind: housekeepingTimer}.encode()})
 	p.slowStart.decayServed()
@@ -35,20 +35,21 @@
 	}
 }
 
-// sweep forgets what is over, and unloads replicas that are not worth their memory.
+// sweep removes workers, replicas and functions that are no longer in use, and unloads replicas that are not
+// worth their memory.
 func (p *Policy) sweep() {
 	p.workers.removeGone(p.replicas.removeWorker)
 	p.endpoints.updateCapacities()
 	for _, w := range p.workers.fleet {
-		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal runs must do equal things
+		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // the order must not depend on the map's
 			p.sweepReplica(w, id)
 		}
 	}
 	p.functions.forgetUnused(p.now)
 }
 
-// sweepReplica forgets an idle replica whose keep-alive is over. One that has been idle for longer than it is
-// worth its memory is unloaded first.
+// sweepReplica removes the entry of an idle replica whose keep-alive is over. A replica that has been idle
+// for longer than it is worth its memory is unloaded before that.
 func (p *Policy) sweepReplica(w *worker, id FunctionID) {
 	entry := w.replicas[id]
 	if entry.inFlight > 0 || entry.loadPending || p.now <= entry.loadDue {
@@ -62,7 +63,7 @@
 	}
 }
 
-// gossipReceived learns of replicas that another router saw loaded.
+// gossipReceived records the replicas that another router reports as loaded.
 func (p *Policy) gossipReceived(e GossipReceived) {
 	for id, f := range gossipedReplicas(e.Data) {
 		w := p.workers.get(id)
--- a/policy/latency_observations.go
+++ b/policy/latency_observations.go
@@ -6,13 +6,13 @@
 	"crankhold/internal/stats"
 )
 
-// reportedQueue is the number of queued requests that a load report holds.
+// reportedQueue is the number of queued requests in a load report, if the report contains it.
 type reportedQueue struct {
 	length float64
 	known  bool
 }
 
-// servedResponse is what a response of a worker shows, beside what was predicted for it.
+// servedResponse holds the measurements of a response together with the predictions for it.
 type servedResponse struct {
 	took          nanoseconds
 	run           nanoseconds // predicted
@@ -21,17 +21,18 @@
 	waitedForLoad bool
 }
 
-// recordSuccess counts an attempt that was served towards its worker's failure rate for its class.
+// recordSuccess updates the failure rate of an attempt's worker and class by an attempt that was served.
 func (e *latencyEstimator) recordSuccess(now time.Duration, a *attempt) {
 	a.worker.latency.failureRates[a.request.Class].Observe(now, 0)
 }
 
-// recordFailure counts an attempt that failed towards its worker's failure rate for its class.
+// recordFailure updates the failure rate of an attempt's worker and class by an attempt that failed.
 func (e *latencyEstimator) recordFailure(now time.Duration, a *attempt) {
 	a.worker.latency.failureRates[a.request.Class].Observe(now, 1)
 }
 
-// measure compares a response with what is predicted for it now, and learns from its load report.
+// measure returns the measurements of a response with the predictions for it, made from the current
+// estimates. The load report of the response updates the estimates first.
 func (e *latencyEstimator) measure(now time.Duration, a *attempt, completed AttemptCompleted) servedResponse {
 	queue := e.observeReport(now, a.worker, completed.Report)
 	response := servedResponse{
@@ -41,14 +42,14 @@
 		queue:         queue,
 		waitedForLoad: completed.LoadStatus == StartedLoad || completed.LoadStatus == WaitedForLoad,
 	}
-	if !e.cfg.LoadStatusReported && !e.cfg.MissWhenNotLoaded { // a load shows in the time alone
+	if !e.cfg.LoadStatusReported && !e.cfg.MissWhenNotLoaded { // only the time shows a load
 		halfLoad := e.fullLoadTime(a.request.function) / 2
 		response.waitedForLoad = response.took > response.run+response.queueing+halfLoad
 	}
 	return response
 }
 
-// observeReport learns from a load report, and returns the queue that it holds.
+// observeReport updates a worker's queueing delay from a load report, and returns the queue in the report.
 func (e *latencyEstimator) observeReport(now time.Duration, w *worker, report []float64) reportedQueue {
 	if e.queueField < 0 || e.queueField >= len(report) {
 		return reportedQueue{}
@@ -62,7 +63,7 @@
 	return reportedQueue{length: length, known: true}
 }
 
-// observeWithoutLoad learns from a response that waited for no load.
+// observeWithoutLoad updates the estimates by a response that waited for no load.
 func (e *latencyEstimator) observeWithoutLoad(now time.Duration, a *attempt, response servedResponse) {
 	e.observeQueueing(now, a, response)
 	took := float64(response.took)
@@ -70,13 +71,13 @@
 	e.observeRun(a, response, max(took-queueing, took/4))
 }
 
-// observeQueueing learns the queueing delay from a response that waited for no load.
+// observeQueueing updates the estimates of queueing delay by a response that waited for no load.
 func (e *latencyEstimator) observeQueueing(now time.Duration, a *attempt, response servedResponse) {
 	w := a.worker
 	took := float64(response.took)
 	run := float64(response.run)
 	queueing := float64(response.queueing)
-	ownDelay := queueing - max(0, w.latency.queueDelay.Mean(now)) // the part of our attempts
+	ownDelay := queueing - max(0, w.latency.queueDelay.Mean(now)) // caused by this router's attempts
 	delay := stats.Clamp(took-run, -run, maxMultiple*(run+queueing))
 	w.latency.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
 	e.queueSlope.Observe(float64(a.inFlightAtStart), delay, regressionRetention)
@@ -87,7 +88,8 @@
 	}
 }
 
-// observeRun learns from the work of a response that waited for no load, in nanoseconds.
+// observeRun updates the estimates of run time and capacity by the work of a request that waited for no load.
+// The work is in nanoseconds.
 func (e *latencyEstimator) observeRun(a *attempt, response servedResponse, work float64) {
 	r := a.request
 	class := r.class
@@ -103,7 +105,7 @@
 	class.run.Observe(min(work, maxMultiple*class.run.Mean), runMemory)
 }
 
-// observeOverload records that a worker rejected an attempt although it had the function: its queue is full.
+// observeOverload records that a worker rejected an attempt although it had the function. Its queue is full.
 func (e *latencyEstimator) observeOverload(now time.Duration, a *attempt, report []float64) {
 	delay := &a.worker.latency.queueDelay
 	e.observeReport(now, a.worker, report)
@@ -111,8 +113,9 @@
 	delay.Observe(now, max(atLeast, delay.Mean(now)))
 }
 
-// observeNoResponse records an attempt that ended before its response after a time. It would have taken
-// longer still. Where the worker has responded to later attempts, these show the delay better.
+// observeNoResponse records an attempt that completed without a response after a time. A response would have
+// taken longer still. The attempt is ignored if the worker has responded to later attempts, because these
+// show the delay better.
 func (e *latencyEstimator) observeNoResponse(now time.Duration, a *attempt, took time.Duration) {
 	delay := &a.worker.latency.queueDelay
 	beyondRun := float64(nanoseconds(took) - e.runTime(a.request))
@@ -122,7 +125,7 @@
 	delay.Observe(now, min(beyondRun, maxMultiple*float64(a.request.class.LatencyObjective)))
 }
 
-// observeLoadTime learns how long a load took.
+// observeLoadTime updates the ratio of measured to announced load time by a load.
 func (e *latencyEstimator) observeLoadTime(took nanoseconds, f *function) {
 	ratio := stats.Clamp(float64(took)/float64(f.loadTime), minLoadTimeRatio, maxLoadTimeRatio)
 	e.loadTimeRatio += loadTimeWeight * (ratio - e.loadTimeRatio)
--- a/policy/load_breaker.go
+++ b/policy/load_breaker.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// maxBreakerDoublings bounds the pause between loads that fail: 50 ms doubled five times is 1.6 s.
+// maxBreakerDoublings limits the delay between loads while they fail: 50 ms doubled five times is 1.6 s.
 const maxBreakerDoublings = 5
 
-// loadBreaker is a circuit breaker for loads. All workers load from one store; while loads fail it may be
-// down.
+// loadBreaker is a circuit breaker for loads. All workers load from one store, which may be down while loads
+// fail.
 //
-// Invariant: while loads fail, at most one begins for each pause, and pauses double with each further
+// Invariant: while loads fail, at most one load starts in each delay, and the delay doubles with each further
 // failure.
 type loadBreaker struct {
-	failures  int           // since a load succeeded
-	openUntil time.Duration // no load begins before
+	failures  int           // since the last load that succeeded
+	openUntil time.Duration // no load may start before this time
 }
 
-// isOpen reports whether no load may begin now.
+// isOpen reports whether the breaker prevents loads from starting now.
 func (b *loadBreaker) isOpen(now time.Duration) bool { return now < b.openUntil }
 
-// recordFailure opens the breaker, for longer with each failure.
+// recordFailure opens the breaker. Each further failure opens it for longer.
 func (b *loadBreaker) recordFailure(now time.Duration) {
 	b.failures++
 	b.open(now)
 }
 
-// recordStart records that a load begins. While loads fail the next has to wait.
+// recordStart records that a load starts. While loads fail, this opens the breaker for the next load.
 func (b *loadBreaker) recordStart(now time.Duration) {
 	if b.failures > 0 && !b.isOpen(now) {
 		b.open(now)
--- a/policy/load_budget.go
+++ b/policy/load_budget.go
@@ -6,10 +6,11 @@
 	"crankhold/internal/stats"
 )
 
-// loadBudget counts requests and load commands over a sliding window and bounds the second by the first.
+// loadBudget counts requests and load commands over a sliding window, and limits the load commands by the
+// number of requests.
 //
-// Invariant: load commands in the window never exceed LoadBudgetMinimum and LoadBudgetRatio of the requests
-// in it. Canceled requests do not count.
+// Invariant: the load commands in the window never exceed LoadBudgetMinimum plus LoadBudgetRatio times the
+// requests in it. Canceled requests do not count.
 type loadBudget struct {
 	cfg      *Config
 	arrivals stats.SlidingWindow
@@ -19,23 +20,23 @@
 // recordArrival counts a request.
 func (b *loadBudget) recordArrival(now time.Duration) { b.arrivals.Add(now, b.cfg.LoadBudgetWindow) }
 
-// withdrawArrival forgets a request that arrived at a time and was canceled.
+// withdrawArrival removes a canceled request, given by its arrival time, from the count.
 func (b *loadBudget) withdrawArrival(arrivedAt time.Duration) { b.arrivals.Remove(arrivedAt) }
 
 // recordCommand counts a load command.
 func (b *loadBudget) recordCommand(now time.Duration) { b.commands.Add(now, b.cfg.LoadBudgetWindow) }
 
-// recentRequests returns how many requests arrived within the window.
+// recentRequests returns the number of requests in the window.
 func (b *loadBudget) recentRequests(now time.Duration) float64 {
 	return float64(b.arrivals.CountSince(now - b.cfg.LoadBudgetWindow + 1))
 }
 
-// allowance returns how many load commands the window may hold now.
+// allowance returns the number of load commands that are allowed in the window now.
 func (b *loadBudget) allowance(now time.Duration) float64 {
 	return b.cfg.LoadBudgetMinimum + b.cfg.LoadBudgetRatio*b.recentRequests(now)
 }
 
-// bounded reports whether the settings have a load budget.
+// bounded reports whether the settings limit load commands by a budget.
 func (b *loadBudget) bounded() bool { return b.cfg.LoadBudgetWindow > 0 }
 
 // allowsCommand reports whether a further load command is within the budget.
@@ -43,9 +44,9 @@
 	return !b.bounded() || float64(b.recentCommands(now)+1) <= b.allowance(now)
 }
 
-// allowsQueuedCommand reports whether a load command that was counted when it was decided on may be sent at a
-// time. Workers count it when it arrives, and requests that the budget rested on may have left the window
-// since.
+// allowsQueuedCommand reports whether a load command that was counted when it was decided on may be sent now.
+// The command counts again when it arrives at the worker, and by then the requests that allowed it may have
+// left the window.
 func (b *loadBudget) allowsQueuedCommand(now time.Duration) bool {
 	return !b.bounded() || float64(b.recentCommands(now)) <= b.allowance(now)
 }
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -8,60 +8,60 @@
 	"crankhold/internal/stats"
 )
 
-// Load shedding begins where a standing delay takes so much of the latency objective.
+// Load shedding starts when the standing delay exceeds these parts of the latency objective.
 const (
-	shedStart            = 0.5  // as a rule
-	shedStartLowPriority = 0.25 // of classes of lower priority than another
-	shedStartLate        = 0.15 // of requests whose response would be late, and of those beyond a quota
+	shedStart            = 0.5  // for most requests
+	shedStartLowPriority = 0.25 // for a class if another class has priority over it
+	shedStartLate        = 0.15 // for requests beyond a quota or whose response would be late
 )
 
 const (
-	shedRatioSlope      = 2   // requests shed, as a part, for each further part of the objective
-	maxShedRatio        = 0.9 // part of the requests that is shed at most
-	higherPriorityRatio = 1.5 // by how much the weight of another class is higher where it has priority
+	shedRatioSlope      = 2   // slope of the shed ratio over the part of the objective beyond the start
+	maxShedRatio        = 0.9 // largest part of the requests that is shed
+	higherPriorityRatio = 1.5 // a class has priority over another if its weight is higher by this factor
 
-	// The standing delay follows responses slowly upward and faster downward: three of four exceed it.
+	// The standing delay rises slowly and falls faster, so that three of four responses exceed it.
 	standingDelayUpward   = 20
 	standingDelayDownward = 4
 )
 
-// loadShedder rejects a growing part of the requests under a standing delay: one that even fast responses
-// show, and that serves nobody.
+// loadShedder rejects a growing part of the requests under a standing delay. This is a queueing delay that
+// even fast responses show, and it helps no request.
 //
-// Invariant: what may have run is never shed.
+// Invariant: a request that may have run is never shed.
 type loadShedder struct {
 	cfg     *Config
 	rng     *rand.Rand
 	classes []classState
 
-	standingDelay stats.SkewedMean // nanoseconds that three of four responses from loaded replicas exceed
+	standingDelay stats.SkewedMean // in nanoseconds; three of four responses of loaded replicas exceed it
 }
 
-// sheddingDecision says whether a request is shed.
+// sheddingDecision tells whether a request is shed.
 type sheddingDecision struct {
 	shed       bool
-	retryAfter nanoseconds // until the queue admits such requests again
+	retryAfter nanoseconds // time until such requests are admitted again
 }
 
-// sheddingThreshold are what the standing delay is compared with for a request.
+// sheddingThreshold is the standing delay beyond which a request may be shed.
 type sheddingThreshold struct {
-	start     float64 // part of the objective from which on requests are shed
-	objective float64 // nanoseconds
+	start     float64 // the threshold as a part of the objective
+	objective float64 // latency objective in nanoseconds
 }
 
-// observe learns from a response of a replica that was known to be loaded.
+// observe updates the standing delay by a response of a replica that was known to be loaded.
 func (s *loadShedder) observe(took nanoseconds, objective time.Duration) {
 	counted := min(float64(took), maxMultiple*float64(objective))
 	s.standingDelay.Observe(counted, standingDelayUpward, standingDelayDownward)
 }
 
-// decide decides on a request whose response from the best worker is expected after a time. It draws from the
-// random source once for each call.
+// decide decides whether to shed a request whose response from the best worker is expected after a time. Each
+// call uses one random number.
 func (s *loadShedder) decide(
 	now time.Duration, r *request, best *worker, expected nanoseconds,
 ) sheddingDecision {
 	threshold := s.threshold(r, expected)
-	// What other routers queue at the best worker is a standing delay too.
+	// The queue of other routers' requests at the best worker is a standing delay too.
 	otherRoutersDelay := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
 	delay := max(s.standingDelay.Mean, otherRoutersDelay)
 	ratio := min(shedRatioSlope*(delay/threshold.objective-threshold.start), maxShedRatio)
@@ -72,8 +72,8 @@
 	}
 }
 
-// threshold returns from which delay on a request is shed. The yardstick is the shortest objective among the
-// classes that have priority over its own.
+// threshold returns the standing delay beyond which a request may be shed. It is relative to the shortest
+// objective among the request's class and the classes that have priority over it.
 func (s *loadShedder) threshold(r *request, expected nanoseconds) sheddingThreshold {
 	classObjective := r.class.LatencyObjective
 	objective := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
@@ -93,7 +93,7 @@
 	return threshold
 }
 
-// weightPerWork is the priority weight of a class for each unit of work.
+// weightPerWork is the priority weight of a class per unit of work.
 func (s *loadShedder) weightPerWork(c *classState) float64 {
 	if s.cfg.WeightByWork {
 		return c.PriorityWeight
@@ -101,8 +101,8 @@
 	return c.PriorityWeight / max(c.run.Mean, 1)
 }
 
-// retryAfter returns the Retry-After of a rejected request, or 0 where the settings allow none. It is spread
-// at random, so that rejected clients do not come back together.
+// retryAfter returns the Retry-After of a rejected request, or 0 if the settings allow none. It is
+// randomized, so that rejected clients do not retry at the same time.
 func (s *loadShedder) retryAfter(wait nanoseconds) time.Duration {
 	maximum := float64(s.cfg.MaxRetryAfter)
 	if !s.cfg.RetryAfterSupported || maximum <= 0 {
--- a/policy/loader.go
+++ b/policy/loader.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// loadTimePart is the part of the announced load time that a load must take to count as one: in less the
-// replica was loaded already, or nearly.
+// minLoadTimeDivisor sets the least time that a load must take to be measured: the announced load time divided
+// by this. If it took less, the replica was already loaded, or almost.
 const minLoadTimeDivisor = 5
 
 // loader sends load commands within the load budget, and decides how long an idle replica is kept.
@@ -22,8 +22,9 @@
 	outcomes  *outcomeRecorder
 }
 
-// command has the function of a request loaded at a worker that lacks it. The request follows when it is
-// loaded. It reports whether a load command is in flight.
+// command sends a load command for the function of a request to a worker that has no replica, unless one is
+// in flight already. The request is scheduled again when the load command completes. It reports whether a
+// load command is in flight.
 func (l *loader) command(r *request, entry *replica) bool {
 	if !entry.loadPending && !l.send(r, entry) {
 		return false
@@ -33,8 +34,7 @@
 	return true
 }
 
-// send sends a load command within the pool's and the router's load budget, and reports whether it
-// did.
+// send sends a load command if the pool's and the router's load budget allow it, and reports whether it did.
 func (l *loader) send(r *request, entry *replica) bool {
 	if l.budget.bounded() && !r.pool.MayLoad(l.turn.now, l.budget.allowance(l.turn.now)) {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// recordResult records the result of a load command, and returns the requests that waited for it.
+// recordResult records the result of a load command and returns the requests that waited for it.
 func (l *loader) recordResult(entry *replica, f *function, e LoadCompleted) (waiting []*request) {
 	waiting = entry.waiting
 	entry.loadPending = false
@@ -68,7 +68,7 @@
 	return waiting
 }
 
-// recordLoaded records that a load command succeeded after a time.
+// recordLoaded records that a load command succeeded, and how long it took.
 func (l *loader) recordLoaded(entry *replica, f *function, took time.Duration) {
 	l.health.recordResponse(entry.worker)
 	entry.loadedUntil = l.turn.now + l.cfg.KeepAlive
@@ -78,11 +78,11 @@
 	}
 }
 
-// idleLimit is how long an idle replica of a request's function is worth its memory: until that has cost what
-// requests lose that find no replica.
+// idleLimit returns how long an idle replica of a request's function is worth its memory. This is the time in
+// which the memory costs as much as a request loses that finds no replica.
 func (l *loader) idleLimit(r *request) time.Duration {
 	memoryCost := l.budget.recentRequests(l.turn.now) * l.cfg.MemoryPrice * r.MemoryMB
-	if l.cfg.MissWhenNotLoaded || l.cfg.WorkerMemoryMB <= 0 || !(memoryCost > 0) { // NaN is no cost
+	if l.cfg.MissWhenNotLoaded || l.cfg.WorkerMemoryMB <= 0 || !(memoryCost > 0) { // NaN counts as no cost
 		return l.cfg.KeepAlive
 	}
 	withLoad := l.estimator.fullLoadTime(r.function) + l.estimator.runTime(r)
--- a/policy/nanoseconds.go
+++ b/policy/nanoseconds.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// nanoseconds is a length of time with fractions of a nanosecond. Estimates keep the fractions: rounded to a
-// time.Duration, workers whose predicted latencies nearly tie would compare otherwise.
+// nanoseconds is a duration with fractions of a nanosecond. Estimates keep the fractions, because rounding to
+// a time.Duration would change the order of workers whose predicted latencies are almost equal.
 type nanoseconds float64
 
-// duration returns n without its fraction.
+// duration returns n as a time.Duration, without its fraction.
 func (n nanoseconds) duration() time.Duration { return time.Duration(n) }
--- a/policy/outcome_recorder.go
+++ b/policy/outcome_recorder.go
@@ -1,6 +1,6 @@
 package policy
 
-// outcomeRecorder has the parts of a Policy learn from the end of an attempt or of a load.
+// outcomeRecorder updates the components of a Policy when an attempt or a load completes.
 type outcomeRecorder struct {
 	cfg       *Config
 	turn      *turn
@@ -13,7 +13,7 @@
 	health    *healthChecker
 }
 
-// record has the parts learn from the end of an attempt.
+// record updates the components by the result of an attempt.
 func (o *outcomeRecorder) record(a *attempt, entry *replica, e AttemptCompleted) {
 	switch e.Outcome {
 	case Served:
@@ -21,7 +21,7 @@
 	case Failed, Overloaded, NotLoaded:
 		o.recordUnserved(a, entry, e)
 	case ConnectionReset, Unreachable:
-		// A connection that broke counts as one failure, however many attempts were on it.
+		// A broken connection counts as one failure, however many attempts were in flight on it.
 		if e.Outcome == ConnectionReset && !a.worker.health.checking {
 			o.estimator.recordFailure(o.turn.now, a)
 		}
@@ -31,7 +31,7 @@
 	}
 }
 
-// recordServed learns from a response that a worker served.
+// recordServed updates the components by the response to an attempt that was served.
 func (o *outcomeRecorder) recordServed(a *attempt, entry *replica, e AttemptCompleted) {
 	f := a.request.function
 	o.health.recordResponse(a.worker)
@@ -51,15 +51,15 @@
 	}
 }
 
-// updateStandingDelay updates the standing delay by a response of a replica that was known to be loaded. Elsewhere a
-// guessed load may be a queue.
+// updateStandingDelay updates the standing delay by a response of a replica that was known to be loaded. Other
+// responses are not used, because what looks like the time of a load may be queueing.
 func (o *outcomeRecorder) updateStandingDelay(a *attempt, e AttemptCompleted, response servedResponse) {
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded {
 		o.shedder.observe(response.took, a.request.class.LatencyObjective)
 	}
 }
 
-// updateCongestion updates a function's congestion by a response.
+// updateCongestion updates the congestion of a function by a response.
 func (o *outcomeRecorder) updateCongestion(a *attempt, e AttemptCompleted, response servedResponse) {
 	f := a.request.function
 	if response.took < nanoseconds(a.request.class.LatencyObjective) {
@@ -69,17 +69,17 @@
 	}
 }
 
-// expectedReplica reports whether an attempt was sent in the belief that a replica was loaded.
+// expectedReplica reports whether an attempt was sent in the expectation that a replica was loaded.
 func (a *attempt) expectedReplica() bool { return !a.expectsLoad || a.likelyLoaded }
 
-// recordUnserved learns from a response other than a result.
+// recordUnserved updates the components by a response that holds no result.
 func (o *outcomeRecorder) recordUnserved(a *attempt, entry *replica, e AttemptCompleted) {
 	o.health.recordResponse(a.worker)
 	switch {
 	case e.Outcome == NotLoaded || e.LoadStatus == LoadFailed:
 		entry.unloaded()
 	case e.Outcome == Overloaded && entry.inFlight == 0 && !entry.loadPending:
-		entry.loadDue = 0 // the rejected attempt began no load
+		entry.loadDue = 0 // the rejected attempt started no load
 	}
 	switch {
 	case e.LoadStatus == LoadFailed:
@@ -92,7 +92,7 @@
 	}
 }
 
-// recordLoadTime learns from a load that succeeded.
+// recordLoadTime updates the load time estimate and the circuit breaker by a load that succeeded.
 func (o *outcomeRecorder) recordLoadTime(took nanoseconds, f *function) {
 	o.breaker.recordSuccess()
 	o.estimator.observeLoadTime(took, f)
--- a/policy/outlier_detector.go
+++ b/policy/outlier_detector.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	baseEjection         = time.Second // for a first failure
-	maxEjectionDoublings = 3           // each further failure in a row doubles the ejection, up to 8 s
+	baseEjection         = time.Second // ejection after a first failure
+	maxEjectionDoublings = 3           // each consecutive failure doubles the ejection, to at most 8 s
 
-	// checkInterval is the least time between health checks of a worker that is silent.
+	// checkInterval is the least time between health checks of a silent worker.
 	checkInterval = 4 * housekeepingInterval
 
-	// silenceFactor is how many times longer than expected a worker must be silent before it is checked.
+	// silenceFactor is the multiple of the expected time for which a worker must be silent to be checked.
 	silenceFactor = 2
 )
 
-// workerHealth is what outlierDetector knows of a worker.
+// workerHealth holds the state of outlierDetector for a worker.
 type workerHealth struct {
 	consecutiveFailures int
 	checking            bool // a health check is in flight
@@ -22,13 +22,13 @@
 	ejectedUntil        time.Duration
 }
 
-// outlierDetector ejects workers that fail and finds those that should be checked.
+// outlierDetector ejects workers that fail and determines which workers need a health check.
 //
-// Invariant: an ejection ends when a health check succeeds. Where the settings allow no health checks it ends
+// Invariant: an ejection ends when a health check succeeds. If the settings allow no health checks, it ends
 // after its time, and then one attempt at a time is sent until one succeeds.
 type outlierDetector struct{ cfg *Config }
 
-// processStarted forgets the failures of a worker's former process.
+// processStarted discards the failures of a worker's former process.
 func (d *outlierDetector) processStarted(w *worker) {
 	w.health.consecutiveFailures = 0
 	w.health.ejectedUntil = 0
@@ -42,7 +42,7 @@
 	return d.cfg.HealthCheckSupported || now < w.health.ejectedUntil || len(w.inFlight) > 0
 }
 
-// eject ejects a worker. A worker that is ejected already stays ejected for no longer.
+// eject ejects a worker. It does not extend an ejection that has not ended.
 func (d *outlierDetector) eject(now time.Duration, w *worker) {
 	if now < w.health.ejectedUntil {
 		return
@@ -61,22 +61,22 @@
 	return wasEjected
 }
 
-// checkStarted records that a health check was decided on, and whether it was sent.
+// checkStarted records that a health check was due, and whether it was sent.
 func (d *outlierDetector) checkStarted(now time.Duration, w *worker, sent bool) {
 	w.health.checking = sent
 	w.health.lastCheck = now
 }
 
-// checkCompleted records that no health check is in flight any more.
+// checkCompleted records that no health check of a worker is in flight any more.
 func (d *outlierDetector) checkCompleted(w *worker) { w.health.checking = false }
 
-// respondedSinceCheck reports whether a worker has responded to something since its last health check was
+// respondedSinceCheck reports whether a worker has responded to anything since its last health check was
 // sent.
 func (d *outlierDetector) respondedSinceCheck(w *worker) bool {
 	return w.health.lastResponse >= w.health.lastCheck
 }
 
-// checkDue reports whether a worker should be checked: it is silent, or its ejection has lasted its time.
+// checkDue reports whether a worker should be checked, because it is silent or its ejection time is over.
 func (d *outlierDetector) checkDue(now time.Duration, w *worker) bool {
 	if w.State == Gone || w.health.checking {
 		return false
@@ -96,7 +96,8 @@
 	return silence > silenceFactor*(oldest.expected+housekeepingInterval)
 }
 
-// expediteCheck has an ejected worker checked sooner, because no other worker can take a request.
+// expediteCheck shortens the ejection of a worker, so that it is checked sooner. It is called if no other
+// worker can take a request.
 func (d *outlierDetector) expediteCheck(now time.Duration, w *worker) {
 	if w.health.consecutiveFailures == 0 {
 		return
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// randomStream separates the module's random draws from others of the same seed.
+// randomStream separates the module's random numbers from those that others draw with the same seed.
 const randomStream = 0x7468796d65
 
-// Policy takes one router's decisions. It dispatches events to the types that own its state, and carries out
-// between them what concerns several. It is not safe for concurrent use.
+// Policy makes the decisions of one router. It dispatches events to the components that own its state, and
+// coordinates work that involves several of them. It is not safe for concurrent use.
 type Policy struct {
 	cfg Config
 	tables
@@ -29,7 +29,7 @@
 	maintenance maintenance
 }
 
-// tables are the things that requests are scheduled by.
+// tables holds the classes, functions, requests, workers and replicas that scheduling uses.
 type tables struct {
 	classes   []classState
 	functions functionTable
@@ -38,14 +38,14 @@
 	replicas  replicaTable
 }
 
-// maintenance is when the work was done that recurs.
+// maintenance records the progress of recurring work.
 type maintenance struct {
-	started   bool // the first housekeeping has been asked for
-	lastSweep time.Duration
+	started   bool          // the timer of the first housekeeping was set
+	lastSweep time.Duration // time of the last sweep
 }
 
-// New returns a Policy for one router; all its random choices follow from seed. It returns a *ConfigError for
-// settings that no platform can mean.
+// New returns a Policy for one router. All its random choices are derived from seed. It returns a
+// *ConfigError for invalid settings.
 func New(cfg Config, seed uint64) (*Policy, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -61,8 +61,8 @@
 	return p, nil
 }
 
-// Handle takes one event and appends the actions that answer it to actions. A time before the last event's
-// counts as that event's time.
+// Handle processes one event and returns actions with the resulting actions appended. If now is before the
+// time of the last event, the time of that event is used.
 func (p *Policy) Handle(now time.Duration, event Event, actions []Action) []Action {
 	p.startTurn(now, actions)
 	if !p.maintenance.started {
@@ -73,13 +73,13 @@
 	return p.actions
 }
 
-// start asks for the first housekeeping and for the endpoint list.
+// start sets the timer of the first housekeeping and subscribes to the endpoint list.
 func (p *Policy) start() {
 	p.emit(SetTimer{After: housekeepingInterval, Token: timerToken{kind: housekeepingTimer}.encode()})
 	p.emit(Subscribe{On: true})
 }
 
-// dispatch hands an event to what handles its kind.
+// dispatch passes an event to the handler of its type.
 func (p *Policy) dispatch(event Event) {
 	switch e := event.(type) {
 	case EndpointList:
@@ -103,7 +103,7 @@
 	}
 }
 
-// timerFired does what a timer of the module was set for.
+// timerFired does the work that a timer was set for.
 func (p *Policy) timerFired(token timerToken) {
 	r := p.requests.get(token.request)
 	switch token.kind {
@@ -120,7 +120,7 @@
 	}
 }
 
-// loadCompleted records the result of a load command, and schedules the requests that waited for it.
+// loadCompleted records the result of a load command and schedules the requests that waited for it.
 func (p *Policy) loadCompleted(e LoadCompleted) {
 	w := p.workers.get(e.Worker)
 	f := p.functions.get(e.Function)
@@ -146,6 +146,6 @@
 	}
 }
 
-// MayStillLoad reports whether a load command that was decided on before may be sent at a time: workers count
-// it when it arrives.
+// MayStillLoad reports whether a load command that was decided on earlier may be sent at the time now. The
+// budget is checked again because a command counts against it when it arrives at the worker.
 func (p *Policy) MayStillLoad(now time.Duration) bool { return p.loads.budget.allowsQueuedCommand(now) }
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// likelyChance is the chance of a replica from which on it is counted on where a wrong guess costs
-	// little.
+	// likelyProbability is the least probability with which a replica is assumed to be loaded if a wrong
+	// assumption costs little.
 	likelyProbability = 0.5
 
-	// chancePerRouter is the chance that a worker keeps a replica that this router has lost sight of, for
-	// each router.
+	// probabilityPerRouter is the probability, for each router, that a worker has a replica that this router
+	// no longer knows of.
 	probabilityPerRouter = 0.2
 )
 
-// preferredWorker is the worker at which a request would begin a load, if it has to begin one.
+// preferredWorker is the worker at which a request should start a load if it has to start one.
 type preferredWorker struct {
 	worker             *worker // nil: a replica is known at every candidate
-	replicaProbability float64 // that other routers keep a replica there
+	replicaProbability float64 // probability that other routers keep a replica loaded there
 }
 
-// likelyLoaded reports whether a worker is the preferred one and likely has a replica.
+// likelyLoaded reports whether a worker is the preferred worker and likely has a replica.
 func (p preferredWorker) likelyLoaded(w *worker) bool {
 	return w == p.worker && p.replicaProbability >= likelyProbability
 }
 
-// rendezvousRanking ranks workers for a function alike at all routers, by rendezvous hashing, so that routers
-// that share nothing load a function at the same workers. A function has several such ranks, called slots,
-// where it needs more than one replica. Each router keeps to one slot.
+// rendezvousRanking ranks the workers for a function by rendezvous hashing. The rank is the same at all
+// routers, so that routers that share no state load a function at the same workers. A function that needs
+// more than one replica has several such ranks, called slots. Each router uses only one of them.
 type rendezvousRanking struct {
 	cfg       *Config
 	tables    *tables
 	estimator *latencyEstimator
 	slowStart *slowStart
-	router    WorkerID // this router's own identifier: slots are ranked by it as workers are
+	router    WorkerID // this router's identifier, by which it chooses its slot like a worker
 }
 
-// preferred returns the candidate that ranks first among those at which a request would begin a load.
+// preferred returns the candidate that ranks first among those at which a request would start a load.
 func (ranking *rendezvousRanking) preferred(
 	now time.Duration, r *request, candidates []*worker,
 ) preferredWorker {
@@ -55,7 +55,7 @@
 			highestUnloaded = score
 		}
 	}
-	// A lone router knows of all replicas but those that it has lost sight of.
+	// A single router knows of all replicas except those whose keep-alive is over by its count.
 	probability := min(likelyProbability, probabilityPerRouter*float64(ranking.cfg.Routers+1))
 	if preferred != nil && highestUnloaded == highest {
 		probability = max(probability, ranking.loadedByOthersProbability(f, slots))
@@ -63,7 +63,8 @@
 	return preferredWorker{worker: preferred, replicaProbability: probability}
 }
 
-// slots returns how many slots a function has: more for a large share of our work or where it is congested.
+// slots returns the number of slots of a function. It has more slots if it makes up a large share of this
+// router's work or is congested.
 func (ranking *rendezvousRanking) slots(r *request) int {
 	f := r.function
 	run := float64(ranking.estimator.runTime(r))
@@ -72,7 +73,7 @@
 	return 1 + int((1-1/float64(ranking.cfg.Routers))*max(share, f.congestion))
 }
 
-// ownSlot returns the slot of a function that this router keeps to.
+// ownSlot returns the slot of a function that this router uses.
 func (ranking *rendezvousRanking) ownSlot(f *function, slots int) int {
 	own := 0
 	best := rendezvousScore(f.id, ranking.router, 1, math.Inf(-1))
@@ -86,15 +87,15 @@
 	return own
 }
 
-// loadedByOthersProbability returns the chance that requests of other routers keep a replica loaded at the first worker
-// of a slot.
+// loadedByOthersProbability returns the probability that requests of other routers keep a replica loaded at
+// the first worker of a slot.
 func (ranking *rendezvousRanking) loadedByOthersProbability(f *function, slots int) float64 {
 	others := f.recentRequests * float64(ranking.cfg.Routers-1) / float64(slots)
 	return 1 - math.Exp(-others*float64(ranking.cfg.KeepAlive)/float64(rateSpan))
 }
 
-// rendezvousScore is the score of a worker for a function, the same at all routers. Scores that can't exceed
-// least are returned as least, which saves the logarithm.
+// rendezvousScore returns the score of a worker for a function, which is the same at all routers. If the
+// score can't exceed least, it returns least without computing the logarithm.
 func rendezvousScore(f FunctionID, w WorkerID, weight, least float64) float64 {
 	x := uint64(f)*0x9e3779b97f4a7c15 ^ uint64(w)*0xc2b2ae3d27d4eb4f
 	x ^= x >> 31
--- a/policy/replica_table.go
+++ b/policy/replica_table.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// replica is what is known of a function at a worker, where it may be loaded.
+// replica holds what is known about a function at a worker where it may be loaded.
 type replica struct {
 	worker      *worker
-	loadedUntil time.Duration // a replica stays loaded until then at least
-	loadDue     time.Duration // a load under way is expected to end then; 0: none
-	inFlight    int           // our attempts there
-	lanes       int           // most attempts of ours that it was seen to serve at a time
-	loadPending bool          // a load command of ours has not completed
-	waiting     []*request    // for that load
-	gossipedAt  time.Duration // gossiper
+	loadedUntil time.Duration // a replica stays loaded at least until then
+	loadDue     time.Duration // when the load in progress is expected to complete; 0: none
+	inFlight    int           // attempts of this router
+	lanes       int           // largest number of this router's attempts that were served at once
+	loadPending bool          // a load command of this router is in flight
+	waiting     []*request    // requests that wait for the load command
+	gossipedAt  time.Duration // when it was last gossiped; owned by gossiper
 }
 
 // unloaded records that no replica is loaded.
@@ -24,31 +24,32 @@
 	r.lanes = 0
 }
 
-// served records a response from a loaded replica, which stays loaded for its keep-alive.
+// served records a response of a loaded replica, which stays loaded for its keep-alive.
 func (r *replica) served(now, keepAlive time.Duration) {
 	r.loadedUntil = now + keepAlive
 	r.loadDue = 0
 	r.lanes = max(r.lanes, r.inFlight+1)
 }
 
-// replicaTable knows by function which workers may have a replica. Entries of the function that was looked up
-// last are marked at their workers, so that scheduling a request over all workers takes no map look-up for
-// each.
+// replicaTable holds, by function, the workers that may have a replica. The entries of the function that was
+// looked up last are marked at their workers, so that scheduling a request over all workers needs no map
+// look-up for each worker.
 //
-// Invariant: the table holds exactly the entries that the workers' maps hold.
+// Invariant: the table holds exactly the entries in the maps of the workers.
 type replicaTable struct {
 	byFunction map[FunctionID][]*replica
 	marked     FunctionID // the function whose entries are marked
-	generation uint64     // of the marks; 0: nothing was marked yet
+	generation uint64     // generation of the marks; 0: nothing has been marked yet
 }
 
-// replicaMark is a worker's entry of the function that was looked up last, if its generation is the table's.
+// replicaMark is a worker's entry of the function that was looked up last. It is valid if its generation is
+// that of the table.
 type replicaMark struct {
 	generation uint64
 	replica    *replica
 }
 
-// lookUp returns the entry of a function at a worker, or nil.
+// lookUp returns the entry of a function at a worker, or nil if there is none.
 func (t *replicaTable) lookUp(w *worker, f FunctionID) *replica {
 	if f != t.marked || t.generation == 0 {
 		t.markFunction(f)
@@ -59,7 +60,7 @@
 	return w.mark.replica
 }
 
-// get returns the entry of a function at a worker. Where there is none it adds one that is not loaded.
+// get returns the entry of a function at a worker. If there is none, it adds one that is not loaded.
 func (t *replicaTable) get(w *worker, f FunctionID) *replica {
 	entry := w.replicas[f]
 	if entry == nil {
@@ -70,7 +71,7 @@
 	return entry
 }
 
-// remove forgets the entry of a function at a worker.
+// remove removes the entry of a function at a worker.
 func (t *replicaTable) remove(f FunctionID, w *worker) {
 	delete(w.replicas, f)
 	if f == t.marked {
@@ -84,7 +85,7 @@
 	}
 }
 
-// removeWorker forgets all entries of a worker.
+// removeWorker removes all entries of a worker.
 func (t *replicaTable) removeWorker(w *worker) {
 	for f := range w.replicas {
 		t.remove(f, w)
@@ -101,7 +102,7 @@
 	}
 }
 
-// markFunction marks the entries of a function in place of those marked before.
+// markFunction marks the entries of a function and invalidates all other marks.
 func (t *replicaTable) markFunction(f FunctionID) {
 	t.marked = f
 	t.generation++
--- a/policy/request_policy.go
+++ b/policy/request_policy.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// RequestPolicy tightens for a request what the settings allow. It never widens it.
+// RequestPolicy holds the limits that a route adds for a request. It may only restrict what the settings
+// allow.
 type RequestPolicy struct {
-	Pool                    Pool          // the workers that it may go to
-	MaxAttempts             int           // in all; 0: as the settings allow
+	Pool                    Pool          // the workers that the request may be sent to
+	MaxAttempts             int           // in total; 0: as the settings allow
 	RetriesAfterPossibleRun int           // after an attempt that may have run; below 0: as the settings allow
-	RetriesAfterProvenNoRun int           // and after ones that never ran
-	AttemptTimeout          time.Duration // of each attempt; 0: until the client gives up
-	HedgeDelay              time.Duration // a hedged request of an Idempotent class starts then; 0: never
-	LatencyObjective        time.Duration // 0: the class's
+	RetriesAfterProvenNoRun int           // after attempts that never ran; below 0: as the settings allow
+	AttemptTimeout          time.Duration // of each attempt; 0: the request's deadline
+	HedgeDelay              time.Duration // when an Idempotent request may start a hedged attempt; 0: never
+	LatencyObjective        time.Duration // 0: that of the class
 }
 
-// Pool is a set of workers with bounds on what its requests use. It keeps the counts and decides nothing
-// else.
+// Pool is a set of workers with limits on its attempts and load commands. It keeps the counts for these
+// limits and makes no other decisions.
 type Pool interface {
 	Contains(w WorkerID) bool
-	HasCapacity() bool // a further attempt may be in flight
-	AttemptStarted()   // an attempt is in flight
-	AttemptFinished()  // it is no longer
-	// MayLoad reports whether a load command is within the pool's share of a load budget; LoadStarted counts
-	// one.
+	HasCapacity() bool // reports whether a further attempt may start
+	AttemptStarted()   // counts an attempt as in flight
+	AttemptFinished()  // counts it as no longer in flight
+	// MayLoad reports whether a further load command is within the pool's share of the load budget.
+	// LoadStarted counts a load command.
 	MayLoad(now time.Duration, budget float64) bool
 	LoadStarted(now time.Duration)
-	// Overflow returns the pool that takes a request which this one can't, and counts it, or nil.
+	// Overflow returns the pool for a request that this pool can't take, and counts the overflow. It returns
+	// nil if there is no such pool or its limit is reached.
 	Overflow(now time.Duration) Pool
 }
 
-// defaultRequestPolicy is that of a request whose route tightens nothing.
+// defaultRequestPolicy is the policy of a request whose route adds no limits.
 var defaultRequestPolicy = RequestPolicy{
 	Pool:                    allWorkers{},
 	RetriesAfterPossibleRun: -1,
 	RetriesAfterProvenNoRun: -1,
 }
 
-// allWorkers is the pool of them all, without bounds of its own.
+// allWorkers is the pool of all workers. It has no limits.
 type allWorkers struct{}
 
 // Contains implements Pool.
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// maxAttemptTime bounds what an attempt is said to have taken.
+// maxAttemptTime limits the duration of an attempt that is used for estimates.
 const maxAttemptTime = time.Hour
 
-// deadlineTicks is how many clock ticks before its deadline a request gets its final response.
+// deadlineTicks is the number of clock ticks before its deadline at which a request gets its final response.
 const deadlineTicks = 2
 
-// requestArrived schedules a new request. One of a class that there is not is ignored.
+// requestArrived schedules a new request. A request of an unknown class is ignored.
 func (p *Policy) requestArrived(e RequestArrived) {
 	if e.Class < 0 || e.Class >= len(p.classes) || p.requests.get(e.Request) != nil {
 		return
@@ -41,12 +41,12 @@
 // deadlineMargin is how long before its deadline a request gets its final response.
 func (p *Policy) deadlineMargin() time.Duration { return deadlineTicks * p.cfg.Tick }
 
-// deadlineTokenOf returns the token of the timer by which a request gets its final response in time.
+// deadlineTokenOf returns the token of the timer that gives a request its final response before its deadline.
 func deadlineTokenOf(r *request) uint64 {
 	return timerToken{kind: deadlineTimer, request: r.Request}.encode()
 }
 
-// requestCanceled ends a request whose client has left. It no longer counts towards the load budget.
+// requestCanceled closes a request that its client canceled. It no longer counts towards the load budget.
 func (p *Policy) requestCanceled(e RequestCanceled) {
 	r := p.requests.get(e.Request)
 	if r == nil || r.complete {
@@ -56,7 +56,7 @@
 	p.closeRequest(r)
 }
 
-// responseStarted records that a streamed response has begun, after which nothing can be sent elsewhere.
+// responseStarted records that a streamed response has started. After that the request gets no other attempt.
 func (p *Policy) responseStarted(e ResponseStarted) {
 	if r := p.requests.get(e.Request); r != nil {
 		r.streaming = true
@@ -79,7 +79,7 @@
 	}
 }
 
-// attemptCompleted learns from the end of an attempt and decides what becomes of its request.
+// attemptCompleted records the result of an attempt and decides how its request continues.
 func (p *Policy) attemptCompleted(e AttemptCompleted) {
 	a := p.requests.findAttempt(e.Request, e.Attempt)
 	if a == nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// endAttempt takes an attempt out of what is in flight.
+// endAttempt records that an attempt is no longer in flight, and whether its worker may be used again.
 func (p *Policy) endAttempt(a *attempt, entry *replica, outcome Outcome) {
 	r := a.request
 	w := a.worker
@@ -113,14 +113,15 @@
 	if !outcome.NeverRan() && r.firstPossibleRun == nil {
 		r.firstPossibleRun = a
 	}
-	// A first attempt whose connection broke may go to the same worker again, which has the replica.
+	// If the connection of a first attempt broke, the same worker may be used again, because it has the
+	// replica.
 	if outcome != ConnectionReset || a.number > 0 {
 		r.excluded = append(r.excluded, w)
 	}
 }
 
-// continueRequest decides what becomes of an open request whose last attempt ended without a response for its
-// client.
+// continueRequest decides how a request continues whose last attempt completed without a response for the
+// client. It sends a load command, rejects the request or schedules it again.
 func (p *Policy) continueRequest(r *request, entry *replica, outcome Outcome) {
 	if outcome == NotLoaded && p.loads.command(r, entry) {
 		return
@@ -133,8 +134,8 @@
 	p.schedule(r)
 }
 
-// reject gives the final response: a rejection where trying again is harmless, else a failure. The client is
-// advised to stay away for about a wait.
+// reject gives a request its final response: a rejection if a retry by the client is safe, otherwise a
+// failure. A rejected client is advised to retry after about the time wait.
 func (p *Policy) reject(r *request, wait nanoseconds) {
 	rejection := Reject{Request: r.Request, RetryAfter: p.shedder.retryAfter(wait)}
 	if r.complete {
@@ -146,7 +147,7 @@
 	p.closeRequest(r)
 }
 
-// closeRequest ends a request that has its final response, or needs none.
+// closeRequest completes a request that has its final response or needs none, and cancels its attempts.
 func (p *Policy) closeRequest(r *request) {
 	r.complete = true
 	p.emit(ClearTimer{Token: deadlineTokenOf(r)})
@@ -156,8 +157,8 @@
 	p.requests.removeIfComplete(r)
 }
 
-// startHedge sends a request to a second worker, one where it needs no load, when the first has not responded
-// yet.
+// startHedge starts the hedged attempt of a request whose first attempt is still in flight. The second worker
+// must need no load.
 func (p *Policy) startHedge(r *request) {
 	if r == nil || r.inFlight != 1 || !p.cfg.HedgingAllowed || r.class.Idempotency != Idempotent {
 		return
--- a/policy/retry_rules.go
+++ b/policy/retry_rules.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// retryRules says which attempts a request may have. It keeps no state: the answers follow from the settings,
-// the request's class and policy, and the attempts that it has had.
+// retryRules decides which attempts a request may have. It has no state of its own: its decisions depend on
+// the settings, the class and the policy of the request, and the attempts so far.
 //
-// Invariant: a request that must not repeat and may have run gets no further attempt.
+// Invariant: a request that is not idempotent and may have run gets no further attempt.
 type retryRules struct{ cfg *Config }
 
-// mayStart reports whether a request may go anywhere now: beside a first attempt only its hedged attempt.
+// mayStart reports whether a request may have a further attempt now, at any worker. While an attempt is in
+// flight, only a hedged attempt may start.
 func (rules retryRules) mayStart(now time.Duration, r *request) bool {
 	if r.complete || r.streaming {
 		return false
@@ -20,8 +21,8 @@
 	return (r.inFlight == 0 || isHedge) && now < r.deadline && r.pool.HasCapacity()
 }
 
-// mayRetry reports whether the class, the policy and the attempts of a request let it go to a worker. With a
-// worker of nil it reports whether they let it go to any that may yet be listed.
+// mayRetry reports whether the class, the policy and the attempts so far allow a request to be sent to a
+// worker. If w is nil, it reports whether a worker that is listed later might be allowed.
 func (rules retryRules) mayRetry(now time.Duration, r *request, w *worker) bool {
 	if rules.attemptsUsedUp(r) {
 		return false
@@ -35,7 +36,7 @@
 	return withinLimit && rules.mayRepeat(now, r, w)
 }
 
-// mayRepeat reports whether a request that may have run does no harm if a worker runs it again.
+// mayRepeat reports whether a request that may have run can safely be sent to a worker again.
 func (rules retryRules) mayRepeat(now time.Duration, r *request, w *worker) bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -47,14 +48,14 @@
 	}
 }
 
-// attemptsUsedUp reports whether a request has had as many attempts as the settings and its policy allow.
+// attemptsUsedUp reports whether a request has had all attempts that the settings and its policy allow.
 func (rules retryRules) attemptsUsedUp(r *request) bool {
 	attempts := len(r.attempts)
 	return rules.cfg.MaxAttempts > 0 && attempts >= rules.cfg.MaxAttempts ||
 		r.Policy.MaxAttempts > 0 && attempts >= r.Policy.MaxAttempts
 }
 
-// deduplicatesAt reports whether a worker drops a repeat of a request that may have run at another.
+// deduplicatesAt reports whether a worker drops a retry of a request that may have run at another worker.
 func (rules retryRules) deduplicatesAt(r *request, w *worker) bool {
 	first := r.firstPossibleRun.worker
 	switch r.class.DeduplicationScope {
@@ -69,19 +70,19 @@
 	}
 }
 
-// deduplicatedUntil returns until when workers drop a repeat of a request, an attempt of which may have run.
+// deduplicatedUntil returns the time until which workers drop a retry of a request that may have run.
 func (rules retryRules) deduplicatedUntil(r *request) time.Duration {
 	return r.firstPossibleRun.startedAt + r.class.DeduplicationWindow - rules.cfg.Tick
 }
 
-// eligible reports whether a request may go to a worker, now or later.
+// eligible reports whether a request may be sent to a worker, now or later.
 func (rules retryRules) eligible(now time.Duration, r *request, w *worker) bool {
 	return w.State == Ready && r.pool.Contains(w.Worker) && !slices.Contains(r.excluded, w) &&
 		rules.mayRetry(now, r, w)
 }
 
-// mayCancelAndRetry reports whether an attempt at a silent worker may be canceled, so that its request can go
-// elsewhere.
+// mayCancelAndRetry reports whether an attempt at a silent worker may be canceled, so that its request can be
+// sent to another worker.
 func (rules retryRules) mayCancelAndRetry(now time.Duration, a *attempt) bool {
 	r := a.request
 	if r.complete || r.streaming {
@@ -97,8 +98,8 @@
 	}
 }
 
-// clientMayRetry reports whether the client may send a request again wherever it likes, whatever became of
-// it here.
+// clientMayRetry reports whether the client may safely send a request again, through any router, whatever
+// happened to it here.
 func (rules retryRules) clientMayRetry(r *request) bool {
 	neverRan := r.firstPossibleRun == nil && r.inFlight == 0
 	class := r.class
--- a/policy/rule_guard.go
+++ b/policy/rule_guard.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ruleGuard is the one place through which actions leave. It withholds those that would break a rule,
-// whatever code decided on them. It reads the tables and changes nothing.
+// ruleGuard checks every action before it is returned, and rejects those that would break a rule, whichever
+// component decided on them. It only reads the tables.
 type ruleGuard struct {
 	cfg       *Config
 	tables    *tables
@@ -12,7 +12,7 @@
 	budget    *loadBudget
 }
 
-// allows reports whether an action may leave now.
+// allows reports whether an action is allowed now.
 func (g *ruleGuard) allows(now time.Duration, action Action) bool {
 	switch a := action.(type) {
 	case StartAttempt:
@@ -47,12 +47,13 @@
 	return g.allowsLoadCommands(a.Worker) && g.budget.allowsCommand(now)
 }
 
-// allowsSubscription reports whether the endpoint list has to be subscribed to: it does not come by itself.
+// allowsSubscription reports whether a subscription to the endpoint list is needed: the list is received only
+// on request, and there is no subscription yet.
 func (g *ruleGuard) allowsSubscription() bool {
 	return g.cfg.EndpointsByPolling && !g.tables.workers.subscribed
 }
 
-// allowsLoadCommands reports whether a worker may be commanded to load or unload replicas.
+// allowsLoadCommands reports whether a worker may be sent commands to load or unload replicas.
 func (g *ruleGuard) allowsLoadCommands(id WorkerID) bool {
 	return g.cfg.LoadCommandsSupported && g.tables.workers.get(id).State == Ready
 }
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -7,45 +7,46 @@
 	"time"
 )
 
-// trialInterval is the least time between requests that are sent against an estimate.
+// trialInterval is the least time between trial requests, which are sent although the estimates say
+// otherwise.
 const trialInterval = time.Second
 
-// decisionKind is what becomes of a request that is scheduled.
+// decisionKind tells how a request is scheduled.
 type decisionKind uint8
 
 // The kinds of decisions.
 const (
-	rejectRequest decisionKind = iota // no worker takes it in time
-	deferRequest                      // no worker may take it now, and waiting may help
-	sendRequest                       // a worker takes it
+	rejectRequest decisionKind = iota // no worker can respond in time, or load is shed
+	deferRequest                      // no worker may take it now, but waiting may help
+	sendRequest                       // it is sent to a worker
 )
 
-// decision is what the scheduler has decided on a request.
+// decision is the scheduler's decision on a request.
 type decision struct {
 	kind       decisionKind
-	retryAfter nanoseconds // of rejectRequest
-	placement  placement   // of sendRequest
+	retryAfter nanoseconds // with rejectRequest
+	placement  placement   // with sendRequest
 }
 
-// placement is the worker that takes a request.
+// placement is the worker that was chosen for a request.
 type placement struct {
 	worker       *worker
-	predicted    time.Duration // latency
-	likelyLoaded bool          // another router likely keeps a replica there though none is known
+	predicted    time.Duration // predicted latency
+	likelyLoaded bool          // another router likely keeps a replica there although none is known
 }
 
-// scoredWorker is a worker with its score: the predicted latency less what is likely saved of a load.
+// scoredWorker is a worker with its score: the predicted latency minus the load time that is likely saved.
 type scoredWorker struct {
 	worker *worker
 	score  nanoseconds
 }
 
-// scheduler chooses the worker for a request: the candidate with the lowest predicted latency if the request
-// is added there. Where none can finish in time the request is rejected, and where none may take it now it is
-// deferred.
+// scheduler chooses the worker for a request: the candidate with the lowest predicted latency, including the
+// request itself. If no candidate can respond in time, the request is rejected. If no worker may take it now,
+// it may be deferred.
 //
-// It changes nothing but the time of the last trial and its scratch buffers, and has ejected workers checked
-// sooner where a request has no candidate.
+// Scheduling changes only the time of the last trial request and the scratch buffers. If a request has no
+// candidate, it also has ejected workers checked sooner.
 type scheduler struct {
 	cfg       *Config
 	rng       *rand.Rand
@@ -80,8 +81,8 @@
 	return s.admitOrReject(now, r, best, preferred.likelyLoaded(best.worker))
 }
 
-// candidatesOrOverflow returns the workers of a request's pool that may take it now, or else those of the
-// next pool that its requests overflow to.
+// candidatesOrOverflow returns the workers of a request's pool that may take it now. If there are none, it
+// returns those of the first pool with such workers to which the request may overflow.
 func (s *scheduler) candidatesOrOverflow(now time.Duration, r *request) []*worker {
 	candidates := s.candidates(now, r)
 	for len(candidates) == 0 && s.retries.mayRetry(now, r, nil) {
@@ -95,8 +96,8 @@
 	return candidates
 }
 
-// candidates returns the workers that may take a request now, in the order of their first listing. The slice
-// is valid until the next call.
+// candidates returns the workers that may take a request now, in the order in which they were first listed.
+// The slice is valid until the next call.
 func (s *scheduler) candidates(now time.Duration, r *request) []*worker {
 	s.candidateBuffer = s.candidateBuffer[:0]
 	if !s.retries.mayStart(now, r) || !s.retries.mayRetry(now, r, nil) {
@@ -110,8 +111,8 @@
 	return s.candidateBuffer
 }
 
-// withoutLoads returns the candidates at which a request begins no load, as far as is known. A first attempt
-// may count on a replica that other routers likely keep.
+// withoutLoads returns the candidates at which a request starts no load, as far as is known. A first attempt
+// may rely on a replica that other routers likely keep.
 func (s *scheduler) withoutLoads(
 	now time.Duration, r *request, candidates []*worker, preferred preferredWorker,
 ) []*worker {
@@ -129,8 +130,8 @@
 	lowest := nanoseconds(math.Inf(1))
 	tick := nanoseconds(s.cfg.Tick) // scores closer than one clock tick are equal
 	load := s.estimator.fullLoadTime(r.function)
-	// Where no replica is loaded a request takes its run and a load at the least: most workers need no closer
-	// look.
+	// Without a replica, the latency is at least the run time plus the load time. This bound avoids the full
+	// prediction for most workers.
 	unloaded := s.estimator.runTime(r) + load
 	for _, w := range candidates {
 		score := unloaded
@@ -147,7 +148,8 @@
 	return scoredWorker{worker: candidates[s.pickTied(lowest+tick)], score: lowest}
 }
 
-// pickTied returns the index of one of the scores up to a limit, each with the same chance.
+// pickTied returns the index of a random score among those that do not exceed a limit, all with the same
+// probability.
 func (s *scheduler) pickTied(limit nanoseconds) int {
 	picked := 0
 	tied := 0
@@ -163,13 +165,13 @@
 	return picked
 }
 
-// admitOrReject sends a request to the best worker unless its response would be late or load is shed. Once in
-// a trialInterval a request is sent all the same, so that a wrong estimate is corrected.
+// admitOrReject decides to send a request to the best worker unless its response would be late or load is
+// shed. Once in a trialInterval such a request is sent anyway, so that a wrong estimate is corrected.
 func (s *scheduler) admitOrReject(
 	now time.Duration, r *request, best scoredWorker, likelyLoaded bool,
 ) decision {
 	predicted := s.estimator.predictLatency(now, best.worker, r)
-	expected := predicted // more likely than not
+	expected := predicted // without the load time if a replica is likely
 	if likelyLoaded {
 		expected -= s.estimator.expectedLoadTime(now, best.worker, r)
 	}
@@ -189,8 +191,8 @@
 	}}
 }
 
-// deferOrReject decides on a request that no worker takes before a time. It waits where one may take it
-// later.
+// deferOrReject decides on a request that no worker may take before the time until. It is deferred if a
+// worker may take it later.
 func (s *scheduler) deferOrReject(now time.Duration, r *request, until time.Duration) decision {
 	for _, w := range s.tables.workers.fleet {
 		if r.pool.Contains(w.Worker) {
@@ -204,8 +206,8 @@
 	return decision{kind: rejectRequest, retryAfter: nanoseconds(until - now)}
 }
 
-// mayFindWorker reports whether a worker may take a request later: one that is listed, or one that is listed
-// yet.
+// mayFindWorker reports whether a worker may take a request later: one that is listed now or, if no worker is
+// ready, one that is listed later.
 func (s *scheduler) mayFindWorker(now time.Duration, r *request) bool {
 	if s.tables.workers.ready == 0 && s.retries.mayRetry(now, r, nil) {
 		return true
@@ -215,8 +217,8 @@
 	})
 }
 
-// chooseHedge returns the worker for a hedged attempt: one other than the first attempt's that needs no load
-// and responds in time. It returns a nil worker where there is none.
+// chooseHedge returns the worker for a hedged attempt. It is another worker than that of the first attempt,
+// needs no load, and is expected to respond in time. If there is none, the worker is nil.
 func (s *scheduler) chooseHedge(now time.Duration, r *request, first *worker) placement {
 	var second *worker
 	lowest := nanoseconds(r.deadline - now)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	slowStartMargin = 0.7 // part of the overload multiple that is used: chance needs the rest
+	slowStartMargin = 0.7 // part of the overload multiple that is used; the rest is for random variation
 
-	tokenLifetime = 3 // overload windows after which an unused token expires
+	tokenLifetime = 3 // number of overload windows after which an unused token expires
 
-	bucketsPerWindow = 4 // a bucket holds this fraction of an overload window's tokens
+	bucketsPerWindow = 4 // a bucket holds the tokens of an overload window divided by this
 
-	// restartReportTime is after how long a router has read that a worker was started, as a rule: discovery
-	// announces a start within 1.5 s and is polled every 0.75 s, and a response or two may be lost.
+	// restartReportTime is the time within which a router has usually learned that a worker was started:
+	// discovery announces a start within 1.5 s and is polled every 0.75 s, and one or two responses may be
+	// lost.
 	restartReportTime = 3 * time.Second
 
-	// rateSpan is the memory of the rates at which functions are requested and workers serve.
+	// rateSpan is the decay time of the rates at which functions are requested and workers serve.
 	rateSpan      = 10 * time.Second
-	rateRetention = 1 - float64(housekeepingInterval)/float64(rateSpan) // over one housekeeping interval
+	rateRetention = 1 - float64(housekeepingInterval)/float64(rateSpan) // per housekeeping interval
 )
 
-// workerSlowStart is what slowStart knows of a worker.
+// workerSlowStart holds the state of slowStart for a worker.
 type workerSlowStart struct {
-	tokens      stats.TokenBucket // work that may be sent there while it warms up, in nanoseconds of run time
-	recoveredAt time.Duration     // it responded after an ejection; 0: it never did
-	servedWork  float64           // nanoseconds of run time that it served for us, decaying over rateSpan
+	tokens      stats.TokenBucket // work that may be sent to it while it warms up, in nanoseconds of run time
+	recoveredAt time.Duration     // when it last responded after an ejection; 0: never
+	servedWork  float64           // run time served for this router, in nanoseconds, decaying over rateSpan
 }
 
-// slowStart bounds what is sent to a worker that warms up. Routers share nothing, so each sends its own part.
+// slowStart limits the attempts that are sent to a worker while it warms up. Routers share no state, so each
+// limits its own attempts.
 //
-// Invariant: the sum of all routers stays below the overload multiple of what the worker can take. Each
-// router's part is a token bucket, refilled by the worker's share of the rate at which warm workers serve
-// this router.
+// Invariant: the attempts of all routers together stay below the overload multiple of the worker's capacity.
+// Each router has a token bucket for the worker. It refills at the rate at which warm workers serve this
+// router, multiplied by the worker's share of its capacity.
 type slowStart struct {
 	cfg     *Config
 	rng     *rand.Rand
 	classes []classState
 	workers *workerTable
 
-	servedWork float64 // nanoseconds of run time that all workers served for us, decaying over rateSpan
-	servedSpan float64 // the seconds that this took, decaying alike
-	warmRate   float64 // work that warm workers serve in a second, by capacity
+	servedWork float64 // run time that all workers served for this router, in ns, decaying over rateSpan
+	servedSpan float64 // time in which it was served, in seconds, decaying at the same rate
+	warmRate   float64 // work per second that warm workers serve, per unit of capacity
 }
 
 // admits reports whether a worker may be sent a further attempt now.
@@ -51,10 +53,10 @@
 	return w.slowStart.tokens.Tokens > 0 || s.isWarm(now, w)
 }
 
-// isWarm reports whether a worker has its full capacity.
+// isWarm reports whether a worker has reached its full capacity.
 func (s *slowStart) isWarm(now time.Duration, w *worker) bool { return s.capacityShare(now, w) >= 1 }
 
-// capacityShare is the least share of its full capacity that a worker has now.
+// capacityShare returns the least share of its full capacity that a worker has now.
 func (s *slowStart) capacityShare(now time.Duration, w *worker) float64 {
 	c := s.cfg
 	started := s.presumedStart(now, w)
@@ -65,8 +67,9 @@
 	return c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*age
 }
 
-// presumedStart is when a worker started, 0 for long ago. One that could not be reached, or was silent, may
-// have been started anew before it responded again: it is presumed to, until that would have been reported.
+// presumedStart returns the time at which a worker started, or 0 for long ago. A worker that could not be
+// reached or was silent may have restarted before it responded again. It is presumed to have restarted until
+// a restart would have been reported.
 func (s *slowStart) presumedStart(now time.Duration, w *worker) time.Duration {
 	returnedAt := w.slowStart.recoveredAt
 	if returnedAt > 0 && now-returnedAt < restartReportTime {
@@ -75,7 +78,7 @@
 	return w.Started
 }
 
-// processStarted forgets what was counted of a worker's former process.
+// processStarted resets the state of a worker whose process has restarted.
 func (s *slowStart) processStarted(w *worker) {
 	w.slowStart.servedWork = 0
 	w.slowStart.recoveredAt = 0
@@ -88,18 +91,18 @@
 	s.resetBucket(w)
 }
 
-// resetBucket has a worker's bucket begin with a debt of a random part of a request, so that routers take turns.
+// resetBucket starts a worker's bucket with a debt of a random part of a request, so that routers take turns.
 func (s *slowStart) resetBucket(w *worker) {
 	w.slowStart.tokens.Tokens = -s.rng.Float64() * s.classes[0].run.Mean
 }
 
-// charge takes the run of an attempt from a worker's bucket.
+// charge takes the run time of an attempt from a worker's bucket.
 func (s *slowStart) charge(w *worker, class *classState) {
 	w.slowStart.tokens.Tokens -= class.run.Mean
 }
 
-// refill adds the tokens of a housekeeping interval. Tokens expire: saved up in thin traffic, those of all
-// routers would be spent at the same time.
+// refill adds the tokens of a housekeeping interval to a worker's bucket. Tokens expire: if they were saved
+// up while there are few requests, all routers could spend theirs at the same time.
 func (s *slowStart) refill(now time.Duration, w *worker) {
 	rate := slowStartMargin * s.cfg.OverloadMultiple * s.capacityShare(now, w) * s.warmRate * w.capacity.work
 	windowTokens := rate * s.cfg.OverloadWindow.Seconds()
@@ -112,13 +115,13 @@
 	}
 }
 
-// recordServed counts a run that a worker served.
+// recordServed adds the run time of a request that a worker served.
 func (s *slowStart) recordServed(w *worker, class *classState) {
 	s.servedWork += class.run.Mean
 	w.slowStart.servedWork += class.run.Mean
 }
 
-// decayServed lets the served work of one housekeeping interval decay.
+// decayServed decays the served work by one housekeeping interval.
 func (s *slowStart) decayServed() {
 	s.servedWork *= rateRetention
 	s.servedSpan = rateRetention*s.servedSpan + housekeepingInterval.Seconds()
@@ -127,7 +130,7 @@
 	}
 }
 
-// updateWarmRate measures anew at what rate warm workers serve this router, by their capacity.
+// updateWarmRate recomputes the rate at which warm workers serve this router, per unit of capacity.
 func (s *slowStart) updateWarmRate(now time.Duration) {
 	work := 0.0
 	capacity := 0.0
--- a/policy/tenant_quotas.go
+++ b/policy/tenant_quotas.go
@@ -9,19 +9,20 @@
 
 // tenantQuotas holds this router's part of each tenant's quota, as token buckets of requests.
 //
-// Invariant: a rejected request is not charged. Its client repeats it, and the repeats are the same request.
+// Invariant: a rejected request is not charged to the quota, because the client's retries are the same
+// request.
 type tenantQuotas struct {
-	buckets []stats.TokenBucket // by tenant; none where the settings know no tenants
+	buckets []stats.TokenBucket // by tenant; empty if the settings have no tenants
 }
 
-// newTenantQuotas divides the quotas of the settings among the routers.
+// newTenantQuotas divides the quotas of the settings equally among the routers.
 func newTenantQuotas(tenants []Tenant, routers int) tenantQuotas {
 	var quotas tenantQuotas
 	for _, tenant := range tenants {
 		rate := stats.Clamp(tenant.RequestsPerSecond, 0, 1e9) / float64(routers)
 		quotas.buckets = append(quotas.buckets, stats.TokenBucket{
 			Tokens:   rate + 1,
-			Capacity: rate + 3*math.Sqrt(rate) + 1, // a second's requests, and an allowance for chance
+			Capacity: rate + 3*math.Sqrt(rate) + 1, // a second's requests plus random variation
 			Rate:     rate,
 		})
 	}
@@ -38,7 +39,7 @@
 	return bucket.Tokens < 1
 }
 
-// charge takes a request that was within its tenant's quota from that quota.
+// charge takes a request that was within its tenant's quota from the bucket.
 func (q *tenantQuotas) charge(tenant int) {
 	if len(q.buckets) > 0 {
 		q.buckets[tenant].Tokens--
--- a/policy/timer_token.go
+++ b/policy/timer_token.go
@@ -1,18 +1,18 @@
 package policy
 
-// timerKind is what a timer of the decision module is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 // The kinds of timers.
 const (
-	unknownTimer      timerKind = iota // no timer of this module
-	housekeepingTimer                  // the next housekeeping is due
-	subscribeTimer                     // the endpoint list is to be subscribed to again
+	unknownTimer      timerKind = iota // not a timer of this module
+	housekeepingTimer                  // housekeeping is due
+	subscribeTimer                     // the subscription to the endpoint list is to be retried
 	deadlineTimer                      // a request needs its final response now
-	hedgeTimer                         // a request may get its hedged attempt
+	hedgeTimer                         // a request may start its hedged attempt
 )
 
-// The form of a token as the router keeps it. Timers of a request have the request in the low 32 bits.
+// The encoding of timer tokens. The low 32 bits of the timers of a request hold its RequestID.
 const (
 	housekeepingToken = 0
 	subscribeToken    = 1
@@ -20,13 +20,13 @@
 	hedgeToken        = 1 << 33
 )
 
-// timerToken is what a timer is for, and the request that it belongs to.
+// timerToken identifies a timer by its purpose and the request that it belongs to.
 type timerToken struct {
 	kind    timerKind
-	request RequestID // of a deadlineTimer or a hedgeTimer
+	request RequestID // only with deadlineTimer and hedgeTimer
 }
 
-// encode returns the token as SetTimer, ClearTimer and TimerFired carry it.
+// encode returns the token in the form that SetTimer, ClearTimer and TimerFired use.
 func (t timerToken) encode() uint64 {
 	switch t.kind {
 	case subscribeTimer:
@@ -40,7 +40,7 @@
 	}
 }
 
-// decodeTimerToken returns the token of a timer that fired.
+// decodeTimerToken decodes the token of a timer that fired.
 func decodeTimerToken(token uint64) timerToken {
 	switch {
 	case token == housekeepingToken:
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// turn is the handling of one event: the time that it has, and the actions that answer it. The parts of a
-// Policy share it, so that all actions leave through its guard.
+// turn holds the state of the handling of one event: its time and the resulting actions. The components of a
+// Policy share it, so that all actions pass its guard.
 type turn struct {
 	now     time.Duration
-	actions []Action // of the present event, in order
+	actions []Action // actions for the present event, in order
 	guard   ruleGuard
 }
 
-// startTurn starts the handling of an event. A time before the last event's counts as that event's time.
+// startTurn starts the handling of an event. If now is before the time of the last event, the time of that
+// event is used.
 func (t *turn) startTurn(now time.Duration, actions []Action) {
 	t.now = max(now, t.now)
 	t.actions = actions
 }
 
-// emit lets an action leave unless it would break a rule, and reports whether it left.
+// emit appends an action unless the guard rejects it, and reports whether it was appended.
 func (t *turn) emit(action Action) bool {
 	if !t.guard.allows(t.now, action) {
 		return false
@@ -25,7 +26,7 @@
 	return true
 }
 
-// cancel cancels an attempt in flight, where the settings allow it.
+// cancel cancels an attempt in flight if the settings allow it.
 func (t *turn) cancel(a *attempt) {
 	if !a.ended && !a.canceled {
 		a.canceled = t.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
--- a/policy/worker_table.go
+++ b/policy/worker_table.go
@@ -7,14 +7,14 @@
 	"crankhold/internal/stats"
 )
 
-// maxWorkerSize bounds the size that an endpoint list gives a worker.
+// maxWorkerSize limits the size of a worker in an endpoint list.
 const maxWorkerSize = 1e9
 
-// worker is what is known of one worker. Each of the parts is changed by the type that it is named with, and
-// by no other.
+// worker holds the state of one worker. Each field of the second group is changed only by the type that its
+// comment names.
 type worker struct {
 	Endpoint
-	size         float64    // from the endpoint list, in comparison with other workers
+	size         float64    // from the endpoint list, relative to other workers
 	inFlight     []*attempt // in the order in which they started
 	pendingLoads int        // load commands in flight
 
@@ -26,23 +26,23 @@
 	health    workerHealth            // outlierDetector
 }
 
-// workerTable holds the workers of the endpoint list, and those that left it while attempts are in flight
-// there.
+// workerTable holds the workers of the endpoint list, and workers that left it but still have attempts or
+// load commands in flight.
 //
-// Invariant: a worker with a newer start carries nothing that was learned of the process before.
-// Policy.endpointListed keeps it, since what was learned belongs to other types.
+// Invariant: a worker that has restarted keeps nothing that was learned about its former process.
+// endpointTracker.processStarted ensures this, because the estimates belong to other types.
 type workerTable struct {
 	byID       map[WorkerID]*worker
 	fleet      []*worker // all of byID, in the order of their first listing
 	ready      int       // workers in the state Ready
 	meanSize   float64
-	subscribed bool // changes of the endpoint list arrive
+	subscribed bool // the subscription to the endpoint list is active
 }
 
-// get returns a worker, or nil where it is not known.
+// get returns a worker, or nil if it is not in the table.
 func (t *workerTable) get(id WorkerID) *worker { return t.byID[id] }
 
-// add enters a worker that is listed for the first time.
+// add adds a worker that is listed for the first time.
 func (t *workerTable) add(id WorkerID) *worker {
 	w := &worker{replicas: map[FunctionID]*replica{}}
 	t.byID[id] = w
@@ -56,7 +56,7 @@
 	w.size = cmp.Or(stats.Clamp(e.Weight, 0, maxWorkerSize), 1)
 }
 
-// markUnlistedGone marks the workers as gone that a whole endpoint list does not hold.
+// markUnlistedGone marks the workers that are not in a whole endpoint list as gone.
 func (t *workerTable) markUnlistedGone(listed map[WorkerID]bool) {
 	for _, w := range t.fleet {
 		if !listed[w.Worker] {
@@ -65,7 +65,7 @@
 	}
 }
 
-// recount updates the figures over all workers after a change of the list.
+// recount recomputes the number of ready workers and the mean size after a change of the list.
 func (t *workerTable) recount() {
 	t.ready = 0
 	t.meanSize = 0
@@ -77,8 +77,8 @@
 	}
 }
 
-// removeGone removes the workers that left the endpoint list once nothing is in flight there, and hands each
-// to removed.
+// removeGone removes the workers that left the endpoint list and have nothing in flight. It calls removed for
+// each of them.
 func (t *workerTable) removeGone(removed func(*worker)) {
 	t.fleet = slices.DeleteFunc(t.fleet, func(w *worker) bool {
 		gone := w.State == Gone && len(w.inFlight) == 0 && w.pendingLoads == 0
