--- a/policy/actions.go
+++ b/policy/actions.go
@@ -49,7 +49,7 @@
 // CheckHealth sends a health check to a worker. HealthCheckCompleted reports the result.
 type CheckHealth struct{ Worker WorkerID }
 
-// SendGossip sends a gossip message to another router, or to all other routers if To is negative.
+// SendGossip sends a gossip message to another router, or to all other routers if To is below 0.
 type SendGossip struct {
 	To   int
 	Data []byte
--- a/policy/loader.go
+++ b/policy/loader.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minLoadTimeDivisor sets the least time that a load must take to be measured: the announced load time divided
-// by this. If it took less, the replica was already loaded, or almost.
+// minLoadTimeDivisor sets the least time that a load must take to be measured: the announced load time
+// divided by this. If it took less, the replica was already loaded, or almost.
 const minLoadTimeDivisor = 5
 
 // loader sends load commands within the load budget, and decides how long an idle replica is kept.
--- a/policy/request_policy.go
+++ b/policy/request_policy.go
@@ -6,9 +6,9 @@
 // allow.
 type RequestPolicy struct {
 	Pool                    Pool          // the workers that the request may be sent to
-	MaxAttempts             int           // in total; 0: as the settings allow
-	RetriesAfterPossibleRun int           // after an attempt that may have run; below 0: as the settings allow
-	RetriesAfterProvenNoRun int           // after attempts that never ran; below 0: as the settings allow
+	MaxAttempts             int           // in total; 0: as in the settings
+	RetriesAfterPossibleRun int           // after an attempt that may have run; below 0: as in the settings
+	RetriesAfterProvenNoRun int           // after attempts that never ran; below 0: as in the settings
 	AttemptTimeout          time.Duration // of each attempt; 0: the request's deadline
 	HedgeDelay              time.Duration // when an Idempotent request may start a hedged attempt; 0: never
 	LatencyObjective        time.Duration // 0: that of the class
