--- a/policy/capacity_estimator.go
+++ b/policy/capacity_estimator.go
@@ -28,8 +28,8 @@
 
 // observeRun updates the regression by a run at a worker, given as a multiple of the mean run time.
 func (e *capacityEstimator) observeRun(w *worker, multiple float64) {
-	logSize := math.Log(w.size / e.workers.meanSize)
-	e.sizeRegression.Observe(logSize*logSize, logSize*(1-min(multiple, maxMultiple)), sizeRegressionRetention)
+	size := math.Log(w.size / e.workers.meanSize)
+	e.sizeRegression.Observe(size*size, size*(1-min(multiple, maxMultiple)), sizeRegressionRetention)
 }
 
 // update recomputes the capacities of all workers. A single router hashes all workers with equal weight,
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -76,8 +76,8 @@
 // objective among the request's class and the classes that have priority over it.
 func (s *loadShedder) threshold(r *request, expected nanoseconds) sheddingThreshold {
 	classObjective := r.class.LatencyObjective
-	objective := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
-	threshold := sheddingThreshold{start: shedStart, objective: objective}
+	ownObjective := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
+	threshold := sheddingThreshold{start: shedStart, objective: ownObjective}
 	for i := range s.classes {
 		other := &s.classes[i]
 		if s.weightPerWork(other) > higherPriorityRatio*s.weightPerWork(r.class) {
@@ -87,7 +87,7 @@
 	}
 	if r.overQuota {
 		threshold.start = shedStartLate * s.cfg.OverQuotaWeight
-	} else if float64(expected) > objective {
+	} else if float64(expected) > ownObjective {
 		threshold.start = shedStartLate
 	}
 	return threshold
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -71,9 +71,9 @@
 // reached or was silent may have restarted before it responded again. It is presumed to have restarted until
 // a restart would have been reported.
 func (s *slowStart) presumedStart(now time.Duration, w *worker) time.Duration {
-	returnedAt := w.slowStart.recoveredAt
-	if returnedAt > 0 && now-returnedAt < restartReportTime {
-		return max(w.Started, returnedAt)
+	recoveredAt := w.slowStart.recoveredAt
+	if recoveredAt > 0 && now-recoveredAt < restartReportTime {
+		return max(w.Started, recoveredAt)
 	}
 	return w.Started
 }
