--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -28,7 +28,7 @@
 
 // A router that stood still finds late timers and all answers at once: no worker is ejected for it, answers that
 // are due go out in that turn, and calls flow as before.
-func TestStallOfTheRouterIsNotSilenceOfTheWorker(t *testing.T) {
+func TestStallOfTheRouterEjectsNoWorker(t *testing.T) {
 	b := newHarness(t, config(), 4)
 	for range 8 {
 		b.serve(7, 100*ms, AlreadyLoaded)
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -109,7 +109,7 @@
 }
 
 // A worker that turns a call away has begun no load for it: the next call must not count on one.
-func TestOverloadedBeganNoLoad(t *testing.T) {
+func TestOverloadedAttemptStartsNoLoad(t *testing.T) {
 	b := newHarness(t, config(), 3)
 	id, acts := b.arrive(0, 7)
 	s, _ := first[StartAttempt](acts)
@@ -152,7 +152,7 @@
 }
 
 // A first answer to a call with a tiny hint must not multiply all later estimates.
-func TestWorkHintsAreBelievedUntilResponsesAddUp(t *testing.T) {
+func TestWorkHintsAreUsedUntilResponsesAreMeasured(t *testing.T) {
 	b := newHarness(t, config(), 3)
 	b.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
 	r := b.p.requests.byID[99]
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,11 +9,11 @@
 
 // harness drives a Policy by hand.
 type harness struct {
-	t               *testing.T
-	p               *Policy
-	now             time.Duration
-	id              RequestID
-	attemptsAtFirst int // sends to worker 1
+	t                 *testing.T
+	p                 *Policy
+	now               time.Duration
+	id                RequestID
+	attemptsAtWorker1 int // sends to worker 1
 }
 
 func config() Config {
@@ -47,7 +47,7 @@
 	acts := b.p.Handle(b.now, ev, nil)
 	for _, a := range acts {
 		if s, ok := a.(StartAttempt); ok && s.Worker == 1 {
-			b.attemptsAtFirst++
+			b.attemptsAtWorker1++
 		}
 	}
 	return acts
--- a/policy/load_shedder_test.go
+++ b/policy/load_shedder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSheddingTerms(t *testing.T) {
+func TestSheddingThreshold(t *testing.T) {
 	cfg := config()
 	cfg.OverQuotaWeight = 0.5
 	s := &loadShedder{cfg: &cfg, classes: newClassStates(cfg.Classes)}
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -76,7 +76,7 @@
 }
 
 // While loads fail, what most likely stands at its home is served; only a further attempt may begin no load.
-func TestCircuitBreakerLetsLikelyReplicasPass(t *testing.T) {
+func TestCircuitBreakerAllowsLikelyReplicas(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 40
 	b := newHarness(t, cfg, 5)
@@ -93,7 +93,7 @@
 }
 
 // A store that has stopped must not be sent more loads: each failed load would begin another, here and everywhere.
-func TestFailingLoadsBeginOneAtATime(t *testing.T) {
+func TestFailingLoadsStartOneAtATime(t *testing.T) {
 	b := newHarness(t, config(), 6)
 	begun := 0
 	for f := FunctionID(1); f <= 100; f++ { // one new function each 20 ms, 2 s in all
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -65,7 +65,7 @@
 }
 
 // In overload a call that must wait for a load is late at best and gives way before one that is warm.
-func TestLateAtBestIsShedFirst(t *testing.T) {
+func TestRequestsExpectedLateAreShedFirst(t *testing.T) {
 	b := newHarness(t, config(), 4)
 	b.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
@@ -87,7 +87,7 @@
 }
 
 // In overload the lowest priority is shed first, and all is admitted again once the delay is gone.
-func TestShedsTheLeastWeightAndRecovers(t *testing.T) {
+func TestShedsLowestPriorityFirstAndRecovers(t *testing.T) {
 	b := newHarness(t, config(), 4)
 	count := func(class int) (sent int) {
 		for range 100 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestNewRejectsImpossibleSettings(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
 		"no classes":     func(c *Config) { c.Classes = nil },
 		"no deadline":    func(c *Config) { c.Classes[0].Deadline = 0 },
@@ -24,7 +24,7 @@
 }
 
 // The guard must hold at the place of emission, whatever path asks.
-func TestEmitWithholdsRetriesOfNotIdempotent(t *testing.T) {
+func TestEmitRejectsRetriesOfNotIdempotent(t *testing.T) {
 	b := newHarness(t, config(), 2)
 	id, acts := b.arrive(2, 7)
 	s, _ := first[StartAttempt](acts)
@@ -36,7 +36,7 @@
 }
 
 // What no worker can take any more is answered at once, long before its deadline, and not deferred.
-func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+func TestRequestThatNoWorkerCanTakeIsRejectedAtOnce(t *testing.T) {
 	final := func(acts []Action) bool { return has[Reject](acts) || has[FailRequest](acts) }
 	t.Run("all rejected it", func(t *testing.T) {
 		b := newHarness(t, config(), 3)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAbsurdFiguresPoisonNothing(t *testing.T) {
+func TestInvalidValuesDoNotCorruptEstimates(t *testing.T) {
 	b := newHarness(t, config(), 3)
 	id := RequestID(99)
 	b.handle(RequestArrived{Request: id, Function: 7, Lanes: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -8,106 +8,106 @@
 	"pgregory.net/rapid"
 )
 
-// pool is a stand-in for a route's pool.
-type pool struct {
-	members         map[WorkerID]bool
-	room            int
-	out, most       int
-	ended           int
-	loads, maxLoads int
-	next            *pool
-	spill, asked    int
+// fakePool is a stand-in for a route's fakePool.
+type fakePool struct {
+	members                      map[WorkerID]bool
+	capacity                     int
+	inFlight, maxInFlight        int
+	completed                    int
+	loads, maxLoads              int
+	next                         *fakePool
+	overflowsLeft, overflowCalls int
 }
 
-func (p *pool) Contains(w WorkerID) bool            { return p.members[w] }
-func (p *pool) HasCapacity() bool                   { return p.out < p.room }
-func (p *pool) AttemptStarted()                     { p.out++; p.most = max(p.most, p.out) }
-func (p *pool) AttemptFinished()                    { p.out--; p.ended++ }
-func (p *pool) MayLoad(time.Duration, float64) bool { return p.loads < p.maxLoads }
-func (p *pool) LoadStarted(time.Duration)           { p.loads++ }
-func (p *pool) Overflow(time.Duration) Pool {
-	if p.asked++; p.next == nil || p.spill == 0 {
+func (p *fakePool) Contains(w WorkerID) bool            { return p.members[w] }
+func (p *fakePool) HasCapacity() bool                   { return p.inFlight < p.capacity }
+func (p *fakePool) AttemptStarted()                     { p.inFlight++; p.maxInFlight = max(p.maxInFlight, p.inFlight) }
+func (p *fakePool) AttemptFinished()                    { p.inFlight--; p.completed++ }
+func (p *fakePool) MayLoad(time.Duration, float64) bool { return p.loads < p.maxLoads }
+func (p *fakePool) LoadStarted(time.Duration)           { p.loads++ }
+func (p *fakePool) Overflow(time.Duration) Pool {
+	if p.overflowCalls++; p.next == nil || p.overflowsLeft == 0 {
 		return nil
 	}
-	p.spill--
+	p.overflowsLeft--
 	return p.next
 }
 
-func newPool(room int, members ...WorkerID) *pool {
-	p := &pool{members: map[WorkerID]bool{}, room: room, maxLoads: 100}
+func newFakePool(room int, members ...WorkerID) *fakePool {
+	p := &fakePool{members: map[WorkerID]bool{}, capacity: room, maxLoads: 100}
 	for _, w := range members {
 		p.members[w] = true
 	}
 	return p
 }
 
-// arriveWith has a request arrive arriveWith terms.
-func (b *harness) arriveWith(class int, t RequestPolicy) (RequestID, []Action) {
+// arriveWithPolicy has a request arrive arriveWithPolicy terms.
+func (b *harness) arriveWithPolicy(class int, t RequestPolicy) (RequestID, []Action) {
 	b.id++
 	return b.id, b.handle(RequestArrived{Request: b.id, Class: class, Function: 7, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &t})
 }
 
-func unlimited(p *pool) RequestPolicy {
+func unlimitedPolicy(p *fakePool) RequestPolicy {
 	return RequestPolicy{Pool: p, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}
 }
 
-func TestPoolBoundsTheWorkers(t *testing.T) {
+func TestRequestsStayInTheirPool(t *testing.T) {
 	b := newHarness(t, config(), 4)
-	p := newPool(100, 3)
+	p := newFakePool(100, 3)
 	for range 30 {
-		_, acts := b.arriveWith(0, unlimited(p))
+		_, acts := b.arriveWithPolicy(0, unlimitedPolicy(p))
 		if s, ok := first[StartAttempt](acts); !ok || s.Worker != 3 {
 			t.Fatalf("%v, want worker 3", acts)
 		}
 	}
-	if p.out != 30 {
-		t.Errorf("%d attempts counted, 30 are out", p.out)
+	if p.inFlight != 30 {
+		t.Errorf("%d attempts counted, 30 are out", p.inFlight)
 	}
-	empty := newPool(100, 99)
-	if _, acts := b.arriveWith(0, unlimited(empty)); !has[Reject](acts) {
+	empty := newFakePool(100, 99)
+	if _, acts := b.arriveWithPolicy(0, unlimitedPolicy(empty)); !has[Reject](acts) {
 		t.Errorf("a pool with no worker: %v, want a rejection at once", acts)
 	}
 }
 
 // Guards the cap at every instant, and that what is beyond it is rejected at once and not queued.
-func TestPoolCapacityIsKeptWithoutAQueue(t *testing.T) {
+func TestRequestsBeyondPoolCapacityAreRejected(t *testing.T) {
 	b := newHarness(t, config(), 4)
-	p := newPool(2, 1, 2)
-	one, acts := b.arriveWith(0, unlimited(p))
+	p := newFakePool(2, 1, 2)
+	one, acts := b.arriveWithPolicy(0, unlimitedPolicy(p))
 	s, _ := first[StartAttempt](acts)
-	b.arriveWith(0, unlimited(p))
-	if _, acts := b.arriveWith(0, unlimited(p)); !has[Reject](acts) {
+	b.arriveWithPolicy(0, unlimitedPolicy(p))
+	if _, acts := b.arriveWithPolicy(0, unlimitedPolicy(p)); !has[Reject](acts) {
 		t.Errorf("over the cap: %v, want a rejection at once", acts)
 	}
 	if len(b.p.requests.deferred) > 0 {
 		t.Error("a request over the cap is deferred")
 	}
 	b.handle(AttemptCompleted{Request: one, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
-	if _, acts := b.arriveWith(0, unlimited(p)); !has[StartAttempt](acts) || p.most != 2 {
-		t.Errorf("room again: %v, at most %d out", acts, p.most)
+	if _, acts := b.arriveWithPolicy(0, unlimitedPolicy(p)); !has[StartAttempt](acts) || p.maxInFlight != 2 {
+		t.Errorf("room again: %v, at most %d out", acts, p.maxInFlight)
 	}
 }
 
-func TestOverflowsWhereThePoolCant(t *testing.T) {
+func TestRequestOverflowsWhenItsPoolIsFull(t *testing.T) {
 	b := newHarness(t, config(), 4)
-	p, next := newPool(1, 1), newPool(100, 4)
-	p.next, p.spill = next, 1
-	b.arriveWith(0, unlimited(p))
-	_, acts := b.arriveWith(0, unlimited(p))
-	if s, ok := first[StartAttempt](acts); !ok || s.Worker != 4 || next.out != 1 || p.out != 1 {
+	p, next := newFakePool(1, 1), newFakePool(100, 4)
+	p.next, p.overflowsLeft = next, 1
+	b.arriveWithPolicy(0, unlimitedPolicy(p))
+	_, acts := b.arriveWithPolicy(0, unlimitedPolicy(p))
+	if s, ok := first[StartAttempt](acts); !ok || s.Worker != 4 || next.inFlight != 1 || p.inFlight != 1 {
 		t.Errorf("a full pool's call: %v, want worker 4", acts)
 	}
-	if _, acts := b.arriveWith(0, unlimited(p)); !has[Reject](acts) {
+	if _, acts := b.arriveWithPolicy(0, unlimitedPolicy(p)); !has[Reject](acts) {
 		t.Errorf("beyond the overflow limit: %v, want a rejection", acts)
 	}
 	// A call that may not be sent again has nothing to spill.
-	asked := p.asked
-	q := newPool(100, 2)
-	q.next, q.spill = next, 100
-	id, acts := b.arriveWith(2, unlimited(q))
+	asked := p.overflowCalls
+	q := newFakePool(100, 2)
+	q.next, q.overflowsLeft = next, 100
+	id, acts := b.arriveWithPolicy(2, unlimitedPolicy(q))
 	s, _ := first[StartAttempt](acts)
 	acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: ConnectionReset})
-	if !has[FailRequest](acts) || has[StartAttempt](acts) || q.asked > 0 || p.asked != asked {
+	if !has[FailRequest](acts) || has[StartAttempt](acts) || q.overflowCalls > 0 || p.overflowCalls != asked {
 		t.Errorf("an order that may have run: %v, want a failure", acts)
 	}
 }
@@ -117,8 +117,8 @@
 func TestRetriesByWhetherTheAttemptMayHaveRun(t *testing.T) {
 	run := func(class int, terms RequestPolicy, outcomes ...Outcome) (sends int, last []Action) {
 		b := newHarness(t, config(), 6)
-		terms.Pool = newPool(100, 1, 2, 3, 4, 5, 6)
-		id, acts := b.arriveWith(class, terms)
+		terms.Pool = newFakePool(100, 1, 2, 3, 4, 5, 6)
+		id, acts := b.arriveWithPolicy(class, terms)
 		for _, o := range outcomes {
 			s, ok := first[StartAttempt](acts)
 			if !ok {
@@ -164,9 +164,9 @@
 		for w := range WorkerID(4) {
 			b.p.replicas.get(b.p.workers.byID[w+1], 7).loadedUntil = b.now + time.Hour
 		}
-		terms := unlimited(newPool(100, 1, 2, 3, 4))
+		terms := unlimitedPolicy(newFakePool(100, 1, 2, 3, 4))
 		terms.HedgeDelay = 100 * ms
-		id, acts := b.arriveWith(class, terms)
+		id, acts := b.arriveWithPolicy(class, terms)
 		s, _ := first[StartAttempt](acts)
 		for _, a := range acts {
 			if k, ok := a.(SetTimer); ok && k.Token >= hedgeToken {
@@ -206,9 +206,9 @@
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum = true, true, 10*time.Second, 5
 	b := newHarness(t, cfg, 3)
-	p := newPool(100, 1, 2, 3)
+	p := newFakePool(100, 1, 2, 3)
 	p.maxLoads = 1
-	terms := unlimited(p)
+	terms := unlimitedPolicy(p)
 	terms.AttemptTimeout = 300 * ms
 	commands := 0
 	for f := range FunctionID(3) {
@@ -234,8 +234,8 @@
 		cfg := config()
 		cfg.HedgingAllowed = true
 		b := newHarness(t, cfg, 4)
-		pools := []*pool{newPool(3, 1, 2), newPool(2, 2, 3, 4)}
-		pools[0].next, pools[0].spill = pools[1], 1000
+		pools := []*fakePool{newFakePool(3, 1, 2), newFakePool(2, 2, 3, 4)}
+		pools[0].next, pools[0].overflowsLeft = pools[1], 1000
 		type out struct {
 			id     RequestID
 			number int
@@ -256,8 +256,8 @@
 					}
 				}
 			}
-			if n := pools[0].out + pools[1].out; n != len(outs) || pools[0].out > 3 || pools[1].out > 2 {
-				rt.Fatalf("%d and %d are counted, %d are out", pools[0].out, pools[1].out, len(outs))
+			if n := pools[0].inFlight + pools[1].inFlight; n != len(outs) || pools[0].inFlight > 3 || pools[1].inFlight > 2 {
+				rt.Fatalf("%d and %d are counted, %d are out", pools[0].inFlight, pools[1].inFlight, len(outs))
 			}
 		}
 		end := func(i int, o Outcome) {
@@ -270,9 +270,9 @@
 			b.now += time.Duration(rapid.IntRange(0, 200).Draw(rt, "passes")) * ms
 			switch what := rapid.IntRange(0, 4).Draw(rt, "what"); {
 			case what <= 1:
-				terms := unlimited(pools[rapid.IntRange(0, 1).Draw(rt, "pool")])
+				terms := unlimitedPolicy(pools[rapid.IntRange(0, 1).Draw(rt, "pool")])
 				terms.HedgeDelay = 100 * ms
-				_, acts := b.arriveWith(rapid.SampledFrom([]int{0, 0, 2}).Draw(rt, "class"), terms)
+				_, acts := b.arriveWithPolicy(rapid.SampledFrom([]int{0, 0, 2}).Draw(rt, "class"), terms)
 				take(acts)
 			case what == 2 && len(outs) > 0:
 				o := rapid.SampledFrom([]Outcome{Served, Failed, Overloaded, ConnectionReset, TimedOut, Canceled, NotLoaded, NotSent}).Draw(rt, "end")
@@ -290,8 +290,8 @@
 		for len(outs) > 0 {
 			end(0, Canceled)
 		}
-		if pools[0].out != 0 || pools[1].out != 0 {
-			rt.Fatalf("%d and %d stay counted", pools[0].out, pools[1].out)
+		if pools[0].inFlight != 0 || pools[1].inFlight != 0 {
+			rt.Fatalf("%d and %d stay counted", pools[0].inFlight, pools[1].inFlight)
 		}
 	})
 }
@@ -303,8 +303,8 @@
 		cfg := config()
 		cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, true, 10*time.Second, 4, 0.3
 		plain, under := newHarness(t, cfg, 4), newHarness(t, cfg, 4)
-		terms := unlimited(newPool(1<<30, 1, 2, 3, 4))
-		terms.Pool.(*pool).maxLoads = 1 << 30
+		terms := unlimitedPolicy(newFakePool(1<<30, 1, 2, 3, 4))
+		terms.Pool.(*fakePool).maxLoads = 1 << 30
 		var outs []StartAttempt
 		number := map[RequestID]int{}
 		both := func(ev Event) {
@@ -347,7 +347,7 @@
 // every half second, not after spells that have grown.
 func TestPoolOfEjectedWorkersIsCheckedSooner(t *testing.T) {
 	b := newHarness(t, config(), 2)
-	p := newPool(100, 1)
+	p := newFakePool(100, 1)
 	for range 6 { // spells of 1, 2, 4 and 8 s
 		b.now += 10 * time.Second
 		b.p.now = b.now
@@ -358,7 +358,7 @@
 	if left := w.health.ejectedUntil - b.now; left < 7*time.Second {
 		t.Fatalf("ejected for %v", left)
 	}
-	b.arriveWith(0, unlimited(p))
+	b.arriveWithPolicy(0, unlimitedPolicy(p))
 	if left := w.health.ejectedUntil - b.now; left > 500*ms {
 		t.Errorf("looked at in %v with a call that waits for it", left)
 	}
--- a/policy/rule_guard_test.go
+++ b/policy/rule_guard_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestGuardWithholdsWhatTheSettingsForbid(t *testing.T) {
+func TestGuardRejectsWhatTheSettingsForbid(t *testing.T) {
 	id := WorkerID(1)
 	actions := map[string]Action{
 		"cancel":       CancelAttempt{},
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestGuardWithholdsRejectionsThatPromiseTooMuch(t *testing.T) {
+func TestGuardAllowsRejectionsOnlyIfTheClientMayRetry(t *testing.T) {
 	ran := &attempt{}
 	for name, test := range map[string]struct {
 		class    Class
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,67 +9,67 @@
 
 // ruleChecker follows the actions of a random world and reports broken rules. It shares no code with the module.
 type ruleChecker struct {
-	t     *testing.T
-	cfg   Config
-	reqs  map[RequestID]*observedRequest
-	state map[WorkerID]WorkerState
-	order []time.Duration
-	took  []time.Duration
+	t            *testing.T
+	cfg          Config
+	requests     map[RequestID]*observedRequest
+	states       map[WorkerID]WorkerState
+	loadCommands []time.Duration
+	arrivals     []time.Duration
 }
 
 type observedRequest struct {
-	class    int
-	deadline time.Duration
-	sent     []WorkerID
-	open     map[int]bool
-	mayRan   time.Duration // when the first attempt that may have run was sent
-	ran      bool
-	sentAt   []time.Duration
-	final    bool
+	class         int
+	deadline      time.Duration
+	workers       []WorkerID
+	inFlight      map[int]bool
+	possibleRunAt time.Duration // when the first attempt that may have run was sent
+	mayHaveRun    bool
+	sentAt        []time.Duration
+	complete      bool
 }
 
 func (c *ruleChecker) check(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case StartAttempt:
-			r := c.reqs[a.Request]
+			r := c.requests[a.Request]
 			class := c.cfg.Classes[r.class]
-			risky := r.ran || len(r.open) > 0
+			risky := r.mayHaveRun || len(r.inFlight) > 0
 			switch {
-			case r.final:
+			case r.complete:
 				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
-			case c.state[a.Worker] != Ready:
-				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.state[a.Worker])
-			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.HedgingAllowed:
+			case c.states[a.Worker] != Ready:
+				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.states[a.Worker])
+			case risky && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.HedgingAllowed:
 				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.ran && class.Idempotency == IdempotentWithKey && now > r.mayRan+class.DeduplicationWindow:
+			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.possibleRunAt+class.DeduplicationWindow:
 				c.t.Fatalf("%v: keyed repeat outside the window", now)
-			case len(r.sent) >= c.cfg.MaxAttempts:
+			case len(r.workers) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
-			r.open[len(r.sent)] = true
-			r.sent, r.sentAt = append(r.sent, a.Worker), append(r.sentAt, now)
+			r.inFlight[len(r.workers)] = true
+			r.workers, r.sentAt = append(r.workers, a.Worker), append(r.sentAt, now)
 		case Reject:
-			r := c.reqs[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
+			r := c.requests[a.Request]
+			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.inFlight) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
 				c.t.Fatalf("%v: rejection of %d, which may have run", now, a.Request)
 			}
-			c.checkEnd(now, r)
+			c.checkFinalResponse(now, r)
 		case FailRequest:
-			c.checkEnd(now, c.reqs[a.Request])
+			c.checkFinalResponse(now, c.requests[a.Request])
 		case Load:
-			if c.state[a.Worker] != Ready {
-				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
+			if c.states[a.Worker] != Ready {
+				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			}
-			c.order = append(c.order, now)
+			c.loadCommands = append(c.loadCommands, now)
 			n, m := 0, 0
-			for _, at := range c.order {
+			for _, at := range c.loadCommands {
 				if at >= now-c.cfg.LoadBudgetWindow {
 					n++
 				}
 			}
-			for _, at := range c.took {
+			for _, at := range c.arrivals {
 				if at > now-c.cfg.LoadBudgetWindow {
 					m++
 				}
@@ -81,21 +81,21 @@
 	}
 }
 
-func (c *ruleChecker) checkEnd(now time.Duration, r *observedRequest) {
-	if r.final || now > r.deadline+8*ms {
+func (c *ruleChecker) checkFinalResponse(now time.Duration, r *observedRequest) {
+	if r.complete || now > r.deadline+8*ms {
 		c.t.Fatalf("%v: second or late final answer", now)
 	}
-	r.final = true
+	r.complete = true
 }
 
-func TestRulesHoldInRandomWorlds(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		randomWorld(t, seed, 3000)
+		runRandomEvents(t, seed, 3000)
 	}
 }
 
-// randomWorld plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
-func randomWorld(t *testing.T, seed uint64, steps int) {
+// runRandomEvents plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
+func runRandomEvents(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported = seed%2 == 0, seed%3 != 0
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &ruleChecker{t: t, cfg: cfg, reqs: map[RequestID]*observedRequest{}, state: map[WorkerID]WorkerState{}}
+	c := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
 	now, next := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
@@ -135,7 +135,7 @@
 			if rng.IntN(6) == 0 {
 				e.State = Gone
 			}
-			c.state[w] = e.State
+			c.states[w] = e.State
 			l.Workers = append(l.Workers, e)
 		}
 		handle(l)
@@ -156,14 +156,14 @@
 		case k < 8:
 			next++
 			left := time.Duration(rng.IntN(3000)) * ms
-			c.took = append(c.took, now)
-			c.reqs[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
+			c.arrivals = append(c.arrivals, now)
+			c.requests[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, inFlight: map[int]bool{}}
+			handle(RequestArrived{Request: next, Class: c.requests[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
 				LoadTime: 800 * ms, Remaining: left})
 		case k == 9 && next > 0:
-			if r := c.reqs[1+RequestID(rng.IntN(int(next)))]; !r.final {
-				r.final = true
-				for id, o := range c.reqs {
+			if r := c.requests[1+RequestID(rng.IntN(int(next)))]; !r.complete {
+				r.complete = true
+				for id, o := range c.requests {
 					if o == r {
 						handle(RequestCanceled{Request: id})
 					}
@@ -178,7 +178,7 @@
 		default:
 			id := RequestID(0)
 			for try := range int(next) {
-				if r := c.reqs[next-RequestID(try)]; len(r.open) > 0 && rng.IntN(3) == 0 {
+				if r := c.requests[next-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
 					id = next - RequestID(try)
 					break
 				}
@@ -186,19 +186,19 @@
 			if id == 0 {
 				continue
 			}
-			r := c.reqs[id]
-			for n := range len(r.sent) {
-				if !r.open[n] {
+			r := c.requests[id]
+			for n := range len(r.workers) {
+				if !r.inFlight[n] {
 					continue
 				}
 				o := []Outcome{Served, Served, Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Canceled, NotSent, NotLoaded}[rng.IntN(10)]
-				delete(r.open, n)
-				if !o.NeverRan() && !r.ran {
-					r.ran, r.mayRan = true, r.sentAt[n]
+				delete(r.inFlight, n)
+				if !o.NeverRan() && !r.mayHaveRun {
+					r.mayHaveRun, r.possibleRunAt = true, r.sentAt[n]
 				}
-				closed := r.final || o == Served
-				r.final = closed
-				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
+				closed := r.complete || o == Served
+				r.complete = closed
+				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
 				break
 			}
 		}
@@ -207,18 +207,18 @@
 	for _, tm := range timers {
 		now = max(now, tm.at)
 	}
-	for _, r := range c.reqs {
+	for _, r := range c.requests {
 		r.deadline = now
 	}
 	for _, tm := range timers {
 		handle(TimerFired{Token: tm.token})
 	}
-	for id, r := range c.reqs {
-		if !r.final {
+	for id, r := range c.requests {
+		if !r.complete {
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.requests.deferred) > len(c.reqs) {
+	if len(p.requests.deferred) > len(c.requests) {
 		t.Fatalf("seed %d: the tables grow: %d deferred", seed, len(p.requests.deferred))
 	}
 }
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -67,7 +67,7 @@
 }
 
 // Little remaining time is no reason to reject a request that likely has a replica at its preferred worker.
-func TestShortOfTimeGoesToALikelyReplica(t *testing.T) {
+func TestRequestWithLittleTimeUsesALikelyReplica(t *testing.T) {
 	for left, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
 		cfg := config()
 		cfg.Routers = 40
@@ -178,7 +178,7 @@
 }
 
 // A hot function needs many workers, and no router sees more than a call of it now and then.
-func TestBusyFunctionSpreadsAndRareOneStays(t *testing.T) {
+func TestBusyFunctionUsesMoreWorkersThanARareOne(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 50
 	hot, rare := map[WorkerID]bool{}, map[WorkerID]bool{}
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -89,7 +89,7 @@
 // Of many routers, blind to each other, each may send a worker that just started only part of a call. But where
 // most of a fleet starts at once, that part is of what the warm rest takes, not of a mean that the cold ones lower:
 // the rest would be overrun while new workers have next to nothing to do.
-func TestManyRoutersTogetherKeepSlowStart(t *testing.T) {
+func TestSlowStartLimitsAllRoutersTogether(t *testing.T) {
 	for _, started := range []int{1, 6} { // of ten workers
 		sent := 0
 		for n := range 100 {
@@ -131,7 +131,7 @@
 		back.Workers = append(back.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Started: b.now})
 	}
 	b.handle(back)
-	before := b.attemptsAtFirst
+	before := b.attemptsAtWorker1
 	for f := FunctionID(1000); f < 1060; f++ {
 		b.advance(50 * ms)
 		id, acts := b.arrive(0, f)
@@ -140,5 +140,5 @@
 			s, ok = first[StartAttempt](b.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
-	return b.attemptsAtFirst - before
+	return b.attemptsAtWorker1 - before
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -15,7 +15,7 @@
 	return &slowStart{cfg: &cfg, rng: rng, classes: classes, workers: &workerTable{fleet: fleet}}
 }
 
-func TestWarmthGrowsWithAge(t *testing.T) {
+func TestCapacityShareGrowsWithAge(t *testing.T) {
 	now := time.Hour
 	s := newSlowStart()
 	for name, test := range map[string]struct {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBucketBeginsWithADebtAndRefillsAtTheWarmRate(t *testing.T) {
+func TestBucketStartsWithADebtAndRefillsAtTheWarmRate(t *testing.T) {
 	now := time.Hour
 	warm := &worker{Endpoint: Endpoint{State: Ready}, capacity: workerCapacity{work: 1}}
 	cold := &worker{Endpoint: Endpoint{State: Ready, Started: now}, capacity: workerCapacity{work: 1}}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -12,17 +12,17 @@
 	"crankhold/internal/timerheap"
 )
 
-// stream drives a Policy against a simulated fleet in virtual time, closed loop: what the policy does decides what
+// scenario drives a Policy against a simulated fleet in virtual time, closed loop: what the policy does decides what
 // comes next. It returns a sum over all events and actions, and how many there were.
-type stream struct {
+type scenario struct {
 	workers, functions int
-	gap                time.Duration // between calls
-	length             time.Duration
+	interval           time.Duration // between calls
+	duration           time.Duration
 	faults             bool
 	cfg                Config
 }
 
-func (s stream) run(t testing.TB, seed uint64) (sum uint64, calls, sends int, p *Policy) {
+func (s scenario) run(t testing.TB, seed uint64) (sum uint64, calls, sends int, p *Policy) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	p, err := New(s.cfg, seed)
@@ -32,7 +32,7 @@
 	h := fnv.New64a()
 	now := time.Hour
 	var upcoming timerheap.Heap[Event] // nil: a call comes
-	for at := time.Duration(0); at < s.length; at += s.gap {
+	for at := time.Duration(0); at < s.duration; at += s.interval {
 		upcoming.Add(now+at, nil)
 	}
 	later := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
@@ -85,7 +85,7 @@
 			}
 			continue
 		}
-		if now > time.Hour+s.length+10*time.Second {
+		if now > time.Hour+s.duration+10*time.Second {
 			break
 		}
 		switch e := next.Value.(type) {
@@ -106,7 +106,7 @@
 			if _, ok := a.(ClearTimer); ok {
 				continue // it changes no choice, and is newer than the records
 			}
-			record(t, h, a)
+			writeAction(t, h, a)
 			switch a := a.(type) {
 			case StartAttempt:
 				sends++
@@ -146,9 +146,9 @@
 	return h.Sum64(), calls, sends, p
 }
 
-// record writes an action in the form in which the sums were recorded: the names in it are those of that time and
+// writeAction writes an action in the form in which the sums were recorded: the names in it are those of that time and
 // stay, whatever the types and fields are called.
-func record(t testing.TB, w io.Writer, a Action) {
+func writeAction(t testing.TB, w io.Writer, a Action) {
 	t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
@@ -174,8 +174,8 @@
 	}
 }
 
-// streams are what the module was recorded on.
-func streams() map[string]stream {
+// scenarios are what the module was recorded on.
+func scenarios() map[string]scenario {
 	load := func(miss bool) Config {
 		c := config()
 		c.Classes[0].Idempotency = Idempotent
@@ -186,7 +186,7 @@
 	}
 	queue := load(false)
 	queue.LoadReportFields = []string{"queue"}
-	return map[string]stream{
+	return map[string]scenario{
 		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, load(true)},
 		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, load(true)},
 		"14 workers, loads by call": {14, 40, 4 * ms, 15 * time.Second, true, queue},
@@ -197,7 +197,7 @@
 
 // recorded are the sums of the streams by the module as it was when what they choose last changed. Work
 // that is to make a call cheaper and nothing else leaves them as they are.
-var recorded = map[string]uint64{
+var recordedChecksums = map[string]uint64{
 	"12 workers":                1151388725873832079,
 	"12 workers with faults":    12142483808271537724,
 	"14 workers, loads by call": 7560215809940301482,
@@ -206,21 +206,21 @@
 }
 
 // Guards the choices: the same events get the same actions as before, ties and random draws included.
-func TestSameDecisionsOnRecordedStreams(t *testing.T) {
-	for name, s := range streams() {
+func TestDecisionsMatchRecordedChecksums(t *testing.T) {
+	for name, s := range scenarios() {
 		sum, calls, sends, _ := s.run(t, 1)
-		if sum != recorded[name] || calls < 1000 || sends < 1000 {
-			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, sum, recorded[name], calls, sends)
+		if sum != recordedChecksums[name] || calls < 1000 || sends < 1000 {
+			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, sum, recordedChecksums[name], calls, sends)
 		}
 	}
 }
 
-// BenchmarkCall is the cost of a call through the module, its arrival and its answer, by the size of the fleet.
-func BenchmarkCall(b *testing.B) {
+// BenchmarkRequest is the cost of a call through the module, its arrival and its answer, by the size of the fleet.
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 1000, 5000} {
-		s := streams()["12 workers"]
-		s.workers, s.functions, s.gap = n, 3*n, time.Duration(float64(60*ms)/float64(n))
-		s.length = 2000 * s.gap
+		s := scenarios()["12 workers"]
+		s.workers, s.functions, s.interval = n, 3*n, time.Duration(float64(60*ms)/float64(n))
+		s.duration = 2000 * s.interval
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			calls := 0
 			for calls < b.N {
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -8,7 +8,7 @@
 )
 
 // The table finds exactly the entries that the workers' maps hold, whatever is added, looked up and removed.
-func TestReplicaTableHoldsWhatTheWorkersHold(t *testing.T) {
+func TestReplicaTableMatchesTheEntriesOfTheWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table replicaTable
 		var fleet []*worker
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestRequestsLeaveTheTableWhenDoneAndNothingIsInFlight(t *testing.T) {
+func TestRequestsLeaveTheTableWhenCompleteAndNothingIsInFlight(t *testing.T) {
 	table := requestTable{byID: map[RequestID]*request{}}
 	r := &request{RequestArrived: RequestArrived{Request: 5}, attempts: []*attempt{{ended: true}, {}}, inFlight: 1}
 	table.add(r)
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards the words in which states and outcomes are logged.
-func TestNames(t *testing.T) {
+func TestStringMethods(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
 		want  string
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// pricedMemory returns settings under which memory has a price and a call loads what it lacks.
-func pricedMemory() Config {
+// memoryPriceConfig returns settings under which memory has a price and a call loads what it lacks.
+func memoryPriceConfig() Config {
 	c := config()
 	c.LoadCommandsSupported, c.MemoryPrice, c.WorkerMemoryMB = true, 0.15, 10_000
 	c.LoadBudgetWindow, c.LoadBudgetMinimum, c.LoadBudgetRatio = 10*time.Second, 4, 0.3
@@ -43,15 +43,15 @@
 
 // An idle replica goes once its memory has cost what a call loses that finds none: sooner where memory is dearer, the
 // replica larger or the traffic thicker, and never where the settings give no reason to.
-func TestIdleReplicasGoWhenTheirMemoryCostsMoreThanALoad(t *testing.T) {
-	base := idleTimeBeforeUnload(t, pricedMemory(), 20, 8000)
+func TestIdleReplicasAreUnloadedWhenMemoryCostsMoreThanALoad(t *testing.T) {
+	base := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 8000)
 	if base <= 0 || base >= 9*time.Second {
 		t.Fatalf("unloaded after %v", base)
 	}
-	if larger := idleTimeBeforeUnload(t, pricedMemory(), 20, 30_000); larger <= 0 || larger >= base {
+	if larger := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 30_000); larger <= 0 || larger >= base {
 		t.Errorf("a larger copy is unloaded after %v, another after %v", larger, base)
 	}
-	if thin := idleTimeBeforeUnload(t, pricedMemory(), 2, 8000); thin != 0 {
+	if thin := idleTimeBeforeUnload(t, memoryPriceConfig(), 2, 8000); thin != 0 {
 		t.Errorf("in thin traffic it is unloaded after %v", thin)
 	}
 	for name, change := range map[string]func(*Config){
@@ -60,13 +60,13 @@
 		"load commands are not allowed": func(c *Config) { c.LoadCommandsSupported = false },
 		"only load commands load":       func(c *Config) { c.MissWhenNotLoaded = true },
 	} {
-		c := pricedMemory()
+		c := memoryPriceConfig()
 		change(&c)
 		if at := idleTimeBeforeUnload(t, c, 20, 8000); at != 0 {
 			t.Errorf("where %s it is unloaded after %v", name, at)
 		}
 	}
-	if at := idleTimeBeforeUnload(t, pricedMemory(), 20, 0); at != 0 {
+	if at := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 0); at != 0 {
 		t.Errorf("a copy of untold memory is unloaded after %v", at)
 	}
 }
@@ -74,7 +74,7 @@
 // Guards a replica that is in use, loading, or at a worker that takes nothing new: none of these is unloaded.
 func TestOnlyIdleReplicasAtReadyWorkersAreUnloaded(t *testing.T) {
 	for _, why := range []string{"in use", "draining"} {
-		b := newHarness(t, pricedMemory(), 1)
+		b := newHarness(t, memoryPriceConfig(), 1)
 		for range 200 {
 			b.id++
 			b.handle(RequestArrived{Request: b.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
@@ -95,9 +95,9 @@
 }
 
 // Guards equal runs: replicas that go in one sweep go in one order, whatever a map's is.
-func TestUnloadsComeInOneOrder(t *testing.T) {
+func TestUnloadOrderIsDeterministic(t *testing.T) {
 	run := func() (order []FunctionID) {
-		b := newHarness(t, pricedMemory(), 1)
+		b := newHarness(t, memoryPriceConfig(), 1)
 		for i := range 400 {
 			b.id++
 			b.handle(RequestArrived{Request: b.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -11,7 +11,7 @@
 	}
 }
 
-func TestNothingGoesToADrainingWorker(t *testing.T) {
+func TestNothingIsSentToADrainingWorker(t *testing.T) {
 	b := newHarness(t, config(), 1)
 	b.handle(EndpointList{Workers: []Endpoint{{Worker: 1, State: Draining}}})
 	if _, acts := b.arrive(0, 7); has[StartAttempt](acts) {
