--- a/policy/attempt_outcomes_test.go
+++ b/policy/attempt_outcomes_test.go
@@ -6,71 +6,71 @@
 // more, over another connection. Where that ends badly too the call goes elsewhere.
 func TestResetIsRetriedAtTheLoadedWorker(t *testing.T) {
 	for _, again := range []Outcome{ConnectionReset, Unreachable} {
-		b := newHarness(t, config(), 3)
-		w := b.serve(7, 1100*ms, StartedLoad)
+		h := newHarness(t, config(), 3)
+		w := h.serve(7, 1100*ms, StartedLoad)
 		for range 20 {
-			b.serve(7, 80*ms, AlreadyLoaded)
+			h.serve(7, 80*ms, AlreadyLoaded)
 		}
-		others, _ := b.arrive(0, 7) // on the same connection
-		id, acts := b.arrive(0, 7)
-		if s, _ := first[StartAttempt](acts); s.Worker != w {
+		otherID, _ := h.arrive(0, 7) // on the same connection
+		id, actions := h.arrive(0, 7)
+		if s, _ := first[StartAttempt](actions); s.Worker != w {
 			t.Fatalf("warm at %d, sent to %d", w, s.Worker)
 		}
-		b.now += 10 * ms
-		checks := b.handle(AttemptCompleted{Request: others, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		n := b.p.workers.byID[w].latency.failureRates[0].Weight()
-		acts = b.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
-		if s, ok := first[StartAttempt](acts); !ok || s.Worker != w || !has[CheckHealth](checks) || has[CheckHealth](acts) {
-			t.Fatalf("after a reset: %v, %v", checks, acts)
+		h.now += 10 * ms
+		checks := h.handle(AttemptCompleted{Request: otherID, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
+		failures := h.p.workers.byID[w].latency.failureRates[0].Weight()
+		actions = h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
+		if s, ok := first[StartAttempt](actions); !ok || s.Worker != w || !has[CheckHealth](checks) || has[CheckHealth](actions) {
+			t.Fatalf("after a reset: %v, %v", checks, actions)
 		}
-		if b.p.workers.byID[w].latency.failureRates[0].Weight() != n {
+		if h.p.workers.byID[w].latency.failureRates[0].Weight() != failures {
 			t.Error("one broken connection counts as two failures")
 		}
-		acts = b.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
-		if s, ok := first[StartAttempt](acts); !ok || s.Worker == w {
-			t.Errorf("after outcome %d of the second: %v", again, acts)
+		actions = h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
+		if s, ok := first[StartAttempt](actions); !ok || s.Worker == w {
+			t.Errorf("after outcome %d of the second: %v", again, actions)
 		}
 	}
 }
 
 func TestNotIdempotentThatMayHaveRunFails(t *testing.T) {
 	for _, o := range []Outcome{Failed, TimedOut, ConnectionReset, Canceled} {
-		b := newHarness(t, config(), 4)
-		id, acts := b.arrive(2, 7)
-		s, _ := first[StartAttempt](acts)
-		acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: o})
-		if has[StartAttempt](acts) || has[Reject](acts) || !has[FailRequest](acts) {
-			t.Errorf("outcome %d: %v", o, acts)
+		h := newHarness(t, config(), 4)
+		id, actions := h.arrive(2, 7)
+		s, _ := first[StartAttempt](actions)
+		actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: o})
+		if has[StartAttempt](actions) || has[Reject](actions) || !has[FailRequest](actions) {
+			t.Errorf("outcome %d: %v", o, actions)
 		}
 	}
 }
 
 func TestNotIdempotentThatNeverRanIsRetried(t *testing.T) {
-	b := newHarness(t, config(), 4)
-	id, acts := b.arrive(2, 7)
-	s, _ := first[StartAttempt](acts)
-	again, ok := first[StartAttempt](b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded}))
+	h := newHarness(t, config(), 4)
+	id, actions := h.arrive(2, 7)
+	s, _ := first[StartAttempt](actions)
+	again, ok := first[StartAttempt](h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded}))
 	if !ok || again.Worker == s.Worker {
 		t.Errorf("after full: %v %v", again, ok)
 	}
 }
 
 func TestRetriesWithAKeyStayInsideScopeAndWindow(t *testing.T) {
-	b := newHarness(t, config(), 0)
-	b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready, Zone: 0},
+	h := newHarness(t, config(), 0)
+	h.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Ready, Zone: 0},
 		{Worker: 2, State: Ready, Zone: 1}, {Worker: 3, State: Ready, Zone: 1}}})
 	for range 20 {
-		id, acts := b.arrive(1, 7)
-		s, _ := first[StartAttempt](acts)
-		b.now += 10 * ms
-		again, ok := first[StartAttempt](b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}))
+		id, actions := h.arrive(1, 7)
+		s, _ := first[StartAttempt](actions)
+		h.now += 10 * ms
+		again, ok := first[StartAttempt](h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}))
 		if ok && (again.Worker == 1) != (s.Worker == 1) {
 			t.Fatalf("sent to %d, then to %d of another group", s.Worker, again.Worker)
 		}
-		id, acts = b.arrive(1, 8)
-		s, _ = first[StartAttempt](acts)
-		b.now += 1100 * ms
-		if acts := b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); has[StartAttempt](acts) || has[Reject](acts) {
+		id, actions = h.arrive(1, 8)
+		s, _ = first[StartAttempt](actions)
+		h.now += 1100 * ms
+		if actions := h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); has[StartAttempt](actions) || has[Reject](actions) {
 			t.Fatal("repeated or rejected outside the window")
 		}
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -33,63 +33,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, p: p, now: time.Hour}
-	var l EndpointList
-	l.Kind = EndpointSnapshot
+	h := &harness{t: t, p: p, now: time.Hour}
+	var list EndpointList
+	list.Kind = EndpointSnapshot
 	for i := range workers {
-		l.Workers = append(l.Workers, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
+		list.Workers = append(list.Workers, Endpoint{Worker: WorkerID(i + 1), State: Ready, Weight: 1})
 	}
-	b.handle(l)
-	return b
+	h.handle(list)
+	return h
 }
 
-func (b *harness) handle(ev Event) []Action {
-	acts := b.p.Handle(b.now, ev, nil)
-	for _, a := range acts {
+func (h *harness) handle(ev Event) []Action {
+	actions := h.p.Handle(h.now, ev, nil)
+	for _, a := range actions {
 		if s, ok := a.(StartAttempt); ok && s.Worker == 1 {
-			b.attemptsAtWorker1++
+			h.attemptsAtWorker1++
 		}
 	}
-	return acts
+	return actions
 }
 
-func (b *harness) arrive(class int, f FunctionID) (RequestID, []Action) {
-	b.id++
-	return b.id, b.handle(RequestArrived{Request: b.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second})
+func (h *harness) arrive(class int, f FunctionID) (RequestID, []Action) {
+	h.id++
+	return h.id, h.handle(RequestArrived{Request: h.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second})
 }
 
 // serve has one request of f arrive and served after took.
-func (b *harness) serve(f FunctionID, took time.Duration, note LoadStatus) WorkerID {
-	b.t.Helper()
-	id, acts := b.arrive(0, f)
-	s, ok := first[StartAttempt](acts)
+func (h *harness) serve(f FunctionID, took time.Duration, status LoadStatus) WorkerID {
+	h.t.Helper()
+	id, actions := h.arrive(0, f)
+	s, ok := first[StartAttempt](actions)
 	if !ok {
-		b.t.Fatalf("request not sent: %v", acts)
+		h.t.Fatalf("request not sent: %v", actions)
 	}
-	b.now += took
-	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: note, Closed: true, Took: took})
+	h.now += took
+	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: status, Closed: true, Took: took})
 	return s.Worker
 }
 
 // serveWithHousekeeping is serve from a loaded replica, with the housekeeping that falls into it.
-func (b *harness) serveWithHousekeeping(f FunctionID, took time.Duration) {
-	id, acts := b.arrive(0, f)
-	s, _ := first[StartAttempt](acts)
-	b.advance(took)
-	b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
+func (h *harness) serveWithHousekeeping(f FunctionID, took time.Duration) {
+	id, actions := h.arrive(0, f)
+	s, _ := first[StartAttempt](actions)
+	h.advance(took)
+	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 }
 
 // advance lets time go by, with its housekeeping.
-func (b *harness) advance(d time.Duration) {
-	for end := b.now + d; b.now < end; {
-		if b.now += ms; b.now%housekeepingInterval == 0 {
-			b.handle(TimerFired{Token: housekeepingToken})
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		if h.now += ms; h.now%housekeepingInterval == 0 {
+			h.handle(TimerFired{Token: housekeepingToken})
 		}
 	}
 }
 
-func first[A Action](acts []Action) (A, bool) {
-	for _, a := range acts {
+func first[A Action](actions []Action) (A, bool) {
+	for _, a := range actions {
 		if a, ok := a.(A); ok {
 			return a, true
 		}
@@ -98,14 +98,14 @@
 	return zero, false
 }
 
-func has[A Action](acts []Action) bool { _, ok := first[A](acts); return ok }
+func has[A Action](actions []Action) bool { _, ok := first[A](actions); return ok }
 
-func firstClass(b *harness) *classState { return &b.p.classes[0] }
+func firstClass(h *harness) *classState { return &h.p.classes[0] }
 
 // queueingDelay is the predicted queueing delay at a worker, in nanoseconds.
-func (b *harness) queueingDelay(w *worker, attempts int) float64 {
-	return float64(b.p.scheduler.estimator.queueingDelay(b.p.now, w, attempts))
+func (h *harness) queueingDelay(w *worker, attempts int) float64 {
+	return float64(h.p.scheduler.estimator.queueingDelay(h.p.now, w, attempts))
 }
 
 // ejected reports whether a worker is ejected.
-func (b *harness) ejected(w *worker) bool { return b.p.scheduler.outliers.ejected(b.p.now, w) }
+func (h *harness) ejected(w *worker) bool { return h.p.scheduler.outliers.ejected(h.p.now, w) }
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -8,17 +8,17 @@
 func TestNotLoadedSendsOneLoadCommandAndTheRequestFollows(t *testing.T) {
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadStatusReported = true, true, false
-	b := newHarness(t, cfg, 4)
-	id, acts := b.arrive(0, 7)
-	s, _ := first[StartAttempt](acts)
-	acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})
-	if o, ok := first[Load](acts); !ok || o.Worker != s.Worker || o.Count != 1 || has[StartAttempt](acts) {
-		t.Fatalf("after a miss: %v", acts)
-	}
-	b.now += time.Second
-	acts = b.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
-	if again, ok := first[StartAttempt](acts); !ok || again.Worker != s.Worker {
-		t.Errorf("after the load: %v", acts)
+	h := newHarness(t, cfg, 4)
+	id, actions := h.arrive(0, 7)
+	s, _ := first[StartAttempt](actions)
+	actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})
+	if o, ok := first[Load](actions); !ok || o.Worker != s.Worker || o.Count != 1 || has[StartAttempt](actions) {
+		t.Fatalf("after a miss: %v", actions)
+	}
+	h.now += time.Second
+	actions = h.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
+	if again, ok := first[StartAttempt](actions); !ok || again.Worker != s.Worker {
+		t.Errorf("after the load: %v", actions)
 	}
 }
 
@@ -26,18 +26,18 @@
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported, cfg.LoadStatusReported = true, true, false
 	cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = 10*time.Second, 2, 0.1
-	b := newHarness(t, cfg, 8)
+	h := newHarness(t, cfg, 8)
 	commands := 0
 	for f := FunctionID(1); f <= 9; f++ {
-		id, acts := b.arrive(0, f)
-		s, ok := first[StartAttempt](acts)
+		id, actions := h.arrive(0, f)
+		s, ok := first[StartAttempt](actions)
 		for n := 0; ok; n++ {
-			acts = b.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: NotLoaded})
-			if has[Load](acts) {
+			actions = h.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: NotLoaded})
+			if has[Load](actions) {
 				commands++
 				break
 			}
-			s, ok = first[StartAttempt](acts)
+			s, ok = first[StartAttempt](actions)
 		}
 	}
 	if commands != 2 {
@@ -50,27 +50,27 @@
 func TestCanceledRequestsDoNotWidenTheLoadBudget(t *testing.T) {
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, 10*time.Second, 4, 0.3
-	b := newHarness(t, cfg, 4)
+	h := newHarness(t, cfg, 4)
 	for range 200 {
-		id, _ := b.arrive(0, 9)
-		b.handle(RequestCanceled{Request: id})
+		id, _ := h.arrive(0, 9)
+		h.handle(RequestCanceled{Request: id})
 	}
-	if got := b.p.loads.budget.allowance(b.p.now); got != 4 {
+	if got := h.p.loads.budget.allowance(h.p.now); got != 4 {
 		t.Fatalf("200 requests that were canceled make a budget of %v, 4 wanted", got)
 	}
-	kept, _ := b.arrive(0, 9)
-	b.now += time.Second
+	keptID, _ := h.arrive(0, 9)
+	h.now += time.Second
 	for range 3 { // at one time: one of them goes, and no other
-		b.arrive(0, 9)
+		h.arrive(0, 9)
 	}
-	id, _ := b.arrive(0, 9)
-	b.handle(RequestCanceled{Request: id})
-	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*4 {
+	id, _ := h.arrive(0, 9)
+	h.handle(RequestCanceled{Request: id})
+	if got := h.p.loads.budget.allowance(h.p.now); got != 4+0.3*4 {
 		t.Fatalf("four requests that stay make a budget of %v", got)
 	}
-	b.handle(RequestCanceled{Request: kept})
-	b.handle(RequestCanceled{Request: kept}) // twice counts once
-	if got := b.p.loads.budget.allowance(b.p.now); got != 4+0.3*3 {
+	h.handle(RequestCanceled{Request: keptID})
+	h.handle(RequestCanceled{Request: keptID}) // twice counts once
+	if got := h.p.loads.budget.allowance(h.p.now); got != 4+0.3*3 {
 		t.Fatalf("three requests that stay make a budget of %v", got)
 	}
 }
@@ -79,47 +79,47 @@
 func TestCircuitBreakerAllowsLikelyReplicas(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 40
-	b := newHarness(t, cfg, 5)
-	b.serve(7, 100*ms, AlreadyLoaded)
-	b.p.scheduler.breaker.failures, b.p.scheduler.breaker.openUntil = 1, b.now+time.Second
-	id, acts := b.arrive(0, 8)
-	s, ok := first[StartAttempt](acts)
+	h := newHarness(t, cfg, 5)
+	h.serve(7, 100*ms, AlreadyLoaded)
+	h.p.scheduler.breaker.failures, h.p.scheduler.breaker.openUntil = 1, h.now+time.Second
+	id, actions := h.arrive(0, 8)
+	s, ok := first[StartAttempt](actions)
 	if !ok {
-		t.Fatalf("a request with a likely replica is deferred: %v", acts)
+		t.Fatalf("a request with a likely replica is deferred: %v", actions)
 	}
-	if acts := b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed}); has[StartAttempt](acts) {
+	if actions := h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed}); has[StartAttempt](actions) {
 		t.Error("a further attempt began another load")
 	}
 }
 
 // A store that has stopped must not be sent more loads: each failed load would begin another, here and everywhere.
 func TestFailingLoadsStartOneAtATime(t *testing.T) {
-	b := newHarness(t, config(), 6)
-	begun := 0
+	h := newHarness(t, config(), 6)
+	started := 0
 	for f := FunctionID(1); f <= 100; f++ { // one new function each 20 ms, 2 s in all
-		b.now += 20 * ms
-		_, acts := b.arrive(0, f)
+		h.now += 20 * ms
+		_, actions := h.arrive(0, f)
 		if f%3 == 0 {
-			acts = append(acts, b.handle(TimerFired{Token: housekeepingToken})...)
+			actions = append(actions, h.handle(TimerFired{Token: housekeepingToken})...)
 		}
-		for _, a := range acts {
+		for _, a := range actions {
 			if s, ok := a.(StartAttempt); ok {
-				begun++
-				n := len(b.p.requests.byID[s.Request].attempts) - 1
-				b.handle(AttemptCompleted{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed})
+				started++
+				n := len(h.p.requests.byID[s.Request].attempts) - 1
+				h.handle(AttemptCompleted{Request: s.Request, Attempt: n, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed})
 			}
 		}
 	}
-	if begun < 2 || begun > 12 {
-		t.Errorf("%d loads begun in 2 s at a stopped store", begun)
+	if started < 2 || started > 12 {
+		t.Errorf("%d loads begun in 2 s at a stopped store", started)
 	}
-	b.now += 2 * time.Second
-	b.handle(TimerFired{Token: housekeepingToken})
-	b.p.requests.deferred = nil
-	b.now += 2 * time.Second
-	b.serve(500, time.Second, StartedLoad)
-	b.serve(501, time.Second, StartedLoad) // one success closes the breaker
-	b.serve(502, time.Second, StartedLoad)
+	h.now += 2 * time.Second
+	h.handle(TimerFired{Token: housekeepingToken})
+	h.p.requests.deferred = nil
+	h.now += 2 * time.Second
+	h.serve(500, time.Second, StartedLoad)
+	h.serve(501, time.Second, StartedLoad) // one success closes the breaker
+	h.serve(502, time.Second, StartedLoad)
 }
 
 // An order counts when it arrives: what was within the budget when it was decided on may no longer be, once the requests
@@ -128,24 +128,24 @@
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported = true, true
 	cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = 10*time.Second, 1, 0.3
-	b := newHarness(t, cfg, 5)
+	h := newHarness(t, cfg, 5)
 	for f := range FunctionID(10) {
-		b.serve(f, ms, AlreadyLoaded)
+		h.serve(f, ms, AlreadyLoaded)
 	}
-	b.advance(9 * time.Second)
+	h.advance(9 * time.Second)
 	commands := 0
 	for f := FunctionID(100); f < 105; f++ {
-		id, acts := b.arrive(0, f)
-		s, _ := first[StartAttempt](acts)
-		if has[Load](b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})) {
+		id, actions := h.arrive(0, f)
+		s, _ := first[StartAttempt](actions)
+		if has[Load](h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})) {
 			commands++
 		}
 	}
 	// 1 and 0.3 of 11 to 15 requests allow each of five load commands as it is decided on; 0.3 of 5 would not.
-	if commands < 4 || !b.p.MayStillLoad(b.now) {
-		t.Fatalf("%d load commands, of which the last may go out: %v", commands, b.p.MayStillLoad(b.now))
+	if commands < 4 || !h.p.MayStillLoad(h.now) {
+		t.Fatalf("%d load commands, of which the last may go out: %v", commands, h.p.MayStillLoad(h.now))
 	}
-	if b.p.MayStillLoad(b.now + 2*time.Second) {
+	if h.p.MayStillLoad(h.now + 2*time.Second) {
 		t.Error("load commands may be sent when the requests that paid for them have left the window")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -10,26 +10,26 @@
 func TestShedsWhereOtherRoutersQueue(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 50
-	b := newHarness(t, cfg, 2)
+	h := newHarness(t, cfg, 2)
 	sent := func(w *worker, f FunctionID) (n int) {
-		b.p.replicas.get(w, f).loadedUntil = b.now + time.Minute
+		h.p.replicas.get(w, f).loadedUntil = h.now + time.Minute
 		for range 100 {
-			id, acts := b.arrive(0, f)
-			if has[StartAttempt](acts) {
+			id, actions := h.arrive(0, f)
+			if has[StartAttempt](actions) {
 				n++
-				b.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Canceled, Closed: true})
+				h.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Canceled, Closed: true})
 			}
 		}
 		return n
 	}
-	busy, idle := b.p.workers.byID[1], b.p.workers.byID[2]
+	busy, idle := h.p.workers.byID[1], h.p.workers.byID[2]
 	for range 10 {
-		busy.latency.queueDelay.Observe(b.now, float64(250*ms))
+		busy.latency.queueDelay.Observe(h.now, float64(250*ms))
 	}
 	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
 		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
 	}
-	b.now += 30 * time.Second
+	h.now += 30 * time.Second
 	if at := sent(busy, 7); at < 95 {
 		t.Errorf("%d of 100 sent after the queue is gone", at)
 	}
@@ -39,46 +39,46 @@
 func TestTenantWithinItsQuota(t *testing.T) {
 	cfg := config()
 	cfg.Routers, cfg.Tenants = 100, []Tenant{{RequestsPerSecond: 200}}
-	b := newHarness(t, cfg, 5)
+	h := newHarness(t, cfg, 5)
 	rng := rand.New(rand.NewPCG(5, 5))
-	over := func(rate float64) (n int) {
+	countOverQuota := func(rate float64) (n int) {
 		for range 300 {
-			b.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-			b.id++
-			b.handle(RequestArrived{Request: b.id, Function: 7, LoadTime: time.Second, Remaining: 4 * time.Second})
-			r := b.p.requests.byID[b.id]
+			h.now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
+			h.id++
+			h.handle(RequestArrived{Request: h.id, Function: 7, LoadTime: time.Second, Remaining: 4 * time.Second})
+			r := h.p.requests.byID[h.id]
 			if r == nil || r.overQuota {
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				b.handle(AttemptCompleted{Request: b.id, Worker: r.attempts[0].worker.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+				h.handle(AttemptCompleted{Request: h.id, Worker: r.attempts[0].worker.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 			}
 		}
 		return n
 	}
-	if n := over(1.6); n > 15 {
+	if n := countOverQuota(1.6); n > 15 {
 		t.Errorf("%d of 300 calls within the share looked beyond it", n)
 	}
-	if n := over(6); n < 120 {
+	if n := countOverQuota(6); n < 120 {
 		t.Errorf("only %d of 300 calls at three times the share looked beyond it", n)
 	}
 }
 
 // In overload a call that must wait for a load is late at best and gives way before one that is warm.
 func TestRequestsExpectedLateAreShedFirst(t *testing.T) {
-	b := newHarness(t, config(), 4)
-	b.serve(7, 1100*ms, StartedLoad)
+	h := newHarness(t, config(), 4)
+	h.serve(7, 1100*ms, StartedLoad)
 	sent := map[FunctionID]int{}
 	for n := range 200 {
-		b.p.shedder.standingDelay.Mean = float64(220 * ms)
+		h.p.shedder.standingDelay.Mean = float64(220 * ms)
 		f := FunctionID(7)
 		if n%2 == 0 {
 			f = FunctionID(1000 + n)
 		}
-		id, acts := b.arrive(2, f)
-		if s, ok := first[StartAttempt](acts); ok {
+		id, actions := h.arrive(2, f)
+		if s, ok := first[StartAttempt](actions); ok {
 			sent[min(f, 8)]++
-			b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 900 * ms})
+			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 900 * ms})
 		}
 	}
 	if sent[7] < sent[8]+15 {
@@ -88,26 +88,26 @@
 
 // In overload the lowest priority is shed first, and all is admitted again once the delay is gone.
 func TestShedsLowestPriorityFirstAndRecovers(t *testing.T) {
-	b := newHarness(t, config(), 4)
+	h := newHarness(t, config(), 4)
 	count := func(class int) (sent int) {
 		for range 100 {
-			id, acts := b.arrive(class, 7)
-			if s, ok := first[StartAttempt](acts); ok {
+			id, actions := h.arrive(class, 7)
+			if s, ok := first[StartAttempt](actions); ok {
 				sent++
-				b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 10 * ms})
+				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 10 * ms})
 			}
 		}
 		return sent
 	}
-	b.p.shedder.standingDelay.Mean = float64(220 * ms)
+	h.p.shedder.standingDelay.Mean = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
 		t.Errorf("sent %d of low priority and %d of high", low, high)
 	}
 	for range 200 {
-		id, acts := b.arrive(2, 7)
-		if s, ok := first[StartAttempt](acts); ok {
-			b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+		id, actions := h.arrive(2, 7)
+		if s, ok := first[StartAttempt](actions); ok {
+			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 		}
 	}
 	if got := count(0); got < 95 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -28,19 +28,19 @@
 	complete      bool
 }
 
-func (c *ruleChecker) check(now time.Duration, acts []Action) {
-	for _, a := range acts {
+func (c *ruleChecker) check(now time.Duration, actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
 			r := c.requests[a.Request]
 			class := c.cfg.Classes[r.class]
-			risky := r.mayHaveRun || len(r.inFlight) > 0
+			mayRunTwice := r.mayHaveRun || len(r.inFlight) > 0
 			switch {
 			case r.complete:
 				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
 			case c.states[a.Worker] != Ready:
 				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.states[a.Worker])
-			case risky && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.HedgingAllowed:
+			case mayRunTwice && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.HedgingAllowed:
 				c.t.Fatalf("%v: repeat of %d", now, a.Request)
 			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.possibleRunAt+class.DeduplicationWindow:
 				c.t.Fatalf("%v: keyed repeat outside the window", now)
@@ -63,19 +63,19 @@
 				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			}
 			c.loadCommands = append(c.loadCommands, now)
-			n, m := 0, 0
+			commands, requests := 0, 0
 			for _, at := range c.loadCommands {
 				if at >= now-c.cfg.LoadBudgetWindow {
-					n++
+					commands++
 				}
 			}
 			for _, at := range c.arrivals {
 				if at > now-c.cfg.LoadBudgetWindow {
-					m++
+					requests++
 				}
 			}
-			if float64(n) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(m) {
-				c.t.Fatalf("%v: %d load commands with %d requests", now, n, m)
+			if float64(commands) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(requests) {
+				c.t.Fatalf("%v: %d load commands with %d requests", now, commands, requests)
 			}
 		}
 	}
@@ -105,8 +105,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
-	now, next := time.Hour, RequestID(0)
+	checker := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
+	now, lastID := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
 		token uint64
@@ -114,9 +114,9 @@
 	var timers []timer
 	var loads []Load
 	handle := func(ev Event) {
-		acts := p.Handle(now, ev, nil)
-		c.check(now, acts)
-		for _, a := range acts {
+		actions := p.Handle(now, ev, nil)
+		checker.check(now, actions)
+		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, timer{now + a.After, a.Token})
@@ -135,7 +135,7 @@
 			if rng.IntN(6) == 0 {
 				e.State = Gone
 			}
-			c.states[w] = e.State
+			checker.states[w] = e.State
 			l.Workers = append(l.Workers, e)
 		}
 		handle(l)
@@ -144,26 +144,26 @@
 	for range steps {
 		now += time.Duration(rng.IntN(9)) * ms
 		for i := 0; i < len(timers); i++ {
-			if tm := timers[i]; tm.at <= now {
+			if timer := timers[i]; timer.at <= now {
 				timers = append(timers[:i], timers[i+1:]...)
 				i--
-				handle(TimerFired{Token: tm.token})
+				handle(TimerFired{Token: timer.token})
 			}
 		}
 		switch k := rng.IntN(20); {
 		case k == 0 && rng.IntN(5) == 0:
 			list()
 		case k < 8:
-			next++
-			left := time.Duration(rng.IntN(3000)) * ms
-			c.arrivals = append(c.arrivals, now)
-			c.requests[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, inFlight: map[int]bool{}}
-			handle(RequestArrived{Request: next, Class: c.requests[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
-				LoadTime: 800 * ms, Remaining: left})
-		case k == 9 && next > 0:
-			if r := c.requests[1+RequestID(rng.IntN(int(next)))]; !r.complete {
+			lastID++
+			remaining := time.Duration(rng.IntN(3000)) * ms
+			checker.arrivals = append(checker.arrivals, now)
+			checker.requests[lastID] = &observedRequest{class: rng.IntN(3), deadline: now + remaining, inFlight: map[int]bool{}}
+			handle(RequestArrived{Request: lastID, Class: checker.requests[lastID].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
+				LoadTime: 800 * ms, Remaining: remaining})
+		case k == 9 && lastID > 0:
+			if r := checker.requests[1+RequestID(rng.IntN(int(lastID)))]; !r.complete {
 				r.complete = true
-				for id, o := range c.requests {
+				for id, o := range checker.requests {
 					if o == r {
 						handle(RequestCanceled{Request: id})
 					}
@@ -177,16 +177,16 @@
 			handle(HealthCheckCompleted{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
 		default:
 			id := RequestID(0)
-			for try := range int(next) {
-				if r := c.requests[next-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
-					id = next - RequestID(try)
+			for try := range int(lastID) {
+				if r := checker.requests[lastID-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
+					id = lastID - RequestID(try)
 					break
 				}
 			}
 			if id == 0 {
 				continue
 			}
-			r := c.requests[id]
+			r := checker.requests[id]
 			for n := range len(r.workers) {
 				if !r.inFlight[n] {
 					continue
@@ -207,18 +207,18 @@
 	for _, tm := range timers {
 		now = max(now, tm.at)
 	}
-	for _, r := range c.requests {
+	for _, r := range checker.requests {
 		r.deadline = now
 	}
 	for _, tm := range timers {
 		handle(TimerFired{Token: tm.token})
 	}
-	for id, r := range c.requests {
+	for id, r := range checker.requests {
 		if !r.complete {
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.requests.deferred) > len(c.requests) {
+	if len(p.requests.deferred) > len(checker.requests) {
 		t.Fatalf("seed %d: the tables grow: %d deferred", seed, len(p.requests.deferred))
 	}
 }
@@ -268,11 +268,11 @@
 			case 8:
 				ev = RequestCanceled{Request: id}
 			}
-			before := map[RequestID]bool{}
+			open := map[RequestID]bool{}
 			for id, r := range p.requests.byID {
-				before[id] = !r.complete
+				open[id] = !r.complete
 			}
-			over := map[RequestID]bool{}
+			closed := map[RequestID]bool{}
 			for _, act := range p.Handle(now, ev, nil) {
 				var req RequestID
 				var to WorkerID
@@ -289,9 +289,9 @@
 					to = act.Worker
 				}
 				if arr, ok := ev.(RequestArrived); ok {
-					before[arr.Request] = true
+					open[arr.Request] = true
 				}
-				if req != 0 && (!before[req] || over[req]) {
+				if req != 0 && (!open[req] || closed[req]) {
 					t.Fatalf("%T for request %d, which is over", act, req)
 				}
 				if to != 0 && !known[to] {
@@ -299,7 +299,7 @@
 				}
 				switch act.(type) {
 				case Reject, FailRequest:
-					over[req] = true
+					closed[req] = true
 				}
 			}
 		}
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -7,22 +7,22 @@
 )
 
 func TestSlowStartBoundsAttempts(t *testing.T) {
-	b := newHarness(t, config(), 5)
+	h := newHarness(t, config(), 5)
 	for range 200 { // 10 a second over 5 workers
-		b.serveWithHousekeeping(FunctionID(b.now%50), 95*ms)
-		b.advance(5 * ms)
+		h.serveWithHousekeeping(FunctionID(h.now%50), 95*ms)
+		h.advance(5 * ms)
 	}
-	b.handle(EndpointList{Workers: []Endpoint{{Worker: 1, State: Ready, Started: b.now}}})
+	h.handle(EndpointList{Workers: []Endpoint{{Worker: 1, State: Ready, Started: h.now}}})
 	sent := 0
 	for f := FunctionID(1000); f < 1600; f++ {
-		b.advance(10 * ms)
-		id, acts := b.arrive(0, f)
-		s, ok := first[StartAttempt](acts)
+		h.advance(10 * ms)
+		id, actions := h.arrive(0, f)
+		s, ok := first[StartAttempt](actions)
 		for n := 0; ok; n++ {
 			if s.Worker == 1 {
 				sent++
 			}
-			s, ok = first[StartAttempt](b.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Failed}))
+			s, ok = first[StartAttempt](h.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
 	// A share of 0.2 to 0.6 at a multiple of 2 allows 0.8 of the mean, 2 a second, on average: 9.6 in 6 s.
@@ -34,54 +34,54 @@
 // A worker that could not be reached, or was silent, may have been started anew before it answers again, and its start is
 // reported later. Until then it counts as in slow start; after that, where none was reported, as warm.
 func TestReturningWorkerIsInSlowStartUntilAStartWouldBeReported(t *testing.T) {
-	b := newHarness(t, config(), 5)
+	h := newHarness(t, config(), 5)
 	for range 200 { // 10 a second over 5 workers
-		b.serveWithHousekeeping(FunctionID(b.now%50), 95*ms)
-		b.advance(5 * ms)
+		h.serveWithHousekeeping(FunctionID(h.now%50), 95*ms)
+		h.advance(5 * ms)
 	}
-	b.failAt(1, Unreachable)
-	b.advance(2 * time.Second)
-	b.handle(HealthCheckCompleted{Worker: 1, Outcome: Served})
-	early := b.attemptsAt(1, 200, 10*ms) // 2 s
+	h.failAt(1, Unreachable)
+	h.advance(2 * time.Second)
+	h.handle(HealthCheckCompleted{Worker: 1, Outcome: Served})
+	early := h.attemptsAt(1, 200, 10*ms) // 2 s
 	// The least share of 0.2 at a multiple of 2 allows 0.4 of the mean, 2 a second; one that was warm takes 40 a second.
 	if early > 4 {
 		t.Errorf("%d sends within 2 s of the return of a worker that may be cold", early)
 	}
-	b.advance(2 * time.Second)
-	if late := b.attemptsAt(1, 200, 10*ms); late < 20 {
+	h.advance(2 * time.Second)
+	if late := h.attemptsAt(1, 200, 10*ms); late < 20 {
 		t.Errorf("%d sends within 2 s to a worker whose start was not reported", late)
 	}
 }
 
 // failAt has attempts go out until one goes to a worker, and ends that with an outcome; the others are served.
-func (b *harness) failAt(worker WorkerID, outcome Outcome) {
+func (h *harness) failAt(worker WorkerID, outcome Outcome) {
 	for f := FunctionID(5000); ; f++ {
-		id, acts := b.arrive(0, f)
-		s, ok := first[StartAttempt](acts)
+		id, actions := h.arrive(0, f)
+		s, ok := first[StartAttempt](actions)
 		if !ok {
-			b.t.Fatal("nothing was sent")
+			h.t.Fatal("nothing was sent")
 		}
 		if s.Worker == worker {
-			b.handle(AttemptCompleted{Request: id, Worker: worker, Outcome: outcome})
+			h.handle(AttemptCompleted{Request: id, Worker: worker, Outcome: outcome})
 			return
 		}
-		b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 100 * ms})
+		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 100 * ms})
 	}
 }
 
 // attemptsAt sends requests for new functions, all of which are served, and counts those that go to one worker.
-func (b *harness) attemptsAt(worker WorkerID, requests int, interval time.Duration) (sent int) {
+func (h *harness) attemptsAt(worker WorkerID, requests int, interval time.Duration) (sent int) {
 	for f := range requests {
-		b.advance(interval)
-		id, acts := b.arrive(0, FunctionID(10_000+int(b.now)+f))
-		s, ok := first[StartAttempt](acts)
+		h.advance(interval)
+		id, actions := h.arrive(0, FunctionID(10_000+int(h.now)+f))
+		s, ok := first[StartAttempt](actions)
 		if !ok {
 			continue
 		}
 		if s.Worker == worker {
 			sent++
 		}
-		b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 95 * ms})
+		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 95 * ms})
 	}
 	return sent
 }
@@ -103,8 +103,8 @@
 		} else {
 			mean /= 4
 		}
-		if most := 3 * 0.32 * 2 * mean; float64(sent) < most/4 || float64(sent) > most {
-			t.Errorf("%d started: %d sends to one of them within 3 s by all together, %.0f at most", started, sent, most)
+		if limit := 3 * 0.32 * 2 * mean; float64(sent) < limit/4 || float64(sent) > limit {
+			t.Errorf("%d started: %d sends to one of them within 3 s by all together, %.0f at most", started, sent, limit)
 		}
 	}
 }
@@ -114,31 +114,31 @@
 func attemptsInSlowStart(t *testing.T, seed uint64, started int) int {
 	cfg := config()
 	cfg.Routers = 100
-	b := newHarness(t, cfg, 10)
-	*b.p.scheduler.rng = *rand.New(rand.NewPCG(seed, 1))
-	gone, back := EndpointList{}, EndpointList{}
+	h := newHarness(t, cfg, 10)
+	*h.p.scheduler.rng = *rand.New(rand.NewPCG(seed, 1))
+	gone, restarted := EndpointList{}, EndpointList{}
 	for w := range started {
 		gone.Workers = append(gone.Workers, Endpoint{Worker: WorkerID(w + 1), State: Gone})
 	}
 	if started > 1 {
-		b.handle(gone)
+		h.handle(gone)
 	}
 	for k := range 60 {
-		b.serveWithHousekeeping(FunctionID(k), 300*ms)
-		b.advance(33 * ms)
+		h.serveWithHousekeeping(FunctionID(k), 300*ms)
+		h.advance(33 * ms)
 	}
 	for w := range started {
-		back.Workers = append(back.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Started: b.now})
+		restarted.Workers = append(restarted.Workers, Endpoint{Worker: WorkerID(w + 1), State: Ready, Started: h.now})
 	}
-	b.handle(back)
-	before := b.attemptsAtWorker1
+	h.handle(restarted)
+	before := h.attemptsAtWorker1
 	for f := FunctionID(1000); f < 1060; f++ {
-		b.advance(50 * ms)
-		id, acts := b.arrive(0, f)
-		s, ok := first[StartAttempt](acts)
+		h.advance(50 * ms)
+		id, actions := h.arrive(0, f)
+		s, ok := first[StartAttempt](actions)
 		for try := 0; ok; try++ {
-			s, ok = first[StartAttempt](b.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Failed}))
+			s, ok = first[StartAttempt](h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
-	return b.attemptsAtWorker1 - before
+	return h.attemptsAtWorker1 - before
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -22,33 +22,33 @@
 	cfg                Config
 }
 
-func (s scenario) run(t testing.TB, seed uint64) (sum uint64, calls, sends int, p *Policy) {
+func (s scenario) run(t testing.TB, seed uint64) (checksum uint64, requests, attempts int, p *Policy) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	p, err := New(s.cfg, seed)
 	if err != nil {
 		panic(err)
 	}
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	now := time.Hour
 	var upcoming timerheap.Heap[Event] // nil: a call comes
 	for at := time.Duration(0); at < s.duration; at += s.interval {
 		upcoming.Add(now+at, nil)
 	}
-	later := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
-	type place struct {
+	addEvent := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
+	type replicaKey struct {
 		w WorkerID
 		f FunctionID
 	}
-	loaded, loading := map[place]time.Duration{}, map[place]time.Duration{}
+	loaded, loading := map[replicaKey]time.Duration{}, map[replicaKey]time.Duration{}
 	busy := map[WorkerID]int{}
-	function, attempts := map[RequestID]FunctionID{}, map[RequestID]int{}
-	over := map[string]bool{}
+	function, attemptCounts := map[RequestID]FunctionID{}, map[RequestID]int{}
+	completed := map[string]bool{}
 	list := EndpointList{Kind: EndpointSnapshot}
 	for w := range s.workers {
 		list.Workers = append(list.Workers, Endpoint{Worker: WorkerID(w*7919 + 1), State: Ready, Weight: 1})
 	}
-	later(0, list)
+	addEvent(0, list)
 	var arrive func()
 	next := RequestID(0)
 	arrive = func() {
@@ -56,14 +56,14 @@
 		f := FunctionID(1 + int(float64(s.functions)*rng.Float64()*rng.Float64()))
 		class := rng.IntN(len(s.cfg.Classes))
 		function[next] = f
-		later(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
+		addEvent(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
 	}
-	ended := func(w WorkerID, r RequestID, n int, o Outcome, note LoadStatus, took time.Duration) {
+	completeAfter := func(w WorkerID, r RequestID, n int, o Outcome, status LoadStatus, took time.Duration) {
 		key := fmt.Sprint(r, n)
-		if over[key] {
+		if completed[key] {
 			return
 		}
-		later(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: note, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
+		addEvent(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: status, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
 	}
 	for {
 		next, ok := upcoming.PopDue(math.MaxInt64)
@@ -81,7 +81,7 @@
 				} else {
 					e.State, e.Started = Ready, now
 				}
-				later(0, EndpointList{Kind: EndpointDelta, Workers: []Endpoint{*e}})
+				addEvent(0, EndpointList{Kind: EndpointDelta, Workers: []Endpoint{*e}})
 			}
 			continue
 		}
@@ -91,59 +91,59 @@
 		switch e := next.Value.(type) {
 		case AttemptCompleted:
 			key := fmt.Sprint(e.Request, e.Attempt)
-			if over[key] {
+			if completed[key] {
 				continue
 			}
-			over[key] = true
+			completed[key] = true
 			busy[e.Worker]--
 		case RequestArrived:
-			calls++
+			requests++
 		case LoadCompleted:
-			loaded[place{e.Worker, e.Function}] = now
+			loaded[replicaKey{e.Worker, e.Function}] = now
 		}
-		fmt.Fprintf(h, "%d", now)
+		fmt.Fprintf(hash, "%d", now)
 		for _, a := range p.Handle(now, next.Value, nil) {
 			if _, ok := a.(ClearTimer); ok {
 				continue // it changes no choice, and is newer than the records
 			}
-			writeAction(t, h, a)
+			writeAction(t, hash, a)
 			switch a := a.(type) {
 			case StartAttempt:
-				sends++
-				n := attempts[a.Request]
-				attempts[a.Request]++
-				at := place{a.Worker, function[a.Request]}
+				attempts++
+				n := attemptCounts[a.Request]
+				attemptCounts[a.Request]++
+				key := replicaKey{a.Worker, function[a.Request]}
 				busy[a.Worker]++
 				took := time.Duration(60+rng.IntN(40)+10*busy[a.Worker]) * ms
-				switch since, ok := loaded[at]; {
+				switch since, ok := loaded[key]; {
 				case s.faults && rng.IntN(40) == 0:
-					ended(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
+					completeAfter(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
 				case ok && now-since < 10*time.Second:
-					loaded[at] = now
-					ended(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
-				case loading[at] > now:
-					ended(a.Worker, a.Request, n, Served, WaitedForLoad, loading[at]-now+took)
+					loaded[key] = now
+					completeAfter(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
+				case loading[key] > now:
+					completeAfter(a.Worker, a.Request, n, Served, WaitedForLoad, loading[key]-now+took)
 				case s.cfg.MissWhenNotLoaded:
-					ended(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
+					completeAfter(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
 				default:
-					loaded[at] = now + 500*ms
-					ended(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
+					loaded[key] = now + 500*ms
+					completeAfter(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
 				}
 			case CancelAttempt:
-				if key := fmt.Sprint(a.Request, a.Attempt); !over[key] {
-					later(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Canceled})
+				if key := fmt.Sprint(a.Request, a.Attempt); !completed[key] {
+					addEvent(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Canceled})
 				}
 			case Load:
-				loading[place{a.Worker, a.Function}] = now + 500*ms
-				later(500*ms, LoadCompleted{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
+				loading[replicaKey{a.Worker, a.Function}] = now + 500*ms
+				addEvent(500*ms, LoadCompleted{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
 			case CheckHealth:
-				later(ms, HealthCheckCompleted{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
+				addEvent(ms, HealthCheckCompleted{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
 			case SetTimer:
-				later(a.After, TimerFired{Token: a.Token})
+				addEvent(a.After, TimerFired{Token: a.Token})
 			}
 		}
 	}
-	return h.Sum64(), calls, sends, p
+	return hash.Sum64(), requests, attempts, p
 }
 
 // writeAction writes an action in the form in which the sums were recorded: the names in it are those of that time and
@@ -176,7 +176,7 @@
 
 // scenarios are what the module was recorded on.
 func scenarios() map[string]scenario {
-	load := func(miss bool) Config {
+	settings := func(miss bool) Config {
 		c := config()
 		c.Classes[0].Idempotency = Idempotent
 		c.Routers, c.LoadCommandsSupported, c.MissWhenNotLoaded, c.MaxAttempts = 2, miss, miss, 3
@@ -184,14 +184,14 @@
 		c.RetryAfterSupported, c.MaxRetryAfter = true, time.Second
 		return c
 	}
-	queue := load(false)
-	queue.LoadReportFields = []string{"queue"}
+	queueReports := settings(false)
+	queueReports.LoadReportFields = []string{"queue"}
 	return map[string]scenario{
-		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, load(true)},
-		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, load(true)},
-		"14 workers, loads by call": {14, 40, 4 * ms, 15 * time.Second, true, queue},
-		"100 workers with faults":   {100, 300, 2 * ms, 8 * time.Second, true, load(true)},
-		"8 workers, overloaded":     {8, 20, ms, 6 * time.Second, true, load(true)},
+		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, settings(true)},
+		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, settings(true)},
+		"14 workers, loads by call": {14, 40, 4 * ms, 15 * time.Second, true, queueReports},
+		"100 workers with faults":   {100, 300, 2 * ms, 8 * time.Second, true, settings(true)},
+		"8 workers, overloaded":     {8, 20, ms, 6 * time.Second, true, settings(true)},
 	}
 }
 
@@ -208,9 +208,9 @@
 // Guards the choices: the same events get the same actions as before, ties and random draws included.
 func TestDecisionsMatchRecordedChecksums(t *testing.T) {
 	for name, s := range scenarios() {
-		sum, calls, sends, _ := s.run(t, 1)
-		if sum != recordedChecksums[name] || calls < 1000 || sends < 1000 {
-			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, sum, recordedChecksums[name], calls, sends)
+		checksum, requests, attempts, _ := s.run(t, 1)
+		if checksum != recordedChecksums[name] || requests < 1000 || attempts < 1000 {
+			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, checksum, recordedChecksums[name], requests, attempts)
 		}
 	}
 }
@@ -222,10 +222,10 @@
 		s.workers, s.functions, s.interval = n, 3*n, time.Duration(float64(60*ms)/float64(n))
 		s.duration = 2000 * s.interval
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			calls := 0
-			for calls < b.N {
+			requests := 0
+			for requests < b.N {
 				_, c, _, _ := s.run(b, 1)
-				calls += c
+				requests += c
 			}
 		})
 	}
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -35,7 +35,7 @@
 // A ConfigError says which class or setting is impossible.
 func TestConfigErrorNamesTheSetting(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil   func(*Config)
+		modify  func(*Config)
 		class   int
 		setting string
 	}{
@@ -48,10 +48,10 @@
 		"a class and an amount": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1, ""},
 	} {
 		cfg := config()
-		c.spoil(&cfg)
+		c.modify(&cfg)
 		_, err := New(cfg, 1)
-		impossible := (*ConfigError)(nil)
-		if !errors.As(err, &impossible) || impossible.Class != c.class || impossible.Setting != c.setting {
+		configErr := (*ConfigError)(nil)
+		if !errors.As(err, &configErr) || configErr.Class != c.class || configErr.Setting != c.setting {
 			t.Errorf("%s: %v, want an error of class %d, setting %q", name, err, c.class, c.setting)
 		}
 	}
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -17,25 +17,25 @@
 // idleTimeBeforeUnload serves n calls of a function of so much memory in each of ten seconds, then lets time pass, and returns
 // how long after the last call its replica was unloaded, or 0 if that never was.
 func idleTimeBeforeUnload(t *testing.T, c Config, n int, memory float64) time.Duration {
-	b := newHarness(t, c, 10)
+	h := newHarness(t, c, 10)
 	for range 10 * n {
-		b.id++
-		acts := b.handle(RequestArrived{Request: b.id, Function: 7, Lanes: 4, MemoryMB: memory, LoadTime: 500 * ms, Remaining: 4 * time.Second})
-		s, ok := first[StartAttempt](acts)
+		h.id++
+		actions := h.handle(RequestArrived{Request: h.id, Function: 7, Lanes: 4, MemoryMB: memory, LoadTime: 500 * ms, Remaining: 4 * time.Second})
+		s, ok := first[StartAttempt](actions)
 		if !ok {
-			t.Fatalf("not sent: %v", acts)
+			t.Fatalf("not sent: %v", actions)
 		}
-		b.advance(20 * ms)
-		b.handle(AttemptCompleted{Request: b.id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
-		b.advance(time.Second/time.Duration(n) - 20*ms)
+		h.advance(20 * ms)
+		h.handle(AttemptCompleted{Request: h.id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+		h.advance(time.Second/time.Duration(n) - 20*ms)
 	}
-	for end := b.now; b.now < end+c.KeepAlive; {
-		b.now += housekeepingInterval
-		if u, ok := first[Unload](b.handle(TimerFired{Token: housekeepingToken})); ok {
+	for end := h.now; h.now < end+c.KeepAlive; {
+		h.now += housekeepingInterval
+		if u, ok := first[Unload](h.handle(TimerFired{Token: housekeepingToken})); ok {
 			if u.Function != 7 {
 				t.Errorf("unloaded %+v", u)
 			}
-			return b.now - end
+			return h.now - end
 		}
 	}
 	return 0
@@ -51,8 +51,8 @@
 	if larger := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 30_000); larger <= 0 || larger >= base {
 		t.Errorf("a larger copy is unloaded after %v, another after %v", larger, base)
 	}
-	if thin := idleTimeBeforeUnload(t, memoryPriceConfig(), 2, 8000); thin != 0 {
-		t.Errorf("in thin traffic it is unloaded after %v", thin)
+	if fewRequests := idleTimeBeforeUnload(t, memoryPriceConfig(), 2, 8000); fewRequests != 0 {
+		t.Errorf("in thin traffic it is unloaded after %v", fewRequests)
 	}
 	for name, change := range map[string]func(*Config){
 		"memory is free":                func(c *Config) { c.MemoryPrice = 0 },
@@ -62,33 +62,33 @@
 	} {
 		c := memoryPriceConfig()
 		change(&c)
-		if at := idleTimeBeforeUnload(t, c, 20, 8000); at != 0 {
-			t.Errorf("where %s it is unloaded after %v", name, at)
+		if idleTime := idleTimeBeforeUnload(t, c, 20, 8000); idleTime != 0 {
+			t.Errorf("where %s it is unloaded after %v", name, idleTime)
 		}
 	}
-	if at := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 0); at != 0 {
-		t.Errorf("a copy of untold memory is unloaded after %v", at)
+	if idleTime := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 0); idleTime != 0 {
+		t.Errorf("a copy of untold memory is unloaded after %v", idleTime)
 	}
 }
 
 // Guards a replica that is in use, loading, or at a worker that takes nothing new: none of these is unloaded.
 func TestOnlyIdleReplicasAtReadyWorkersAreUnloaded(t *testing.T) {
-	for _, why := range []string{"in use", "draining"} {
-		b := newHarness(t, memoryPriceConfig(), 1)
+	for _, reason := range []string{"in use", "draining"} {
+		h := newHarness(t, memoryPriceConfig(), 1)
 		for range 200 {
-			b.id++
-			b.handle(RequestArrived{Request: b.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
-			if b.id < 200 || why == "draining" {
-				b.handle(AttemptCompleted{Request: b.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+			h.id++
+			h.handle(RequestArrived{Request: h.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
+			if h.id < 200 || reason == "draining" {
+				h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 			}
 		}
-		if why == "draining" {
-			b.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Draining, Weight: 1}}})
+		if reason == "draining" {
+			h.handle(EndpointList{Kind: EndpointSnapshot, Workers: []Endpoint{{Worker: 1, State: Draining, Weight: 1}}})
 		}
 		for range 300 {
-			b.now += housekeepingInterval
-			if acts := b.handle(TimerFired{Token: housekeepingToken}); has[Unload](acts) {
-				t.Fatalf("%s, and unloaded: %v", why, acts)
+			h.now += housekeepingInterval
+			if actions := h.handle(TimerFired{Token: housekeepingToken}); has[Unload](actions) {
+				t.Fatalf("%s, and unloaded: %v", reason, actions)
 			}
 		}
 	}
@@ -97,15 +97,15 @@
 // Guards equal runs: replicas that go in one sweep go in one order, whatever a map's is.
 func TestUnloadOrderIsDeterministic(t *testing.T) {
 	run := func() (order []FunctionID) {
-		b := newHarness(t, memoryPriceConfig(), 1)
+		h := newHarness(t, memoryPriceConfig(), 1)
 		for i := range 400 {
-			b.id++
-			b.handle(RequestArrived{Request: b.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
-			b.handle(AttemptCompleted{Request: b.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+			h.id++
+			h.handle(RequestArrived{Request: h.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
+			h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
 		}
 		for range 200 {
-			b.now += housekeepingInterval
-			for _, a := range b.handle(TimerFired{Token: housekeepingToken}) {
+			h.now += housekeepingInterval
+			for _, a := range h.handle(TimerFired{Token: housekeepingToken}) {
 				if u, ok := a.(Unload); ok {
 					order = append(order, u.Function)
 				}
@@ -128,32 +128,32 @@
 // often, and does not go round all workers.
 func TestOverloadedRequestsAreShedUnderAStandingDelay(t *testing.T) {
 	rejected := func(overloaded bool) (n int) {
-		b := newHarness(t, config(), 8)
+		h := newHarness(t, config(), 8)
 		for i := range 200 {
 			took := 50 * ms
 			if overloaded {
 				took = 700 * ms
 			}
-			id, acts := b.arrive(0, FunctionID(i%4+1))
-			if s, ok := first[StartAttempt](acts); ok {
-				b.now += took
-				b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
+			id, actions := h.arrive(0, FunctionID(i%4+1))
+			if s, ok := first[StartAttempt](actions); ok {
+				h.now += took
+				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 			}
 		}
 		for i := 0; i < 200; {
-			id, acts := b.arrive(0, FunctionID(i%4+1))
-			s, ok := first[StartAttempt](acts)
+			id, actions := h.arrive(0, FunctionID(i%4+1))
+			s, ok := first[StartAttempt](actions)
 			if !ok {
 				continue // a first attempt that gives way
 			}
 			i++
-			acts = b.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
-			if has[Reject](acts) {
+			actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
+			if has[Reject](actions) {
 				n++
-			} else if s, ok = first[StartAttempt](acts); ok {
-				b.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+			} else if s, ok = first[StartAttempt](actions); ok {
+				h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
 			}
-			b.now += 10 * ms
+			h.now += 10 * ms
 		}
 		return n
 	}
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -3,18 +3,18 @@
 import "testing"
 
 func TestRestartForgetsReplicas(t *testing.T) {
-	b := newHarness(t, config(), 3)
-	w := b.serve(7, 1100*ms, StartedLoad)
-	b.handle(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: b.now}}})
-	if b.p.workers.byID[w].replicas[7].loadedUntil > b.now {
+	h := newHarness(t, config(), 3)
+	w := h.serve(7, 1100*ms, StartedLoad)
+	h.handle(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: h.now}}})
+	if h.p.workers.byID[w].replicas[7].loadedUntil > h.now {
 		t.Error("a restarted worker is still thought warm")
 	}
 }
 
 func TestNothingIsSentToADrainingWorker(t *testing.T) {
-	b := newHarness(t, config(), 1)
-	b.handle(EndpointList{Workers: []Endpoint{{Worker: 1, State: Draining}}})
-	if _, acts := b.arrive(0, 7); has[StartAttempt](acts) {
+	h := newHarness(t, config(), 1)
+	h.handle(EndpointList{Workers: []Endpoint{{Worker: 1, State: Draining}}})
+	if _, actions := h.arrive(0, 7); has[StartAttempt](actions) {
 		t.Error("sent to a draining worker")
 	}
 }
