--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -69,7 +69,7 @@
 	w := h.serve(7, 1100*ms, StartedLoad)
 	id, _ := h.arrive(2, 7)
 	actions := h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: ConnectionReset})
-	if check, ok := first[CheckHealth](actions); !ok || check.Worker != w {
+	if healthCheck, ok := first[CheckHealth](actions); !ok || healthCheck.Worker != w {
 		t.Fatalf("no health check of the worker: %v", actions)
 	}
 	h.handle(HealthCheckCompleted{Worker: w})
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -236,19 +236,19 @@
 		h := newHarness(t, cfg, 4)
 		pools := []*fakePool{newFakePool(3, 1, 2), newFakePool(2, 2, 3, 4)}
 		pools[0].next, pools[0].overflowsLeft = pools[1], 1000
-		type sentAttempt struct {
+		type inFlight struct {
 			id     RequestID
 			number int
 			w      WorkerID
 		}
-		var inFlight []sentAttempt
+		var sentAttempts []inFlight
 		sent := map[RequestID]int{}
 		var hedgeTokens []uint64
 		apply := func(actions []Action) {
 			for _, a := range actions {
 				switch a := a.(type) {
 				case StartAttempt:
-					inFlight = append(inFlight, sentAttempt{a.Request, sent[a.Request], a.Worker})
+					sentAttempts = append(sentAttempts, inFlight{a.Request, sent[a.Request], a.Worker})
 					sent[a.Request]++
 				case SetTimer:
 					if a.Token >= hedgeToken {
@@ -256,13 +256,13 @@
 					}
 				}
 			}
-			if n := pools[0].inFlight + pools[1].inFlight; n != len(inFlight) || pools[0].inFlight > 3 || pools[1].inFlight > 2 {
-				rt.Fatalf("%d and %d are counted, %d are out", pools[0].inFlight, pools[1].inFlight, len(inFlight))
+			if n := pools[0].inFlight + pools[1].inFlight; n != len(sentAttempts) || pools[0].inFlight > 3 || pools[1].inFlight > 2 {
+				rt.Fatalf("%d and %d are counted, %d are out", pools[0].inFlight, pools[1].inFlight, len(sentAttempts))
 			}
 		}
 		completeAttempt := func(i int, o Outcome) {
-			x := inFlight[i]
-			inFlight = append(inFlight[:i], inFlight[i+1:]...)
+			x := sentAttempts[i]
+			sentAttempts = append(sentAttempts[:i], sentAttempts[i+1:]...)
 			apply(h.handle(AttemptCompleted{Request: x.id, Attempt: x.number, Worker: x.w, Outcome: o, Took: 10 * ms,
 				Closed: o == Served}))
 		}
@@ -274,9 +274,9 @@
 				policy.HedgeDelay = 100 * ms
 				_, actions := h.arriveWithPolicy(rapid.SampledFrom([]int{0, 0, 2}).Draw(rt, "class"), policy)
 				apply(actions)
-			case what == 2 && len(inFlight) > 0:
+			case what == 2 && len(sentAttempts) > 0:
 				o := rapid.SampledFrom([]Outcome{Served, Failed, Overloaded, ConnectionReset, TimedOut, Canceled, NotLoaded, NotSent}).Draw(rt, "end")
-				completeAttempt(rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which"), o)
+				completeAttempt(rapid.IntRange(0, len(sentAttempts)-1).Draw(rt, "which"), o)
 			case what == 3 && len(hedgeTokens) > 0:
 				apply(h.handle(TimerFired{Token: hedgeTokens[0]}))
 				hedgeTokens = hedgeTokens[1:]
@@ -287,7 +287,7 @@
 		for id := range h.id {
 			apply(h.handle(RequestCanceled{Request: id + 1}))
 		}
-		for len(inFlight) > 0 {
+		for len(sentAttempts) > 0 {
 			completeAttempt(0, Canceled)
 		}
 		if pools[0].inFlight != 0 || pools[1].inFlight != 0 {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -11,7 +11,7 @@
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
-	requests     map[RequestID]*observedRequest
+	observed     map[RequestID]*observedRequest
 	states       map[WorkerID]WorkerState
 	loadCommands []time.Duration
 	arrivals     []time.Duration
@@ -32,7 +32,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
-			r := c.requests[a.Request]
+			r := c.observed[a.Request]
 			class := c.cfg.Classes[r.class]
 			mayRunTwice := r.mayHaveRun || len(r.inFlight) > 0
 			switch {
@@ -50,32 +50,32 @@
 			r.inFlight[len(r.workers)] = true
 			r.workers, r.sentAt = append(r.workers, a.Worker), append(r.sentAt, now)
 		case Reject:
-			r := c.requests[a.Request]
+			r := c.observed[a.Request]
 			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.inFlight) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
 				c.t.Fatalf("%v: rejection of %d, which may have run", now, a.Request)
 			}
 			c.checkFinalResponse(now, r)
 		case FailRequest:
-			c.checkFinalResponse(now, c.requests[a.Request])
+			c.checkFinalResponse(now, c.observed[a.Request])
 		case Load:
 			if c.states[a.Worker] != Ready {
 				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			}
 			c.loadCommands = append(c.loadCommands, now)
-			commands, requests := 0, 0
+			recentCommands, recentRequests := 0, 0
 			for _, at := range c.loadCommands {
 				if at >= now-c.cfg.LoadBudgetWindow {
-					commands++
+					recentCommands++
 				}
 			}
 			for _, at := range c.arrivals {
 				if at > now-c.cfg.LoadBudgetWindow {
-					requests++
+					recentRequests++
 				}
 			}
-			if float64(commands) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(requests) {
-				c.t.Fatalf("%v: %d load commands with %d requests", now, commands, requests)
+			if float64(recentCommands) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(recentRequests) {
+				c.t.Fatalf("%v: %d load commands with %d requests", now, recentCommands, recentRequests)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checker := &ruleChecker{t: t, cfg: cfg, requests: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
+	checker := &ruleChecker{t: t, cfg: cfg, observed: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
 	now, lastID := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
@@ -144,10 +144,10 @@
 	for range steps {
 		now += time.Duration(rng.IntN(9)) * ms
 		for i := 0; i < len(timers); i++ {
-			if timer := timers[i]; timer.at <= now {
+			if due := timers[i]; due.at <= now {
 				timers = append(timers[:i], timers[i+1:]...)
 				i--
-				handle(TimerFired{Token: timer.token})
+				handle(TimerFired{Token: due.token})
 			}
 		}
 		switch k := rng.IntN(20); {
@@ -157,13 +157,13 @@
 			lastID++
 			remaining := time.Duration(rng.IntN(3000)) * ms
 			checker.arrivals = append(checker.arrivals, now)
-			checker.requests[lastID] = &observedRequest{class: rng.IntN(3), deadline: now + remaining, inFlight: map[int]bool{}}
-			handle(RequestArrived{Request: lastID, Class: checker.requests[lastID].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
+			checker.observed[lastID] = &observedRequest{class: rng.IntN(3), deadline: now + remaining, inFlight: map[int]bool{}}
+			handle(RequestArrived{Request: lastID, Class: checker.observed[lastID].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
 				LoadTime: 800 * ms, Remaining: remaining})
 		case k == 9 && lastID > 0:
-			if r := checker.requests[1+RequestID(rng.IntN(int(lastID)))]; !r.complete {
+			if r := checker.observed[1+RequestID(rng.IntN(int(lastID)))]; !r.complete {
 				r.complete = true
-				for id, o := range checker.requests {
+				for id, o := range checker.observed {
 					if o == r {
 						handle(RequestCanceled{Request: id})
 					}
@@ -178,7 +178,7 @@
 		default:
 			id := RequestID(0)
 			for try := range int(lastID) {
-				if r := checker.requests[lastID-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
+				if r := checker.observed[lastID-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
 					id = lastID - RequestID(try)
 					break
 				}
@@ -186,7 +186,7 @@
 			if id == 0 {
 				continue
 			}
-			r := checker.requests[id]
+			r := checker.observed[id]
 			for n := range len(r.workers) {
 				if !r.inFlight[n] {
 					continue
@@ -207,18 +207,18 @@
 	for _, tm := range timers {
 		now = max(now, tm.at)
 	}
-	for _, r := range checker.requests {
+	for _, r := range checker.observed {
 		r.deadline = now
 	}
 	for _, tm := range timers {
 		handle(TimerFired{Token: tm.token})
 	}
-	for id, r := range checker.requests {
+	for id, r := range checker.observed {
 		if !r.complete {
 			t.Fatalf("seed %d: request %d got no final answer", seed, id)
 		}
 	}
-	if len(p.requests.deferred) > len(checker.requests) {
+	if len(p.requests.deferred) > len(checker.observed) {
 		t.Fatalf("seed %d: the tables grow: %d deferred", seed, len(p.requests.deferred))
 	}
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -112,21 +112,21 @@
 				attempts++
 				n := attemptCounts[a.Request]
 				attemptCounts[a.Request]++
-				key := replicaKey{a.Worker, function[a.Request]}
+				at := replicaKey{a.Worker, function[a.Request]}
 				busy[a.Worker]++
 				took := time.Duration(60+rng.IntN(40)+10*busy[a.Worker]) * ms
-				switch since, ok := loaded[key]; {
+				switch since, ok := loaded[at]; {
 				case s.faults && rng.IntN(40) == 0:
 					completeAfter(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
 				case ok && now-since < 10*time.Second:
-					loaded[key] = now
+					loaded[at] = now
 					completeAfter(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
-				case loading[key] > now:
-					completeAfter(a.Worker, a.Request, n, Served, WaitedForLoad, loading[key]-now+took)
+				case loading[at] > now:
+					completeAfter(a.Worker, a.Request, n, Served, WaitedForLoad, loading[at]-now+took)
 				case s.cfg.MissWhenNotLoaded:
 					completeAfter(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
 				default:
-					loaded[key] = now + 500*ms
+					loaded[at] = now + 500*ms
 					completeAfter(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
 				}
 			case CancelAttempt:
