--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -177,9 +177,9 @@
 			handle(HealthCheckCompleted{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
 		default:
 			id := RequestID(0)
-			for try := range int(lastID) {
-				if r := checker.observed[lastID-RequestID(try)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
-					id = lastID - RequestID(try)
+			for offset := range int(lastID) {
+				if r := checker.observed[lastID-RequestID(offset)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
+					id = lastID - RequestID(offset)
 					break
 				}
 			}
@@ -204,14 +204,14 @@
 		}
 	}
 	now += 5 * time.Second // everything that is owed is answered by then
-	for _, tm := range timers {
-		now = max(now, tm.at)
+	for _, due := range timers {
+		now = max(now, due.at)
 	}
 	for _, r := range checker.observed {
 		r.deadline = now
 	}
-	for _, tm := range timers {
-		handle(TimerFired{Token: tm.token})
+	for _, due := range timers {
+		handle(TimerFired{Token: due.token})
 	}
 	for id, r := range checker.observed {
 		if !r.complete {
