--- a/policy/attempt_outcomes_test.go
+++ b/policy/attempt_outcomes_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a load for each call whose connection broke: the worker that holds the replica is tried once
-// more, over another connection. Where that ends badly too the call goes elsewhere.
+// Guards against a new load for each request whose connection broke. The worker that has the replica gets one
+// more attempt, over another connection. If that fails too, the request goes to another worker.
 func TestResetIsRetriedAtTheLoadedWorker(t *testing.T) {
 	for _, again := range []Outcome{ConnectionReset, Unreachable} {
 		h := newHarness(t, config(), 3)
@@ -14,7 +14,7 @@
 		otherID, _ := h.arrive(0, 7) // on the same connection
 		id, actions := h.arrive(0, 7)
 		if s, _ := first[StartAttempt](actions); s.Worker != w {
-			t.Fatalf("warm at %d, sent to %d", w, s.Worker)
+			t.Fatalf("loaded at worker %d, sent to %d", w, s.Worker)
 		}
 		h.now += 10 * ms
 		checks := h.handle(AttemptCompleted{Request: otherID, Worker: w, Outcome: ConnectionReset, Took: 10 * ms})
@@ -28,7 +28,7 @@
 		}
 		actions = h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: w, Outcome: again})
 		if s, ok := first[StartAttempt](actions); !ok || s.Worker == w {
-			t.Errorf("after outcome %d of the second: %v", again, actions)
+			t.Errorf("after outcome %d of the second attempt: %v", again, actions)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	s, _ := first[StartAttempt](actions)
 	again, ok := first[StartAttempt](h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded}))
 	if !ok || again.Worker == s.Worker {
-		t.Errorf("after full: %v %v", again, ok)
+		t.Errorf("after Overloaded: %v %v", again, ok)
 	}
 }
 
@@ -65,13 +65,13 @@
 		h.now += 10 * ms
 		again, ok := first[StartAttempt](h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}))
 		if ok && (again.Worker == 1) != (s.Worker == 1) {
-			t.Fatalf("sent to %d, then to %d of another group", s.Worker, again.Worker)
+			t.Fatalf("sent to worker %d, then to %d in another zone", s.Worker, again.Worker)
 		}
 		id, actions = h.arrive(1, 8)
 		s, _ = first[StartAttempt](actions)
 		h.now += 1100 * ms
 		if actions := h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed}); has[StartAttempt](actions) || has[Reject](actions) {
-			t.Fatal("repeated or rejected outside the window")
+			t.Fatal("retried or rejected outside the deduplication window")
 		}
 	}
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards a worker that is well against a load command whose connection broke: a health check decides, and until
-// then neither is the worker ejected nor do the calls that wait for the load go elsewhere.
+// A load command whose connection broke must not eject a healthy worker. A health check decides. Until then
+// the worker is not ejected, and the requests that wait for the load stay there.
 func TestResetOfALoadEjectsNoWorker(t *testing.T) {
 	for _, o := range []Outcome{ConnectionReset, Unreachable} {
 		cfg := config()
@@ -15,7 +15,7 @@
 		id, actions := h.arrive(0, 7)
 		s, _ := first[StartAttempt](actions)
 		if actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded}); !has[Load](actions) {
-			t.Fatalf("after a miss: %v", actions)
+			t.Fatalf("after NotLoaded: %v", actions)
 		}
 		actions = h.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: o})
 		ejected := h.ejected(h.p.workers.byID[s.Worker])
@@ -26,8 +26,8 @@
 	}
 }
 
-// A router that stood still finds late timers and all answers at once: no worker is ejected for it, answers that
-// are due go out in that turn, and calls flow as before.
+// After a stall, a router gets late timers and all responses at once. It must not eject a worker because of
+// its own stall. Final responses that are due are given in that turn, and requests are scheduled as before.
 func TestStallOfTheRouterEjectsNoWorker(t *testing.T) {
 	h := newHarness(t, config(), 4)
 	for range 8 {
@@ -36,7 +36,7 @@
 	id, actions := h.arrive(0, 7)
 	s, _ := first[StartAttempt](actions)
 	dueID, _ := h.arrive(2, 7)
-	h.now += 3999 * ms // beyond the time to answer the second, whose worker has not
+	h.now += 3999 * ms // the second request must get its final response, but its worker has not responded
 	checks := 0
 	for _, a := range h.handle(TimerFired{Token: housekeepingToken}) {
 		if _, ok := a.(CheckHealth); ok {
@@ -44,10 +44,10 @@
 		}
 	}
 	if checks > 4 {
-		t.Errorf("%d checks of 4 workers in one turn", checks)
+		t.Errorf("%d health checks of 4 workers in one turn", checks)
 	}
 	if actions := h.handle(TimerFired{Token: deadlineToken + uint64(dueID)}); !has[FailRequest](actions) {
-		t.Errorf("an unsafe call that may have run is not failed when due: %v", actions)
+		t.Errorf("a request that may have run and is not idempotent does not fail at its deadline: %v", actions)
 	}
 	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
 	for _, w := range h.p.workers.fleet {
@@ -59,11 +59,12 @@
 		}
 	}
 	if got := h.serve(7, 100*ms, AlreadyLoaded); got != s.Worker {
-		t.Errorf("the warm worker %d is left for %d", s.Worker, got)
+		t.Errorf("loaded at worker %d, sent to %d", s.Worker, got)
 	}
 }
 
-// An answer lost by a reset is not a dead process.
+// A response that is lost by a connection reset does not prove that the worker's process has exited. A health
+// check decides whether the worker is ejected, and its replicas stay known.
 func TestResetStartsAHealthCheckAndForgetsNoReplica(t *testing.T) {
 	h := newHarness(t, config(), 5)
 	w := h.serve(7, 1100*ms, StartedLoad)
@@ -74,25 +75,26 @@
 	}
 	h.handle(HealthCheckCompleted{Worker: w})
 	if h.ejected(h.p.workers.byID[w]) || h.p.workers.byID[w].replicas[7].loadedUntil <= h.now {
-		t.Error("a living worker is ejected or thought empty")
+		t.Error("a healthy worker is ejected, or its replica is forgotten")
 	}
 	h.now += ms
-	h.handle(HealthCheckCompleted{Worker: 999}) // the clock goes on
+	h.handle(HealthCheckCompleted{Worker: 999}) // advances the time of the policy
 	h.p.health.check(h.p.workers.byID[w])
 	h.now += time.Second
 	h.handle(HealthCheckCompleted{Worker: w, Outcome: TimedOut})
 	if !h.ejected(h.p.workers.byID[w]) {
-		t.Error("a worker that answers no health check is still used")
+		t.Error("a worker that does not respond to a health check is not ejected")
 	}
 }
 
-// A silent worker gives no outcomes: the failed health check is the signal to call off what may be repeated.
+// Attempts at a silent worker do not complete by themselves. When its health check fails, the attempts that
+// may be retried must be canceled and sent to other workers.
 func TestSilentWorkerIsEjectedAndItsAttemptsMove(t *testing.T) {
 	h := newHarness(t, config(), 4)
 	w := h.serve(7, 1100*ms, StartedLoad)
 	id, actions := h.arrive(0, 7)
 	if s, _ := first[StartAttempt](actions); s.Worker != w {
-		t.Fatal("not sent to the warm worker")
+		t.Fatal("not sent to the worker with the replica")
 	}
 	checked, canceled := false, false
 	for range 60 {
@@ -116,11 +118,11 @@
 	}
 	again, ok := first[StartAttempt](h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Canceled}))
 	if !ok || again.Worker == w {
-		t.Errorf("rescued call: %v %v", again, ok)
+		t.Errorf("retry of the canceled attempt: %v %v", again, ok)
 	}
 	if _, actions := h.arrive(2, 9); has[StartAttempt](actions) {
 		if s, _ := first[StartAttempt](actions); s.Worker == w {
-			t.Error("an unsafe call went to the silent worker")
+			t.Error("a request that is not idempotent is sent to the silent worker")
 		}
 	}
 }
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// An attempt that is canceled at its deadline has shown how slow its worker is, though no answer did: a router that
-// forgets that sends the next one there too, and loses it as well.
+// An attempt that is canceled at its deadline shows how slow its worker is, although there was no response.
+// If it is ignored, the next request is sent there too and is lost as well.
 func TestCanceledAttemptsCountAsDelay(t *testing.T) {
 	h := newHarness(t, config(), 2)
 	h.serve(7, 100*ms, AlreadyLoaded)
 	for range 30 {
 		h.serve(7, 100*ms, AlreadyLoaded)
 	}
-	for _, w := range h.p.workers.fleet { // both hold a replica
+	for _, w := range h.p.workers.fleet { // both have a replica
 		h.p.replicas.get(w, 7).loadedUntil = h.now + time.Hour
 	}
 	slow, lost := WorkerID(1), 0
@@ -34,11 +34,11 @@
 		}
 	}
 	if lost < 1 || lost > 3 {
-		t.Errorf("%d of 20 calls lost at a worker whose calls don't end", lost)
+		t.Errorf("%d of 20 requests are lost at a worker that does not respond", lost)
 	}
 }
 
-// Own calls in flight say nothing of what other routers queue at a worker: its answers do.
+// The attempts in flight of a router do not show the queue of other routers at a worker. Its responses do.
 func TestOtherRoutersQueuesShowInThePrediction(t *testing.T) {
 	h := newHarness(t, config(), 6)
 	for range 10 {
@@ -48,27 +48,27 @@
 	h.serve(7, 900*ms, AlreadyLoaded)
 	h.serve(7, 900*ms, AlreadyLoaded)
 	other := h.p.workers.byID[w%6+1]
-	h.p.replicas.get(other, 7).loadedUntil = h.now + time.Minute // a hedged request stands
+	h.p.replicas.get(other, 7).loadedUntil = h.now + time.Minute // another worker has a replica
 	if got := h.serve(7, 100*ms, AlreadyLoaded); got != other.Worker {
-		t.Errorf("sent to %d again after two late answers", got)
+		t.Errorf("sent to worker %d again after two late responses", got)
 	}
 	before := h.queueingDelay(h.p.workers.byID[w], 0)
 	if idle := h.queueingDelay(other, 0); before < idle+float64(50*ms) {
-		t.Errorf("late answers predict %v, nothing known %v", before, idle)
+		t.Errorf("predicted delay after late responses %v, without responses %v", before, idle)
 	}
 	h.now += 20 * time.Second
 	h.handle(HealthCheckCompleted{Worker: w})
 	if after := h.queueingDelay(h.p.workers.byID[w], 0); after > before/10 {
-		t.Errorf("a queue is still believed in after 20 s: %v of %v", after, before)
+		t.Errorf("a queue is still predicted after 20 s: %v of %v", after, before)
 	}
 }
 
-// Load reports show the queues of other routers even where no late response did, and absurd ones show nothing.
+// Load reports show the queues of other routers even if no response was late. Invalid reports are ignored.
 func TestLoadReportsShowOtherRoutersQueues(t *testing.T) {
 	cfg := config()
 	cfg.LoadReportFields, cfg.InlineLoadReports = []string{"inflight", "queue"}, true
 	h := newHarness(t, cfg, 4)
-	for k := range 20 { // 10 waiting mean 300 ms
+	for k := range 20 { // a queue of 10 requests causes a delay of 300 ms
 		id, actions := h.arrive(0, 7)
 		s, ok := first[StartAttempt](actions)
 		if !ok {
@@ -88,38 +88,39 @@
 	h.handle(HealthCheckCompleted{Worker: 2, Report: []float64{3, 0}})
 	full, idle := h.queueingDelay(h.p.workers.byID[1], 0), h.queueingDelay(h.p.workers.byID[2], 0)
 	if full < idle+float64(150*ms) {
-		t.Errorf("30 waiting predict %v, none %v", full, idle)
+		t.Errorf("predicted delay with 30 queued requests %v, with none %v", full, idle)
 	}
 	before := h.queueingDelay(h.p.workers.byID[3], 0)
 	for _, r := range [][]float64{nil, {1}, {math.NaN(), math.NaN()}, {-5, -5}, {math.Inf(-1), math.Inf(-1)}} {
 		h.handle(HealthCheckCompleted{Worker: 3, Report: r})
 	}
 	if got := h.queueingDelay(h.p.workers.byID[3], 0); got != before {
-		t.Errorf("absurd reports predict %v", got)
+		t.Errorf("predicted delay after invalid reports %v", got)
 	}
 	h.handle(HealthCheckCompleted{Worker: 3, Report: []float64{1e300, 1e300}})
 	if got := h.queueingDelay(h.p.workers.byID[3], 0); got > maxMultiple*float64(400*ms) {
-		t.Errorf("a report far off predicts %v", got)
+		t.Errorf("predicted delay after an implausible report %v", got)
 	}
 	h.now += time.Minute
 	h.handle(HealthCheckCompleted{Worker: 3, Report: []float64{3, 0}})
 	if got := h.queueingDelay(h.p.workers.byID[3], 0); got > float64(50*ms) {
-		t.Errorf("a report far off is still believed after a minute: %v", got)
+		t.Errorf("an implausible report still counts after a minute: %v", got)
 	}
 }
 
-// A worker that turns a call away has begun no load for it: the next call must not count on one.
+// A worker that rejects a request starts no load for it, so the next request must not expect one.
 func TestOverloadedAttemptStartsNoLoad(t *testing.T) {
 	h := newHarness(t, config(), 3)
 	id, actions := h.arrive(0, 7)
 	s, _ := first[StartAttempt](actions)
 	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
 	if w := h.p.workers.byID[s.Worker]; !h.p.scheduler.estimator.startsLoad(h.p.now, w, h.p.requests.byID[id]) {
-		t.Errorf("a load is thought under way: %v left", h.p.scheduler.estimator.expectedLoadTime(h.p.now, w, h.p.requests.byID[id]))
+		t.Errorf("a load is expected to be in progress: %v left", h.p.scheduler.estimator.expectedLoadTime(h.p.now, w, h.p.requests.byID[id]))
 	}
 }
 
-// One class failing at a worker that serves the rest: its calls go elsewhere, the others stay, and it is tried again.
+// If the requests of one class fail at a worker that serves the other classes, only those go to other
+// workers. After some time the worker gets requests of that class again.
 func TestFailuresOfOneClassMoveOnlyThatClass(t *testing.T) {
 	h := newHarness(t, config(), 5)
 	w := h.serve(7, 1100*ms, StartedLoad)
@@ -131,11 +132,11 @@
 	}
 	if _, actions := h.arrive(1, 7); has[StartAttempt](actions) {
 		if s, _ := first[StartAttempt](actions); s.Worker == w {
-			t.Error("the failing class goes on at the worker")
+			t.Error("the failing class is still sent to the worker")
 		}
 	}
 	if got := h.serve(7, 80*ms, AlreadyLoaded); got != w {
-		t.Errorf("the other class left for %d", got)
+		t.Errorf("the other class is sent to worker %d", got)
 	}
 	h.now += 30 * time.Second
 	h.p.replicas.get(h.p.workers.byID[w], 7).loadedUntil = h.now + time.Minute
@@ -146,12 +147,12 @@
 	}
 	if _, actions := h.arrive(1, 7); has[StartAttempt](actions) {
 		if s, _ := first[StartAttempt](actions); s.Worker != w {
-			t.Error("the worker is shut out for the class")
+			t.Error("the worker gets no requests of the class any more")
 		}
 	}
 }
 
-// A first answer to a call with a tiny hint must not multiply all later estimates.
+// The first response to a request with a very small work hint must not inflate all later estimates.
 func TestWorkHintsAreUsedUntilResponsesAreMeasured(t *testing.T) {
 	h := newHarness(t, config(), 3)
 	h.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"crankhold/policy"
 )
 
-// A router feeds events in as they happen and carries out the actions that it gets back.
+// A router passes events to the policy as they happen and carries out the returned actions.
 func Example() {
 	p, err := policy.New(policy.Config{
 		Routers:         1,
@@ -48,7 +48,7 @@
 		Workers: []policy.Endpoint{{Worker: 7, State: policy.Ready}},
 	})
 
-	// A client asks for a function that takes a second to load.
+	// A client requests a function that takes a second to load.
 	router(policy.RequestArrived{
 		Request:   1,
 		Function:  5,
@@ -57,7 +57,7 @@
 		Remaining: 4 * time.Second,
 	})
 
-	// The worker responds: the router hands the response to its client.
+	// The worker responds, and the router passes the response to the client.
 	now = 1200 * time.Millisecond
 	router(policy.AttemptCompleted{
 		Request: 1,
@@ -67,7 +67,7 @@
 		Took:    1200 * time.Millisecond,
 	})
 
-	// The worker drains. A request that comes now is sent nowhere.
+	// The worker drains. A request that arrives now is sent to no worker.
 	router(policy.EndpointList{
 		Kind:    policy.EndpointSnapshot,
 		Workers: []policy.Endpoint{{Worker: 7, State: policy.Draining}},
--- a/policy/gossip_fleet_test.go
+++ b/policy/gossip_fleet_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Messages must cost the same a call whether few or many routers carry the traffic; no health check goes out unasked for.
+// The number of messages per request must not grow with the number of routers. Healthy workers get no health
+// checks.
 func TestGossipCostsTheSamePerRequestAtAnySize(t *testing.T) {
 	perRequest := func(routers, requests int) (checks, receivers float64) {
 		cfg := config()
@@ -32,14 +33,15 @@
 	few, toFew := perRequest(3, 1000)
 	many, toMany := perRequest(100, 250)
 	if few > 0 || many > 0 {
-		t.Errorf("health checks for each request: %.2f with 3 routers, %.2f with 100", few, many)
+		t.Errorf("health checks per request: %.2f with 3 routers, %.2f with 100", few, many)
 	}
 	if toFew == 0 || toFew > 2 || toMany == 0 || toMany > 2 {
-		t.Errorf("messages delivered for each request: %.2f with 3 routers, %.2f with 100", toFew, toMany)
+		t.Errorf("messages per request: %.2f with 3 routers, %.2f with 100", toFew, toMany)
 	}
 }
 
-// A router that restarts knows only a list: the others report to it where replicas are loaded.
+// A router that has restarted knows only the endpoint list. Other routers report to it where replicas are
+// loaded.
 func TestGossipedReplicasAreUsed(t *testing.T) {
 	cfg := config()
 	cfg.GossipSupported, cfg.Routers = true, 2
@@ -49,16 +51,16 @@
 		sender.now += housekeepingInterval
 		message, ok := first[SendGossip](sender.handle(TimerFired{Token: housekeepingToken}))
 		if !ok || len(message.Data) > 256 {
-			t.Fatalf("gossiped %v %d", ok, len(message.Data))
+			t.Fatalf("gossip message sent: %v, %d bytes", ok, len(message.Data))
 		}
 		if message.Data[7] != byte(w) || message.Data[15] != byte(f) {
-			t.Fatalf("gossiped %x of function %d at worker %d", message.Data, f, w)
+			t.Fatalf("gossip message %x for function %d at worker %d", message.Data, f, w)
 		}
-		w = w%8 + 1 // not where b would look by itself
+		w = w%8 + 1 // not the worker that the receiver would choose by itself
 		message.Data[7] = byte(w)
 		receiver.handle(GossipReceived{Data: message.Data})
 		if got := receiver.serve(f, 80*ms, AlreadyLoaded); got != w {
-			t.Errorf("function %d stands at %d, sent to %d", f, w, got)
+			t.Errorf("function %d is loaded at worker %d, sent to %d", f, w, got)
 		}
 	}
 	receiver.handle(GossipReceived{Data: []byte("short and odd, not a whole number of entries")})
--- a/policy/gossiper_test.go
+++ b/policy/gossiper_test.go
@@ -10,12 +10,12 @@
 	loaded := &replica{worker: &worker{Endpoint: Endpoint{Worker: 5}}}
 	now := time.Hour
 	g.replicaLoaded(now, loaded, &function{id: 7})
-	g.replicaLoaded(now, loaded, &function{id: 7}) // within its keep-alive it is gossiped a few times only
+	g.replicaLoaded(now, loaded, &function{id: 7}) // not gossiped again this soon
 	if len(g.pending) != gossipEntryBytes {
 		t.Fatalf("%d bytes are pending", len(g.pending))
 	}
 	if g.requestArrived(); g.takeMessage() != nil {
-		t.Error("one request pays for messages to three routers")
+		t.Error("one request allows messages to three routers")
 	}
 	g.requestArrived()
 	message := g.takeMessage()
@@ -25,7 +25,7 @@
 	entries := 0
 	for w, f := range gossipedReplicas(append(message, 1, 2, 3)) {
 		if entries++; w != 5 || f != 7 {
-			t.Errorf("the entry is of worker %d and function %d", w, f)
+			t.Errorf("the entry names worker %d and function %d", w, f)
 		}
 	}
 	if entries != 1 {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -7,13 +7,13 @@
 
 const ms = time.Millisecond
 
-// harness drives a Policy by hand.
+// harness passes events to a Policy with a clock that the test controls.
 type harness struct {
 	t                 *testing.T
 	p                 *Policy
 	now               time.Duration
 	id                RequestID
-	attemptsAtWorker1 int // sends to worker 1
+	attemptsAtWorker1 int // attempts that were sent to worker 1
 }
 
 func config() Config {
@@ -58,7 +58,7 @@
 	return h.id, h.handle(RequestArrived{Request: h.id, Class: class, Function: f, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second})
 }
 
-// serve has one request of f arrive and served after took.
+// serve has a request for f arrive and be served after the time took. It returns the worker.
 func (h *harness) serve(f FunctionID, took time.Duration, status LoadStatus) WorkerID {
 	h.t.Helper()
 	id, actions := h.arrive(0, f)
@@ -71,7 +71,7 @@
 	return s.Worker
 }
 
-// serveWithHousekeeping is serve from a loaded replica, with the housekeeping that falls into it.
+// serveWithHousekeeping is like serve with a loaded replica, and runs the housekeeping that is due meanwhile.
 func (h *harness) serveWithHousekeeping(f FunctionID, took time.Duration) {
 	id, actions := h.arrive(0, f)
 	s, _ := first[StartAttempt](actions)
@@ -79,7 +79,7 @@
 	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
 }
 
-// advance lets time go by, with its housekeeping.
+// advance advances the clock and runs the housekeeping that is due meanwhile.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		if h.now += ms; h.now%housekeepingInterval == 0 {
@@ -102,7 +102,7 @@
 
 func firstClass(h *harness) *classState { return &h.p.classes[0] }
 
-// queueingDelay is the predicted queueing delay at a worker, in nanoseconds.
+// queueingDelay returns the predicted queueing delay at a worker, in nanoseconds.
 func (h *harness) queueingDelay(w *worker, attempts int) float64 {
 	return float64(h.p.scheduler.estimator.queueingDelay(h.p.now, w, attempts))
 }
--- a/policy/latency_estimator_test.go
+++ b/policy/latency_estimator_test.go
@@ -24,13 +24,13 @@
 		entry *replica
 		want  time.Duration
 	}{
-		"not known":        {want: time.Second},
-		"loaded":           {entry: &replica{loadedUntil: now + 1}},
-		"serving":          {entry: &replica{inFlight: 1}},
-		"keep-alive over":  {entry: &replica{loadedUntil: now}, want: time.Second},
-		"loading":          {entry: &replica{loadDue: now + 300*ms}, want: 300 * ms},
-		"late by 200 ms":   {entry: &replica{loadDue: now - 200*ms}, want: 200 * ms},
-		"loading, serving": {entry: &replica{loadDue: now + 300*ms, inFlight: 1}, want: 300 * ms},
+		"not known":         {want: time.Second},
+		"loaded":            {entry: &replica{loadedUntil: now + 1}},
+		"serving":           {entry: &replica{inFlight: 1}},
+		"keep-alive over":   {entry: &replica{loadedUntil: now}, want: time.Second},
+		"loading":           {entry: &replica{loadDue: now + 300*ms}, want: 300 * ms},
+		"overdue by 200 ms": {entry: &replica{loadDue: now - 200*ms}, want: 200 * ms},
+		"loading, serving":  {entry: &replica{loadDue: now + 300*ms, inFlight: 1}, want: 300 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, w, r := newEstimator()
@@ -53,7 +53,7 @@
 	run := e.runTime(r)
 	e.observeWithoutLoad(now, a, servedResponse{took: 1000 * run, run: run})
 	if got := e.runTime(r); got <= run || got > maxMultiple*run {
-		t.Errorf("one outlier takes the run from %v to %v", run, got)
+		t.Errorf("one outlier changes the run time from %v to %v", run, got)
 	}
 	if e.queueingDelay(now, w, 2) <= e.queueingDelay(now, w, 0) {
 		t.Error("a late response behind two attempts predicts no delay for attempts in flight")
@@ -64,7 +64,7 @@
 	}
 	e.observeLoadTime(nanoseconds(time.Hour), r.function)
 	if want := 1 + loadTimeWeight*(maxLoadTimeRatio-1); e.loadTimeRatio != want {
-		t.Errorf("an endless load makes the ratio %v, want %v", e.loadTimeRatio, want)
+		t.Errorf("a load of an hour changes the ratio to %v, want %v", e.loadTimeRatio, want)
 	}
 }
 
@@ -81,6 +81,6 @@
 	}
 	e.update()
 	if large.capacity.work <= 4 || large.capacity.work > 64 {
-		t.Errorf("a large worker that is faster too has capacity %v", large.capacity.work)
+		t.Errorf("a large worker that is also faster has capacity %v", large.capacity.work)
 	}
 }
--- a/policy/load_breaker_test.go
+++ b/policy/load_breaker_test.go
@@ -21,7 +21,7 @@
 	}
 	breaker.recordStart(now)
 	if !breaker.isOpen(now) {
-		t.Error("a second load may begin at once while loads fail")
+		t.Error("a second load may start at once while loads fail")
 	}
 	if breaker.recordSuccess(); breaker.isOpen(now) {
 		t.Error("the breaker stays open after a success")
--- a/policy/load_budget_test.go
+++ b/policy/load_budget_test.go
@@ -16,11 +16,11 @@
 	}
 	budget.recordCommand(start)
 	if !budget.allowsCommand(start) {
-		t.Error("a second load command of two is not allowed")
+		t.Error("the second of two allowed load commands is not allowed")
 	}
 	budget.recordCommand(start)
 	if budget.allowsCommand(start) {
-		t.Error("a third load command of two is allowed")
+		t.Error("a third load command is allowed with a budget of two")
 	}
 	if !budget.allowsQueuedCommand(start) {
 		t.Error("a load command that was counted already may not be sent")
@@ -30,7 +30,7 @@
 		t.Error("a canceled request still counts")
 	}
 	if later := start + cfg.LoadBudgetWindow + time.Second; !budget.allowsCommand(later) {
-		t.Error("load commands count beyond the window")
+		t.Error("load commands still count after the window")
 	}
 }
 
@@ -40,6 +40,6 @@
 		budget.recordCommand(time.Hour)
 	}
 	if !budget.allowsCommand(time.Hour) || !budget.allowsQueuedCommand(time.Hour) {
-		t.Error("a load command is not allowed where there is no budget")
+		t.Error("a load command is not allowed although there is no budget")
 	}
 }
--- a/policy/load_shedder_test.go
+++ b/policy/load_shedder_test.go
@@ -19,14 +19,14 @@
 	}{
 		"of the highest priority": {class: 2, start: shedStart},
 		"of lower priority":       {class: 0, start: shedStartLowPriority},
-		"late at best":            {class: 2, expected: objective + 1, start: shedStartLate},
+		"expected late":           {class: 2, expected: objective + 1, start: shedStartLate},
 		"beyond the quota":        {class: 2, overQuota: true, start: shedStartLate / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{class: &s.classes[test.class], overQuota: test.overQuota}
 			r.Policy = &defaultRequestPolicy
 			if got := s.threshold(r, nanoseconds(test.expected)); got.start != test.start || got.objective != float64(objective) {
-				t.Errorf("shed from %v of %v on, want %v", got.start, time.Duration(got.objective), test.start)
+				t.Errorf("shed beyond %v of %v, want %v", got.start, time.Duration(got.objective), test.start)
 			}
 		})
 	}
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -13,7 +13,7 @@
 	s, _ := first[StartAttempt](actions)
 	actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: NotLoaded})
 	if o, ok := first[Load](actions); !ok || o.Worker != s.Worker || o.Count != 1 || has[StartAttempt](actions) {
-		t.Fatalf("after a miss: %v", actions)
+		t.Fatalf("after NotLoaded: %v", actions)
 	}
 	h.now += time.Second
 	actions = h.handle(LoadCompleted{Worker: s.Worker, Function: 7, Outcome: Served, Took: time.Second, Count: 1})
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards the load budget against requests that their clients cancel: on a full fleet one bad client's 200 requests had a
-// router that accepted 70 send 30 load commands, where 25 were allowed.
+// Canceled requests must not raise the load budget. On a full fleet, 200 requests of one misbehaving client
+// made a router that accepted 70 requests send 30 load commands, although 25 were allowed.
 func TestCanceledRequestsDoNotWidenTheLoadBudget(t *testing.T) {
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadBudgetWindow, cfg.LoadBudgetMinimum, cfg.LoadBudgetRatio = true, 10*time.Second, 4, 0.3
@@ -56,26 +56,27 @@
 		h.handle(RequestCanceled{Request: id})
 	}
 	if got := h.p.loads.budget.allowance(h.p.now); got != 4 {
-		t.Fatalf("200 requests that were canceled make a budget of %v, 4 wanted", got)
+		t.Fatalf("the budget is %v after 200 canceled requests, want 4", got)
 	}
 	keptID, _ := h.arrive(0, 9)
 	h.now += time.Second
-	for range 3 { // at one time: one of them goes, and no other
+	for range 3 { // all arrive at the same time; canceling one must remove only that one
 		h.arrive(0, 9)
 	}
 	id, _ := h.arrive(0, 9)
 	h.handle(RequestCanceled{Request: id})
 	if got := h.p.loads.budget.allowance(h.p.now); got != 4+0.3*4 {
-		t.Fatalf("four requests that stay make a budget of %v", got)
+		t.Fatalf("the budget is %v with four requests that were not canceled", got)
 	}
 	h.handle(RequestCanceled{Request: keptID})
-	h.handle(RequestCanceled{Request: keptID}) // twice counts once
+	h.handle(RequestCanceled{Request: keptID}) // a second cancellation has no effect
 	if got := h.p.loads.budget.allowance(h.p.now); got != 4+0.3*3 {
-		t.Fatalf("three requests that stay make a budget of %v", got)
+		t.Fatalf("the budget is %v with three requests that were not canceled", got)
 	}
 }
 
-// While loads fail, what most likely stands at its home is served; only a further attempt may begin no load.
+// While loads fail, a request that likely has a replica at its preferred worker is still sent there. A
+// further attempt of it must not start a load.
 func TestCircuitBreakerAllowsLikelyReplicas(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 40
@@ -88,15 +89,16 @@
 		t.Fatalf("a request with a likely replica is deferred: %v", actions)
 	}
 	if actions := h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Failed, LoadStatus: LoadFailed}); has[StartAttempt](actions) {
-		t.Error("a further attempt began another load")
+		t.Error("a further attempt started another load")
 	}
 }
 
-// A store that has stopped must not be sent more loads: each failed load would begin another, here and everywhere.
+// While the store is down, loads must start one at a time. Otherwise each failed load would start another
+// one, at every router.
 func TestFailingLoadsStartOneAtATime(t *testing.T) {
 	h := newHarness(t, config(), 6)
 	started := 0
-	for f := FunctionID(1); f <= 100; f++ { // one new function each 20 ms, 2 s in all
+	for f := FunctionID(1); f <= 100; f++ { // a new function every 20 ms, for 2 s
 		h.now += 20 * ms
 		_, actions := h.arrive(0, f)
 		if f%3 == 0 {
@@ -111,19 +113,19 @@
 		}
 	}
 	if started < 2 || started > 12 {
-		t.Errorf("%d loads begun in 2 s at a stopped store", started)
+		t.Errorf("%d loads started in 2 s while the store is down", started)
 	}
 	h.now += 2 * time.Second
 	h.handle(TimerFired{Token: housekeepingToken})
 	h.p.requests.deferred = nil
 	h.now += 2 * time.Second
 	h.serve(500, time.Second, StartedLoad)
-	h.serve(501, time.Second, StartedLoad) // one success closes the breaker
+	h.serve(501, time.Second, StartedLoad) // the first success has closed the breaker
 	h.serve(502, time.Second, StartedLoad)
 }
 
-// An order counts when it arrives: what was within the budget when it was decided on may no longer be, once the requests
-// that paid for it have left the window.
+// A load command counts when it arrives at the worker. One that was within the budget when it was decided on
+// may exceed it later, when the requests that allowed it have left the window.
 func TestQueuedLoadCommandIsCheckedAgainstThePresentBudget(t *testing.T) {
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported = true, true
@@ -141,11 +143,12 @@
 			commands++
 		}
 	}
-	// 1 and 0.3 of 11 to 15 requests allow each of five load commands as it is decided on; 0.3 of 5 would not.
+	// A budget of 1 plus 0.3 of 11 to 15 requests allows each of the five load commands when it is decided
+	// on. 0.3 of 5 requests would not.
 	if commands < 4 || !h.p.MayStillLoad(h.now) {
-		t.Fatalf("%d load commands, of which the last may go out: %v", commands, h.p.MayStillLoad(h.now))
+		t.Fatalf("%d load commands, the last may be sent: %v", commands, h.p.MayStillLoad(h.now))
 	}
 	if h.p.MayStillLoad(h.now + 2*time.Second) {
-		t.Error("load commands may be sent when the requests that paid for them have left the window")
+		t.Error("load commands may be sent after the requests that allowed them have left the window")
 	}
 }
--- a/policy/outlier_detector_test.go
+++ b/policy/outlier_detector_test.go
@@ -14,7 +14,7 @@
 		if got := w.health.ejectedUntil - now; got != want*time.Second {
 			t.Errorf("failure %d ejects for %v, want %v s", w.health.consecutiveFailures, got, want)
 		}
-		detector.eject(now, w) // during an ejection a failure changes nothing
+		detector.eject(now, w) // a failure during an ejection has no effect
 		if !detector.ejected(now, w) {
 			t.Fatal("the worker is not ejected")
 		}
@@ -25,7 +25,7 @@
 	}
 	w.inFlight = []*attempt{{}}
 	if !detector.ejected(now, w) {
-		t.Error("a second attempt is let through after an ejection")
+		t.Error("a second attempt is allowed after an ejection")
 	}
 	if !detector.recordResponse(now, w) || detector.ejected(now, w) {
 		t.Error("a response does not end an ejection")
@@ -44,14 +44,14 @@
 		inFlight []*attempt
 		want     bool
 	}{
-		"idle":                   {state: Ready},
-		"silent":                 {state: Ready, inFlight: silent, want: true},
-		"responded just now":     {state: Ready, inFlight: silent, health: workerHealth{lastResponse: now}},
-		"checked just now":       {state: Ready, inFlight: silent, health: workerHealth{lastCheck: now}},
-		"being checked":          {state: Ready, inFlight: silent, health: workerHealth{checking: true}},
-		"gone":                   {state: Gone, inFlight: silent},
-		"ejected":                {state: Ready, health: workerHealth{consecutiveFailures: 1, ejectedUntil: now + 1}},
-		"ejected, the time over": {state: Ready, health: workerHealth{consecutiveFailures: 1, ejectedUntil: now}, want: true},
+		"idle":               {state: Ready},
+		"silent":             {state: Ready, inFlight: silent, want: true},
+		"responded just now": {state: Ready, inFlight: silent, health: workerHealth{lastResponse: now}},
+		"checked just now":   {state: Ready, inFlight: silent, health: workerHealth{lastCheck: now}},
+		"being checked":      {state: Ready, inFlight: silent, health: workerHealth{checking: true}},
+		"gone":               {state: Gone, inFlight: silent},
+		"ejected":            {state: Ready, health: workerHealth{consecutiveFailures: 1, ejectedUntil: now + 1}},
+		"ejected, time over": {state: Ready, health: workerHealth{consecutiveFailures: 1, ejectedUntil: now}, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector := &outlierDetector{cfg: &Config{HealthCheckSupported: true}}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What others queue at the one worker that has the function makes less worthy calls give way there, and only there.
+// If other routers have a queue at the only worker that has the function, requests of low priority are shed
+// there, but not at other workers.
 func TestShedsWhereOtherRoutersQueue(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 50
@@ -27,7 +28,7 @@
 		busy.latency.queueDelay.Observe(h.now, float64(250*ms))
 	}
 	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
-		t.Errorf("%d of 100 sent where others queue, %d where none do", at, off)
+		t.Errorf("%d of 100 sent to the worker with the queue, %d to the idle worker", at, off)
 	}
 	h.now += 30 * time.Second
 	if at := sent(busy, 7); at < 95 {
@@ -35,7 +36,8 @@
 	}
 }
 
-// A tenant within its share must not look beyond it by chance, however few calls of it a router gets.
+// A tenant within its quota must not seem to exceed it by random variation, even if a router gets few of its
+// requests.
 func TestTenantWithinItsQuota(t *testing.T) {
 	cfg := config()
 	cfg.Routers, cfg.Tenants = 100, []Tenant{{RequestsPerSecond: 200}}
@@ -57,14 +59,15 @@
 		return n
 	}
 	if n := countOverQuota(1.6); n > 15 {
-		t.Errorf("%d of 300 calls within the share looked beyond it", n)
+		t.Errorf("%d of 300 requests within the quota counted as beyond it", n)
 	}
 	if n := countOverQuota(6); n < 120 {
-		t.Errorf("only %d of 300 calls at three times the share looked beyond it", n)
+		t.Errorf("only %d of 300 requests at three times the quota counted as beyond it", n)
 	}
 }
 
-// In overload a call that must wait for a load is late at best and gives way before one that is warm.
+// Under overload, a request that must wait for a load is expected to be late. It is shed before a request
+// whose function is loaded.
 func TestRequestsExpectedLateAreShedFirst(t *testing.T) {
 	h := newHarness(t, config(), 4)
 	h.serve(7, 1100*ms, StartedLoad)
@@ -82,11 +85,12 @@
 		}
 	}
 	if sent[7] < sent[8]+15 {
-		t.Errorf("sent %d warm and %d cold calls", sent[7], sent[8])
+		t.Errorf("sent %d requests with a replica and %d without", sent[7], sent[8])
 	}
 }
 
-// In overload the lowest priority is shed first, and all is admitted again once the delay is gone.
+// Under overload, requests of the lowest priority are shed first. When the delay has gone, all requests are
+// admitted again.
 func TestShedsLowestPriorityFirstAndRecovers(t *testing.T) {
 	h := newHarness(t, config(), 4)
 	count := func(class int) (sent int) {
@@ -102,7 +106,7 @@
 	h.p.shedder.standingDelay.Mean = float64(220 * ms)
 	low, high := count(0), count(2)
 	if low >= high || low == 0 {
-		t.Errorf("sent %d of low priority and %d of high", low, high)
+		t.Errorf("sent %d requests of low priority and %d of high priority", low, high)
 	}
 	for range 200 {
 		id, actions := h.arrive(2, 7)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,12 +8,12 @@
 
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	for name, modify := range map[string]func(*Config){
-		"no classes":     func(c *Config) { c.Classes = nil },
-		"no deadline":    func(c *Config) { c.Classes[0].Deadline = 0 },
-		"cold share":     func(c *Config) { c.SlowStartInitialCapacity = 1.5 },
-		"not a number":   func(c *Config) { c.OverloadMultiple = math.NaN() },
-		"negative tick":  func(c *Config) { c.Tick = -1 },
-		"infinite loads": func(c *Config) { c.LoadBudgetMinimum = math.Inf(1) },
+		"no classes":               func(c *Config) { c.Classes = nil },
+		"no deadline":              func(c *Config) { c.Classes[0].Deadline = 0 },
+		"initial capacity above 1": func(c *Config) { c.SlowStartInitialCapacity = 1.5 },
+		"not a number":             func(c *Config) { c.OverloadMultiple = math.NaN() },
+		"negative tick":            func(c *Config) { c.Tick = -1 },
+		"infinite load budget":     func(c *Config) { c.LoadBudgetMinimum = math.Inf(1) },
 	} {
 		c := config()
 		modify(&c)
@@ -23,7 +23,7 @@
 	}
 }
 
-// The guard must hold at the place of emission, whatever path asks.
+// The guard must check an action when it is emitted, whichever component decided on it.
 func TestEmitRejectsRetriesOfNotIdempotent(t *testing.T) {
 	h := newHarness(t, config(), 2)
 	id, actions := h.arrive(2, 7)
@@ -31,14 +31,15 @@
 	r := h.p.requests.byID[id]
 	r.inFlight, r.firstPossibleRun = 0, r.attempts[0]
 	if h.p.emit(StartAttempt{Request: id, Worker: 3 - s.Worker}) {
-		t.Error("a repeat of an unsafe request left")
+		t.Error("a retry of a request that is not idempotent was emitted")
 	}
 }
 
-// What no worker can take any more is answered at once, long before its deadline, and not deferred.
+// A request that no worker can take any more must get its final response at once, long before its deadline.
+// It must not be deferred.
 func TestRequestThatNoWorkerCanTakeIsRejectedAtOnce(t *testing.T) {
 	final := func(actions []Action) bool { return has[Reject](actions) || has[FailRequest](actions) }
-	t.Run("all rejected it", func(t *testing.T) {
+	t.Run("all workers rejected it", func(t *testing.T) {
 		h := newHarness(t, config(), 3)
 		id, actions := h.arrive(0, 7)
 		for n := range 3 {
@@ -63,7 +64,7 @@
 			t.Errorf("not rejected: %v", actions)
 		}
 	})
-	t.Run("keyed window past", func(t *testing.T) {
+	t.Run("deduplication window over", func(t *testing.T) {
 		h := newHarness(t, config(), 9)
 		id, actions := h.arrive(1, 7)
 		s, _ := first[StartAttempt](actions)
@@ -72,7 +73,7 @@
 			t.Errorf("deferred: %v", actions)
 		}
 	})
-	t.Run("keyed window past, no worker listed", func(t *testing.T) {
+	t.Run("deduplication window over, no worker listed", func(t *testing.T) {
 		h := newHarness(t, config(), 1)
 		id, actions := h.arrive(1, 7)
 		s, _ := first[StartAttempt](actions)
@@ -91,7 +92,7 @@
 			t.Errorf("deferred: %v", actions)
 		}
 		if actions := h.handle(RequestArrived{Request: 78, Function: 3, LoadTime: time.Second, Remaining: 4 * time.Second}); final(actions) || has[StartAttempt](actions) {
-			t.Errorf("not deferred though the breaker closes in time: %v", actions)
+			t.Errorf("not deferred although the breaker closes in time: %v", actions)
 		}
 	})
 	t.Run("no worker listed yet", func(t *testing.T) {
@@ -121,7 +122,8 @@
 	}
 }
 
-// A rejection has a Retry-After where the settings allow it, up to their maximum and spread at random.
+// A rejection has a Retry-After if the settings allow it. The value is random and does not exceed their
+// maximum.
 func TestRejectionsGiveRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		cfg := config()
--- a/policy/rendezvous_test.go
+++ b/policy/rendezvous_test.go
@@ -33,6 +33,6 @@
 		t.Error("a worker that has a replica is preferred for a load")
 	}
 	if second.likelyLoaded(first) || preferred.replicaProbability != likelyProbability {
-		t.Errorf("chance %v of a replica that other routers keep", preferred.replicaProbability)
+		t.Errorf("probability %v of a replica that other routers keep", preferred.replicaProbability)
 	}
 }
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakePool is a stand-in for a route's fakePool.
+// fakePool is a fake of the pool of a route.
 type fakePool struct {
 	members                      map[WorkerID]bool
 	capacity                     int
@@ -41,7 +41,7 @@
 	return p
 }
 
-// arriveWithPolicy has a request arrive arriveWithPolicy terms.
+// arriveWithPolicy has a request with a policy arrive.
 func (h *harness) arriveWithPolicy(class int, policy RequestPolicy) (RequestID, []Action) {
 	h.id++
 	return h.id, h.handle(RequestArrived{Request: h.id, Class: class, Function: 7, Lanes: 4, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &policy})
@@ -61,7 +61,7 @@
 		}
 	}
 	if p.inFlight != 30 {
-		t.Errorf("%d attempts counted, 30 are out", p.inFlight)
+		t.Errorf("%d attempts counted, 30 are in flight", p.inFlight)
 	}
 	empty := newFakePool(100, 99)
 	if _, actions := h.arriveWithPolicy(0, unlimitedPolicy(empty)); !has[Reject](actions) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards the cap at every instant, and that what is beyond it is rejected at once and not queued.
+// A pool must never exceed its capacity. Requests beyond it are rejected at once and not queued.
 func TestRequestsBeyondPoolCapacityAreRejected(t *testing.T) {
 	h := newHarness(t, config(), 4)
 	p := newFakePool(2, 1, 2)
@@ -77,14 +77,14 @@
 	s, _ := first[StartAttempt](actions)
 	h.arriveWithPolicy(0, unlimitedPolicy(p))
 	if _, actions := h.arriveWithPolicy(0, unlimitedPolicy(p)); !has[Reject](actions) {
-		t.Errorf("over the cap: %v, want a rejection at once", actions)
+		t.Errorf("beyond the capacity: %v, want a rejection at once", actions)
 	}
 	if len(h.p.requests.deferred) > 0 {
-		t.Error("a request over the cap is deferred")
+		t.Error("a request beyond the capacity is deferred")
 	}
 	h.handle(AttemptCompleted{Request: firstID, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
 	if _, actions := h.arriveWithPolicy(0, unlimitedPolicy(p)); !has[StartAttempt](actions) || p.maxInFlight != 2 {
-		t.Errorf("room again: %v, at most %d out", actions, p.maxInFlight)
+		t.Errorf("with capacity again: %v, at most %d in flight", actions, p.maxInFlight)
 	}
 }
 
@@ -95,12 +95,12 @@
 	h.arriveWithPolicy(0, unlimitedPolicy(p))
 	_, actions := h.arriveWithPolicy(0, unlimitedPolicy(p))
 	if s, ok := first[StartAttempt](actions); !ok || s.Worker != 4 || next.inFlight != 1 || p.inFlight != 1 {
-		t.Errorf("a full pool's call: %v, want worker 4", actions)
+		t.Errorf("request to a full pool: %v, want worker 4", actions)
 	}
 	if _, actions := h.arriveWithPolicy(0, unlimitedPolicy(p)); !has[Reject](actions) {
 		t.Errorf("beyond the overflow limit: %v, want a rejection", actions)
 	}
-	// A call that may not be sent again has nothing to spill.
+	// A request that must not be retried does not overflow.
 	overflowCalls := p.overflowCalls
 	q := newFakePool(100, 2)
 	q.next, q.overflowsLeft = next, 100
@@ -108,12 +108,12 @@
 	s, _ := first[StartAttempt](actions)
 	actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: ConnectionReset})
 	if !has[FailRequest](actions) || has[StartAttempt](actions) || q.overflowCalls > 0 || p.overflowCalls != overflowCalls {
-		t.Errorf("an order that may have run: %v, want a failure", actions)
+		t.Errorf("a request that is not idempotent and may have run: %v, want a failure", actions)
 	}
 }
 
-// The two kinds of further attempts are counted apart: after one that may have run, and after those that never
-// ran, which alone an order gets.
+// Retries after an attempt that may have run and retries after attempts that never ran have separate limits.
+// A request that is not idempotent gets only the second kind.
 func TestRetriesByWhetherTheAttemptMayHaveRun(t *testing.T) {
 	run := func(class int, policy RequestPolicy, outcomes ...Outcome) (attempts int, last []Action) {
 		h := newHarness(t, config(), 6)
@@ -140,22 +140,22 @@
 		{"as the settings allow", 0, unlimited, []Outcome{Failed, Failed, Failed, Failed, Failed, Failed}, 5},
 		{"attempts", 0, RequestPolicy{MaxAttempts: 2, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed}, 2},
 		{"attempts beyond the settings", 0, RequestPolicy{MaxAttempts: 9, RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed, Failed, Failed, Failed, Failed}, 5},
-		{"none if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed}, 1},
-		{"none if it may have run, after some that never ran", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Overloaded, Overloaded, Failed, Overloaded}, 3},
-		{"one if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed}, 2},
-		{"none if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 0}, []Outcome{Overloaded, Overloaded}, 1},
-		{"one if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 1}, []Outcome{Overloaded, Overloaded, Overloaded}, 2},
-		{"an order that never ran goes again", 2, unlimited, []Outcome{Overloaded, Overloaded, Overloaded}, 3},
-		{"an order that may have run does not, whatever the terms", 2, RequestPolicy{RetriesAfterPossibleRun: 5, RetriesAfterProvenNoRun: 5}, []Outcome{Overloaded, Failed, Failed}, 2},
+		{"no retry if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed}, 1},
+		{"no retry if it may have run, after some that never ran", 0, RequestPolicy{RetriesAfterPossibleRun: 0, RetriesAfterProvenNoRun: -1}, []Outcome{Overloaded, Overloaded, Failed, Overloaded}, 3},
+		{"one retry if it may have run", 0, RequestPolicy{RetriesAfterPossibleRun: 1, RetriesAfterProvenNoRun: -1}, []Outcome{Failed, Failed, Failed}, 2},
+		{"no retry if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 0}, []Outcome{Overloaded, Overloaded}, 1},
+		{"one retry if it never ran", 0, RequestPolicy{RetriesAfterPossibleRun: -1, RetriesAfterProvenNoRun: 1}, []Outcome{Overloaded, Overloaded, Overloaded}, 2},
+		{"a request that is not idempotent and never ran is retried", 2, unlimited, []Outcome{Overloaded, Overloaded, Overloaded}, 3},
+		{"a request that is not idempotent and may have run is not, whatever its policy", 2, RequestPolicy{RetriesAfterPossibleRun: 5, RetriesAfterProvenNoRun: 5}, []Outcome{Overloaded, Failed, Failed}, 2},
 	} {
 		if got, actions := run(c.class, c.policy, c.outcomes...); got != c.attempts {
-			t.Errorf("%s: %d sends, want %d; %v", c.name, got, c.attempts, actions)
+			t.Errorf("%s: %d attempts, want %d; %v", c.name, got, c.attempts, actions)
 		}
 	}
 }
 
-// Guards second replicas: after the time, to another worker, one that has the function; of a repeatable request
-// alone, and only where the settings allow two attempts at once.
+// A hedged attempt starts after its delay, at another worker that has the function. Only idempotent requests
+// get one, and only if the settings allow two attempts at once.
 func TestHedgedRequest(t *testing.T) {
 	start := func(class int, allowed bool) (*harness, RequestID, StartAttempt, uint64) {
 		cfg := config()
@@ -181,23 +181,23 @@
 	actions := h.handle(TimerFired{Token: token})
 	hedge, ok := first[StartAttempt](actions)
 	if !ok || hedge.Worker == firstAttempt.Worker {
-		t.Fatalf("%v beside worker %d, want another worker", actions, firstAttempt.Worker)
+		t.Fatalf("%v while an attempt is at worker %d, want another worker", actions, firstAttempt.Worker)
 	}
 	if actions := h.handle(TimerFired{Token: token}); has[StartAttempt](actions) {
-		t.Error("a third copy goes out")
+		t.Error("a third attempt starts")
 	}
 	actions = h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: hedge.Worker, Outcome: Served, Closed: true, Took: 50 * ms})
 	if c, ok := first[CancelAttempt](actions); !ok || c.Attempt != 0 {
-		t.Errorf("the copy is served: %v, want the first canceled", actions)
+		t.Errorf("the hedged attempt is served: %v, want the first canceled", actions)
 	}
 	for name, test := range map[string]struct {
 		class   int
 		allowed bool
-	}{"an order": {2, true}, "a keyed request": {1, true}, "settings that allow none": {0, false}} {
+	}{"a request that is not idempotent": {2, true}, "a request with a key": {1, true}, "settings without hedging": {0, false}} {
 		h, _, _, token := start(test.class, test.allowed)
 		h.now += 100 * ms
 		if actions := h.handle(TimerFired{Token: token}); has[StartAttempt](actions) {
-			t.Errorf("%s gets a second copy: %v", name, actions)
+			t.Errorf("%s: a hedged attempt starts: %v", name, actions)
 		}
 	}
 }
@@ -227,8 +227,8 @@
 	}
 }
 
-// Guards the counts of pools over random histories: what is counted as out is what is out, under its cap, and
-// nothing stays counted when all has ended.
+// Checks the counts of pools under random events: the attempts counted as in flight are those in flight, they
+// stay within the capacity, and none stays counted when all attempts have completed.
 func TestPoolCountsBalance(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := config()
@@ -257,7 +257,7 @@
 				}
 			}
 			if n := pools[0].inFlight + pools[1].inFlight; n != len(sentAttempts) || pools[0].inFlight > 3 || pools[1].inFlight > 2 {
-				rt.Fatalf("%d and %d are counted, %d are out", pools[0].inFlight, pools[1].inFlight, len(sentAttempts))
+				rt.Fatalf("%d and %d are counted, %d are in flight", pools[0].inFlight, pools[1].inFlight, len(sentAttempts))
 			}
 		}
 		completeAttempt := func(i int, o Outcome) {
@@ -291,13 +291,13 @@
 			completeAttempt(0, Canceled)
 		}
 		if pools[0].inFlight != 0 || pools[1].inFlight != 0 {
-			rt.Fatalf("%d and %d stay counted", pools[0].inFlight, pools[1].inFlight)
+			rt.Fatalf("%d and %d are still counted", pools[0].inFlight, pools[1].inFlight)
 		}
 	})
 }
 
-// Guards what stands without a routes file: a request under terms that tighten nothing, in a pool of all workers,
-// gets the same actions as one without terms, on the same events.
+// Checks that routers without a routes file behave as before: on the same events, a request with a policy
+// that adds no limits, in a pool of all workers, gets the same actions as a request without a policy.
 func TestUnlimitedPolicyChangesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := config()
@@ -315,7 +315,7 @@
 			}
 			b := with.handle(ev)
 			if !reflect.DeepEqual(a, b) {
-				rt.Fatalf("%+v: %v without terms, %v with open ones", ev, a, b)
+				rt.Fatalf("%+v: %v without a policy, %v with an unlimited one", ev, a, b)
 			}
 			for _, x := range a {
 				if s, ok := x.(StartAttempt); ok {
@@ -343,12 +343,12 @@
 	})
 }
 
-// Guards the return of a pool that died whole: while nobody else can take its calls, its workers are looked at
-// every half second, not after spells that have grown.
+// If all workers of a pool are ejected, no other worker can take its requests. The pool's workers must then
+// be checked every half second, and not only after ejections that have become longer.
 func TestPoolOfEjectedWorkersIsCheckedSooner(t *testing.T) {
 	h := newHarness(t, config(), 2)
 	p := newFakePool(100, 1)
-	for range 6 { // spells of 1, 2, 4 and 8 s
+	for range 6 { // ejections of 1, 2, 4 and 8 s
 		h.now += 10 * time.Second
 		h.p.now = h.now
 		h.p.scheduler.outliers.eject(h.p.now, h.p.workers.byID[1])
@@ -360,6 +360,6 @@
 	}
 	h.arriveWithPolicy(0, unlimitedPolicy(p))
 	if left := w.health.ejectedUntil - h.now; left > 500*ms {
-		t.Errorf("looked at in %v with a call that waits for it", left)
+		t.Errorf("checked in %v although a request waits for it", left)
 	}
 }
--- a/policy/retry_rules_test.go
+++ b/policy/retry_rules_test.go
@@ -14,22 +14,22 @@
 	keyed := Class{Idempotency: IdempotentWithKey, DeduplicationScope: DeduplicatedInZone, DeduplicationWindow: time.Second}
 	for name, test := range map[string]struct {
 		class     Class
-		noRetries bool // the request's policy allows none
+		noRetries bool // the request's policy allows no retries
 		attempts  int
 		ran       bool
 		worker    *worker
 		now       time.Duration
 		want      bool
 	}{
-		"never ran":                      {class: Class{Idempotency: NotIdempotent}, attempts: 1, want: true},
-		"not idempotent, may have run":   {class: Class{Idempotency: NotIdempotent}, attempts: 1, ran: true},
-		"idempotent, may have run":       {class: Class{Idempotency: Idempotent}, attempts: 1, ran: true, want: true},
-		"attempts used up":               {class: Class{Idempotency: Idempotent}, attempts: 3},
-		"keyed, in its zone":             {class: keyed, attempts: 1, ran: true, worker: inZone1, want: true},
-		"keyed, in another zone":         {class: keyed, attempts: 1, ran: true, worker: inZone2},
-		"keyed, where any may be listed": {class: keyed, attempts: 1, ran: true, want: true},
-		"keyed, its window over":         {class: keyed, attempts: 1, ran: true, now: start + time.Second, worker: inZone1},
-		"its policy allows no retry":     {class: Class{}, noRetries: true, attempts: 1},
+		"never ran":                              {class: Class{Idempotency: NotIdempotent}, attempts: 1, want: true},
+		"not idempotent, may have run":           {class: Class{Idempotency: NotIdempotent}, attempts: 1, ran: true},
+		"idempotent, may have run":               {class: Class{Idempotency: Idempotent}, attempts: 1, ran: true, want: true},
+		"attempts used up":                       {class: Class{Idempotency: Idempotent}, attempts: 3},
+		"with a key, in its zone":                {class: keyed, attempts: 1, ran: true, worker: inZone1, want: true},
+		"with a key, in another zone":            {class: keyed, attempts: 1, ran: true, worker: inZone2},
+		"with a key, at a worker not listed yet": {class: keyed, attempts: 1, ran: true, want: true},
+		"with a key, its window over":            {class: keyed, attempts: 1, ran: true, now: start + time.Second, worker: inZone1},
+		"policy without retries":                 {class: Class{}, noRetries: true, attempts: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			policy := defaultRequestPolicy
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// ruleChecker follows the actions of a random world and reports broken rules. It shares no code with the module.
+// ruleChecker checks the actions under random events and reports broken rules. It shares no code with the
+// module.
 type ruleChecker struct {
 	t            *testing.T
 	cfg          Config
@@ -37,13 +38,13 @@
 			mayRunTwice := r.mayHaveRun || len(r.inFlight) > 0
 			switch {
 			case r.complete:
-				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
+				c.t.Fatalf("%v: attempt after the final response to request %d", now, a.Request)
 			case c.states[a.Worker] != Ready:
-				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.states[a.Worker])
+				c.t.Fatalf("%v: attempt at worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			case mayRunTwice && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.HedgingAllowed:
-				c.t.Fatalf("%v: repeat of %d", now, a.Request)
+				c.t.Fatalf("%v: forbidden retry of request %d", now, a.Request)
 			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.possibleRunAt+class.DeduplicationWindow:
-				c.t.Fatalf("%v: keyed repeat outside the window", now)
+				c.t.Fatalf("%v: retry with a key outside the deduplication window", now)
 			case len(r.workers) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
@@ -53,14 +54,14 @@
 			r := c.observed[a.Request]
 			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.inFlight) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
-				c.t.Fatalf("%v: rejection of %d, which may have run", now, a.Request)
+				c.t.Fatalf("%v: rejection of request %d, which may have run", now, a.Request)
 			}
 			c.checkFinalResponse(now, r)
 		case FailRequest:
 			c.checkFinalResponse(now, c.observed[a.Request])
 		case Load:
 			if c.states[a.Worker] != Ready {
-				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.states[a.Worker])
+				c.t.Fatalf("%v: load command to worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			}
 			c.loadCommands = append(c.loadCommands, now)
 			recentCommands, recentRequests := 0, 0
@@ -83,7 +84,7 @@
 
 func (c *ruleChecker) checkFinalResponse(now time.Duration, r *observedRequest) {
 	if r.complete || now > r.deadline+8*ms {
-		c.t.Fatalf("%v: second or late final answer", now)
+		c.t.Fatalf("%v: second or late final response", now)
 	}
 	r.complete = true
 }
@@ -94,7 +95,8 @@
 	}
 }
 
-// runRandomEvents plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
+// runRandomEvents passes random valid events to a Policy. Workers drain, disappear, restart and respond with
+// any outcome.
 func runRandomEvents(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg := config()
@@ -203,7 +205,7 @@
 			}
 		}
 	}
-	now += 5 * time.Second // everything that is owed is answered by then
+	now += 5 * time.Second // every request has its final response by then
 	for _, due := range timers {
 		now = max(now, due.at)
 	}
@@ -215,7 +217,7 @@
 	}
 	for id, r := range checker.observed {
 		if !r.complete {
-			t.Fatalf("seed %d: request %d got no final answer", seed, id)
+			t.Fatalf("seed %d: request %d got no final response", seed, id)
 		}
 	}
 	if len(p.requests.deferred) > len(checker.observed) {
@@ -223,8 +225,8 @@
 	}
 }
 
-// FuzzHandle feeds arbitrary events: there must be no panic, no action for a finished or unknown request,
-// and none that names an unknown worker.
+// FuzzHandle passes arbitrary events to a Policy. It must not panic, and no action may name a completed or
+// unknown request or an unknown worker.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 1, 1, 1, 1, 2, 0, 0, 0, 3, 9, 9, 9})
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
@@ -292,7 +294,7 @@
 					open[arr.Request] = true
 				}
 				if req != 0 && (!open[req] || closed[req]) {
-					t.Fatalf("%T for request %d, which is over", act, req)
+					t.Fatalf("%T for request %d, which is completed or unknown", act, req)
 				}
 				if to != 0 && !known[to] {
 					t.Fatalf("%T names unknown worker %d", act, to)
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -14,18 +14,19 @@
 	w := h.serve(7, 1100*ms, StartedLoad)
 	for range 20 {
 		if got := h.serve(7, 80*ms, AlreadyLoaded); got != w {
-			t.Fatalf("warm at %d, sent to %d", w, got)
+			t.Fatalf("loaded at worker %d, sent to %d", w, got)
 		}
 	}
 	h.now += 11 * time.Second // longer than the keep-alive
 	if i := h.p.workers.byID[w].replicas[7]; i != nil && h.now < i.loadedUntil {
-		t.Error("belief outlives the keep-alive")
+		t.Error("a replica counts as loaded after its keep-alive")
 	}
 }
 
-// Guards the store and the memory: a call that finds all lanes of a replica taken goes to another worker's
-// replica, where one is known, before the first worker begins a further replica by itself. Lanes that were seen
-// to serve together count, until a miss shows that the replicas have gone.
+// Guards against needless loads and memory. If all lanes of a replica are in use, a request goes to a replica
+// at another worker, if one is known, before the first worker loads a further replica by itself. The number
+// of lanes that were served at once is remembered until a response NotLoaded shows that the replicas are
+// gone.
 func TestRequestsGoWhereALaneIsFree(t *testing.T) {
 	send := func(h *harness) (RequestID, WorkerID) {
 		h.id++
@@ -40,35 +41,35 @@
 		h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Served, LoadStatus: status, Closed: true, Took: 80 * ms})
 	}
 	h := newHarness(t, config(), 2)
-	for _, w := range []WorkerID{1, 2} { // both hold a replica; queueing at 2 looks a little worse
+	for _, w := range []WorkerID{1, 2} { // both have a replica; the queueing delay at 2 is a little longer
 		h.p.replicas.get(h.p.workers.byID[w], 7).loadedUntil = h.now + 10*time.Second
 		h.p.workers.byID[w].latency.queueDelay.Observe(h.now, float64(w-1)*float64(20*ms))
 	}
 	id1, at1 := send(h)
 	id2, at2 := send(h)
 	if at1 != 1 || at2 != 2 {
-		t.Fatalf("sent to %d, then to %d", at1, at2)
+		t.Fatalf("sent to worker %d, then to %d", at1, at2)
 	}
 	served(h, id1, at1, AlreadyLoaded)
 	served(h, id2, at2, AlreadyLoaded)
-	h.p.replicas.get(h.p.workers.byID[1], 7).lanes = 2 // two were served at a time
+	h.p.replicas.get(h.p.workers.byID[1], 7).lanes = 2 // two were served at once
 	h.p.workers.byID[2].latency.queueDelay.Observe(h.now, float64(100*ms))
 	if _, at1 = send(h); at1 != 1 {
-		t.Fatalf("sent to %d", at1)
+		t.Fatalf("sent to worker %d", at1)
 	}
 	id, at2 := send(h)
 	if at2 != 1 {
-		t.Fatalf("sent to %d though a second lane was seen", at2)
+		t.Fatalf("sent to worker %d although worker 1 has a second lane", at2)
 	}
 	h.handle(AttemptCompleted{Request: id, Worker: 1, Outcome: NotLoaded})
 	if n := h.p.replicas.get(h.p.workers.byID[1], 7).lanes; n != 0 {
-		t.Errorf("%d lanes are believed in after a miss", n)
+		t.Errorf("%d lanes are known after NotLoaded", n)
 	}
 }
 
-// Little remaining time is no reason to reject a request that likely has a replica at its preferred worker.
+// A request with little remaining time is not rejected if it likely has a replica at its preferred worker.
 func TestRequestWithLittleTimeUsesALikelyReplica(t *testing.T) {
-	for remaining, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run ends in 20 ms
+	for remaining, want := range map[time.Duration]bool{20 * ms: false, 300 * ms: true} { // no run completes in 20 ms
 		cfg := config()
 		cfg.Routers = 40
 		h := newHarness(t, cfg, 5)
@@ -76,21 +77,22 @@
 		h.p.scheduler.lastTrial = h.now
 		actions := h.handle(RequestArrived{Request: 99, Function: 8, LoadTime: time.Second, Remaining: remaining})
 		if has[StartAttempt](actions) != want {
-			t.Errorf("%v left: %v", remaining, actions)
+			t.Errorf("with %v remaining: %v", remaining, actions)
 		}
 	}
 }
 
-// Guards small workers of a fleet whose routers see too few calls to learn who is slow: over many routers that share
-// nothing, functions have their homes at workers in proportion to their size, and each at one worker for all routers.
-// A router alone sees all that waits, so size says nothing to it.
+// Guards against overload of small workers in a fleet with many routers, each of which gets too few requests
+// to learn which workers are slow. The number of functions whose preferred worker is a given worker must be
+// in proportion to its size, and all routers must choose the same worker for a function. A single router
+// knows all queues, so it ignores the size.
 func TestRendezvousFollowsSizes(t *testing.T) {
 	for _, c := range []struct {
 		routers   int
 		low, high float64
 	}{{1, 0.85, 1.15}, {100, 1.3, 1.7}} {
 		if six, four := rendezvousBySize(t, c.routers); six < c.low*four || six > c.high*four {
-			t.Errorf("%d routers: workers of sizes 6 and 4 were sent %.0f and %.0f calls", c.routers, six, four)
+			t.Errorf("%d routers: workers of sizes 6 and 4 were sent %.0f and %.0f requests", c.routers, six, four)
 		}
 	}
 }
@@ -116,7 +118,7 @@
 		p.Handle(time.Hour, list, nil)
 		for n := range calls {
 			f := FunctionID(1 + rng.IntN(2000))
-			now := time.Hour + time.Duration(n)*time.Minute // nothing is remembered
+			now := time.Hour + time.Duration(n)*time.Minute // the time between requests exceeds every retention
 			id := RequestID(n + 1)
 			s, ok := first[StartAttempt](p.Handle(now, RequestArrived{Request: id, Function: f, LoadTime: time.Second, Remaining: 4 * time.Second}, nil))
 			if !ok {
@@ -124,7 +126,7 @@
 			}
 			p.Handle(now, AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 50 * ms}, nil)
 			if at, known := preferred[f]; known && at != s.Worker {
-				t.Fatalf("function %d has a home at %x and one at %x", f, at, s.Worker)
+				t.Fatalf("function %d has the preferred workers %x and %x", f, at, s.Worker)
 			}
 			preferred[f] = s.Worker
 			sent[list.Workers[slices.IndexFunc(list.Workers, func(e Endpoint) bool { return e.Worker == s.Worker })].Weight]++
@@ -133,15 +135,16 @@
 	return sent[6], sent[4]
 }
 
-// workerHash makes ids that look as those made of names do.
+// workerHash returns identifiers that look like hashes of worker names.
 func workerHash(i int) uint64 { return uint64(i+1) * 0xd6e8feb86659fd93 }
 
-// Of many routers each sees a worker seldom, but of all workers of a size enough: where larger ones run calls
-// faster too, they are home to more functions than their sizes say, by most of that.
+// With many routers, each router gets few responses of one worker, but enough of all workers of one size. If
+// larger workers also run requests faster, they must be the preferred worker of more functions than their
+// size alone gives, by most of that factor.
 func TestRendezvousFollowsMeasuredCapacity(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 80
-	for _, faster := range []float64{1, 1.6} { // workers of size 3 against those of size 2
+	for _, faster := range []float64{1, 1.6} { // speed of workers of size 3 relative to those of size 2
 		var ratios []float64
 		for seed := range uint64(20) {
 			h := newHarness(t, cfg, 0)
@@ -172,12 +175,13 @@
 		}
 		slices.Sort(ratios)
 		if want, got := 1.5*faster, ratios[len(ratios)/2]; got < 0.75*want || got > 1.2*want {
-			t.Errorf("%v times as fast: large workers are home to %.2f times as many functions, wanted %.2f; %.2f", faster, got, want, ratios)
+			t.Errorf("%v times as fast: large workers are preferred by %.2f times as many functions, want %.2f; %.2f", faster, got, want, ratios)
 		}
 	}
 }
 
-// A hot function needs many workers, and no router sees more than a call of it now and then.
+// A busy function needs many workers even if each router gets only a few requests for it. A rare function
+// must stay at one worker.
 func TestBusyFunctionUsesMoreWorkersThanARareOne(t *testing.T) {
 	cfg := config()
 	cfg.Routers = 50
@@ -189,11 +193,11 @@
 		for k := range 30 {
 			f := FunctionID(1000 + k)
 			if k%3 == 0 {
-				f = 7 // a third of all work: a third of the fleet
+				f = 7 // a third of all work, so a third of the fleet
 			}
 			h.now += 300 * ms
 			w := h.serve(f, 30*ms, AlreadyLoaded)
-			h.p.workers.byID[w].replicas[f].loadedUntil = h.now // as a router that has just lost sight of it
+			h.p.workers.byID[w].replicas[f].loadedUntil = h.now // the router no longer knows of the replica
 			if k > 15 && f == 7 {
 				busyWorkers[w] = true
 			}
@@ -205,12 +209,12 @@
 		t.Errorf("a third of all work went to %d of 20 workers", len(busyWorkers))
 	}
 	if len(rareWorkers) != 1 {
-		t.Errorf("a function called now and then has %d homes", len(rareWorkers))
+		t.Errorf("a rarely requested function has %d preferred workers", len(rareWorkers))
 	}
 }
 
-// A function's preferred worker is overloaded while the others have capacity: many routers, each blind to the
-// others, move their sum of sends off it within seconds and come back after.
+// If a function's preferred worker is overloaded while other workers have capacity, many routers that share
+// no state must move most of their attempts to other workers within seconds, and return afterwards.
 func TestRequestsMoveOffAFullWorkerAndBack(t *testing.T) {
 	cfg := config()
 	cfg.Routers, cfg.LoadStatusReported = 60, false
@@ -230,7 +234,7 @@
 				if k > 0 {
 					f = FunctionID(1000 + k + int(h.p.scheduler.ranking.router)*24)
 				}
-				h.now += 500 * ms // 12 s a round: the function comes too seldom to know its replica as warm
+				h.now += 500 * ms // a round takes 12 s: the function is requested too rarely for its replica to be known
 				h.handle(TimerFired{Token: housekeepingToken})
 				id, actions := h.arrive(0, f)
 				for try := 0; try < 3; try++ {
@@ -275,11 +279,11 @@
 		round(false)
 	}
 	after := round(false)
-	t.Logf("share of sends at the home: %.2f before, %.2f while full, %.2f after", before, during, after)
+	t.Logf("share of attempts at the preferred worker: %.2f before, %.2f while it is full, %.2f after", before, during, after)
 	if during > before/3 {
-		t.Errorf("the full home still draws %.2f of sends, %.2f before", during, before)
+		t.Errorf("the full preferred worker still gets %.2f of the attempts, %.2f before", during, before)
 	}
 	if after < before/2 {
-		t.Errorf("the home draws %.2f of sends after it has room again, %.2f before", after, before)
+		t.Errorf("the preferred worker gets %.2f of the attempts after it has capacity again, %.2f before", after, before)
 	}
 }
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -8,7 +8,7 @@
 
 func TestSlowStartBoundsAttempts(t *testing.T) {
 	h := newHarness(t, config(), 5)
-	for range 200 { // 10 a second over 5 workers
+	for range 200 { // 10 per second over 5 workers
 		h.serveWithHousekeeping(FunctionID(h.now%50), 95*ms)
 		h.advance(5 * ms)
 	}
@@ -25,17 +25,19 @@
 			s, ok = first[StartAttempt](h.handle(AttemptCompleted{Request: id, Attempt: n, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
-	// A share of 0.2 to 0.6 at a multiple of 2 allows 0.8 of the mean, 2 a second, on average: 9.6 in 6 s.
+	// A capacity share of 0.2 to 0.6 with a multiple of 2 allows on average 0.8 of the mean rate of 2 per
+	// second: 9.6 in 6 s.
 	if sent < 4 || sent > 9 {
-		t.Errorf("%d sends to a cold worker in 6 s", sent)
+		t.Errorf("%d attempts at a starting worker in 6 s", sent)
 	}
 }
 
-// A worker that could not be reached, or was silent, may have been started anew before it answers again, and its start is
-// reported later. Until then it counts as in slow start; after that, where none was reported, as warm.
+// A worker that could not be reached or was silent may have restarted before it responds again, and its
+// restart is reported later. Until a restart would have been reported, the worker counts as in slow start.
+// After that, if none was reported, it counts as warm.
 func TestReturningWorkerIsInSlowStartUntilAStartWouldBeReported(t *testing.T) {
 	h := newHarness(t, config(), 5)
-	for range 200 { // 10 a second over 5 workers
+	for range 200 { // 10 per second over 5 workers
 		h.serveWithHousekeeping(FunctionID(h.now%50), 95*ms)
 		h.advance(5 * ms)
 	}
@@ -43,17 +45,19 @@
 	h.advance(2 * time.Second)
 	h.handle(HealthCheckCompleted{Worker: 1, Outcome: Served})
 	early := h.attemptsAt(1, 200, 10*ms) // 2 s
-	// The least share of 0.2 at a multiple of 2 allows 0.4 of the mean, 2 a second; one that was warm takes 40 a second.
+	// The least capacity share of 0.2 with a multiple of 2 allows 0.4 of the mean rate of 2 per second. A
+	// warm worker would be sent 40 per second.
 	if early > 4 {
-		t.Errorf("%d sends within 2 s of the return of a worker that may be cold", early)
+		t.Errorf("%d attempts within 2 s after the recovery of a worker that may have restarted", early)
 	}
 	h.advance(2 * time.Second)
 	if late := h.attemptsAt(1, 200, 10*ms); late < 20 {
-		t.Errorf("%d sends within 2 s to a worker whose start was not reported", late)
+		t.Errorf("%d attempts within 2 s at a worker whose restart was not reported", late)
 	}
 }
 
-// failAt has attempts go out until one goes to a worker, and ends that with an outcome; the others are served.
+// failAt has requests arrive until one is sent to the given worker, and completes that attempt with an
+// outcome. The other requests are served.
 func (h *harness) failAt(worker WorkerID, outcome Outcome) {
 	for f := FunctionID(5000); ; f++ {
 		id, actions := h.arrive(0, f)
@@ -69,7 +73,8 @@
 	}
 }
 
-// attemptsAt sends requests for new functions, all of which are served, and counts those that go to one worker.
+// attemptsAt has requests for new functions arrive, all of which are served, and counts those sent to a
+// worker.
 func (h *harness) attemptsAt(worker WorkerID, requests int, interval time.Duration) (sent int) {
 	for f := range requests {
 		h.advance(interval)
@@ -86,17 +91,19 @@
 	return sent
 }
 
-// Of many routers, blind to each other, each may send a worker that just started only part of a call. But where
-// most of a fleet starts at once, that part is of what the warm rest takes, not of a mean that the cold ones lower:
-// the rest would be overrun while new workers have next to nothing to do.
+// Many routers share no state, so each may send a worker that has just started only a part of a request on
+// average. If most of a fleet starts at once, the limit must follow the rate of the workers that are still
+// warm, and not a mean that the starting workers lower. Otherwise the warm workers are overloaded while the
+// new ones are idle.
 func TestSlowStartLimitsAllRoutersTogether(t *testing.T) {
-	for _, started := range []int{1, 6} { // of ten workers
+	for _, started := range []int{1, 6} { // number of the ten workers that start
 		sent := 0
 		for n := range 100 {
 			sent += attemptsInSlowStart(t, uint64(n), started)
 		}
-		// All serve 300 calls a second, so a warm worker takes 30, and 75 where six don't. At 0.2 to 0.44 of that, in
-		// the mean 0.32, and a multiple of 2, 3 s allow 58 and 144; half is well used.
+		// The fleet serves 300 requests per second, so a warm worker serves 30, or 75 if six are starting. A
+		// capacity share of 0.2 to 0.44, 0.32 on average, with a multiple of 2 allows 58 and 144 in 3 s. Half
+		// of that is enough.
 		mean := 300.0
 		if started == 1 {
 			mean /= 10
@@ -104,13 +111,14 @@
 			mean /= 4
 		}
 		if limit := 3 * 0.32 * 2 * mean; float64(sent) < limit/4 || float64(sent) > limit {
-			t.Errorf("%d started: %d sends to one of them within 3 s by all together, %.0f at most", started, sent, limit)
+			t.Errorf("%d started: all routers sent %d attempts to one of them within 3 s, want at most %.0f", started, sent, limit)
 		}
 	}
 }
 
-// attemptsInSlowStart is how many calls a router that serves 3 in a second sends to worker 1, 10 s after it and others
-// were away and while they come back cold, of twenty in a second for functions that stand nowhere.
+// attemptsInSlowStart returns the number of attempts that a router sends to worker 1 after it and other
+// workers have restarted. They were gone for 10 s, in which the router served 3 requests per second. Then
+// twenty requests per second arrive, for functions that are loaded nowhere.
 func attemptsInSlowStart(t *testing.T, seed uint64, started int) int {
 	cfg := config()
 	cfg.Routers = 100
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -22,17 +22,17 @@
 		started, recoveredAt time.Duration
 		want                 float64
 	}{
-		"started long ago":            {want: 1},
-		"just started":                {started: now, want: 0.2},
-		"half way":                    {started: now - 5*time.Second, want: 0.6},
-		"warm":                        {started: now - 10*time.Second, want: 1},
-		"returned from an ejection":   {recoveredAt: now, want: 0.2},
-		"returned, no start reported": {recoveredAt: now - restartReportTime, want: 1},
+		"started long ago":             {want: 1},
+		"just started":                 {started: now, want: 0.2},
+		"half way":                     {started: now - 5*time.Second, want: 0.6},
+		"warm":                         {started: now - 10*time.Second, want: 1},
+		"recovered after an ejection":  {recoveredAt: now, want: 0.2},
+		"recovered, no start reported": {recoveredAt: now - restartReportTime, want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := &worker{Endpoint: Endpoint{Started: test.started}, slowStart: workerSlowStart{recoveredAt: test.recoveredAt}}
 			if got := s.capacityShare(now, w); math.Abs(got-test.want) > 1e-9 {
-				t.Errorf("warmth %v, want %v", got, test.want)
+				t.Errorf("capacity share %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -12,16 +12,17 @@
 	"crankhold/internal/timerheap"
 )
 
-// scenario drives a Policy against a simulated fleet in virtual time, closed loop: what the policy does decides what
-// comes next. It returns a sum over all events and actions, and how many there were.
+// scenario is a simulation of a Policy and a fleet of workers in virtual time. The actions of the policy
+// determine the next events.
 type scenario struct {
 	workers, functions int
-	interval           time.Duration // between calls
+	interval           time.Duration // between requests
 	duration           time.Duration
 	faults             bool
 	cfg                Config
 }
 
+// run returns a checksum over all events and actions, the numbers of requests and attempts, and the Policy.
 func (s scenario) run(t testing.TB, seed uint64) (checksum uint64, requests, attempts int, p *Policy) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -31,7 +32,7 @@
 	}
 	hash := fnv.New64a()
 	now := time.Hour
-	var upcoming timerheap.Heap[Event] // nil: a call comes
+	var upcoming timerheap.Heap[Event] // nil: a request arrives
 	for at := time.Duration(0); at < s.duration; at += s.interval {
 		upcoming.Add(now+at, nil)
 	}
@@ -73,7 +74,7 @@
 		now = next.Due()
 		if next.Value == nil {
 			arrive()
-			if s.faults && rng.IntN(200) == 0 { // a worker drains, comes back, or starts anew
+			if s.faults && rng.IntN(200) == 0 { // a worker drains, or restarts
 				i := rng.IntN(len(list.Workers))
 				e := &list.Workers[i]
 				if e.State == Ready {
@@ -104,7 +105,7 @@
 		fmt.Fprintf(hash, "%d", now)
 		for _, a := range p.Handle(now, next.Value, nil) {
 			if _, ok := a.(ClearTimer); ok {
-				continue // it changes no choice, and is newer than the records
+				continue // added after the checksums were recorded, and it changes no decision
 			}
 			writeAction(t, hash, a)
 			switch a := a.(type) {
@@ -146,8 +147,8 @@
 	return hash.Sum64(), requests, attempts, p
 }
 
-// writeAction writes an action in the form in which the sums were recorded: the names in it are those of that time and
-// stay, whatever the types and fields are called.
+// writeAction writes an action in the form in which the checksums were recorded. The names in it stay as they
+// were then, whatever the types and fields are called now.
 func writeAction(t testing.TB, w io.Writer, a Action) {
 	t.Helper()
 	switch a := a.(type) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// scenarios are what the module was recorded on.
+// scenarios returns the scenarios for which checksums were recorded.
 func scenarios() map[string]scenario {
 	settings := func(miss bool) Config {
 		c := config()
@@ -187,35 +188,37 @@
 	queueReports := settings(false)
 	queueReports.LoadReportFields = []string{"queue"}
 	return map[string]scenario{
-		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, settings(true)},
-		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, settings(true)},
-		"14 workers, loads by call": {14, 40, 4 * ms, 15 * time.Second, true, queueReports},
-		"100 workers with faults":   {100, 300, 2 * ms, 8 * time.Second, true, settings(true)},
-		"8 workers, overloaded":     {8, 20, ms, 6 * time.Second, true, settings(true)},
+		"12 workers":                   {12, 30, 5 * ms, 20 * time.Second, false, settings(true)},
+		"12 workers with faults":       {12, 30, 5 * ms, 20 * time.Second, true, settings(true)},
+		"14 workers, loads by request": {14, 40, 4 * ms, 15 * time.Second, true, queueReports},
+		"100 workers with faults":      {100, 300, 2 * ms, 8 * time.Second, true, settings(true)},
+		"8 workers, overloaded":        {8, 20, ms, 6 * time.Second, true, settings(true)},
 	}
 }
 
-// recorded are the sums of the streams by the module as it was when what they choose last changed. Work
-// that is to make a call cheaper and nothing else leaves them as they are.
+// recordedChecksums holds the checksums of the scenarios as of the last change of the decisions. A change
+// that only reduces the cost of a request must not change them.
 var recordedChecksums = map[string]uint64{
-	"12 workers":                1151388725873832079,
-	"12 workers with faults":    12142483808271537724,
-	"14 workers, loads by call": 7560215809940301482,
-	"100 workers with faults":   5867855119104726015,
-	"8 workers, overloaded":     2221276270014366894,
+	"12 workers":                   1151388725873832079,
+	"12 workers with faults":       12142483808271537724,
+	"14 workers, loads by request": 7560215809940301482,
+	"100 workers with faults":      5867855119104726015,
+	"8 workers, overloaded":        2221276270014366894,
 }
 
-// Guards the choices: the same events get the same actions as before, ties and random draws included.
+// Guards against unintended changes of decisions: the same events must give the same actions as before,
+// including the choice among ties and the use of random numbers.
 func TestDecisionsMatchRecordedChecksums(t *testing.T) {
 	for name, s := range scenarios() {
 		checksum, requests, attempts, _ := s.run(t, 1)
 		if checksum != recordedChecksums[name] || requests < 1000 || attempts < 1000 {
-			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, checksum, recordedChecksums[name], requests, attempts)
+			t.Errorf("%s: checksum %d, recorded %d; %d requests, %d attempts", name, checksum, recordedChecksums[name], requests, attempts)
 		}
 	}
 }
 
-// BenchmarkRequest is the cost of a call through the module, its arrival and its answer, by the size of the fleet.
+// BenchmarkRequest measures the cost of a request in the module, from its arrival to its response, by the
+// size of the fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 1000, 5000} {
 		s := scenarios()["12 workers"]
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// The table finds exactly the entries that the workers' maps hold, whatever is added, looked up and removed.
+// The table must find exactly the entries in the maps of the workers, whatever is added, looked up and
+// removed.
 func TestReplicaTableMatchesTheEntriesOfTheWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table replicaTable
@@ -28,7 +29,7 @@
 			}
 			for _, other := range fleet {
 				if got := table.lookUp(other, f); got != other.replicas[f] {
-					t.Fatalf("function %d: found %p, the worker holds %p", f, got, other.replicas[f])
+					t.Fatalf("function %d: found %p, the worker has %p", f, got, other.replicas[f])
 				}
 			}
 		}
@@ -59,15 +60,15 @@
 	r := &request{RequestArrived: RequestArrived{Request: 5}, attempts: []*attempt{{ended: true}, {}}, inFlight: 1}
 	table.add(r)
 	if table.findAttempt(5, 0) != nil || table.findAttempt(5, 1) != r.attempts[1] || table.findAttempt(5, 2) != nil {
-		t.Error("an attempt that has ended is found, or one in flight is not")
+		t.Error("a completed attempt is found, or one in flight is not")
 	}
 	r.complete = true
 	if table.removeIfComplete(r); table.get(5) == nil {
-		t.Error("a request leaves while an attempt is in flight")
+		t.Error("a request is removed while an attempt is in flight")
 	}
 	r.inFlight = 0
 	if table.removeIfComplete(r); table.get(5) != nil {
-		t.Error("a request that is over stays")
+		t.Error("a completed request without attempts in flight is not removed")
 	}
 	table.deferUntilHousekeeping(r)
 	if got := table.takeDeferred(); len(got) != 1 || len(table.takeDeferred()) != 0 {
@@ -85,13 +86,13 @@
 	}
 	f.recentRequests = 1
 	if table.recordRequest(now+rateSpan, RequestArrived{Function: 7}, class); f.recentRequests > 0.37 || f.recentRequests < 0.36 {
-		t.Errorf("after a span %v of a request are left", f.recentRequests)
+		t.Errorf("after rateSpan the count of one request is %v", f.recentRequests)
 	}
 	table.forgetUnused(now + rateSpan + functionRetention)
 	if table.get(7) == nil {
-		t.Error("a function is forgotten too early")
+		t.Error("a function is removed too early")
 	}
 	if table.forgetUnused(now + rateSpan + functionRetention + 1); table.get(7) != nil {
-		t.Error("a function is never forgotten")
+		t.Error("an unused function is not removed")
 	}
 }
--- a/policy/tenant_quotas_test.go
+++ b/policy/tenant_quotas_test.go
@@ -20,10 +20,10 @@
 		t.Error("the quota is not refilled")
 	}
 	if !quotas.exceeded(now, NoTenant) || !quotas.exceeded(now, 1) {
-		t.Error("a request of no known tenant is within a quota")
+		t.Error("a request of an unknown tenant is within a quota")
 	}
 	var none tenantQuotas
 	if none.charge(0); none.exceeded(now, 7) {
-		t.Error("a request is beyond a quota where the settings know no tenants")
+		t.Error("a request is beyond a quota although the settings have no tenants")
 	}
 }
--- a/policy/timer_token_test.go
+++ b/policy/timer_token_test.go
@@ -15,10 +15,10 @@
 		{kind: hedgeTimer, request: math.MaxUint32},
 	} {
 		if got := decodeTimerToken(want.encode()); got != want {
-			t.Errorf("%+v becomes %+v", want, got)
+			t.Errorf("%+v is decoded as %+v", want, got)
 		}
 	}
 	if got := decodeTimerToken(2); got.kind != unknownTimer {
-		t.Errorf("a token that no timer has is %+v", got)
+		t.Errorf("an unknown token is decoded as %+v", got)
 	}
 }
--- a/policy/types_test.go
+++ b/policy/types_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards the words in which states and outcomes are logged.
+// Guards the names under which states and outcomes are logged.
 func TestStringMethods(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -32,20 +32,20 @@
 	}
 }
 
-// A ConfigError says which class or setting is impossible.
+// A ConfigError tells which class or setting is invalid.
 func TestConfigErrorNamesTheSetting(t *testing.T) {
 	for name, c := range map[string]struct {
 		modify  func(*Config)
 		class   int
 		setting string
 	}{
-		"no classes":            {func(c *Config) { c.Classes = nil }, NoClass, "Classes"},
-		"a negative tick":       {func(c *Config) { c.Tick = -1 }, NoClass, "Tick"},
-		"more than all":         {func(c *Config) { c.SlowStartInitialCapacity = 1.5 }, NoClass, "SlowStartInitialCapacity"},
-		"infinite":              {func(c *Config) { c.LoadBudgetRatio = math.Inf(1) }, NoClass, "LoadBudgetRatio"},
-		"not a number":          {func(c *Config) { c.OverloadMultiple = math.NaN() }, NoClass, "OverloadMultiple"},
-		"the last class":        {func(c *Config) { c.Classes[2].Deadline = 0 }, 2, ""},
-		"a class and an amount": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1, ""},
+		"no classes":                  {func(c *Config) { c.Classes = nil }, NoClass, "Classes"},
+		"a negative tick":             {func(c *Config) { c.Tick = -1 }, NoClass, "Tick"},
+		"a share above 1":             {func(c *Config) { c.SlowStartInitialCapacity = 1.5 }, NoClass, "SlowStartInitialCapacity"},
+		"infinite":                    {func(c *Config) { c.LoadBudgetRatio = math.Inf(1) }, NoClass, "LoadBudgetRatio"},
+		"not a number":                {func(c *Config) { c.OverloadMultiple = math.NaN() }, NoClass, "OverloadMultiple"},
+		"the last class":              {func(c *Config) { c.Classes[2].Deadline = 0 }, 2, ""},
+		"a class and another setting": {func(c *Config) { c.Classes[1].LatencyObjective, c.Tick = 0, -1 }, 1, ""},
 	} {
 		cfg := config()
 		c.modify(&cfg)
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// memoryPriceConfig returns settings under which memory has a price and a call loads what it lacks.
+// memoryPriceConfig returns settings in which memory has a price and workers load functions by themselves.
 func memoryPriceConfig() Config {
 	c := config()
 	c.LoadCommandsSupported, c.MemoryPrice, c.WorkerMemoryMB = true, 0.15, 10_000
@@ -14,8 +14,9 @@
 	return c
 }
 
-// idleTimeBeforeUnload serves n calls of a function of so much memory in each of ten seconds, then lets time pass, and returns
-// how long after the last call its replica was unloaded, or 0 if that never was.
+// idleTimeBeforeUnload serves n requests per second for ten seconds, for a function that needs the given
+// memory. It returns the time from the last request until the replica was unloaded, or 0 if it was not
+// unloaded.
 func idleTimeBeforeUnload(t *testing.T, c Config, n int, memory float64) time.Duration {
 	h := newHarness(t, c, 10)
 	for range 10 * n {
@@ -41,37 +42,38 @@
 	return 0
 }
 
-// An idle replica goes once its memory has cost what a call loses that finds none: sooner where memory is dearer, the
-// replica larger or the traffic thicker, and never where the settings give no reason to.
+// An idle replica is unloaded when its memory has cost as much as a request loses that finds no replica. This
+// is sooner if memory is more expensive, the replica is larger or requests are more frequent. It never
+// happens if memory has no price or replicas can't be unloaded.
 func TestIdleReplicasAreUnloadedWhenMemoryCostsMoreThanALoad(t *testing.T) {
 	base := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 8000)
 	if base <= 0 || base >= 9*time.Second {
 		t.Fatalf("unloaded after %v", base)
 	}
 	if larger := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 30_000); larger <= 0 || larger >= base {
-		t.Errorf("a larger copy is unloaded after %v, another after %v", larger, base)
+		t.Errorf("a larger replica is unloaded after %v, a smaller one after %v", larger, base)
 	}
 	if fewRequests := idleTimeBeforeUnload(t, memoryPriceConfig(), 2, 8000); fewRequests != 0 {
-		t.Errorf("in thin traffic it is unloaded after %v", fewRequests)
+		t.Errorf("with few requests it is unloaded after %v", fewRequests)
 	}
 	for name, change := range map[string]func(*Config){
-		"memory is free":                func(c *Config) { c.MemoryPrice = 0 },
-		"no memory is reported":         func(c *Config) { c.WorkerMemoryMB = 0 },
-		"load commands are not allowed": func(c *Config) { c.LoadCommandsSupported = false },
-		"only load commands load":       func(c *Config) { c.MissWhenNotLoaded = true },
+		"memory is free":                    func(c *Config) { c.MemoryPrice = 0 },
+		"no memory is reported":             func(c *Config) { c.WorkerMemoryMB = 0 },
+		"load commands are not allowed":     func(c *Config) { c.LoadCommandsSupported = false },
+		"workers do not load by themselves": func(c *Config) { c.MissWhenNotLoaded = true },
 	} {
 		c := memoryPriceConfig()
 		change(&c)
 		if idleTime := idleTimeBeforeUnload(t, c, 20, 8000); idleTime != 0 {
-			t.Errorf("where %s it is unloaded after %v", name, idleTime)
+			t.Errorf("if %s, it is unloaded after %v", name, idleTime)
 		}
 	}
 	if idleTime := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 0); idleTime != 0 {
-		t.Errorf("a copy of untold memory is unloaded after %v", idleTime)
+		t.Errorf("a replica of unknown memory is unloaded after %v", idleTime)
 	}
 }
 
-// Guards a replica that is in use, loading, or at a worker that takes nothing new: none of these is unloaded.
+// A replica that is in use, is loading, or is at a worker that is not ready must not be unloaded.
 func TestOnlyIdleReplicasAtReadyWorkersAreUnloaded(t *testing.T) {
 	for _, reason := range []string{"in use", "draining"} {
 		h := newHarness(t, memoryPriceConfig(), 1)
@@ -88,13 +90,14 @@
 		for range 300 {
 			h.now += housekeepingInterval
 			if actions := h.handle(TimerFired{Token: housekeepingToken}); has[Unload](actions) {
-				t.Fatalf("%s, and unloaded: %v", reason, actions)
+				t.Fatalf("a replica that is %s is unloaded: %v", reason, actions)
 			}
 		}
 	}
 }
 
-// Guards equal runs: replicas that go in one sweep go in one order, whatever a map's is.
+// The order in which one sweep unloads replicas must not depend on the order of a map, so that equal runs
+// give equal actions.
 func TestUnloadOrderIsDeterministic(t *testing.T) {
 	run := func() (order []FunctionID) {
 		h := newHarness(t, memoryPriceConfig(), 1)
@@ -115,7 +118,7 @@
 	}
 	want := run()
 	if len(want) != 20 {
-		t.Fatalf("%d of 20 copies were unloaded", len(want))
+		t.Fatalf("%d of 20 replicas were unloaded", len(want))
 	}
 	for range 5 {
 		if got := run(); !slices.Equal(got, want) {
@@ -124,8 +127,8 @@
 	}
 }
 
-// A call that was rejected meets the same queues as one that has just come: under a standing delay it gives way as
-// often, and does not go round all workers.
+// A request that a worker rejected meets the same queues as a new request. Under a standing delay it must be
+// shed as often, and not be sent to one worker after the other.
 func TestOverloadedRequestsAreShedUnderAStandingDelay(t *testing.T) {
 	rejected := func(overloaded bool) (n int) {
 		h := newHarness(t, config(), 8)
@@ -144,7 +147,7 @@
 			id, actions := h.arrive(0, FunctionID(i%4+1))
 			s, ok := first[StartAttempt](actions)
 			if !ok {
-				continue // a first attempt that gives way
+				continue // shed before its first attempt
 			}
 			i++
 			actions = h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Overloaded, Took: ms})
@@ -158,9 +161,9 @@
 		return n
 	}
 	if n := rejected(false); n > 5 {
-		t.Errorf("%d of 200 requests rejected once are rejected where nothing queues", n)
+		t.Errorf("%d of 200 requests that a worker rejected are rejected without a queue", n)
 	}
 	if n := rejected(true); n < 20 {
-		t.Errorf("%d of 200 requests rejected once are rejected under a standing delay", n)
+		t.Errorf("%d of 200 requests that a worker rejected are rejected under a standing delay", n)
 	}
 }
--- a/policy/workers_test.go
+++ b/policy/workers_test.go
@@ -7,7 +7,7 @@
 	w := h.serve(7, 1100*ms, StartedLoad)
 	h.handle(EndpointList{Workers: []Endpoint{{Worker: w, State: Ready, Started: h.now}}})
 	if h.p.workers.byID[w].replicas[7].loadedUntil > h.now {
-		t.Error("a restarted worker is still thought warm")
+		t.Error("a replica still counts as loaded after a restart")
 	}
 }
 
