--- a/policy/capacity_estimator.go
+++ b/policy/capacity_estimator.go
@@ -23,7 +23,7 @@
 type capacityEstimator struct {
 	cfg            *Config
 	workers        *workerTable
-	sizeRegression stats.Regression // saving of run time over the logarithm of the size
+	sizeRegression stats.Regression // relative saving of run time over the logarithm of the size
 }
 
 // observeRun updates the regression by a run at a worker, given as a multiple of the mean run time.
--- a/policy/config.go
+++ b/policy/config.go
@@ -91,7 +91,7 @@
 	MissWhenNotLoaded     bool          // a worker without the function responds NotLoaded and loads nothing
 	LoadCommandsSupported bool          // Load and Unload are allowed
 	LoadStatusReported    bool          // responses report whether a replica was loaded
-	ConcurrencyReported   bool          // responses report the worker's requests in flight of the function
+	ConcurrencyReported   bool          // responses report AttemptCompleted.Concurrency
 	KeepAlive             time.Duration // least time for which an idle replica stays loaded
 	LoadTimeout           time.Duration // a load without a response within this time ends as TimedOut
 	LoadBudgetWindow      time.Duration // window of the load budget; 0: no load budget
--- a/policy/events.go
+++ b/policy/events.go
@@ -26,7 +26,7 @@
 	Unreachable             // no connection could be made
 	ConnectionReset         // the connection broke
 	Canceled                // canceled by the router or its client
-	NotSent                 // the time in which it could be sent was over
+	NotSent                 // the time for sending it was over
 	NotLoaded               // the worker has no replica of the function
 )
 
@@ -37,8 +37,8 @@
 
 // String returns the outcome in lower case. Log attributes that count outcomes use these names.
 func (o Outcome) String() string {
-	return nameOf("Outcome", o, "served", "failed", "overloaded", "timed_out", "unreachable", "connection_reset",
-		"canceled", "not_sent", "not_loaded")
+	return nameOf("Outcome", o, "served", "failed", "overloaded", "timed_out", "unreachable",
+		"connection_reset", "canceled", "not_sent", "not_loaded")
 }
 
 // LoadStatus is a response's report on whether a replica was loaded when the request arrived at the worker.
@@ -176,7 +176,7 @@
 	Worker      WorkerID
 	Outcome     Outcome
 	LoadStatus  LoadStatus
-	Concurrency int  // with ConcurrencyReported: requests of the function in flight at the worker
+	Concurrency int  // with ConcurrencyReported: the worker's requests of the function in flight
 	Closed      bool // the request has its final response
 	Took        time.Duration
 	Report      []float64 // load report, in the order of Config.LoadReportFields; empty: none was received
--- a/policy/health_checker.go
+++ b/policy/health_checker.go
@@ -21,7 +21,7 @@
 
 // recordConnectionFailure records that a connection could not be made or broke. A worker that can't be
 // reached is ejected at once. After a broken connection a health check decides, because the worker itself may
-// be well.
+// be healthy. If no health check can be sent, the worker is ejected.
 func (h *healthChecker) recordConnectionFailure(w *worker, outcome Outcome) {
 	if outcome == Unreachable || !w.health.checking && !h.check(w) {
 		h.outliers.eject(h.turn.now, w)
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -11,7 +11,7 @@
 	sweepInterval        = time.Second
 
 	// gossipedKeepAlivePercent is the part of the keep-alive for which a replica that another router reports
-	// is taken to be loaded. It is less than all, because the report is out of date by some time.
+	// is assumed to be loaded. It is less than the whole, because the report is already some time old.
 	gossipedKeepAlivePercent = 90
 )
 
@@ -41,7 +41,7 @@
 	p.workers.removeGone(p.replicas.removeWorker)
 	p.endpoints.updateCapacities()
 	for _, w := range p.workers.fleet {
-		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // the order must not depend on the map's
+		for _, id := range slices.Sorted(maps.Keys(w.replicas)) { // equal events must give equal actions
 			p.sweepReplica(w, id)
 		}
 	}
--- a/policy/load_budget.go
+++ b/policy/load_budget.go
@@ -45,8 +45,7 @@
 }
 
 // allowsQueuedCommand reports whether a load command that was counted when it was decided on may be sent now.
-// The command counts again when it arrives at the worker, and by then the requests that allowed it may have
-// left the window.
+// Workers count it when it arrives, and by then the requests that allowed it may have left the window.
 func (b *loadBudget) allowsQueuedCommand(now time.Duration) bool {
 	return !b.bounded() || float64(b.recentCommands(now)) <= b.allowance(now)
 }
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	shedRatioSlope      = 2   // slope of the shed ratio over the part of the objective beyond the start
+	shedRatioSlope      = 2   // shed ratio per part of the objective by which the delay exceeds the start
 	maxShedRatio        = 0.9 // largest part of the requests that is shed
 	higherPriorityRatio = 1.5 // a class has priority over another if its weight is higher by this factor
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -147,5 +147,5 @@
 }
 
 // MayStillLoad reports whether a load command that was decided on earlier may be sent at the time now. The
-// budget is checked again because a command counts against it when it arrives at the worker.
+// budget is checked again because workers count the command when it arrives.
 func (p *Policy) MayStillLoad(now time.Duration) bool { return p.loads.budget.allowsQueuedCommand(now) }
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -34,7 +34,7 @@
 	tables    *tables
 	estimator *latencyEstimator
 	slowStart *slowStart
-	router    WorkerID // this router's identifier, by which it chooses its slot like a worker
+	router    WorkerID // this router's identifier; slots are ranked for it by the same hash
 }
 
 // preferred returns the candidate that ranks first among those at which a request would start a load.
--- a/policy/request_policy.go
+++ b/policy/request_policy.go
@@ -10,7 +10,7 @@
 	RetriesAfterPossibleRun int           // after an attempt that may have run; below 0: as in the settings
 	RetriesAfterProvenNoRun int           // after attempts that never ran; below 0: as in the settings
 	AttemptTimeout          time.Duration // of each attempt; 0: the request's deadline
-	HedgeDelay              time.Duration // when an Idempotent request may start a hedged attempt; 0: never
+	HedgeDelay              time.Duration // time until the hedged attempt of an Idempotent request; 0: none
 	LatencyObjective        time.Duration // 0: that of the class
 }
 
