--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -103,7 +103,7 @@
 		}
 		// The fleet serves 300 requests per second, so a warm worker serves 30, or 75 if six are starting. A
 		// capacity share of 0.2 to 0.44, 0.32 on average, with a multiple of 2 allows 58 and 144 in 3 s. Half
-		// of that is enough.
+		// of that is a good use of the limit.
 		mean := 300.0
 		if started == 1 {
 			mean /= 10
@@ -117,8 +117,9 @@
 }
 
 // attemptsInSlowStart returns the number of attempts that a router sends to worker 1 after it and other
-// workers have restarted. They were gone for 10 s, in which the router served 3 requests per second. Then
-// twenty requests per second arrive, for functions that are loaded nowhere.
+// workers have restarted. Before that, the router serves 3 requests per second for longer than 10 s,
+// rateSpan; if several workers restart, they are gone meanwhile. Afterwards, twenty requests per second
+// arrive for functions that are loaded nowhere.
 func attemptsInSlowStart(t *testing.T, seed uint64, started int) int {
 	cfg := config()
 	cfg.Routers = 100
