--- a/policy/assembly.go
+++ b/policy/assembly.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// parts are the types that several others of a Policy use. Each of those gets just what it needs of them.
-type parts struct {
+// sharedComponents holds the settings, state and components that several components of a Policy use. Each
+// constructor below passes on only what its component needs.
+type sharedComponents struct {
 	cfg       *Config
 	rng       *rand.Rand
 	turn      *turn
@@ -18,10 +19,10 @@
 	gossip    *gossiper
 }
 
-// assemble makes the parts of a Policy, which share its settings, tables, turn and random source.
+// assemble creates the components of a Policy. They share its settings, tables, turn and random source.
 func (p *Policy) assemble(rng *rand.Rand, router WorkerID) {
 	cfg := &p.cfg
-	shared := &parts{
+	shared := &sharedComponents{
 		cfg:       cfg,
 		rng:       rng,
 		turn:      &p.turn,
@@ -48,7 +49,7 @@
 	p.scheduler = shared.newScheduler(router)
 }
 
-func (s *parts) newRuleGuard() ruleGuard {
+func (s *sharedComponents) newRuleGuard() ruleGuard {
 	return ruleGuard{
 		cfg:       s.cfg,
 		tables:    s.tables,
@@ -58,7 +59,7 @@
 	}
 }
 
-func (s *parts) newEndpointTracker() endpointTracker {
+func (s *sharedComponents) newEndpointTracker() endpointTracker {
 	return endpointTracker{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -69,7 +70,7 @@
 	}
 }
 
-func (s *parts) newHealthChecker() *healthChecker {
+func (s *sharedComponents) newHealthChecker() *healthChecker {
 	return &healthChecker{
 		turn:      s.turn,
 		retries:   s.retries,
@@ -79,7 +80,7 @@
 	}
 }
 
-func (s *parts) newOutcomeRecorder(health *healthChecker) *outcomeRecorder {
+func (s *sharedComponents) newOutcomeRecorder(health *healthChecker) *outcomeRecorder {
 	return &outcomeRecorder{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -93,7 +94,7 @@
 	}
 }
 
-func (s *parts) newLoader(health *healthChecker, outcomes *outcomeRecorder) loader {
+func (s *sharedComponents) newLoader(health *healthChecker, outcomes *outcomeRecorder) loader {
 	return loader{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -107,7 +108,7 @@
 	}
 }
 
-func (s *parts) newAttemptStarter(quotas *tenantQuotas) attemptStarter {
+func (s *sharedComponents) newAttemptStarter(quotas *tenantQuotas) attemptStarter {
 	return attemptStarter{
 		cfg:       s.cfg,
 		turn:      s.turn,
@@ -120,7 +121,7 @@
 	}
 }
 
-func (s *parts) newScheduler(router WorkerID) *scheduler {
+func (s *sharedComponents) newScheduler(router WorkerID) *scheduler {
 	return &scheduler{
 		cfg:       s.cfg,
 		rng:       s.rng,
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -8,92 +8,92 @@
 	"crankhold/internal/stats"
 )
 
-// Load shedding begins where a standing delay takes so much of the latency objective.
+// Load shedding starts when the standing delay exceeds these parts of the latency objective.
 const (
-	shedStart            = 0.5  // as a rule
-	shedStartLowPriority = 0.25 // of classes of lower priority than another
-	shedStartLate        = 0.15 // of requests whose response would be late, and of those beyond a quota
+	shedStart            = 0.5  // for most requests
+	shedStartLowPriority = 0.25 // for a class if another class has priority over it
+	shedStartLate        = 0.15 // for requests beyond a quota or whose response would be late
 )
 
 const (
-	shedSlope           = 2   // requests shed, as a part, for each further part of the objective
-	maxShedRatio        = 0.9 // part of the requests that is shed at most
-	higherPriorityRatio = 1.5 // by how much the weight of another class is higher where it has priority
+	shedRatioSlope      = 2   // shed ratio per part of the objective by which the delay exceeds the start
+	maxShedRatio        = 0.9 // largest part of the requests that is shed
+	higherPriorityRatio = 1.5 // a class has priority over another if its weight is higher by this factor
 
-	// The standing delay follows responses slowly upward and faster downward: three of four exceed it.
+	// The standing delay rises slowly and falls faster, so that three of four responses exceed it.
 	standingDelayUpward   = 20
 	standingDelayDownward = 4
 )
 
-// loadShedder rejects a growing part of the requests under a standing delay: one that even fast responses
-// show, and that serves nobody.
+// loadShedder rejects a growing part of the requests under a standing delay. This is a queueing delay that
+// even fast responses show, and it helps no request.
 //
-// Invariant: what may have run is never shed.
+// Invariant: a request that may have run is never shed.
 type loadShedder struct {
 	cfg     *Config
 	rng     *rand.Rand
 	classes []classState
 
-	standingDelay stats.SkewedMean // nanoseconds that three of four responses from loaded replicas exceed
+	standingDelay stats.SkewedMean // in nanoseconds; three of four responses of loaded replicas exceed it
 }
 
-// sheddingDecision says whether a request is shed.
+// sheddingDecision tells whether a request is shed.
 type sheddingDecision struct {
 	shed       bool
-	retryAfter nanoseconds // until the queue admits such requests again
+	retryAfter nanoseconds // time until such requests are admitted again
 }
 
-// sheddingTerms are what the standing delay is compared with for a request.
-type sheddingTerms struct {
-	start     float64 // part of the objective from which on requests are shed
-	objective float64 // nanoseconds
+// sheddingThreshold is the standing delay beyond which a request may be shed.
+type sheddingThreshold struct {
+	start     float64 // the threshold as a part of the objective
+	objective float64 // latency objective in nanoseconds
 }
 
-// observe learns from a response of a replica that was known to be loaded.
+// observe updates the standing delay by a response of a replica that was known to be loaded.
 func (s *loadShedder) observe(took nanoseconds, objective time.Duration) {
 	counted := min(float64(took), maxMultiple*float64(objective))
 	s.standingDelay.Observe(counted, standingDelayUpward, standingDelayDownward)
 }
 
-// decide decides on a request whose response from the best worker is expected after a time. It draws from the
-// random source once for each call.
+// decide decides whether to shed a request whose response from the best worker is expected after a time. Each
+// call uses one random number.
 func (s *loadShedder) decide(
 	now time.Duration, r *request, best *worker, expected nanoseconds,
 ) sheddingDecision {
-	terms := s.terms(r, expected)
-	// What other routers queue at the best worker is a standing delay too.
-	others := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
-	delay := max(s.standingDelay.Mean, others)
-	ratio := min(shedSlope*(delay/terms.objective-terms.start), maxShedRatio)
-	drawn := s.rng.Float64() < ratio
+	threshold := s.threshold(r, expected)
+	// The queue of other routers' requests at the best worker is a standing delay too.
+	otherRoutersDelay := (1 - 1/float64(s.cfg.Routers)) * best.latency.queueDelay.Mean(now)
+	delay := max(s.standingDelay.Mean, otherRoutersDelay)
+	ratio := min(shedRatioSlope*(delay/threshold.objective-threshold.start), maxShedRatio)
+	picked := s.rng.Float64() < ratio
 	return sheddingDecision{
-		shed:       drawn && r.possibleRun == nil,
-		retryAfter: nanoseconds(delay - terms.start*terms.objective),
+		shed:       picked && r.firstPossibleRun == nil,
+		retryAfter: nanoseconds(delay - threshold.start*threshold.objective),
 	}
 }
 
-// terms returns from which delay on a request is shed. The yardstick is the shortest objective among the
-// classes that have priority over its own.
-func (s *loadShedder) terms(r *request, expected nanoseconds) sheddingTerms {
+// threshold returns the standing delay beyond which a request may be shed. It is relative to the shortest
+// objective among the request's class and the classes that have priority over it.
+func (s *loadShedder) threshold(r *request, expected nanoseconds) sheddingThreshold {
 	classObjective := r.class.LatencyObjective
-	own := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
-	terms := sheddingTerms{start: shedStart, objective: own}
+	ownObjective := float64(min(classObjective, cmp.Or(r.Policy.LatencyObjective, classObjective)))
+	threshold := sheddingThreshold{start: shedStart, objective: ownObjective}
 	for i := range s.classes {
 		other := &s.classes[i]
 		if s.weightPerWork(other) > higherPriorityRatio*s.weightPerWork(r.class) {
-			terms.start = shedStartLowPriority
-			terms.objective = min(terms.objective, float64(other.LatencyObjective))
+			threshold.start = shedStartLowPriority
+			threshold.objective = min(threshold.objective, float64(other.LatencyObjective))
 		}
 	}
 	if r.overQuota {
-		terms.start = shedStartLate * s.cfg.OverQuotaWeight
-	} else if float64(expected) > own {
-		terms.start = shedStartLate
+		threshold.start = shedStartLate * s.cfg.OverQuotaWeight
+	} else if float64(expected) > ownObjective {
+		threshold.start = shedStartLate
 	}
-	return terms
+	return threshold
 }
 
-// weightPerWork is the priority weight of a class for each unit of work.
+// weightPerWork is the priority weight of a class per unit of work.
 func (s *loadShedder) weightPerWork(c *classState) float64 {
 	if s.cfg.WeightByWork {
 		return c.PriorityWeight
@@ -101,13 +101,13 @@
 	return c.PriorityWeight / max(c.run.Mean, 1)
 }
 
-// retryAfter returns the Retry-After of a rejected request, or 0 where the settings allow none. It is spread
-// at random, so that rejected clients do not come back together.
+// retryAfter returns the Retry-After of a rejected request, or 0 if the settings allow none. It is
+// randomized, so that rejected clients do not retry at the same time.
 func (s *loadShedder) retryAfter(wait nanoseconds) time.Duration {
-	most := float64(s.cfg.MaxRetryAfter)
-	if !s.cfg.RetryAfterSupported || most <= 0 {
+	maximum := float64(s.cfg.MaxRetryAfter)
+	if !s.cfg.RetryAfterSupported || maximum <= 0 {
 		return 0
 	}
-	longest := stats.Clamp(float64(wait), float64(housekeepingInterval), most)
+	longest := stats.Clamp(float64(wait), float64(housekeepingInterval), maximum)
 	return time.Duration(longest * (1 - s.rng.Float64()/2))
 }
--- a/policy/load_shedder_test.go
+++ b/policy/load_shedder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSheddingTerms(t *testing.T) {
+func TestSheddingThreshold(t *testing.T) {
 	cfg := config()
 	cfg.OverQuotaWeight = 0.5
 	s := &loadShedder{cfg: &cfg, classes: newClassStates(cfg.Classes)}
@@ -19,14 +19,14 @@
 	}{
 		"of the highest priority": {class: 2, start: shedStart},
 		"of lower priority":       {class: 0, start: shedStartLowPriority},
-		"late at best":            {class: 2, expected: objective + 1, start: shedStartLate},
+		"expected late":           {class: 2, expected: objective + 1, start: shedStartLate},
 		"beyond the quota":        {class: 2, overQuota: true, start: shedStartLate / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := &request{class: &s.classes[test.class], overQuota: test.overQuota}
 			r.Policy = &defaultRequestPolicy
-			if got := s.terms(r, nanoseconds(test.expected)); got.start != test.start || got.objective != float64(objective) {
-				t.Errorf("shed from %v of %v on, want %v", got.start, time.Duration(got.objective), test.start)
+			if got := s.threshold(r, nanoseconds(test.expected)); got.start != test.start || got.objective != float64(objective) {
+				t.Errorf("shed beyond %v of %v, want %v", got.start, time.Duration(got.objective), test.start)
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 	if shed < 80 || shed == 100 {
 		t.Errorf("%d of 100 requests are shed, want about %v of them", shed, maxShedRatio)
 	}
-	r.possibleRun = &attempt{}
+	r.firstPossibleRun = &attempt{}
 	for range 100 {
 		if s.decide(time.Hour, r, &worker{}, 0).shed {
 			t.Fatal("a request that may have run is shed")
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,95 +7,97 @@
 	"time"
 )
 
-// ruleChecker follows the actions of a random world and reports broken rules. It shares no code with the module.
+// ruleChecker checks the actions under random events and reports broken rules. It shares no code with the
+// module.
 type ruleChecker struct {
-	t     *testing.T
-	cfg   Config
-	reqs  map[RequestID]*observedRequest
-	state map[WorkerID]WorkerState
-	order []time.Duration
-	took  []time.Duration
+	t            *testing.T
+	cfg          Config
+	observed     map[RequestID]*observedRequest
+	states       map[WorkerID]WorkerState
+	loadCommands []time.Duration
+	arrivals     []time.Duration
 }
 
 type observedRequest struct {
-	class    int
-	deadline time.Duration
-	sent     []WorkerID
-	open     map[int]bool
-	mayRan   time.Duration // when the first attempt that may have run was sent
-	ran      bool
-	sentAt   []time.Duration
-	final    bool
+	class         int
+	deadline      time.Duration
+	workers       []WorkerID
+	inFlight      map[int]bool
+	possibleRunAt time.Duration // when the first attempt that may have run was sent
+	mayHaveRun    bool
+	sentAt        []time.Duration
+	complete      bool
 }
 
-func (c *ruleChecker) check(now time.Duration, acts []Action) {
-	for _, a := range acts {
+func (c *ruleChecker) check(now time.Duration, actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case StartAttempt:
-			r := c.reqs[a.Request]
+			r := c.observed[a.Request]
 			class := c.cfg.Classes[r.class]
-			risky := r.ran || len(r.open) > 0
+			mayRunTwice := r.mayHaveRun || len(r.inFlight) > 0
 			switch {
-			case r.final:
-				c.t.Fatalf("%v: send after the final answer of %d", now, a.Request)
-			case c.state[a.Worker] != Ready:
-				c.t.Fatalf("%v: send to worker %d in state %d", now, a.Worker, c.state[a.Worker])
-			case risky && class.Idempotency == NotIdempotent, len(r.open) > 0 && !c.cfg.HedgingAllowed:
-				c.t.Fatalf("%v: repeat of %d", now, a.Request)
-			case r.ran && class.Idempotency == IdempotentWithKey && now > r.mayRan+class.DeduplicationWindow:
-				c.t.Fatalf("%v: keyed repeat outside the window", now)
-			case len(r.sent) >= c.cfg.MaxAttempts:
+			case r.complete:
+				c.t.Fatalf("%v: attempt after the final response to request %d", now, a.Request)
+			case c.states[a.Worker] != Ready:
+				c.t.Fatalf("%v: attempt at worker %d in state %d", now, a.Worker, c.states[a.Worker])
+			case mayRunTwice && class.Idempotency == NotIdempotent, len(r.inFlight) > 0 && !c.cfg.HedgingAllowed:
+				c.t.Fatalf("%v: forbidden retry of request %d", now, a.Request)
+			case r.mayHaveRun && class.Idempotency == IdempotentWithKey && now > r.possibleRunAt+class.DeduplicationWindow:
+				c.t.Fatalf("%v: retry with a key outside the deduplication window", now)
+			case len(r.workers) >= c.cfg.MaxAttempts:
 				c.t.Fatalf("%v: too many attempts", now)
 			}
-			r.open[len(r.sent)] = true
-			r.sent, r.sentAt = append(r.sent, a.Worker), append(r.sentAt, now)
+			r.inFlight[len(r.workers)] = true
+			r.workers, r.sentAt = append(r.workers, a.Worker), append(r.sentAt, now)
 		case Reject:
-			r := c.reqs[a.Request]
-			if class := c.cfg.Classes[r.class]; (r.ran || len(r.open) > 0) && (class.Idempotency == NotIdempotent ||
+			r := c.observed[a.Request]
+			if class := c.cfg.Classes[r.class]; (r.mayHaveRun || len(r.inFlight) > 0) && (class.Idempotency == NotIdempotent ||
 				class.Idempotency == IdempotentWithKey && class.DeduplicationScope != DeduplicatedEverywhere) {
-				c.t.Fatalf("%v: rejection of %d, which may have run", now, a.Request)
+				c.t.Fatalf("%v: rejection of request %d, which may have run", now, a.Request)
 			}
-			c.checkEnd(now, r)
+			c.checkFinalResponse(now, r)
 		case FailRequest:
-			c.checkEnd(now, c.reqs[a.Request])
+			c.checkFinalResponse(now, c.observed[a.Request])
 		case Load:
-			if c.state[a.Worker] != Ready {
-				c.t.Fatalf("%v: order to worker %d in state %d", now, a.Worker, c.state[a.Worker])
+			if c.states[a.Worker] != Ready {
+				c.t.Fatalf("%v: load command to worker %d in state %d", now, a.Worker, c.states[a.Worker])
 			}
-			c.order = append(c.order, now)
-			n, m := 0, 0
-			for _, at := range c.order {
+			c.loadCommands = append(c.loadCommands, now)
+			recentCommands, recentRequests := 0, 0
+			for _, at := range c.loadCommands {
 				if at >= now-c.cfg.LoadBudgetWindow {
-					n++
+					recentCommands++
 				}
 			}
-			for _, at := range c.took {
+			for _, at := range c.arrivals {
 				if at > now-c.cfg.LoadBudgetWindow {
-					m++
+					recentRequests++
 				}
 			}
-			if float64(n) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(m) {
-				c.t.Fatalf("%v: %d load commands with %d requests", now, n, m)
+			if float64(recentCommands) > c.cfg.LoadBudgetMinimum+c.cfg.LoadBudgetRatio*float64(recentRequests) {
+				c.t.Fatalf("%v: %d load commands with %d requests", now, recentCommands, recentRequests)
 			}
 		}
 	}
 }
 
-func (c *ruleChecker) checkEnd(now time.Duration, r *observedRequest) {
-	if r.final || now > r.deadline+8*ms {
-		c.t.Fatalf("%v: second or late final answer", now)
+func (c *ruleChecker) checkFinalResponse(now time.Duration, r *observedRequest) {
+	if r.complete || now > r.deadline+8*ms {
+		c.t.Fatalf("%v: second or late final response", now)
 	}
-	r.final = true
+	r.complete = true
 }
 
-func TestRulesHoldInRandomWorlds(t *testing.T) {
+func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		randomWorld(t, seed, 3000)
+		runRandomEvents(t, seed, 3000)
 	}
 }
 
-// randomWorld plays legal but hostile events, in which workers drain, vanish, restart and answer anything.
-func randomWorld(t *testing.T, seed uint64, steps int) {
+// runRandomEvents passes random valid events to a Policy. Workers drain, disappear, restart and respond with
+// any outcome.
+func runRandomEvents(t *testing.T, seed uint64, steps int) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	cfg := config()
 	cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported = seed%2 == 0, seed%3 != 0
@@ -105,8 +107,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &ruleChecker{t: t, cfg: cfg, reqs: map[RequestID]*observedRequest{}, state: map[WorkerID]WorkerState{}}
-	now, next := time.Hour, RequestID(0)
+	checker := &ruleChecker{t: t, cfg: cfg, observed: map[RequestID]*observedRequest{}, states: map[WorkerID]WorkerState{}}
+	now, lastID := time.Hour, RequestID(0)
 	type timer struct {
 		at    time.Duration
 		token uint64
@@ -114,9 +116,9 @@
 	var timers []timer
 	var loads []Load
 	handle := func(ev Event) {
-		acts := p.Handle(now, ev, nil)
-		c.check(now, acts)
-		for _, a := range acts {
+		actions := p.Handle(now, ev, nil)
+		checker.check(now, actions)
+		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
 				timers = append(timers, timer{now + a.After, a.Token})
@@ -135,7 +137,7 @@
 			if rng.IntN(6) == 0 {
 				e.State = Gone
 			}
-			c.state[w] = e.State
+			checker.states[w] = e.State
 			l.Workers = append(l.Workers, e)
 		}
 		handle(l)
@@ -144,26 +146,26 @@
 	for range steps {
 		now += time.Duration(rng.IntN(9)) * ms
 		for i := 0; i < len(timers); i++ {
-			if tm := timers[i]; tm.at <= now {
+			if due := timers[i]; due.at <= now {
 				timers = append(timers[:i], timers[i+1:]...)
 				i--
-				handle(TimerFired{Token: tm.token})
+				handle(TimerFired{Token: due.token})
 			}
 		}
 		switch k := rng.IntN(20); {
 		case k == 0 && rng.IntN(5) == 0:
 			list()
 		case k < 8:
-			next++
-			left := time.Duration(rng.IntN(3000)) * ms
-			c.took = append(c.took, now)
-			c.reqs[next] = &observedRequest{class: rng.IntN(3), deadline: now + left, open: map[int]bool{}}
-			handle(RequestArrived{Request: next, Class: c.reqs[next].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
-				LoadTime: 800 * ms, Remaining: left})
-		case k == 9 && next > 0:
-			if r := c.reqs[1+RequestID(rng.IntN(int(next)))]; !r.final {
-				r.final = true
-				for id, o := range c.reqs {
+			lastID++
+			remaining := time.Duration(rng.IntN(3000)) * ms
+			checker.arrivals = append(checker.arrivals, now)
+			checker.observed[lastID] = &observedRequest{class: rng.IntN(3), deadline: now + remaining, inFlight: map[int]bool{}}
+			handle(RequestArrived{Request: lastID, Class: checker.observed[lastID].class, Function: FunctionID(rng.IntN(12)), Lanes: 2,
+				LoadTime: 800 * ms, Remaining: remaining})
+		case k == 9 && lastID > 0:
+			if r := checker.observed[1+RequestID(rng.IntN(int(lastID)))]; !r.complete {
+				r.complete = true
+				for id, o := range checker.observed {
 					if o == r {
 						handle(RequestCanceled{Request: id})
 					}
@@ -177,54 +179,54 @@
 			handle(HealthCheckCompleted{Worker: WorkerID(rng.IntN(8)), Outcome: Outcome(rng.IntN(6))})
 		default:
 			id := RequestID(0)
-			for try := range int(next) {
-				if r := c.reqs[next-RequestID(try)]; len(r.open) > 0 && rng.IntN(3) == 0 {
-					id = next - RequestID(try)
+			for offset := range int(lastID) {
+				if r := checker.observed[lastID-RequestID(offset)]; len(r.inFlight) > 0 && rng.IntN(3) == 0 {
+					id = lastID - RequestID(offset)
 					break
 				}
 			}
 			if id == 0 {
 				continue
 			}
-			r := c.reqs[id]
-			for n := range len(r.sent) {
-				if !r.open[n] {
+			r := checker.observed[id]
+			for n := range len(r.workers) {
+				if !r.inFlight[n] {
 					continue
 				}
 				o := []Outcome{Served, Served, Failed, Overloaded, TimedOut, Unreachable, ConnectionReset, Canceled, NotSent, NotLoaded}[rng.IntN(10)]
-				delete(r.open, n)
-				if !o.NeverRan() && !r.ran {
-					r.ran, r.mayRan = true, r.sentAt[n]
+				delete(r.inFlight, n)
+				if !o.NeverRan() && !r.mayHaveRun {
+					r.mayHaveRun, r.possibleRunAt = true, r.sentAt[n]
 				}
-				closed := r.final || o == Served
-				r.final = closed
-				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.sent[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
+				closed := r.complete || o == Served
+				r.complete = closed
+				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
 				break
 			}
 		}
 	}
-	now += 5 * time.Second // everything that is owed is answered by then
-	for _, tm := range timers {
-		now = max(now, tm.at)
+	now += 5 * time.Second // every request has its final response by then
+	for _, due := range timers {
+		now = max(now, due.at)
 	}
-	for _, r := range c.reqs {
+	for _, r := range checker.observed {
 		r.deadline = now
 	}
-	for _, tm := range timers {
-		handle(TimerFired{Token: tm.token})
+	for _, due := range timers {
+		handle(TimerFired{Token: due.token})
 	}
-	for id, r := range c.reqs {
-		if !r.final {
-			t.Fatalf("seed %d: request %d got no final answer", seed, id)
+	for id, r := range checker.observed {
+		if !r.complete {
+			t.Fatalf("seed %d: request %d got no final response", seed, id)
 		}
 	}
-	if len(p.requests.deferred) > len(c.reqs) {
+	if len(p.requests.deferred) > len(checker.observed) {
 		t.Fatalf("seed %d: the tables grow: %d deferred", seed, len(p.requests.deferred))
 	}
 }
 
-// FuzzHandle feeds arbitrary events: there must be no panic, no action for a finished or unknown request,
-// and none that names an unknown worker.
+// FuzzHandle passes arbitrary events to a Policy. It must not panic, and no action may name a completed or
+// unknown request or an unknown worker.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 1, 1, 1, 1, 2, 0, 0, 0, 3, 9, 9, 9})
 	f.Add([]byte{0, 255, 0, 0, 1, 0, 2, 1, 2, 0, 8, 0, 4, 1, 1, 0, 5, 3, 0, 0, 7, 1, 0, 0, 6, 0, 0, 0})
@@ -268,11 +270,11 @@
 			case 8:
 				ev = RequestCanceled{Request: id}
 			}
-			before := map[RequestID]bool{}
+			open := map[RequestID]bool{}
 			for id, r := range p.requests.byID {
-				before[id] = !r.done
+				open[id] = !r.complete
 			}
-			over := map[RequestID]bool{}
+			closed := map[RequestID]bool{}
 			for _, act := range p.Handle(now, ev, nil) {
 				var req RequestID
 				var to WorkerID
@@ -289,17 +291,17 @@
 					to = act.Worker
 				}
 				if arr, ok := ev.(RequestArrived); ok {
-					before[arr.Request] = true
+					open[arr.Request] = true
 				}
-				if req != 0 && (!before[req] || over[req]) {
-					t.Fatalf("%T for request %d, which is over", act, req)
+				if req != 0 && (!open[req] || closed[req]) {
+					t.Fatalf("%T for request %d, which is completed or unknown", act, req)
 				}
 				if to != 0 && !known[to] {
 					t.Fatalf("%T names unknown worker %d", act, to)
 				}
 				switch act.(type) {
 				case Reject, FailRequest:
-					over[req] = true
+					closed[req] = true
 				}
 			}
 		}
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -12,43 +12,44 @@
 	"crankhold/internal/timerheap"
 )
 
-// stream drives a Policy against a simulated fleet in virtual time, closed loop: what the policy does decides what
-// comes next. It returns a sum over all events and actions, and how many there were.
-type stream struct {
+// scenario is a simulation of a Policy and a fleet of workers in virtual time. The actions of the policy
+// determine the next events.
+type scenario struct {
 	workers, functions int
-	gap                time.Duration // between calls
-	length             time.Duration
+	interval           time.Duration // between requests
+	duration           time.Duration
 	faults             bool
 	cfg                Config
 }
 
-func (s stream) run(t testing.TB, seed uint64) (sum uint64, calls, sends int, p *Policy) {
+// run returns a checksum over all events and actions, the numbers of requests and attempts, and the Policy.
+func (s scenario) run(t testing.TB, seed uint64) (checksum uint64, requests, attempts int, p *Policy) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	p, err := New(s.cfg, seed)
 	if err != nil {
 		panic(err)
 	}
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	now := time.Hour
-	var upcoming timerheap.Heap[Event] // nil: a call comes
-	for at := time.Duration(0); at < s.length; at += s.gap {
+	var upcoming timerheap.Heap[Event] // nil: a request arrives
+	for at := time.Duration(0); at < s.duration; at += s.interval {
 		upcoming.Add(now+at, nil)
 	}
-	later := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
-	type place struct {
+	addEvent := func(after time.Duration, ev Event) { upcoming.Add(now+after, ev) }
+	type replicaKey struct {
 		w WorkerID
 		f FunctionID
 	}
-	loaded, loading := map[place]time.Duration{}, map[place]time.Duration{}
+	loaded, loading := map[replicaKey]time.Duration{}, map[replicaKey]time.Duration{}
 	busy := map[WorkerID]int{}
-	function, attempts := map[RequestID]FunctionID{}, map[RequestID]int{}
-	over := map[string]bool{}
+	function, attemptCounts := map[RequestID]FunctionID{}, map[RequestID]int{}
+	completed := map[string]bool{}
 	list := EndpointList{Kind: EndpointSnapshot}
 	for w := range s.workers {
 		list.Workers = append(list.Workers, Endpoint{Worker: WorkerID(w*7919 + 1), State: Ready, Weight: 1})
 	}
-	later(0, list)
+	addEvent(0, list)
 	var arrive func()
 	next := RequestID(0)
 	arrive = func() {
@@ -56,14 +57,14 @@
 		f := FunctionID(1 + int(float64(s.functions)*rng.Float64()*rng.Float64()))
 		class := rng.IntN(len(s.cfg.Classes))
 		function[next] = f
-		later(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
+		addEvent(0, RequestArrived{Request: next, Class: class, Function: f, Lanes: 1 + float64(f%2), LoadTime: 500 * ms, Remaining: s.cfg.Classes[class].Deadline})
 	}
-	ended := func(w WorkerID, r RequestID, n int, o Outcome, note LoadStatus, took time.Duration) {
+	completeAfter := func(w WorkerID, r RequestID, n int, o Outcome, status LoadStatus, took time.Duration) {
 		key := fmt.Sprint(r, n)
-		if over[key] {
+		if completed[key] {
 			return
 		}
-		later(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: note, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
+		addEvent(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: status, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
 	}
 	for {
 		next, ok := upcoming.PopDue(math.MaxInt64)
@@ -73,7 +74,7 @@
 		now = next.Due()
 		if next.Value == nil {
 			arrive()
-			if s.faults && rng.IntN(200) == 0 { // a worker drains, comes back, or starts anew
+			if s.faults && rng.IntN(200) == 0 { // a worker drains, or restarts
 				i := rng.IntN(len(list.Workers))
 				e := &list.Workers[i]
 				if e.State == Ready {
@@ -81,74 +82,74 @@
 				} else {
 					e.State, e.Started = Ready, now
 				}
-				later(0, EndpointList{Kind: EndpointDelta, Workers: []Endpoint{*e}})
+				addEvent(0, EndpointList{Kind: EndpointDelta, Workers: []Endpoint{*e}})
 			}
 			continue
 		}
-		if now > time.Hour+s.length+10*time.Second {
+		if now > time.Hour+s.duration+10*time.Second {
 			break
 		}
 		switch e := next.Value.(type) {
 		case AttemptCompleted:
 			key := fmt.Sprint(e.Request, e.Attempt)
-			if over[key] {
+			if completed[key] {
 				continue
 			}
-			over[key] = true
+			completed[key] = true
 			busy[e.Worker]--
 		case RequestArrived:
-			calls++
+			requests++
 		case LoadCompleted:
-			loaded[place{e.Worker, e.Function}] = now
+			loaded[replicaKey{e.Worker, e.Function}] = now
 		}
-		fmt.Fprintf(h, "%d", now)
+		fmt.Fprintf(hash, "%d", now)
 		for _, a := range p.Handle(now, next.Value, nil) {
 			if _, ok := a.(ClearTimer); ok {
-				continue // it changes no choice, and is newer than the records
+				continue // added after the checksums were recorded, and it changes no decision
 			}
-			record(t, h, a)
+			writeAction(t, hash, a)
 			switch a := a.(type) {
 			case StartAttempt:
-				sends++
-				n := attempts[a.Request]
-				attempts[a.Request]++
-				at := place{a.Worker, function[a.Request]}
+				attempts++
+				n := attemptCounts[a.Request]
+				attemptCounts[a.Request]++
+				at := replicaKey{a.Worker, function[a.Request]}
 				busy[a.Worker]++
 				took := time.Duration(60+rng.IntN(40)+10*busy[a.Worker]) * ms
 				switch since, ok := loaded[at]; {
 				case s.faults && rng.IntN(40) == 0:
-					ended(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
+					completeAfter(a.Worker, a.Request, n, []Outcome{Failed, Overloaded, ConnectionReset, TimedOut, Unreachable}[rng.IntN(5)], LoadStatusUnknown, took)
 				case ok && now-since < 10*time.Second:
 					loaded[at] = now
-					ended(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
+					completeAfter(a.Worker, a.Request, n, Served, AlreadyLoaded, took)
 				case loading[at] > now:
-					ended(a.Worker, a.Request, n, Served, WaitedForLoad, loading[at]-now+took)
+					completeAfter(a.Worker, a.Request, n, Served, WaitedForLoad, loading[at]-now+took)
 				case s.cfg.MissWhenNotLoaded:
-					ended(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
+					completeAfter(a.Worker, a.Request, n, NotLoaded, LoadStatusUnknown, ms)
 				default:
 					loaded[at] = now + 500*ms
-					ended(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
+					completeAfter(a.Worker, a.Request, n, Served, StartedLoad, 500*ms+took)
 				}
 			case CancelAttempt:
-				if key := fmt.Sprint(a.Request, a.Attempt); !over[key] {
-					later(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Canceled})
+				if key := fmt.Sprint(a.Request, a.Attempt); !completed[key] {
+					addEvent(0, AttemptCompleted{Request: a.Request, Attempt: a.Attempt, Worker: 0, Outcome: Canceled})
 				}
 			case Load:
-				loading[place{a.Worker, a.Function}] = now + 500*ms
-				later(500*ms, LoadCompleted{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
+				loading[replicaKey{a.Worker, a.Function}] = now + 500*ms
+				addEvent(500*ms, LoadCompleted{Worker: a.Worker, Function: a.Function, Outcome: Served, Took: 500 * ms, Count: 1})
 			case CheckHealth:
-				later(ms, HealthCheckCompleted{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
+				addEvent(ms, HealthCheckCompleted{Worker: a.Worker, Outcome: Served, Took: ms, Report: []float64{float64(busy[a.Worker])}})
 			case SetTimer:
-				later(a.After, TimerFired{Token: a.Token})
+				addEvent(a.After, TimerFired{Token: a.Token})
 			}
 		}
 	}
-	return h.Sum64(), calls, sends, p
+	return hash.Sum64(), requests, attempts, p
 }
 
-// record writes an action in the form in which the sums were recorded: the names in it are those of that time and
-// stay, whatever the types and fields are called.
-func record(t testing.TB, w io.Writer, a Action) {
+// writeAction writes an action in the form in which the checksums were recorded. The names in it stay as they
+// were then, whatever the types and fields are called now.
+func writeAction(t testing.TB, w io.Writer, a Action) {
 	t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
@@ -174,9 +175,9 @@
 	}
 }
 
-// streams are what the module was recorded on.
-func streams() map[string]stream {
-	load := func(miss bool) Config {
+// scenarios returns the scenarios for which checksums were recorded.
+func scenarios() map[string]scenario {
+	settings := func(miss bool) Config {
 		c := config()
 		c.Classes[0].Idempotency = Idempotent
 		c.Routers, c.LoadCommandsSupported, c.MissWhenNotLoaded, c.MaxAttempts = 2, miss, miss, 3
@@ -184,48 +185,50 @@
 		c.RetryAfterSupported, c.MaxRetryAfter = true, time.Second
 		return c
 	}
-	queue := load(false)
-	queue.LoadReportFields = []string{"queue"}
-	return map[string]stream{
-		"12 workers":                {12, 30, 5 * ms, 20 * time.Second, false, load(true)},
-		"12 workers with faults":    {12, 30, 5 * ms, 20 * time.Second, true, load(true)},
-		"14 workers, loads by call": {14, 40, 4 * ms, 15 * time.Second, true, queue},
-		"100 workers with faults":   {100, 300, 2 * ms, 8 * time.Second, true, load(true)},
-		"8 workers, overloaded":     {8, 20, ms, 6 * time.Second, true, load(true)},
+	queueReports := settings(false)
+	queueReports.LoadReportFields = []string{"queue"}
+	return map[string]scenario{
+		"12 workers":                   {12, 30, 5 * ms, 20 * time.Second, false, settings(true)},
+		"12 workers with faults":       {12, 30, 5 * ms, 20 * time.Second, true, settings(true)},
+		"14 workers, loads by request": {14, 40, 4 * ms, 15 * time.Second, true, queueReports},
+		"100 workers with faults":      {100, 300, 2 * ms, 8 * time.Second, true, settings(true)},
+		"8 workers, overloaded":        {8, 20, ms, 6 * time.Second, true, settings(true)},
 	}
 }
 
-// recorded are the sums of the streams by the module as it was when what they choose last changed. Work
-// that is to make a call cheaper and nothing else leaves them as they are.
-var recorded = map[string]uint64{
-	"12 workers":                1151388725873832079,
-	"12 workers with faults":    12142483808271537724,
-	"14 workers, loads by call": 7560215809940301482,
-	"100 workers with faults":   5867855119104726015,
-	"8 workers, overloaded":     2221276270014366894,
+// recordedChecksums holds the checksums of the scenarios as of the last change of the decisions. A change
+// that only reduces the cost of a request must not change them.
+var recordedChecksums = map[string]uint64{
+	"12 workers":                   1151388725873832079,
+	"12 workers with faults":       12142483808271537724,
+	"14 workers, loads by request": 7560215809940301482,
+	"100 workers with faults":      5867855119104726015,
+	"8 workers, overloaded":        2221276270014366894,
 }
 
-// Guards the choices: the same events get the same actions as before, ties and random draws included.
-func TestSameDecisionsOnRecordedStreams(t *testing.T) {
-	for name, s := range streams() {
-		sum, calls, sends, _ := s.run(t, 1)
-		if sum != recorded[name] || calls < 1000 || sends < 1000 {
-			t.Errorf("%s: sum %d, recorded %d; %d calls, %d sends", name, sum, recorded[name], calls, sends)
+// Guards against unintended changes of decisions: the same events must give the same actions as before,
+// including the choice among ties and the use of random numbers.
+func TestDecisionsMatchRecordedChecksums(t *testing.T) {
+	for name, s := range scenarios() {
+		checksum, requests, attempts, _ := s.run(t, 1)
+		if checksum != recordedChecksums[name] || requests < 1000 || attempts < 1000 {
+			t.Errorf("%s: checksum %d, recorded %d; %d requests, %d attempts", name, checksum, recordedChecksums[name], requests, attempts)
 		}
 	}
 }
 
-// BenchmarkCall is the cost of a call through the module, its arrival and its answer, by the size of the fleet.
-func BenchmarkCall(b *testing.B) {
+// BenchmarkRequest measures the cost of a request in the module, from its arrival to its response, by the
+// size of the fleet.
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{12, 100, 1000, 5000} {
-		s := streams()["12 workers"]
-		s.workers, s.functions, s.gap = n, 3*n, time.Duration(float64(60*ms)/float64(n))
-		s.length = 2000 * s.gap
+		s := scenarios()["12 workers"]
+		s.workers, s.functions, s.interval = n, 3*n, time.Duration(float64(60*ms)/float64(n))
+		s.duration = 2000 * s.interval
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			calls := 0
-			for calls < b.N {
+			requests := 0
+			for requests < b.N {
 				_, c, _, _ := s.run(b, 1)
-				calls += c
+				requests += c
 			}
 		})
 	}
