--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -22,14 +22,14 @@
 }
 
 // recordMessages records how many messages have arrived by now, and whether a part of another has.
-func (a *clientActivity) recordMessages(now time.Duration, messages int, begun bool) {
+func (a *clientActivity) recordMessages(now time.Duration, messages int, partial bool) {
 	if messages > a.messages {
 		a.messages = messages
 		a.activeAt = now
 		a.partialSince = 0
 	}
 	switch {
-	case !begun:
+	case !partial:
 		a.partialSince = 0
 	case a.partialSince == 0:
 		a.partialSince = now
@@ -65,7 +65,7 @@
 
 const (
 	rankSilent closeRank = iota // should have sent a message and did not
-	rankIdle                    // sent messages, and has all responses
+	rankServed                  // sent messages, and has all responses
 	rankNew                     // has only just connected
 )
 
@@ -73,7 +73,7 @@
 func (a *clientActivity) rank(now time.Duration) closeRank {
 	switch {
 	case a.messages > 0:
-		return rankIdle
+		return rankServed
 	case now-a.activeAt > requestGracePeriod:
 		return rankSilent
 	}
--- a/internal/eventloop/activity_test.go
+++ b/internal/eventloop/activity_test.go
@@ -6,7 +6,7 @@
 )
 
 // A client times out by what it owes: a first message, the rest of one, the reading of a response, or nothing.
-func TestTimeoutDependsOnWhatTheClientOwes(t *testing.T) {
+func TestTimeoutDependsOnClientState(t *testing.T) {
 	const start = epoch
 	for name, c := range map[string]struct {
 		activity  clientActivity
--- a/internal/eventloop/admission.go
+++ b/internal/eventloop/admission.go
@@ -25,18 +25,18 @@
 // opened records an accepted connection.
 func (a *admission) opened() { a.count.Add(1) }
 
-// ended records the end of an accepted connection.
-func (a *admission) ended() { a.count.Add(-1) }
+// closed records the end of an accepted connection.
+func (a *admission) closed() { a.count.Add(-1) }
 
 // idleCloser has the loop close idle clients for other goroutines.
 type idleCloser struct {
-	queue     *queue
-	closeIdle func() bool     // runs on the loop's goroutine
-	loopEnded context.Context // is done when the loop has ended
+	queue      *queue
+	closeIdle  func() bool     // runs on the loop's goroutine
+	loopClosed context.Context // is done when the loop has ended
 }
 
-// request has the loop close an idle client. It returns at once, and any goroutine may call it.
-func (i *idleCloser) request() {
+// requestClose has the loop close an idle client. It returns at once, and any goroutine may call it.
+func (i *idleCloser) requestClose() {
 	i.queue.push(event{kind: callPosted, call: func() { i.closeIdle() }})
 }
 
@@ -48,7 +48,7 @@
 	select {
 	case ok := <-closed:
 		return ok
-	case <-i.loopEnded.Done():
+	case <-i.loopClosed.Done():
 		return false
 	case <-time.After(closeIdleTimeout): // the loop is held up
 		return false
--- a/internal/eventloop/admission_test.go
+++ b/internal/eventloop/admission_test.go
@@ -31,7 +31,7 @@
 	l := start(t, 1, acceptInto(accepted, true))
 	dial(t, l)
 	<-accepted
-	release := hold(l)
+	release := blockLoop(l)
 	further := dial(t, l)
 	if _, err := further.Write([]byte("request")); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	if l.admission.admit() {
 		t.Error("admitted at the limit, without an idle client")
 	}
-	l.admission.ended()
+	l.admission.closed()
 	if !l.admission.admit() || l.AcceptedCount() != 0 {
 		t.Errorf("rejected with %d connections", l.AcceptedCount())
 	}
--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -9,18 +9,18 @@
 	"crankhold/internal/eventloop"
 )
 
-// pong writes back what it receives, in two buffers.
-type pong struct{ conn *eventloop.Conn }
+// splitEcho writes back what it receives, in two buffers.
+type splitEcho struct{ conn *eventloop.Conn }
 
-func (p *pong) Data(data []byte)                  { p.conn.Write(data[:1], data[1:]) }
-func (p *pong) Closed(error)                      {}
-func (p *pong) Busy() bool                        { return false }
-func (p *pong) Messages() (whole int, begun bool) { return 1, false }
+func (p *splitEcho) Data(data []byte)                  { p.conn.Write(data[:1], data[1:]) }
+func (p *splitEcho) Closed(error)                      {}
+func (p *splitEcho) Busy() bool                        { return false }
+func (p *splitEcho) Messages() (whole int, begun bool) { return 1, false }
 
 // BenchmarkRoundTrip sends a message over loopback and waits until it comes back.
 func BenchmarkRoundTrip(b *testing.B) {
 	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
-	loop.Listen("127.0.0.1:0", func(c *eventloop.Conn) eventloop.AcceptedHandler { return &pong{conn: c} })
+	loop.Listen("127.0.0.1:0", func(c *eventloop.Conn) eventloop.AcceptedHandler { return &splitEcho{conn: c} })
 	if err := loop.Start(); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/eventloop/clients.go
+++ b/internal/eventloop/clients.go
@@ -16,7 +16,7 @@
 // owns it, so that it needs no lock.
 type acceptedClients struct {
 	conns      map[*Conn]struct{}
-	buffer     []byte        // what is read into before a connection is closed
+	readBuffer []byte        // what is read into before a connection is closed
 	isClosing  bool          // closeAll was called: each connection is closed once it is at rest
 	sweptAt    time.Duration // when the last sweep was
 	rejections rejectionLog
@@ -26,7 +26,7 @@
 func newAcceptedClients(logger *slog.Logger) *acceptedClients {
 	return &acceptedClients{
 		conns:      map[*Conn]struct{}{},
-		buffer:     make([]byte, readBufferSize),
+		readBuffer: make([]byte, readBufferSize),
 		rejections: rejectionLog{logger: logger},
 	}
 }
@@ -54,30 +54,30 @@
 	return sum
 }
 
-// closeIdle closes a connection on which no response is due to free its slot, and reports whether there was one. It
+// closeOneIdle closes a connection on which no response is due to free its slot, and reports whether there was one. It
 // closes a silent one first, then the one that has been idle for longest, and one that has only just connected if there
 // is no other. A flood of silent connections so closes its own, and neither those of clients that sent requests nor
 // those whose request is on the way.
-func (a *acceptedClients) closeIdle(now time.Duration) bool {
-	passedOver := map[*Conn]bool{} // a request has arrived on them that the loop has not handled
+func (a *acceptedClients) closeOneIdle(now time.Duration) bool {
+	skipped := map[*Conn]bool{} // a request has arrived on them that the loop has not handled
 	for {
-		idle := a.firstToClose(now, passedOver)
+		idle := a.firstToClose(now, skipped)
 		if idle == nil {
 			return false
 		}
-		if idle.closeAtRest(EndedForRoom) {
+		if idle.closeIfIdle(ClosedForCapacity) {
 			return true
 		}
-		passedOver[idle] = true
+		skipped[idle] = true
 	}
 }
 
 // firstToClose returns the idle connection that is closed first, except those passed over. It returns nil when there is
 // none.
-func (a *acceptedClients) firstToClose(now time.Duration, passedOver map[*Conn]bool) *Conn {
+func (a *acceptedClients) firstToClose(now time.Duration, skipped map[*Conn]bool) *Conn {
 	var first *Conn
 	for c := range a.conns {
-		if c.state.closed || passedOver[c] || c.owesResponse() {
+		if c.state.closed || skipped[c] || c.owesResponse() {
 			continue
 		}
 		if first == nil || c.activity.closesBefore(&first.activity, now) {
@@ -87,24 +87,24 @@
 	return first
 }
 
-// closeAll has endTurn close each connection as soon as it is at rest.
-func (a *acceptedClients) closeAll() { a.isClosing = true }
+// startClosing has endTurn close each connection as soon as it is at rest.
+func (a *acceptedClients) startClosing() { a.isClosing = true }
 
 // endTurn closes connections that are at rest after closeAll, and sweeps when a sweep is due.
 func (a *acceptedClients) endTurn(now time.Duration) {
 	if a.isClosing {
-		a.closeAtRest()
+		a.closeAllIdle()
 	}
 	if now-a.sweptAt > sweepInterval {
 		a.sweep(now)
 	}
 }
 
-// closeAtRest closes the connections on which no response is due and no part of a message has arrived.
-func (a *acceptedClients) closeAtRest() {
+// closeAllIdle closes the connections on which no response is due and no part of a message has arrived.
+func (a *acceptedClients) closeAllIdle() {
 	for c := range a.conns {
 		if !c.activity.hasPartialMessage() {
-			c.closeAtRest(EndedForShutdown)
+			c.closeIfIdle(ClosedForShutdown)
 		}
 	}
 }
@@ -122,13 +122,13 @@
 func (c *Conn) closeIfTimedOut(now time.Duration) {
 	hasUnread := c.writer.hasUnread()
 	switch {
-	case c.state.closing && !hasUnread:
+	case c.state.closingAfterFlush && !hasUnread:
 		c.Close()
 	case !c.activity.timedOut(now, hasUnread) || c.isBusy():
 	case hasUnread || c.activity.hasPartialMessage(): // it reads or writes too slowly
-		c.closeFor(EndedForTimeout)
+		c.closeFor(ClosedForTimeout)
 	default:
-		c.closeAtRest(EndedForTimeout)
+		c.closeIfIdle(ClosedForTimeout)
 	}
 }
 
--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -13,34 +13,34 @@
 func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		feed func(e *echoHandler, at time.Duration) bool // reports whether bytes arrive
-		gone time.Duration
+		feed        func(e *echoHandler, at time.Duration) bool // reports whether bytes arrive
+		closedAfter time.Duration
 	}{
 		"silent":            {func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
-		"trickles":          {func(e *echoHandler, _ time.Duration) bool { e.begun = true; return true }, messageTimeout},
-		"sent one and held": {func(e *echoHandler, at time.Duration) bool { e.whole = 1; return at == 0 }, idleTimeout},
+		"trickles":          {func(e *echoHandler, _ time.Duration) bool { e.partial = true; return true }, messageTimeout},
+		"sent one and held": {func(e *echoHandler, at time.Duration) bool { e.complete = 1; return at == 0 }, idleTimeout},
 		"half a second one": {func(e *echoHandler, at time.Duration) bool {
-			e.whole, e.begun = 1, at >= 5*time.Second
-			return at == 0 || e.begun
+			e.complete, e.partial = 1, at >= 5*time.Second
+			return at == 0 || e.partial
 		}, 5*time.Second + messageTimeout},
-		"goes on sending": {func(e *echoHandler, _ time.Duration) bool { e.whole++; return true }, time.Minute},
+		"goes on sending": {func(e *echoHandler, _ time.Duration) bool { e.complete++; return true }, time.Minute},
 		"response due":    {func(e *echoHandler, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
 	} {
 		l := New(Config{})
 		e := &echoHandler{}
 		conn := addClient(l, e, clientActivity{activeAt: l.now})
-		start, closed := l.now, time.Minute
+		start, closedAt := l.now, time.Minute
 		for at := time.Duration(0); at < time.Minute; at += step {
 			if l.now = start + at; c.feed(e, at) {
 				conn.recordMessages()
 			}
 			if l.clients.sweep(l.now); conn.state.closed {
-				closed = at
+				closedAt = at
 				break
 			}
 		}
-		if closed < c.gone || closed > c.gone+2*step {
-			t.Errorf("%s: closed after %v, want %v", name, closed, c.gone)
+		if closedAt < c.closedAfter || closedAt > c.closedAfter+2*step {
+			t.Errorf("%s: closed after %v, want %v", name, closedAt, c.closedAfter)
 		}
 	}
 }
@@ -50,17 +50,17 @@
 // or not yet read would lose it.
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
-	add := func(whole int, busy bool, heard time.Duration) *Conn {
-		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: whole, activeAt: heard})
+	add := func(complete int, busy bool, activeAt time.Duration) *Conn {
+		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: complete, activeAt: activeAt})
 	}
 	now := l.now
-	order := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
+	inClosingOrder := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
 		add(3, false, now-2), add(0, false, now-requestGracePeriod), add(0, false, now)}
 	busy := add(0, true, 0)
 	queued, unread := add(1, false, 0), add(1, false, 0)
 	queued.Write([]byte("response"))
 	unread.writer.countUnread(1)
-	for i, c := range order {
+	for i, c := range inClosingOrder {
 		if !l.closeIdleClient() || !c.state.closed {
 			t.Fatalf("connection %d was not the one to be closed", i)
 		}
@@ -74,12 +74,12 @@
 }
 
 // A request that the poller has read is answered although its connection is to be closed in the same turn, to free a slot.
-func TestWhatWasReadIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+func TestReadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := start(t, 1, acceptInto(accepted, false))
 	first := dial(t, l)
 	<-accepted
-	release := hold(l)
+	release := blockLoop(l)
 	dial(t, l) // finds no free slot, and the first connection is idle as far as the loop knows
 	if _, err := first.Write([]byte("request")); err != nil {
 		t.Fatal(err)
@@ -93,13 +93,13 @@
 }
 
 // A request that is in the kernel's buffer when its idle connection is to be closed, to free a slot, is read and answered.
-func TestRequestInTheKernelIsAnsweredBeforeItsConnectionIsClosedForCapacity(t *testing.T) {
+func TestUnreadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startWith(t, oneByteQueue(2), acceptInto(accepted, false))
 	idle, flood := dial(t, l), dial(t, l)
 	<-accepted
 	<-accepted
-	release := hold(l)
+	release := blockLoop(l)
 	for range 3 { // the poller waits with the third byte, and reads nothing more until the loop goes on
 		if _, err := flood.Write([]byte("x")); err != nil {
 			t.Fatal(err)
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -10,15 +10,15 @@
 	"crankhold/internal/testutil"
 )
 
-// isOfALoop reports whether a stack is that of a goroutine that a loop or nbio has started.
-func isOfALoop(stack string) bool {
+// isLoopStack reports whether a stack is that of a goroutine that a loop or nbio has started.
+func isLoopStack(stack string) bool {
 	return strings.Contains(stack, "internal/eventloop.(*") || strings.Contains(stack, "lesismal/nbio")
 }
 
 // requireNoLoopGoroutines fails the test where a goroutine of a loop is left after a time.
 func requireNoLoopGoroutines(t *testing.T) {
 	t.Helper()
-	testutil.RequireGoroutines(t, 0, 5*time.Second, isOfALoop)
+	testutil.RequireGoroutines(t, 0, 5*time.Second, isLoopStack)
 }
 
 // Close ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	clients := []net.Conn{dial(t, l), dial(t, l), dial(t, l)}
-	release := hold(l, func() {
+	release := blockLoop(l, func() {
 		l.Stop()
 		l.Dial("tcp", "192.0.2.1:80", time.Minute, newDialRecorder()) // to nowhere
 	})
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -24,11 +24,11 @@
 
 // connState is how far a connection has come. The loop's goroutine owns it.
 type connState struct {
-	established bool // the connection is open, and its handler knows
-	closing     bool // the sweep closes it once the peer has read what was written
-	closed      bool // by this side: nothing more is written to it or handled of it
-	ended       bool // the poller reported its end
-	cause       EndCause
+	established       bool // the connection is open, and its handler knows
+	closingAfterFlush bool // the sweep closes it once the peer has read what was written
+	closed            bool // by this side: nothing more is written to it or handled of it
+	closeReported     bool // the poller reported its end
+	cause             EndCause
 }
 
 // newAcceptedConn returns a connection that a listener has accepted. accept is nil when no listener has its address. A
@@ -45,8 +45,8 @@
 	return c
 }
 
-// newDialledConn returns a connection that this program is about to open.
-func newDialledConn(loop *Loop, network string, handler DialHandler) *Conn {
+// newDialedConn returns a connection that this program is about to open.
+func newDialedConn(loop *Loop, network string, handler DialHandler) *Conn {
 	c := &Conn{
 		loop:    loop,
 		handler: handler,
@@ -78,13 +78,13 @@
 
 // Close closes the connection and drops what this turn queued for it. Its handler's Closed is called in a later turn,
 // if the connection was ever established.
-func (c *Conn) Close() { c.closeFor(EndedByHandler) }
+func (c *Conn) Close() { c.closeFor(ClosedByHandler) }
 
 // closeFor closes the connection for a cause, unless it is closed already.
 func (c *Conn) closeFor(cause EndCause) {
 	if !c.state.closed {
 		c.state.cause = cause
-		c.fail(nil)
+		c.closeWithError(nil)
 	}
 }
 
@@ -93,11 +93,11 @@
 	if !c.state.closed && c.state.established {
 		err := c.writeQueued()
 		if err != nil {
-			c.fail(err)
+			c.closeWithError(err)
 		}
 		c.writer.clear()
 		if err == nil && c.writer.hasUnread() {
-			c.state.closing = true // the sweep also closes it when its peer reads nothing
+			c.state.closingAfterFlush = true // the sweep also closes it when its peer reads nothing
 			return
 		}
 	}
@@ -112,20 +112,20 @@
 func (c *Conn) flush() bool {
 	switch {
 	case c.state.closed || !c.state.established:
-		c.writer.drop()
+		c.writer.countQueuedAsUnsent()
 	case c.writer.isUnixSocket:
 		done, err := c.writeUnix()
 		if err == nil && !done {
 			return false
 		}
 		if err != nil {
-			c.writer.drop()
-			c.fail(err)
+			c.writer.countQueuedAsUnsent()
+			c.closeWithError(err)
 		}
 	default:
 		err := c.writeQueued()
 		if err != nil {
-			c.fail(err)
+			c.closeWithError(err)
 		}
 	}
 	c.writer.clear()
@@ -144,7 +144,7 @@
 // writeQueued writes what is queued for a socket other than a Unix socket. It returns a SlowPeerError when the peer
 // has bytes to read and all peers together leave too many unread.
 func (c *Conn) writeQueued() error {
-	err := c.loop.descriptors.write(func() error { return c.writer.write(c.socket) })
+	err := c.loop.descriptors.write(func() error { return c.writer.writeStream(c.socket) })
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 
 // receive passes data to the handler.
 func (c *Conn) receive(data []byte) {
-	c.reader.handled()
+	c.reader.recordHandled()
 	if c.handler == nil || c.state.closed {
 		return
 	}
@@ -169,13 +169,13 @@
 func (c *Conn) recordMessages() {
 	handler, ok := c.handler.(AcceptedHandler)
 	if ok {
-		messages, begun := handler.Messages()
-		c.activity.recordMessages(c.loop.now, messages, begun)
+		messages, partial := handler.Messages()
+		c.activity.recordMessages(c.loop.now, messages, partial)
 	}
 }
 
-// dialEnded records the result of a dial: a socket, or the error that it failed with.
-func (c *Conn) dialEnded(socket *nbio.Conn, err error) {
+// dialCompleted records the result of a dial: a socket, or the error that it failed with.
+func (c *Conn) dialCompleted(socket *nbio.Conn, err error) {
 	c.socket = socket
 	if c.state.closed { // the handler closed the connection during the dial
 		if socket != nil {
@@ -183,7 +183,7 @@
 		}
 		return
 	}
-	if c.state.ended { // the connection ended before the loop handled the dial's success
+	if c.state.closeReported { // the connection ended before the loop handled the dial's success
 		err = errors.Join(err, net.ErrClosed)
 	}
 	c.state.established = err == nil
@@ -191,11 +191,11 @@
 	c.handler.(DialHandler).DialCompleted(err)
 }
 
-// connectionEnded records that the poller reported the end, and reports whether it is the first report.
-func (c *Conn) connectionEnded() (first bool) {
-	c.writer.connectionEnded()
-	first = !c.state.ended
-	c.state.ended = true
+// recordClosed records that the poller reported the end, and reports whether it is the first report.
+func (c *Conn) recordClosed() (first bool) {
+	c.writer.recordClosed()
+	first = !c.state.closeReported
+	c.state.closeReported = true
 	return first
 }
 
@@ -214,20 +214,20 @@
 // would drop what is queued, and with it the only response to a request.
 func (c *Conn) owesResponse() bool { return c.isBusy() || !c.writer.isEmpty() }
 
-// closeAtRest closes an accepted connection for a cause if no response is due on it and nothing has arrived, and
+// closeIfIdle closes an accepted connection for a cause if no response is due on it and nothing has arrived, and
 // reports whether it did.
-func (c *Conn) closeAtRest(cause EndCause) bool {
+func (c *Conn) closeIfIdle(cause EndCause) bool {
 	if c.state.closed || c.owesResponse() {
 		return false
 	}
-	return c.reader.stopIfDrained(c.socket, c.loop.clients.buffer, func() { c.closeFor(cause) })
+	return c.reader.stopIfDrained(c.socket, c.loop.clients.readBuffer, func() { c.closeFor(cause) })
 }
 
-// fail closes the connection with the error that its handler's Closed receives in a later turn.
-func (c *Conn) fail(err error) {
+// closeWithError closes the connection with the error that its handler's Closed receives in a later turn.
+func (c *Conn) closeWithError(err error) {
 	c.state.closed = true
-	if err != nil && !isPeerGone(err) {
-		c.state.cause = EndedAfterFailure
+	if err != nil && !isConnClosed(err) {
+		c.state.cause = ClosedAfterFailure
 	}
 	if c.socket != nil {
 		c.loop.descriptors.close(c.socket, err)
--- a/internal/eventloop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -15,13 +15,13 @@
 // The polling goroutine itself closes a descriptor only while it handles the one event that it holds for it. So what
 // counts are descriptors that other goroutines close. All their calls of nbio that may close one go through the guard.
 type descriptorGuard struct {
-	loopEnded context.Context // ends all waits
-	turns     *pollerTurns    // nil until the poller starts, and where there can be none: then nothing waits
+	loopClosed context.Context // ends all waits
+	barrier    *pollerBarrier  // nil until the poller starts, and where there can be none: then nothing waits
 
-	mu     sync.Mutex // held during a call that may close a descriptor: its number is free before the call returns
-	closed uint64     // calls that closed a descriptor; guarded by mu
+	mu          sync.Mutex // held during a call that may close a descriptor: its number is free before the call returns
+	closedTotal uint64     // calls that closed a descriptor; guarded by mu
 
-	passed atomic.Uint64 // of closed: the polling goroutine holds no event of these descriptors
+	reusableTotal atomic.Uint64 // of closed: the polling goroutine holds no event of these descriptors
 }
 
 // write calls nbio to write to a connection. nbio closes the connection where that fails.
@@ -30,7 +30,7 @@
 	defer g.mu.Unlock()
 	err := call()
 	if err != nil {
-		g.closed++
+		g.closedTotal++
 	}
 	return err
 }
@@ -39,7 +39,7 @@
 func (g *descriptorGuard) close(socket *nbio.Conn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed++
+	g.closedTotal++
 	_ = socket.CloseWithError(err) // the descriptor is free, whatever it returns
 }
 
@@ -47,18 +47,18 @@
 // with an error when the loop has ended. It blocks, and must be called neither on the event loop nor on the polling
 // goroutine.
 func (g *descriptorGuard) awaitReusable() error {
-	if g.turns == nil {
-		return g.loopEnded.Err()
+	if g.barrier == nil {
+		return g.loopClosed.Err()
 	}
 	closed := g.closedCount()
-	if g.passed.Load() >= closed {
+	if g.reusableTotal.Load() >= closed {
 		return nil
 	}
-	err := g.turns.await(g.loopEnded)
+	err := g.barrier.await(g.loopClosed)
 	if err != nil {
 		return err
 	}
-	g.pass(closed)
+	g.markReusable(closed)
 	return nil
 }
 
@@ -66,14 +66,14 @@
 func (g *descriptorGuard) closedCount() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.closed
+	return g.closedTotal
 }
 
-// pass records that the polling goroutine has handled the events of the first closed descriptors.
-func (g *descriptorGuard) pass(closed uint64) {
+// markReusable records that the polling goroutine has handled the events of the first closed descriptors.
+func (g *descriptorGuard) markReusable(total uint64) {
 	for {
-		passed := g.passed.Load()
-		if passed >= closed || g.passed.CompareAndSwap(passed, closed) {
+		reusable := g.reusableTotal.Load()
+		if reusable >= total || g.reusableTotal.CompareAndSwap(reusable, total) {
 			return
 		}
 	}
--- a/internal/eventloop/descriptors_test.go
+++ b/internal/eventloop/descriptors_test.go
@@ -18,9 +18,9 @@
 	loop       *Loop
 	conn       *Conn // the connection that has ended
 	descriptor int   // its descriptor
-	holder     *Conn
+	blocker    *Conn
 	client     net.Conn // of holder
-	taken      []int
+	occupied   []int
 }
 
 // newPendingEvent holds the poller of a loop up, of which handlers are sent to accepted.
@@ -35,21 +35,21 @@
 	endedClient, ended := accept()
 	first.reader.mu.Lock()
 	second.reader.mu.Lock()
-	calls := l.poller.calls.Load()
+	calls := l.poller.readableCalls.Load()
 	firstClient.Write([]byte("x"))
-	awaitCalls(l, calls+1) // in a batch of its own
+	awaitReadableCalls(l, calls+1) // in a batch of its own
 	secondClient.Write([]byte("x"))
 	endedClient.Close()
 	first.reader.mu.Unlock()
-	awaitCalls(l, calls+2) // the rest of the batch is the end of the third connection
-	e := &pendingEvent{t: t, loop: l, conn: ended, descriptor: ended.socket.Hash(), holder: second, client: secondClient}
-	t.Cleanup(e.freeLower)
+	awaitReadableCalls(l, calls+2) // the rest of the batch is the end of the third connection
+	e := &pendingEvent{t: t, loop: l, conn: ended, descriptor: ended.socket.Hash(), blocker: second, client: secondClient}
+	t.Cleanup(e.closeOccupied)
 	return e
 }
 
-// reuse closes the connection on the loop's goroutine, and takes the free descriptors below its own, so that this is the
+// freeDescriptor closes the connection on the loop's goroutine, and takes the free descriptors below its own, so that this is the
 // next one.
-func (e *pendingEvent) reuse() {
+func (e *pendingEvent) freeDescriptor() {
 	closed := make(chan struct{})
 	e.loop.Post(func() {
 		e.conn.Close()
@@ -66,20 +66,20 @@
 			syscall.Close(descriptor)
 			return
 		}
-		e.taken = append(e.taken, descriptor)
+		e.occupied = append(e.occupied, descriptor)
 	}
 }
 
-// freeLower closes the descriptors that were taken.
-func (e *pendingEvent) freeLower() {
-	for _, descriptor := range e.taken {
+// closeOccupied closes the descriptors that were taken.
+func (e *pendingEvent) closeOccupied() {
+	for _, descriptor := range e.occupied {
 		syscall.Close(descriptor)
 	}
 }
 
 // release has the poller go on, and returns once it has handled the event.
 func (e *pendingEvent) release() {
-	e.holder.reader.mu.Unlock()
+	e.blocker.reader.mu.Unlock()
 	for _, want := range []string{"x|", "y|"} { // the second is of a later batch
 		response := make([]byte, len(want))
 		if _, err := io.ReadFull(e.client, response); err != nil || string(response) != want {
@@ -89,50 +89,50 @@
 	}
 }
 
-// awaitCalls waits until the poller has been called so often.
-func awaitCalls(l *Loop, calls uint64) {
-	for l.poller.calls.Load() < calls {
+// awaitReadableCalls waits until the poller has been called so often.
+func awaitReadableCalls(l *Loop, calls uint64) {
+	for l.poller.readableCalls.Load() < calls {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// preparedListener calls what it is sent before it returns a connection.
-type preparedListener struct {
+// hookedListener calls what it is sent before it returns a connection.
+type hookedListener struct {
 	net.Listener
-	prepare <-chan func()
+	hooks <-chan func()
 }
 
-func (p *preparedListener) Accept() (net.Conn, error) {
+func (p *hookedListener) Accept() (net.Conn, error) {
 	conn, err := p.Listener.Accept()
 	select {
-	case prepare := <-p.prepare:
-		prepare()
+	case hook := <-p.hooks:
+		hook()
 	default:
 	}
 	return conn, err
 }
 
-// reuseLoop returns a loop with room for the connections of these tests.
-func reuseLoop() *Loop {
+// newReuseLoop returns a loop with room for the connections of these tests.
+func newReuseLoop() *Loop {
 	return New(Config{MaxAccepted: 16, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20})
 }
 
 // The end of a connection, of which the poller has yet to handle the event, ends no connection that was accepted meanwhile
 // on the same descriptor.
-func TestAcceptedConnectionOutlivesAnEarlierOneOnItsDescriptor(t *testing.T) {
-	l := reuseLoop()
-	prepare := make(chan func(), 1)
+func TestAcceptedConnectionSurvivesDescriptorReuse(t *testing.T) {
+	l := newReuseLoop()
+	hooks := make(chan func(), 1)
 	l.listeners.listen = func(network, addr string) (net.Listener, error) {
 		listener, err := net.Listen(network, addr)
-		return &preparedListener{Listener: listener, prepare: prepare}, err
+		return &hookedListener{Listener: listener, hooks: hooks}, err
 	}
 	accepted := make(chan *echoHandler, 16)
 	runLoop(t, l, acceptInto(accepted, false))
 	pending := newPendingEvent(t, l, accepted)
 	connected := make(chan struct{})
-	prepare <- func() {
+	hooks <- func() {
 		<-connected
-		pending.reuse()
+		pending.freeDescriptor()
 	}
 	client := dial(t, l)
 	close(connected)
@@ -153,7 +153,7 @@
 
 // The end of a connection, of which the poller has yet to handle the event, ends no connection that was dialled meanwhile
 // on the same descriptor.
-func TestDialledConnectionOutlivesAnEarlierOneOnItsDescriptor(t *testing.T) {
+func TestDialedConnectionSurvivesDescriptorReuse(t *testing.T) {
 	for _, network := range []string{"tcp", "unix"} {
 		t.Run(network, func(t *testing.T) {
 			addr := "127.0.0.1:0"
@@ -165,7 +165,7 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			l := reuseLoop()
+			l := newReuseLoop()
 			accepted := make(chan *echoHandler, 16)
 			runLoop(t, l, acceptInto(accepted, false))
 			pending := newPendingEvent(t, l, accepted)
@@ -181,8 +181,8 @@
 					return nil, err
 				}
 				peers <- peer
-				pending.reuse()
-				socket, err := adopt(std)
+				pending.freeDescriptor()
+				socket, err := convertConn(std)
 				if err == nil {
 					descriptors <- socket.Hash()
 				}
@@ -212,8 +212,8 @@
 
 // A system without Unix sockets gets a loop that works, without the guard.
 func TestLoopRunsWithoutUnixSockets(t *testing.T) {
-	l := reuseLoop()
-	l.poller.newTurns = func() (*pollerTurns, error) {
+	l := newReuseLoop()
+	l.poller.newBarrier = func() (*pollerBarrier, error) {
 		return nil, &net.OpError{Op: "file", Net: "unix", Err: syscall.EAFNOSUPPORT}
 	}
 	accepted := make(chan *echoHandler, 16)
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -12,8 +12,8 @@
 
 // The first pause before a dial that failed by a fault of this machine is retried, and the longest.
 const (
-	firstDialPause   = 2 * time.Millisecond
-	longestDialPause = 50 * time.Millisecond
+	initialDialBackoff = 2 * time.Millisecond
+	maxDialBackoff     = 50 * time.Millisecond
 )
 
 // connectFunc opens a connection and makes it nbio's. It blocks until then, or until ctx is done.
@@ -23,7 +23,7 @@
 // goroutine starts dials; a dial shares only the queue and the poller with it.
 type dialer struct {
 	connect     connectFunc
-	loopEnded   context.Context    // is done when the loop has ended, and ends dials
+	loopClosed  context.Context    // is done when the loop has ended, and ends dials
 	cancel      context.CancelFunc // of loopEnded
 	inProgress  sync.WaitGroup     // goroutines of dials
 	queue       *queue
@@ -41,16 +41,16 @@
 		if err == nil {
 			err = d.register(socket, c)
 		}
-		d.queue.push(event{kind: dialEnded, conn: c, socket: socket, err: err})
+		d.queue.push(event{kind: dialCompleted, conn: c, socket: socket, err: err})
 	})
 }
 
 // dial opens a socket within a timeout. It retries after a fault of this machine, which says nothing about the peer.
 // When no descriptor is left, idle clients are closed to free one. It blocks and must not be called on the event loop.
 func (d *dialer) dial(network, addr string, timeout time.Duration) (*nbio.Conn, error) {
-	ctx, cancel := context.WithTimeout(d.loopEnded, timeout)
+	ctx, cancel := context.WithTimeout(d.loopClosed, timeout)
 	defer cancel()
-	for pause := firstDialPause; ; pause = min(2*pause, longestDialPause) {
+	for backoff := initialDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		socket, err := d.connect(ctx, network, addr, timeout)
 		if !IsLocalFault(err) {
 			return socket, err
@@ -61,7 +61,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 	}
 }
@@ -70,9 +70,9 @@
 // with the same descriptor.
 func (d *dialer) register(socket *nbio.Conn, c *Conn) error {
 	err := d.descriptors.awaitReusable()
-	if err != nil || d.loopEnded.Err() != nil {
+	if err != nil || d.loopClosed.Err() != nil {
 		socket.Close()
-		return errLoopEnded
+		return errLoopClosed
 	}
 	return d.poller.watch(socket, c)
 }
@@ -86,13 +86,13 @@
 // connect opens a connection and makes it nbio's. For a moment it takes two descriptors. It blocks and must not be
 // called on the event loop.
 func connect(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
-	std, err := netDialer(network, timeout).DialContext(ctx, network, addr)
+	netConn, err := netDialer(network, timeout).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	socket, err := adopt(std)
+	socket, err := convertConn(netConn)
 	if err != nil {
-		std.Close()
+		netConn.Close()
 	}
 	return socket, err
 }
@@ -107,11 +107,11 @@
 	return d
 }
 
-// adopt makes a socket nbio's. It returns errNoLocalAddress for a socket without a local address, at which NBConn
+// convertConn makes a socket nbio's. It returns errNoLocalAddress for a socket without a local address, at which NBConn
 // would panic.
-func adopt(std net.Conn) (*nbio.Conn, error) {
-	if std.LocalAddr() == nil {
+func convertConn(netConn net.Conn) (*nbio.Conn, error) {
+	if netConn.LocalAddr() == nil {
 		return nil, errNoLocalAddress
 	}
-	return nbio.NBConn(std)
+	return nbio.NBConn(netConn)
 }
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -38,29 +38,29 @@
 
 // Faults of this machine that connect(2) and socket(2) may show for a moment end no dial: it is tried again within its
 // time. What says something of the peer ends it at once.
-func TestDialOutlastsFaultsOfThisMachine(t *testing.T) {
+func TestDialRetriesLocalErrors(t *testing.T) {
 	l := start(t, 10, acceptEcho)
-	for _, fault := range []struct {
-		errno    syscall.Errno
-		outlasts bool
+	for _, test := range []struct {
+		errno   syscall.Errno
+		retried bool
 	}{
 		{syscall.EADDRNOTAVAIL, true}, {syscall.ENETUNREACH, true}, {syscall.ENOBUFS, true}, {syscall.ENFILE, true}, {syscall.EMFILE, true},
 		{syscall.ENOMEM, true}, {syscall.EAGAIN, true}, {syscall.EINTR, true}, {syscall.ECONNREFUSED, false}, {syscall.EHOSTUNREACH, false},
 		{syscall.ETIMEDOUT, false}, {syscall.ECONNRESET, false},
 	} {
-		t.Run(fault.errno.Error(), func(t *testing.T) {
+		t.Run(test.errno.Error(), func(t *testing.T) {
 			attempts := 0
 			d := newDialRecorder()
 			l.Post(func() {
 				l.dialer.connect = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
 					if attempts++; attempts <= 3 {
-						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", fault.errno)}
+						return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", test.errno)}
 					}
 					return connect(ctx, network, addr, timeout)
 				}
 				l.Dial("tcp", l.Addrs()[0], 2*time.Second, d)
 			})
-			if err := <-d.opened; (err == nil) != fault.outlasts {
+			if err := <-d.opened; (err == nil) != test.retried {
 				t.Errorf("the dial ended with %v after %d attempts", err, attempts)
 			}
 		})
@@ -68,7 +68,7 @@
 }
 
 // A fault of this machine that lasts ends the dial when its time is over, as a fault of this machine.
-func TestDialEndsWhereAFaultOfThisMachineLasts(t *testing.T) {
+func TestDialTimesOutWhileLocalErrorPersists(t *testing.T) {
 	l := start(t, 10, acceptEcho)
 	d := newDialRecorder()
 	l.Post(func() {
@@ -109,10 +109,10 @@
 		t.Fatal(err)
 	}
 	defer std.Close()
-	if _, err := adopt(connWithoutAddress{std}); !errors.Is(err, errNoLocalAddress) {
+	if _, err := convertConn(connWithoutAddress{std}); !errors.Is(err, errNoLocalAddress) {
 		t.Errorf("a socket without an address: %v", err)
 	}
-	nc, err := adopt(std)
+	nc, err := convertConn(std)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,15 +181,15 @@
 		}
 	}
 	t.Log("a dial came up")
-	gone := 0
+	closed := 0
 	for _, c := range idle {
 		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
-			gone++
+			closed++
 		}
 	}
-	if gone == 0 || gone == len(idle) {
-		t.Errorf("%d of %d idle clients were closed", gone, len(idle))
+	if closed == 0 || closed == len(idle) {
+		t.Errorf("%d of %d idle clients were closed", closed, len(idle))
 	}
 	for _, f := range files {
 		f.Close()
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -18,7 +18,7 @@
 	// errNoLocalAddress is returned for a socket whose local address the system does not report.
 	errNoLocalAddress = errors.New("socket has no local address")
 	// errLoopEnded is the result of a dial that succeeded after the loop had ended.
-	errLoopEnded = errors.New("event loop has ended")
+	errLoopClosed = errors.New("event loop has ended")
 )
 
 // ListenError is returned by Loop.Start for an address that can't be listened on.
@@ -46,18 +46,18 @@
 func (e *SlowPeerError) Unwrap() error { return ErrSlowPeer }
 
 // localFaults are the errors of system calls by which a dial fails because of this machine, as a rule for a moment.
-var localFaults = []syscall.Errno{
+var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
 // IsLocalFault reports whether an error is caused by this machine and says nothing about a peer.
 func IsLocalFault(err error) bool {
-	return slices.ContainsFunc(localFaults, func(fault syscall.Errno) bool { return errors.Is(err, fault) })
+	return slices.ContainsFunc(localErrors, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// isPeerGone reports whether a write failed because the peer has closed or reset the connection.
-func isPeerGone(err error) bool {
+// isConnClosed reports whether a write failed because the peer has closed or reset the connection.
+func isConnClosed(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -14,7 +14,7 @@
 	// Busy reports whether the connection has open requests, and so must not be closed.
 	Busy() bool
 	// Messages returns the number of whole messages that have arrived, and whether a part of another has.
-	Messages() (whole int, begun bool)
+	Messages() (complete int, partial bool)
 }
 
 // DialHandler is the handler of a connection that this program opens.
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -9,17 +9,17 @@
 
 // echoHandler writes back what it receives, as often as times says.
 type echoHandler struct {
-	c     *Conn
-	times int
-	busy  bool
-	whole int
-	begun bool
-	ends  chan error
+	c        *Conn
+	times    int
+	busy     bool
+	complete int
+	partial  bool
+	closed   chan error
 }
 
 // newEchoHandler returns a handler of c that does not wait for its ends to be received.
 func newEchoHandler(c *Conn, times int) *echoHandler {
-	return &echoHandler{c: c, times: times, ends: make(chan error, 1)}
+	return &echoHandler{c: c, times: times, closed: make(chan error, 1)}
 }
 
 // acceptEcho accepts connections that write back what they receive.
@@ -44,9 +44,9 @@
 	}
 }
 
-func (e *echoHandler) Closed(err error)      { e.ends <- err }
+func (e *echoHandler) Closed(err error)      { e.closed <- err }
 func (e *echoHandler) Busy() bool            { return e.busy }
-func (e *echoHandler) Messages() (int, bool) { return e.whole, e.begun }
+func (e *echoHandler) Messages() (int, bool) { return e.complete, e.partial }
 
 // dialRecorder is the handler of a dialled connection that reports how the dial and the connection ended.
 type dialRecorder struct{ opened, closed chan error }
@@ -63,10 +63,10 @@
 // countingHandler is the handler of a dialled connection that counts the bytes that it receives.
 type countingHandler struct {
 	*dialRecorder
-	got atomic.Int64
+	received atomic.Int64
 }
 
-func (r *countingHandler) Data(b []byte) { r.got.Add(int64(len(b))) }
+func (r *countingHandler) Data(b []byte) { r.received.Add(int64(len(b))) }
 
 // oneByteQueue configures a loop whose poller waits when more than a byte is queued.
 func oneByteQueue(maxAccepted int) Config {
@@ -149,9 +149,9 @@
 	return c
 }
 
-// hold runs calls on the loop's goroutine and then blocks it until release is called, so that what happens meanwhile is
+// blockLoop runs calls on the loop's goroutine and then blocks it until release is called, so that what happens meanwhile is
 // handled in one turn.
-func hold(l *Loop, calls ...func()) (release func()) {
+func blockLoop(l *Loop, calls ...func()) (release func()) {
 	held, released := make(chan struct{}), make(chan struct{})
 	l.Post(func() {
 		for _, call := range calls {
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -15,7 +15,7 @@
 
 // acceptPause is how long accepting waits after an error. Without descriptors accept fails at once, and nbio would call
 // it again without end.
-const acceptPause = 20 * time.Millisecond
+const acceptRetryDelay = 20 * time.Millisecond
 
 // acceptFunc returns the handler of an accepted connection. It runs on the loop's goroutine.
 type acceptFunc = func(*Conn) AcceptedHandler
@@ -66,22 +66,22 @@
 	return &admittingListener{Listener: listener, loop: l.loop}, nil
 }
 
-// connectionOpened is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
+// onOpen is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
 // once that can be written to. It blocks while the loop has too many accepted connections to handle.
-func (l *listeners) connectionOpened(socket *nbio.Conn) {
+func (l *listeners) onOpen(socket *nbio.Conn) {
 	if socket.Session() != nil { // dialled
 		return
 	}
 	c := newAcceptedConn(l.loop, socket, l.bound.find(socket.LocalAddr()))
-	l.loop.poller.announce(socket, c)
+	l.loop.poller.setSession(socket, c)
 	l.loop.admission.opened()
 	if !l.loop.queue.push(event{kind: connectionAccepted, conn: c}) {
 		socket.Close()
 	}
 }
 
-// acceptFailed is called by a listener's goroutine. It blocks for acceptPause.
-func (l *listeners) acceptFailed(err error) {
+// onAcceptError is called by a listener's goroutine. It blocks for acceptPause.
+func (l *listeners) onAcceptError(err error) {
 	if errors.Is(err, net.ErrClosed) {
 		// The loop has closed the listener. nbio would end the goroutine by a flag, which the goroutine clears when it
 		// starts: one that starts late would accept forever.
@@ -90,9 +90,9 @@
 	}
 	l.logger.Warn("accept_failed", slog.Any("err", err))
 	if IsDescriptorExhausted(err) {
-		l.loop.idleCloser.request()
+		l.loop.idleCloser.requestClose()
 	}
-	time.Sleep(acceptPause)
+	time.Sleep(acceptRetryDelay)
 }
 
 // closeAll closes the listeners. It does not wait for their goroutines.
@@ -122,17 +122,17 @@
 			return nil, err
 		}
 		if a.loop.admission.admit() {
-			return a.adopt(conn)
+			return a.convert(conn)
 		}
 		conn.Close()
 		a.loop.Post(func() { a.loop.clients.rejections.count++ })
 	}
 }
 
-// adopt makes an admitted connection nbio's, which gives it the descriptor that it is polled by, and returns it once
+// convert makes an admitted connection nbio's, which gives it the descriptor that it is polled by, and returns it once
 // that can be polled. It blocks and must not be called on the event loop.
-func (a *admittingListener) adopt(conn net.Conn) (net.Conn, error) {
-	socket, err := adopt(conn)
+func (a *admittingListener) convert(conn net.Conn) (net.Conn, error) {
+	socket, err := convertConn(conn)
 	if err != nil {
 		conn.Close()
 		return nil, err
--- a/internal/eventloop/listeners_test.go
+++ b/internal/eventloop/listeners_test.go
@@ -35,38 +35,38 @@
 // faultyListener fails while it is told to, and counts how often it is asked.
 type faultyListener struct {
 	net.Listener
-	fault atomic.Pointer[syscall.Errno]
-	asked atomic.Int32
+	errno atomic.Pointer[syscall.Errno]
+	calls atomic.Int32
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
-	l.asked.Add(1)
-	if fault := l.fault.Load(); fault != nil {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", *fault)}
+	l.calls.Add(1)
+	if errno := l.errno.Load(); errno != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", *errno)}
 	}
 	return l.Listener.Accept()
 }
 
 // A listener whose accept fails for a moment neither ends nor spins, and accepts again.
-func TestListenerOutlastsFaultsOfAccept(t *testing.T) {
-	for _, fault := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
+func TestListenerRecoversFromAcceptErrors(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
 		syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
-		t.Run(fault.Error(), func(t *testing.T) {
+		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			var faulty *faultyListener
 			l := New(Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20, Logger: slog.New(slog.DiscardHandler)})
 			l.listeners.listen = func(network, addr string) (net.Listener, error) {
 				listener, err := net.Listen(network, addr)
 				faulty = &faultyListener{Listener: listener}
-				faulty.fault.Store(&fault)
+				faulty.errno.Store(&errno)
 				return faulty, err
 			}
 			runLoop(t, l, acceptEcho)
 			time.Sleep(200 * time.Millisecond)
-			if asked := faulty.asked.Load(); asked < 1 || asked > 30 {
-				t.Errorf("accept was called %d times in 0.2 s", asked)
+			if calls := faulty.calls.Load(); calls < 1 || calls > 30 {
+				t.Errorf("accept was called %d times in 0.2 s", calls)
 			}
-			faulty.fault.Store(nil)
+			faulty.errno.Store(nil)
 			client := dial(t, l)
 			if _, err := client.Write([]byte("x")); err != nil {
 				t.Fatal(err)
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -43,9 +43,9 @@
 
 // turnTimes holds the times of the present turn. The loop's goroutine owns it.
 type turnTimes struct {
-	now     time.Duration // the turn's one reading of the clock
-	arrived time.Duration // when the data arrived that is being handled; otherwise now
-	stall   stall
+	now       time.Duration // the turn's one reading of the clock
+	arrivedAt time.Duration // when the data arrived that is being handled; otherwise now
+	stall     stall
 }
 
 // New returns a Loop without listeners. The caller ends it by Close.
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	queue := newQueue(clock.now, cfg.MaxQueuedBytes)
 	started := clock.now()
-	descriptors := &descriptorGuard{loopEnded: ctx}
+	descriptors := &descriptorGuard{loopClosed: ctx}
 	l := &Loop{
 		clock:       clock,
 		queue:       queue,
@@ -63,15 +63,15 @@
 		descriptors: descriptors,
 		read:        readSocket,
 		unread:      &unreadTotal{max: int64(cfg.MaxUnreadBytes)},
-		turnTimes:   turnTimes{now: started, arrived: started},
+		turnTimes:   turnTimes{now: started, arrivedAt: started},
 		clients:     newAcceptedClients(logger),
 	}
-	l.idleCloser = &idleCloser{queue: queue, closeIdle: l.closeIdleClient, loopEnded: ctx}
+	l.idleCloser = &idleCloser{queue: queue, closeIdle: l.closeIdleClient, loopClosed: ctx}
 	l.admission = &admission{limit: int64(cfg.MaxAccepted), idleCloser: l.idleCloser}
 	l.listeners = newListeners(l, logger)
 	l.dialer = &dialer{
 		connect:     connect,
-		loopEnded:   ctx,
+		loopClosed:  ctx,
 		descriptors: descriptors,
 		cancel:      cancel,
 		queue:       queue,
@@ -100,7 +100,7 @@
 // ArrivedAt is the time at which the data arrived that a handler receives: when it was read, or the begin of a stall in
 // which it may have waited unread. It is earlier than Now by as much as the loop was held up. What a client waits for
 // counts from ArrivedAt, and what goes out by Now. Outside of Handler.Data it is Now.
-func (l *Loop) ArrivedAt() time.Duration { return l.arrived }
+func (l *Loop) ArrivedAt() time.Duration { return l.arrivedAt }
 
 // Post has call run on the loop's goroutine. It returns at once, and any goroutine may call it. Once the loop has
 // ended, calls are dropped.
@@ -109,7 +109,7 @@
 // Dial opens a connection and returns at once. The handler's DialCompleted receives the result within timeout, or a
 // little later.
 func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
-	c := newDialledConn(l, network, h)
+	c := newDialedConn(l, network, h)
 	l.dialer.start(c, network, addr, timeout)
 	return c
 }
@@ -117,7 +117,7 @@
 // Run handles events until Stop. Each turn it calls begin with the time, then the handlers of what is queued, and then
 // turn. turn returns the time at which it wants to be called again at the latest. Run blocks; its goroutine is the
 // loop's.
-func (l *Loop) Run(begin func(now time.Duration), turn func(now time.Duration) time.Duration) {
+func (l *Loop) Run(startTurn func(now time.Duration), turn func(now time.Duration) time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var spare []event
@@ -128,21 +128,21 @@
 		case <-timer.C:
 		}
 		batch, now := l.queue.take(spare[:0])
-		l.stall.observe(l.now, now)
+		l.stall.recordTurn(l.now, now)
 		l.now = now
-		l.arrived = now
-		begin(now)
+		l.arrivedAt = now
+		startTurn(now)
 		l.dispatch(batch)
 		spare = batch
 		next := turn(now)
 		l.flushes.flush()
 		l.clients.endTurn(now)
 		if !l.flushes.isEmpty() {
-			next = min(next, now+stalledPause)
+			next = min(next, now+stalledRetryDelay)
 		}
 		end := l.clock.now()
-		l.counters.turnEnded(end - now)
-		timer.Reset(max(min(next, now+maxRest)-end, 0))
+		l.counters.recordTurn(end - now)
+		timer.Reset(max(min(next, now+maxTurnInterval)-end, 0))
 	}
 }
 
@@ -152,7 +152,7 @@
 // CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at
 // rest: no response is due on it, its peer has read all that was written, and no part of a message has arrived.
 func (l *Loop) CloseClients() {
-	l.clients.closeAll()
+	l.clients.startClosing()
 	l.listeners.closeAll()
 }
 
@@ -177,31 +177,31 @@
 			e.call()
 		case connectionAccepted:
 			l.clients.add(e.conn, l.now)
-		case dialEnded:
-			e.conn.dialEnded(e.socket, e.err)
+		case dialCompleted:
+			e.conn.dialCompleted(e.socket, e.err)
 		case dataReceived:
-			l.arrived = l.stall.arrival(e.at)
+			l.arrivedAt = l.stall.arrivalTime(e.at)
 			e.conn.receive(e.data)
-			l.arrived = l.now
-		case connectionEnded:
-			l.connectionEnded(e.conn, e.err)
+			l.arrivedAt = l.now
+		case connectionClosed:
+			l.connectionClosed(e.conn, e.err)
 		}
 		*e = event{}
 	}
 }
 
-// connectionEnded handles the end of a connection, which the peer or this program caused.
-func (l *Loop) connectionEnded(c *Conn, err error) {
+// connectionClosed handles the end of a connection, which the peer or this program caused.
+func (l *Loop) connectionClosed(c *Conn, err error) {
 	l.clients.remove(c)
-	if !c.connectionEnded() {
+	if !c.recordClosed() {
 		return
 	}
 	if c.isAccepted {
-		l.counters.connectionEnded(c)
-		l.admission.ended()
+		l.counters.recordClosed(c)
+		l.admission.closed()
 	}
 	c.notifyClosed(err)
 }
 
 // closeIdleClient closes an idle client, and reports whether there was one.
-func (l *Loop) closeIdleClient() bool { return l.clients.closeIdle(l.now) }
+func (l *Loop) closeIdleClient() bool { return l.clients.closeOneIdle(l.now) }
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -16,13 +16,13 @@
 )
 
 // minDescriptors is the smallest size of the table of connections that nbio is configured for.
-const minDescriptors = 1024
+const minConnTableSize = 1024
 
 // systemMaxOpenFiles is the size of that table that nbio chose by the limit of the process.
-var systemMaxOpenFiles = nbio.MaxOpenFiles
+var defaultMaxOpenFiles = nbio.MaxOpenFiles
 
 // engineStart is held while an engine starts: nbio takes its size and its log level from variables of its package.
-var engineStart sync.Mutex
+var engineStartMu sync.Mutex
 
 // poller runs nbio's engine: one goroutine that polls all connections, and one for each listener. Its callbacks queue
 // what happened and touch no state of the loop.
@@ -31,11 +31,11 @@
 	maxDescriptors int          // of the process
 	queue          *queue
 	descriptors    *descriptorGuard
-	newTurns       func() (*pollerTurns, error)
-	turns          *pollerTurns // nil until start, and where the system has no Unix sockets
-	buffer         []byte       // what is read into; owned by the polling goroutine
+	newBarrier     func() (*pollerBarrier, error)
+	barrier        *pollerBarrier // nil until start, and where the system has no Unix sockets
+	buffer         []byte         // what is read into; owned by the polling goroutine
 
-	calls atomic.Uint64 // of readable, by the polling goroutine
+	readableCalls atomic.Uint64 // of readable, by the polling goroutine
 
 	// registrations counts connections that were handed to the polling goroutine. nbio hands them over by way of the
 	// kernel. That orders memory, but the race detector does not know it; it knows this counter.
@@ -48,7 +48,7 @@
 		queue:          queue,
 		descriptors:    descriptors,
 		maxDescriptors: maxDescriptors,
-		newTurns:       newPollerTurns,
+		newBarrier:     newPollerBarrier,
 		buffer:         make([]byte, readBufferSize),
 	}
 }
@@ -56,44 +56,44 @@
 // start opens the listeners and starts the goroutines. Its error wraps a ListenError when an address can't be listened
 // on. Where the system has no Unix sockets, descriptors are not guarded.
 func (p *poller) start(listeners *listeners) error {
-	turns, err := p.newTurns()
+	barrier, err := p.newBarrier()
 	switch {
 	case errors.Is(err, syscall.EAFNOSUPPORT):
 		listeners.logger.Warn("descriptor_guard_unavailable", slog.Any("err", err))
 	case err != nil:
 		return err
 	}
-	p.turns = turns
-	p.descriptors.turns = turns
+	p.barrier = barrier
+	p.descriptors.barrier = barrier
 	p.engine, err = p.startEngine(listeners)
 	switch {
-	case turns == nil:
+	case barrier == nil:
 		return err
 	case err != nil:
-		turns.discard()
+		barrier.discard()
 		return err
 	}
-	return p.watch(turns.socket, turns)
+	return p.watch(barrier.socket, barrier)
 }
 
 // startEngine starts nbio's engine, and with it all goroutines.
 func (p *poller) startEngine(listeners *listeners) (*nbio.Engine, error) {
-	engineStart.Lock()
-	defer engineStart.Unlock()
+	engineStartMu.Lock()
+	defer engineStartMu.Unlock()
 	logging.SetLevel(logging.LevelNone) // the callbacks report its errors to our log
-	nbio.MaxOpenFiles = min(systemMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
+	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minConnTableSize)*2)
 	engine := nbio.NewEngine(nbio.Config{
 		Network:            "tcp",
 		Addrs:              listeners.addrs(),
 		NPoller:            1,
-		MaxWriteBufferSize: maxUnreadByPeer,
+		MaxWriteBufferSize: maxUnreadPerPeer,
 		Listen:             listeners.open,
 	})
-	engine.OnOpen(listeners.connectionOpened)
-	engine.OnRead(p.readable)
-	engine.OnWrittenSize(p.written)
-	engine.OnClose(p.connectionEnded)
-	engine.OnAcceptError(listeners.acceptFailed)
+	engine.OnOpen(listeners.onOpen)
+	engine.OnRead(p.onReadable)
+	engine.OnWrittenSize(p.onWritten)
+	engine.OnClose(p.onClose)
+	engine.OnAcceptError(listeners.onAcceptError)
 	err := engine.Start()
 	var listenError *ListenError
 	switch {
@@ -105,44 +105,44 @@
 	return engine, nil
 }
 
-// announce sets the session of a socket before the polling goroutine may read it.
-func (p *poller) announce(socket *nbio.Conn, session any) {
+// setSession sets the session of a socket before the polling goroutine may read it.
+func (p *poller) setSession(socket *nbio.Conn, session any) {
 	socket.SetSession(session)
 	p.registrations.Add(1)
 }
 
 // watch has the polling goroutine poll a socket. Any goroutine may call it.
 func (p *poller) watch(socket *nbio.Conn, session any) error {
-	p.announce(socket, session)
+	p.setSession(socket, session)
 	_, err := p.engine.AddConn(socket)
 	return err
 }
 
-// readable is called by nbio when a connection has something to read. It blocks while the queue is full.
-func (p *poller) readable(socket *nbio.Conn) {
-	p.calls.Add(1)
+// onReadable is called by nbio when a connection has something to read. It blocks while the queue is full.
+func (p *poller) onReadable(socket *nbio.Conn) {
+	p.readableCalls.Add(1)
 	p.registrations.Load()
 	switch session := socket.Session().(type) {
 	case *Conn:
 		session.reader.readAvailable(socket, p.buffer)
-	case *pollerTurns:
-		session.handle(p.buffer)
+	case *pollerBarrier:
+		session.onReadable(p.buffer)
 	}
 }
 
-// written is called by nbio when the kernel has accepted bytes that nbio held.
-func (p *poller) written(socket *nbio.Conn, _ []byte, size int) {
+// onWritten is called by nbio when the kernel has accepted bytes that nbio held.
+func (p *poller) onWritten(socket *nbio.Conn, _ []byte, size int) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
 		c.writer.countUnread(-size)
 	}
 }
 
-// connectionEnded is called by nbio when a connection has ended.
-func (p *poller) connectionEnded(socket *nbio.Conn, err error) {
+// onClose is called by nbio when a connection has ended.
+func (p *poller) onClose(socket *nbio.Conn, err error) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
-		p.queue.push(event{kind: connectionEnded, conn: c, err: err})
+		p.queue.push(event{kind: connectionClosed, conn: c, err: err})
 	}
 }
 
@@ -150,17 +150,17 @@
 // the goroutine clears when it starts: one that starts late would poll forever. It blocks and must not be called on the
 // event loop.
 func (p *poller) awaitRunning(ctx context.Context) {
-	if p.turns == nil {
+	if p.barrier == nil {
 		return
 	}
-	_ = p.turns.await(ctx) // where it fails, shutdown is limited by ctx too
+	_ = p.barrier.await(ctx) // where it fails, shutdown is limited by ctx too
 }
 
 // shutdown ends the goroutines, or stops waiting for them when ctx is done.
 func (p *poller) shutdown(ctx context.Context) {
 	_ = p.engine.Shutdown(ctx) // its only error is that of ctx
-	if p.turns != nil {
-		p.turns.close()
+	if p.barrier != nil {
+		p.barrier.close()
 	}
 }
 
@@ -171,16 +171,16 @@
 		return nil, nil, err
 	}
 	peer = os.NewFile(uintptr(fds[1]), "peer")
-	own := os.NewFile(uintptr(fds[0]), "own")
-	defer own.Close()
-	std, err := net.FileConn(own)
+	socketFile := os.NewFile(uintptr(fds[0]), "own")
+	defer socketFile.Close()
+	netConn, err := net.FileConn(socketFile)
 	if err != nil {
 		peer.Close()
 		return nil, nil, err
 	}
-	socket, err = adopt(std)
+	socket, err = convertConn(netConn)
 	if err != nil {
-		std.Close()
+		netConn.Close()
 		peer.Close()
 		return nil, nil, err
 	}
--- a/internal/eventloop/poller_calls_test.go
+++ b/internal/eventloop/poller_calls_test.go
@@ -11,7 +11,7 @@
 	// settleTime is long enough for a poller that spins to be called thousands of times.
 	settleTime = 50 * time.Millisecond
 	// maxSettledCalls is how often the poller may be called in it, with a pause of readPause after each call.
-	maxSettledCalls = 2 * int(settleTime/readPause)
+	maxSettledCalls = 2 * int(settleTime/readRetryDelay)
 )
 
 // sendUrgent sends a byte of urgent data.
@@ -30,10 +30,10 @@
 }
 
 // The poll is level-triggered. Nothing that stays as it is has the poller called again without end.
-func TestPollerRestsWhateverAPeerLeaves(t *testing.T) {
+func TestPollerDoesNotSpin(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		leave func(t *testing.T, l *Loop, c *Conn, client net.Conn) (restore func())
+		name    string
+		arrange func(t *testing.T, l *Loop, c *Conn, client net.Conn) (restore func())
 	}{
 		{"urgent data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			sendUrgent(t, client)
@@ -54,7 +54,7 @@
 			return func() {}
 		}},
 		{"a full queue", func(_ *testing.T, l *Loop, _ *Conn, client net.Conn) func() {
-			release := hold(l)
+			release := blockLoop(l)
 			for range 3 {
 				client.Write([]byte("x"))
 				time.Sleep(time.Millisecond)
@@ -67,7 +67,7 @@
 		}},
 		{"a reader that has stopped", func(t *testing.T, l *Loop, c *Conn, client net.Conn) func() {
 			closed := make(chan bool)
-			l.Post(func() { closed <- c.closeAtRest(EndedForRoom) })
+			l.Post(func() { closed <- c.closeIfIdle(ClosedForCapacity) })
 			if !<-closed {
 				t.Error("the connection is not at rest")
 			}
@@ -81,11 +81,11 @@
 			runLoop(t, l, acceptInto(accepted, false))
 			client := dial(t, l)
 			c := (<-accepted).c
-			defer test.leave(t, l, c, client)()
+			defer test.arrange(t, l, c, client)()
 			time.Sleep(settleTime)
-			before := l.poller.calls.Load()
+			before := l.poller.readableCalls.Load()
 			time.Sleep(settleTime)
-			if calls := l.poller.calls.Load() - before; calls > uint64(maxSettledCalls) {
+			if calls := l.poller.readableCalls.Load() - before; calls > uint64(maxSettledCalls) {
 				t.Errorf("the poller was called %d times in %v", calls, settleTime)
 			}
 		})
@@ -93,7 +93,7 @@
 }
 
 // A read that goes on failing for want of memory costs the poller a call in a millisecond, and no more.
-func TestPollerPausesWhileReadsFailForMemory(t *testing.T) {
+func TestPollerPausesWhileReadsRunOutOfMemory(t *testing.T) {
 	l := New(oneByteQueue(4))
 	failing := failReads(l, syscall.ENOMEM)
 	accepted := make(chan *echoHandler, 1)
@@ -103,9 +103,9 @@
 	failing.Store(1 << 40)
 	client.Write([]byte("x"))
 	time.Sleep(settleTime)
-	before := l.poller.calls.Load()
+	before := l.poller.readableCalls.Load()
 	time.Sleep(settleTime)
-	if calls := l.poller.calls.Load() - before; calls > uint64(maxSettledCalls) {
+	if calls := l.poller.readableCalls.Load() - before; calls > uint64(maxSettledCalls) {
 		t.Errorf("the poller was called %d times in %v", calls, settleTime)
 	}
 	failing.Store(0)
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -8,7 +8,7 @@
 )
 
 // maxUnseenConnections is how many accepted connections may wait for the loop; beyond it none is accepted.
-const maxUnseenConnections = 8
+const maxQueuedConnections = 8
 
 // eventKind is the kind of an event.
 type eventKind uint8
@@ -16,8 +16,8 @@
 const (
 	dataReceived       eventKind = iota // conn, data
 	connectionAccepted                  // conn
-	connectionEnded                     // conn, err
-	dialEnded                           // conn, and either socket or err
+	connectionClosed                    // conn, err
+	dialCompleted                       // conn, and either socket or err
 	callPosted                          // call
 )
 
@@ -33,9 +33,9 @@
 	at     time.Duration // of dataReceived: when it was read
 }
 
-// mayWait reports whether the goroutine that queues the event may block. Only events that peers cause do: a poller or a
+// mayBlock reports whether the goroutine that queues the event may block. Only events that peers cause do: a poller or a
 // listener that waits slows the peers down.
-func (e *event) mayWait() bool { return e.kind == dataReceived || e.kind == connectionAccepted }
+func (e *event) mayBlock() bool { return e.kind == dataReceived || e.kind == connectionAccepted }
 
 // queue passes events from many goroutines to the loop's, in the order in which they were pushed. It is safe for
 // concurrent use. A reader's mu may be held when mu is locked, and no lock is taken while mu is held.
@@ -46,17 +46,17 @@
 
 	// Guarded by mu.
 	mu                sync.Mutex
-	space             *sync.Cond // signals that a turn has taken the events, or that the queue is closed
+	notFull           *sync.Cond // signals that a turn has taken the events, or that the queue is closed
 	events            []event
 	bytes             int // of data in events
-	unseenConnections int // accepted connections in events
+	queuedConnections int // accepted connections in events
 	closed            bool
 }
 
 // newQueue returns an empty queue, which stamps turns by clock.
 func newQueue(clock func() time.Duration, maxBytes int) *queue {
 	q := &queue{clock: clock, maxBytes: maxBytes, wake: make(chan struct{}, 1)}
-	q.space = sync.NewCond(&q.mu)
+	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
@@ -65,17 +65,17 @@
 // descriptors beyond the limit on them. For these two it must not be called on the event loop.
 func (q *queue) push(e event) bool {
 	q.mu.Lock()
-	for e.mayWait() && q.full(e.kind) && !q.closed {
-		q.space.Wait()
+	for e.mayBlock() && q.isFull(e.kind) && !q.closed {
+		q.notFull.Wait()
 	}
 	queued := q.add(e)
 	q.mu.Unlock()
 	return queued
 }
 
-// pushNow queues an event without blocking. The loop's goroutine uses it for data: waiting would block the turn that
+// pushNonblocking queues an event without blocking. The loop's goroutine uses it for data: waiting would block the turn that
 // empties the queue.
-func (q *queue) pushNow(e event) bool {
+func (q *queue) pushNonblocking(e event) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.add(e)
@@ -87,7 +87,7 @@
 		return false
 	}
 	if e.kind == connectionAccepted {
-		q.unseenConnections++
+		q.queuedConnections++
 	}
 	q.events = append(q.events, e)
 	q.bytes += len(e.data)
@@ -98,10 +98,10 @@
 	return true
 }
 
-// full reports whether an event of a kind has to wait. The caller holds mu.
-func (q *queue) full(kind eventKind) bool {
+// isFull reports whether an event of a kind has to wait. The caller holds mu.
+func (q *queue) isFull(kind eventKind) bool {
 	if kind == connectionAccepted {
-		return q.unseenConnections >= maxUnseenConnections
+		return q.queuedConnections >= maxQueuedConnections
 	}
 	return q.bytes > q.maxBytes
 }
@@ -115,8 +115,8 @@
 	batch = q.events
 	q.events = spare
 	q.bytes = 0
-	q.unseenConnections = 0
-	q.space.Broadcast()
+	q.queuedConnections = 0
+	q.notFull.Broadcast()
 	return batch, q.clock()
 }
 
@@ -125,5 +125,5 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.space.Broadcast()
+	q.notFull.Broadcast()
 }
--- a/internal/eventloop/queue_test.go
+++ b/internal/eventloop/queue_test.go
@@ -9,13 +9,13 @@
 	l := New(Config{})
 	pushed := make(chan int, 100)
 	go func() {
-		for i := range 3 * maxUnseenConnections {
+		for i := range 3 * maxQueuedConnections {
 			l.queue.push(event{conn: &Conn{loop: l}, kind: connectionAccepted})
 			pushed <- i
 		}
 		close(pushed)
 	}()
-	for range maxUnseenConnections {
+	for range maxQueuedConnections {
 		<-pushed
 	}
 	turns, most := 0, 0
@@ -24,7 +24,7 @@
 		most = max(most, len(batch))
 		_, open = <-pushed
 	}
-	if most > maxUnseenConnections || turns < 2 {
+	if most > maxQueuedConnections || turns < 2 {
 		t.Errorf("%d connections waited at once, %d turns", most, turns)
 	}
 }
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -16,14 +16,14 @@
 
 	// maxReads is how many buffers the poller reads of a connection before it reads others. It holds a worker's 32
 	// responses of 16 KiB and their heads.
-	maxReads = maxUnreadByPeer / readBufferSize
+	maxReadsPerCall = maxUnreadPerPeer / readBufferSize
 
 	// readPause is how long the poller waits after a read that failed for lack of memory, since nbio calls it again at
 	// once.
-	readPause = time.Millisecond
+	readRetryDelay = time.Millisecond
 
 	// maxReadPauses is how many such pauses a connection may cost before it is ended with what its peer left unread.
-	maxReadPauses = 100
+	maxMemoryFailures = 100
 )
 
 // readFunc reads from a socket into a buffer, as read(2) does.
@@ -42,9 +42,9 @@
 	queue *queue
 	read  readFunc
 
-	mu      sync.Mutex // held while the socket is read
-	stopped bool       // nothing more is read; guarded by mu
-	pauses  int        // after reads that failed for want of memory; guarded by mu
+	mu             sync.Mutex // held while the socket is read
+	stopped        bool       // nothing more is read; guarded by mu
+	memoryFailures int        // after reads that failed for want of memory; guarded by mu
 
 	queuedReads atomic.Int32 // reads that are queued for the loop and not handled
 }
@@ -56,7 +56,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for reads := 0; !r.stopped; reads++ {
-		if reads >= maxReads && !hasEnded(socket) {
+		if reads >= maxReadsPerCall && !peerHasClosed(socket) {
 			return
 		}
 		size, err := r.read(socket, pollerBuffer)
@@ -66,24 +66,24 @@
 		switch {
 		case err == nil && size < len(pollerBuffer):
 			return
-		case err != nil && !r.readsAgain(socket, err):
+		case err != nil && !r.handleReadError(socket, err):
 			return
 		}
 	}
 }
 
-// readsAgain reports whether a socket of which a read failed is read again at once, and closes it after an error that
+// handleReadError reports whether a socket of which a read failed is read again at once, and closes it after an error that
 // is for good. After want of memory it blocks for readPause. The caller holds mu.
-func (r *connReader) readsAgain(socket *nbio.Conn, err error) bool {
+func (r *connReader) handleReadError(socket *nbio.Conn, err error) bool {
 	switch {
 	case errors.Is(err, syscall.EINTR):
 		return true
 	case errors.Is(err, syscall.EAGAIN):
 		return false
 	case isOutOfMemory(err):
-		time.Sleep(readPause)
-		r.pauses++
-		return r.pauses < maxReadPauses && hasEnded(socket)
+		time.Sleep(readRetryDelay)
+		r.memoryFailures++
+		return r.memoryFailures < maxMemoryFailures && peerHasClosed(socket)
 	}
 	socket.CloseWithError(err)
 	return false
@@ -101,8 +101,8 @@
 	return event{kind: dataReceived, conn: r.conn, data: append([]byte(nil), data...), at: r.queue.clock()}
 }
 
-// handled records that the loop has begun to handle a queued read.
-func (r *connReader) handled() { r.queuedReads.Add(-1) }
+// recordHandled records that the loop has begun to handle a queued read.
+func (r *connReader) recordHandled() { r.queuedReads.Add(-1) }
 
 // stopIfDrained stops reading when nothing has arrived that the loop has not handled, calls closeSocket, and reports
 // whether it did. It reads once more under mu, which keeps the poller from reading: whatever has been read is handled,
@@ -132,15 +132,15 @@
 			continue
 		}
 		if size > 0 {
-			r.queue.pushNow(r.newEvent(buffer[:size]))
+			r.queue.pushNonblocking(r.newEvent(buffer[:size]))
 		}
 		return size > 0 || isOutOfMemory(err)
 	}
 }
 
-// hasEnded reports whether the peer of a stream has ended it. What it sent before may still have to be read.
-func hasEnded(socket *nbio.Conn) bool {
-	ended := false
+// peerHasClosed reports whether the peer of a stream has ended it. What it sent before may still have to be read.
+func peerHasClosed(socket *nbio.Conn) bool {
+	closed := false
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
@@ -148,7 +148,7 @@
 	_ = raw.Control(func(fd uintptr) { // nbio's never fails
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		ready, err := unix.Poll(state, 0)
-		ended = err == nil && ready > 0
+		closed = err == nil && ready > 0
 	})
-	return ended
+	return closed
 }
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -20,14 +20,14 @@
 func (h *timedHandler) Data([]byte) { h.waited <- h.c.loop.Now() - h.c.loop.ArrivedAt() }
 
 // The time of a turn is the present, and what waited for the turn has arrived before it.
-func TestTurnKnowsHowLongDataHasWaited(t *testing.T) {
+func TestArrivedAtIsWhenDataWasRead(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	waited := make(chan time.Duration, 1)
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		return &timedHandler{newEchoHandler(c, 0), waited}
 	})
 	client := dial(t, l)
-	release := hold(l)
+	release := blockLoop(l)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 }
 
 // Data that a peer wrote before it closed is read to its end, also where it is more than the poller reads in one go.
-func TestAllOfALongResponseIsReadBeforeAnEnd(t *testing.T) {
+func TestLongResponseIsReadBeforeClose(t *testing.T) {
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(4 << 20)
 	c.socket.SetReadBuffer(4 << 20)
-	release := hold(l)
+	release := blockLoop(l)
 	client := dial(t, l)
 	for range 3 { // the poller waits with the third byte
 		client.Write([]byte("x"))
@@ -58,21 +58,21 @@
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.got.Load(); got != int64(size) {
+	if got := r.received.Load(); got != int64(size) {
 		t.Errorf("%d of %d bytes were read before the end", got, size)
 	}
 }
 
 // Guards responses that a worker wrote just before it closed: while the poller waits, they and the end arrive together.
 // nbio drops what it has not read of a connection once it has seen its end.
-func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
+func TestBufferedResponsesAreReadBeforeClose(t *testing.T) {
 	// The poller waits behind a byte.
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	release := hold(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets a busy one grow
-	for range 3 {                                                  // the third byte finds the queue full, and the poller waits with it
+	release := blockLoop(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets a busy one grow
+	for range 3 {                                                       // the third byte finds the queue full, and the poller waits with it
 		dial(t, l).Write([]byte("x"))
 	}
 	awaitQueuedBytes(l, 2)
@@ -83,7 +83,7 @@
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.got.Load(); got != size {
+	if got := r.received.Load(); got != size {
 		t.Errorf("%d of %d bytes were read before the end", got, size)
 	}
 	peer.Close()
@@ -110,23 +110,23 @@
 }
 
 // failReads has the next reads of a loop, which does not run yet, fail with an error.
-func failReads(l *Loop, err error) (next *atomic.Int64) {
-	next = &atomic.Int64{}
+func failReads(l *Loop, err error) (remaining *atomic.Int64) {
+	remaining = &atomic.Int64{}
 	l.read = func(socket *nbio.Conn, buffer []byte) (int, error) {
-		if next.Add(-1) >= 0 {
+		if remaining.Add(-1) >= 0 {
 			return -1, err
 		}
 		return readSocket(socket, buffer)
 	}
-	return next
+	return remaining
 }
 
 // Reads that fail for a moment for want of memory lose nothing of what a peer wrote before it closed.
-func TestReadsThatFailForMemoryLoseNothingBeforeAnEnd(t *testing.T) {
-	for _, fault := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
-		t.Run(fault.Error(), func(t *testing.T) {
+func TestOutOfMemoryReadsLoseNoDataBeforeClose(t *testing.T) {
+	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
+		t.Run(errno.Error(), func(t *testing.T) {
 			l := New(oneByteQueue(4))
-			failing := failReads(l, fault)
+			failing := failReads(l, errno)
 			runLoop(t, l, acceptSilent)
 			r := &countingHandler{dialRecorder: newDialRecorder()}
 			c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
@@ -137,7 +137,7 @@
 			peer.Close()
 			c.reader.mu.Unlock()
 			<-r.closed
-			if got := r.got.Load(); got != size {
+			if got := r.received.Load(); got != size {
 				t.Errorf("%d of %d bytes were read before the end", got, size)
 			}
 		})
@@ -145,22 +145,22 @@
 }
 
 // A connection is not taken for one at rest because it can't be read for want of memory.
-func TestConnectionThatCannotBeReadIsNotAtRest(t *testing.T) {
-	for _, fault := range []error{syscall.ENOMEM, syscall.ENOBUFS} {
-		t.Run(fault.Error(), func(t *testing.T) {
+func TestConnectionThatCannotBeReadIsNotIdle(t *testing.T) {
+	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS} {
+		t.Run(errno.Error(), func(t *testing.T) {
 			l := New(oneByteQueue(4))
-			failing := failReads(l, fault)
+			failing := failReads(l, errno)
 			accepted := make(chan *echoHandler, 1)
 			runLoop(t, l, acceptInto(accepted, false))
 			client := dial(t, l)
 			c := (<-accepted).c
 			c.reader.mu.Lock() // keeps the poller from it
 			client.Write([]byte("x"))
-			awaitCalls(l, 1)
+			awaitReadableCalls(l, 1)
 			failing.Store(1)
-			mayHold := make(chan bool)
-			l.Post(func() { mayHold <- c.reader.readOnce(c.socket, l.clients.buffer) })
-			if !<-mayHold {
+			mayHaveData := make(chan bool)
+			l.Post(func() { mayHaveData <- c.reader.readOnce(c.socket, l.clients.readBuffer) })
+			if !<-mayHaveData {
 				t.Error("nothing was read, and the connection counts as read to its end")
 			}
 			c.reader.mu.Unlock()
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -4,11 +4,11 @@
 
 const (
 	// maxRest is how long the loop rests between two turns at most, so that a longer time without a turn shows a stall.
-	maxRest = 100 * time.Millisecond
+	maxTurnInterval = 100 * time.Millisecond
 	// stallThreshold is the time between the begins of two turns beyond which the process counts as stalled.
-	stallThreshold = maxRest + 50*time.Millisecond
+	stallThreshold = maxTurnInterval + 50*time.Millisecond
 	// stallAftermath is how long after a stall the poller may still read what arrived during it.
-	stallAftermath = 20 * time.Millisecond
+	stallCatchUpTime = 20 * time.Millisecond
 )
 
 // stall is the last time in which the loop did not run, as a rule because the whole process was stopped. The poller
@@ -19,16 +19,16 @@
 	until time.Duration // when data that is read may no longer have arrived during it
 }
 
-// observe records the begin of a turn, and of the turn before it.
-func (s *stall) observe(previous, now time.Duration) {
+// recordTurn records the begin of a turn, and of the turn before it.
+func (s *stall) recordTurn(previous, now time.Duration) {
 	if now-previous > stallThreshold {
 		s.from = previous
-		s.until = now + stallAftermath
+		s.until = now + stallCatchUpTime
 	}
 }
 
-// arrival returns the time at which data that was read at a time counts as having arrived.
-func (s *stall) arrival(readAt time.Duration) time.Duration {
+// arrivalTime returns the time at which data that was read at a time counts as having arrived.
+func (s *stall) arrivalTime(readAt time.Duration) time.Duration {
 	if readAt > s.from && readAt <= s.until {
 		return s.from
 	}
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -10,9 +10,9 @@
 
 const (
 	// maxUnreadByPeer is how many bytes one peer may leave unread: 32 responses of 16 KiB and their heads.
-	maxUnreadByPeer = 640 << 10
+	maxUnreadPerPeer = 640 << 10
 	// maxVectors is how many buffers one gathered write passes; the kernel accepts 1,024.
-	maxVectors = 512
+	maxBuffersPerWrite = 512
 )
 
 // connWriter holds the bytes that were written to one connection and have not left this program: first those that nbio
@@ -64,15 +64,15 @@
 // unsent is the number of bytes that had not left when the connection ended, and of those that were queued later.
 func (w *connWriter) unsent() int { return w.unsentBytes + totalSize(w.queued) }
 
-// connectionEnded counts the bytes that nbio held as unsent: no peer can read them any more.
-func (w *connWriter) connectionEnded() {
+// recordClosed counts the bytes that nbio held as unsent: no peer can read them any more.
+func (w *connWriter) recordClosed() {
 	unread := w.unreadBytes.Swap(0)
 	w.total.add(-unread)
 	w.unsentBytes += int(max(unread, 0))
 }
 
-// drop counts the queued bytes as unsent. The caller clears the queue.
-func (w *connWriter) drop() { w.unsentBytes += totalSize(w.queued) }
+// countQueuedAsUnsent counts the queued bytes as unsent. The caller clears the queue.
+func (w *connWriter) countQueuedAsUnsent() { w.unsentBytes += totalSize(w.queued) }
 
 // clear empties the queue and keeps its memory.
 func (w *connWriter) clear() {
@@ -80,10 +80,10 @@
 	w.queued = w.queued[:0]
 }
 
-// write writes the queued buffers in as few system calls as possible. The caller clears the queue.
-func (w *connWriter) write(socket *nbio.Conn) error {
+// writeStream writes the queued buffers in as few system calls as possible. The caller clears the queue.
+func (w *connWriter) writeStream(socket *nbio.Conn) error {
 	for rest := w.queued; len(rest) > 0; {
-		batch := rest[:min(len(rest), maxVectors)]
+		batch := rest[:min(len(rest), maxBuffersPerWrite)]
 		rest = rest[len(batch):]
 		written, err := w.writeVectors(socket, batch)
 		if err != nil {
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -23,8 +23,8 @@
 	c.(*net.TCPConn).SetReadBuffer(64 << 10)
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	c.Write(text)
-	for behind := 0; behind == 0; { // until the loop has written, and more than the kernel holds
-		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+	for unwritten := 0; unwritten == 0; { // until the loop has written, and more than the kernel holds
+		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
@@ -32,8 +32,8 @@
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("bytes differ, %v", err)
 	}
-	for behind := 1; behind != 0; { // the poller may still have to count its last write
-		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+	for unwritten := 1; unwritten != 0; { // the poller may still have to count its last write
+		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 }
@@ -48,14 +48,14 @@
 	c := dial(t, l)
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of responses
-	if err := <-e.ends; err == nil {
+	if err := <-e.closed; err == nil {
 		t.Error("closed without a reason")
 	}
 }
 
 // Guards the proof that a request never left: UnsentBytes is what the kernel did not accept of bytes to a peer that reads
 // little, and is 0 for a short message that the kernel accepted.
-func TestUnsentIsWhatNeverLeft(t *testing.T) {
+func TestUnsentBytesWereNotAcceptedByKernel(t *testing.T) {
 	for _, size := range []int{100, 6 << 20} {
 		l := start(t, 10, acceptSilent)
 		d := newDialRecorder()
@@ -92,7 +92,7 @@
 
 // Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
 // slow client's response would be cut off with the process.
-func TestWhatIsQueuedIsUnwritten(t *testing.T) {
+func TestQueuedBytesCountAsUnwritten(t *testing.T) {
 	l := New(Config{})
 	c := addClient(l, &echoHandler{}, clientActivity{})
 	c.writer.countUnread(3)
@@ -103,7 +103,7 @@
 }
 
 // A connection that is closed behind a response which its client reads slowly is closed once the client has it.
-func TestResponseIsTakenBeforeItsConnectionCloses(t *testing.T) {
+func TestCloseAfterFlushWaitsForSlowClient(t *testing.T) {
 	const size = 80 << 10
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		c.socket.SetWriteBuffer(4 << 10)
@@ -133,14 +133,14 @@
 }
 
 // What nbio holds when a connection ends is unsent, and is no longer part of what all peers leave unread.
-func TestEndOfAConnectionMakesItsBytesUnsent(t *testing.T) {
+func TestBufferedBytesAreUnsentAfterClose(t *testing.T) {
 	l := New(Config{MaxUnreadBytes: 9})
-	c := newDialledConn(l, "tcp", newDialRecorder())
+	c := newDialedConn(l, "tcp", newDialRecorder())
 	c.writer.countUnread(10)
 	if !c.writer.hasUnread() || !l.unread.isExceeded() {
 		t.Error("10 bytes do not exceed a limit of 9")
 	}
-	c.writer.connectionEnded()
+	c.writer.recordClosed()
 	if c.UnsentBytes() != 10 || c.writer.hasUnread() || l.unread.bytes.Load() != 0 {
 		t.Errorf("%d bytes are unsent, %d unread, want 10 and 0", c.UnsentBytes(), l.unread.bytes.Load())
 	}
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -41,12 +41,12 @@
 	if messages == 0 && len(b.partial) > 0 {
 		return 0, nil // all of it is buffered already
 	}
-	b.keep(unread)
+	b.store(unread)
 	return messages, nil
 }
 
-// keep replaces the buffered bytes by a copy of unread, which may be a part of them.
-func (b *Buffer) keep(unread []byte) {
+// store replaces the buffered bytes by a copy of unread, which may be a part of them.
+func (b *Buffer) store(unread []byte) {
 	if len(unread) == 0 && cap(b.partial) > maxIdleCapacity {
 		b.Reset()
 		return
