--- a/internal/eventloop/clients.go
+++ b/internal/eventloop/clients.go
@@ -87,21 +87,21 @@
 	return first
 }
 
-// startClosing has endTurn close each connection as soon as it is at rest.
-func (a *acceptedClients) startClosing() { a.isClosing = true }
+// closeAll has endTurn close each connection as soon as it is at rest.
+func (a *acceptedClients) closeAll() { a.isClosing = true }
 
 // endTurn closes connections that are at rest after closeAll, and sweeps when a sweep is due.
 func (a *acceptedClients) endTurn(now time.Duration) {
 	if a.isClosing {
-		a.closeAllIdle()
+		a.closeIfIdle()
 	}
 	if now-a.sweptAt > sweepInterval {
 		a.sweep(now)
 	}
 }
 
-// closeAllIdle closes the connections on which no response is due and no part of a message has arrived.
-func (a *acceptedClients) closeAllIdle() {
+// closeIfIdle closes the connections on which no response is due and no part of a message has arrived.
+func (a *acceptedClients) closeIfIdle() {
 	for c := range a.conns {
 		if !c.activity.hasPartialMessage() {
 			c.closeIfIdle(ClosedForShutdown)
--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -29,18 +29,18 @@
 		l := New(Config{})
 		e := &echoHandler{}
 		conn := addClient(l, e, clientActivity{activeAt: l.now})
-		start, closedAt := l.now, time.Minute
+		start, closed := l.now, time.Minute
 		for at := time.Duration(0); at < time.Minute; at += step {
 			if l.now = start + at; c.feed(e, at) {
 				conn.recordMessages()
 			}
 			if l.clients.sweep(l.now); conn.state.closed {
-				closedAt = at
+				closed = at
 				break
 			}
 		}
-		if closedAt < c.closedAfter || closedAt > c.closedAfter+2*step {
-			t.Errorf("%s: closed after %v, want %v", name, closedAt, c.closedAfter)
+		if closed < c.closedAfter || closed > c.closedAfter+2*step {
+			t.Errorf("%s: closed after %v, want %v", name, closed, c.closedAfter)
 		}
 	}
 }
@@ -50,8 +50,8 @@
 // or not yet read would lose it.
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
-	add := func(complete int, busy bool, activeAt time.Duration) *Conn {
-		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: complete, activeAt: activeAt})
+	add := func(complete int, busy bool, lastActive time.Duration) *Conn {
+		return addClient(l, &echoHandler{busy: busy}, clientActivity{messages: complete, activeAt: lastActive})
 	}
 	now := l.now
 	inClosingOrder := []*Conn{add(0, false, now-2*requestGracePeriod), add(0, false, now-requestGracePeriod-1), add(1, false, now-1000*requestGracePeriod),
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -144,7 +144,7 @@
 // writeQueued writes what is queued for a socket other than a Unix socket. It returns a SlowPeerError when the peer
 // has bytes to read and all peers together leave too many unread.
 func (c *Conn) writeQueued() error {
-	err := c.loop.descriptors.write(func() error { return c.writer.writeStream(c.socket) })
+	err := c.loop.descriptors.write(func() error { return c.writer.write(c.socket) })
 	if err != nil {
 		return err
 	}
@@ -191,9 +191,9 @@
 	c.handler.(DialHandler).DialCompleted(err)
 }
 
-// recordClosed records that the poller reported the end, and reports whether it is the first report.
-func (c *Conn) recordClosed() (first bool) {
-	c.writer.recordClosed()
+// connectionClosed records that the poller reported the end, and reports whether it is the first report.
+func (c *Conn) connectionClosed() (first bool) {
+	c.writer.connectionClosed()
 	first = !c.state.closeReported
 	c.state.closeReported = true
 	return first
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -40,14 +40,14 @@
 	Ends        [closeCauses]CloseCount
 }
 
-// recordTurn counts a turn that took so long.
-func (c *Counters) recordTurn(took time.Duration) {
+// countTurn counts a turn that took so long.
+func (c *Counters) countTurn(took time.Duration) {
 	c.Turns++
 	c.LongestTurn = max(c.LongestTurn, took)
 }
 
-// recordClosed counts the end of an accepted connection.
-func (c *Counters) recordClosed(conn *Conn) {
+// connectionClosed counts the end of an accepted connection.
+func (c *Counters) connectionClosed(conn *Conn) {
 	count := &c.Ends[conn.state.cause]
 	count.Connections++
 	if conn.handler != nil && conn.isBusy() || conn.UnsentBytes() > 0 {
@@ -58,7 +58,7 @@
 // Counters returns the counters. It begins a new search for the longest turn.
 func (l *Loop) Counters() Counters {
 	counters := l.counters
-	counters.PollerCalls = l.poller.readableCalls.Load()
+	counters.PollerCalls = l.poller.calls.Load()
 	l.counters.LongestTurn = 0
 	return counters
 }
--- a/internal/eventloop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -72,8 +72,8 @@
 // markReusable records that the polling goroutine has handled the events of the first closed descriptors.
 func (g *descriptorGuard) markReusable(total uint64) {
 	for {
-		reusable := g.reusableTotal.Load()
-		if reusable >= total || g.reusableTotal.CompareAndSwap(reusable, total) {
+		reusableTotal := g.reusableTotal.Load()
+		if reusableTotal >= total || g.reusableTotal.CompareAndSwap(reusableTotal, total) {
 			return
 		}
 	}
--- a/internal/eventloop/descriptors_test.go
+++ b/internal/eventloop/descriptors_test.go
@@ -35,7 +35,7 @@
 	endedClient, ended := accept()
 	first.reader.mu.Lock()
 	second.reader.mu.Lock()
-	calls := l.poller.readableCalls.Load()
+	calls := l.poller.calls.Load()
 	firstClient.Write([]byte("x"))
 	awaitReadableCalls(l, calls+1) // in a batch of its own
 	secondClient.Write([]byte("x"))
@@ -91,7 +91,7 @@
 
 // awaitReadableCalls waits until the poller has been called so often.
 func awaitReadableCalls(l *Loop, calls uint64) {
-	for l.poller.readableCalls.Load() < calls {
+	for l.poller.calls.Load() < calls {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -99,13 +99,13 @@
 // hookedListener calls what it is sent before it returns a connection.
 type hookedListener struct {
 	net.Listener
-	hooks <-chan func()
+	hook <-chan func()
 }
 
 func (p *hookedListener) Accept() (net.Conn, error) {
 	conn, err := p.Listener.Accept()
 	select {
-	case hook := <-p.hooks:
+	case hook := <-p.hook:
 		hook()
 	default:
 	}
@@ -121,16 +121,16 @@
 // on the same descriptor.
 func TestAcceptedConnectionSurvivesDescriptorReuse(t *testing.T) {
 	l := newReuseLoop()
-	hooks := make(chan func(), 1)
+	hook := make(chan func(), 1)
 	l.listeners.listen = func(network, addr string) (net.Listener, error) {
 		listener, err := net.Listen(network, addr)
-		return &hookedListener{Listener: listener, hooks: hooks}, err
+		return &hookedListener{Listener: listener, hook: hook}, err
 	}
 	accepted := make(chan *echoHandler, 16)
 	runLoop(t, l, acceptInto(accepted, false))
 	pending := newPendingEvent(t, l, accepted)
 	connected := make(chan struct{})
-	hooks <- func() {
+	hook <- func() {
 		<-connected
 		pending.freeDescriptor()
 	}
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -66,9 +66,9 @@
 	return &admittingListener{Listener: listener, loop: l.loop}, nil
 }
 
-// onOpen is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
+// connectionOpened is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
 // once that can be written to. It blocks while the loop has too many accepted connections to handle.
-func (l *listeners) onOpen(socket *nbio.Conn) {
+func (l *listeners) connectionOpened(socket *nbio.Conn) {
 	if socket.Session() != nil { // dialled
 		return
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// onAcceptError is called by a listener's goroutine. It blocks for acceptPause.
-func (l *listeners) onAcceptError(err error) {
+// acceptFailed is called by a listener's goroutine. It blocks for acceptPause.
+func (l *listeners) acceptFailed(err error) {
 	if errors.Is(err, net.ErrClosed) {
 		// The loop has closed the listener. nbio would end the goroutine by a flag, which the goroutine clears when it
 		// starts: one that starts late would accept forever.
@@ -122,16 +122,16 @@
 			return nil, err
 		}
 		if a.loop.admission.admit() {
-			return a.convert(conn)
+			return a.convertConn(conn)
 		}
 		conn.Close()
 		a.loop.Post(func() { a.loop.clients.rejections.count++ })
 	}
 }
 
-// convert makes an admitted connection nbio's, which gives it the descriptor that it is polled by, and returns it once
+// convertConn makes an admitted connection nbio's, which gives it the descriptor that it is polled by, and returns it once
 // that can be polled. It blocks and must not be called on the event loop.
-func (a *admittingListener) convert(conn net.Conn) (net.Conn, error) {
+func (a *admittingListener) convertConn(conn net.Conn) (net.Conn, error) {
 	socket, err := convertConn(conn)
 	if err != nil {
 		conn.Close()
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -141,7 +141,7 @@
 			next = min(next, now+stalledRetryDelay)
 		}
 		end := l.clock.now()
-		l.counters.recordTurn(end - now)
+		l.counters.countTurn(end - now)
 		timer.Reset(max(min(next, now+maxTurnInterval)-end, 0))
 	}
 }
@@ -152,7 +152,7 @@
 // CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at
 // rest: no response is due on it, its peer has read all that was written, and no part of a message has arrived.
 func (l *Loop) CloseClients() {
-	l.clients.startClosing()
+	l.clients.closeAll()
 	l.listeners.closeAll()
 }
 
@@ -193,11 +193,11 @@
 // connectionClosed handles the end of a connection, which the peer or this program caused.
 func (l *Loop) connectionClosed(c *Conn, err error) {
 	l.clients.remove(c)
-	if !c.recordClosed() {
+	if !c.connectionClosed() {
 		return
 	}
 	if c.isAccepted {
-		l.counters.recordClosed(c)
+		l.counters.connectionClosed(c)
 		l.admission.closed()
 	}
 	c.notifyClosed(err)
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -35,7 +35,7 @@
 	barrier        *pollerBarrier // nil until start, and where the system has no Unix sockets
 	buffer         []byte         // what is read into; owned by the polling goroutine
 
-	readableCalls atomic.Uint64 // of readable, by the polling goroutine
+	calls atomic.Uint64 // of readable, by the polling goroutine
 
 	// registrations counts connections that were handed to the polling goroutine. nbio hands them over by way of the
 	// kernel. That orders memory, but the race detector does not know it; it knows this counter.
@@ -89,11 +89,11 @@
 		MaxWriteBufferSize: maxUnreadPerPeer,
 		Listen:             listeners.open,
 	})
-	engine.OnOpen(listeners.onOpen)
-	engine.OnRead(p.onReadable)
-	engine.OnWrittenSize(p.onWritten)
-	engine.OnClose(p.onClose)
-	engine.OnAcceptError(listeners.onAcceptError)
+	engine.OnOpen(listeners.connectionOpened)
+	engine.OnRead(p.socketReadable)
+	engine.OnWrittenSize(p.bytesWritten)
+	engine.OnClose(p.connectionClosed)
+	engine.OnAcceptError(listeners.acceptFailed)
 	err := engine.Start()
 	var listenError *ListenError
 	switch {
@@ -118,28 +118,28 @@
 	return err
 }
 
-// onReadable is called by nbio when a connection has something to read. It blocks while the queue is full.
-func (p *poller) onReadable(socket *nbio.Conn) {
-	p.readableCalls.Add(1)
+// socketReadable is called by nbio when a connection has something to read. It blocks while the queue is full.
+func (p *poller) socketReadable(socket *nbio.Conn) {
+	p.calls.Add(1)
 	p.registrations.Load()
 	switch session := socket.Session().(type) {
 	case *Conn:
 		session.reader.readAvailable(socket, p.buffer)
 	case *pollerBarrier:
-		session.onReadable(p.buffer)
+		session.handle(p.buffer)
 	}
 }
 
-// onWritten is called by nbio when the kernel has accepted bytes that nbio held.
-func (p *poller) onWritten(socket *nbio.Conn, _ []byte, size int) {
+// bytesWritten is called by nbio when the kernel has accepted bytes that nbio held.
+func (p *poller) bytesWritten(socket *nbio.Conn, _ []byte, size int) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
 		c.writer.countUnread(-size)
 	}
 }
 
-// onClose is called by nbio when a connection has ended.
-func (p *poller) onClose(socket *nbio.Conn, err error) {
+// connectionClosed is called by nbio when a connection has ended.
+func (p *poller) connectionClosed(socket *nbio.Conn, err error) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
 		p.queue.push(event{kind: connectionClosed, conn: c, err: err})
--- a/internal/eventloop/poller_calls_test.go
+++ b/internal/eventloop/poller_calls_test.go
@@ -83,9 +83,9 @@
 			c := (<-accepted).c
 			defer test.arrange(t, l, c, client)()
 			time.Sleep(settleTime)
-			before := l.poller.readableCalls.Load()
+			before := l.poller.calls.Load()
 			time.Sleep(settleTime)
-			if calls := l.poller.readableCalls.Load() - before; calls > uint64(maxSettledCalls) {
+			if calls := l.poller.calls.Load() - before; calls > uint64(maxSettledCalls) {
 				t.Errorf("the poller was called %d times in %v", calls, settleTime)
 			}
 		})
@@ -103,9 +103,9 @@
 	failing.Store(1 << 40)
 	client.Write([]byte("x"))
 	time.Sleep(settleTime)
-	before := l.poller.readableCalls.Load()
+	before := l.poller.calls.Load()
 	time.Sleep(settleTime)
-	if calls := l.poller.readableCalls.Load() - before; calls > uint64(maxSettledCalls) {
+	if calls := l.poller.calls.Load() - before; calls > uint64(maxSettledCalls) {
 		t.Errorf("the poller was called %d times in %v", calls, settleTime)
 	}
 	failing.Store(0)
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -11,12 +11,12 @@
 func TestBarrierWaitTakesTwoPollerCalls(t *testing.T) {
 	l := start(t, 8, acceptEcho)
 	for range 3 {
-		before := l.poller.readableCalls.Load()
+		before := l.poller.calls.Load()
 		if err := l.poller.barrier.await(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Millisecond) // the socket stays open, as where its owner does not run
-		if calls := l.poller.readableCalls.Load() - before; calls != 2 {
+		if calls := l.poller.calls.Load() - before; calls != 2 {
 			t.Errorf("the poller was called %d times for one wait", calls)
 		}
 	}
--- a/internal/eventloop/poller_turns.go
+++ b/internal/eventloop/poller_turns.go
@@ -68,9 +68,9 @@
 	return err
 }
 
-// onReadable is called by the polling goroutine when the socket can be read. It reads everything: the poll is
-// level-triggered, and what is left unread has onReadable called again without end.
-func (p *pollerBarrier) onReadable(buffer []byte) {
+// handle is called by the polling goroutine when the socket can be read. It reads everything: the poll is
+// level-triggered, and what is left unread has handle called again without end.
+func (p *pollerBarrier) handle(buffer []byte) {
 	_, _ = p.socket.Read(buffer) // after an error the poller calls again, or ends the socket
 	if p.advance() {
 		_ = p.signal() // fails only once the socket is closed, and with it the loop
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -58,8 +58,8 @@
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.received.Load(); got != int64(size) {
-		t.Errorf("%d of %d bytes were read before the end", got, size)
+	if received := r.received.Load(); received != int64(size) {
+		t.Errorf("%d of %d bytes were read before the end", received, size)
 	}
 }
 
@@ -83,8 +83,8 @@
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.received.Load(); got != size {
-		t.Errorf("%d of %d bytes were read before the end", got, size)
+	if received := r.received.Load(); received != size {
+		t.Errorf("%d of %d bytes were read before the end", received, size)
 	}
 	peer.Close()
 }
@@ -137,8 +137,8 @@
 			peer.Close()
 			c.reader.mu.Unlock()
 			<-r.closed
-			if got := r.received.Load(); got != size {
-				t.Errorf("%d of %d bytes were read before the end", got, size)
+			if received := r.received.Load(); received != size {
+				t.Errorf("%d of %d bytes were read before the end", received, size)
 			}
 		})
 	}
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -64,8 +64,8 @@
 // unsent is the number of bytes that had not left when the connection ended, and of those that were queued later.
 func (w *connWriter) unsent() int { return w.unsentBytes + totalSize(w.queued) }
 
-// recordClosed counts the bytes that nbio held as unsent: no peer can read them any more.
-func (w *connWriter) recordClosed() {
+// connectionClosed counts the bytes that nbio held as unsent: no peer can read them any more.
+func (w *connWriter) connectionClosed() {
 	unread := w.unreadBytes.Swap(0)
 	w.total.add(-unread)
 	w.unsentBytes += int(max(unread, 0))
@@ -80,8 +80,8 @@
 	w.queued = w.queued[:0]
 }
 
-// writeStream writes the queued buffers in as few system calls as possible. The caller clears the queue.
-func (w *connWriter) writeStream(socket *nbio.Conn) error {
+// write writes the queued buffers in as few system calls as possible. The caller clears the queue.
+func (w *connWriter) write(socket *nbio.Conn) error {
 	for rest := w.queued; len(rest) > 0; {
 		batch := rest[:min(len(rest), maxBuffersPerWrite)]
 		rest = rest[len(batch):]
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -140,7 +140,7 @@
 	if !c.writer.hasUnread() || !l.unread.isExceeded() {
 		t.Error("10 bytes do not exceed a limit of 9")
 	}
-	c.writer.recordClosed()
+	c.writer.connectionClosed()
 	if c.UnsentBytes() != 10 || c.writer.hasUnread() || l.unread.bytes.Load() != 0 {
 		t.Errorf("%d bytes are unsent, %d unread, want 10 and 0", c.UnsentBytes(), l.unread.bytes.Load())
 	}
