--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -21,7 +21,7 @@
 		return // it was never started
 	}
 	l.listeners.closeAll()
-	l.listeners.awaitEnd(ctx)
+	l.listeners.awaitStopped(ctx)
 	l.poller.awaitRunning(ctx)
 	// The engine is last: it must not receive new connections while it stops.
 	l.poller.shutdown(ctx)
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// awaitEnd returns when no goroutine accepts any more, or ctx is done. It blocks and must not be called on the event
+// awaitStopped returns when no goroutine accepts any more, or ctx is done. It blocks and must not be called on the event
 // loop.
-func (l *listeners) awaitEnd(ctx context.Context) { await(ctx, &l.acceptors) }
+func (l *listeners) awaitStopped(ctx context.Context) { await(ctx, &l.acceptors) }
 
 // admittingListener admits a connection before nbio's poller reads it: one that is rejected is closed, and none of its
 // bytes has been read. It holds an admitted one back while the poller may hold an event of an earlier connection with
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -16,7 +16,7 @@
 )
 
 // minDescriptors is the smallest size of the table of connections that nbio is configured for.
-const minConnTableSize = 1024
+const minDescriptors = 1024
 
 // systemMaxOpenFiles is the size of that table that nbio chose by the limit of the process.
 var defaultMaxOpenFiles = nbio.MaxOpenFiles
@@ -81,7 +81,7 @@
 	engineStartMu.Lock()
 	defer engineStartMu.Unlock()
 	logging.SetLevel(logging.LevelNone) // the callbacks report its errors to our log
-	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minConnTableSize)*2)
+	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
 	engine := nbio.NewEngine(nbio.Config{
 		Network:            "tcp",
 		Addrs:              listeners.addrs(),
--- a/internal/eventloop/poller_turns.go
+++ b/internal/eventloop/poller_turns.go
@@ -78,7 +78,7 @@
 }
 
 // advance ends the wait of those that the last call has seen, and reports whether there are others.
-func (p *pollerBarrier) advance() (others bool) {
+func (p *pollerBarrier) advance() (hasWaiters bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, handled := range p.seenWaiters {
