--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// idleTimeout is how long an accepted connection on which no response is due may be silent.
+	// idleTimeout is how long an accepted connection may stay silent while no response is due on it.
 	idleTimeout = 15 * time.Second
-	// messageTimeout is how long a client has for its first message, and for the rest of one that has begun. Bytes
-	// that arrive one by one do not extend it.
+	// messageTimeout is how long a client has to send its first message, or the rest of a message that has partly
+	// arrived. Receiving more bytes of the message does not extend it.
 	messageTimeout = 2500 * time.Millisecond
-	// requestGracePeriod is how long a client may take from its connect to its message. Later its connection counts as
-	// silent and is the first to be closed to free a connection slot.
+	// requestGracePeriod is how long after connecting a client may take to send its first message. After that, its
+	// connection ranks as silent and is the first to be closed when a connection slot is needed.
 	requestGracePeriod = 250 * time.Millisecond
 )
 
-// clientActivity is what an accepted connection has sent, by which its timeouts are computed. The loop's goroutine owns
-// it. Times are those of turns.
+// clientActivity records what an accepted connection has sent. Its timeouts depend on it. The loop's goroutine owns it.
+// All times are those of turns.
 type clientActivity struct {
-	messages     int           // that have arrived whole
-	activeAt     time.Duration // when the last message arrived or had its response, or the connection was accepted
-	partialSince time.Duration // when the first part of the next message arrived; 0: no part has
+	messages     int           // complete messages that have arrived
+	activeAt     time.Duration // last arrival of a message or write of a response; initially when it was accepted
+	partialSince time.Duration // when the incomplete message started to arrive; 0 if there is none
 }
 
-// recordMessages records how many messages have arrived by now, and whether a part of another has.
+// recordMessages records the number of messages that have arrived by now, and whether another has arrived in part.
 func (a *clientActivity) recordMessages(now time.Duration, messages int, partial bool) {
 	if messages > a.messages {
 		a.messages = messages
@@ -36,18 +36,19 @@
 	}
 }
 
-// recordResponse records that something is written to the client. A client is idle from its last response on, however
-// long the response took.
+// recordResponse records that something was written to the client. A client counts as idle from its last response on,
+// however long the response took.
 func (a *clientActivity) recordResponse(now time.Duration) {
 	if a.messages > 0 {
 		a.activeAt = now
 	}
 }
 
-// hasPartialMessage reports whether a part of a message has arrived.
+// hasPartialMessage reports whether a message has arrived in part.
 func (a *clientActivity) hasPartialMessage() bool { return a.partialSince > 0 }
 
-// timedOut reports whether the client has timed out. hasUnread is whether it has yet to read a response.
+// timedOut reports whether the client has timed out. hasUnread is true if the client has not read all of its responses
+// yet.
 func (a *clientActivity) timedOut(now time.Duration, hasUnread bool) bool {
 	switch {
 	case hasUnread:
@@ -60,16 +61,16 @@
 	return now-a.activeAt > idleTimeout
 }
 
-// closeRank orders idle clients by which is closed first to free a connection slot.
+// closeRank orders idle clients. When a connection slot is needed, clients of the lowest rank are closed first.
 type closeRank int
 
 const (
-	rankSilent closeRank = iota // should have sent a message and did not
-	rankServed                  // sent messages, and has all responses
-	rankNew                     // has only just connected
+	rankSilent closeRank = iota // has not sent a message within requestGracePeriod
+	rankServed                  // has sent messages and received all responses
+	rankNew                     // has just connected
 )
 
-// rank returns the client's rank by now.
+// rank returns the client's rank at the time now.
 func (a *clientActivity) rank(now time.Duration) closeRank {
 	switch {
 	case a.messages > 0:
@@ -80,7 +81,8 @@
 	return rankNew
 }
 
-// closesBefore reports whether the client is closed before another: by rank, and the longest idle first.
+// closesBefore reports whether the client is closed before another one. A lower rank is closed first and, within a
+// rank, the client that has been idle for longest.
 func (a *clientActivity) closesBefore(other *clientActivity, now time.Duration) bool {
 	rank := a.rank(now)
 	otherRank := other.rank(now)
--- a/internal/eventloop/clients.go
+++ b/internal/eventloop/clients.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// sweepInterval is the time between two searches for clients that have timed out.
+	// sweepInterval is the minimum time between two sweeps for clients that have timed out.
 	sweepInterval = 200 * time.Millisecond
-	// rejectionLogInterval is how often rejected connections are logged at most: a flood would fill the log.
+	// rejectionLogInterval is the minimum time between two log lines about rejected connections. A flood of connections
+	// would otherwise fill the log.
 	rejectionLogInterval = time.Second
 )
 
-// acceptedClients holds the accepted connections that the loop has seen and that have not ended. The loop's goroutine
-// owns it, so that it needs no lock.
+// acceptedClients holds the open accepted connections that the loop has handled. The loop's goroutine owns it, so it
+// needs no lock.
 type acceptedClients struct {
 	conns      map[*Conn]struct{}
-	readBuffer []byte        // what is read into before a connection is closed
-	isClosing  bool          // closeAll was called: each connection is closed once it is at rest
-	sweptAt    time.Duration // when the last sweep was
+	readBuffer []byte        // for the read that precedes the closing of a connection
+	isClosing  bool          // closeAll was called: each connection is closed once it is idle
+	sweptAt    time.Duration // time of the last sweep
 	rejections rejectionLog
 }
 
-// newAcceptedClients returns a set without connections.
+// newAcceptedClients returns an empty set of connections.
 func newAcceptedClients(logger *slog.Logger) *acceptedClients {
 	return &acceptedClients{
 		conns:      map[*Conn]struct{}{},
@@ -31,7 +32,7 @@
 	}
 }
 
-// add adds a connection, which a listener has admitted, and makes its handler.
+// add adds a connection that a listener has admitted, and creates its handler.
 func (a *acceptedClients) add(c *Conn, now time.Duration) {
 	if c.accept == nil {
 		c.Close()
@@ -43,10 +44,10 @@
 	c.handler = c.accept(c)
 }
 
-// remove removes a connection that has ended. It does nothing for others.
+// remove removes a closed connection. It does nothing for connections that are not in the set.
 func (a *acceptedClients) remove(c *Conn) { delete(a.conns, c) }
 
-// unwrittenBytes is the number of bytes that have yet to leave this program.
+// unwrittenBytes returns the number of bytes for clients that the kernel has not accepted yet.
 func (a *acceptedClients) unwrittenBytes() (sum int) {
 	for c := range a.conns {
 		sum += c.writer.pendingBytes()
@@ -54,12 +55,12 @@
 	return sum
 }
 
-// closeOneIdle closes a connection on which no response is due to free its slot, and reports whether there was one. It
-// closes a silent one first, then the one that has been idle for longest, and one that has only just connected if there
-// is no other. A flood of silent connections so closes its own, and neither those of clients that sent requests nor
-// those whose request is on the way.
+// closeOneIdle closes one connection on which no response is due, to free its slot, and reports whether there was one.
+// Silent connections are closed first, then those that have been idle for longest. Connections that have just been
+// opened are closed last. This way, a flood of silent connections displaces only itself, and not clients that have sent
+// requests or whose request is on its way.
 func (a *acceptedClients) closeOneIdle(now time.Duration) bool {
-	skipped := map[*Conn]bool{} // a request has arrived on them that the loop has not handled
+	skipped := map[*Conn]bool{} // connections with data that the loop has not handled yet
 	for {
 		idle := a.firstToClose(now, skipped)
 		if idle == nil {
@@ -72,8 +73,8 @@
 	}
 }
 
-// firstToClose returns the idle connection that is closed first, except those passed over. It returns nil when there is
-// none.
+// firstToClose returns the idle connection that is to be closed first, ignoring those in skipped. It returns nil if
+// there is none.
 func (a *acceptedClients) firstToClose(now time.Duration, skipped map[*Conn]bool) *Conn {
 	var first *Conn
 	for c := range a.conns {
@@ -87,10 +88,10 @@
 	return first
 }
 
-// closeAll has endTurn close each connection as soon as it is at rest.
+// closeAll has endTurn close each connection as soon as it is idle.
 func (a *acceptedClients) closeAll() { a.isClosing = true }
 
-// endTurn closes connections that are at rest after closeAll, and sweeps when a sweep is due.
+// endTurn closes idle connections if closeAll was called, and runs a sweep if one is due.
 func (a *acceptedClients) endTurn(now time.Duration) {
 	if a.isClosing {
 		a.closeIfIdle()
@@ -100,7 +101,7 @@
 	}
 }
 
-// closeIfIdle closes the connections on which no response is due and no part of a message has arrived.
+// closeIfIdle closes each connection on which no response is due and no part of a message has arrived.
 func (a *acceptedClients) closeIfIdle() {
 	for c := range a.conns {
 		if !c.activity.hasPartialMessage() {
@@ -109,7 +110,7 @@
 	}
 }
 
-// sweep closes the connections that have timed out, and logs how many were rejected.
+// sweep closes the connections that have timed out, and logs how many connections were rejected.
 func (a *acceptedClients) sweep(now time.Duration) {
 	a.sweptAt = now
 	for c := range a.conns {
@@ -118,28 +119,29 @@
 	a.rejections.log(now)
 }
 
-// closeIfTimedOut closes an accepted connection that has timed out, or whose peer has read the last response.
+// closeIfTimedOut closes an accepted connection that has timed out. It also closes one that CloseAfterFlush left open,
+// once its peer has read the last response.
 func (c *Conn) closeIfTimedOut(now time.Duration) {
 	hasUnread := c.writer.hasUnread()
 	switch {
 	case c.state.closingAfterFlush && !hasUnread:
 		c.Close()
 	case !c.activity.timedOut(now, hasUnread) || c.isBusy():
-	case hasUnread || c.activity.hasPartialMessage(): // it reads or writes too slowly
+	case hasUnread || c.activity.hasPartialMessage(): // the peer reads or writes too slowly
 		c.closeFor(ClosedForTimeout)
 	default:
 		c.closeIfIdle(ClosedForTimeout)
 	}
 }
 
-// rejectionLog logs how many connections were rejected. The loop's goroutine owns it.
+// rejectionLog counts rejected connections and logs their number. The loop's goroutine owns it.
 type rejectionLog struct {
 	logger   *slog.Logger
-	count    int // since the last line
+	count    int // rejected since the last log line
 	loggedAt time.Duration
 }
 
-// log writes one line for the connections that were rejected since the last line, when it is due.
+// log writes a line with the number of connections rejected since the last line, at most once per rejectionLogInterval.
 func (r *rejectionLog) log(now time.Duration) {
 	if r.count == 0 || now-r.loggedAt <= rejectionLogInterval {
 		return
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -8,31 +8,31 @@
 	"github.com/lesismal/nbio"
 )
 
-// Conn is a connection as its handler sees it. Its methods run on the loop's goroutine, which owns its fields; only
-// reader and writer say what they share with pollers.
+// Conn is a connection as its handler sees it. Its methods run on the loop's goroutine, which owns its fields. Only
+// reader and writer share state with the polling goroutine, as their types describe.
 type Conn struct {
 	loop       *Loop
-	socket     *nbio.Conn // nil until a dial has succeeded
-	accept     acceptFunc // of an accepted connection; nil when no listener has its address
-	isAccepted bool       // by a listener; otherwise this program opened it
-	handler    Handler    // of an accepted connection: nil until the turn in which the loop accepts it
+	socket     *nbio.Conn // nil until a dial succeeds
+	accept     acceptFunc // of an accepted connection; nil if no listener has its address
+	isAccepted bool       // a listener accepted it; otherwise this program dialed it
+	handler    Handler    // of an accepted connection: nil until the loop has handled its accept
 	state      connState
 	activity   clientActivity // of an accepted connection
 	reader     connReader
 	writer     connWriter
 }
 
-// connState is how far a connection has come. The loop's goroutine owns it.
+// connState is the state of a connection. The loop's goroutine owns it.
 type connState struct {
-	established       bool // the connection is open, and its handler knows
-	closingAfterFlush bool // the sweep closes it once the peer has read what was written
-	closed            bool // by this side: nothing more is written to it or handled of it
-	closeReported     bool // the poller reported its end
+	established       bool // the connection is open, and its handler has been notified
+	closingAfterFlush bool // the sweep closes it once the peer has read all responses
+	closed            bool // nothing more is written to it or passed to its handler's Data
+	closeReported     bool // the poller has reported that the connection is closed
 	cause             EndCause
 }
 
-// newAcceptedConn returns a connection that a listener has accepted. accept is nil when no listener has its address. A
-// listener's goroutine calls it.
+// newAcceptedConn returns a connection that a listener has accepted. accept is nil if no listener has its address. It
+// is called on a listener's goroutine.
 func newAcceptedConn(loop *Loop, socket *nbio.Conn, accept acceptFunc) *Conn {
 	c := &Conn{
 		loop:       loop,
@@ -45,7 +45,7 @@
 	return c
 }
 
-// newDialedConn returns a connection that this program is about to open.
+// newDialedConn returns a connection that this program is about to dial.
 func newDialedConn(loop *Loop, network string, handler DialHandler) *Conn {
 	c := &Conn{
 		loop:    loop,
@@ -56,7 +56,7 @@
 	return c
 }
 
-// RemoteAddr is the address of the peer. It is zero when the peer has no TCP address.
+// RemoteAddr returns the address of the peer. It is zero if the peer has no TCP address.
 func (c *Conn) RemoteAddr() netip.AddrPort {
 	addr, ok := c.socket.RemoteAddr().(*net.TCPAddr)
 	if !ok {
@@ -65,7 +65,7 @@
 	return addr.AddrPort()
 }
 
-// Write queues buffers for the end of the turn. The connection keeps them until then.
+// Write queues buffers that are written at the end of the turn. The connection owns them until then.
 func (c *Conn) Write(bufs ...[]byte) {
 	if c.state.closed {
 		return
@@ -76,11 +76,11 @@
 	c.activity.recordResponse(c.loop.now)
 }
 
-// Close closes the connection and drops what this turn queued for it. Its handler's Closed is called in a later turn,
-// if the connection was ever established.
+// Close closes the connection and drops what this turn has queued for it. If the connection was ever established, its
+// handler's Closed is called in a later turn.
 func (c *Conn) Close() { c.closeFor(ClosedByHandler) }
 
-// closeFor closes the connection for a cause, unless it is closed already.
+// closeFor closes the connection and records the cause, unless it is closed already.
 func (c *Conn) closeFor(cause EndCause) {
 	if !c.state.closed {
 		c.state.cause = cause
@@ -97,18 +97,18 @@
 		}
 		c.writer.clear()
 		if err == nil && c.writer.hasUnread() {
-			c.state.closingAfterFlush = true // the sweep also closes it when its peer reads nothing
+			c.state.closingAfterFlush = true // if the peer reads nothing, the sweep closes it after a timeout
 			return
 		}
 	}
 	c.Close()
 }
 
-// UnsentBytes is the number of bytes that never left this program, of those that were written last to a connection that
-// has ended: the kernel did not accept them. The others may have reached the peer.
+// UnsentBytes returns the number of bytes that the kernel did not accept before the connection was closed. They are the
+// last bytes that were written to it. The bytes before them may have reached the peer.
 func (c *Conn) UnsentBytes() int { return c.writer.unsent() }
 
-// flush writes what is queued, and reports whether nothing has to be written again.
+// flush writes what is queued. It returns false if the connection has to be flushed again in the next turn.
 func (c *Conn) flush() bool {
 	switch {
 	case c.state.closed || !c.state.established:
@@ -132,7 +132,7 @@
 	return true
 }
 
-// writeUnix writes what is queued for a Unix socket, and reports whether the kernel accepted it all.
+// writeUnix writes what is queued for a Unix socket, and reports whether nothing is left in the queue.
 func (c *Conn) writeUnix() (done bool, err error) {
 	err = c.loop.descriptors.write(func() error {
 		done, err = c.writer.writeUnix(c.socket)
@@ -141,8 +141,8 @@
 	return done, err
 }
 
-// writeQueued writes what is queued for a socket other than a Unix socket. It returns a SlowPeerError when the peer
-// has bytes to read and all peers together leave too many unread.
+// writeQueued writes what is queued for a socket other than a Unix socket. It returns a SlowPeerError if this peer has
+// unread bytes while all peers together leave too many bytes unread.
 func (c *Conn) writeQueued() error {
 	err := c.loop.descriptors.write(func() error { return c.writer.write(c.socket) })
 	if err != nil {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// receive passes data to the handler.
+// receive passes received data to the handler.
 func (c *Conn) receive(data []byte) {
 	c.reader.recordHandled()
 	if c.handler == nil || c.state.closed {
@@ -165,7 +165,7 @@
 	c.recordMessages()
 }
 
-// recordMessages records what messages an accepted connection has sent.
+// recordMessages records how many messages an accepted connection has sent.
 func (c *Conn) recordMessages() {
 	handler, ok := c.handler.(AcceptedHandler)
 	if ok {
@@ -174,7 +174,7 @@
 	}
 }
 
-// dialCompleted records the result of a dial: a socket, or the error that it failed with.
+// dialCompleted records the result of a dial, which is either a socket or an error.
 func (c *Conn) dialCompleted(socket *nbio.Conn, err error) {
 	c.socket = socket
 	if c.state.closed { // the handler closed the connection during the dial
@@ -183,7 +183,7 @@
 		}
 		return
 	}
-	if c.state.closeReported { // the connection ended before the loop handled the dial's success
+	if c.state.closeReported { // the connection was closed before the loop handled the dial
 		err = errors.Join(err, net.ErrClosed)
 	}
 	c.state.established = err == nil
@@ -191,7 +191,8 @@
 	c.handler.(DialHandler).DialCompleted(err)
 }
 
-// connectionClosed records that the poller reported the end, and reports whether it is the first report.
+// connectionClosed records a report by the poller that the connection is closed. It returns whether this is the first
+// report.
 func (c *Conn) connectionClosed() (first bool) {
 	c.writer.connectionClosed()
 	first = !c.state.closeReported
@@ -199,7 +200,8 @@
 	return first
 }
 
-// notifyClosed notifies the handler of the end, if it knows of the connection.
+// notifyClosed notifies the handler that the connection is closed, if it was notified that the connection was
+// established.
 func (c *Conn) notifyClosed(err error) {
 	if c.handler != nil && c.state.established {
 		c.state.closed = true
@@ -210,12 +212,12 @@
 // isBusy reports whether a response is due on an accepted connection.
 func (c *Conn) isBusy() bool { return c.handler.(AcceptedHandler).Busy() }
 
-// owesResponse reports whether a response on an accepted connection is due, or has yet to leave. Closing the connection
-// would drop what is queued, and with it the only response to a request.
+// owesResponse reports whether a response on an accepted connection is due, or has not been accepted by the kernel yet.
+// Closing the connection would drop queued bytes, which may be the only response to a request.
 func (c *Conn) owesResponse() bool { return c.isBusy() || !c.writer.isEmpty() }
 
-// closeIfIdle closes an accepted connection for a cause if no response is due on it and nothing has arrived, and
-// reports whether it did.
+// closeIfIdle closes an accepted connection and records the cause, if no response is due on it and no unhandled data
+// has arrived. It reports whether it closed the connection.
 func (c *Conn) closeIfIdle(cause EndCause) bool {
 	if c.state.closed || c.owesResponse() {
 		return false
@@ -223,7 +225,7 @@
 	return c.reader.stopIfDrained(c.socket, c.loop.clients.readBuffer, func() { c.closeFor(cause) })
 }
 
-// closeWithError closes the connection with the error that its handler's Closed receives in a later turn.
+// closeWithError closes the connection. Its handler's Closed receives err in a later turn.
 func (c *Conn) closeWithError(err error) {
 	c.state.closed = true
 	if err != nil && !isConnClosed(err) {
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// EndCause is what ended an accepted connection.
+// EndCause is the reason why an accepted connection was closed.
 type EndCause uint8
 
-// What ends an accepted connection.
+// Reasons why accepted connections are closed.
 const (
 	ClosedByPeer       EndCause = iota // the peer closed or reset it
-	ClosedByHandler                    // its handler closed it, as a rule for a message that it can't use
-	ClosedForCapacity                  // it was idle, and its slot was needed
+	ClosedByHandler                    // its handler closed it, usually because of an invalid message
+	ClosedForCapacity                  // it was idle, and its connection slot was needed
 	ClosedForTimeout                   // it was idle for too long, or its peer read or wrote too slowly
-	ClosedForShutdown                  // it was at rest after CloseClients
-	ClosedAfterFailure                 // a write failed, or all peers together left too much unread
+	ClosedForShutdown                  // it was idle after CloseClients
+	ClosedAfterFailure                 // a write failed, or all peers together left too many bytes unread
 	closeCauses
 )
 
-// String returns the cause as a word for logs.
+// String returns the cause as it is logged.
 func (e EndCause) String() string {
 	names := [closeCauses]string{"peer", "handler", "room", "timeout", "shutdown", "failure"}
 	if e >= closeCauses {
@@ -25,28 +25,28 @@
 	return names[e]
 }
 
-// CloseCount counts ends of accepted connections by one cause.
+// CloseCount counts the accepted connections that were closed for one cause.
 type CloseCount struct {
 	Connections uint64
-	ResponseDue uint64 // of Connections: those on which a response was due, or had yet to leave
+	ResponseDue uint64 // how many of them still owed a response: it was due, or the kernel had not accepted it
 }
 
-// Counters counts what the loop and its poller did since the start. They tell a loop that is held up from one that
-// spins: the first has long turns, the second has far more calls of the poller than messages.
+// Counters counts what the loop and its poller have done since the start. They tell a blocked loop, which has long
+// turns, from a spinning poller, which makes far more calls than messages arrive.
 type Counters struct {
 	Turns       uint64
-	LongestTurn time.Duration // since Loop.Counters was last called
-	PollerCalls uint64        // calls of the poller for a socket that can be read
+	LongestTurn time.Duration // since the last call of Loop.Counters
+	PollerCalls uint64        // calls of the poller for a readable socket
 	Ends        [closeCauses]CloseCount
 }
 
-// countTurn counts a turn that took so long.
+// countTurn counts a turn and its duration.
 func (c *Counters) countTurn(took time.Duration) {
 	c.Turns++
 	c.LongestTurn = max(c.LongestTurn, took)
 }
 
-// connectionClosed counts the end of an accepted connection.
+// connectionClosed counts an accepted connection that was closed.
 func (c *Counters) connectionClosed(conn *Conn) {
 	count := &c.Ends[conn.state.cause]
 	count.Connections++
@@ -55,7 +55,7 @@
 	}
 }
 
-// Counters returns the counters. It begins a new search for the longest turn.
+// Counters returns the counters and resets LongestTurn.
 func (l *Loop) Counters() Counters {
 	counters := l.counters
 	counters.PollerCalls = l.poller.calls.Load()
--- a/internal/eventloop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -8,23 +8,24 @@
 	"github.com/lesismal/nbio"
 )
 
-// descriptorGuard keeps a new connection from the polling goroutine while that may hold an event of an earlier
-// connection that had the same descriptor. nbio finds the connection of an event by its descriptor when it handles the
-// event, and would end the new connection for an end of the old one.
+// descriptorGuard delays the polling of a new connection while the polling goroutine may still hold an event of an
+// earlier connection with the same descriptor. nbio looks up the connection of an event by its descriptor only when it
+// handles the event. It would close the new connection because the old one was closed.
 //
-// The polling goroutine itself closes a descriptor only while it handles the one event that it holds for it. So what
-// counts are descriptors that other goroutines close. All their calls of nbio that may close one go through the guard.
+// The polling goroutine itself closes a descriptor only while it handles the one event that it holds for it. So only
+// descriptors that other goroutines close matter. All their calls of nbio that may close a descriptor go through the
+// guard.
 type descriptorGuard struct {
-	loopClosed context.Context // ends all waits
-	barrier    *pollerBarrier  // nil until the poller starts, and where there can be none: then nothing waits
+	loopClosed context.Context // done once the loop is closed; ends all waits
+	barrier    *pollerBarrier  // nil until the poller starts, and on systems without Unix sockets: then nothing waits
 
 	mu          sync.Mutex // held during a call that may close a descriptor: its number is free before the call returns
-	closedTotal uint64     // calls that closed a descriptor; guarded by mu
+	closedTotal uint64     // number of calls that closed a descriptor; guarded by mu
 
-	reusableTotal atomic.Uint64 // of closed: the polling goroutine holds no event of these descriptors
+	reusableTotal atomic.Uint64 // how many of closedTotal the polling goroutine holds no more events of
 }
 
-// write calls nbio to write to a connection. nbio closes the connection where that fails.
+// write calls nbio to write to a connection. If that fails, nbio closes the connection.
 func (g *descriptorGuard) write(call func() error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,17 +36,16 @@
 	return err
 }
 
-// close closes a connection, with the error that its end is reported with.
+// close closes a connection. nbio passes err on when it reports that the connection is closed.
 func (g *descriptorGuard) close(socket *nbio.Conn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closedTotal++
-	_ = socket.CloseWithError(err) // the descriptor is free, whatever it returns
+	_ = socket.CloseWithError(err) // the descriptor is free even if this fails
 }
 
-// awaitReusable returns once the polling goroutine holds no event of any descriptor that was closed before the call, or
-// with an error when the loop has ended. It blocks, and must be called neither on the event loop nor on the polling
-// goroutine.
+// awaitReusable returns once the polling goroutine holds no event of any descriptor that was closed before the call. It
+// returns an error if the loop is closed. It blocks, and must not be called on the event loop or the polling goroutine.
 func (g *descriptorGuard) awaitReusable() error {
 	if g.barrier == nil {
 		return g.loopClosed.Err()
@@ -62,14 +62,14 @@
 	return nil
 }
 
-// closedCount returns the number of calls that closed a descriptor. All of them have returned.
+// closedCount returns the number of calls that closed a descriptor. All of these calls have returned.
 func (g *descriptorGuard) closedCount() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closedTotal
 }
 
-// markReusable records that the polling goroutine has handled the events of the first closed descriptors.
+// markReusable records that the polling goroutine has handled all events of the first total closed descriptors.
 func (g *descriptorGuard) markReusable(total uint64) {
 	for {
 		reusableTotal := g.reusableTotal.Load()
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -10,21 +10,21 @@
 	"github.com/lesismal/nbio"
 )
 
-// The first pause before a dial that failed by a fault of this machine is retried, and the longest.
+// Limits of the delay before a dial that failed with a local error is retried. The delay doubles with each attempt.
 const (
 	initialDialBackoff = 2 * time.Millisecond
 	maxDialBackoff     = 50 * time.Millisecond
 )
 
-// connectFunc opens a connection and makes it nbio's. It blocks until then, or until ctx is done.
+// connectFunc opens a connection and converts it to nbio's type. It blocks until that is done, or until ctx is done.
 type connectFunc = func(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error)
 
-// dialer opens connections, each on a goroutine of its own that lives at most as long as the dial's timeout. The loop's
-// goroutine starts dials; a dial shares only the queue and the poller with it.
+// dialer opens connections, each on its own goroutine, which lives at most as long as the dial's timeout. The loop's
+// goroutine starts dials. A dial shares only the queue and the poller with it.
 type dialer struct {
 	connect     connectFunc
-	loopClosed  context.Context    // is done when the loop has ended, and ends dials
-	cancel      context.CancelFunc // of loopEnded
+	loopClosed  context.Context    // done once the loop is closed; cancels dials
+	cancel      context.CancelFunc // of loopClosed
 	inProgress  sync.WaitGroup     // goroutines of dials
 	queue       *queue
 	poller      *poller
@@ -32,9 +32,9 @@
 	idleCloser  *idleCloser
 }
 
-// start opens a socket for c and returns at once. The result is queued as an event. A net.Dialer opens the socket,
-// because nbio 1.6.8 first reports a refused DialAsync as connected. One that connects at once leaves its write event
-// set, on which the poller then spins.
+// start dials the connection c and returns at once. The result is queued as an event. The socket is opened by a
+// net.Dialer, not by nbio's DialAsync, because nbio 1.6.8 first reports a refused DialAsync as connected. A DialAsync
+// that connects at once also leaves its write event set, and the poller then spins on it.
 func (d *dialer) start(c *Conn, network, addr string, timeout time.Duration) {
 	d.inProgress.Go(func() {
 		socket, err := d.dial(network, addr, timeout)
@@ -45,8 +45,8 @@
 	})
 }
 
-// dial opens a socket within a timeout. It retries after a fault of this machine, which says nothing about the peer.
-// When no descriptor is left, idle clients are closed to free one. It blocks and must not be called on the event loop.
+// dial opens a socket within a timeout. It retries after a local error, which says nothing about the peer. If no
+// descriptor is free, it has an idle client closed to free one. It blocks and must not be called on the event loop.
 func (d *dialer) dial(network, addr string, timeout time.Duration) (*nbio.Conn, error) {
 	ctx, cancel := context.WithTimeout(d.loopClosed, timeout)
 	defer cancel()
@@ -77,14 +77,14 @@
 	return d.poller.watch(socket, c)
 }
 
-// close cancels all dials and waits until their goroutines have ended, or ctx is done.
+// close cancels all dials and waits until their goroutines have returned, or ctx is done.
 func (d *dialer) close(ctx context.Context) {
 	d.cancel()
 	await(ctx, &d.inProgress)
 }
 
-// connect opens a connection and makes it nbio's. For a moment it takes two descriptors. It blocks and must not be
-// called on the event loop.
+// connect opens a connection and converts it to nbio's type, for which it briefly uses two descriptors. It blocks and
+// must not be called on the event loop.
 func connect(ctx context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
 	netConn, err := netDialer(network, timeout).DialContext(ctx, network, addr)
 	if err != nil {
@@ -97,8 +97,9 @@
 	return socket, err
 }
 
-// netDialer returns a dialer for a network. Datagram sockets are bound before they are connected, to what the system
-// would choose too: some systems do not report the address of one that was only connected, and nbio needs it.
+// netDialer returns a dialer for a network. Datagram sockets are bound before they are connected, to the address that
+// the system would choose anyway. Some systems do not report the local address of a datagram socket that was only
+// connected, and nbio needs that address.
 func netDialer(network string, timeout time.Duration) *net.Dialer {
 	d := &net.Dialer{Timeout: timeout}
 	if strings.HasPrefix(network, "udp") {
@@ -107,8 +108,8 @@
 	return d
 }
 
-// convertConn makes a socket nbio's. It returns errNoLocalAddress for a socket without a local address, at which NBConn
-// would panic.
+// convertConn converts a connection to nbio's type. It returns errNoLocalAddress for a socket without a local address,
+// because NBConn would panic on it.
 func convertConn(netConn net.Conn) (*nbio.Conn, error) {
 	if netConn.LocalAddr() == nil {
 		return nil, errNoLocalAddress
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -2,43 +2,49 @@
 //
 // # Goroutines
 //
-// nbio runs one goroutine that polls all connections for readiness, and one for each listener. Their callbacks copy
-// what happened into a queue and do nothing else. The goroutine in [Loop.Run] handles what is queued, turn by turn: it
-// passes each event to the handler of its connection and calls the turn function once. Then it writes what these have
-// queued, with one gathered write for each connection.
+// nbio runs one goroutine that polls all connections for readiness, and one goroutine for each listener. Their callbacks
+// only queue events. The goroutine in [Loop.Run] handles the queued events in turns. In each turn, it passes each event
+// to the handler of its connection and then calls the turn function once. At the end of the turn, it writes the bytes
+// that these have queued, with one gathered write for each connection.
 //
-// Each dial has a goroutine of its own, which lives at most as long as the dial's timeout.
+// Each dial has its own goroutine, which lives at most as long as the dial's timeout.
 //
-// nbio finds the connection of an event by its descriptor. So that an event of a connection that the loop has closed is
-// not applied to a new one, dials and listeners hand a connection to the poller only once that holds no such event.
+// nbio looks up the connection of an event by its descriptor. An event of a connection that the loop has closed must not
+// be applied to a new connection with the same descriptor. Therefore, dials and listeners hand a connection to the
+// poller only once the poller holds no such event.
 //
 // # Ownership
 //
-// All methods of handlers run on the loop's goroutine, and all methods of [Conn] must be called on it. Of a running
-// [Loop], any goroutine may call [Loop.Post], which is how other goroutines reach the state, [Loop.AcceptedCount] and
-// [Loop.Addrs]. Any goroutine except the loop's may call [Loop.CloseIdleClients], which blocks. Bytes that a handler
-// receives are its to keep. Buffers that are written belong to the connection until the end of the turn.
+// All methods of handlers run on the loop's goroutine, and all methods of [Conn] must be called on it. While a [Loop]
+// runs, any goroutine may call [Loop.Post], [Loop.AcceptedCount] and [Loop.Addrs]; Post is how other goroutines reach
+// the state. Any goroutine except the loop's may call [Loop.CloseIdleClients], which blocks. A handler may keep the
+// bytes that it receives. Buffers that are written belong to the connection until the end of the turn.
 //
-// The state is divided by concern, and each type names its owner: queue passes events to the loop, connReader and
-// connWriter read and write one connection, acceptedClients holds the accepted connections, admission limits their
-// number, dialer opens connections, flushList holds those to be written, descriptorGuard keeps descriptors from being
-// used again too early, and poller and listeners run nbio.
+// The state is divided by concern, and each type names its owner:
+//
+//   - queue passes events to the loop.
+//   - connReader and connWriter read and write one connection.
+//   - acceptedClients holds the accepted connections, and admission limits their number.
+//   - dialer opens connections.
+//   - flushList holds the connections that have to be written to.
+//   - descriptorGuard keeps descriptors from being reused too early.
+//   - poller and listeners run nbio.
 //
 // # Backpressure
 //
 // Everything that a peer can make grow has a limit:
 //
-//   - Bytes queued for the loop. Beyond the limit the poller waits for the next turn, and the kernel's windows slow the
+//   - Bytes queued for the loop. Beyond the limit, the poller waits for the next turn, and the kernel's windows slow the
 //     peers down.
-//   - Connections that were accepted and not yet seen by the loop. Beyond a few of them accepting waits.
-//   - Accepted connections. Beyond the limit an idle one is closed to free a connection slot. When there is none, the
-//     new one is closed.
-//   - Bytes that a peer leaves unread, and those that all peers together leave unread. A peer beyond the limit is
-//     closed.
+//   - Accepted connections that the loop has not handled yet. Beyond a small number, listeners stop accepting.
+//   - Accepted connections. Beyond the limit, an idle connection is closed to free its slot. If there is none, the new
+//     connection is closed.
+//   - Bytes that one peer leaves unread, and bytes that all peers together leave unread. A connection whose peer exceeds
+//     a limit is closed.
 //
 // # Shutdown
 //
-// [Loop.Stop] has [Loop.Run] return after the present turn. [Loop.Close] then ends every goroutine that the loop
-// started: dials are canceled, listeners and connections are closed, and pollers that wait for the queue are
-// released. Handlers are not notified of that, and what is posted later is dropped.
+// [Loop.Stop] makes [Loop.Run] return after the current turn. [Loop.Close] then stops every goroutine that the loop
+// started: it cancels dials, closes listeners and connections, and wakes pollers that wait for the queue. Handlers are
+// not notified of this, and functions posted later are dropped.
 package eventloop
--- a/internal/eventloop/flush.go
+++ b/internal/eventloop/flush.go
@@ -1,15 +1,16 @@
 package eventloop
 
-// flushList holds the connections that have queued bytes, in the order in which their first bytes were queued. The
-// loop's goroutine owns it.
+// flushList holds the connections that have queued bytes, ordered by when they queued their first bytes. The loop's
+// goroutine owns it.
 type flushList struct {
 	conns []*Conn
 }
 
-// add adds a connection that had nothing queued before.
+// add adds a connection that had no queued bytes before.
 func (f *flushList) add(c *Conn) { f.conns = append(f.conns, c) }
 
-// flush writes what is queued. Connections whose kernel buffer is full stay for the next turn.
+// flush writes what the connections have queued. Connections whose kernel buffer is full stay in the list for the next
+// turn.
 func (f *flushList) flush() {
 	stalled := f.conns[:0]
 	for _, c := range f.conns {
@@ -20,5 +21,5 @@
 	f.conns = stalled
 }
 
-// isEmpty reports whether no connection has to be written to again.
+// isEmpty reports whether there is no connection left to flush.
 func (f *flushList) isEmpty() bool { return len(f.conns) == 0 }
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -13,8 +13,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// acceptPause is how long accepting waits after an error. Without descriptors accept fails at once, and nbio would call
-// it again without end.
+// acceptRetryDelay is how long accepting pauses after an error. When no descriptor is free, accept fails at once, and
+// nbio would call it again and again.
 const acceptRetryDelay = 20 * time.Millisecond
 
 // acceptFunc returns the handler of an accepted connection. It runs on the loop's goroutine.
@@ -23,19 +23,19 @@
 // listenFunc opens a listener.
 type listenFunc = func(network, addr string) (net.Listener, error)
 
-// listeners opens the listeners and queues the connections that they accept. Before Start the caller of Listen owns it.
-// After it the fields do not change, and each listener's goroutine calls connectionOpened and acceptFailed.
+// listeners opens the listeners and queues the connections that they accept. Before Start, the caller of Listen owns
+// it. After Start, its fields do not change, and each listener's goroutine calls connectionOpened and acceptFailed.
 type listeners struct {
 	loop      *Loop
 	listen    listenFunc
-	accepts   map[string]acceptFunc // by the address that was given to Listen
+	accepts   map[string]acceptFunc // by the address passed to Listen
 	bound     bindings
 	opened    []net.Listener
 	acceptors sync.WaitGroup // goroutines of listeners
 	logger    *slog.Logger
 }
 
-// newListeners returns listeners of no address.
+// newListeners returns listeners without any address.
 func newListeners(loop *Loop, logger *slog.Logger) *listeners {
 	return &listeners{
 		loop:    loop,
@@ -54,7 +54,8 @@
 	return addrs
 }
 
-// open opens a listener. nbio calls it at its start, for each address, and runs a goroutine that accepts from it.
+// open opens a listener. When nbio starts, it calls open for each address and runs a goroutine that accepts
+// connections.
 func (l *listeners) open(network, addr string) (net.Listener, error) {
 	listener, err := l.listen(network, addr)
 	if err != nil {
@@ -66,8 +67,8 @@
 	return &admittingListener{Listener: listener, loop: l.loop}, nil
 }
 
-// connectionOpened is called by a listener's goroutine for an accepted connection. nbio also calls it for a dialled one
-// once that can be written to. It blocks while the loop has too many accepted connections to handle.
+// connectionOpened is called on a listener's goroutine for an accepted connection. nbio also calls it for a dialed
+// connection once that is writable. It blocks while too many accepted connections are queued for the loop.
 func (l *listeners) connectionOpened(socket *nbio.Conn) {
 	if socket.Session() != nil { // dialled
 		return
@@ -80,11 +81,11 @@
 	}
 }
 
-// acceptFailed is called by a listener's goroutine. It blocks for acceptPause.
+// acceptFailed is called on a listener's goroutine. It blocks for acceptRetryDelay.
 func (l *listeners) acceptFailed(err error) {
 	if errors.Is(err, net.ErrClosed) {
-		// The loop has closed the listener. nbio would end the goroutine by a flag, which the goroutine clears when it
-		// starts: one that starts late would accept forever.
+		// The loop has closed the listener. nbio would stop this goroutine by setting a flag, but the goroutine clears
+		// the flag when it starts. If it started late, it would accept forever.
 		l.acceptors.Done()
 		runtime.Goexit()
 	}
@@ -102,19 +103,19 @@
 	}
 }
 
-// awaitStopped returns when no goroutine accepts any more, or ctx is done. It blocks and must not be called on the event
-// loop.
+// awaitStopped returns when no goroutine accepts connections any more, or ctx is done. It blocks and must not be called
+// on the event loop.
 func (l *listeners) awaitStopped(ctx context.Context) { await(ctx, &l.acceptors) }
 
-// admittingListener admits a connection before nbio's poller reads it: one that is rejected is closed, and none of its
-// bytes has been read. It holds an admitted one back while the poller may hold an event of an earlier connection with
-// the same descriptor.
+// admittingListener admits a connection before nbio's poller reads it, so that a rejected connection is closed without
+// reading any of its bytes. It delays an admitted connection while the poller may hold an event of an earlier
+// connection with the same descriptor.
 type admittingListener struct {
 	net.Listener
 	loop *Loop
 }
 
-// Accept returns the next connection that is admitted. It blocks and must not be called on the event loop.
+// Accept returns the next admitted connection. It blocks and must not be called on the event loop.
 func (a *admittingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := a.Listener.Accept()
@@ -129,8 +130,8 @@
 	}
 }
 
-// convertConn makes an admitted connection nbio's, which gives it the descriptor that it is polled by, and returns it once
-// that can be polled. It blocks and must not be called on the event loop.
+// convertConn converts an admitted connection to nbio's type, which gives it the descriptor that is polled. It returns
+// the connection once that descriptor can be polled. It blocks and must not be called on the event loop.
 func (a *admittingListener) convertConn(conn net.Conn) (net.Conn, error) {
 	socket, err := convertConn(conn)
 	if err != nil {
@@ -145,11 +146,11 @@
 	return socket, nil
 }
 
-// bindings finds the listener of a connection by the address that it was made to.
+// bindings maps the local address of a connection to the accept function of its listener.
 type bindings map[string]acceptFunc
 
-// add adds a listener. One on all addresses is found by its port alone, since each of its connections has the address
-// that the peer chose.
+// add adds a listener. A listener on all addresses is found by its port alone, because each of its connections has the
+// local address that the peer dialed.
 func (b bindings) add(addr net.Addr, accept acceptFunc) {
 	tcp, ok := addr.(*net.TCPAddr)
 	if ok && tcp.IP.IsUnspecified() {
@@ -159,7 +160,7 @@
 	b[addr.String()] = accept
 }
 
-// find returns the accept function of a listener. It returns nil for an address that none listens on.
+// find returns the accept function for a local address. It returns nil if no listener has that address.
 func (b bindings) find(addr net.Addr) acceptFunc {
 	accept := b[addr.String()]
 	if accept != nil {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -9,20 +9,20 @@
 
 // Config configures a Loop.
 type Config struct {
-	MaxAccepted    int // accepted connections at once
-	MaxDescriptors int // descriptors of the process
-	MaxQueuedBytes int // bytes queued for the loop; beyond it the pollers wait
+	MaxAccepted    int // maximum number of open accepted connections
+	MaxDescriptors int // descriptor limit of the process
+	MaxQueuedBytes int // bytes queued for the loop; beyond them the poller waits
 	MaxUnreadBytes int // bytes that all peers together may leave unread
 
 	Logger *slog.Logger // nil: slog.Default()
 }
 
-// Loop runs the handlers of all connections on one goroutine, that of Run. Methods run on that goroutine, except for
-// those that say otherwise.
+// Loop runs the handlers of all connections on the goroutine that calls Run. Its methods must be called on that
+// goroutine, except for those that say otherwise.
 type Loop struct {
 	clock clock
 
-	// Shared with other goroutines; each type says how.
+	// Shared with other goroutines, as each type describes.
 	queue       *queue
 	poller      *poller
 	descriptors *descriptorGuard
@@ -33,7 +33,7 @@
 	read        readFunc
 	unread      *unreadTotal
 
-	// Owned by Run's goroutine.
+	// Owned by the goroutine that calls Run.
 	turnTimes
 	clients  *acceptedClients
 	flushes  flushList
@@ -41,14 +41,14 @@
 	stopped  bool
 }
 
-// turnTimes holds the times of the present turn. The loop's goroutine owns it.
+// turnTimes holds the times of the current turn. The loop's goroutine owns it.
 type turnTimes struct {
-	now       time.Duration // the turn's one reading of the clock
-	arrivedAt time.Duration // when the data arrived that is being handled; otherwise now
+	now       time.Duration // start of the turn; the clock is read once per turn
+	arrivedAt time.Duration // when the data that is being handled arrived; otherwise now
 	stall     stall
 }
 
-// New returns a Loop without listeners. The caller ends it by Close.
+// New returns a Loop without listeners. The caller must close it with Close.
 func New(cfg Config) *Loop {
 	logger := cmp.Or(cfg.Logger, slog.Default())
 	clock := clock{startedAt: time.Now()}
@@ -81,42 +81,43 @@
 	return l
 }
 
-// Listen has connections to addr handled by what accept returns, which runs on the loop's goroutine. It is called
-// before Start, on the same goroutine.
+// Listen makes the loop listen on addr and handle each connection with the handler that accept returns. accept runs on
+// the loop's goroutine. Listen is called before Start, on the same goroutine.
 func (l *Loop) Listen(addr string, accept func(*Conn) AcceptedHandler) {
 	l.listeners.accepts[addr] = accept
 }
 
-// Start opens the listeners and begins to queue events. It is called once, before Run. Its error is a ListenError when
-// an address can't be listened on.
+// Start opens the listeners and starts to queue events. It is called once, before Run. It returns a ListenError if it
+// can't listen on an address.
 func (l *Loop) Start() error { return l.poller.start(l.listeners) }
 
-// Addrs lists the addresses that the loop listens on. It is called after Start, on any goroutine.
+// Addrs returns the addresses that the loop listens on. It is called after Start, on any goroutine.
 func (l *Loop) Addrs() []string { return l.poller.engine.Addrs }
 
-// Now is the time of the present turn, in whole microseconds on the monotonic clock.
+// Now returns the time of the current turn, in whole microseconds of the monotonic clock.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// ArrivedAt is the time at which the data arrived that a handler receives: when it was read, or the begin of a stall in
-// which it may have waited unread. It is earlier than Now by as much as the loop was held up. What a client waits for
-// counts from ArrivedAt, and what goes out by Now. Outside of Handler.Data it is Now.
+// ArrivedAt returns the time at which the data that a handler is receiving arrived. This is when it was read or, if it
+// may have waited unread during a stall, when the stall started. It is earlier than Now by the time that the data
+// waited for the loop. How long a client waits is measured from ArrivedAt, and what is sent is timed by Now. Outside of
+// Handler.Data it equals Now.
 func (l *Loop) ArrivedAt() time.Duration { return l.arrivedAt }
 
-// Post has call run on the loop's goroutine. It returns at once, and any goroutine may call it. Once the loop has
-// ended, calls are dropped.
+// Post runs call on the loop's goroutine. It returns at once, and any goroutine may call it. After the loop is closed,
+// calls are dropped.
 func (l *Loop) Post(call func()) { l.queue.push(event{kind: callPosted, call: call}) }
 
-// Dial opens a connection and returns at once. The handler's DialCompleted receives the result within timeout, or a
-// little later.
+// Dial opens a connection and returns at once. The handler's DialCompleted receives the result within timeout, or
+// shortly after it.
 func (l *Loop) Dial(network, addr string, timeout time.Duration, h DialHandler) *Conn {
 	c := newDialedConn(l, network, h)
 	l.dialer.start(c, network, addr, timeout)
 	return c
 }
 
-// Run handles events until Stop. Each turn it calls begin with the time, then the handlers of what is queued, and then
-// turn. turn returns the time at which it wants to be called again at the latest. Run blocks; its goroutine is the
-// loop's.
+// Run handles events until Stop is called. In each turn, it calls startTurn with the time of the turn, then the
+// handlers of the queued events, and then turn. turn returns the latest time at which it wants to be called again. Run
+// blocks, and the goroutine that calls it becomes the loop's.
 func (l *Loop) Run(startTurn func(now time.Duration), turn func(now time.Duration) time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -146,29 +147,30 @@
 	}
 }
 
-// Stop has Run return after this turn.
+// Stop makes Run return after the current turn.
 func (l *Loop) Stop() { l.stopped = true }
 
-// CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is at
-// rest: no response is due on it, its peer has read all that was written, and no part of a message has arrived.
+// CloseClients stops listening and, from the end of this turn on, closes each accepted connection as soon as it is
+// idle. A connection is idle if no response is due on it, its peer has read all that was written, and no part of a
+// message has arrived.
 func (l *Loop) CloseClients() {
 	l.clients.closeAll()
 	l.listeners.closeAll()
 }
 
-// CloseIdleClients closes an idle client to free its descriptor, and reports whether there was one. Clients may hold
-// all descriptors that are left, and discovery and the workers must be reached all the same. It blocks and must not be
-// called on the event loop.
+// CloseIdleClients closes one idle client to free its descriptor, and reports whether there was one. Clients may use up
+// all descriptors, but this program must still be able to connect to discovery and the workers. It blocks and must not
+// be called on the event loop.
 func (l *Loop) CloseIdleClients() bool { return l.idleCloser.closeOne() }
 
-// AcceptedCount is the number of accepted connections that have not ended. Any goroutine may call it.
+// AcceptedCount returns the number of open accepted connections. Any goroutine may call it.
 func (l *Loop) AcceptedCount() int { return int(l.admission.count.Load()) }
 
-// UnwrittenBytes is the number of bytes to accepted peers that have yet to leave this program, including those that
-// this turn queued.
+// UnwrittenBytes returns the number of bytes for accepted peers that the kernel has not accepted yet, including those
+// that were queued in this turn.
 func (l *Loop) UnwrittenBytes() int { return l.clients.unwrittenBytes() }
 
-// dispatch passes events to their handlers in order, and clears them so that batch retains nothing.
+// dispatch passes events to their handlers in order, and clears them so that batch keeps no references.
 func (l *Loop) dispatch(batch []event) {
 	for i := range batch {
 		e := &batch[i]
@@ -190,7 +192,7 @@
 	}
 }
 
-// connectionClosed handles the end of a connection, which the peer or this program caused.
+// connectionClosed handles a report by the poller that a connection was closed, by the peer or by this program.
 func (l *Loop) connectionClosed(c *Conn, err error) {
 	l.clients.remove(c)
 	if !c.connectionClosed() {
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -15,34 +15,36 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// minDescriptors is the smallest size of the table of connections that nbio is configured for.
+// minDescriptors is the smallest number of descriptors for which nbio's table of connections is sized.
 const minDescriptors = 1024
 
-// systemMaxOpenFiles is the size of that table that nbio chose by the limit of the process.
+// defaultMaxOpenFiles is the size that nbio chose for that table, by the descriptor limit of the process.
 var defaultMaxOpenFiles = nbio.MaxOpenFiles
 
-// engineStart is held while an engine starts: nbio takes its size and its log level from variables of its package.
+// engineStartMu is held while an engine starts, because nbio takes the table's size and its log level from package
+// variables.
 var engineStartMu sync.Mutex
 
-// poller runs nbio's engine: one goroutine that polls all connections, and one for each listener. Its callbacks queue
-// what happened and touch no state of the loop.
+// poller runs nbio's engine, which has one goroutine that polls all connections, and one for each listener. Its
+// callbacks queue events and access no state of the loop.
 type poller struct {
 	engine         *nbio.Engine // nil until start
-	maxDescriptors int          // of the process
+	maxDescriptors int          // descriptor limit of the process
 	queue          *queue
 	descriptors    *descriptorGuard
 	newBarrier     func() (*pollerBarrier, error)
-	barrier        *pollerBarrier // nil until start, and where the system has no Unix sockets
-	buffer         []byte         // what is read into; owned by the polling goroutine
+	barrier        *pollerBarrier // nil until start, and on systems without Unix sockets
+	buffer         []byte         // read buffer; owned by the polling goroutine
 
-	calls atomic.Uint64 // of readable, by the polling goroutine
+	calls atomic.Uint64 // of socketReadable, on the polling goroutine
 
-	// registrations counts connections that were handed to the polling goroutine. nbio hands them over by way of the
-	// kernel. That orders memory, but the race detector does not know it; it knows this counter.
+	// registrations counts the connections that were handed to the polling goroutine. nbio hands them over through the
+	// kernel, which orders memory accesses. The race detector does not know that order, but it knows the order of
+	// accesses to this counter.
 	registrations atomic.Int64
 }
 
-// newPoller returns a poller that does not run yet.
+// newPoller returns a poller that has not been started.
 func newPoller(queue *queue, descriptors *descriptorGuard, maxDescriptors int) *poller {
 	return &poller{
 		queue:          queue,
@@ -53,8 +55,8 @@
 	}
 }
 
-// start opens the listeners and starts the goroutines. Its error wraps a ListenError when an address can't be listened
-// on. Where the system has no Unix sockets, descriptors are not guarded.
+// start opens the listeners and starts the goroutines. Its error wraps a ListenError if it can't listen on an address.
+// On a system without Unix sockets, descriptors are not guarded.
 func (p *poller) start(listeners *listeners) error {
 	barrier, err := p.newBarrier()
 	switch {
@@ -76,11 +78,11 @@
 	return p.watch(barrier.socket, barrier)
 }
 
-// startEngine starts nbio's engine, and with it all goroutines.
+// startEngine starts nbio's engine and all its goroutines.
 func (p *poller) startEngine(listeners *listeners) (*nbio.Engine, error) {
 	engineStartMu.Lock()
 	defer engineStartMu.Unlock()
-	logging.SetLevel(logging.LevelNone) // the callbacks report its errors to our log
+	logging.SetLevel(logging.LevelNone) // the callbacks log errors
 	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
 	engine := nbio.NewEngine(nbio.Config{
 		Network:            "tcp",
@@ -105,20 +107,20 @@
 	return engine, nil
 }
 
-// setSession sets the session of a socket before the polling goroutine may read it.
+// setSession sets the session of a socket before the polling goroutine can read the socket.
 func (p *poller) setSession(socket *nbio.Conn, session any) {
 	socket.SetSession(session)
 	p.registrations.Add(1)
 }
 
-// watch has the polling goroutine poll a socket. Any goroutine may call it.
+// watch makes the polling goroutine poll a socket. Any goroutine may call it.
 func (p *poller) watch(socket *nbio.Conn, session any) error {
 	p.setSession(socket, session)
 	_, err := p.engine.AddConn(socket)
 	return err
 }
 
-// socketReadable is called by nbio when a connection has something to read. It blocks while the queue is full.
+// socketReadable is called by nbio when a socket is readable. It blocks while the queue is full.
 func (p *poller) socketReadable(socket *nbio.Conn) {
 	p.calls.Add(1)
 	p.registrations.Load()
@@ -130,7 +132,7 @@
 	}
 }
 
-// bytesWritten is called by nbio when the kernel has accepted bytes that nbio held.
+// bytesWritten is called by nbio when the kernel has accepted bytes that nbio had buffered.
 func (p *poller) bytesWritten(socket *nbio.Conn, _ []byte, size int) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
@@ -138,7 +140,7 @@
 	}
 }
 
-// connectionClosed is called by nbio when a connection has ended.
+// connectionClosed is called by nbio when a connection has been closed.
 func (p *poller) connectionClosed(socket *nbio.Conn, err error) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
@@ -146,17 +148,17 @@
 	}
 }
 
-// awaitRunning returns once the polling goroutine runs, or when ctx is done. nbio ends that goroutine by a flag, which
-// the goroutine clears when it starts: one that starts late would poll forever. It blocks and must not be called on the
-// event loop.
+// awaitRunning returns once the polling goroutine runs, or ctx is done. nbio stops that goroutine by setting a flag,
+// but the goroutine clears the flag when it starts. If it started late, it would poll forever. It blocks and must not
+// be called on the event loop.
 func (p *poller) awaitRunning(ctx context.Context) {
 	if p.barrier == nil {
 		return
 	}
-	_ = p.barrier.await(ctx) // where it fails, shutdown is limited by ctx too
+	_ = p.barrier.await(ctx) // if it fails, ctx still limits shutdown
 }
 
-// shutdown ends the goroutines, or stops waiting for them when ctx is done.
+// shutdown stops the goroutines, and waits for them until ctx is done.
 func (p *poller) shutdown(ctx context.Context) {
 	_ = p.engine.Shutdown(ctx) // its only error is that of ctx
 	if p.barrier != nil {
@@ -164,7 +166,7 @@
 	}
 }
 
-// socketPair returns two sockets that are connected to each other, of which the first is nbio's.
+// socketPair returns two sockets that are connected to each other. The first is converted to nbio's type.
 func socketPair() (socket *nbio.Conn, peer *os.File, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
--- a/internal/eventloop/poller_turns.go
+++ b/internal/eventloop/poller_turns.go
@@ -11,32 +11,33 @@
 
 // pollerBarrier lets other goroutines wait until the polling goroutine has handled every event that it holds.
 //
-// The polling goroutine takes a batch of events from the kernel and then handles them one by one, and nbio does not say
-// when a batch ends. A socket of our own shows it: the kernel reports a socket once in a batch at most, so between two
-// calls for this socket the polling goroutine has handled a batch and taken the next. A waiter is told by the second
-// call after its request: the first may belong to a batch that was taken before.
+// The polling goroutine takes a batch of events from the kernel and handles them one by one. nbio does not report when
+// a batch ends, so pollerBarrier finds out by means of a socket of its own. The kernel reports a socket at most once in
+// a batch. Between two calls of handle, the polling goroutine has therefore handled a whole batch and taken the next
+// one. A waiter is released by the second call after it was added, because the first may belong to a batch that was
+// taken before.
 type pollerBarrier struct {
-	socket *nbio.Conn // is polled
-	peer   *os.File   // the other end: a byte that is written to it has the polling goroutine call handle
+	socket *nbio.Conn // polled by the polling goroutine
+	peer   *os.File   // the other end: writing a byte to it makes the polling goroutine call handle
 
 	// Guarded by mu.
 	mu          sync.Mutex
-	newWaiters  []chan struct{} // waiters that no call has seen
-	seenWaiters []chan struct{} // waiters that one call has seen; the next one ends their wait
-	signaled    bool            // a byte is or will be written for those in requested
+	newWaiters  []chan struct{} // waiters that no call of handle has seen
+	seenWaiters []chan struct{} // waiters that one call of handle has seen; the next call releases them
+	signaled    bool            // a byte has been or will be written for newWaiters
 }
 
-// newPollerBarrier returns turns of which the socket has yet to be polled.
+// newPollerBarrier returns a barrier whose socket is not polled yet.
 func newPollerBarrier() (*pollerBarrier, error) {
 	socket, peer, err := socketPair()
 	if err != nil {
-		return nil, fmt.Errorf("poller's own socket: %w", err)
+		return nil, fmt.Errorf("create the poller's socket pair: %w", err)
 	}
 	return &pollerBarrier{socket: socket, peer: peer}, nil
 }
 
-// await returns once the polling goroutine has handled the events that it holds at the time of the call, or with ctx's
-// error when ctx is done. It blocks, and must be called neither on the event loop nor on the polling goroutine.
+// await returns once the polling goroutine has handled the events that it holds at the time of the call. It returns
+// ctx's error if ctx is done before. It blocks, and must not be called on the event loop or the polling goroutine.
 func (p *pollerBarrier) await(ctx context.Context) error {
 	handled := make(chan struct{})
 	if p.addWaiter(handled) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// addWaiter adds a waiter, and reports whether the caller has to signal.
+// addWaiter adds a waiter, and reports whether the caller has to call signal.
 func (p *pollerBarrier) addWaiter(handled chan struct{}) (mustSignal bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,22 +63,23 @@
 	return mustSignal
 }
 
-// signal has the polling goroutine call handle. At most two bytes are ever unread, so that it does not block.
+// signal makes the polling goroutine call handle. It does not block, because at most two bytes are ever unread.
 func (p *pollerBarrier) signal() error {
 	_, err := p.peer.Write([]byte{0})
 	return err
 }
 
-// handle is called by the polling goroutine when the socket can be read. It reads everything: the poll is
-// level-triggered, and what is left unread has handle called again without end.
+// handle is called on the polling goroutine when the socket is readable. It reads everything: polling is
+// level-triggered, so unread bytes would make the poller call handle again and again.
 func (p *pollerBarrier) handle(buffer []byte) {
-	_, _ = p.socket.Read(buffer) // after an error the poller calls again, or ends the socket
+	_, _ = p.socket.Read(buffer) // after an error the poller calls handle again, or closes the socket
 	if p.advance() {
-		_ = p.signal() // fails only once the socket is closed, and with it the loop
+		_ = p.signal() // fails only once the socket is closed, together with the loop
 	}
 }
 
-// advance ends the wait of those that the last call has seen, and reports whether there are others.
+// advance releases the waiters that the last call has seen. It reports whether there are new waiters, which this call
+// has seen.
 func (p *pollerBarrier) advance() (hasWaiters bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,11 +92,11 @@
 	return p.signaled
 }
 
-// discard closes both ends of turns whose socket was never polled.
+// discard closes both ends of a barrier whose socket was never polled.
 func (p *pollerBarrier) discard() {
 	p.socket.Close()
 	p.peer.Close()
 }
 
-// close ends the signals. The engine closes the polled socket.
+// close closes the end that signals are written to. The engine closes the polled socket.
 func (p *pollerBarrier) close() { p.peer.Close() }
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	readBufferSize = 32 << 10 // bytes, for the one poller and not for each connection
+	readBufferSize = 32 << 10 // in bytes; the poller uses one buffer for all connections
 
-	// maxReads is how many buffers the poller reads of a connection before it reads others. It holds a worker's 32
-	// responses of 16 KiB and their heads.
+	// maxReadsPerCall is how many buffers the poller reads from a connection before it reads others. It is enough for
+	// 32 responses of 16 KiB from a worker, with their headers.
 	maxReadsPerCall = maxUnreadPerPeer / readBufferSize
 
-	// readPause is how long the poller waits after a read that failed for lack of memory, since nbio calls it again at
-	// once.
+	// readRetryDelay is how long the poller waits after a read that failed for lack of memory, because nbio would call
+	// it again at once.
 	readRetryDelay = time.Millisecond
 
-	// maxReadPauses is how many such pauses a connection may cost before it is ended with what its peer left unread.
+	// maxMemoryFailures is how many such failures a connection may have whose peer has closed it. Then it is closed,
+	// and the data that was not read is lost.
 	maxMemoryFailures = 100
 )
 
-// readFunc reads from a socket into a buffer, as read(2) does.
+// readFunc reads from a socket into a buffer, like read(2).
 type readFunc = func(socket *nbio.Conn, buffer []byte) (size int, err error)
 
 // readSocket reads from a socket.
@@ -35,8 +36,8 @@
 	return size, err
 }
 
-// connReader reads one connection and queues what it has read for the loop. The poller and the loop's goroutine share
-// it: whoever reads the socket holds mu. Data is queued in the order in which it was read.
+// connReader reads one connection and queues the data for the loop. The poller and the loop's goroutine share it:
+// whichever reads the socket holds mu. Data is queued in the order in which it was read.
 type connReader struct {
 	conn  *Conn
 	queue *queue
@@ -44,14 +45,14 @@
 
 	mu             sync.Mutex // held while the socket is read
 	stopped        bool       // nothing more is read; guarded by mu
-	memoryFailures int        // after reads that failed for want of memory; guarded by mu
+	memoryFailures int        // reads that failed for lack of memory; guarded by mu
 
-	queuedReads atomic.Int32 // reads that are queued for the loop and not handled
+	queuedReads atomic.Int32 // reads that are queued for the loop and not handled yet
 }
 
-// readAvailable reads what the kernel holds and queues it for the loop. The poller calls it. It blocks while the queue
-// is full and must not be called on the event loop. When the peer has ended the connection, it reads to the end,
-// because the poller closes the connection after it.
+// readAvailable reads the data that the kernel holds and queues it for the loop. The poller calls it. It blocks while
+// the queue is full and must not be called on the event loop. If the peer has closed the connection, it reads to the
+// end, because the poller closes the connection afterwards.
 func (r *connReader) readAvailable(socket *nbio.Conn, pollerBuffer []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,8 +73,8 @@
 	}
 }
 
-// handleReadError reports whether a socket of which a read failed is read again at once, and closes it after an error that
-// is for good. After want of memory it blocks for readPause. The caller holds mu.
+// handleReadError handles a failed read, and reports whether the socket is to be read again at once. It closes the
+// socket after a permanent error. After a lack of memory, it blocks for readRetryDelay. The caller must hold mu.
 func (r *connReader) handleReadError(socket *nbio.Conn, err error) bool {
 	switch {
 	case errors.Is(err, syscall.EINTR):
@@ -89,24 +90,26 @@
 	return false
 }
 
-// isOutOfMemory reports whether a read failed because the kernel has no memory for it, as a rule for a moment. There
-// may be data all the same.
+// isOutOfMemory reports whether a read failed because the kernel has no memory for it, which is usually temporary.
+// There may still be data to read.
 func isOutOfMemory(err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS)
 }
 
-// newEvent returns the event of a read, with a copy of its data, and counts it. The caller holds mu and queues it.
+// newEvent returns the event of a read, with a copy of its data, and counts it. The caller must hold mu and queue the
+// event.
 func (r *connReader) newEvent(data []byte) event {
 	r.queuedReads.Add(1)
 	return event{kind: dataReceived, conn: r.conn, data: append([]byte(nil), data...), at: r.queue.clock()}
 }
 
-// recordHandled records that the loop has begun to handle a queued read.
+// recordHandled records that the loop has started to handle a queued read.
 func (r *connReader) recordHandled() { r.queuedReads.Add(-1) }
 
-// stopIfDrained stops reading when nothing has arrived that the loop has not handled, calls closeSocket, and reports
-// whether it did. It reads once more under mu, which keeps the poller from reading: whatever has been read is handled,
-// and what arrives later finds the connection closed. The loop's goroutine calls it. It does not wait for mu.
+// stopIfDrained stops reading and calls closeSocket if no data has arrived that the loop has not handled. It reports
+// whether it did. It reads once more while it holds mu, which keeps the poller from reading. So all data that was read
+// has been handled, and data that arrives later finds the connection closed. The loop's goroutine calls it. It does not
+// wait for mu.
 func (r *connReader) stopIfDrained(socket *nbio.Conn, buffer []byte, closeSocket func()) bool {
 	if !r.mu.TryLock() {
 		return false
@@ -120,8 +123,8 @@
 	return true
 }
 
-// readOnce queues what the kernel holds, up to the size of buffer, and reports whether there was or may be anything.
-// The caller holds mu. It runs on the loop's goroutine, which must not wait for the queue.
+// readOnce queues the data that the kernel holds, but no more than fits in buffer. It reports whether there was or may
+// be data. The caller must hold mu. It runs on the loop's goroutine, which must not wait for the queue.
 func (r *connReader) readOnce(socket *nbio.Conn, buffer []byte) bool {
 	if socket == nil {
 		return false
@@ -138,14 +141,15 @@
 	}
 }
 
-// peerHasClosed reports whether the peer of a stream has ended it. What it sent before may still have to be read.
+// peerHasClosed reports whether the peer of a stream has closed it for writing. Data that it sent before may still be
+// unread.
 func peerHasClosed(socket *nbio.Conn) bool {
 	closed := false
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	_ = raw.Control(func(fd uintptr) { // nbio's never fails
+	_ = raw.Control(func(fd uintptr) { // never fails on nbio's sockets
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		ready, err := unix.Poll(state, 0)
 		closed = err == nil && ready > 0
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// maxRest is how long the loop rests between two turns at most, so that a longer time without a turn shows a stall.
+	// maxTurnInterval is the longest time from the start of a turn to the next turn while the process runs. A longer
+	// time without a turn indicates a stall.
 	maxTurnInterval = 100 * time.Millisecond
-	// stallThreshold is the time between the begins of two turns beyond which the process counts as stalled.
+	// stallThreshold is the time between the starts of two turns beyond which the process counts as stalled.
 	stallThreshold = maxTurnInterval + 50*time.Millisecond
-	// stallAftermath is how long after a stall the poller may still read what arrived during it.
+	// stallCatchUpTime is how long after a stall the poller may still read data that arrived during it.
 	stallCatchUpTime = 20 * time.Millisecond
 )
 
-// stall is the last time in which the loop did not run, as a rule because the whole process was stopped. The poller
-// was stopped too, and read only later what arrived then: nobody knows when. So that no client waits for longer than
-// it asked to, such data counts as having arrived at the stall's begin. It belongs to the loop's goroutine.
+// stall is the last period in which the loop did not run, usually because the whole process was stopped. The poller was
+// stopped too and read the data of that period only later, so its arrival time is unknown. It counts as having arrived
+// when the stall started, so that no client waits longer than it asked to. The loop's goroutine owns it.
 type stall struct {
-	from  time.Duration // begin of the last turn before it
-	until time.Duration // when data that is read may no longer have arrived during it
+	from  time.Duration // start of the last turn before the stall
+	until time.Duration // data read later than this did not arrive during the stall
 }
 
-// recordTurn records the begin of a turn, and of the turn before it.
+// recordTurn records the start of a turn. previous is the start of the turn before it.
 func (s *stall) recordTurn(previous, now time.Duration) {
 	if now-previous > stallThreshold {
 		s.from = previous
@@ -27,7 +28,7 @@
 	}
 }
 
-// arrivalTime returns the time at which data that was read at a time counts as having arrived.
+// arrivalTime returns the time at which data that was read at readAt counts as having arrived.
 func (s *stall) arrivalTime(readAt time.Duration) time.Duration {
 	if readAt > s.from && readAt <= s.until {
 		return s.from
--- a/internal/eventloop/writer_unix.go
+++ b/internal/eventloop/writer_unix.go
@@ -8,12 +8,12 @@
 	"github.com/lesismal/nbio"
 )
 
-// stalledPause is the time until a Unix socket that accepted no more bytes is written to again.
+// stalledRetryDelay is how long to wait before writing again to a Unix socket that accepted no more bytes.
 const stalledRetryDelay = 2 * time.Millisecond
 
-// writeUnix writes the queued buffers to a Unix socket, and reports whether the kernel accepted them all. The others
-// stay queued and are written again: after a short write to a Unix socket nbio holds only the rest of the buffer in
-// which a gathered write ended. Nothing is written behind that rest until it has left.
+// writeUnix writes the queued buffers to a Unix socket, and reports whether nothing is left in the queue. Buffers that
+// are left are written again later: after a short write to a Unix socket, nbio buffers only the rest of the buffer in
+// which the write ended. Nothing more is written until nbio has written that rest.
 func (w *connWriter) writeUnix(socket *nbio.Conn) (done bool, err error) {
 	for len(w.queued) > 0 {
 		if w.hasUnread() {
@@ -31,8 +31,8 @@
 	return true, nil
 }
 
-// nextBatch returns as many buffers as one system call accepts. It returns at least two, since nbio writes a single
-// buffer in another way.
+// nextBatch returns as many buffers as are passed to one system call. It returns at least two, because nbio writes a
+// single buffer in another way.
 func nextBatch(bufs [][]byte) [][]byte {
 	batch := bufs[:min(len(bufs), maxBuffersPerWrite)]
 	if len(batch) == 1 {
@@ -41,10 +41,11 @@
 	return batch
 }
 
-// removeWritten removes the written buffers from the queue, and the buffer that was written in part: nbio holds its rest.
+// removeWritten removes the written buffers from the queue, and also a buffer that was written in part: nbio buffers
+// its rest.
 func (w *connWriter) removeWritten(written int) {
 	if written < totalSize(w.queued[:min(len(w.queued), maxBuffersPerWrite)]) {
-		w.countUnread(written) // OnWrittenSize has already subtracted it
+		w.countUnread(written) // OnWrittenSize has already subtracted them
 	}
 	for len(w.queued) > 0 && written >= len(w.queued[0]) {
 		written -= len(w.queued[0])
@@ -56,7 +57,7 @@
 	}
 }
 
-// checkQueuedLimit returns a SlowPeerError when more bytes are queued than a peer may leave unread.
+// checkQueuedLimit returns a SlowPeerError if more bytes are queued than a peer may leave unread.
 func (w *connWriter) checkQueuedLimit() error {
 	if size := totalSize(w.queued); size > maxUnreadPerPeer {
 		return &SlowPeerError{UnreadBytes: size}
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,25 +1,25 @@
-// Package framing reassembles the messages of a byte stream from reads that may end anywhere within one.
+// Package framing reassembles the messages of a byte stream from reads that may end anywhere within a message.
 package framing
 
 import "bytes"
 
-// maxIdleCapacity is how large an empty buffer may be and still be kept, in bytes: a connection that once received
-// a large message in parts must not hold the memory for it while it has nothing to receive.
+// maxIdleCapacity is the largest capacity in bytes that an empty buffer keeps. A connection that once received a large
+// message in parts must not keep the memory for it while it is idle.
 const maxIdleCapacity = 4 << 10
 
-// Decoder decodes the message that unread begins with and returns its size in bytes, 0 while the message is incomplete.
-// unread is valid until Feed returns. An error is for a stream that can't be read any further.
+// Decoder decodes the message at the start of unread and returns its size in bytes, or 0 while the message is
+// incomplete. unread is valid until Feed returns. An error means that the stream can't be read any further.
 type Decoder func(unread []byte) (size int, err error)
 
-// Buffer keeps the beginning of an incomplete message from one read to the next. It grows with the message, so that a
-// message that arrives a few bytes at a time is not copied anew for each of them. The zero Buffer is empty and ready to
+// Buffer keeps the start of an incomplete message from one read to the next. It grows with the message, so that a
+// message that arrives a few bytes at a time is not copied again for each read. The zero Buffer is empty and ready to
 // use. A Buffer is not safe for concurrent use: the goroutine that reads its stream owns it. No method blocks.
 type Buffer struct {
 	partial []byte
 }
 
-// Feed passes the buffered bytes and data to decode, message by message, and buffers a copy of the rest. It returns how
-// many messages were complete. At an error of decode it stops, empties the buffer and returns the error.
+// Feed passes the buffered bytes and data to decode, message by message, and buffers a copy of the rest. It returns the
+// number of complete messages. If decode returns an error, Feed stops, empties the buffer and returns the error.
 func (b *Buffer) Feed(data []byte, decode Decoder) (messages int, err error) {
 	unread := data
 	if len(b.partial) > 0 {
@@ -45,7 +45,7 @@
 	return messages, nil
 }
 
-// store replaces the buffered bytes by a copy of unread, which may be a part of them.
+// store replaces the buffered bytes with a copy of unread, which may be a part of them.
 func (b *Buffer) store(unread []byte) {
 	if len(unread) == 0 && cap(b.partial) > maxIdleCapacity {
 		b.Reset()
@@ -54,11 +54,11 @@
 	b.partial = append(b.partial[:0], unread...)
 }
 
-// Compact releases the capacity beyond the buffered bytes. It is for streams of which there are many, and which may
-// stay idle with the beginning of a message.
+// Compact releases the capacity beyond the buffered bytes. It is meant for programs with many streams, which may stay
+// idle after a part of a message.
 func (b *Buffer) Compact() { b.partial = bytes.Clone(b.partial[:len(b.partial):len(b.partial)]) }
 
-// Len returns how many bytes of an incomplete message are buffered.
+// Len returns the number of buffered bytes of an incomplete message.
 func (b *Buffer) Len() int { return len(b.partial) }
 
 // Reset empties the buffer and releases its memory.
