--- a/internal/eventloop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -22,7 +22,7 @@
 	mu          sync.Mutex // held during a call that may close a descriptor: its number is free before the call returns
 	closedTotal uint64     // number of calls that closed a descriptor; guarded by mu
 
-	reusableTotal atomic.Uint64 // how many of closedTotal the polling goroutine holds no more events of
+	reusableTotal atomic.Uint64 // how many of closedTotal have no events left on the polling goroutine
 }
 
 // write calls nbio to write to a connection. If that fails, nbio closes the connection.
@@ -36,7 +36,7 @@
 	return err
 }
 
-// close closes a connection. nbio passes err on when it reports that the connection is closed.
+// close closes a connection. nbio reports err as the reason.
 func (g *descriptorGuard) close(socket *nbio.Conn, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -69,7 +69,8 @@
 	return g.closedTotal
 }
 
-// markReusable records that the polling goroutine has handled all events of the first total closed descriptors.
+// markReusable records that the polling goroutine has handled all events of the descriptors that the first total calls
+// closed.
 func (g *descriptorGuard) markReusable(total uint64) {
 	for {
 		reusableTotal := g.reusableTotal.Load()
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -10,7 +10,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// Limits of the delay before a dial that failed with a local error is retried. The delay doubles with each attempt.
+// Limits of the delay before a dial that failed with a local error is retried. It doubles after each failure.
 const (
 	initialDialBackoff = 2 * time.Millisecond
 	maxDialBackoff     = 50 * time.Millisecond
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,16 +1,16 @@
-// Package eventloop connects nbio's pollers to the one goroutine that owns all state.
+// Package eventloop connects nbio's poller to the one goroutine that owns all state.
 //
 // # Goroutines
 //
-// nbio runs one goroutine that polls all connections for readiness, and one goroutine for each listener. Their callbacks
-// only queue events. The goroutine in [Loop.Run] handles the queued events in turns. In each turn, it passes each event
-// to the handler of its connection and then calls the turn function once. At the end of the turn, it writes the bytes
-// that these have queued, with one gathered write for each connection.
+// nbio runs one goroutine that polls all connections for readiness, and one goroutine for each listener. Their
+// callbacks only queue events. The goroutine in [Loop.Run] handles the queued events in turns. In each turn, it passes
+// each event to the handler of its connection and then calls the turn function once. Then it writes the bytes that the
+// handlers and the function have queued, with one gathered write for each connection.
 //
 // Each dial has its own goroutine, which lives at most as long as the dial's timeout.
 //
-// nbio looks up the connection of an event by its descriptor. An event of a connection that the loop has closed must not
-// be applied to a new connection with the same descriptor. Therefore, dials and listeners hand a connection to the
+// nbio looks up the connection of an event by its descriptor. An event of a connection that the loop has closed must
+// not be applied to a new connection with the same descriptor. Therefore, dials and listeners hand a connection to the
 // poller only once the poller holds no such event.
 //
 // # Ownership
@@ -34,17 +34,17 @@
 //
 // Everything that a peer can make grow has a limit:
 //
-//   - Bytes queued for the loop. Beyond the limit, the poller waits for the next turn, and the kernel's windows slow the
-//     peers down.
+//   - Bytes queued for the loop. Beyond the limit, the poller waits for the next turn, and the kernel's windows slow
+//     the peers down.
 //   - Accepted connections that the loop has not handled yet. Beyond a small number, listeners stop accepting.
 //   - Accepted connections. Beyond the limit, an idle connection is closed to free its slot. If there is none, the new
 //     connection is closed.
-//   - Bytes that one peer leaves unread, and bytes that all peers together leave unread. A connection whose peer exceeds
-//     a limit is closed.
+//   - Bytes that one peer leaves unread, and bytes that all peers together leave unread. A connection whose peer
+//     exceeds a limit is closed.
 //
 // # Shutdown
 //
 // [Loop.Stop] makes [Loop.Run] return after the current turn. [Loop.Close] then stops every goroutine that the loop
-// started: it cancels dials, closes listeners and connections, and wakes pollers that wait for the queue. Handlers are
-// not notified of this, and functions posted later are dropped.
+// started: it cancels dials, closes listeners and connections, and wakes the poller if it waits for the queue. Handlers
+// are not notified of this, and functions posted later are dropped.
 package eventloop
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -12,7 +12,7 @@
 var (
 	// ErrTooManyConnections is the reason why accepted connections beyond the limit are closed.
 	ErrTooManyConnections = errors.New("too many accepted connections")
-	// ErrSlowPeer is the reason why a connection is closed whose peer does not read, when all peers together leave too
+	// ErrSlowPeer is the reason why a connection is closed if its peer does not read and all peers together leave too
 	// many bytes unread.
 	ErrSlowPeer = errors.New("peer does not read")
 
--- a/internal/eventloop/listeners.go
+++ b/internal/eventloop/listeners.go
@@ -70,7 +70,7 @@
 // connectionOpened is called on a listener's goroutine for an accepted connection. nbio also calls it for a dialed
 // connection once that is writable. It blocks while too many accepted connections are queued for the loop.
 func (l *listeners) connectionOpened(socket *nbio.Conn) {
-	if socket.Session() != nil { // dialled
+	if socket.Session() != nil { // dialed
 		return
 	}
 	c := newAcceptedConn(l.loop, socket, l.bound.find(socket.LocalAddr()))
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -99,7 +99,7 @@
 
 // ArrivedAt returns the time at which the data that a handler is receiving arrived. This is when it was read or, if it
 // may have waited unread during a stall, when the stall started. It is earlier than Now by the time that the data
-// waited for the loop. How long a client waits is measured from ArrivedAt, and what is sent is timed by Now. Outside of
+// waited for the loop. Deadlines of clients count from ArrivedAt, and times of what is sent are those of Now. Outside of
 // Handler.Data it equals Now.
 func (l *Loop) ArrivedAt() time.Duration { return l.arrivedAt }
 
--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -36,7 +36,7 @@
 	barrier        *pollerBarrier // nil until start, and on systems without Unix sockets
 	buffer         []byte         // read buffer; owned by the polling goroutine
 
-	calls atomic.Uint64 // of socketReadable, on the polling goroutine
+	calls atomic.Uint64 // number of calls of socketReadable
 
 	// registrations counts the connections that were handed to the polling goroutine. nbio hands them over through the
 	// kernel, which orders memory accesses. The race detector does not know that order, but it knows the order of
@@ -82,7 +82,7 @@
 func (p *poller) startEngine(listeners *listeners) (*nbio.Engine, error) {
 	engineStartMu.Lock()
 	defer engineStartMu.Unlock()
-	logging.SetLevel(logging.LevelNone) // the callbacks log errors
+	logging.SetLevel(logging.LevelNone) // the callbacks log nbio's errors
 	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
 	engine := nbio.NewEngine(nbio.Config{
 		Network:            "tcp",
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -41,7 +41,7 @@
 // for concurrent use. A goroutine that holds a reader's mu may lock mu, but takes no other lock while it holds mu.
 type queue struct {
 	clock    func() time.Duration
-	maxBytes int           // limit on queued data; beyond it pollers wait
+	maxBytes int           // limit on queued data; beyond it the poller waits
 	wake     chan struct{} // holds one value when something is queued
 
 	// Guarded by mu.
@@ -61,7 +61,7 @@
 }
 
 // push queues an event and wakes the loop. It returns false once the queue is closed. While too much data is queued, it
-// blocks a poller until the next turn. It also blocks a listener while too many connections are queued, because
+// blocks the poller until the next turn. It also blocks a listener while too many connections are queued, because
 // connections that the loop has not handled use descriptors beyond the limit on accepted connections. Events of these
 // two kinds must not be pushed on the event loop.
 func (q *queue) push(e event) bool {
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxTurnInterval is the longest time from the start of a turn to the next turn while the process runs. A longer
-	// time without a turn indicates a stall.
+	// maxTurnInterval is how long the loop waits at most before it starts another turn, counted from the start of the
+	// last one. A longer time without a turn indicates a stall.
 	maxTurnInterval = 100 * time.Millisecond
 	// stallThreshold is the time between the starts of two turns beyond which the process counts as stalled.
 	stallThreshold = maxTurnInterval + 50*time.Millisecond
