--- a/internal/eventloop/activity_test.go
+++ b/internal/eventloop/activity_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A client times out by what it owes: a first message, the rest of one, the reading of a response, or nothing.
+// How long a client may stay silent depends on what is expected of it: a first message, the rest of a message, reading
+// a response, or nothing.
 func TestTimeoutDependsOnClientState(t *testing.T) {
 	const start = epoch
 	for name, c := range map[string]struct {
--- a/internal/eventloop/admission_test.go
+++ b/internal/eventloop/admission_test.go
@@ -14,18 +14,18 @@
 	first := dial(t, l)
 	e := <-accepted
 	if _, err := dial(t, l).Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a second connection beside a busy one: %v", err)
+		t.Errorf("second connection at the limit: %v, want EOF or a reset", err)
 	}
 	l.Post(func() { e.busy = false })
 	dial(t, l)
-	<-accepted // the idle one was closed
+	<-accepted // the idle connection was closed
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("read from the idle connection: %v, want EOF", err)
 	}
 }
 
-// Nothing is read of a connection that is closed for lack of a slot. The kernel then resets it, since it holds data that
-// was not read. After a read it would end it in order.
+// A connection that is rejected at the limit must not be read. The kernel resets it on close only if it still holds
+// unread data; if the data had been read, the connection would end with EOF.
 func TestConnectionBeyondTheLimitIsNotRead(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := start(t, 1, acceptInto(accepted, true))
@@ -36,15 +36,15 @@
 	if _, err := further.Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // the poller reads it, if it may
+	time.Sleep(20 * time.Millisecond) // long enough for the poller to read it
 	release()
 	if _, err := further.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the connection ended with %v", err)
+		t.Errorf("read from the rejected connection: %v, want a reset", err)
 	}
 }
 
-// Below the limit a connection is admitted at once. At the limit it needs an idle one to be closed, and a loop that has
-// ended closes none.
+// Below the limit, a connection is admitted at once. At the limit, an idle connection has to be closed first, which a
+// closed loop does not do.
 func TestAdmissionClosesIdleClientsAtTheLimit(t *testing.T) {
 	l := New(Config{MaxAccepted: 1})
 	if !l.admission.admit() {
@@ -57,6 +57,6 @@
 	}
 	l.admission.closed()
 	if !l.admission.admit() || l.AcceptedCount() != 0 {
-		t.Errorf("rejected with %d connections", l.AcceptedCount())
+		t.Errorf("rejected below the limit, or %d connections are counted, want 0", l.AcceptedCount())
 	}
 }
--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -17,7 +17,7 @@
 func (p *splitEcho) Busy() bool                        { return false }
 func (p *splitEcho) Messages() (whole int, begun bool) { return 1, false }
 
-// BenchmarkRoundTrip sends a message over loopback and waits until it comes back.
+// BenchmarkRoundTrip sends a message over loopback and waits until it is echoed.
 func BenchmarkRoundTrip(b *testing.B) {
 	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 256, MaxQueuedBytes: 1 << 20, MaxUnreadBytes: 1 << 20})
 	loop.Listen("127.0.0.1:0", func(c *eventloop.Conn) eventloop.AcceptedHandler { return &splitEcho{conn: c} })
--- a/internal/eventloop/churn_bench_test.go
+++ b/internal/eventloop/churn_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkConnectionsThatComeAndGo opens a connection, exchanges a byte over it, and has the loop close it, so that the
-// next one gets a descriptor that the poller may still hold an event of.
+// BenchmarkConnectionsThatComeAndGo opens a connection, exchanges a byte over it, and has the loop close it. The next
+// connection then gets a descriptor for which the poller may still hold an event.
 func BenchmarkConnectionsThatComeAndGo(b *testing.B) {
 	l := New(Config{MaxAccepted: 64, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20})
 	l.Listen("127.0.0.1:0", func(c *Conn) AcceptedHandler { return closingEcho{newEchoHandler(c, 1)} })
@@ -30,14 +30,14 @@
 		if _, err := client.Read(buffer); err != nil {
 			b.Fatal(err)
 		}
-		client.Read(buffer) // its end
+		client.Read(buffer) // EOF
 		client.Close()
 	}
 	l.Post(l.Stop)
 	<-done
 }
 
-// closingEcho closes its connection behind what it writes back.
+// closingEcho closes its connection after it has written its response.
 type closingEcho struct{ *echoHandler }
 
 func (h closingEcho) Data(b []byte) {
--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// Guards the time that a client has for its message: whole messages count, not the bytes that trickle in,
-// and one that sent a request may hold its connection for longer.
+// Guards the time limits for a client's messages: only complete messages extend them, not single bytes. A client that
+// has sent a request may stay connected for longer.
 func TestClientsHaveLimitedTimeForAMessage(t *testing.T) {
 	const step = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		feed        func(e *echoHandler, at time.Duration) bool // reports whether bytes arrive
 		closedAfter time.Duration
 	}{
-		"silent":            {func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
-		"trickles":          {func(e *echoHandler, _ time.Duration) bool { e.partial = true; return true }, messageTimeout},
-		"sent one and held": {func(e *echoHandler, at time.Duration) bool { e.complete = 1; return at == 0 }, idleTimeout},
-		"half a second one": {func(e *echoHandler, at time.Duration) bool {
+		"silent":           {func(*echoHandler, time.Duration) bool { return false }, messageTimeout},
+		"trickles":         {func(e *echoHandler, _ time.Duration) bool { e.partial = true; return true }, messageTimeout},
+		"sent one message": {func(e *echoHandler, at time.Duration) bool { e.complete = 1; return at == 0 }, idleTimeout},
+		"part of a second message": {func(e *echoHandler, at time.Duration) bool {
 			e.complete, e.partial = 1, at >= 5*time.Second
 			return at == 0 || e.partial
 		}, 5*time.Second + messageTimeout},
-		"goes on sending": {func(e *echoHandler, _ time.Duration) bool { e.complete++; return true }, time.Minute},
-		"response due":    {func(e *echoHandler, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
+		"keeps sending": {func(e *echoHandler, _ time.Duration) bool { e.complete++; return true }, time.Minute},
+		"response due":  {func(e *echoHandler, at time.Duration) bool { e.busy = at < 20*time.Second; return false }, 20 * time.Second},
 	} {
 		l := New(Config{})
 		e := &echoHandler{}
@@ -45,9 +45,9 @@
 	}
 }
 
-// Guards clients that sent requests against a flood of silent connections: the oldest of these is closed first to free
-// a connection slot. One that has only just connected may have its request on the way, and one whose response is queued
-// or not yet read would lose it.
+// Guards clients that have sent requests against a flood of silent connections: when a connection slot is needed, the
+// connection that was silent for longest is closed first. A connection that has just been opened may have its request on the way.
+// One whose response is queued or not yet read is not closed, because the response would be lost.
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(complete int, busy bool, lastActive time.Duration) *Conn {
@@ -62,29 +62,30 @@
 	unread.writer.countUnread(1)
 	for i, c := range inClosingOrder {
 		if !l.closeIdleClient() || !c.state.closed {
-			t.Fatalf("connection %d was not the one to be closed", i)
+			t.Fatalf("connection %d was not the next to be closed", i)
 		}
 	}
 	if l.closeIdleClient() || busy.state.closed || queued.state.closed || unread.state.closed {
 		t.Error("a connection on which a response is due was closed")
 	}
 	if queued.activity.activeAt != now {
-		t.Error("a connection counts as idle though it has just had a response")
+		t.Error("writing a response did not restart the idle time")
 	}
 }
 
-// A request that the poller has read is answered although its connection is to be closed in the same turn, to free a slot.
+// The poller has read a request on a connection that is to be closed in the same turn, to free its slot. The request is
+// handled first.
 func TestReadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := start(t, 1, acceptInto(accepted, false))
 	first := dial(t, l)
 	<-accepted
 	release := blockLoop(l)
-	dial(t, l) // finds no free slot, and the first connection is idle as far as the loop knows
+	dial(t, l) // there is no free slot, and the loop considers the first connection idle
 	if _, err := first.Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(20 * time.Millisecond) // the poller reads it, if it may
+	time.Sleep(20 * time.Millisecond) // long enough for the poller to read it
 	release()
 	response := make([]byte, len("request|"))
 	if n, err := first.Read(response); err != nil || string(response[:n]) != "request|" {
@@ -92,7 +93,8 @@
 	}
 }
 
-// A request that is in the kernel's buffer when its idle connection is to be closed, to free a slot, is read and answered.
+// A request is in the kernel's buffer when its idle connection is to be closed to free its slot. It is read and handled
+// first.
 func TestUnreadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startWith(t, oneByteQueue(2), acceptInto(accepted, false))
@@ -100,7 +102,7 @@
 	<-accepted
 	<-accepted
 	release := blockLoop(l)
-	for range 3 { // the poller waits with the third byte, and reads nothing more until the loop goes on
+	for range 3 { // the poller blocks on the third byte, and reads nothing more until the loop resumes
 		if _, err := flood.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -118,7 +120,7 @@
 	}
 }
 
-// Rejected connections are logged by the loop's logger, at most once in a time and with their number.
+// Rejected connections are logged by the loop's logger, with their number and at most once per interval.
 func TestRejectionsAreLoggedTogether(t *testing.T) {
 	var lines bytes.Buffer
 	l := New(Config{Logger: slog.New(slog.NewTextHandler(&lines, nil))})
--- a/internal/eventloop/clock_test.go
+++ b/internal/eventloop/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The clock begins at the epoch, never goes back and counts whole microseconds.
+// The clock starts at epoch, never goes back and returns whole microseconds.
 func TestClockCountsWholeMicroseconds(t *testing.T) {
 	c := clock{startedAt: time.Now()}
 	last := epoch
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -10,18 +10,19 @@
 	"crankhold/internal/testutil"
 )
 
-// isLoopStack reports whether a stack is that of a goroutine that a loop or nbio has started.
+// isLoopStack reports whether a stack belongs to a goroutine that a loop or nbio has started.
 func isLoopStack(stack string) bool {
 	return strings.Contains(stack, "internal/eventloop.(*") || strings.Contains(stack, "lesismal/nbio")
 }
 
-// requireNoLoopGoroutines fails the test where a goroutine of a loop is left after a time.
+// requireNoLoopGoroutines fails the test if a goroutine of a loop is still running after 5 s.
 func requireNoLoopGoroutines(t *testing.T) {
 	t.Helper()
 	testutil.RequireGoroutines(t, 0, 5*time.Second, isLoopStack)
 }
 
-// Close ends all that the loop started: pollers that wait for the queue, listeners, connections either way, and dials.
+// Close stops everything that the loop started: a poller that waits for the queue, listeners, accepted and dialed
+// connections, and dials.
 func TestNoGoroutineIsLeftAfterClose(t *testing.T) {
 	requireNoLoopGoroutines(t)
 	l := New(oneByteQueue(10))
@@ -43,7 +44,7 @@
 	clients := []net.Conn{dial(t, l), dial(t, l), dial(t, l)}
 	release := blockLoop(l, func() {
 		l.Stop()
-		l.Dial("tcp", "192.0.2.1:80", time.Minute, newDialRecorder()) // to nowhere
+		l.Dial("tcp", "192.0.2.1:80", time.Minute, newDialRecorder()) // an address that does not respond
 	})
 	for _, c := range clients {
 		if _, err := c.Write([]byte("x")); err != nil {
@@ -57,13 +58,13 @@
 	if _, err := clients[0].Read(make([]byte, 1)); err == nil {
 		t.Error("a client's connection is still open")
 	}
-	l.Post(func() { t.Error("called after the loop had ended") })
+	l.Post(func() { t.Error("a posted function ran after the loop was closed") })
 	if l.CloseIdleClients() {
-		t.Error("a loop that has ended closed a client")
+		t.Error("a closed loop closed a client")
 	}
 }
 
-// A loop that was never started has nothing to end.
+// A loop that was never started can be closed.
 func TestLoopThatWasNotStartedCloses(t *testing.T) {
 	l := New(Config{})
 	l.Stop()
@@ -72,7 +73,7 @@
 	requireNoLoopGoroutines(t)
 }
 
-// nbio's poller clears the flag by which it is told to end when it starts, so Close waits until it runs.
+// nbio's poller clears the flag that stops it when it starts, so Close first waits until it runs.
 func TestPollerIsAwaited(t *testing.T) {
 	l := start(t, 1, acceptSilent)
 	socket, peer, err := socketPair()
@@ -85,6 +86,6 @@
 	defer cancel()
 	l.poller.awaitRunning(ctx)
 	if ctx.Err() != nil {
-		t.Error("the poller did not show that it runs")
+		t.Error("the poller did not run in time")
 	}
 }
--- a/internal/eventloop/counters_test.go
+++ b/internal/eventloop/counters_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// awaitCloseCount returns the ends of a loop's connections by a cause, once there are some.
+// awaitCloseCount waits until a loop has closed connections for a cause, and returns their count.
 func awaitCloseCount(t *testing.T, l *Loop, cause EndCause) CloseCount {
 	t.Helper()
 	for range 2000 {
@@ -17,11 +17,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("no connection ended by %v", cause)
+	t.Fatalf("no connection was closed for cause %v", cause)
 	return CloseCount{}
 }
 
-// Ends of connections are counted by what caused them, and by whether a response was due.
+// Closed connections are counted by cause, and by whether a response was due.
 func TestClosesAreCountedByCause(t *testing.T) {
 	closeClient := func(_ *Loop, _ *Conn, client io.Closer) { client.Close() }
 	for _, test := range []struct {
--- a/internal/eventloop/descriptors_test.go
+++ b/internal/eventloop/descriptors_test.go
@@ -12,18 +12,19 @@
 	"github.com/lesismal/nbio"
 )
 
-// pendingEvent is the end of a connection that the poller holds and has yet to handle, since it is held up by another.
+// pendingEvent is an event that the poller holds and has not handled yet, because it is blocked on another connection.
+// The event reports that a connection was closed by its peer.
 type pendingEvent struct {
 	t          *testing.T
 	loop       *Loop
-	conn       *Conn // the connection that has ended
+	conn       *Conn // the connection that the event is about
 	descriptor int   // its descriptor
 	blocker    *Conn
-	client     net.Conn // of holder
+	client     net.Conn // of blocker
 	occupied   []int
 }
 
-// newPendingEvent holds the poller of a loop up, of which handlers are sent to accepted.
+// newPendingEvent blocks the poller of a loop whose handlers are sent to accepted.
 func newPendingEvent(t *testing.T, l *Loop, accepted <-chan *echoHandler) *pendingEvent {
 	t.Helper()
 	accept := func() (net.Conn, *Conn) {
@@ -37,18 +38,18 @@
 	second.reader.mu.Lock()
 	calls := l.poller.calls.Load()
 	firstClient.Write([]byte("x"))
-	awaitReadableCalls(l, calls+1) // in a batch of its own
+	awaitReadableCalls(l, calls+1) // in its own batch
 	secondClient.Write([]byte("x"))
 	endedClient.Close()
 	first.reader.mu.Unlock()
-	awaitReadableCalls(l, calls+2) // the rest of the batch is the end of the third connection
+	awaitReadableCalls(l, calls+2) // the rest of this batch is the event of the third connection
 	e := &pendingEvent{t: t, loop: l, conn: ended, descriptor: ended.socket.Hash(), blocker: second, client: secondClient}
 	t.Cleanup(e.closeOccupied)
 	return e
 }
 
-// freeDescriptor closes the connection on the loop's goroutine, and takes the free descriptors below its own, so that this is the
-// next one.
+// freeDescriptor closes the connection on the loop's goroutine, and occupies all free descriptors below its own. So the
+// next descriptor that is opened is that of the connection.
 func (e *pendingEvent) freeDescriptor() {
 	closed := make(chan struct{})
 	e.loop.Post(func() {
@@ -70,17 +71,17 @@
 	}
 }
 
-// closeOccupied closes the descriptors that were taken.
+// closeOccupied closes the descriptors that freeDescriptor occupied.
 func (e *pendingEvent) closeOccupied() {
 	for _, descriptor := range e.occupied {
 		syscall.Close(descriptor)
 	}
 }
 
-// release has the poller go on, and returns once it has handled the event.
+// release unblocks the poller and returns once the poller has handled the event.
 func (e *pendingEvent) release() {
 	e.blocker.reader.mu.Unlock()
-	for _, want := range []string{"x|", "y|"} { // the second is of a later batch
+	for _, want := range []string{"x|", "y|"} { // the second response belongs to a later batch
 		response := make([]byte, len(want))
 		if _, err := io.ReadFull(e.client, response); err != nil || string(response) != want {
 			e.t.Errorf("response %q, %v", response, err)
@@ -89,14 +90,14 @@
 	}
 }
 
-// awaitReadableCalls waits until the poller has been called so often.
+// awaitReadableCalls waits until the poller has been called this many times.
 func awaitReadableCalls(l *Loop, calls uint64) {
 	for l.poller.calls.Load() < calls {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// hookedListener calls what it is sent before it returns a connection.
+// hookedListener runs a function that it is sent before it returns a connection.
 type hookedListener struct {
 	net.Listener
 	hook <-chan func()
@@ -112,13 +113,13 @@
 	return conn, err
 }
 
-// newReuseLoop returns a loop with room for the connections of these tests.
+// newReuseLoop returns a loop whose limits suffice for the connections of these tests.
 func newReuseLoop() *Loop {
 	return New(Config{MaxAccepted: 16, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20})
 }
 
-// The end of a connection, of which the poller has yet to handle the event, ends no connection that was accepted meanwhile
-// on the same descriptor.
+// The poller holds an event that reports an earlier connection as closed. It must not close a connection that was
+// accepted meanwhile with the same descriptor.
 func TestAcceptedConnectionSurvivesDescriptorReuse(t *testing.T) {
 	l := newReuseLoop()
 	hook := make(chan func(), 1)
@@ -136,7 +137,7 @@
 	}
 	client := dial(t, l)
 	close(connected)
-	time.Sleep(20 * time.Millisecond) // time to be polled
+	time.Sleep(20 * time.Millisecond) // long enough to be polled
 	pending.release()
 	fresh := <-accepted
 	if descriptor := fresh.c.socket.Hash(); descriptor != pending.descriptor {
@@ -151,8 +152,8 @@
 	}
 }
 
-// The end of a connection, of which the poller has yet to handle the event, ends no connection that was dialled meanwhile
-// on the same descriptor.
+// The poller holds an event that reports an earlier connection as closed. It must not close a connection that was
+// dialed meanwhile with the same descriptor.
 func TestDialedConnectionSurvivesDescriptorReuse(t *testing.T) {
 	for _, network := range []string{"tcp", "unix"} {
 		t.Run(network, func(t *testing.T) {
@@ -196,7 +197,7 @@
 			if descriptor := <-descriptors; descriptor != pending.descriptor {
 				t.Fatalf("the connection has descriptor %d, not %d", descriptor, pending.descriptor)
 			}
-			time.Sleep(20 * time.Millisecond) // time to be polled
+			time.Sleep(20 * time.Millisecond) // long enough to be polled
 			pending.release()
 			if err := <-d.opened; err != nil {
 				t.Fatal(err)
@@ -204,13 +205,13 @@
 			l.Post(func() { c.Write([]byte("z")) })
 			peer.SetDeadline(time.Now().Add(20 * time.Second))
 			if _, err := io.ReadFull(peer, make([]byte, 1)); err != nil {
-				t.Errorf("nothing came over the connection: %v", err)
+				t.Errorf("nothing arrived over the connection: %v", err)
 			}
 		})
 	}
 }
 
-// A system without Unix sockets gets a loop that works, without the guard.
+// On a system without Unix sockets, the loop works without the descriptor guard.
 func TestLoopRunsWithoutUnixSockets(t *testing.T) {
 	l := newReuseLoop()
 	l.poller.newBarrier = func() (*pollerBarrier, error) {
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -27,17 +27,17 @@
 	refused := newDialRecorder()
 	l.Post(func() { l.Dial("tcp", addr, time.Second, refused) })
 	if err := <-refused.opened; !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a refused dial: %v", err)
+		t.Errorf("dial of a closed port: %v, want ECONNREFUSED", err)
 	}
 	up := newDialRecorder()
 	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, up) })
 	if err := <-up.opened; err != nil {
-		t.Errorf("a dial: %v", err)
+		t.Errorf("dial of an open port: %v", err)
 	}
 }
 
-// Faults of this machine that connect(2) and socket(2) may show for a moment end no dial: it is tried again within its
-// time. What says something of the peer ends it at once.
+// Temporary errors of connect(2) and socket(2) that this machine causes do not fail a dial: it is retried until its
+// timeout. Errors that are caused by the peer fail it at once.
 func TestDialRetriesLocalErrors(t *testing.T) {
 	l := start(t, 10, acceptEcho)
 	for _, test := range []struct {
@@ -61,13 +61,13 @@
 				l.Dial("tcp", l.Addrs()[0], 2*time.Second, d)
 			})
 			if err := <-d.opened; (err == nil) != test.retried {
-				t.Errorf("the dial ended with %v after %d attempts", err, attempts)
+				t.Errorf("dial returned %v after %d attempts", err, attempts)
 			}
 		})
 	}
 }
 
-// A fault of this machine that lasts ends the dial when its time is over, as a fault of this machine.
+// If a local error persists, the dial fails with it after its timeout.
 func TestDialTimesOutWhileLocalErrorPersists(t *testing.T) {
 	l := start(t, 10, acceptEcho)
 	d := newDialRecorder()
@@ -78,26 +78,26 @@
 		l.Dial("tcp", l.Addrs()[0], 50*time.Millisecond, d)
 	})
 	if err := <-d.opened; !IsLocalFault(err) {
-		t.Errorf("the dial ended with %v", err)
+		t.Errorf("dial returned %v, want a local error", err)
 	}
 }
 
-// connWithoutAddress is a connected socket whose local address the system does not report, as getsockname did for
-// datagram sockets on the operators' full fleet, where every router died of it before it served.
+// connWithoutAddress is a connected socket whose local address the system does not report. In the operators' full
+// fleet, getsockname reported none for datagram sockets, and every router panicked before it served.
 type connWithoutAddress struct{ net.Conn }
 
 func (connWithoutAddress) LocalAddr() net.Addr { return nil }
 
-// Guards the start: sockets for datagrams are bound, so that their address is known, and one that is unknown
-// all the same is an error, not a panic that ends the program.
+// Guards the start of the router: datagram sockets are bound, so that their address is known. If it is unknown all the
+// same, the result is an error and not a panic.
 func TestDatagramSocketsHaveAnAddress(t *testing.T) {
 	for _, network := range []string{"udp", "udp4", "udp6"} {
 		if a, ok := netDialer(network, time.Second).LocalAddr.(*net.UDPAddr); !ok || a.Port != 0 {
-			t.Errorf("%s is not bound to an address of the system's choice", network)
+			t.Errorf("%s is not bound to an address that the system chooses", network)
 		}
 	}
 	if netDialer("tcp4", time.Second).LocalAddr != nil {
-		t.Error("a stream is bound without need")
+		t.Error("a stream socket is bound to a local address")
 	}
 	peer, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
@@ -110,7 +110,7 @@
 	}
 	defer std.Close()
 	if _, err := convertConn(connWithoutAddress{std}); !errors.Is(err, errNoLocalAddress) {
-		t.Errorf("a socket without an address: %v", err)
+		t.Errorf("convert a socket without an address: %v", err)
 	}
 	nc, err := convertConn(std)
 	if err != nil {
@@ -119,7 +119,7 @@
 	nc.Close()
 }
 
-// exhaustDescriptors lowers the limit of this process and opens a file for every descriptor that is left.
+// exhaustDescriptors lowers the descriptor limit of this process and opens a file for every descriptor that is left.
 func exhaustDescriptors(t *testing.T) (files []*os.File) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limit.Cur = uint64(next.Fd()) + 8 // what is open stays, nbio's of an earlier process too
+	limit.Cur = uint64(next.Fd()) + 8 // open descriptors stay open, including those that nbio opened before
 	files = append(files, next)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -144,13 +144,14 @@
 	}
 }
 
-// Guards the workers and discovery against silent clients that hold every descriptor: a dial that finds none has the
-// oldest of them closed, and succeeds. The test runs in a process of its own, whose limit it lowers.
+// Guards connections to workers and discovery against silent clients that use up all descriptors: a dial that finds
+// none has the client that was silent for longest closed, and then succeeds. The test lowers the descriptor limit, so
+// it runs in a process of its own.
 func TestIdleClientsAreClosedForADial(t *testing.T) {
 	if os.Getenv("CRANKHOLD_FEW_FILES") == "" {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$", "-test.v")
 		cmd.Env = append(os.Environ(), "CRANKHOLD_FEW_FILES=1")
-		if out, err := cmd.CombinedOutput(); err != nil || !strings.Contains(string(out), "a dial came up") {
+		if out, err := cmd.CombinedOutput(); err != nil || !strings.Contains(string(out), "all dials succeeded") {
 			t.Fatalf("%v\n%s", err, out)
 		}
 		return
@@ -171,7 +172,7 @@
 	}
 	files := exhaustDescriptors(t)
 	if len(files) == 0 {
-		t.Fatal("no descriptor was left to open")
+		t.Fatal("no descriptor was left to occupy")
 	}
 	for _, network := range []string{"tcp", "udp"} {
 		d := newDialRecorder()
@@ -180,7 +181,7 @@
 			t.Fatalf("%s: %v", network, err)
 		}
 	}
-	t.Log("a dial came up")
+	t.Log("all dials succeeded")
 	closed := 0
 	for _, c := range idle {
 		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
--- a/internal/eventloop/errors_test.go
+++ b/internal/eventloop/errors_test.go
@@ -20,10 +20,10 @@
 	err = l.Start()
 	var listenError *ListenError
 	if !errors.As(err, &listenError) || listenError.Addr != addr || !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("listening on an address that is taken: %v", err)
+		t.Errorf("listen on an address in use: %v", err)
 	}
 	if want := "listen: listen tcp " + addr + ": "; !strings.HasPrefix(err.Error(), want) {
-		t.Errorf("message %q, want one that begins with %q", err, want)
+		t.Errorf("message %q, want one that starts with %q", err, want)
 	}
 }
 
@@ -44,7 +44,7 @@
 	} {
 		wrapped := &net.OpError{Op: "dial", Err: err}
 		if IsDescriptorExhausted(wrapped) != want {
-			t.Errorf("%v: not %v", err, want)
+			t.Errorf("IsDescriptorExhausted for %v is not %v", err, want)
 		}
 	}
 }
--- a/internal/eventloop/example_test.go
+++ b/internal/eventloop/example_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/eventloop"
 )
 
-// echo writes back what a client sends, and closes the connection behind it.
+// echo writes back what a client sends, and then closes the connection.
 type echo struct{ conn *eventloop.Conn }
 
 func (e *echo) Data(data []byte) {
--- a/internal/eventloop/flush_test.go
+++ b/internal/eventloop/flush_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// A connection is flushed once for all writes of a turn, and what a closed one has queued counts as unsent.
+// A connection is flushed once for all writes of a turn. Bytes that a closed connection has queued count as unsent.
 func TestFlushListHoldsAConnectionOnce(t *testing.T) {
 	l := New(Config{})
 	c := addClient(l, &echoHandler{}, clientActivity{})
 	c.Write([]byte("one"))
 	c.Write([]byte("two"))
 	if len(l.flushes.conns) != 1 {
-		t.Errorf("the connection is listed %d times", len(l.flushes.conns))
+		t.Errorf("the connection is listed %d times, want once", len(l.flushes.conns))
 	}
 	c.Close()
 	l.flushes.flush()
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// echoHandler writes back what it receives, as often as times says.
+// echoHandler writes back what it receives, as many times as the field times says.
 type echoHandler struct {
 	c        *Conn
 	times    int
@@ -17,18 +17,18 @@
 	closed   chan error
 }
 
-// newEchoHandler returns a handler of c that does not wait for its ends to be received.
+// newEchoHandler returns a handler of c whose Closed does not block.
 func newEchoHandler(c *Conn, times int) *echoHandler {
 	return &echoHandler{c: c, times: times, closed: make(chan error, 1)}
 }
 
-// acceptEcho accepts connections that write back what they receive.
+// acceptEcho handles a connection by echoing what it receives.
 func acceptEcho(c *Conn) AcceptedHandler { return newEchoHandler(c, 1) }
 
-// acceptSilent accepts connections that write nothing.
+// acceptSilent handles a connection by writing nothing.
 func acceptSilent(c *Conn) AcceptedHandler { return newEchoHandler(c, 0) }
 
-// acceptInto accepts connections that write back what they receive, and sends their handlers to accepted.
+// acceptInto returns an accept function that echoes what a connection receives, and sends the handlers to accepted.
 func acceptInto(accepted chan<- *echoHandler, busy bool) func(*Conn) AcceptedHandler {
 	return func(c *Conn) AcceptedHandler {
 		e := newEchoHandler(c, 1)
@@ -48,7 +48,7 @@
 func (e *echoHandler) Busy() bool            { return e.busy }
 func (e *echoHandler) Messages() (int, bool) { return e.complete, e.partial }
 
-// dialRecorder is the handler of a dialled connection that reports how the dial and the connection ended.
+// dialRecorder is the handler of a dialed connection that reports the results of the dial and of the connection.
 type dialRecorder struct{ opened, closed chan error }
 
 // newDialRecorder returns a handler that does not block the loop, even if it is called twice.
@@ -60,7 +60,7 @@
 func (d *dialRecorder) DialCompleted(err error) { d.opened <- err }
 func (d *dialRecorder) Closed(err error)        { d.closed <- err }
 
-// countingHandler is the handler of a dialled connection that counts the bytes that it receives.
+// countingHandler is the handler of a dialed connection that counts the bytes that it receives.
 type countingHandler struct {
 	*dialRecorder
 	received atomic.Int64
@@ -68,18 +68,18 @@
 
 func (r *countingHandler) Data(b []byte) { r.received.Add(int64(len(b))) }
 
-// oneByteQueue configures a loop whose poller waits when more than a byte is queued.
+// oneByteQueue configures a loop whose poller waits while more than one byte is queued.
 func oneByteQueue(maxAccepted int) Config {
 	return Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 1, MaxUnreadBytes: 32 << 20}
 }
 
-// start runs a loop that accepts up to maxAccepted connections until the test ends.
+// start runs a loop that accepts at most maxAccepted connections. The loop runs until the test ends.
 func start(t *testing.T, maxAccepted int, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
 	return startWith(t, Config{MaxAccepted: maxAccepted, MaxDescriptors: 256, MaxQueuedBytes: 8 << 20, MaxUnreadBytes: 32 << 20}, accept)
 }
 
-// startWith runs a loop of a configuration until the test ends.
+// startWith runs a loop with the given configuration until the test ends.
 func startWith(t *testing.T, cfg Config, accept func(*Conn) AcceptedHandler) *Loop {
 	t.Helper()
 	l := New(cfg)
@@ -106,7 +106,7 @@
 	})
 }
 
-// dial connects a client to a loop until the test ends.
+// dial connects a client to a loop. The connection is closed when the test ends.
 func dial(t *testing.T, l *Loop) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addrs()[0])
@@ -118,7 +118,7 @@
 	return c
 }
 
-// dialPeer opens a connection of a loop to a listener of the test's, and returns both ends.
+// dialPeer has a loop dial a listener of the test, and returns both ends of the connection.
 func dialPeer(t *testing.T, l *Loop, network, addr string, h DialHandler, opened <-chan error) (c *Conn, peer net.Conn) {
 	t.Helper()
 	ln, err := net.Listen(network, addr)
@@ -149,7 +149,7 @@
 	return c
 }
 
-// blockLoop runs calls on the loop's goroutine and then blocks it until release is called, so that what happens meanwhile is
+// blockLoop runs calls on the loop's goroutine and then blocks it until release is called. What happens meanwhile is
 // handled in one turn.
 func blockLoop(l *Loop, calls ...func()) (release func()) {
 	held, released := make(chan struct{}), make(chan struct{})
@@ -164,7 +164,7 @@
 	return func() { close(released) }
 }
 
-// awaitQueuedBytes waits until the poller has queued so many bytes for the loop, which is held.
+// awaitQueuedBytes waits until the poller has queued at least size bytes for the loop, which must be blocked.
 func awaitQueuedBytes(l *Loop, size int) {
 	for queued := 0; queued < size; time.Sleep(time.Millisecond) {
 		l.queue.mu.Lock()
--- a/internal/eventloop/listeners_test.go
+++ b/internal/eventloop/listeners_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Guards a listener on all addresses: each of its connections has an address of its own, and finds it by the port.
+// Guards a listener on all addresses: its connections have different local addresses, and find the listener by its
+// port.
 func TestConnectionsFindTheirListener(t *testing.T) {
 	which := ""
 	accept := func(name string) func(*Conn) AcceptedHandler {
@@ -24,7 +25,7 @@
 	b.add(addr("127.0.0.3:90"), accept("own"))
 	for to, want := range map[string]string{"127.0.0.1:80": "one", "127.0.0.2:90": "all", "127.0.0.3:90": "own", "[::1]:90": "all"} {
 		if b.find(addr(to))(nil); which != want {
-			t.Errorf("%s went to %s", to, which)
+			t.Errorf("the connection to %s went to listener %s", to, which)
 		}
 	}
 	if b.find(addr("127.0.0.2:80")) != nil {
@@ -32,7 +33,7 @@
 	}
 }
 
-// faultyListener fails while it is told to, and counts how often it is asked.
+// faultyListener fails with errno while that is set, and counts the calls of Accept.
 type faultyListener struct {
 	net.Listener
 	errno atomic.Pointer[syscall.Errno]
@@ -47,7 +48,7 @@
 	return l.Listener.Accept()
 }
 
-// A listener whose accept fails for a moment neither ends nor spins, and accepts again.
+// A listener whose accept fails temporarily does not stop or spin, and then accepts again.
 func TestListenerRecoversFromAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR,
 		syscall.EPROTO, syscall.EPERM, syscall.ETIMEDOUT, syscall.ENETDOWN, syscall.EHOSTUNREACH} {
@@ -72,7 +73,7 @@
 				t.Fatal(err)
 			}
 			if _, err := client.Read(make([]byte, 1)); err != nil {
-				t.Errorf("after the fault: %v", err)
+				t.Errorf("read after accept has recovered: %v", err)
 			}
 		})
 	}
--- a/internal/eventloop/poller_calls_test.go
+++ b/internal/eventloop/poller_calls_test.go
@@ -10,11 +10,12 @@
 const (
 	// settleTime is long enough for a poller that spins to be called thousands of times.
 	settleTime = 50 * time.Millisecond
-	// maxSettledCalls is how often the poller may be called in it, with a pause of readPause after each call.
+	// maxSettledCalls limits the calls of the poller within settleTime, in which it pauses for readRetryDelay after
+	// each call.
 	maxSettledCalls = 2 * int(settleTime/readRetryDelay)
 )
 
-// sendUrgent sends a byte of urgent data.
+// sendUrgent sends one byte of urgent data.
 func sendUrgent(t *testing.T, client net.Conn) {
 	t.Helper()
 	raw, err := client.(*net.TCPConn).SyscallConn()
@@ -29,7 +30,7 @@
 	}
 }
 
-// The poll is level-triggered. Nothing that stays as it is has the poller called again without end.
+// Polling is level-triggered. No state that lasts may make nbio call the poller again and again.
 func TestPollerDoesNotSpin(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -39,12 +40,12 @@
 			sendUrgent(t, client)
 			return func() {}
 		}},
-		{"urgent data behind other data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
+		{"urgent data after other data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			client.Write([]byte("x"))
 			sendUrgent(t, client)
 			return func() {}
 		}},
-		{"half a connection", func(_ *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
+		{"a connection that the peer closed for writing", func(_ *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			client.(*net.TCPConn).CloseWrite()
 			return func() {}
 		}},
@@ -69,7 +70,7 @@
 			closed := make(chan bool)
 			l.Post(func() { closed <- c.closeIfIdle(ClosedForCapacity) })
 			if !<-closed {
-				t.Error("the connection is not at rest")
+				t.Error("the connection is not idle")
 			}
 			client.Write([]byte("x"))
 			return func() {}
@@ -92,7 +93,7 @@
 	}
 }
 
-// A read that goes on failing for want of memory costs the poller a call in a millisecond, and no more.
+// While reads keep failing for lack of memory, the poller is called at most once per millisecond.
 func TestPollerPausesWhileReadsRunOutOfMemory(t *testing.T) {
 	l := New(oneByteQueue(4))
 	failing := failReads(l, syscall.ENOMEM)
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A signal of which the poller leaves the byte unread has it called again without end, while whoever waits for it has no
-// processor to end that.
+// Guards against a poller that leaves the byte of a signal unread. It would be called again and again until the waiting
+// goroutine gets a processor.
 func TestBarrierWaitTakesTwoPollerCalls(t *testing.T) {
 	l := start(t, 8, acceptEcho)
 	for range 3 {
@@ -15,7 +15,7 @@
 		if err := l.poller.barrier.await(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(20 * time.Millisecond) // the socket stays open, as where its owner does not run
+		time.Sleep(20 * time.Millisecond) // the socket stays open, as it does while its owner does not run
 		if calls := l.poller.calls.Load() - before; calls != 2 {
 			t.Errorf("the poller was called %d times for one wait", calls)
 		}
--- a/internal/eventloop/queue_test.go
+++ b/internal/eventloop/queue_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Guards the descriptors: while the loop is held up no more than a few connections are accepted.
+// Guards the descriptors: while the loop is blocked, only a few connections are accepted.
 func TestAcceptingWaitsForTheLoop(t *testing.T) {
 	l := New(Config{})
 	pushed := make(chan int, 100)
@@ -19,7 +19,7 @@
 		<-pushed
 	}
 	turns, most := 0, 0
-	for open := true; open; turns++ { // each turn takes what is queued, and lets as many in
+	for open := true; open; turns++ { // each turn takes what is queued, and as many new events are queued
 		batch, _ := l.queue.take(nil)
 		most = max(most, len(batch))
 		_, open = <-pushed
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -11,7 +11,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// timedHandler keeps how long ago, by the loop's clock, data arrived when it is handled.
+// timedHandler records how long data had waited, by the loop's clock, when it is handled.
 type timedHandler struct {
 	*echoHandler
 	waited chan time.Duration
@@ -19,7 +19,7 @@
 
 func (h *timedHandler) Data([]byte) { h.waited <- h.c.loop.Now() - h.c.loop.ArrivedAt() }
 
-// The time of a turn is the present, and what waited for the turn has arrived before it.
+// Data that waited for a turn arrived before that turn's time, which is the current time.
 func TestArrivedAtIsWhenDataWasRead(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	waited := make(chan time.Duration, 1)
@@ -39,7 +39,8 @@
 	}
 }
 
-// Data that a peer wrote before it closed is read to its end, also where it is more than the poller reads in one go.
+// Data that a peer wrote before it closed the connection is read to the end, even if it is more than the poller reads
+// in one call.
 func TestLongResponseIsReadBeforeClose(t *testing.T) {
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
@@ -48,12 +49,12 @@
 	c.socket.SetReadBuffer(4 << 20)
 	release := blockLoop(l)
 	client := dial(t, l)
-	for range 3 { // the poller waits with the third byte
+	for range 3 { // the poller blocks on the third byte
 		client.Write([]byte("x"))
 		time.Sleep(5 * time.Millisecond)
 	}
 	awaitQueuedBytes(l, 2)
-	peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // as much as the kernel takes
+	peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // as much as the kernel accepts
 	size, _ := peer.Write(make([]byte, 3<<20))
 	peer.(*net.TCPConn).CloseWrite()
 	release()
@@ -63,15 +64,15 @@
 	}
 }
 
-// Guards responses that a worker wrote just before it closed: while the poller waits, they and the end arrive together.
-// nbio drops what it has not read of a connection once it has seen its end.
+// Guards responses that a worker wrote just before it closed the connection. While the poller waits, the responses and
+// the close arrive together. nbio drops what it has not read once it has seen the close.
 func TestBufferedResponsesAreReadBeforeClose(t *testing.T) {
-	// The poller waits behind a byte.
+	// The poller waits because one byte fills the queue.
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	release := blockLoop(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets a busy one grow
+	release := blockLoop(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets it grow on a busy connection
 	for range 3 {                                                       // the third byte finds the queue full, and the poller waits with it
 		dial(t, l).Write([]byte("x"))
 	}
@@ -89,7 +90,7 @@
 	peer.Close()
 }
 
-// Reading does not stop while the poller reads, nor before the loop has handled all that was read.
+// Reading is not stopped while the poller reads, nor before the loop has handled all data that was read.
 func TestReaderStopsOnceItIsDrained(t *testing.T) {
 	r := &newAcceptedConn(New(Config{}), nil, nil).reader
 	closes := 0
@@ -101,7 +102,7 @@
 	e := r.newEvent([]byte("x"))
 	r.mu.Unlock()
 	if stop() {
-		t.Error("stopped before the loop handled a read")
+		t.Error("stopped before the loop had handled a read")
 	}
 	e.conn.receive(e.data)
 	if !stop() || !r.stopped || closes != 1 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// failReads has the next reads of a loop, which does not run yet, fail with an error.
+// failReads makes the next reads of a loop, which must not run yet, fail with err.
 func failReads(l *Loop, err error) (remaining *atomic.Int64) {
 	remaining = &atomic.Int64{}
 	l.read = func(socket *nbio.Conn, buffer []byte) (int, error) {
@@ -121,7 +122,7 @@
 	return remaining
 }
 
-// Reads that fail for a moment for want of memory lose nothing of what a peer wrote before it closed.
+// Reads that temporarily fail for lack of memory lose no data that a peer wrote before it closed the connection.
 func TestOutOfMemoryReadsLoseNoDataBeforeClose(t *testing.T) {
 	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// A connection is not taken for one at rest because it can't be read for want of memory.
+// A connection does not count as idle just because it can't be read for lack of memory.
 func TestConnectionThatCannotBeReadIsNotIdle(t *testing.T) {
 	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -154,14 +155,14 @@
 			runLoop(t, l, acceptInto(accepted, false))
 			client := dial(t, l)
 			c := (<-accepted).c
-			c.reader.mu.Lock() // keeps the poller from it
+			c.reader.mu.Lock() // keeps the poller from reading it
 			client.Write([]byte("x"))
 			awaitReadableCalls(l, 1)
 			failing.Store(1)
 			mayHaveData := make(chan bool)
 			l.Post(func() { mayHaveData <- c.reader.readOnce(c.socket, l.clients.readBuffer) })
 			if !<-mayHaveData {
-				t.Error("nothing was read, and the connection counts as read to its end")
+				t.Error("a failed read counts as the end of the data")
 			}
 			c.reader.mu.Unlock()
 			response := make([]byte, 2)
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Data that is read right after a stall counts as having arrived at its begin, and other data when it was read.
+// Data that is read right after a stall counts as having arrived when the stall started. Other data counts from when it
+// was read.
 func TestDataOfAStallCountsFromItsStart(t *testing.T) {
 	const (
 		before   = 10 * time.Second
@@ -14,7 +15,7 @@
 	)
 	var s stall
 	if s.recordTurn(before, nextTurn); s.arrivalTime(nextTurn) != nextTurn {
-		t.Error("a rest counts as a stall")
+		t.Error("a wait of maxTurnInterval counts as a stall")
 	}
 	s.recordTurn(nextTurn, resumed)
 	for _, test := range []struct{ readAt, want time.Duration }{
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Guards against nbio's Writev, which drops the buffers behind a short write: a reader that starts
-// late, so that the socket fills, still gets every byte in order.
+// nbio's Writev drops the buffers after a short write. A client that starts to read late, so that the socket fills up,
+// must still receive every byte in order.
 func TestNothingIsLostInShortWrites(t *testing.T) {
 	e := newEchoHandler(nil, 3000)
 	wrote := make(chan struct{}, 1)
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
-		// The kernel's buffer is made small, so that little is needed to fill it.
+		// The kernel's buffer is small, so that few bytes fill it.
 		c.socket.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
@@ -23,16 +23,16 @@
 	c.(*net.TCPConn).SetReadBuffer(64 << 10)
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	c.Write(text)
-	for unwritten := 0; unwritten == 0; { // until the loop has written, and more than the kernel holds
+	for unwritten := 0; unwritten == 0; { // until the loop has written more than the kernel accepts
 		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("bytes differ, %v", err)
+		t.Errorf("the received bytes differ from the written ones, %v", err)
 	}
-	for unwritten := 1; unwritten != 0; { // the poller may still have to count its last write
+	for unwritten := 1; unwritten != 0; { // the poller may not have counted its last write yet
 		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
@@ -49,12 +49,12 @@
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of responses
 	if err := <-e.closed; err == nil {
-		t.Error("closed without a reason")
+		t.Error("closed without an error")
 	}
 }
 
-// Guards the proof that a request never left: UnsentBytes is what the kernel did not accept of bytes to a peer that reads
-// little, and is 0 for a short message that the kernel accepted.
+// UnsentBytes proves that a request was never sent. It is the number of bytes that the kernel did not accept for a peer
+// that reads little, and 0 for a short message that the kernel accepted.
 func TestUnsentBytesWereNotAcceptedByKernel(t *testing.T) {
 	for _, size := range []int{100, 6 << 20} {
 		l := start(t, 10, acceptSilent)
@@ -65,7 +65,7 @@
 			for rest := size; rest > 0; rest -= min(rest, 64<<10) {
 				c.Write(make([]byte, min(rest, 64<<10)))
 			}
-			l.Post(func() { close(wrote) }) // behind the turn that hands it on
+			l.Post(func() { close(wrote) }) // runs after the turn that writes the bytes
 		})
 		<-wrote
 		got := 0
@@ -83,15 +83,15 @@
 		l.Post(func() { unsent <- c.UnsentBytes() })
 		switch n := <-unsent; {
 		case size < 1000 && n != 0:
-			t.Errorf("%d bytes of %d never left, though %d arrived", n, size, got)
+			t.Errorf("%d bytes of %d are unsent, although %d arrived", n, size, got)
 		case size > 1000 && (n <= 0 || n > size):
-			t.Errorf("%d bytes of %d never left a connection whose peer took none", n, size)
+			t.Errorf("%d bytes of %d are unsent, although the peer read none", n, size)
 		}
 	}
 }
 
-// Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
-// slow client's response would be cut off with the process.
+// Guards the last responses during a shutdown: bytes that a turn has queued but not written count as unwritten.
+// Otherwise the process would exit early and cut off the response to a slow client.
 func TestQueuedBytesCountAsUnwritten(t *testing.T) {
 	l := New(Config{})
 	c := addClient(l, &echoHandler{}, clientActivity{})
@@ -102,7 +102,7 @@
 	}
 }
 
-// A connection that is closed behind a response which its client reads slowly is closed once the client has it.
+// CloseAfterFlush closes a connection only once its client, which reads slowly, has received the response.
 func TestCloseAfterFlushWaitsForSlowClient(t *testing.T) {
 	const size = 80 << 10
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
@@ -114,14 +114,14 @@
 	if _, err := client.Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full, and the rest waits
+	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full, and nbio buffers the rest
 	got, err := io.ReadAll(client)
 	if err != nil || len(got) != size {
 		t.Errorf("%d of %d bytes arrived, %v", len(got), size, err)
 	}
 }
 
-// closingHandler responds to whatever it is sent, and closes.
+// closingHandler responds to any data, and then closes the connection.
 type closingHandler struct {
 	*echoHandler
 	size int
@@ -132,7 +132,7 @@
 	h.c.CloseAfterFlush()
 }
 
-// What nbio holds when a connection ends is unsent, and is no longer part of what all peers leave unread.
+// Bytes that nbio buffers when a connection is closed become unsent, and no longer count as unread.
 func TestBufferedBytesAreUnsentAfterClose(t *testing.T) {
 	l := New(Config{MaxUnreadBytes: 9})
 	c := newDialedConn(l, "tcp", newDialRecorder())
--- a/internal/eventloop/writer_unix_test.go
+++ b/internal/eventloop/writer_unix_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// All that is written over a Unix socket arrives, also where the peer reads it slowly: nbio drops what a write to one leaves
-// over.
+// Everything that is written to a Unix socket arrives, even if the peer reads slowly. nbio drops the buffers after a
+// short write to a Unix socket.
 func TestNothingIsLostOverASlowUnixSocket(t *testing.T) {
 	l := start(t, 10, acceptSilent)
 	d := newDialRecorder()
@@ -17,7 +17,7 @@
 	const writes = 30
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1<<10)
 	wrote := make(chan bool)
-	for range writes { // each in a turn of its own
+	for range writes { // each in its own turn
 		l.Post(func() {
 			c.Write(body)
 			l.Post(func() { wrote <- true })
@@ -29,6 +29,6 @@
 	peer.SetReadDeadline(time.Now().Add(5 * time.Second))
 	n, err := io.ReadFull(peer, got)
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%d of %d bytes arrived, the same ones: %v, %v", n, len(want), bytes.Equal(got[:n], want[:n]), err)
+		t.Errorf("%d of %d bytes arrived, unchanged: %v, error: %v", n, len(want), bytes.Equal(got[:n], want[:n]), err)
 	}
 }
--- a/internal/framing/example_test.go
+++ b/internal/framing/example_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/framing"
 )
 
-// Lines that a peer sends arrive in reads that end anywhere.
+// A peer's lines arrive in reads that may end anywhere within a line.
 func Example() {
 	var buffer framing.Buffer
 	decodeLine := func(unread []byte) (size int, err error) {
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -16,7 +16,7 @@
 
 var errTooLong = errors.New("message too long")
 
-// frames is a Decoder of messages that begin with their length in two bytes. It keeps a copy of each.
+// frames is a Decoder of messages that start with their length in two bytes. It keeps a copy of each message.
 type frames struct {
 	limit    int
 	messages [][]byte
@@ -38,7 +38,7 @@
 	return size, nil
 }
 
-// encode returns a message as frames reads it.
+// encode returns a message in the form that frames decodes.
 func encode(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint16(nil, uint16(len(body))), body...)
 }
@@ -62,13 +62,13 @@
 				t.Fatal(err)
 			}
 			total += messages
-			clear(read) // what the buffer keeps is a copy
+			clear(read) // the buffer must not depend on the bytes of the read
 		}
 		if !slices.EqualFunc(received.messages, bodies, bytes.Equal) || total != len(bodies) {
 			t.Fatalf("received %q, counted %d, want %q", received.messages, total, bodies)
 		}
 		if buffer.Len() != 0 {
-			t.Fatalf("%d bytes are left over", buffer.Len())
+			t.Fatalf("%d bytes are still buffered", buffer.Len())
 		}
 	})
 }
@@ -172,7 +172,7 @@
 	}
 	buffer.Compact()
 	if buffer.Len() != 3 || cap(buffer.partial) > 64 {
-		t.Errorf("%d bytes buffered in a capacity of %d, want 3 in little more", buffer.Len(), cap(buffer.partial))
+		t.Errorf("%d bytes buffered in a capacity of %d, want 3 in at most 64", buffer.Len(), cap(buffer.partial))
 	}
 	if messages, err := buffer.Feed([]byte{'b'}, received.decode); messages != 1 || err != nil || string(received.messages[1]) != "ab" {
 		t.Errorf("%d messages, %v, the last %q", messages, err, received.messages[len(received.messages)-1])
