--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -102,7 +102,7 @@
 	<-accepted
 	<-accepted
 	release := blockLoop(l)
-	for range 3 { // the poller blocks on the third byte, and reads nothing more until the loop resumes
+	for range 3 { // the poller blocks on the third byte and reads nothing more until the loop resumes
 		if _, err := flood.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -99,8 +99,8 @@
 
 // ArrivedAt returns the time at which the data that a handler is receiving arrived. This is when it was read or, if it
 // may have waited unread during a stall, when the stall started. It is earlier than Now by the time that the data
-// waited for the loop. Deadlines of clients count from ArrivedAt, and times of what is sent are those of Now. Outside of
-// Handler.Data it equals Now.
+// waited for the loop. Deadlines of clients count from ArrivedAt, and times of what is sent are those of Now. Outside
+// of Handler.Data it equals Now.
 func (l *Loop) ArrivedAt() time.Duration { return l.arrivedAt }
 
 // Post runs call on the loop's goroutine. It returns at once, and any goroutine may call it. After the loop is closed,
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -22,8 +22,8 @@
 	// it again at once.
 	readRetryDelay = time.Millisecond
 
-	// maxMemoryFailures is how many such failures a connection may have whose peer has closed it. Then it is closed,
-	// and the data that was not read is lost.
+	// maxMemoryFailures is how often reads of a connection may fail this way. After that many failures, a connection
+	// that its peer has closed is closed on this side too, and the data that was not read is lost.
 	maxMemoryFailures = 100
 )
 
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -60,7 +60,7 @@
 	release()
 	<-r.closed
 	if received := r.received.Load(); received != int64(size) {
-		t.Errorf("%d of %d bytes were read before the end", received, size)
+		t.Errorf("%d of %d bytes were read before the close", received, size)
 	}
 }
 
@@ -85,7 +85,7 @@
 	release()
 	<-r.closed
 	if received := r.received.Load(); received != size {
-		t.Errorf("%d of %d bytes were read before the end", received, size)
+		t.Errorf("%d of %d bytes were read before the close", received, size)
 	}
 	peer.Close()
 }
@@ -139,7 +139,7 @@
 			c.reader.mu.Unlock()
 			<-r.closed
 			if received := r.received.Load(); received != size {
-				t.Errorf("%d of %d bytes were read before the end", received, size)
+				t.Errorf("%d of %d bytes were read before the close", received, size)
 			}
 		})
 	}
