--- a/internal/eventloop/bench_test.go
+++ b/internal/eventloop/bench_test.go
@@ -12,10 +12,10 @@
 // splitEcho writes back what it receives, in two buffers.
 type splitEcho struct{ conn *eventloop.Conn }
 
-func (p *splitEcho) Data(data []byte)                  { p.conn.Write(data[:1], data[1:]) }
-func (p *splitEcho) Closed(error)                      {}
-func (p *splitEcho) Busy() bool                        { return false }
-func (p *splitEcho) Messages() (whole int, begun bool) { return 1, false }
+func (p *splitEcho) Data(data []byte)                       { p.conn.Write(data[:1], data[1:]) }
+func (p *splitEcho) Closed(error)                           {}
+func (p *splitEcho) Busy() bool                             { return false }
+func (p *splitEcho) Messages() (complete int, partial bool) { return 1, false }
 
 // BenchmarkRoundTrip sends a message over loopback and waits until it is echoed.
 func BenchmarkRoundTrip(b *testing.B) {
@@ -24,9 +24,9 @@
 	if err := loop.Start(); err != nil {
 		b.Fatal(err)
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		loop.Run(func(time.Duration) {}, func(now time.Duration) time.Duration { return now + time.Second })
 		loop.Close()
 	}()
@@ -47,5 +47,5 @@
 	}
 	client.Close()
 	loop.Post(loop.Stop)
-	<-ended
+	<-stopped
 }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -29,13 +29,13 @@
 
 // await returns once all goroutines of a group have returned, or ctx is done.
 func await(ctx context.Context, group *sync.WaitGroup) {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		group.Wait()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-ctx.Done():
 	}
 }
--- a/internal/eventloop/descriptors_test.go
+++ b/internal/eventloop/descriptors_test.go
@@ -33,17 +33,17 @@
 	}
 	firstClient, first := accept()
 	secondClient, second := accept()
-	endedClient, ended := accept()
+	closedClient, closed := accept()
 	first.reader.mu.Lock()
 	second.reader.mu.Lock()
 	calls := l.poller.calls.Load()
 	firstClient.Write([]byte("x"))
 	awaitReadableCalls(l, calls+1) // in its own batch
 	secondClient.Write([]byte("x"))
-	endedClient.Close()
+	closedClient.Close()
 	first.reader.mu.Unlock()
 	awaitReadableCalls(l, calls+2) // the rest of this batch is the event of the third connection
-	e := &pendingEvent{t: t, loop: l, conn: ended, descriptor: ended.socket.Hash(), blocker: second, client: secondClient}
+	e := &pendingEvent{t: t, loop: l, conn: closed, descriptor: closed.socket.Hash(), blocker: second, client: secondClient}
 	t.Cleanup(e.closeOccupied)
 	return e
 }
@@ -139,8 +139,8 @@
 	close(connected)
 	time.Sleep(20 * time.Millisecond) // long enough to be polled
 	pending.release()
-	fresh := <-accepted
-	if descriptor := fresh.c.socket.Hash(); descriptor != pending.descriptor {
+	newHandler := <-accepted
+	if descriptor := newHandler.c.socket.Hash(); descriptor != pending.descriptor {
 		t.Fatalf("the connection has descriptor %d, not %d", descriptor, pending.descriptor)
 	}
 	if _, err := client.Write([]byte("z")); err != nil {
@@ -173,7 +173,7 @@
 			peers := make(chan net.Conn, 1)
 			descriptors := make(chan int, 1)
 			l.dialer.connect = func(_ context.Context, network, addr string, timeout time.Duration) (*nbio.Conn, error) {
-				std, err := net.DialTimeout(network, addr, timeout)
+				netConn, err := net.DialTimeout(network, addr, timeout)
 				if err != nil {
 					return nil, err
 				}
@@ -183,7 +183,7 @@
 				}
 				peers <- peer
 				pending.freeDescriptor()
-				socket, err := convertConn(std)
+				socket, err := convertConn(netConn)
 				if err == nil {
 					descriptors <- socket.Hash()
 				}
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -29,9 +29,9 @@
 	if err := <-refused.opened; !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dial of a closed port: %v, want ECONNREFUSED", err)
 	}
-	up := newDialRecorder()
-	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, up) })
-	if err := <-up.opened; err != nil {
+	connected := newDialRecorder()
+	l.Post(func() { l.Dial("tcp", l.Addrs()[0], time.Second, connected) })
+	if err := <-connected.opened; err != nil {
 		t.Errorf("dial of an open port: %v", err)
 	}
 }
@@ -104,15 +104,15 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	std, err := netDialer("udp", time.Second).Dial("udp", peer.LocalAddr().String())
+	netConn, err := netDialer("udp", time.Second).Dial("udp", peer.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer std.Close()
-	if _, err := convertConn(connWithoutAddress{std}); !errors.Is(err, errNoLocalAddress) {
+	defer netConn.Close()
+	if _, err := convertConn(connWithoutAddress{netConn}); !errors.Is(err, errNoLocalAddress) {
 		t.Errorf("convert a socket without an address: %v", err)
 	}
-	nc, err := convertConn(std)
+	nc, err := convertConn(netConn)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/example_test.go
+++ b/internal/eventloop/example_test.go
@@ -16,9 +16,9 @@
 	e.conn.Write([]byte("echo: "), data)
 	e.conn.CloseAfterFlush()
 }
-func (e *echo) Closed(error)                      {}
-func (e *echo) Busy() bool                        { return false }
-func (e *echo) Messages() (whole int, begun bool) { return 0, false }
+func (e *echo) Closed(error)                           {}
+func (e *echo) Busy() bool                             { return false }
+func (e *echo) Messages() (complete int, partial bool) { return 0, false }
 
 // A server that echoes what its clients send.
 func Example() {
@@ -33,12 +33,12 @@
 		fmt.Println(err)
 		return
 	}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
-		begin := func(time.Duration) {}
+		defer close(stopped)
+		startTurn := func(time.Duration) {}
 		turn := func(now time.Duration) time.Duration { return now + time.Second }
-		loop.Run(begin, turn)
+		loop.Run(startTurn, turn)
 		loop.Close()
 	}()
 
@@ -53,6 +53,6 @@
 	fmt.Printf("%s, %v\n", response, err)
 
 	loop.Post(loop.Stop)
-	<-ended
+	<-stopped
 	// Output: echo: hello, <nil>
 }
