--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Guards clients that have sent requests against a flood of silent connections: when a connection slot is needed, the
-// connection that was silent for longest is closed first. A connection that has just been opened may have its request on the way.
-// One whose response is queued or not yet read is not closed, because the response would be lost.
+// Guards clients that have sent requests against a flood of silent connections. When a connection slot is needed, the
+// connection that was silent for longest is closed first. A connection that has just been opened may have its request
+// on the way. One whose response is queued or not yet read is not closed, because the response would be lost.
 func TestSilentConnectionsAreClosedFirst(t *testing.T) {
 	l := New(Config{})
 	add := func(complete int, busy bool, lastActive time.Duration) *Conn {
