--- a/internal/eventloop/poller.go
+++ b/internal/eventloop/poller.go
@@ -15,84 +15,86 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// minDescriptors is the smallest size of the table of connections that nbio is configured for.
+// minDescriptors is the smallest number of descriptors for which nbio's table of connections is sized.
 const minDescriptors = 1024
 
-// systemMaxOpenFiles is the size of that table that nbio chose by the limit of the process.
-var systemMaxOpenFiles = nbio.MaxOpenFiles
+// defaultMaxOpenFiles is the size that nbio chose for that table, by the descriptor limit of the process.
+var defaultMaxOpenFiles = nbio.MaxOpenFiles
 
-// engineStart is held while an engine starts: nbio takes its size and its log level from variables of its package.
-var engineStart sync.Mutex
+// engineStartMu is held while an engine starts, because nbio takes the table's size and its log level from package
+// variables.
+var engineStartMu sync.Mutex
 
-// poller runs nbio's engine: one goroutine that polls all connections, and one for each listener. Its callbacks queue
-// what happened and touch no state of the loop.
+// poller runs nbio's engine, which has one goroutine that polls all connections, and one for each listener. Its
+// callbacks queue events and access no state of the loop.
 type poller struct {
 	engine         *nbio.Engine // nil until start
-	maxDescriptors int          // of the process
+	maxDescriptors int          // descriptor limit of the process
 	queue          *queue
 	descriptors    *descriptorGuard
-	newTurns       func() (*pollerTurns, error)
-	turns          *pollerTurns // nil until start, and where the system has no Unix sockets
-	buffer         []byte       // what is read into; owned by the polling goroutine
+	newBarrier     func() (*pollerBarrier, error)
+	barrier        *pollerBarrier // nil until start, and on systems without Unix sockets
+	buffer         []byte         // read buffer; owned by the polling goroutine
 
-	calls atomic.Uint64 // of readable, by the polling goroutine
+	calls atomic.Uint64 // number of calls of socketReadable
 
-	// registrations counts connections that were handed to the polling goroutine. nbio hands them over by way of the
-	// kernel. That orders memory, but the race detector does not know it; it knows this counter.
+	// registrations counts the connections that were handed to the polling goroutine. nbio hands them over through the
+	// kernel, which orders memory accesses. The race detector does not know that order, but it knows the order of
+	// accesses to this counter.
 	registrations atomic.Int64
 }
 
-// newPoller returns a poller that does not run yet.
+// newPoller returns a poller that has not been started.
 func newPoller(queue *queue, descriptors *descriptorGuard, maxDescriptors int) *poller {
 	return &poller{
 		queue:          queue,
 		descriptors:    descriptors,
 		maxDescriptors: maxDescriptors,
-		newTurns:       newPollerTurns,
+		newBarrier:     newPollerBarrier,
 		buffer:         make([]byte, readBufferSize),
 	}
 }
 
-// start opens the listeners and starts the goroutines. Its error wraps a ListenError when an address can't be listened
-// on. Where the system has no Unix sockets, descriptors are not guarded.
+// start opens the listeners and starts the goroutines. Its error wraps a ListenError if it can't listen on an address.
+// On a system without Unix sockets, descriptors are not guarded.
 func (p *poller) start(listeners *listeners) error {
-	turns, err := p.newTurns()
+	barrier, err := p.newBarrier()
 	switch {
 	case errors.Is(err, syscall.EAFNOSUPPORT):
 		listeners.logger.Warn("descriptor_guard_unavailable", slog.Any("err", err))
 	case err != nil:
 		return err
 	}
-	p.turns = turns
-	p.descriptors.turns = turns
+	p.barrier = barrier
+	p.descriptors.barrier = barrier
 	p.engine, err = p.startEngine(listeners)
 	switch {
-	case turns == nil:
+	case barrier == nil:
 		return err
 	case err != nil:
-		turns.discard()
+		barrier.discard()
 		return err
 	}
-	return p.watch(turns.socket, turns)
+	return p.watch(barrier.socket, barrier)
 }
 
-// startEngine starts nbio's engine, and with it all goroutines.
+// startEngine starts nbio's engine and all its goroutines.
 func (p *poller) startEngine(listeners *listeners) (*nbio.Engine, error) {
-	engineStart.Lock()
-	defer engineStart.Unlock()
-	logging.SetLevel(logging.LevelNone) // the callbacks report its errors to our log
-	nbio.MaxOpenFiles = min(systemMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
+	engineStartMu.Lock()
+	defer engineStartMu.Unlock()
+	logging.SetLevel(logging.LevelNone) // the callbacks log nbio's errors
+	nbio.MaxOpenFiles = min(defaultMaxOpenFiles, max(p.maxDescriptors, minDescriptors)*2)
 	engine := nbio.NewEngine(nbio.Config{
 		Network:            "tcp",
 		Addrs:              listeners.addrs(),
 		NPoller:            1,
-		MaxWriteBufferSize: maxUnreadByPeer,
+		MaxWriteBufferSize: maxUnreadPerPeer,
 		Listen:             listeners.open,
 	})
 	engine.OnOpen(listeners.connectionOpened)
-	engine.OnRead(p.readable)
-	engine.OnWrittenSize(p.written)
-	engine.OnClose(p.connectionEnded)
+	engine.OnRead(p.socketReadable)
+	engine.OnWrittenSize(p.bytesWritten)
+	engine.OnClose(p.connectionClosed)
 	engine.OnAcceptError(listeners.acceptFailed)
 	err := engine.Start()
 	var listenError *ListenError
@@ -105,82 +107,82 @@
 	return engine, nil
 }
 
-// announce sets the session of a socket before the polling goroutine may read it.
-func (p *poller) announce(socket *nbio.Conn, session any) {
+// setSession sets the session of a socket before the polling goroutine can read the socket.
+func (p *poller) setSession(socket *nbio.Conn, session any) {
 	socket.SetSession(session)
 	p.registrations.Add(1)
 }
 
-// watch has the polling goroutine poll a socket. Any goroutine may call it.
+// watch makes the polling goroutine poll a socket. Any goroutine may call it.
 func (p *poller) watch(socket *nbio.Conn, session any) error {
-	p.announce(socket, session)
+	p.setSession(socket, session)
 	_, err := p.engine.AddConn(socket)
 	return err
 }
 
-// readable is called by nbio when a connection has something to read. It blocks while the queue is full.
-func (p *poller) readable(socket *nbio.Conn) {
+// socketReadable is called by nbio when a socket is readable. It blocks while the queue is full.
+func (p *poller) socketReadable(socket *nbio.Conn) {
 	p.calls.Add(1)
 	p.registrations.Load()
 	switch session := socket.Session().(type) {
 	case *Conn:
 		session.reader.readAvailable(socket, p.buffer)
-	case *pollerTurns:
+	case *pollerBarrier:
 		session.handle(p.buffer)
 	}
 }
 
-// written is called by nbio when the kernel has accepted bytes that nbio held.
-func (p *poller) written(socket *nbio.Conn, _ []byte, size int) {
+// bytesWritten is called by nbio when the kernel has accepted bytes that nbio had buffered.
+func (p *poller) bytesWritten(socket *nbio.Conn, _ []byte, size int) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
 		c.writer.countUnread(-size)
 	}
 }
 
-// connectionEnded is called by nbio when a connection has ended.
-func (p *poller) connectionEnded(socket *nbio.Conn, err error) {
+// connectionClosed is called by nbio when a connection has been closed.
+func (p *poller) connectionClosed(socket *nbio.Conn, err error) {
 	c, ok := socket.Session().(*Conn)
 	if ok {
-		p.queue.push(event{kind: connectionEnded, conn: c, err: err})
+		p.queue.push(event{kind: connectionClosed, conn: c, err: err})
 	}
 }
 
-// awaitRunning returns once the polling goroutine runs, or when ctx is done. nbio ends that goroutine by a flag, which
-// the goroutine clears when it starts: one that starts late would poll forever. It blocks and must not be called on the
-// event loop.
+// awaitRunning returns once the polling goroutine runs, or ctx is done. nbio stops that goroutine by setting a flag,
+// but the goroutine clears the flag when it starts. If it started late, it would poll forever. It blocks and must not
+// be called on the event loop.
 func (p *poller) awaitRunning(ctx context.Context) {
-	if p.turns == nil {
+	if p.barrier == nil {
 		return
 	}
-	_ = p.turns.await(ctx) // where it fails, shutdown is limited by ctx too
+	_ = p.barrier.await(ctx) // if it fails, ctx still limits shutdown
 }
 
-// shutdown ends the goroutines, or stops waiting for them when ctx is done.
+// shutdown stops the goroutines, and waits for them until ctx is done.
 func (p *poller) shutdown(ctx context.Context) {
 	_ = p.engine.Shutdown(ctx) // its only error is that of ctx
-	if p.turns != nil {
-		p.turns.close()
+	if p.barrier != nil {
+		p.barrier.close()
 	}
 }
 
-// socketPair returns two sockets that are connected to each other, of which the first is nbio's.
+// socketPair returns two sockets that are connected to each other. The first is converted to nbio's type.
 func socketPair() (socket *nbio.Conn, peer *os.File, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, nil, err
 	}
 	peer = os.NewFile(uintptr(fds[1]), "peer")
-	own := os.NewFile(uintptr(fds[0]), "own")
-	defer own.Close()
-	std, err := net.FileConn(own)
+	socketFile := os.NewFile(uintptr(fds[0]), "own")
+	defer socketFile.Close()
+	netConn, err := net.FileConn(socketFile)
 	if err != nil {
 		peer.Close()
 		return nil, nil, err
 	}
-	socket, err = adopt(std)
+	socket, err = convertConn(netConn)
 	if err != nil {
-		std.Close()
+		netConn.Close()
 		peer.Close()
 		return nil, nil, err
 	}
--- a/internal/eventloop/poller_calls_test.go
+++ b/internal/eventloop/poller_calls_test.go
@@ -10,11 +10,12 @@
 const (
 	// settleTime is long enough for a poller that spins to be called thousands of times.
 	settleTime = 50 * time.Millisecond
-	// maxSettledCalls is how often the poller may be called in it, with a pause of readPause after each call.
-	maxSettledCalls = 2 * int(settleTime/readPause)
+	// maxSettledCalls limits the calls of the poller within settleTime, in which it pauses for readRetryDelay after
+	// each call.
+	maxSettledCalls = 2 * int(settleTime/readRetryDelay)
 )
 
-// sendUrgent sends a byte of urgent data.
+// sendUrgent sends one byte of urgent data.
 func sendUrgent(t *testing.T, client net.Conn) {
 	t.Helper()
 	raw, err := client.(*net.TCPConn).SyscallConn()
@@ -29,22 +30,22 @@
 	}
 }
 
-// The poll is level-triggered. Nothing that stays as it is has the poller called again without end.
-func TestPollerRestsWhateverAPeerLeaves(t *testing.T) {
+// Polling is level-triggered. No state that lasts may make nbio call the poller again and again.
+func TestPollerDoesNotSpin(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		leave func(t *testing.T, l *Loop, c *Conn, client net.Conn) (restore func())
+		name    string
+		arrange func(t *testing.T, l *Loop, c *Conn, client net.Conn) (restore func())
 	}{
 		{"urgent data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			sendUrgent(t, client)
 			return func() {}
 		}},
-		{"urgent data behind other data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
+		{"urgent data after other data", func(t *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			client.Write([]byte("x"))
 			sendUrgent(t, client)
 			return func() {}
 		}},
-		{"half a connection", func(_ *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
+		{"a connection that the peer closed for writing", func(_ *testing.T, _ *Loop, _ *Conn, client net.Conn) func() {
 			client.(*net.TCPConn).CloseWrite()
 			return func() {}
 		}},
@@ -54,7 +55,7 @@
 			return func() {}
 		}},
 		{"a full queue", func(_ *testing.T, l *Loop, _ *Conn, client net.Conn) func() {
-			release := hold(l)
+			release := blockLoop(l)
 			for range 3 {
 				client.Write([]byte("x"))
 				time.Sleep(time.Millisecond)
@@ -67,9 +68,9 @@
 		}},
 		{"a reader that has stopped", func(t *testing.T, l *Loop, c *Conn, client net.Conn) func() {
 			closed := make(chan bool)
-			l.Post(func() { closed <- c.closeAtRest(EndedForRoom) })
+			l.Post(func() { closed <- c.closeIfIdle(ClosedForCapacity) })
 			if !<-closed {
-				t.Error("the connection is not at rest")
+				t.Error("the connection is not idle")
 			}
 			client.Write([]byte("x"))
 			return func() {}
@@ -81,7 +82,7 @@
 			runLoop(t, l, acceptInto(accepted, false))
 			client := dial(t, l)
 			c := (<-accepted).c
-			defer test.leave(t, l, c, client)()
+			defer test.arrange(t, l, c, client)()
 			time.Sleep(settleTime)
 			before := l.poller.calls.Load()
 			time.Sleep(settleTime)
@@ -92,8 +93,8 @@
 	}
 }
 
-// A read that goes on failing for want of memory costs the poller a call in a millisecond, and no more.
-func TestPollerPausesWhileReadsFailForMemory(t *testing.T) {
+// While reads keep failing for lack of memory, the poller is called at most once per millisecond.
+func TestPollerPausesWhileReadsRunOutOfMemory(t *testing.T) {
 	l := New(oneByteQueue(4))
 	failing := failReads(l, syscall.ENOMEM)
 	accepted := make(chan *echoHandler, 1)
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	readBufferSize = 32 << 10 // bytes, for the one poller and not for each connection
+	readBufferSize = 32 << 10 // in bytes; the poller uses one buffer for all connections
 
-	// maxReads is how many buffers the poller reads of a connection before it reads others. It holds a worker's 32
-	// responses of 16 KiB and their heads.
-	maxReads = maxUnreadByPeer / readBufferSize
+	// maxReadsPerCall is how many buffers the poller reads from a connection before it reads others. It is enough for
+	// 32 responses of 16 KiB from a worker, with their headers.
+	maxReadsPerCall = maxUnreadPerPeer / readBufferSize
 
-	// readPause is how long the poller waits after a read that failed for lack of memory, since nbio calls it again at
-	// once.
-	readPause = time.Millisecond
+	// readRetryDelay is how long the poller waits after a read that failed for lack of memory, because nbio would call
+	// it again at once.
+	readRetryDelay = time.Millisecond
 
-	// maxReadPauses is how many such pauses a connection may cost before it is ended with what its peer left unread.
-	maxReadPauses = 100
+	// maxMemoryFailures is how often reads of a connection may fail this way. After that many failures, a connection
+	// that its peer has closed is closed on this side too, and the data that was not read is lost.
+	maxMemoryFailures = 100
 )
 
-// readFunc reads from a socket into a buffer, as read(2) does.
+// readFunc reads from a socket into a buffer, like read(2).
 type readFunc = func(socket *nbio.Conn, buffer []byte) (size int, err error)
 
 // readSocket reads from a socket.
@@ -35,28 +36,28 @@
 	return size, err
 }
 
-// connReader reads one connection and queues what it has read for the loop. The poller and the loop's goroutine share
-// it: whoever reads the socket holds mu. Data is queued in the order in which it was read.
+// connReader reads one connection and queues the data for the loop. The poller and the loop's goroutine share it:
+// whichever reads the socket holds mu. Data is queued in the order in which it was read.
 type connReader struct {
 	conn  *Conn
 	queue *queue
 	read  readFunc
 
-	mu      sync.Mutex // held while the socket is read
-	stopped bool       // nothing more is read; guarded by mu
-	pauses  int        // after reads that failed for want of memory; guarded by mu
+	mu             sync.Mutex // held while the socket is read
+	stopped        bool       // nothing more is read; guarded by mu
+	memoryFailures int        // reads that failed for lack of memory; guarded by mu
 
-	queuedReads atomic.Int32 // reads that are queued for the loop and not handled
+	queuedReads atomic.Int32 // reads that are queued for the loop and not handled yet
 }
 
-// readAvailable reads what the kernel holds and queues it for the loop. The poller calls it. It blocks while the queue
-// is full and must not be called on the event loop. When the peer has ended the connection, it reads to the end,
-// because the poller closes the connection after it.
+// readAvailable reads the data that the kernel holds and queues it for the loop. The poller calls it. It blocks while
+// the queue is full and must not be called on the event loop. If the peer has closed the connection, it reads to the
+// end, because the poller closes the connection afterwards.
 func (r *connReader) readAvailable(socket *nbio.Conn, pollerBuffer []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for reads := 0; !r.stopped; reads++ {
-		if reads >= maxReads && !hasEnded(socket) {
+		if reads >= maxReadsPerCall && !peerHasClosed(socket) {
 			return
 		}
 		size, err := r.read(socket, pollerBuffer)
@@ -66,47 +67,49 @@
 		switch {
 		case err == nil && size < len(pollerBuffer):
 			return
-		case err != nil && !r.readsAgain(socket, err):
+		case err != nil && !r.handleReadError(socket, err):
 			return
 		}
 	}
 }
 
-// readsAgain reports whether a socket of which a read failed is read again at once, and closes it after an error that
-// is for good. After want of memory it blocks for readPause. The caller holds mu.
-func (r *connReader) readsAgain(socket *nbio.Conn, err error) bool {
+// handleReadError handles a failed read, and reports whether the socket is to be read again at once. It closes the
+// socket after a permanent error. After a lack of memory, it blocks for readRetryDelay. The caller must hold mu.
+func (r *connReader) handleReadError(socket *nbio.Conn, err error) bool {
 	switch {
 	case errors.Is(err, syscall.EINTR):
 		return true
 	case errors.Is(err, syscall.EAGAIN):
 		return false
 	case isOutOfMemory(err):
-		time.Sleep(readPause)
-		r.pauses++
-		return r.pauses < maxReadPauses && hasEnded(socket)
+		time.Sleep(readRetryDelay)
+		r.memoryFailures++
+		return r.memoryFailures < maxMemoryFailures && peerHasClosed(socket)
 	}
 	socket.CloseWithError(err)
 	return false
 }
 
-// isOutOfMemory reports whether a read failed because the kernel has no memory for it, as a rule for a moment. There
-// may be data all the same.
+// isOutOfMemory reports whether a read failed because the kernel has no memory for it, which is usually temporary.
+// There may still be data to read.
 func isOutOfMemory(err error) bool {
 	return errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.ENOBUFS)
 }
 
-// newEvent returns the event of a read, with a copy of its data, and counts it. The caller holds mu and queues it.
+// newEvent returns the event of a read, with a copy of its data, and counts it. The caller must hold mu and queue the
+// event.
 func (r *connReader) newEvent(data []byte) event {
 	r.queuedReads.Add(1)
 	return event{kind: dataReceived, conn: r.conn, data: append([]byte(nil), data...), at: r.queue.clock()}
 }
 
-// handled records that the loop has begun to handle a queued read.
-func (r *connReader) handled() { r.queuedReads.Add(-1) }
+// recordHandled records that the loop has started to handle a queued read.
+func (r *connReader) recordHandled() { r.queuedReads.Add(-1) }
 
-// stopIfDrained stops reading when nothing has arrived that the loop has not handled, calls closeSocket, and reports
-// whether it did. It reads once more under mu, which keeps the poller from reading: whatever has been read is handled,
-// and what arrives later finds the connection closed. The loop's goroutine calls it. It does not wait for mu.
+// stopIfDrained stops reading and calls closeSocket if no data has arrived that the loop has not handled. It reports
+// whether it did. It reads once more while it holds mu, which keeps the poller from reading. So all data that was read
+// has been handled, and data that arrives later finds the connection closed. The loop's goroutine calls it. It does not
+// wait for mu.
 func (r *connReader) stopIfDrained(socket *nbio.Conn, buffer []byte, closeSocket func()) bool {
 	if !r.mu.TryLock() {
 		return false
@@ -120,8 +123,8 @@
 	return true
 }
 
-// readOnce queues what the kernel holds, up to the size of buffer, and reports whether there was or may be anything.
-// The caller holds mu. It runs on the loop's goroutine, which must not wait for the queue.
+// readOnce queues the data that the kernel holds, but no more than fits in buffer. It reports whether there was or may
+// be data. The caller must hold mu. It runs on the loop's goroutine, which must not wait for the queue.
 func (r *connReader) readOnce(socket *nbio.Conn, buffer []byte) bool {
 	if socket == nil {
 		return false
@@ -132,23 +135,24 @@
 			continue
 		}
 		if size > 0 {
-			r.queue.pushNow(r.newEvent(buffer[:size]))
+			r.queue.pushNonblocking(r.newEvent(buffer[:size]))
 		}
 		return size > 0 || isOutOfMemory(err)
 	}
 }
 
-// hasEnded reports whether the peer of a stream has ended it. What it sent before may still have to be read.
-func hasEnded(socket *nbio.Conn) bool {
-	ended := false
+// peerHasClosed reports whether the peer of a stream has closed it for writing. Data that it sent before may still be
+// unread.
+func peerHasClosed(socket *nbio.Conn) bool {
+	closed := false
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	_ = raw.Control(func(fd uintptr) { // nbio's never fails
+	_ = raw.Control(func(fd uintptr) { // never fails on nbio's sockets
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		ready, err := unix.Poll(state, 0)
-		ended = err == nil && ready > 0
+		closed = err == nil && ready > 0
 	})
-	return ended
+	return closed
 }
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -11,7 +11,7 @@
 	"github.com/lesismal/nbio"
 )
 
-// timedHandler keeps how long ago, by the loop's clock, data arrived when it is handled.
+// timedHandler records how long data had waited, by the loop's clock, when it is handled.
 type timedHandler struct {
 	*echoHandler
 	waited chan time.Duration
@@ -19,15 +19,15 @@
 
 func (h *timedHandler) Data([]byte) { h.waited <- h.c.loop.Now() - h.c.loop.ArrivedAt() }
 
-// The time of a turn is the present, and what waited for the turn has arrived before it.
-func TestTurnKnowsHowLongDataHasWaited(t *testing.T) {
+// Data that waited for a turn arrived before that turn's time, which is the current time.
+func TestArrivedAtIsWhenDataWasRead(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	waited := make(chan time.Duration, 1)
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		return &timedHandler{newEchoHandler(c, 0), waited}
 	})
 	client := dial(t, l)
-	release := hold(l)
+	release := blockLoop(l)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -39,40 +39,41 @@
 	}
 }
 
-// Data that a peer wrote before it closed is read to its end, also where it is more than the poller reads in one go.
-func TestAllOfALongResponseIsReadBeforeAnEnd(t *testing.T) {
+// Data that a peer wrote before it closed the connection is read to the end, even if it is more than the poller reads
+// in one call.
+func TestLongResponseIsReadBeforeClose(t *testing.T) {
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(4 << 20)
 	c.socket.SetReadBuffer(4 << 20)
-	release := hold(l)
+	release := blockLoop(l)
 	client := dial(t, l)
-	for range 3 { // the poller waits with the third byte
+	for range 3 { // the poller blocks on the third byte
 		client.Write([]byte("x"))
 		time.Sleep(5 * time.Millisecond)
 	}
 	awaitQueuedBytes(l, 2)
-	peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // as much as the kernel takes
+	peer.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // as much as the kernel accepts
 	size, _ := peer.Write(make([]byte, 3<<20))
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.got.Load(); got != int64(size) {
-		t.Errorf("%d of %d bytes were read before the end", got, size)
+	if received := r.received.Load(); received != int64(size) {
+		t.Errorf("%d of %d bytes were read before the close", received, size)
 	}
 }
 
-// Guards responses that a worker wrote just before it closed: while the poller waits, they and the end arrive together.
-// nbio drops what it has not read of a connection once it has seen its end.
-func TestAllThatCameBeforeAnEndIsRead(t *testing.T) {
-	// The poller waits behind a byte.
+// Guards responses that a worker wrote just before it closed the connection. While the poller waits, the responses and
+// the close arrive together. nbio drops what it has not read once it has seen the close.
+func TestBufferedResponsesAreReadBeforeClose(t *testing.T) {
+	// The poller waits because one byte fills the queue.
 	l := startWith(t, oneByteQueue(4), acceptSilent)
 	r := &countingHandler{dialRecorder: newDialRecorder()}
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	release := hold(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets a busy one grow
-	for range 3 {                                                  // the third byte finds the queue full, and the poller waits with it
+	release := blockLoop(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets it grow on a busy connection
+	for range 3 {                                                       // the third byte finds the queue full, and the poller waits with it
 		dial(t, l).Write([]byte("x"))
 	}
 	awaitQueuedBytes(l, 2)
@@ -83,13 +84,13 @@
 	peer.(*net.TCPConn).CloseWrite()
 	release()
 	<-r.closed
-	if got := r.got.Load(); got != size {
-		t.Errorf("%d of %d bytes were read before the end", got, size)
+	if received := r.received.Load(); received != size {
+		t.Errorf("%d of %d bytes were read before the close", received, size)
 	}
 	peer.Close()
 }
 
-// Reading does not stop while the poller reads, nor before the loop has handled all that was read.
+// Reading is not stopped while the poller reads, nor before the loop has handled all data that was read.
 func TestReaderStopsOnceItIsDrained(t *testing.T) {
 	r := &newAcceptedConn(New(Config{}), nil, nil).reader
 	closes := 0
@@ -101,7 +102,7 @@
 	e := r.newEvent([]byte("x"))
 	r.mu.Unlock()
 	if stop() {
-		t.Error("stopped before the loop handled a read")
+		t.Error("stopped before the loop had handled a read")
 	}
 	e.conn.receive(e.data)
 	if !stop() || !r.stopped || closes != 1 {
@@ -109,24 +110,24 @@
 	}
 }
 
-// failReads has the next reads of a loop, which does not run yet, fail with an error.
-func failReads(l *Loop, err error) (next *atomic.Int64) {
-	next = &atomic.Int64{}
+// failReads makes the next reads of a loop, which must not run yet, fail with err.
+func failReads(l *Loop, err error) (remaining *atomic.Int64) {
+	remaining = &atomic.Int64{}
 	l.read = func(socket *nbio.Conn, buffer []byte) (int, error) {
-		if next.Add(-1) >= 0 {
+		if remaining.Add(-1) >= 0 {
 			return -1, err
 		}
 		return readSocket(socket, buffer)
 	}
-	return next
+	return remaining
 }
 
-// Reads that fail for a moment for want of memory lose nothing of what a peer wrote before it closed.
-func TestReadsThatFailForMemoryLoseNothingBeforeAnEnd(t *testing.T) {
-	for _, fault := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
-		t.Run(fault.Error(), func(t *testing.T) {
+// Reads that temporarily fail for lack of memory lose no data that a peer wrote before it closed the connection.
+func TestOutOfMemoryReadsLoseNoDataBeforeClose(t *testing.T) {
+	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
+		t.Run(errno.Error(), func(t *testing.T) {
 			l := New(oneByteQueue(4))
-			failing := failReads(l, fault)
+			failing := failReads(l, errno)
 			runLoop(t, l, acceptSilent)
 			r := &countingHandler{dialRecorder: newDialRecorder()}
 			c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
@@ -137,31 +138,31 @@
 			peer.Close()
 			c.reader.mu.Unlock()
 			<-r.closed
-			if got := r.got.Load(); got != size {
-				t.Errorf("%d of %d bytes were read before the end", got, size)
+			if received := r.received.Load(); received != size {
+				t.Errorf("%d of %d bytes were read before the close", received, size)
 			}
 		})
 	}
 }
 
-// A connection is not taken for one at rest because it can't be read for want of memory.
-func TestConnectionThatCannotBeReadIsNotAtRest(t *testing.T) {
-	for _, fault := range []error{syscall.ENOMEM, syscall.ENOBUFS} {
-		t.Run(fault.Error(), func(t *testing.T) {
+// A connection does not count as idle just because it can't be read for lack of memory.
+func TestConnectionThatCannotBeReadIsNotIdle(t *testing.T) {
+	for _, errno := range []error{syscall.ENOMEM, syscall.ENOBUFS} {
+		t.Run(errno.Error(), func(t *testing.T) {
 			l := New(oneByteQueue(4))
-			failing := failReads(l, fault)
+			failing := failReads(l, errno)
 			accepted := make(chan *echoHandler, 1)
 			runLoop(t, l, acceptInto(accepted, false))
 			client := dial(t, l)
 			c := (<-accepted).c
-			c.reader.mu.Lock() // keeps the poller from it
+			c.reader.mu.Lock() // keeps the poller from reading it
 			client.Write([]byte("x"))
-			awaitCalls(l, 1)
+			awaitReadableCalls(l, 1)
 			failing.Store(1)
-			mayHold := make(chan bool)
-			l.Post(func() { mayHold <- c.reader.readOnce(c.socket, l.clients.buffer) })
-			if !<-mayHold {
-				t.Error("nothing was read, and the connection counts as read to its end")
+			mayHaveData := make(chan bool)
+			l.Post(func() { mayHaveData <- c.reader.readOnce(c.socket, l.clients.readBuffer) })
+			if !<-mayHaveData {
+				t.Error("a failed read counts as the end of the data")
 			}
 			c.reader.mu.Unlock()
 			response := make([]byte, 2)
--- a/internal/eventloop/writer_test.go
+++ b/internal/eventloop/writer_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Guards against nbio's Writev, which drops the buffers behind a short write: a reader that starts
-// late, so that the socket fills, still gets every byte in order.
+// nbio's Writev drops the buffers after a short write. A client that starts to read late, so that the socket fills up,
+// must still receive every byte in order.
 func TestNothingIsLostInShortWrites(t *testing.T) {
 	e := newEchoHandler(nil, 3000)
 	wrote := make(chan struct{}, 1)
 	l := start(t, 10, func(c *Conn) AcceptedHandler {
-		// The kernel's buffer is made small, so that little is needed to fill it.
+		// The kernel's buffer is small, so that few bytes fill it.
 		c.socket.SetWriteBuffer(4 << 10)
 		e.c = c
 		return e
@@ -23,17 +23,17 @@
 	c.(*net.TCPConn).SetReadBuffer(64 << 10)
 	text := bytes.Repeat([]byte("0123456789"), 20)
 	c.Write(text)
-	for behind := 0; behind == 0; { // until the loop has written, and more than the kernel holds
-		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+	for unwritten := 0; unwritten == 0; { // until the loop has written more than the kernel accepts
+		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 	want := bytes.Repeat(append(bytes.Clone(text), '|'), e.times)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("bytes differ, %v", err)
+		t.Errorf("the received bytes differ from the written ones, %v", err)
 	}
-	for behind := 1; behind != 0; { // the poller may still have to count its last write
-		l.Post(func() { behind = l.UnwrittenBytes(); wrote <- struct{}{} })
+	for unwritten := 1; unwritten != 0; { // the poller may not have counted its last write yet
+		l.Post(func() { unwritten = l.UnwrittenBytes(); wrote <- struct{}{} })
 		<-wrote
 	}
 }
@@ -48,14 +48,14 @@
 	c := dial(t, l)
 	c.(*net.TCPConn).SetReadBuffer(4 << 10)
 	c.Write(bytes.Repeat([]byte("x"), 200)) // 8 MB of responses
-	if err := <-e.ends; err == nil {
-		t.Error("closed without a reason")
+	if err := <-e.closed; err == nil {
+		t.Error("closed without an error")
 	}
 }
 
-// Guards the proof that a request never left: UnsentBytes is what the kernel did not accept of bytes to a peer that reads
-// little, and is 0 for a short message that the kernel accepted.
-func TestUnsentIsWhatNeverLeft(t *testing.T) {
+// UnsentBytes proves that a request was never sent. It is the number of bytes that the kernel did not accept for a peer
+// that reads little, and 0 for a short message that the kernel accepted.
+func TestUnsentBytesWereNotAcceptedByKernel(t *testing.T) {
 	for _, size := range []int{100, 6 << 20} {
 		l := start(t, 10, acceptSilent)
 		d := newDialRecorder()
@@ -65,7 +65,7 @@
 			for rest := size; rest > 0; rest -= min(rest, 64<<10) {
 				c.Write(make([]byte, min(rest, 64<<10)))
 			}
-			l.Post(func() { close(wrote) }) // behind the turn that hands it on
+			l.Post(func() { close(wrote) }) // runs after the turn that writes the bytes
 		})
 		<-wrote
 		got := 0
@@ -83,16 +83,16 @@
 		l.Post(func() { unsent <- c.UnsentBytes() })
 		switch n := <-unsent; {
 		case size < 1000 && n != 0:
-			t.Errorf("%d bytes of %d never left, though %d arrived", n, size, got)
+			t.Errorf("%d bytes of %d are unsent, although %d arrived", n, size, got)
 		case size > 1000 && (n <= 0 || n > size):
-			t.Errorf("%d bytes of %d never left a connection whose peer took none", n, size)
+			t.Errorf("%d bytes of %d are unsent, although the peer read none", n, size)
 		}
 	}
 }
 
-// Guards the last response of a program that ends: what a turn has queued and not yet written counts as unwritten, or a
-// slow client's response would be cut off with the process.
-func TestWhatIsQueuedIsUnwritten(t *testing.T) {
+// Guards the last responses during a shutdown: bytes that a turn has queued but not written count as unwritten.
+// Otherwise the process would exit early and cut off the response to a slow client.
+func TestQueuedBytesCountAsUnwritten(t *testing.T) {
 	l := New(Config{})
 	c := addClient(l, &echoHandler{}, clientActivity{})
 	c.writer.countUnread(3)
@@ -102,8 +102,8 @@
 	}
 }
 
-// A connection that is closed behind a response which its client reads slowly is closed once the client has it.
-func TestResponseIsTakenBeforeItsConnectionCloses(t *testing.T) {
+// CloseAfterFlush closes a connection only once its client, which reads slowly, has received the response.
+func TestCloseAfterFlushWaitsForSlowClient(t *testing.T) {
 	const size = 80 << 10
 	l := start(t, 1, func(c *Conn) AcceptedHandler {
 		c.socket.SetWriteBuffer(4 << 10)
@@ -114,14 +114,14 @@
 	if _, err := client.Write([]byte("request")); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full, and the rest waits
+	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full, and nbio buffers the rest
 	got, err := io.ReadAll(client)
 	if err != nil || len(got) != size {
 		t.Errorf("%d of %d bytes arrived, %v", len(got), size, err)
 	}
 }
 
-// closingHandler responds to whatever it is sent, and closes.
+// closingHandler responds to any data, and then closes the connection.
 type closingHandler struct {
 	*echoHandler
 	size int
@@ -132,15 +132,15 @@
 	h.c.CloseAfterFlush()
 }
 
-// What nbio holds when a connection ends is unsent, and is no longer part of what all peers leave unread.
-func TestEndOfAConnectionMakesItsBytesUnsent(t *testing.T) {
+// Bytes that nbio buffers when a connection is closed become unsent, and no longer count as unread.
+func TestBufferedBytesAreUnsentAfterClose(t *testing.T) {
 	l := New(Config{MaxUnreadBytes: 9})
-	c := newDialledConn(l, "tcp", newDialRecorder())
+	c := newDialedConn(l, "tcp", newDialRecorder())
 	c.writer.countUnread(10)
 	if !c.writer.hasUnread() || !l.unread.isExceeded() {
 		t.Error("10 bytes do not exceed a limit of 9")
 	}
-	c.writer.connectionEnded()
+	c.writer.connectionClosed()
 	if c.UnsentBytes() != 10 || c.writer.hasUnread() || l.unread.bytes.Load() != 0 {
 		t.Errorf("%d bytes are unsent, %d unread, want 10 and 0", c.UnsentBytes(), l.unread.bytes.Load())
 	}
