--- a/internal/server/addresses.go
+++ b/internal/server/addresses.go
@@ -9,22 +9,22 @@
 	"github.com/BurntSushi/toml"
 )
 
-// addressSettings is the addresses file: how workers' addresses are found.
-type addressSettings struct {
-	// UnixInTXT has discovery accept unix=/path in a worker's TXT record as one more address.
+// addressesFile holds the settings of the addresses file, which configures how workers' addresses are found.
+type addressesFile struct {
+	// UnixInTXT makes discovery accept unix=/path in a worker's TXT record as an additional address.
 	UnixInTXT bool `toml:"unix_in_txt"`
 }
 
 var errUnknownSetting = errors.New("unknown setting")
 
-// AddressesFileError says why the addresses file can't be used.
+// AddressesFileError reports why the addresses file can't be used.
 type AddressesFileError struct {
 	File  string
-	Field string // the setting that is not known, or "" where the error concerns the whole file
+	Field string // the unknown setting, or "" if the error concerns the whole file
 	Err   error
 }
 
-// Error names the file once: errors of the file system name it themselves.
+// Error returns a text that names the file once: errors of the file system already include the file name.
 func (e *AddressesFileError) Error() string {
 	var pathErr *fs.PathError
 	switch {
@@ -39,9 +39,9 @@
 // Unwrap returns the cause.
 func (e *AddressesFileError) Unwrap() error { return e.Err }
 
-// readAddresses reads the addresses file, or returns the defaults where name is empty.
-func readAddresses(name string) (addressSettings, error) {
-	var settings addressSettings
+// readAddresses reads the addresses file, or returns the defaults if name is empty.
+func readAddresses(name string) (addressesFile, error) {
+	var settings addressesFile
 	if name == "" {
 		return settings, nil
 	}
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -18,16 +18,16 @@
 	discoveryDialTimeout = time.Second
 )
 
-// Bounds on what is held for peers, in bytes, for the memory limit at which config.Config.ScaleToMemory returns them
-// unchanged.
+// Limits on the data that is kept for peers, in bytes. They apply at the memory limit for which
+// config.Config.ScaleToMemory returns them unchanged.
 const (
 	maxQueuedBytes         = 8 << 20  // read from peers and queued for the event loop
 	maxUnreadBytes         = 32 << 20 // written and not yet read by peers
 	maxRequestBytes        = 24 << 20 // bodies of open requests
-	maxWebhookOutcomeBytes = 16 << 20 // outcomes that webhook senders may come back for
+	maxWebhookOutcomeBytes = 16 << 20 // outcomes that are kept for redeliveries by webhook senders
 )
 
-// New builds a server from the configuration. It opens no socket.
+// New builds a server from the configuration. It opens no socket. The server calls reread at each reload.
 func New(cfg *config.Config, options Options, reread func() (*config.Config, error)) (*Server, error) {
 	scheduler, err := policy.New(cfg.Policy, cfg.SeedValue)
 	if err != nil {
@@ -69,7 +69,7 @@
 	})
 }
 
-// newCore returns the core, and keeps the worker client that the core is given.
+// newCore returns the core. It also sets s.workers to the worker client that it creates for the core.
 func (s *Server) newCore(scheduler *policy.Policy) *router.Core {
 	cfg := s.config
 	return router.New(scheduler, router.Config{
@@ -87,7 +87,7 @@
 			return s.workers
 		},
 		OnCompleted: func(now time.Duration, r *router.Request, completion router.Completion) {
-			s.integrations.requestCompleted(now, r, completion) // Start sets them before a front listens
+			s.integrations.requestCompleted(now, r, completion) // Start sets s.integrations before a front listens
 		},
 	})
 }
@@ -132,7 +132,9 @@
 	return longest
 }
 
-func newDiscoveryClient(cfg *config.Config, loop *eventloop.Loop, list *membership, unixInTXT bool) *discovery.Client {
+func newDiscoveryClient(
+	cfg *config.Config, loop *eventloop.Loop, members *membership, unixInTXT bool,
+) *discovery.Client {
 	return discovery.New(discovery.Config{
 		Addr:             cfg.DiscoveryAddr,
 		Seed:             cfg.SeedValue,
@@ -141,13 +143,13 @@
 		Dial: func(addr string, handler eventloop.DialHandler) discovery.Transport {
 			return loop.Dial("udp", addr, discoveryDialTimeout, handler)
 		},
-		ListChanged:   list.update,
-		ListConfirmed: list.listConfirmed,
-		Logger:        list.logger,
+		ListChanged:   members.update,
+		ListConfirmed: members.listConfirmed,
+		Logger:        members.logger,
 	})
 }
 
-// thriftConfig returns what the Thrift front checks requests against.
+// thriftConfig returns the tenants and classes that the Thrift front checks requests against.
 func thriftConfig(cfg *config.Config, logger *slog.Logger) thrift.Config {
 	front := thrift.Config{Tenants: cfg.TenantNames(), Logger: logger}
 	names := cfg.ClassNames()
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -9,10 +9,11 @@
 	"crankhold/policy"
 )
 
-// frontNames are the values of the attribute front, in the order of router.Front.
+// frontNames holds the values of the log attribute front, indexed by router.Front.
 var frontNames = [...]string{router.Thrift: "thrift", router.Webhook: "webhook"}
 
-// logCounters logs what was accepted, forwarded and answered since the start.
+// logCounters logs the counters of requests, workers, pools, the event loop, the integrations and discovery since the
+// start.
 func (s *Server) logCounters() {
 	s.logRequestCounters()
 	s.logWorkerCounters()
@@ -29,7 +30,7 @@
 	logger.LogAttrs(context.Background(), slog.LevelInfo, "counters_reported", attributes...)
 }
 
-// logRequestCounters logs one line for each front.
+// logRequestCounters logs one line of request counters for each front.
 func (s *Server) logRequestCounters() {
 	counters := &s.core.Counters
 	for front, name := range frontNames {
@@ -45,7 +46,8 @@
 	}
 }
 
-// logWorkerCounters logs what went to the workers, and what became of the connections to them.
+// logWorkerCounters logs the counters of attempts, load commands and health checks with their outcomes, and those of
+// the connections to workers.
 func (s *Server) logWorkerCounters() {
 	counters := &s.core.Counters
 	attempts := []slog.Attr{
@@ -68,7 +70,8 @@
 		slog.Uint64("pings", connections.Pings))
 }
 
-// logLoopCounters logs what the event loop did, and a line for each cause that ended connections of clients.
+// logLoopCounters logs the counters of the event loop, and one line for each cause for which client connections were
+// closed.
 func (s *Server) logLoopCounters() {
 	counters := s.loop.Counters()
 	logCounterLine(s.logger,
@@ -105,7 +108,7 @@
 	}
 }
 
-// outcomeAttributes returns a count for each outcome that occurred, under the outcome's name.
+// outcomeAttributes returns one attribute for each outcome that occurred: its name and its count.
 func outcomeAttributes(counts [policy.NotLoaded + 1]uint64) []slog.Attr {
 	var attributes []slog.Attr
 	for outcome, count := range counts {
--- a/internal/server/flow_export.go
+++ b/internal/server/flow_export.go
@@ -13,32 +13,35 @@
 
 const collectorDialTimeout = time.Second
 
-// flowExport exports a flow for each completed request. It belongs to the event loop's goroutine.
+// flowExport exports a flow record for each completed request. It belongs to the event loop's goroutine.
 type flowExport struct {
 	exporter *ipfix.Exporter
 	config   *config.Config
-	// listenAddrs are the addresses that the fronts listen on, by router.Front.
+	// listenAddrs holds the address that each front listens on, indexed by router.Front.
 	listenAddrs [2]netip.AddrPort
 	logger      *slog.Logger
 }
 
-// newFlowExport returns an export whose listenAddrs has the address of the Thrift front alone.
-func newFlowExport(export *ipfix.Config, cfg *config.Config, loop *eventloop.Loop, logger *slog.Logger) *flowExport {
+// newFlowExport returns a flowExport. It sets the address of the Thrift front only; the caller sets that of the webhook
+// front.
+func newFlowExport(exportConfig *ipfix.Config, cfg *config.Config, loop *eventloop.Loop,
+	logger *slog.Logger) *flowExport {
 	exporter := ipfix.New(ipfix.ExporterConfig{
-		Domain:    export.Domain,
+		Domain:    exportConfig.Domain,
 		WallClock: time.Now,
 		Dial: func(handler eventloop.DialHandler) ipfix.Transport {
-			return loop.Dial("udp", export.Collector, collectorDialTimeout, handler)
+			return loop.Dial("udp", exportConfig.Collector, collectorDialTimeout, handler)
 		},
 		Logger: logger,
 	})
 	f := &flowExport{exporter: exporter, config: cfg, logger: logger}
-	f.listenAddrs[router.Thrift] = addrPort(cfg.Listen) // config.Read has checked it
-	logger.Info("export_enabled", slog.String("collector", export.Collector))
+	f.listenAddrs[router.Thrift] = addrPort(cfg.Listen) // config.Read has checked the address
+	logger.Info("export_enabled", slog.String("collector", exportConfig.Collector))
 	return f
 }
 
-// requestCompleted queues the flow of a request that completed now. Flows carry wall clock times.
+// requestCompleted queues the flow record of a request that completed at the time now. Flow records carry wall clock
+// times.
 func (f *flowExport) requestCompleted(now time.Duration, r *router.Request) {
 	wall := time.Now()
 	f.exporter.Add(ipfix.Flow{
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -11,18 +11,19 @@
 	"crankhold/internal/webhook"
 )
 
-// idleTick is the time until the next tick where nothing is due.
+// idleTick is the time until the next tick if nothing is due.
 const idleTick = time.Hour
 
-// integrations are the optional parts beside the platform's own front. Each is nil where it is off. They belong to the
-// event loop's goroutine.
+// integrations holds the optional parts of the server. Each is nil if it is disabled. They belong to the event loop's
+// goroutine.
 type integrations struct {
 	receiver *webhookReceiver
 	notices  *noticeSender
 	flows    *flowExport
 }
 
-// newIntegrations reads the operators' files, and connects what they turn on to the event loop and the core.
+// newIntegrations reads the operator's files, and connects the integrations that they enable to the event loop and the
+// core.
 func newIntegrations(options Options, cfg *config.Config, loop *eventloop.Loop,
 	core *router.Core) (*integrations, error) {
 	n := &integrations{}
@@ -37,43 +38,44 @@
 	return n, nil
 }
 
-// addWebhooks turns on what the webhook file configures; an empty name turns nothing on.
+// addWebhooks creates the webhook receiver and the sender of notices that the webhook file enables. Without a file name
+// it does nothing.
 func (n *integrations) addWebhooks(options Options, cfg *config.Config, loop *eventloop.Loop, core *router.Core) error {
 	if options.Webhook == "" {
 		return nil
 	}
-	hooks, err := webhook.ReadConfig(options.Webhook)
+	webhookConfig, err := webhook.ReadConfig(options.Webhook)
 	if err != nil {
 		return err
 	}
-	if hooks.Receiver.Enabled {
-		if n.receiver, err = newWebhookReceiver(hooks, cfg, loop, core, options.Logger); err != nil {
+	if webhookConfig.Receiver.Enabled {
+		if n.receiver, err = newWebhookReceiver(webhookConfig, cfg, loop, core, options.Logger); err != nil {
 			return err
 		}
 	}
-	if hooks.Sender.Enabled {
-		n.notices, err = newNoticeSender(hooks.Sender, cfg, loop, options.Logger)
+	if webhookConfig.Sender.Enabled {
+		n.notices, err = newNoticeSender(webhookConfig.Sender, cfg, loop, options.Logger)
 	}
 	return err
 }
 
-// addExport turns the export of flows on if the export file does; an empty name does not.
+// addExport creates the export of flow records if the export file enables it. Without a file name it does nothing.
 func (n *integrations) addExport(options Options, cfg *config.Config, loop *eventloop.Loop) error {
 	if options.Export == "" {
 		return nil
 	}
-	export, err := ipfix.ReadConfig(options.Export)
-	if err != nil || !export.Enabled {
+	exportConfig, err := ipfix.ReadConfig(options.Export)
+	if err != nil || !exportConfig.Enabled {
 		return err
 	}
-	n.flows = newFlowExport(export, cfg, loop, options.Logger)
+	n.flows = newFlowExport(exportConfig, cfg, loop, options.Logger)
 	if n.receiver != nil {
 		n.flows.listenAddrs[router.Webhook] = n.receiver.listenAddr
 	}
 	return nil
 }
 
-// requestCompleted sends a notice of what must not run twice, and exports a flow.
+// requestCompleted passes a completed request to the sender of notices and to the export of flow records.
 func (n *integrations) requestCompleted(now time.Duration, r *router.Request, completion router.Completion) {
 	if n.notices != nil {
 		n.notices.requestCompleted(now, r, completion)
@@ -83,7 +85,7 @@
 	}
 }
 
-// tick sends the notices and flows that are due, and returns when it wants to be called again at the latest.
+// tick sends the notices and flow records that are due, and returns the latest time at which it must be called again.
 func (n *integrations) tick(now time.Duration) time.Duration {
 	next := now + idleTick
 	if n.notices != nil {
@@ -110,14 +112,14 @@
 	return n.notices.sender.Pending()
 }
 
-// close closes the webhooks' ledger, which must be written before the program ends.
+// close closes the webhook ledger, which must be written before the program exits.
 func (n *integrations) close() {
 	if n.receiver != nil {
 		n.receiver.close()
 	}
 }
 
-// logCounters logs one line of counters for each integration that is on.
+// logCounters logs one line of counters for each enabled integration.
 func (n *integrations) logCounters() {
 	if n.receiver != nil {
 		n.receiver.logCounters()
@@ -130,7 +132,7 @@
 	}
 }
 
-// addrPort returns an address that has been checked before.
+// addrPort parses an address that has already been checked.
 func addrPort(checked string) netip.AddrPort {
 	addr, _ := netip.ParseAddrPort(checked)
 	return addr
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// killDelay is how long after SIGTERM the platform kills the process at the earliest, beyond the longest deadline.
+	// killDelay is the shortest time between SIGTERM and the platform's kill, in addition to the longest deadline of
+	// all classes.
 	killDelay = 700 * time.Millisecond
 
-	// maxKillDeadline is what a longer deadline counts as there.
+	// maxKillDeadline is the most by which the longest deadline delays the kill. Longer deadlines count as this long.
 	maxKillDeadline = 3 * time.Second
 
-	// drainServingPeriod is how long new requests are served after a drain has begun: clients open connections for 0.4
-	// s and send requests on open ones for 0.2 s more. Later ones are rejected.
+	// drainServingPeriod is how long new requests are served after a drain has started: clients go on opening
+	// connections for 0.4 s, and send requests on open ones for 0.2 s more. Later requests are rejected.
 	drainServingPeriod = 750 * time.Millisecond
 
-	// closeMargin is how long before the kill clients' connections are closed, and stopMargin how long before it the
-	// program ends whatever is left. What lies between is for slow clients and a machine that is busy.
+	// closeMargin is how long before the kill client connections are closed. stopMargin is how long before the kill
+	// the program exits, whatever is still open. The time between the two is for slow clients and for a busy machine.
 	closeMargin = 200 * time.Millisecond
 	stopMargin  = 60 * time.Millisecond
 )
 
-// drainSchedule is when a drain takes its steps, counted from its beginning.
+// drainSchedule holds the times of the steps of a drain, counted from the start of the drain.
 type drainSchedule struct {
-	reject time.Duration // new requests are rejected from then on
-	close  time.Duration // open requests get their final responses, and clients' connections are closed
-	stop   time.Duration // the program ends whatever is left
+	reject time.Duration // new requests are rejected from this time on
+	close  time.Duration // open requests get their final responses, and client connections are closed
+	stop   time.Duration // the program exits, whatever is still open
 }
 
-// newDrainSchedule derives the schedule from the longest deadline of all classes. Clients send on open connections
-// until the kill, so the program ends as late as it safely can, unless they close them all.
+// newDrainSchedule derives the schedule from the longest deadline of all classes. Clients send requests on open
+// connections until the kill, so the program exits as late as it safely can, unless clients close all connections
+// earlier.
 func newDrainSchedule(longestDeadline time.Duration) drainSchedule {
 	kill := min(longestDeadline, maxKillDeadline) + killDelay
 	return drainSchedule{
@@ -37,20 +39,20 @@
 	}
 }
 
-// lifecycleState is how far the life of a server has come. States follow each other in this order; a drain may skip
+// lifecycleState is the state of a server. The states follow each other in the order of the constants; a drain may skip
 // closing.
 type lifecycleState uint8
 
 const (
 	starting lifecycleState = iota // the parts are built, and the listeners are not open
 	serving                        // requests are accepted and served
-	draining                       // reports not ready; accepts requests, and rejects them once the schedule says so
-	closing                        // open requests have been ended, and clients' connections are being closed
-	stopped                        // the event loop ends with the present turn
+	draining                       // reports not ready; serves requests at first and rejects them by the schedule
+	closing                        // open requests have their final responses, and client connections are being closed
+	stopped                        // the event loop stops after the current turn
 )
 
-// lifecycle is the state of a server, and when it moves to the next one. It has no clock: times are those of the event
-// loop. It belongs to the event loop's goroutine.
+// lifecycle is the state machine of a server. It has no clock of its own: all times are those of the event loop. It
+// belongs to the event loop's goroutine.
 type lifecycle struct {
 	state         lifecycleState
 	schedule      drainSchedule
@@ -64,8 +66,8 @@
 	l.servingSince = now
 }
 
-// beginDrain moves to draining, and reports whether it did: a drain that has begun goes on as it is.
-func (l *lifecycle) beginDrain(now time.Duration) bool {
+// startDrain moves to draining, and reports whether it did. It has no effect on a drain that has already started.
+func (l *lifecycle) startDrain(now time.Duration) bool {
 	if l.state >= draining {
 		return false
 	}
@@ -74,10 +76,10 @@
 	return true
 }
 
-// advance moves to the next state if the drain has come to it, and reports whether it did. More than one move may be
-// due at a time. drained says that nothing is left to do or to wait for.
+// advance makes one transition if the drain schedule has reached it, and reports whether it did. More than one
+// transition may be due at the same time. drained says that no work is left and nothing has to be waited for.
 func (l *lifecycle) advance(now time.Duration, drained bool) bool {
-	next := l.due(now, drained)
+	next := l.nextState(now, drained)
 	if next == l.state {
 		return false
 	}
@@ -85,8 +87,8 @@
 	return true
 }
 
-// due returns the state that follows the present one at a time, or the present one where no move is due.
-func (l *lifecycle) due(now time.Duration, drained bool) lifecycleState {
+// nextState returns the state to move to at the time now, or the current state if no transition is due.
+func (l *lifecycle) nextState(now time.Duration, drained bool) lifecycleState {
 	elapsed := now - l.drainingSince
 	switch {
 	case l.state == draining && elapsed >= l.schedule.close:
@@ -100,10 +102,10 @@
 	}
 }
 
-// isDraining reports whether a drain has begun and has not ended.
+// isDraining reports whether a drain has started and has not ended.
 func (l *lifecycle) isDraining() bool { return l.state == draining || l.state == closing }
 
-// rejectsNew reports whether new requests are rejected at a time.
-func (l *lifecycle) rejectsNew(now time.Duration) bool {
+// rejectsNewRequests reports whether new requests are rejected at the time now.
+func (l *lifecycle) rejectsNewRequests(now time.Duration) bool {
 	return l.state >= draining && now-l.drainingSince >= l.schedule.reject
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -17,10 +17,10 @@
 	"crankhold/policy"
 )
 
-// maxDepartedNames bounds the names that are remembered after they left the endpoint list.
+// maxDepartedNames is the number of departed names at which all of them are forgotten.
 const maxDepartedNames = 4096
 
-// membership joins discovery's endpoint list with what the routes file adds to workers, and publishes the result to
+// membership combines discovery's endpoint list with what the routes file adds to workers, and publishes the result to
 // the core, the routes and the worker client. It belongs to the event loop's goroutine.
 type membership struct {
 	loop    *eventloop.Loop
@@ -29,13 +29,13 @@
 	config  *config.Config
 	logger  *slog.Logger
 
-	starts   *startTimes
-	lastList time.Duration // when the list was last confirmed before the present one; 0: never
+	startTimes    *startTimes
+	lastConfirmed time.Duration // when discovery last confirmed the list; 0: never
 
 	list []discovery.Worker
-	// departed are names that were listed and then were not: their processes have ended.
+	// departed holds names that have left the list: their processes have exited.
 	departed map[string]bool
-	// returnedAt is when a departed name was listed again, by name.
+	// returnedAt holds the times at which departed names were listed again, by name.
 	returnedAt map[string]time.Duration
 }
 
@@ -47,32 +47,32 @@
 		workers:    workers,
 		config:     cfg,
 		logger:     logger,
-		starts:     newStartTimes(time.Now, loop.Now()),
+		startTimes: newStartTimes(time.Now, loop.Now()),
 		departed:   map[string]bool{},
 		returnedAt: map[string]time.Duration{},
 	}
 }
 
-// update replaces the endpoint list by a newer one. An empty list is no evidence that any process ended.
+// update replaces the endpoint list by a newer one. An empty list is no evidence that any process has exited.
 func (m *membership) update(list []discovery.Worker) {
 	if len(list) > 0 {
 		m.detectRestarts(list)
 	}
-	m.starts.update(m.loop.Now(), m.lastList, list)
-	if m.lastList == 0 { // the platform's, as of the start
+	m.startTimes.update(m.loop.Now(), m.lastConfirmed, list)
+	if m.lastConfirmed == 0 { // the list of the configuration, at the start
 		m.listConfirmed()
 	}
 	m.list = list
 	m.publish()
 }
 
-// listConfirmed records that discovery has confirmed the list as the present one.
-func (m *membership) listConfirmed() { m.lastList = m.loop.Now() }
+// listConfirmed records that discovery has confirmed that the list is current.
+func (m *membership) listConfirmed() { m.lastConfirmed = m.loop.Now() }
 
-// detectRestarts records which names left the list and which came back. A name that comes back belongs to a new
-// process, which goes through slow start like any other although discovery reports no start time for it.
+// detectRestarts records which names have left the list and which have returned. A name that returns belongs to a new
+// process, which goes through slow start even if discovery reports no start time for it.
 func (m *membership) detectRestarts(list []discovery.Worker) {
-	if len(m.departed) > maxDepartedNames { // as a rule they don't come back: new processes have new names
+	if len(m.departed) > maxDepartedNames { // names rarely return: new processes usually have new names
 		clear(m.departed)
 	}
 	listed := map[string]bool{}
@@ -91,35 +91,35 @@
 	}
 }
 
-// startTime returns when a worker's process started on the event loop's clock, or 0 where discovery reports no start
-// and the worker has been listed all along.
+// startTime returns when a worker's process started, on the event loop's clock. It returns 0 if discovery reports no
+// start time and the name has never left the list and returned.
 func (m *membership) startTime(worker discovery.Worker) time.Duration {
-	at, reported := m.starts.startOf(worker.Name)
+	at, reported := m.startTimes.startedAt(worker.Name)
 	if !reported {
 		return m.returnedAt[worker.Name]
 	}
 	return at
 }
 
-// joinedWorker is one worker process: all the entries of the list that lead to it.
-type joinedWorker struct {
-	name     string // all its names together
-	endpoint policy.Endpoint
-	addrs    []endpoint.Addr
-	prefer   []endpoint.Network // order of networks that the routes file asks for
-	labels   []route.Worker     // what routes select workers by, one for each entry
-	started  int64              // of its first entry, in Unix milliseconds
+// mergedWorker is one worker process with all the entries of the list that lead to it.
+type mergedWorker struct {
+	name              string // of all its entries together
+	endpoint          policy.Endpoint
+	addrs             []endpoint.Addr
+	preferredNetworks []endpoint.Network // in the order that the routes file sets
+	labels            []route.Worker     // what routes select workers by, one for each entry
+	started           int64              // start time of the first entry, in Unix milliseconds
 }
 
-// publish hands the joined list to the worker client, the core and the routes. It is called for each new list and
-// after each reload, since the routes may say something else of the same workers.
+// publish passes the merged list to the worker client, the core and the routes. It is called for each new list and
+// after each reload, because a new routes file may add other addresses and aliases to the same workers.
 func (m *membership) publish() {
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	present := map[policy.WorkerID]bool{}
 	var labels []route.Worker
-	for _, worker := range m.join() {
+	for _, worker := range m.mergeAliases() {
 		e := worker.endpoint
-		m.workers.SetWorker(e.Worker, worker.addrs, e.State, worker.prefer...)
+		m.workers.SetWorker(e.Worker, worker.addrs, e.State, worker.preferredNetworks...)
 		present[e.Worker] = true
 		list.Workers = append(list.Workers, e)
 		labels = append(labels, worker.labels...)
@@ -135,9 +135,9 @@
 	m.core.SetRouteWorkers(labels)
 }
 
-// join groups the entries of the list by process. A worker is known by the names of all its entries together, so that
-// when one of them leaves the list, the process that it named has ended and what is left is another worker.
-func (m *membership) join() []joinedWorker {
+// mergeAliases groups the entries of the list by process. The name of a worker consists of the names of all its
+// entries. When one entry leaves the list, its process has exited, and the remaining entries are another worker.
+func (m *membership) mergeAliases() []mergedWorker {
 	static := m.staticWorkers()
 	entries := make([]endpoint.Entry, len(m.list))
 	for i, worker := range m.list {
@@ -147,11 +147,11 @@
 			SameAs: static[i].Same,
 		}
 	}
-	var joined []joinedWorker
+	var merged []mergedWorker
 	for _, group := range endpoint.GroupAliases(entries) {
-		joined = append(joined, m.joinGroup(group, entries, static))
+		merged = append(merged, m.mergeGroup(group, entries, static))
 	}
-	return joined
+	return merged
 }
 
 // staticWorkers returns what the routes file adds to each worker of the list.
@@ -167,19 +167,19 @@
 	return static
 }
 
-// joinGroup makes one worker of the entries that lead to one process; group holds their positions in the list. The
-// worker drains as soon as one of its entries does.
-func (m *membership) joinGroup(group []int, entries []endpoint.Entry, static []route.Worker) joinedWorker {
+// mergeGroup merges the entries that lead to one process into one worker. group holds their indexes in the list. The
+// worker is draining as soon as one of its entries is.
+func (m *membership) mergeGroup(group []int, entries []endpoint.Entry, static []route.Worker) mergedWorker {
 	first := m.list[group[0]]
-	joined := joinedWorker{name: endpoint.GroupName(entries, group), started: first.Started}
-	joined.endpoint = policy.Endpoint{
-		Worker: workerID(joined.name),
+	merged := mergedWorker{name: endpoint.GroupName(entries, group), started: first.Started}
+	merged.endpoint = policy.Endpoint{
+		Worker: workerID(merged.name),
 		State:  first.State,
 		Weight: first.Weight,
 		Cell:   first.Cell,
 		Zone:   max(slices.Index(m.config.Network.Zones, first.Zone), 0),
 	}
-	e := &joined.endpoint
+	e := &merged.endpoint
 	for _, i := range group {
 		worker := m.list[i]
 		if worker.State != policy.Ready {
@@ -187,9 +187,9 @@
 		}
 		e.Started = max(e.Started, m.startTime(worker))
 		e.Weight = max(e.Weight, worker.Weight)
-		joined.addrs = append(joined.addrs, entries[i].Addrs...)
-		joined.prefer = append(joined.prefer, static[i].Prefer...)
-		joined.labels = append(joined.labels, route.Worker{
+		merged.addrs = append(merged.addrs, entries[i].Addrs...)
+		merged.preferredNetworks = append(merged.preferredNetworks, static[i].Prefer...)
+		merged.labels = append(merged.labels, route.Worker{
 			ID:       e.Worker,
 			Name:     worker.Name,
 			Kind:     worker.Kind,
@@ -198,10 +198,10 @@
 			MemoryMB: m.config.KindMemoryMB(worker.Kind),
 		})
 	}
-	return joined
+	return merged
 }
 
-// workerID returns the id of a worker of that name, which is the same at every router.
+// workerID derives the id of a worker from its name, so that it is the same on every router.
 func workerID(name string) policy.WorkerID {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/server/notices.go
+++ b/internal/server/notices.go
@@ -11,7 +11,8 @@
 	"crankhold/policy"
 )
 
-// noticeSender sends notices of completed requests that must not run twice. It belongs to the event loop's goroutine.
+// noticeSender sends notices of completed requests whose class is not idempotent. It belongs to the event loop's
+// goroutine.
 type noticeSender struct {
 	sender  *notice.Sender
 	classes []policy.Class
@@ -30,7 +31,7 @@
 	return &noticeSender{sender: sender, classes: cfg.Policy.Classes, logger: logger}, nil
 }
 
-// requestCompleted queues a notice of a request whose class is not idempotent.
+// requestCompleted queues a notice of a completed request if its class is not idempotent.
 func (s *noticeSender) requestCompleted(now time.Duration, r *router.Request, completion router.Completion) {
 	if s.classes[r.Class].Idempotency == policy.NotIdempotent {
 		s.sender.Notify(now, r, completion)
--- a/internal/server/options.go
+++ b/internal/server/options.go
@@ -6,23 +6,23 @@
 	"crankhold/internal/signals"
 )
 
-// Options names what a server reads beside the platform's configuration, and what ends it. An empty file name
-// turns off what the file configures.
+// Options holds the files that a server reads in addition to the platform's configuration, and the channels that stop
+// it. An empty file name disables what the file configures.
 type Options struct {
 	// Webhook names the file that configures the webhook receiver and the sender of notices.
 	Webhook string
-	// Export names the file that configures the export of flows.
+	// Export names the file that configures the export of flow records.
 	Export string
 	// Routes names the routes file.
 	Routes string
 	// Addresses names the file that configures how workers' addresses are found.
 	Addresses string
-	// RoutesOptional treats a routes file that does not exist as none, at the start and at a reload.
+	// RoutesOptional makes a routes file that does not exist equal to an empty Routes, at the start and at a reload.
 	RoutesOptional bool
-	// Stop begins a graceful shutdown when it is closed, as SIGTERM does. It may be nil.
+	// Stop starts a graceful shutdown when it is closed, like SIGTERM. It may be nil.
 	Stop <-chan struct{}
-	// Signals delivers the signals caught since the program began. If it is nil, Serve catches them itself.
+	// Signals delivers the signals caught since the program started. If it is nil, Serve catches them itself.
 	Signals *signals.Signals
-	// Logger is where the server logs. If it is nil, that is slog.Default().
+	// Logger is where the server logs. If it is nil, the server logs to slog.Default().
 	Logger *slog.Logger
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -11,14 +11,15 @@
 	"crankhold/internal/router"
 )
 
-// maxRereadRetries is how many idle clients give up their connections, one after the other, for a configuration file
-// that can't be opened because no descriptor is left.
+// maxRereadRetries is how many idle client connections are closed, one after the other, if the configuration file can't
+// be opened because no descriptor is left.
 const maxRereadRetries = 4
 
-// reloader reads the files that may change while the server runs, and applies them: the routes, and the discovery
-// server's address. It reads on the goroutine that calls reload, and applies on the event loop's goroutine.
+// reloader reads the configuration and the routes file again and applies what may change while the server runs: the
+// routes and the discovery server's address. It reads the files on the goroutine that calls reload, and applies them on
+// the event loop's goroutine.
 type reloader struct {
-	config  *config.Config // as of the start
+	config  *config.Config // the one that the server started with
 	options Options
 	reread  func() (*config.Config, error)
 	logger  *slog.Logger
@@ -29,16 +30,17 @@
 	membership *membership
 }
 
-// reloadResult is what a reload has read. Each file may be usable while the other is not.
+// reloadResult holds what a reload has read. An invalid routes file does not prevent a valid configuration from being
+// applied.
 type reloadResult struct {
 	config    *config.Config
 	configErr error
-	routes    *route.Table // nil where there is no routes file
+	routes    *route.Table // nil if there is no routes file
 	routesErr error
 }
 
-// watch carries out a reload for each request until closed is closed. It blocks and must not be called on the event
-// loop.
+// watch reloads once for each signal from requests until closed is closed. It blocks and must not be called on the
+// event loop.
 func (r *reloader) watch(requests <-chan os.Signal, closed <-chan struct{}) {
 	for {
 		select {
@@ -61,29 +63,30 @@
 	r.loop.Post(func() { r.apply(result) })
 }
 
-// rereadConfig reads the configuration. Where no descriptor is left for the file, idle clients are closed to free one.
+// rereadConfig reads the configuration. If no descriptor is left for the file, it closes connections of idle clients to
+// free one.
 func (r *reloader) rereadConfig() (*config.Config, error) {
-	fresh, err := r.reread()
+	newConfig, err := r.reread()
 	for range maxRereadRetries {
 		if !eventloop.IsDescriptorExhausted(err) || !r.loop.CloseIdleClients() {
 			break
 		}
-		fresh, err = r.reread()
+		newConfig, err = r.reread()
 	}
-	return fresh, err
+	return newConfig, err
 }
 
-// apply applies what may change while the server runs, on the event loop's goroutine: the discovery server's address
-// and the routes.
+// apply applies what may change while the server runs: the discovery server's address and the routes. It runs on the
+// event loop's goroutine.
 func (r *reloader) apply(result reloadResult) {
 	if result.configErr != nil {
 		r.logger.Warn("config_reload_failed", slog.Any("err", result.configErr))
 		return
 	}
-	fresh := result.config
-	r.logger.Info("config_reloaded", slog.String("names", fresh.DiscoveryAddr))
-	r.discovery.SetServer(r.loop.Now(), fresh.DiscoveryAddr)
-	if changed := r.config.NeedsRestart(fresh); len(changed) > 0 {
+	newConfig := result.config
+	r.logger.Info("config_reloaded", slog.String("names", newConfig.DiscoveryAddr))
+	r.discovery.SetServer(r.loop.Now(), newConfig.DiscoveryAddr)
+	if changed := r.config.NeedsRestart(newConfig); len(changed) > 0 {
 		r.logger.Warn("config_restart_required", slog.Any("settings", changed))
 	}
 	if result.routesErr != nil {
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -13,8 +13,8 @@
 	"crankhold/internal/route"
 )
 
-// CheckRoutesFile reads and checks a routes file and all that it includes; platform may be nil. Includes can't leave
-// the folder of the first file, not through symbolic links either.
+// CheckRoutesFile reads and checks a routes file and all files that it includes. platform may be nil. Included files
+// must be within the folder of the first file; symbolic links can't lead out of it either.
 func CheckRoutesFile(name string, platform *lang.Platform) (*lang.Result, error) {
 	dir, file := filepath.Split(name)
 	if dir == "" {
@@ -28,8 +28,8 @@
 	return lang.Check(root.FS(), file, filepath.ToSlash(filepath.Clean(dir)), platform)
 }
 
-// readRoutes compiles the routes file, and logs the checker's warnings. It returns nil where there is no file. It
-// blocks while it reads.
+// readRoutes reads and compiles the routes file, and logs the checker's notes. It returns a nil table if there is no
+// routes file. It blocks while it reads.
 func (r *reloader) readRoutes() (*route.Table, error) {
 	if r.options.Routes == "" {
 		return nil, nil
@@ -50,47 +50,48 @@
 	return route.Compile(&result.Spec, r.config.ClassNames())
 }
 
-// loadFirstRoutes reads the routes file at the start and enables its routes.
-func (r *reloader) loadFirstRoutes() error {
+// loadInitialRoutes reads the routes file at the start and puts its routes in force.
+func (r *reloader) loadInitialRoutes() error {
 	table, err := r.readRoutes()
 	if err != nil || table == nil {
 		return err
 	}
-	r.enableRoutes(table)
+	r.installInitialRoutes(table)
 	r.membership.publish()
 	return nil
 }
 
-// enableRoutes puts a first table in force.
-func (r *reloader) enableRoutes(table *route.Table) {
+// installInitialRoutes puts a table in force when there was none before.
+func (r *reloader) installInitialRoutes(table *route.Table) {
 	r.core.SetRoutes(table)
 	r.logger.Info("routes_enabled",
 		slog.Int("routes", len(table.Routes())),
 		slog.Int("pools", len(table.Pools())))
 }
 
-// replaceRoutes puts the table of a reload in force and logs what it changes. Open requests end under the old one.
-// Where the file is gone (fresh is nil) the routes in force stay: to turn routes off takes a restart.
-func (r *reloader) replaceRoutes(fresh *route.Table) {
+// replaceRoutes puts the table of a reload in force and logs the differences. Open requests complete under the old
+// table. If the routes file no longer exists, newTable is nil and the current routes stay in force: disabling routes
+// requires a restart.
+func (r *reloader) replaceRoutes(newTable *route.Table) {
 	current := r.core.Routes()
 	switch {
-	case fresh == nil && current == nil:
-	case fresh == nil:
-		r.logger.Error("routes_rejected", slog.String("err", "the file is gone; the routes that it held stay in force"))
+	case newTable == nil && current == nil:
+	case newTable == nil:
+		r.logger.Error("routes_rejected", slog.String("err", "the file no longer exists; its routes stay in force"))
 	case current == nil:
-		r.enableRoutes(fresh)
+		r.installInitialRoutes(newTable)
 	default:
-		r.swapRoutes(current, fresh)
+		r.changeRoutes(current, newTable)
 	}
 }
 
-// swapRoutes puts a table in force in place of another one, and logs how they differ.
-func (r *reloader) swapRoutes(current, fresh *route.Table) {
-	changes := route.Diff(current, fresh, r.config.NotIdempotent(), false)
-	r.core.SetRoutes(fresh)
+// changeRoutes replaces the current table by a new one, and logs the differences.
+func (r *reloader) changeRoutes(current, newTable *route.Table) {
+	changes := route.Diff(current, newTable, r.config.NotIdempotent(), false)
+	r.core.SetRoutes(newTable)
 	r.logger.Info("routes_reloaded",
 		slog.Int("changes", len(changes)),
-		slog.Int("routes", len(fresh.Routes())))
+		slog.Int("routes", len(newTable.Routes())))
 	for _, change := range changes {
 		r.logger.Info("route_changed",
 			slog.String("of", change.Subject()),
@@ -99,14 +100,14 @@
 	}
 }
 
-// logRejectedRoutes logs each fault of a routes file that can't be used.
+// logRejectedRoutes logs each fault of an invalid routes file.
 func (r *reloader) logRejectedRoutes(err error) {
 	for _, line := range faultLines(err) {
 		r.logger.Error("routes_rejected", slog.String("err", line))
 	}
 }
 
-// faultLines splits an error into the text of its faults.
+// faultLines returns the text of each fault in an error, or the error's text if it holds no faults.
 func faultLines(err error) []string {
 	var faults syntax.Faults
 	if !errors.As(err, &faults) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// processors is the limit on running goroutines. It is above the cores of a router, so that a poller that is
-	// asleep in the kernel does not hold up the event loop.
-	processors = 4
+	// maxProcs is the value of GOMAXPROCS. It is higher than the number of cores of a router, so that a poller that
+	// sleeps in the kernel does not delay the event loop.
+	maxProcs = 4
 
-	// goMemoryPercent is the part of the memory limit that the Go runtime aims to stay within. The rest is for
+	// goMemoryPercent is the percentage of the memory limit that the Go runtime tries to stay within. The rest is for
 	// the kernel's buffers and the runtime's own overhead.
 	goMemoryPercent = 60
 
-	// firstListTimeout is how long a router that starts with an empty endpoint list waits for discovery before it
-	// reports itself ready all the same. Requests then wait for a worker: the discovery server may be down for
-	// longer than a start may take.
-	firstListTimeout = 2 * time.Second
+	// readyTimeout is how long a router that starts with an empty endpoint list waits for discovery before it reports
+	// itself ready anyway. Requests then wait for a worker: the discovery server may be down for longer than a start
+	// may take.
+	readyTimeout = 2 * time.Second
 )
 
-// Server is one function router with all its connections. Its fields are owned by the goroutine that calls Run, except
-// where a method says otherwise.
+// Server is one function router with all its connections. The goroutine that calls Run owns its fields, unless a method
+// says otherwise.
 type Server struct {
 	config  *config.Config
 	options Options
@@ -47,11 +47,11 @@
 	lifecycle       lifecycle
 	lastMaintenance time.Duration // of the connections to workers
 
-	closed chan struct{} // ends the goroutines that wait for signals
+	closed chan struct{} // stops the goroutines that wait for signals
 }
 
-// Serve runs a function router until a signal or options.Stop ends it, and returns an error if it could not start. It
-// blocks. On SIGHUP it applies the configuration that reread returns, and reads the routes again.
+// Serve runs a function router until a signal or options.Stop shuts it down, and returns an error if it could not
+// start. It blocks. On SIGHUP it applies the configuration that reread returns, and reads the routes again.
 func Serve(cfg *config.Config, options Options, reread func() (*config.Config, error)) error {
 	if options.Signals == nil {
 		options.Signals = signals.Notify()
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// limitRuntime sets the limits of the Go runtime, which hold for the whole process.
+// limitRuntime sets the limits of the Go runtime, which apply to the whole process.
 func limitRuntime(cfg *config.Config) {
-	runtime.GOMAXPROCS(processors)
+	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * goMemoryPercent / 100)
 }
 
-// Start applies the endpoint list and the routes that hold at the start, turns the integrations on, and listens. It
-// blocks while it reads files.
+// Start applies the endpoint list of the configuration, reads the routes, enables the integrations and opens the
+// listeners. It blocks while it reads files.
 func (s *Server) Start() error {
 	if err := s.discovery.LoadSnapshot(s.config.Snapshot); err != nil {
 		return err
 	}
-	if err := s.reloader.loadFirstRoutes(); err != nil {
+	if err := s.reloader.loadInitialRoutes(); err != nil {
 		return err
 	}
 	integrations, err := newIntegrations(s.options, s.config, s.loop, s.core)
@@ -104,18 +104,18 @@
 	return nil
 }
 
-// ready reports whether clients should send requests. It does while the server serves, from when a worker is listed,
-// discovery has responded or firstListTimeout is over.
+// ready reports whether clients should send requests. That is the case in the state serving once a worker is listed,
+// discovery has responded or readyTimeout has passed.
 func (s *Server) ready() bool {
 	if s.lifecycle.state != serving {
 		return false
 	}
 	return s.discovery.WorkerCount() > 0 || s.discovery.ResponsesRead > 0 ||
-		s.loop.Now()-s.lifecycle.servingSince >= firstListTimeout
+		s.loop.Now()-s.lifecycle.servingSince >= readyTimeout
 }
 
-// Run serves until a drain has ended. It blocks, and its goroutine is that of the event loop. It is called once, after
-// Start.
+// Run serves until a drain has ended. It blocks, and runs the event loop on the goroutine that calls it. Call it once,
+// after Start.
 func (s *Server) Run() {
 	go s.reloader.watch(s.options.Signals.Reload, s.closed)
 	go s.watchStopSignals()
@@ -125,14 +125,14 @@
 	s.logger.Info("server_stopped")
 }
 
-// beginTurn sets the clocks before the handlers of a turn are called.
+// beginTurn sets the time of the core and of the worker client before the handlers of a turn are called.
 func (s *Server) beginTurn(now time.Duration) {
 	s.core.SetNow(now)
 	s.workers.SetNow(now)
 }
 
-// endTurn does the work that is due after the handlers of a turn, and returns when it wants to be called again at the
-// latest. The order matters: the core's decisions go out before discovery is polled.
+// endTurn does the work that is due after the handlers of a turn, and returns the latest time at which it must be
+// called again. The order matters: the core's decisions are sent before discovery is polled.
 func (s *Server) endTurn(now time.Duration) time.Duration {
 	next := s.core.Process(now)
 	next = min(next, s.discovery.Tick(now))
@@ -148,9 +148,9 @@
 	return next
 }
 
-// Close closes the sockets and ends all goroutines that the server started. It does not wait for a reload that is
-// reading its files: they may be pipes, and what is read has no effect any more. Close is called once, by the goroutine
-// that called Run or on its behalf.
+// Close closes the sockets and stops all goroutines that the server started. It does not wait for a reload that is
+// reading its files: these may be pipes, and the result no longer has any effect. Call it once, on the goroutine that
+// called Run or when that goroutine no longer uses the server.
 func (s *Server) Close() {
 	close(s.closed)
 	s.loop.Close()
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// drainCheckInterval is the time between checks for the end of a drain.
+// drainCheckInterval is the time between two checks of whether a step of the drain is due.
 const drainCheckInterval = 10 * time.Millisecond
 
-// watchStopSignals hands signals and the closing of Options.Stop to the event loop until Close.
+// watchStopSignals posts an action to the event loop for each signal and for the close of Options.Stop. It returns when
+// the server is closed.
 func (s *Server) watchStopSignals() {
 	stop := s.options.Stop
 	for {
@@ -28,17 +29,17 @@
 	}
 }
 
-// Drain begins the graceful shutdown that a signal asked for. It runs on the event loop's goroutine; while
-// the server drains it has no effect.
+// Drain starts the graceful shutdown that a signal requested. It must be called on the event loop's goroutine. It has
+// no effect if a drain has already started.
 func (s *Server) Drain(received os.Signal) {
-	if !s.lifecycle.beginDrain(s.loop.Now()) {
+	if !s.lifecycle.startDrain(s.loop.Now()) {
 		return
 	}
 	s.logCounters()
 	s.logger.Info("server_draining", slog.String("signal", received.String()))
 }
 
-// continueDrain takes the steps of the drain that are due, and returns when to check again.
+// continueDrain carries out the steps of the drain that are due, and returns the time of the next check.
 func (s *Server) continueDrain(now time.Duration) time.Duration {
 	for s.lifecycle.advance(now, s.drained()) {
 		switch s.lifecycle.state {
@@ -49,13 +50,13 @@
 			s.stop()
 		}
 	}
-	if s.lifecycle.rejectsNew(now) {
+	if s.lifecycle.rejectsNewRequests(now) {
 		s.core.RejectNew()
 	}
 	return now + drainCheckInterval
 }
 
-// stop stops the event loop, and logs what a drain leaves that has run out of time.
+// stop stops the event loop. If the drain has run out of time, it logs what is still open.
 func (s *Server) stop() {
 	if !s.drained() {
 		s.logger.Warn("drain_incomplete",
@@ -67,8 +68,8 @@
 	s.loop.Stop()
 }
 
-// drained reports whether no client is connected, so that no request can be open or come, and all notices are
-// delivered.
+// drained reports whether the drain has nothing left to wait for: no client is connected, no request is open and all
+// notices are delivered.
 func (s *Server) drained() bool {
 	return s.loop.AcceptedCount() == 0 && s.core.OpenRequests() == 0 && s.integrations.pendingNotices() == 0
 }
--- a/internal/server/webhook_receiver.go
+++ b/internal/server/webhook_receiver.go
@@ -12,10 +12,10 @@
 	"crankhold/policy"
 )
 
-// sweepInterval is the time between removals of expired webhook outcomes.
+// sweepInterval is the time between two removals of expired webhook outcomes.
 const sweepInterval = time.Second
 
-// webhookReceiver is the front for signed webhook deliveries, with its ledger. It belongs to the event loop's
+// webhookReceiver is the front that accepts signed webhook deliveries, with its ledger. It belongs to the event loop's
 // goroutine.
 type webhookReceiver struct {
 	receiver   *webhook.Receiver
@@ -24,10 +24,11 @@
 	logger     *slog.Logger
 }
 
-// newWebhookReceiver opens the ledger, and has the event loop listen for deliveries once it starts.
-func newWebhookReceiver(hooks *webhook.Config, cfg *config.Config, loop *eventloop.Loop, core *router.Core,
+// newWebhookReceiver opens the ledger and registers a listener for deliveries. The event loop opens the listener when
+// it starts.
+func newWebhookReceiver(webhookConfig *webhook.Config, cfg *config.Config, loop *eventloop.Loop, core *router.Core,
 	logger *slog.Logger) (*webhookReceiver, error) {
-	settings := hooks.Receiver
+	settings := webhookConfig.Receiver
 	receiver, err := webhook.NewReceiver(webhook.Options{
 		Config:          settings,
 		Core:            core,
@@ -48,12 +49,12 @@
 		slog.String("ledger", settings.Ledger.Path))
 	return &webhookReceiver{
 		receiver:   receiver,
-		listenAddr: addrPort(settings.Listen), // webhook.ReadConfig has checked it
+		listenAddr: addrPort(settings.Listen), // webhook.ReadConfig has checked the address
 		logger:     logger,
 	}, nil
 }
 
-// webhookClasses returns what the webhook receiver checks deliveries against.
+// webhookClasses returns the classes that the webhook receiver checks deliveries against.
 func webhookClasses(cfg *config.Config) []webhook.Class {
 	var classes []webhook.Class
 	names := cfg.ClassNames()
@@ -68,7 +69,7 @@
 	return classes
 }
 
-// sweep removes outcomes that have expired, once each sweepInterval.
+// sweep removes expired outcomes, at most once per sweepInterval.
 func (w *webhookReceiver) sweep(now time.Duration) {
 	if now-w.lastSweep < sweepInterval {
 		return
@@ -77,7 +78,7 @@
 	w.receiver.Sweep(now)
 }
 
-// close closes the ledger, which must be written before the program ends. It blocks until that is done.
+// close closes the ledger, which must be written before the program exits. It blocks until the ledger is written.
 func (w *webhookReceiver) close() {
 	if err := w.receiver.Close(); err != nil {
 		w.logger.Error("ledger_close_failed", slog.Any("err", err))
