--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -29,7 +29,7 @@
 	config  *config.Config
 	logger  *slog.Logger
 
-	startTimes    *startTimes
+	starts        *startTimes
 	lastConfirmed time.Duration // when discovery last confirmed the list; 0: never
 
 	list []discovery.Worker
@@ -47,7 +47,7 @@
 		workers:    workers,
 		config:     cfg,
 		logger:     logger,
-		startTimes: newStartTimes(time.Now, loop.Now()),
+		starts:     newStartTimes(time.Now, loop.Now()),
 		departed:   map[string]bool{},
 		returnedAt: map[string]time.Duration{},
 	}
@@ -58,7 +58,7 @@
 	if len(list) > 0 {
 		m.detectRestarts(list)
 	}
-	m.startTimes.update(m.loop.Now(), m.lastConfirmed, list)
+	m.starts.update(m.loop.Now(), m.lastConfirmed, list)
 	if m.lastConfirmed == 0 { // the list of the configuration, at the start
 		m.listConfirmed()
 	}
@@ -94,7 +94,7 @@
 // startTime returns when a worker's process started, on the event loop's clock. It returns 0 if discovery reports no
 // start time and the name has never left the list and returned.
 func (m *membership) startTime(worker discovery.Worker) time.Duration {
-	at, reported := m.startTimes.startedAt(worker.Name)
+	at, reported := m.starts.startedAt(worker.Name)
 	if !reported {
 		return m.returnedAt[worker.Name]
 	}
--- a/internal/server/start_times.go
+++ b/internal/server/start_times.go
@@ -55,7 +55,7 @@
 // update records the start times in a list that has just arrived, and forgets workers that are not in it. lastConfirmed
 // is when the previous list was last confirmed, or 0 if there was none.
 func (s *startTimes) update(now, lastConfirmed time.Duration, list []discovery.Worker) {
-	known := map[string]startTime{}
+	byName := map[string]startTime{}
 	for _, worker := range list {
 		if worker.Started == 0 {
 			continue
@@ -67,9 +67,9 @@
 				at:         s.toMonotonic(now, lastConfirmed, time.UnixMilli(worker.Started)),
 			}
 		}
-		known[worker.Name] = started
+		byName[worker.Name] = started
 	}
-	s.byName = known
+	s.byName = byName
 }
 
 // toMonotonic converts a start time that discovery reports for the first time to the event loop's clock.
--- a/internal/server/start_times_test.go
+++ b/internal/server/start_times_test.go
@@ -17,7 +17,7 @@
 			m := newTestMembership(t)
 			wall := time.Now()
 			now := m.loop.Now()
-			m.startTimes = newStartTimes(func() time.Time { return wall }, now)
+			m.starts = newStartTimes(func() time.Time { return wall }, now)
 			known := listed(t, "s-1", policy.Ready, "127.0.0.1:1")
 			known.Started = wall.Add(-3 * time.Second).UnixMilli()
 			m.update([]discovery.Worker{known})
