--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -15,17 +15,17 @@
 // response that can only come after the step before.
 func TestRequestOfAGoneClientIsNotSentAfterTheDial(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		cancel bool
-		goes   func(k *fake.Client)
+		name    string
+		cancel  bool
+		leaving func(client *fake.Client)
 	}{
 		{"closes", true, (*fake.Client).Close}, {"closes, cancellation not allowed", false, (*fake.Client).Close},
-		{"interrupts, cancellation not allowed", false, func(k *fake.Client) { k.Interrupt(1) }},
+		{"interrupts, cancellation not allowed", false, func(client *fake.Client) { client.Interrupt(1) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var mu sync.Mutex
 			var ran []string
-			site, _, document := siteFor(t, 1, func(e fake.Event) {
+			site, _, document := newSite(t, 1, func(e fake.Event) {
 				if e.Kind == fake.EventStarted {
 					mu.Lock()
 					ran = append(ran, e.ID)
@@ -39,28 +39,28 @@
 				t.Fatal(err)
 			}
 			server := startServer(t, document, Options{})
-			check := func(k *fake.Client) { // answered at the end of a turn, after everything that came before it
+			checkHealth := func(client *fake.Client) { // answered at the end of a turn, after everything that came before it
 				t.Helper()
-				if _, err := k.CheckHealth(); err != nil {
+				if _, err := client.CheckHealth(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			goes, stays := server.dial(), server.dial()
-			gone, kept := callOf(1), callOf(2)
-			gone.Timeout, kept.Timeout = 20e9, 20e9
-			goes.Go(gone, func(fake.Response, error) {})
-			check(goes) // the dial has begun
-			tt.goes(goes)
+			leaving, staying := server.dial(), server.dial()
+			canceled, kept := newRequest(1), newRequest(2)
+			canceled.Timeout, kept.Timeout = 20e9, 20e9
+			leaving.Go(canceled, func(fake.Response, error) {})
+			checkHealth(leaving) // the dial has begun
+			tt.leaving(leaving)
 			for range 3 {
-				check(stays) // the end, which came before, has been read
+				checkHealth(staying) // the end, which came before, has been read
 			}
-			answer := make(chan fake.Response, 1)
-			stays.Go(kept, func(a fake.Response, _ error) { answer <- a })
-			check(stays)
+			response := make(chan fake.Response, 1)
+			staying.Go(kept, func(a fake.Response, _ error) { response <- a })
+			checkHealth(staying)
 			if err := port.Set(fake.ModeHealthy); err != nil {
 				t.Fatal(err)
 			}
-			if a := <-answer; a.Status != "served" {
+			if a := <-response; a.Status != "served" {
 				t.Errorf("the request of the client that stayed: %+v", a)
 			}
 			mu.Lock()
@@ -76,32 +76,32 @@
 // workers may be told of ends. The request of a client that stays is.
 func TestRequestOfAGoneClientIsNotSentAfterTheLoad(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for name, goes := range map[string]func(k *fake.Client){"closes": (*fake.Client).Close, "interrupts": func(k *fake.Client) { k.Interrupt(1) }} {
+		for name, leave := range map[string]func(client *fake.Client){"closes": (*fake.Client).Close, "interrupts": func(client *fake.Client) { client.Interrupt(1) }} {
 			t.Run(fmt.Sprint(name, ", cancellation allowed ", cancel), func(t *testing.T) {
 				var mu sync.Mutex
 				var ran []string
-				ordered := make(chan struct{}, 10)
-				site, _, document := siteFor(t, 1, func(e fake.Event) {
+				loadCommands := make(chan struct{}, 10)
+				site, _, document := newSite(t, 1, func(e fake.Event) {
 					mu.Lock()
 					defer mu.Unlock()
 					switch e.Kind {
 					case fake.EventStarted:
 						ran = append(ran, e.ID)
 					case fake.EventLoadCommand:
-						ordered <- struct{}{}
+						loadCommands <- struct{}{}
 					}
 				})
 				site.Workers[0].Warm = false
 				site.Workers[0].LoadTime = 300 * time.Millisecond
 				document["settings"].(map[string]any)["limits"].(map[string]any)["cancel"] = cancel
 				server := startServer(t, document, Options{})
-				leaves, stays := server.dial(), server.dial()
-				gone, kept := callOf(1), callOf(2)
-				leaves.Go(gone, func(fake.Response, error) {})
-				<-ordered
-				goes(leaves)
-				if answer, err := stays.Do(kept); err != nil || answer.Status != fake.Served {
-					t.Errorf("the request of the client that stays: %+v, %v", answer, err)
+				leaving, staying := server.dial(), server.dial()
+				canceled, kept := newRequest(1), newRequest(2)
+				leaving.Go(canceled, func(fake.Response, error) {})
+				<-loadCommands
+				leave(leaving)
+				if response, err := staying.Do(kept); err != nil || response.Status != fake.Served {
+					t.Errorf("the request of the client that stays: %+v, %v", response, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -24,10 +24,10 @@
 
 // deployment is one operator's. A further one is a further row, with its settings under testdata/deployments.
 type deployment struct {
-	name    string
-	want    expectedPolicy
-	tenant  string // one of its tenants; "" where it has none
-	reports string // a load report of the fields that its settings name
+	name       string
+	want       expectedPolicy
+	tenant     string // one of its tenants; "" where it has none
+	loadReport string // a load report of the fields that its settings name
 }
 
 // expectedPolicy is what the policy must be configured with, as far as deployments differ.
@@ -73,13 +73,13 @@
 
 // scriptedDeployment is a server in this process with two workers whose responses a test scripts.
 type scriptedDeployment struct {
-	cfg     *config.Config
-	client  *fake.Client
-	mu      sync.Mutex
-	runs    []receivedRun
-	out     map[string]int // attempts of a request that are in flight
-	doubled int            // times that a request had two attempts in flight
-	script  func(n int) (word, fields string)
+	cfg      *config.Config
+	client   *fake.Client
+	mu       sync.Mutex
+	runs     []receivedRun
+	inFlight map[string]int // attempts of a request that are in flight
+	overlaps int            // times that a request had two attempts in flight
+	script   func(n int) (word, fields string)
 }
 
 // receivedRun is a RUN as a worker read it.
@@ -89,23 +89,23 @@
 }
 
 func startDeployment(t *testing.T, d deployment) *scriptedDeployment {
-	p := &scriptedDeployment{out: map[string]int{}}
+	p := &scriptedDeployment{inFlight: map[string]int{}}
 	var members []any
 	for i := range 2 {
 		ln := listenLoopback(t)
 		go serveConnections(ln, p.serve)
 		members = append(members, map[string]any{"id": fmt.Sprint("s-", i), "host_port": ln.Addr().String(), "phase": "Ready", "size": 1})
 	}
-	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
+	discoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { names.Close() })
+	t.Cleanup(func() { discoveryServer.Close() })
 	listen, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := startServer(t, map[string]any{"name": "n1", "listen": listen, "seed": "8c1f30d27a5be964", "names": names.LocalAddr().String(),
+	server := startServer(t, map[string]any{"name": "n1", "listen": listen, "seed": "8c1f30d27a5be964", "names": discoveryServer.LocalAddr().String(),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 64, "sockets": 384},
 		"known":    map[string]any{"offset": 1, "batch": []any{map[string]any{"offset": 1, "topology": map[string]any{"complete": true, "members": members}}}},
 		"settings": d.settings(t)}, Options{})
@@ -117,7 +117,7 @@
 }
 
 func (p *scriptedDeployment) serve(c net.Conn) {
-	answer := func(words ...string) { io.WriteString(c, encodeWords(words...)) }
+	respond := func(words ...string) { io.WriteString(c, encodeWords(words...)) }
 	for in := bufio.NewReader(c); ; {
 		words, err := readWords(in)
 		if err != nil || len(words) < 2 {
@@ -132,23 +132,23 @@
 			}
 			p.mu.Lock()
 			p.runs = append(p.runs, r)
-			if p.out[r.ID]++; p.out[r.ID] > 1 {
-				p.doubled++
+			if p.inFlight[r.ID]++; p.inFlight[r.ID] > 1 {
+				p.overlaps++
 			}
 			word, fields := p.script(len(p.runs))
-			p.out[r.ID]--
+			p.inFlight[r.ID]--
 			p.mu.Unlock()
-			answer(r.ID, word, fields, "done "+r.Body)
+			respond(r.ID, word, fields, "done "+r.Body)
 		case words[0] == "HOLD":
-			answer(words[1], "HIT", "count=1", "")
+			respond(words[1], "HIT", "count=1", "")
 		case words[0] == "INFO" || words[0] == "NOOP":
-			answer(words[1], "PONG", "-", "")
+			respond(words[1], "PONG", "-", "")
 		}
 	}
 }
 
-// call sends one and returns its answer with the runs that it took.
-func (p *scriptedDeployment) call(t *testing.T, k fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
+// send sends one and returns its answer with the runs that it took.
+func (p *scriptedDeployment) send(t *testing.T, k fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
@@ -186,67 +186,67 @@
 // it, one that never ran is retried at another worker under the same id and key, and one that may have run is retried as far as
 // its class allows.
 func TestDeploymentsClassesFromSocketToSocket(t *testing.T) {
-	const once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+	const idempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			fresh := func(class int) fake.Request {
+			requestOfClass := func(class int) fake.Request {
 				n++
 				k := fake.Request{Class: p.cfg.ClassNames()[class], ID: fmt.Sprintf("%016x", n), FunctionKey: fmt.Sprintf("%016x", 0x7f3a+n), Timeout: 2 * time.Second,
 					Properties: "memory_mb:300;lanes:2;load_ms:400;later:1", Body: []byte("lamp"), Tenant: d.tenant, ExtraFields: []fake.Field{{Name: "later", Value: "ignored"}}}
 				if p.cfg.Policy.Classes[class].Idempotency == policy.IdempotentWithKey {
-					k.IdempotencyKey = once
+					k.IdempotencyKey = idempotencyKey
 				}
 				return k
 			}
-			good := func(int) (string, string) { return "HIT", "detail=hot,crowd=2,use=" + d.reports + ",later=1" }
+			hitResponse := func(int) (string, string) { return "HIT", "detail=hot,crowd=2,use=" + d.loadReport + ",later=1" }
 			for class, k := range p.cfg.Policy.Classes {
-				sent := fresh(class)
-				a, runs := p.call(t, sent, good)
-				if a.Status != "served" || string(a.Body) != "done lamp" || len(runs) != 1 {
-					t.Fatalf("class %d: %+v after %d runs", class, a, len(runs))
+				request := requestOfClass(class)
+				response, runs := p.send(t, request, hitResponse)
+				if response.Status != "served" || string(response.Body) != "done lamp" || len(runs) != 1 {
+					t.Fatalf("class %d: %+v after %d runs", class, response, len(runs))
 				}
 				budget, err := strconv.Atoi(runs[0].Fields["budget"])
 				if err != nil || budget <= 0 || budget > 2000 {
 					t.Errorf("class %d: budget %q", class, runs[0].Fields["budget"])
 				}
 				delete(runs[0].Fields, "budget")
-				want := receivedRun{sent.ID, "lamp", map[string]string{"queue": sent.Class, "path": sent.FunctionKey}}
-				if sent.IdempotencyKey != "" {
-					want.Fields["uniq"] = sent.IdempotencyKey
+				want := receivedRun{request.ID, "lamp", map[string]string{"queue": request.Class, "path": request.FunctionKey}}
+				if request.IdempotencyKey != "" {
+					want.Fields["uniq"] = request.IdempotencyKey
 				}
 				if diff := cmp.Diff(want, runs[0]); diff != "" {
 					t.Errorf("class %d: %s", class, diff)
 				}
 				for _, tt := range []struct {
-					word   string
-					repeat bool
+					word    string
+					retried bool
 				}{{"SHED", true}, {"FAULT", k.Idempotency != policy.NotIdempotent}} {
-					sent := fresh(class)
-					a, runs := p.call(t, sent, func(n int) (string, string) {
+					request := requestOfClass(class)
+					response, runs := p.send(t, request, func(n int) (string, string) {
 						if n == 1 {
 							return tt.word, "-"
 						}
-						return good(n)
+						return hitResponse(n)
 					})
-					verdict, times := "failed", 1
-					if tt.repeat {
-						verdict, times = "served", 2
+					status, attempts := "failed", 1
+					if tt.retried {
+						status, attempts = "served", 2
 					}
-					if string(a.Status) != verdict || len(runs) != times {
-						t.Errorf("class %d after %s: %s after %d runs", class, tt.word, a.Status, len(runs))
+					if string(response.Status) != status || len(runs) != attempts {
+						t.Errorf("class %d after %s: %s after %d runs", class, tt.word, response.Status, len(runs))
 						continue
 					}
 					for _, r := range runs {
-						if r.ID != sent.ID || r.Fields["uniq"] != sent.IdempotencyKey || r.Body != "lamp" {
+						if r.ID != request.ID || r.Fields["uniq"] != request.IdempotencyKey || r.Body != "lamp" {
 							t.Errorf("class %d after %s: repeated as %+v", class, tt.word, r)
 						}
 					}
 				}
 			}
-			if p.doubled > 0 && !p.cfg.Policy.HedgingAllowed {
-				t.Errorf("%d attempts went out beside another of their call", p.doubled)
+			if p.overlaps > 0 && !p.cfg.Policy.HedgingAllowed {
+				t.Errorf("%d attempts went out beside another of their call", p.overlaps)
 			}
 		})
 	}
@@ -254,40 +254,40 @@
 
 // A request with an unusable field fails, reaches no worker and affects no other request; unusable fields of a response are
 // ignored.
-func TestDeploymentsBadFields(t *testing.T) {
+func TestDeploymentsInvalidFields(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			p := startDeployment(t, d)
 			n := uint64(0)
-			call := func(change func(*fake.Request), fields string) (fake.Response, int) {
+			send := func(change func(*fake.Request), fields string) (fake.Response, int) {
 				n++
 				k := fake.Request{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), FunctionKey: "00000000000000aa", Timeout: 2 * time.Second, Tenant: d.tenant, IdempotencyKey: "ab"}
 				change(&k)
-				a, runs := p.call(t, k, func(int) (string, string) { return "HIT", fields })
-				return a, len(runs)
+				response, runs := p.send(t, k, func(int) (string, string) { return "HIT", fields })
+				return response, len(runs)
 			}
-			keep := func(*fake.Request) {}
-			bad := map[string]func(*fake.Request){
+			unchanged := func(*fake.Request) {}
+			invalid := map[string]func(*fake.Request){
 				"a key that is too long": func(k *fake.Request) { k.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
 				"a key that is not hex":  func(k *fake.Request) { k.IdempotencyKey = "ab,queue=other" },
 				"a class that is not":    func(k *fake.Request) { k.Class = "other" },
 				"a wait that is not":     func(k *fake.Request) { k.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
 			}
 			if d.tenant != "" {
-				bad["a tenant that is not"] = func(k *fake.Request) { k.Tenant = "nobody" }
-				bad["a keyed call without its key"] = func(k *fake.Request) { k.IdempotencyKey = "" }
+				invalid["a tenant that is not"] = func(k *fake.Request) { k.Tenant = "nobody" }
+				invalid["a keyed call without its key"] = func(k *fake.Request) { k.IdempotencyKey = "" }
 			}
-			for name, change := range bad {
-				if a, runs := call(change, "detail=hot"); a.Status != "failed" || runs != 0 {
-					t.Errorf("%s: %s after %d runs", name, a.Status, runs)
+			for name, change := range invalid {
+				if response, runs := send(change, "detail=hot"); response.Status != "failed" || runs != 0 {
+					t.Errorf("%s: %s after %d runs", name, response.Status, runs)
 				}
-				if a, _ := call(keep, "detail=hot"); a.Status != "served" {
-					t.Errorf("after %s: %s", name, a.Status)
+				if response, _ := send(unchanged, "detail=hot"); response.Status != "served" {
+					t.Errorf("after %s: %s", name, response.Status)
 				}
 			}
 			for _, fields := range []string{"crowd=-1", "crowd=many", "detail=cold", "use=", "use=util", "use=queue:NaN;util:x", "later", "-", ""} {
-				if a, runs := call(keep, fields); a.Status != "served" || runs != 1 {
-					t.Errorf("answer with %q: %s after %d runs", fields, a.Status, runs)
+				if response, runs := send(unchanged, fields); response.Status != "served" || runs != 1 {
+					t.Errorf("answer with %q: %s after %d runs", fields, response.Status, runs)
 				}
 			}
 		})
--- a/internal/server/example_test.go
+++ b/internal/server/example_test.go
@@ -47,23 +47,23 @@
 
 	// Serve returns once the graceful shutdown that stop begins has ended.
 	stop := make(chan struct{})
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(cfg, server.Options{Stop: stop}, reread) }()
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(cfg, server.Options{Stop: stop}, reread) }()
 
 	client, err := fake.Dial(listen)
 	for err != nil { // until it listens
 		time.Sleep(time.Millisecond)
 		client, err = fake.Dial(listen)
 	}
-	answer, err := client.Do(fake.Request{Class: "dim-level", ID: "0000000000000001", FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second})
+	response, err := client.Do(fake.Request{Class: "dim-level", ID: "0000000000000001", FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second})
 	if err != nil {
 		log.Fatal(err)
 	}
-	fmt.Println("request:", answer.Status)
+	fmt.Println("request:", response.Status)
 	client.Close()
 
 	close(stop)
-	fmt.Println("error of Serve:", <-ended)
+	fmt.Println("error of Serve:", <-served)
 	// Output:
 	// request: served
 	// error of Serve: <nil>
--- a/internal/server/goroutines_test.go
+++ b/internal/server/goroutines_test.go
@@ -33,12 +33,12 @@
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for {
-		left := ownGoroutines()
-		if len(left) == 0 {
+		remaining := ownGoroutines()
+		if len(remaining) == 0 {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d goroutines are left:\n%s", len(left), strings.Join(left, "\n\n"))
+			t.Fatalf("%d goroutines are left:\n%s", len(remaining), strings.Join(remaining, "\n\n"))
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -48,12 +48,12 @@
 // the configuration was reloaded.
 func TestNoGoroutineIsLeftAfterServe(t *testing.T) {
 	waitForNoOwnGoroutines(t)
-	_, _, document := siteFor(t, 2, nil)
+	_, _, document := newSite(t, 2, nil)
 	server := startServer(t, document, Options{})
 	client := server.dial()
 	for n := range 3 {
-		if answer, err := client.Do(callOf(n + 1)); err != nil || answer.Status != "served" {
-			t.Fatalf("answer %+v, %v", answer, err)
+		if response, err := client.Do(newRequest(n + 1)); err != nil || response.Status != "served" {
+			t.Fatalf("answer %+v, %v", response, err)
 		}
 	}
 	if len(ownGoroutines()) < 2 {
@@ -70,7 +70,7 @@
 // A server that could not start leaves no goroutine behind either.
 func TestNoGoroutineIsLeftAfterAFailedStart(t *testing.T) {
 	waitForNoOwnGoroutines(t)
-	_, _, document := siteFor(t, 1, nil)
+	_, _, document := newSite(t, 1, nil)
 	document["listen"] = "192.0.2.1:1" // reserved for documentation: not an address of this machine
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -16,8 +16,8 @@
 	"crankhold/internal/fake"
 )
 
-// siteFor starts a fake discovery server with warm workers, and returns the configuration document of a router before them.
-func siteFor(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, document map[string]any) {
+// newSite starts a fake discovery server with warm workers, and returns the configuration document of a router before them.
+func newSite(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, document map[string]any) {
 	t.Helper()
 	var list []fake.WorkerConfig
 	for i := range workers {
@@ -37,8 +37,8 @@
 	return site, listen, document
 }
 
-// firstTopology returns the endpoint list that a configuration document holds, to be changed in place.
-func firstTopology(document map[string]any) map[string]any {
+// configuredTopology returns the endpoint list that a configuration document holds, to be changed in place.
+func configuredTopology(document map[string]any) map[string]any {
 	batch := document["known"].(map[string]any)["batch"].([]any)
 	return batch[0].(map[string]any)["topology"].(map[string]any)
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// killAfter is when the platform kills a router at the earliest, counted from SIGTERM.
-func killAfter(longestDeadline time.Duration) time.Duration {
+// earliestKill is when the platform kills a router at the earliest, counted from SIGTERM.
+func earliestKill(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
 }
 
@@ -79,12 +79,12 @@
 
 // testServer is a server that runs in this process until the test ends.
 type testServer struct {
-	t       *testing.T
-	path    string // of its configuration
-	listen  string
-	rereads chan error // one value for each time that the configuration has been read again
-	stop    func()     // closes Options.Stop; further calls have no effect
-	ended   chan error // what Serve returned
+	t           *testing.T
+	path        string // of its configuration
+	listen      string
+	rereads     chan error // one value for each time that the configuration has been read again
+	stop        func()     // closes Options.Stop; further calls have no effect
+	serveResult chan error // what Serve returned
 }
 
 // startServer runs a server by a configuration document, and ends it with the test.
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	stopping := make(chan struct{})
-	s := &testServer{t: t, path: path, listen: cfg.Listen, rereads: make(chan error, 1), ended: make(chan error, 1)}
+	s := &testServer{t: t, path: path, listen: cfg.Listen, rereads: make(chan error, 1), serveResult: make(chan error, 1)}
 	s.stop = sync.OnceFunc(func() { close(stopping) })
 	options.Stop = stopping
 	reread := func() (*config.Config, error) {
@@ -112,12 +112,12 @@
 		return fresh, err
 	}
 	go func() {
-		s.ended <- Serve(cfg, options, reread)
-		close(s.ended)
+		s.serveResult <- Serve(cfg, options, reread)
+		close(s.serveResult)
 	}()
 	t.Cleanup(func() {
 		s.stop()
-		if err := <-s.ended; err != nil {
+		if err := <-s.serveResult; err != nil {
 			t.Error(err)
 		}
 	})
@@ -129,7 +129,7 @@
 	s.t.Helper()
 	for {
 		select {
-		case err := <-s.ended:
+		case err := <-s.serveResult:
 			s.t.Fatalf("the server ended before it listened: %v", err)
 		default:
 		}
@@ -153,12 +153,12 @@
 func (s *testServer) drain() {
 	s.t.Helper()
 	s.stop()
-	if err := <-s.ended; err != nil {
+	if err := <-s.serveResult; err != nil {
 		s.t.Error(err)
 	}
 }
 
-func callOf(n int) fake.Request {
+func newRequest(n int) fake.Request {
 	return fake.Request{Class: "dim-level", ID: fmt.Sprintf("%016x", n), FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second, Properties: "lanes:8"}
 }
 
--- a/internal/server/integrations_test.go
+++ b/internal/server/integrations_test.go
@@ -27,7 +27,7 @@
 }
 
 // Integrations that are off ask for nothing, hold up no shutdown and log no counters.
-func TestIntegrationsThatAreOffDoNothing(t *testing.T) {
+func TestDisabledIntegrationsDoNothing(t *testing.T) {
 	n, err := newIntegrations(Options{}, twoClassConfig(), eventloop.New(eventloop.Config{}), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 }
 
 // A notice is sent of a request that must not run twice, and of no other. Its counters go to the logger of the options.
-func TestNoticesAreOfRequestsThatAreNotIdempotent(t *testing.T) {
+func TestNoticesAreSentOnlyOfRequestsThatAreNotIdempotent(t *testing.T) {
 	settings := notice.Config{
 		URL:   "http://hooks.example.org/notices",
 		Queue: 2,
@@ -67,7 +67,7 @@
 }
 
 // Each completed request is counted as a flow, and flows have the address of the front that a request came by.
-func TestFlowsAreOfEachRequest(t *testing.T) {
+func TestEachCompletedRequestIsExportedAsAFlow(t *testing.T) {
 	var log bytes.Buffer
 	flows := newFlowExport(&ipfix.Config{Collector: "127.0.0.1:4739"}, twoClassConfig(), eventloop.New(eventloop.Config{}),
 		logging.New(&log, slog.LevelInfo))
--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -11,20 +11,20 @@
 	"crankhold/internal/fake"
 )
 
-// fullListener listens with the shortest backlog there is, and fills it when it is told to, so that a dial hangs until the
+// backlogListener listens with the shortest backlog there is, and fills it when it is told to, so that a dial hangs until the
 // kernel tries again, a second later.
-type fullListener struct {
+type backlogListener struct {
 	*net.TCPListener
 	t *testing.T
 }
 
-func newFullListener(t *testing.T) fullListener {
+func newBacklogListener(t *testing.T) backlogListener {
 	t.Helper()
-	return fullListener{listenLoopback(t).(*net.TCPListener), t}
+	return backlogListener{listenLoopback(t).(*net.TCPListener), t}
 }
 
-// fill has dials hang until connections are accepted again.
-func (l fullListener) fill() {
+// fillBacklog has dials hang until connections are accepted again.
+func (l backlogListener) fillBacklog() {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		l.t.Error(err)
@@ -41,8 +41,8 @@
 }
 
 // acceptAfter accepts connections from a time on and calls run for each RUN command that arrives on one.
-func (l fullListener) acceptAfter(wait time.Duration, run func(words []string)) {
-	time.Sleep(wait)
+func (l backlogListener) acceptAfter(timeout time.Duration, run func(words []string)) {
+	time.Sleep(timeout)
 	serveCommands(l, func(_ net.Conn, words []string) {
 		if len(words) == 4 && words[0] == "RUN" {
 			run(words)
@@ -52,11 +52,11 @@
 
 // A request of a class whose workers drop repeats for a time may be sent again only within that time. An attempt that
 // began within it, and waited for a dial until it was over, is not sent.
-func TestKeyedRequestIsNotSentAgainPastItsWindow(t *testing.T) {
+func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
 	const window = 1500 * time.Millisecond
-	listener := newFullListener(t)
-	_, _, document := siteFor(t, 1, nil)
-	firstTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
+	listener := newBacklogListener(t)
+	_, _, document := newSite(t, 1, nil)
+	configuredTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
 	settings := document["settings"].(map[string]any)
 	limits := settings["limits"].(map[string]any)
 	limits["dialTimeoutMs"], limits["mayProbe"] = 3000, false // a health check that times out would take the attempt back
@@ -64,10 +64,10 @@
 	class["semantics"], class["windowMs"], class["deadlineMs"] = "keyed", window.Milliseconds(), 4000
 	document["names"] = "127.0.0.1:9" // discovery lists the worker that the listener stands for no more than the configuration does
 
-	var repeats atomic.Int32
-	ended := make(chan struct{})
+	var retries atomic.Int32
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		conn, err := listener.Accept()
 		if err != nil {
 			return
@@ -75,42 +75,42 @@
 		if _, err := readWords(bufio.NewReader(conn)); err != nil {
 			t.Error(err)
 		}
-		listener.fill()
+		listener.fillBacklog()
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close() // it may have run
-		listener.acceptAfter(1300*time.Millisecond, func([]string) { repeats.Add(1) })
+		listener.acceptAfter(1300*time.Millisecond, func([]string) { retries.Add(1) })
 	}()
 	server := startServer(t, document, Options{})
-	call := callOf(1)
-	call.IdempotencyKey, call.Timeout = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", 3*time.Second
-	answer, err := server.dial().Do(call)
-	if err != nil || answer.Status == fake.Served {
-		t.Errorf("answer %+v, %v", answer, err)
+	request := newRequest(1)
+	request.IdempotencyKey, request.Timeout = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", 3*time.Second
+	response, err := server.dial().Do(request)
+	if err != nil || response.Status == fake.Served {
+		t.Errorf("answer %+v, %v", response, err)
 	}
 	listener.Close()
-	<-ended
-	if got := repeats.Load(); got > 0 {
+	<-stopped
+	if got := retries.Load(); got > 0 {
 		t.Errorf("it was sent again %d times past its window of %v", got, window)
 	}
 }
 
 // The budget that a worker is told leaves out the time that the request spent waiting for a dial.
-func TestBudgetLeavesOutASlowDial(t *testing.T) {
-	const wait = 4 * time.Second
-	listener := newFullListener(t)
-	listener.fill()
-	_, _, document := siteFor(t, 1, nil)
-	firstTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
+func TestBudgetExcludesTheTimeOfASlowDial(t *testing.T) {
+	const timeout = 4 * time.Second
+	listener := newBacklogListener(t)
+	listener.fillBacklog()
+	_, _, document := newSite(t, 1, nil)
+	configuredTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
 	document["settings"].(map[string]any)["limits"].(map[string]any)["dialTimeoutMs"] = 3000
 	document["names"] = "127.0.0.1:9"
-	told := make(chan string, 4)
-	go listener.acceptAfter(200*time.Millisecond, func(words []string) { told <- words[2] })
+	runFields := make(chan string, 4)
+	go listener.acceptAfter(200*time.Millisecond, func(words []string) { runFields <- words[2] })
 	server := startServer(t, document, Options{})
-	call := callOf(1)
-	call.Timeout = wait
-	server.dial().Go(call, func(fake.Response, error) {})
-	fields := <-told
-	if budget := budgetOf(t, fields); budget > wait-800*time.Millisecond { // the kernel tries again after a second
-		t.Errorf("told %v of %v after a dial of a second", budget, wait)
+	request := newRequest(1)
+	request.Timeout = timeout
+	server.dial().Go(request, func(fake.Response, error) {})
+	fields := <-runFields
+	if budget := budgetOf(t, fields); budget > timeout-800*time.Millisecond { // the kernel tries again after a second
+		t.Errorf("told %v of %v after a dial of a second", budget, timeout)
 	}
 }
--- a/internal/server/lifecycle_test.go
+++ b/internal/server/lifecycle_test.go
@@ -28,7 +28,7 @@
 
 // Each state is left for the one that is due at a time and for no other.
 func TestLifecycleTransitions(t *testing.T) {
-	const begun = time.Hour
+	const drainStart = time.Hour
 	for _, test := range []struct {
 		name    string
 		state   lifecycleState
@@ -53,8 +53,8 @@
 		{"stopped stays", stopped, time.Hour, false, stopped, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			l := lifecycle{state: test.state, schedule: newDrainSchedule(time.Second), drainingSince: begun}
-			now := begun + test.elapsed
+			l := lifecycle{state: test.state, schedule: newDrainSchedule(time.Second), drainingSince: drainStart}
+			now := drainStart + test.elapsed
 			moved := l.advance(now, test.drained)
 			if l.state != test.want || moved != (test.want != test.state) {
 				t.Errorf("state %d, moved %v, want state %d", l.state, moved, test.want)
@@ -67,7 +67,7 @@
 }
 
 // A drain begins once, also where a signal comes before the server serves.
-func TestDrainBeginsOnce(t *testing.T) {
+func TestDrainStartsOnce(t *testing.T) {
 	for _, test := range []struct {
 		state lifecycleState
 		want  bool
@@ -79,8 +79,8 @@
 		{stopped, false},
 	} {
 		l := lifecycle{state: test.state, drainingSince: time.Second}
-		if began := l.startDrain(time.Hour); began != test.want || (l.drainingSince == time.Hour) != test.want {
-			t.Errorf("from state %d: a drain began %v, since %v", test.state, began, l.drainingSince)
+		if started := l.startDrain(time.Hour); started != test.want || (l.drainingSince == time.Hour) != test.want {
+			t.Errorf("from state %d: a drain began %v, since %v", test.state, started, l.drainingSince)
 		}
 		if test.want && l.state != draining {
 			t.Errorf("from state %d: moved to state %d", test.state, l.state)
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -24,7 +24,7 @@
 // testMembership is a membership whose worker client opens no sockets; the test completes its dials.
 type testMembership struct {
 	*membership
-	dialled    []string
+	dialed     []string
 	transports []*testutil.Transport
 	handlers   []eventloop.DialHandler
 }
@@ -41,7 +41,7 @@
 		pool = workerclient.New(workerclient.Config{Classes: []string{"dim-level"}, DialTimeout: time.Second, KeepAlive: time.Minute, MaxRequestsPerConnection: 32, MaxConnections: 100,
 			Dial: func(network, addr string, _ time.Duration, h eventloop.DialHandler) workerclient.Transport {
 				transport := &testutil.Transport{}
-				m.dialled = append(m.dialled, network+" "+addr)
+				m.dialed = append(m.dialed, network+" "+addr)
 				m.transports = append(m.transports, transport)
 				m.handlers = append(m.handlers, h)
 				return transport
@@ -53,8 +53,8 @@
 	return m
 }
 
-// listed returns an entry of the endpoint list.
-func listed(t *testing.T, name string, state policy.WorkerState, addrs ...string) discovery.Worker {
+// listEntry returns an entry of the endpoint list.
+func listEntry(t *testing.T, name string, state policy.WorkerState, addrs ...string) discovery.Worker {
 	t.Helper()
 	w := discovery.Worker{Name: name, State: state, Weight: 1}
 	for _, s := range addrs {
@@ -67,38 +67,38 @@
 	return w
 }
 
-// send starts an attempt at a worker and returns the address that was dialled for it, or "" where none was.
-func (m *testMembership) send(w policy.WorkerID, n int) (dialled string) {
-	before := len(m.dialled)
+// startAttempt starts an attempt at a worker and returns the address that was dialled for it, or "" where none was.
+func (m *testMembership) startAttempt(w policy.WorkerID, n int) (dialed string) {
+	before := len(m.dialed)
 	m.workers.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Function: router.Function{Key: "00000000000000aa"}}, time.Second)
-	if len(m.dialled) == before {
+	if len(m.dialed) == before {
 		return ""
 	}
-	return m.dialled[before]
+	return m.dialed[before]
 }
 
 // Two entries with an address in common are one worker, which drains as soon as one of them does. When one entry leaves the list
 // that worker is gone, and the entry that is left is another worker, which inherits nothing.
 func TestAliasesAreOneWorker(t *testing.T) {
 	m := newTestMembership(t)
-	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
-	one := workerID("s-1+s-2")
-	if got := m.send(one, 0); got != "tcp6 [::1]:1" {
+	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listEntry(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
+	merged := workerID("s-1+s-2")
+	if got := m.startAttempt(merged, 0); got != "tcp6 [::1]:1" {
 		t.Fatalf("the worker of both is dialled over %q", got)
 	}
-	if got := m.send(workerID("s-1"), 1) + m.send(workerID("s-2"), 2); got != "" {
+	if got := m.startAttempt(workerID("s-1"), 1) + m.startAttempt(workerID("s-2"), 2); got != "" {
 		t.Errorf("the entries are workers of their own: %s", got)
 	}
-	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listed(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
+	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listEntry(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
 	m.handlers[0].DialCompleted(nil)
-	if got := m.send(one, 3); got != "" || m.transports[0].Written.Len() > 0 {
+	if got := m.startAttempt(merged, 3); got != "" || m.transports[0].Written.Len() > 0 {
 		t.Errorf("a drain of one entry: dialled %q, wrote %q", got, m.transports[0].Written.String())
 	}
-	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
-	if got := m.send(one, 4); got != "" {
+	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
+	if got := m.startAttempt(merged, 4); got != "" {
 		t.Errorf("the worker of both goes on without one: dialled %q", got)
 	}
-	if got := m.send(workerID("s-1"), 5); got != "tcp6 [::1]:1" {
+	if got := m.startAttempt(workerID("s-1"), 5); got != "tcp6 [::1]:1" {
 		t.Errorf("what is left is dialled over %q", got)
 	}
 }
@@ -106,18 +106,18 @@
 // A new worker at the address of one that is gone inherits nothing, and two workers that swap addresses stay two.
 func TestMovedAndSwappedAddresses(t *testing.T) {
 	m := newTestMembership(t)
-	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1")})
-	m.send(workerID("s-1"), 0)
-	m.update([]discovery.Worker{listed(t, "s-9", policy.Ready, "127.0.0.1:1")})
+	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1")})
+	m.startAttempt(workerID("s-1"), 0)
+	m.update([]discovery.Worker{listEntry(t, "s-9", policy.Ready, "127.0.0.1:1")})
 	if !m.transports[0].Closed {
 		t.Error("the dial to the worker that is gone goes on")
 	}
-	if got := m.send(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
+	if got := m.startAttempt(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
 		t.Errorf("the new worker is dialled over %q", got)
 	}
-	m.update([]discovery.Worker{listed(t, "a", policy.Ready, "127.0.0.1:1"), listed(t, "b", policy.Ready, "127.0.0.1:2")})
-	m.update([]discovery.Worker{listed(t, "a", policy.Ready, "127.0.0.1:2"), listed(t, "b", policy.Ready, "127.0.0.1:1")})
-	if got := m.send(workerID("a"), 2) + ", " + m.send(workerID("b"), 3); got != "tcp4 127.0.0.1:2, tcp4 127.0.0.1:1" {
+	m.update([]discovery.Worker{listEntry(t, "a", policy.Ready, "127.0.0.1:1"), listEntry(t, "b", policy.Ready, "127.0.0.1:2")})
+	m.update([]discovery.Worker{listEntry(t, "a", policy.Ready, "127.0.0.1:2"), listEntry(t, "b", policy.Ready, "127.0.0.1:1")})
+	if got := m.startAttempt(workerID("a"), 2) + ", " + m.startAttempt(workerID("b"), 3); got != "tcp4 127.0.0.1:2, tcp4 127.0.0.1:1" {
 		t.Errorf("after a swap: %s", got)
 	}
 }
@@ -125,13 +125,13 @@
 // The routes file may add addresses of a worker, order its networks and declare aliases; pools select a worker by any of
 // its names.
 func TestRoutesFileAddsAddressesAndAliases(t *testing.T) {
-	sock, err := endpoint.Parse(endpoint.Unix, "/run/w.sock")
+	socket, err := endpoint.Parse(endpoint.Unix, "/run/w.sock")
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := newTestMembership(t)
-	m.list = []discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:2"), listed(t, "s-3", policy.Ready, "127.0.0.1:3")}
-	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []endpoint.Addr{sock}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []endpoint.Network{endpoint.TCP4}}},
+	m.list = []discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1"), listEntry(t, "s-2", policy.Ready, "127.0.0.1:2"), listEntry(t, "s-3", policy.Ready, "127.0.0.1:3")}
+	table, err := route.Compile(&route.Spec{Workers: []route.Worker{{Name: "s-1", Cell: -1, Addrs: []endpoint.Addr{socket}}, {Name: "s-3", Cell: -1, Same: "s-2", Prefer: []endpoint.Network{endpoint.TCP4}}},
 		Pools:  []route.PoolSpec{{Name: "a", Workers: []route.Selector{{IDs: []string{"s-3"}}}, MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
 		Routes: []route.RouteSpec{{Name: "r", Pool: "a"}}}, []string{"dim-level"})
 	if err != nil {
@@ -139,10 +139,10 @@
 	}
 	m.core.SetRoutes(table)
 	m.publish()
-	if got := m.send(workerID("s-1"), 0); got != "unix /run/w.sock" {
+	if got := m.startAttempt(workerID("s-1"), 0); got != "unix /run/w.sock" {
 		t.Errorf("a socket of the routes file: dialled %q", got)
 	}
-	if got := m.send(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
+	if got := m.startAttempt(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
 		t.Errorf("aliases of the routes file: dialled %q", got)
 	}
 	if !table.Pools()[0].Contains(workerID("s-2+s-3")) || table.Pools()[0].Contains(workerID("s-1")) {
@@ -154,32 +154,32 @@
 // start of it. A start time that discovery reports takes precedence, and an empty list is no evidence that any process ended.
 func TestReturningWorkerGoesThroughSlowStart(t *testing.T) {
 	m := newTestMembership(t)
-	one, two := listed(t, "s-1", policy.Ready, "127.0.0.1:1"), listed(t, "s-2", policy.Ready, "127.0.0.1:2")
-	lists := func(of ...[]discovery.Worker) {
-		for _, list := range of {
+	first, second := listEntry(t, "s-1", policy.Ready, "127.0.0.1:1"), listEntry(t, "s-2", policy.Ready, "127.0.0.1:2")
+	updateAll := func(lists ...[]discovery.Worker) {
+		for _, list := range lists {
 			m.update(list)
 		}
 	}
-	both, alone := []discovery.Worker{one, two}, []discovery.Worker{two}
-	lists(both, both)
-	if m.startTime(one) != 0 {
+	both, alone := []discovery.Worker{first, second}, []discovery.Worker{second}
+	updateAll(both, both)
+	if m.startTime(first) != 0 {
 		t.Error("a worker that was there all along counts as started")
 	}
-	lists(nil, both)
-	if m.startTime(one) != 0 {
+	updateAll(nil, both)
+	if m.startTime(first) != 0 {
 		t.Error("an empty list restarted all workers")
 	}
-	lists(alone, both)
-	if at := m.startTime(one); at != m.loop.Now() || m.startTime(two) != 0 {
-		t.Errorf("the one that returned counts as started at %v, the other at %v", at, m.startTime(two))
+	updateAll(alone, both)
+	if at := m.startTime(first); at != m.loop.Now() || m.startTime(second) != 0 {
+		t.Errorf("the one that returned counts as started at %v, the other at %v", at, m.startTime(second))
 	}
-	lists(both)
-	if m.startTime(one) != m.loop.Now() {
+	updateAll(both)
+	if m.startTime(first) != m.loop.Now() {
 		t.Error("a further list forgot the start")
 	}
-	one.Started = time.Now().Add(-time.Second).UnixMilli()
-	lists([]discovery.Worker{one, two})
-	if at := m.startTime(one); at >= m.loop.Now() {
+	first.Started = time.Now().Add(-time.Second).UnixMilli()
+	updateAll([]discovery.Worker{first, second})
+	if at := m.startTime(first); at >= m.loop.Now() {
 		t.Errorf("a reported start counts as %v", at)
 	}
 }
@@ -189,9 +189,9 @@
 	var log bytes.Buffer
 	m := newTestMembership(t)
 	m.logger = logging.New(&log, slog.LevelInfo)
-	second := listed(t, "s-2", policy.Draining, "127.0.0.1:2", "[::1]:2")
+	second := listEntry(t, "s-2", policy.Draining, "127.0.0.1:2", "[::1]:2")
 	second.Weight, second.Started = 0.5, 1700000000123
-	m.update([]discovery.Worker{listed(t, "s-1", policy.Ready, "127.0.0.1:1"), second})
+	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1"), second})
 
 	var lines []string
 	for line := range strings.Lines(log.String()) {
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -13,10 +13,10 @@
 // Signals that come while the program starts are handled: SIGHUP reads the configuration once more and does not end the program,
 // and SIGTERM shuts it down in order. The program is held while it reads its configuration, from a pipe that nobody has
 // written to yet.
-func TestSignalsWhileItStarts(t *testing.T) {
+func TestSignalsDuringTheStart(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(s.String(), func(t *testing.T) {
-			_, listen, config := siteFor(t, 1, nil)
+			_, listen, config := newSite(t, 1, nil)
 			pipe := filepath.Join(t.TempDir(), "config.json")
 			if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 				t.Fatal(err)
@@ -26,7 +26,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			feed := func() {
+			writeAndSignal := func() {
 				f, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the program has opened it to read
 				if err != nil {
 					t.Error(err)
@@ -36,23 +36,23 @@
 				f.Write(text)
 				f.Close()
 			}
-			feed()
+			writeAndSignal()
 			if s == syscall.SIGTERM {
-				if err := <-p.ended; err != nil {
+				if err := <-p.exited; err != nil {
 					t.Errorf("it ended with %v", err)
 				}
 				return
 			}
-			p.await("event=server_started") // it has read the file once, to its end
-			again, err := os.OpenFile(pipe, os.O_WRONLY, 0)
+			p.waitForLog("event=server_started") // it has read the file once, to its end
+			writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			again.Write(text)
-			again.Close()
-			p.await("event=config_reloaded")
-			if a, err := p.client().Do(callOf(1)); err != nil || a.Status != "served" {
-				t.Errorf("answer %+v, %v", a, err)
+			writer.Write(text)
+			writer.Close()
+			p.waitForLog("event=config_reloaded")
+			if response, err := p.client().Do(newRequest(1)); err != nil || response.Status != "served" {
+				t.Errorf("answer %+v, %v", response, err)
 			}
 		})
 	}
@@ -60,23 +60,23 @@
 
 // fewFiles is a shell script that runs a program with 80 descriptors and with none of this process's but the first three: nbio's
 // descriptors have no close-on-exec flag, and those of the servers that ran in this process stay open.
-const fewFiles = `for n in $(ls /proc/self/fd); do [ "$n" -le 2 ] || eval "exec $n>&-"; done; ulimit -n 80; exec "$0"`
+const fewDescriptors = `for n in $(ls /proc/self/fd); do [ "$n" -le 2 ] || eval "exec $n>&-"; done; ulimit -n 80; exec "$0"`
 
 // While discovery is down and idle clients hold every descriptor that they can get, the router still dials its worker, switches
 // to a discovery server's new address, applies its list and dials the worker in it. It neither ends nor spins.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	site, listen, config := siteFor(t, 2, nil)
-	dead, err := net.ListenPacket("udp", "127.0.0.1:0")
+	site, listen, config := newSite(t, 2, nil)
+	closedSocket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	silent := dead.LocalAddr().String()
-	dead.Close()
-	moved := site.Discovery.Addr()
-	config["names"], config["limits"] = silent, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
-	known := firstTopology(config)
-	known["members"] = known["members"].([]any)[:1] // the second worker is listed by discovery alone
-	p := startProgramWith(t, config, listen, "bash", "-c", fewFiles)
+	closedAddr := closedSocket.LocalAddr().String()
+	closedSocket.Close()
+	newAddr := site.Discovery.Addr()
+	config["names"], config["limits"] = closedAddr, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
+	topology := configuredTopology(config)
+	topology["members"] = topology["members"].([]any)[:1] // the second worker is listed by discovery alone
+	p := startProgramWith(t, config, listen, "bash", "-c", fewDescriptors)
 	p.client().Close()
 	var idle []net.Conn
 	defer func() {
@@ -84,42 +84,42 @@
 			c.Close()
 		}
 	}()
-	crowd := func() {
+	openIdle := func() {
 		for range 60 {
 			if c, err := net.Dial("tcp", listen); err == nil {
 				idle = append(idle, c)
 			}
 		}
 	}
-	crowd()
-	a, err := p.client().Do(callOf(1))
+	openIdle()
+	response, err := p.client().Do(newRequest(1))
 	if err != nil { // the server closed the connection to make room; clients retry such a request once
-		a, err = p.client().Do(callOf(1))
+		response, err = p.client().Do(newRequest(1))
 	}
-	if err != nil || a.Status != "served" {
-		t.Fatalf("with idle clients: %+v, %v", a, err)
+	if err != nil || response.Status != "served" {
+		t.Fatalf("with idle clients: %+v, %v", response, err)
 	}
 	site.Discovery.Set(site.Endpoints())
-	config["names"] = moved
+	config["names"] = newAddr
 	writeConfig(t, p.config, config)
-	crowd()
+	openIdle()
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.await("event=config_reloaded")
-	crowd()
-	p.await("name=s-1")
+	p.waitForLog("event=config_reloaded")
+	openIdle()
+	p.waitForLog("name=s-1")
 	site.Workers[0].Kill()
 	served := 0
 	for n := 2; n < 60 && served < 5; n++ {
-		k := p.client()
-		if a, err := k.Do(callOf(n)); err == nil && a.Status == "served" {
+		thriftClient := p.client()
+		if response, err := thriftClient.Do(newRequest(n)); err == nil && response.Status == "served" {
 			served++
 		}
-		k.Close()
+		thriftClient.Close()
 	}
 	if served < 5 {
 		t.Errorf("the worker that discovery lists served %d calls", served)
 	}
-	if err := p.end(); err != nil {
+	if err := p.terminate(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	if used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime(); used > 5*time.Second {
@@ -129,17 +129,17 @@
 
 // A router whose configuration lists no worker and whose discovery server is down reports itself ready all the same.
 func TestReadyWithAnEmptyListAndNoDiscovery(t *testing.T) {
-	site, listen, config := siteFor(t, 1, nil)
+	site, listen, config := newSite(t, 1, nil)
 	site.Discovery.Close()
-	known := firstTopology(config)
-	known["members"] = []any{}
+	topology := configuredTopology(config)
+	topology["members"] = []any{}
 	p := startProgramWith(t, config, listen)
-	k := p.client()
-	p.until(func() bool {
-		good, err := k.CheckHealth()
-		return err == nil && good
+	thriftClient := p.client()
+	p.waitUntil(func() bool {
+		ready, err := thriftClient.CheckHealth()
+		return err == nil && ready
 	}, "it is ready")
-	if err := p.end(); err != nil {
+	if err := p.terminate(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 }
--- a/internal/server/program_test.go
+++ b/internal/server/program_test.go
@@ -19,7 +19,7 @@
 )
 
 // built is the program, built once for the tests that need a process of its own.
-var built = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "crankhold-test-")
 	if err != nil {
 		return "", err
@@ -33,7 +33,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := built(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
@@ -47,7 +47,7 @@
 	listen string
 	mu     sync.Mutex
 	log    bytes.Buffer
-	ended  chan error
+	exited chan error
 }
 
 // startProgramWith starts the program with a configuration document.
@@ -62,12 +62,12 @@
 // shell that sets other limits.
 func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
 	t.Helper()
-	path, err := built()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	args := append(wrapper, path)
-	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), config: config, listen: listen, ended: make(chan error, 1)}
+	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), config: config, listen: listen, exited: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -82,7 +82,7 @@
 			p.log.WriteString(in.Text() + "\n")
 			p.mu.Unlock()
 		}
-		p.ended <- p.cmd.Wait()
+		p.exited <- p.cmd.Wait()
 	}()
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
@@ -100,23 +100,23 @@
 	return p.log.String()
 }
 
-// await waits until the log contains a text.
-func (p *program) await(text string) {
+// waitForLog waits until the log contains a text.
+func (p *program) waitForLog(text string) {
 	p.t.Helper()
-	p.until(func() bool { return strings.Contains(p.output(), text) }, text)
+	p.waitUntil(func() bool { return strings.Contains(p.output(), text) }, text)
 }
 
-// until waits until a condition holds. It fails the test if the program ends first or half a minute passes.
-func (p *program) until(holds func() bool, what string) {
+// waitUntil waits waitUntil a condition holds. It fails the test if the program ends first or half a minute passes.
+func (p *program) waitUntil(condition func() bool, description string) {
 	p.t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
+	for waitStart := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		select {
-		case err := <-p.ended:
-			p.t.Fatalf("the program ended (%v) before: %s", err, what)
+		case err := <-p.exited:
+			p.t.Fatalf("the program ended (%v) before: %s", err, description)
 		default:
 		}
-		if time.Since(begun) > 30*time.Second {
-			p.t.Fatalf("not within half a minute: %s", what)
+		if time.Since(waitStart) > 30*time.Second {
+			p.t.Fatalf("not within half a minute: %s", description)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 // client connects once the program listens.
 func (p *program) client() (k *fake.Client) {
 	p.t.Helper()
-	p.until(func() bool {
+	p.waitUntil(func() bool {
 		var err error
 		k, err = fake.Dial(p.listen)
 		return err == nil
@@ -133,14 +133,14 @@
 	return k
 }
 
-// end terminates the program and returns how it ended.
-func (p *program) end() error {
+// terminate terminates the program and returns how it ended.
+func (p *program) terminate() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	return <-p.ended
+	return <-p.exited
 }
 
-// counter reads a counter of the Thrift front from the last line of counters in a program's log.
-func counter(t *testing.T, log, name string) int {
+// thriftCounter reads a thriftCounter of the Thrift front from the last line of counters in a program's log.
+func thriftCounter(t *testing.T, log, name string) int {
 	t.Helper()
 	lines := regexp.MustCompile(`front=thrift.*?\b`+name+`=(\d+)`).FindAllStringSubmatch(log, -1)
 	if len(lines) == 0 {
--- a/internal/server/resting_connection_test.go
+++ b/internal/server/resting_connection_test.go
@@ -10,8 +10,8 @@
 	"crankhold/internal/fake"
 )
 
-// restingWorker listens as a worker that closes a connection on which nothing arrives for a time.
-func restingWorker(t *testing.T, keepAlive time.Duration) (addr string) {
+// newIdleTimeoutWorker listens as a worker that closes a connection on which nothing arrives for a time.
+func newIdleTimeoutWorker(t *testing.T, keepAlive time.Duration) (addr string) {
 	t.Helper()
 	listener := listenLoopback(t)
 	go serveConnections(listener, func(conn net.Conn) {
@@ -23,7 +23,7 @@
 			}
 			switch words[0] {
 			case "RUN":
-				io.WriteString(conn, responseTo(words[1]))
+				io.WriteString(conn, servedResponse(words[1]))
 			case "NOOP", "INFO":
 				io.WriteString(conn, encodeWords(words[1], "PONG", "-", ""))
 			}
@@ -34,20 +34,20 @@
 
 // Orders that come just before and after a worker ends a resting connection are served: the router ends it first. One that
 // crossed the worker's end would count as one that may have run.
-func TestOrdersAroundTheEndOfARestingConnection(t *testing.T) {
+func TestOrdersAroundTheCloseOfAnIdleConnection(t *testing.T) {
 	const keepAlive = time.Second
-	_, _, document := siteFor(t, 1, nil)
-	firstTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = restingWorker(t, keepAlive)
+	_, _, document := newSite(t, 1, nil)
+	configuredTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = newIdleTimeoutWorker(t, keepAlive)
 	document["settings"].(map[string]any)["limits"].(map[string]any)["keepaliveMs"] = keepAlive.Milliseconds()
 	document["names"] = "127.0.0.1:9"
 	client := startServer(t, document, Options{}).dial()
-	rests := []time.Duration{0, 795, 850, 930, 990, 1010} // milliseconds
-	for n, rest := range rests {
-		time.Sleep(rest * time.Millisecond)
-		call := callOf(n + 1)
-		call.Class = "repair-order"
-		if answer, err := client.Do(call); err != nil || answer.Status != fake.Served {
-			t.Errorf("an order after %d ms of rest: %+v, %v", rest, answer, err)
+	idleTimes := []time.Duration{0, 795, 850, 930, 990, 1010} // milliseconds
+	for n, idle := range idleTimes {
+		time.Sleep(idle * time.Millisecond)
+		request := newRequest(n + 1)
+		request.Class = "repair-order"
+		if response, err := client.Do(request); err != nil || response.Status != fake.Served {
+			t.Errorf("an order after %d ms of rest: %+v, %v", idle, response, err)
 		}
 	}
 }
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -37,15 +37,15 @@
 	if err := site.WriteConfig(configPath, listen); err != nil {
 		t.Fatal(err)
 	}
-	text := func(dims, rest string) string {
+	text := func(dimPool, checkPool string) string {
 		return fmt.Sprintf("pool \"large\" { workers { kind = \"large\" } }\npool \"small\" { workers { kind = \"small\" } }\n"+
-			"route \"dims\" {\n\tclass = \"dim-level\"\n\tpool = %q\n}\nroute \"checks\" {\n\tclass = \"fault-check\"\n\tpool = %q\n}\n", dims, rest)
+			"route \"dims\" {\n\tclass = \"dim-level\"\n\tpool = %q\n}\nroute \"checks\" {\n\tclass = \"fault-check\"\n\tpool = %q\n}\n", dimPool, checkPool)
 	}
 	writeText(t, routes, text("large", "small"))
 	server := startServerByFile(t, configPath, Options{Routes: routes})
 	client := server.dial()
 	n := 0
-	call := func(class string) (verdict, worker string) {
+	send := func(class string) (status, worker string) {
 		n++
 		id := fmt.Sprintf("%016x", n)
 		a, err := client.Do(fake.Request{Class: class, ID: id, FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second, Properties: "lanes:4"})
@@ -57,22 +57,22 @@
 		return string(a.Status), ran[id]
 	}
 	// reload returns once requests go where they should: the routes are replaced a turn after they have been read.
-	reload := func(s, dims string) {
+	reload := func(s, dimPool string) {
 		writeText(t, routes, s)
 		if err := server.reload(); err != nil {
 			t.Fatal(err)
 		}
 		for range 1000 {
-			if _, w := call("dim-level"); w == dims {
+			if _, w := send("dim-level"); w == dimPool {
 				return
 			}
 		}
-		t.Fatalf("requests don't go to %s after a reload", dims)
+		t.Fatalf("requests don't go to %s after a reload", dimPool)
 	}
-	expect := func(class, verdict, worker string) {
+	expect := func(class, status, worker string) {
 		t.Helper()
-		if v, w := call(class); v != verdict || w != worker {
-			t.Errorf("%s: %s by %q, want %s by %q", class, v, w, verdict, worker)
+		if v, w := send(class); v != status || w != worker {
+			t.Errorf("%s: %s by %q, want %s by %q", class, v, w, status, worker)
 		}
 	}
 	expect("dim-level", "served", "s-1")
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -17,7 +17,7 @@
 	"crankhold/internal/logging"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
@@ -52,26 +52,26 @@
 // a file that can't be used, and on an open connection after SIGTERM. Serve then returns by itself and without an error.
 func TestServesAndStops(t *testing.T) {
 	addr, runs := echoWorker(t)
-	names, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
+	discoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer names.Close()
+	defer discoveryServer.Close()
 	listen, err := fake.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.NewReplacer("127.0.0.1:10080", listen, "127.0.0.1:1053", names.LocalAddr().String(), `"members":[]`,
-		fmt.Sprintf(`"members":[{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]`, addr)).Replace(goodConfig)
+	text := strings.NewReplacer("127.0.0.1:10080", listen, "127.0.0.1:1053", discoveryServer.LocalAddr().String(), `"members":[]`,
+		fmt.Sprintf(`"members":[{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]`, addr)).Replace(validConfig)
 	writeText(t, path, text)
 	server := startServerByFile(t, path, Options{})
-	moved, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server at its next address
+	newDiscoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server at its next address
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer moved.Close()
-	moved.SetDeadline(time.Now().Add(20 * time.Second))
+	defer newDiscoveryServer.Close()
+	newDiscoveryServer.SetDeadline(time.Now().Add(20 * time.Second))
 	reload := func(text string, wantErr bool) {
 		writeText(t, path, text)
 		if err := server.reload(); (err != nil) != wantErr {
@@ -88,8 +88,8 @@
 	for i, body := range []string{"before", "moved", "unread", "after"} {
 		switch body {
 		case "moved":
-			reload(strings.Replace(text, names.LocalAddr().String(), moved.LocalAddr().String(), 1), false)
-			if _, _, err := moved.ReadFrom(make([]byte, 512)); err != nil {
+			reload(strings.Replace(text, discoveryServer.LocalAddr().String(), newDiscoveryServer.LocalAddr().String(), 1), false)
+			if _, _, err := newDiscoveryServer.ReadFrom(make([]byte, 512)); err != nil {
 				t.Fatalf("the new discovery server was not asked: %v", err)
 			}
 		case "unread":
@@ -110,24 +110,24 @@
 			t.Errorf("ran %q", ran)
 		}
 	}
-	if err := <-server.ended; err != nil {
+	if err := <-server.serveResult; err != nil {
 		t.Error(err)
 	}
 }
 
 // A server that is given a logger logs its life there, in the order of its states.
 func TestServerLogsToTheLoggerOfItsOptions(t *testing.T) {
-	_, _, document := siteFor(t, 1, nil)
+	_, _, document := newSite(t, 1, nil)
 	var log bytes.Buffer
 	server := startServer(t, document, Options{Logger: logging.New(&log, slog.LevelInfo)})
 	server.dial().Close()
 	server.drain() // after it nothing writes to the log
 	rest := log.String()
 	for _, event := range []string{"worker_updated", "server_started", "counters_reported", "server_draining", "server_stopped"} {
-		_, behind, found := strings.Cut(rest, "event="+event)
+		_, after, found := strings.Cut(rest, "event="+event)
 		if !found {
 			t.Fatalf("no %s in its place: %s", event, log.String())
 		}
-		rest = behind
+		rest = after
 	}
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -115,7 +115,7 @@
 }
 
 // A field that neither table sets would not be checked: the setting that it is read from could be lost unnoticed.
-func TestTheTablesOfSettingsLeaveNoFieldOut(t *testing.T) {
+func TestSettingsTablesCoverEveryField(t *testing.T) {
 	checkFields(t, reflect.ValueOf(derwentPolicy), reflect.ValueOf(flagPolicy))
 	for _, class := range [][2]policy.Class{{derwentPolicy.Classes[1], flagPolicy.Classes[0]}} {
 		checkFields(t, reflect.ValueOf(class[0]), reflect.ValueOf(class[1]))
--- a/internal/server/signals_process_test.go
+++ b/internal/server/signals_process_test.go
@@ -17,7 +17,7 @@
 // Signals that come one after the other, and those that come while the program starts, are all acted on, and once: many
 // SIGUSR1 displace no SIGTERM, a further SIGTERM ends nothing sooner, and a SIGHUP during a shutdown does not end it.
 func TestSignalsInSeries(t *testing.T) {
-	_, listen, document := siteFor(t, 1, nil)
+	_, listen, document := newSite(t, 1, nil)
 	pipe := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	feed, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // the program has opened it to read
+	writer, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // the program has opened it to read
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 		p.cmd.Process.Signal(signal)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if _, err := syscall.Write(feed, text); err != nil {
+	if _, err := syscall.Write(writer, text); err != nil {
 		t.Fatal(err)
 	}
-	syscall.Close(feed)
+	syscall.Close(writer)
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
 			t.Errorf("it ended with %v", err)
 		}
@@ -59,39 +59,39 @@
 // Of many SIGHUPs in a row, each with another file, the last file wins, also while requests are under way; some of the
 // files can't be used and change nothing.
 func TestLastOfManyReloadsWins(t *testing.T) {
-	_, listen, document := siteFor(t, 2, nil)
+	_, listen, document := newSite(t, 2, nil)
 	p := startProgramWith(t, document, listen)
 	client := p.client()
-	last, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
+	lastServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer last.Close()
+	defer lastServer.Close()
 	const reloads = 61
 	for n := range reloads {
 		document["names"] = fmt.Sprintf("127.0.0.1:%d", 2000+n)
 		if n == reloads-1 {
-			document["names"] = last.LocalAddr().String()
+			document["names"] = lastServer.LocalAddr().String()
 		}
-		fresh := p.config + ".fresh"
-		writeConfig(t, fresh, document)
+		newFile := p.config + ".fresh"
+		writeConfig(t, newFile, document)
 		if n%7 == 3 {
-			writeText(t, fresh, `{"names":`)
+			writeText(t, newFile, `{"names":`)
 		}
-		if err := os.Rename(fresh, p.config); err != nil {
+		if err := os.Rename(newFile, p.config); err != nil {
 			t.Fatal(err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		if answer, err := client.Do(callOf(n + 1)); err != nil || answer.Status != fake.Served {
-			t.Fatalf("after %d reloads: %+v, %v", n, answer, err)
+		if response, err := client.Do(newRequest(n + 1)); err != nil || response.Status != fake.Served {
+			t.Fatalf("after %d reloads: %+v, %v", n, response, err)
 		}
 	}
-	last.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, _, err := last.ReadFrom(make([]byte, 512)); err != nil {
+	lastServer.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, _, err := lastServer.ReadFrom(make([]byte, 512)); err != nil {
 		t.Errorf("the discovery server of the last file was not asked: %v", err)
 	}
 	reloaded := regexp.MustCompile(`event=config_reloaded names=(\S+)`).FindAllStringSubmatch(p.output(), -1)
-	if len(reloaded) == 0 || reloaded[len(reloaded)-1][1] != last.LocalAddr().String() {
+	if len(reloaded) == 0 || reloaded[len(reloaded)-1][1] != lastServer.LocalAddr().String() {
 		t.Errorf("the last reload was of %v", reloaded)
 	}
 }
--- a/internal/server/soak_clients_test.go
+++ b/internal/server/soak_clients_test.go
@@ -8,147 +8,149 @@
 	"crankhold/internal/fake"
 )
 
-// draw returns a request that the seed draws, and what will be known of it.
-func (s *soak) draw(random *rand.Rand, leaver bool) (fake.Request, *soakRequest) {
+// drawRequest returns a request that the seed draws, and what will be known of it.
+func (s *soak) drawRequest(random *rand.Rand, canceling bool) (fake.Request, *soakRequest) {
 	classes := []string{"dim-level", "fault-check", "repair-order"}
-	call := callOf(0)
-	call.ID = fmt.Sprintf("%016x", random.Uint64())
-	call.Class = classes[random.IntN(len(classes))]
-	call.Timeout = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
-	call.Body = make([]byte, random.IntN(2048))
-	r := &soakRequest{id: call.ID, unsafe: call.Class == "repair-order", wait: call.Timeout, leaver: leaver}
+	request := newRequest(0)
+	request.ID = fmt.Sprintf("%016x", random.Uint64())
+	request.Class = classes[random.IntN(len(classes))]
+	request.Timeout = s.deadline/2 + time.Duration(random.Int64N(int64(s.deadline/2)))
+	request.Body = make([]byte, random.IntN(2048))
+	r := &soakRequest{id: request.ID, notIdempotent: request.Class == "repair-order", timeout: request.Timeout, canceling: canceling}
 	s.mu.Lock()
 	s.requests[r.id] = r
 	s.mu.Unlock()
-	return call, r
+	return request, r
 }
 
 // send sends a request, and calls done with whether its connection ended instead of an answer.
-func (s *soak) send(client *fake.Client, call fake.Request, r *soakRequest, done func(broken bool)) {
+func (s *soak) send(client *fake.Client, request fake.Request, r *soakRequest, done func(connectionLost bool)) {
 	sentAt := time.Now()
-	client.Go(call, func(_ fake.Response, err error) {
+	client.Go(request, func(_ fake.Response, err error) {
 		s.mu.Lock()
 		if err == nil {
-			r.answers++
+			r.responses++
 		}
-		r.tries = append(r.tries, soakTry{sentAt: sentAt, endedAt: time.Now(), broken: err != nil})
+		r.exchanges = append(r.exchanges, soakExchange{sentAt: sentAt, endedAt: time.Now(), connectionLost: err != nil})
 		s.mu.Unlock()
 		done(err != nil)
 	})
 }
 
-// try sends a request and waits for its end. It returns whether its connection ended instead of an answer.
-func (s *soak) try(client *fake.Client, call fake.Request, r *soakRequest) bool {
+// exchange sends a request and waits for its end. It returns whether its connection ended instead of an answer.
+func (s *soak) exchange(client *fake.Client, request fake.Request, r *soakRequest) bool {
 	ended := make(chan bool, 1)
-	s.send(client, call, r, func(broken bool) { ended <- broken })
+	s.send(client, request, r, func(broken bool) { ended <- broken })
 	return <-ended
 }
 
-// router returns one of the routers that are told to end.
-func (s *soak) router(random *rand.Rand) *program { return s.draining[random.IntN(len(s.draining))] }
+// drawRouter returns one of the routers that are told to end.
+func (s *soak) drawRouter(random *rand.Rand) *program {
+	return s.draining[random.IntN(len(s.draining))]
+}
 
-// stay is a client that sends one request after the other until its connection ends, or, where there is no room for all,
+// sendUntilKilled is a client that sends one request after the other until its connection ends, or, where there is no room for all,
 // for as long as connections are opened.
-func (s *soak) stay(random *rand.Rand) {
-	for s.visitors && s.opensConnections() && s.visit(random) {
+func (s *soak) sendUntilKilled(random *rand.Rand) {
+	for s.shortConnections && s.mayConnect() && s.sendAndClose(random) {
 	}
-	s.stayConnected(random)
-	for s.crowded {
+	s.sendUntilClosed(random)
+	for s.atDescriptorLimit {
 		select {
-		case <-s.stop:
+		case <-s.stopConnecting:
 			return
 		case <-time.After(time.Duration(random.IntN(50)) * time.Millisecond):
-			s.stayConnected(random)
+			s.sendUntilClosed(random)
 		}
 	}
 }
 
-// stayConnected sends one request after the other until the connection ends. The request that meets the end is sent once
+// sendUntilClosed sends one request after the other until the connection ends. The request that meets the end is sent once
 // more, on a new connection.
-func (s *soak) stayConnected(random *rand.Rand) {
-	client, err := fake.Dial(s.router(random).listen)
+func (s *soak) sendUntilClosed(random *rand.Rand) {
+	client, err := fake.Dial(s.drawRouter(random).listen)
 	if err != nil {
 		return
 	}
 	defer client.Close()
 	for {
-		call, r := s.draw(random, false)
-		if s.try(client, call, r) {
-			s.sendAgain(call, r)
+		request, r := s.drawRequest(random, false)
+		if s.exchange(client, request, r) {
+			s.resend(request, r)
 			return
 		}
 		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
 }
 
-// opensConnections reports whether clients still open connections.
-func (s *soak) opensConnections() bool {
+// mayConnect reports whether clients still open connections.
+func (s *soak) mayConnect() bool {
 	select {
-	case <-s.stop:
+	case <-s.stopConnecting:
 		return false
 	default:
 		return true
 	}
 }
 
-// visit sends a few requests over a connection and closes it, as a client that comes and goes does. It reports whether the
+// sendAndClose sends a few requests over a connection and closes it, as a client that comes and goes does. It reports whether the
 // connection was open until then.
-func (s *soak) visit(random *rand.Rand) bool {
-	client, err := fake.Dial(s.router(random).listen)
+func (s *soak) sendAndClose(random *rand.Rand) bool {
+	client, err := fake.Dial(s.drawRouter(random).listen)
 	if err != nil {
 		return false
 	}
 	defer client.Close()
 	for range 1 + random.IntN(3) {
-		call, r := s.draw(random, false)
-		if s.try(client, call, r) {
-			s.sendAgain(call, r)
+		request, r := s.drawRequest(random, false)
+		if s.exchange(client, request, r) {
+			s.resend(request, r)
 			return false
 		}
 	}
 	return true
 }
 
-// flap is a client that opens and closes connections, at times with a request in between of which it takes the answer. It
+// openAndClose is a client that opens and closes connections, at times with a request in between of which it takes the answer. It
 // has the router close connections that their clients close too.
-func (s *soak) flap(random *rand.Rand) {
-	for s.opensConnections() {
-		client, err := fake.Dial(s.router(random).listen)
+func (s *soak) openAndClose(random *rand.Rand) {
+	for s.mayConnect() {
+		client, err := fake.Dial(s.drawRouter(random).listen)
 		if err != nil {
 			return
 		}
 		if random.IntN(2) == 0 {
-			call, r := s.draw(random, false)
-			s.try(client, call, r)
+			request, r := s.drawRequest(random, false)
+			s.exchange(client, request, r)
 		}
 		time.Sleep(time.Duration(random.IntN(1000)) * time.Microsecond)
 		client.Close()
 	}
 }
 
-// sendAgain sends a request that has crossed a close to the router that remains.
-func (s *soak) sendAgain(call fake.Request, r *soakRequest) {
+// resend sends a request that has crossed a close to the router that remains.
+func (s *soak) resend(request fake.Request, r *soakRequest) {
 	client, err := fake.Dial(s.remaining.listen)
 	if err != nil {
 		s.t.Errorf("%s can't be sent again: %v", r.id, err)
 		return
 	}
 	defer client.Close()
-	s.try(client, call, r)
+	s.exchange(client, request, r)
 }
 
-// leave is a client that takes requests back or closes its connection under them, for as long as connections are opened.
-func (s *soak) leave(random *rand.Rand) {
-	for s.opensConnections() {
-		client, err := fake.Dial(s.router(random).listen)
+// cancelRequests is a client that takes requests back or closes its connection under them, for as long as connections are opened.
+func (s *soak) cancelRequests(random *rand.Rand) {
+	for s.mayConnect() {
+		client, err := fake.Dial(s.drawRouter(random).listen)
 		if err != nil {
 			return
 		}
-		call, r := s.draw(random, true)
-		s.send(client, call, r, func(bool) {})
+		request, r := s.drawRequest(random, true)
+		s.send(client, request, r, func(bool) {})
 		time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 		s.mu.Lock()
-		r.goneAt = time.Now()
+		r.canceledAt = time.Now()
 		s.mu.Unlock()
 		if random.IntN(2) == 0 {
 			client.Interrupt(1)
--- a/internal/server/soak_machine_test.go
+++ b/internal/server/soak_machine_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	latenessStep = 5 * time.Millisecond  // between two looks at how late this process is
-	clockTick    = 10 * time.Millisecond // the unit of processor times in /proc
+	delaySampleInterval = 5 * time.Millisecond  // between two looks at how late this process is
+	clockTick           = 10 * time.Millisecond // the unit of processor times in /proc
 )
 
-// lateness is how late goroutines of this process ran, by which a busy machine is told from a slow answer.
-type lateness struct {
+// schedulingDelays is how late goroutines of this process ran, by which a busy machine is told from a slow answer.
+type schedulingDelays struct {
 	mu    sync.Mutex
-	spans []lateSpan
+	spans []delaySpan
 }
 
-// lateSpan is a time in which this process did not run as asked.
-type lateSpan struct {
+// delaySpan is a time in which this process did not run as asked.
+type delaySpan struct {
 	from, to time.Time
 }
 
-// watch records until done is closed.
-func (l *lateness) watch(done <-chan struct{}) {
+// measure records until done is closed.
+func (l *schedulingDelays) measure(done <-chan struct{}) {
 	for {
-		asked := time.Now().Add(latenessStep)
-		time.Sleep(latenessStep)
-		if now := time.Now(); now.Sub(asked) > latenessStep {
+		asked := time.Now().Add(delaySampleInterval)
+		time.Sleep(delaySampleInterval)
+		if now := time.Now(); now.Sub(asked) > delaySampleInterval {
 			l.mu.Lock()
-			l.spans = append(l.spans, lateSpan{from: asked, to: now})
+			l.spans = append(l.spans, delaySpan{from: asked, to: now})
 			l.mu.Unlock()
 		}
 		select {
@@ -48,7 +48,7 @@
 }
 
 // within returns for how long this process was late between two times.
-func (l *lateness) within(from, to time.Time) (sum time.Duration) {
+func (l *schedulingDelays) within(from, to time.Time) (sum time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, span := range l.spans {
@@ -60,7 +60,7 @@
 }
 
 // longest returns the longest time for which this process was late.
-func (l *lateness) longest() (longest time.Duration) {
+func (l *schedulingDelays) longest() (longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, span := range l.spans {
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -19,63 +19,63 @@
 	soakSeeds         = 26                     // of a run in CI
 	soakParallel      = 4
 
-	soakLead    = 1500 * time.Millisecond // under faults, before SIGTERM
-	answerSlack = 500 * time.Millisecond  // beyond its wait a request without an answer is lost
-	goneSlack   = 100 * time.Millisecond  // after its client has gone no attempt of a request may begin
-	busySlack   = 200 * time.Millisecond  // for a machine that is busy with other tests
-	crossing    = 50 * time.Millisecond   // a request that is sent so shortly before a close is sent once more
+	faultPeriod      = 1500 * time.Millisecond // under faults, before SIGTERM
+	responseSlack    = 500 * time.Millisecond  // beyond its wait a request without an answer is lost
+	cancelSlack      = 100 * time.Millisecond  // after its client has gone no attempt of a request may begin
+	busyMachineSlack = 200 * time.Millisecond  // for a machine that is busy with other tests
+	closeRaceWindow  = 50 * time.Millisecond   // a request that is sent so shortly before a close is sent once more
 
-	newConnections = 400 * time.Millisecond // after SIGTERM, in which clients still open them
-	drainLoad      = 0.6                    // processors that a program may use on average while it drains
+	connectPeriod = 400 * time.Millisecond // after SIGTERM, in which clients still open them
+	maxDrainLoad  = 0.6                    // processors that a program may use on average while it drains
 )
 
 // endsWithResponseDue finds reports of connections that a program ended though a response was due.
 var endsWithResponseDue = regexp.MustCompile(`ended_by=(handler|room|timeout|shutdown|failure) connections=\d+ response_due=[1-9]\d*`)
 
-// soakTry is one sending of a request, over a connection on which nothing else is open.
-type soakTry struct {
-	sentAt  time.Time
-	endedAt time.Time
-	broken  bool // the connection ended without an answer
+// soakExchange is one sending of a request, over a connection on which nothing else is open.
+type soakExchange struct {
+	sentAt         time.Time
+	endedAt        time.Time
+	connectionLost bool // the connection ended without an answer
 }
 
 // soakRequest is what is known of one request.
 type soakRequest struct {
-	id       string
-	unsafe   bool
-	wait     time.Duration
-	leaver   bool      // its client goes before it has an answer
-	goneAt   time.Time // when it went; zero: it did not
-	answers  int
-	tries    []soakTry
-	attempts []time.Time
+	id            string
+	notIdempotent bool
+	timeout       time.Duration
+	canceling     bool      // its client goes before it has an answer
+	canceledAt    time.Time // when it went; zero: it did not
+	responses     int
+	exchanges     []soakExchange
+	attempts      []time.Time
 }
 
 // soak is one play: routers under faults that follow from a seed, with clients that send until these are killed.
 type soak struct {
-	t         *testing.T
-	random    *rand.Rand
-	site      *fake.Site
-	draining  []*program // are told to end together
-	remaining *program   // goes on: a request that crosses a close is sent to it once more
-	deadline  time.Duration
-	leavers   bool
-	visitors  bool // clients open a new connection after a few requests
-	crowded   bool // there is not room for all clients: some are closed unread, and come again
-	stoppedAt time.Time
-	drainLoad float64 // processors that a program used on average while it drained, at most
-	late      lateness
+	t                 *testing.T
+	random            *rand.Rand
+	site              *fake.Site
+	draining          []*program // are told to end together
+	remaining         *program   // goes on: a request that crosses a close is sent to it once more
+	deadline          time.Duration
+	cancelers         bool
+	shortConnections  bool // clients open a new connection after a few requests
+	atDescriptorLimit bool // there is not room for all clients: some are closed unread, and come again
+	stoppedAt         time.Time
+	maxDrainLoad      float64 // processors that a program used on average while it drained, at most
+	delays            schedulingDelays
 
-	mu       sync.Mutex
-	requests map[string]*soakRequest
-	misled   []string // attempts at a worker that drains
-	drained  map[string]time.Time
-	running  sync.WaitGroup
-	stop     chan struct{}
+	mu             sync.Mutex
+	requests       map[string]*soakRequest
+	sentToDraining []string // attempts at a worker that drains
+	drainDeadlines map[string]time.Time
+	running        sync.WaitGroup
+	stopConnecting chan struct{}
 }
 
-// record keeps what arrived at a worker.
-func (s *soak) record(e fake.Event) {
+// recordEvent keeps what arrived at a worker.
+func (s *soak) recordEvent(e fake.Event) {
 	if e.Kind != fake.EventStarted && e.Kind != fake.EventNotLoaded {
 		return
 	}
@@ -84,13 +84,13 @@
 	if r := s.requests[e.ID]; r != nil && e.Kind == fake.EventStarted {
 		r.attempts = append(r.attempts, e.At)
 	}
-	if until, drains := s.drained[e.Worker.Name]; drains && e.At.After(until) {
-		s.misled = append(s.misled, e.ID)
+	if until, drains := s.drainDeadlines[e.Worker.Name]; drains && e.At.After(until) {
+		s.sentToDraining = append(s.sentToDraining, e.ID)
 	}
 }
 
-// disturb does something to a worker, to discovery or to the program.
-func (s *soak) disturb() {
+// injectFault does something to a worker, to discovery or to the program.
+func (s *soak) injectFault() {
 	worker := s.site.Workers[s.random.IntN(len(s.site.Workers)-1)] // the last one is left alone
 	port := worker.Ports()[0]
 	switch s.random.IntN(9) {
@@ -115,15 +115,15 @@
 		program := s.draining[s.random.IntN(len(s.draining))]
 		program.cmd.Process.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGUSR1}[s.random.IntN(2)])
 	case 8:
-		s.drain(worker)
+		s.drainWorker(worker)
 	}
 }
 
-// drain has discovery list a worker as draining, once in a play.
-func (s *soak) drain(worker *fake.Worker) {
+// drainWorker has discovery list a worker as draining, once in a play.
+func (s *soak) drainWorker(worker *fake.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.drained) > 0 {
+	if len(s.drainDeadlines) > 0 {
 		return
 	}
 	entries := s.site.Endpoints()
@@ -132,48 +132,48 @@
 	}
 	s.site.Discovery.Set(entries)
 	const told, grace = 1500 * time.Millisecond, time.Second
-	s.drained[worker.Name] = time.Now().Add(told + grace + busySlack)
+	s.drainDeadlines[worker.Name] = time.Now().Add(told + grace + busyMachineSlack)
 }
 
-// play runs the clients and the faults, ends the programs as the platform does, and kills them at the earliest.
-func (s *soak) play(clients int) {
+// run runs the clients and the faults, ends the programs as the platform does, and kills them at the earliest.
+func (s *soak) run(clients int) {
 	for i := range clients {
-		s.startClient(i, s.stay)
-		if s.leavers && i%2 == 0 {
-			s.startClient(i, s.leave)
+		s.startClient(i, s.sendUntilKilled)
+		if s.cancelers && i%2 == 0 {
+			s.startClient(i, s.cancelRequests)
 		}
-		if s.crowded && i%6 == 0 {
-			s.startClient(i, s.flap)
+		if s.atDescriptorLimit && i%6 == 0 {
+			s.startClient(i, s.openAndClose)
 		}
 	}
 	faults := 6 + s.random.IntN(8)
 	for range faults {
-		time.Sleep(soakLead / time.Duration(faults))
-		s.disturb()
+		time.Sleep(faultPeriod / time.Duration(faults))
+		s.injectFault()
 	}
-	used := make([]time.Duration, len(s.draining))
+	usedBefore := make([]time.Duration, len(s.draining))
 	for i, program := range s.draining {
-		used[i] = program.processorTime()
+		usedBefore[i] = program.processorTime()
 		program.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	s.stoppedAt = time.Now()
-	time.AfterFunc(newConnections, func() { close(s.stop) })
-	kill := time.AfterFunc(killAfter(s.deadline), s.kill)
+	time.AfterFunc(connectPeriod, func() { close(s.stopConnecting) })
+	kill := time.AfterFunc(earliestKill(s.deadline), s.kill)
 	defer kill.Stop()
 	s.signal()
 	for i, program := range s.draining {
-		if err := <-program.ended; err != nil {
+		if err := <-program.exited; err != nil {
 			s.t.Errorf("a program ended with %v", err)
 		}
 		drain := time.Since(s.stoppedAt)
-		load := float64(program.processorTime()-used[i]) / float64(drain)
-		if load > drainLoad {
-			s.t.Errorf("a program used %.2f processors while it drained for %v, and %v are allowed", load, drain, drainLoad)
+		load := float64(program.processorTime()-usedBefore[i]) / float64(drain)
+		if load > maxDrainLoad {
+			s.t.Errorf("a program used %.2f processors while it drained for %v, and %v are allowed", load, drain, maxDrainLoad)
 		}
-		s.drainLoad = max(s.drainLoad, load)
+		s.maxDrainLoad = max(s.maxDrainLoad, load)
 	}
 	s.running.Wait()
-	if err := s.remaining.end(); err != nil {
+	if err := s.remaining.terminate(); err != nil {
 		s.t.Errorf("the program that remains ended with %v", err)
 	}
 }
@@ -205,69 +205,69 @@
 	s.running.Go(func() { run(random) })
 }
 
-// check accounts for every request, by what its client saw.
-func (s *soak) check() {
+// checkRequests accounts for every request, by what its client saw.
+func (s *soak) checkRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answered, left, crossed := 0, 0, 0
+	totalResponses, canceled, resent := 0, 0, 0
 	for _, r := range s.requests {
-		answered += r.answers
-		if r.leaver {
-			left++
-			s.checkGone(r)
+		totalResponses += r.responses
+		if r.canceling {
+			canceled++
+			s.checkCanceled(r)
 			continue
 		}
-		crossed += len(r.tries) - 1
-		s.checkAnswered(r)
-		if r.unsafe && len(r.attempts) > 1 {
+		resent += len(r.exchanges) - 1
+		s.checkResponse(r)
+		if r.notIdempotent && len(r.attempts) > 1 {
 			s.t.Errorf("%s ran %d times", r.id, len(r.attempts))
 		}
 	}
-	taken := counter(s.t, s.remaining.output(), "accepted")
+	accepted := thriftCounter(s.t, s.remaining.output(), "accepted")
 	for _, program := range s.draining {
-		taken += counter(s.t, program.output(), "accepted")
+		accepted += thriftCounter(s.t, program.output(), "accepted")
 	}
-	if taken < answered || taken > answered+left {
-		s.t.Errorf("%d requests were read, %d were answered and %d clients went", taken, answered, left)
+	if accepted < totalResponses || accepted > totalResponses+canceled {
+		s.t.Errorf("%d requests were read, %d were answered and %d clients went", accepted, totalResponses, canceled)
 	}
 	for _, program := range append(s.draining, s.remaining) {
 		for _, ends := range endsWithResponseDue.FindAllString(program.output(), -1) {
 			s.t.Errorf("a program closed connections on which a response was due: %s", ends)
 		}
 	}
-	if len(s.misled) > 0 {
-		s.t.Errorf("%d requests went to a draining worker", len(s.misled))
+	if len(s.sentToDraining) > 0 {
+		s.t.Errorf("%d requests went to a draining worker", len(s.sentToDraining))
 	}
 	s.t.Logf("requests=%d answered=%d left=%d crossed=%d taken=%d deadline=%v routers=%d crowded=%v load=%.2f lateness=%v",
-		len(s.requests), answered, left, crossed, taken, s.deadline, len(s.draining), s.crowded, s.drainLoad, s.late.longest())
+		len(s.requests), totalResponses, canceled, resent, accepted, s.deadline, len(s.draining), s.atDescriptorLimit, s.maxDrainLoad, s.delays.longest())
 }
 
-// checkAnswered checks that a request had its answer in its time, or crossed a close of the drain and had it the second
+// checkResponse checks that a request had its answer in its time, or crossed a close of the drain and had it the second
 // time. Where there is no room for all clients, connections are closed at other times too, and more than once.
-func (s *soak) checkAnswered(r *soakRequest) {
-	for i, try := range r.tries {
-		took := try.endedAt.Sub(try.sentAt)
-		switch late := s.late.within(try.sentAt, try.endedAt); {
-		case !try.broken && took > r.wait+answerSlack+late:
-			s.t.Errorf("%s was answered after %v of %v", r.id, took, r.wait)
-		case try.broken && took > crossing+late:
-			s.t.Errorf("%s has no answer: its connection ended %v after it was sent, and %v are allowed", r.id, took, crossing+late)
-		case try.broken && try.endedAt.Before(s.stoppedAt) && !s.crowded:
-			s.t.Errorf("%s has no answer: its connection ended %v before SIGTERM", r.id, s.stoppedAt.Sub(try.endedAt))
-		case try.broken && i > 0 && !s.crowded:
+func (s *soak) checkResponse(r *soakRequest) {
+	for i, exchange := range r.exchanges {
+		took := exchange.endedAt.Sub(exchange.sentAt)
+		switch delays := s.delays.within(exchange.sentAt, exchange.endedAt); {
+		case !exchange.connectionLost && took > r.timeout+responseSlack+delays:
+			s.t.Errorf("%s was answered after %v of %v", r.id, took, r.timeout)
+		case exchange.connectionLost && took > closeRaceWindow+delays:
+			s.t.Errorf("%s has no answer: its connection ended %v after it was sent, and %v are allowed", r.id, took, closeRaceWindow+delays)
+		case exchange.connectionLost && exchange.endedAt.Before(s.stoppedAt) && !s.atDescriptorLimit:
+			s.t.Errorf("%s has no answer: its connection ended %v before SIGTERM", r.id, s.stoppedAt.Sub(exchange.endedAt))
+		case exchange.connectionLost && i > 0 && !s.atDescriptorLimit:
 			s.t.Errorf("%s has no answer: it was sent once more, and its connection ended again", r.id)
 		}
 	}
 }
 
-// checkGone checks that no attempt of a request began after its client had gone.
-func (s *soak) checkGone(r *soakRequest) {
+// checkCanceled checks that no attempt of a request began after its client had gone.
+func (s *soak) checkCanceled(r *soakRequest) {
 	for _, at := range r.attempts {
-		if !r.goneAt.IsZero() && at.After(r.goneAt.Add(goneSlack+busySlack)) {
-			s.t.Errorf("%s: an attempt began %v after its client had gone", r.id, at.Sub(r.goneAt))
+		if !r.canceledAt.IsZero() && at.After(r.canceledAt.Add(cancelSlack+busyMachineSlack)) {
+			s.t.Errorf("%s: an attempt began %v after its client had gone", r.id, at.Sub(r.canceledAt))
 		}
 	}
-	if r.unsafe && len(r.attempts) > 1 {
+	if r.notIdempotent && len(r.attempts) > 1 {
 		s.t.Errorf("%s ran %d times", r.id, len(r.attempts))
 	}
 }
@@ -284,33 +284,33 @@
 	limits["maxAttempts"] = 1 + s.random.IntN(5)
 	if s.random.IntN(4) == 0 { // few descriptors: clients make room for each other
 		document["limits"].(map[string]any)["sockets"] = 96
-		s.crowded = true
-		s.leavers = false // so that each request that was read is accounted for
-		s.visitors = false
+		s.atDescriptorLimit = true
+		s.cancelers = false // so that each request that was read is accounted for
+		s.shortConnections = false
 	}
 }
 
-// playSoak plays one seed.
-func playSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, random: rand.New(rand.NewPCG(seed, 34)), requests: map[string]*soakRequest{}, drained: map[string]time.Time{}, stop: make(chan struct{})}
-	site, listen, document := siteFor(t, 4, s.record)
+// runSoak plays one seed.
+func runSoak(t *testing.T, seed uint64) {
+	s := &soak{t: t, random: rand.New(rand.NewPCG(seed, 34)), requests: map[string]*soakRequest{}, drainDeadlines: map[string]time.Time{}, stopConnecting: make(chan struct{})}
+	site, listen, document := newSite(t, 4, s.recordEvent)
 	s.site = site
 	for _, worker := range site.Workers {
 		worker.ServiceTime = time.Duration(1+s.random.IntN(30)) * time.Millisecond
 	}
-	s.leavers = s.random.IntN(2) == 0
-	s.visitors = s.random.IntN(2) == 0
+	s.cancelers = s.random.IntN(2) == 0
+	s.shortConnections = s.random.IntN(2) == 0
 	s.drawSettings(document)
 	s.startPrograms(listen, document)
 	clients := 12
-	if s.crowded || s.random.IntN(3) == 0 {
+	if s.atDescriptorLimit || s.random.IntN(3) == 0 {
 		clients = 60
 	}
 	done := make(chan struct{})
-	go s.late.watch(done)
-	s.play(clients)
+	go s.delays.measure(done)
+	s.run(clients)
 	close(done)
-	s.check()
+	s.checkRequests()
 }
 
 // startPrograms starts one to three programs that drain together, in some plays on one processor, and one that remains.
@@ -353,7 +353,7 @@
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			playSoak(t, seed)
+			runSoak(t, seed)
 		})
 	}
 }
--- a/internal/server/stall_test.go
+++ b/internal/server/stall_test.go
@@ -14,7 +14,7 @@
 // read.
 func TestBudgetCountsTheTimeOfAStoppedProcess(t *testing.T) {
 	checkBudgetsAcrossStops(t, 6, func(p *program) {
-		p.until(func() bool { return p.stat()[0] == "T" }, "it is stopped")
+		p.waitUntil(func() bool { return p.stat()[0] == "T" }, "it is stopped")
 	})
 }
 
@@ -29,23 +29,23 @@
 func checkBudgetsAcrossStops(t *testing.T, stops int, beforeRequest func(*program)) {
 	t.Helper()
 	const (
-		wait    = time.Second
-		stopped = 500 * time.Millisecond
-		slack   = 150 * time.Millisecond
+		timeout  = time.Second
+		stopTime = 500 * time.Millisecond
+		slack    = 150 * time.Millisecond
 	)
-	type told struct {
+	type runCommand struct {
 		at     time.Time
 		budget time.Duration
 	}
 	listener := listenLoopback(t)
-	_, listen, document := siteFor(t, 1, nil)
-	firstTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
+	_, listen, document := newSite(t, 1, nil)
+	configuredTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
 	document["names"] = "127.0.0.1:9"
-	commands := make(chan told, 8)
+	commands := make(chan runCommand, 8)
 	go serveCommands(listener, func(conn net.Conn, words []string) {
 		if words[0] == "RUN" {
-			commands <- told{at: time.Now(), budget: budgetOf(t, words[2])}
-			fmt.Fprint(conn, responseTo(words[1]))
+			commands <- runCommand{at: time.Now(), budget: budgetOf(t, words[2])}
+			fmt.Fprint(conn, servedResponse(words[1]))
 		}
 	})
 	p := startProgramWith(t, document, listen)
@@ -56,22 +56,22 @@
 			t.Fatal(err)
 		}
 		beforeRequest(p)
-		call := callOf(n)
-		call.Timeout = wait
+		request := newRequest(n)
+		request.Timeout = timeout
 		sentAt := time.Now()
-		ended := make(chan error, 1)
-		client.Go(call, func(_ fake.Response, err error) { ended <- err })
-		time.Sleep(stopped)
+		completed := make(chan error, 1)
+		client.Go(request, func(_ fake.Response, err error) { completed <- err })
+		time.Sleep(stopTime)
 		if err := p.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 			t.Fatal(err)
 		}
-		if err := <-ended; err != nil {
+		if err := <-completed; err != nil {
 			t.Fatal(err)
 		}
 		command := <-commands
-		left := wait - command.at.Sub(sentAt)
-		if command.budget > left+slack {
-			t.Errorf("the worker was told %v where the client had %v left", command.budget, left)
+		remaining := timeout - command.at.Sub(sentAt)
+		if command.budget > remaining+slack {
+			t.Errorf("the worker was told %v where the client had %v left", command.budget, remaining)
 		}
 	}
 }
--- a/internal/server/start_times_test.go
+++ b/internal/server/start_times_test.go
@@ -11,14 +11,14 @@
 
 // A step of the wall clock changes no start time: what discovery reports is compared with the wall clock when it first is,
 // and kept on the monotonic one. A start that can't be true is bounded by the last list that did not have it.
-func TestStartTimesOutlastSteppedClocks(t *testing.T) {
+func TestStartTimesSurviveClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 10 * time.Second, -10 * time.Second} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			m := newTestMembership(t)
 			wall := time.Now()
 			now := m.loop.Now()
 			m.starts = newStartTimes(func() time.Time { return wall }, now)
-			known := listed(t, "s-1", policy.Ready, "127.0.0.1:1")
+			known := listEntry(t, "s-1", policy.Ready, "127.0.0.1:1")
 			known.Started = wall.Add(-3 * time.Second).UnixMilli()
 			m.update([]discovery.Worker{known})
 			m.listConfirmed()
@@ -33,7 +33,7 @@
 			}
 			// The machines of discovery and the workers may be stepped too, or not.
 			for name, started := range map[string]time.Time{"stepped": wall.Add(-time.Second), "not stepped": wall.Add(-step - time.Second)} {
-				fresh := listed(t, "s-"+name, policy.Ready, "127.0.0.1:2")
+				fresh := listEntry(t, "s-"+name, policy.Ready, "127.0.0.1:2")
 				fresh.Started = started.UnixMilli()
 				m.update([]discovery.Worker{known, fresh})
 				m.listConfirmed()
