--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -54,14 +54,14 @@
 			for range 3 {
 				checkHealth(staying) // the end, which came before, has been read
 			}
-			response := make(chan fake.Response, 1)
-			staying.Go(kept, func(a fake.Response, _ error) { response <- a })
+			responses := make(chan fake.Response, 1)
+			staying.Go(kept, func(response fake.Response, _ error) { responses <- response })
 			checkHealth(staying)
 			if err := port.Set(fake.ModeHealthy); err != nil {
 				t.Fatal(err)
 			}
-			if a := <-response; a.Status != "served" {
-				t.Errorf("the request of the client that stayed: %+v", a)
+			if response := <-responses; response.Status != "served" {
+				t.Errorf("the request of the client that stayed: %+v", response)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -148,32 +148,32 @@
 }
 
 // send sends one and returns its answer with the runs that it took.
-func (p *scriptedDeployment) send(t *testing.T, k fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
+func (p *scriptedDeployment) send(t *testing.T, request fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
 	p.mu.Unlock()
-	a, err := p.client.Do(k)
+	response, err := p.client.Do(request)
 	if err != nil {
-		t.Fatalf("%+v: %v", k, err)
+		t.Fatalf("%+v: %v", request, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return a, p.runs
+	return response, p.runs
 }
 
 // The settings of each deployment reach the policy's configuration, whatever other keys the file holds.
 func TestDeploymentsSettingsReachThePolicy(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
-			c := startDeployment(t, d).cfg.Policy
-			got := expectedPolicy{MaxAttempts: c.MaxAttempts, HedgingAllowed: c.HedgingAllowed, MissWhenNotLoaded: c.MissWhenNotLoaded, ConcurrencyReported: c.ConcurrencyReported, DrainGracePeriod: c.DrainGracePeriod,
-				MaxRetryAfter: c.MaxRetryAfter, OverloadMultiple: c.OverloadMultiple, LoadReportFields: c.LoadReportFields, MemoryPrice: c.MemoryPrice, MemoryMB: c.WorkerMemoryMB}
-			for _, k := range c.Classes {
-				got.Idempotency = append(got.Idempotency, k.Idempotency)
+			policyConfig := startDeployment(t, d).cfg.Policy
+			got := expectedPolicy{MaxAttempts: policyConfig.MaxAttempts, HedgingAllowed: policyConfig.HedgingAllowed, MissWhenNotLoaded: policyConfig.MissWhenNotLoaded, ConcurrencyReported: policyConfig.ConcurrencyReported, DrainGracePeriod: policyConfig.DrainGracePeriod,
+				MaxRetryAfter: policyConfig.MaxRetryAfter, OverloadMultiple: policyConfig.OverloadMultiple, LoadReportFields: policyConfig.LoadReportFields, MemoryPrice: policyConfig.MemoryPrice, MemoryMB: policyConfig.WorkerMemoryMB}
+			for _, class := range policyConfig.Classes {
+				got.Idempotency = append(got.Idempotency, class.Idempotency)
 			}
-			for _, a := range c.Tenants {
-				got.TenantRates = append(got.TenantRates, a.RequestsPerSecond)
+			for _, tenant := range policyConfig.Tenants {
+				got.TenantRates = append(got.TenantRates, tenant.RequestsPerSecond)
 			}
 			if diff := cmp.Diff(d.want, got); diff != "" {
 				t.Error(diff)
@@ -261,21 +261,23 @@
 			n := uint64(0)
 			send := func(change func(*fake.Request), fields string) (fake.Response, int) {
 				n++
-				k := fake.Request{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), FunctionKey: "00000000000000aa", Timeout: 2 * time.Second, Tenant: d.tenant, IdempotencyKey: "ab"}
-				change(&k)
-				response, runs := p.send(t, k, func(int) (string, string) { return "HIT", fields })
+				request := fake.Request{Class: p.cfg.ClassNames()[1], ID: fmt.Sprintf("%016x", n), FunctionKey: "00000000000000aa", Timeout: 2 * time.Second, Tenant: d.tenant, IdempotencyKey: "ab"}
+				change(&request)
+				response, runs := p.send(t, request, func(int) (string, string) { return "HIT", fields })
 				return response, len(runs)
 			}
 			unchanged := func(*fake.Request) {}
 			invalid := map[string]func(*fake.Request){
-				"a key that is too long": func(k *fake.Request) { k.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1) },
-				"a key that is not hex":  func(k *fake.Request) { k.IdempotencyKey = "ab,queue=other" },
-				"a class that is not":    func(k *fake.Request) { k.Class = "other" },
-				"a wait that is not":     func(k *fake.Request) { k.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
+				"a key that is too long": func(request *fake.Request) {
+					request.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1)
+				},
+				"a key that is not hex": func(request *fake.Request) { request.IdempotencyKey = "ab,queue=other" },
+				"a class that is not":   func(request *fake.Request) { request.Class = "other" },
+				"a wait that is not":    func(request *fake.Request) { request.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
 			}
 			if d.tenant != "" {
-				invalid["a tenant that is not"] = func(k *fake.Request) { k.Tenant = "nobody" }
-				invalid["a keyed call without its key"] = func(k *fake.Request) { k.IdempotencyKey = "" }
+				invalid["a tenant that is not"] = func(request *fake.Request) { request.Tenant = "nobody" }
+				invalid["a keyed call without its key"] = func(request *fake.Request) { request.IdempotencyKey = "" }
 			}
 			for name, change := range invalid {
 				if response, runs := send(change, "detail=hot"); response.Status != "failed" || runs != 0 {
