--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// An addresses file that can't be used is an error that names the file once and the setting, and a file that is not
-// named means the defaults.
+// An invalid addresses file is an error that names the file once, and the unknown setting. Without a file name the
+// defaults apply.
 func TestAddressesFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "addresses.toml")
 	for _, test := range []struct {
 		name, text  string
 		unixInTXT   bool
-		field, want string // of the error; want is "" where there is none
+		field, want string // of the error; want is "" if there is none
 	}{
 		{name: "empty"},
 		{name: "on", text: "unix_in_txt = true", unixInTXT: true},
--- a/internal/server/broken_connections_test.go
+++ b/internal/server/broken_connections_test.go
@@ -13,16 +13,16 @@
 	"crankhold/internal/fake"
 )
 
-// faultyWorker does to the first RUN of each request what a test injects, and serves the later ones.
+// faultyWorker handles the first RUN of each request by the function inject, and serves later ones.
 type faultyWorker struct {
 	mu         sync.Mutex
-	runs       map[string]int // RUN commands that were read whole, by id
+	runs       map[string]int // RUN commands that were read completely, by id
 	inject     func(c *net.TCPConn, id string)
 	resetAfter int      // if above 0, the next connection is reset after this many bytes have been read
-	closedAddr net.Addr // the router's end of a connection that was ended behind a whole response; nil: none was
+	closedAddr net.Addr // the router's address of a connection that was closed after a complete response, or nil
 }
 
-// servedResponse is the response of a loaded function to the request of that id.
+// servedResponse returns the response of a loaded function to the request with this id.
 func servedResponse(id string) string {
 	return encodeWords(id, "HIT", "detail=hot", "done")
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// waitForClose waits until the router has closed its end of a connection that was ended behind a whole response. An order that
-// is sent before may cross the end, and fails then as one that may have run.
+// waitForClose waits until the router has closed its end of a connection that the worker closed after a complete
+// response. An order that the router sends earlier may cross the close, and then fails because it may have run.
 func (w *faultyWorker) waitForClose(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
@@ -85,7 +85,7 @@
 		return
 	}
 	addr := closedAddr.(*net.TCPAddr)
-	local := fmt.Sprintf("0100007F:%04X", addr.Port) // 127.0.0.1, as proc(5) words it
+	local := fmt.Sprintf("0100007F:%04X", addr.Port) // 127.0.0.1 in the format of proc(5)
 	const closeWait, established = "08", "01"
 	for waitStart := time.Now(); ; time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
@@ -101,14 +101,14 @@
 			return
 		}
 		if time.Since(waitStart) > 10*time.Second {
-			t.Fatalf("the router keeps the connection from %v", addr)
+			t.Fatalf("the router did not close the connection from %v", addr)
 		}
 	}
 }
 
-// From socket to socket: wherever a worker's connection breaks, the client gets exactly one response. An idempotent request is
-// served by a retry, one that is not idempotent runs at most once, and a response that came whole counts although the
-// connection ended after it.
+// An end-to-end test over sockets: at whatever byte a worker's connection breaks, the client gets exactly one response.
+// An idempotent request is served by a retry, one that is not idempotent runs at most once, and a complete response is
+// accepted although the connection breaks after it.
 func TestConnectionsThatBreakAtAnyByte(t *testing.T) {
 	responseSize := len(servedResponse("0000000000000001"))
 	respondPartly := func(at int, end func(*net.TCPConn)) func(*net.TCPConn, string) {
@@ -118,7 +118,8 @@
 		}
 	}
 	w := &faultyWorker{runs: map[string]int{}}
-	// thenEnds notes the router's end before it responds: the client may have the answer before the connection ends.
+	// respondThen records the router's address before it responds, because the client may receive the response before
+	// the connection is closed.
 	respondThen := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
 		respond := respondPartly(responseSize, end)
 		return func(c *net.TCPConn, id string) {
@@ -136,30 +137,30 @@
 		name       string
 		resetAfter int
 		inject     func(*net.TCPConn, string)
-		accepted   bool // the first response counts
+		accepted   bool // the router accepts the first response
 	}
 	faults := []fault{
-		{"half a call is read, then a reset", 40, nil, false},
-		{"a whole answer, then a close", 0, respondThen(closeConn), true},
-		{"a whole answer, then a half-close", 0, respondThen(closeWrite), true},
-		{"a whole answer a byte at a time", 0, func(c *net.TCPConn, id string) {
+		{"half a request is read, then a reset", 40, nil, false},
+		{"a complete response, then a close", 0, respondThen(closeConn), true},
+		{"a complete response, then a half-close", 0, respondThen(closeWrite), true},
+		{"a complete response one byte at a time", 0, func(c *net.TCPConn, id string) {
 			c.SetNoDelay(true)
 			for _, b := range []byte(servedResponse(id)) {
 				c.Write([]byte{b})
 			}
 		}, true},
-		{"a whole answer twice", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse(id), servedResponse(id)) }, true},
-		{"a whole answer behind one to nobody", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse("00000000000000ff"), servedResponse(id)) }, true},
-		{"a whole answer, then nonsense", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse(id), "*-4\r\n") }, true},
+		{"a complete response twice", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse(id), servedResponse(id)) }, true},
+		{"a complete response after one to an unknown request", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse("00000000000000ff"), servedResponse(id)) }, true},
+		{"a complete response, then malformed bytes", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, servedResponse(id), "*-4\r\n") }, true},
 		{"nonsense", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, "+OK\r\n") }, false},
-		{"an answer of a word that there is not", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, strings.Replace(servedResponse(id), "HIT", "HAT", 1)) }, false},
+		{"a response with an unknown word", 0, func(c *net.TCPConn, id string) { fmt.Fprint(c, strings.Replace(servedResponse(id), "HIT", "HAT", 1)) }, false},
 	}
 	for _, at := range []int{0, 1, 4, 20, responseSize / 2, responseSize - 3, responseSize - 1} {
-		faults = append(faults, fault{fmt.Sprintf("%d bytes of an answer, then a close", at), 0, respondPartly(at, closeConn), false},
-			fault{fmt.Sprintf("%d bytes of an answer, then a reset", at), 0, respondPartly(at, resetConn), false},
-			fault{fmt.Sprintf("%d bytes of an answer, then a half-close", at), 0, respondPartly(at, closeWrite), false})
+		faults = append(faults, fault{fmt.Sprintf("%d bytes of a response, then a close", at), 0, respondPartly(at, closeConn), false},
+			fault{fmt.Sprintf("%d bytes of a response, then a reset", at), 0, respondPartly(at, resetConn), false},
+			fault{fmt.Sprintf("%d bytes of a response, then a half-close", at), 0, respondPartly(at, closeWrite), false})
 	}
-	faults = append(faults, fault{"an answer that does not go on", 0, respondPartly(responseSize/2, keepOpen), false})
+	faults = append(faults, fault{"an incomplete response on an open connection", 0, respondPartly(responseSize/2, keepOpen), false})
 
 	_, _, document := newSite(t, 2, nil)
 	for _, member := range configuredTopology(document)["members"].([]any) {
@@ -192,7 +193,7 @@
 			response, runs := send(class)
 			served := f.accepted || class == "dim-level"
 			switch {
-			case f.resetAfter > 0 && class == "repair-order": // it may go on over a connection that stands, or be cut itself
+			case f.resetAfter > 0 && class == "repair-order": // it is sent on an open connection or on the one that is reset
 				if runs > 1 {
 					t.Errorf("%s, %s: ran %d times", f.name, class, runs)
 				}
@@ -204,11 +205,11 @@
 			injectNext(0, nil)
 			w.waitForClose(t)
 			if response, runs := send("repair-order"); response.Status != "served" || runs != 1 {
-				t.Errorf("after %s: the next order %s after %d runs", f.name, response.Status, runs)
+				t.Errorf("after %s: the next order was %s after %d runs", f.name, response.Status, runs)
 			}
 		}
 	}
 	if extra := client.UnmatchedResponses(); extra > 0 {
-		t.Errorf("%d answers to no open call", extra)
+		t.Errorf("%d responses match no open request", extra)
 	}
 }
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -10,9 +10,9 @@
 	"crankhold/internal/fake"
 )
 
-// A request whose client has closed its connection or interrupted it while it waited for a dial is not sent once the dial
-// completes, even where the settings don't allow cancellation. The later request of another client is. Each step waits for a
-// response that can only come after the step before.
+// A request waits for a dial, and its client closes the connection or cancels the request. Then the request is not sent
+// when the dial completes, even if the settings don't allow cancel commands to workers. A later request of another
+// client is sent. Each step waits for a response that can only arrive after the previous step.
 func TestRequestOfAGoneClientIsNotSentAfterTheDial(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			server := startServer(t, document, Options{})
-			checkHealth := func(client *fake.Client) { // answered at the end of a turn, after everything that came before it
+			checkHealth := func(client *fake.Client) { // gets its response at the end of a turn, after all earlier events
 				t.Helper()
 				if _, err := client.CheckHealth(); err != nil {
 					t.Fatal(err)
@@ -49,10 +49,10 @@
 			canceled, kept := newRequest(1), newRequest(2)
 			canceled.Timeout, kept.Timeout = 20e9, 20e9
 			leaving.Go(canceled, func(fake.Response, error) {})
-			checkHealth(leaving) // the dial has begun
+			checkHealth(leaving) // the dial has started
 			tt.leaving(leaving)
 			for range 3 {
-				checkHealth(staying) // the end, which came before, has been read
+				checkHealth(staying) // the router has read the earlier close or cancellation
 			}
 			responses := make(chan fake.Response, 1)
 			staying.Go(kept, func(response fake.Response, _ error) { responses <- response })
@@ -61,7 +61,7 @@
 				t.Fatal(err)
 			}
 			if response := <-responses; response.Status != "served" {
-				t.Errorf("the request of the client that stayed: %+v", response)
+				t.Errorf("the request of the other client: %+v", response)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -72,8 +72,9 @@
 	}
 }
 
-// A request whose client has gone while its function was being loaded is not sent when the load ends, whether or not
-// workers may be told of ends. The request of a client that stays is.
+// A request whose client closes its connection or cancels the request during the load of its function is not sent when
+// the load completes, whether or not the settings allow cancel commands to workers. The request of another client is
+// sent.
 func TestRequestOfAGoneClientIsNotSentAfterTheLoad(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for name, leave := range map[string]func(client *fake.Client){"closes": (*fake.Client).Close, "interrupts": func(client *fake.Client) { client.Interrupt(1) }} {
@@ -101,7 +102,7 @@
 				<-loadCommands
 				leave(leaving)
 				if response, err := staying.Do(kept); err != nil || response.Status != fake.Served {
-					t.Errorf("the request of the client that stays: %+v, %v", response, err)
+					t.Errorf("the request of the other client: %+v, %v", response, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -22,15 +22,15 @@
 	"crankhold/policy"
 )
 
-// deployment is one operator's. A further one is a further row, with its settings under testdata/deployments.
+// deployment is the deployment of one operator. To add one, add a row and its settings under testdata/deployments.
 type deployment struct {
 	name       string
 	want       expectedPolicy
-	tenant     string // one of its tenants; "" where it has none
-	loadReport string // a load report of the fields that its settings name
+	tenant     string // one of its tenants; "" if it has none
+	loadReport string // a load report with the fields that its settings name
 }
 
-// expectedPolicy is what the policy must be configured with, as far as deployments differ.
+// expectedPolicy holds the fields of the policy's configuration in which deployments differ.
 type expectedPolicy struct {
 	Idempotency         []policy.Idempotency
 	TenantRates         []float64
@@ -71,18 +71,18 @@
 	return s
 }
 
-// scriptedDeployment is a server in this process with two workers whose responses a test scripts.
+// scriptedDeployment is a server in this process with two workers whose responses a test defines.
 type scriptedDeployment struct {
 	cfg      *config.Config
 	client   *fake.Client
 	mu       sync.Mutex
 	runs     []receivedRun
-	inFlight map[string]int // attempts of a request that are in flight
-	overlaps int            // times that a request had two attempts in flight
+	inFlight map[string]int // number of attempts in flight, by request id
+	overlaps int            // how often a request had more than one attempt in flight
 	script   func(n int) (word, fields string)
 }
 
-// receivedRun is a RUN as a worker read it.
+// receivedRun is a RUN command that a worker read.
 type receivedRun struct {
 	ID, Body string
 	Fields   map[string]string
@@ -147,7 +147,7 @@
 	}
 }
 
-// send sends one and returns its answer with the runs that it took.
+// send sends a request, and returns its response and the RUN commands that workers read.
 func (p *scriptedDeployment) send(t *testing.T, request fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
@@ -162,7 +162,7 @@
 	return response, p.runs
 }
 
-// The settings of each deployment reach the policy's configuration, whatever other keys the file holds.
+// The settings of each deployment reach the policy's configuration. Unknown keys in the file are ignored.
 func TestDeploymentsSettingsReachThePolicy(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -182,9 +182,9 @@
 	}
 }
 
-// From a client's socket to a worker's and back, for each class of each deployment: a request is forwarded as the client sent
-// it, one that never ran is retried at another worker under the same id and key, and one that may have run is retried as far as
-// its class allows.
+// An end-to-end test over sockets, for each class of each deployment: a request is forwarded as the client sent it. A
+// request that was not run is retried at another worker with the same id and idempotency key. A request that may have
+// run is retried only if its class allows it.
 func TestDeploymentsClassesFromSocketToSocket(t *testing.T) {
 	const idempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, d := range deployments {
@@ -240,20 +240,20 @@
 					}
 					for _, r := range runs {
 						if r.ID != request.ID || r.Fields["uniq"] != request.IdempotencyKey || r.Body != "lamp" {
-							t.Errorf("class %d after %s: repeated as %+v", class, tt.word, r)
+							t.Errorf("class %d after %s: retried as %+v", class, tt.word, r)
 						}
 					}
 				}
 			}
 			if p.overlaps > 0 && !p.cfg.Policy.HedgingAllowed {
-				t.Errorf("%d attempts went out beside another of their call", p.overlaps)
+				t.Errorf("%d attempts were sent while another attempt of the same request was in flight", p.overlaps)
 			}
 		})
 	}
 }
 
-// A request with an unusable field fails, reaches no worker and affects no other request; unusable fields of a response are
-// ignored.
+// A request with an invalid field fails, is sent to no worker and affects no other request. Invalid fields of a response
+// are ignored.
 func TestDeploymentsInvalidFields(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -272,12 +272,12 @@
 					request.IdempotencyKey = strings.Repeat("a", router.MaxIdempotencyKeyLength+1)
 				},
 				"a key that is not hex": func(request *fake.Request) { request.IdempotencyKey = "ab,queue=other" },
-				"a class that is not":   func(request *fake.Request) { request.Class = "other" },
-				"a wait that is not":    func(request *fake.Request) { request.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
+				"an unknown class":      func(request *fake.Request) { request.Class = "other" },
+				"a malformed wait":      func(request *fake.Request) { request.ExtraFields = []fake.Field{{Name: "wait", Value: "soon"}} },
 			}
 			if d.tenant != "" {
-				invalid["a tenant that is not"] = func(request *fake.Request) { request.Tenant = "nobody" }
-				invalid["a keyed call without its key"] = func(request *fake.Request) { request.IdempotencyKey = "" }
+				invalid["an unknown tenant"] = func(request *fake.Request) { request.Tenant = "nobody" }
+				invalid["a keyed request without its key"] = func(request *fake.Request) { request.IdempotencyKey = "" }
 			}
 			for name, change := range invalid {
 				if response, runs := send(change, "detail=hot"); response.Status != "failed" || runs != 0 {
@@ -289,7 +289,7 @@
 			}
 			for _, fields := range []string{"crowd=-1", "crowd=many", "detail=cold", "use=", "use=util", "use=queue:NaN;util:x", "later", "-", ""} {
 				if response, runs := send(unchanged, fields); response.Status != "served" || runs != 1 {
-					t.Errorf("answer with %q: %s after %d runs", fields, response.Status, runs)
+					t.Errorf("response with %q: %s after %d runs", fields, response.Status, runs)
 				}
 			}
 		})
--- a/internal/server/example_test.go
+++ b/internal/server/example_test.go
@@ -14,7 +14,7 @@
 
 // A router in front of one fake worker serves a request and then shuts down gracefully.
 func Example() {
-	// The site is what the router talks to: a discovery server that lists one worker, and that worker.
+	// The site holds the router's peers: a discovery server that lists one worker, and that worker.
 	site, err := fake.NewSite("127.0.0.1:0", []fake.WorkerConfig{
 		{Name: "s-1", Addr: "127.0.0.1:0", Kind: "std", Zone: "here", Warm: true, Lanes: 2, Queue: 32},
 	}, nil)
@@ -23,7 +23,7 @@
 	}
 	defer site.Close()
 
-	// The platform hands the router its configuration as a file that EDGE_CONFIG names.
+	// The environment variable EDGE_CONFIG names the router's configuration file.
 	dir, err := os.MkdirTemp("", "crankhold-example-")
 	if err != nil {
 		log.Fatal(err)
@@ -45,13 +45,13 @@
 		log.Fatal(err)
 	}
 
-	// Serve returns once the graceful shutdown that stop begins has ended.
+	// Closing stop starts a graceful shutdown. Serve returns when it has ended.
 	stop := make(chan struct{})
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(cfg, server.Options{Stop: stop}, reread) }()
 
 	client, err := fake.Dial(listen)
-	for err != nil { // until it listens
+	for err != nil { // until the router listens
 		time.Sleep(time.Millisecond)
 		client, err = fake.Dial(listen)
 	}
--- a/internal/server/goroutines_test.go
+++ b/internal/server/goroutines_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ownGoroutines returns the stacks of the goroutines that this program's packages and nbio have started, but for those that
-// the tests' own functions run in.
+// ownGoroutines returns the stacks of the goroutines that this program's packages and nbio have started, except those
+// that were started by tests or by the fakes.
 func ownGoroutines() []string {
 	buffer := make([]byte, 1<<20)
 	buffer = buffer[:runtime.Stack(buffer, true)]
@@ -27,8 +27,8 @@
 	return own
 }
 
-// waitForNoOwnGoroutines fails the test if goroutines of this program are left after ten seconds. One that is between its
-// last statement and its end is still listed, so the first look may be too early.
+// waitForNoOwnGoroutines fails the test if goroutines of this program are left after ten seconds. It checks repeatedly,
+// because a goroutine is still listed between its last statement and its end.
 func waitForNoOwnGoroutines(t *testing.T) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -44,8 +44,8 @@
 	}
 }
 
-// Each goroutine of a server ends with it: after Serve has returned none is left, also where requests were served and
-// the configuration was reloaded.
+// No goroutine of a server is left after Serve has returned, even if requests were served and the configuration was
+// reloaded.
 func TestNoGoroutineIsLeftAfterServe(t *testing.T) {
 	waitForNoOwnGoroutines(t)
 	_, _, document := newSite(t, 2, nil)
@@ -53,11 +53,11 @@
 	client := server.dial()
 	for n := range 3 {
 		if response, err := client.Do(newRequest(n + 1)); err != nil || response.Status != "served" {
-			t.Fatalf("answer %+v, %v", response, err)
+			t.Fatalf("response %+v, %v", response, err)
 		}
 	}
 	if len(ownGoroutines()) < 2 {
-		t.Error("the goroutines of a server that runs aren't found")
+		t.Error("the goroutines of a running server were not found")
 	}
 	if err := server.reload(); err != nil {
 		t.Error(err)
@@ -67,11 +67,11 @@
 	waitForNoOwnGoroutines(t)
 }
 
-// A server that could not start leaves no goroutine behind either.
+// No goroutine is left after a server has failed to start.
 func TestNoGoroutineIsLeftAfterAFailedStart(t *testing.T) {
 	waitForNoOwnGoroutines(t)
 	_, _, document := newSite(t, 1, nil)
-	document["listen"] = "192.0.2.1:1" // reserved for documentation: not an address of this machine
+	document["listen"] = "192.0.2.1:1" // reserved for documentation, so not an address of this machine
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	writeConfig(t, path, document)
@@ -84,7 +84,7 @@
 	writeText(t, webhookFile, fmt.Sprintf("[receiver]\nenabled = true\nlisten = \"127.0.0.1:0\"\nkeys = [{ file = %q }]\n[receiver.ledger]\npath = %q\n",
 		filepath.Join(dir, "hook.key"), filepath.Join(dir, "orders.ledger")))
 	if err := Serve(cfg, Options{Webhook: webhookFile}, nil); !errors.Is(err, syscall.EADDRNOTAVAIL) {
-		t.Fatalf("a server listens on an address that isn't this machine's: %v", err)
+		t.Fatalf("listening on an address of another machine: %v", err)
 	}
 	waitForNoOwnGoroutines(t)
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -16,7 +16,8 @@
 	"crankhold/internal/fake"
 )
 
-// newSite starts a fake discovery server with warm workers, and returns the configuration document of a router before them.
+// newSite starts a fake discovery server and warm workers, and returns the configuration document of a router that uses
+// them.
 func newSite(t *testing.T, workers int, record func(fake.Event)) (site *fake.Site, listen string, document map[string]any) {
 	t.Helper()
 	var list []fake.WorkerConfig
@@ -37,13 +38,13 @@
 	return site, listen, document
 }
 
-// configuredTopology returns the endpoint list that a configuration document holds, to be changed in place.
+// configuredTopology returns the endpoint list of a configuration document. The caller may change it in place.
 func configuredTopology(document map[string]any) map[string]any {
 	batch := document["known"].(map[string]any)["batch"].([]any)
 	return batch[0].(map[string]any)["topology"].(map[string]any)
 }
 
-// setDeadlines gives all classes of a configuration document one deadline.
+// setDeadlines sets the deadline of all classes in a configuration document.
 func setDeadlines(document map[string]any, deadline time.Duration) {
 	for _, class := range document["settings"].(map[string]any)["classes"].([]any) {
 		class.(map[string]any)["deadlineMs"] = deadline.Milliseconds()
@@ -51,7 +52,7 @@
 	}
 }
 
-// earliestKill is when the platform kills a router at the earliest, counted from SIGTERM.
+// earliestKill returns the shortest time between SIGTERM and the platform's kill of a router.
 func earliestKill(longestDeadline time.Duration) time.Duration {
 	return min(longestDeadline, 3*time.Second) + 700*time.Millisecond
 }
@@ -72,7 +73,7 @@
 	}
 }
 
-// readConfig reads a configuration as the program does.
+// readConfig reads a configuration file as the program does.
 func readConfig(path string) (*config.Config, error) {
 	return config.Read(func(name string) string { return map[string]string{"EDGE_CONFIG": path}[name] })
 }
@@ -80,14 +81,14 @@
 // testServer is a server that runs in this process until the test ends.
 type testServer struct {
 	t           *testing.T
-	path        string // of its configuration
+	path        string // of its configuration file
 	listen      string
-	rereads     chan error // one value for each time that the configuration has been read again
+	rereads     chan error // the result of each time that the configuration was read again
 	stop        func()     // closes Options.Stop; further calls have no effect
 	serveResult chan error // what Serve returned
 }
 
-// startServer runs a server by a configuration document, and ends it with the test.
+// startServer runs a server with a configuration document until the test ends.
 func startServer(t *testing.T, document map[string]any, options Options) *testServer {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -95,7 +96,7 @@
 	return startServerByFile(t, path, options)
 }
 
-// startServerByFile runs a server by a configuration file, and ends it with the test.
+// startServerByFile runs a server with a configuration file until the test ends.
 func startServerByFile(t *testing.T, path string, options Options) *testServer {
 	t.Helper()
 	cfg, err := readConfig(path)
@@ -124,13 +125,13 @@
 	return s
 }
 
-// dial connects a client once the server listens.
+// dial waits until the server listens, and returns a connected client.
 func (s *testServer) dial() *fake.Client {
 	s.t.Helper()
 	for {
 		select {
 		case err := <-s.serveResult:
-			s.t.Fatalf("the server ended before it listened: %v", err)
+			s.t.Fatalf("Serve returned before the server listened: %v", err)
 		default:
 		}
 		if client, err := fake.Dial(s.listen); err == nil {
@@ -140,7 +141,8 @@
 	}
 }
 
-// reload sends SIGHUP and returns what reading the configuration again came to. The reload is applied a turn later.
+// reload sends SIGHUP, waits until the server has read the configuration again, and returns the result. The server
+// applies the reload one turn later.
 func (s *testServer) reload() error {
 	s.t.Helper()
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
@@ -149,7 +151,7 @@
 	return <-s.rereads
 }
 
-// drain ends the server and waits for the end.
+// drain starts a graceful shutdown and waits until Serve returns.
 func (s *testServer) drain() {
 	s.t.Helper()
 	s.stop()
@@ -158,11 +160,12 @@
 	}
 }
 
+// newRequest returns an idempotent request whose id is n.
 func newRequest(n int) fake.Request {
 	return fake.Request{Class: "dim-level", ID: fmt.Sprintf("%016x", n), FunctionKey: "7f3a9c21e0b4d655", Timeout: 2 * time.Second, Properties: "lanes:8"}
 }
 
-// budgetOf reads the budget from the fields of a RUN command.
+// budgetOf returns the budget in the fields of a RUN command.
 func budgetOf(t *testing.T, fields string) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(fields, ",") {
--- a/internal/server/integrations_test.go
+++ b/internal/server/integrations_test.go
@@ -18,7 +18,7 @@
 	"crankhold/policy"
 )
 
-// twoClassConfig has a class that is idempotent and one that is not.
+// twoClassConfig returns a configuration with one class that is idempotent and one that is not.
 func twoClassConfig() *config.Config {
 	cfg := &config.Config{Listen: "127.0.0.1:10080"}
 	cfg.Policy.Classes = []policy.Class{{Idempotency: policy.Idempotent}, {Idempotency: policy.NotIdempotent}}
@@ -26,7 +26,7 @@
 	return cfg
 }
 
-// Integrations that are off ask for nothing, hold up no shutdown and log no counters.
+// Disabled integrations need no tick, don't delay a shutdown and log no counters.
 func TestDisabledIntegrationsDoNothing(t *testing.T) {
 	n, err := newIntegrations(Options{}, twoClassConfig(), eventloop.New(eventloop.Config{}), nil)
 	if err != nil {
@@ -37,11 +37,11 @@
 	n.logCounters()
 	n.close()
 	if next := n.tick(time.Second); next != time.Second+idleTick || n.pendingNotices() != 0 {
-		t.Errorf("the next tick is wanted at %v, %d notices wait", next, n.pendingNotices())
+		t.Errorf("the next tick is due at %v, %d notices are pending", next, n.pendingNotices())
 	}
 }
 
-// A notice is sent of a request that must not run twice, and of no other. Its counters go to the logger of the options.
+// A notice is sent of a request that is not idempotent, and of no other. The counters go to the logger of the options.
 func TestNoticesAreSentOnlyOfRequestsThatAreNotIdempotent(t *testing.T) {
 	settings := notice.Config{
 		URL:   "http://hooks.example.org/notices",
@@ -66,7 +66,8 @@
 	}
 }
 
-// Each completed request is counted as a flow, and flows have the address of the front that a request came by.
+// Each completed request is counted as a flow record. Flow records contain the address of the front that received the
+// request.
 func TestEachCompletedRequestIsExportedAsAFlow(t *testing.T) {
 	var log bytes.Buffer
 	flows := newFlowExport(&ipfix.Config{Collector: "127.0.0.1:4739"}, twoClassConfig(), eventloop.New(eventloop.Config{}),
--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -11,8 +11,8 @@
 	"crankhold/internal/fake"
 )
 
-// backlogListener listens with the shortest backlog there is, and fills it when it is told to, so that a dial hangs until the
-// kernel tries again, a second later.
+// backlogListener is a listener whose backlog a test can fill. A dial then hangs until the kernel tries again, a second
+// later.
 type backlogListener struct {
 	*net.TCPListener
 	t *testing.T
@@ -23,7 +23,7 @@
 	return backlogListener{listenLoopback(t).(*net.TCPListener), t}
 }
 
-// fillBacklog has dials hang until connections are accepted again.
+// fillBacklog sets the shortest backlog and fills it, so that dials hang until connections are accepted again.
 func (l backlogListener) fillBacklog() {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// acceptAfter accepts connections from a time on and calls run for each RUN command that arrives on one.
+// acceptAfter waits, then accepts connections and calls run for each RUN command that arrives on them.
 func (l backlogListener) acceptAfter(timeout time.Duration, run func(words []string)) {
 	time.Sleep(timeout)
 	serveCommands(l, func(_ net.Conn, words []string) {
@@ -50,8 +50,8 @@
 	})
 }
 
-// A request of a class whose workers drop repeats for a time may be sent again only within that time. An attempt that
-// began within it, and waited for a dial until it was over, is not sent.
+// Workers discard duplicates of a keyed request only during the deduplication window, so a retry must be sent within
+// it. An attempt that started within the window but waited for a dial until the window had ended is not sent.
 func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
 	const window = 1500 * time.Millisecond
 	listener := newBacklogListener(t)
@@ -59,10 +59,10 @@
 	configuredTopology(document)["members"].([]any)[0].(map[string]any)["host_port"] = listener.Addr().String()
 	settings := document["settings"].(map[string]any)
 	limits := settings["limits"].(map[string]any)
-	limits["dialTimeoutMs"], limits["mayProbe"] = 3000, false // a health check that times out would take the attempt back
+	limits["dialTimeoutMs"], limits["mayProbe"] = 3000, false // a health check that times out would cancel the attempt
 	class := settings["classes"].([]any)[0].(map[string]any)
 	class["semantics"], class["windowMs"], class["deadlineMs"] = "keyed", window.Milliseconds(), 4000
-	document["names"] = "127.0.0.1:9" // discovery lists the worker that the listener stands for no more than the configuration does
+	document["names"] = "127.0.0.1:9" // no server listens here; the fake discovery server would list another worker
 
 	var retries atomic.Int32
 	stopped := make(chan struct{})
@@ -77,7 +77,7 @@
 		}
 		listener.fillBacklog()
 		conn.(*net.TCPConn).SetLinger(0)
-		conn.Close() // it may have run
+		conn.Close() // the router must assume that the request may have run
 		listener.acceptAfter(1300*time.Millisecond, func([]string) { retries.Add(1) })
 	}()
 	server := startServer(t, document, Options{})
@@ -85,16 +85,16 @@
 	request.IdempotencyKey, request.Timeout = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", 3*time.Second
 	response, err := server.dial().Do(request)
 	if err != nil || response.Status == fake.Served {
-		t.Errorf("answer %+v, %v", response, err)
+		t.Errorf("response %+v, %v", response, err)
 	}
 	listener.Close()
 	<-stopped
 	if got := retries.Load(); got > 0 {
-		t.Errorf("it was sent again %d times past its window of %v", got, window)
+		t.Errorf("the request was retried %d times after its window of %v", got, window)
 	}
 }
 
-// The budget that a worker is told leaves out the time that the request spent waiting for a dial.
+// The budget in a RUN command does not include the time for which the request waited for a dial.
 func TestBudgetExcludesTheTimeOfASlowDial(t *testing.T) {
 	const timeout = 4 * time.Second
 	listener := newBacklogListener(t)
@@ -111,6 +111,6 @@
 	server.dial().Go(request, func(fake.Response, error) {})
 	fields := <-runFields
 	if budget := budgetOf(t, fields); budget > timeout-800*time.Millisecond { // the kernel tries again after a second
-		t.Errorf("told %v of %v after a dial of a second", budget, timeout)
+		t.Errorf("the budget is %v of %v after a dial of a second", budget, timeout)
 	}
 }
