--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -41,8 +41,8 @@
 }
 
 // acceptAfter waits, then accepts connections and calls run for each RUN command that arrives on them.
-func (l backlogListener) acceptAfter(timeout time.Duration, run func(words []string)) {
-	time.Sleep(timeout)
+func (l backlogListener) acceptAfter(delay time.Duration, run func(words []string)) {
+	time.Sleep(delay)
 	serveCommands(l, func(_ net.Conn, words []string) {
 		if len(words) == 4 && words[0] == "RUN" {
 			run(words)
