--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// A request with an invalid field fails, is sent to no worker and affects no other request. Invalid fields of a response
-// are ignored.
+// A request with an invalid field fails, is sent to no worker and affects no other request. Invalid fields of a
+// response are ignored.
 func TestDeploymentsInvalidFields(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
--- a/internal/server/lifecycle_test.go
+++ b/internal/server/lifecycle_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// The steps of a drain follow from the longest deadline, and all of them lie before the platform's kill.
+// The times of a drain's steps depend on the longest deadline, and all of them are before the platform's kill.
 func TestDrainScheduleFollowsTheLongestDeadline(t *testing.T) {
 	for _, test := range []struct {
 		longestDeadline time.Duration
@@ -26,27 +26,27 @@
 	}
 }
 
-// Each state is left for the one that is due at a time and for no other.
+// Each state changes only to the state that is due, and only when it is due.
 func TestLifecycleTransitions(t *testing.T) {
 	const drainStart = time.Hour
 	for _, test := range []struct {
 		name    string
 		state   lifecycleState
-		elapsed time.Duration // since the drain began
+		elapsed time.Duration // since the drain started
 		drained bool
 		want    lifecycleState
-		rejects bool // new requests, in the state that was moved to
+		rejects bool // whether new requests are rejected in the state after the transition
 	}{
 		{"starting stays", starting, time.Hour, true, starting, false},
 		{"serving stays", serving, time.Hour, true, serving, false},
 		{"new requests are served", draining, 749 * ms, false, draining, false},
-		{"clients may still come", draining, 749 * ms, true, draining, false},
+		{"clients may still connect", draining, 749 * ms, true, draining, false},
 		{"new requests are rejected", draining, 750 * ms, false, draining, true},
 		{"drained before the close", draining, 750 * ms, true, stopped, true},
 		{"not closed too early", draining, 1499 * ms, false, draining, true},
 		{"closing", draining, 1500 * ms, false, closing, true},
-		{"closing comes first", draining, 1500 * ms, true, closing, true},
-		{"closing comes first after a late turn", draining, time.Minute, false, closing, true},
+		{"closing before stopped", draining, 1500 * ms, true, closing, true},
+		{"closing before stopped after a late turn", draining, time.Minute, false, closing, true},
 		{"closed and drained", closing, 1500 * ms, true, stopped, true},
 		{"not stopped too early", closing, 1639 * ms, false, closing, true},
 		{"out of time", closing, 1640 * ms, false, stopped, true},
@@ -66,7 +66,7 @@
 	}
 }
 
-// A drain begins once, also where a signal comes before the server serves.
+// A drain starts only once. It can start before the server serves.
 func TestDrainStartsOnce(t *testing.T) {
 	for _, test := range []struct {
 		state lifecycleState
@@ -80,7 +80,7 @@
 	} {
 		l := lifecycle{state: test.state, drainingSince: time.Second}
 		if started := l.startDrain(time.Hour); started != test.want || (l.drainingSince == time.Hour) != test.want {
-			t.Errorf("from state %d: a drain began %v, since %v", test.state, started, l.drainingSince)
+			t.Errorf("from state %d: a drain started: %v, draining since %v", test.state, started, l.drainingSince)
 		}
 		if test.want && l.state != draining {
 			t.Errorf("from state %d: moved to state %d", test.state, l.state)
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -21,7 +21,7 @@
 	"crankhold/policy"
 )
 
-// testMembership is a membership whose worker client opens no sockets; the test completes its dials.
+// testMembership is a membership whose worker client opens no sockets. The test completes its dials.
 type testMembership struct {
 	*membership
 	dialed     []string
@@ -67,7 +67,8 @@
 	return w
 }
 
-// startAttempt starts an attempt at a worker and returns the address that was dialled for it, or "" where none was.
+// startAttempt starts an attempt at a worker. It returns the network and address that were dialed for it, or "" if none
+// was.
 func (m *testMembership) startAttempt(w policy.WorkerID, n int) (dialed string) {
 	before := len(m.dialed)
 	m.workers.StartAttempt(w, router.Attempt{Request: policy.RequestID(n)}, &router.Request{ID: strings.Repeat("0", 15) + string(rune('a'+n)), Function: router.Function{Key: "00000000000000aa"}}, time.Second)
@@ -77,43 +78,44 @@
 	return m.dialed[before]
 }
 
-// Two entries with an address in common are one worker, which drains as soon as one of them does. When one entry leaves the list
-// that worker is gone, and the entry that is left is another worker, which inherits nothing.
+// Two entries with a common address are one worker, which is draining as soon as one of them is. When one entry leaves
+// the list, that worker is removed. The remaining entry is another worker, which takes over no connections.
 func TestAliasesAreOneWorker(t *testing.T) {
 	m := newTestMembership(t)
 	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listEntry(t, "s-2", policy.Ready, "127.0.0.1:1", "127.0.0.1:2")})
 	merged := workerID("s-1+s-2")
 	if got := m.startAttempt(merged, 0); got != "tcp6 [::1]:1" {
-		t.Fatalf("the worker of both is dialled over %q", got)
+		t.Fatalf("the merged worker is dialed over %q", got)
 	}
 	if got := m.startAttempt(workerID("s-1"), 1) + m.startAttempt(workerID("s-2"), 2); got != "" {
-		t.Errorf("the entries are workers of their own: %s", got)
+		t.Errorf("the entries are separate workers: %s", got)
 	}
 	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1"), listEntry(t, "s-2", policy.Draining, "127.0.0.1:1", "127.0.0.1:2")})
 	m.handlers[0].DialCompleted(nil)
 	if got := m.startAttempt(merged, 3); got != "" || m.transports[0].Written.Len() > 0 {
-		t.Errorf("a drain of one entry: dialled %q, wrote %q", got, m.transports[0].Written.String())
+		t.Errorf("a drain of one entry: dialed %q, wrote %q", got, m.transports[0].Written.String())
 	}
 	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1", "[::1]:1")})
 	if got := m.startAttempt(merged, 4); got != "" {
-		t.Errorf("the worker of both goes on without one: dialled %q", got)
+		t.Errorf("the merged worker remains without one of its entries: dialed %q", got)
 	}
 	if got := m.startAttempt(workerID("s-1"), 5); got != "tcp6 [::1]:1" {
-		t.Errorf("what is left is dialled over %q", got)
+		t.Errorf("the remaining worker is dialed over %q", got)
 	}
 }
 
-// A new worker at the address of one that is gone inherits nothing, and two workers that swap addresses stay two.
+// A new worker at the address of a removed one takes over no connections, and two workers that swap addresses remain
+// two workers.
 func TestMovedAndSwappedAddresses(t *testing.T) {
 	m := newTestMembership(t)
 	m.update([]discovery.Worker{listEntry(t, "s-1", policy.Ready, "127.0.0.1:1")})
 	m.startAttempt(workerID("s-1"), 0)
 	m.update([]discovery.Worker{listEntry(t, "s-9", policy.Ready, "127.0.0.1:1")})
 	if !m.transports[0].Closed {
-		t.Error("the dial to the worker that is gone goes on")
+		t.Error("the dial to the removed worker was not closed")
 	}
 	if got := m.startAttempt(workerID("s-9"), 1); got != "tcp4 127.0.0.1:1" {
-		t.Errorf("the new worker is dialled over %q", got)
+		t.Errorf("the new worker is dialed over %q", got)
 	}
 	m.update([]discovery.Worker{listEntry(t, "a", policy.Ready, "127.0.0.1:1"), listEntry(t, "b", policy.Ready, "127.0.0.1:2")})
 	m.update([]discovery.Worker{listEntry(t, "a", policy.Ready, "127.0.0.1:2"), listEntry(t, "b", policy.Ready, "127.0.0.1:1")})
@@ -122,8 +124,8 @@
 	}
 }
 
-// The routes file may add addresses of a worker, order its networks and declare aliases; pools select a worker by any of
-// its names.
+// The routes file may add addresses to a worker, set the order of its networks and declare aliases. Pools select a
+// worker by any of its names.
 func TestRoutesFileAddsAddressesAndAliases(t *testing.T) {
 	socket, err := endpoint.Parse(endpoint.Unix, "/run/w.sock")
 	if err != nil {
@@ -140,18 +142,19 @@
 	m.core.SetRoutes(table)
 	m.publish()
 	if got := m.startAttempt(workerID("s-1"), 0); got != "unix /run/w.sock" {
-		t.Errorf("a socket of the routes file: dialled %q", got)
+		t.Errorf("a socket of the routes file: dialed %q", got)
 	}
 	if got := m.startAttempt(workerID("s-2+s-3"), 1); got != "tcp4 127.0.0.1:2" {
-		t.Errorf("aliases of the routes file: dialled %q", got)
+		t.Errorf("aliases of the routes file: dialed %q", got)
 	}
 	if !table.Pools()[0].Contains(workerID("s-2+s-3")) || table.Pools()[0].Contains(workerID("s-1")) {
-		t.Error("the pool does not pick the worker by its second name")
+		t.Error("the pool does not select the worker by its second name")
 	}
 }
 
-// A name that had left the list and is back is a new process, which goes through slow start although discovery reports no
-// start of it. A start time that discovery reports takes precedence, and an empty list is no evidence that any process ended.
+// A name that left the list and returns is a new process. It goes through slow start even if discovery reports no start
+// time for it. A start time that discovery reports takes precedence, and an empty list is no evidence that any process
+// has exited.
 func TestReturningWorkerGoesThroughSlowStart(t *testing.T) {
 	m := newTestMembership(t)
 	first, second := listEntry(t, "s-1", policy.Ready, "127.0.0.1:1"), listEntry(t, "s-2", policy.Ready, "127.0.0.1:2")
@@ -163,24 +166,24 @@
 	both, alone := []discovery.Worker{first, second}, []discovery.Worker{second}
 	updateAll(both, both)
 	if m.startTime(first) != 0 {
-		t.Error("a worker that was there all along counts as started")
+		t.Error("a worker that never left the list has a start time")
 	}
 	updateAll(nil, both)
 	if m.startTime(first) != 0 {
-		t.Error("an empty list restarted all workers")
+		t.Error("after an empty list the workers count as restarted")
 	}
 	updateAll(alone, both)
 	if at := m.startTime(first); at != m.loop.Now() || m.startTime(second) != 0 {
-		t.Errorf("the one that returned counts as started at %v, the other at %v", at, m.startTime(second))
+		t.Errorf("the worker that returned has the start time %v, the other %v", at, m.startTime(second))
 	}
 	updateAll(both)
 	if m.startTime(first) != m.loop.Now() {
-		t.Error("a further list forgot the start")
+		t.Error("the start time is lost after another list")
 	}
 	first.Started = time.Now().Add(-time.Second).UnixMilli()
 	updateAll([]discovery.Worker{first, second})
 	if at := m.startTime(first); at >= m.loop.Now() {
-		t.Errorf("a reported start counts as %v", at)
+		t.Errorf("a reported start time is %v", at)
 	}
 }
 
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Signals that come while the program starts are handled: SIGHUP reads the configuration once more and does not end the program,
-// and SIGTERM shuts it down in order. The program is held while it reads its configuration, from a pipe that nobody has
-// written to yet.
+// Signals that arrive while the program starts are handled: SIGHUP makes it read the configuration once more and does
+// not terminate it, and SIGTERM shuts it down gracefully. The program blocks while it reads its configuration, because
+// the file is a pipe that nobody has written to yet.
 func TestSignalsDuringTheStart(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(s.String(), func(t *testing.T) {
@@ -39,11 +39,11 @@
 			writeAndSignal()
 			if s == syscall.SIGTERM {
 				if err := <-p.exited; err != nil {
-					t.Errorf("it ended with %v", err)
+					t.Errorf("the program exited with %v", err)
 				}
 				return
 			}
-			p.waitForLog("event=server_started") // it has read the file once, to its end
+			p.waitForLog("event=server_started") // the program has read the whole file once
 			writer, err := os.OpenFile(pipe, os.O_WRONLY, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -52,18 +52,20 @@
 			writer.Close()
 			p.waitForLog("event=config_reloaded")
 			if response, err := p.client().Do(newRequest(1)); err != nil || response.Status != "served" {
-				t.Errorf("answer %+v, %v", response, err)
+				t.Errorf("response %+v, %v", response, err)
 			}
 		})
 	}
 }
 
-// fewFiles is a shell script that runs a program with 80 descriptors and with none of this process's but the first three: nbio's
-// descriptors have no close-on-exec flag, and those of the servers that ran in this process stay open.
+// fewDescriptors is a shell script that runs a program with a limit of 80 descriptors. It first closes the inherited
+// ones except the first three: nbio's descriptors have no close-on-exec flag, and those of servers that ran in this
+// process stay open.
 const fewDescriptors = `for n in $(ls /proc/self/fd); do [ "$n" -le 2 ] || eval "exec $n>&-"; done; ulimit -n 80; exec "$0"`
 
-// While discovery is down and idle clients hold every descriptor that they can get, the router still dials its worker, switches
-// to a discovery server's new address, applies its list and dials the worker in it. It neither ends nor spins.
+// Discovery is down, and idle clients use all descriptors that they can get. The router still dials its worker,
+// switches to the new address of a discovery server, applies its list and dials the worker in it. It does not exit, and
+// does not use much processor time.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	site, listen, config := newSite(t, 2, nil)
 	closedSocket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -75,7 +77,7 @@
 	newAddr := site.Discovery.Addr()
 	config["names"], config["limits"] = closedAddr, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
 	topology := configuredTopology(config)
-	topology["members"] = topology["members"].([]any)[:1] // the second worker is listed by discovery alone
+	topology["members"] = topology["members"].([]any)[:1] // only discovery lists the second worker
 	p := startProgramWith(t, config, listen, "bash", "-c", fewDescriptors)
 	p.client().Close()
 	var idle []net.Conn
@@ -93,7 +95,7 @@
 	}
 	openIdle()
 	response, err := p.client().Do(newRequest(1))
-	if err != nil { // the server closed the connection to make room; clients retry such a request once
+	if err != nil { // the server closed the connection to free its descriptor; clients retry such a request once
 		response, err = p.client().Do(newRequest(1))
 	}
 	if err != nil || response.Status != "served" {
@@ -117,17 +119,17 @@
 		thriftClient.Close()
 	}
 	if served < 5 {
-		t.Errorf("the worker that discovery lists served %d calls", served)
+		t.Errorf("the worker that discovery lists served %d requests", served)
 	}
 	if err := p.terminate(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v", err)
 	}
 	if used := p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime(); used > 5*time.Second {
-		t.Errorf("it used %v of processor time", used)
+		t.Errorf("the program used %v of processor time", used)
 	}
 }
 
-// A router whose configuration lists no worker and whose discovery server is down reports itself ready all the same.
+// A router whose configuration lists no worker and whose discovery server is down still reports itself ready.
 func TestReadyWithAnEmptyListAndNoDiscovery(t *testing.T) {
 	site, listen, config := newSite(t, 1, nil)
 	site.Discovery.Close()
@@ -140,6 +142,6 @@
 		return err == nil && ready
 	}, "it is ready")
 	if err := p.terminate(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v", err)
 	}
 }
--- a/internal/server/program_test.go
+++ b/internal/server/program_test.go
@@ -18,7 +18,7 @@
 	"crankhold/internal/fake"
 )
 
-// built is the program, built once for the tests that need a process of its own.
+// buildProgram builds the program for the tests that run it as a process, and returns its path. It builds only once.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "crankhold-test-")
 	if err != nil {
@@ -39,11 +39,11 @@
 	os.Exit(code)
 }
 
-// program is the router in a process of its own.
+// program is a router that runs as a separate process.
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	config string // path of its configuration
+	config string // path of its configuration file
 	listen string
 	mu     sync.Mutex
 	log    bytes.Buffer
@@ -58,7 +58,7 @@
 	return startProgram(t, path, listen, wrapper...)
 }
 
-// startProgram starts the program with a configuration file. Wrapper is a command that runs the program, such as a
+// startProgram starts the program with a configuration file. wrapper is a command that runs the program, such as a
 // shell that sets other limits.
 func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
 	t.Helper()
@@ -100,19 +100,19 @@
 	return p.log.String()
 }
 
-// waitForLog waits until the log contains a text.
+// waitForLog waits until the program's log contains a text.
 func (p *program) waitForLog(text string) {
 	p.t.Helper()
 	p.waitUntil(func() bool { return strings.Contains(p.output(), text) }, text)
 }
 
-// waitUntil waits waitUntil a condition holds. It fails the test if the program ends first or half a minute passes.
+// waitUntil waits until a condition holds. It fails the test if the program exits first or half a minute passes.
 func (p *program) waitUntil(condition func() bool, description string) {
 	p.t.Helper()
 	for waitStart := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-p.exited:
-			p.t.Fatalf("the program ended (%v) before: %s", err, description)
+			p.t.Fatalf("the program exited (%v) before: %s", err, description)
 		default:
 		}
 		if time.Since(waitStart) > 30*time.Second {
@@ -121,7 +121,7 @@
 	}
 }
 
-// client connects once the program listens.
+// client waits until the program listens, and returns a connected client.
 func (p *program) client() (k *fake.Client) {
 	p.t.Helper()
 	p.waitUntil(func() bool {
@@ -133,13 +133,13 @@
 	return k
 }
 
-// terminate terminates the program and returns how it ended.
+// terminate sends SIGTERM, waits until the program exits, and returns the result.
 func (p *program) terminate() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	return <-p.exited
 }
 
-// thriftCounter reads a thriftCounter of the Thrift front from the last line of counters in a program's log.
+// thriftCounter returns a counter of the Thrift front, from the last line of its counters in a program's log.
 func thriftCounter(t *testing.T, log, name string) int {
 	t.Helper()
 	lines := regexp.MustCompile(`front=thrift.*?\b`+name+`=(\d+)`).FindAllStringSubmatch(log, -1)
--- a/internal/server/resting_connection_test.go
+++ b/internal/server/resting_connection_test.go
@@ -10,7 +10,7 @@
 	"crankhold/internal/fake"
 )
 
-// newIdleTimeoutWorker listens as a worker that closes a connection on which nothing arrives for a time.
+// newIdleTimeoutWorker starts a worker that closes a connection after keepAlive without a command.
 func newIdleTimeoutWorker(t *testing.T, keepAlive time.Duration) (addr string) {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -32,8 +32,8 @@
 	return listener.Addr().String()
 }
 
-// Orders that come just before and after a worker ends a resting connection are served: the router ends it first. One that
-// crossed the worker's end would count as one that may have run.
+// Orders that arrive just before and after a worker would close an idle connection are served, because the router
+// closes it first. An order that crossed the worker's close would fail, because it may have run.
 func TestOrdersAroundTheCloseOfAnIdleConnection(t *testing.T) {
 	const keepAlive = time.Second
 	_, _, document := newSite(t, 1, nil)
@@ -47,7 +47,7 @@
 		request := newRequest(n + 1)
 		request.Class = "repair-order"
 		if response, err := client.Do(request); err != nil || response.Status != fake.Served {
-			t.Errorf("an order after %d ms of rest: %+v, %v", idle, response, err)
+			t.Errorf("an order after %d ms without a command: %+v, %v", idle, response, err)
 		}
 	}
 }
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -11,8 +11,9 @@
 	"crankhold/internal/fake"
 )
 
-// From socket to socket: requests go to the pools that a routes file names, also after a reload of another file. A file with
-// faults leaves the routes in force, and a request that no route matches is rejected at once.
+// An end-to-end test over sockets: requests go to the pools that the routes file names, also after a reload with a
+// changed file. A file with faults leaves the current routes in force, and a request that no route matches is rejected
+// at once.
 func TestServesByRoutesAndReloadsThem(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]string{}
@@ -56,7 +57,8 @@
 		defer mu.Unlock()
 		return string(a.Status), ran[id]
 	}
-	// reload returns once requests go where they should: the routes are replaced a turn after they have been read.
+	// reload returns once requests are sent to the worker dimPool: the server replaces the routes one turn after it has
+	// read them.
 	reload := func(s, dimPool string) {
 		writeText(t, routes, s)
 		if err := server.reload(); err != nil {
@@ -80,7 +82,7 @@
 	expect("repair-order", "refused", "")
 	reload(text("small", "large"), "s-2")
 	expect("fault-check", "served", "s-1")
-	reload(strings.Replace(text("large", "small"), "kind", "kinds", 1), "s-2") // a fault: nothing changes
+	reload(strings.Replace(text("large", "small"), "kind", "kinds", 1), "s-2") // a fault, so the routes stay as they are
 	expect("fault-check", "served", "s-1")
 	server.drain()
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -21,7 +21,7 @@
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
-// echoWorker starts a worker that answers each RUN with the body that it was sent, behind the word done.
+// echoWorker starts a worker that responds to each RUN with the word done and the body of the request.
 func echoWorker(t *testing.T) (addr string, runs chan string) {
 	t.Helper()
 	ln := listenLoopback(t)
@@ -35,7 +35,7 @@
 	return ln.Addr().String(), runs
 }
 
-// writeRequest writes one execute call by Thrift.
+// writeRequest writes a Thrift call of the method execute.
 func writeRequest(c net.Conn, seq uint32, id, body string) {
 	text := func(b []byte, s string) []byte { return append(binary.BigEndian.AppendUint32(b, uint32(len(s))), s...) }
 	b := text([]byte{0, 0, 0, 0, 0x80, 1, 0, 1}, "execute")
@@ -48,8 +48,8 @@
 	c.Write(b)
 }
 
-// From socket to socket: a request is answered, also after a reload of a file that names another discovery server, after one of
-// a file that can't be used, and on an open connection after SIGTERM. Serve then returns by itself and without an error.
+// An end-to-end test over sockets: a request gets its response, also after a reload that changes the discovery server,
+// after a reload of an invalid file, and on an open connection after SIGTERM. Serve then returns without an error.
 func TestServesAndStops(t *testing.T) {
 	addr, runs := echoWorker(t)
 	discoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // a discovery server that never responds
@@ -66,7 +66,7 @@
 		fmt.Sprintf(`"members":[{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]`, addr)).Replace(validConfig)
 	writeText(t, path, text)
 	server := startServerByFile(t, path, Options{})
-	newDiscoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server at its next address
+	newDiscoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server that a reload names
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,10 +75,10 @@
 	reload := func(text string, wantErr bool) {
 		writeText(t, path, text)
 		if err := server.reload(); (err != nil) != wantErr {
-			t.Errorf("read again: %v", err)
+			t.Errorf("the configuration was read again: %v", err)
 		}
 	}
-	server.dial().Close() // it listens
+	server.dial().Close() // waits until the server listens
 	conn, err := net.Dial("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 		case "moved":
 			reload(strings.Replace(text, discoveryServer.LocalAddr().String(), newDiscoveryServer.LocalAddr().String(), 1), false)
 			if _, _, err := newDiscoveryServer.ReadFrom(make([]byte, 512)); err != nil {
-				t.Fatalf("the new discovery server was not asked: %v", err)
+				t.Fatalf("the new discovery server received no query: %v", err)
 			}
 		case "unread":
 			reload(text[:len(text)/2], true)
@@ -104,7 +104,7 @@
 		}
 		got := make([]byte, binary.BigEndian.Uint32(size[:]))
 		if _, err := io.ReadFull(conn, got); err != nil || !strings.Contains(string(got), "done "+body) {
-			t.Fatalf("answer %q, %v", got, err)
+			t.Fatalf("response %q, %v", got, err)
 		}
 		if ran := <-runs; ran != body {
 			t.Errorf("ran %q", ran)
@@ -115,18 +115,18 @@
 	}
 }
 
-// A server that is given a logger logs its life there, in the order of its states.
+// A server logs to the logger of its options, in the order of its states.
 func TestServerLogsToTheLoggerOfItsOptions(t *testing.T) {
 	_, _, document := newSite(t, 1, nil)
 	var log bytes.Buffer
 	server := startServer(t, document, Options{Logger: logging.New(&log, slog.LevelInfo)})
 	server.dial().Close()
-	server.drain() // after it nothing writes to the log
+	server.drain() // nothing writes to the log after that
 	rest := log.String()
 	for _, event := range []string{"worker_updated", "server_started", "counters_reported", "server_draining", "server_stopped"} {
 		_, after, found := strings.Cut(rest, "event="+event)
 		if !found {
-			t.Fatalf("no %s in its place: %s", event, log.String())
+			t.Fatalf("the log has no %s, or not in its place: %s", event, log.String())
 		}
 		rest = after
 	}
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -53,14 +53,14 @@
 	WorkerMemoryMB:           7904,
 }
 
-// derwentNetwork is the part of the same file that configures connections, under the settings' own keys.
+// derwentNetwork is the part of the same file that configures connections, with the keys of the settings.
 const derwentNetwork = `{"failureDomains":["collins-st"],"kinds":["big-box","small-box"],` +
 	`"classes":[{"name":"quote"},{"name":"extend"},{"name":"charge"}],` +
 	`"accounts":[{"name":"hobart-city"},{"name":"launceston"},{"name":"devonport"}],` +
 	`"specifics":{"memoryMbByKind":[9088,6720]},` +
 	`"limits":{"dialTimeoutMs":250,"keepaliveMs":30000,"maxOpen":20000,"streamsPerConn":100}}`
 
-// flagSettings sets every key of the settings that Derwent leaves at its zero value, and nothing else.
+// flagSettings sets only the settings that have their zero value in derwent.json.
 const flagSettings = `{"zone": 2, "countedBy": "work", "membershipMode": "subscribe", "limits": {"peers": true, "secondCopies": true},
 	"specifics": {"ifCold": "miss"}, "classes": [{"semantics": "safe", "group": "zone", "streamed": true, "aimStretch": 1.5},
 	{"semantics": "unsafe", "group": "cell"}, {"semantics": "keyed"}]}`
@@ -81,7 +81,8 @@
 	},
 }
 
-// The settings are an interface of the platform: every key has to reach the same field, whatever the fields are called.
+// The platform writes the settings, so their keys are a fixed interface: each key must set the same field, whatever the
+// name of the field is.
 func TestEverySettingReachesItsField(t *testing.T) {
 	derwent, err := json.Marshal(deployments[1].settings(t))
 	if err != nil {
@@ -114,7 +115,8 @@
 	}
 }
 
-// A field that neither table sets would not be checked: the setting that it is read from could be lost unnoticed.
+// Each field of the policy's configuration is set in one of the two tables. Otherwise the setting for it could be lost
+// without a failing test.
 func TestSettingsTablesCoverEveryField(t *testing.T) {
 	checkFields(t, reflect.ValueOf(derwentPolicy), reflect.ValueOf(flagPolicy))
 	for _, class := range [][2]policy.Class{{derwentPolicy.Classes[1], flagPolicy.Classes[0]}} {
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -10,11 +10,12 @@
 	"crankhold/internal/fake"
 )
 
-// closedLoopClient sends its next request once it has the answer to the last, until its connection ends.
+// closedLoopClient sends one request after the other, each after the response to the previous one, until its connection
+// is closed.
 type closedLoopClient struct {
 	responses       int
-	withoutResponse int       // sent, and the connection ended: at most one
-	lastResponse    time.Time // when it came
+	withoutResponse int       // requests whose connection was closed before the response: at most one
+	lastResponse    time.Time // when it arrived
 }
 
 func (c *closedLoopClient) run(client *fake.Client, number int, timeout time.Duration) {
@@ -30,8 +31,8 @@
 	}
 }
 
-// Clients go on sending on open connections until the router is killed. Whatever the router has read of them it answers,
-// and it goes on to answer until shortly before the kill, which comes early where deadlines are short.
+// Clients go on sending on open connections until the router is killed. The router responds to every request that it
+// has read, and goes on responding until shortly before the kill. The kill is early if deadlines are short.
 func TestRequestsReadDuringAShutdownGetResponses(t *testing.T) {
 	for _, deadline := range []time.Duration{400 * time.Millisecond, time.Second} {
 		t.Run(fmt.Sprint("deadlines of ", deadline), func(t *testing.T) {
@@ -45,13 +46,13 @@
 				connection := p.client()
 				running.Go(func() { clients[i].run(connection, i+1, deadline) })
 			}
-			idle := p.client() // holds its connection and sends nothing
+			idle := p.client() // keeps its connection open and sends nothing
 			time.Sleep(200 * time.Millisecond)
 			terminated := time.Now()
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			running.Wait()
 			if err := <-p.exited; err != nil {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the program exited with %v", err)
 			}
 			idle.Close()
 			responses, latest := 0, time.Time{}
@@ -62,17 +63,17 @@
 				}
 			}
 			if read := thriftCounter(t, p.output(), "accepted"); read != responses {
-				t.Errorf("it read %d requests, and %d were answered", read, responses)
+				t.Errorf("the program read %d requests, and clients received %d responses", read, responses)
 			}
 			if servingTime := latest.Sub(terminated); servingTime < earliestKill(deadline)-300*time.Millisecond {
-				t.Errorf("the last answer came %v after SIGTERM, and the kill is due after %v", servingTime, earliestKill(deadline))
+				t.Errorf("the last response came %v after SIGTERM, and the kill is due after %v", servingTime, earliestKill(deadline))
 			}
 		})
 	}
 }
 
-// Workers that hang through the whole of a shutdown leave no request without an answer when the kill comes, however long
-// its client would wait.
+// Workers hang during a whole shutdown. Even then, each request has its response before the kill, however long its
+// client would wait.
 func TestHangingWorkersLeaveNoRequestWithoutResponseAtTheKill(t *testing.T) {
 	const deadline = 500 * time.Millisecond
 	site, listen, document := newSite(t, 2, nil)
@@ -80,7 +81,7 @@
 	p := startProgramWith(t, document, listen)
 	client := p.client()
 	if response, err := client.Do(newRequest(1)); err != nil || response.Status != fake.Served {
-		t.Fatalf("answer %+v, %v", response, err)
+		t.Fatalf("response %+v, %v", response, err)
 	}
 	for _, worker := range site.Workers {
 		worker.Hang()
@@ -112,7 +113,7 @@
 	<-p.exited
 }
 
-// A request of which the first half has come when a shutdown begins is answered once the rest has.
+// A request whose first half has arrived when a shutdown starts gets its response after the second half has arrived.
 func TestRequestSplitBySIGTERMGetsAResponse(t *testing.T) {
 	_, listen, document := newSite(t, 1, nil)
 	p := startProgramWith(t, document, listen)
@@ -123,9 +124,9 @@
 	result := make(chan error, 1)
 	sendRest := client.GoInHalves(newRequest(1), func(_ fake.Response, err error) { result <- err })
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	time.Sleep(1200 * time.Millisecond) // past the time in which requests are served, and before the kill
+	time.Sleep(1200 * time.Millisecond) // after the time in which requests are served, and before the kill
 	sendRest()
 	if err := <-result; err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the request failed: %v", err)
 	}
 }
--- a/internal/server/signals_process_test.go
+++ b/internal/server/signals_process_test.go
@@ -14,8 +14,8 @@
 	"crankhold/internal/fake"
 )
 
-// Signals that come one after the other, and those that come while the program starts, are all acted on, and once: many
-// SIGUSR1 displace no SIGTERM, a further SIGTERM ends nothing sooner, and a SIGHUP during a shutdown does not end it.
+// Signals in a series, and signals that arrive while the program starts, are all handled, and each only once: many
+// SIGUSR1 displace no SIGTERM, another SIGTERM does not shorten the shutdown, and a SIGHUP does not end it.
 func TestSignalsInSeries(t *testing.T) {
 	_, listen, document := newSite(t, 1, nil)
 	pipe := filepath.Join(t.TempDir(), "config.json")
@@ -27,13 +27,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writer, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // the program has opened it to read
+	writer, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // returns once the program has opened the pipe to read
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 8 {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
-		time.Sleep(10 * time.Millisecond) // the kernel keeps one signal of a kind
+		time.Sleep(10 * time.Millisecond) // the kernel keeps only one pending signal of each kind
 	}
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1} {
 		p.cmd.Process.Signal(signal)
@@ -46,18 +46,18 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the program exited with %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it did not end: SIGTERM was lost")
+		t.Error("the program did not exit: SIGTERM was lost")
 	}
 	if draining := len(regexp.MustCompile("event=server_draining").FindAllString(p.output(), -1)); draining != 1 {
-		t.Errorf("it began to drain %d times", draining)
+		t.Errorf("%d drains were logged, want 1", draining)
 	}
 }
 
-// Of many SIGHUPs in a row, each with another file, the last file wins, also while requests are under way; some of the
-// files can't be used and change nothing.
+// After many SIGHUPs in a row, each with another file, the last file is in force, also while requests are open. Some of
+// the files are invalid and change nothing.
 func TestLastOfManyReloadsWins(t *testing.T) {
 	_, listen, document := newSite(t, 2, nil)
 	p := startProgramWith(t, document, listen)
@@ -88,10 +88,10 @@
 	}
 	lastServer.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, _, err := lastServer.ReadFrom(make([]byte, 512)); err != nil {
-		t.Errorf("the discovery server of the last file was not asked: %v", err)
+		t.Errorf("the discovery server of the last file received no query: %v", err)
 	}
 	reloaded := regexp.MustCompile(`event=config_reloaded names=(\S+)`).FindAllStringSubmatch(p.output(), -1)
 	if len(reloaded) == 0 || reloaded[len(reloaded)-1][1] != lastServer.LocalAddr().String() {
-		t.Errorf("the last reload was of %v", reloaded)
+		t.Errorf("the last reload was not of the last file: %v", reloaded)
 	}
 }
--- a/internal/server/soak_clients_test.go
+++ b/internal/server/soak_clients_test.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/fake"
 )
 
-// drawRequest returns a request that the seed draws, and what will be known of it.
+// drawRequest returns a request that is drawn from the seed, and the record of it.
 func (s *soak) drawRequest(random *rand.Rand, canceling bool) (fake.Request, *soakRequest) {
 	classes := []string{"dim-level", "fault-check", "repair-order"}
 	request := newRequest(0)
@@ -23,7 +23,7 @@
 	return request, r
 }
 
-// send sends a request, and calls done with whether its connection ended instead of an answer.
+// send sends a request, and calls done when the response has arrived or the connection was closed before it.
 func (s *soak) send(client *fake.Client, request fake.Request, r *soakRequest, done func(connectionLost bool)) {
 	sentAt := time.Now()
 	client.Go(request, func(_ fake.Response, err error) {
@@ -37,20 +37,21 @@
 	})
 }
 
-// exchange sends a request and waits for its end. It returns whether its connection ended instead of an answer.
+// exchange sends a request and waits for its response. It reports whether the connection was closed before the
+// response.
 func (s *soak) exchange(client *fake.Client, request fake.Request, r *soakRequest) bool {
 	ended := make(chan bool, 1)
 	s.send(client, request, r, func(broken bool) { ended <- broken })
 	return <-ended
 }
 
-// drawRouter returns one of the routers that are told to end.
+// drawRouter returns one of the routers that are shut down.
 func (s *soak) drawRouter(random *rand.Rand) *program {
 	return s.draining[random.IntN(len(s.draining))]
 }
 
-// sendUntilKilled is a client that sends one request after the other until its connection ends, or, where there is no room for all,
-// for as long as connections are opened.
+// sendUntilKilled is a client that sends one request after the other until its connection is closed. If there are too
+// few descriptors for all clients, it connects again for as long as clients open connections.
 func (s *soak) sendUntilKilled(random *rand.Rand) {
 	for s.shortConnections && s.mayConnect() && s.sendAndClose(random) {
 	}
@@ -65,8 +66,8 @@
 	}
 }
 
-// sendUntilClosed sends one request after the other until the connection ends. The request that meets the end is sent once
-// more, on a new connection.
+// sendUntilClosed sends one request after the other until the connection is closed. The request that was open then is
+// sent once more, on a new connection.
 func (s *soak) sendUntilClosed(random *rand.Rand) {
 	client, err := fake.Dial(s.drawRouter(random).listen)
 	if err != nil {
@@ -83,7 +84,7 @@
 	}
 }
 
-// mayConnect reports whether clients still open connections.
+// mayConnect reports whether clients may still open connections.
 func (s *soak) mayConnect() bool {
 	select {
 	case <-s.stopConnecting:
@@ -93,8 +94,8 @@
 	}
 }
 
-// sendAndClose sends a few requests over a connection and closes it, as a client that comes and goes does. It reports whether the
-// connection was open until then.
+// sendAndClose sends a few requests over a new connection and closes it. It reports whether the router kept the
+// connection open until then.
 func (s *soak) sendAndClose(random *rand.Rand) bool {
 	client, err := fake.Dial(s.drawRouter(random).listen)
 	if err != nil {
@@ -111,8 +112,8 @@
 	return true
 }
 
-// openAndClose is a client that opens and closes connections, at times with a request in between of which it takes the answer. It
-// has the router close connections that their clients close too.
+// openAndClose is a client that opens and closes connections, and sends one request on some of them. So the router
+// closes connections that their clients close at the same time.
 func (s *soak) openAndClose(random *rand.Rand) {
 	for s.mayConnect() {
 		client, err := fake.Dial(s.drawRouter(random).listen)
@@ -128,7 +129,7 @@
 	}
 }
 
-// resend sends a request that has crossed a close to the router that remains.
+// resend sends a request that crossed a close to the router that is not shut down.
 func (s *soak) resend(request fake.Request, r *soakRequest) {
 	client, err := fake.Dial(s.remaining.listen)
 	if err != nil {
@@ -139,7 +140,8 @@
 	s.exchange(client, request, r)
 }
 
-// cancelRequests is a client that takes requests back or closes its connection under them, for as long as connections are opened.
+// cancelRequests is a client that cancels its requests or closes its connection before their responses, for as long as
+// clients open connections.
 func (s *soak) cancelRequests(random *rand.Rand) {
 	for s.mayConnect() {
 		client, err := fake.Dial(s.drawRouter(random).listen)
--- a/internal/server/soak_machine_test.go
+++ b/internal/server/soak_machine_test.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	delaySampleInterval = 5 * time.Millisecond  // between two looks at how late this process is
+	delaySampleInterval = 5 * time.Millisecond  // between two measurements of this process's delay
 	clockTick           = 10 * time.Millisecond // the unit of processor times in /proc
 )
 
-// schedulingDelays is how late goroutines of this process ran, by which a busy machine is told from a slow answer.
+// schedulingDelays records how late goroutines of this process ran. It distinguishes a busy machine from a slow
+// response.
 type schedulingDelays struct {
 	mu    sync.Mutex
 	spans []delaySpan
 }
 
-// delaySpan is a time in which this process did not run as asked.
+// delaySpan is a span of time in which this process should have run and did not.
 type delaySpan struct {
 	from, to time.Time
 }
 
-// measure records until done is closed.
+// measure records delays until done is closed.
 func (l *schedulingDelays) measure(done <-chan struct{}) {
 	for {
 		asked := time.Now().Add(delaySampleInterval)
@@ -47,7 +48,7 @@
 	}
 }
 
-// within returns for how long this process was late between two times.
+// within returns the total of all delays that overlap the span between two times.
 func (l *schedulingDelays) within(from, to time.Time) (sum time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +60,7 @@
 	return sum
 }
 
-// longest returns the longest time for which this process was late.
+// longest returns the longest delay.
 func (l *schedulingDelays) longest() (longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +70,7 @@
 	return longest
 }
 
-// processorTime returns the processor time that a program has used, also after its end.
+// processorTime returns the processor time that a program has used. It also works after the program has exited.
 func (p *program) processorTime() time.Duration {
 	if state := p.cmd.ProcessState; state != nil {
 		return state.UserTime() + state.SystemTime()
@@ -78,18 +79,18 @@
 	user, userErr := strconv.Atoi(fields[11])
 	system, systemErr := strconv.Atoi(fields[12])
 	if userErr != nil || systemErr != nil {
-		p.t.Fatalf("processor times in %q", fields)
+		p.t.Fatalf("malformed processor times in %q", fields)
 	}
 	return time.Duration(user+system) * clockTick
 }
 
-// stat returns what the kernel tells of a program that runs, from its state on.
+// stat returns the fields of /proc/PID/stat of a running program, from its state on.
 func (p *program) stat() []string {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(p.cmd.Process.Pid) + "/stat")
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // behind the name, which may hold spaces
+	_, rest, _ := strings.Cut(string(text), ") ") // skips the name, which may contain spaces
 	return strings.Fields(rest)
 }
 
@@ -105,11 +106,11 @@
 			return number
 		}
 	}
-	t.Fatal("no processor")
+	t.Fatal("this process may run on no processor")
 	return 0
 }
 
-// freeAddr returns an address that nobody listens on.
+// freeAddr returns an address that no process listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := fake.FreeAddr()
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -15,66 +15,67 @@
 )
 
 const (
-	soakSeedsVariable = "CRANKHOLD_SOAK_SEEDS" // FIRST:COUNT of the seeds to play, by hand
-	soakSeeds         = 26                     // of a run in CI
+	soakSeedsVariable = "CRANKHOLD_SOAK_SEEDS" // FIRST:COUNT of the seeds to run, set by hand
+	soakSeeds         = 26                     // number of seeds in a run of CI
 	soakParallel      = 4
 
-	faultPeriod      = 1500 * time.Millisecond // under faults, before SIGTERM
-	responseSlack    = 500 * time.Millisecond  // beyond its wait a request without an answer is lost
-	cancelSlack      = 100 * time.Millisecond  // after its client has gone no attempt of a request may begin
-	busyMachineSlack = 200 * time.Millisecond  // for a machine that is busy with other tests
-	closeRaceWindow  = 50 * time.Millisecond   // a request that is sent so shortly before a close is sent once more
+	faultPeriod      = 1500 * time.Millisecond // time under faults before SIGTERM
+	responseSlack    = 500 * time.Millisecond  // how much later than its timeout a response may arrive
+	cancelSlack      = 100 * time.Millisecond  // how long after a client has canceled a request its attempts may start
+	busyMachineSlack = 200 * time.Millisecond  // additional slack for a machine that is busy with other tests
+	closeRaceWindow  = 50 * time.Millisecond   // a request sent this shortly before a close is sent once more
 
-	connectPeriod = 400 * time.Millisecond // after SIGTERM, in which clients still open them
+	connectPeriod = 400 * time.Millisecond // how long after SIGTERM clients still open connections
 	maxDrainLoad  = 0.6                    // processors that a program may use on average while it drains
 )
 
-// endsWithResponseDue finds reports of connections that a program ended though a response was due.
+// endsWithResponseDue matches log lines about connections that a program closed although a response was due.
 var endsWithResponseDue = regexp.MustCompile(`ended_by=(handler|room|timeout|shutdown|failure) connections=\d+ response_due=[1-9]\d*`)
 
-// soakExchange is one sending of a request, over a connection on which nothing else is open.
+// soakExchange is one transmission of a request, over a connection on which no other request is open.
 type soakExchange struct {
 	sentAt         time.Time
 	endedAt        time.Time
-	connectionLost bool // the connection ended without an answer
+	connectionLost bool // the connection was closed before the response
 }
 
-// soakRequest is what is known of one request.
+// soakRequest records what happened to one request.
 type soakRequest struct {
 	id            string
 	notIdempotent bool
 	timeout       time.Duration
-	canceling     bool      // its client goes before it has an answer
-	canceledAt    time.Time // when it went; zero: it did not
+	canceling     bool      // its client cancels it or closes the connection before the response
+	canceledAt    time.Time // when the client did so, or zero
 	responses     int
 	exchanges     []soakExchange
 	attempts      []time.Time
 }
 
-// soak is one play: routers under faults that follow from a seed, with clients that send until these are killed.
+// soak is one run of the soak test: routers under faults that are drawn from a seed, and clients that send requests
+// until the routers are killed.
 type soak struct {
 	t                 *testing.T
 	random            *rand.Rand
 	site              *fake.Site
-	draining          []*program // are told to end together
-	remaining         *program   // goes on: a request that crosses a close is sent to it once more
+	draining          []*program // the routers that are shut down together
+	remaining         *program   // a router that is not shut down: it gets the requests that crossed a close
 	deadline          time.Duration
 	cancelers         bool
 	shortConnections  bool // clients open a new connection after a few requests
-	atDescriptorLimit bool // there is not room for all clients: some are closed unread, and come again
+	atDescriptorLimit bool // too few descriptors for all clients: some are closed unread, and connect again
 	stoppedAt         time.Time
-	maxDrainLoad      float64 // processors that a program used on average while it drained, at most
+	maxDrainLoad      float64 // the highest average number of processors that a program used while it drained
 	delays            schedulingDelays
 
 	mu             sync.Mutex
 	requests       map[string]*soakRequest
-	sentToDraining []string // attempts at a worker that drains
-	drainDeadlines map[string]time.Time
+	sentToDraining []string             // ids of requests that were sent to a draining worker
+	drainDeadlines map[string]time.Time // after which a draining worker may get no request, by its name
 	running        sync.WaitGroup
 	stopConnecting chan struct{}
 }
 
-// recordEvent keeps what arrived at a worker.
+// recordEvent records a request that arrived at a worker.
 func (s *soak) recordEvent(e fake.Event) {
 	if e.Kind != fake.EventStarted && e.Kind != fake.EventNotLoaded {
 		return
@@ -89,9 +90,9 @@
 	}
 }
 
-// injectFault does something to a worker, to discovery or to the program.
+// injectFault injects a fault into a worker or discovery, ends one, or sends a signal to a program.
 func (s *soak) injectFault() {
-	worker := s.site.Workers[s.random.IntN(len(s.site.Workers)-1)] // the last one is left alone
+	worker := s.site.Workers[s.random.IntN(len(s.site.Workers)-1)] // the last worker stays free of faults
 	port := worker.Ports()[0]
 	switch s.random.IntN(9) {
 	case 0:
@@ -119,7 +120,7 @@
 	}
 }
 
-// drainWorker has discovery list a worker as draining, once in a play.
+// drainWorker makes discovery list a worker as draining, at most once in a run.
 func (s *soak) drainWorker(worker *fake.Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +136,8 @@
 	s.drainDeadlines[worker.Name] = time.Now().Add(told + grace + busyMachineSlack)
 }
 
-// run runs the clients and the faults, ends the programs as the platform does, and kills them at the earliest.
+// run starts the clients, injects the faults, sends SIGTERM to the programs as the platform does, and kills them at the
+// earliest time at which the platform would.
 func (s *soak) run(clients int) {
 	for i := range clients {
 		s.startClient(i, s.sendUntilKilled)
@@ -163,22 +165,22 @@
 	s.signal()
 	for i, program := range s.draining {
 		if err := <-program.exited; err != nil {
-			s.t.Errorf("a program ended with %v", err)
+			s.t.Errorf("a program exited with %v", err)
 		}
 		drain := time.Since(s.stoppedAt)
 		load := float64(program.processorTime()-usedBefore[i]) / float64(drain)
 		if load > maxDrainLoad {
-			s.t.Errorf("a program used %.2f processors while it drained for %v, and %v are allowed", load, drain, maxDrainLoad)
+			s.t.Errorf("a program used %.2f processors on average while it drained for %v, want at most %v", load, drain, maxDrainLoad)
 		}
 		s.maxDrainLoad = max(s.maxDrainLoad, load)
 	}
 	s.running.Wait()
 	if err := s.remaining.terminate(); err != nil {
-		s.t.Errorf("the program that remains ended with %v", err)
+		s.t.Errorf("the remaining program exited with %v", err)
 	}
 }
 
-// signal sends the draining programs further signals, some of them at once.
+// signal sends more signals to the draining programs, some of them immediately after each other.
 func (s *soak) signal() {
 	signals := []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGINT}
 	for range s.random.IntN(6) {
@@ -192,20 +194,20 @@
 	}
 }
 
-// kill ends the programs that have not ended.
+// kill kills the programs that have not exited.
 func (s *soak) kill() {
 	for _, program := range s.draining {
 		program.cmd.Process.Kill()
 	}
 }
 
-// startClient runs a client with a random source of its own.
+// startClient runs a client with its own random source.
 func (s *soak) startClient(number int, run func(*rand.Rand)) {
 	random := rand.New(rand.NewPCG(s.random.Uint64(), uint64(number)))
 	s.running.Go(func() { run(random) })
 }
 
-// checkRequests accounts for every request, by what its client saw.
+// checkRequests checks what happened to each request, by what its client and the workers recorded.
 func (s *soak) checkRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,7 +230,7 @@
 		accepted += thriftCounter(s.t, program.output(), "accepted")
 	}
 	if accepted < totalResponses || accepted > totalResponses+canceled {
-		s.t.Errorf("%d requests were read, %d were answered and %d clients went", accepted, totalResponses, canceled)
+		s.t.Errorf("%d requests were accepted, %d responses arrived and %d requests were canceled", accepted, totalResponses, canceled)
 	}
 	for _, program := range append(s.draining, s.remaining) {
 		for _, ends := range endsWithResponseDue.FindAllString(program.output(), -1) {
@@ -236,35 +238,36 @@
 		}
 	}
 	if len(s.sentToDraining) > 0 {
-		s.t.Errorf("%d requests went to a draining worker", len(s.sentToDraining))
+		s.t.Errorf("%d requests were sent to a draining worker", len(s.sentToDraining))
 	}
 	s.t.Logf("requests=%d answered=%d left=%d crossed=%d taken=%d deadline=%v routers=%d crowded=%v load=%.2f lateness=%v",
 		len(s.requests), totalResponses, canceled, resent, accepted, s.deadline, len(s.draining), s.atDescriptorLimit, s.maxDrainLoad, s.delays.longest())
 }
 
-// checkResponse checks that a request had its answer in its time, or crossed a close of the drain and had it the second
-// time. Where there is no room for all clients, connections are closed at other times too, and more than once.
+// checkResponse checks that a request got its response in time, or crossed a close of the drain and got its response
+// when it was sent again. If there are too few descriptors for all clients, connections are also closed at other times,
+// and more than once.
 func (s *soak) checkResponse(r *soakRequest) {
 	for i, exchange := range r.exchanges {
 		took := exchange.endedAt.Sub(exchange.sentAt)
 		switch delays := s.delays.within(exchange.sentAt, exchange.endedAt); {
 		case !exchange.connectionLost && took > r.timeout+responseSlack+delays:
-			s.t.Errorf("%s was answered after %v of %v", r.id, took, r.timeout)
+			s.t.Errorf("%s got its response after %v, and its timeout is %v", r.id, took, r.timeout)
 		case exchange.connectionLost && took > closeRaceWindow+delays:
-			s.t.Errorf("%s has no answer: its connection ended %v after it was sent, and %v are allowed", r.id, took, closeRaceWindow+delays)
+			s.t.Errorf("%s has no response: its connection was closed %v after it was sent, and %v are allowed", r.id, took, closeRaceWindow+delays)
 		case exchange.connectionLost && exchange.endedAt.Before(s.stoppedAt) && !s.atDescriptorLimit:
-			s.t.Errorf("%s has no answer: its connection ended %v before SIGTERM", r.id, s.stoppedAt.Sub(exchange.endedAt))
+			s.t.Errorf("%s has no response: its connection was closed %v before SIGTERM", r.id, s.stoppedAt.Sub(exchange.endedAt))
 		case exchange.connectionLost && i > 0 && !s.atDescriptorLimit:
-			s.t.Errorf("%s has no answer: it was sent once more, and its connection ended again", r.id)
+			s.t.Errorf("%s has no response: it was sent once more, and its connection was closed again", r.id)
 		}
 	}
 }
 
-// checkCanceled checks that no attempt of a request began after its client had gone.
+// checkCanceled checks that no attempt of a request started after its client had canceled it.
 func (s *soak) checkCanceled(r *soakRequest) {
 	for _, at := range r.attempts {
 		if !r.canceledAt.IsZero() && at.After(r.canceledAt.Add(cancelSlack+busyMachineSlack)) {
-			s.t.Errorf("%s: an attempt began %v after its client had gone", r.id, at.Sub(r.canceledAt))
+			s.t.Errorf("%s: an attempt started %v after its client had canceled it", r.id, at.Sub(r.canceledAt))
 		}
 	}
 	if r.notIdempotent && len(r.attempts) > 1 {
@@ -272,7 +275,7 @@
 	}
 }
 
-// drawSettings draws the settings that matter for the rules.
+// drawSettings draws the settings on which the checked rules depend.
 func (s *soak) drawSettings(document map[string]any) {
 	deadlines := []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second}
 	s.deadline = deadlines[s.random.IntN(len(deadlines))]
@@ -282,15 +285,15 @@
 	limits["mayProbe"] = s.random.IntN(2) == 0
 	limits["dialTimeoutMs"] = []int{250, 1000}[s.random.IntN(2)]
 	limits["maxAttempts"] = 1 + s.random.IntN(5)
-	if s.random.IntN(4) == 0 { // few descriptors: clients make room for each other
+	if s.random.IntN(4) == 0 { // too few descriptors: the router closes some clients' connections for new ones
 		document["limits"].(map[string]any)["sockets"] = 96
 		s.atDescriptorLimit = true
-		s.cancelers = false // so that each request that was read is accounted for
+		s.cancelers = false // so that each accepted request must have a response
 		s.shortConnections = false
 	}
 }
 
-// runSoak plays one seed.
+// runSoak runs the soak test with one seed.
 func runSoak(t *testing.T, seed uint64) {
 	s := &soak{t: t, random: rand.New(rand.NewPCG(seed, 34)), requests: map[string]*soakRequest{}, drainDeadlines: map[string]time.Time{}, stopConnecting: make(chan struct{})}
 	site, listen, document := newSite(t, 4, s.recordEvent)
@@ -313,7 +316,8 @@
 	s.checkRequests()
 }
 
-// startPrograms starts one to three programs that drain together, in some plays on one processor, and one that remains.
+// startPrograms starts one to three programs that drain together, and one that remains. In some runs, those that drain
+// share one processor.
 func (s *soak) startPrograms(listen string, document map[string]any) {
 	s.t.Helper()
 	var wrapper []string
@@ -327,7 +331,7 @@
 	s.remaining = s.startProgram(listen, document)
 }
 
-// startProgram starts a program that listens on an address, and returns once it does.
+// startProgram starts a program that listens on an address, and returns once it listens.
 func (s *soak) startProgram(listen string, document map[string]any, wrapper ...string) *program {
 	s.t.Helper()
 	document["listen"] = listen
@@ -336,10 +340,11 @@
 	return program
 }
 
-// The real program under drawn faults, settings and signals, with clients that send on open connections until it is killed
-// at the earliest: each request has exactly one final answer in its time, or crosses a close within 50 ms and has it once
-// it is sent again; none that must not repeat runs twice, none begins after its client has gone, and none goes to a worker
-// that drains. The program ends by itself, and does not spin. CRANKHOLD_SOAK_SEEDS=FIRST:COUNT plays more.
+// Runs the real program under random faults, settings and signals. Clients send requests on open connections until the
+// program is killed at the earliest possible time. Each request gets exactly one final response in time, or crosses a
+// close within 50 ms and gets its response when it is sent again. No request that is not idempotent runs twice, no
+// attempt starts after its client has canceled the request, and no request is sent to a draining worker. The program
+// exits by itself, and does not use much processor time. CRANKHOLD_SOAK_SEEDS=FIRST:COUNT runs other seeds.
 func TestSoak(t *testing.T) {
 	first, count := uint64(1), uint64(soakSeeds)
 	if text := os.Getenv(soakSeedsVariable); text != "" {
--- a/internal/server/stall_test.go
+++ b/internal/server/stall_test.go
@@ -10,22 +10,22 @@
 	"crankhold/internal/fake"
 )
 
-// TestBudgetCountsTheTimeOfAStoppedProcess sends requests while the whole process is stopped. They have waited when they are
-// read.
+// TestBudgetCountsTheTimeOfAStoppedProcess sends requests while the whole process is stopped. The time for which they
+// wait to be read reduces the budget.
 func TestBudgetCountsTheTimeOfAStoppedProcess(t *testing.T) {
 	checkBudgetsAcrossStops(t, 6, func(p *program) {
 		p.waitUntil(func() bool { return p.stat()[0] == "T" }, "it is stopped")
 	})
 }
 
-// TestBudgetCountsAStopWithinATurn sends requests in the moment of the stop: it may come within a turn, between its one
-// reading of the clock and its writes.
+// TestBudgetCountsAStopWithinATurn sends requests at the moment of the stop. The process may be stopped within a turn,
+// after the turn has read the clock, which it does once, and before it writes.
 func TestBudgetCountsAStopWithinATurn(t *testing.T) {
 	checkBudgetsAcrossStops(t, 60, func(*program) {})
 }
 
-// checkBudgetsAcrossStops stops the program, sends a request after beforeRequest, and has the program go on. Each time the
-// worker must be told what the client has left, with 0.15 s of slack.
+// checkBudgetsAcrossStops repeatedly stops the program, calls beforeRequest, sends a request and continues the program.
+// The budget in the RUN command must not exceed the time that the client still waits by more than 0.15 s.
 func checkBudgetsAcrossStops(t *testing.T, stops int, beforeRequest func(*program)) {
 	t.Helper()
 	const (
@@ -51,7 +51,7 @@
 	p := startProgramWith(t, document, listen)
 	client := p.client()
 	for n := 1; n <= stops; n++ {
-		time.Sleep(time.Duration(1+n%6) * 37 * time.Millisecond) // the loop is at different points of its rest
+		time.Sleep(time.Duration(1+n%6) * 37 * time.Millisecond) // so that the event loop waits at different points
 		if err := p.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/start_times_test.go
+++ b/internal/server/start_times_test.go
@@ -9,8 +9,9 @@
 	"crankhold/policy"
 )
 
-// A step of the wall clock changes no start time: what discovery reports is compared with the wall clock when it first is,
-// and kept on the monotonic one. A start that can't be true is bounded by the last list that did not have it.
+// A step of the wall clock changes no start time that is already known: a start time is compared with the wall clock
+// when discovery first reports it, and kept on the monotonic clock. An impossible start time is limited by the last
+// list without that worker.
 func TestStartTimesSurviveClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 10 * time.Second, -10 * time.Second} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -29,9 +30,9 @@
 			wall = wall.Add(step)
 			m.publish()
 			if at := m.startTime(known); at != before {
-				t.Errorf("its start moved by %v", at-before)
+				t.Errorf("the start time moved by %v", at-before)
 			}
-			// The machines of discovery and the workers may be stepped too, or not.
+			// The clocks of discovery and of the workers may be stepped too, or not.
 			for name, started := range map[string]time.Time{"stepped": wall.Add(-time.Second), "not stepped": wall.Add(-step - time.Second)} {
 				fresh := listEntry(t, "s-"+name, policy.Ready, "127.0.0.1:2")
 				fresh.Started = started.UnixMilli()
--- a/internal/server/worker_connections_test.go
+++ b/internal/server/worker_connections_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// listenLoopback listens on a free port of the loopback until the test ends.
+// listenLoopback listens on a free port of the loopback interface until the test ends.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -21,7 +21,7 @@
 	return listener
 }
 
-// serveConnections accepts connections until the listener is closed, and has serve take each on a goroutine of its own.
+// serveConnections accepts connections until the listener is closed, and calls serve for each on its own goroutine.
 func serveConnections(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -35,7 +35,7 @@
 	}
 }
 
-// serveCommands accepts connections until the listener is closed, and has handle take each command that arrives.
+// serveCommands accepts connections until the listener is closed, and calls handle for each command that arrives.
 func serveCommands(listener net.Listener, handle func(c net.Conn, words []string)) {
 	serveConnections(listener, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
