--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -93,11 +93,11 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, document)
-	return startServerByFile(t, path, options)
+	return startServerWithFile(t, path, options)
 }
 
-// startServerByFile runs a server with a configuration file until the test ends.
-func startServerByFile(t *testing.T, path string, options Options) *testServer {
+// startServerWithFile runs a server with a configuration file until the test ends.
+func startServerWithFile(t *testing.T, path string, options Options) *testServer {
 	t.Helper()
 	cfg, err := readConfig(path)
 	if err != nil {
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -78,7 +78,7 @@
 	config["names"], config["limits"] = closedAddr, map[string]any{"cores": 1, "memory_mb": 64, "sockets": 80}
 	topology := configuredTopology(config)
 	topology["members"] = topology["members"].([]any)[:1] // only discovery lists the second worker
-	p := startProgramWith(t, config, listen, "bash", "-c", fewDescriptors)
+	p := startProgramWithDocument(t, config, listen, "bash", "-c", fewDescriptors)
 	p.client().Close()
 	var idle []net.Conn
 	defer func() {
@@ -135,7 +135,7 @@
 	site.Discovery.Close()
 	topology := configuredTopology(config)
 	topology["members"] = []any{}
-	p := startProgramWith(t, config, listen)
+	p := startProgramWithDocument(t, config, listen)
 	thriftClient := p.client()
 	p.waitUntil(func() bool {
 		ready, err := thriftClient.CheckHealth()
--- a/internal/server/program_test.go
+++ b/internal/server/program_test.go
@@ -50,8 +50,8 @@
 	exited chan error
 }
 
-// startProgramWith starts the program with a configuration document.
-func startProgramWith(t *testing.T, document map[string]any, listen string, wrapper ...string) *program {
+// startProgramWithDocument starts the program with a configuration document.
+func startProgramWithDocument(t *testing.T, document map[string]any, listen string, wrapper ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, document)
@@ -122,15 +122,15 @@
 }
 
 // client waits until the program listens, and returns a connected client.
-func (p *program) client() (k *fake.Client) {
+func (p *program) client() (thriftClient *fake.Client) {
 	p.t.Helper()
 	p.waitUntil(func() bool {
 		var err error
-		k, err = fake.Dial(p.listen)
+		thriftClient, err = fake.Dial(p.listen)
 		return err == nil
 	}, "it listens")
-	p.t.Cleanup(k.Close)
-	return k
+	p.t.Cleanup(thriftClient.Close)
+	return thriftClient
 }
 
 // terminate sends SIGTERM, waits until the program exits, and returns the result.
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -65,7 +65,7 @@
 	text := strings.NewReplacer("127.0.0.1:10080", listen, "127.0.0.1:1053", discoveryServer.LocalAddr().String(), `"members":[]`,
 		fmt.Sprintf(`"members":[{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]`, addr)).Replace(validConfig)
 	writeText(t, path, text)
-	server := startServerByFile(t, path, Options{})
+	server := startServerWithFile(t, path, Options{})
 	newDiscoveryServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server that a reload names
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/shutdown_process_test.go
+++ b/internal/server/shutdown_process_test.go
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint("deadlines of ", deadline), func(t *testing.T) {
 			_, listen, document := newSite(t, 3, nil)
 			setDeadlines(document, deadline)
-			p := startProgramWith(t, document, listen)
+			p := startProgramWithDocument(t, document, listen)
 			p.client().Close()
 			clients := make([]closedLoopClient, 16)
 			var running sync.WaitGroup
@@ -78,7 +78,7 @@
 	const deadline = 500 * time.Millisecond
 	site, listen, document := newSite(t, 2, nil)
 	setDeadlines(document, deadline)
-	p := startProgramWith(t, document, listen)
+	p := startProgramWithDocument(t, document, listen)
 	client := p.client()
 	if response, err := client.Do(newRequest(1)); err != nil || response.Status != fake.Served {
 		t.Fatalf("response %+v, %v", response, err)
@@ -116,7 +116,7 @@
 // A request whose first half has arrived when a shutdown starts gets its response after the second half has arrived.
 func TestRequestSplitBySIGTERMGetsAResponse(t *testing.T) {
 	_, listen, document := newSite(t, 1, nil)
-	p := startProgramWith(t, document, listen)
+	p := startProgramWithDocument(t, document, listen)
 	client := p.client()
 	if _, err := client.CheckHealth(); err != nil {
 		t.Fatal(err)
--- a/internal/server/signals_process_test.go
+++ b/internal/server/signals_process_test.go
@@ -60,7 +60,7 @@
 // the files are invalid and change nothing.
 func TestLastOfManyReloadsWins(t *testing.T) {
 	_, listen, document := newSite(t, 2, nil)
-	p := startProgramWith(t, document, listen)
+	p := startProgramWithDocument(t, document, listen)
 	client := p.client()
 	lastServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
 	if err != nil {
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -30,7 +30,7 @@
 )
 
 // endsWithResponseDue matches log lines about connections that a program closed although a response was due.
-var endsWithResponseDue = regexp.MustCompile(`ended_by=(handler|room|timeout|shutdown|failure) connections=\d+ response_due=[1-9]\d*`)
+var closedWithResponseDue = regexp.MustCompile(`ended_by=(handler|room|timeout|shutdown|failure) connections=\d+ response_due=[1-9]\d*`)
 
 // soakExchange is one transmission of a request, over a connection on which no other request is open.
 type soakExchange struct {
@@ -132,8 +132,8 @@
 		entries[i].Draining = entries[i].Name == worker.Name
 	}
 	s.site.Discovery.Set(entries)
-	const told, grace = 1500 * time.Millisecond, time.Second
-	s.drainDeadlines[worker.Name] = time.Now().Add(told + grace + busyMachineSlack)
+	const announceDelay, gracePeriod = 1500 * time.Millisecond, time.Second
+	s.drainDeadlines[worker.Name] = time.Now().Add(announceDelay + gracePeriod + busyMachineSlack)
 }
 
 // run starts the clients, injects the faults, sends SIGTERM to the programs as the platform does, and kills them at the
@@ -233,7 +233,7 @@
 		s.t.Errorf("%d requests were accepted, %d responses arrived and %d requests were canceled", accepted, totalResponses, canceled)
 	}
 	for _, program := range append(s.draining, s.remaining) {
-		for _, ends := range endsWithResponseDue.FindAllString(program.output(), -1) {
+		for _, ends := range closedWithResponseDue.FindAllString(program.output(), -1) {
 			s.t.Errorf("a program closed connections on which a response was due: %s", ends)
 		}
 	}
@@ -335,7 +335,7 @@
 func (s *soak) startProgram(listen string, document map[string]any, wrapper ...string) *program {
 	s.t.Helper()
 	document["listen"] = listen
-	program := startProgramWith(s.t, document, listen, wrapper...)
+	program := startProgramWithDocument(s.t, document, listen, wrapper...)
 	program.client().Close()
 	return program
 }
--- a/internal/server/stall_test.go
+++ b/internal/server/stall_test.go
@@ -48,7 +48,7 @@
 			fmt.Fprint(conn, servedResponse(words[1]))
 		}
 	})
-	p := startProgramWith(t, document, listen)
+	p := startProgramWithDocument(t, document, listen)
 	client := p.client()
 	for n := 1; n <= stops; n++ {
 		time.Sleep(time.Duration(1+n%6) * 37 * time.Millisecond) // so that the event loop waits at different points
