--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -28,7 +28,7 @@
 }
 
 // newDrainSchedule derives the schedule from the longest deadline of all classes. Clients send requests on open
-// connections until the kill, so the program exits as late as it safely can, unless clients close all connections
+// connections until the kill, so the program exits as late as it safely can, unless clients close all their connections
 // earlier.
 func newDrainSchedule(longestDeadline time.Duration) drainSchedule {
 	kill := min(longestDeadline, maxKillDeadline) + killDelay
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -68,8 +68,8 @@
 	s.loop.Stop()
 }
 
-// drained reports whether the drain has nothing left to wait for: no client is connected, no request is open and all
-// notices are delivered.
+// drained reports whether the drain has nothing left to wait for: no client is connected, so that no request can be
+// open or arrive, and all notices are delivered.
 func (s *Server) drained() bool {
 	return s.loop.AcceptedCount() == 0 && s.core.OpenRequests() == 0 && s.integrations.pendingNotices() == 0
 }
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -29,7 +29,7 @@
 	maxDrainLoad  = 0.6                    // processors that a program may use on average while it drains
 )
 
-// endsWithResponseDue matches log lines about connections that a program closed although a response was due.
+// closedWithResponseDue matches log lines about connections that a program closed although a response was due.
 var closedWithResponseDue = regexp.MustCompile(`ended_by=(handler|room|timeout|shutdown|failure) connections=\d+ response_due=[1-9]\d*`)
 
 // soakExchange is one transmission of a request, over a connection on which no other request is open.
