--- a/internal/server/program_test.go
+++ b/internal/server/program_test.go
@@ -18,8 +18,8 @@
 	"crankhold/internal/fake"
 )
 
-// built is the program, built once for the tests that need a process of its own.
-var built = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program for the tests that run it as a process, and returns its path. It builds only once.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "crankhold-test-")
 	if err != nil {
 		return "", err
@@ -33,41 +33,41 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := built(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// program is the router in a process of its own.
+// program is a router that runs as a separate process.
 type program struct {
 	t      *testing.T
 	cmd    *exec.Cmd
-	config string // path of its configuration
+	config string // path of its configuration file
 	listen string
 	mu     sync.Mutex
 	log    bytes.Buffer
-	ended  chan error
+	exited chan error
 }
 
-// startProgramWith starts the program with a configuration document.
-func startProgramWith(t *testing.T, document map[string]any, listen string, wrapper ...string) *program {
+// startProgramWithDocument starts the program with a configuration document.
+func startProgramWithDocument(t *testing.T, document map[string]any, listen string, wrapper ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, document)
 	return startProgram(t, path, listen, wrapper...)
 }
 
-// startProgram starts the program with a configuration file. Wrapper is a command that runs the program, such as a
+// startProgram starts the program with a configuration file. wrapper is a command that runs the program, such as a
 // shell that sets other limits.
 func startProgram(t *testing.T, config, listen string, wrapper ...string) *program {
 	t.Helper()
-	path, err := built()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	args := append(wrapper, path)
-	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), config: config, listen: listen, ended: make(chan error, 1)}
+	p := &program{t: t, cmd: exec.Command(args[0], args[1:]...), config: config, listen: listen, exited: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -82,7 +82,7 @@
 			p.log.WriteString(in.Text() + "\n")
 			p.mu.Unlock()
 		}
-		p.ended <- p.cmd.Wait()
+		p.exited <- p.cmd.Wait()
 	}()
 	t.Cleanup(func() {
 		p.cmd.Process.Kill()
@@ -100,47 +100,47 @@
 	return p.log.String()
 }
 
-// await waits until the log contains a text.
-func (p *program) await(text string) {
+// waitForLog waits until the program's log contains a text.
+func (p *program) waitForLog(text string) {
 	p.t.Helper()
-	p.until(func() bool { return strings.Contains(p.output(), text) }, text)
+	p.waitUntil(func() bool { return strings.Contains(p.output(), text) }, text)
 }
 
-// until waits until a condition holds. It fails the test if the program ends first or half a minute passes.
-func (p *program) until(holds func() bool, what string) {
+// waitUntil waits until a condition holds. It fails the test if the program exits first or half a minute passes.
+func (p *program) waitUntil(condition func() bool, description string) {
 	p.t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
+	for waitStart := time.Now(); !condition(); time.Sleep(5 * time.Millisecond) {
 		select {
-		case err := <-p.ended:
-			p.t.Fatalf("the program ended (%v) before: %s", err, what)
+		case err := <-p.exited:
+			p.t.Fatalf("the program exited (%v) before: %s", err, description)
 		default:
 		}
-		if time.Since(begun) > 30*time.Second {
-			p.t.Fatalf("not within half a minute: %s", what)
+		if time.Since(waitStart) > 30*time.Second {
+			p.t.Fatalf("not within half a minute: %s", description)
 		}
 	}
 }
 
-// client connects once the program listens.
-func (p *program) client() (k *fake.Client) {
+// client waits until the program listens, and returns a connected client.
+func (p *program) client() (thriftClient *fake.Client) {
 	p.t.Helper()
-	p.until(func() bool {
+	p.waitUntil(func() bool {
 		var err error
-		k, err = fake.Dial(p.listen)
+		thriftClient, err = fake.Dial(p.listen)
 		return err == nil
 	}, "it listens")
-	p.t.Cleanup(k.Close)
-	return k
+	p.t.Cleanup(thriftClient.Close)
+	return thriftClient
 }
 
-// end terminates the program and returns how it ended.
-func (p *program) end() error {
+// terminate sends SIGTERM, waits until the program exits, and returns the result.
+func (p *program) terminate() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	return <-p.ended
+	return <-p.exited
 }
 
-// counter reads a counter of the Thrift front from the last line of counters in a program's log.
-func counter(t *testing.T, log, name string) int {
+// thriftCounter returns a counter of the Thrift front, from the last line of its counters in a program's log.
+func thriftCounter(t *testing.T, log, name string) int {
 	t.Helper()
 	lines := regexp.MustCompile(`front=thrift.*?\b`+name+`=(\d+)`).FindAllStringSubmatch(log, -1)
 	if len(lines) == 0 {
--- a/internal/server/signals_process_test.go
+++ b/internal/server/signals_process_test.go
@@ -14,10 +14,10 @@
 	"crankhold/internal/fake"
 )
 
-// Signals that come one after the other, and those that come while the program starts, are all acted on, and once: many
-// SIGUSR1 displace no SIGTERM, a further SIGTERM ends nothing sooner, and a SIGHUP during a shutdown does not end it.
+// Signals in a series, and signals that arrive while the program starts, are all handled, and each only once: many
+// SIGUSR1 displace no SIGTERM, another SIGTERM does not shorten the shutdown, and a SIGHUP does not end it.
 func TestSignalsInSeries(t *testing.T) {
-	_, listen, document := siteFor(t, 1, nil)
+	_, listen, document := newSite(t, 1, nil)
 	pipe := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
@@ -27,71 +27,71 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	feed, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // the program has opened it to read
+	writer, err := syscall.Open(pipe, syscall.O_WRONLY, 0) // returns once the program has opened the pipe to read
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 8 {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
-		time.Sleep(10 * time.Millisecond) // the kernel keeps one signal of a kind
+		time.Sleep(10 * time.Millisecond) // the kernel keeps only one pending signal of each kind
 	}
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1} {
 		p.cmd.Process.Signal(signal)
 		time.Sleep(10 * time.Millisecond)
 	}
-	if _, err := syscall.Write(feed, text); err != nil {
+	if _, err := syscall.Write(writer, text); err != nil {
 		t.Fatal(err)
 	}
-	syscall.Close(feed)
+	syscall.Close(writer)
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("the program exited with %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it did not end: SIGTERM was lost")
+		t.Error("the program did not exit: SIGTERM was lost")
 	}
 	if draining := len(regexp.MustCompile("event=server_draining").FindAllString(p.output(), -1)); draining != 1 {
-		t.Errorf("it began to drain %d times", draining)
+		t.Errorf("%d drains were logged, want 1", draining)
 	}
 }
 
-// Of many SIGHUPs in a row, each with another file, the last file wins, also while requests are under way; some of the
-// files can't be used and change nothing.
+// After many SIGHUPs in a row, each with another file, the last file is in force, also while requests are open. Some of
+// the files are invalid and change nothing.
 func TestLastOfManyReloadsWins(t *testing.T) {
-	_, listen, document := siteFor(t, 2, nil)
-	p := startProgramWith(t, document, listen)
+	_, listen, document := newSite(t, 2, nil)
+	p := startProgramWithDocument(t, document, listen)
 	client := p.client()
-	last, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
+	lastServer, err := net.ListenPacket("udp", "127.0.0.1:0") // the discovery server of the last file
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer last.Close()
+	defer lastServer.Close()
 	const reloads = 61
 	for n := range reloads {
 		document["names"] = fmt.Sprintf("127.0.0.1:%d", 2000+n)
 		if n == reloads-1 {
-			document["names"] = last.LocalAddr().String()
+			document["names"] = lastServer.LocalAddr().String()
 		}
-		fresh := p.config + ".fresh"
-		writeConfig(t, fresh, document)
+		newFile := p.config + ".fresh"
+		writeConfig(t, newFile, document)
 		if n%7 == 3 {
-			writeText(t, fresh, `{"names":`)
+			writeText(t, newFile, `{"names":`)
 		}
-		if err := os.Rename(fresh, p.config); err != nil {
+		if err := os.Rename(newFile, p.config); err != nil {
 			t.Fatal(err)
 		}
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		if answer, err := client.Do(callOf(n + 1)); err != nil || answer.Status != fake.Served {
-			t.Fatalf("after %d reloads: %+v, %v", n, answer, err)
+		if response, err := client.Do(newRequest(n + 1)); err != nil || response.Status != fake.Served {
+			t.Fatalf("after %d reloads: %+v, %v", n, response, err)
 		}
 	}
-	last.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, _, err := last.ReadFrom(make([]byte, 512)); err != nil {
-		t.Errorf("the discovery server of the last file was not asked: %v", err)
+	lastServer.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, _, err := lastServer.ReadFrom(make([]byte, 512)); err != nil {
+		t.Errorf("the discovery server of the last file received no query: %v", err)
 	}
 	reloaded := regexp.MustCompile(`event=config_reloaded names=(\S+)`).FindAllStringSubmatch(p.output(), -1)
-	if len(reloaded) == 0 || reloaded[len(reloaded)-1][1] != last.LocalAddr().String() {
-		t.Errorf("the last reload was of %v", reloaded)
+	if len(reloaded) == 0 || reloaded[len(reloaded)-1][1] != lastServer.LocalAddr().String() {
+		t.Errorf("the last reload was not of the last file: %v", reloaded)
 	}
 }
--- a/internal/server/soak_machine_test.go
+++ b/internal/server/soak_machine_test.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	latenessStep = 5 * time.Millisecond  // between two looks at how late this process is
-	clockTick    = 10 * time.Millisecond // the unit of processor times in /proc
+	delaySampleInterval = 5 * time.Millisecond  // between two measurements of this process's delay
+	clockTick           = 10 * time.Millisecond // the unit of processor times in /proc
 )
 
-// lateness is how late goroutines of this process ran, by which a busy machine is told from a slow answer.
-type lateness struct {
+// schedulingDelays records how late goroutines of this process ran. It distinguishes a busy machine from a slow
+// response.
+type schedulingDelays struct {
 	mu    sync.Mutex
-	spans []lateSpan
+	spans []delaySpan
 }
 
-// lateSpan is a time in which this process did not run as asked.
-type lateSpan struct {
+// delaySpan is a span of time in which this process should have run and did not.
+type delaySpan struct {
 	from, to time.Time
 }
 
-// watch records until done is closed.
-func (l *lateness) watch(done <-chan struct{}) {
+// measure records delays until done is closed.
+func (l *schedulingDelays) measure(done <-chan struct{}) {
 	for {
-		asked := time.Now().Add(latenessStep)
-		time.Sleep(latenessStep)
-		if now := time.Now(); now.Sub(asked) > latenessStep {
+		asked := time.Now().Add(delaySampleInterval)
+		time.Sleep(delaySampleInterval)
+		if now := time.Now(); now.Sub(asked) > delaySampleInterval {
 			l.mu.Lock()
-			l.spans = append(l.spans, lateSpan{from: asked, to: now})
+			l.spans = append(l.spans, delaySpan{from: asked, to: now})
 			l.mu.Unlock()
 		}
 		select {
@@ -47,8 +48,8 @@
 	}
 }
 
-// within returns for how long this process was late between two times.
-func (l *lateness) within(from, to time.Time) (sum time.Duration) {
+// within returns the total of all delays that overlap the span between two times.
+func (l *schedulingDelays) within(from, to time.Time) (sum time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, span := range l.spans {
@@ -59,8 +60,8 @@
 	return sum
 }
 
-// longest returns the longest time for which this process was late.
-func (l *lateness) longest() (longest time.Duration) {
+// longest returns the longest delay.
+func (l *schedulingDelays) longest() (longest time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, span := range l.spans {
@@ -69,7 +70,7 @@
 	return longest
 }
 
-// processorTime returns the processor time that a program has used, also after its end.
+// processorTime returns the processor time that a program has used. It also works after the program has exited.
 func (p *program) processorTime() time.Duration {
 	if state := p.cmd.ProcessState; state != nil {
 		return state.UserTime() + state.SystemTime()
@@ -78,18 +79,18 @@
 	user, userErr := strconv.Atoi(fields[11])
 	system, systemErr := strconv.Atoi(fields[12])
 	if userErr != nil || systemErr != nil {
-		p.t.Fatalf("processor times in %q", fields)
+		p.t.Fatalf("malformed processor times in %q", fields)
 	}
 	return time.Duration(user+system) * clockTick
 }
 
-// stat returns what the kernel tells of a program that runs, from its state on.
+// stat returns the fields of /proc/PID/stat of a running program, from its state on.
 func (p *program) stat() []string {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(p.cmd.Process.Pid) + "/stat")
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // behind the name, which may hold spaces
+	_, rest, _ := strings.Cut(string(text), ") ") // skips the name, which may contain spaces
 	return strings.Fields(rest)
 }
 
@@ -105,11 +106,11 @@
 			return number
 		}
 	}
-	t.Fatal("no processor")
+	t.Fatal("this process may run on no processor")
 	return 0
 }
 
-// freeAddr returns an address that nobody listens on.
+// freeAddr returns an address that no process listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := fake.FreeAddr()
