--- a/internal/workerclient/attempts.go
+++ b/internal/workerclient/attempts.go
@@ -28,7 +28,7 @@
 		return
 	}
 	delete(p.attempts, a)
-	c := cmd.delivery.connection
+	c := cmd.sendState.connection
 	c.commands.remove(cmd)
 	if p.cfg.CancelSupported {
 		c.outgoing.write(encodeStop(cmd.id))
@@ -42,17 +42,17 @@
 	if cmd == nil {
 		return false
 	}
-	if cmd.delivery.written {
-		cmd.delivery.abandoned = true
+	if cmd.sendState.written {
+		cmd.sendState.canceled = true
 		return false
 	}
 	delete(p.attempts, a)
-	cmd.delivery.connection.commands.dequeue(cmd)
+	cmd.sendState.connection.commands.dequeue(cmd)
 	return true
 }
 
-// forget drops a command that has ended, if it is a request, from the attempts in flight.
-func (p *Pool) forget(cmd *command) {
+// removeAttempt drops a command that has ended, if it is a request, from the attempts in flight.
+func (p *Pool) removeAttempt(cmd *command) {
 	request := cmd.request()
 	if request != nil {
 		delete(p.attempts, request.attempt)
--- a/internal/workerclient/attempts_test.go
+++ b/internal/workerclient/attempts_test.go
@@ -11,7 +11,7 @@
 
 // Guards clients that disconnect while their request waits for a connection: what is withdrawn is not written when the
 // dial comes up, nor sent again over the next connection, and has no result. What was written can't be withdrawn.
-func TestRequestQueuedBehindADialIsWithdrawn(t *testing.T) {
+func TestQueuedRequestIsWithdrawn(t *testing.T) {
 	for _, end := range []string{"comes up", "fails", "ends under it"} {
 		p := newTestPool()
 		withdrawn := router.Attempt{Request: 1}
@@ -51,20 +51,20 @@
 }
 
 // Where the settings forbid it no STOP is sent. The id of a canceled request is not used on its connection again.
-func TestNoCancelIsSentWhereTheSettingsForbidIt(t *testing.T) {
-	for _, may := range []bool{true, false} {
-		p := newTestPool(func(cfg *Config) { cfg.CancelSupported = may })
+func TestNoStopIsSentIfCancelIsUnsupported(t *testing.T) {
+	for _, supported := range []bool{true, false} {
+		p := newTestPool(func(cfg *Config) { cfg.CancelSupported = supported })
 		a := router.Attempt{Request: 1}
 		p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
 		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
 		p.CancelAttempt(1, a)
-		if sent := strings.Contains(transport.Written.String(), "STOP\r\n"); sent != may {
-			t.Errorf("may %v, sent %v", may, sent)
+		if sent := strings.Contains(transport.Written.String(), "STOP\r\n"); sent != supported {
+			t.Errorf("may %v, sent %v", supported, sent)
 		}
 		p.StartAttempt(1, router.Attempt{Request: 1, Number: 1}, newRequest("0123456789abcdef"), time.Second)
-		if n := strings.Count(transport.Written.String(), "RUN\r\n"); n != 1 || len(p.transports) != 2 {
-			t.Errorf("the id went %d times over one connection of %d", n, len(p.transports))
+		if count := strings.Count(transport.Written.String(), "RUN\r\n"); count != 1 || len(p.transports) != 2 {
+			t.Errorf("the id went %d times over one connection of %d", count, len(p.transports))
 		}
 	}
 }
--- a/internal/workerclient/budget_test.go
+++ b/internal/workerclient/budget_test.go
@@ -29,29 +29,29 @@
 // that which it spent on a connection that ended before it had left. With nothing left it is not sent.
 func TestBudgetIsWhatIsLeftWhenTheCommandIsWritten(t *testing.T) {
 	const budget = time.Second
-	for _, waits := range []time.Duration{0, 160 * time.Millisecond, 600 * time.Millisecond, budget} {
-		t.Run(fmt.Sprint("dial of ", waits), func(t *testing.T) {
+	for _, dialTime := range []time.Duration{0, 160 * time.Millisecond, 600 * time.Millisecond, budget} {
+		t.Run(fmt.Sprint("dial of ", dialTime), func(t *testing.T) {
 			p := newTestPool()
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, newRequest("0123456789abcdef"), budget)
-			p.SetNow(waits)
+			p.SetNow(dialTime)
 			transport := p.transports[0]
 			transport.handler.DialCompleted(nil)
-			if waits == budget {
+			if dialTime == budget {
 				if got := writtenBudgets(t, transport); len(got) > 0 || len(p.recorder.outcomes[a]) != 1 || !p.recorder.outcomes[a][0].NeverRan() {
 					t.Errorf("with nothing left: wrote budgets %v, ended %v", got, p.recorder.outcomes[a])
 				}
 				return
 			}
-			if got := writtenBudgets(t, transport); len(got) != 1 || got[0] != (budget-waits).Truncate(time.Millisecond) {
-				t.Fatalf("wrote budgets %v after %v of %v", got, waits, budget)
+			if got := writtenBudgets(t, transport); len(got) != 1 || got[0] != (budget-dialTime).Truncate(time.Millisecond) {
+				t.Fatalf("wrote budgets %v after %v of %v", got, dialTime, budget)
 			}
 			transport.Unsent = transport.Written.Len()
-			p.SetNow(waits + 200*time.Millisecond)
+			p.SetNow(dialTime + 200*time.Millisecond)
 			transport.handler.Closed(errors.New("reset"))
-			again := p.transports[1]
-			again.handler.DialCompleted(nil)
-			if got := writtenBudgets(t, again); len(got) != 1 || got[0] != (budget-waits-200*time.Millisecond).Truncate(time.Millisecond) {
+			second := p.transports[1]
+			second.handler.DialCompleted(nil)
+			if got := writtenBudgets(t, second); len(got) != 1 || got[0] != (budget-dialTime-200*time.Millisecond).Truncate(time.Millisecond) {
 				t.Errorf("wrote budgets %v when it was sent again %v later", got, 200*time.Millisecond)
 			}
 		})
@@ -60,7 +60,7 @@
 
 // A canceled request is not sent again though its connection ends before it has left: where the settings forbid STOP, it
 // stays in flight until then.
-func TestAbandonedRequestIsNotSentAgain(t *testing.T) {
+func TestCanceledRequestIsNotResent(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.CancelSupported = false })
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
--- a/internal/workerclient/command.go
+++ b/internal/workerclient/command.go
@@ -11,19 +11,19 @@
 // command is a message to a worker that awaits a response. Its kind says what it asks of the worker, delivery how far
 // it has come. A command belongs to at most one connection at a time.
 type command struct {
-	id       string // on the wire; the response names it
-	kind     commandKind
-	delivery delivery
+	id        string // on the wire; the response names it
+	kind      commandKind
+	sendState sendState
 }
 
-// delivery is how far a command has come on its way to its worker.
-type delivery struct {
+// sendState is how far a command has come on its way to its worker.
+type sendState struct {
 	connection *connection   // the latest; nil before the first
 	waited     bool          // for a connection
 	written    bool          // to connection
 	sentAt     time.Duration // when it was written
 	endOffset  int           // of its last byte in what was written to connection, in bytes
-	abandoned  bool          // nobody waits for its result, so it is not sent again
+	canceled   bool          // nobody waits for its result, so it is not sent again
 	resends    int           // connections that ended before it had left whole
 }
 
@@ -31,14 +31,14 @@
 // requestCommand, loadCommand, healthCheckCommand and pingCommand.
 type commandKind interface {
 	// mayNotSend reports whether the command may not be written any more, and the outcome with which it ends then.
-	mayNotSend(now time.Duration, waited bool, results ResultHandler) (outcome policy.Outcome, rejected bool)
+	checkBeforeWrite(now time.Duration, waited bool, results ResultHandler) (outcome policy.Outcome, rejected bool)
 	// encode returns the bytes of a command as buffers that are written one after the other.
 	encode(id string, now time.Duration) [][]byte
 	// isHealthQuery reports whether the command asks how the worker is, and nothing that it may do only once.
 	isHealthQuery() bool
 	// outlivesDrain reports whether the command stays queued when its worker takes nothing new any more. Otherwise it
 	// ends with the outcome.
-	outlivesDrain() (outcome policy.Outcome, outlives bool)
+	keepOnDrain() (outcome policy.Outcome, keep bool)
 	// retryAfterReset reports whether the command goes over another connection after its own has been reset, although
 	// it may have arrived, and counts that.
 	retryAfterReset() bool
@@ -67,13 +67,13 @@
 // neverArrived reports whether the command certainly did not reach its worker, of whose connection the first arrivable
 // bytes may have arrived: a worker acts on a command that arrived whole. Health queries are left out, since they may
 // be sent twice.
-func (cmd *command) neverArrived(arrivable int) bool {
-	return !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.endOffset > arrivable
+func (cmd *command) neverArrived(bytesSent int) bool {
+	return !cmd.kind.isHealthQuery() && cmd.sendState.written && cmd.sendState.endOffset > bytesSent
 }
 
 // mayBeResent reports whether a command that never arrived may go over a further connection.
 func (cmd *command) mayBeResent() bool {
-	return !cmd.delivery.abandoned && cmd.delivery.resends < maxResends
+	return !cmd.sendState.canceled && cmd.sendState.resends < maxResends
 }
 
 // sortByID gives commands a fixed order: equal runs must hand the decision module equal events.
--- a/internal/workerclient/command_queue.go
+++ b/internal/workerclient/command_queue.go
@@ -5,10 +5,10 @@
 // commandQueue holds the commands that one connection has been given and that have no result yet. Those that are queued
 // wait for the connection's dial, in the order in which they were added. Every queued command is in flight too.
 type commandQueue struct {
-	inFlight  map[string]*command // by id
-	queued    []*command
-	requests  int       // in flight
-	recentIDs idHistory // of requests that were written and are no longer in flight
+	inFlight     map[string]*command // by id
+	queued       []*command
+	requestCount int       // in flight
+	recentIDs    idHistory // of requests that were written and are no longer in flight
 }
 
 func newCommandQueue() commandQueue {
@@ -19,7 +19,7 @@
 func (q *commandQueue) add(cmd *command) {
 	q.inFlight[cmd.id] = cmd
 	if cmd.request() != nil {
-		q.requests++
+		q.requestCount++
 	}
 }
 
@@ -54,8 +54,8 @@
 	if cmd.request() == nil {
 		return
 	}
-	q.requests--
-	if cmd.delivery.written {
+	q.requestCount--
+	if cmd.sendState.written {
 		q.recentIDs.add(cmd.id)
 	}
 }
@@ -64,7 +64,7 @@
 func (q *commandQueue) clear() {
 	clear(q.inFlight)
 	q.queued = nil
-	q.requests = 0
+	q.requestCount = 0
 }
 
 // empty reports whether nothing is in flight.
@@ -75,26 +75,26 @@
 
 // acceptsRequest reports whether one more request may be added, of which at most limit may be in flight.
 func (q *commandQueue) acceptsRequest(id string, limit int) bool {
-	return q.requests < limit && !q.recentIDs.has(id) && !q.recentIDs.full()
+	return q.requestCount < limit && !q.recentIDs.has(id) && !q.recentIDs.full()
 }
 
 // oldestRequest returns when the request was written that has been awaiting its response for longest. It returns false
 // where no request awaits one.
 func (q *commandQueue) oldestRequest() (sentAt time.Duration, found bool) {
 	for _, cmd := range q.inFlight {
-		if cmd.request() == nil || !cmd.delivery.written {
+		if cmd.request() == nil || !cmd.sendState.written {
 			continue
 		}
-		if !found || cmd.delivery.sentAt < sentAt {
-			sentAt = cmd.delivery.sentAt
+		if !found || cmd.sendState.sentAt < sentAt {
+			sentAt = cmd.sendState.sentAt
 			found = true
 		}
 	}
 	return sentAt, found
 }
 
-// inOrder returns what is in flight in a fixed order.
-func (q *commandQueue) inOrder() []*command {
+// sortedInFlight returns what is in flight in a fixed order.
+func (q *commandQueue) sortedInFlight() []*command {
 	commands := make([]*command, 0, len(q.inFlight))
 	for _, cmd := range q.inFlight {
 		commands = append(commands, cmd)
--- a/internal/workerclient/command_queue_test.go
+++ b/internal/workerclient/command_queue_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a second copy of a response: of a miss, say, which would have the next attempt of the
 // same request count as one that never ran, and have a load command be sent once more.
-func TestSecondCopyEndsNoLaterAttempt(t *testing.T) {
+func TestDuplicateResponseCompletesNoLaterAttempt(t *testing.T) {
 	p := newTestPool()
 	const id = "0123456789abcdef"
 	first, second := router.Attempt{Request: 1}, router.Attempt{Request: 1, Number: 1}
@@ -44,7 +44,7 @@
 
 // Guards against a flood of canceled requests: the ids that a connection remembers are bounded, and one that is
 // full gives way to another without a reset for the requests that are open on it.
-func TestCanceledRequestsCostNoOtherClientAConnection(t *testing.T) {
+func TestCanceledRequestsCloseNoConnection(t *testing.T) {
 	p := newTestPool()
 	other := router.Attempt{Request: 9999}
 	p.StartAttempt(1, other, newRequest("00000000000000ff"), time.Second)
@@ -108,17 +108,17 @@
 func TestCommandQueueCountsRequestsAndRemembersTheirIDs(t *testing.T) {
 	queue := newCommandQueue()
 	written := newTestRequest("a1")
-	written.delivery.written = true
+	written.sendState.written = true
 	waiting := newTestRequest("b2")
 	ping := &command{id: "n1", kind: pingCommand{}}
 	for _, cmd := range []*command{written, waiting, ping} {
 		queue.add(cmd)
 	}
 	queue.enqueue(waiting)
-	if queue.requests != 2 || queue.acceptsRequest("c3", 2) || !queue.acceptsRequest("c3", 3) {
-		t.Errorf("%d requests in flight, want 2", queue.requests)
+	if queue.requestCount != 2 || queue.acceptsRequest("c3", 2) || !queue.acceptsRequest("c3", 3) {
+		t.Errorf("%d requests in flight, want 2", queue.requestCount)
 	}
-	if order := queue.inOrder(); !slices.Equal(order, []*command{written, waiting, ping}) {
+	if order := queue.sortedInFlight(); !slices.Equal(order, []*command{written, waiting, ping}) {
 		t.Errorf("in order: %v", order)
 	}
 	queue.dequeue(written) // it does not wait: nothing changes
@@ -128,8 +128,8 @@
 	queue.dequeue(waiting)
 	queue.remove(written)
 	queue.remove(written)
-	if queue.requests != 0 || queue.empty() || len(queue.takeQueued()) != 0 {
-		t.Errorf("%d requests in flight, %d commands", queue.requests, len(queue.inFlight))
+	if queue.requestCount != 0 || queue.empty() || len(queue.takeQueued()) != 0 {
+		t.Errorf("%d requests in flight, %d commands", queue.requestCount, len(queue.inFlight))
 	}
 	if queue.acceptsRequest("a1", 1) || !queue.acceptsRequest("b2", 1) {
 		t.Error("only the id of the request that was written may not be used again")
@@ -148,10 +148,10 @@
 	}
 	for id, sentAt := range map[string]time.Duration{"a1": 3 * time.Second, "a2": 2 * time.Second} {
 		cmd := newTestRequest(id)
-		cmd.delivery = delivery{written: true, sentAt: sentAt}
+		cmd.sendState = sendState{written: true, sentAt: sentAt}
 		queue.add(cmd)
 	}
-	ping := &command{id: "n1", kind: pingCommand{}, delivery: delivery{written: true, sentAt: time.Second}}
+	ping := &command{id: "n1", kind: pingCommand{}, sendState: sendState{written: true, sentAt: time.Second}}
 	queue.add(ping)
 	if sentAt, found := queue.oldestRequest(); !found || sentAt != 2*time.Second {
 		t.Errorf("the oldest request was sent at %v, found %v", sentAt, found)
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -59,10 +59,10 @@
 
 // send writes a command, or queues it while the connection is being dialled.
 func (c *connection) send(cmd *command) {
-	cmd.delivery.connection = c
+	cmd.sendState.connection = c
 	c.commands.add(cmd)
 	if !c.state.established() {
-		cmd.delivery.waited = true
+		cmd.sendState.waited = true
 		c.commands.enqueue(cmd)
 		return
 	}
@@ -72,23 +72,23 @@
 // writeCommand writes a command, or ends it where it may not be sent any more.
 func (c *connection) writeCommand(cmd *command) {
 	now := c.pool.now
-	outcome, rejected := cmd.kind.mayNotSend(now, cmd.delivery.waited, c.pool.results)
+	outcome, rejected := cmd.kind.checkBeforeWrite(now, cmd.sendState.waited, c.pool.results)
 	if rejected {
 		c.commands.remove(cmd)
 		c.pool.fail(cmd, outcome)
 		return
 	}
-	cmd.delivery.written = true
-	cmd.delivery.sentAt = now
+	cmd.sendState.written = true
+	cmd.sendState.sentAt = now
 	c.lastUsed = now
 	c.outgoing.write(cmd.kind.encode(cmd.id, now)...)
-	cmd.delivery.endOffset = c.outgoing.bytesWritten
+	cmd.sendState.endOffset = c.outgoing.bytesWritten
 }
 
-// dialSucceeded makes the connection that of a dial which has come up, and writes what was queued until then.
-func (c *connection) dialSucceeded(d *dial) {
-	c.outgoing.transport = d.transport
-	c.addr = d.addr
+// establish makes the connection that of a dial which has come up, and writes what was queued until then.
+func (c *connection) establish(dial *addressDial) {
+	c.outgoing.transport = dial.transport
+	c.addr = dial.addr
 	c.state = ready
 	c.dialer.cancel()
 	for _, cmd := range c.commands.takeQueued() {
@@ -96,11 +96,11 @@
 	}
 }
 
-// failQueued ends what is queued behind the dial and never left, except for what outlives a drain.
-func (c *connection) failQueued() {
+// failQueuedOnDrain ends what is queued behind the dial and never left, except for what outlives a drain.
+func (c *connection) failQueuedOnDrain() {
 	for _, cmd := range c.commands.takeQueued() {
-		outcome, outlives := cmd.kind.outlivesDrain()
-		if outlives {
+		outcome, keep := cmd.kind.keepOnDrain()
+		if keep {
 			c.commands.enqueue(cmd)
 			continue
 		}
@@ -183,11 +183,11 @@
 
 // terminate removes the connection from its worker and ends all that is in flight on it, in a fixed order.
 func (c *connection) terminate(outcome policy.Outcome) {
-	arrivable := c.outgoing.arrivable()
+	bytesSent := c.outgoing.bytesSent()
 	c.worker.removeConnection(c)
-	interrupted := c.commands.inOrder()
+	commands := c.commands.sortedInFlight()
 	c.commands.clear()
-	for _, cmd := range interrupted {
-		c.pool.connectionEnded(c.worker, cmd, outcome, arrivable)
+	for _, cmd := range commands {
+		c.pool.handleInterrupted(c.worker, cmd, outcome, bytesSent)
 	}
 }
--- a/internal/workerclient/connection_choice.go
+++ b/internal/workerclient/connection_choice.go
@@ -21,15 +21,15 @@
 // and a silent one only where no more may be opened. It returns nil where there is none.
 func (p *Pool) pickConnection(w *worker, cmd *command) *connection {
 	var best *connection
-	bestPreference := unusable
+	highest := unusable
 	for _, c := range w.connections {
-		preferred := c.preferenceFor(cmd)
-		if preferred > bestPreference {
+		preference := c.preferenceFor(cmd)
+		if preference > highest {
 			best = c
-			bestPreference = preferred
+			highest = preference
 		}
 	}
-	if bestPreference > lastResort || len(w.connections) >= maxConnectionsPerWorker || w.addresses.Len() == 0 {
+	if highest > lastResort || len(w.connections) >= maxConnectionsPerWorker || w.addresses.Len() == 0 {
 		return best
 	}
 	if !p.ensureCapacity() {
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -14,23 +14,23 @@
 type dialer struct {
 	connection *connection
 	race       *endpoint.DialRace
-	inProgress []*dial
-	winner     *dial // the one that came up first; nil before
+	inProgress []*addressDial
+	winner     *addressDial // the one that came up first; nil before
 }
 
-// dial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
+// addressDial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
 // what arrives once it has won the race.
-type dial struct {
+type addressDial struct {
 	dialer    *dialer
 	addr      endpoint.Addr
 	transport Transport
-	finished  bool
+	completed bool
 }
 
 // start dials the next addresses of the race as far as their time has come.
 func (d *dialer) start() {
 	for {
-		addr, ok := d.race.Next(d.connection.pool.now, d.mayOverlap())
+		addr, ok := d.race.Next(d.connection.pool.now, d.mayDialConcurrently())
 		if !ok {
 			return
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// mayOverlap reports whether the limits allow one more dial.
-func (d *dialer) mayOverlap() bool {
+// mayDialConcurrently reports whether the limits allow one more dial.
+func (d *dialer) mayDialConcurrently() bool {
 	p := d.connection.pool
 	if p.dialLimitReached() {
 		return false
@@ -48,18 +48,18 @@
 }
 
 func (d *dialer) dial(addr endpoint.Addr) {
-	attempt := &dial{dialer: d, addr: addr}
-	d.inProgress = append(d.inProgress, attempt)
+	dial := &addressDial{dialer: d, addr: addr}
+	d.inProgress = append(d.inProgress, dial)
 	p := d.connection.pool
 	p.Counters.Dials++
-	attempt.transport = p.dial(addr, attempt)
+	dial.transport = p.dial(addr, dial)
 }
 
 // cancel ends all dials that are in progress.
 func (d *dialer) cancel() {
-	for _, attempt := range slices.Clone(d.inProgress) {
-		attempt.finish()
-		attempt.transport.Close()
+	for _, dial := range slices.Clone(d.inProgress) {
+		dial.complete()
+		dial.transport.Close()
 	}
 }
 
@@ -71,16 +71,16 @@
 	d.start()
 }
 
-// failed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has failed
+// dialFailed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has dialFailed
 // is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the worker.
-func (d *dialer) failed(attempt *dial, err error) {
+func (d *dialer) dialFailed(dial *addressDial, err error) {
 	c := d.connection
 	c.pool.Counters.DialsFailed++
-	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", attempt.addr.String()), slog.Any("err", err))
+	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", dial.addr.String()), slog.Any("err", err))
 	outcome := policy.NotSent
 	if !eventloop.IsLocalFault(err) {
 		outcome = policy.Unreachable
-		c.worker.addresses.Failed(c.pool.now, attempt.addr)
+		c.worker.addresses.Failed(c.pool.now, dial.addr)
 	}
 	if d.race.DialFailed() {
 		c.terminate(outcome)
@@ -89,51 +89,51 @@
 	d.start()
 }
 
-// succeeded makes the first dial that comes up the connection, and closes any other.
-func (d *dialer) succeeded(attempt *dial) {
+// dialSucceeded makes the first dial that comes up the connection, and closes any other.
+func (d *dialer) dialSucceeded(dial *addressDial) {
 	c := d.connection
-	c.worker.addresses.Succeeded(c.pool.now, attempt.addr)
+	c.worker.addresses.Succeeded(c.pool.now, dial.addr)
 	if !d.race.DialSucceeded() {
-		attempt.transport.Close()
+		dial.transport.Close()
 		return
 	}
-	d.winner = attempt
-	c.dialSucceeded(attempt)
+	d.winner = dial
+	c.establish(dial)
 }
 
-// finish takes a dial out of those in progress.
-func (a *dial) finish() {
-	a.finished = true
-	a.dialer.connection.pool.dialsInProgress--
-	a.dialer.inProgress = slices.DeleteFunc(a.dialer.inProgress, func(other *dial) bool { return other == a })
+// complete takes a dial out of those in progress.
+func (dial *addressDial) complete() {
+	dial.completed = true
+	dial.dialer.connection.pool.dialsInProgress--
+	dial.dialer.inProgress = slices.DeleteFunc(dial.dialer.inProgress, func(other *addressDial) bool { return other == dial })
 }
 
 // DialCompleted handles the end of the dial.
-func (a *dial) DialCompleted(err error) {
+func (dial *addressDial) DialCompleted(err error) {
 	switch {
-	case a.finished: // it was canceled meanwhile
+	case dial.completed: // it was canceled meanwhile
 		if err == nil {
-			a.transport.Close()
+			dial.transport.Close()
 		}
 	case err != nil:
-		a.finish()
-		a.dialer.failed(a, err)
+		dial.complete()
+		dial.dialer.dialFailed(dial, err)
 	default:
-		a.finish()
-		a.dialer.succeeded(a)
+		dial.complete()
+		dial.dialer.dialSucceeded(dial)
 	}
 }
 
 // Data passes on what arrives.
-func (a *dial) Data(data []byte) {
-	if a.dialer.winner == a {
-		a.dialer.connection.Data(data)
+func (dial *addressDial) Data(data []byte) {
+	if dial.dialer.winner == dial {
+		dial.dialer.connection.Data(data)
 	}
 }
 
 // Closed passes on the end of the connection.
-func (a *dial) Closed(err error) {
-	if a.dialer.winner == a {
-		a.dialer.connection.Closed(err)
+func (dial *addressDial) Closed(err error) {
+	if dial.dialer.winner == dial {
+		dial.dialer.connection.Closed(err)
 	}
 }
--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -17,16 +17,16 @@
 	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 	p.transports[0].handler.DialCompleted(errors.New("connection refused"))
-	if !slices.Equal(p.dialled, []string{"/run/w.sock", "127.0.0.1:1"}) || len(p.recorder.outcomes) != 0 {
-		t.Fatalf("dialled %v, ended %v", p.dialled, p.recorder.outcomes)
+	if !slices.Equal(p.dialed, []string{"/run/w.sock", "127.0.0.1:1"}) || len(p.recorder.outcomes) != 0 {
+		t.Fatalf("dialled %v, ended %v", p.dialed, p.recorder.outcomes)
 	}
 	p.transports[1].handler.DialCompleted(nil)
 	if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, []int{1}) {
 		t.Errorf("written over %v", on)
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	if len(p.dialled) != 2 {
-		t.Errorf("dialled %v with a connection up", p.dialled)
+	if len(p.dialed) != 2 {
+		t.Errorf("dialled %v with a connection up", p.dialed)
 	}
 }
 
@@ -36,12 +36,12 @@
 	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), 2*time.Second)
 	p.Maintain(100 * time.Millisecond)
-	if len(p.dialled) != 1 {
-		t.Fatalf("dialled %v too soon", p.dialled)
+	if len(p.dialed) != 1 {
+		t.Fatalf("dialled %v too soon", p.dialed)
 	}
 	p.Maintain(300 * time.Millisecond)
-	if len(p.dialled) != 2 || p.dialsInProgress != 2 {
-		t.Fatalf("dialled %v, %d under way", p.dialled, p.dialsInProgress)
+	if len(p.dialed) != 2 || p.dialsInProgress != 2 {
+		t.Fatalf("dialled %v, %d under way", p.dialed, p.dialsInProgress)
 	}
 	p.transports[1].handler.DialCompleted(nil)
 	if !p.transports[0].Closed || p.dialsInProgress != 0 {
@@ -76,7 +76,7 @@
 }
 
 // A worker that can't be dialled because no descriptor is left here is no worse for it.
-func TestNoDescriptorSaysNothingOfAnAddress(t *testing.T) {
+func TestDescriptorExhaustionKeepsTheAddressAvailable(t *testing.T) {
 	for _, err := range []error{syscall.EMFILE, errors.New("refused")} {
 		p := newTestPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -21,18 +21,18 @@
 
 // fail hands over a result that no response gave.
 func (p *Pool) fail(cmd *command, outcome policy.Outcome) {
-	p.forget(cmd)
+	p.removeAttempt(cmd)
 	cmd.kind.fail(p.results, outcome)
 }
 
-// connectionEnded decides on a command whose connection ended with outcome. arrivable is how many bytes may have
+// handleInterrupted decides on a command whose connection ended with outcome. arrivable is how many bytes may have
 // reached the worker.
-func (p *Pool) connectionEnded(w *worker, cmd *command, outcome policy.Outcome, arrivable int) {
-	neverArrived := cmd.neverArrived(arrivable)
+func (p *Pool) handleInterrupted(w *worker, cmd *command, outcome policy.Outcome, bytesSent int) {
+	neverArrived := cmd.neverArrived(bytesSent)
 	wasReset := outcome == policy.ConnectionReset
 	switch {
 	case neverArrived && cmd.mayBeResent() && w.ready():
-		cmd.delivery.resends++
+		cmd.sendState.resends++
 		p.Counters.RequestsResent++
 		p.resend(w, cmd)
 	case neverArrived && wasReset:
@@ -46,7 +46,7 @@
 
 // resend sends a command, whose connection ended, over another one.
 func (p *Pool) resend(w *worker, cmd *command) {
-	cmd.delivery.written = false
-	cmd.delivery.waited = true
+	cmd.sendState.written = false
+	cmd.sendState.waited = true
 	p.send(w, cmd)
 }
--- a/internal/workerclient/dispatch_test.go
+++ b/internal/workerclient/dispatch_test.go
@@ -11,11 +11,11 @@
 
 // What an end proves depends on whether the request left whole: one of which a byte is still here never ran and goes to
 // another connection of the same worker, as the same attempt; one that was handed on whole may have run.
-func TestOnlyWhatNeverLeftIsMoved(t *testing.T) {
-	for name, c := range map[string]struct {
-		left int
-		ends []policy.Outcome
-		on   []int
+func TestOnlyUnsentRequestsAreResent(t *testing.T) {
+	for name, test := range map[string]struct {
+		unsent   int
+		outcomes []policy.Outcome
+		on       []int
 	}{
 		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
 		"but its last byte": {1, nil, []int{0, 1}},
@@ -24,12 +24,12 @@
 		p := newTestPoolWithTwoAddresses()
 		p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 		p.transports[0].handler.DialCompleted(nil)
-		p.transports[0].Unsent = c.left
+		p.transports[0].Unsent = test.unsent
 		p.transports[0].handler.Closed(errors.New("reset"))
 		if len(p.transports) > 1 {
 			p.transports[1].handler.DialCompleted(nil)
 		}
-		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, c.on) || !slices.Equal(p.recorder.outcomes[attempt], c.ends) {
+		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, test.on) || !slices.Equal(p.recorder.outcomes[attempt], test.outcomes) {
 			t.Errorf("%s: written over %v, ended %v", name, on, p.recorder.outcomes[attempt])
 		}
 	}
--- a/internal/workerclient/example_test.go
+++ b/internal/workerclient/example_test.go
@@ -27,13 +27,13 @@
 func (printResults) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	fmt.Printf("attempt %d of request %d: served %v, %q\n", a.Number, a.Request, r.Outcome == policy.Served, r.Body)
 }
-func (printResults) LoadCompleted(tag uint64, _ policy.Outcome, replicas int) {
-	fmt.Printf("load %d: %d replicas\n", tag, replicas)
+func (printResults) LoadCompleted(commandID uint64, _ policy.Outcome, replicas int) {
+	fmt.Printf("load %d: %d replicas\n", commandID, replicas)
 }
 func (printResults) MaySendLoad(uint64) bool { return true }
 
-func (printResults) HealthCheckCompleted(tag uint64, _ policy.Outcome, report []float64) {
-	fmt.Printf("health check %d: %v\n", tag, report)
+func (printResults) HealthCheckCompleted(commandID uint64, _ policy.Outcome, report []float64) {
+	fmt.Printf("health check %d: %v\n", commandID, report)
 }
 
 // A request is queued until the connection to its worker comes up. What the worker responds goes to the result handler.
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -14,8 +14,8 @@
 
 // The responses are written by hand from the protocol's definition, so that no code of this package builds what it reads.
 const (
-	goldenAnswers  = "testdata/answers.txt"
-	goldenMessages = "testdata/messages.txt"
+	goldenResponses = "testdata/answers.txt"
+	goldenMessages  = "testdata/messages.txt"
 )
 
 type loadResult struct {
@@ -166,7 +166,7 @@
 			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 			connection := p.transports[0]
 			connection.handler.DialCompleted(nil)
-			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+			connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.Closed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.Closed, want)
@@ -192,7 +192,7 @@
 		p.Load(1, 5, 2, 9)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
@@ -215,7 +215,7 @@
 		p.CheckHealth(1, 7)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
@@ -232,7 +232,7 @@
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
 		pingedAt := owner.liveness.pingedAt
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, label))
 		if pingedAt == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
 			t.Errorf("%s: pinged at %v, then %v, with %d in flight", label, pingedAt, owner.liveness.pingedAt, len(owner.commands.inFlight))
 		}
@@ -243,7 +243,7 @@
 	connection := openRecoveryDial(t)
 	worker := connection.handler.(*recoveryDial).worker
 	down := worker.addresses.Unavailable()
-	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
+	connection.handler.Data(golden.FindMessage(t, goldenResponses, "NOOP of a trial answered by PONG"))
 	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
 		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
 	}
@@ -275,7 +275,7 @@
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.Closed)
 		}
--- a/internal/workerclient/health_command.go
+++ b/internal/workerclient/health_command.go
@@ -11,11 +11,11 @@
 
 // healthCheckCommand is an INFO: it asks whether a worker responds, and for its load report.
 type healthCheckCommand struct {
-	commandID       uint64 // of the decision module
-	lostConnections int    // that were reset under it
+	commandID uint64 // of the decision module
+	resets    int    // that were reset under it
 }
 
-func (h *healthCheckCommand) mayNotSend(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+func (h *healthCheckCommand) checkBeforeWrite(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
 	return policy.NotSent, false
 }
 
@@ -25,16 +25,16 @@
 
 func (h *healthCheckCommand) isHealthQuery() bool { return true }
 
-// outlivesDrain keeps the health check: workers that drain are checked as well.
-func (h *healthCheckCommand) outlivesDrain() (policy.Outcome, bool) { return policy.NotSent, true }
+// keepOnDrain keeps the health check: workers that drain are checked as well.
+func (h *healthCheckCommand) keepOnDrain() (policy.Outcome, bool) { return policy.NotSent, true }
 
 // retryAfterReset lets a few connections be reset before the worker counts as failed: one that breaks proves little,
 // since others may well be in use. Over a new one a worker that died refuses, and one that is well responds.
 func (h *healthCheckCommand) retryAfterReset() bool {
-	if h.lostConnections >= maxHealthCheckResends {
+	if h.resets >= maxHealthCheckResends {
 		return false
 	}
-	h.lostConnections++
+	h.resets++
 	return true
 }
 
@@ -44,14 +44,14 @@
 
 func (h *healthCheckCommand) complete(c *connection, r response) {
 	report := r.fields.loadReport(c.pool.cfg.ReportFields)
-	c.pool.results.HealthCheckCompleted(h.commandID, outcomes[r.status], report)
+	c.pool.results.HealthCheckCompleted(h.commandID, outcomeByStatus[r.status], report)
 }
 
 // pingCommand is a NOOP: a keepalive ping that a connection sends on its own account. It has no result: that a response
 // arrived is all that counts.
 type pingCommand struct{}
 
-func (pingCommand) mayNotSend(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
+func (pingCommand) checkBeforeWrite(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
 	return policy.NotSent, false
 }
 
@@ -59,7 +59,7 @@
 
 func (pingCommand) isHealthQuery() bool { return true }
 
-func (pingCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
+func (pingCommand) keepOnDrain() (policy.Outcome, bool) { return policy.Unreachable, false }
 
 func (pingCommand) retryAfterReset() bool { return false }
 
--- a/internal/workerclient/health_command_test.go
+++ b/internal/workerclient/health_command_test.go
@@ -10,9 +10,9 @@
 // Guards workers that are well against connections that break under a health check: it goes over another one, so
 // that only a worker that refuses, or breaks them all, counts as having failed it.
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		resets int
-		last   func(transport *fakeTransport)
+		end    func(transport *fakeTransport)
 		want   policy.Outcome
 	}{
 		"well": {1, func(transport *fakeTransport) {
@@ -27,14 +27,14 @@
 	} {
 		p := newTestPool()
 		p.CheckHealth(1, 7)
-		for i := range c.resets {
+		for i := range test.resets {
 			p.transports[i].handler.DialCompleted(nil)
 			if p.transports[i].handler.Closed(errors.New("reset")); len(p.recorder.commandOutcomes[7]) != 0 || len(p.transports) != i+2 {
 				t.Fatalf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 			}
 		}
-		c.last(p.transports[c.resets])
-		if len(p.recorder.commandOutcomes[7]) != 1 || p.recorder.commandOutcomes[7][0] != c.want || len(p.transports) != c.resets+1 {
+		test.end(p.transports[test.resets])
+		if len(p.recorder.commandOutcomes[7]) != 1 || p.recorder.commandOutcomes[7][0] != test.want || len(p.transports) != test.resets+1 {
 			t.Errorf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 		}
 	}
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -23,7 +23,7 @@
 	outcomes        map[router.Attempt][]policy.Outcome
 	results         map[router.Attempt]router.AttemptResult
 	commandOutcomes map[uint64][]policy.Outcome // by the id of the load or the health check
-	beyondBudget    bool                        // of loads that have waited
+	overLoadBudget  bool                        // of loads that have waited
 }
 
 func newResultRecorder() *resultRecorder {
@@ -43,7 +43,7 @@
 	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
 }
 
-func (r *resultRecorder) MaySendLoad(uint64) bool { return !r.beyondBudget }
+func (r *resultRecorder) MaySendLoad(uint64) bool { return !r.overLoadBudget }
 
 func (r *resultRecorder) HealthCheckCompleted(commandID uint64, o policy.Outcome, _ []float64) {
 	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
@@ -54,7 +54,7 @@
 	*Pool
 	recorder   *resultRecorder
 	transports []*fakeTransport // in the order in which they were dialled
-	dialled    []string         // their addresses
+	dialed     []string         // their addresses
 }
 
 // newTestPool returns a pool with worker 1, which has one address. configure changes the settings.
@@ -89,7 +89,7 @@
 func (p *testPool) dialFake(_, addr string, _ time.Duration, h eventloop.DialHandler) Transport {
 	transport := &fakeTransport{handler: h}
 	p.transports = append(p.transports, transport)
-	p.dialled = append(p.dialled, addr)
+	p.dialed = append(p.dialed, addr)
 	return transport
 }
 
@@ -101,18 +101,18 @@
 }
 
 // encodeResponse returns a response of four elements, with no fields.
-func encodeResponse(id, word, body string) []byte {
-	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n", len(id), id, len(word), word, len(body), body)
+func encodeResponse(id, status, body string) []byte {
+	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n", len(id), id, len(status), status, len(body), body)
 }
 
 // transportsWithRun returns the indices of the connections on which a request of an id was written.
-func transportsWithRun(transports []*fakeTransport, id string) (on []int) {
+func transportsWithRun(transports []*fakeTransport, id string) (indices []int) {
 	for i, transport := range transports {
 		if strings.Contains(transport.Written.String(), "RUN\r\n$16\r\n"+id) {
-			on = append(on, i)
+			indices = append(indices, i)
 		}
 	}
-	return on
+	return indices
 }
 
 var twoAddresses = []endpoint.Addr{
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -16,10 +16,10 @@
 // off stays open and says nothing, while others to the same worker may be well: the worker as a whole is then no reason
 // to go elsewhere. Only whole responses count as signs of life, since bytes prove nothing.
 type livenessMonitor struct {
-	lastResponse         time.Duration // when the latest response arrived; 0: none has
-	lastRequestResponse  time.Duration // when the latest response to a request did
-	latestAnsweredSentAt time.Duration // when the command was sent, of those responded to, that was sent last
-	pingedAt             time.Duration // when the keepalive ping was sent that awaits a sign of life; 0: none does
+	lastResponse          time.Duration // when the latest response arrived; 0: none has
+	lastRequestResponse   time.Duration // when the latest response to a request did
+	latestRespondedSentAt time.Duration // when the command was sent, of those responded to, that was sent last
+	pingedAt              time.Duration // when the keepalive ping was sent that awaits a sign of life; 0: none does
 }
 
 // livenessState is what a connection's silence calls for.
@@ -55,9 +55,9 @@
 	m.pingedAt = 0
 }
 
-// recordAnswered records that a response arrived to a command that was sent at an instant.
-func (m *livenessMonitor) recordAnswered(sentAt time.Duration) {
-	m.latestAnsweredSentAt = max(m.latestAnsweredSentAt, sentAt)
+// recordResponseTo records that a response arrived to a command that was sent at an instant.
+func (m *livenessMonitor) recordResponseTo(sentAt time.Duration) {
+	m.latestRespondedSentAt = max(m.latestRespondedSentAt, sentAt)
 }
 
 // awaitsPing reports whether a keepalive ping has had no response yet.
@@ -71,16 +71,16 @@
 		c.closeWithError(ErrResponseStalled)
 		return
 	}
-	silence, due := c.silentSince(c.liveness.lastResponse)
+	silence, due := c.silenceDuration(c.liveness.lastResponse)
 	if !due {
 		return
 	}
-	switch c.liveness.check(now, silence, c.pool.silence.typicalMaximum()) {
+	switch c.liveness.check(now, silence, c.pool.silence.expected()) {
 	case connectionAlive:
 	case pingDue:
 		c.ping()
 	case pingUnanswered:
-		if c.worker.respondedSince(c.liveness.pingedAt) {
+		if c.worker.respondedToCommandSince(c.liveness.pingedAt) {
 			c.worker.addresses.Failed(now, c.addr)
 			c.closeWithError(ErrConnectionSilent)
 		}
@@ -107,7 +107,7 @@
 	if cmd != nil && cmd.request() != nil {
 		if status == statusHit { // a miss arrives at once and says nothing of requests that run
 			// Responses to pings don't end a silence: they were asked for because it was long.
-			silence, _ := c.silentSince(c.liveness.lastRequestResponse)
+			silence, _ := c.silenceDuration(c.liveness.lastRequestResponse)
 			c.pool.silence.observe(silence)
 		}
 		c.liveness.lastRequestResponse = now
@@ -116,11 +116,11 @@
 	c.worker.addresses.Responded(c.addr)
 }
 
-// silentSince returns for how long the response to a request has been due and none has arrived since lastReadAt. It
+// silenceDuration returns for how long the response to a request has been due and none has arrived since lastReadAt. It
 // returns false for due where no request awaits one.
-func (c *connection) silentSince(lastReadAt time.Duration) (silence time.Duration, due bool) {
+func (c *connection) silenceDuration(lastResponseAt time.Duration) (silence time.Duration, due bool) {
 	oldest, due := c.commands.oldestRequest()
-	return c.pool.now - max(oldest, lastReadAt), due
+	return c.pool.now - max(oldest, lastResponseAt), due
 }
 
 // stalled reports whether a response has begun to arrive and does not go on: what is sent now would be lost with it.
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -12,39 +12,39 @@
 // Guards against a connection that was cut off: it stays open and says nothing while its worker is well.
 // Nothing more goes over it, and what is open on it ends; a worker that is silent altogether keeps its
 // connections, for that is for the module to judge.
-func TestSilentConnectionIsLeft(t *testing.T) {
-	for _, well := range []bool{true, false} {
+func TestSilentConnectionIsReplaced(t *testing.T) {
+	for _, responds := range []bool{true, false} {
 		p := newTestPool()
 		now := time.Hour
 		p.Maintain(now)
 		a, b := router.Attempt{Request: 1}, router.Attempt{Request: 2}
 		p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
 		p.transports[0].handler.DialCompleted(nil)
-		pass := func(d time.Duration) {
+		advance := func(d time.Duration) {
 			for end := now + d; now < end; {
 				now += MaintenanceInterval
 				p.Maintain(now)
 			}
 		}
-		pass(minSilenceBeforePing + MaintenanceInterval)
+		advance(minSilenceBeforePing + MaintenanceInterval)
 		if got := p.transports[0].Written.String(); strings.Count(got, "NOOP") != 1 {
 			t.Fatalf("not pinged: %q", got)
 		}
-		pass(MaintenanceInterval)
+		advance(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
 		if on := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(on) != 0 {
 			t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
 		}
 		p.transports[1].handler.DialCompleted(nil)
-		if pass(MaintenanceInterval); well {
+		if advance(MaintenanceInterval); responds {
 			p.transports[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
 		if p.transports[0].Closed {
 			t.Fatal("closed before its ping had timed out")
 		}
-		pass(pingTimeout + MaintenanceInterval)
-		if p.transports[0].Closed != well {
-			t.Errorf("worker well: %v, silent connection closed: %v", well, p.transports[0].Closed)
+		advance(pingTimeout + MaintenanceInterval)
+		if p.transports[0].Closed != responds {
+			t.Errorf("worker well: %v, silent connection closed: %v", responds, p.transports[0].Closed)
 		}
 		if p.transports[0].handler.Closed(nil); len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.ConnectionReset {
 			t.Errorf("ended %v", p.recorder.outcomes[a])
@@ -61,7 +61,7 @@
 }
 
 // Where the settings allow no probes, none is sent on a connection that is silent. It takes nothing new all the same.
-func TestNoHealthCheckIsSentWhereNoneIsAllowed(t *testing.T) {
+func TestNoPingIsSentIfHealthChecksAreNotAllowed(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.HealthChecksAllowed = false })
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Minute)
 	silent := p.transports[0]
@@ -84,15 +84,15 @@
 }
 
 // A silent connection has requests go to another address; a response there ends it, and no health check is needed.
-func TestSilentAddressIsLeft(t *testing.T) {
+func TestRequestsAvoidASilentAddress(t *testing.T) {
 	p := newTestPoolWithTwoAddresses()
 	p.SetNow(time.Hour)
 	p.StartAttempt(7, attempt, newRequest(requestID), 2*time.Second)
 	p.transports[0].handler.DialCompleted(nil)
 	p.Maintain(time.Hour + 200*time.Millisecond)
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), 2*time.Second)
-	if p.dialled[len(p.dialled)-1] != "127.0.0.1:1" {
-		t.Fatalf("dialled %v", p.dialled)
+	if p.dialed[len(p.dialed)-1] != "127.0.0.1:1" {
+		t.Fatalf("dialled %v", p.dialed)
 	}
 	p.transports[1].handler.DialCompleted(nil)
 	p.SetNow(time.Hour + 250*time.Millisecond)
--- a/internal/workerclient/load_command.go
+++ b/internal/workerclient/load_command.go
@@ -13,9 +13,9 @@
 	replicas  int // to load; 0 only asks
 }
 
-// mayNotSend ends a load that waited for a connection while the budget of loads was used up. One that is sent at once
+// checkBeforeWrite ends a load that waited for a connection while the budget of loads was used up. One that is sent at once
 // has just been decided on.
-func (l *loadCommand) mayNotSend(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
+func (l *loadCommand) checkBeforeWrite(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
 	return policy.Overloaded, l.replicas > 0 && waited && !results.MaySendLoad(l.commandID)
 }
 
@@ -25,8 +25,8 @@
 
 func (l *loadCommand) isHealthQuery() bool { return false }
 
-// outlivesDrain ends the load as a draining worker would have responded.
-func (l *loadCommand) outlivesDrain() (policy.Outcome, bool) { return policy.Overloaded, false }
+// keepOnDrain ends the load as a draining worker would have responded.
+func (l *loadCommand) keepOnDrain() (policy.Outcome, bool) { return policy.Overloaded, false }
 
 func (l *loadCommand) retryAfterReset() bool { return false }
 
@@ -35,5 +35,5 @@
 }
 
 func (l *loadCommand) complete(c *connection, r response) {
-	c.pool.results.LoadCompleted(l.commandID, outcomes[r.status], r.fields.replicas())
+	c.pool.results.LoadCompleted(l.commandID, outcomeByStatus[r.status], r.fields.replicas())
 }
--- a/internal/workerclient/load_command_test.go
+++ b/internal/workerclient/load_command_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards the drain rule for load commands: one queued behind a dial is not sent once its worker drains.
-func TestLoadCommandBehindADialIsNotSentToADrainingWorker(t *testing.T) {
+func TestQueuedLoadIsNotSentToADrainingWorker(t *testing.T) {
 	p := newTestPool()
 	p.Load(1, 5, 1, 9)
 	p.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
@@ -22,20 +22,20 @@
 
 // Guards the budget of load commands: one that waited for a dial is not sent where the requests that paid for it have left
 // the budget's window meanwhile. One that is sent at once has just been decided on.
-func TestLoadBeyondItsBudgetIsNotSentAfterTheDial(t *testing.T) {
-	for _, beyond := range []bool{true, false} {
+func TestQueuedLoadOverBudgetIsNotSent(t *testing.T) {
+	for _, overBudget := range []bool{true, false} {
 		p := newTestPool()
-		p.recorder.beyondBudget = beyond
+		p.recorder.overLoadBudget = overBudget
 		p.Load(1, 5, 1, 9)
 		p.Load(1, 5, 0, 10) // only asks
 		p.SetNow(time.Second)
 		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
-		if sent := strings.Contains(transport.Written.String(), "count=1"); sent == beyond {
-			t.Errorf("beyond its budget %v, sent %v", beyond, sent)
+		if sent := strings.Contains(transport.Written.String(), "count=1"); sent == overBudget {
+			t.Errorf("beyond its budget %v, sent %v", overBudget, sent)
 		}
-		if beyond != slices.Equal(p.recorder.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
-			t.Errorf("beyond its budget %v, ended %v", beyond, p.recorder.commandOutcomes[9])
+		if overBudget != slices.Equal(p.recorder.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
+			t.Errorf("beyond its budget %v, ended %v", overBudget, p.recorder.commandOutcomes[9])
 		}
 		if !strings.Contains(transport.Written.String(), "count=0") {
 			t.Error("the command that only asks was not sent")
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -16,9 +16,9 @@
 
 // scopes are the ones that CI searches whole.
 var scopes = map[string]scope{
-	"one request":   {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 1, maxStates: 200_000},
-	"two requests":  {workers: 2, addrs: 2, requestCount: 2, faults: 2, drains: 1, ticks: 0, interrupts: 0, maxStates: 200_000},
-	"load commands": {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, interrupts: 0, loadsRequired: true, maxStates: 200_000},
+	"one request":   {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, disconnects: 1, maxStates: 200_000},
+	"two requests":  {workers: 2, addrs: 2, requestCount: 2, faults: 2, drains: 1, ticks: 0, disconnects: 0, maxStates: 200_000},
+	"load commands": {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, disconnects: 0, loadsRequired: true, maxStates: 200_000},
 }
 
 // Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
@@ -45,7 +45,7 @@
 		name: "requests that left whole are sent again",
 		file: "internal/workerclient/dispatch.go",
 		old:  "case neverArrived && cmd.mayBeResent()",
-		new:  "case !cmd.kind.isHealthQuery() && cmd.delivery.written && cmd.delivery.resends < maxResends",
+		new:  "case !cmd.kind.isHealthQuery() && cmd.sendState.written && cmd.sendState.resends < maxResends",
 	},
 	{
 		name: "requests are sent again to a draining worker",
@@ -56,7 +56,7 @@
 	{
 		name: "draining leaves what is queued behind a dial",
 		file: "internal/workerclient/worker.go",
-		old:  "c.failQueued()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {",
+		old:  "c.failQueuedOnDrain()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {",
 		new:  "if false {",
 	},
 	{
@@ -74,8 +74,8 @@
 	{
 		name: "dials that lost the race go on",
 		file: "internal/workerclient/dialer.go",
-		old:  "\t\tattempt.finish()\n\t\tattempt.transport.Close()",
-		new:  "\t\tattempt.finish()",
+		old:  "\t\tdial.complete()\n\t\tdial.transport.Close()",
+		new:  "\t\tdial.complete()",
 	},
 	{
 		name: "the connection of a recovery dial stays open",
@@ -86,7 +86,7 @@
 	{
 		name: "a canceled request is sent all the same",
 		file: "internal/workerclient/attempts.go",
-		old:  "\tcmd.delivery.connection.commands.dequeue(cmd)\n\treturn true",
+		old:  "\tcmd.sendState.connection.commands.dequeue(cmd)\n\treturn true",
 		new:  "\treturn true",
 	},
 	{
--- a/internal/workerclient/model_steps_test.go
+++ b/internal/workerclient/model_steps_test.go
@@ -50,7 +50,7 @@
 // Do takes a step, by its position in Steps.
 func (m *model) Do(i int) {
 	m.steps()[i].do()
-	m.turn()
+	m.runTurn()
 }
 
 // steps returns all that may happen now, in a fixed order.
@@ -114,22 +114,22 @@
 			m.drains--
 			m.workerStates[w] = policy.Draining
 			m.log("drain%d", w)
-			m.list()
+			m.publishEndpoints()
 		}, "worker %d drains", w)
 	}
 }
 
 func (m *model) addCancelSteps(list *stepList) {
-	if m.interrupts == 0 {
+	if m.disconnects == 0 {
 		return
 	}
 	for n, request := range m.requests {
-		if request.left || request.responses > 0 {
+		if request.clientDisconnected || request.responses > 0 {
 			continue
 		}
 		list.add(func() {
-			m.interrupts--
-			request.left = true
+			m.disconnects--
+			request.clientDisconnected = true
 			m.log("leave%d", n)
 			m.core.CancelRequest(m.now, m.ids[modelRequestID(n)])
 		}, "the client of request %d disconnects", n)
@@ -165,7 +165,7 @@
 // lastMessageMayBeCut reports whether the last message may not have left whole: it has no response.
 func (t *modelTransport) lastMessageMayBeCut() bool {
 	count := len(t.messages)
-	return count > 0 && !t.messages[count-1].answered
+	return count > 0 && !t.messages[count-1].responded
 }
 
 // end ends the connection with that many bytes unsent.
@@ -177,7 +177,7 @@
 
 func (t *modelTransport) addResponseSteps(list *stepList) {
 	for _, message := range t.messages {
-		if message.answered || message.name == nameStop || message.name == nameFree {
+		if message.responded || message.name == nameStop || message.name == nameFree {
 			continue
 		}
 		switch message.name {
@@ -195,7 +195,7 @@
 
 // respond hands the pool the response to a message. NONE proves that it never ran.
 func (t *modelTransport) respond(message *modelMessage, status string) {
-	message.answered = true
-	message.notRun = status == "NONE"
+	message.responded = true
+	message.neverRan = status == "NONE"
 	t.handler.Data(encodeResponse(message.id, status, ""))
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -19,7 +19,7 @@
 	faults        int  // refused dials, resets, misses and failures, together
 	drains        int  // workers that begin to drain
 	ticks         int  // steps of the clock
-	interrupts    int  // clients that disconnect
+	disconnects   int  // clients that disconnect
 	loadsRequired bool // functions must be loaded first
 	maxStates     int
 }
@@ -41,15 +41,15 @@
 
 // modelRequest is a request of a client of the model. It is the request's responder.
 type modelRequest struct {
-	responses             int
-	responsesAfterLeaving int
-	left                  bool // its client has disconnected
+	responses                int
+	responsesAfterDisconnect int
+	clientDisconnected       bool // its client has disconnected
 }
 
 func (r *modelRequest) Respond(router.Response) {
 	r.responses++
-	if r.left {
-		r.responsesAfterLeaving++
+	if r.clientDisconnected {
+		r.responsesAfterDisconnect++
 	}
 }
 
@@ -113,8 +113,8 @@
 	for w := range m.workerStates {
 		m.workerStates[w] = policy.Ready
 	}
-	m.list()
-	m.turn()
+	m.publishEndpoints()
+	m.runTurn()
 	return m
 }
 
@@ -126,8 +126,8 @@
 	return transport
 }
 
-// list hands the endpoint list to the pool and the core, as the service does.
-func (m *model) list() {
+// publishEndpoints hands the endpoint publishEndpoints to the pool and the core, as the service does.
+func (m *model) publishEndpoints() {
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w, state := range m.workerStates {
 		var addrs []endpoint.Addr
@@ -140,9 +140,9 @@
 	m.core.SetEndpoints(l)
 }
 
-func (m *model) turn() { m.core.Process(m.now) }
+func (m *model) runTurn() { m.core.Process(m.now) }
 
-func (m *model) violate(format string, args ...any) {
+func (m *model) reportViolation(format string, args ...any) {
 	if m.violation == nil {
 		m.violation = fmt.Errorf(format, args...)
 	}
@@ -158,20 +158,20 @@
 		return // it never leaves
 	}
 	if m.workerStates[transport.worker] != policy.Ready {
-		m.violate("%s %s goes to worker %d, which is draining", message.name, message.id, transport.worker)
+		m.reportViolation("%s %s goes to worker %d, which is draining", message.name, message.id, transport.worker)
 	}
 	if message.name != nameRun {
 		return
 	}
 	for n, request := range m.requests {
-		if modelRequestID(n) == message.id && (request.left || request.responses > 0) {
-			m.violate("%s is written, which is over", message.id)
+		if modelRequestID(n) == message.id && (request.clientDisconnected || request.responses > 0) {
+			m.reportViolation("%s is written, which is over", message.id)
 		}
 	}
 	for _, other := range m.transports {
 		for _, earlier := range other.messages {
 			if earlier.id == message.id && other.mayHaveRun(earlier) {
-				m.violate("request %s, which may have run over %s, is written again over %s", message.id, other.addr, transport.addr)
+				m.reportViolation("request %s, which may have run over %s, is written again over %s", message.id, other.addr, transport.addr)
 			}
 		}
 	}
@@ -183,9 +183,9 @@
 		return err
 	}
 	for n, request := range m.requests {
-		if request.responses > 1 || request.responsesAfterLeaving > 0 {
+		if request.responses > 1 || request.responsesAfterDisconnect > 0 {
 			return fmt.Errorf("request %d has %d responses, %d of them after its client disconnected",
-				n, request.responses, request.responsesAfterLeaving)
+				n, request.responses, request.responsesAfterDisconnect)
 		}
 	}
 	return m.violation
@@ -197,19 +197,19 @@
 	if dialing != m.pool.dialsInProgress-m.recoveryConnections() {
 		return fmt.Errorf("%d dials are in progress, the pool counts %d", dialing, m.pool.dialsInProgress)
 	}
-	held := 0
+	poolConnections := 0
 	for _, w := range m.pool.workers {
 		for _, c := range w.connections {
 			if c.state == ready || c.state == draining {
-				held++
+				poolConnections++
 			}
 			if c.state == connecting && len(c.dialer.inProgress) == 0 {
 				return fmt.Errorf("a connection waits for no dial, with %d commands queued", len(c.commands.queued))
 			}
 		}
 	}
-	if up := m.count(modelUp); up != held+m.recoveryConnections() {
-		return fmt.Errorf("%d connections are open, the pool holds %d", up, held)
+	if open := m.count(modelUp); open != poolConnections+m.recoveryConnections() {
+		return fmt.Errorf("%d connections are open, the pool holds %d", open, poolConnections)
 	}
 	return nil
 }
@@ -240,10 +240,10 @@
 		m.now += 100 * time.Millisecond
 		m.core.SetNow(m.now)
 		m.pool.Maintain(m.now)
-		m.turn()
+		m.runTurn()
 	}
 	for n, request := range m.requests {
-		if request.responses != 1 && !request.left {
+		if request.responses != 1 && !request.clientDisconnected {
 			return fmt.Errorf("request %d has %d responses at the end", n, request.responses)
 		}
 	}
@@ -253,11 +253,11 @@
 // Key is the history of events, and the state of all connections and addresses.
 func (m *model) Key() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.interrupts, m.workerStates)
+	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.disconnects, m.workerStates)
 	for _, transport := range m.transports {
 		fmt.Fprintf(&b, "%s %s %d[", transport.addr, transport.state, transport.unsent)
 		for _, message := range transport.messages {
-			fmt.Fprintf(&b, "%s %s %v %v,", message.name, message.id, message.answered, message.notRun)
+			fmt.Fprintf(&b, "%s %s %v %v,", message.name, message.id, message.responded, message.neverRan)
 		}
 		b.WriteByte(']')
 	}
@@ -277,8 +277,8 @@
 		for _, cmd := range c.commands.queued {
 			fmt.Fprintf(b, " q%s", cmd.id)
 		}
-		for _, cmd := range c.commands.inOrder() {
-			fmt.Fprintf(b, " o%s %d %v", cmd.id, cmd.delivery.resends, cmd.delivery.written)
+		for _, cmd := range c.commands.sortedInFlight() {
+			fmt.Fprintf(b, " o%s %d %v", cmd.id, cmd.sendState.resends, cmd.sendState.written)
 		}
 		b.WriteByte(')')
 	}
--- a/internal/workerclient/model_transport_test.go
+++ b/internal/workerclient/model_transport_test.go
@@ -30,8 +30,8 @@
 	name      string
 	id        string
 	endOffset int // of its last byte in what was written, in bytes
-	answered  bool
-	notRun    bool // proven never to have run
+	responded bool
+	neverRan  bool // proven never to have run
 }
 
 func (t *modelTransport) Write(buffers ...[]byte) {
@@ -39,8 +39,8 @@
 		t.written = append(t.written, buffer...)
 	}
 	for {
-		var space [maxElements][]byte
-		elements, size, err := decodeArray(t.written[t.decoded:], space[:0])
+		var buffer [maxElements][]byte
+		elements, size, err := decodeArray(t.written[t.decoded:], buffer[:0])
 		if err != nil || size == 0 {
 			break
 		}
@@ -65,5 +65,5 @@
 // mayHaveRun reports whether a RUN may have run: it may have left whole, and no response proves that it did not run.
 func (t *modelTransport) mayHaveRun(message *modelMessage) bool {
 	neverLeft := t.state == modelEnded && message.endOffset > len(t.written)-t.unsent
-	return message.name == nameRun && !message.notRun && !neverLeft
+	return message.name == nameRun && !message.neverRan && !neverLeft
 }
--- a/internal/workerclient/outgoing_stream.go
+++ b/internal/workerclient/outgoing_stream.go
@@ -14,8 +14,8 @@
 	s.transport.Write(buffers...)
 }
 
-// arrivable is how many of the bytes that were written may have reached the worker. It is for a stream that has ended.
-func (s *outgoingStream) arrivable() int {
+// bytesSent is how many of the bytes that were written may have reached the worker. It is for a stream that has ended.
+func (s *outgoingStream) bytesSent() int {
 	if s.transport == nil {
 		return s.bytesWritten
 	}
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -29,15 +29,15 @@
 		return nil // a second copy, or of a request that was canceled
 	}
 	switch {
-	case r.status == statusUnknown, cmd.kind.isHealthQuery() != r.status.answersHealthQuery():
+	case r.status == statusUnknown, cmd.kind.isHealthQuery() != r.status.respondsToHealthQuery():
 		return ErrMalformedResponse
-	case !cmd.delivery.written:
+	case !cmd.sendState.written:
 		return ErrMalformedResponse // a response to what was never sent
 	}
 	c.commands.remove(cmd)
 	c.lastUsed = c.pool.now
-	c.liveness.recordAnswered(cmd.delivery.sentAt)
-	c.pool.forget(cmd)
+	c.liveness.recordResponseTo(cmd.sendState.sentAt)
+	c.pool.removeAttempt(cmd)
 	cmd.kind.complete(c, *r)
 	return nil
 }
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -19,7 +19,7 @@
 	addr      endpoint.Addr
 	transport Transport
 	startedAt time.Duration
-	finished  bool
+	completed bool
 }
 
 // maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that
@@ -31,7 +31,7 @@
 	case r == nil:
 		w.startRecoveryDial()
 	case p.now-r.startedAt > recoveryDialTimeouts*p.cfg.DialTimeout:
-		r.finish(ErrConnectionSilent)
+		r.complete(ErrConnectionSilent)
 	}
 }
 
@@ -60,15 +60,15 @@
 }
 
 func (r *recoveryDial) close() {
-	r.finished = true
+	r.completed = true
 	r.worker.recoveryDial = nil
 	r.pool.dialsInProgress--
 	r.transport.Close()
 }
 
-// finish records how the recovery dial ended; nil is for an address that works.
-func (r *recoveryDial) finish(err error) {
-	if r.finished {
+// complete records how the recovery dial ended; nil is for an address that works.
+func (r *recoveryDial) complete(err error) {
+	if r.completed {
 		return
 	}
 	now := r.pool.now
@@ -89,14 +89,14 @@
 // settings allow no health checks, one that accepts counts as working.
 func (r *recoveryDial) DialCompleted(err error) {
 	switch {
-	case r.finished:
+	case r.completed:
 		if err == nil {
 			r.transport.Close()
 		}
 	case err != nil:
-		r.finish(err)
+		r.complete(err)
 	case !r.pool.cfg.HealthChecksAllowed:
-		r.finish(nil)
+		r.complete(nil)
 	default:
 		r.transport.Write(encodeNoop(recoveryPingID))
 	}
@@ -106,9 +106,9 @@
 func (r *recoveryDial) Data(data []byte) {
 	response, size, err := decodeResponse(data)
 	if err == nil && size > 0 && string(response.id) == recoveryPingID {
-		r.finish(nil)
+		r.complete(nil)
 	}
 }
 
 // Closed handles the end of the connection.
-func (r *recoveryDial) Closed(err error) { r.finish(errors.Join(ErrConnectionSilent, err)) }
+func (r *recoveryDial) Closed(err error) { r.complete(errors.Join(ErrConnectionSilent, err)) }
--- a/internal/workerclient/recovery_test.go
+++ b/internal/workerclient/recovery_test.go
@@ -41,25 +41,25 @@
 	p.transports[0].handler.DialCompleted(errors.New("refused"))
 	p.transports[1].handler.DialCompleted(nil)
 	now := time.Duration(0)
-	until := func(n int) {
+	waitForDials := func(n int) {
 		t.Helper()
 		for len(p.transports) < n && now < time.Minute {
 			now += MaintenanceInterval
 			p.Maintain(now)
 		}
 		if len(p.transports) < n {
-			t.Fatalf("no recovery dial: dialled %v", p.dialled)
+			t.Fatalf("no recovery dial: dialled %v", p.dialed)
 		}
 	}
-	until(3)
-	mute := p.transports[2]
-	mute.handler.DialCompleted(nil)
-	if got := mute.Written.String(); got != string(encodeArray("NOOP", "t")) {
+	waitForDials(3)
+	unresponsive := p.transports[2]
+	unresponsive.handler.DialCompleted(nil)
+	if got := unresponsive.Written.String(); got != string(encodeArray("NOOP", "t")) {
 		t.Fatalf("wrote %q", got)
 	}
-	until(4) // it said nothing
-	if !mute.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
-		t.Fatalf("%+v, closed %v", p.Counters, mute.Closed)
+	waitForDials(4) // it said nothing
+	if !unresponsive.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
+		t.Fatalf("%+v, closed %v", p.Counters, unresponsive.Closed)
 	}
 	p.transports[3].handler.DialCompleted(nil)
 	p.transports[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
@@ -72,8 +72,8 @@
 		p.transports[1].handler.Data(encodeResponse("n1", "PONG", "")) // to a keepalive ping, where one was sent
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	if p.dialled[len(p.dialled)-1] != "/run/w.sock" || p.transports[1].Closed {
-		t.Errorf("dialled %v, the old connection closed: %v", p.dialled, p.transports[1].Closed)
+	if p.dialed[len(p.dialed)-1] != "/run/w.sock" || p.transports[1].Closed {
+		t.Errorf("dialled %v, the old connection closed: %v", p.dialed, p.transports[1].Closed)
 	}
 	p.transports[1].handler.Data(encodeResponse(requestID, "HIT", ""))
 	if p.Maintain(now); !p.transports[1].Closed {
--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -38,8 +38,8 @@
 	return &command{id: r.ID, kind: request}
 }
 
-// mayNotSend ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
-func (request *requestCommand) mayNotSend(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
+// checkBeforeWrite ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
+func (request *requestCommand) checkBeforeWrite(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
 	return policy.Unreachable, now >= request.sendBy
 }
 
@@ -50,7 +50,7 @@
 
 func (request *requestCommand) isHealthQuery() bool { return false }
 
-func (request *requestCommand) outlivesDrain() (policy.Outcome, bool) {
+func (request *requestCommand) keepOnDrain() (policy.Outcome, bool) {
 	return policy.Unreachable, false
 }
 
@@ -63,7 +63,7 @@
 
 func (request *requestCommand) complete(c *connection, r response) {
 	c.pool.results.AttemptCompleted(request.attempt, router.AttemptResult{
-		Outcome:     outcomes[r.status],
+		Outcome:     outcomeByStatus[r.status],
 		LoadStatus:  r.fields.loadStatus(),
 		Concurrency: c.reportedConcurrency(r.fields),
 		Body:        bytes.Clone(r.body),
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -17,20 +17,20 @@
 // requestModel sends attempts to one worker, over connections that come up, fail and break at random.
 type requestModel struct {
 	*testPool
-	requests    int              // that were started
-	outstanding []router.Attempt // the latest of each request
-	up          map[*fakeTransport]bool
-	answered    map[*fakeTransport]map[string]int // late responses that were sent, by request id
+	requests      int              // that were started
+	outstanding   []router.Attempt // the latest of each request
+	dialCompleted map[*fakeTransport]bool
+	lateResponses map[*fakeTransport]map[string]int // late responses that were sent, by request id
 }
 
-// TestEachRequestEndsOnceWithItsOwnResult is the model of a connection: every request ends once, with ConnectionReset
+// TestEachRequestCompletesOnceWithItsOwnResult is the model of a connection: every request ends once, with ConnectionReset
 // only if it was written, and never by a response to an attempt before it that was canceled.
-func TestEachRequestEndsOnceWithItsOwnResult(t *testing.T) {
+func TestEachRequestCompletesOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &requestModel{
-			testPool: newTestPool(),
-			up:       map[*fakeTransport]bool{},
-			answered: map[*fakeTransport]map[string]int{},
+			testPool:      newTestPool(),
+			dialCompleted: map[*fakeTransport]bool{},
+			lateResponses: map[*fakeTransport]map[string]int{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"run":   m.start,
@@ -69,7 +69,7 @@
 	id := modelAttemptID(first)
 	responseDue := map[*fakeTransport]bool{}
 	for _, transport := range m.transports {
-		responseDue[transport] = writtenRuns(transport, id) > m.answered[transport][id]
+		responseDue[transport] = writtenRuns(transport, id) > m.lateResponses[transport][id]
 	}
 	m.CancelAttempt(1, first)
 	m.outstanding = slices.Delete(m.outstanding, i, i+1)
@@ -86,19 +86,19 @@
 }
 
 func (m *requestModel) respondLate(transport *fakeTransport, id string) {
-	if m.answered[transport] == nil {
-		m.answered[transport] = map[string]int{}
+	if m.lateResponses[transport] == nil {
+		m.lateResponses[transport] = map[string]int{}
 	}
-	m.answered[transport][id]++
+	m.lateResponses[transport][id]++
 	transport.handler.Data(encodeResponse(id, "HIT", "old"))
 }
 
 func (m *requestModel) completeDial(t *rapid.T) {
 	for _, transport := range m.transports {
-		if m.up[transport] || transport.Closed {
+		if m.dialCompleted[transport] || transport.Closed {
 			continue
 		}
-		m.up[transport] = true
+		m.dialCompleted[transport] = true
 		if rapid.Bool().Draw(t, "fails") {
 			transport.Closed = true
 			transport.handler.DialCompleted(errors.New("refused"))
@@ -111,7 +111,7 @@
 
 func (m *requestModel) reset(*rapid.T) {
 	for _, transport := range m.transports {
-		if m.up[transport] && !transport.Closed {
+		if m.dialCompleted[transport] && !transport.Closed {
 			transport.Closed = true
 			transport.handler.Closed(errors.New("reset"))
 			return
--- a/internal/workerclient/resp.go
+++ b/internal/workerclient/resp.go
@@ -52,7 +52,7 @@
 
 // decodeLength reads the line of a type byte and a number up to limit that begins at offset. It returns the number and
 // the offset behind the line, 0 while the line is incomplete.
-func decodeLength(data []byte, offset int, typeByte byte, limit int) (length, next int, err error) {
+func decodeLength(data []byte, offset int, typeByte byte, limit int) (length, end int, err error) {
 	line, err := cutLengthLine(data[offset:], typeByte)
 	if err != nil || line == nil {
 		return 0, 0, err
@@ -100,8 +100,8 @@
 // encodeHeader returns an array of elements and one more of bodySize bytes, up to where those begin: the body and the
 // line end behind it are written from where they lie.
 func encodeHeader(bodySize int, elements ...string) []byte {
-	const usualSize = 160
-	out := appendLength(make([]byte, 0, usualSize), arrayType, len(elements)+1)
+	const typicalSize = 160
+	out := appendLength(make([]byte, 0, typicalSize), arrayType, len(elements)+1)
 	for _, element := range elements {
 		out = appendBulkString(out, element)
 	}
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -25,7 +25,7 @@
 )
 
 // statusesByName are read exactly, in upper case: NONE, SHED and LATE prove that a request never ran.
-var statusesByName = map[string]responseStatus{
+var statusByName = map[string]responseStatus{
 	"HIT":   statusHit,
 	"NONE":  statusNone,
 	"SHED":  statusShed,
@@ -36,7 +36,7 @@
 }
 
 // outcomes are what the statuses, the unknown one aside, mean for the decision module.
-var outcomes = [...]policy.Outcome{
+var outcomeByStatus = [...]policy.Outcome{
 	statusHit:   policy.Served,
 	statusNone:  policy.NotLoaded,
 	statusShed:  policy.Overloaded,
@@ -48,7 +48,7 @@
 
 // String returns the name of the status as it is on the wire.
 func (s responseStatus) String() string {
-	for name, status := range statusesByName {
+	for name, status := range statusByName {
 		if status == s {
 			return name
 		}
@@ -56,8 +56,8 @@
 	return "unknown"
 }
 
-// answersHealthQuery reports whether the status is one of responses to INFO and NOOP, and to no other command.
-func (s responseStatus) answersHealthQuery() bool { return s == statusPong || s == statusSick }
+// respondsToHealthQuery reports whether the status is one of responses to INFO and NOOP, and to no other command.
+func (s responseStatus) respondsToHealthQuery() bool { return s == statusPong || s == statusSick }
 
 // response is a worker's response to a command. Its slices point into the bytes that it was decoded from.
 type response struct {
@@ -78,8 +78,8 @@
 // decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
 // returns the response's size in bytes, 0 while it is incomplete.
 func decodeResponse(data []byte) (r response, size int, err error) {
-	var space [maxElements][]byte
-	elements, size, err := decodeArray(data, space[:0])
+	var buffer [maxElements][]byte
+	elements, size, err := decodeArray(data, buffer[:0])
 	if err != nil || size == 0 {
 		return response{}, 0, err
 	}
@@ -87,7 +87,7 @@
 		return response{}, 0, ErrMalformedResponse
 	}
 	r.id = elements[idElement]
-	r.status = statusesByName[string(elements[statusElement])]
+	r.status = statusByName[string(elements[statusElement])]
 	if len(elements) > fieldsElement {
 		r.fields = elements[fieldsElement]
 	}
@@ -109,7 +109,7 @@
 )
 
 // loadStatuses are the values of the field detail.
-var loadStatuses = map[string]policy.LoadStatus{
+var loadStatusByDetail = map[string]policy.LoadStatus{
 	"hot":     policy.AlreadyLoaded,
 	"started": policy.StartedLoad,
 	"waited":  policy.WaitedForLoad,
@@ -132,7 +132,7 @@
 
 // loadStatus returns the value of the field detail, the zero LoadStatus where it is absent or unknown.
 func (f responseFields) loadStatus() policy.LoadStatus {
-	return loadStatuses[string(f.get(fieldDetail))]
+	return loadStatusByDetail[string(f.get(fieldDetail))]
 }
 
 // replicas returns how many replicas a HOLD found or loaded, 0 where the response does not say.
--- a/internal/workerclient/response_decoding_test.go
+++ b/internal/workerclient/response_decoding_test.go
@@ -12,15 +12,15 @@
 
 // The idempotency key goes to the worker as it came, and no field of that name where there is none.
 func TestIdempotencyKeysGoToTheWorker(t *testing.T) {
-	for _, once := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
+	for _, key := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
 		p := newTestPool()
 		r := newRequest("0123456789abcdef")
-		r.IdempotencyKey = once
+		r.IdempotencyKey = key
 		p.StartAttempt(1, router.Attempt{Request: 1}, r, time.Second)
 		p.transports[0].handler.DialCompleted(nil)
 		got := p.transports[0].Written.String()
-		if strings.Contains(got, ",uniq="+once+"\r\n") != (once != "") || strings.Contains(got, "uniq") != (once != "") {
-			t.Errorf("key %q: wrote %q", once, got)
+		if strings.Contains(got, ",uniq="+key+"\r\n") != (key != "") || strings.Contains(got, "uniq") != (key != "") {
+			t.Errorf("key %q: wrote %q", key, got)
 		}
 	}
 }
@@ -32,14 +32,14 @@
 		"detail=hot,crowd=3": 3, "crowd=0": 0, "-": 0, "detail=hot": 0, "crowd=1048576": 1 << 20,
 		"crowd=-1": 0, "crowd=": 0, "crowd=many": 0, "crowd=1.5": 0, "crowd=99999999999999999999": 0, "crowd=1048577": 0,
 	} {
-		for word, o := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
+		for word, outcome := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
 			p := newTestPool()
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
 			transport := p.transports[0]
 			transport.handler.DialCompleted(nil)
 			transport.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
-			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != o || p.recorder.results[a].Concurrency != want || transport.Closed {
+			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != outcome || p.recorder.results[a].Concurrency != want || transport.Closed {
 				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, p.recorder.outcomes[a], p.recorder.results[a], transport.Closed)
 			}
 		}
--- a/internal/workerclient/response_reader_test.go
+++ b/internal/workerclient/response_reader_test.go
@@ -37,14 +37,14 @@
 	})
 }
 
-func TestAnyBytesCloseTheirConnectionAtMost(t *testing.T) {
+func TestArbitraryInputAtMostClosesTheConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool()
 		p.CheckHealth(1, 1)
 		transport := p.transports[0]
 		transport.handler.DialCompleted(nil)
-		bits := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
-		transport.handler.Data([]byte(strings.Join(rapid.SliceOfN(bits, 0, 30).Draw(t, "bits"), "")))
+		tokens := rapid.SampledFrom([]string{"*", "4", "\r\n", "$", "2", "99999999999", "p1", "PONG", "-", "HIT", "\x00", "*2\r\n"})
+		transport.handler.Data([]byte(strings.Join(rapid.SliceOfN(tokens, 0, 30).Draw(t, "bits"), "")))
 	})
 	p := newTestPool()
 	p.CheckHealth(1, 1)
@@ -84,7 +84,7 @@
 }
 
 // Guards against copying the beginning of a response anew for each of its bytes.
-func TestBeginningOfAResponseIsNotOverwritten(t *testing.T) {
+func TestPartialResponseIsBufferedWithFewAllocations(t *testing.T) {
 	p := newTestPool()
 	a := router.Attempt{Request: 1}
 	p.StartAttempt(1, a, newRequest("00000000000000a1"), time.Second)
@@ -103,7 +103,7 @@
 // Guards other requests against a response that has begun and does not go on: what comes then goes over another connection,
 // while one that is only in parts for a moment is used on.
 func TestStalledResponseFailsNoOtherRequest(t *testing.T) {
-	for _, tt := range []struct {
+	for _, test := range []struct {
 		after      time.Duration
 		transports int
 	}{{minSilenceBeforePing, 1}, {minSilenceBeforePing + time.Millisecond, 2}} {
@@ -112,15 +112,15 @@
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
 		p.transports[0].handler.DialCompleted(nil)
 		p.transports[0].handler.Data([]byte("*4\r\n$16\r\n0123456789abcdef\r\n$3\r\nH"))
-		p.SetNow(time.Hour + tt.after)
+		p.SetNow(time.Hour + test.after)
 		p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("fedcba9876543210"), time.Second)
-		if len(p.transports) != tt.transports {
-			t.Errorf("%v after a response stalled: %d connections", tt.after, len(p.transports))
+		if len(p.transports) != test.transports {
+			t.Errorf("%v after a response stalled: %d connections", test.after, len(p.transports))
 		}
 	}
 }
 
-func TestIncompleteResponseIsTimedFromItsBeginning(t *testing.T) {
+func TestIncompleteResponseIsTimedFromItsFirstByte(t *testing.T) {
 	var reader responseReader
 	decode := func(unread []byte) (size int, err error) { return bytes.IndexByte(unread, '\n') + 1, nil }
 	for _, test := range []struct {
--- a/internal/workerclient/silence.go
+++ b/internal/workerclient/silence.go
@@ -19,5 +19,5 @@
 	s.peak = max(length, s.peak-s.peak/silenceDecay)
 }
 
-// typicalMaximum is a length that few silences exceed; before any was observed it is what the estimate began with.
-func (s *silenceEstimate) typicalMaximum() time.Duration { return s.peak }
+// expected is a length that few silences exceed; before any was observed it is what the estimate began with.
+func (s *silenceEstimate) expected() time.Duration { return s.peak }
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -14,18 +14,18 @@
 // Guards the sum over a fleet of routers: each sends a worker a request now and then, of a length that varies as
 // requests' lengths do, over connections that carry hardly more than one at a time. Keepalive pings, which
 // are paid for like health checks, were sent with each request that took longer than 150 ms.
-func TestThinTrafficNeedsFewKeepalivePings(t *testing.T) {
+func TestLightTrafficNeedsFewKeepalivePings(t *testing.T) {
 	const routers = 20
 	const requests = 300
 	for _, misses := range []int{0, 1, 3} { // a request that has its response at once between two that run, as a miss is
-		checkPingsUnderThinTraffic(t, routers, requests, misses)
+		checkPingsUnderLightTraffic(t, routers, requests, misses)
 	}
 }
 
-// checkPingsUnderThinTraffic fails the test if more than one request in 20 is accompanied by a keepalive ping.
-func checkPingsUnderThinTraffic(t *testing.T, routers uint64, requests, misses int) {
+// checkPingsUnderLightTraffic fails the test if more than one request in 20 is accompanied by a keepalive ping.
+func checkPingsUnderLightTraffic(t *testing.T, routers uint64, requests, misses int) {
 	pings := uint64(0)
-	last := 0
+	missCount := 0
 	for seed := range routers {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		p := newTestPool()
@@ -36,9 +36,9 @@
 			now += time.Second
 			p.Maintain(now)
 			for range misses * min(n, 1) {
-				last++
-				id := fmt.Sprintf("%016x", 1<<20+last)
-				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, newRequest(id), 3*time.Second)
+				missCount++
+				id := fmt.Sprintf("%016x", 1<<20+missCount)
+				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + missCount)}, newRequest(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
 				p.transports[0].handler.Data(encodeResponse(id, "NONE", ""))
@@ -63,18 +63,18 @@
 		}
 		pings += p.Counters.Pings
 	}
-	if most := routers * uint64(requests) / 20; pings > most {
-		t.Errorf("%d misses between: %d pings for %d requests, %d at most", misses, pings, routers*uint64(requests), most)
+	if limit := routers * uint64(requests) / 20; pings > limit {
+		t.Errorf("%d misses between: %d pings for %d requests, %d at most", misses, pings, routers*uint64(requests), limit)
 	}
 }
 
 // Guards what keepalive pings are for: where responses come close on each other, a connection that falls silent is
 // pinged after minSilenceBeforePing as before; and one that carries few requests is pinged in the end too.
-func TestSilenceIsNoticedByWhatIsUsual(t *testing.T) {
-	for _, c := range []struct {
-		name         string
-		usual, least time.Duration
-		most         time.Duration
+func TestPingDelayFollowsExpectedSilence(t *testing.T) {
+	for _, test := range []struct {
+		name                   string
+		responseTime, minDelay time.Duration
+		maxDelay               time.Duration
 	}{
 		{"dense", 5 * time.Millisecond, minSilenceBeforePing, minSilenceBeforePing + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
@@ -88,19 +88,19 @@
 			if n == 0 {
 				p.transports[0].handler.DialCompleted(nil)
 			}
-			now += c.usual
+			now += test.responseTime
 			p.SetNow(now)
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
 		pinged := p.Counters.Pings
-		began := now
+		sentAt := now
 		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
-		for p.Counters.Pings == pinged && now < began+3*time.Second {
+		for p.Counters.Pings == pinged && now < sentAt+3*time.Second {
 			now += MaintenanceInterval / 5
 			p.Maintain(now)
 		}
-		if after := now - began; after < c.least || after > c.most {
-			t.Errorf("%s: pinged after %v, wanted from %v to %v", c.name, after, c.least, c.most)
+		if delay := now - sentAt; delay < test.minDelay || delay > test.maxDelay {
+			t.Errorf("%s: pinged after %v, wanted from %v to %v", test.name, delay, test.minDelay, test.maxDelay)
 		}
 	}
 }
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -11,13 +11,13 @@
 // worker is a worker with its addresses and connections. It stays in the pool until it is gone and its last connection
 // has ended.
 type worker struct {
-	pool         *Pool
-	id           policy.WorkerID
-	state        policy.WorkerState
-	listed       []endpoint.Addr // as discovery listed them last
-	addresses    *endpoint.AddressSet
-	connections  []*connection
-	recoveryDial *recoveryDial // in progress, or nil
+	pool            *Pool
+	id              policy.WorkerID
+	state           policy.WorkerState
+	listedAddresses []endpoint.Addr // as discovery listed them last
+	addresses       *endpoint.AddressSet
+	connections     []*connection
+	recoveryDial    *recoveryDial // in progress, or nil
 }
 
 // ready reports whether the worker takes new requests and loads.
@@ -26,10 +26,10 @@
 // setAddresses replaces the addresses by those that are listed, where they changed: the worker restarted elsewhere, or
 // has fewer addresses, and whatever listens at an old one may be another worker.
 func (w *worker) setAddresses(listed []endpoint.Addr) {
-	if len(listed) == 0 || slices.Equal(listed, w.listed) {
+	if len(listed) == 0 || slices.Equal(listed, w.listedAddresses) {
 		return
 	}
-	w.listed = slices.Clone(listed)
+	w.listedAddresses = slices.Clone(listed)
 	w.addresses.Update(w.pool.now, listed)
 	for _, c := range slices.Clone(w.connections) {
 		switch {
@@ -48,7 +48,7 @@
 	w.state = state
 	if !w.ready() {
 		for _, c := range slices.Clone(w.connections) {
-			c.failQueued()
+			c.failQueuedOnDrain()
 			if c.state == connecting && len(c.commands.queued) == 0 {
 				c.drain() // nobody waits for this dial
 			}
@@ -77,11 +77,11 @@
 	w.maintainRecoveryDial()
 }
 
-// respondedSince reports whether the worker responded to something that was sent after an instant, over any of its
+// respondedToCommandSince reports whether the worker responded to something that was sent after an instant, over any of its
 // connections.
-func (w *worker) respondedSince(instant time.Duration) bool {
+func (w *worker) respondedToCommandSince(instant time.Duration) bool {
 	return slices.ContainsFunc(w.connections, func(c *connection) bool {
-		return c.liveness.latestAnsweredSentAt > instant
+		return c.liveness.latestRespondedSentAt > instant
 	})
 }
 
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -24,23 +24,23 @@
 
 // Guards the long day: generations of workers come and go, some at an address that was another's, and
 // nothing about those that are gone is kept.
-func TestNothingStaysOfGoneWorkers(t *testing.T) {
+func TestGoneWorkersLeaveNoState(t *testing.T) {
 	p := newTestPool()
 	now := time.Duration(0)
-	for g := range 200 {
-		w := policy.WorkerID(g + 2)
+	for generation := range 200 {
+		w := policy.WorkerID(generation + 2)
 		p.RetainWorkers(map[policy.WorkerID]bool{w: true})
 		p.SetWorker(w, tcp4("127.0.0.1:1"), policy.Ready)
-		a := router.Attempt{Request: policy.RequestID(g)}
-		p.StartAttempt(w, a, newRequest(fmt.Sprintf("%016x", g)), time.Second)
-		p.Load(w, 7, 1, uint64(g))
+		a := router.Attempt{Request: policy.RequestID(generation)}
+		p.StartAttempt(w, a, newRequest(fmt.Sprintf("%016x", generation)), time.Second)
+		p.Load(w, 7, 1, uint64(generation))
 		transport := p.transports[len(p.transports)-1]
-		if transport.handler.DialCompleted(nil); g%2 == 0 {
-			transport.handler.Data(encodeResponse(fmt.Sprintf("%016x", g), "HIT", ""))
+		if transport.handler.DialCompleted(nil); generation%2 == 0 {
+			transport.handler.Data(encodeResponse(fmt.Sprintf("%016x", generation), "HIT", ""))
 		} else {
 			p.CancelAttempt(w, a)
 		}
-		p.AbandonCommand(w, uint64(g))
+		p.AbandonCommand(w, uint64(generation))
 		p.RetainWorkers(nil)
 		for range 3 {
 			now += MaintenanceInterval
@@ -91,13 +91,13 @@
 	p.transports[0].handler.DialCompleted(nil) // the other one is still being dialled
 	p.SetWorker(8, two, policy.Ready)
 	p.SetWorker(9, one, policy.Ready)
-	if !p.transports[1].Closed || p.dialled[2] != "127.0.0.1:11" {
-		t.Fatalf("dialled %v, the old dial closed: %v", p.dialled, p.transports[1].Closed)
+	if !p.transports[1].Closed || p.dialed[2] != "127.0.0.1:11" {
+		t.Fatalf("dialled %v, the old dial closed: %v", p.dialed, p.transports[1].Closed)
 	}
 	p.transports[2].handler.DialCompleted(nil)
 	p.StartAttempt(8, router.Attempt{Request: 3}, newRequest("00000000000000fe"), time.Second)
-	if p.dialled[3] != "127.0.0.1:12" {
-		t.Errorf("dialled %v", p.dialled)
+	if p.dialed[3] != "127.0.0.1:12" {
+		t.Errorf("dialled %v", p.dialed)
 	}
 	if on := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(on, []int{2}) {
 		t.Errorf("the request that waited is written over %v", on)
