--- a/internal/workerclient/attempts.go
+++ b/internal/workerclient/attempts.go
@@ -7,8 +7,8 @@
 	"crankhold/policy"
 )
 
-// StartAttempt sends a request to a worker, which is to respond within budget. Its result is unreachable where the
-// worker is not ready or no connection can be had. The result may be handed over before StartAttempt returns.
+// StartAttempt sends a request to a worker, which must respond within budget. The outcome is Unreachable if the worker
+// is not ready or no connection is available. The result may be reported before StartAttempt returns.
 func (p *Pool) StartAttempt(id policy.WorkerID, a router.Attempt, r *router.Request, budget time.Duration) {
 	cmd := newRequestCommand(p.now, a, r, p.cfg.Classes[r.Class], budget)
 	w := p.workers[id]
@@ -20,8 +20,8 @@
 	p.send(w, cmd)
 }
 
-// CancelAttempt cancels an attempt; no result follows. The connection does not carry its id again: a response that is
-// under way must not end another attempt of the same request.
+// CancelAttempt cancels an attempt; no result follows. Its connection does not carry the id of the request again: a
+// response that is still on its way must not complete another attempt of the same request.
 func (p *Pool) CancelAttempt(id policy.WorkerID, a router.Attempt) {
 	cmd := p.attempts[a]
 	if cmd == nil || p.WithdrawUnsent(id, a) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// WithdrawUnsent cancels an attempt that is queued behind a dial and reports whether it did: then nothing of it was
-// sent, and nothing will be. One that was written is at least not sent again.
+// WithdrawUnsent cancels an attempt that is queued behind a dial, of which nothing was sent, and reports whether it
+// did. An attempt that was already written stays in flight, but is not sent again over another connection.
 func (p *Pool) WithdrawUnsent(_ policy.WorkerID, a router.Attempt) bool {
 	cmd := p.attempts[a]
 	if cmd == nil {
@@ -51,7 +51,7 @@
 	return true
 }
 
-// removeAttempt drops a command that has ended, if it is a request, from the attempts in flight.
+// removeAttempt removes a completed command, if it is a request, from the attempts in flight.
 func (p *Pool) removeAttempt(cmd *command) {
 	request := cmd.request()
 	if request != nil {
--- a/internal/workerclient/capacity.go
+++ b/internal/workerclient/capacity.go
@@ -5,8 +5,8 @@
 	"crankhold/internal/eventloop"
 )
 
-// ensureCapacity reports whether one more connection may be opened. At the limit it closes the one that has been idle
-// for longest, so that workers that are added late get theirs.
+// ensureCapacity reports whether one more connection may be opened. At the limit it closes the connection that has been
+// idle for longest, so that workers that were added late get connections as well.
 func (p *Pool) ensureCapacity() bool {
 	if p.connectionsInUse() < p.cfg.MaxConnections {
 		return true
@@ -19,7 +19,8 @@
 	return true
 }
 
-// connectionsInUse counts connections, and dials as far as there are several for one.
+// connectionsInUse counts the connections to all workers. A connection that is being dialed counts once for each dial
+// in progress, at least once. A recovery dial counts once.
 func (p *Pool) connectionsInUse() (count int) {
 	for _, w := range p.workersInOrder {
 		if w.recoveryDial != nil {
@@ -44,10 +45,10 @@
 	return longest
 }
 
-// dialLimitReached reports whether as many dials are in progress as may be at once.
+// dialLimitReached reports whether the maximum number of dials is in progress.
 func (p *Pool) dialLimitReached() bool { return p.dialsInProgress >= endpoint.MaxDials }
 
-// dial begins to connect to an address and counts the dial as in progress.
+// dial starts to connect to an address and counts the dial as in progress.
 func (p *Pool) dial(addr endpoint.Addr, handler eventloop.DialHandler) Transport {
 	p.dialsInProgress++
 	return p.cfg.Dial(addr.Network.String(), addr.Addr, p.cfg.DialTimeout, handler)
--- a/internal/workerclient/command.go
+++ b/internal/workerclient/command.go
@@ -8,44 +8,45 @@
 	"crankhold/policy"
 )
 
-// command is a message to a worker that awaits a response. Its kind says what it asks of the worker, delivery how far
-// it has come. A command belongs to at most one connection at a time.
+// command is a message to a worker that awaits a response. kind determines what it asks of the worker, and sendState
+// records how far it has been sent. A command belongs to at most one connection at a time.
 type command struct {
-	id        string // on the wire; the response names it
+	id        string // on the wire; the response carries the same id
 	kind      commandKind
 	sendState sendState
 }
 
-// sendState is how far a command has come on its way to its worker.
+// sendState records how far a command has been sent to its worker.
 type sendState struct {
 	connection *connection   // the latest; nil before the first
-	waited     bool          // for a connection
+	waited     bool          // for a connection, at least once
 	written    bool          // to connection
 	sentAt     time.Duration // when it was written
-	endOffset  int           // of its last byte in what was written to connection, in bytes
+	endOffset  int           // bytes written to connection up to the end of the command
 	canceled   bool          // nobody waits for its result, so it is not sent again
-	resends    int           // connections that ended before it had left whole
+	resends    int           // connections that ended before the command was sent whole
 }
 
-// commandKind is what the kinds of commands do in different ways. Each kind keeps the data that it alone needs:
-// requestCommand, loadCommand, healthCheckCommand and pingCommand.
+// commandKind is the behavior in which kinds of commands differ. Each kind holds the data that only it needs. The kinds
+// are requestCommand, loadCommand, healthCheckCommand and pingCommand.
 type commandKind interface {
-	// mayNotSend reports whether the command may not be written any more, and the outcome with which it ends then.
+	// checkBeforeWrite reports whether the command is rejected because it may no longer be written, and the outcome
+	// with which it then completes. waited is whether the command has waited for a connection.
 	checkBeforeWrite(now time.Duration, waited bool, results ResultHandler) (outcome policy.Outcome, rejected bool)
-	// encode returns the bytes of a command as buffers that are written one after the other.
+	// encode returns the encoded command as buffers, which are written one after the other.
 	encode(id string, now time.Duration) [][]byte
-	// isHealthQuery reports whether the command asks how the worker is, and nothing that it may do only once.
+	// isHealthQuery reports whether the command only queries the worker's health, so that it may be sent twice.
 	isHealthQuery() bool
-	// outlivesDrain reports whether the command stays queued when its worker takes nothing new any more. Otherwise it
-	// ends with the outcome.
+	// keepOnDrain reports whether the command stays queued when its worker stops accepting new commands. If not, the
+	// command completes with outcome.
 	keepOnDrain() (outcome policy.Outcome, keep bool)
-	// retryAfterReset reports whether the command goes over another connection after its own has been reset, although
-	// it may have arrived, and counts that.
+	// retryAfterReset reports whether the command is sent again after its connection was reset, although it may have
+	// arrived. It counts these resets.
 	retryAfterReset() bool
-	// fail hands over a result that no response gave.
+	// fail reports outcome as the result of a command that got no response.
 	fail(results ResultHandler, outcome policy.Outcome)
-	// complete hands over the result that a response on a connection gives. The response is passed by value, so that it
-	// need not be allocated.
+	// complete reports the result that the response r gives, which arrived on c. r is passed by value so that it need
+	// not be allocated.
 	complete(c *connection, r response)
 }
 
@@ -55,7 +56,7 @@
 	return request
 }
 
-// dialBudget is the time that a dial for the command may take, 0 for one that sets no limit.
+// dialBudget returns how long a dial for the command may take, or 0 if there is no limit.
 func (cmd *command) dialBudget(now time.Duration) time.Duration {
 	request := cmd.request()
 	if request == nil {
@@ -64,19 +65,19 @@
 	return max(request.deadline-now, 0)
 }
 
-// neverArrived reports whether the command certainly did not reach its worker, of whose connection the first arrivable
-// bytes may have arrived: a worker acts on a command that arrived whole. Health queries are left out, since they may
-// be sent twice.
+// neverArrived reports whether the worker certainly did not receive the whole command, if no more than the first
+// bytesSent bytes of its connection can have arrived. A worker acts only on a command that arrived whole. Health
+// queries are excluded because they may be sent twice.
 func (cmd *command) neverArrived(bytesSent int) bool {
 	return !cmd.kind.isHealthQuery() && cmd.sendState.written && cmd.sendState.endOffset > bytesSent
 }
 
-// mayBeResent reports whether a command that never arrived may go over a further connection.
+// mayBeResent reports whether a command that never arrived may be sent over another connection.
 func (cmd *command) mayBeResent() bool {
 	return !cmd.sendState.canceled && cmd.sendState.resends < maxResends
 }
 
-// sortByID gives commands a fixed order: equal runs must hand the decision module equal events.
+// sortByID puts commands in a fixed order, because equal runs must pass equal events to the decision module.
 func sortByID(commands []*command) {
 	slices.SortFunc(commands, func(a, b *command) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/workerclient/command_encoding.go
+++ b/internal/workerclient/command_encoding.go
@@ -8,26 +8,26 @@
 	"crankhold/policy"
 )
 
-// The names of the commands that are sent to workers.
+// The names of the commands to workers. Each comment ends with the elements that follow the name.
 const (
 	nameRun  = "RUN"  // runs a function: id, fields, body
-	nameStop = "STOP" // cancels a RUN, whose response nobody waits for any more: id
+	nameStop = "STOP" // cancels a RUN whose response is no longer awaited: id
 	nameHold = "HOLD" // loads replicas of a function, or asks how many there are: id, fields
-	nameFree = "FREE" // unloads the idle replicas of a function, and has no response: its key
+	nameFree = "FREE" // unloads the idle replicas of a function, and has no response: function key
 	nameInfo = "INFO" // checks health and asks for a load report: id
-	nameNoop = "NOOP" // asks for a sign of life: id
+	nameNoop = "NOOP" // asks for a response only, to check that the connection works: id
 )
 
-// recoveryPingID is the id of the NOOP that a recovery dial sends; it is the only command on its connection.
+// recoveryPingID is the id of the NOOP that a recovery dial sends, which is the only command on its connection.
 const recoveryPingID = "t"
 
-// The ids of commands that this program numbers. They begin with a letter that no request's id, which is hexadecimal,
-// begins with, so that none can be taken for another.
+// The ids of load commands, health checks and keepalive pings. Each kind has its own first letter, which is not a
+// hexadecimal digit, so that ids of different kinds can't collide, nor collide with the hexadecimal ids of requests.
 func loadID(commandID uint64) string        { return "h" + strconv.FormatUint(commandID, 10) }
 func healthCheckID(commandID uint64) string { return "p" + strconv.FormatUint(commandID, 10) }
 func pingID(sequence uint64) string         { return "n" + strconv.FormatUint(sequence, 10) }
 
-// encodeRun returns a RUN up to its body. The budget is written in whole milliseconds, 1 at the least.
+// encodeRun returns a RUN up to the start of its body. The budget is written in whole milliseconds, at least 1.
 func encodeRun(id string, request *requestCommand, budget time.Duration) []byte {
 	fields := fmt.Sprintf("queue=%s,path=%s,budget=%d",
 		request.class, request.functionKey, max(budget.Milliseconds(), 1))
@@ -39,7 +39,7 @@
 
 func encodeStop(id string) []byte { return encodeArray(nameStop, id) }
 
-// encodeHold returns a HOLD; a count of 0 only asks.
+// encodeHold returns a HOLD. With a count of 0 it only asks for the number of replicas.
 func encodeHold(id string, function policy.FunctionID, count int) []byte {
 	return encodeArray(nameHold, id, fmt.Sprintf("path=%016x,count=%d", uint64(function), count))
 }
--- a/internal/workerclient/command_queue.go
+++ b/internal/workerclient/command_queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// commandQueue holds the commands that one connection has been given and that have no result yet. Those that are queued
-// wait for the connection's dial, in the order in which they were added. Every queued command is in flight too.
+// commandQueue holds the commands that were given to one connection and have no result yet. Those that are queued wait
+// for the connection's dial, in the order in which they were added. Every queued command is in flight too.
 type commandQueue struct {
 	inFlight     map[string]*command // by id
 	queued       []*command
-	requestCount int       // in flight
+	requestCount int       // requests in flight
 	recentIDs    idHistory // of requests that were written and are no longer in flight
 }
 
@@ -23,17 +23,17 @@
 	}
 }
 
-// enqueue has a command that is in flight wait for the dial.
+// enqueue queues a command that is in flight until the dial completes.
 func (q *commandQueue) enqueue(cmd *command) { q.queued = append(q.queued, cmd) }
 
-// takeQueued empties the queue and returns what waited; it stays in flight.
+// takeQueued empties the queue and returns the commands that were queued, which stay in flight.
 func (q *commandQueue) takeQueued() []*command {
 	queued := q.queued
 	q.queued = nil
 	return queued
 }
 
-// dequeue removes a command that waits for the dial. Any other it leaves.
+// dequeue removes a command that waits for the dial. It ignores any other command.
 func (q *commandQueue) dequeue(cmd *command) {
 	for i, queued := range q.queued {
 		if queued == cmd {
@@ -44,8 +44,8 @@
 	}
 }
 
-// remove takes a command out of those in flight, if it still is. The id of a request that was written is remembered: it
-// is not used on this connection again.
+// remove takes a command out of those in flight, if it is still one of them. The id of a request that was written is
+// remembered, because it must not be used on this connection again.
 func (q *commandQueue) remove(cmd *command) {
 	if q.inFlight[cmd.id] != cmd {
 		return
@@ -70,16 +70,17 @@
 // empty reports whether nothing is in flight.
 func (q *commandQueue) empty() bool { return len(q.inFlight) == 0 }
 
-// has reports whether a command of that id is in flight.
+// has reports whether a command with that id is in flight.
 func (q *commandQueue) has(id string) bool { return q.inFlight[id] != nil }
 
-// acceptsRequest reports whether one more request may be added, of which at most limit may be in flight.
+// acceptsRequest reports whether a request with that id may be added. limit is the maximum number of requests in
+// flight.
 func (q *commandQueue) acceptsRequest(id string, limit int) bool {
 	return q.requestCount < limit && !q.recentIDs.has(id) && !q.recentIDs.full()
 }
 
-// oldestRequest returns when the request was written that has been awaiting its response for longest. It returns false
-// where no request awaits one.
+// oldestRequest returns when the request was written that has awaited its response for longest. found is false if no
+// request awaits a response.
 func (q *commandQueue) oldestRequest() (sentAt time.Duration, found bool) {
 	for _, cmd := range q.inFlight {
 		if cmd.request() == nil || !cmd.sendState.written {
@@ -93,7 +94,7 @@
 	return sentAt, found
 }
 
-// sortedInFlight returns what is in flight in a fixed order.
+// sortedInFlight returns the commands in flight in a fixed order.
 func (q *commandQueue) sortedInFlight() []*command {
 	commands := make([]*command, 0, len(q.inFlight))
 	for _, cmd := range q.inFlight {
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -8,18 +8,18 @@
 	"crankhold/policy"
 )
 
-// idleCloseRatio is the part of the workers' keep-alive after which an idle connection is closed.
+// idleCloseRatio is the fraction of the workers' keep-alive time after which an idle connection is closed.
 const idleCloseRatio = 0.8
 
-// connectionState is where a connection is in its life. It only moves on: from connecting to ready when a dial comes
-// up, from ready to draining, and from any of them to closing.
+// connectionState is the stage of a connection in its life cycle. It only advances: from connecting to ready when a
+// dial succeeds, from ready to draining, and from any of them to closing.
 type connectionState uint8
 
 const (
-	connecting connectionState = iota // being dialled; commands are queued
-	ready                             // takes commands
-	draining                          // takes nothing new, and is closed once nothing is in flight
-	closing                           // closed by this program; what still arrives does not count
+	connecting connectionState = iota // being dialed; commands are queued
+	ready                             // accepts commands
+	draining                          // accepts no new commands, and is closed once nothing is in flight
+	closing                           // closed by this program; data that still arrives is ignored
 )
 
 // String returns the state's name.
@@ -27,25 +27,25 @@
 	return [...]string{"connecting", "ready", "draining", "closing"}[s]
 }
 
-// established reports whether a dial has come up. It stays true while the connection is being closed.
+// established reports whether the connection is past its dial. It stays true while the connection is being closed.
 func (s connectionState) established() bool { return s != connecting }
 
-// acceptsCommands reports whether a command may be given to the connection, which may have to queue it.
+// acceptsCommands reports whether the connection accepts commands, which it queues while it is being dialed.
 func (s connectionState) acceptsCommands() bool { return s == connecting || s == ready }
 
-// connection is a connection to a worker, from its first dial on. It stays in its worker's list until its end has been
-// reported. Its owner is the event loop's goroutine, on which all of its methods are called.
+// connection is a connection to a worker, starting with its first dial. It stays in its worker's list until its end has
+// been reported. The event loop's goroutine owns it and calls all of its methods.
 type connection struct {
 	pool      *Pool
 	worker    *worker
 	state     connectionState
 	dialer    dialer
-	addr      endpoint.Addr // over which it was dialled; set once it is ready
+	addr      endpoint.Addr // the address whose dial succeeded; set once the connection is ready
 	outgoing  outgoingStream
 	responses responseReader
 	commands  commandQueue
 	liveness  livenessMonitor
-	lastUsed  time.Duration // when a command was written last, or a response to one arrived
+	lastUsed  time.Duration // when a command was last written, or a response to one last arrived
 }
 
 func newConnection(w *worker, race *endpoint.DialRace) *connection {
@@ -57,7 +57,7 @@
 // idle reports whether nothing is in flight.
 func (c *connection) idle() bool { return c.commands.empty() }
 
-// send writes a command, or queues it while the connection is being dialled.
+// send writes a command, or queues it while the connection is being dialed.
 func (c *connection) send(cmd *command) {
 	cmd.sendState.connection = c
 	c.commands.add(cmd)
@@ -69,7 +69,7 @@
 	c.writeCommand(cmd)
 }
 
-// writeCommand writes a command, or ends it where it may not be sent any more.
+// writeCommand writes a command, or completes it without writing it if it may no longer be sent.
 func (c *connection) writeCommand(cmd *command) {
 	now := c.pool.now
 	outcome, rejected := cmd.kind.checkBeforeWrite(now, cmd.sendState.waited, c.pool.results)
@@ -85,7 +85,7 @@
 	cmd.sendState.endOffset = c.outgoing.bytesWritten
 }
 
-// establish makes the connection that of a dial which has come up, and writes what was queued until then.
+// establish takes over the transport of the dial that succeeded, and writes the queued commands.
 func (c *connection) establish(dial *addressDial) {
 	c.outgoing.transport = dial.transport
 	c.addr = dial.addr
@@ -96,7 +96,8 @@
 	}
 }
 
-// failQueuedOnDrain ends what is queued behind the dial and never left, except for what outlives a drain.
+// failQueuedOnDrain fails the commands that are queued behind the dial and were never sent, except for those that stay
+// queued when a worker drains.
 func (c *connection) failQueuedOnDrain() {
 	for _, cmd := range c.commands.takeQueued() {
 		outcome, keep := cmd.kind.keepOnDrain()
@@ -109,28 +110,28 @@
 	}
 }
 
-// maintain does what is due on the connection.
+// maintain performs the housekeeping that is due on the connection.
 func (c *connection) maintain() {
 	c.commands.recentIDs.rotate(c.pool.now)
 	switch c.state {
 	case connecting:
-		c.dialer.start() // over another address, where it is time
+		c.dialer.start() // dials a further address if that is due
 	case ready:
 		c.maintainReady()
 	case draining:
 		if c.idle() {
 			c.close()
 		}
-	case closing: // its end follows
+	case closing: // Closed follows
 	}
 }
 
-// maintainReady drains a connection that is to be replaced, closes one that is idle for long, and otherwise checks that
-// it still works.
+// maintainReady drains a connection that must be replaced, closes one that has been idle for too long, and otherwise
+// checks that it still works.
 func (c *connection) maintainReady() {
 	now := c.pool.now
 	switch {
-	case c.commands.recentIDs.full(): // it takes no more requests, and would hold its slot for seconds
+	case c.commands.recentIDs.full(): // it accepts no more requests, and would use up a connection for seconds
 		c.drain()
 	case c.worker.addresses.HasBetter(now, c.addr):
 		c.drain()
@@ -141,12 +142,12 @@
 	}
 }
 
-// maxIdle is for how long the connection may be idle.
+// maxIdle returns how long the connection may be idle.
 func (c *connection) maxIdle() time.Duration {
 	return time.Duration(idleCloseRatio * float64(c.pool.cfg.KeepAlive))
 }
 
-// drain has the connection take nothing new; it is closed once nothing is in flight.
+// drain makes the connection accept no new commands. The connection is closed once nothing is in flight.
 func (c *connection) drain() {
 	switch {
 	case c.state == connecting:
@@ -159,29 +160,31 @@
 	}
 }
 
-// closeWithError closes a connection that is of no further use.
+// closeWithError logs the reason and closes the connection.
 func (c *connection) closeWithError(reason error) {
 	err := &ConnectionError{Addr: c.addr, Reason: reason}
 	c.pool.logger.Warn("worker_connection_closed", slog.String("addr", c.addr.String()), slog.Any("err", err))
 	c.close()
 }
 
-// close closes the connection; Closed follows. Nothing new goes to it: it would count as written.
+// close closes the connection; Closed follows. No new command may be given to it, because the command would count as
+// written.
 func (c *connection) close() {
 	c.state = closing
 	c.outgoing.close()
 	c.dialer.cancel()
 }
 
-// Closed handles the end of the connection: what left whole may have run.
+// Closed handles the end of the connection. Commands that were sent whole may have run.
 func (c *connection) Closed(error) {
 	if c.liveness.lastResponse == 0 && c.state != closing {
-		c.worker.addresses.Failed(c.pool.now, c.addr) // it came up and was of no use
+		c.worker.addresses.Failed(c.pool.now, c.addr) // it was established but no response ever arrived
 	}
 	c.terminate(policy.ConnectionReset)
 }
 
-// terminate removes the connection from its worker and ends all that is in flight on it, in a fixed order.
+// terminate removes the connection from its worker, and resends or fails all commands in flight on it, in a fixed
+// order.
 func (c *connection) terminate(outcome policy.Outcome) {
 	bytesSent := c.outgoing.bytesSent()
 	c.worker.removeConnection(c)
--- a/internal/workerclient/connection_choice.go
+++ b/internal/workerclient/connection_choice.go
@@ -2,23 +2,23 @@
 
 import "crankhold/internal/endpoint"
 
-// maxConnectionsPerWorker bounds the connections to one worker.
+// maxConnectionsPerWorker is the maximum number of connections to one worker.
 const maxConnectionsPerWorker = 10
 
-// preference orders the connections of a worker by how well they suit a command, the least suitable first.
+// preference ranks the connections of a worker by how well they suit a command, the least suitable first.
 type preference int
 
 const (
 	unusable preference = iota
-	// lastResort is for one that is silent, or whose response does not arrive: it is used where no further connection
-	// may be opened.
+	// lastResort is for a connection that is silent, or on which a response has stalled. It is used only if no further
+	// connection may be opened.
 	lastResort
-	queues    // queues behind the dial
-	immediate // sends at once
+	queues    // the command is queued behind the dial
+	immediate // the command is written at once
 )
 
-// pickConnection returns the connection for a command: one that is up, else one that is being dialled, else a new one,
-// and a silent one only where no more may be opened. It returns nil where there is none.
+// pickConnection returns the connection for a command: one that is up if possible, otherwise one that is being dialed,
+// otherwise a new one. It returns a silent connection only if no more may be opened, and nil if there is none.
 func (p *Pool) pickConnection(w *worker, cmd *command) *connection {
 	var best *connection
 	highest := unusable
@@ -42,8 +42,8 @@
 	return c
 }
 
-// preferenceFor returns how well c suits a command. A connection carries each request's id once, and no more requests
-// at a time than a worker takes on one.
+// preferenceFor returns how well c suits a command. A connection carries the id of each request only once, and no more
+// requests at a time than a worker accepts on one connection.
 func (c *connection) preferenceFor(cmd *command) preference {
 	if !c.state.acceptsCommands() || c.commands.has(cmd.id) {
 		return unusable
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -9,17 +9,17 @@
 	"crankhold/policy"
 )
 
-// dialer dials the addresses of a worker for one connection until the first dial comes up or the last one has failed.
-// Which address is next, and when, is decided by its race. Recovery dials are made apart from it.
+// dialer dials the addresses of a worker for one connection until one dial succeeds or all have failed. Its race
+// decides which address is next, and when. Recovery dials are made separately.
 type dialer struct {
 	connection *connection
 	race       *endpoint.DialRace
 	inProgress []*addressDial
-	winner     *addressDial // the one that came up first; nil before
+	winner     *addressDial // the first dial that succeeded; nil before that
 }
 
-// addressDial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
-// what arrives once it has won the race.
+// addressDial is a dial to one address. It is the handler of its transport. Once it has won the race, it passes what
+// arrives on to its connection.
 type addressDial struct {
 	dialer    *dialer
 	addr      endpoint.Addr
@@ -27,7 +27,7 @@
 	completed bool
 }
 
-// start dials the next addresses of the race as far as their time has come.
+// start dials the addresses of the race that are due.
 func (d *dialer) start() {
 	for {
 		addr, ok := d.race.Next(d.connection.pool.now, d.mayDialConcurrently())
@@ -38,7 +38,7 @@
 	}
 }
 
-// mayDialConcurrently reports whether the limits allow one more dial.
+// mayDialConcurrently reports whether the limits on dials and connections allow one more dial.
 func (d *dialer) mayDialConcurrently() bool {
 	p := d.connection.pool
 	if p.dialLimitReached() {
@@ -55,7 +55,7 @@
 	dial.transport = p.dial(addr, dial)
 }
 
-// cancel ends all dials that are in progress.
+// cancel cancels all dials that are in progress.
 func (d *dialer) cancel() {
 	for _, dial := range slices.Clone(d.inProgress) {
 		dial.complete()
@@ -63,7 +63,7 @@
 	}
 }
 
-// restart begins anew, with the addresses that the worker has now.
+// restart starts over with the addresses that the worker has now.
 func (d *dialer) restart() {
 	c := d.connection
 	d.cancel()
@@ -71,8 +71,9 @@
 	d.start()
 }
 
-// dialFailed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has dialFailed
-// is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the worker.
+// dialFailed goes on to the next address. A dial that was refused or timed out proves that nothing ran. The worker is
+// unreachable only when the last dial has failed. If that was due to an error of this machine, such as too few
+// descriptors, nothing is known about the worker.
 func (d *dialer) dialFailed(dial *addressDial, err error) {
 	c := d.connection
 	c.pool.Counters.DialsFailed++
@@ -89,7 +90,7 @@
 	d.start()
 }
 
-// dialSucceeded makes the first dial that comes up the connection, and closes any other.
+// dialSucceeded uses the first dial that succeeds for the connection, and closes any other.
 func (d *dialer) dialSucceeded(dial *addressDial) {
 	c := d.connection
 	c.worker.addresses.Succeeded(c.pool.now, dial.addr)
@@ -101,17 +102,17 @@
 	c.establish(dial)
 }
 
-// complete takes a dial out of those in progress.
+// complete removes the dial from those in progress.
 func (dial *addressDial) complete() {
 	dial.completed = true
 	dial.dialer.connection.pool.dialsInProgress--
 	dial.dialer.inProgress = slices.DeleteFunc(dial.dialer.inProgress, func(other *addressDial) bool { return other == dial })
 }
 
-// DialCompleted handles the end of the dial.
+// DialCompleted handles the result of the dial.
 func (dial *addressDial) DialCompleted(err error) {
 	switch {
-	case dial.completed: // it was canceled meanwhile
+	case dial.completed: // it was canceled in the meantime
 		if err == nil {
 			dial.transport.Close()
 		}
@@ -124,14 +125,14 @@
 	}
 }
 
-// Data passes on what arrives.
+// Data passes received data on to the connection.
 func (dial *addressDial) Data(data []byte) {
 	if dial.dialer.winner == dial {
 		dial.dialer.connection.Data(data)
 	}
 }
 
-// Closed passes on the end of the connection.
+// Closed reports the end of the connection to it.
 func (dial *addressDial) Closed(err error) {
 	if dial.dialer.winner == dial {
 		dial.dialer.connection.Closed(err)
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -2,10 +2,10 @@
 
 import "crankhold/policy"
 
-// maxResends bounds the connections that may end under a command before it has left whole.
+// maxResends is how often a command may be sent again because its connection ended before it was sent whole.
 const maxResends = 3
 
-// send sends a command over a connection of w, which may be nil for an unknown worker.
+// send sends a command over a connection of w, which is nil for an unknown worker.
 func (p *Pool) send(w *worker, cmd *command) {
 	if w == nil {
 		p.fail(cmd, policy.Unreachable)
@@ -19,14 +19,14 @@
 	c.send(cmd)
 }
 
-// fail hands over a result that no response gave.
+// fail reports outcome as the result of a command that got no response.
 func (p *Pool) fail(cmd *command, outcome policy.Outcome) {
 	p.removeAttempt(cmd)
 	cmd.kind.fail(p.results, outcome)
 }
 
-// handleInterrupted decides on a command whose connection ended with outcome. arrivable is how many bytes may have
-// reached the worker.
+// handleInterrupted resends or fails a command whose connection ended with outcome. bytesSent is how many bytes of the
+// connection may have reached the worker.
 func (p *Pool) handleInterrupted(w *worker, cmd *command, outcome policy.Outcome, bytesSent int) {
 	neverArrived := cmd.neverArrived(bytesSent)
 	wasReset := outcome == policy.ConnectionReset
@@ -44,7 +44,7 @@
 	}
 }
 
-// resend sends a command, whose connection ended, over another one.
+// resend sends a command whose connection ended over another one.
 func (p *Pool) resend(w *worker, cmd *command) {
 	cmd.sendState.written = false
 	cmd.sendState.waited = true
