--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -188,9 +188,9 @@
 func (c *connection) terminate(outcome policy.Outcome) {
 	bytesSent := c.outgoing.bytesSent()
 	c.worker.removeConnection(c)
-	commands := c.commands.sortedInFlight()
+	interrupted := c.commands.sortedInFlight()
 	c.commands.clear()
-	for _, cmd := range commands {
+	for _, cmd := range interrupted {
 		c.pool.handleInterrupted(c.worker, cmd, outcome, bytesSent)
 	}
 }
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -24,7 +24,7 @@
 	dialer    *dialer
 	addr      endpoint.Addr
 	transport Transport
-	completed bool
+	finished  bool
 }
 
 // start dials the addresses of the race that are due.
@@ -48,18 +48,18 @@
 }
 
 func (d *dialer) dial(addr endpoint.Addr) {
-	dial := &addressDial{dialer: d, addr: addr}
-	d.inProgress = append(d.inProgress, dial)
+	newDial := &addressDial{dialer: d, addr: addr}
+	d.inProgress = append(d.inProgress, newDial)
 	p := d.connection.pool
 	p.Counters.Dials++
-	dial.transport = p.dial(addr, dial)
+	newDial.transport = p.dial(addr, newDial)
 }
 
 // cancel cancels all dials that are in progress.
 func (d *dialer) cancel() {
-	for _, dial := range slices.Clone(d.inProgress) {
-		dial.complete()
-		dial.transport.Close()
+	for _, attempt := range slices.Clone(d.inProgress) {
+		attempt.finish()
+		attempt.transport.Close()
 	}
 }
 
@@ -102,9 +102,9 @@
 	c.establish(dial)
 }
 
-// complete removes the dial from those in progress.
-func (dial *addressDial) complete() {
-	dial.completed = true
+// finish removes the dial from those in progress.
+func (dial *addressDial) finish() {
+	dial.finished = true
 	dial.dialer.connection.pool.dialsInProgress--
 	dial.dialer.inProgress = slices.DeleteFunc(dial.dialer.inProgress, func(other *addressDial) bool { return other == dial })
 }
@@ -112,15 +112,15 @@
 // DialCompleted handles the result of the dial.
 func (dial *addressDial) DialCompleted(err error) {
 	switch {
-	case dial.completed: // it was canceled in the meantime
+	case dial.finished: // it was canceled in the meantime
 		if err == nil {
 			dial.transport.Close()
 		}
 	case err != nil:
-		dial.complete()
+		dial.finish()
 		dial.dialer.dialFailed(dial, err)
 	default:
-		dial.complete()
+		dial.finish()
 		dial.dialer.dialSucceeded(dial)
 	}
 }
--- a/internal/workerclient/dispatch_test.go
+++ b/internal/workerclient/dispatch_test.go
@@ -13,9 +13,9 @@
 // another connection of the same worker, as the same attempt; one that was handed on whole may have run.
 func TestOnlyUnsentRequestsAreResent(t *testing.T) {
 	for name, test := range map[string]struct {
-		unsent   int
-		outcomes []policy.Outcome
-		on       []int
+		unsent       int
+		wantOutcomes []policy.Outcome
+		wantIndices  []int
 	}{
 		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
 		"but its last byte": {1, nil, []int{0, 1}},
@@ -29,7 +29,7 @@
 		if len(p.transports) > 1 {
 			p.transports[1].handler.DialCompleted(nil)
 		}
-		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, test.on) || !slices.Equal(p.recorder.outcomes[attempt], test.outcomes) {
+		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, test.wantIndices) || !slices.Equal(p.recorder.outcomes[attempt], test.wantOutcomes) {
 			t.Errorf("%s: written over %v, ended %v", name, on, p.recorder.outcomes[attempt])
 		}
 	}
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -74,8 +74,8 @@
 	{
 		name: "dials that lost the race go on",
 		file: "internal/workerclient/dialer.go",
-		old:  "\t\tdial.complete()\n\t\tdial.transport.Close()",
-		new:  "\t\tdial.complete()",
+		old:  "\t\tattempt.finish()\n\t\tattempt.transport.Close()",
+		new:  "\t\tattempt.finish()",
 	},
 	{
 		name: "the connection of a recovery dial stays open",
--- a/internal/workerclient/model_steps_test.go
+++ b/internal/workerclient/model_steps_test.go
@@ -114,7 +114,7 @@
 			m.drains--
 			m.workerStates[w] = policy.Draining
 			m.log("drain%d", w)
-			m.publishEndpoints()
+			m.list()
 		}, "worker %d drains", w)
 	}
 }
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -113,7 +113,7 @@
 	for w := range m.workerStates {
 		m.workerStates[w] = policy.Ready
 	}
-	m.publishEndpoints()
+	m.list()
 	m.runTurn()
 	return m
 }
@@ -126,8 +126,8 @@
 	return transport
 }
 
-// publishEndpoints hands the endpoint publishEndpoints to the pool and the core, as the service does.
-func (m *model) publishEndpoints() {
+// list hands the endpoint list to the pool and the core, as the service does.
+func (m *model) list() {
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w, state := range m.workerStates {
 		var addrs []endpoint.Addr
--- a/internal/workerclient/model_transport_test.go
+++ b/internal/workerclient/model_transport_test.go
@@ -39,8 +39,8 @@
 		t.written = append(t.written, buffer...)
 	}
 	for {
-		var buffer [maxElements][]byte
-		elements, size, err := decodeArray(t.written[t.decoded:], buffer[:0])
+		var storage [maxElements][]byte
+		elements, size, err := decodeArray(t.written[t.decoded:], storage[:0])
 		if err != nil || size == 0 {
 			break
 		}
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -78,8 +78,8 @@
 // decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
 // returns the response's size in bytes, 0 while it is incomplete.
 func decodeResponse(data []byte) (r response, size int, err error) {
-	var buffer [maxElements][]byte
-	elements, size, err := decodeArray(data, buffer[:0])
+	var storage [maxElements][]byte
+	elements, size, err := decodeArray(data, storage[:0])
 	if err != nil || size == 0 {
 		return response{}, 0, err
 	}
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -25,12 +25,12 @@
 
 // setAddresses replaces the addresses by those that are listed, where they changed: the worker restarted elsewhere, or
 // has fewer addresses, and whatever listens at an old one may be another worker.
-func (w *worker) setAddresses(listed []endpoint.Addr) {
-	if len(listed) == 0 || slices.Equal(listed, w.listedAddresses) {
+func (w *worker) setAddresses(listedAddresses []endpoint.Addr) {
+	if len(listedAddresses) == 0 || slices.Equal(listedAddresses, w.listedAddresses) {
 		return
 	}
-	w.listedAddresses = slices.Clone(listed)
-	w.addresses.Update(w.pool.now, listed)
+	w.listedAddresses = slices.Clone(listedAddresses)
+	w.addresses.Update(w.pool.now, listedAddresses)
 	for _, c := range slices.Clone(w.connections) {
 		switch {
 		case !c.state.established():
