--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -103,38 +103,38 @@
 }
 
 // finish removes the dial from those in progress.
-func (dial *addressDial) finish() {
-	dial.finished = true
-	dial.dialer.connection.pool.dialsInProgress--
-	dial.dialer.inProgress = slices.DeleteFunc(dial.dialer.inProgress, func(other *addressDial) bool { return other == dial })
+func (d *addressDial) finish() {
+	d.finished = true
+	d.dialer.connection.pool.dialsInProgress--
+	d.dialer.inProgress = slices.DeleteFunc(d.dialer.inProgress, func(other *addressDial) bool { return other == d })
 }
 
 // DialCompleted handles the result of the dial.
-func (dial *addressDial) DialCompleted(err error) {
+func (d *addressDial) DialCompleted(err error) {
 	switch {
-	case dial.finished: // it was canceled in the meantime
+	case d.finished: // it was canceled in the meantime
 		if err == nil {
-			dial.transport.Close()
+			d.transport.Close()
 		}
 	case err != nil:
-		dial.finish()
-		dial.dialer.dialFailed(dial, err)
+		d.finish()
+		d.dialer.dialFailed(d, err)
 	default:
-		dial.finish()
-		dial.dialer.dialSucceeded(dial)
+		d.finish()
+		d.dialer.dialSucceeded(d)
 	}
 }
 
 // Data passes received data on to the connection.
-func (dial *addressDial) Data(data []byte) {
-	if dial.dialer.winner == dial {
-		dial.dialer.connection.Data(data)
+func (d *addressDial) Data(data []byte) {
+	if d.dialer.winner == d {
+		d.dialer.connection.Data(data)
 	}
 }
 
 // Closed reports the end of the connection to it.
-func (dial *addressDial) Closed(err error) {
-	if dial.dialer.winner == dial {
-		dial.dialer.connection.Closed(err)
+func (d *addressDial) Closed(err error) {
+	if d.dialer.winner == d {
+		d.dialer.connection.Closed(err)
 	}
 }
--- a/internal/workerclient/doc.go
+++ b/internal/workerclient/doc.go
@@ -1,18 +1,18 @@
-// Package workerclient keeps the connections to the workers and carries commands over them: requests, load and unload
+// Package workerclient manages the connections to the workers and sends commands over them: requests, load and unload
 // commands, and health checks, many at a time on each connection.
 //
 // # Structure
 //
-// A [Pool] has one worker for each worker of the endpoint list, and each worker has up to ten connections. A command
-// goes to the preferred connection of its worker, queued while that is being dialled, and is in flight there until its
-// response has arrived or the connection has ended. Its result goes to a [ResultHandler], exactly once, unless the
-// command was canceled or abandoned first.
+// A [Pool] has one worker for each worker of the endpoint list, and each worker has at most ten connections. A command
+// goes to the connection of its worker that suits it best, and is queued if that connection is still being dialed. It
+// is in flight there until its response has arrived or the connection has ended. Its result goes to a [ResultHandler],
+// exactly once, unless the command was canceled first.
 //
 // A connection has a part for each concern: a dialer, the outgoingStream that it writes to, a responseReader, a
-// commandQueue of what is in flight, and a livenessMonitor. Each kind of command is a commandKind with its own data.
-// The codec is in resp.go (arrays of bulk strings), command_encoding.go and response_decoding.go.
+// commandQueue of the commands in flight, and a livenessMonitor. Each kind of command implements commandKind and holds
+// its own data. The codec is in resp.go (arrays of bulk strings), command_encoding.go and response_decoding.go.
 //
-// Which address of a worker is dialled is decided by package endpoint; the sockets are those of package eventloop.
+// Package endpoint decides which address of a worker is dialed, and package eventloop provides the sockets.
 //
 // # Protocol
 //
@@ -22,18 +22,18 @@
 //
 // # What the end of a connection proves
 //
-// A worker acts on a command once it has arrived whole. A command whose last byte never left this program certainly
-// never ran, and is sent again over another connection; any other that was written may have run. Only the statuses
-// NONE, SHED and LATE prove of a response that nothing ran.
+// A worker acts on a command only once it has arrived whole. A command whose last byte never left this program
+// certainly did not run, and is sent again over another connection. Any other command that was written may have run.
+// Among the statuses of responses, only NONE, SHED and LATE prove that nothing ran.
 //
 // # Liveness
 //
-// A connection can be cut off without an error. One that has been silent for unusually long while responses are due is
-// sent a keepalive ping, and is closed if it does not respond although the worker responds on another connection.
-// Whether a worker that is silent on all connections has failed is decided by health checks.
+// A connection can be cut off without an error. One that has been silent for longer than expected while responses are
+// due is sent a keepalive ping. It is closed if it does not respond although the worker responds on another connection.
+// Health checks decide whether a worker that is silent on all connections has failed.
 //
 // # Concurrency
 //
 // All methods and callbacks run on the event loop's goroutine, and none of them blocks. The package starts no goroutine
-// and reads no clock: [Pool.SetNow] and [Pool.Maintain] move its time on.
+// and reads no clock: [Pool.SetNow] and [Pool.Maintain] advance its time.
 package workerclient
--- a/internal/workerclient/errors.go
+++ b/internal/workerclient/errors.go
@@ -6,20 +6,20 @@
 	"crankhold/internal/endpoint"
 )
 
-// The reasons for which the client closes a connection.
+// The reasons for which the worker client closes a connection.
 var (
-	// ErrMalformedResponse is for a worker that broke the protocol.
-	ErrMalformedResponse = errors.New("malformed answer")
-	// ErrResponseStalled is for a response that began to arrive and was not completed in time.
-	ErrResponseStalled = errors.New("answer does not go on")
-	// ErrConnectionSilent is for a connection that did not respond to a keepalive ping while others to the worker did.
-	ErrConnectionSilent = errors.New("connection is silent while others to the worker are not")
+	// ErrMalformedResponse means that a worker violated the protocol.
+	ErrMalformedResponse = errors.New("malformed response")
+	// ErrResponseStalled means that a response started to arrive and was not completed in time.
+	ErrResponseStalled = errors.New("response was not completed in time")
+	// ErrConnectionSilent means that a connection did not respond to a keepalive ping while others to the worker did.
+	ErrConnectionSilent = errors.New("connection is silent while other connections to the worker respond")
 )
 
-// ConnectionError is the reason for which the client closed a connection. Its message leaves out the address, which log
-// events have as an attribute of its own.
+// ConnectionError is the reason for which the worker client closed a connection. Its message omits the address, which
+// is a separate attribute of log events.
 type ConnectionError struct {
-	Addr   endpoint.Addr // the worker's address that the connection led to
+	Addr   endpoint.Addr // the worker's address, to which the connection was dialed
 	Reason error         // one of the sentinel errors of this package
 }
 
--- a/internal/workerclient/errors_test.go
+++ b/internal/workerclient/errors_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// The log event of a connection that is closed for an error names the address and the reason, each in its own
-// attribute. It goes to the configured logger, or to the default one.
+// The log event of a connection that is closed because of an error has the address and the reason as separate
+// attributes. It goes to the configured logger, or to the default logger if none is configured.
 func TestConnectionClosedWithAnErrorIsLogged(t *testing.T) {
 	for _, configured := range []bool{true, false} {
 		var log bytes.Buffer
@@ -42,7 +42,7 @@
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest(requestID), time.Second)
 		p.transports[0].handler.DialCompleted(nil)
 		p.transports[0].handler.Data([]byte("no response\r\n"))
-		const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed answer"`
+		const want = `level=WARN msg=worker_connection_closed addr=127.0.0.1:1 err="malformed response"`
 		if !strings.Contains(log.String(), want) {
 			t.Errorf("logger configured %v: logged %q, want %q", configured, log.String(), want)
 		}
--- a/internal/workerclient/health_command.go
+++ b/internal/workerclient/health_command.go
@@ -6,13 +6,13 @@
 	"crankhold/policy"
 )
 
-// maxHealthCheckResends is how often a health check is sent again after its connection ended.
+// maxHealthCheckResends is how often a health check is sent again after its connection was reset.
 const maxHealthCheckResends = 2
 
 // healthCheckCommand is an INFO: it asks whether a worker responds, and for its load report.
 type healthCheckCommand struct {
-	commandID uint64 // of the decision module
-	resets    int    // that were reset under it
+	commandID uint64 // chosen by the decision module
+	resets    int    // connections that were reset while it was in flight
 }
 
 func (h *healthCheckCommand) checkBeforeWrite(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
@@ -25,11 +25,12 @@
 
 func (h *healthCheckCommand) isHealthQuery() bool { return true }
 
-// keepOnDrain keeps the health check: workers that drain are checked as well.
+// keepOnDrain keeps the health check queued, because draining workers are checked as well.
 func (h *healthCheckCommand) keepOnDrain() (policy.Outcome, bool) { return policy.NotSent, true }
 
-// retryAfterReset lets a few connections be reset before the worker counts as failed: one that breaks proves little,
-// since others may well be in use. Over a new one a worker that died refuses, and one that is well responds.
+// retryAfterReset allows a few resets before the worker counts as failed: one broken connection proves little, because
+// others may still work. If the check is sent over a new connection, a worker that has died refuses the connection, and
+// one that is healthy responds.
 func (h *healthCheckCommand) retryAfterReset() bool {
 	if h.resets >= maxHealthCheckResends {
 		return false
@@ -47,8 +48,8 @@
 	c.pool.results.HealthCheckCompleted(h.commandID, outcomeByStatus[r.status], report)
 }
 
-// pingCommand is a NOOP: a keepalive ping that a connection sends on its own account. It has no result: that a response
-// arrived is all that counts.
+// pingCommand is a NOOP: a keepalive ping, which a connection sends by itself. It has no result: only the arrival of a
+// response matters.
 type pingCommand struct{}
 
 func (pingCommand) checkBeforeWrite(time.Duration, bool, ResultHandler) (policy.Outcome, bool) {
--- a/internal/workerclient/id_history.go
+++ b/internal/workerclient/id_history.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// idHistoryPeriod is for how long ids are remembered at least, and twice that at most. It is longer than any
-	// request lasts.
+	// idHistoryPeriod is the shortest time for which ids are remembered; the longest is twice that. It is longer than
+	// any request lasts.
 	idHistoryPeriod = 8 * time.Second
-	// maxRememberedIDs bounds the ids that one connection remembers. One with so many takes no new requests.
+	// maxRememberedIDs is the maximum number of ids that one connection remembers. A connection that has reached it
+	// accepts no new requests.
 	maxRememberedIDs = 2048
 )
 
-// idHistory remembers the ids of the requests that ended on a connection, so that the connection carries none of them
-// again: a second copy of a response, or one that arrives after its request was canceled, must not end a later attempt
-// of the same request. It forgets by generations.
+// idHistory remembers the ids of requests that are no longer in flight on a connection, so that the connection does not
+// carry the same id again: a duplicate response, or one that arrives after its request was canceled, must not complete
+// a later attempt of the same request. Ids are forgotten in generations.
 type idHistory struct {
 	current   map[string]struct{} // added since rotatedAt
-	previous  map[string]struct{} // added in the period before
+	previous  map[string]struct{} // added in the period before that
 	rotatedAt time.Duration
 }
 
@@ -34,7 +35,7 @@
 
 func (h *idHistory) full() bool { return len(h.current)+len(h.previous) >= maxRememberedIDs }
 
-// rotate forgets what was added before the last rotation, where one is due.
+// rotate forgets the previous generation and starts a new one, if that is due.
 func (h *idHistory) rotate(now time.Duration) {
 	if now-h.rotatedAt < idHistoryPeriod {
 		return
--- a/internal/workerclient/ignored_field_log.go
+++ b/internal/workerclient/ignored_field_log.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// ignoredFieldLogInterval is the time for which nothing more is logged after an event.
+	// ignoredFieldLogInterval is the time after an event in which nothing more is logged.
 	ignoredFieldLogInterval = time.Second
-	// maxLoggedValue is how much of a field's value is logged, in bytes.
+	// maxLoggedValue is the maximum length of a field's value in the log, in bytes.
 	maxLoggedValue = 32
 )
 
-// ignoredFieldLog logs the fields of responses that can't be used, at most one event a second: a worker could fill the
-// log otherwise.
+// ignoredFieldLog logs response fields with invalid values, at most one event a second, because a worker could
+// otherwise flood the log.
 type ignoredFieldLog struct {
 	logger   *slog.Logger
-	count    int           // of fields since the last event
-	loggedAt time.Duration // when that was; 0: none was
+	count    int           // fields since the last event
+	loggedAt time.Duration // when the last event was logged; 0: never
 }
 
-// add counts a field, and logs it where an event is due.
+// add counts a field, and logs it if an event is due.
 func (l *ignoredFieldLog) add(now time.Duration, addr endpoint.Addr, name string, value []byte) {
 	l.count++
 	if l.loggedAt != 0 && now-l.loggedAt <= ignoredFieldLogInterval {
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -3,31 +3,32 @@
 import "time"
 
 const (
-	// minSilenceBeforePing is for how long a connection on which responses are due is silent at the least before it is
-	// sent a keepalive ping. It takes nothing new until it has responded.
+	// minSilenceBeforePing is the shortest silence, on a connection on which responses are due, after which a keepalive
+	// ping is sent. Until the connection has responded, it is used for new commands only if no other can be had.
 	minSilenceBeforePing = 150 * time.Millisecond
-	// pingTimeout is how long it then has, where the worker responds on another connection to what was sent later.
+	// pingTimeout is how long the connection may then stay silent if the worker responds, on another connection, to
+	// commands that were sent after the ping.
 	pingTimeout = 250 * time.Millisecond
-	// partialResponseTimeout is how long the rest of a response that began to arrive is waited for.
+	// partialResponseTimeout is how long to wait for the rest of a response that has started to arrive.
 	partialResponseTimeout = 600 * time.Millisecond
 )
 
-// livenessMonitor keeps what the responses on one connection say of whether it still works. A connection that is cut
-// off stays open and says nothing, while others to the same worker may be well: the worker as a whole is then no reason
-// to go elsewhere. Only whole responses count as signs of life, since bytes prove nothing.
+// livenessMonitor tracks, by the responses on one connection, whether the connection still works. A connection that is
+// cut off stays open but silent, while other connections to the same worker may work: then there is no reason to use
+// another worker. Only complete responses count as signs of life, because a part of one proves nothing.
 type livenessMonitor struct {
 	lastResponse          time.Duration // when the latest response arrived; 0: none has
-	lastRequestResponse   time.Duration // when the latest response to a request did
-	latestRespondedSentAt time.Duration // when the command was sent, of those responded to, that was sent last
-	pingedAt              time.Duration // when the keepalive ping was sent that awaits a sign of life; 0: none does
+	lastRequestResponse   time.Duration // when the latest response to a request arrived
+	latestRespondedSentAt time.Duration // latest send time of the commands that have had a response
+	pingedAt              time.Duration // when the keepalive ping was sent that still awaits a response; 0: none does
 }
 
-// livenessState is what a connection's silence calls for.
+// livenessState is the result of checking how long a connection has been silent.
 type livenessState uint8
 
 const (
 	connectionAlive livenessState = iota
-	pingDue                       // silent for unusually long
+	pingDue                       // silent for longer than expected
 	pingUnanswered                // silent since a keepalive ping
 )
 
@@ -36,7 +37,7 @@
 	return [...]string{"alive", "ping due", "ping unanswered"}[s]
 }
 
-// check judges a silence on a connection on which responses are due. expectedSilence is a length that is not unusual.
+// check evaluates a silence on a connection on which responses are due. A silence of expectedSilence is not unusual.
 func (m *livenessMonitor) check(now, silence, expectedSilence time.Duration) livenessState {
 	switch {
 	case silence <= max(minSilenceBeforePing, expectedSilence):
@@ -49,13 +50,13 @@
 	return connectionAlive
 }
 
-// recordResponse records that a response arrived, which ends the wait for a sign of life.
+// recordResponse records that a response arrived, after which no keepalive ping awaits one.
 func (m *livenessMonitor) recordResponse(now time.Duration) {
 	m.lastResponse = now
 	m.pingedAt = 0
 }
 
-// recordResponseTo records that a response arrived to a command that was sent at an instant.
+// recordResponseTo records that a command that was sent at sentAt has had its response.
 func (m *livenessMonitor) recordResponseTo(sentAt time.Duration) {
 	m.latestRespondedSentAt = max(m.latestRespondedSentAt, sentAt)
 }
@@ -63,8 +64,9 @@
 // awaitsPing reports whether a keepalive ping has had no response yet.
 func (m *livenessMonitor) awaitsPing() bool { return m.pingedAt > 0 }
 
-// checkLiveness closes a connection that does not go on with a response, or that stays silent after a keepalive ping
-// while its worker responds on another connection. One that is silent for unusually long is sent a ping.
+// checkLiveness closes a connection on which a response has stalled, or which stays silent after a keepalive ping while
+// its worker responds on another connection. It sends a ping if the connection has been silent for longer than
+// expected.
 func (c *connection) checkLiveness() {
 	now := c.pool.now
 	if c.responses.incompleteFor(now) > partialResponseTimeout {
@@ -87,8 +89,8 @@
 	}
 }
 
-// ping sends a keepalive ping. Where the settings allow no health checks the connection just takes nothing new until it
-// responds.
+// ping sends a keepalive ping. If the settings allow no health checks, nothing is sent, and the connection is only
+// avoided until it responds.
 func (c *connection) ping() {
 	p := c.pool
 	c.liveness.pingedAt = p.now
@@ -101,12 +103,12 @@
 	c.send(&command{id: pingID(p.pingSequence), kind: pingCommand{}})
 }
 
-// recordResponse records that a response arrived; cmd is the command that it belongs to, or nil.
+// recordResponse records that a response arrived. cmd is the command that it belongs to, or nil.
 func (c *connection) recordResponse(cmd *command, status responseStatus) {
 	now := c.pool.now
 	if cmd != nil && cmd.request() != nil {
-		if status == statusHit { // a miss arrives at once and says nothing of requests that run
-			// Responses to pings don't end a silence: they were asked for because it was long.
+		if status == statusHit { // a miss arrives at once and does not show how long requests take
+			// Responses to pings don't end a silence: a ping is sent because the silence is long.
 			silence, _ := c.silenceDuration(c.liveness.lastRequestResponse)
 			c.pool.silence.observe(silence)
 		}
@@ -116,14 +118,15 @@
 	c.worker.addresses.Responded(c.addr)
 }
 
-// silenceDuration returns for how long the response to a request has been due and none has arrived since lastReadAt. It
-// returns false for due where no request awaits one.
+// silenceDuration returns how long a response to a request has been due while none has arrived since lastResponseAt.
+// due is false if no request awaits a response.
 func (c *connection) silenceDuration(lastResponseAt time.Duration) (silence time.Duration, due bool) {
 	oldest, due := c.commands.oldestRequest()
 	return c.pool.now - max(oldest, lastResponseAt), due
 }
 
-// stalled reports whether a response has begun to arrive and does not go on: what is sent now would be lost with it.
+// stalled reports whether a response has started to arrive and has not continued in time: a command that is sent now
+// would be lost with the connection.
 func (c *connection) stalled() bool {
 	return c.responses.incompleteFor(c.pool.now) > minSilenceBeforePing
 }
--- a/internal/workerclient/load_command.go
+++ b/internal/workerclient/load_command.go
@@ -6,15 +6,15 @@
 	"crankhold/policy"
 )
 
-// loadCommand is a HOLD: it has a worker load replicas of a function, or asks how many there are.
+// loadCommand is a HOLD: it makes a worker load replicas of a function, or asks how many there are.
 type loadCommand struct {
-	commandID uint64 // of the decision module
+	commandID uint64 // chosen by the decision module
 	function  policy.FunctionID
 	replicas  int // to load; 0 only asks
 }
 
-// checkBeforeWrite ends a load that waited for a connection while the budget of loads was used up. One that is sent at once
-// has just been decided on.
+// checkBeforeWrite rejects a load that waited for a connection if the load budget was used up in the meantime. A load
+// that did not wait has just been decided on and is not checked again.
 func (l *loadCommand) checkBeforeWrite(_ time.Duration, waited bool, results ResultHandler) (policy.Outcome, bool) {
 	return policy.Overloaded, l.replicas > 0 && waited && !results.MaySendLoad(l.commandID)
 }
@@ -25,7 +25,7 @@
 
 func (l *loadCommand) isHealthQuery() bool { return false }
 
-// keepOnDrain ends the load as a draining worker would have responded.
+// keepOnDrain completes the load with the outcome that a response of a draining worker would give.
 func (l *loadCommand) keepOnDrain() (policy.Outcome, bool) { return policy.Overloaded, false }
 
 func (l *loadCommand) retryAfterReset() bool { return false }
--- a/internal/workerclient/outgoing_stream.go
+++ b/internal/workerclient/outgoing_stream.go
@@ -1,7 +1,7 @@
 package workerclient
 
-// outgoingStream is the sending side of a connection: its transport, and how much was written to it. Before a dial has
-// come up there is no transport, and nothing may be written.
+// outgoingStream is the sending side of a connection: its transport, and how many bytes were written to it. Before a
+// dial has succeeded there is no transport, and nothing may be written.
 type outgoingStream struct {
 	transport    Transport
 	bytesWritten int
@@ -14,7 +14,8 @@
 	s.transport.Write(buffers...)
 }
 
-// bytesSent is how many of the bytes that were written may have reached the worker. It is for a stream that has ended.
+// bytesSent returns how many of the written bytes left this program, so that they may have reached the worker. It is
+// valid only after the connection has ended.
 func (s *outgoingStream) bytesSent() int {
 	if s.transport == nil {
 		return s.bytesWritten
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -11,60 +11,60 @@
 	"crankhold/policy"
 )
 
-// MaintenanceInterval is how often Maintain is to be called.
+// MaintenanceInterval is how often Maintain must be called.
 const MaintenanceInterval = 50 * time.Millisecond
 
-// ResultHandler receives the results of commands; a router.Core is one. It is called on the event loop, also from
-// within methods of the Pool.
+// ResultHandler receives the results of commands, as a router.Core does. Its methods are called on the event loop, also
+// from within methods of the Pool.
 type ResultHandler interface {
 	AttemptCompleted(a router.Attempt, r router.AttemptResult)
 	LoadCompleted(commandID uint64, o policy.Outcome, replicas int)
 	HealthCheckCompleted(commandID uint64, o policy.Outcome, report []float64)
-	// MaySendLoad reports whether a load that has waited for a connection is still within the budget: it counts when it
-	// arrives at its worker.
+	// MaySendLoad reports whether a load that has waited for a connection is still within the load budget. The time
+	// that counts for the budget is when the load arrives at its worker.
 	MaySendLoad(commandID uint64) bool
 }
 
-// Transport is a connection to a worker; an eventloop.Conn is one. None of its methods blocks.
+// Transport is a connection to a worker, such as an eventloop.Conn. None of its methods blocks.
 type Transport interface {
 	// Write queues buffers, which the transport keeps until they are written.
 	Write(buffers ...[]byte)
 	// Close closes the connection, or cancels its dial.
 	Close()
-	// UnsentBytes is how many of the last bytes that were written never left this program. It is for a connection
-	// that has ended: what a kernel took may have arrived.
+	// UnsentBytes returns how many of the last bytes that were written never left this program. It is valid only after
+	// the connection has ended. Bytes that the kernel has accepted may have arrived.
 	UnsentBytes() int
 }
 
-// Config holds the deployment's figures, and by what the pool reaches the network and the log.
+// Config holds the settings of the deployment, and how the pool reaches the network and the log.
 type Config struct {
-	Classes                  []string // their names, as workers know them
-	ReportFields             []string // of load reports
+	Classes                  []string // class names, as workers know them
+	ReportFields             []string // names of the fields of load reports
 	DialTimeout              time.Duration
-	KeepAlive                time.Duration // a worker closes a connection that is idle for so long
+	KeepAlive                time.Duration // a worker closes a connection that has been idle for this long
 	SlowestObjective         time.Duration // the slowest latency objective of all classes
 	MaxRequestsPerConnection int           // requests in flight on one connection
 	MaxConnections           int           // to all workers together
 	CancelSupported          bool          // STOP may be sent
 	HealthChecksAllowed      bool          // NOOP and INFO may be sent
-	Seed                     uint64        // spreads the backoff of addresses that failed
+	Seed                     uint64        // randomizes the backoff of addresses that failed
 	Logger                   *slog.Logger  // nil: slog.Default()
-	// Dial begins to connect and returns at once; the handler is notified of the end. It is called on the event loop.
+	// Dial starts to connect and returns at once; the handler is told the result. It is called on the event loop.
 	Dial func(network, addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 }
 
-// Counters counts what became of connections.
+// Counters counts events of connections.
 type Counters struct {
-	Dials               uint64 // that were started, recovery dials aside
+	Dials               uint64 // started, without recovery dials
 	DialsFailed         uint64
-	RecoveryDials       uint64 // that were started
+	RecoveryDials       uint64 // started
 	RecoveryDialsFailed uint64
-	RequestsResent      uint64 // commands that never left one connection and went to another
+	RequestsResent      uint64 // commands that were not sent whole over one connection and were sent again over another
 	Pings               uint64 // keepalive pings that were sent
 }
 
-// Pool holds the connections to all workers. Its owner is the event loop's goroutine, on which all of its methods are
-// to be called; none of them blocks.
+// Pool manages the connections to all workers. The event loop's goroutine owns it: all of its methods must be called
+// there. None of them blocks.
 type Pool struct {
 	// Counters are for the owner to read.
 	Counters Counters
@@ -74,15 +74,15 @@
 	results         ResultHandler
 	now             time.Duration
 	workers         map[policy.WorkerID]*worker
-	workersInOrder  []*worker                   // as they were added, so that equal runs do equal things
-	attempts        map[router.Attempt]*command // in flight, and queued
-	pingSequence    uint64                      // of the latest keepalive ping
+	workersInOrder  []*worker                   // in order of addition, so that equal runs behave equally
+	attempts        map[router.Attempt]*command // in flight, including queued ones
+	pingSequence    uint64                      // number of the latest keepalive ping
 	silence         silenceEstimate
 	dialsInProgress int
 	ignoredFields   ignoredFieldLog
 }
 
-// New returns a Pool that knows no worker.
+// New returns a Pool without workers.
 func New(cfg Config, results ResultHandler) *Pool {
 	logger := cfg.Logger
 	if logger == nil {
@@ -99,11 +99,11 @@
 	}
 }
 
-// SetNow moves the clock on, to a time on the event loop's monotonic clock. An earlier time is ignored.
+// SetNow advances the clock to now, a time on the event loop's monotonic clock. An earlier time is ignored.
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
-// SetWorker sets a worker's state and its addresses; none leaves those that it has. What is queued behind a dial to a
-// worker that no longer takes anything new ends unsent.
+// SetWorker sets a worker's state and its addresses. If addrs is empty, the worker keeps the addresses that it has. If
+// the worker no longer accepts new commands, those that are queued behind a dial to it complete without being sent.
 func (p *Pool) SetWorker(
 	id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network,
 ) {
@@ -126,7 +126,7 @@
 	return w
 }
 
-// RetainWorkers sets every worker that is not present to gone.
+// RetainWorkers sets the state of every worker that is not in present to Gone.
 func (p *Pool) RetainWorkers(present map[policy.WorkerID]bool) {
 	for _, w := range p.workersInOrder {
 		if !present[w.id] {
@@ -143,9 +143,10 @@
 	}
 }
 
-// Maintain moves the clock on and does what is due: further dials, recovery dials, keepalive pings, and closing
-// connections that have failed silently or were idle for nearly as long as workers allow. A request that crossed the
-// worker's own close would count as one that may have run.
+// Maintain advances the clock and performs the housekeeping that is due: it starts further dials and recovery dials,
+// sends keepalive pings, and closes connections that have failed silently or have been idle for nearly as long as
+// workers allow. If the worker closed the connection first, a request that was sent at that moment would count as one
+// that may have run.
 func (p *Pool) Maintain(now time.Duration) {
 	p.SetNow(now)
 	for _, w := range p.workersInOrder {
--- a/internal/workerclient/receive.go
+++ b/internal/workerclient/receive.go
@@ -1,6 +1,6 @@
 package workerclient
 
-// Data handles what arrives on the connection.
+// Data handles data that arrived on the connection.
 func (c *connection) Data(data []byte) {
 	if c.state == closing {
 		return
@@ -20,19 +20,19 @@
 	return size, c.handleResponse(&r)
 }
 
-// handleResponse hands over the result that a response gives its command. Its error is for a response that breaks the
+// handleResponse completes the command that a response belongs to. It returns an error for a response that violates the
 // protocol.
 func (c *connection) handleResponse(r *response) error {
 	cmd := c.commands.inFlight[string(r.id)]
 	c.recordResponse(cmd, r.status)
 	if cmd == nil {
-		return nil // a second copy, or of a request that was canceled
+		return nil // a duplicate, or the response to a canceled request
 	}
 	switch {
 	case r.status == statusUnknown, cmd.kind.isHealthQuery() != r.status.respondsToHealthQuery():
 		return ErrMalformedResponse
 	case !cmd.sendState.written:
-		return ErrMalformedResponse // a response to what was never sent
+		return ErrMalformedResponse // a response to a command that was not sent
 	}
 	c.commands.remove(cmd)
 	c.lastUsed = c.pool.now
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// reportedConcurrency reads how many requests for the function the worker had. A number that can't be is ignored and
-// logged: the response is good all the same.
+// reportedConcurrency returns how many requests for the function the worker had. An invalid number is ignored and
+// logged; the rest of the response is still used.
 func (c *connection) reportedConcurrency(fields responseFields) int {
 	count, ok := fields.concurrency()
 	if !ok {
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -11,8 +11,7 @@
 // recoveryDialTimeouts is how many dial timeouts a recovery dial may take: one for the dial, one for the response.
 const recoveryDialTimeouts = 2
 
-// recoveryDial is a connection that carries nothing but a NOOP. A response shows that an address which failed works
-// again.
+// recoveryDial is a connection that carries only a NOOP. A response shows that an address that had failed works again.
 type recoveryDial struct {
 	pool      *Pool
 	worker    *worker
@@ -22,8 +21,8 @@
 	completed bool
 }
 
-// maintainRecoveryDial starts a recovery dial of one of the worker's addresses where one is due, and ends one that
-// takes too long.
+// maintainRecoveryDial starts a recovery dial of one of the worker's addresses if one is due, and fails one that takes
+// too long.
 func (w *worker) maintainRecoveryDial() {
 	p := w.pool
 	r := w.recoveryDial
@@ -50,7 +49,7 @@
 	r.transport = p.dial(addr, r)
 }
 
-// cancelRecoveryDial ends a recovery dial, if there is one. Whether its address works stays unknown.
+// cancelRecoveryDial cancels a recovery dial, if there is one. Whether its address works remains unknown.
 func (w *worker) cancelRecoveryDial() {
 	r := w.recoveryDial
 	if r != nil {
@@ -66,7 +65,7 @@
 	r.transport.Close()
 }
 
-// complete records how the recovery dial ended; nil is for an address that works.
+// complete records the result of the recovery dial; a nil error means that the address works.
 func (r *recoveryDial) complete(err error) {
 	if r.completed {
 		return
@@ -85,8 +84,8 @@
 	r.close()
 }
 
-// DialCompleted sends a NOOP: an address that accepts connections and does not respond does not work. Where the
-// settings allow no health checks, one that accepts counts as working.
+// DialCompleted sends a NOOP, because an address that accepts connections but does not respond does not work. If the
+// settings allow no health checks, an address counts as working as soon as it accepts the connection.
 func (r *recoveryDial) DialCompleted(err error) {
 	switch {
 	case r.completed:
@@ -102,7 +101,7 @@
 	}
 }
 
-// Data handles the response.
+// Data handles the response to the NOOP.
 func (r *recoveryDial) Data(data []byte) {
 	response, size, err := decodeResponse(data)
 	if err == nil && size > 0 && string(response.id) == recoveryPingID {
--- a/internal/workerclient/request_command.go
+++ b/internal/workerclient/request_command.go
@@ -8,18 +8,18 @@
 	"crankhold/policy"
 )
 
-// requestCommand is a RUN: an attempt to have a worker process a request.
+// requestCommand is a RUN: one attempt of a request.
 type requestCommand struct {
 	attempt        router.Attempt
 	class          string
 	functionKey    string
 	idempotencyKey string // empty: none
 	body           []byte
-	deadline       time.Duration // when the time that the request has left is over
-	sendBy         time.Duration // it is not written later
+	deadline       time.Duration // when the request's remaining time ends
+	sendBy         time.Duration // the command is not written at this time or later
 }
 
-// newRequestCommand returns the command for an attempt of r that has budget left at now.
+// newRequestCommand returns the command for an attempt of r that has the time budget left at now.
 func newRequestCommand(
 	now time.Duration, attempt router.Attempt, r *router.Request, class string, budget time.Duration,
 ) *command {
@@ -38,12 +38,13 @@
 	return &command{id: r.ID, kind: request}
 }
 
-// checkBeforeWrite ends a request of whose time nothing is left, or that the worker might no longer recognize as a repeat.
+// checkBeforeWrite rejects a request that has no time left, or that the worker might no longer recognize as a
+// duplicate.
 func (request *requestCommand) checkBeforeWrite(now time.Duration, _ bool, _ ResultHandler) (policy.Outcome, bool) {
 	return policy.Unreachable, now >= request.sendBy
 }
 
-// encode returns a RUN. Its body is written from where it lies.
+// encode returns a RUN. The body is not copied.
 func (request *requestCommand) encode(id string, now time.Duration) [][]byte {
 	return [][]byte{encodeRun(id, request, request.deadline-now), request.body, lineEnd}
 }
@@ -54,7 +55,7 @@
 	return policy.Unreachable, false
 }
 
-// retryAfterReset leaves it to the decision module whether a request that may have run is sent again.
+// retryAfterReset leaves it to the decision module whether a request that may have run is retried.
 func (request *requestCommand) retryAfterReset() bool { return false }
 
 func (request *requestCommand) fail(results ResultHandler, outcome policy.Outcome) {
--- a/internal/workerclient/resp.go
+++ b/internal/workerclient/resp.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// Bounds on what a worker may send, in bytes where not said otherwise. They are checked before anything waits for the
-// bytes that a length announces, so that what a peer makes this program hold is bounded.
+// Limits on what a worker may send, in bytes unless stated otherwise. They are checked as soon as a length has arrived,
+// before its bytes are awaited, so that a peer can make this program buffer only a limited amount.
 const (
-	maxBulkString = 16<<10 + 64           // a body, the longest bulk string there is
-	maxResponse   = maxBulkString + 4<<10 // a response as a whole
-	maxElements   = 8                     // of an array; a response has four
-	maxLengthLine = 12                    // "*4" or "$16384" and room to spare
+	maxBulkString = 16<<10 + 64           // a body, the longest bulk string
+	maxResponse   = maxBulkString + 4<<10 // a whole response
+	maxElements   = 8                     // elements of an array; a response has four
+	maxLengthLine = 12                    // "*4" or "$16384", with a margin
 )
 
-// The types of RESP that the protocol uses, by the byte that a value begins with.
+// The RESP types that the protocol uses, by the first byte of a value.
 const (
 	arrayType      = '*'
 	bulkStringType = '$'
@@ -22,8 +22,8 @@
 
 var lineEnd = []byte("\r\n")
 
-// decodeArray takes one array of bulk strings off the front of data. It appends the strings, which point into data, to
-// elements, and returns the size of the array in bytes, 0 while it is incomplete.
+// decodeArray decodes the array of bulk strings at the start of data. It appends the strings, which point into data, to
+// elements, and returns the size of the array in bytes, or 0 while the array is incomplete.
 func decodeArray(data []byte, elements [][]byte) (_ [][]byte, size int, err error) {
 	count, offset, err := decodeLength(data, 0, arrayType, maxElements)
 	if err != nil || offset == 0 {
@@ -50,8 +50,8 @@
 	return elements, offset, nil
 }
 
-// decodeLength reads the line of a type byte and a number up to limit that begins at offset. It returns the number and
-// the offset behind the line, 0 while the line is incomplete.
+// decodeLength decodes the line at offset, which consists of typeByte and a number of at most limit. It returns the
+// number and the offset of the end of the line, or 0 while the line is incomplete.
 func decodeLength(data []byte, offset int, typeByte byte, limit int) (length, end int, err error) {
 	line, err := cutLengthLine(data[offset:], typeByte)
 	if err != nil || line == nil {
@@ -64,7 +64,7 @@
 	return length, offset + len(line), nil
 }
 
-// cutLengthLine returns the line that data begins with, from its type byte to its line end. It returns nil while the
+// cutLengthLine returns the line at the start of data, from its type byte to its line end. It returns nil while the
 // line is incomplete.
 func cutLengthLine(data []byte, typeByte byte) (line []byte, err error) {
 	if len(data) > 0 && data[0] != typeByte {
@@ -83,7 +83,7 @@
 	return data[:end+1], nil
 }
 
-// parseLength reads a decimal number without a sign.
+// parseLength parses a decimal number of at most limit, without a sign.
 func parseLength(digits []byte, limit int) (length int, err error) {
 	for _, digit := range digits {
 		if digit < '0' || digit > '9' {
@@ -97,8 +97,8 @@
 	return length, nil
 }
 
-// encodeHeader returns an array of elements and one more of bodySize bytes, up to where those begin: the body and the
-// line end behind it are written from where they lie.
+// encodeHeader encodes an array of elements and one more element of bodySize bytes, up to the start of that one. The
+// caller writes the body and the line end after it separately, so that the body is not copied.
 func encodeHeader(bodySize int, elements ...string) []byte {
 	const typicalSize = 160
 	out := appendLength(make([]byte, 0, typicalSize), arrayType, len(elements)+1)
@@ -108,7 +108,7 @@
 	return appendLength(out, bulkStringType, bodySize)
 }
 
-// encodeArray returns an array of elements.
+// encodeArray encodes an array of elements.
 func encodeArray(elements ...string) []byte {
 	last := elements[len(elements)-1]
 	out := encodeHeader(len(last), elements[:len(elements)-1]...)
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -10,7 +10,7 @@
 		name      string
 		line      string
 		length    int
-		next      int // behind the line; 0 while it is incomplete
+		end       int // behind the line; 0 while it is incomplete
 		malformed bool
 	}{
 		{"nothing yet", "", 0, 0, false},
@@ -26,12 +26,12 @@
 		{"no carriage return", "*12\n", 0, 0, true},
 		{"longer than any length", "*00000000001\r\n", 0, 0, true},
 	} {
-		length, next, err := decodeLength([]byte("prefix"+test.line), len("prefix"), arrayType, 20)
-		if next > 0 {
-			next -= len("prefix")
+		length, end, err := decodeLength([]byte("prefix"+test.line), len("prefix"), arrayType, 20)
+		if end > 0 {
+			end -= len("prefix")
 		}
-		if length != test.length || next != test.next || errors.Is(err, ErrMalformedResponse) != test.malformed {
-			t.Errorf("%s: length %d, next %d, %v", test.name, length, next, err)
+		if length != test.length || end != test.end || errors.Is(err, ErrMalformedResponse) != test.malformed {
+			t.Errorf("%s: length %d, next %d, %v", test.name, length, end, err)
 		}
 	}
 }
--- a/internal/workerclient/response_decoding.go
+++ b/internal/workerclient/response_decoding.go
@@ -7,7 +7,7 @@
 	"crankhold/policy"
 )
 
-// maxConcurrency bounds what a response may say of concurrency: no worker's queue holds so many requests.
+// maxConcurrency is the largest concurrency that a response may report: no worker's queue holds so many requests.
 const maxConcurrency = 1 << 20
 
 // responseStatus is the second element of a response.
@@ -19,12 +19,13 @@
 	statusNone                   // not loaded; nothing ran
 	statusShed                   // overloaded; nothing ran
 	statusFault                  // failed, and may have run
-	statusLate                   // its budget was used up before it began; nothing ran
-	statusPong                   // alive and well
-	statusSick                   // alive, and not well
+	statusLate                   // its budget was used up before it started; nothing ran
+	statusPong                   // healthy
+	statusSick                   // responds, but is not healthy
 )
 
-// statusesByName are read exactly, in upper case: NONE, SHED and LATE prove that a request never ran.
+// statusByName maps the names on the wire to statuses. They are matched exactly, in upper case, because NONE, SHED and
+// LATE prove that a request never ran.
 var statusByName = map[string]responseStatus{
 	"HIT":   statusHit,
 	"NONE":  statusNone,
@@ -35,7 +36,7 @@
 	"SICK":  statusSick,
 }
 
-// outcomes are what the statuses, the unknown one aside, mean for the decision module.
+// outcomeByStatus maps the statuses, except for the unknown one, to the outcomes of the decision module.
 var outcomeByStatus = [...]policy.Outcome{
 	statusHit:   policy.Served,
 	statusNone:  policy.NotLoaded,
@@ -46,7 +47,7 @@
 	statusSick:  policy.Failed,
 }
 
-// String returns the name of the status as it is on the wire.
+// String returns the name of the status on the wire.
 func (s responseStatus) String() string {
 	for name, status := range statusByName {
 		if status == s {
@@ -56,7 +57,7 @@
 	return "unknown"
 }
 
-// respondsToHealthQuery reports whether the status is one of responses to INFO and NOOP, and to no other command.
+// respondsToHealthQuery reports whether only responses to INFO and NOOP have the status.
 func (s responseStatus) respondsToHealthQuery() bool { return s == statusPong || s == statusSick }
 
 // response is a worker's response to a command. Its slices point into the bytes that it was decoded from.
@@ -67,7 +68,7 @@
 	body   []byte
 }
 
-// The elements of a response, by their positions. The last two may be absent.
+// The positions of the elements of a response. The last two elements may be absent.
 const (
 	idElement = iota
 	statusElement
@@ -75,8 +76,8 @@
 	bodyElement
 )
 
-// decodeResponse takes a response off the front of data: id, status and, where there are any, fields and body. It
-// returns the response's size in bytes, 0 while it is incomplete.
+// decodeResponse decodes the response at the start of data: an id, a status and, optionally, fields and a body. It
+// returns the size of the response in bytes, or 0 while the response is incomplete.
 func decodeResponse(data []byte) (r response, size int, err error) {
 	var storage [maxElements][]byte
 	elements, size, err := decodeArray(data, storage[:0])
@@ -97,7 +98,7 @@
 	return r, size, nil
 }
 
-// responseFields is a list name=value,name=value; "-" is an empty one.
+// responseFields is a list of the form name=value,name=value. An empty list is "-".
 type responseFields []byte
 
 // The names of the fields of responses.
@@ -108,7 +109,7 @@
 	fieldCount       = "count"  // replicas that were loaded
 )
 
-// loadStatuses are the values of the field detail.
+// loadStatusByDetail maps the values of the field detail to load statuses.
 var loadStatusByDetail = map[string]policy.LoadStatus{
 	"hot":     policy.AlreadyLoaded,
 	"started": policy.StartedLoad,
@@ -116,7 +117,7 @@
 	"broken":  policy.LoadFailed,
 }
 
-// get returns the value of a field, nil where there is none of that name.
+// get returns the value of a field, or nil if there is no field of that name.
 func (f responseFields) get(name string) []byte {
 	list := []byte(f)
 	for len(list) > 0 {
@@ -130,19 +131,19 @@
 	return nil
 }
 
-// loadStatus returns the value of the field detail, the zero LoadStatus where it is absent or unknown.
+// loadStatus returns the value of the field detail, or the zero LoadStatus if the field is absent or unknown.
 func (f responseFields) loadStatus() policy.LoadStatus {
 	return loadStatusByDetail[string(f.get(fieldDetail))]
 }
 
-// replicas returns how many replicas a HOLD found or loaded, 0 where the response does not say.
+// replicas returns how many replicas a HOLD found or loaded, or 0 if the response does not say.
 func (f responseFields) replicas() int {
 	count, _ := strconv.Atoi(string(f.get(fieldCount)))
 	return count
 }
 
-// concurrency returns how many requests for the function the worker had, 0 where the response does not say. It returns
-// false for a value that is no number from 0 to maxConcurrency.
+// concurrency returns how many requests for the function the worker had, or 0 if the response does not say. ok is false
+// for a value that is not a number from 0 to maxConcurrency.
 func (f responseFields) concurrency() (count int, ok bool) {
 	text := f.get(fieldConcurrency)
 	if len(text) == 0 {
@@ -155,8 +156,8 @@
 	return count, true
 }
 
-// loadReport returns the values of the field use, name:value;name:value, in the order of names. For a
-// report that lacks one of the names the result is nil.
+// loadReport returns the values of the field use, which has the form name:value;name:value, in the order of names. It
+// returns nil for a report that lacks one of the names.
 func (f responseFields) loadReport(names []string) []float64 {
 	text := f.get(fieldUse)
 	if len(text) == 0 {
--- a/internal/workerclient/response_reader.go
+++ b/internal/workerclient/response_reader.go
@@ -6,14 +6,14 @@
 	"crankhold/internal/framing"
 )
 
-// responseReader reassembles the responses of one connection, however they are split.
+// responseReader reassembles the responses of one connection from reads that may end anywhere within one.
 type responseReader struct {
-	partial      framing.Buffer // the beginning of a response
-	partialSince time.Duration  // when that arrived
+	partial      framing.Buffer // the start of an incomplete response
+	partialSince time.Duration  // when the first bytes of that arrived
 }
 
-// feed hands data that arrived at now to decode, response by response, and buffers the rest. It returns the error with
-// which decode ended it.
+// feed passes data that arrived at now to decode, response by response, and buffers the rest. It stops at an error of
+// decode and returns the error.
 func (r *responseReader) feed(now time.Duration, data []byte, decode framing.Decoder) error {
 	wasEmpty := r.partial.Len() == 0
 	responses, err := r.partial.Feed(data, decode)
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// incompleteFor returns for how long a response has been incomplete, 0 where none is.
+// incompleteFor returns how long a response has been incomplete, or 0 if none is.
 func (r *responseReader) incompleteFor(now time.Duration) time.Duration {
 	if r.partial.Len() == 0 {
 		return 0
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -8,23 +8,23 @@
 	"crankhold/policy"
 )
 
-// worker is a worker with its addresses and connections. It stays in the pool until it is gone and its last connection
-// has ended.
+// worker is a worker with its addresses and connections. It stays in the pool until its state is Gone and its last
+// connection has ended.
 type worker struct {
 	pool            *Pool
 	id              policy.WorkerID
 	state           policy.WorkerState
-	listedAddresses []endpoint.Addr // as discovery listed them last
+	listedAddresses []endpoint.Addr // as discovery last listed them
 	addresses       *endpoint.AddressSet
 	connections     []*connection
 	recoveryDial    *recoveryDial // in progress, or nil
 }
 
-// ready reports whether the worker takes new requests and loads.
+// ready reports whether the worker accepts new requests and loads.
 func (w *worker) ready() bool { return w.state == policy.Ready }
 
-// setAddresses replaces the addresses by those that are listed, where they changed: the worker restarted elsewhere, or
-// has fewer addresses, and whatever listens at an old one may be another worker.
+// setAddresses replaces the addresses with the listed ones if they have changed. The worker may have restarted
+// elsewhere, or have fewer addresses, and another worker may listen at an old one.
 func (w *worker) setAddresses(listedAddresses []endpoint.Addr) {
 	if len(listedAddresses) == 0 || slices.Equal(listedAddresses, w.listedAddresses) {
 		return
@@ -42,15 +42,16 @@
 	w.cancelRecoveryDial()
 }
 
-// setState sets whether the worker takes anything new. Where it does not, what is queued behind a dial ends unsent: the
-// dial may come up after the time in which the worker may still be sent requests.
+// setState sets the worker's state. If the worker no longer accepts new commands, those that are queued behind a dial
+// complete without being sent, because the dial may succeed only after the time in which the worker may still be sent
+// requests.
 func (w *worker) setState(state policy.WorkerState) {
 	w.state = state
 	if !w.ready() {
 		for _, c := range slices.Clone(w.connections) {
 			c.failQueuedOnDrain()
 			if c.state == connecting && len(c.commands.queued) == 0 {
-				c.drain() // nobody waits for this dial
+				c.drain() // no command waits for this dial
 			}
 		}
 		w.cancelRecoveryDial()
@@ -69,7 +70,7 @@
 	}
 }
 
-// maintain does what is due on the worker's connections and addresses.
+// maintain performs the housekeeping that is due on the worker's connections and addresses.
 func (w *worker) maintain() {
 	for _, c := range slices.Clone(w.connections) {
 		c.maintain()
@@ -77,8 +78,8 @@
 	w.maintainRecoveryDial()
 }
 
-// respondedToCommandSince reports whether the worker responded to something that was sent after an instant, over any of its
-// connections.
+// respondedToCommandSince reports whether the worker has responded, over any of its connections, to a command that was
+// sent after an instant.
 func (w *worker) respondedToCommandSince(instant time.Duration) bool {
 	return slices.ContainsFunc(w.connections, func(c *connection) bool {
 		return c.liveness.latestRespondedSentAt > instant
--- a/internal/workerclient/worker_commands.go
+++ b/internal/workerclient/worker_commands.go
@@ -2,8 +2,8 @@
 
 import "crankhold/policy"
 
-// Load has a worker load replicas of a function. A count of 0 only asks how many it has, for which the worker need not
-// be ready. The result may be handed over before Load returns.
+// Load makes a worker load count replicas of a function. A count of 0 only asks how many there are, and then the worker
+// need not be ready. The result may be reported before Load returns.
 func (p *Pool) Load(id policy.WorkerID, f policy.FunctionID, count int, commandID uint64) {
 	load := &loadCommand{commandID: commandID, function: f, replicas: count}
 	cmd := &command{id: loadID(commandID), kind: load}
@@ -15,14 +15,14 @@
 	p.send(w, cmd)
 }
 
-// CheckHealth asks whether a worker responds, and for its load report. The result may be handed over before CheckHealth
+// CheckHealth asks whether a worker responds, and for its load report. The result may be reported before CheckHealth
 // returns.
 func (p *Pool) CheckHealth(id policy.WorkerID, commandID uint64) {
 	check := &healthCheckCommand{commandID: commandID}
 	p.send(p.workers[id], &command{id: healthCheckID(commandID), kind: check})
 }
 
-// AbandonCommand drops interest in a load or a health check: no result follows.
+// AbandonCommand cancels a load or a health check; no result follows. Nothing is sent to the worker.
 func (p *Pool) AbandonCommand(id policy.WorkerID, commandID uint64) {
 	w := p.workers[id]
 	if w == nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Unload has a worker unload the idle replicas of a function. Where there is no connection it does nothing: idle
-// replicas are unloaded in time anyway and not worth a dial.
+// Unload makes a worker unload the idle replicas of a function. It does nothing if no connection is established:
+// workers unload idle replicas anyway after a time, so a dial is not worthwhile.
 func (p *Pool) Unload(id policy.WorkerID, f policy.FunctionID) {
 	w := p.workers[id]
 	if w == nil {
