--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -86,9 +86,9 @@
 }
 
 // establish takes over the transport of the dial that succeeded, and writes the queued commands.
-func (c *connection) establish(dial *addressDial) {
-	c.outgoing.transport = dial.transport
-	c.addr = dial.addr
+func (c *connection) establish(attempt *dial) {
+	c.outgoing.transport = attempt.transport
+	c.addr = attempt.addr
 	c.state = ready
 	c.dialer.cancel()
 	for _, cmd := range c.commands.takeQueued() {
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -14,13 +14,13 @@
 type dialer struct {
 	connection *connection
 	race       *endpoint.DialRace
-	inProgress []*addressDial
-	winner     *addressDial // the first dial that succeeded; nil before that
+	inProgress []*dial
+	winner     *dial // the first dial that succeeded; nil before that
 }
 
-// addressDial is a dial to one address. It is the handler of its transport. Once it has won the race, it passes what
-// arrives on to its connection.
-type addressDial struct {
+// dial is one attempt to connect to one address. It is the handler of its transport. Once it has won the race, it
+// passes what arrives on to its connection.
+type dial struct {
 	dialer    *dialer
 	addr      endpoint.Addr
 	transport Transport
@@ -48,11 +48,11 @@
 }
 
 func (d *dialer) dial(addr endpoint.Addr) {
-	newDial := &addressDial{dialer: d, addr: addr}
-	d.inProgress = append(d.inProgress, newDial)
+	attempt := &dial{dialer: d, addr: addr}
+	d.inProgress = append(d.inProgress, attempt)
 	p := d.connection.pool
 	p.Counters.Dials++
-	newDial.transport = p.dial(addr, newDial)
+	attempt.transport = p.dial(addr, attempt)
 }
 
 // cancel cancels all dials that are in progress.
@@ -74,14 +74,14 @@
 // dialFailed goes on to the next address. A dial that was refused or timed out proves that nothing ran. The worker is
 // unreachable only when the last dial has failed. If that was due to an error of this machine, such as too few
 // descriptors, nothing is known about the worker.
-func (d *dialer) dialFailed(dial *addressDial, err error) {
+func (d *dialer) dialFailed(attempt *dial, err error) {
 	c := d.connection
 	c.pool.Counters.DialsFailed++
-	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", dial.addr.String()), slog.Any("err", err))
+	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", attempt.addr.String()), slog.Any("err", err))
 	outcome := policy.NotSent
 	if !eventloop.IsLocalFault(err) {
 		outcome = policy.Unreachable
-		c.worker.addresses.Failed(c.pool.now, dial.addr)
+		c.worker.addresses.Failed(c.pool.now, attempt.addr)
 	}
 	if d.race.DialFailed() {
 		c.terminate(outcome)
@@ -91,26 +91,26 @@
 }
 
 // dialSucceeded uses the first dial that succeeds for the connection, and closes any other.
-func (d *dialer) dialSucceeded(dial *addressDial) {
+func (d *dialer) dialSucceeded(attempt *dial) {
 	c := d.connection
-	c.worker.addresses.Succeeded(c.pool.now, dial.addr)
+	c.worker.addresses.Succeeded(c.pool.now, attempt.addr)
 	if !d.race.DialSucceeded() {
-		dial.transport.Close()
+		attempt.transport.Close()
 		return
 	}
-	d.winner = dial
-	c.establish(dial)
+	d.winner = attempt
+	c.establish(attempt)
 }
 
 // finish removes the dial from those in progress.
-func (d *addressDial) finish() {
+func (d *dial) finish() {
 	d.finished = true
 	d.dialer.connection.pool.dialsInProgress--
-	d.dialer.inProgress = slices.DeleteFunc(d.dialer.inProgress, func(other *addressDial) bool { return other == d })
+	d.dialer.inProgress = slices.DeleteFunc(d.dialer.inProgress, func(other *dial) bool { return other == d })
 }
 
 // DialCompleted handles the result of the dial.
-func (d *addressDial) DialCompleted(err error) {
+func (d *dial) DialCompleted(err error) {
 	switch {
 	case d.finished: // it was canceled in the meantime
 		if err == nil {
@@ -126,14 +126,14 @@
 }
 
 // Data passes received data on to the connection.
-func (d *addressDial) Data(data []byte) {
+func (d *dial) Data(data []byte) {
 	if d.dialer.winner == d {
 		d.dialer.connection.Data(data)
 	}
 }
 
 // Closed reports the end of the connection to it.
-func (d *addressDial) Closed(err error) {
+func (d *dial) Closed(err error) {
 	if d.dialer.winner == d {
 		d.dialer.connection.Closed(err)
 	}
--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -21,8 +21,8 @@
 		t.Fatalf("dialled %v, ended %v", p.dialed, p.recorder.outcomes)
 	}
 	p.transports[1].handler.DialCompleted(nil)
-	if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, []int{1}) {
-		t.Errorf("written over %v", on)
+	if indices := transportsWithRun(p.transports, requestID); !slices.Equal(indices, []int{1}) {
+		t.Errorf("written over %v", indices)
 	}
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
 	if len(p.dialed) != 2 {
@@ -48,8 +48,8 @@
 		t.Error("the dial that lost goes on")
 	}
 	p.transports[0].handler.DialCompleted(nil) // it came up all the same
-	if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, []int{1}) {
-		t.Errorf("written over %v", on)
+	if indices := transportsWithRun(p.transports, requestID); !slices.Equal(indices, []int{1}) {
+		t.Errorf("written over %v", indices)
 	}
 }
 
--- a/internal/workerclient/dispatch_test.go
+++ b/internal/workerclient/dispatch_test.go
@@ -15,7 +15,7 @@
 	for name, test := range map[string]struct {
 		unsent       int
 		wantOutcomes []policy.Outcome
-		wantIndices  []int
+		indices      []int
 	}{
 		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
 		"but its last byte": {1, nil, []int{0, 1}},
@@ -29,8 +29,8 @@
 		if len(p.transports) > 1 {
 			p.transports[1].handler.DialCompleted(nil)
 		}
-		if on := transportsWithRun(p.transports, requestID); !slices.Equal(on, test.wantIndices) || !slices.Equal(p.recorder.outcomes[attempt], test.wantOutcomes) {
-			t.Errorf("%s: written over %v, ended %v", name, on, p.recorder.outcomes[attempt])
+		if indices := transportsWithRun(p.transports, requestID); !slices.Equal(indices, test.indices) || !slices.Equal(p.recorder.outcomes[attempt], test.wantOutcomes) {
+			t.Errorf("%s: written over %v, ended %v", name, indices, p.recorder.outcomes[attempt])
 		}
 	}
 	// It is not moved for ever, and not to a draining worker.
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -32,7 +32,7 @@
 		}
 		advance(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
-		if on := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(on) != 0 {
+		if indices := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(indices) != 0 {
 			t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
 		}
 		p.transports[1].handler.DialCompleted(nil)
--- a/internal/workerclient/response_decoding_test.go
+++ b/internal/workerclient/response_decoding_test.go
@@ -32,15 +32,15 @@
 		"detail=hot,crowd=3": 3, "crowd=0": 0, "-": 0, "detail=hot": 0, "crowd=1048576": 1 << 20,
 		"crowd=-1": 0, "crowd=": 0, "crowd=many": 0, "crowd=1.5": 0, "crowd=99999999999999999999": 0, "crowd=1048577": 0,
 	} {
-		for word, outcome := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
+		for status, outcome := range map[string]policy.Outcome{"HIT": policy.Served, "SHED": policy.Overloaded} {
 			p := newTestPool()
 			a := router.Attempt{Request: 1}
 			p.StartAttempt(1, a, newRequest("0123456789abcdef"), time.Second)
 			transport := p.transports[0]
 			transport.handler.DialCompleted(nil)
-			transport.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(word), word, len(fields), fields))
+			transport.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(status), status, len(fields), fields))
 			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != outcome || p.recorder.results[a].Concurrency != want || transport.Closed {
-				t.Errorf("%s %s: ended %v with %+v, closed %v", word, fields, p.recorder.outcomes[a], p.recorder.results[a], transport.Closed)
+				t.Errorf("%s %s: ended %v with %+v, closed %v", status, fields, p.recorder.outcomes[a], p.recorder.results[a], transport.Closed)
 			}
 		}
 	}
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -99,7 +99,7 @@
 	if p.dialed[3] != "127.0.0.1:12" {
 		t.Errorf("dialled %v", p.dialed)
 	}
-	if on := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(on, []int{2}) {
-		t.Errorf("the request that waited is written over %v", on)
+	if indices := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(indices, []int{2}) {
+		t.Errorf("the request that waited is written over %v", indices)
 	}
 }
