--- a/internal/workerclient/bench_test.go
+++ b/internal/workerclient/bench_test.go
@@ -31,7 +31,7 @@
 func (*servedCounter) MaySendLoad(uint64) bool                                { return true }
 func (*servedCounter) HealthCheckCompleted(uint64, policy.Outcome, []float64) {}
 
-// BenchmarkRequest sends a request over a connection that is up and handles its response.
+// BenchmarkRequest sends a request over an established connection and handles its response.
 func BenchmarkRequest(b *testing.B) {
 	var handler eventloop.DialHandler
 	results := &servedCounter{}
@@ -48,7 +48,7 @@
 	pool.CheckHealth(1, 1)
 	handler.DialCompleted(nil)
 	handler.Data([]byte("*2\r\n$2\r\np1\r\n$4\r\nPONG\r\n"))
-	const ids = 1000 // distinct, since a connection carries each id once
+	const ids = 1000 // distinct, because a connection carries each id only once
 	var requests [ids]*router.Request
 	var responses [ids][]byte
 	for i := range ids {
@@ -73,7 +73,7 @@
 	}
 }
 
-// forgetIDs moves a pool's time on until its connections carry the ids of earlier requests again.
+// forgetIDs advances a pool's clock until its connections have forgotten the ids of earlier requests.
 func forgetIDs(pool *workerclient.Pool, now time.Duration) time.Duration {
 	for range 2 {
 		now += 10 * time.Second
--- a/internal/workerclient/budget_test.go
+++ b/internal/workerclient/budget_test.go
@@ -25,8 +25,9 @@
 	return budgets
 }
 
-// The budget in a RUN is what is left when the command is written: less the time that it waited for a dial, and less
-// that which it spent on a connection that ended before it had left. With nothing left it is not sent.
+// The budget in a RUN is what is left when the command is written: without the time spent waiting for a dial, and
+// without the time spent on a connection that ended before the command was sent. If nothing is left, the command is not
+// sent.
 func TestBudgetIsWhatIsLeftWhenTheCommandIsWritten(t *testing.T) {
 	const budget = time.Second
 	for _, dialTime := range []time.Duration{0, 160 * time.Millisecond, 600 * time.Millisecond, budget} {
@@ -39,7 +40,7 @@
 			transport.handler.DialCompleted(nil)
 			if dialTime == budget {
 				if got := writtenBudgets(t, transport); len(got) > 0 || len(p.recorder.outcomes[a]) != 1 || !p.recorder.outcomes[a][0].NeverRan() {
-					t.Errorf("with nothing left: wrote budgets %v, ended %v", got, p.recorder.outcomes[a])
+					t.Errorf("with nothing left: wrote budgets %v, outcomes %v", got, p.recorder.outcomes[a])
 				}
 				return
 			}
@@ -52,14 +53,14 @@
 			second := p.transports[1]
 			second.handler.DialCompleted(nil)
 			if got := writtenBudgets(t, second); len(got) != 1 || got[0] != (budget-dialTime-200*time.Millisecond).Truncate(time.Millisecond) {
-				t.Errorf("wrote budgets %v when it was sent again %v later", got, 200*time.Millisecond)
+				t.Errorf("wrote budgets %v when the command was sent again %v later", got, 200*time.Millisecond)
 			}
 		})
 	}
 }
 
-// A canceled request is not sent again though its connection ends before it has left: where the settings forbid STOP, it
-// stays in flight until then.
+// A canceled request is not sent again if its connection ends before it was sent. Without STOP, the request stays in
+// flight until then.
 func TestCanceledRequestIsNotResent(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.CancelSupported = false })
 	a := router.Attempt{Request: 1}
@@ -67,11 +68,11 @@
 	transport := p.transports[0]
 	transport.handler.DialCompleted(nil)
 	if p.WithdrawUnsent(1, a) {
-		t.Fatal("what was written was withdrawn")
+		t.Fatal("a request that was written was withdrawn")
 	}
 	transport.Unsent = transport.Written.Len()
 	transport.handler.Closed(errors.New("reset"))
 	if len(p.transports) > 1 || len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Unreachable {
-		t.Errorf("%d connections, ended %v", len(p.transports), p.recorder.outcomes[a])
+		t.Errorf("%d connections, outcomes %v", len(p.transports), p.recorder.outcomes[a])
 	}
 }
--- a/internal/workerclient/capacity_test.go
+++ b/internal/workerclient/capacity_test.go
@@ -9,7 +9,8 @@
 	"crankhold/policy"
 )
 
-// Guards the descriptors: connections to all workers together are bounded, and an idle one makes room.
+// The number of connections to all workers together is limited, so that descriptors do not run out. At the limit an
+// idle connection is closed for a new one.
 func TestConnectionsAreBoundedTogether(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.MaxConnections = 3 })
 	for w := range policy.WorkerID(5) {
@@ -17,7 +18,7 @@
 		p.StartAttempt(w+1, router.Attempt{Request: policy.RequestID(w)}, newRequest(fmt.Sprintf("%016x", w)), time.Second)
 	}
 	if len(p.transports) != 3 || p.recorder.outcomes[router.Attempt{Request: 4}][0] != policy.Unreachable {
-		t.Fatalf("%d connections, ended %v", len(p.transports), p.recorder.outcomes)
+		t.Fatalf("%d connections, outcomes %v", len(p.transports), p.recorder.outcomes)
 	}
 	p.transports[0].handler.DialCompleted(nil)
 	p.transports[0].handler.Data(encodeResponse(fmt.Sprintf("%016x", 0), "HIT", ""))
--- a/internal/workerclient/command_queue_test.go
+++ b/internal/workerclient/command_queue_test.go
@@ -11,8 +11,8 @@
 	"crankhold/policy"
 )
 
-// Guards against a second copy of a response: of a miss, say, which would have the next attempt of the
-// same request count as one that never ran, and have a load command be sent once more.
+// A duplicate response must not complete the next attempt of the same request. A duplicate of a miss, for example,
+// would make that attempt count as one that never ran, and cause another load command.
 func TestDuplicateResponseCompletesNoLaterAttempt(t *testing.T) {
 	p := newTestPool()
 	const id = "0123456789abcdef"
@@ -25,12 +25,12 @@
 	transport.handler.Data(encodeResponse(id, "NONE", ""))
 	transport.handler.Data(encodeResponse("unknown", "HIT", "ahead"))
 	if len(p.recorder.outcomes[second]) != 0 || transport.Closed || len(p.transports) != 2 {
-		t.Fatalf("second attempt ended %v on %d connections", p.recorder.outcomes[second], len(p.transports))
+		t.Fatalf("second attempt: outcomes %v on %d connections", p.recorder.outcomes[second], len(p.transports))
 	}
 	p.transports[1].handler.DialCompleted(nil)
 	p.transports[1].handler.Data(encodeResponse(id, "HIT", "done"))
 	if len(p.recorder.outcomes[second]) != 1 || string(p.recorder.results[second].Body) != "done" || len(transportsWithRun(p.transports, id)) != 2 {
-		t.Errorf("second attempt ended %v with %q", p.recorder.outcomes[second], p.recorder.results[second].Body)
+		t.Errorf("second attempt: outcomes %v, body %q", p.recorder.outcomes[second], p.recorder.results[second].Body)
 	}
 	for now := time.Duration(0); now <= 3*idHistoryPeriod; now += MaintenanceInterval {
 		p.Maintain(now)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against a flood of canceled requests: the ids that a connection remembers are bounded, and one that is
-// full gives way to another without a reset for the requests that are open on it.
+// A flood of canceled requests must not fail others: the number of ids that a connection remembers is limited, and a
+// connection at the limit is replaced by another one without a reset of the requests in flight on it.
 func TestCanceledRequestsCloseNoConnection(t *testing.T) {
 	p := newTestPool()
 	other := router.Attempt{Request: 9999}
@@ -55,15 +55,15 @@
 		p.CancelAttempt(1, a)
 	}
 	if p.transports[0].Closed || len(p.recorder.outcomes[other]) != 0 || len(p.transports) != 2 {
-		t.Errorf("closed %v, ended %v, %d connections", p.transports[0].Closed, p.recorder.outcomes[other], len(p.transports))
+		t.Errorf("closed %v, outcomes %v, %d connections", p.transports[0].Closed, p.recorder.outcomes[other], len(p.transports))
 	}
 	if n := len(p.workers[1].connections[0].commands.recentIDs.current); n != maxRememberedIDs {
 		t.Errorf("%d ids are remembered", n)
 	}
 }
 
-// Guards a busy worker: a connection that has as many ids to remember as it may gives its place to a fresh one, so
-// that thousands of requests a second go on over a bounded number of connections.
+// A busy worker must stay reachable: a connection that remembers the maximum number of ids is replaced by a new one, so
+// that thousands of requests a second are sent over a limited number of connections.
 func TestFullConnectionsAreReplaced(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.MaxRequestsPerConnection = 32 })
 	now, n := time.Hour, 0
@@ -86,7 +86,7 @@
 				}
 			}
 			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Served {
-				t.Fatalf("request %d at %v ended %v on %d connections", n, now-time.Hour, p.recorder.outcomes[a], len(p.workers[1].connections))
+				t.Fatalf("request %d at %v: outcomes %v on %d connections", n, now-time.Hour, p.recorder.outcomes[a], len(p.workers[1].connections))
 			}
 		}
 		now += MaintenanceInterval
@@ -119,9 +119,9 @@
 		t.Errorf("%d requests in flight, want 2", queue.requestCount)
 	}
 	if order := queue.sortedInFlight(); !slices.Equal(order, []*command{written, waiting, ping}) {
-		t.Errorf("in order: %v", order)
+		t.Errorf("commands in flight in order: %v", order)
 	}
-	queue.dequeue(written) // it does not wait: nothing changes
+	queue.dequeue(written) // not queued: nothing changes
 	if !queue.has("a1") {
 		t.Error("a command that was written has been dequeued")
 	}
--- a/internal/workerclient/dispatch_test.go
+++ b/internal/workerclient/dispatch_test.go
@@ -9,17 +9,17 @@
 	"crankhold/policy"
 )
 
-// What an end proves depends on whether the request left whole: one of which a byte is still here never ran and goes to
-// another connection of the same worker, as the same attempt; one that was handed on whole may have run.
+// When a connection ends, a request of which a byte is still unsent never ran, and is sent again over another
+// connection to the same worker as the same attempt. A request that was sent whole may have run.
 func TestOnlyUnsentRequestsAreResent(t *testing.T) {
 	for name, test := range map[string]struct {
 		unsent       int
 		wantOutcomes []policy.Outcome
 		indices      []int
 	}{
-		"whole":             {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
-		"but its last byte": {1, nil, []int{0, 1}},
-		"not at all":        {100, nil, []int{0, 1}},
+		"whole":                 {0, []policy.Outcome{policy.ConnectionReset}, []int{0}},
+		"all but its last byte": {1, nil, []int{0, 1}},
+		"nothing sent":          {100, nil, []int{0, 1}},
 	} {
 		p := newTestPoolWithTwoAddresses()
 		p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
@@ -30,10 +30,10 @@
 			p.transports[1].handler.DialCompleted(nil)
 		}
 		if indices := transportsWithRun(p.transports, requestID); !slices.Equal(indices, test.indices) || !slices.Equal(p.recorder.outcomes[attempt], test.wantOutcomes) {
-			t.Errorf("%s: written over %v, ended %v", name, indices, p.recorder.outcomes[attempt])
+			t.Errorf("%s: written over %v, outcomes %v", name, indices, p.recorder.outcomes[attempt])
 		}
 	}
-	// It is not moved for ever, and not to a draining worker.
+	// A request is resent only a limited number of times, and not to a draining worker.
 	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 	for i := 0; i < len(p.transports) && i < 20; i++ {
@@ -42,7 +42,7 @@
 		p.transports[i].handler.Closed(errors.New("reset"))
 	}
 	if got := p.recorder.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || p.Counters.RequestsResent != maxResends {
-		t.Errorf("ended %v after %d moves", got, p.Counters.RequestsResent)
+		t.Errorf("outcomes %v after %d resends", got, p.Counters.RequestsResent)
 	}
 	p = newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
@@ -51,6 +51,6 @@
 	p.transports[0].Unsent = 1
 	p.transports[0].handler.Closed(errors.New("reset"))
 	if got := p.recorder.outcomes[attempt]; !slices.Equal(got, []policy.Outcome{policy.Unreachable}) || len(p.transports) != 1 {
-		t.Errorf("at a draining worker: ended %v on %d connections", got, len(p.transports))
+		t.Errorf("draining worker: outcomes %v on %d connections", got, len(p.transports))
 	}
 }
--- a/internal/workerclient/errors_test.go
+++ b/internal/workerclient/errors_test.go
@@ -18,7 +18,7 @@
 		var err error = &ConnectionError{Addr: addr, Reason: reason}
 		var typed *ConnectionError
 		if !errors.Is(err, reason) || !errors.As(err, &typed) || typed.Addr != addr || err.Error() != reason.Error() {
-			t.Errorf("%v is not %v at %v", err, reason, addr)
+			t.Errorf("%v does not wrap %v with address %v", err, reason, addr)
 		}
 	}
 }
--- a/internal/workerclient/example_test.go
+++ b/internal/workerclient/example_test.go
@@ -36,7 +36,7 @@
 	fmt.Printf("health check %d: %v\n", commandID, report)
 }
 
-// A request is queued until the connection to its worker comes up. What the worker responds goes to the result handler.
+// A request is queued until the connection to its worker is established. The response goes to the result handler.
 func Example() {
 	var transport *printTransport
 	pool := workerclient.New(workerclient.Config{
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,7 +12,7 @@
 	"crankhold/policy"
 )
 
-// The responses are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The responses were written by hand from the protocol's definition, so that this package does not encode what it decodes.
 const (
 	goldenResponses = "testdata/answers.txt"
 	goldenMessages  = "testdata/messages.txt"
@@ -30,7 +30,7 @@
 	report    []float64
 }
 
-// decodedResults keeps all that responses decode to.
+// decodedResults records everything that responses decode to.
 type decodedResults struct {
 	attempts     []router.Attempt
 	results      []router.AttemptResult
@@ -53,7 +53,7 @@
 	r.healthChecks = append(r.healthChecks, healthCheckResult{commandID, outcome, report})
 }
 
-// newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
+// newGoldenPool returns a pool whose results are recorded, with workers that report two fields of use.
 func newGoldenPool() (*testPool, *decodedResults) {
 	p := newTestPool(func(cfg *Config) {
 		cfg.ReportFields = []string{"inflight", "cpu"}
@@ -64,7 +64,7 @@
 	return p, results
 }
 
-// All that is written to a worker.
+// Compares every kind of message that is written to a worker with its golden form.
 func TestGoldenMessagesToWorkers(t *testing.T) {
 	p, _ := newGoldenPool()
 	p.CheckHealth(1, 1)
@@ -107,7 +107,8 @@
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
-// healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
+// healthCheckAfterReset returns what is written over the second connection of a health check whose first connection was
+// reset.
 func healthCheckAfterReset() []byte {
 	p, _ := newGoldenPool()
 	p.CheckHealth(1, 7)
@@ -117,7 +118,7 @@
 	return p.transports[1].Written.Bytes()
 }
 
-// openRecoveryDial returns the connection of a recovery dial that has come up.
+// openRecoveryDial returns the connection of a recovery dial that has succeeded.
 func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
 	p := newTestPoolWithTwoAddresses()
@@ -134,7 +135,7 @@
 	return p.transports[2]
 }
 
-// Every form of a response to a request is decoded to a result that is compared whole.
+// Decodes every form of response to a request, and compares the whole result.
 func TestGoldenResponsesToRequests(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -175,7 +176,7 @@
 	}
 }
 
-// Every response to a load.
+// Decodes every response to a load command.
 func TestGoldenResponsesToLoadCommands(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -199,7 +200,7 @@
 	}
 }
 
-// Every response to a health check.
+// Decodes every response to a health check.
 func TestGoldenResponsesToHealthChecks(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -222,7 +223,7 @@
 	}
 }
 
-// The response to a NOOP shows that its connection works, and ends nothing that is open there.
+// The response to a NOOP shows that its connection works, and completes no other command on it.
 func TestGoldenResponsesToKeepalivePings(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
 		p, record := newGoldenPool()
@@ -249,7 +250,8 @@
 	}
 }
 
-// A response that breaks the protocol closes its connection and ends no request; one to an unknown id is passed over.
+// A response that violates the protocol closes its connection and completes no request. A response to an unknown id is
+// ignored.
 func TestGoldenMalformedResponses(t *testing.T) {
 	for _, test := range []struct {
 		label  string
@@ -260,7 +262,7 @@
 		{"unknown word", true},
 		{"PONG to a call", true},
 		{"SICK to a call", true},
-		{"INFO answered by PONG", false}, // no health check is open here
+		{"INFO answered by PONG", false}, // no health check is in flight here
 		{"answer of one word", true},
 		{"answer of no word", true},
 		{"answer of nine words", true},
--- a/internal/workerclient/health_command_test.go
+++ b/internal/workerclient/health_command_test.go
@@ -7,8 +7,8 @@
 	"crankhold/policy"
 )
 
-// Guards workers that are well against connections that break under a health check: it goes over another one, so
-// that only a worker that refuses, or breaks them all, counts as having failed it.
+// A connection that is reset during a health check must not make a healthy worker count as failed: the check is sent
+// again over another connection. Only a worker that refuses the connection, or resets each one, has failed the check.
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		resets int
@@ -30,12 +30,12 @@
 		for i := range test.resets {
 			p.transports[i].handler.DialCompleted(nil)
 			if p.transports[i].handler.Closed(errors.New("reset")); len(p.recorder.commandOutcomes[7]) != 0 || len(p.transports) != i+2 {
-				t.Fatalf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
+				t.Fatalf("%s: outcomes %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 			}
 		}
 		test.end(p.transports[test.resets])
 		if len(p.recorder.commandOutcomes[7]) != 1 || p.recorder.commandOutcomes[7][0] != test.want || len(p.transports) != test.resets+1 {
-			t.Errorf("%s: ended %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
+			t.Errorf("%s: outcomes %v on %d connections", name, p.recorder.commandOutcomes[7], len(p.transports))
 		}
 	}
 }
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -12,18 +12,18 @@
 	"crankhold/policy"
 )
 
-// fakeTransport is a connection whose handler the test drives.
+// fakeTransport is a connection whose handler is called by the test.
 type fakeTransport struct {
 	testutil.Transport
 	handler eventloop.DialHandler
 }
 
-// resultRecorder keeps the results of attempts, load commands and health checks.
+// resultRecorder records the results of attempts, load commands and health checks.
 type resultRecorder struct {
 	outcomes        map[router.Attempt][]policy.Outcome
 	results         map[router.Attempt]router.AttemptResult
 	commandOutcomes map[uint64][]policy.Outcome // by the id of the load or the health check
-	overLoadBudget  bool                        // of loads that have waited
+	overLoadBudget  bool                        // loads that have waited may not be sent
 }
 
 func newResultRecorder() *resultRecorder {
@@ -49,15 +49,15 @@
 	r.commandOutcomes[commandID] = append(r.commandOutcomes[commandID], o)
 }
 
-// testPool is a pool with the connections that it dialled and the results that it handed over.
+// testPool is a pool with the connections that it dialed and the results that it reported.
 type testPool struct {
 	*Pool
 	recorder   *resultRecorder
-	transports []*fakeTransport // in the order in which they were dialled
+	transports []*fakeTransport // in the order in which they were dialed
 	dialed     []string         // their addresses
 }
 
-// newTestPool returns a pool with worker 1, which has one address. configure changes the settings.
+// newTestPool returns a pool with worker 1, which has one address. Each function in configure changes the settings.
 func newTestPool(configure ...func(*Config)) *testPool {
 	p := &testPool{recorder: newResultRecorder()}
 	cfg := Config{
@@ -79,7 +79,7 @@
 	return p
 }
 
-// newTestPoolWithTwoAddresses returns a pool that has a worker 7 as well, with twoAddresses.
+// newTestPoolWithTwoAddresses returns a pool that also has worker 7, with twoAddresses.
 func newTestPoolWithTwoAddresses(configure ...func(*Config)) *testPool {
 	p := newTestPool(configure...)
 	p.SetWorker(7, twoAddresses, policy.Ready)
@@ -93,19 +93,19 @@
 	return transport
 }
 
-// tcp4 is one address of IPv4.
+// tcp4 returns a list of one IPv4 address.
 func tcp4(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
 
 func newRequest(id string) *router.Request {
 	return &router.Request{ID: id, Function: router.Function{Key: "00000000000000aa"}, Body: []byte("hello")}
 }
 
-// encodeResponse returns a response of four elements, with no fields.
+// encodeResponse returns a response of four elements, without fields.
 func encodeResponse(id, status, body string) []byte {
 	return fmt.Appendf(nil, "*4\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$%d\r\n%s\r\n", len(id), id, len(status), status, len(body), body)
 }
 
-// transportsWithRun returns the indices of the connections on which a request of an id was written.
+// transportsWithRun returns the indices of the connections over which a request with that id was written.
 func transportsWithRun(transports []*fakeTransport, id string) (indices []int) {
 	for i, transport := range transports {
 		if strings.Contains(transport.Written.String(), "RUN\r\n$16\r\n"+id) {
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -9,9 +9,9 @@
 	"crankhold/policy"
 )
 
-// Guards against a connection that was cut off: it stays open and says nothing while its worker is well.
-// Nothing more goes over it, and what is open on it ends; a worker that is silent altogether keeps its
-// connections, for that is for the module to judge.
+// A connection that was cut off stays open and silent while its worker still responds on others. It gets no new
+// commands and is closed, and the requests on it complete with ConnectionReset. If the worker is silent on all
+// connections, they stay open, because the decision module decides whether it has failed.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	for _, responds := range []bool{true, false} {
 		p := newTestPool()
@@ -28,39 +28,40 @@
 		}
 		advance(minSilenceBeforePing + MaintenanceInterval)
 		if got := p.transports[0].Written.String(); strings.Count(got, "NOOP") != 1 {
-			t.Fatalf("not pinged: %q", got)
+			t.Fatalf("no keepalive ping was written: %q", got)
 		}
 		advance(MaintenanceInterval)
 		p.StartAttempt(1, b, newRequest("00000000000000b2"), time.Second)
 		if indices := transportsWithRun(p.transports, "00000000000000b2"); len(p.transports) != 2 || len(indices) != 0 {
-			t.Fatalf("a silent connection was chosen, of %d", len(p.transports))
+			t.Fatalf("the silent connection got a request, %d connections", len(p.transports))
 		}
 		p.transports[1].handler.DialCompleted(nil)
 		if advance(MaintenanceInterval); responds {
 			p.transports[1].handler.Data(encodeResponse("00000000000000b2", "HIT", ""))
 		}
 		if p.transports[0].Closed {
-			t.Fatal("closed before its ping had timed out")
+			t.Fatal("closed before its keepalive ping timed out")
 		}
 		advance(pingTimeout + MaintenanceInterval)
 		if p.transports[0].Closed != responds {
-			t.Errorf("worker well: %v, silent connection closed: %v", responds, p.transports[0].Closed)
+			t.Errorf("worker responds: %v, silent connection closed: %v", responds, p.transports[0].Closed)
 		}
 		if p.transports[0].handler.Closed(nil); len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.ConnectionReset {
-			t.Errorf("ended %v", p.recorder.outcomes[a])
+			t.Errorf("outcomes %v", p.recorder.outcomes[a])
 		}
 	}
-	p := newTestPool() // a response to a ping makes it good again
+	p := newTestPool() // after a response to its ping, a connection is used again
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("00000000000000a1"), time.Second)
 	p.transports[0].handler.DialCompleted(nil)
 	p.Maintain(minSilenceBeforePing + MaintenanceInterval)
 	p.transports[0].handler.Data([]byte("*2\r\n$2\r\nn1\r\n$4\r\nPONG\r\n"))
 	if p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second); len(p.transports) != 1 || p.transports[0].Closed {
-		t.Error("a connection that responded to its ping was left")
+		t.Error("a connection that responded to its ping got no further request")
 	}
 }
 
-// Where the settings allow no probes, none is sent on a connection that is silent. It takes nothing new all the same.
+// If the settings do not allow health checks, a silent connection is not sent a keepalive ping, but still gets no new
+// request until it responds.
 func TestNoPingIsSentIfHealthChecksAreNotAllowed(t *testing.T) {
 	p := newTestPool(func(cfg *Config) { cfg.HealthChecksAllowed = false })
 	p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Minute)
@@ -71,19 +72,20 @@
 	}
 	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("0123456789abcdee"), time.Minute)
 	if len(p.transports) < 2 || strings.Contains(silent.Written.String(), "0123456789abcdee") {
-		t.Error("a silent connection takes a further request")
+		t.Error("the silent connection got a further request")
 	}
 	if strings.Contains(silent.Written.String(), "NOOP") {
-		t.Errorf("it was pinged: %q", silent.Written.String())
+		t.Errorf("a keepalive ping was written: %q", silent.Written.String())
 	}
 	silent.handler.Data(encodeResponse("0123456789abcdef", "HIT", ""))
 	p.StartAttempt(1, router.Attempt{Request: 3}, newRequest("0123456789abcded"), time.Minute)
 	if !strings.Contains(silent.Written.String(), "0123456789abcded") {
-		t.Error("a connection that has responded takes nothing")
+		t.Error("a connection that has responded got no further request")
 	}
 }
 
-// A silent connection has requests go to another address; a response there ends it, and no health check is needed.
+// If a connection is silent, requests go to another address. Responses there show that the silent connection is cut
+// off, and it is closed without a health check.
 func TestRequestsAvoidASilentAddress(t *testing.T) {
 	p := newTestPoolWithTwoAddresses()
 	p.SetNow(time.Hour)
@@ -92,7 +94,7 @@
 	p.Maintain(time.Hour + 200*time.Millisecond)
 	p.StartAttempt(7, router.Attempt{Request: 2}, newRequest("00000000000000ff"), 2*time.Second)
 	if p.dialed[len(p.dialed)-1] != "127.0.0.1:1" {
-		t.Fatalf("dialled %v", p.dialed)
+		t.Fatalf("dialed %v", p.dialed)
 	}
 	p.transports[1].handler.DialCompleted(nil)
 	p.SetNow(time.Hour + 250*time.Millisecond)
@@ -101,7 +103,7 @@
 	p.SetNow(time.Hour + 300*time.Millisecond)
 	p.transports[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
 	if p.Maintain(time.Hour + 500*time.Millisecond); !p.transports[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
-		t.Errorf("the silent connection is closed: %v, %d addresses down", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
+		t.Errorf("the silent connection is closed: %v, %d addresses are unavailable", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
 	}
 }
 
--- a/internal/workerclient/main_test.go
+++ b/internal/workerclient/main_test.go
@@ -8,6 +8,6 @@
 )
 
 func TestMain(m *testing.M) {
-	slog.SetDefault(slog.New(slog.DiscardHandler)) // the model check alone would write a million lines
+	slog.SetDefault(slog.New(slog.DiscardHandler)) // the model check alone would log a million lines
 	testutil.Main(m)
 }
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -14,15 +14,15 @@
 	"crankhold/internal/modelcheck"
 )
 
-// scopes are the ones that CI searches whole.
+// scopes are searched exhaustively by CI.
 var scopes = map[string]scope{
 	"one request":   {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, disconnects: 1, maxStates: 200_000},
 	"two requests":  {workers: 2, addrs: 2, requestCount: 2, faults: 2, drains: 1, ticks: 0, disconnects: 0, maxStates: 200_000},
 	"load commands": {workers: 2, addrs: 2, requestCount: 1, faults: 2, drains: 1, ticks: 1, disconnects: 0, loadsRequired: true, maxStates: 200_000},
 }
 
-// Every interleaving of a small scope, by the real code: a request that may have run is never written again, each
-// request has one response, nothing new goes to a worker that is draining, and no dial or connection leaks.
+// Runs the real code through every interleaving of each scope. A request that may have run is never written again, each
+// request has one response, nothing new goes to a draining worker, and no dial or connection leaks.
 func TestEveryInterleaving(t *testing.T) {
 	for _, name := range slices.Sorted(maps.Keys(scopes)) {
 		s := scopes[name]
@@ -34,15 +34,16 @@
 	}
 }
 
-// plantedFaults are faults, each put into a copy of the code by replacing a text; the model check must find all of them.
+// plantedFaults are faults, each of which is put into a copy of the code by replacing a text. The model check must find
+// all of them.
 var plantedFaults = []struct {
 	name string
 	file string
-	old  string // text of the file
-	new  string // that replaces it
+	old  string // text to replace, which occurs once in the file
+	new  string // its replacement
 }{
 	{
-		name: "requests that left whole are sent again",
+		name: "requests that were sent whole are sent again",
 		file: "internal/workerclient/dispatch.go",
 		old:  "case neverArrived && cmd.mayBeResent()",
 		new:  "case !cmd.kind.isHealthQuery() && cmd.sendState.written && cmd.sendState.resends < maxResends",
@@ -54,7 +55,7 @@
 		new:  "cmd.mayBeResent()",
 	},
 	{
-		name: "draining leaves what is queued behind a dial",
+		name: "draining does not fail what is queued behind a dial",
 		file: "internal/workerclient/worker.go",
 		old:  "c.failQueuedOnDrain()\n\t\t\tif c.state == connecting && len(c.commands.queued) == 0 {",
 		new:  "if false {",
@@ -72,7 +73,7 @@
 		new:  "statusFault: policy.Overloaded",
 	},
 	{
-		name: "dials that lost the race go on",
+		name: "dials that lost the race stay open",
 		file: "internal/workerclient/dialer.go",
 		old:  "\t\tattempt.finish()\n\t\tattempt.transport.Close()",
 		new:  "\t\tattempt.finish()",
@@ -84,13 +85,13 @@
 		new:  "r.pool.dialsInProgress--",
 	},
 	{
-		name: "a canceled request is sent all the same",
+		name: "a canceled request is sent nevertheless",
 		file: "internal/workerclient/attempts.go",
 		old:  "\tcmd.sendState.connection.commands.dequeue(cmd)\n\treturn true",
 		new:  "\treturn true",
 	},
 	{
-		name: "the module repeats what must not be",
+		name: "the decision module retries a request that must not run twice",
 		file: "policy/retry_rules.go",
 		old:  "rules.deduplicatesAt(r, w))\n\tdefault:\n\t\treturn false",
 		new:  "rules.deduplicatesAt(r, w))\n\tdefault:\n\t\treturn true",
@@ -103,7 +104,7 @@
 	},
 }
 
-// Guards the check itself: each planted fault is found.
+// Guards against a model check that finds nothing: it must find each planted fault.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	if os.Getenv("CRANKHOLD_PLANTED") != "" {
 		t.Skip("this is a run with a fault planted")
@@ -121,7 +122,7 @@
 				t.Fatal(err)
 			}
 			if strings.Count(string(text), f.old) != 1 {
-				t.Fatalf("%s holds %q %d times", f.file, f.old, strings.Count(string(text), f.old))
+				t.Fatalf("%s contains %q %d times", f.file, f.old, strings.Count(string(text), f.old))
 			}
 			dir := t.TempDir()
 			mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
@@ -135,7 +136,7 @@
 			cmd.Env = append(os.Environ(), "CRANKHOLD_PLANTED=1")
 			out, err := cmd.CombinedOutput()
 			if err == nil {
-				t.Errorf("not found:\n%s", out)
+				t.Errorf("the fault was not found:\n%s", out)
 			} else if !strings.Contains(string(out), " after\n") && !strings.Contains(string(out), "panic") {
 				t.Errorf("the run failed in another way:\n%s", out)
 			}
--- a/internal/workerclient/model_steps_test.go
+++ b/internal/workerclient/model_steps_test.go
@@ -9,16 +9,16 @@
 	"crankhold/policy"
 )
 
-// modelTick is how far a step of the model moves the clock on.
+// modelTick is how far one step of the model advances the clock.
 const modelTick = 650 * time.Millisecond
 
-// step is one thing that may happen next in the model.
+// step is one event that may happen next in the model.
 type step struct {
 	name string
 	do   func()
 }
 
-// stepList collects the steps that may happen now.
+// stepList collects the steps that are possible now.
 type stepList struct {
 	model *model
 	steps []step
@@ -28,7 +28,7 @@
 	l.steps = append(l.steps, step{fmt.Sprintf(format, args...), do})
 }
 
-// addFault adds a step that is a fault, of which the scope allows few.
+// addFault adds a step that is a fault, of which the scope allows a limited number.
 func (l *stepList) addFault(do func(), format string, args ...any) {
 	if l.model.faults == 0 {
 		return
@@ -39,7 +39,7 @@
 	}, format, args...)
 }
 
-// Steps returns the names of all that may happen now.
+// Steps returns the names of the steps that are possible now.
 func (m *model) Steps() (names []string) {
 	for _, s := range m.steps() {
 		names = append(names, s.name)
@@ -47,13 +47,13 @@
 	return names
 }
 
-// Do takes a step, by its position in Steps.
+// Do performs the step at index i of Steps.
 func (m *model) Do(i int) {
 	m.steps()[i].do()
 	m.runTurn()
 }
 
-// steps returns all that may happen now, in a fixed order.
+// steps returns the steps that are possible now, in a fixed order.
 func (m *model) steps() []step {
 	list := &stepList{model: m}
 	if m.arrived < m.requestCount {
@@ -140,35 +140,35 @@
 	list.add(func() {
 		t.state = modelUp
 		t.handler.DialCompleted(nil)
-	}, "dial %d over %s comes up", index, t.addr)
+	}, "dial %d to %s succeeds", index, t.addr)
 	list.addFault(func() {
 		t.state = modelEnded
 		t.handler.DialCompleted(errors.New("refused"))
-	}, "dial %d over %s is refused", index, t.addr)
+	}, "dial %d to %s is refused", index, t.addr)
 }
 
 // addEndSteps adds the end of a connection that the pool has closed.
 func (t *modelTransport) addEndSteps(list *stepList, index int) {
-	list.add(func() { t.end(0) }, "the end of %d over %s", index, t.addr)
+	list.add(func() { t.end(0) }, "connection %d over %s ends", index, t.addr)
 	if t.lastMessageMayBeCut() {
-		list.add(func() { t.end(1) }, "the end of %d over %s, its last message cut", index, t.addr)
+		list.add(func() { t.end(1) }, "connection %d over %s ends, its last message cut", index, t.addr)
 	}
 }
 
 func (t *modelTransport) addResetSteps(list *stepList, index int) {
-	list.addFault(func() { t.end(0) }, "a reset of %d over %s", index, t.addr)
+	list.addFault(func() { t.end(0) }, "connection %d over %s is reset", index, t.addr)
 	if t.lastMessageMayBeCut() {
-		list.addFault(func() { t.end(1) }, "a reset of %d over %s, its last message cut", index, t.addr)
+		list.addFault(func() { t.end(1) }, "connection %d over %s is reset, its last message cut", index, t.addr)
 	}
 }
 
-// lastMessageMayBeCut reports whether the last message may not have left whole: it has no response.
+// lastMessageMayBeCut reports whether the last message may not have been sent whole, which is so if it has no response.
 func (t *modelTransport) lastMessageMayBeCut() bool {
 	count := len(t.messages)
 	return count > 0 && !t.messages[count-1].responded
 }
 
-// end ends the connection with that many bytes unsent.
+// end ends the connection with the given number of bytes unsent.
 func (t *modelTransport) end(unsent int) {
 	t.state = modelEnded
 	t.unsent = unsent
@@ -193,7 +193,7 @@
 	}
 }
 
-// respond hands the pool the response to a message. NONE proves that it never ran.
+// respond passes the response to a message to the pool. NONE proves that the message never ran.
 func (t *modelTransport) respond(message *modelMessage, status string) {
 	message.responded = true
 	message.neverRan = status == "NONE"
--- a/internal/workerclient/model_test.go
+++ b/internal/workerclient/model_test.go
@@ -11,20 +11,20 @@
 	"crankhold/policy"
 )
 
-// scope bounds what may happen in a model check.
+// scope limits what may happen in a model check.
 type scope struct {
 	workers       int
-	addrs         int  // of each worker
+	addrs         int  // per worker
 	requestCount  int  // requests that arrive
-	faults        int  // refused dials, resets, misses and failures, together
-	drains        int  // workers that begin to drain
+	faults        int  // refused dials, resets, misses and failures together
+	drains        int  // workers that start to drain
 	ticks         int  // steps of the clock
 	disconnects   int  // clients that disconnect
-	loadsRequired bool // functions must be loaded first
+	loadsRequired bool // functions must be loaded before they run
 	maxStates     int
 }
 
-// model is the real core, decision module, pool and address sets, with a world of a few workers around them.
+// model is the real router core, decision module, pool and address sets, with a simulated environment of a few workers.
 type model struct {
 	scope
 	core         *router.Core
@@ -39,11 +39,11 @@
 	violation    error
 }
 
-// modelRequest is a request of a client of the model. It is the request's responder.
+// modelRequest is a request of a client of the model, and its own responder.
 type modelRequest struct {
 	responses                int
 	responsesAfterDisconnect int
-	clientDisconnected       bool // its client has disconnected
+	clientDisconnected       bool
 }
 
 func (r *modelRequest) Respond(router.Response) {
@@ -53,19 +53,19 @@
 	}
 }
 
-// modelRequestID returns the id of the request that arrives as the index-th, from 0.
+// modelRequestID returns the id of the request with that index in the order of arrival, from 0.
 func modelRequestID(index int) string { return fmt.Sprintf("%016x", index+1) }
 
-// log adds an event of the core, or a step of the model, to the history.
+// log appends a result that the core receives, or a step of the model, to the history.
 func (m *model) log(format string, args ...any) { fmt.Fprintf(&m.history, format+";", args...) }
 
-// AttemptCompleted logs the result and hands it on to the core.
+// AttemptCompleted logs the result and passes it on to the core.
 func (m *model) AttemptCompleted(a router.Attempt, r router.AttemptResult) {
 	m.log("a%d.%d=%d", a.Request, a.Number, r.Outcome)
 	m.core.AttemptCompleted(a, r)
 }
 
-// LoadCompleted logs the result and hands it on to the core.
+// LoadCompleted logs the result and passes it on to the core.
 func (m *model) LoadCompleted(commandID uint64, o policy.Outcome, replicas int) {
 	m.log("h%d=%d", commandID, o)
 	m.core.LoadCompleted(commandID, o, replicas)
@@ -74,7 +74,7 @@
 // MaySendLoad asks the core.
 func (m *model) MaySendLoad(commandID uint64) bool { return m.core.MaySendLoad(commandID) }
 
-// HealthCheckCompleted logs the result and hands it on to the core.
+// HealthCheckCompleted logs the result and passes it on to the core.
 func (m *model) HealthCheckCompleted(commandID uint64, o policy.Outcome, report []float64) {
 	m.log("p%d=%d", commandID, o)
 	m.core.HealthCheckCompleted(commandID, o, report)
@@ -118,7 +118,7 @@
 	return m
 }
 
-// dial begins a dial of the model. An address begins with the worker's index.
+// dial starts a dial of the model. An address starts with the worker's index.
 func (m *model) dial(_, addr string, _ time.Duration, handler eventloop.DialHandler) Transport {
 	worker := int(addr[0] - '0')
 	transport := &modelTransport{model: m, addr: addr, worker: worker, handler: handler, state: modelDialing}
@@ -126,7 +126,7 @@
 	return transport
 }
 
-// list hands the endpoint list to the pool and the core, as the service does.
+// list passes the endpoint list to the pool and the core, as the server does.
 func (m *model) list() {
 	l := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	for w, state := range m.workerStates {
@@ -148,14 +148,14 @@
 	}
 }
 
-// checkWritten checks a message as it is written: it must be no request that may have run or that is over, and nothing
-// new to a worker that is draining.
+// checkWritten checks a message as it is written: it must not be a request that may have run already, or that is
+// complete or canceled, and nothing new may go to a draining worker.
 func (m *model) checkWritten(transport *modelTransport, message *modelMessage) {
 	if message.name != nameRun && message.name != nameHold {
 		return
 	}
 	if transport.state != modelUp {
-		return // it never leaves
+		return // it is never sent
 	}
 	if m.workerStates[transport.worker] != policy.Ready {
 		m.reportViolation("%s %s goes to worker %d, which is draining", message.name, message.id, transport.worker)
@@ -165,7 +165,7 @@
 	}
 	for n, request := range m.requests {
 		if modelRequestID(n) == message.id && (request.clientDisconnected || request.responses > 0) {
-			m.reportViolation("%s is written, which is over", message.id)
+			m.reportViolation("request %s is written although it is complete or canceled", message.id)
 		}
 	}
 	for _, other := range m.transports {
@@ -177,7 +177,7 @@
 	}
 }
 
-// Check returns what does not hold now.
+// Check returns the first property that is violated, or nil.
 func (m *model) Check() error {
 	if err := m.checkConnections(); err != nil {
 		return err
@@ -191,7 +191,7 @@
 	return m.violation
 }
 
-// checkConnections compares the connections and dials that there are with those that the pool knows of: none leaks.
+// checkConnections compares the open connections and dials with those that the pool knows of, to find leaks.
 func (m *model) checkConnections() error {
 	dialing := m.count(modelDialing)
 	if dialing != m.pool.dialsInProgress-m.recoveryConnections() {
@@ -204,12 +204,12 @@
 				poolConnections++
 			}
 			if c.state == connecting && len(c.dialer.inProgress) == 0 {
-				return fmt.Errorf("a connection waits for no dial, with %d commands queued", len(c.commands.queued))
+				return fmt.Errorf("a connection is in state connecting without a dial, with %d commands queued", len(c.commands.queued))
 			}
 		}
 	}
 	if open := m.count(modelUp); open != poolConnections+m.recoveryConnections() {
-		return fmt.Errorf("%d connections are open, the pool holds %d", open, poolConnections)
+		return fmt.Errorf("%d connections are open, the pool counts %d", open, poolConnections)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 	return count
 }
 
-// recoveryConnections returns how many recovery dials have come up and await their response.
+// recoveryConnections returns how many recovery dials have succeeded and await their response.
 func (m *model) recoveryConnections() (count int) {
 	for _, w := range m.pool.workers {
 		if w.recoveryDial != nil && w.recoveryDial.transport.(*modelTransport).state == modelUp {
@@ -234,7 +234,8 @@
 	return count
 }
 
-// End lets the time of all requests run out: each has one response, unless its client has disconnected.
+// End advances the clock until the deadlines of all requests have passed, and checks that each request has one
+// response, unless its client has disconnected.
 func (m *model) End() error {
 	for range 50 {
 		m.now += 100 * time.Millisecond
@@ -250,7 +251,7 @@
 	return m.Check()
 }
 
-// Key is the history of events, and the state of all connections and addresses.
+// Key identifies the state: the history of events, and the state of all connections and addresses.
 func (m *model) Key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %d %d %d %d %v ", m.history.String(), m.faults, m.drains, m.ticks, m.disconnects, m.workerStates)
@@ -269,7 +270,7 @@
 	return b.String()
 }
 
-// writeWorkerKey writes the state of a worker's addresses and connections.
+// writeWorkerKey writes the state of a worker's addresses and connections to b.
 func writeWorkerKey(b *strings.Builder, w *worker) {
 	fmt.Fprintf(b, "{%v", w.addresses)
 	for _, c := range w.connections {
--- a/internal/workerclient/model_transport_test.go
+++ b/internal/workerclient/model_transport_test.go
@@ -2,13 +2,13 @@
 
 import "crankhold/internal/eventloop"
 
-// modelTransportState is where a connection of the model is in its life.
+// modelTransportState is the stage of a model connection in its life cycle.
 type modelTransportState string
 
 const (
 	modelDialing modelTransportState = "dialing"
 	modelUp      modelTransportState = "up"
-	modelClosing modelTransportState = "closing" // closed by the pool; its end has yet to be reported
+	modelClosing modelTransportState = "closing" // closed by the pool; its end is not reported yet
 	modelEnded   modelTransportState = "ended"
 )
 
@@ -20,18 +20,18 @@
 	handler  eventloop.DialHandler
 	state    modelTransportState
 	written  []byte
-	decoded  int // bytes of written that are in messages
+	decoded  int // bytes of written that were decoded to messages
 	messages []*modelMessage
-	unsent   int // bytes, of the last ones written
+	unsent   int // how many of the last bytes written were not sent
 }
 
-// modelMessage is one that was written over a connection.
+// modelMessage is a message that was written over a connection.
 type modelMessage struct {
 	name      string
 	id        string
-	endOffset int // of its last byte in what was written, in bytes
+	endOffset int // bytes written up to the end of the message
 	responded bool
-	neverRan  bool // proven never to have run
+	neverRan  bool // proven by its response
 }
 
 func (t *modelTransport) Write(buffers ...[]byte) {
@@ -54,7 +54,7 @@
 func (t *modelTransport) Close() {
 	switch t.state {
 	case modelDialing:
-		t.state = modelEnded // canceled: its end is not reported
+		t.state = modelEnded // a canceled dial: its end is not reported
 	case modelUp:
 		t.state = modelClosing
 	}
@@ -62,7 +62,8 @@
 
 func (t *modelTransport) UnsentBytes() int { return t.unsent }
 
-// mayHaveRun reports whether a RUN may have run: it may have left whole, and no response proves that it did not run.
+// mayHaveRun reports whether a message is a RUN that may have run: it may have been sent whole, and no response proves
+// that it did not run.
 func (t *modelTransport) mayHaveRun(message *modelMessage) bool {
 	neverLeft := t.state == modelEnded && message.endOffset > len(t.written)-t.unsent
 	return message.name == nameRun && !message.neverRan && !neverLeft
--- a/internal/workerclient/outgoing_stream_test.go
+++ b/internal/workerclient/outgoing_stream_test.go
@@ -8,7 +8,7 @@
 
 func TestOutgoingStreamCountsWhatMayHaveArrived(t *testing.T) {
 	var stream outgoingStream
-	stream.close() // before a dial has come up there is nothing to close
+	stream.close() // there is nothing to close before a dial has succeeded
 	if stream.bytesSent() != 0 {
 		t.Errorf("%d bytes may have arrived without a transport", stream.bytesSent())
 	}
@@ -20,6 +20,6 @@
 	}
 	stream.close()
 	if !transport.Closed {
-		t.Error("the transport is open")
+		t.Error("the transport is not closed")
 	}
 }
--- a/internal/workerclient/request_model_test.go
+++ b/internal/workerclient/request_model_test.go
@@ -14,17 +14,18 @@
 	"crankhold/policy"
 )
 
-// requestModel sends attempts to one worker, over connections that come up, fail and break at random.
+// requestModel sends attempts to one worker, over connections whose dials succeed or fail and which are reset, at
+// random.
 type requestModel struct {
 	*testPool
-	requests      int              // that were started
-	outstanding   []router.Attempt // the latest of each request
+	requests      int              // started so far
+	outstanding   []router.Attempt // the latest attempt of each request
 	dialCompleted map[*fakeTransport]bool
-	lateResponses map[*fakeTransport]map[string]int // late responses that were sent, by request id
+	lateResponses map[*fakeTransport]map[string]int // how many were sent over each connection, by request id
 }
 
-// TestEachRequestCompletesOnceWithItsOwnResult is the model of a connection: every request ends once, with ConnectionReset
-// only if it was written, and never by a response to an attempt before it that was canceled.
+// TestEachRequestCompletesOnceWithItsOwnResult checks a random model of requests: every request completes once, with
+// ConnectionReset only if it was written, and never by the response to an earlier attempt that was canceled.
 func TestEachRequestCompletesOnceWithItsOwnResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &requestModel{
@@ -55,8 +56,8 @@
 	m.outstanding = append(m.outstanding, a)
 }
 
-// retry cancels an attempt and sends its request again to the same worker under the same id. A response to the earlier
-// attempt that arrives then must not end the later one.
+// retry cancels an attempt and sends its request to the same worker again under the same id. A response to the canceled
+// attempt that arrives afterwards must not complete the later one.
 func (m *requestModel) retry(t *rapid.T) {
 	if len(m.outstanding) == 0 {
 		return
@@ -81,7 +82,7 @@
 		}
 	}
 	if string(m.recorder.results[second].Body) == "old" {
-		t.Fatal("the response to the first attempt ended the second")
+		t.Fatal("the response to the first attempt completed the second")
 	}
 }
 
@@ -119,12 +120,12 @@
 	}
 }
 
-// drain has the worker drain for a moment. What waits behind a dial ends unsent at once.
+// drain makes the worker drain and then be ready again. Requests that are queued behind a dial fail unsent at once.
 func (m *requestModel) drain(t *rapid.T) {
 	m.SetWorker(1, tcp4("127.0.0.1:1"), policy.Draining)
 	for _, a := range m.outstanding {
 		if len(m.recorder.outcomes[a]) == 0 && !m.wasWritten(a) {
-			t.Fatalf("%v still waits to be sent to a draining worker", a)
+			t.Fatalf("%v is still queued for a draining worker", a)
 		}
 	}
 	m.SetWorker(1, tcp4("127.0.0.1:1"), policy.Ready)
@@ -135,12 +136,12 @@
 	for _, transport := range m.transports {
 		text := transport.Written.String()
 		if strings.Count(text, "STOP\r\n") > strings.Count(text, "RUN\r\n") {
-			t.Fatalf("canceled what was never sent: %q", text)
+			t.Fatalf("a request that was never sent was canceled by STOP: %q", text)
 		}
 	}
 	for a, outcomes := range m.recorder.outcomes {
 		if len(outcomes) != 1 {
-			t.Fatalf("%v ended %v", a, outcomes)
+			t.Fatalf("%v has outcomes %v", a, outcomes)
 		}
 		if outcomes[0] == policy.ConnectionReset && !m.wasWritten(a) {
 			t.Fatalf("%v was never written but counts as reset", a)
@@ -155,7 +156,7 @@
 	})
 }
 
-// writtenRuns returns how many RUN commands of an id were written over a connection.
+// writtenRuns returns how many RUN commands with an id were written over a connection.
 func writtenRuns(transport *fakeTransport, id string) int {
 	return strings.Count(transport.Written.String(), "RUN\r\n$16\r\n"+id)
 }
--- a/internal/workerclient/resp_test.go
+++ b/internal/workerclient/resp_test.go
@@ -10,7 +10,7 @@
 		name      string
 		line      string
 		length    int
-		end       int // behind the line; 0 while it is incomplete
+		end       int // offset after the line; 0 while the line is incomplete
 		malformed bool
 	}{
 		{"nothing yet", "", 0, 0, false},
@@ -31,7 +31,7 @@
 			end -= len("prefix")
 		}
 		if length != test.length || end != test.end || errors.Is(err, ErrMalformedResponse) != test.malformed {
-			t.Errorf("%s: length %d, next %d, %v", test.name, length, end, err)
+			t.Errorf("%s: length %d, end %d, %v", test.name, length, end, err)
 		}
 	}
 }
--- a/internal/workerclient/response_decoding_test.go
+++ b/internal/workerclient/response_decoding_test.go
@@ -10,7 +10,7 @@
 	"crankhold/policy"
 )
 
-// The idempotency key goes to the worker as it came, and no field of that name where there is none.
+// The idempotency key is sent to the worker unchanged. Without a key there is no such field.
 func TestIdempotencyKeysGoToTheWorker(t *testing.T) {
 	for _, key := range []string{"", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"} {
 		p := newTestPool()
@@ -25,8 +25,8 @@
 	}
 }
 
-// A crowd is read from whatever response holds it. One that can't be true is ignored: the response, which is good,
-// ends its request, and the connection goes on.
+// The field crowd is read from every response that has it. An invalid value is ignored: the response still completes
+// its request, and the connection stays open.
 func TestConcurrencyReportsAreReadOrIgnored(t *testing.T) {
 	for fields, want := range map[string]int{
 		"detail=hot,crowd=3": 3, "crowd=0": 0, "-": 0, "detail=hot": 0, "crowd=1048576": 1 << 20,
@@ -40,7 +40,7 @@
 			transport.handler.DialCompleted(nil)
 			transport.handler.Data(fmt.Appendf(nil, "*4\r\n$16\r\n0123456789abcdef\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$0\r\n\r\n", len(status), status, len(fields), fields))
 			if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != outcome || p.recorder.results[a].Concurrency != want || transport.Closed {
-				t.Errorf("%s %s: ended %v with %+v, closed %v", status, fields, p.recorder.outcomes[a], p.recorder.results[a], transport.Closed)
+				t.Errorf("%s %s: outcomes %v, result %+v, closed %v", status, fields, p.recorder.outcomes[a], p.recorder.results[a], transport.Closed)
 			}
 		}
 	}
--- a/internal/workerclient/response_reader_test.go
+++ b/internal/workerclient/response_reader_test.go
@@ -32,7 +32,7 @@
 			text = text[n:]
 		}
 		if len(p.recorder.outcomes[a]) != 1 || p.recorder.outcomes[a][0] != policy.Served || string(p.recorder.results[a].Body) != body || transport.Closed {
-			t.Fatalf("ended %v with %q, closed %v", p.recorder.outcomes[a], p.recorder.results[a].Body, transport.Closed)
+			t.Fatalf("outcomes %v, body %q, closed %v", p.recorder.outcomes[a], p.recorder.results[a].Body, transport.Closed)
 		}
 	})
 }
@@ -51,12 +51,12 @@
 	transport := p.transports[0]
 	transport.handler.DialCompleted(nil)
 	if transport.handler.Data([]byte("*4\r\n$16449\r\n")); !transport.Closed {
-		t.Error("a bulk string over the cap was waited for")
+		t.Error("a bulk string over the size limit is awaited")
 	}
 }
 
-// Guards against a response that stops short on an open connection: no more bytes, or a few now and then
-// that never make it whole.
+// A response may stop short on an open connection, with no more bytes or a few now and then that never complete it. The
+// connection is closed after partialResponseTimeout.
 func TestTruncatedResponseIsNotWaitedFor(t *testing.T) {
 	p := newTestPool()
 	a := router.Attempt{Request: 1}
@@ -71,19 +71,19 @@
 		}
 	}
 	if !transport.Closed {
-		t.Fatal("the rest of a response is still waited for")
+		t.Fatal("the rest of a response is still awaited")
 	}
-	transport.handler.Data(whole[3*(int(partialResponseTimeout/MaintenanceInterval)+2):]) // too late: nothing that follows counts
+	transport.handler.Data(whole[3*(int(partialResponseTimeout/MaintenanceInterval)+2):]) // after the close, data is ignored
 	if len(p.recorder.outcomes[a]) != 0 {
-		t.Errorf("ended %v by what came after the close", p.recorder.outcomes[a])
+		t.Errorf("outcomes %v from data that arrived after the close", p.recorder.outcomes[a])
 	}
 	p.StartAttempt(1, router.Attempt{Request: 2}, newRequest("00000000000000b2"), time.Second)
 	if len(p.transports) != 2 {
-		t.Error("a request went to a connection that was closed by the pool")
+		t.Error("a request was sent over a connection that the pool had closed")
 	}
 }
 
-// Guards against copying the beginning of a response anew for each of its bytes.
+// A partial response must not be copied again for each byte that arrives.
 func TestPartialResponseIsBufferedWithFewAllocations(t *testing.T) {
 	p := newTestPool()
 	a := router.Attempt{Request: 1}
@@ -96,12 +96,12 @@
 		}
 	})
 	if len(p.recorder.outcomes[a]) != 1 || allocs > 60 {
-		t.Errorf("ended %v after %v allocations for %d bytes", p.recorder.outcomes[a], allocs, len(whole))
+		t.Errorf("outcomes %v, %v allocations for %d bytes", p.recorder.outcomes[a], allocs, len(whole))
 	}
 }
 
-// Guards other requests against a response that has begun and does not go on: what comes then goes over another connection,
-// while one that is only in parts for a moment is used on.
+// A response that has started to arrive and stalls must not fail other requests: new ones go over another connection. A
+// connection with a response that is incomplete only for a moment is still used.
 func TestStalledResponseFailsNoOtherRequest(t *testing.T) {
 	for _, test := range []struct {
 		after      time.Duration
@@ -131,7 +131,7 @@
 		{time.Second, "one\n", 0},
 		{2 * time.Second, "tw", time.Second},
 		{3 * time.Second, "o", 2 * time.Second},
-		{4 * time.Second, "\nthr", time.Second}, // the beginning of another one
+		{4 * time.Second, "\nthr", time.Second}, // the start of another response
 		{5 * time.Second, "ee\n", 0},
 	} {
 		if err := reader.feed(test.at, []byte(test.data), decode); err != nil {
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -11,18 +11,18 @@
 	"crankhold/policy"
 )
 
-// Guards the sum over a fleet of routers: each sends a worker a request now and then, of a length that varies as
-// requests' lengths do, over connections that carry hardly more than one at a time. Keepalive pings, which
-// are paid for like health checks, were sent with each request that took longer than 150 ms.
+// Each of many routers sends a worker a request now and then, with durations that vary as those of real requests do,
+// over connections that rarely carry more than one at a time. With a fixed limit of 150 ms, a keepalive ping was sent
+// for each request that took longer. Pings cost as much as health checks and add up over the fleet.
 func TestLightTrafficNeedsFewKeepalivePings(t *testing.T) {
 	const routers = 20
 	const requests = 300
-	for _, misses := range []int{0, 1, 3} { // a request that has its response at once between two that run, as a miss is
+	for _, misses := range []int{0, 1, 3} { // requests that get their response at once, like a miss, between two that run
 		checkPingsUnderLightTraffic(t, routers, requests, misses)
 	}
 }
 
-// checkPingsUnderLightTraffic fails the test if more than one request in 20 is accompanied by a keepalive ping.
+// checkPingsUnderLightTraffic fails the test if more than one request in 20 causes a keepalive ping.
 func checkPingsUnderLightTraffic(t *testing.T, routers uint64, requests, misses int) {
 	pings := uint64(0)
 	missCount := 0
@@ -51,14 +51,14 @@
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
-				if p.Counters.Pings > pinged { // the worker is well
+				if p.Counters.Pings > pinged { // the worker is healthy and responds
 					pinged = p.Counters.Pings
 					p.transports[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 			if len(p.recorder.outcomes[a]) != 1 {
-				t.Fatalf("request %d ended %v", n, p.recorder.outcomes[a])
+				t.Fatalf("request %d: outcomes %v", n, p.recorder.outcomes[a])
 			}
 		}
 		pings += p.Counters.Pings
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards what keepalive pings are for: where responses come close on each other, a connection that falls silent is
-// pinged after minSilenceBeforePing as before; and one that carries few requests is pinged in the end too.
+// If responses follow each other closely, a connection that falls silent is sent a ping after minSilenceBeforePing. A
+// connection that carries few requests is also sent a ping eventually.
 func TestPingDelayFollowsExpectedSilence(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
@@ -100,7 +100,7 @@
 			p.Maintain(now)
 		}
 		if delay := now - sentAt; delay < test.minDelay || delay > test.maxDelay {
-			t.Errorf("%s: pinged after %v, wanted from %v to %v", test.name, delay, test.minDelay, test.maxDelay)
+			t.Errorf("%s: ping sent after %v, want %v to %v", test.name, delay, test.minDelay, test.maxDelay)
 		}
 	}
 }
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -10,7 +10,7 @@
 	"crankhold/policy"
 )
 
-// Guards against a worker that took over the address of one that has gone.
+// A new worker may listen at the address of one that is gone. It must not get the connection of the old one.
 func TestNewWorkerAtAnOldAddressGetsItsOwnConnection(t *testing.T) {
 	p := newTestPool()
 	p.CheckHealth(1, 1)
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards the long day: generations of workers come and go, some at an address that was another's, and
-// nothing about those that are gone is kept.
+// State must not pile up over a long time: generations of workers come and go, some of them at an address that another
+// one had, and nothing about the gone ones is kept.
 func TestGoneWorkersLeaveNoState(t *testing.T) {
 	p := newTestPool()
 	now := time.Duration(0)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A drain stops all addresses at once: what waits behind their dials, recovery dials under way.
+// A drain affects all addresses at once: commands that are queued behind dials fail, and recovery dials are canceled.
 func TestDrainStopsAllAddresses(t *testing.T) {
 	p := newTestPoolWithTwoAddresses()
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
@@ -76,11 +76,11 @@
 		}
 	}
 	if !slices.Equal(p.recorder.outcomes[attempt], []policy.Outcome{policy.Unreachable}) || !slices.Equal(p.recorder.commandOutcomes[9], []policy.Outcome{policy.Overloaded}) {
-		t.Errorf("ended %v and %v", p.recorder.outcomes, p.recorder.commandOutcomes)
+		t.Errorf("outcomes %v and %v", p.recorder.outcomes, p.recorder.commandOutcomes)
 	}
 }
 
-// Two workers swap their addresses in one update: connections and dials go with the addresses, not with the ids.
+// Two workers swap their addresses in one update. Connections and dials belong to the addresses, not to the worker ids.
 func TestSwappedAddresses(t *testing.T) {
 	p := newTestPoolWithTwoAddresses()
 	one, two := tcp4("127.0.0.1:11"), tcp4("127.0.0.1:12")
@@ -88,18 +88,18 @@
 	p.SetWorker(9, two, policy.Ready)
 	p.StartAttempt(8, attempt, newRequest(requestID), time.Second)
 	p.StartAttempt(9, router.Attempt{Request: 2}, newRequest("00000000000000ff"), time.Second)
-	p.transports[0].handler.DialCompleted(nil) // the other one is still being dialled
+	p.transports[0].handler.DialCompleted(nil) // the other dial is still in progress
 	p.SetWorker(8, two, policy.Ready)
 	p.SetWorker(9, one, policy.Ready)
 	if !p.transports[1].Closed || p.dialed[2] != "127.0.0.1:11" {
-		t.Fatalf("dialled %v, the old dial closed: %v", p.dialed, p.transports[1].Closed)
+		t.Fatalf("dialed %v, the old dial closed: %v", p.dialed, p.transports[1].Closed)
 	}
 	p.transports[2].handler.DialCompleted(nil)
 	p.StartAttempt(8, router.Attempt{Request: 3}, newRequest("00000000000000fe"), time.Second)
 	if p.dialed[3] != "127.0.0.1:12" {
-		t.Errorf("dialled %v", p.dialed)
+		t.Errorf("dialed %v", p.dialed)
 	}
 	if indices := transportsWithRun(p.transports, "00000000000000ff"); !slices.Equal(indices, []int{2}) {
-		t.Errorf("the request that waited is written over %v", indices)
+		t.Errorf("the queued request is written over %v", indices)
 	}
 }
