--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -125,8 +125,8 @@
 	return c.pool.now - max(oldest, lastResponseAt), due
 }
 
-// stalled reports whether a response has started to arrive and has not continued in time: a command that is sent now
-// would be lost with the connection.
+// stalled reports whether a response has started to arrive and has been incomplete for longer than
+// minSilenceBeforePing. A command that is sent now would be lost with the connection.
 func (c *connection) stalled() bool {
 	return c.responses.incompleteFor(c.pool.now) > minSilenceBeforePing
 }
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -20,8 +20,8 @@
 	AttemptCompleted(a router.Attempt, r router.AttemptResult)
 	LoadCompleted(commandID uint64, o policy.Outcome, replicas int)
 	HealthCheckCompleted(commandID uint64, o policy.Outcome, report []float64)
-	// MaySendLoad reports whether a load that has waited for a connection is still within the load budget. The time
-	// that counts for the budget is when the load arrives at its worker.
+	// MaySendLoad reports whether a load that has waited for a connection is still within the load budget, which counts
+	// a load when it arrives at its worker.
 	MaySendLoad(commandID uint64) bool
 }
 
@@ -103,7 +103,8 @@
 func (p *Pool) SetNow(now time.Duration) { p.now = max(p.now, now) }
 
 // SetWorker sets a worker's state and its addresses. If addrs is empty, the worker keeps the addresses that it has. If
-// the worker no longer accepts new commands, those that are queued behind a dial to it complete without being sent.
+// the worker no longer accepts new commands, those that are queued behind a dial to it complete without being sent,
+// except for health checks. prefer is the order in which to prefer the networks of addresses.
 func (p *Pool) SetWorker(
 	id policy.WorkerID, addrs []endpoint.Addr, state policy.WorkerState, prefer ...endpoint.Network,
 ) {
