--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -83,8 +83,8 @@
 		p := newTestPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
 		p.transports[0].handler.DialCompleted(err)
-		if down := p.workers[1].addresses.Unavailable(); (down == 0) != eventloop.IsDescriptorExhausted(err) {
-			t.Errorf("%v: %d addresses are unavailable", err, down)
+		if unavailable := p.workers[1].addresses.Unavailable(); (unavailable == 0) != eventloop.IsDescriptorExhausted(err) {
+			t.Errorf("%v: %d addresses are unavailable", err, unavailable)
 		}
 	}
 }
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -71,7 +71,7 @@
 	connection := p.transports[0]
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
-	sent := func(label string, send func()) {
+	recordMessage := func(label string, send func()) {
 		connection.Written.Reset()
 		send()
 		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Written.Bytes())})
@@ -80,24 +80,24 @@
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	recordMessage("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
 	withIdempotencyKey := newRequest("0000000000000002")
 	withIdempotencyKey.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	sent("RUN with uniq", start(2, withIdempotencyKey, time.Second))
-	sent("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
-	sent("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
+	recordMessage("RUN with uniq", start(2, withIdempotencyKey, time.Second))
+	recordMessage("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
+	recordMessage("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
 	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
-	sent("RUN with an empty body", start(5, emptyBody, time.Second))
+	recordMessage("RUN with an empty body", start(5, emptyBody, time.Second))
 	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
-	sent("RUN with a binary body", start(6, binaryBody, time.Second))
-	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
-	sent("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
-	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
-	sent("FREE", func() { p.Unload(1, 0xaa) })
-	sent("INFO", func() { p.CheckHealth(1, 7) })
-	sent("NOOP", func() { p.Maintain(time.Second) })
+	recordMessage("RUN with a binary body", start(6, binaryBody, time.Second))
+	recordMessage("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
+	recordMessage("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
+	recordMessage("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
+	recordMessage("FREE", func() { p.Unload(1, 0xaa) })
+	recordMessage("INFO", func() { p.CheckHealth(1, 7) })
+	recordMessage("NOOP", func() { p.Maintain(time.Second) })
 	if len(p.transports) != 1 || connection.Closed {
 		t.Errorf("%d connections, the first closed: %v", len(p.transports), connection.Closed)
 	}
@@ -243,10 +243,10 @@
 	}
 	connection := openRecoveryDial(t)
 	worker := connection.handler.(*recoveryDial).worker
-	down := worker.addresses.Unavailable()
+	unavailable := worker.addresses.Unavailable()
 	connection.handler.Data(golden.FindMessage(t, goldenResponses, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
-		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
+	if unavailable != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
+		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", unavailable, worker.addresses.Unavailable(), connection.Closed)
 	}
 }
 
