--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -9,17 +9,17 @@
 	"crankhold/policy"
 )
 
-// dialer dials the addresses of a worker for one connection until the first dial comes up or the last one has failed.
-// Which address is next, and when, is decided by its race. Recovery dials are made apart from it.
+// dialer dials the addresses of a worker for one connection until one dial succeeds or all have failed. Its race
+// decides which address is next, and when. Recovery dials are made separately.
 type dialer struct {
 	connection *connection
 	race       *endpoint.DialRace
 	inProgress []*dial
-	winner     *dial // the one that came up first; nil before
+	winner     *dial // the first dial that succeeded; nil before that
 }
 
-// dial is an attempt to connect over one address. It is the handler of its transport, and passes on to its connection
-// what arrives once it has won the race.
+// dial is one attempt to connect to one address. It is the handler of its transport. Once it has won the race, it
+// passes what arrives on to its connection.
 type dial struct {
 	dialer    *dialer
 	addr      endpoint.Addr
@@ -27,10 +27,10 @@
 	finished  bool
 }
 
-// start dials the next addresses of the race as far as their time has come.
+// start dials the addresses of the race that are due.
 func (d *dialer) start() {
 	for {
-		addr, ok := d.race.Next(d.connection.pool.now, d.mayOverlap())
+		addr, ok := d.race.Next(d.connection.pool.now, d.mayDialConcurrently())
 		if !ok {
 			return
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// mayOverlap reports whether the limits allow one more dial.
-func (d *dialer) mayOverlap() bool {
+// mayDialConcurrently reports whether the limits on dials and connections allow one more dial.
+func (d *dialer) mayDialConcurrently() bool {
 	p := d.connection.pool
 	if p.dialLimitReached() {
 		return false
@@ -55,7 +55,7 @@
 	attempt.transport = p.dial(addr, attempt)
 }
 
-// cancel ends all dials that are in progress.
+// cancel cancels all dials that are in progress.
 func (d *dialer) cancel() {
 	for _, attempt := range slices.Clone(d.inProgress) {
 		attempt.finish()
@@ -63,7 +63,7 @@
 	}
 }
 
-// restart begins anew, with the addresses that the worker has now.
+// restart starts over with the addresses that the worker has now.
 func (d *dialer) restart() {
 	c := d.connection
 	d.cancel()
@@ -71,9 +71,10 @@
 	d.start()
 }
 
-// failed goes on to the next address. A refused or late dial proves that nothing ran; only when the last one has failed
-// is the worker unreachable. After a fault of this machine that outlasted the dial nothing is known of the worker.
-func (d *dialer) failed(attempt *dial, err error) {
+// dialFailed goes on to the next address. A dial that was refused or timed out proves that nothing ran. The worker is
+// unreachable only when the last dial has failed. If that was due to an error of this machine, such as too few
+// descriptors, nothing is known about the worker.
+func (d *dialer) dialFailed(attempt *dial, err error) {
 	c := d.connection
 	c.pool.Counters.DialsFailed++
 	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", attempt.addr.String()), slog.Any("err", err))
@@ -89,8 +90,8 @@
 	d.start()
 }
 
-// succeeded makes the first dial that comes up the connection, and closes any other.
-func (d *dialer) succeeded(attempt *dial) {
+// dialSucceeded uses the first dial that succeeds for the connection, and closes any other.
+func (d *dialer) dialSucceeded(attempt *dial) {
 	c := d.connection
 	c.worker.addresses.Succeeded(c.pool.now, attempt.addr)
 	if !d.race.DialSucceeded() {
@@ -98,42 +99,42 @@
 		return
 	}
 	d.winner = attempt
-	c.dialSucceeded(attempt)
+	c.establish(attempt)
 }
 
-// finish takes a dial out of those in progress.
-func (a *dial) finish() {
-	a.finished = true
-	a.dialer.connection.pool.dialsInProgress--
-	a.dialer.inProgress = slices.DeleteFunc(a.dialer.inProgress, func(other *dial) bool { return other == a })
+// finish removes the dial from those in progress.
+func (d *dial) finish() {
+	d.finished = true
+	d.dialer.connection.pool.dialsInProgress--
+	d.dialer.inProgress = slices.DeleteFunc(d.dialer.inProgress, func(other *dial) bool { return other == d })
 }
 
-// DialCompleted handles the end of the dial.
-func (a *dial) DialCompleted(err error) {
+// DialCompleted handles the result of the dial.
+func (d *dial) DialCompleted(err error) {
 	switch {
-	case a.finished: // it was canceled meanwhile
+	case d.finished: // it was canceled in the meantime
 		if err == nil {
-			a.transport.Close()
+			d.transport.Close()
 		}
 	case err != nil:
-		a.finish()
-		a.dialer.failed(a, err)
+		d.finish()
+		d.dialer.dialFailed(d, err)
 	default:
-		a.finish()
-		a.dialer.succeeded(a)
+		d.finish()
+		d.dialer.dialSucceeded(d)
 	}
 }
 
-// Data passes on what arrives.
-func (a *dial) Data(data []byte) {
-	if a.dialer.winner == a {
-		a.dialer.connection.Data(data)
+// Data passes received data on to the connection.
+func (d *dial) Data(data []byte) {
+	if d.dialer.winner == d {
+		d.dialer.connection.Data(data)
 	}
 }
 
-// Closed passes on the end of the connection.
-func (a *dial) Closed(err error) {
-	if a.dialer.winner == a {
-		a.dialer.connection.Closed(err)
+// Closed reports the end of the connection to it.
+func (d *dial) Closed(err error) {
+	if d.dialer.winner == d {
+		d.dialer.connection.Closed(err)
 	}
 }
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,10 +12,10 @@
 	"crankhold/policy"
 )
 
-// The responses are written by hand from the protocol's definition, so that no code of this package builds what it reads.
+// The responses were written by hand from the protocol's definition, so that this package does not encode what it decodes.
 const (
-	goldenAnswers  = "testdata/answers.txt"
-	goldenMessages = "testdata/messages.txt"
+	goldenResponses = "testdata/answers.txt"
+	goldenMessages  = "testdata/messages.txt"
 )
 
 type loadResult struct {
@@ -30,7 +30,7 @@
 	report    []float64
 }
 
-// decodedResults keeps all that responses decode to.
+// decodedResults records everything that responses decode to.
 type decodedResults struct {
 	attempts     []router.Attempt
 	results      []router.AttemptResult
@@ -53,7 +53,7 @@
 	r.healthChecks = append(r.healthChecks, healthCheckResult{commandID, outcome, report})
 }
 
-// newGoldenPool returns a pool whose responses are recorded, with workers that report two fields of use.
+// newGoldenPool returns a pool whose results are recorded, with workers that report two fields of use.
 func newGoldenPool() (*testPool, *decodedResults) {
 	p := newTestPool(func(cfg *Config) {
 		cfg.ReportFields = []string{"inflight", "cpu"}
@@ -64,14 +64,14 @@
 	return p, results
 }
 
-// All that is written to a worker.
+// Compares every kind of message that is written to a worker with its golden form.
 func TestGoldenMessagesToWorkers(t *testing.T) {
 	p, _ := newGoldenPool()
 	p.CheckHealth(1, 1)
 	connection := p.transports[0]
 	connection.handler.DialCompleted(nil)
 	var messages []golden.Message
-	sent := func(label string, send func()) {
+	recordMessage := func(label string, send func()) {
 		connection.Written.Reset()
 		send()
 		messages = append(messages, golden.Message{Label: label, Bytes: bytes.Clone(connection.Written.Bytes())})
@@ -80,24 +80,24 @@
 		return func() { p.StartAttempt(1, router.Attempt{Request: policy.RequestID(number)}, r, budget) }
 	}
 
-	sent("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
+	recordMessage("RUN", start(1, newRequest("0000000000000001"), 1234900*time.Microsecond))
 	withIdempotencyKey := newRequest("0000000000000002")
 	withIdempotencyKey.IdempotencyKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	sent("RUN with uniq", start(2, withIdempotencyKey, time.Second))
-	sent("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
-	sent("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
+	recordMessage("RUN with uniq", start(2, withIdempotencyKey, time.Second))
+	recordMessage("RUN with less than a millisecond left", start(3, newRequest("0000000000000003"), time.Microsecond))
+	recordMessage("nothing for a RUN with no time left", start(4, newRequest("0000000000000004"), -time.Second))
 	emptyBody := newRequest("0000000000000005")
 	emptyBody.Body = nil
-	sent("RUN with an empty body", start(5, emptyBody, time.Second))
+	recordMessage("RUN with an empty body", start(5, emptyBody, time.Second))
 	binaryBody := newRequest("0000000000000006")
 	binaryBody.Body = []byte("\x00\r\n$3\r\n\xff")
-	sent("RUN with a binary body", start(6, binaryBody, time.Second))
-	sent("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
-	sent("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
-	sent("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
-	sent("FREE", func() { p.Unload(1, 0xaa) })
-	sent("INFO", func() { p.CheckHealth(1, 7) })
-	sent("NOOP", func() { p.Maintain(time.Second) })
+	recordMessage("RUN with a binary body", start(6, binaryBody, time.Second))
+	recordMessage("STOP", func() { p.CancelAttempt(1, router.Attempt{Request: 1}) })
+	recordMessage("HOLD with a count", func() { p.Load(1, 0x7f3a9c21e0b4d655, 12, 9) })
+	recordMessage("HOLD with count 0", func() { p.Load(1, 5, 0, 18446744073709551615) })
+	recordMessage("FREE", func() { p.Unload(1, 0xaa) })
+	recordMessage("INFO", func() { p.CheckHealth(1, 7) })
+	recordMessage("NOOP", func() { p.Maintain(time.Second) })
 	if len(p.transports) != 1 || connection.Closed {
 		t.Errorf("%d connections, the first closed: %v", len(p.transports), connection.Closed)
 	}
@@ -107,7 +107,8 @@
 	golden.CompareMessages(t, goldenMessages, messages)
 }
 
-// healthCheckAfterReset returns what is written over the second connection of a health check whose first one broke.
+// healthCheckAfterReset returns what is written over the second connection of a health check whose first connection was
+// reset.
 func healthCheckAfterReset() []byte {
 	p, _ := newGoldenPool()
 	p.CheckHealth(1, 7)
@@ -117,7 +118,7 @@
 	return p.transports[1].Written.Bytes()
 }
 
-// openRecoveryDial returns the connection of a recovery dial that has come up.
+// openRecoveryDial returns the connection of a recovery dial that has succeeded.
 func openRecoveryDial(t *testing.T) *fakeTransport {
 	t.Helper()
 	p := newTestPoolWithTwoAddresses()
@@ -134,7 +135,7 @@
 	return p.transports[2]
 }
 
-// Every form of a response to a request is decoded to a result that is compared whole.
+// Decodes every form of response to a request, and compares the whole result.
 func TestGoldenResponsesToRequests(t *testing.T) {
 	result := []byte("result")
 	for _, test := range []struct {
@@ -166,7 +167,7 @@
 			p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 			connection := p.transports[0]
 			connection.handler.DialCompleted(nil)
-			connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+			connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 			want := &decodedResults{attempts: []router.Attempt{attempt}, results: []router.AttemptResult{test.want}}
 			if !reflect.DeepEqual(record, want) || connection.Closed {
 				t.Errorf("decoded %+v, closed %v, want %+v", record, connection.Closed, want)
@@ -175,7 +176,7 @@
 	}
 }
 
-// Every response to a load.
+// Decodes every response to a load command.
 func TestGoldenResponsesToLoadCommands(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -192,14 +193,14 @@
 		p.Load(1, 5, 2, 9)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if want := (&decodedResults{loads: []loadResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
 	}
 }
 
-// Every response to a health check.
+// Decodes every response to a health check.
 func TestGoldenResponsesToHealthChecks(t *testing.T) {
 	for _, test := range []struct {
 		label string
@@ -215,14 +216,14 @@
 		p.CheckHealth(1, 7)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if want := (&decodedResults{healthChecks: []healthCheckResult{test.want}}); !reflect.DeepEqual(record, want) || connection.Closed {
 			t.Errorf("%s: decoded %+v, closed %v, want %+v", test.label, record, connection.Closed, want)
 		}
 	}
 }
 
-// The response to a NOOP shows that its connection works, and ends nothing that is open there.
+// The response to a NOOP shows that its connection works, and completes no other command on it.
 func TestGoldenResponsesToKeepalivePings(t *testing.T) {
 	for _, label := range []string{"NOOP answered by PONG", "NOOP answered by SICK"} {
 		p, record := newGoldenPool()
@@ -232,7 +233,7 @@
 		p.Maintain(time.Second)
 		owner := p.workers[1].connections[0]
 		pingedAt := owner.liveness.pingedAt
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, label))
 		if pingedAt == 0 || owner.liveness.pingedAt != 0 || len(owner.commands.inFlight) != 1 {
 			t.Errorf("%s: pinged at %v, then %v, with %d in flight", label, pingedAt, owner.liveness.pingedAt, len(owner.commands.inFlight))
 		}
@@ -242,14 +243,15 @@
 	}
 	connection := openRecoveryDial(t)
 	worker := connection.handler.(*recoveryDial).worker
-	down := worker.addresses.Unavailable()
-	connection.handler.Data(golden.FindMessage(t, goldenAnswers, "NOOP of a trial answered by PONG"))
-	if down != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
-		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", down, worker.addresses.Unavailable(), connection.Closed)
+	unavailable := worker.addresses.Unavailable()
+	connection.handler.Data(golden.FindMessage(t, goldenResponses, "NOOP of a trial answered by PONG"))
+	if unavailable != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
+		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", unavailable, worker.addresses.Unavailable(), connection.Closed)
 	}
 }
 
-// A response that breaks the protocol closes its connection and ends no request; one to an unknown id is passed over.
+// A response that violates the protocol closes its connection and completes no request. A response to an unknown id is
+// ignored.
 func TestGoldenMalformedResponses(t *testing.T) {
 	for _, test := range []struct {
 		label  string
@@ -260,7 +262,7 @@
 		{"unknown word", true},
 		{"PONG to a call", true},
 		{"SICK to a call", true},
-		{"INFO answered by PONG", false}, // no health check is open here
+		{"INFO answered by PONG", false}, // no health check is in flight here
 		{"answer of one word", true},
 		{"answer of no word", true},
 		{"answer of nine words", true},
@@ -275,7 +277,7 @@
 		p.StartAttempt(1, attempt, newRequest(requestID), time.Second)
 		connection := p.transports[0]
 		connection.handler.DialCompleted(nil)
-		connection.handler.Data(golden.FindMessage(t, goldenAnswers, test.label))
+		connection.handler.Data(golden.FindMessage(t, goldenResponses, test.label))
 		if !reflect.DeepEqual(record, &decodedResults{}) || connection.Closed != test.closes {
 			t.Errorf("%s: decoded %+v, closed %v", test.label, record, connection.Closed)
 		}
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -11,21 +11,21 @@
 	"crankhold/policy"
 )
 
-// Guards the sum over a fleet of routers: each sends a worker a request now and then, of a length that varies as
-// requests' lengths do, over connections that carry hardly more than one at a time. Keepalive pings, which
-// are paid for like health checks, were sent with each request that took longer than 150 ms.
-func TestThinTrafficNeedsFewKeepalivePings(t *testing.T) {
+// Each of many routers sends a worker a request now and then, with durations that vary as those of real requests do,
+// over connections that rarely carry more than one at a time. With a fixed limit of 150 ms, a keepalive ping was sent
+// for each request that took longer. Pings cost as much as health checks and add up over the fleet.
+func TestLightTrafficNeedsFewKeepalivePings(t *testing.T) {
 	const routers = 20
 	const requests = 300
-	for _, misses := range []int{0, 1, 3} { // a request that has its response at once between two that run, as a miss is
-		checkPingsUnderThinTraffic(t, routers, requests, misses)
+	for _, misses := range []int{0, 1, 3} { // requests that get their response at once, like a miss, between two that run
+		checkPingsUnderLightTraffic(t, routers, requests, misses)
 	}
 }
 
-// checkPingsUnderThinTraffic fails the test if more than one request in 20 is accompanied by a keepalive ping.
-func checkPingsUnderThinTraffic(t *testing.T, routers uint64, requests, misses int) {
+// checkPingsUnderLightTraffic fails the test if more than one request in 20 causes a keepalive ping.
+func checkPingsUnderLightTraffic(t *testing.T, routers uint64, requests, misses int) {
 	pings := uint64(0)
-	last := 0
+	missCount := 0
 	for seed := range routers {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		p := newTestPool()
@@ -36,9 +36,9 @@
 			now += time.Second
 			p.Maintain(now)
 			for range misses * min(n, 1) {
-				last++
-				id := fmt.Sprintf("%016x", 1<<20+last)
-				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + last)}, newRequest(id), 3*time.Second)
+				missCount++
+				id := fmt.Sprintf("%016x", 1<<20+missCount)
+				p.StartAttempt(1, router.Attempt{Request: policy.RequestID(1<<20 + missCount)}, newRequest(id), 3*time.Second)
 				now += time.Millisecond
 				p.SetNow(now)
 				p.transports[0].handler.Data(encodeResponse(id, "NONE", ""))
@@ -51,30 +51,30 @@
 			for end := now + time.Duration(math.Exp(1.3*rng.NormFloat64())*float64(60*time.Millisecond)); now < end; {
 				now = min(now+MaintenanceInterval, end)
 				p.Maintain(now)
-				if p.Counters.Pings > pinged { // the worker is well
+				if p.Counters.Pings > pinged { // the worker is healthy and responds
 					pinged = p.Counters.Pings
 					p.transports[0].handler.Data([]byte(fmt.Sprintf("*2\r\n$%d\r\nn%d\r\n$4\r\nPONG\r\n", len(fmt.Sprint("n", p.pingSequence)), p.pingSequence)))
 				}
 			}
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 			if len(p.recorder.outcomes[a]) != 1 {
-				t.Fatalf("request %d ended %v", n, p.recorder.outcomes[a])
+				t.Fatalf("request %d: outcomes %v", n, p.recorder.outcomes[a])
 			}
 		}
 		pings += p.Counters.Pings
 	}
-	if most := routers * uint64(requests) / 20; pings > most {
-		t.Errorf("%d misses between: %d pings for %d requests, %d at most", misses, pings, routers*uint64(requests), most)
+	if limit := routers * uint64(requests) / 20; pings > limit {
+		t.Errorf("%d misses between: %d pings for %d requests, %d at most", misses, pings, routers*uint64(requests), limit)
 	}
 }
 
-// Guards what keepalive pings are for: where responses come close on each other, a connection that falls silent is
-// pinged after minSilenceBeforePing as before; and one that carries few requests is pinged in the end too.
-func TestSilenceIsNoticedByWhatIsUsual(t *testing.T) {
-	for _, c := range []struct {
-		name         string
-		usual, least time.Duration
-		most         time.Duration
+// If responses follow each other closely, a connection that falls silent is sent a ping after minSilenceBeforePing. A
+// connection that carries few requests is also sent a ping eventually.
+func TestPingDelayFollowsExpectedSilence(t *testing.T) {
+	for _, test := range []struct {
+		name                   string
+		responseTime, minDelay time.Duration
+		maxDelay               time.Duration
 	}{
 		{"dense", 5 * time.Millisecond, minSilenceBeforePing, minSilenceBeforePing + 2*MaintenanceInterval},
 		{"thin", 200 * time.Millisecond, 200 * time.Millisecond, time.Second},
@@ -88,19 +88,19 @@
 			if n == 0 {
 				p.transports[0].handler.DialCompleted(nil)
 			}
-			now += c.usual
+			now += test.responseTime
 			p.SetNow(now)
 			p.transports[0].handler.Data(encodeResponse(id, "HIT", ""))
 		}
 		pinged := p.Counters.Pings
-		began := now
+		sentAt := now
 		p.StartAttempt(1, router.Attempt{Request: 999}, newRequest("00000000000000ff"), 3*time.Second)
-		for p.Counters.Pings == pinged && now < began+3*time.Second {
+		for p.Counters.Pings == pinged && now < sentAt+3*time.Second {
 			now += MaintenanceInterval / 5
 			p.Maintain(now)
 		}
-		if after := now - began; after < c.least || after > c.most {
-			t.Errorf("%s: pinged after %v, wanted from %v to %v", c.name, after, c.least, c.most)
+		if delay := now - sentAt; delay < test.minDelay || delay > test.maxDelay {
+			t.Errorf("%s: ping sent after %v, want %v to %v", test.name, delay, test.minDelay, test.maxDelay)
 		}
 	}
 }
