--- a/internal/lang/address.go
+++ b/internal/lang/address.go
@@ -11,8 +11,8 @@
 	pos  syntax.Pos
 }
 
-// addressesOf returns the addresses of a worker block, of one network after the other.
-func addressesOf(b *block) []workerAddress {
+// blockAddresses returns the addresses of a worker block, of one network after the other.
+func blockAddresses(b *block) []workerAddress {
 	var addresses []workerAddress
 	for _, network := range networks {
 		for _, v := range b.values[network.String()] {
@@ -23,33 +23,33 @@
 	return addresses
 }
 
-// addressClaim is a worker that has an address, and the position of the address in its block.
-type addressClaim struct {
+// addressUse is a worker that has an address, and the position of the address in its block.
+type addressUse struct {
 	worker string
 	pos    syntax.Pos
 }
 
-// addressClaims checks that no two workers have the same address, unless they are aliases of one.
-type addressClaims struct {
-	report  *reporter
-	symbols *symbolTable
-	latest  map[endpoint.Addr]addressClaim // the last worker so far that has the address
+// duplicateAddressChecker checks that no two workers have the same address, unless they are aliases of one.
+type duplicateAddressChecker struct {
+	report   *reporter
+	symbols  *symbolTable
+	lastUses map[endpoint.Addr]addressUse // the last worker so far that has the address
 }
 
 // add enters the addresses of a worker block, and reports those that another worker has too.
-func (c *addressClaims) add(b *block) {
-	for _, a := range addressesOf(b) {
-		other, claimed := c.latest[a.addr]
-		if claimed && other.worker != b.name && !c.areAliases(b.name, other.worker) {
+func (c *duplicateAddressChecker) add(b *block) {
+	for _, a := range blockAddresses(b) {
+		previous, found := c.lastUses[a.addr]
+		if found && previous.worker != b.name && !c.areAliases(b.name, previous.worker) {
 			c.report.fault(b, a.pos, "%v is an address of worker %q too, at %v: say same-as where they are one",
-				a.addr, other.worker, other.pos)
+				a.addr, previous.worker, previous.pos)
 		}
-		c.latest[a.addr] = addressClaim{b.name, a.pos}
+		c.lastUses[a.addr] = addressUse{b.name, a.pos}
 	}
 }
 
 // areAliases reports whether one of two worker blocks says that it is the same worker as the other.
-func (c *addressClaims) areAliases(a, b string) bool {
+func (c *duplicateAddressChecker) areAliases(a, b string) bool {
 	sameAs := func(name string) string { return c.symbols.find(workerKeyword, name).value(sameAsSetting).text }
 	return sameAs(a) == b || sameAs(b) == a
 }
--- a/internal/lang/broken_test.go
+++ b/internal/lang/broken_test.go
@@ -14,7 +14,7 @@
 var update = flag.Bool("update", false, "write the faults of the broken files into testdata/broken.txt; read it before it is committed")
 
 // brokenFiles is the file of configurations with faults, and of the faults that are expected.
-const brokenFiles = "testdata/broken.txt"
+const faultCasesFile = "testdata/broken.txt"
 
 // testPlatform has the settings that the cases with "platform" in their name are checked against.
 var testPlatform = &Platform{
@@ -31,22 +31,22 @@
 	},
 }
 
-// brokenFile is a case: a configuration's files, and the faults that are expected.
-type brokenFile struct {
+// faultCase is a case: a configuration's files, and the faults that are expected.
+type faultCase struct {
 	name  string
 	files fstest.MapFS
 	want  string
 	text  string // of the case, without what is expected
 }
 
-// readBrokenFiles reads the cases: a line "== NAME" begins one, "-- FILE" a file of it, and "-- want" its faults.
-func readBrokenFiles(t *testing.T) []brokenFile {
+// readFaultCases reads the cases: a line "== NAME" begins one, "-- FILE" a file of it, and "-- want" its faults.
+func readFaultCases(t *testing.T) []faultCase {
 	t.Helper()
-	text, err := os.ReadFile(brokenFiles)
+	text, err := os.ReadFile(faultCasesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cases []brokenFile
+	var cases []faultCase
 	for _, part := range strings.Split("\n"+string(text), "\n== ")[1:] {
 		part = strings.TrimSuffix(part, "\n") + "\n"
 		name, rest, _ := strings.Cut(part, "\n")
@@ -54,7 +54,7 @@
 		if !ok {
 			t.Fatalf("case %s expects nothing", name)
 		}
-		c := brokenFile{name: name, files: fstest.MapFS{}, want: want, text: "== " + name + "\n" + before + "-- want\n"}
+		c := faultCase{name: name, files: fstest.MapFS{}, want: want, text: "== " + name + "\n" + before + "-- want\n"}
 		for _, f := range strings.Split("\n"+before, "\n-- ")[1:] {
 			file, body, _ := strings.Cut(f, "\n")
 			c.files[file] = textFile(body)
@@ -65,7 +65,7 @@
 }
 
 // check checks the case's files, with the platform's settings where the name of the case says so.
-func (b brokenFile) check(t *testing.T) *Result {
+func (b faultCase) check(t *testing.T) *Result {
 	t.Helper()
 	var platform *Platform
 	if strings.Contains(b.name, "platform") {
@@ -80,7 +80,7 @@
 
 // Every broken file is rejected with exactly these messages, each with the position of what is wrong.
 func TestCheckReportsEachFaultAtItsPosition(t *testing.T) {
-	cases := readBrokenFiles(t)
+	cases := readFaultCases(t)
 	names := map[string]bool{}
 	updated := ""
 	for _, c := range cases {
@@ -108,7 +108,7 @@
 		t.Errorf("%d broken files; at least 120 are wanted", len(cases))
 	}
 	if *update {
-		if err := os.WriteFile(brokenFiles, []byte(updated), 0o644); err != nil {
+		if err := os.WriteFile(faultCasesFile, []byte(updated), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -116,7 +116,7 @@
 
 // Formatting a formatted file changes nothing, for each of the broken files that can be parsed.
 func TestFormattingIsIdempotentOnBrokenFiles(t *testing.T) {
-	for _, c := range readBrokenFiles(t) {
+	for _, c := range readFaultCases(t) {
 		for name, f := range c.files {
 			tree, _, faults := syntax.Parse(name, f.Data)
 			if len(faults) > 0 {
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -22,14 +22,14 @@
 // kind of block checked, and at last the compiled table.
 type checker struct {
 	builderContext
-	reader   *blockReader
-	lines    definingLines
-	workers  *workerBuilder
-	classes  *classBuilder
-	routes   *routeBuilder
-	pools    *poolBuilder
-	policies *policyBuilder
-	builders map[string]blockBuilder // all of them, by keyword
+	reader          *blockReader
+	definitionLines definitionLines
+	workers         *workerBuilder
+	classes         *classBuilder
+	routes          *routeBuilder
+	pools           *poolBuilder
+	policies        *policyBuilder
+	builders        map[string]blockBuilder // all of them, by keyword
 }
 
 // newChecker returns the checker of what a loader has read.
@@ -42,15 +42,15 @@
 		platform:   platform,
 	}
 	c := &checker{
-		builderContext: shared,
-		reader:         &blockReader{report: l.report, sources: l.sources},
-		lines:          definingLines{},
+		builderContext:  shared,
+		reader:          &blockReader{report: l.report, sources: l.sources},
+		definitionLines: definitionLines{},
 	}
 	c.workers = &workerBuilder{builderContext: shared}
 	c.classes = &classBuilder{builderContext: shared}
 	c.routes = &routeBuilder{builderContext: shared, firstFile: l.files[0].Name}
 	c.pools = &poolBuilder{builderContext: shared, workers: c.workers}
-	c.policies = newPolicyBuilder(shared, c.lines)
+	c.policies = newPolicyBuilder(shared, c.definitionLines)
 	c.builders = map[string]blockBuilder{
 		workerKeyword: c.workers,
 		classKeyword:  c.classes,
@@ -64,7 +64,7 @@
 // check checks the blocks of all files. It compiles the spec only where there are no faults. Where there are, the known
 // classes are those that class blocks declare.
 func (c *checker) check(files []*syntax.File) *Result {
-	r := &Result{lines: c.lines}
+	r := &Result{definitionLines: c.definitionLines}
 	for _, file := range files {
 		r.Files = append(r.Files, file.Name)
 		c.buildFile(file)
@@ -107,7 +107,7 @@
 		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", b.blockType.keyword, b.name, first.pos)
 		return
 	}
-	c.lines.addBlock(b)
+	c.definitionLines.addBlock(b)
 }
 
 // spec returns what the builders have built.
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -101,7 +101,7 @@
 	if len(c.declared) > 0 {
 		return knownClasses{list: c.declared, complete: true}
 	}
-	return knownClasses{list: classesOfRoutes(routes)}
+	return knownClasses{list: classesNamedByRoutes(routes)}
 }
 
 // platformClasses returns the platform's classes, each as not idempotent where a class block says so.
@@ -114,8 +114,8 @@
 	return classes
 }
 
-// classesOfRoutes returns the classes that routes name, and the one that is never idempotent, sorted by name.
-func classesOfRoutes(routes []route.RouteSpec) classList {
+// classesNamedByRoutes returns the classes that routes name, and the one that is never idempotent, sorted by name.
+func classesNamedByRoutes(routes []route.RouteSpec) classList {
 	names := map[string]bool{neverIdempotentClass: true}
 	for _, r := range routes {
 		for _, name := range r.Classes {
--- a/internal/lang/definingline.go
+++ b/internal/lang/definingline.go
@@ -8,12 +8,12 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// definingLines has the lines that define each named block, as Result.Lines returns them: each is a fault without a
+// definitionLines has the lines that define each named block, as Result.Lines returns them: each is a fault without a
 // message.
-type definingLines map[blockID][]syntax.Fault
+type definitionLines map[blockID][]syntax.Fault
 
 // addBlock adds the first line of a block and those of its settings, sorted by the settings' names.
-func (l definingLines) addBlock(b *block) {
+func (l definitionLines) addBlock(b *block) {
 	id := blockID{b.blockType.keyword, b.name}
 	l.add(id, b, b.pos)
 	for _, setting := range slices.Sorted(maps.Keys(b.positions)) {
@@ -22,7 +22,7 @@
 }
 
 // add adds the line at a position within a block to those of the block with an id, which may be another one.
-func (l definingLines) add(id blockID, source *block, pos syntax.Pos) {
+func (l definitionLines) add(id blockID, source *block, pos syntax.Pos) {
 	line := source.source.FaultAt(pos, "")
 	line.Line = strings.TrimSpace(line.Line)
 	l[id] = append(l[id], line)
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -86,17 +86,17 @@
 // includeFile reads one file, unless it has been read or a limit is reached. It returns false where the include's
 // further files can't be read either.
 func (l *loader) includeFile(s *includeStatement, name string) bool {
-	first, again := l.includeChains[name]
+	firstChain, alreadyIncluded := l.includeChains[name]
 	switch {
 	case slices.Contains(s.chain, name):
 		l.reportFault(s, "include cycle: %s", s.chainTo(name))
-	case again:
-		l.reportFault(s, "%s is included twice: by %s, and by %s", name, chainText(first), s.chainTo(name))
+	case alreadyIncluded:
+		l.reportFault(s, "%s is included twice: by %s, and by %s", name, chainText(firstChain), s.chainTo(name))
 	case len(s.chain) >= maxIncludeDepth:
 		l.reportFault(s, "includes are nested more than %d deep: %s", maxIncludeDepth, s.chainTo(name))
 	case len(l.includeChains) >= maxFiles:
 		l.reportFault(s, "more than %d files are included; the rest was not read", maxFiles)
-		l.filesExceeded = true
+		l.fileLimitReached = true
 		return false
 	default:
 		if err := l.load(name, s.chain); err != nil {
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -31,13 +31,13 @@
 
 // loader reads the files of a configuration, each once: the first one, and those that are included.
 type loader struct {
-	fsys          fs.FS
-	prefix        string                    // folder of the names that messages show
-	files         []*syntax.File            // that were read, the first one first
-	sources       map[string]*syntax.Source // by the name that messages show
-	includeChains map[string][]string       // by file, the chain of includes that led to it
-	report        *reporter                 // gets the faults of syntax and of includes
-	filesExceeded bool                      // maxFiles was reached: nothing more is read
+	fsys             fs.FS
+	prefix           string                    // folder of the names that messages show
+	files            []*syntax.File            // that were read, the first one first
+	sources          map[string]*syntax.Source // by the name that messages show
+	includeChains    map[string][]string       // by file, the chain of includes that led to it
+	report           *reporter                 // gets the faults of syntax and of includes
+	fileLimitReached bool                      // maxFiles was reached: nothing more is read
 }
 
 func newLoader(fsys fs.FS, prefix string, report *reporter) *loader {
@@ -64,7 +64,7 @@
 	l.sources[file.Name] = source
 	l.report.add(faults...)
 	for _, entry := range file.Entries {
-		if include, ok := entry.(*syntax.Include); ok && !l.filesExceeded {
+		if include, ok := entry.(*syntax.Include); ok && !l.fileLimitReached {
 			l.include(&includeStatement{include, source, chain})
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // errIrregular is the error for what is no regular file. Reading a pipe could block forever.
-var errIrregular = errors.New("it is no regular file")
+var errNotRegularFile = errors.New("it is no regular file")
 
 // readFile reads a file, up to one byte more than a file may have.
 func readFile(fsys fs.FS, name string) ([]byte, error) {
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, &fs.PathError{Op: "open", Path: name, Err: errIrregular}
+		return nil, &fs.PathError{Op: "open", Path: name, Err: errNotRegularFile}
 	}
 	f, err := fsys.Open(name)
 	if err != nil {
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -27,7 +27,7 @@
 type policyBlock struct {
 	*block
 	effective map[string]effectiveSetting
-	inherited bool // effective is complete
+	resolved  bool // effective is complete
 }
 
 // effectiveSetting is a setting's value, with the policy that gives it: the policy itself or one that it inherits from.
@@ -66,14 +66,14 @@
 // policyBuilder builds policies out of policy blocks, and completes each with what it inherits.
 type policyBuilder struct {
 	builderContext
-	lines    definingLines // gets the lines of inherited settings too
-	byName   map[string]*policyBlock
-	policies []*policyBlock // in the order of the files
-	specs    []route.PolicySpec
+	definitionLines definitionLines // gets the lines of inherited settings too
+	byName          map[string]*policyBlock
+	policies        []*policyBlock // in the order of the files
+	specs           []route.PolicySpec
 }
 
-func newPolicyBuilder(context builderContext, lines definingLines) *policyBuilder {
-	return &policyBuilder{builderContext: context, lines: lines, byName: map[string]*policyBlock{}}
+func newPolicyBuilder(context builderContext, lines definitionLines) *policyBuilder {
+	return &policyBuilder{builderContext: context, definitionLines: lines, byName: map[string]*policyBlock{}}
 }
 
 // build adds a policy, unless its name is defined already.
@@ -92,7 +92,7 @@
 		b.references.resolve(p.block, likeSetting, policyKeyword)
 	}
 	for _, p := range b.policies {
-		b.inherit(p, nil)
+		b.resolveInheritance(p, nil)
 	}
 	c := b.settingsChecker()
 	for _, p := range b.policies {
@@ -108,33 +108,33 @@
 	return &policyChecker{report: b.report, platform: b.platform}
 }
 
-// inherit completes a policy with the settings of the one that it is like. chain is the policies that inherit from it.
-func (b *policyBuilder) inherit(p *policyBlock, chain []string) {
-	if p.inherited {
+// resolveInheritance completes a policy with the settings of the one that it is like. chain is the policies that resolveInheritance from it.
+func (b *policyBuilder) resolveInheritance(p *policyBlock, chain []string) {
+	if p.resolved {
 		return
 	}
 	if i := slices.Index(chain, p.name); i >= 0 {
 		cycle := append(chain[i:], p.name)
 		b.report.faultAtSetting(p.block, likeSetting,
 			"policies are like each other in a circle: %s", strings.Join(cycle, " > "))
-		p.inherited = true
+		p.resolved = true
 		return
 	}
 	if base := b.byName[p.value(likeSetting).text]; base != nil {
-		b.inherit(base, append(chain, p.name))
-		b.inheritFrom(p, base)
+		b.resolveInheritance(base, append(chain, p.name))
+		b.inheritMissingSettings(p, base)
 	}
-	p.inherited = true
+	p.resolved = true
 }
 
-// inheritFrom gives a policy those settings of another one that it does not have, and their lines.
-func (b *policyBuilder) inheritFrom(p, base *policyBlock) {
+// inheritMissingSettings gives a policy those settings of another one that it does not have, and their lines.
+func (b *policyBuilder) inheritMissingSettings(p, base *policyBlock) {
 	for _, setting := range slices.Sorted(maps.Keys(base.effective)) {
-		if _, own := p.effective[setting]; own || setting == likeSetting {
+		if _, overridden := p.effective[setting]; overridden || setting == likeSetting {
 			continue
 		}
 		inherited := base.effective[setting]
 		p.effective[setting] = inherited
-		b.lines.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
+		b.definitionLines.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
 	}
 }
--- a/internal/lang/policy_test.go
+++ b/internal/lang/policy_test.go
@@ -25,7 +25,7 @@
 `)
 	context := builderContext{report: &reporter{}, symbols: newSymbolTable(true)}
 	context.references = newReferenceResolver(context.report, context.symbols)
-	builder := newPolicyBuilder(context, definingLines{})
+	builder := newPolicyBuilder(context, definitionLines{})
 	for _, b := range blocks {
 		context.symbols.define(b)
 		builder.build(b)
--- a/internal/lang/policycheck.go
+++ b/internal/lang/policycheck.go
@@ -67,7 +67,7 @@
 // checkForClass checks a policy against a class of which some requests take a route with that policy.
 func (c *policyChecker) checkForClass(routeBlock *block, p *policyBlock, class Class) {
 	if class.NotIdempotent {
-		c.checkRunsOnce(routeBlock, p, class)
+		c.checkNotIdempotent(routeBlock, p, class)
 	}
 	for _, bound := range []struct {
 		setting string
@@ -88,8 +88,8 @@
 	}
 }
 
-// checkRunsOnce reports settings by which requests of a class that is not idempotent might run twice.
-func (c *policyChecker) checkRunsOnce(routeBlock *block, p *policyBlock, class Class) {
+// checkNotIdempotent reports settings by which requests of a class that is not idempotent might run twice.
+func (c *policyChecker) checkNotIdempotent(routeBlock *block, p *policyBlock, class Class) {
 	if s, ok := p.effective[retriesAfterRunSetting]; ok && s.count > 0 {
 		c.fault(p, retriesAfterRunSetting,
 			"%s must never run twice: policy %q has again-if-ran = %d, attempts after one that may have run, "+
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -54,8 +54,8 @@
 	if b.hasValue(overflowSetting) {
 		setOverflow(&spec, b.value(overflowSetting))
 	}
-	for _, workers := range b.nested {
-		spec.Workers = append(spec.Workers, p.buildSelector(workers))
+	for _, selectorBlock := range b.nested {
+		spec.Workers = append(spec.Workers, p.buildSelector(selectorBlock))
 	}
 	p.pools = append(p.pools, builtPool{b, spec})
 }
@@ -126,7 +126,7 @@
 func (p *poolBuilder) checkSelectors(pool builtPool) {
 	checker := selectorChecker{platform: p.platform, workers: p.workers.workers}
 	for i, b := range pool.block.nested {
-		if reason := checker.unsatisfiable(pool.spec.Workers[i]); reason != "" {
+		if reason := checker.unsatisfiableReason(pool.spec.Workers[i]); reason != "" {
 			p.report.fault(b, b.pos, "no worker can be in pool %q by this: %s", pool.spec.Name, reason)
 		}
 	}
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -14,8 +14,8 @@
 	Notes  syntax.Faults // what is allowed and may not be meant
 	Files  []string      // that were read
 
-	lines   definingLines
-	classes knownClasses
+	definitionLines definitionLines
+	classes         knownClasses
 }
 
 // Classes returns the names of the classes that the configuration can tell apart.
@@ -35,7 +35,7 @@
 
 // Lines returns the lines that define a block, each as a fault without a message.
 func (r *Result) Lines(kind route.BlockKind, name string) []syntax.Fault {
-	return r.lines[blockID{string(kind), name}]
+	return r.definitionLines[blockID{string(kind), name}]
 }
 
 // Err returns the faults as an error, or nil.
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -50,7 +50,7 @@
 		At:      fileLine(b.pos),
 	}
 	for _, front := range b.texts(frontSetting) {
-		spec.Fronts = append(spec.Fronts, frontNamed(front))
+		spec.Fronts = append(spec.Fronts, frontByName(front))
 	}
 	for _, function := range b.texts(functionSetting) {
 		pattern, _ := route.ParsePattern(function) // checked when it was read
@@ -63,8 +63,8 @@
 	r.specs = append(r.specs, spec)
 }
 
-// frontNamed returns the front of a name that readOneOf has checked.
-func frontNamed(name string) route.Front {
+// frontByName returns the front of a name that readOneOf has checked.
+func frontByName(name string) route.Front {
 	if name == route.Webhook.String() {
 		return route.Webhook
 	}
--- a/internal/lang/selectorcheck.go
+++ b/internal/lang/selectorcheck.go
@@ -14,12 +14,12 @@
 	workers  []route.Worker // of worker blocks
 }
 
-// unsatisfiable returns why no worker can match a selector, or "" where one may.
-func (c selectorChecker) unsatisfiable(s route.Selector) string {
-	if reason := c.excludedByPlatform(s); reason != "" {
+// unsatisfiableReason returns why no worker can match a selector, or "" where one may.
+func (c selectorChecker) unsatisfiableReason(s route.Selector) string {
+	if reason := c.platformMismatch(s); reason != "" {
 		return reason
 	}
-	matched, mismatchOfNamed := c.matchWorkerBlocks(s)
+	matched, namedWorkerMismatch := c.matchesWorkerBlock(s)
 	if matched {
 		return ""
 	}
@@ -27,7 +27,7 @@
 		return c.missingLabel(s)
 	}
 	if c.namesOnlyWorkerBlocks(s) {
-		return mismatchOfNamed
+		return namedWorkerMismatch
 	}
 	if s.MemoryMB > 0 {
 		return c.insufficientMemory(s)
@@ -35,12 +35,12 @@
 	return ""
 }
 
-// excludedByPlatform returns why the platform has no worker of the selector's kinds or zones, or "".
-func (c selectorChecker) excludedByPlatform(s route.Selector) string {
+// platformMismatch returns why the platform has no worker of the selector's kinds or zones, or "".
+func (c selectorChecker) platformMismatch(s route.Selector) string {
 	if c.platform == nil {
 		return ""
 	}
-	for _, condition := range []struct {
+	for _, property := range []struct {
 		name     string
 		wanted   []string
 		existing []string // empty: not known
@@ -48,31 +48,31 @@
 		{"kind", s.Kinds, c.platform.Kinds},
 		{"zone", s.Zones, c.platform.Zones},
 	} {
-		if len(condition.existing) == 0 || len(condition.wanted) == 0 {
+		if len(property.existing) == 0 || len(property.wanted) == 0 {
 			continue
 		}
-		exists := func(pattern string) bool { return matchesAnyOf(pattern, condition.existing) }
-		if !slices.ContainsFunc(condition.wanted, exists) {
-			return fmt.Sprintf("the platform has no %s %s, but %s", condition.name,
-				strings.Join(condition.wanted, " or "), strings.Join(condition.existing, ", "))
+		exists := func(pattern string) bool { return matchesAny(pattern, property.existing) }
+		if !slices.ContainsFunc(property.wanted, exists) {
+			return fmt.Sprintf("the platform has no %s %s, but %s", property.name,
+				strings.Join(property.wanted, " or "), strings.Join(property.existing, ", "))
 		}
 	}
 	return ""
 }
 
-// matchWorkerBlocks reports whether a worker block matches the selector. Where none does, it returns why the last one
+// matchesWorkerBlock reports whether a worker block matches the selector. Where none does, it returns why the last one
 // that the selector names by id does not, or "".
-func (c selectorChecker) matchWorkerBlocks(s route.Selector) (matched bool, mismatchOfNamed string) {
+func (c selectorChecker) matchesWorkerBlock(s route.Selector) (matched bool, namedWorkerMismatch string) {
 	for _, w := range c.workers {
 		reason := mismatch(s, w)
 		if reason == "" {
 			return true, ""
 		}
 		if len(s.IDs) > 0 && (route.Selector{IDs: s.IDs}).Matches(w) {
-			mismatchOfNamed = fmt.Sprintf("worker %q %s", w.Name, reason)
+			namedWorkerMismatch = fmt.Sprintf("worker %q %s", w.Name, reason)
 		}
 	}
-	return false, mismatchOfNamed
+	return false, namedWorkerMismatch
 }
 
 // missingLabel returns which of the selector's labels no worker block gives. No other workers have any labels.
@@ -120,7 +120,7 @@
 
 // mismatch returns which condition of a selector a worker block contradicts, or "".
 func mismatch(s route.Selector, w route.Worker) string {
-	s = withoutUnknown(s, w)
+	s = withoutUnknownProperties(s, w)
 	switch {
 	case !(route.Selector{IDs: s.IDs}).Matches(w):
 		return "has another id"
@@ -138,9 +138,9 @@
 	return ""
 }
 
-// withoutUnknown returns a selector without the conditions on what a worker block leaves open: discovery may report a
+// withoutUnknownProperties returns a selector without the conditions on what a worker block leaves open: discovery may report a
 // value that fits. Labels are given by worker blocks alone.
-func withoutUnknown(s route.Selector, w route.Worker) route.Selector {
+func withoutUnknownProperties(s route.Selector, w route.Worker) route.Selector {
 	if w.Kind == "" {
 		s.Kinds = nil
 	}
@@ -156,8 +156,8 @@
 	return s
 }
 
-// matchesAnyOf reports whether a pattern, with or without a star at its end, matches one of the names.
-func matchesAnyOf(pattern string, names []string) bool {
+// matchesAny reports whether a pattern, with or without a star at its end, matches one of the names.
+func matchesAny(pattern string, names []string) bool {
 	selector := route.Selector{IDs: []string{pattern}}
 	return slices.ContainsFunc(names, func(name string) bool { return selector.Matches(route.Worker{Name: name}) })
 }
--- a/internal/lang/suggest.go
+++ b/internal/lang/suggest.go
@@ -31,16 +31,16 @@
 	if len(a)-len(b) >= limit || len(b)-len(a) >= limit {
 		return limit
 	}
-	d := newDistanceRows(a, b)
+	d := newEditDistanceRows(a, b)
 	for i := range len(a) {
 		d.advance(i)
 	}
 	return d.current[len(b)]
 }
 
-// distanceRows computes the distances from one text to another row by row. Row i has the distances from a[:i] to each
+// editDistanceRows computes the distances from one text to another row by row. Row i has the distances from a[:i] to each
 // prefix of b; the three latest rows are kept.
-type distanceRows struct {
+type editDistanceRows struct {
 	a              string
 	b              string
 	beforePrevious []int
@@ -48,17 +48,17 @@
 	current        []int
 }
 
-// newDistanceRows returns the first row, of the distances from the empty text.
-func newDistanceRows(a, b string) *distanceRows {
+// newEditDistanceRows returns the first row, of the distances from the empty text.
+func newEditDistanceRows(a, b string) *editDistanceRows {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
-	return &distanceRows{a: a, b: b, current: row}
+	return &editDistanceRows{a: a, b: b, current: row}
 }
 
 // advance computes the row of a[:i+1] from the rows before it.
-func (d *distanceRows) advance(i int) {
+func (d *editDistanceRows) advance(i int) {
 	d.beforePrevious = d.previous
 	d.previous = d.current
 	d.current = make([]int, len(d.b)+1)
@@ -69,17 +69,17 @@
 }
 
 // distance returns the distance from a[:i+1] to b[:j+1]: the least of those by each edit that may come last.
-func (d *distanceRows) distance(i, j int) int {
+func (d *editDistanceRows) distance(i, j int) int {
 	substitution := d.previous[j]
 	if d.a[i] != d.b[j] {
 		substitution++
 	}
 	deletion := d.previous[j+1] + 1
 	insertion := d.current[j] + 1
-	least := min(substitution, deletion, insertion)
+	distance := min(substitution, deletion, insertion)
 	if i > 0 && j > 0 && d.a[i] == d.b[j-1] && d.a[i-1] == d.b[j] {
 		transposition := d.beforePrevious[j-1] + 1
-		least = min(least, transposition)
+		distance = min(distance, transposition)
 	}
-	return least
+	return distance
 }
--- a/internal/lang/syntax/ebnf_test.go
+++ b/internal/lang/syntax/ebnf_test.go
@@ -43,13 +43,13 @@
 	if !ok || !end {
 		t.Fatal("docs/language.md holds no grammar")
 	}
-	g := &grammarReader{t: t, tokens: grammarTokens(text)}
+	g := &grammarParser{t: t, tokens: grammarTokens(text)}
 	productions := map[string]grammarExpr{}
 	for len(g.tokens) > 0 {
-		name := g.take()
-		g.want("=")
+		name := g.next()
+		g.expect("=")
 		productions[name] = g.alternatives()
-		g.want(".")
+		g.expect(".")
 	}
 	return productions
 }
@@ -86,14 +86,14 @@
 	return end + 1
 }
 
-// grammarReader parses productions.
-type grammarReader struct {
+// grammarParser parses productions.
+type grammarParser struct {
 	t      testing.TB
 	tokens []string
 }
 
-// take consumes the next token and returns it.
-func (g *grammarReader) take() string {
+// next consumes the next token and returns it.
+func (g *grammarParser) next() string {
 	g.t.Helper()
 	if len(g.tokens) == 0 {
 		g.t.Fatal("the grammar ends within a production")
@@ -103,24 +103,24 @@
 	return token
 }
 
-// want consumes the next token, which must be this one.
-func (g *grammarReader) want(token string) {
+// expect consumes the next token, which must be this one.
+func (g *grammarParser) expect(token string) {
 	g.t.Helper()
-	if got := g.take(); got != token {
+	if got := g.next(); got != token {
 		g.t.Fatalf("grammar: %q in place of %q", got, token)
 	}
 }
 
-func (g *grammarReader) alternatives() grammarExpr {
+func (g *grammarParser) alternatives() grammarExpr {
 	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.sequence()}}
 	for g.tokens[0] == "|" {
-		g.take()
+		g.next()
 		e.parts = append(e.parts, g.sequence())
 	}
 	return e
 }
 
-func (g *grammarReader) sequence() grammarExpr {
+func (g *grammarParser) sequence() grammarExpr {
 	e := grammarExpr{op: sequenceOp}
 	for !strings.Contains("|.)]}", g.tokens[0]) {
 		e.parts = append(e.parts, g.term())
@@ -128,11 +128,11 @@
 	return e
 }
 
-func (g *grammarReader) term() grammarExpr {
-	token := g.take()
+func (g *grammarParser) term() grammarExpr {
+	token := g.next()
 	if op, ok := bracketOps[token]; ok {
 		e := grammarExpr{op: op, parts: []grammarExpr{g.alternatives()}}
-		g.take() // the closing bracket
+		g.next() // the closing bracket
 		return e
 	}
 	if token[0] != '"' {
@@ -140,9 +140,9 @@
 	}
 	e := grammarExpr{op: literalOp, text: unquote(token)}
 	if g.tokens[0] == ellipsis {
-		g.take()
+		g.next()
 		e.op = rangeOp
-		e.parts = []grammarExpr{{op: literalOp, text: unquote(g.take())}}
+		e.parts = []grammarExpr{{op: literalOp, text: unquote(g.next())}}
 	}
 	return e
 }
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -27,7 +27,7 @@
 	number := 0
 	for line := range bytes.Lines(text) {
 		number++
-		if len(bytes.TrimSuffix(line, []byte("\n"))) > MaxLine {
+		if len(bytes.TrimSuffix(line, []byte("\n"))) > MaxLineBytes {
 			return number
 		}
 	}
@@ -116,8 +116,8 @@
 	return p.token.kind == endOfFile || depth > 0 && p.token.isPunctuation("}")
 }
 
-// entryReader reads the entries of a file or a block with the comments and empty lines between them.
-type entryReader struct {
+// entryParser reads the entries of a file or a block with the comments and empty lines between them.
+type entryParser struct {
 	*parser
 	depth    int
 	newlines int       // since the last entry or comment; more than one are an empty line
@@ -128,7 +128,7 @@
 // parseEntries parses the entries of a file, or of a block at this depth, up to its end. It also returns the comments
 // after the last entry.
 func (p *parser) parseEntries(depth int) ([]Entry, []Comment) {
-	r := &entryReader{parser: p, depth: depth}
+	r := &entryParser{parser: p, depth: depth}
 	for !p.atEndOfEntries(depth) {
 		switch {
 		case p.skipNewline():
@@ -146,7 +146,7 @@
 }
 
 // readComment reads a comment on a line of its own.
-func (r *entryReader) readComment() {
+func (r *entryParser) readComment() {
 	r.comments = append(r.comments, Comment{Text: r.token.raw, BlankBefore: r.newlines > 1})
 	r.newlines = 0
 	r.advance()
@@ -154,7 +154,7 @@
 }
 
 // readEntry reads an entry, with its comments, and the end of its line.
-func (r *entryReader) readEntry() {
+func (r *entryParser) readEntry() {
 	blankBefore := r.newlines > 1
 	r.newlines = 0
 	entry := r.parseEntry(r.depth)
@@ -176,7 +176,7 @@
 }
 
 // endLine skips the end of the line, if it is the current token, and reports whether it was.
-func (r *entryReader) endLine() bool {
+func (r *entryParser) endLine() bool {
 	if !r.skipNewline() {
 		return false
 	}
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -12,16 +12,16 @@
 
 // printer writes a tree. The parameter depth of its methods is the number of blocks around what is written.
 type printer struct {
-	text           strings.Builder
-	needsSeparator bool // a line was written before in this block, so that an empty line may follow
+	text             strings.Builder
+	blankLineAllowed bool // a line was written before in this block, so that an empty line may follow
 }
 
 // writeBlankLine writes an empty line if it is wanted, but never at the beginning of a block or the file.
 func (p *printer) writeBlankLine(wanted bool) {
-	if wanted && p.needsSeparator {
+	if wanted && p.blankLineAllowed {
 		p.text.WriteByte('\n')
 	}
-	p.needsSeparator = true
+	p.blankLineAllowed = true
 }
 
 // writeLine writes an indented line that consists of these parts.
@@ -45,7 +45,7 @@
 		t := entry.trivia()
 		p.writeComments(t.LeadingComments, depth)
 		p.writeBlankLine(t.BlankBefore)
-		lineComment := afterSpace(t.LineComment)
+		lineComment := withLeadingSpace(t.LineComment)
 		switch entry := entry.(type) {
 		case *Include:
 			p.writeLine(depth, includeKeyword, " ", entry.Path.Raw, lineComment)
@@ -67,22 +67,22 @@
 		p.writeLine(depth, head, " {}", lineComment)
 		return
 	}
-	p.writeLine(depth, head, " {", afterSpace(b.OpenComment))
-	p.needsSeparator = false
+	p.writeLine(depth, head, " {", withLeadingSpace(b.OpenComment))
+	p.blankLineAllowed = false
 	p.writeEntries(b.Entries, b.TrailingComments, depth+1)
-	p.needsSeparator = true
+	p.blankLineAllowed = true
 	p.writeLine(depth, "}", lineComment)
 }
 
 // maxListLine is the length in bytes beyond which a list continues on the next line.
-const maxListLine = 100
+const maxListLineBytes = 100
 
 // writeSetting writes a setting. It keeps the line breaks of a list, and adds further ones to a long list.
 func (p *printer) writeSetting(s *Setting, depth int, lineComment string) {
 	p.text.WriteString(indentation(depth) + s.Name + " =")
 	length := depth + len(s.Name) + len(" =")
 	for i, v := range s.Values {
-		tooLong := length+len(v.Raw)+len(" ,") > maxListLine
+		tooLong := length+len(v.Raw)+len(" ,") > maxListLineBytes
 		if i > 0 && (v.startsLine || tooLong) {
 			p.writeListLineBreak(v.leadingComments, depth+1)
 			length = depth + 1
@@ -95,7 +95,7 @@
 		if i < len(s.Values)-1 {
 			p.text.WriteByte(',')
 		}
-		p.text.WriteString(afterSpace(v.lineComment))
+		p.text.WriteString(withLeadingSpace(v.lineComment))
 	}
 	p.text.WriteString(lineComment + "\n")
 }
@@ -111,8 +111,8 @@
 
 func indentation(depth int) string { return strings.Repeat("\t", depth) }
 
-// afterSpace returns a comment with a leading space, or "" where there is none.
-func afterSpace(comment string) string {
+// withLeadingSpace returns a comment with a leading space, or "" where there is none.
+func withLeadingSpace(comment string) string {
 	if comment == "" {
 		return ""
 	}
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -71,7 +71,7 @@
 		start := s.offset
 		t.kind = s.scanWithinLine(t.pos)
 		t.raw = s.text[start:s.offset]
-		t.kind = s.limitLength(t)
+		t.kind = s.checkLength(t)
 		s.column += utf8.RuneCountInString(t.raw)
 	}
 	return t
@@ -151,22 +151,22 @@
 	s.skipWhile(func(c byte) bool { return c == first })
 }
 
-// lengthLimit is the maximum length of the tokens of a kind.
-type lengthLimit struct {
+// tokenLengthLimit is the maximum length of the tokens of a kind.
+type tokenLengthLimit struct {
 	tokenName string // in faults
 	maxBytes  int
 }
 
 // lengthLimits are the limits of the kinds of tokens that limitLength checks.
-var lengthLimits = map[tokenKind]lengthLimit{
+var tokenLengthLimits = map[tokenKind]tokenLengthLimit{
 	wordToken:     {"name", maxWordBytes},
 	stringToken:   {"string", maxStringBytes},
 	quantityToken: {"number", maxQuantityBytes},
 }
 
-// limitLength returns the token's kind, or reports a token that is too long and returns invalidToken.
-func (s *scanner) limitLength(t token) tokenKind {
-	limit, limited := lengthLimits[t.kind]
+// checkLength returns the token's kind, or reports a token that is too long and returns invalidToken.
+func (s *scanner) checkLength(t token) tokenKind {
+	limit, limited := tokenLengthLimits[t.kind]
 	if !limited || len(t.raw) <= limit.maxBytes {
 		return t.kind
 	}
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -8,10 +8,10 @@
 
 // Limits on one file. A file that exceeds a limit gets one fault for it, which names the limit.
 const (
-	MaxBytes  = 4 << 20 // bytes of a file
-	MaxLine   = 4 << 10 // bytes of a line
-	MaxDepth  = 8       // blocks within blocks
-	MaxFaults = 100     // faults reported of one file
+	MaxBytes     = 4 << 20 // bytes of a file
+	MaxLineBytes = 4 << 10 // bytes of a line
+	MaxDepth     = 8       // blocks within blocks
+	MaxFaults    = 100     // faults reported of one file
 )
 
 // Source is the text of one file, split into lines. Faults quote their line from it.
@@ -36,14 +36,14 @@
 }
 
 // maxExcerpt is how many characters of a line a fault quotes.
-const maxExcerpt = 160
+const maxExcerptLength = 160
 
 // excerpt returns a line as a fault quotes it: truncated to maxExcerpt characters, with ? for what can't be printed.
 func excerpt(line string) string {
 	line = strings.ToValidUTF8(strings.TrimRight(line, "\r"), "?")
-	if utf8.RuneCountInString(line) > maxExcerpt {
-		characters := []rune(line[:min(len(line), utf8.UTFMax*maxExcerpt)])
-		line = string(characters[:maxExcerpt]) + "..."
+	if utf8.RuneCountInString(line) > maxExcerptLength {
+		characters := []rune(line[:min(len(line), utf8.UTFMax*maxExcerptLength)])
+		line = string(characters[:maxExcerptLength]) + "..."
 	}
 	return strings.Map(func(r rune) rune {
 		if r < ' ' && r != '\t' {
--- a/internal/lang/syntax/token.go
+++ b/internal/lang/syntax/token.go
@@ -35,7 +35,7 @@
 }
 
 // maxTokenInMessage is how many bytes of a token a message quotes.
-const maxTokenInMessage = 40
+const maxQuotedTokenBytes = 40
 
 // String names the token for a message.
 func (t token) String() string {
@@ -45,10 +45,10 @@
 	case newlineToken, commentToken:
 		return "the end of the line"
 	}
-	if len(t.raw) <= maxTokenInMessage {
+	if len(t.raw) <= maxQuotedTokenBytes {
 		return t.raw
 	}
 	isASCII := func(r rune) bool { return r < utf8.RuneSelf }
-	end := strings.LastIndexFunc(t.raw[:maxTokenInMessage], isASCII) + 1 // so as not to cut a character
+	end := strings.LastIndexFunc(t.raw[:maxQuotedTokenBytes], isASCII) + 1 // so as not to cut a character
 	return t.raw[:end] + "..."
 }
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -93,7 +93,7 @@
 // buildAddresses returns the addresses of a worker block, of one network after the other.
 func (w *workerBuilder) buildAddresses(b *block) []endpoint.Addr {
 	var addrs []endpoint.Addr
-	for _, a := range addressesOf(b) {
+	for _, a := range blockAddresses(b) {
 		addrs = append(addrs, a.addr)
 		if len(addrs) == endpoint.MaxAddresses+1 {
 			w.report.fault(b, a.pos, "worker %q has more than %d addresses", b.name, endpoint.MaxAddresses)
@@ -110,7 +110,7 @@
 			if len(values) > 1 {
 				w.report.fault(nested, values[1].pos, "a worker has one value of the label %s", name)
 			}
-			if _, again := labels[name]; again {
+			if _, duplicate := labels[name]; duplicate {
 				w.report.fault(nested, nested.positions[name], "label %s is given twice", name)
 			}
 			labels[name] = values[0].text
@@ -131,7 +131,7 @@
 
 // check checks which workers are aliases of each other, and that no two workers have the same address.
 func (w *workerBuilder) check() {
-	claims := addressClaims{report: w.report, symbols: w.symbols, latest: map[endpoint.Addr]addressClaim{}}
+	claims := duplicateAddressChecker{report: w.report, symbols: w.symbols, lastUses: map[endpoint.Addr]addressUse{}}
 	for _, b := range w.blocks {
 		if !w.symbols.isDefinition(b) {
 			continue // defined twice
