--- a/internal/lang/syntax/ebnf_test.go
+++ b/internal/lang/syntax/ebnf_test.go
@@ -43,12 +43,12 @@
 	if !ok || !end {
 		t.Fatal("docs/language.md holds no grammar")
 	}
-	g := &grammarParser{t: t, tokens: grammarTokens(text)}
+	g := &grammarParser{t: t, tokens: splitGrammarTokens(text)}
 	productions := map[string]grammarExpr{}
 	for len(g.tokens) > 0 {
 		name := g.next()
 		g.expect("=")
-		productions[name] = g.alternatives()
+		productions[name] = g.parseAlternatives()
 		g.expect(".")
 	}
 	return productions
@@ -56,8 +56,8 @@
 
 const ellipsis = "…"
 
-// grammarTokens splits a grammar into literals, names and punctuation marks.
-func grammarTokens(text string) []string {
+// splitGrammarTokens splits a grammar into literals, names and punctuation marks.
+func splitGrammarTokens(text string) []string {
 	var tokens []string
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " \n") {
 		length := 1 // of a mark
@@ -111,27 +111,27 @@
 	}
 }
 
-func (g *grammarParser) alternatives() grammarExpr {
-	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.sequence()}}
+func (g *grammarParser) parseAlternatives() grammarExpr {
+	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.parseSequence()}}
 	for g.tokens[0] == "|" {
 		g.next()
-		e.parts = append(e.parts, g.sequence())
+		e.parts = append(e.parts, g.parseSequence())
 	}
 	return e
 }
 
-func (g *grammarParser) sequence() grammarExpr {
+func (g *grammarParser) parseSequence() grammarExpr {
 	e := grammarExpr{op: sequenceOp}
 	for !strings.Contains("|.)]}", g.tokens[0]) {
-		e.parts = append(e.parts, g.term())
+		e.parts = append(e.parts, g.parseTerm())
 	}
 	return e
 }
 
-func (g *grammarParser) term() grammarExpr {
+func (g *grammarParser) parseTerm() grammarExpr {
 	token := g.next()
 	if op, ok := bracketOps[token]; ok {
-		e := grammarExpr{op: op, parts: []grammarExpr{g.alternatives()}}
+		e := grammarExpr{op: op, parts: []grammarExpr{g.parseAlternatives()}}
 		g.next() // the closing bracket
 		return e
 	}
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -134,27 +134,27 @@
 		case p.skipNewline():
 			r.newlines++
 		case p.token.kind == commentToken:
-			r.readComment()
+			r.parseComment()
 		case p.token.isPunctuation("}"):
 			p.reportFault(p.token.pos, "a closing brace with no block to close")
 			p.advance()
 		default:
-			r.readEntry()
+			r.parseEntryWithTrivia()
 		}
 	}
 	return r.entries, r.comments
 }
 
-// readComment reads a comment on a line of its own.
-func (r *entryParser) readComment() {
+// parseComment reads a comment on a line of its own.
+func (r *entryParser) parseComment() {
 	r.comments = append(r.comments, Comment{Text: r.token.raw, BlankBefore: r.newlines > 1})
 	r.newlines = 0
 	r.advance()
 	r.endLine()
 }
 
-// readEntry reads an entry, with its comments, and the end of its line.
-func (r *entryParser) readEntry() {
+// parseEntryWithTrivia reads an entry, with its comments, and the end of its line.
+func (r *entryParser) parseEntryWithTrivia() {
 	blankBefore := r.newlines > 1
 	r.newlines = 0
 	entry := r.parseEntry(r.depth)
