--- a/internal/lang/address.go
+++ b/internal/lang/address.go
@@ -5,38 +5,38 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// workerAddress is an address in a worker block.
+// workerAddress is an address that a worker block gives, with its position in the file.
 type workerAddress struct {
 	addr endpoint.Addr
 	pos  syntax.Pos
 }
 
-// blockAddresses returns the addresses of a worker block, of one network after the other.
+// blockAddresses returns the addresses of a worker block, grouped by network.
 func blockAddresses(b *block) []workerAddress {
 	var addresses []workerAddress
 	for _, network := range networks {
 		for _, v := range b.values[network.String()] {
-			addr, _ := endpoint.Parse(network, v.text) // checked when it was read
+			addr, _ := endpoint.Parse(network, v.text) // validated by readAddress
 			addresses = append(addresses, workerAddress{addr, v.pos})
 		}
 	}
 	return addresses
 }
 
-// addressUse is a worker that has an address, and the position of the address in its block.
+// addressUse records that a worker has an address, and the position of the address in its block.
 type addressUse struct {
 	worker string
 	pos    syntax.Pos
 }
 
-// duplicateAddressChecker checks that no two workers have the same address, unless they are aliases of one.
+// duplicateAddressChecker reports addresses that two workers share, unless one of them is an alias of the other.
 type duplicateAddressChecker struct {
 	report   *reporter
 	symbols  *symbolTable
-	lastUses map[endpoint.Addr]addressUse // the last worker so far that has the address
+	lastUses map[endpoint.Addr]addressUse // the last use so far of each address
 }
 
-// add enters the addresses of a worker block, and reports those that another worker has too.
+// add records the addresses of a worker block, and reports those that another worker has too.
 func (c *duplicateAddressChecker) add(b *block) {
 	for _, a := range blockAddresses(b) {
 		previous, found := c.lastUses[a.addr]
@@ -48,7 +48,7 @@
 	}
 }
 
-// areAliases reports whether one of two worker blocks says that it is the same worker as the other.
+// areAliases reports whether one of two worker blocks declares that it is the same worker as the other.
 func (c *duplicateAddressChecker) areAliases(a, b string) bool {
 	sameAs := func(name string) string { return c.symbols.find(workerKeyword, name).value(sameAsSetting).text }
 	return sameAs(a) == b || sameAs(b) == a
--- a/internal/lang/block.go
+++ b/internal/lang/block.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/route"
 )
 
-// The keywords of the blocks that a file may hold.
+// The keywords of the blocks that are allowed at the top level of a file.
 const (
 	workerKeyword = "worker"
 	classKeyword  = "class"
@@ -16,20 +16,20 @@
 	policyKeyword = string(route.PolicyBlock)
 )
 
-// blockTypes are the blocks that a file may hold at its top level, in the order in which they are checked. A further
-// one is added here and to newChecker, with a file of its own.
+// blockTypes lists the blocks that are allowed at the top level of a file, in the order in which they are checked. To
+// add a block type, add it here and to newChecker, and implement it in a file of its own.
 var blockTypes = []*blockType{workerType, classType, routeType, poolType, policyType}
 
-// blockType describes a kind of block: its keyword, and what it may hold.
+// blockType describes a type of block: its keyword, and the settings and blocks that it may contain.
 type blockType struct {
 	keyword    string
-	named      bool // the block has a name, which is its own among the blocks of its type
+	named      bool // the block has a name, unique among the blocks of its type
 	settings   map[string]settingType
-	anySetting bool         // settings of any name are lists of strings
-	nested     []*blockType // of the blocks within it
+	anySetting bool         // settings of any name are allowed; each is a list of strings
+	nested     []*blockType // types of the blocks that may be nested in it
 }
 
-// settingType returns how a setting's values are read; ok is false where the block has no such setting.
+// settingType returns how the values of a setting are read; ok is false if the block has no such setting.
 func (t *blockType) settingType(name string) (setting settingType, ok bool) {
 	if t.anySetting {
 		return listOf(readText), true
@@ -38,36 +38,36 @@
 	return setting, ok
 }
 
-// settingType says how the values of a setting are read.
+// settingType describes how the values of a setting are read.
 type settingType struct {
 	read valueReader
-	list bool // takes more than one value
+	list bool // takes one or more values
 }
 
-// single is a setting that takes one value.
+// single returns the type of a setting that takes exactly one value.
 func single(read valueReader) settingType { return settingType{read: read} }
 
-// listOf is a setting that takes one value or more.
+// listOf returns the type of a setting that takes one or more values.
 func listOf(read valueReader) settingType { return settingType{read: read, list: true} }
 
-// block is a block whose settings have been read. Settings whose values can't be read have a position and no value.
+// block is a block whose settings have been read. A setting without a valid value has a position but no value.
 type block struct {
 	blockType *blockType
 	pos       syntax.Pos
 	source    *syntax.Source
 	name      string
 	values    map[string][]value    // by setting
-	positions map[string]syntax.Pos // of the settings that are present
+	positions map[string]syntax.Pos // by setting, for all settings that are present
 	nested    []*block
 }
 
-// hasValue reports whether a setting is present and its value could be read.
+// hasValue reports whether a setting is present and has a valid value.
 func (b *block) hasValue(setting string) bool { return len(b.values[setting]) > 0 }
 
-// isPresent reports whether a setting is present, whether its value could be read or not.
+// isPresent reports whether a setting is present, even if its value is invalid.
 func (b *block) isPresent(setting string) bool { return b.positions[setting].Valid() }
 
-// value returns a setting's value, or the zero value where it has none.
+// value returns the first value of a setting, or the zero value if it has none.
 func (b *block) value(setting string) value {
 	if !b.hasValue(setting) {
 		return value{}
@@ -75,7 +75,7 @@
 	return b.values[setting][0]
 }
 
-// texts returns the values of a list of strings or words.
+// texts returns the values of a setting that takes a list of strings or words.
 func (b *block) texts(setting string) []string {
 	var texts []string
 	for _, v := range b.values[setting] {
@@ -84,7 +84,7 @@
 	return texts
 }
 
-// fileLine returns a position as file:line.
+// fileLine formats a position as file:line, without the column.
 func fileLine(pos syntax.Pos) string {
 	text := pos.String()
 	return text[:strings.LastIndexByte(text, ':')]
--- a/internal/lang/broken_test.go
+++ b/internal/lang/broken_test.go
@@ -11,12 +11,12 @@
 	"crankhold/internal/lang/syntax"
 )
 
-var update = flag.Bool("update", false, "write the faults of the broken files into testdata/broken.txt; read it before it is committed")
+var update = flag.Bool("update", false, "update the expected faults in testdata/broken.txt; review the changes before you commit them")
 
-// brokenFiles is the file of configurations with faults, and of the faults that are expected.
+// faultCasesFile contains configurations with faults, each with the faults that are expected.
 const faultCasesFile = "testdata/broken.txt"
 
-// testPlatform has the settings that the cases with "platform" in their name are checked against.
+// testPlatform has the platform's settings for the cases with "platform" in their name.
 var testPlatform = &Platform{
 	MaxAttempts:    3,
 	HedgingAllowed: true,
@@ -31,15 +31,16 @@
 	},
 }
 
-// faultCase is a case: a configuration's files, and the faults that are expected.
+// faultCase is a configuration with faults: its files, and the faults that are expected.
 type faultCase struct {
 	name  string
 	files fstest.MapFS
 	want  string
-	text  string // of the case, without what is expected
+	text  string // the case as in the file, without the expected faults
 }
 
-// readFaultCases reads the cases: a line "== NAME" begins one, "-- FILE" a file of it, and "-- want" its faults.
+// readFaultCases reads the cases. A line "== NAME" starts a case, "-- FILE" starts one of its files, and "-- want"
+// starts the expected faults.
 func readFaultCases(t *testing.T) []faultCase {
 	t.Helper()
 	text, err := os.ReadFile(faultCasesFile)
@@ -52,7 +53,7 @@
 		name, rest, _ := strings.Cut(part, "\n")
 		before, want, ok := strings.Cut(rest, "-- want\n")
 		if !ok {
-			t.Fatalf("case %s expects nothing", name)
+			t.Fatalf("case %s has no expected faults", name)
 		}
 		c := faultCase{name: name, files: fstest.MapFS{}, want: want, text: "== " + name + "\n" + before + "-- want\n"}
 		for _, f := range strings.Split("\n"+before, "\n-- ")[1:] {
@@ -64,7 +65,7 @@
 	return cases
 }
 
-// check checks the case's files, with the platform's settings where the name of the case says so.
+// check checks the files of the case, with the platform's settings if "platform" is in its name.
 func (b faultCase) check(t *testing.T) *Result {
 	t.Helper()
 	var platform *Platform
@@ -78,14 +79,14 @@
 	return r
 }
 
-// Every broken file is rejected with exactly these messages, each with the position of what is wrong.
+// Each configuration with faults is rejected with exactly the expected messages, each with the position of the fault.
 func TestCheckReportsEachFaultAtItsPosition(t *testing.T) {
 	cases := readFaultCases(t)
 	names := map[string]bool{}
 	updated := ""
 	for _, c := range cases {
 		if names[c.name] {
-			t.Errorf("%s: the name is there twice", c.name)
+			t.Errorf("%s: two cases have this name", c.name)
 		}
 		names[c.name] = true
 		r := c.check(t)
@@ -93,7 +94,7 @@
 		for _, f := range r.Faults {
 			got += f.Error() + "\n"
 			if !f.Pos.Valid() || c.files[f.Pos.File] == nil {
-				t.Errorf("%s: no such position: %v", c.name, f)
+				t.Errorf("%s: the position is not in a file of the case: %v", c.name, f)
 			}
 		}
 		updated += c.text + got
@@ -105,7 +106,7 @@
 		}
 	}
 	if len(cases) < 120 {
-		t.Errorf("%d broken files; at least 120 are wanted", len(cases))
+		t.Errorf("%d cases, want at least 120", len(cases))
 	}
 	if *update {
 		if err := os.WriteFile(faultCasesFile, []byte(updated), 0o644); err != nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// Formatting a formatted file changes nothing, for each of the broken files that can be parsed.
+// Formatting is idempotent for each file of the cases that has no syntax faults.
 func TestFormattingIsIdempotentOnBrokenFiles(t *testing.T) {
 	for _, c := range readFaultCases(t) {
 		for name, f := range c.files {
@@ -125,7 +126,7 @@
 			once := syntax.Format(tree)
 			again, _, faults := syntax.Parse(name, once)
 			if len(faults) > 0 || string(syntax.Format(again)) != string(once) {
-				t.Errorf("%s: %s is not stable: %v\n%s", c.name, name, faults, once)
+				t.Errorf("%s: formatting %s again changes it or has faults: %v\n%s", c.name, name, faults, once)
 			}
 		}
 	}
--- a/internal/lang/builder.go
+++ b/internal/lang/builder.go
@@ -1,17 +1,18 @@
 package lang
 
-// blockBuilder builds what the blocks of one keyword say into a part of the route.Spec, which it owns.
+// blockBuilder builds the part of the route.Spec that the blocks of one keyword describe. Each builder owns its part.
 type blockBuilder interface {
-	// build adds a block. Blocks of other keywords may be missing still.
+	// build adds a block. Blocks of other keywords may not have been built yet.
 	build(b *block)
-	// check checks the blocks against each other and against those of other keywords, once all blocks are built.
+	// check checks the blocks against each other and against the blocks of other keywords. It is called once all blocks
+	// have been built.
 	check()
 }
 
-// builderContext is what the builders of all keywords share.
+// builderContext holds what all builders share.
 type builderContext struct {
 	report     *reporter
 	symbols    *symbolTable
 	references *referenceResolver
-	platform   *Platform // nil: not known
+	platform   *Platform // nil: unknown
 }
--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -8,8 +8,9 @@
 	"crankhold/internal/route"
 )
 
-// Check reads a file and all that it includes, and checks them; platform may be nil. Names in messages get the prefix
-// as their folder. The error is a *FileError of the first file: it can't be read at all.
+// Check reads a file and all files that it includes, and checks them; platform may be nil. Messages show file names
+// with prefix as their folder. If the first file can't be read at all, the error is a *FileError; Check returns no
+// other errors.
 func Check(fsys fs.FS, name, prefix string, platform *Platform) (*Result, error) {
 	l := newLoader(fsys, prefix, &reporter{})
 	if err := l.load(name, nil); err != nil {
@@ -18,8 +19,8 @@
 	return newChecker(l, platform).check(l.files), nil
 }
 
-// checker coordinates the steps of a check: it has each block read, entered into the symbol table and built, then each
-// kind of block checked, and at last the compiled table.
+// checker runs the steps of a check: it reads, registers and builds each block, then checks the blocks of each type,
+// and finally checks the compiled table.
 type checker struct {
 	builderContext
 	reader          *blockReader
@@ -32,7 +33,7 @@
 	builders        map[string]blockBuilder // all of them, by keyword
 }
 
-// newChecker returns the checker of what a loader has read.
+// newChecker returns a checker for the files that a loader has read.
 func newChecker(l *loader, platform *Platform) *checker {
 	symbols := newSymbolTable(len(l.report.faults) == 0)
 	shared := builderContext{
@@ -61,8 +62,8 @@
 	return c
 }
 
-// check checks the blocks of all files. It compiles the spec only where there are no faults. Where there are, the known
-// classes are those that class blocks declare.
+// check checks the blocks of all files. It compiles the spec only if there are no faults; otherwise, the known classes
+// are those that class blocks declare.
 func (c *checker) check(files []*syntax.File) *Result {
 	r := &Result{definitionLines: c.definitionLines}
 	for _, file := range files {
@@ -98,7 +99,7 @@
 	}
 }
 
-// define enters a block that has a name. The name must be its own among the blocks of its type.
+// define registers a named block. It reports a fault if an earlier block of the same type has the same name.
 func (c *checker) define(b *block) {
 	if !b.blockType.named {
 		return
@@ -110,7 +111,7 @@
 	c.definitionLines.addBlock(b)
 }
 
-// spec returns what the builders have built.
+// spec combines the results of the builders.
 func (c *checker) spec() route.Spec {
 	return route.Spec{
 		Workers:              c.workers.workers,
@@ -121,7 +122,7 @@
 	}
 }
 
-// checkTable checks what the spec means as a whole, once it has no faults.
+// checkTable compiles the spec and checks it as a whole. The spec must have no faults.
 func (c *checker) checkTable(spec *route.Spec, classes knownClasses) {
 	if c.platform != nil {
 		spec.LoadWindow = c.platform.LoadWindow
--- a/internal/lang/check_test.go
+++ b/internal/lang/check_test.go
@@ -13,7 +13,7 @@
 // textFile returns a regular file.
 func textFile(text string) *fstest.MapFile { return &fstest.MapFile{Data: []byte(text), Mode: 0o644} }
 
-// checkFiles checks files, of which main.crank is the first, and fails the test where that can't be read.
+// checkFiles checks the files, starting with main.crank, and fails the test if main.crank can't be read.
 func checkFiles(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
 	t.Helper()
 	r, err := Check(files, "main.crank", prefix, platform)
@@ -23,7 +23,7 @@
 	return r
 }
 
-// mustCheck checks files, and fails the test where they have faults.
+// mustCheck checks the files and fails the test if they have faults.
 func mustCheck(t *testing.T, files fstest.MapFS, prefix string, platform *Platform) *Result {
 	t.Helper()
 	r := checkFiles(t, files, prefix, platform)
@@ -114,14 +114,14 @@
 	}
 }
 
-// Boundary cases that testdata/broken.txt lacks.
+// These boundary cases are not in testdata/broken.txt.
 func TestCheckBoundaryCases(t *testing.T) {
 	const rest = "pool \"p\" {}\nroute \"r\" {\n\tpool = \"p\"\n\tpolicy = \"q\"\n}\n"
 	for _, c := range []struct{ name, text, want string }{
-		{"a second copy as late as the attempt's end",
+		{"a hedge delay equal to the attempt timeout",
 			"policy \"q\" {\n\tattempt-time = 300ms\n\tsecond-copy-after = 300ms\n}\n" + rest,
 			"main.crank:3:22: policy \"q\": the attempt ends at 300ms, before a second copy goes out at 300ms"},
-		{"an include of the folder above",
+		{"an include of the parent folder",
 			"include \"..\"\npolicy \"q\" {}\n" + rest,
 			"main.crank:1:1: the include \"..\" leaves the directory of the first file"},
 		{"aliases that share an address",
--- a/internal/lang/checktable.go
+++ b/internal/lang/checktable.go
@@ -7,8 +7,8 @@
 	"crankhold/internal/route"
 )
 
-// tableChecker checks what routes, pools and policies mean together, by the table that is compiled out of them. It
-// needs blocks without faults.
+// tableChecker checks how routes, pools and policies work together, based on the table that is compiled from them. The
+// blocks must have no faults.
 type tableChecker struct {
 	report   *reporter
 	symbols  *symbolTable
@@ -16,8 +16,8 @@
 	classes  knownClasses
 }
 
-// check compiles the table. It reports routes that are ambiguous or that no request takes, and policies that don't fit
-// the classes of their requests; it notes requests that no route takes.
+// check compiles the table. It reports ambiguous routes, routes that no request can reach, and policies that conflict
+// with the classes of their requests. It notes requests that no route matches.
 func (t *tableChecker) check(spec *route.Spec) {
 	table, err := route.Compile(spec, t.classes.list.names())
 	if err != nil {
@@ -34,8 +34,8 @@
 	}
 }
 
-// reportCompileError reports an error of route.Compile at the route that it concerns, or at the first one. Errors other
-// than of ambiguous routes should have been found by the checks of the blocks.
+// reportCompileError reports an error of route.Compile at the route that it concerns, or at the first route. Errors
+// other than ambiguous routes should already have been found by the checks of the blocks.
 func (t *tableChecker) reportCompileError(err error, firstRoute string) {
 	name := firstRoute
 	var ambiguous *route.AmbiguousRoutesError
@@ -46,8 +46,8 @@
 	t.report.fault(b, b.pos, "%v", err)
 }
 
-// reachingClasses returns by which classes a route is reached, of an entry of route.Table.Reachable. The last element
-// of the entry is for all classes that are not listed: it is left out where there are no such classes.
+// reachingClasses returns which of the known classes reach a route, given its entry of route.Table.Reachable. The last
+// element of the entry stands for all classes that are not listed; it is dropped if there are no such classes.
 func (t *tableChecker) reachingClasses(reached []bool) []bool {
 	if t.classes.complete {
 		return reached[:len(t.classes.list)]
@@ -55,7 +55,8 @@
 	return reached
 }
 
-// checkRoute reports a route that no request takes, and a policy that does not fit the classes that reach the route.
+// checkRoute reports a route that no request can reach, and a policy that conflicts with a class that reaches the
+// route.
 func (t *tableChecker) checkRoute(r *route.Route, reached []bool) {
 	b := t.symbols.find(routeKeyword, r.Spec.Name)
 	if !slices.Contains(reached, true) {
--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -7,14 +7,15 @@
 	"crankhold/internal/route"
 )
 
-// The words that the setting runs of a class block takes.
+// The values of the setting runs of a class block.
 const (
 	runsOnce       = "once"
 	runsRepeatable = "repeatable"
 )
 
-// classType describes a class as the platform's settings would, so that a configuration can be checked without them. A
-// block must agree with them, with one exception: it may forbid a class to run twice that they allow to.
+// classType is the type of class blocks. They describe classes as the platform's settings do, so that a configuration
+// can be checked without those settings. A block must agree with the platform's settings, with one exception: it may
+// declare that a class must never run twice although those settings allow it.
 var classType = &blockType{
 	keyword: classKeyword,
 	named:   true,
@@ -25,13 +26,13 @@
 	},
 }
 
-// classBuilder builds classes out of class blocks.
+// classBuilder builds classes from class blocks.
 type classBuilder struct {
 	builderContext
 	declared classList // by class blocks, in the order of the files
 }
 
-// build adds a class, unless the platform has no such class.
+// build adds a class, unless the platform's settings are known and have no such class.
 func (c *classBuilder) build(b *block) {
 	class := Class{
 		Name:             b.name,
@@ -53,11 +54,11 @@
 	c.declared = append(c.declared, class)
 }
 
-// check does nothing: each class was checked when it was built, and no setting of a class refers to another block.
+// check does nothing: build has already checked each class, and no setting of a class refers to another block.
 func (c *classBuilder) check() {}
 
-// checkAgainstPlatform reports where a class block contradicts the platform's settings. It returns false where the
-// platform has no such class.
+// checkAgainstPlatform reports settings of a class block that contradict the platform's settings. It returns false if
+// the platform has no such class.
 func (c *classBuilder) checkAgainstPlatform(b *block, class Class) bool {
 	platformClass, ok := c.platform.classes().find(class.Name)
 	if !ok {
@@ -92,8 +93,8 @@
 	return names
 }
 
-// known returns the classes that the configuration can tell apart. They are the platform's; without a platform the
-// declared ones; and where none is declared, those that routes name.
+// known returns the classes that the configuration can distinguish: the platform's classes; without a platform, the
+// declared classes; if none are declared, the classes that routes name.
 func (c *classBuilder) known(routes []route.RouteSpec) knownClasses {
 	if c.platform != nil {
 		return knownClasses{list: c.platformClasses(), complete: true}
@@ -104,7 +105,8 @@
 	return knownClasses{list: classesNamedByRoutes(routes)}
 }
 
-// platformClasses returns the platform's classes, each as not idempotent where a class block says so.
+// platformClasses returns the platform's classes. Each is marked as not idempotent if the platform or a class block
+// says so.
 func (c *classBuilder) platformClasses() classList {
 	var classes classList
 	for _, class := range c.platform.Classes {
@@ -114,7 +116,7 @@
 	return classes
 }
 
-// classesNamedByRoutes returns the classes that routes name, and the one that is never idempotent, sorted by name.
+// classesNamedByRoutes returns the classes that routes name, and neverIdempotentClass, sorted by name.
 func classesNamedByRoutes(routes []route.RouteSpec) classList {
 	names := map[string]bool{neverIdempotentClass: true}
 	for _, r := range routes {
--- a/internal/lang/class_test.go
+++ b/internal/lang/class_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/route"
 )
 
-// A class block may forbid a class to run twice that the platform's settings allow to.
+// A class block may declare that a class must never run twice although the platform's settings allow it.
 func TestClassBlockMakesAClassNotIdempotent(t *testing.T) {
 	text := "class \"dim-level\" { runs = once }\npool \"p\" {}\nroute \"r\" { pool = \"p\" }\n"
 	r := mustCheck(t, fstest.MapFS{"main.crank": textFile(text)}, "", testPlatform)
@@ -18,7 +18,8 @@
 	}
 }
 
-// The known classes are the platform's, or those of class blocks, or those that routes name.
+// The known classes are those of the platform; without a platform, those of class blocks; without class blocks, those
+// that routes name.
 func TestKnownClasses(t *testing.T) {
 	routes := []route.RouteSpec{{Classes: []string{"dim-level"}}}
 	for _, c := range []struct {
--- a/internal/lang/definingline.go
+++ b/internal/lang/definingline.go
@@ -8,11 +8,11 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// definitionLines has the lines that define each named block, as Result.Lines returns them: each is a fault without a
-// message.
+// definitionLines maps each named block to the lines that define it, in the form that Result.Lines returns: each line
+// is a fault without a message.
 type definitionLines map[blockID][]syntax.Fault
 
-// addBlock adds the first line of a block and those of its settings, sorted by the settings' names.
+// addBlock adds the first line of a block and the lines of its settings, sorted by setting name.
 func (l definitionLines) addBlock(b *block) {
 	id := blockID{b.blockType.keyword, b.name}
 	l.add(id, b, b.pos)
@@ -21,7 +21,8 @@
 	}
 }
 
-// add adds the line at a position within a block to those of the block with an id, which may be another one.
+// add adds the line at a position in the block source to the lines of the block id. The two blocks differ if a policy
+// inherits the setting on that line from another policy.
 func (l definitionLines) add(id blockID, source *block, pos syntax.Pos) {
 	line := source.source.FaultAt(pos, "")
 	line.Line = strings.TrimSpace(line.Line)
--- a/internal/lang/example_test.go
+++ b/internal/lang/example_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/lang"
 )
 
-// A file with two mistakes is checked: all faults are reported in one run, each at its position.
+// A file with two mistakes is checked. All faults are reported at once, each with its position.
 func ExampleCheck() {
 	files := fstest.MapFS{"routes.crank": {Mode: 0o644, Data: []byte(`pool "large" {
 	workers { kind = "large-worker" }
@@ -31,7 +31,7 @@
 	// deploy/routes.crank:7:9: no pool "larg"; did you mean large?
 }
 
-// A file is compared with the one that is to replace it.
+// A configuration is compared with the one that will replace it.
 func ExampleDiff() {
 	check := func(text string) *lang.Result {
 		files := fstest.MapFS{"routes.crank": {Mode: 0o644, Data: []byte(text)}}
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -13,18 +13,18 @@
 type includeStatement struct {
 	*syntax.Include
 	source *syntax.Source
-	chain  []string // of files that include each other; the last one contains the statement
+	chain  []string // files that include each other, ending with the file that contains the statement
 }
 
-// chainTo returns the chain of includes to a file that the statement includes, as messages show it.
+// chainTo returns the chain of includes to a file that the statement includes, formatted for messages.
 func (s *includeStatement) chainTo(name string) string {
 	return chainText(append(slices.Clip(s.chain), name))
 }
 
-// chainText returns a chain of files as messages show it.
+// chainText formats a chain of files for messages.
 func chainText(chain []string) string { return strings.Join(chain, " > ") }
 
-// reportFault reports what is wrong with an include.
+// reportFault reports a fault at the position of an include.
 func (l *loader) reportFault(s *includeStatement, format string, args ...any) {
 	l.report.add(s.source.FaultAt(s.At, format, args...))
 }
@@ -46,7 +46,8 @@
 	}
 }
 
-// includePattern returns an include's pattern of file names, relative to the first file's folder.
+// includePattern returns the file name pattern of an include, relative to the folder of the first file. It reports an
+// invalid pattern and returns false for it.
 func (l *loader) includePattern(s *includeStatement) (pattern string, ok bool) {
 	text := s.Path.Text()
 	if text == "" {
@@ -66,7 +67,8 @@
 	return pattern, true
 }
 
-// expandPattern returns the files that match a pattern, or the pattern itself where it is the name of one file.
+// expandPattern returns the files that match a pattern. A pattern without wildcards is returned as the name of one
+// file.
 func (l *loader) expandPattern(s *includeStatement, pattern string) (names []string, ok bool) {
 	if !strings.ContainsAny(s.Path.Text(), "*?[") {
 		return []string{pattern}, true
@@ -83,8 +85,8 @@
 	return names, true
 }
 
-// includeFile reads one file, unless it has been read or a limit is reached. It returns false where the include's
-// further files can't be read either.
+// includeFile reads one file, unless it has already been read or a limit is reached. It returns false if the remaining
+// files of the include can't be read either.
 func (l *loader) includeFile(s *includeStatement, name string) bool {
 	firstChain, alreadyIncluded := l.includeChains[name]
 	switch {
--- a/internal/lang/include_test.go
+++ b/internal/lang/include_test.go
@@ -10,7 +10,7 @@
 	"testing/fstest"
 )
 
-// Includes have limits on depth, number of files and size, so that hostile files cost little memory and time.
+// Includes are limited in depth, number of files and size, so that malicious files cost little memory and time.
 func TestIncludesAreBounded(t *testing.T) {
 	t.Run("depth", func(t *testing.T) {
 		files := fstest.MapFS{"main.crank": textFile("include \"a0.crank\"\n")}
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -11,33 +11,33 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// Limits on what one configuration may include.
+// Limits on the includes of one configuration.
 const (
 	maxFiles        = 1000
 	maxIncludeDepth = 16
 )
 
-// FileError reports a first file that can't be read at all.
+// FileError reports that the first file can't be read at all.
 type FileError struct {
 	File string
 	Err  error
 }
 
-// Error names the file and the reason.
+// Error returns the file name and the reason.
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
 
 // Unwrap returns the reason, such as fs.ErrNotExist.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// loader reads the files of a configuration, each once: the first one, and those that are included.
+// loader reads the files of a configuration, each once: the first file and all files that are included.
 type loader struct {
 	fsys             fs.FS
-	prefix           string                    // folder of the names that messages show
-	files            []*syntax.File            // that were read, the first one first
-	sources          map[string]*syntax.Source // by the name that messages show
+	prefix           string                    // folder of the file names in messages
+	files            []*syntax.File            // in the order in which they were read, starting with the first file
+	sources          map[string]*syntax.Source // by the file name in messages
 	includeChains    map[string][]string       // by file, the chain of includes that led to it
-	report           *reporter                 // gets the faults of syntax and of includes
-	fileLimitReached bool                      // maxFiles was reached: nothing more is read
+	report           *reporter                 // receives syntax faults and include faults
+	fileLimitReached bool                      // maxFiles was reached: no more files are read
 }
 
 func newLoader(fsys fs.FS, prefix string, report *reporter) *loader {
@@ -50,8 +50,8 @@
 	}
 }
 
-// load reads a file and all that it includes, each once. Names are relative to fsys, whose root no include may leave;
-// chain is the files that led to this one.
+// load reads a file and all files that it includes, each once. Names are relative to fsys; no include may leave its
+// root. chain lists the files that led to this one.
 func (l *loader) load(name string, chain []string) error {
 	text, err := readFile(l.fsys, name)
 	if err != nil {
@@ -71,10 +71,11 @@
 	return nil
 }
 
-// errIrregular is the error for what is no regular file. Reading a pipe could block forever.
+// errNotRegularFile is the error for anything but a regular file. Reading a pipe, for example, could block forever.
 var errNotRegularFile = errors.New("it is no regular file")
 
-// readFile reads a file, up to one byte more than a file may have.
+// readFile reads a file, but at most syntax.MaxBytes and one byte more, which is enough for syntax.Parse to reject a
+// file that is too large.
 func readFile(fsys fs.FS, name string) ([]byte, error) {
 	info, err := fs.Stat(fsys, name)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return text, nil
 }
 
-// pathErrorReason returns the reason of an error that names the file too, without the name.
+// pathErrorReason returns the reason of an fs.PathError, without the file name. Any other error is returned as it is.
 func pathErrorReason(err error) error {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
--- a/internal/lang/platform.go
+++ b/internal/lang/platform.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Platform is what the platform's settings say, which a configuration may tighten but not contradict.
+// Platform contains the platform's settings that limit a configuration. A configuration may be stricter than these
+// settings but must not contradict them.
 type Platform struct {
 	Classes        []Class
 	MaxAttempts    int // 0: no limit
 	HedgingAllowed bool
-	Kinds          []string // of workers; empty: not known
+	Kinds          []string // of workers; empty: unknown
 	KindMemoryMB   map[string]float64
-	Zones          []string // of workers; empty: not known
+	Zones          []string // of workers; empty: unknown
 	LoadWindow     time.Duration
 }
 
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/route"
 )
 
-// policyType limits how often and for how long a request is attempted.
+// policyType is the type of policy blocks, which limit how often and for how long a request is attempted.
 var policyType = &blockType{
 	keyword: policyKeyword,
 	named:   true,
@@ -23,14 +23,14 @@
 	},
 }
 
-// policyBlock is a policy with its own settings and those that it inherits.
+// policyBlock is a policy block with its own settings and those that it inherits.
 type policyBlock struct {
 	*block
-	effective map[string]effectiveSetting
-	resolved  bool // effective is complete
+	effective map[string]effectiveSetting // by setting
+	resolved  bool                        // effective includes the inherited settings
 }
 
-// effectiveSetting is a setting's value, with the policy that gives it: the policy itself or one that it inherits from.
+// effectiveSetting is a setting's value and the policy that gives it: the policy itself or one that it inherits from.
 type effectiveSetting struct {
 	value
 	origin *block
@@ -44,7 +44,7 @@
 	return p
 }
 
-// spec returns the policy with what it inherits.
+// spec returns the policy, including the settings that it inherits.
 func (p *policyBlock) spec() route.PolicySpec {
 	spec := route.NoPolicy
 	spec.Name = p.name
@@ -63,10 +63,10 @@
 	return spec
 }
 
-// policyBuilder builds policies out of policy blocks, and completes each with what it inherits.
+// policyBuilder builds policies from policy blocks, and resolves inheritance between them.
 type policyBuilder struct {
 	builderContext
-	definitionLines definitionLines // gets the lines of inherited settings too
+	definitionLines definitionLines // also receives the lines of inherited settings
 	byName          map[string]*policyBlock
 	policies        []*policyBlock // in the order of the files
 	specs           []route.PolicySpec
@@ -76,7 +76,7 @@
 	return &policyBuilder{builderContext: context, definitionLines: lines, byName: map[string]*policyBlock{}}
 }
 
-// build adds a policy, unless its name is defined already.
+// build adds a policy, unless its name is already defined.
 func (b *policyBuilder) build(policy *block) {
 	if b.byName[policy.name] != nil {
 		return
@@ -86,7 +86,7 @@
 	b.policies = append(b.policies, p)
 }
 
-// check completes the policies and checks the settings that each has then.
+// check resolves inheritance between the policies, and checks the resulting settings of each.
 func (b *policyBuilder) check() {
 	for _, p := range b.policies {
 		b.references.resolve(p.block, likeSetting, policyKeyword)
@@ -103,12 +103,13 @@
 	b.references.reportUnused(policyKeyword, "route or policy")
 }
 
-// settingsChecker returns a checker of the policies' settings.
+// settingsChecker returns a checker for the settings of policies.
 func (b *policyBuilder) settingsChecker() *policyChecker {
 	return &policyChecker{report: b.report, platform: b.platform}
 }
 
-// resolveInheritance completes a policy with the settings of the one that it is like. chain is the policies that resolveInheritance from it.
+// resolveInheritance adds the settings that a policy inherits through its setting like. chain lists the policies that
+// inherit from p; it serves to detect cycles.
 func (b *policyBuilder) resolveInheritance(p *policyBlock, chain []string) {
 	if p.resolved {
 		return
@@ -127,7 +128,7 @@
 	p.resolved = true
 }
 
-// inheritMissingSettings gives a policy those settings of another one that it does not have, and their lines.
+// inheritMissingSettings copies from base the settings that p does not have, and adds their lines to those of p.
 func (b *policyBuilder) inheritMissingSettings(p, base *policyBlock) {
 	for _, setting := range slices.Sorted(maps.Keys(base.effective)) {
 		if _, overridden := p.effective[setting]; overridden || setting == likeSetting {
--- a/internal/lang/policy_test.go
+++ b/internal/lang/policy_test.go
@@ -6,7 +6,8 @@
 	"crankhold/internal/route"
 )
 
-// A policy inherits each setting from the nearest policy in the chain that gives it. A cycle is reported.
+// A policy inherits each setting from the nearest policy in its chain that has the setting. A cycle of policies is
+// reported.
 func TestPoliciesInherit(t *testing.T) {
 	blocks := parseBlocks(t, `policy "c" {
 	like = "b"
@@ -36,7 +37,7 @@
 		t.Errorf("policy %+v", c)
 	}
 	if origin := builder.byName["c"].effective[latencyObjectiveSetting].origin; origin != blocks[2] {
-		t.Errorf("the objective is from %s", origin.name)
+		t.Errorf("the latency objective is inherited from %s", origin.name)
 	}
 	context.report.sort()
 	want := "f:1:1: policy \"c\" is not used by any route or policy\nf:13:21: policies are like each other in a circle: x > y > x"
--- a/internal/lang/policycheck.go
+++ b/internal/lang/policycheck.go
@@ -6,20 +6,20 @@
 	"crankhold/internal/route"
 )
 
-// policyChecker checks the settings of policies against each other, the platform's settings, and the classes of the
-// requests that a policy applies to.
+// policyChecker checks the settings of policies against each other, against the platform's settings, and against the
+// classes of the requests that a policy applies to.
 type policyChecker struct {
 	report   *reporter
-	platform *Platform // nil: not known
+	platform *Platform // nil: unknown
 }
 
-// fault reports what is wrong with a setting, where it is given: that may be in a policy that this one inherits from.
+// fault reports a fault at the position of a setting, which may be in a policy that this one inherits from.
 func (c *policyChecker) fault(p *policyBlock, setting, format string, args ...any) {
 	s := p.effective[setting]
 	c.report.fault(s.origin, s.pos, format, args...)
 }
 
-// check checks a policy by itself and against the platform's settings.
+// check checks a policy's settings against each other and against the platform's settings.
 func (c *policyChecker) check(p *policyBlock, spec route.PolicySpec) {
 	c.checkRetries(p, spec)
 	if spec.HedgeDelay > 0 {
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkRetries reports more retries of one kind than the attempts in all leave.
+// checkRetries reports a retry limit that exceeds the number of retries that the setting attempts allows.
 func (c *policyChecker) checkRetries(p *policyBlock, spec route.PolicySpec) {
 	for _, setting := range []string{retriesAfterRunSetting, retriesAfterNoRunSetting} {
 		s, ok := p.effective[setting]
@@ -41,7 +41,7 @@
 	}
 }
 
-// checkHedge reports settings by which the policy's hedged request would never be sent.
+// checkHedge reports settings that prevent the policy's hedged request from ever being sent.
 func (c *policyChecker) checkHedge(p *policyBlock, spec route.PolicySpec) {
 	if spec.MaxAttempts == 1 {
 		c.fault(p, hedgeDelaySetting, "policy %q: attempts = 1 leaves no room for a second copy", p.name)
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkAgainstPlatform reports what the platform's settings don't allow.
+// checkAgainstPlatform reports settings that the platform's settings don't allow.
 func (c *policyChecker) checkAgainstPlatform(p *policyBlock) {
 	maxAttempts := c.platform.MaxAttempts
 	if s, ok := p.effective[attemptsSetting]; ok && maxAttempts > 0 && s.count > maxAttempts {
@@ -64,14 +64,14 @@
 	}
 }
 
-// checkForClass checks a policy against a class of which some requests take a route with that policy.
+// checkForClass checks a policy against a class whose requests reach a route with that policy.
 func (c *policyChecker) checkForClass(routeBlock *block, p *policyBlock, class Class) {
 	if class.NotIdempotent {
 		c.checkNotIdempotent(routeBlock, p, class)
 	}
 	for _, bound := range []struct {
 		setting string
-		limit   time.Duration // 0: not known
+		limit   time.Duration // 0: unknown
 		name    string
 	}{
 		{attemptTimeSetting, class.Deadline, "deadline"},
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkNotIdempotent reports settings by which requests of a class that is not idempotent might run twice.
+// checkNotIdempotent reports settings that might run a request twice although its class is not idempotent.
 func (c *policyChecker) checkNotIdempotent(routeBlock *block, p *policyBlock, class Class) {
 	if s, ok := p.effective[retriesAfterRunSetting]; ok && s.count > 0 {
 		c.fault(p, retriesAfterRunSetting,
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/route"
 )
 
-// poolType selects workers and limits what their requests use.
+// poolType is the type of pool blocks, which select workers and limit the requests and loads on them.
 var poolType = &blockType{
 	keyword: poolKeyword,
 	named:   true,
@@ -21,14 +21,14 @@
 	nested: []*blockType{selectorType},
 }
 
-// poolBuilder builds pools out of pool blocks.
+// poolBuilder builds pools from pool blocks.
 type poolBuilder struct {
 	builderContext
-	workers *workerBuilder // its workers are complete once check is called
+	workers *workerBuilder // complete by the time check is called
 	pools   []builtPool    // in the order of the files
 }
 
-// builtPool is a pool with the block that it was built from.
+// builtPool is a pool and the block that it was built from.
 type builtPool struct {
 	block *block
 	spec  route.PoolSpec
@@ -60,7 +60,7 @@
 	p.pools = append(p.pools, builtPool{b, spec})
 }
 
-// setOverflow sets the limit on what goes to the fallback: a rate or a share.
+// setOverflow sets the limit on the overflow to the fallback: a rate, or a share of the requests.
 func setOverflow(spec *route.PoolSpec, overflow value) {
 	if overflow.isRate {
 		spec.OverflowRate = overflow.number
@@ -69,7 +69,7 @@
 	}
 }
 
-// buildSelector returns the selector of a block within a pool.
+// buildSelector builds a selector from a block within a pool. It reports a block without conditions.
 func (p *poolBuilder) buildSelector(b *block) route.Selector {
 	s := newSelector(b)
 	if len(b.positions) == 0 && len(s.Labels) == 0 {
@@ -78,7 +78,7 @@
 	return s
 }
 
-// specs returns the specs of the pools.
+// specs returns the specs of all pools.
 func (p *poolBuilder) specs() []route.PoolSpec {
 	var specs []route.PoolSpec
 	for _, pool := range p.pools {
@@ -87,10 +87,10 @@
 	return specs
 }
 
-// check checks the pools' shares, fallbacks and selectors.
+// check checks the load shares, fallbacks and selectors of the pools.
 func (p *poolBuilder) check() {
 	pools := slices.DeleteFunc(slices.Clone(p.pools), func(pool builtPool) bool {
-		return !p.symbols.isDefinition(pool.block) // defined twice
+		return !p.symbols.isDefinition(pool.block) // a repeated name, which has been reported
 	})
 	p.checkLoadShares(pools)
 	for _, pool := range pools {
@@ -100,10 +100,10 @@
 	p.references.reportUnused(poolKeyword, "route or fallback")
 }
 
-// shareTolerance is what rounding may add to shares that make up the whole.
+// shareTolerance is the rounding error that is allowed in the sum of all shares.
 const shareTolerance = 1e-9
 
-// checkLoadShares reports the pool with which the sum of the shares of the load budget exceeds the whole.
+// checkLoadShares reports the first pool at which the sum of the load shares exceeds the whole load budget.
 func (p *poolBuilder) checkLoadShares(pools []builtPool) {
 	const whole = 1 + shareTolerance
 	total := 0.0
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkSelectors reports the selectors of a pool that no worker can match.
+// checkSelectors reports selectors of a pool that no worker can match.
 func (p *poolBuilder) checkSelectors(pool builtPool) {
 	checker := selectorChecker{platform: p.platform, workers: p.workers.workers}
 	for i, b := range pool.block.nested {
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkFallback checks a pool's fallback and the limit on what goes there.
+// checkFallback checks a pool's fallback and the limit on the overflow to it.
 func (p *poolBuilder) checkFallback(b *block) {
 	switch {
 	case b.hasValue(fallbackSetting) && !b.isPresent(overflowSetting):
@@ -146,8 +146,8 @@
 	}
 }
 
-// reportFallbackCycle reports a pool whose chain of fallbacks leads back to it, once for each cycle: at the pool whose
-// name is the first in alphabetical order.
+// reportFallbackCycle reports a pool whose chain of fallbacks leads back to it. Each cycle is reported once, at the
+// pool whose name comes first in alphabetical order.
 func (p *poolBuilder) reportFallbackCycle(b *block) {
 	chain := []string{b.name}
 	for pool := b; pool != nil && pool.hasValue(fallbackSetting); {
@@ -160,7 +160,7 @@
 			return
 		}
 		if slices.Contains(chain, next) {
-			return // a cycle that this pool only leads to
+			return // the pool leads to a cycle but is not part of it
 		}
 		chain = append(chain, next)
 		pool = p.symbols.find(poolKeyword, next)
--- a/internal/lang/readblock.go
+++ b/internal/lang/readblock.go
@@ -7,17 +7,19 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// includeKeyword begins an include, which stands beside the blocks of a file.
+// includeKeyword is the keyword of an include. Like the keywords of blocks, it is suggested in place of an unknown
+// keyword.
 const includeKeyword = "include"
 
-// blockReader reads the values of blocks as the types of the blocks require. It reports what does not fit a type, and
-// leaves it out.
+// blockReader reads the settings of blocks according to the types of the blocks. It reports and leaves out what does
+// not fit a type.
 type blockReader struct {
 	report  *reporter
 	sources map[string]*syntax.Source // by file
 }
 
-// read reads a block at the top level of a file. It returns nil where its keyword is unknown or its name is missing.
+// read reads a block at the top level of a file. It returns nil if the keyword is unknown, or if the name is missing or
+// invalid.
 func (r *blockReader) read(syntaxBlock *syntax.Block) *block {
 	source := r.sources[syntaxBlock.At.File]
 	t, keywords := findBlockType(blockTypes, syntaxBlock.Keyword)
@@ -29,7 +31,7 @@
 	return r.readAs(t, syntaxBlock, source)
 }
 
-// readAs reads a block of a type. It returns nil for a block that lacks its name.
+// readAs reads a block of the given type. It returns nil if the block needs a name and its name is missing or invalid.
 func (r *blockReader) readAs(t *blockType, syntaxBlock *syntax.Block, source *syntax.Source) *block {
 	b := &block{
 		blockType: t,
@@ -52,7 +54,8 @@
 	return b
 }
 
-// readName reads a block's name, nil for none, and reports whether the block is usable.
+// readName reads the name of a block from its label, which is nil if there is none. It returns false if the block needs
+// a name and its name is missing or invalid.
 func (r *blockReader) readName(b *block, label *syntax.Value) bool {
 	keyword := b.blockType.keyword
 	if !b.blockType.named {
@@ -74,7 +77,7 @@
 	return true
 }
 
-// readSetting reads a setting's values.
+// readSetting reads the values of a setting. It reports a setting that is unknown or given twice.
 func (r *blockReader) readSetting(b *block, setting *syntax.Setting) {
 	t, ok := b.blockType.settingType(setting.Name)
 	if !ok {
@@ -94,7 +97,7 @@
 	r.readValues(b, setting, t.read)
 }
 
-// readValues reads each value of a setting. It leaves out those that can't be read and those that are repeated.
+// readValues reads each value of a setting. It reports and leaves out invalid and repeated values.
 func (r *blockReader) readValues(b *block, setting *syntax.Setting, read valueReader) {
 	seen := map[string]bool{}
 	for _, raw := range setting.Values {
@@ -125,7 +128,8 @@
 	}
 }
 
-// findBlockType returns the type with a keyword, or nil and the keywords that there are.
+// findBlockType returns the type with the given keyword. If there is none, it returns nil and the keywords of all
+// types.
 func findBlockType(types []*blockType, keyword string) (found *blockType, keywords []string) {
 	for _, t := range types {
 		if t.keyword == keyword {
--- a/internal/lang/readblock_test.go
+++ b/internal/lang/readblock_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// What does not fit the block's type is reported and left out; the rest is read.
+// Settings and values that do not fit the type of the block are reported and left out; all others are read.
 func TestBlockReaderLeavesOutWhatDoesNotFit(t *testing.T) {
 	file, source, _ := syntax.Parse("f", []byte("pool \"p\" {\n\tcap = 0\n\tspill = 5/s\n\tcapp = 1\n\tworkers { cell = 1, x, 1 }\n}\n"))
 	report := &reporter{}
@@ -36,6 +36,6 @@
 		}
 	}
 	if len(c.builders) != len(blockTypes) {
-		t.Errorf("%d builders of %d types", len(c.builders), len(blockTypes))
+		t.Errorf("%d builders for %d block types", len(c.builders), len(blockTypes))
 	}
 }
--- a/internal/lang/reference.go
+++ b/internal/lang/reference.go
@@ -1,11 +1,12 @@
 package lang
 
-// referenceResolver resolves the names by which blocks refer to each other, and keeps which names are referred to.
+// referenceResolver resolves references between blocks, which refer to each other by name, and records which names are
+// referenced.
 type referenceResolver struct {
 	report     *reporter
 	symbols    *symbolTable
-	referenced map[blockID]bool // defined or not
-	unresolved map[string]bool  // keywords of which a reference is not defined, or can't be read
+	referenced map[blockID]bool // includes names that are not defined
+	unresolved map[string]bool  // keywords for which at least one reference is undefined or invalid
 }
 
 func newReferenceResolver(report *reporter, symbols *symbolTable) *referenceResolver {
@@ -17,8 +18,8 @@
 	}
 }
 
-// resolve records that a setting, if it is present, refers to a block with a keyword by its name, and reports whether
-// there is such a block. It reports a fault where there is none, unless a file that could not be read may define it.
+// resolve resolves a setting that refers by name to a block with the given keyword. It returns true if the setting is
+// present and the block exists. A missing block is a fault, unless a file that could not be read may define it.
 func (r *referenceResolver) resolve(b *block, setting, keyword string) bool {
 	if !b.hasValue(setting) {
 		r.unresolved[keyword] = r.unresolved[keyword] || b.isPresent(setting)
@@ -36,8 +37,9 @@
 	return false
 }
 
-// reportUnused reports blocks that no other block refers to; referrers names what could. It reports none where some
-// reference could not be resolved: the unused block may be the one that was meant.
+// reportUnused reports blocks that no other block refers to; referrers names the kinds of blocks that could refer to
+// them. It reports nothing if a reference could not be resolved, because that reference may be meant for the unused
+// block.
 func (r *referenceResolver) reportUnused(keyword, referrers string) {
 	if !r.symbols.complete || r.unresolved[keyword] {
 		return
--- a/internal/lang/report.go
+++ b/internal/lang/report.go
@@ -8,7 +8,7 @@
 	notes  syntax.Faults
 }
 
-// add records faults that concern no block that could be read.
+// add records faults that don't belong to a block that could be read.
 func (r *reporter) add(faults ...syntax.Fault) { r.faults = append(r.faults, faults...) }
 
 // fault records a fault at a position within a block.
@@ -16,12 +16,12 @@
 	r.add(b.source.FaultAt(pos, format, args...))
 }
 
-// faultAtSetting records a fault at the value of a setting, which must have one.
+// faultAtSetting records a fault at the first value of a setting, which must have a value.
 func (r *reporter) faultAtSetting(b *block, setting, format string, args ...any) {
 	r.fault(b, b.value(setting).pos, format, args...)
 }
 
-// note records what is allowed and may not be meant.
+// note records something that is allowed but may be unintended.
 func (r *reporter) note(b *block, pos syntax.Pos, format string, args ...any) {
 	r.notes = append(r.notes, b.source.FaultAt(pos, format, args...))
 }
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -10,21 +10,21 @@
 // Result is the result of checking a configuration.
 type Result struct {
 	Spec   route.Spec
-	Faults syntax.Faults // any of them makes the configuration unusable
-	Notes  syntax.Faults // what is allowed and may not be meant
-	Files  []string      // that were read
+	Faults syntax.Faults // if there are any, the configuration can't be used
+	Notes  syntax.Faults // what is allowed but may be unintended
+	Files  []string      // all files that were read
 
 	definitionLines definitionLines
 	classes         knownClasses
 }
 
-// Classes returns the names of the classes that the configuration can tell apart.
+// Classes returns the names of the classes that the configuration can distinguish.
 func (r *Result) Classes() []string { return r.classes.list.names() }
 
-// ClassesComplete reports whether there are no classes beyond Classes.
+// ClassesComplete reports whether no classes exist beyond those that Classes returns.
 func (r *Result) ClassesComplete() bool { return r.classes.complete }
 
-// NotIdempotent reports for each of some classes whether it must never run twice.
+// NotIdempotent reports for each of the given classes whether it must never run twice.
 func (r *Result) NotIdempotent(classes []string) []bool {
 	var notIdempotent []bool
 	for _, name := range classes {
@@ -33,15 +33,15 @@
 	return notIdempotent
 }
 
-// Lines returns the lines that define a block, each as a fault without a message.
+// Lines returns the lines that define a block, including inherited settings. Each line is a fault without a message.
 func (r *Result) Lines(kind route.BlockKind, name string) []syntax.Fault {
 	return r.definitionLines[blockID{string(kind), name}]
 }
 
-// Err returns the faults as an error, or nil.
+// Err returns the faults as an error, or nil if there are none.
 func (r *Result) Err() error { return r.Faults.Err() }
 
-// Diff returns what a configuration changes in behaviour compared with the one that it replaces. Both must be without
+// Diff returns how the behaviour of the updated configuration differs from that of the old one. Both must have no
 // faults.
 func Diff(old, updated *Result) ([]route.Change, error) {
 	classes := old.Classes()
--- a/internal/lang/result_test.go
+++ b/internal/lang/result_test.go
@@ -10,7 +10,7 @@
 	"crankhold/internal/route"
 )
 
-// The lines of a policy, which explain shows, include those of the policy that it inherits from.
+// The lines of a policy, which the command explain shows, include those of the policy that it inherits from.
 func TestLinesIncludeInheritedSettings(t *testing.T) {
 	r := mustCheck(t, testFiles, "deploy", nil)
 	var lines []string
@@ -30,7 +30,7 @@
 	}
 }
 
-// Formatted files behave as the files before; a changed setting is a difference.
+// Diff finds no difference between files and their formatted form, but finds a changed setting.
 func TestFormattingKeepsBehaviour(t *testing.T) {
 	formatted := fstest.MapFS{}
 	for name, f := range testFiles {
@@ -42,11 +42,11 @@
 	}
 	original := mustCheck(t, testFiles, "", nil)
 	if changes, err := Diff(original, mustCheck(t, formatted, "", nil)); err != nil || len(changes) > 0 {
-		t.Errorf("formatting changes %+v, %v", changes, err)
+		t.Errorf("formatting changes the behaviour: %+v, %v", changes, err)
 	}
 	formatted["main.crank"] = textFile(strings.Replace(string(formatted["main.crank"].Data), "300ms", "200ms", 1))
 	changes, err := Diff(original, mustCheck(t, formatted, "", nil))
 	if err != nil || len(changes) != 1 || !strings.Contains(changes[0].After, "attempt-time 200ms") {
-		t.Errorf("a changed time: %+v, %v", changes, err)
+		t.Errorf("changes after another attempt-time: %+v, %v", changes, err)
 	}
 }
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -7,7 +7,8 @@
 	"crankhold/internal/route"
 )
 
-// routeType sends the requests that it matches to a pool, under a policy, or rejects them.
+// routeType is the type of route blocks. A route sends the requests that it matches to a pool, under a policy, or
+// rejects them.
 var routeType = &blockType{
 	keyword: routeKeyword,
 	named:   true,
@@ -22,7 +23,7 @@
 	},
 }
 
-// readFunction reads 16 hex digits, or fewer and a star.
+// readFunction reads a pattern of functions: 16 hex digits, or fewer digits and a star.
 func readFunction(raw syntax.Value) (value, error) {
 	v, err := readText(raw)
 	if err != nil {
@@ -35,7 +36,7 @@
 // routeBuilder builds routes out of route blocks.
 type routeBuilder struct {
 	builderContext
-	firstFile string            // the name that messages show
+	firstFile string            // as messages show its name
 	specs     []route.RouteSpec // in the order of the files
 }
 
@@ -53,7 +54,7 @@
 		spec.Fronts = append(spec.Fronts, frontByName(front))
 	}
 	for _, function := range b.texts(functionSetting) {
-		pattern, _ := route.ParsePattern(function) // checked when it was read
+		pattern, _ := route.ParsePattern(function) // validated by readFunction
 		spec.Functions = append(spec.Functions, pattern)
 	}
 	r.checkDestination(b)
@@ -63,7 +64,7 @@
 	r.specs = append(r.specs, spec)
 }
 
-// frontByName returns the front of a name that readOneOf has checked.
+// frontByName returns the front with a name that readOneOf has validated.
 func frontByName(name string) route.Front {
 	if name == route.Webhook.String() {
 		return route.Webhook
@@ -71,7 +72,8 @@
 	return route.Thrift
 }
 
-// checkDestination reports a route that neither rejects its requests nor has a pool for them, and one that does both.
+// checkDestination reports a route that has no pool and does not reject its requests, and a route that rejects its
+// requests but has a pool or a policy.
 func (r *routeBuilder) checkDestination(b *block) {
 	switch {
 	case b.hasValue(rejectSetting) && (b.hasValue(poolSetting) || b.hasValue(policySetting)):
@@ -81,7 +83,7 @@
 	}
 }
 
-// check resolves the pools, policies and classes that routes name.
+// check resolves the pools, policies and classes that routes name, and reports a configuration without routes.
 func (r *routeBuilder) check() {
 	classes := r.classNames()
 	definitions := r.symbols.definitions(routeKeyword)
@@ -96,8 +98,8 @@
 	}
 }
 
-// classNames returns the classes that a route may name: the platform's, or without a platform those of class blocks.
-// Where there are none, a route may name any class.
+// classNames returns the classes that a route may name: the platform's classes or, without a platform, those that class
+// blocks declare. If there are none, a route may name any class.
 func (r *routeBuilder) classNames() []string {
 	if r.platform != nil {
 		return r.platform.classes().names()
@@ -105,7 +107,7 @@
 	return r.symbols.names(classKeyword)
 }
 
-// checkClasses reports classes that a route names and that there are not.
+// checkClasses reports classes that a route names but that do not exist.
 func (r *routeBuilder) checkClasses(b *block, classes []string) {
 	if len(classes) == 0 || !r.symbols.complete {
 		return
--- a/internal/lang/selector.go
+++ b/internal/lang/selector.go
@@ -7,7 +7,8 @@
 	"crankhold/internal/route"
 )
 
-// selectorType selects the workers that meet all of its settings; a pool has the workers of any of its selectors.
+// selectorType is the type of blocks that select workers. A worker must meet all settings of a selector; a pool has the
+// workers that match any of its selectors.
 var selectorType = &blockType{
 	keyword: "workers",
 	settings: map[string]settingType{
--- a/internal/lang/selectorcheck.go
+++ b/internal/lang/selectorcheck.go
@@ -8,13 +8,13 @@
 	"crankhold/internal/route"
 )
 
-// selectorChecker finds selectors that no worker can match, by what the platform's settings and the worker blocks say.
+// selectorChecker finds selectors that no worker can match, according to the platform's settings and the worker blocks.
 type selectorChecker struct {
-	platform *Platform      // nil: not known
-	workers  []route.Worker // of worker blocks
+	platform *Platform      // nil: unknown
+	workers  []route.Worker // from worker blocks
 }
 
-// unsatisfiableReason returns why no worker can match a selector, or "" where one may.
+// unsatisfiableReason returns why no worker can match a selector, or "" if some worker may.
 func (c selectorChecker) unsatisfiableReason(s route.Selector) string {
 	if reason := c.platformMismatch(s); reason != "" {
 		return reason
@@ -35,7 +35,8 @@
 	return ""
 }
 
-// platformMismatch returns why the platform has no worker of the selector's kinds or zones, or "".
+// platformMismatch returns why the platform has no worker of the selector's kinds or zones, or "" if it has or its
+// kinds and zones are unknown.
 func (c selectorChecker) platformMismatch(s route.Selector) string {
 	if c.platform == nil {
 		return ""
@@ -43,7 +44,7 @@
 	for _, property := range []struct {
 		name     string
 		wanted   []string
-		existing []string // empty: not known
+		existing []string // empty: unknown
 	}{
 		{"kind", s.Kinds, c.platform.Kinds},
 		{"zone", s.Zones, c.platform.Zones},
@@ -60,8 +61,8 @@
 	return ""
 }
 
-// matchesWorkerBlock reports whether a worker block matches the selector. Where none does, it returns why the last one
-// that the selector names by id does not, or "".
+// matchesWorkerBlock reports whether the selector matches a worker block. If not, it also returns why the last worker
+// block that the selector names by id does not match, or "" if it names none.
 func (c selectorChecker) matchesWorkerBlock(s route.Selector) (matched bool, namedWorkerMismatch string) {
 	for _, w := range c.workers {
 		reason := mismatch(s, w)
@@ -75,7 +76,8 @@
 	return false, namedWorkerMismatch
 }
 
-// missingLabel returns which of the selector's labels no worker block gives. No other workers have any labels.
+// missingLabel returns which of the selector's labels is missing from all worker blocks. Workers without a worker block
+// have no labels.
 func (c selectorChecker) missingLabel(s route.Selector) string {
 	for _, label := range s.Labels {
 		hasLabel := func(w route.Worker) bool { return slices.Contains(label.Values, w.Labels[label.Name]) }
@@ -87,7 +89,7 @@
 	return "no worker block fits all of it"
 }
 
-// namesOnlyWorkerBlocks reports whether the selector names workers by id, and all of them have worker blocks.
+// namesOnlyWorkerBlocks reports whether the selector names workers by id, each of which has a worker block.
 func (c selectorChecker) namesOnlyWorkerBlocks(s route.Selector) bool {
 	if len(s.IDs) == 0 {
 		return false
@@ -101,10 +103,10 @@
 	return true
 }
 
-// insufficientMemory returns why no worker has the memory that the selector asks for, or "" where one may.
+// insufficientMemory returns why no worker has the memory that the selector requires, or "" if some worker may.
 func (c selectorChecker) insufficientMemory(s route.Selector) string {
 	if c.platform == nil || len(c.platform.KindMemoryMB) == 0 {
-		return "no worker block tells of so much memory" // nothing else gives the memory of workers then
+		return "no worker block tells of so much memory" // in this case, only worker blocks give the memory of workers
 	}
 	largest := 0.0
 	for kind, memoryMB := range c.platform.KindMemoryMB {
@@ -118,7 +120,7 @@
 	return ""
 }
 
-// mismatch returns which condition of a selector a worker block contradicts, or "".
+// mismatch returns which condition of a selector a worker block does not meet, or "" if it meets all.
 func mismatch(s route.Selector, w route.Worker) string {
 	s = withoutUnknownProperties(s, w)
 	switch {
@@ -138,8 +140,8 @@
 	return ""
 }
 
-// withoutUnknownProperties returns a selector without the conditions on what a worker block leaves open: discovery may report a
-// value that fits. Labels are given by worker blocks alone.
+// withoutUnknownProperties returns a selector without the conditions on properties that a worker block leaves open,
+// because discovery may report a value that fits. Conditions on labels stay, because only worker blocks give labels.
 func withoutUnknownProperties(s route.Selector, w route.Worker) route.Selector {
 	if w.Kind == "" {
 		s.Kinds = nil
--- a/internal/lang/selectorcheck_test.go
+++ b/internal/lang/selectorcheck_test.go
@@ -6,7 +6,8 @@
 	"crankhold/internal/route"
 )
 
-// A worker block that leaves a property open contradicts no condition on it: discovery may report a value that fits.
+// A worker block that leaves a property open does not conflict with a condition on it, because discovery may report a
+// value that fits.
 func TestMismatchRespectsWhatABlockLeavesOpen(t *testing.T) {
 	known := route.Worker{Name: "s-1", Kind: "small", Cell: 3, MemoryMB: 100, Labels: map[string]string{"rack": "r1"}}
 	unknown := route.Worker{Name: "s-1", Cell: route.UnknownCell}
--- a/internal/lang/settings.go
+++ b/internal/lang/settings.go
@@ -1,7 +1,7 @@
 package lang
 
-// The names of the settings that blocks have; docs/language.md gives their meaning. The addresses of a worker have the
-// names of their networks, and labels any names.
+// The names of the settings of blocks; docs/language.md describes them. Not listed are the addresses of a worker, which
+// are named after their networks, and labels, which may have any name.
 const (
 	retriesAfterNoRunSetting = "again-if-not-ran"
 	retriesAfterRunSetting   = "again-if-ran"
--- a/internal/lang/suggest.go
+++ b/internal/lang/suggest.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// suggest returns the end of a message that proposes the known name that is most similar to a mistyped one, or "" where
-// none is similar. The longer the name, the more edits it may differ by.
+// suggest returns the end of a message that proposes the known name most similar to a mistyped one, or "" if none is
+// similar enough. Longer names may differ by more edits.
 func suggest(name string, known []string) string {
 	limit := 1 + len(name)/3
 	nearest := ""
@@ -25,8 +25,9 @@
 	return fmt.Sprintf("; did you mean %s?", nearest)
 }
 
-// editDistance returns how many bytes must be inserted, deleted, replaced or swapped with the next one to turn a into b
-// (the optimal string alignment distance), or a number of limit or more.
+// editDistance returns the optimal string alignment distance between a and b: the number of bytes that must be
+// inserted, deleted, replaced, or swapped with the next byte to turn a into b. If the distance is limit or more, the
+// result need not be exact, but it is also limit or more.
 func editDistance(a, b string, limit int) int {
 	if len(a)-len(b) >= limit || len(b)-len(a) >= limit {
 		return limit
@@ -38,8 +39,8 @@
 	return d.current[len(b)]
 }
 
-// editDistanceRows computes the distances from one text to another row by row. Row i has the distances from a[:i] to each
-// prefix of b; the three latest rows are kept.
+// editDistanceRows computes the distances from one text to another row by row. Row i has the distances from a[:i] to
+// each prefix of b. Only the last three rows are kept.
 type editDistanceRows struct {
 	a              string
 	b              string
@@ -48,7 +49,7 @@
 	current        []int
 }
 
-// newEditDistanceRows returns the first row, of the distances from the empty text.
+// newEditDistanceRows returns the first row, which has the distances from the empty text.
 func newEditDistanceRows(a, b string) *editDistanceRows {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -57,7 +58,7 @@
 	return &editDistanceRows{a: a, b: b, current: row}
 }
 
-// advance computes the row of a[:i+1] from the rows before it.
+// advance computes the row of a[:i+1] from the previous rows.
 func (d *editDistanceRows) advance(i int) {
 	d.beforePrevious = d.previous
 	d.previous = d.current
@@ -68,7 +69,7 @@
 	}
 }
 
-// distance returns the distance from a[:i+1] to b[:j+1]: the least of those by each edit that may come last.
+// distance returns the distance from a[:i+1] to b[:j+1]: the minimum over the possible last edits.
 func (d *editDistanceRows) distance(i, j int) int {
 	substitution := d.previous[j]
 	if d.a[i] != d.b[j] {
--- a/internal/lang/symbols.go
+++ b/internal/lang/symbols.go
@@ -8,10 +8,10 @@
 // blockID identifies a block that has a name.
 type blockID struct{ keyword, name string }
 
-// symbolTable has the named blocks of all files. A name is unique among the blocks of a keyword: the first block that
-// takes it defines it.
+// symbolTable contains the named blocks of all files. A name is unique among the blocks of a keyword: the first block
+// with the name defines it.
 type symbolTable struct {
-	complete bool                         // all files were read without a fault: what is not defined does not exist
+	complete bool                         // all files were read without a fault, so undefined names do not exist
 	blocks   map[string]map[string]*block // by keyword and name
 }
 
@@ -19,7 +19,7 @@
 	return &symbolTable{complete: complete, blocks: map[string]map[string]*block{}}
 }
 
-// define enters a named block. It returns nil, or the block that has defined the name before.
+// define registers a named block. It returns nil, or the earlier block that already defines the name.
 func (s *symbolTable) define(b *block) (first *block) {
 	keyword := b.blockType.keyword
 	if first := s.find(keyword, b.name); first != nil {
@@ -35,10 +35,10 @@
 // find returns the block that defines a name, or nil.
 func (s *symbolTable) find(keyword, name string) *block { return s.blocks[keyword][name] }
 
-// isDefinition reports whether the block defines its name. A block with the name of an earlier one does not.
+// isDefinition reports whether the block defines its name, and does not repeat the name of an earlier block.
 func (s *symbolTable) isDefinition(b *block) bool { return s.find(b.blockType.keyword, b.name) == b }
 
-// names returns the names that the blocks of a keyword define, sorted.
+// names returns the names that the blocks of a keyword define, in sorted order.
 func (s *symbolTable) names(keyword string) []string {
 	return slices.Sorted(maps.Keys(s.blocks[keyword]))
 }
--- a/internal/lang/symbols_test.go
+++ b/internal/lang/symbols_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// parseBlocks reads the blocks of a text, and fails the test where it has faults.
+// parseBlocks reads the blocks of a text and fails the test if they have faults.
 func parseBlocks(t *testing.T, text string) []*block {
 	t.Helper()
 	file, source, faults := syntax.Parse("f", []byte(text))
@@ -29,18 +29,18 @@
 	for i, b := range blocks {
 		first := symbols.define(b)
 		if want := i == 2; (first != nil) != want || want && first != blocks[0] {
-			t.Errorf("block %d: defined before by %+v", i, first)
+			t.Errorf("block %d: first definition %+v", i, first)
 		}
 	}
 	if names := symbols.names(poolKeyword); !slices.Equal(names, []string{"a", "b"}) {
 		t.Errorf("names %v", names)
 	}
 	if !symbols.isDefinition(blocks[0]) || symbols.isDefinition(blocks[2]) || symbols.find(routeKeyword, "a") != nil {
-		t.Error("definitions are mixed up")
+		t.Error("wrong definitions")
 	}
 }
 
-// No block is reported as unused while a reference is unresolved, since that may mean the block.
+// No block is reported as unused while a reference is unresolved, because the reference may be meant for that block.
 func TestUnusedBlocksAreReportedOnceAllReferencesResolve(t *testing.T) {
 	for _, c := range []struct{ fallback, want string }{
 		{"b", "f:1:1: pool \"a\" is not used by any pool"},
--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -9,18 +9,18 @@
 
 // Comment is a comment on a line of its own.
 type Comment struct {
-	Text        string // with its #
+	Text        string // including the #
 	BlankBefore bool   // an empty line precedes it
 }
 
 // Entry is an *Include, a *Block or a *Setting.
 type Entry interface {
-	// Pos returns where the entry begins.
+	// Pos returns the position at which the entry begins.
 	Pos() Pos
 	trivia() *Trivia
 }
 
-// Trivia is the comments and empty lines around an entry. They have no meaning; Format preserves them.
+// Trivia contains the comments and empty lines around an entry. They have no meaning, but Format preserves them.
 type Trivia struct {
 	LeadingComments []Comment // on the lines before it
 	BlankBefore     bool      // an empty line precedes it, after its leading comments
@@ -36,7 +36,7 @@
 	Path Value
 }
 
-// Block is a block with its entries.
+// Block is a keyword with an optional label, followed by entries in braces.
 type Block struct {
 	Trivia
 	At               Pos
@@ -55,7 +55,7 @@
 	Values []Value
 }
 
-// ValueKind is the kind of a value.
+// ValueKind is the lexical kind of a value.
 type ValueKind uint8
 
 // The kinds of values.
@@ -65,19 +65,19 @@
 	WordValue
 )
 
-// Value is one value.
+// Value is one value of a setting, the label of a block or the path of an include.
 type Value struct {
 	At   Pos
 	Kind ValueKind
-	Raw  string // as it stands in the file
+	Raw  string // as written in the file
 
 	leadingComments []Comment // on the lines before it, within a list
 	lineComment     string    // after the comma; "": none
 	startsLine      bool      // the first value on its line, within a list
 }
 
-// Text returns the text that a string stands for, without quotes and escapes. Any other value is returned as it stands
-// in the file.
+// Text returns the text of a string, without quotes and with its escapes replaced. It returns any other value as it is
+// written in the file.
 func (v Value) Text() string {
 	if v.Kind == StringValue {
 		return unquote(v.Raw)
@@ -85,11 +85,11 @@
 	return v.Raw
 }
 
-// Pos returns where the include begins.
+// Pos returns the position at which the include begins.
 func (i *Include) Pos() Pos { return i.At }
 
-// Pos returns where the block begins.
+// Pos returns the position at which the block begins.
 func (b *Block) Pos() Pos { return b.At }
 
-// Pos returns where the setting begins.
+// Pos returns the position at which the setting begins.
 func (s *Setting) Pos() Pos { return s.At }
--- a/internal/lang/syntax/ebnf_test.go
+++ b/internal/lang/syntax/ebnf_test.go
@@ -7,7 +7,7 @@
 	"unicode"
 )
 
-// grammarOp is the form of a part of a production.
+// grammarOp is the operator of a grammar expression.
 type grammarOp int
 
 const (
@@ -16,22 +16,22 @@
 	groupOp
 	optionOp
 	repetitionOp
-	rangeOp // from text to the text of its part
+	rangeOp // from the character in text to the one in the text of its part
 	nameOp
 	literalOp
 )
 
-// bracketOps are the forms that a bracket begins.
+// bracketOps maps opening brackets to the operators that they denote.
 var bracketOps = map[string]grammarOp{"(": groupOp, "[": optionOp, "{": repetitionOp}
 
-// grammarExpr is a part of a production.
+// grammarExpr is an expression on the right side of a production.
 type grammarExpr struct {
 	op    grammarOp
 	text  string
 	parts []grammarExpr
 }
 
-// readGrammar reads the productions of the published grammar.
+// readGrammar reads the productions of the grammar in docs/language.md.
 func readGrammar(t testing.TB) map[string]grammarExpr {
 	t.Helper()
 	page, err := os.ReadFile("../../../docs/language.md")
@@ -41,7 +41,7 @@
 	_, rest, ok := strings.Cut(string(page), "```ebnf\n")
 	text, _, end := strings.Cut(rest, "```")
 	if !ok || !end {
-		t.Fatal("docs/language.md holds no grammar")
+		t.Fatal("docs/language.md contains no grammar")
 	}
 	g := &grammarParser{t: t, tokens: splitGrammarTokens(text)}
 	productions := map[string]grammarExpr{}
@@ -60,7 +60,7 @@
 func splitGrammarTokens(text string) []string {
 	var tokens []string
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " \n") {
-		length := 1 // of a mark
+		length := 1 // of a punctuation mark
 		switch {
 		case text[0] == '"':
 			length = literalLength(text)
@@ -75,7 +75,7 @@
 	return tokens
 }
 
-// literalLength returns the length of a literal that begins a text, with its quotes.
+// literalLength returns the length of the literal at the start of a text, including its quotes.
 func literalLength(text string) int {
 	end := 1
 	for ; text[end] != '"'; end++ {
@@ -103,11 +103,11 @@
 	return token
 }
 
-// expect consumes the next token, which must be this one.
+// expect consumes the next token and fails the test if it is not the given one.
 func (g *grammarParser) expect(token string) {
 	g.t.Helper()
 	if got := g.next(); got != token {
-		g.t.Fatalf("grammar: %q in place of %q", got, token)
+		g.t.Fatalf("grammar: found %q, want %q", got, token)
 	}
 }
 
--- a/internal/lang/syntax/example_test.go
+++ b/internal/lang/syntax/example_test.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// A file is parsed and written in canonical form.
+// A file is parsed, and written in canonical form.
 func ExampleFormat() {
 	text := `pool   "large"{ # for the big functions
 cap=40
@@ -30,7 +30,7 @@
 	// }
 }
 
-// Faults carry their position and quote their line.
+// A fault has a position and quotes the line at that position.
 func ExampleFault_Quoted() {
 	_, _, faults := syntax.Parse("routes.crank", []byte("pool \"large\" {\n\tcap 40\n}\n"))
 	for _, fault := range faults {
--- a/internal/lang/syntax/fault.go
+++ b/internal/lang/syntax/fault.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Pos is a position in a file. The JSON output of the command check has its fields' names.
+// Pos is a position in a file. The JSON output of the command check uses the names of its fields.
 type Pos struct {
 	File string
 	Line int // from 1
 	Col  int // column in characters, from 1
 }
 
-// String returns file:line:column.
+// String returns the position as file:line:column.
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Valid reports whether p is a position; the zero value is none.
+// Valid reports whether p is a position; the zero value is not.
 func (p Pos) Valid() bool { return p.Line > 0 }
 
 // Compare orders positions by file, line and column.
@@ -25,17 +25,18 @@
 	return cmp.Or(strings.Compare(p.File, q.File), cmp.Compare(p.Line, q.Line), cmp.Compare(p.Col, q.Col))
 }
 
-// Fault is one diagnostic: an error in a file, or a note on what is allowed and may not be meant.
+// Fault is one diagnostic: an error in a file, or a note on something that is allowed but may be unintended.
 type Fault struct {
 	Pos  Pos    `json:"pos"`
 	Msg  string `json:"message"`        // without the position
-	Line string `json:"line,omitempty"` // the text of the line, cut where it is long
+	Line string `json:"line,omitempty"` // the text of the line, truncated if it is long
 }
 
-// Error returns the fault on one line.
+// Error returns the position and the message on one line.
 func (f Fault) Error() string { return f.Pos.String() + ": " + f.Msg }
 
-// Quoted returns the fault, the line that it concerns, and a mark under the column, on three lines.
+// Quoted returns three lines: the fault, the line that it concerns, and a caret under the column. It returns only the
+// fault if the line is unknown.
 func (f Fault) Quoted() string {
 	if f.Line == "" {
 		return f.Error()
@@ -43,7 +44,7 @@
 	return f.Error() + "\n\t" + f.Line + "\n\t" + f.indent() + "^"
 }
 
-// indent returns white space as wide as the line is up to the column.
+// indent returns white space that is as wide as the part of the line before the column.
 func (f Fault) indent() string {
 	line := []rune(f.Line)
 	before := line[:max(0, min(f.Pos.Col-1, len(line)))]
@@ -55,10 +56,10 @@
 	return string(before)
 }
 
-// Faults is a list of faults; it is an error where it is not empty.
+// Faults is a list of faults. A list that is not empty is an error.
 type Faults []Fault
 
-// Error returns a line for each fault.
+// Error returns one line per fault.
 func (l Faults) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
@@ -67,7 +68,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the list as an error, or nil where it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (l Faults) Err() error {
 	if len(l) == 0 {
 		return nil
--- a/internal/lang/syntax/format_test.go
+++ b/internal/lang/syntax/format_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Formatting a tree of any shape loses no comment, changes no meaning, and is idempotent.
+// Formatting a tree of any shape loses no comment, does not change the meaning, and is idempotent.
 func TestFormattingIsIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &File{Name: "random"}
--- a/internal/lang/syntax/grammar_test.go
+++ b/internal/lang/syntax/grammar_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// derivation derives a random sentence of a grammar.
+// derivation derives a random sentence from a grammar.
 type derivation struct {
 	random      *rand.Rand
 	productions map[string]grammarExpr
 	sentence    strings.Builder
 }
 
-// derive appends a sentence of an expression within so many blocks.
+// derive appends a sentence that is derived from an expression; depth is the number of enclosing blocks.
 func (d *derivation) derive(e grammarExpr, depth int) {
 	switch e.op {
 	case alternativeOp:
@@ -43,10 +43,10 @@
 	}
 }
 
-// tokenProductions are the productions of tokens, which a space separates; within a token there is none.
+// tokenProductions are the productions of tokens. A space is written before each token, and none within it.
 var tokenProductions = []string{"string", "quantity", "word"}
 
-// deriveProduction appends a sentence of a production. Blocks are nested no deeper than a file may nest them.
+// deriveProduction appends a sentence that is derived from a production. Blocks are nested at most MaxDepth deep.
 func (d *derivation) deriveProduction(name string, depth int) {
 	if name == "Block" {
 		if depth >= MaxDepth {
@@ -61,7 +61,8 @@
 	d.derive(d.productions[name], depth)
 }
 
-// What the published grammar derives is parsed without a fault, and means the same when it has been formatted.
+// Sentences that are derived from the grammar in docs/language.md are parsed without a fault and keep their meaning
+// when they are formatted.
 func TestParserAcceptsDerivedSentences(t *testing.T) {
 	productions := readGrammar(t)
 	for _, name := range []string{"File", "Block", "Setting", "Value", "string", "quantity", "word"} {
@@ -88,13 +89,13 @@
 	}
 }
 
-// A sentence that the grammar does not derive, since a token is missing, doubled or another one, has a fault.
+// A sentence that the grammar does not derive, because a token is missing, repeated or replaced, has a fault.
 func TestParserRejectsInvalidSentences(t *testing.T) {
 	for _, text := range []string{"{", "}", "=", ",", "a", "a {", "a = 1", "a {}}", "a { b = }", "a { b = , 1 }", "a { = 1 }",
 		"a { b 1 }", "a b {}", "a {} b {}", `include`, `include a`, `include "a" "b"`, `"a" {}`, "1 {}", "a { b = 1 c = 2 }",
 		"a { b = 1 2 }", "a { b = 1, }", "a { include \"x\" }", "a \"x\" \"y\" {}", "a\n{}"} {
 		if _, _, faults := Parse("f", []byte(text)); len(faults) == 0 {
-			t.Errorf("%q is read without a fault", text)
+			t.Errorf("%q is parsed without a fault", text)
 		}
 	}
 }
--- a/internal/lang/syntax/parse_entry.go
+++ b/internal/lang/syntax/parse_entry.go
@@ -1,9 +1,9 @@
 package syntax
 
-// includeKeyword begins an include at the top of a file.
+// includeKeyword is the word that begins an include. Includes are allowed only at the top level of a file.
 const includeKeyword = "include"
 
-// parseEntry parses an include, a block or a setting. It returns nil after a fault.
+// parseEntry parses an include, a block or a setting. It returns nil if a fault prevents that.
 func (p *parser) parseEntry(depth int) Entry {
 	pos := p.token.pos
 	if p.token.kind != wordToken {
@@ -20,7 +20,7 @@
 	case depth == 0 && word == includeKeyword:
 		return p.parseInclude(pos)
 	case depth == 0 && p.token.isPunctuation("="):
-		p.reportFault(pos, "a setting stands in a block: %s is outside of any", word)
+		p.reportFault(pos, "setting %s is outside of any block", word)
 		p.skipLine()
 		return nil
 	case p.token.isPunctuation("="):
@@ -34,7 +34,7 @@
 // parseInclude parses the rest of an include, after its keyword.
 func (p *parser) parseInclude(pos Pos) Entry {
 	if p.token.kind != stringToken {
-		p.reportExpected("the path of a file in quotes")
+		p.reportExpected("a file path in quotes")
 		return nil
 	}
 	return &Include{At: pos, Path: p.parseValue()}
@@ -72,7 +72,7 @@
 	return b
 }
 
-// parseSetting parses a setting's values, after the equals sign. A comma continues the list, also on the next line.
+// parseSetting parses a setting's values, after the equals sign. After a comma, the list may continue on the next line.
 func (p *parser) parseSetting(pos Pos, name string) Entry {
 	s := &Setting{At: pos, Name: name}
 	for {
@@ -100,8 +100,7 @@
 	}
 }
 
-// skipLineBreaks skips the ends of lines and the comments within a list. It returns the comments, and whether it
-// skipped anything.
+// skipLineBreaks skips line ends and comments within a list. It returns the comments, and whether it skipped anything.
 func (p *parser) skipLineBreaks() (comments []Comment, skipped bool) {
 	for p.token.kind == newlineToken || p.token.kind == commentToken {
 		if p.token.kind == commentToken {
@@ -113,10 +112,10 @@
 	return comments, skipped
 }
 
-// valueKinds maps the kind of a token to the kind of the value that it stands for.
+// valueKinds maps the kinds of tokens that are values to the kinds of those values.
 var valueKinds = map[tokenKind]ValueKind{stringToken: StringValue, quantityToken: QuantityValue, wordToken: WordValue}
 
-// parseValue consumes the current token as a value.
+// parseValue consumes the current token, which must be a value.
 func (p *parser) parseValue() Value {
 	v := Value{At: p.token.pos, Raw: p.token.raw, Kind: valueKinds[p.token.kind]}
 	p.advance()
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -3,7 +3,7 @@
 import "bytes"
 
 // Parse parses a file; name is the file's name in positions. It always returns a tree of what could be parsed, the
-// source for further faults, and all faults in the file's syntax.
+// source that callers need to report further faults, and all syntax faults in the file.
 func Parse(name string, text []byte) (*File, *Source, Faults) {
 	if len(text) > MaxBytes {
 		fault := Fault{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}
@@ -34,15 +34,15 @@
 	return 0
 }
 
-// parser is a recursive descent parser with one token of look-ahead. After a fault it continues on the next line. The
-// parameter depth of its methods is the number of blocks around what is parsed.
+// parser is a recursive descent parser with one token of lookahead. After a fault it continues on the next line. The
+// parameter depth of its methods is the number of blocks that enclose what is parsed.
 type parser struct {
 	scanner *scanner
 	token   token
-	stopped bool // too many faults, or too deep: nothing more is read
+	stopped bool // after too many faults or too deep nesting: the rest of the file is ignored
 }
 
-// advance reads the next token. After a stop it yields the end of the file alone.
+// advance reads the next token. Once the parser has stopped, every token is the end of the file.
 func (p *parser) advance() {
 	p.token = p.scanner.next()
 	if len(*p.scanner.faults) >= MaxFaults && !p.stopped {
@@ -54,28 +54,28 @@
 	}
 }
 
-// stop makes the parser ignore the rest of the file, which begins at pos.
+// stop makes the parser ignore the rest of the file, from pos on.
 func (p *parser) stop(pos Pos) {
 	p.stopped = true
 	p.token = token{kind: endOfFile, pos: pos}
 }
 
-// reportFault reports what is wrong at a position, unless the parser has stopped.
+// reportFault reports a fault at a position, unless the parser has stopped.
 func (p *parser) reportFault(pos Pos, format string, args ...any) {
 	if !p.stopped {
 		p.scanner.reportFault(pos, format, args...)
 	}
 }
 
-// reportExpected reports what should stand in place of the current token, and skips its line.
+// reportExpected reports what was expected in place of the current token, and skips the rest of its line.
 func (p *parser) reportExpected(what string) {
-	if p.token.kind != invalidToken { // the scanner has reported those
+	if p.token.kind != invalidToken { // the scanner has already reported invalid tokens
 		p.reportFault(p.token.pos, "expected %s, found %s", what, p.token)
 	}
 	p.skipLine()
 }
 
-// skipLine skips the rest of the line; a block that begins on it is skipped whole.
+// skipLine skips the rest of the line, including the whole of any block that begins on it.
 func (p *parser) skipLine() {
 	for depth := 0; p.token.kind != endOfFile; p.advance() {
 		switch {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// takeComment returns the current token's comment and skips it, or returns "" where it is none.
+// takeComment consumes the current token and returns its text if it is a comment. Otherwise it returns "".
 func (p *parser) takeComment() string {
 	if p.token.kind != commentToken {
 		return ""
@@ -111,16 +111,16 @@
 	return comment
 }
 
-// atEndOfEntries reports whether the file, or the block at this depth, ends.
+// atEndOfEntries reports whether the current token ends the file, or the block at this depth.
 func (p *parser) atEndOfEntries(depth int) bool {
 	return p.token.kind == endOfFile || depth > 0 && p.token.isPunctuation("}")
 }
 
-// entryParser reads the entries of a file or a block with the comments and empty lines between them.
+// entryParser parses the entries of a file or a block, together with the comments and empty lines between them.
 type entryParser struct {
 	*parser
 	depth    int
-	newlines int       // since the last entry or comment; more than one are an empty line
+	newlines int       // since the last entry or comment; two or more mean an empty line
 	comments []Comment // since the last entry
 	entries  []Entry
 }
@@ -136,7 +136,7 @@
 		case p.token.kind == commentToken:
 			r.parseComment()
 		case p.token.isPunctuation("}"):
-			p.reportFault(p.token.pos, "a closing brace with no block to close")
+			p.reportFault(p.token.pos, "unexpected closing brace: no block is open")
 			p.advance()
 		default:
 			r.parseEntryWithTrivia()
@@ -145,7 +145,7 @@
 	return r.entries, r.comments
 }
 
-// parseComment reads a comment on a line of its own.
+// parseComment parses a comment on a line of its own.
 func (r *entryParser) parseComment() {
 	r.comments = append(r.comments, Comment{Text: r.token.raw, BlankBefore: r.newlines > 1})
 	r.newlines = 0
@@ -153,7 +153,7 @@
 	r.endLine()
 }
 
-// parseEntryWithTrivia reads an entry, with its comments, and the end of its line.
+// parseEntryWithTrivia parses an entry and the end of its line, and attaches the comments and empty lines around it.
 func (r *entryParser) parseEntryWithTrivia() {
 	blankBefore := r.newlines > 1
 	r.newlines = 0
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -2,21 +2,22 @@
 
 import "strings"
 
-// Format returns a file's text in canonical form: one entry a line, blocks indented by tabs, one space around an equals
-// sign, at most one empty line between entries, and all comments. Formatting is idempotent.
+// Format returns a file's text in canonical form: one entry per line, blocks indented by tabs, one space around an
+// equals sign, at most one empty line between entries, and all comments. Formatting is idempotent.
 func Format(f *File) []byte {
 	p := &printer{}
 	p.writeEntries(f.Entries, f.TrailingComments, 0)
 	return []byte(p.text.String())
 }
 
-// printer writes a tree. The parameter depth of its methods is the number of blocks around what is written.
+// printer writes a tree. The parameter depth of its methods is the number of blocks that enclose what is written.
 type printer struct {
 	text             strings.Builder
-	blankLineAllowed bool // a line was written before in this block, so that an empty line may follow
+	blankLineAllowed bool // an earlier line was written in this block, so an empty line may follow it
 }
 
-// writeBlankLine writes an empty line if it is wanted, but never at the beginning of a block or the file.
+// writeBlankLine writes an empty line if it is wanted, but never at the start of a block or the file. It must be called
+// before each comment or entry.
 func (p *printer) writeBlankLine(wanted bool) {
 	if wanted && p.blankLineAllowed {
 		p.text.WriteByte('\n')
@@ -24,7 +25,7 @@
 	p.blankLineAllowed = true
 }
 
-// writeLine writes an indented line that consists of these parts.
+// writeLine writes an indented line that consists of the given parts.
 func (p *printer) writeLine(depth int, parts ...string) {
 	p.text.WriteString(indentation(depth))
 	for _, part := range parts {
@@ -74,7 +75,7 @@
 	p.writeLine(depth, "}", lineComment)
 }
 
-// maxListLine is the length in bytes beyond which a list continues on the next line.
+// maxListLineBytes is the length of a line, in bytes, beyond which a list continues on the next line.
 const maxListLineBytes = 100
 
 // writeSetting writes a setting. It keeps the line breaks of a list, and adds further ones to a long list.
@@ -100,7 +101,8 @@
 	p.text.WriteString(lineComment + "\n")
 }
 
-// writeListLineBreak ends a line of a list and begins the next one, with the comments that stand between them.
+// writeListLineBreak ends a line of a list and starts the next one. It writes comments on lines of their own in
+// between.
 func (p *printer) writeListLineBreak(comments []Comment, depth int) {
 	p.text.WriteByte('\n')
 	for _, c := range comments {
@@ -111,7 +113,7 @@
 
 func indentation(depth int) string { return strings.Repeat("\t", depth) }
 
-// withLeadingSpace returns a comment with a leading space, or "" where there is none.
+// withLeadingSpace returns a comment with a space before it, or "" if there is no comment.
 func withLeadingSpace(comment string) string {
 	if comment == "" {
 		return ""
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -5,7 +5,8 @@
 	"unicode/utf8"
 )
 
-// The longest tokens in bytes. They are small enough that no line that the formatter writes exceeds MaxLine.
+// The maximum lengths of tokens, in bytes. They are small enough that no line that Format writes is longer than
+// MaxLineBytes.
 const (
 	maxCommentBytes  = 1024
 	maxStringBytes   = 1024
@@ -13,18 +14,19 @@
 	maxQuantityBytes = 128
 )
 
-// byteOrderMark may begin a file, and is skipped.
+// byteOrderMark is allowed only at the start of a file, where it is skipped.
 const byteOrderMark = '\uFEFF'
 
-// withoutByteOrderMark returns a file's text without the mark that may begin it.
+// withoutByteOrderMark returns a file's text without the byte order mark at its start, if there is one.
 func withoutByteOrderMark(text []byte) string {
 	return strings.TrimPrefix(string(text), string(byteOrderMark))
 }
 
-// deleteCharacter is the control character after the printable ones of ASCII.
+// deleteCharacter is the ASCII control character that follows the printable characters.
 const deleteCharacter = 0x7f
 
-// scanner splits a file into tokens. It reports each byte that belongs to no token, once.
+// scanner splits a file into tokens. It reports each character that belongs to no token, and each run of such a
+// character only once.
 type scanner struct {
 	source *Source
 	text   string
@@ -58,7 +60,7 @@
 	s.skipSpace()
 	t := token{pos: s.position()}
 	if s.atEnd() {
-		return t // the end of the file
+		return t // the zero token is the end of the file
 	}
 	switch s.text[s.offset] {
 	case '\n':
@@ -97,7 +99,7 @@
 	s.column = 1
 }
 
-// scanWithinLine scans a token other than a comment or the end of a line, and returns its kind.
+// scanWithinLine scans a token other than a comment or a newline, and returns its kind.
 func (s *scanner) scanWithinLine(pos Pos) tokenKind {
 	switch c := s.text[s.offset]; {
 	case strings.IndexByte("{}=,", c) >= 0:
@@ -118,22 +120,22 @@
 	}
 }
 
-// atSignedNumber reports whether a number with a sign follows. The language has no such numbers. They are scanned as
+// atSignedNumber reports whether a number with a sign follows. The language has no signed numbers; they are scanned as
 // one token so that the fault quotes the whole number.
 func (s *scanner) atSignedNumber() bool {
 	c := s.text[s.offset]
 	return (c == '-' || c == '+') && s.offset+1 < len(s.text) && isDigit(s.text[s.offset+1])
 }
 
-// skipWhile skips bytes that belong to a token.
+// skipWhile skips bytes as long as they belong to a token.
 func (s *scanner) skipWhile(belongs func(byte) bool) {
 	for !s.atEnd() && belongs(s.text[s.offset]) {
 		s.offset++
 	}
 }
 
-// scanUnexpected reports and skips a character that begins no token. It also skips the following bytes that equal the
-// character's first byte, so that a run of the same character is one fault.
+// scanUnexpected reports and skips a character that can't begin a token. It also skips the following bytes that equal
+// the character's first byte, so that a run of the same character is one fault.
 func (s *scanner) scanUnexpected(pos Pos) {
 	first := s.text[s.offset]
 	r, size := utf8.DecodeRuneInString(s.text[s.offset:])
@@ -142,7 +144,7 @@
 	case isInvalidUTF8(r, size):
 		s.reportFault(pos, "byte 0x%02x is not UTF-8", first)
 	case r == byteOrderMark:
-		s.reportFault(pos, "a byte order mark may only begin a file")
+		s.reportFault(pos, "a byte order mark is allowed only at the start of a file")
 	case isControl(r):
 		s.reportFault(pos, "control character 0x%02x", first)
 	default:
@@ -151,20 +153,20 @@
 	s.skipWhile(func(c byte) bool { return c == first })
 }
 
-// tokenLengthLimit is the maximum length of the tokens of a kind.
+// tokenLengthLimit is the maximum length of the tokens of one kind.
 type tokenLengthLimit struct {
-	tokenName string // in faults
+	tokenName string // for faults
 	maxBytes  int
 }
 
-// lengthLimits are the limits of the kinds of tokens that limitLength checks.
+// tokenLengthLimits lists the limits that checkLength applies, by the kind of token.
 var tokenLengthLimits = map[tokenKind]tokenLengthLimit{
 	wordToken:     {"name", maxWordBytes},
 	stringToken:   {"string", maxStringBytes},
 	quantityToken: {"number", maxQuantityBytes},
 }
 
-// checkLength returns the token's kind, or reports a token that is too long and returns invalidToken.
+// checkLength returns the token's kind. If the token is too long, it reports a fault and returns invalidToken.
 func (s *scanner) checkLength(t token) tokenKind {
 	limit, limited := tokenLengthLimits[t.kind]
 	if !limited || len(t.raw) <= limit.maxBytes {
@@ -174,7 +176,8 @@
 	return invalidToken
 }
 
-// scanComment scans a comment, up to the end of its line, and returns it without white space at its end.
+// scanComment scans a comment, up to the end of its line, and returns it without trailing white space. It returns "#"
+// for a comment that is too long.
 func (s *scanner) scanComment(pos Pos) string {
 	start := s.offset
 	s.skipWhile(func(c byte) bool { return c != '\n' })
@@ -188,14 +191,15 @@
 		return comment
 	}
 	pos.Col += utf8.RuneCountInString(comment[:invalid])
-	s.reportFault(pos, "a comment holds a byte that is no text")
+	s.reportFault(pos, "a comment contains an invalid character")
 	return removeInvalid(comment)
 }
 
-// isInvalidInComment reports whether a comment can't hold a character.
+// isInvalidInComment reports whether a character is not allowed in a comment: a control character other than a tab, or
+// the replacement character, which also represents bytes that are not UTF-8.
 func isInvalidInComment(r rune) bool { return r == utf8.RuneError || isControl(r) && r != '\t' }
 
-// removeInvalid removes what a comment can't hold.
+// removeInvalid removes the characters that are not allowed in a comment.
 func removeInvalid(comment string) string {
 	return strings.Map(func(r rune) rune {
 		if isInvalidInComment(r) {
@@ -217,5 +221,5 @@
 
 func isControl(r rune) bool { return r < ' ' || r == deleteCharacter }
 
-// isInvalidUTF8 reports whether a rune that was decoded out of so many bytes stands for a byte that is not UTF-8.
+// isInvalidUTF8 reports whether a rune that was decoded from size bytes represents a byte that is not valid UTF-8.
 func isInvalidUTF8(r rune, size int) bool { return r == utf8.RuneError && size < 2 }
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -6,27 +6,27 @@
 	"unicode/utf8"
 )
 
-// Limits on one file. A file that exceeds a limit gets one fault for it, which names the limit.
+// Limits on one file. A file that exceeds a limit gets one fault, which states the limit.
 const (
-	MaxBytes     = 4 << 20 // bytes of a file
-	MaxLineBytes = 4 << 10 // bytes of a line
-	MaxDepth     = 8       // blocks within blocks
-	MaxFaults    = 100     // faults reported of one file
+	MaxBytes     = 4 << 20 // length of a file in bytes
+	MaxLineBytes = 4 << 10 // length of a line in bytes
+	MaxDepth     = 8       // levels of nested blocks
+	MaxFaults    = 100     // reported faults per file
 )
 
-// Source is the text of one file, split into lines. Faults quote their line from it.
+// Source is the text of one file, split into lines, which faults quote.
 type Source struct {
 	Name  string
 	lines []string
 }
 
-// NewSource splits text into lines. It keeps no more than MaxBytes of it.
+// NewSource splits text into lines. It ignores what exceeds MaxBytes.
 func NewSource(name string, text []byte) *Source {
 	text = text[:min(len(text), MaxBytes)]
 	return &Source{name, strings.Split(withoutByteOrderMark(text), "\n")}
 }
 
-// FaultAt returns a fault at a position of this source, with its line quoted.
+// FaultAt returns a fault at a position in this source, which quotes the line at that position.
 func (s *Source) FaultAt(pos Pos, format string, args ...any) Fault {
 	f := Fault{Pos: pos, Msg: fmt.Sprintf(format, args...)}
 	if pos.Line >= 1 && pos.Line <= len(s.lines) {
@@ -35,10 +35,11 @@
 	return f
 }
 
-// maxExcerpt is how many characters of a line a fault quotes.
+// maxExcerptLength is the maximum number of characters of a line that a fault quotes.
 const maxExcerptLength = 160
 
-// excerpt returns a line as a fault quotes it: truncated to maxExcerpt characters, with ? for what can't be printed.
+// excerpt returns a line as a fault quotes it: truncated to maxExcerptLength characters, with ? in place of invalid
+// UTF-8 and control characters.
 func excerpt(line string) string {
 	line = strings.ToValidUTF8(strings.TrimRight(line, "\r"), "?")
 	if utf8.RuneCountInString(line) > maxExcerptLength {
--- a/internal/lang/syntax/strings.go
+++ b/internal/lang/syntax/strings.go
@@ -5,8 +5,8 @@
 	"unicode/utf8"
 )
 
-// scanString scans a string and returns stringToken, or invalidToken after a fault. A string ends on the line on which
-// it begins. Only the first invalid character is reported.
+// scanString scans a string and returns stringToken, or invalidToken after a fault. A string must end on the line on
+// which it begins. Only its first invalid character is reported.
 func (s *scanner) scanString(pos Pos) tokenKind {
 	kind := stringToken
 	s.offset++
@@ -29,28 +29,29 @@
 	return invalidToken
 }
 
-// escapedCharacters may follow a backslash.
+// escapedCharacters lists the characters that may follow a backslash.
 const escapedCharacters = `"\nt`
 
-// scanStringCharacter skips one character or escape of a string, and returns what is wrong with it, or "".
+// scanStringCharacter skips one character or escape of a string. It returns the message of a fault, or "" if there is
+// none.
 func (s *scanner) scanStringCharacter() string {
 	rest := s.text[s.offset:]
 	if rest[0] == '\\' && len(rest) > 1 && rest[1] != '\n' {
 		s.offset += 2
 		if strings.IndexByte(escapedCharacters, rest[1]) < 0 {
-			return `a string holds an unknown escape: \" \\ \n and \t are known`
+			return `unknown escape in a string: only \" \\ \n and \t are allowed`
 		}
 		return ""
 	}
 	r, size := utf8.DecodeRuneInString(rest)
 	s.offset += size
 	if isInvalidUTF8(r, size) || isControl(r) {
-		return "a string holds a byte that is no text"
+		return "a string contains invalid UTF-8 or a control character"
 	}
 	return ""
 }
 
-// unquote returns the text that a string token stands for, without quotes and escapes.
+// unquote returns the text that a string token represents, without quotes and with its escapes replaced.
 func unquote(raw string) string {
 	text := raw[1 : len(raw)-1]
 	if !strings.Contains(text, `\`) {
@@ -59,11 +60,11 @@
 	return unescaper.Replace(text)
 }
 
-// The escapes of strings.
+// The replacements between escapes and the characters that they represent.
 var (
 	unescaper = strings.NewReplacer(`\\`, `\`, `\"`, `"`, `\n`, "\n", `\t`, "\t")
 	escaper   = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`, "\t", `\t`)
 )
 
-// Quote returns text as a string of the language.
+// Quote returns text as a string token, with quotes and escapes.
 func Quote(text string) string { return `"` + escaper.Replace(text) + `"` }
--- a/internal/lang/syntax/token.go
+++ b/internal/lang/syntax/token.go
@@ -14,30 +14,30 @@
 	commentToken
 	wordToken
 	stringToken
-	quantityToken    // a number, with its unit where it has one
+	quantityToken    // a number, with or without a unit
 	punctuationToken // one of { } = ,
-	invalidToken     // reported as a fault by the scanner
+	invalidToken     // already reported as a fault by the scanner
 )
 
-// token is a lexical unit with its text as it stands in the file.
+// token is a lexical unit. Its field raw is the text as written in the file.
 type token struct {
 	kind tokenKind
 	pos  Pos
 	raw  string
 }
 
-// isPunctuation reports whether t is this punctuation mark.
+// isPunctuation reports whether t is the given punctuation mark.
 func (t token) isPunctuation(mark string) bool { return t.kind == punctuationToken && t.raw == mark }
 
-// isValue reports whether t is a value of a setting.
+// isValue reports whether t can be a value of a setting.
 func (t token) isValue() bool {
 	return t.kind == stringToken || t.kind == quantityToken || t.kind == wordToken
 }
 
-// maxTokenInMessage is how many bytes of a token a message quotes.
+// maxQuotedTokenBytes is the maximum length of the text of a token in a message.
 const maxQuotedTokenBytes = 40
 
-// String names the token for a message.
+// String describes the token in a message.
 func (t token) String() string {
 	switch t.kind {
 	case endOfFile:
@@ -49,6 +49,6 @@
 		return t.raw
 	}
 	isASCII := func(r rune) bool { return r < utf8.RuneSelf }
-	end := strings.LastIndexFunc(t.raw[:maxQuotedTokenBytes], isASCII) + 1 // so as not to cut a character
+	end := strings.LastIndexFunc(t.raw[:maxQuotedTokenBytes], isASCII) + 1 // whole characters only
 	return t.raw[:end] + "..."
 }
--- a/internal/lang/syntax/tree_test.go
+++ b/internal/lang/syntax/tree_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawEntries draws what a file or a block holds, with comments and empty lines everywhere.
+// drawEntries draws the entries of a file or a block, with comments and empty lines in all positions.
 func drawEntries(t *rapid.T, depth int) (entries []Entry, trailingComments []Comment) {
 	for range rapid.IntRange(0, 4).Draw(t, "entries") {
 		trivia := Trivia{LeadingComments: drawComments(t, "leading comments"), BlankBefore: rapid.Bool().Draw(t, "blank")}
@@ -102,17 +102,17 @@
 		t.Fatalf("formatted text has faults: %v\n%s", faults, once)
 	}
 	if a, b := meaning(f.Entries), meaning(g.Entries); a != b {
-		t.Fatalf("formatting changed what is said:\n%s\n%s", a, b)
+		t.Fatalf("formatting changed the meaning:\n%s\n%s", a, b)
 	}
 	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(g.Entries, g.TrailingComments); a != b {
 		t.Fatalf("formatting lost or moved comments:\n%s\n%s", a, b)
 	}
 	if twice := Format(g); string(twice) != string(once) {
-		t.Fatalf("formatting again changes the text:\n%s\n---\n%s", once, twice)
+		t.Fatalf("formatting is not idempotent:\n%s\n---\n%s", once, twice)
 	}
 }
 
-// meaning returns text of a tree without comments and empty lines.
+// meaning returns a text representation of a tree without its comments and empty lines.
 func meaning(list []Entry) string {
 	s := ""
 	for _, e := range list {
@@ -136,7 +136,7 @@
 	return s
 }
 
-// commentsOf lists a tree's comments in their order.
+// commentsOf lists the comments of a tree in order.
 func commentsOf(list []Entry, tail []Comment) string {
 	s := ""
 	add := func(cs []Comment) {
--- a/internal/lang/units.go
+++ b/internal/lang/units.go
@@ -9,13 +9,13 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// quantityKind is a kind of quantity with the units that it may be given in.
+// quantityKind is a kind of quantity, such as a time, and the units that are accepted for it.
 type quantityKind struct {
-	description string // in messages, with its article
+	description string // for messages, with its article
 	units       []unit
 }
 
-// unit is a unit with its factor to the base unit of its kind.
+// unit is a unit of measurement and its factor to the base unit of its kind.
 type unit struct {
 	name   string
 	factor float64
@@ -23,14 +23,14 @@
 
 // The kinds of quantities.
 var (
-	durationKind = quantityKind{"a time", []unit{ // in microseconds
+	durationKind = quantityKind{"a time", []unit{ // base unit: microsecond
 		{"us", 1},
 		{"ms", 1e3},
 		{"s", 1e6},
 		{"m", 60e6},
 		{"h", 3600e6},
 	}}
-	memoryKind = quantityKind{"an amount of memory", []unit{ // in megabytes, of 10^6 bytes
+	memoryKind = quantityKind{"an amount of memory", []unit{ // base unit: megabyte of 10^6 bytes
 		{"KB", 1e-3},
 		{"MB", 1},
 		{"GB", 1e3},
@@ -38,29 +38,29 @@
 		{"MiB", 1.048576},
 		{"GiB", 1073.741824},
 	}}
-	shareKind = quantityKind{"a share", []unit{ // as a fraction
+	shareKind = quantityKind{"a share", []unit{ // base unit: the whole
 		{"%", 0.01},
 	}}
-	rateKind = quantityKind{"a rate", []unit{ // per second
+	rateKind = quantityKind{"a rate", []unit{ // base unit: per second
 		{"/s", 1},
 		{"/m", 1. / 60},
 		{"/h", 1. / 3600},
 	}}
 )
 
-// The largest quantities.
+// The upper limits of quantities.
 const (
 	maxDuration = 24 * time.Hour
 	maxMemoryMB = 1e9
 	maxRate     = 1e6  // per second
-	maxNumber   = 1e15 // in the unit that the file gives
-	maxDigits   = 30
+	maxNumber   = 1e15 // in the unit that is used in the file
+	maxDigits   = 30   // of a number, including its decimal point
 )
 
-// roundingTolerance is what the conversion of units may add to a whole number.
+// roundingTolerance is the rounding error that is allowed when a time is converted to whole microseconds.
 const roundingTolerance = 1e-6
 
-// readDuration reads a time above zero, in whole microseconds.
+// readDuration reads a time above zero that is a whole number of microseconds.
 func readDuration(raw syntax.Value) (value, error) {
 	microseconds, err := durationKind.read(raw)
 	switch {
@@ -123,7 +123,7 @@
 	return value{pos: raw.At, number: rate, isRate: true}, nil
 }
 
-// read reads a number with a unit of the kind and returns it in the base unit.
+// read reads a number with a unit of this kind and returns it in the base unit.
 func (k quantityKind) read(raw syntax.Value) (float64, error) {
 	q, err := parseQuantity(raw)
 	if err != nil {
@@ -144,7 +144,7 @@
 		k.description, known, raw.Raw, q.unit, suggest(q.unit, names))
 }
 
-// quantity is a number with its unit, "" for none.
+// quantity is a number and its unit, which is "" if there is none.
 type quantity struct {
 	number float64
 	unit   string
@@ -176,7 +176,8 @@
 	return quantity{number, unit}, nil
 }
 
-// isPlainNumber reports whether digits have no leading zero, and some digits after a decimal point.
+// isPlainNumber reports whether digits have no unnecessary leading zero, and have one decimal point at most, with
+// digits after it.
 func isPlainNumber(digits string) bool {
 	whole, fraction, hasPoint := strings.Cut(digits, ".")
 	if len(whole) > 1 && whole[0] == '0' {
--- a/internal/lang/values.go
+++ b/internal/lang/values.go
@@ -9,22 +9,22 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// value is a value that has been read as its setting requires. Which field beside the position is set depends on the
-// setting's valueReader.
+// value is a value that has been read as its setting requires. Apart from the position, only the fields that the
+// setting's valueReader uses are set.
 type value struct {
 	pos      syntax.Pos
 	text     string
 	count    int
 	duration time.Duration
 	number   float64 // a share as a fraction, a rate per second, memory in MB
-	isRate   bool    // number is a rate, of a setting that takes a share or a rate
+	isRate   bool    // number is a rate; only for settings that take either a share or a rate
 }
 
-// valueReader reads a value as a setting requires. The error is a *valueError or a *route.PatternError: it continues a
-// sentence that begins with the setting's name.
+// valueReader reads and validates a value of a setting. The error is a *valueError or a *route.PatternError; its text
+// continues a sentence that begins with the setting's name.
 type valueReader func(raw syntax.Value) (value, error)
 
-// valueError reports a value that its setting does not take.
+// valueError reports a value that its setting does not accept.
 type valueError struct{ reason string }
 
 // Error returns the reason.
@@ -34,7 +34,7 @@
 	return &valueError{fmt.Sprintf(format, args...)}
 }
 
-// readText reads a string.
+// readText reads a string, which must not be empty.
 func readText(raw syntax.Value) (value, error) {
 	text := raw.Text()
 	switch {
@@ -48,7 +48,7 @@
 	return value{pos: raw.At, text: text}, nil
 }
 
-// readOneOf reads one of some words.
+// readOneOf returns a reader that accepts the given words only.
 func readOneOf(words ...string) valueReader {
 	return func(raw syntax.Value) (value, error) {
 		for _, word := range words {
@@ -61,10 +61,10 @@
 	}
 }
 
-// maxCount is the largest count.
+// maxCount is the largest number that readCount accepts.
 const maxCount = 1_000_000
 
-// readCount reads a whole number of at least a minimum.
+// readCount returns a reader that accepts whole numbers from minimum to maxCount.
 func readCount(minimum int) valueReader {
 	return func(raw syntax.Value) (value, error) {
 		q, err := parseQuantity(raw)
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -8,10 +8,11 @@
 	"crankhold/internal/route"
 )
 
-// networks are those of which a worker block may give addresses; a setting has each one's name.
+// networks are the networks whose addresses a worker block may give. Each has a setting of the same name.
 var networks = []endpoint.Network{endpoint.Unix, endpoint.TCP6, endpoint.TCP4}
 
-// workerType adds to what discovery reports of a worker, and takes precedence over it.
+// workerType is the type of worker blocks. Their settings add to what discovery reports about a worker, and take
+// precedence over it.
 var workerType = &blockType{
 	keyword: workerKeyword,
 	named:   true,
@@ -29,10 +30,10 @@
 	nested: []*blockType{labelsType},
 }
 
-// labelsType holds labels of the operators' own.
+// labelsType is the type of blocks that contain labels, which operators choose freely.
 var labelsType = &blockType{keyword: "labels", anySetting: true}
 
-// networkNames returns the names of the networks that a worker block may prefer.
+// networkNames returns the names of the networks that a worker block may give addresses of or prefer.
 func networkNames() []string {
 	var names []string
 	for _, network := range networks {
@@ -41,7 +42,7 @@
 	return names
 }
 
-// readAddress reads an address of a network.
+// readAddress returns a reader that accepts addresses of a network.
 func readAddress(network endpoint.Network) valueReader {
 	return func(raw syntax.Value) (value, error) {
 		v, err := readText(raw)
@@ -55,7 +56,7 @@
 	}
 }
 
-// workerBuilder builds the static entries of workers out of worker blocks.
+// workerBuilder builds the static entries of workers from worker blocks.
 type workerBuilder struct {
 	builderContext
 	blocks  []*block
@@ -78,7 +79,7 @@
 	}
 	worker.Addrs = w.buildAddresses(b)
 	for _, v := range b.values[preferSetting] {
-		network, _ := endpoint.ParseNetwork(v.text) // checked when it was read
+		network, _ := endpoint.ParseNetwork(v.text) // validated by readOneOf
 		worker.Prefer = append(worker.Prefer, network)
 	}
 	worker.Labels = w.buildLabels(b)
@@ -90,7 +91,8 @@
 	w.workers = append(w.workers, worker)
 }
 
-// buildAddresses returns the addresses of a worker block, of one network after the other.
+// buildAddresses returns the addresses of a worker block, grouped by network. It reports a block with more than
+// endpoint.MaxAddresses of them.
 func (w *workerBuilder) buildAddresses(b *block) []endpoint.Addr {
 	var addrs []endpoint.Addr
 	for _, a := range blockAddresses(b) {
@@ -102,7 +104,7 @@
 	return addrs
 }
 
-// buildLabels returns the labels of a worker block, each of one value.
+// buildLabels returns the labels of a worker block. It reports a label with more than one value.
 func (w *workerBuilder) buildLabels(b *block) map[string]string {
 	labels := map[string]string{}
 	for _, nested := range b.nested {
@@ -119,8 +121,8 @@
 	return labels
 }
 
-// checkListed checks that a setting's values are on a list, where there is one. They are names: only selectors have
-// patterns.
+// checkListed reports values of a setting that are not on a list, unless the list is empty. The values are plain names:
+// only selectors may contain patterns.
 func (w *workerBuilder) checkListed(b *block, setting, listName string, list []string) {
 	for _, v := range b.values[setting] {
 		if len(list) > 0 && !slices.Contains(list, v.text) {
@@ -129,12 +131,12 @@
 	}
 }
 
-// check checks which workers are aliases of each other, and that no two workers have the same address.
+// check reports workers that are declared to be aliases of themselves, and addresses that two workers share.
 func (w *workerBuilder) check() {
 	claims := duplicateAddressChecker{report: w.report, symbols: w.symbols, lastUses: map[endpoint.Addr]addressUse{}}
 	for _, b := range w.blocks {
 		if !w.symbols.isDefinition(b) {
-			continue // defined twice
+			continue // a repeated name, which has been reported
 		}
 		if b.value(sameAsSetting).text == b.name {
 			w.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", b.name)
