--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -23,14 +23,14 @@
 // and finally checks the compiled table.
 type checker struct {
 	builderContext
-	reader          *blockReader
-	definitionLines definitionLines
-	workers         *workerBuilder
-	classes         *classBuilder
-	routes          *routeBuilder
-	pools           *poolBuilder
-	policies        *policyBuilder
-	builders        map[string]blockBuilder // all of them, by keyword
+	reader       *blockReader
+	linesByBlock definitionLines
+	workers      *workerBuilder
+	classes      *classBuilder
+	routes       *routeBuilder
+	pools        *poolBuilder
+	policies     *policyBuilder
+	builders     map[string]blockBuilder // all of them, by keyword
 }
 
 // newChecker returns a checker for the files that a loader has read.
@@ -43,15 +43,15 @@
 		platform:   platform,
 	}
 	c := &checker{
-		builderContext:  shared,
-		reader:          &blockReader{report: l.report, sources: l.sources},
-		definitionLines: definitionLines{},
+		builderContext: shared,
+		reader:         &blockReader{report: l.report, sources: l.sources},
+		linesByBlock:   definitionLines{},
 	}
 	c.workers = &workerBuilder{builderContext: shared}
 	c.classes = &classBuilder{builderContext: shared}
 	c.routes = &routeBuilder{builderContext: shared, firstFile: l.files[0].Name}
 	c.pools = &poolBuilder{builderContext: shared, workers: c.workers}
-	c.policies = newPolicyBuilder(shared, c.definitionLines)
+	c.policies = newPolicyBuilder(shared, c.linesByBlock)
 	c.builders = map[string]blockBuilder{
 		workerKeyword: c.workers,
 		classKeyword:  c.classes,
@@ -65,7 +65,7 @@
 // check checks the blocks of all files. It compiles the spec only if there are no faults; otherwise, the known classes
 // are those that class blocks declare.
 func (c *checker) check(files []*syntax.File) *Result {
-	r := &Result{definitionLines: c.definitionLines}
+	r := &Result{linesByBlock: c.linesByBlock}
 	for _, file := range files {
 		r.Files = append(r.Files, file.Name)
 		c.buildFile(file)
@@ -108,7 +108,7 @@
 		c.report.fault(b, b.pos, "%s %q is defined twice, first at %v", b.blockType.keyword, b.name, first.pos)
 		return
 	}
-	c.definitionLines.addBlock(b)
+	c.linesByBlock.addBlock(b)
 }
 
 // spec combines the results of the builders.
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -66,14 +66,14 @@
 // policyBuilder builds policies from policy blocks, and resolves inheritance between them.
 type policyBuilder struct {
 	builderContext
-	definitionLines definitionLines // also receives the lines of inherited settings
-	byName          map[string]*policyBlock
-	policies        []*policyBlock // in the order of the files
-	specs           []route.PolicySpec
+	linesByBlock definitionLines // also receives the lines of inherited settings
+	byName       map[string]*policyBlock
+	policies     []*policyBlock // in the order of the files
+	specs        []route.PolicySpec
 }
 
 func newPolicyBuilder(context builderContext, lines definitionLines) *policyBuilder {
-	return &policyBuilder{builderContext: context, definitionLines: lines, byName: map[string]*policyBlock{}}
+	return &policyBuilder{builderContext: context, linesByBlock: lines, byName: map[string]*policyBlock{}}
 }
 
 // build adds a policy, unless its name is already defined.
@@ -136,6 +136,6 @@
 		}
 		inherited := base.effective[setting]
 		p.effective[setting] = inherited
-		b.definitionLines.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
+		b.linesByBlock.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
 	}
 }
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -14,8 +14,8 @@
 	Notes  syntax.Faults // what is allowed but may be unintended
 	Files  []string      // all files that were read
 
-	definitionLines definitionLines
-	classes         knownClasses
+	linesByBlock definitionLines
+	classes      knownClasses
 }
 
 // Classes returns the names of the classes that the configuration can distinguish.
@@ -35,7 +35,7 @@
 
 // Lines returns the lines that define a block, including inherited settings. Each line is a fault without a message.
 func (r *Result) Lines(kind route.BlockKind, name string) []syntax.Fault {
-	return r.definitionLines[blockID{string(kind), name}]
+	return r.linesByBlock[blockID{string(kind), name}]
 }
 
 // Err returns the faults as an error, or nil if there are none.
--- a/internal/lang/route.go
+++ b/internal/lang/route.go
@@ -33,7 +33,7 @@
 	return v, err
 }
 
-// routeBuilder builds routes out of route blocks.
+// routeBuilder builds routes from route blocks.
 type routeBuilder struct {
 	builderContext
 	firstFile string            // as messages show its name
--- a/internal/lang/suggest.go
+++ b/internal/lang/suggest.go
@@ -77,10 +77,10 @@
 	}
 	deletion := d.previous[j+1] + 1
 	insertion := d.current[j] + 1
-	distance := min(substitution, deletion, insertion)
+	minimum := min(substitution, deletion, insertion)
 	if i > 0 && j > 0 && d.a[i] == d.b[j-1] && d.a[i-1] == d.b[j] {
 		transposition := d.beforePrevious[j-1] + 1
-		distance = min(distance, transposition)
+		minimum = min(minimum, transposition)
 	}
-	return distance
+	return minimum
 }
