--- a/internal/lang/check.go
+++ b/internal/lang/check.go
@@ -36,22 +36,22 @@
 // newChecker returns a checker for the files that a loader has read.
 func newChecker(l *loader, platform *Platform) *checker {
 	symbols := newSymbolTable(len(l.report.faults) == 0)
-	shared := builderContext{
+	context := builderContext{
 		report:     l.report,
 		symbols:    symbols,
 		references: newReferenceResolver(l.report, symbols),
 		platform:   platform,
 	}
 	c := &checker{
-		builderContext: shared,
+		builderContext: context,
 		reader:         &blockReader{report: l.report, sources: l.sources},
 		linesByBlock:   definitionLines{},
 	}
-	c.workers = &workerBuilder{builderContext: shared}
-	c.classes = &classBuilder{builderContext: shared}
-	c.routes = &routeBuilder{builderContext: shared, firstFile: l.files[0].Name}
-	c.pools = &poolBuilder{builderContext: shared, workers: c.workers}
-	c.policies = newPolicyBuilder(shared, c.linesByBlock)
+	c.workers = &workerBuilder{builderContext: context}
+	c.classes = &classBuilder{builderContext: context}
+	c.routes = &routeBuilder{builderContext: context, firstFile: l.files[0].Name}
+	c.pools = &poolBuilder{builderContext: context, workers: c.workers}
+	c.policies = newPolicyBuilder(context, c.linesByBlock)
 	c.builders = map[string]blockBuilder{
 		workerKeyword: c.workers,
 		classKeyword:  c.classes,
--- a/internal/lang/platform.go
+++ b/internal/lang/platform.go
@@ -8,9 +8,9 @@
 	Classes        []Class
 	MaxAttempts    int // 0: no limit
 	HedgingAllowed bool
-	Kinds          []string // of workers; empty: unknown
-	KindMemoryMB   map[string]float64
-	Zones          []string // of workers; empty: unknown
+	Kinds          []string           // of workers; empty: unknown
+	KindMemoryMB   map[string]float64 // memory of a worker, by its kind
+	Zones          []string           // of workers; empty: unknown
 	LoadWindow     time.Duration
 }
 
--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -72,8 +72,8 @@
 	specs        []route.PolicySpec
 }
 
-func newPolicyBuilder(context builderContext, lines definitionLines) *policyBuilder {
-	return &policyBuilder{builderContext: context, linesByBlock: lines, byName: map[string]*policyBlock{}}
+func newPolicyBuilder(context builderContext, linesByBlock definitionLines) *policyBuilder {
+	return &policyBuilder{builderContext: context, linesByBlock: linesByBlock, byName: map[string]*policyBlock{}}
 }
 
 // build adds a policy, unless its name is already defined.
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -90,7 +90,7 @@
 // check checks the load shares, fallbacks and selectors of the pools.
 func (p *poolBuilder) check() {
 	pools := slices.DeleteFunc(slices.Clone(p.pools), func(pool builtPool) bool {
-		return !p.symbols.isDefinition(pool.block) // a repeated name, which has been reported
+		return !p.symbols.isDefinition(pool.block) // duplicate name, already reported
 	})
 	p.checkLoadShares(pools)
 	for _, pool := range pools {
--- a/internal/lang/readblock_test.go
+++ b/internal/lang/readblock_test.go
@@ -7,7 +7,7 @@
 )
 
 // Settings and values that do not fit the type of the block are reported and left out; all others are read.
-func TestBlockReaderLeavesOutWhatDoesNotFit(t *testing.T) {
+func TestBlockReaderLeavesOutInvalidSettings(t *testing.T) {
 	file, source, _ := syntax.Parse("f", []byte("pool \"p\" {\n\tcap = 0\n\tspill = 5/s\n\tcapp = 1\n\tworkers { cell = 1, x, 1 }\n}\n"))
 	report := &reporter{}
 	reader := &blockReader{report: report, sources: map[string]*syntax.Source{"f": source}}
--- a/internal/lang/selectorcheck_test.go
+++ b/internal/lang/selectorcheck_test.go
@@ -8,13 +8,13 @@
 
 // A worker block that leaves a property open does not conflict with a condition on it, because discovery may report a
 // value that fits.
-func TestMismatchRespectsWhatABlockLeavesOpen(t *testing.T) {
+func TestMismatchIgnoresUnsetProperties(t *testing.T) {
 	known := route.Worker{Name: "s-1", Kind: "small", Cell: 3, MemoryMB: 100, Labels: map[string]string{"rack": "r1"}}
 	unknown := route.Worker{Name: "s-1", Cell: route.UnknownCell}
 	for _, c := range []struct {
-		selector  route.Selector
-		ofKnown   string
-		ofUnknown string
+		selector       route.Selector
+		wantForKnown   string
+		wantForUnknown string
 	}{
 		{route.Selector{IDs: []string{"s-*"}}, "", ""},
 		{route.Selector{IDs: []string{"s-2"}}, "has another id", "has another id"},
@@ -24,11 +24,11 @@
 		{route.Selector{MemoryMB: 200}, "has 100MB", ""},
 		{route.Selector{Labels: []route.Label{{Name: "rack", Values: []string{"r2"}}}}, "has other labels", "has other labels"},
 	} {
-		if got := mismatch(c.selector, known); got != c.ofKnown {
-			t.Errorf("%v: known worker %q, want %q", c.selector, got, c.ofKnown)
+		if got := mismatch(c.selector, known); got != c.wantForKnown {
+			t.Errorf("%v: known worker %q, want %q", c.selector, got, c.wantForKnown)
 		}
-		if got := mismatch(c.selector, unknown); got != c.ofUnknown {
-			t.Errorf("%v: unknown worker %q, want %q", c.selector, got, c.ofUnknown)
+		if got := mismatch(c.selector, unknown); got != c.wantForUnknown {
+			t.Errorf("%v: unknown worker %q, want %q", c.selector, got, c.wantForUnknown)
 		}
 	}
 }
--- a/internal/lang/symbols_test.go
+++ b/internal/lang/symbols_test.go
@@ -41,7 +41,7 @@
 }
 
 // No block is reported as unused while a reference is unresolved, because the reference may be meant for that block.
-func TestUnusedBlocksAreReportedOnceAllReferencesResolve(t *testing.T) {
+func TestUnusedBlocksAreReportedOnlyIfAllReferencesResolve(t *testing.T) {
 	for _, c := range []struct{ fallback, want string }{
 		{"b", "f:1:1: pool \"a\" is not used by any pool"},
 		{"c", "f:1:23: no pool \"c\"; did you mean a?"},
--- a/internal/lang/syntax/ast.go
+++ b/internal/lang/syntax/ast.go
@@ -29,7 +29,7 @@
 
 func (t *Trivia) trivia() *Trivia { return t }
 
-// Include is a statement that names further files to read.
+// Include is a statement that names files to read in addition.
 type Include struct {
 	Trivia
 	At   Pos
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -68,9 +68,9 @@
 }
 
 // reportExpected reports what was expected in place of the current token, and skips the rest of its line.
-func (p *parser) reportExpected(what string) {
+func (p *parser) reportExpected(expected string) {
 	if p.token.kind != invalidToken { // the scanner has already reported invalid tokens
-		p.reportFault(p.token.pos, "expected %s, found %s", what, p.token)
+		p.reportFault(p.token.pos, "expected %s, found %s", expected, p.token)
 	}
 	p.skipLine()
 }
@@ -101,7 +101,7 @@
 	return true
 }
 
-// takeComment consumes the current token and returns its text if it is a comment. Otherwise it returns "".
+// takeComment returns the text of the current token and consumes it, if it is a comment. Otherwise it returns "".
 func (p *parser) takeComment() string {
 	if p.token.kind != commentToken {
 		return ""
--- a/internal/lang/syntax/printer.go
+++ b/internal/lang/syntax/printer.go
@@ -78,7 +78,8 @@
 // maxListLineBytes is the length of a line, in bytes, beyond which a list continues on the next line.
 const maxListLineBytes = 100
 
-// writeSetting writes a setting. It keeps the line breaks of a list, and adds further ones to a long list.
+// writeSetting writes a setting. It keeps the line breaks of a list, and adds line breaks to a list that is too long
+// for one line.
 func (p *printer) writeSetting(s *Setting, depth int, lineComment string) {
 	p.text.WriteString(indentation(depth) + s.Name + " =")
 	length := depth + len(s.Name) + len(" =")
--- a/internal/lang/syntax/tree_test.go
+++ b/internal/lang/syntax/tree_test.go
@@ -137,7 +137,7 @@
 }
 
 // commentsOf lists the comments of a tree in order.
-func commentsOf(list []Entry, tail []Comment) string {
+func commentsOf(list []Entry, trailingComments []Comment) string {
 	s := ""
 	add := func(cs []Comment) {
 		for _, c := range cs {
@@ -157,6 +157,6 @@
 		}
 		s += e.trivia().LineComment + "\n"
 	}
-	add(tail)
+	add(trailingComments)
 	return s
 }
--- a/internal/lang/units.go
+++ b/internal/lang/units.go
@@ -38,7 +38,7 @@
 		{"MiB", 1.048576},
 		{"GiB", 1073.741824},
 	}}
-	shareKind = quantityKind{"a share", []unit{ // base unit: the whole
+	shareKind = quantityKind{"a share", []unit{ // base unit: the whole, 100%
 		{"%", 0.01},
 	}}
 	rateKind = quantityKind{"a rate", []unit{ // base unit: per second
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -136,7 +136,7 @@
 	claims := duplicateAddressChecker{report: w.report, symbols: w.symbols, lastUses: map[endpoint.Addr]addressUse{}}
 	for _, b := range w.blocks {
 		if !w.symbols.isDefinition(b) {
-			continue // a repeated name, which has been reported
+			continue // duplicate name, already reported
 		}
 		if b.value(sameAsSetting).text == b.name {
 			w.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", b.name)
