--- a/internal/lang/class.go
+++ b/internal/lang/class.go
@@ -29,7 +29,7 @@
 // classBuilder builds classes from class blocks.
 type classBuilder struct {
 	builderContext
-	declared classList // by class blocks, in the order of the files
+	declared classList // declared by class blocks, in the order of the files
 }
 
 // build adds a class, unless the platform's settings are known and have no such class.
--- a/internal/lang/report.go
+++ b/internal/lang/report.go
@@ -8,7 +8,7 @@
 	notes  syntax.Faults
 }
 
-// add records faults that don't belong to a block that could be read.
+// add records faults, including those that don't belong to a block that could be read.
 func (r *reporter) add(faults ...syntax.Fault) { r.faults = append(r.faults, faults...) }
 
 // fault records a fault at a position within a block.
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -22,7 +22,7 @@
 	return f, source, faults
 }
 
-// findLongLine returns the number of the first line that is longer than MaxLine, or 0.
+// findLongLine returns the number of the first line that is longer than MaxLineBytes, or 0 if there is none.
 func findLongLine(text []byte) int {
 	number := 0
 	for line := range bytes.Lines(text) {
--- a/internal/lang/syntax/scanner.go
+++ b/internal/lang/syntax/scanner.go
@@ -25,8 +25,8 @@
 // deleteCharacter is the ASCII control character that follows the printable characters.
 const deleteCharacter = 0x7f
 
-// scanner splits a file into tokens. It reports each character that belongs to no token, and each run of such a
-// character only once.
+// scanner splits a file into tokens. It reports each character that belongs to no token; a run of the same character is
+// reported once.
 type scanner struct {
 	source *Source
 	text   string
@@ -176,8 +176,8 @@
 	return invalidToken
 }
 
-// scanComment scans a comment, up to the end of its line, and returns it without trailing white space. It returns "#"
-// for a comment that is too long.
+// scanComment scans a comment, up to the end of its line, and returns it without trailing white space and invalid
+// characters. It returns "#" for a comment that is too long.
 func (s *scanner) scanComment(pos Pos) string {
 	start := s.offset
 	s.skipWhile(func(c byte) bool { return c != '\n' })
--- a/internal/lang/syntax/token.go
+++ b/internal/lang/syntax/token.go
@@ -34,7 +34,7 @@
 	return t.kind == stringToken || t.kind == quantityToken || t.kind == wordToken
 }
 
-// maxQuotedTokenBytes is the maximum length of the text of a token in a message.
+// maxQuotedTokenBytes is the number of bytes after which the text of a token is truncated in messages.
 const maxQuotedTokenBytes = 40
 
 // String describes the token in a message.
