--- a/internal/lang/broken_test.go
+++ b/internal/lang/broken_test.go
@@ -123,10 +123,10 @@
 			if len(faults) > 0 {
 				continue
 			}
-			once := syntax.Format(tree)
-			again, _, faults := syntax.Parse(name, once)
-			if len(faults) > 0 || string(syntax.Format(again)) != string(once) {
-				t.Errorf("%s: formatting %s again changes it or has faults: %v\n%s", c.name, name, faults, once)
+			formatted := syntax.Format(tree)
+			reparsed, _, faults := syntax.Parse(name, formatted)
+			if len(faults) > 0 || string(syntax.Format(reparsed)) != string(formatted) {
+				t.Errorf("%s: formatting %s again changes it or has faults: %v\n%s", c.name, name, faults, formatted)
 			}
 		}
 	}
--- a/internal/lang/syntax/grammar_test.go
+++ b/internal/lang/syntax/grammar_test.go
@@ -70,13 +70,13 @@
 			t.Fatalf("the grammar lacks %s", name)
 		}
 	}
-	long := 0
+	longSentences := 0
 	for seed := range uint64(3000) {
 		d := &derivation{random: rand.New(rand.NewPCG(seed, 1)), productions: productions}
 		d.derive(grammarExpr{op: nameOp, text: "File"}, 0)
 		text := d.sentence.String()
 		if len(text) > 200 {
-			long++
+			longSentences++
 		}
 		f, _, faults := Parse("derived", []byte(text))
 		if len(faults) > 0 {
@@ -84,8 +84,8 @@
 		}
 		checkFormatting(t, f)
 	}
-	if long < 50 {
-		t.Errorf("only %d derived files are longer than 200 bytes", long)
+	if longSentences < 50 {
+		t.Errorf("only %d derived files are longer than 200 bytes", longSentences)
 	}
 }
 
--- a/internal/lang/syntax/parse_test.go
+++ b/internal/lang/syntax/parse_test.go
@@ -13,7 +13,7 @@
 // Each invalid text has exactly the expected faults: the parser continues after a fault, and neither misses a fault nor
 // reports one twice.
 func TestParseReportsEachFault(t *testing.T) {
-	deep := strings.Repeat("a {\n", 10000)
+	deeplyNested := strings.Repeat("a {\n", 10000)
 	for _, c := range []struct{ text, want string }{
 		{"pool \"a\" {", "f:1:1: the block pool is not closed"},
 		{"}", "f:1:1: unexpected closing brace: no block is open"},
@@ -41,7 +41,7 @@
 		{"a \"" + strings.Repeat("x", 2000) + "\" {}", "f:1:3: a string is longer than 1024 bytes"},
 		{strings.Repeat("x", 200) + " {}", "f:1:1: a name is longer than 128 bytes"},
 		{"a { b = " + strings.Repeat("1", 200) + "\n}", "f:1:9: a number is longer than 128 bytes"},
-		{deep, "f:9:1: blocks are nested more than 8 deep; the rest of the file was not read"},
+		{deeplyNested, "f:9:1: blocks are nested more than 8 deep; the rest of the file was not read"},
 		{strings.Repeat("x", 50<<20), "f:1:1: the file is larger than 4 MiB"},
 	} {
 		_, _, faults := Parse("f", []byte(c.text))
@@ -65,8 +65,8 @@
 	if got := faults[0].Quoted(); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	long := NewSource("f", []byte(strings.Repeat("é", 1000)))
-	if f := long.FaultAt(Pos{"f", 1, 900}, "x"); len([]rune(f.Line)) > 200 {
+	longLine := NewSource("f", []byte(strings.Repeat("é", 1000)))
+	if f := longLine.FaultAt(Pos{"f", 1, 900}, "x"); len([]rune(f.Line)) > 200 {
 		t.Errorf("a long line is not truncated: %d characters are quoted", len([]rune(f.Line)))
 	}
 }
@@ -81,9 +81,9 @@
 		if len(faults) == 0 {
 			checkFormatting(t, tree)
 		}
-		for _, x := range faults {
-			if !x.Pos.Valid() || x.Msg == "" {
-				t.Fatalf("a fault without a position or a message: %+v", x)
+		for _, fault := range faults {
+			if !fault.Pos.Valid() || fault.Msg == "" {
+				t.Fatalf("a fault without a position or a message: %+v", fault)
 			}
 		}
 	})
--- a/internal/lang/syntax/tree_test.go
+++ b/internal/lang/syntax/tree_test.go
@@ -96,19 +96,19 @@
 // again changes nothing.
 func checkFormatting(t rapid.TB, f *File) {
 	t.Helper()
-	once := Format(f)
-	g, _, faults := Parse(f.Name, once)
+	formatted := Format(f)
+	reparsed, _, faults := Parse(f.Name, formatted)
 	if len(faults) > 0 {
-		t.Fatalf("formatted text has faults: %v\n%s", faults, once)
+		t.Fatalf("formatted text has faults: %v\n%s", faults, formatted)
 	}
-	if a, b := meaning(f.Entries), meaning(g.Entries); a != b {
+	if a, b := meaning(f.Entries), meaning(reparsed.Entries); a != b {
 		t.Fatalf("formatting changed the meaning:\n%s\n%s", a, b)
 	}
-	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(g.Entries, g.TrailingComments); a != b {
+	if a, b := commentsOf(f.Entries, f.TrailingComments), commentsOf(reparsed.Entries, reparsed.TrailingComments); a != b {
 		t.Fatalf("formatting lost or moved comments:\n%s\n%s", a, b)
 	}
-	if twice := Format(g); string(twice) != string(once) {
-		t.Fatalf("formatting is not idempotent:\n%s\n---\n%s", once, twice)
+	if reformatted := Format(reparsed); string(reformatted) != string(formatted) {
+		t.Fatalf("formatting is not idempotent:\n%s\n---\n%s", formatted, reformatted)
 	}
 }
 
