--- a/internal/lang/policy.go
+++ b/internal/lang/policy.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/route"
 )
 
-// policyType limits how often and for how long a request is attempted.
+// policyType is the type of policy blocks, which limit how often and for how long a request is attempted.
 var policyType = &blockType{
 	keyword: policyKeyword,
 	named:   true,
@@ -23,14 +23,14 @@
 	},
 }
 
-// policyBlock is a policy with its own settings and those that it inherits.
+// policyBlock is a policy block with its own settings and those that it inherits.
 type policyBlock struct {
 	*block
-	effective map[string]effectiveSetting
-	inherited bool // effective is complete
+	effective map[string]effectiveSetting // by setting
+	resolved  bool                        // effective includes the inherited settings
 }
 
-// effectiveSetting is a setting's value, with the policy that gives it: the policy itself or one that it inherits from.
+// effectiveSetting is a setting's value and the policy that gives it: the policy itself or one that it inherits from.
 type effectiveSetting struct {
 	value
 	origin *block
@@ -44,7 +44,7 @@
 	return p
 }
 
-// spec returns the policy with what it inherits.
+// spec returns the policy, including the settings that it inherits.
 func (p *policyBlock) spec() route.PolicySpec {
 	spec := route.NoPolicy
 	spec.Name = p.name
@@ -63,20 +63,20 @@
 	return spec
 }
 
-// policyBuilder builds policies out of policy blocks, and completes each with what it inherits.
+// policyBuilder builds policies from policy blocks, and resolves inheritance between them.
 type policyBuilder struct {
 	builderContext
-	lines    definingLines // gets the lines of inherited settings too
-	byName   map[string]*policyBlock
-	policies []*policyBlock // in the order of the files
-	specs    []route.PolicySpec
+	linesByBlock definitionLines // also receives the lines of inherited settings
+	byName       map[string]*policyBlock
+	policies     []*policyBlock // in the order of the files
+	specs        []route.PolicySpec
 }
 
-func newPolicyBuilder(context builderContext, lines definingLines) *policyBuilder {
-	return &policyBuilder{builderContext: context, lines: lines, byName: map[string]*policyBlock{}}
+func newPolicyBuilder(context builderContext, linesByBlock definitionLines) *policyBuilder {
+	return &policyBuilder{builderContext: context, linesByBlock: linesByBlock, byName: map[string]*policyBlock{}}
 }
 
-// build adds a policy, unless its name is defined already.
+// build adds a policy, unless its name is already defined.
 func (b *policyBuilder) build(policy *block) {
 	if b.byName[policy.name] != nil {
 		return
@@ -86,13 +86,13 @@
 	b.policies = append(b.policies, p)
 }
 
-// check completes the policies and checks the settings that each has then.
+// check resolves inheritance between the policies, and checks the resulting settings of each.
 func (b *policyBuilder) check() {
 	for _, p := range b.policies {
 		b.references.resolve(p.block, likeSetting, policyKeyword)
 	}
 	for _, p := range b.policies {
-		b.inherit(p, nil)
+		b.resolveInheritance(p, nil)
 	}
 	c := b.settingsChecker()
 	for _, p := range b.policies {
@@ -103,38 +103,39 @@
 	b.references.reportUnused(policyKeyword, "route or policy")
 }
 
-// settingsChecker returns a checker of the policies' settings.
+// settingsChecker returns a checker for the settings of policies.
 func (b *policyBuilder) settingsChecker() *policyChecker {
 	return &policyChecker{report: b.report, platform: b.platform}
 }
 
-// inherit completes a policy with the settings of the one that it is like. chain is the policies that inherit from it.
-func (b *policyBuilder) inherit(p *policyBlock, chain []string) {
-	if p.inherited {
+// resolveInheritance adds the settings that a policy inherits through its setting like. chain lists the policies that
+// inherit from p; it serves to detect cycles.
+func (b *policyBuilder) resolveInheritance(p *policyBlock, chain []string) {
+	if p.resolved {
 		return
 	}
 	if i := slices.Index(chain, p.name); i >= 0 {
 		cycle := append(chain[i:], p.name)
 		b.report.faultAtSetting(p.block, likeSetting,
 			"policies are like each other in a circle: %s", strings.Join(cycle, " > "))
-		p.inherited = true
+		p.resolved = true
 		return
 	}
 	if base := b.byName[p.value(likeSetting).text]; base != nil {
-		b.inherit(base, append(chain, p.name))
-		b.inheritFrom(p, base)
+		b.resolveInheritance(base, append(chain, p.name))
+		b.inheritMissingSettings(p, base)
 	}
-	p.inherited = true
+	p.resolved = true
 }
 
-// inheritFrom gives a policy those settings of another one that it does not have, and their lines.
-func (b *policyBuilder) inheritFrom(p, base *policyBlock) {
+// inheritMissingSettings copies from base the settings that p does not have, and adds their lines to those of p.
+func (b *policyBuilder) inheritMissingSettings(p, base *policyBlock) {
 	for _, setting := range slices.Sorted(maps.Keys(base.effective)) {
-		if _, own := p.effective[setting]; own || setting == likeSetting {
+		if _, overridden := p.effective[setting]; overridden || setting == likeSetting {
 			continue
 		}
 		inherited := base.effective[setting]
 		p.effective[setting] = inherited
-		b.lines.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
+		b.linesByBlock.add(blockID{policyKeyword, p.name}, inherited.origin, inherited.origin.positions[setting])
 	}
 }
--- a/internal/lang/readblock_test.go
+++ b/internal/lang/readblock_test.go
@@ -6,8 +6,8 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// What does not fit the block's type is reported and left out; the rest is read.
-func TestBlockReaderLeavesOutWhatDoesNotFit(t *testing.T) {
+// Settings and values that do not fit the type of the block are reported and left out; all others are read.
+func TestBlockReaderLeavesOutInvalidSettings(t *testing.T) {
 	file, source, _ := syntax.Parse("f", []byte("pool \"p\" {\n\tcap = 0\n\tspill = 5/s\n\tcapp = 1\n\tworkers { cell = 1, x, 1 }\n}\n"))
 	report := &reporter{}
 	reader := &blockReader{report: report, sources: map[string]*syntax.Source{"f": source}}
@@ -36,6 +36,6 @@
 		}
 	}
 	if len(c.builders) != len(blockTypes) {
-		t.Errorf("%d builders of %d types", len(c.builders), len(blockTypes))
+		t.Errorf("%d builders for %d block types", len(c.builders), len(blockTypes))
 	}
 }
--- a/internal/lang/selectorcheck.go
+++ b/internal/lang/selectorcheck.go
@@ -8,18 +8,18 @@
 	"crankhold/internal/route"
 )
 
-// selectorChecker finds selectors that no worker can match, by what the platform's settings and the worker blocks say.
+// selectorChecker finds selectors that no worker can match, according to the platform's settings and the worker blocks.
 type selectorChecker struct {
-	platform *Platform      // nil: not known
-	workers  []route.Worker // of worker blocks
+	platform *Platform      // nil: unknown
+	workers  []route.Worker // from worker blocks
 }
 
-// unsatisfiable returns why no worker can match a selector, or "" where one may.
-func (c selectorChecker) unsatisfiable(s route.Selector) string {
-	if reason := c.excludedByPlatform(s); reason != "" {
+// unsatisfiableReason returns why no worker can match a selector, or "" if some worker may.
+func (c selectorChecker) unsatisfiableReason(s route.Selector) string {
+	if reason := c.platformMismatch(s); reason != "" {
 		return reason
 	}
-	matched, mismatchOfNamed := c.matchWorkerBlocks(s)
+	matched, namedWorkerMismatch := c.matchesWorkerBlock(s)
 	if matched {
 		return ""
 	}
@@ -27,7 +27,7 @@
 		return c.missingLabel(s)
 	}
 	if c.namesOnlyWorkerBlocks(s) {
-		return mismatchOfNamed
+		return namedWorkerMismatch
 	}
 	if s.MemoryMB > 0 {
 		return c.insufficientMemory(s)
@@ -35,47 +35,49 @@
 	return ""
 }
 
-// excludedByPlatform returns why the platform has no worker of the selector's kinds or zones, or "".
-func (c selectorChecker) excludedByPlatform(s route.Selector) string {
+// platformMismatch returns why the platform has no worker of the selector's kinds or zones, or "" if it has or its
+// kinds and zones are unknown.
+func (c selectorChecker) platformMismatch(s route.Selector) string {
 	if c.platform == nil {
 		return ""
 	}
-	for _, condition := range []struct {
+	for _, property := range []struct {
 		name     string
 		wanted   []string
-		existing []string // empty: not known
+		existing []string // empty: unknown
 	}{
 		{"kind", s.Kinds, c.platform.Kinds},
 		{"zone", s.Zones, c.platform.Zones},
 	} {
-		if len(condition.existing) == 0 || len(condition.wanted) == 0 {
+		if len(property.existing) == 0 || len(property.wanted) == 0 {
 			continue
 		}
-		exists := func(pattern string) bool { return matchesAnyOf(pattern, condition.existing) }
-		if !slices.ContainsFunc(condition.wanted, exists) {
-			return fmt.Sprintf("the platform has no %s %s, but %s", condition.name,
-				strings.Join(condition.wanted, " or "), strings.Join(condition.existing, ", "))
+		exists := func(pattern string) bool { return matchesAny(pattern, property.existing) }
+		if !slices.ContainsFunc(property.wanted, exists) {
+			return fmt.Sprintf("the platform has no %s %s, but %s", property.name,
+				strings.Join(property.wanted, " or "), strings.Join(property.existing, ", "))
 		}
 	}
 	return ""
 }
 
-// matchWorkerBlocks reports whether a worker block matches the selector. Where none does, it returns why the last one
-// that the selector names by id does not, or "".
-func (c selectorChecker) matchWorkerBlocks(s route.Selector) (matched bool, mismatchOfNamed string) {
+// matchesWorkerBlock reports whether the selector matches a worker block. If not, it also returns why the last worker
+// block that the selector names by id does not match, or "" if it names none.
+func (c selectorChecker) matchesWorkerBlock(s route.Selector) (matched bool, namedWorkerMismatch string) {
 	for _, w := range c.workers {
 		reason := mismatch(s, w)
 		if reason == "" {
 			return true, ""
 		}
 		if len(s.IDs) > 0 && (route.Selector{IDs: s.IDs}).Matches(w) {
-			mismatchOfNamed = fmt.Sprintf("worker %q %s", w.Name, reason)
+			namedWorkerMismatch = fmt.Sprintf("worker %q %s", w.Name, reason)
 		}
 	}
-	return false, mismatchOfNamed
+	return false, namedWorkerMismatch
 }
 
-// missingLabel returns which of the selector's labels no worker block gives. No other workers have any labels.
+// missingLabel returns which of the selector's labels is missing from all worker blocks. Workers without a worker block
+// have no labels.
 func (c selectorChecker) missingLabel(s route.Selector) string {
 	for _, label := range s.Labels {
 		hasLabel := func(w route.Worker) bool { return slices.Contains(label.Values, w.Labels[label.Name]) }
@@ -87,7 +89,7 @@
 	return "no worker block fits all of it"
 }
 
-// namesOnlyWorkerBlocks reports whether the selector names workers by id, and all of them have worker blocks.
+// namesOnlyWorkerBlocks reports whether the selector names workers by id, each of which has a worker block.
 func (c selectorChecker) namesOnlyWorkerBlocks(s route.Selector) bool {
 	if len(s.IDs) == 0 {
 		return false
@@ -101,10 +103,10 @@
 	return true
 }
 
-// insufficientMemory returns why no worker has the memory that the selector asks for, or "" where one may.
+// insufficientMemory returns why no worker has the memory that the selector requires, or "" if some worker may.
 func (c selectorChecker) insufficientMemory(s route.Selector) string {
 	if c.platform == nil || len(c.platform.KindMemoryMB) == 0 {
-		return "no worker block tells of so much memory" // nothing else gives the memory of workers then
+		return "no worker block tells of so much memory" // in this case, only worker blocks give the memory of workers
 	}
 	largest := 0.0
 	for kind, memoryMB := range c.platform.KindMemoryMB {
@@ -118,9 +120,9 @@
 	return ""
 }
 
-// mismatch returns which condition of a selector a worker block contradicts, or "".
+// mismatch returns which condition of a selector a worker block does not meet, or "" if it meets all.
 func mismatch(s route.Selector, w route.Worker) string {
-	s = withoutUnknown(s, w)
+	s = withoutUnknownProperties(s, w)
 	switch {
 	case !(route.Selector{IDs: s.IDs}).Matches(w):
 		return "has another id"
@@ -138,9 +140,9 @@
 	return ""
 }
 
-// withoutUnknown returns a selector without the conditions on what a worker block leaves open: discovery may report a
-// value that fits. Labels are given by worker blocks alone.
-func withoutUnknown(s route.Selector, w route.Worker) route.Selector {
+// withoutUnknownProperties returns a selector without the conditions on properties that a worker block leaves open,
+// because discovery may report a value that fits. Conditions on labels stay, because only worker blocks give labels.
+func withoutUnknownProperties(s route.Selector, w route.Worker) route.Selector {
 	if w.Kind == "" {
 		s.Kinds = nil
 	}
@@ -156,8 +158,8 @@
 	return s
 }
 
-// matchesAnyOf reports whether a pattern, with or without a star at its end, matches one of the names.
-func matchesAnyOf(pattern string, names []string) bool {
+// matchesAny reports whether a pattern, with or without a star at its end, matches one of the names.
+func matchesAny(pattern string, names []string) bool {
 	selector := route.Selector{IDs: []string{pattern}}
 	return slices.ContainsFunc(names, func(name string) bool { return selector.Matches(route.Worker{Name: name}) })
 }
--- a/internal/lang/syntax/ebnf_test.go
+++ b/internal/lang/syntax/ebnf_test.go
@@ -7,7 +7,7 @@
 	"unicode"
 )
 
-// grammarOp is the form of a part of a production.
+// grammarOp is the operator of a grammar expression.
 type grammarOp int
 
 const (
@@ -16,22 +16,22 @@
 	groupOp
 	optionOp
 	repetitionOp
-	rangeOp // from text to the text of its part
+	rangeOp // from the character in text to the one in the text of its part
 	nameOp
 	literalOp
 )
 
-// bracketOps are the forms that a bracket begins.
+// bracketOps maps opening brackets to the operators that they denote.
 var bracketOps = map[string]grammarOp{"(": groupOp, "[": optionOp, "{": repetitionOp}
 
-// grammarExpr is a part of a production.
+// grammarExpr is an expression on the right side of a production.
 type grammarExpr struct {
 	op    grammarOp
 	text  string
 	parts []grammarExpr
 }
 
-// readGrammar reads the productions of the published grammar.
+// readGrammar reads the productions of the grammar in docs/language.md.
 func readGrammar(t testing.TB) map[string]grammarExpr {
 	t.Helper()
 	page, err := os.ReadFile("../../../docs/language.md")
@@ -41,26 +41,26 @@
 	_, rest, ok := strings.Cut(string(page), "```ebnf\n")
 	text, _, end := strings.Cut(rest, "```")
 	if !ok || !end {
-		t.Fatal("docs/language.md holds no grammar")
+		t.Fatal("docs/language.md contains no grammar")
 	}
-	g := &grammarReader{t: t, tokens: grammarTokens(text)}
+	g := &grammarParser{t: t, tokens: splitGrammarTokens(text)}
 	productions := map[string]grammarExpr{}
 	for len(g.tokens) > 0 {
-		name := g.take()
-		g.want("=")
-		productions[name] = g.alternatives()
-		g.want(".")
+		name := g.next()
+		g.expect("=")
+		productions[name] = g.parseAlternatives()
+		g.expect(".")
 	}
 	return productions
 }
 
 const ellipsis = "…"
 
-// grammarTokens splits a grammar into literals, names and punctuation marks.
-func grammarTokens(text string) []string {
+// splitGrammarTokens splits a grammar into literals, names and punctuation marks.
+func splitGrammarTokens(text string) []string {
 	var tokens []string
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " \n") {
-		length := 1 // of a mark
+		length := 1 // of a punctuation mark
 		switch {
 		case text[0] == '"':
 			length = literalLength(text)
@@ -75,7 +75,7 @@
 	return tokens
 }
 
-// literalLength returns the length of a literal that begins a text, with its quotes.
+// literalLength returns the length of the literal at the start of a text, including its quotes.
 func literalLength(text string) int {
 	end := 1
 	for ; text[end] != '"'; end++ {
@@ -86,14 +86,14 @@
 	return end + 1
 }
 
-// grammarReader parses productions.
-type grammarReader struct {
+// grammarParser parses productions.
+type grammarParser struct {
 	t      testing.TB
 	tokens []string
 }
 
-// take consumes the next token and returns it.
-func (g *grammarReader) take() string {
+// next consumes the next token and returns it.
+func (g *grammarParser) next() string {
 	g.t.Helper()
 	if len(g.tokens) == 0 {
 		g.t.Fatal("the grammar ends within a production")
@@ -103,36 +103,36 @@
 	return token
 }
 
-// want consumes the next token, which must be this one.
-func (g *grammarReader) want(token string) {
+// expect consumes the next token and fails the test if it is not the given one.
+func (g *grammarParser) expect(token string) {
 	g.t.Helper()
-	if got := g.take(); got != token {
-		g.t.Fatalf("grammar: %q in place of %q", got, token)
+	if got := g.next(); got != token {
+		g.t.Fatalf("grammar: found %q, want %q", got, token)
 	}
 }
 
-func (g *grammarReader) alternatives() grammarExpr {
-	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.sequence()}}
+func (g *grammarParser) parseAlternatives() grammarExpr {
+	e := grammarExpr{op: alternativeOp, parts: []grammarExpr{g.parseSequence()}}
 	for g.tokens[0] == "|" {
-		g.take()
-		e.parts = append(e.parts, g.sequence())
+		g.next()
+		e.parts = append(e.parts, g.parseSequence())
 	}
 	return e
 }
 
-func (g *grammarReader) sequence() grammarExpr {
+func (g *grammarParser) parseSequence() grammarExpr {
 	e := grammarExpr{op: sequenceOp}
 	for !strings.Contains("|.)]}", g.tokens[0]) {
-		e.parts = append(e.parts, g.term())
+		e.parts = append(e.parts, g.parseTerm())
 	}
 	return e
 }
 
-func (g *grammarReader) term() grammarExpr {
-	token := g.take()
+func (g *grammarParser) parseTerm() grammarExpr {
+	token := g.next()
 	if op, ok := bracketOps[token]; ok {
-		e := grammarExpr{op: op, parts: []grammarExpr{g.alternatives()}}
-		g.take() // the closing bracket
+		e := grammarExpr{op: op, parts: []grammarExpr{g.parseAlternatives()}}
+		g.next() // the closing bracket
 		return e
 	}
 	if token[0] != '"' {
@@ -140,9 +140,9 @@
 	}
 	e := grammarExpr{op: literalOp, text: unquote(token)}
 	if g.tokens[0] == ellipsis {
-		g.take()
+		g.next()
 		e.op = rangeOp
-		e.parts = []grammarExpr{{op: literalOp, text: unquote(g.take())}}
+		e.parts = []grammarExpr{{op: literalOp, text: unquote(g.next())}}
 	}
 	return e
 }
