--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -30,8 +30,8 @@
 	responses          []string
 }
 
-// play returns a transcript of all attempts.
-func (n noticeCase) play(t *testing.T) string {
+// run returns a transcript of all attempts.
+func (n noticeCase) run(t *testing.T) string {
 	t.Helper()
 	testutil.FixRandom(t)
 	config := DefaultConfig()
@@ -89,7 +89,7 @@
 		{"gone", plainURL, "served", byWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
 	} {
 		t.Run(n.name, func(t *testing.T) {
-			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.play(t)))
+			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.run(t)))
 		})
 	}
 }
--- a/internal/notice/sender.go
+++ b/internal/notice/sender.go
@@ -129,18 +129,18 @@
 // expireAttempts ends attempts that have timed out and forgets those that have ended. It returns the next deadline.
 func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleTickInterval
-	open := s.attempts[:0]
+	inFlight := s.attempts[:0]
 	for _, attempt := range s.attempts {
 		if !attempt.done && attempt.deadline <= now {
 			attempt.fail(errTimeout)
 		}
 		if !attempt.done {
 			next = min(next, attempt.deadline)
-			open = append(open, attempt)
+			inFlight = append(inFlight, attempt)
 		}
 	}
-	clear(s.attempts[len(open):])
-	s.attempts = open
+	clear(s.attempts[len(inFlight):])
+	s.attempts = inFlight
 	return next
 }
 
--- a/internal/webhook/authentication.go
+++ b/internal/webhook/authentication.go
@@ -69,10 +69,10 @@
 
 // parseSignatureHeaders reads the signature headers. It reports whether each of them is there once and well formed.
 func parseSignatureHeaders(request *httpRequest) (headers signature.Headers, ok bool) {
-	id, ids := request.header(signature.HeaderID)
-	timestamp, timestamps := request.header(signature.HeaderTimestamp)
-	signatures, lists := request.header(signature.HeaderSignature)
-	if ids != 1 || timestamps != 1 || lists != 1 {
+	id, idCount := request.header(signature.HeaderID)
+	timestamp, timestampCount := request.header(signature.HeaderTimestamp)
+	signatures, signatureCount := request.header(signature.HeaderSignature)
+	if idCount != 1 || timestampCount != 1 || signatureCount != 1 {
 		return headers, false
 	}
 	return signature.ParseHeaders(id, timestamp, signatures)
--- a/internal/webhook/breakable_disk_test.go
+++ b/internal/webhook/breakable_disk_test.go
@@ -8,22 +8,22 @@
 	"crankhold/internal/ledger"
 )
 
-// breakableDisk is the system's disk, until a test has it fail. It may be used by any goroutine.
-type breakableDisk struct {
+// faultyDisk is the system's disk, until a test has it fail. It may be used by any goroutine.
+type faultyDisk struct {
 	ledger.SystemDisk
-	mu     sync.Mutex
-	full   bool        // no file can be written any more
-	opened ledger.File // for writing, last
+	mu        sync.Mutex
+	permanent bool        // no file can be written any more
+	opened    ledger.File // for writing, last
 }
 
 // Open implements ledger.Disk.
-func (d *breakableDisk) Open(path string, flag int, mode os.FileMode) (ledger.File, error) {
+func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (ledger.File, error) {
 	if flag == os.O_RDONLY {
 		return d.SystemDisk.Open(path, flag, mode)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.full {
+	if d.permanent {
 		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.ENOSPC}
 	}
 	file, err := d.SystemDisk.Open(path, flag, mode)
@@ -31,17 +31,17 @@
 	return file, err
 }
 
-// failOnce has every write and sync of the open file fail from now on. Another file can be opened.
-func (d *breakableDisk) failOnce() {
+// failOpenFile has every write and sync of the open file fail from now on. Another file can be opened.
+func (d *faultyDisk) failOpenFile() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.opened.Close()
 }
 
-// fail has every write and sync fail from now on, and every attempt to open another file.
-func (d *breakableDisk) fail() {
-	d.failOnce()
+// failPermanently has every write and sync failPermanently from now on, and every attempt to open another file.
+func (d *faultyDisk) failPermanently() {
+	d.failOpenFile()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full = true
+	d.permanent = true
 }
--- a/internal/webhook/connection.go
+++ b/internal/webhook/connection.go
@@ -32,7 +32,7 @@
 
 // Messages returns how many complete requests were received, and whether the beginning of another was. What a client
 // sends after the last response counts as the beginning of one.
-func (c *connection) Messages() (whole int, begun bool) {
+func (c *connection) Messages() (complete int, partial bool) {
 	return c.requestCount, c.closed || c.partialRequest != nil || len(c.buffer) > 0
 }
 
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -14,7 +14,7 @@
 
 // The model of a connection: deliveries reach the core however they are split, and each is answered once and in order,
 // with the status that its outcome maps to. A webhook-id runs once unless its request was rejected without having run.
-func TestConnectionAnswersEachDeliveryOnceInOrder(t *testing.T) {
+func TestConnectionRespondsToEachDeliveryOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := &fakeCore{}
 		transport := &testutil.Transport{}
@@ -25,7 +25,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-				for b := signedDelivery(activeSecret, id, noon, callPayload("dim-level", id, noon)); len(b) > 0; {
+				for b := signedDelivery(activeSecret, id, noon, requestPayload("dim-level", id, noon)); len(b) > 0; {
 					n := rapid.IntRange(1, len(b)).Draw(t, "n")
 					client.Data(bytes.Clone(b[:n]))
 					b = b[n:]
--- a/internal/webhook/delivery_clock.go
+++ b/internal/webhook/delivery_clock.go
@@ -9,22 +9,22 @@
 type deliveryClock struct {
 	monotonic      Clock
 	wallClock      func() time.Time
-	firstWall      time.Time
-	firstMonotonic time.Duration
+	startWall      time.Time
+	startMonotonic time.Duration
 }
 
 func newDeliveryClock(monotonic Clock, wallClock func() time.Time) *deliveryClock {
 	return &deliveryClock{
 		monotonic:      monotonic,
 		wallClock:      wallClock,
-		firstWall:      wallClock().Round(0),
-		firstMonotonic: monotonic.Now(),
+		startWall:      wallClock().Round(0),
+		startMonotonic: monotonic.Now(),
 	}
 }
 
 // steady returns the Unix time by which windows count. It never goes back and is never stepped.
 func (c *deliveryClock) steady() time.Time {
-	return c.firstWall.Add(c.monotonic.Now() - c.firstMonotonic)
+	return c.startWall.Add(c.monotonic.Now() - c.startMonotonic)
 }
 
 // latest returns the later of the steady time and the wall clock's. A sender whose clock was stepped forward with this
--- a/internal/webhook/delivery_test.go
+++ b/internal/webhook/delivery_test.go
@@ -15,9 +15,9 @@
 
 // A delivery that is rejected gets one response and reaches nobody.
 func TestRejectedDeliveriesHaveNoEffect(t *testing.T) {
-	body := callPayload("dim-level", "x", noon)
-	good := string(signedDelivery(activeSecret, "m", noon, body))
-	change := func(old, new string) []byte { return []byte(strings.Replace(good, old, new, 1)) }
+	body := requestPayload("dim-level", "x", noon)
+	valid := string(signedDelivery(activeSecret, "m", noon, body))
+	modified := func(old, new string) []byte { return []byte(strings.Replace(valid, old, new, 1)) }
 	for name, test := range map[string]struct {
 		status int
 		bytes  []byte
@@ -26,30 +26,30 @@
 		"unknown key":              {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
 		"stale":                    {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
 		"from the future":          {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
-		"other id":                 {401, change("webhook-id: m", "webhook-id: n")},
-		"other time":               {401, change("webhook-timestamp: 1", "webhook-timestamp: 01")},
-		"other body":               {401, change(`"dim-level"`, `"dim-levex"`)},
+		"other id":                 {401, modified("webhook-id: m", "webhook-id: n")},
+		"other time":               {401, modified("webhook-timestamp: 1", "webhook-timestamp: 01")},
+		"other body":               {401, modified(`"dim-level"`, `"dim-levex"`)},
 		"dotted id":                {401, signedDelivery(activeSecret, "m.1", noon, body)},
-		"no signature":             {401, change("webhook-signature", "x-signature")},
-		"two ids":                  {401, change("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
-		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, callPayload("lift", "x", noon))},
+		"no signature":             {401, modified("webhook-signature", "x-signature")},
+		"two ids":                  {401, modified("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
+		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
 		"no JSON":                  {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
-		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, callPayload("dim-level", strings.Repeat("x", maxRequestBody+1), noon))},
-		"two lengths":              {400, change("Content-Length", "Content-Length: 3\r\nContent-Length")},
-		"length and chunks":        {400, change("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
-		"signed length":            {400, change("Content-Length: ", "Content-Length: +")},
-		"no length":                {400, change("Content-Length", "X-Length")},
-		"no host":                  {400, change("Host", "X-Host")},
-		"bare line feed":           {400, change("\r\n", "\n")},
-		"folded line":              {400, change("webhook-id: m", "webhook-id: m\r\n x")},
-		"space before ':'":         {400, change("Host:", "Host :")},
-		"old version":              {400, change("HTTP/1.1", "HTTP/1.0")},
-		"other path":               {404, change("/hooks", "/hook")},
-		"other method":             {405, change("POST", "PUT")},
-		"long body":                {413, change("Content-Length: ", "Content-Length: 99")},
-		"long head":                {431, change("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
-		"many headers":             {431, change("Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: ")},
-		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))},
+		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBody+1), noon))},
+		"two lengths":              {400, modified("Content-Length", "Content-Length: 3\r\nContent-Length")},
+		"length and chunks":        {400, modified("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
+		"signed length":            {400, modified("Content-Length: ", "Content-Length: +")},
+		"no length":                {400, modified("Content-Length", "X-Length")},
+		"no host":                  {400, modified("Host", "X-Host")},
+		"bare line feed":           {400, modified("\r\n", "\n")},
+		"folded line":              {400, modified("webhook-id: m", "webhook-id: m\r\n x")},
+		"space before ':'":         {400, modified("Host:", "Host :")},
+		"old version":              {400, modified("HTTP/1.1", "HTTP/1.0")},
+		"other path":               {404, modified("/hooks", "/hook")},
+		"other method":             {405, modified("POST", "PUT")},
+		"long body":                {413, modified("Content-Length: ", "Content-Length: 99")},
+		"long head":                {431, modified("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
+		"many headers":             {431, modified("Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: ")},
+		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
 	} {
 		core := &fakeCore{}
 		receiver, _ := newTestReceiver(t, core, "")
@@ -65,8 +65,8 @@
 func TestTenantIsTakenFromSignedBody(t *testing.T) {
 	core := &fakeCore{}
 	receiver, _ := newTestReceiver(t, core, "")
-	for i, x := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none accepted"}} {
-		body := bytes.Replace(callPayload("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, x.tenant), 1)
+	for i, test := range []struct{ tenant, want string }{{"east", "east"}, {"", ""}, {strings.Repeat("x", 200), "none accepted"}} {
+		body := bytes.Replace(requestPayload("dim-level", "x", noon), []byte(`"tenant":""`), fmt.Appendf(nil, `"tenant":%q`, test.tenant), 1)
 		before := len(core.accepted)
 		transport := &testutil.Transport{}
 		receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, fmt.Sprint("t", i), noon, body))
@@ -74,8 +74,8 @@
 		if len(core.accepted) > before {
 			got = core.accepted[before].Tenant
 		}
-		if got != x.want {
-			t.Errorf("tenant %.20q: %q, want %q; %s", x.tenant, got, x.want, transport.Written.String())
+		if got != test.want {
+			t.Errorf("tenant %.20q: %q, want %q; %s", test.tenant, got, test.want, transport.Written.String())
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		defer receiver.Close()
 		for _, id := range []string{"a", "b"} {
 			for _, class := range []string{"dim-level", "repair-order", "extend"} {
-				receiver.serve(&testutil.Transport{}, netip.AddrPort{}).Data(signedDelivery(activeSecret, class+id, noon, callPayload(class, "x", noon)))
+				receiver.serve(&testutil.Transport{}, netip.AddrPort{}).Data(signedDelivery(activeSecret, class+id, noon, requestPayload(class, "x", noon)))
 				if class != "dim-level" {
 					(<-posts)()
 				}
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestAuthenticationErrorsCarryTheReason(t *testing.T) {
-	body := callPayload("dim-level", "x", noon)
+	body := requestPayload("dim-level", "x", noon)
 	clock := newDeliveryClock(testutil.Clock(time.Hour), wallAtNoon)
 	authenticator := authenticator{keys: []signature.Key{{Secret: activeSecret}}, clock: clock, tolerance: time.Minute}
 	for _, test := range []struct {
@@ -71,7 +71,7 @@
 
 func TestMalformedDeliveryErrorsCarryTheField(t *testing.T) {
 	receiver, _ := newTestReceiver(t, &fakeCore{}, "")
-	valid := string(callPayload("dim-level", "x", noon))
+	valid := string(requestPayload("dim-level", "x", noon))
 	for _, test := range []struct{ old, new, field, message string }{
 		{"{", "", "", "invalid character ':' after top-level value"},
 		{`"wait_ms":0`, `"wait_ms":"soon"`, "data.wait_ms", "json: cannot unmarshal string into Go struct field .data.wait_ms of type float64"},
--- a/internal/webhook/golden_ledger_test.go
+++ b/internal/webhook/golden_ledger_test.go
@@ -66,7 +66,7 @@
 	receiver, posts := newTestReceiverAt(t, core, path, func() time.Time { return written })
 	for _, o := range ledgerOrders() {
 		for round := range max(1, len(o.responses)) {
-			receiver.serve(&testutil.Transport{}, goldenClient).Data(o.delivery(written))
+			receiver.serve(&testutil.Transport{}, clientAddress).Data(o.delivery(written))
 			(<-posts)()
 			if len(o.responses) > 0 {
 				core.accepted[len(core.accepted)-1].Responder.Respond(o.responses[round])
@@ -110,7 +110,7 @@
 	for _, o := range orders {
 		transport := &testutil.Transport{}
 		before := len(core.accepted)
-		client := receiver.serve(transport, goldenClient)
+		client := receiver.serve(transport, clientAddress)
 		transcript += golden.Quote("request", o.delivery(noon))
 		client.Data(o.delivery(noon))
 		if client.Busy() {
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -18,7 +18,7 @@
 // The golden files hold whole messages. Nothing in them is masked: the clocks are fixed, and testutil.FixRandom makes the
 // random ids repeatable.
 
-var goldenClient = netip.MustParseAddrPort("192.0.2.7:4000")
+var clientAddress = netip.MustParseAddrPort("192.0.2.7:4000")
 
 func replaced(request []byte, old, new string) []byte {
 	return bytes.Replace(request, []byte(old), []byte(new), 1)
@@ -42,8 +42,8 @@
 	prepare   func(*Receiver)
 }
 
-// play returns a transcript of the exchange.
-func (x exchange) play(t *testing.T) string {
+// run returns a transcript of the exchange.
+func (x exchange) run(t *testing.T) string {
 	t.Helper()
 	testutil.FixRandom(t)
 	ledgerPath := filepath.Join(t.TempDir(), "ledger")
@@ -61,26 +61,26 @@
 		x.prepare(receiver)
 	}
 	transport := &testutil.Transport{}
-	client := receiver.serve(transport, goldenClient)
+	client := receiver.serve(transport, clientAddress)
 	transcript := ""
-	answered := 0
+	responded := 0
 	for _, part := range x.sent {
 		transcript += golden.Quote("request", part)
 		client.Data(bytes.Clone(part))
 		for client.Busy() {
-			if len(core.accepted) == answered { // the ledger has to confirm the order first
+			if len(core.accepted) == responded { // the ledger has to confirm the order first
 				(<-posts)()
 				continue
 			}
-			transcript += describeRequest(core.accepted[answered])
-			core.accepted[answered].Responder.Respond(x.responses[answered])
-			answered++
+			transcript += describeRequest(core.accepted[responded])
+			core.accepted[responded].Responder.Respond(x.responses[responded])
+			responded++
 		}
 		transcript += golden.Quote("response", transport.Written.Bytes())
 		transport.Written.Reset()
 	}
-	if answered != len(x.responses) {
-		t.Errorf("%d requests reached the router, want %d", answered, len(x.responses))
+	if responded != len(x.responses) {
+		t.Errorf("%d requests reached the router, want %d", responded, len(x.responses))
 	}
 	return transcript + fmt.Sprintf("connection closed: %v\n", transport.Closed)
 }
@@ -90,60 +90,60 @@
 	`"key":"7f3a9c21e0b4d655","tenant":"east","wait_ms":1500,"memory_mb":128.5,"lanes":2,"load_ms":250.25,"body":"AP9hYmM="}}`
 
 func exchanges() []exchange {
-	call1 := callPayload("dim-level", "run 1", noon)
+	payload1 := requestPayload("dim-level", "run 1", noon)
 	deliver := func(class string) []byte {
-		return signedDelivery(activeSecret, "msg_1", noon, callPayload(class, "run 1", noon))
+		return signedDelivery(activeSecret, "msg_1", noon, requestPayload(class, "run 1", noon))
 	}
 	signed := func(payload string) []byte { return signedDelivery(activeSecret, "msg_1", noon, []byte(payload)) }
-	good := deliver("dim-level")
-	head, body, _ := bytes.Cut(replaced(good, "Host:", "Expect: 100-continue\r\nHost:"), []byte("\r\n\r\n"))
+	valid := deliver("dim-level")
+	head, body, _ := bytes.Cut(replaced(valid, "Host:", "Expect: 100-continue\r\nHost:"), []byte("\r\n\r\n"))
 	head = append(bytes.Clone(head), "\r\n\r\n"...)
 	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
-	one := func(b []byte) [][]byte { return [][]byte{b} }
+	single := func(b []byte) [][]byte { return [][]byte{b} }
 	respond := func(a router.Response) []router.Response { return []router.Response{a} }
 	return []exchange{
-		{name: "200-served", sent: one(good), responses: respond(served)},
-		{name: "200-empty-body", sent: one(good), responses: respond(router.Response{Status: router.Served})},
-		{name: "200-order", sent: one(deliver("repair-order")), responses: respond(served)},
-		{name: "200-keyed-order-with-all-fields", sent: one(signed(fullPayload)), responses: respond(served)},
-		{name: "200-connection-close", sent: one(replaced(good, "Host:", "Connection: close\r\nHost:")), responses: respond(served)},
+		{name: "200-served", sent: single(valid), responses: respond(served)},
+		{name: "200-empty-body", sent: single(valid), responses: respond(router.Response{Status: router.Served})},
+		{name: "200-order", sent: single(deliver("repair-order")), responses: respond(served)},
+		{name: "200-keyed-order-with-all-fields", sent: single(signed(fullPayload)), responses: respond(served)},
+		{name: "200-connection-close", sent: single(replaced(valid, "Host:", "Connection: close\r\nHost:")), responses: respond(served)},
 		{name: "200-after-100-continue", sent: [][]byte{head, body}, responses: respond(served)},
-		{name: "200-replayed", sent: [][]byte{good, signedDelivery(activeSecret, "msg_1", noon.Add(time.Minute), call1)}, responses: respond(served)},
-		{name: "200-pipelined", sent: one(append(bytes.Clone(good), signedDelivery(activeSecret, "msg_2", noon, call1)...)),
+		{name: "200-replayed", sent: [][]byte{valid, signedDelivery(activeSecret, "msg_1", noon.Add(time.Minute), payload1)}, responses: respond(served)},
+		{name: "200-pipelined", sent: single(append(bytes.Clone(valid), signedDelivery(activeSecret, "msg_2", noon, payload1)...)),
 			responses: []router.Response{served, served}},
 
-		{name: "400-unknown-class", sent: one(deliver("lift"))},
-		{name: "400-no-json", sent: one(signed("{"))},
-		{name: "400-two-lengths", sent: one(replaced(good, "Content-Length", "Content-Length: 3\r\nContent-Length"))},
-		{name: "400-id-of-another-payload", sent: [][]byte{good, deliver("repair-order")}, responses: respond(served)},
-		{name: "400-order-too-old", sent: one(signedDelivery(activeSecret, "msg_1", noon, callPayload("repair-order", "run 1", noon.Add(-72*time.Hour))))},
-
-		{name: "401-retired-key", sent: one(signedDelivery(retiredSecret, "msg_1", noon, call1))},
-		{name: "401-stale", sent: one(signedDelivery(activeSecret, "msg_1", noon.Add(-6*time.Minute), call1))},
-		{name: "401-unsigned", sent: one(replaced(good, "webhook-signature", "x-signature"))},
-
-		{name: "404-other-path", sent: one(replaced(good, "/hooks", "/hook"))},
-		{name: "405-other-method", sent: one(replaced(good, "POST", "PUT"))},
-		{name: "405-then-200", sent: [][]byte{replaced(good, "POST", "PUT"), good}, responses: respond(served)},
-		{name: "413-long-body", sent: one(replaced(good, "Content-Length: ", "Content-Length: 99"))},
-		{name: "431-many-headers", sent: one(replaced(good, "Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: "))},
-		{name: "431-long-head", sent: one(replaced(good, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHeadBytes/256)+"Host: "))},
-
-		{name: "502-failed", sent: one(good), responses: respond(router.Response{Status: router.Failed})},
-		{name: "502-refused-but-may-have-run", sent: one(deliver("repair-order")),
+		{name: "400-unknown-class", sent: single(deliver("lift"))},
+		{name: "400-no-json", sent: single(signed("{"))},
+		{name: "400-two-lengths", sent: single(replaced(valid, "Content-Length", "Content-Length: 3\r\nContent-Length"))},
+		{name: "400-id-of-another-payload", sent: [][]byte{valid, deliver("repair-order")}, responses: respond(served)},
+		{name: "400-order-too-old", sent: single(signedDelivery(activeSecret, "msg_1", noon, requestPayload("repair-order", "run 1", noon.Add(-72*time.Hour))))},
+
+		{name: "401-retired-key", sent: single(signedDelivery(retiredSecret, "msg_1", noon, payload1))},
+		{name: "401-stale", sent: single(signedDelivery(activeSecret, "msg_1", noon.Add(-6*time.Minute), payload1))},
+		{name: "401-unsigned", sent: single(replaced(valid, "webhook-signature", "x-signature"))},
+
+		{name: "404-other-path", sent: single(replaced(valid, "/hooks", "/hook"))},
+		{name: "405-other-method", sent: single(replaced(valid, "POST", "PUT"))},
+		{name: "405-then-200", sent: [][]byte{replaced(valid, "POST", "PUT"), valid}, responses: respond(served)},
+		{name: "413-long-body", sent: single(replaced(valid, "Content-Length: ", "Content-Length: 99"))},
+		{name: "431-many-headers", sent: single(replaced(valid, "Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: "))},
+		{name: "431-long-head", sent: single(replaced(valid, "Host: ", strings.Repeat("A: "+strings.Repeat("x", 253)+"\r\n", maxHeadBytes/256)+"Host: "))},
+
+		{name: "502-failed", sent: single(valid), responses: respond(router.Response{Status: router.Failed})},
+		{name: "502-refused-but-may-have-run", sent: single(deliver("repair-order")),
 			responses: respond(router.Response{Status: router.Rejected, MayHaveRun: true})},
 
-		{name: "503-refused-without-advice", sent: one(good), responses: respond(router.Response{Status: router.Rejected})},
-		{name: "503-refused-with-advice", sent: one(good),
+		{name: "503-refused-without-advice", sent: single(valid), responses: respond(router.Response{Status: router.Rejected})},
+		{name: "503-refused-with-advice", sent: single(valid),
 			responses: respond(router.Response{Status: router.Rejected, RetryAfter: 2500 * time.Millisecond})},
 		{name: "503-order-refused-then-served", sent: [][]byte{deliver("repair-order"), deliver("repair-order")},
 			responses: []router.Response{{Status: router.Rejected}, served}},
-		{name: "503-order-without-ledger", sent: one(deliver("repair-order")), noLedger: true},
-		{name: "503-ledger-full", sent: one(deliver("repair-order")), configure: func(c *Config) { c.Receiver.Ledger.MaxBytes = 1 }},
-		{name: "503-outcomes-full", sent: one(good), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
+		{name: "503-order-without-ledger", sent: single(deliver("repair-order")), noLedger: true},
+		{name: "503-ledger-full", sent: single(deliver("repair-order")), configure: func(c *Config) { c.Receiver.Ledger.MaxBytes = 1 }},
+		{name: "503-outcomes-full", sent: single(valid), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
 
-		{name: "504-overdue-before-it-ran", sent: one(good), responses: respond(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
-		{name: "504-overdue", sent: one(good), responses: respond(router.Response{Status: router.Failed, DeadlineExceeded: true})},
+		{name: "504-overdue-before-it-ran", sent: single(valid), responses: respond(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
+		{name: "504-overdue", sent: single(valid), responses: respond(router.Response{Status: router.Failed, DeadlineExceeded: true})},
 	}
 }
 
@@ -151,7 +151,7 @@
 func TestGoldenReceiver(t *testing.T) {
 	for _, x := range exchanges() {
 		t.Run(x.name, func(t *testing.T) {
-			golden.Compare(t, filepath.Join("testdata", "receiver", x.name+".txt"), []byte(x.play(t)))
+			golden.Compare(t, filepath.Join("testdata", "receiver", x.name+".txt"), []byte(x.run(t)))
 		})
 	}
 }
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -87,8 +87,8 @@
 	return receiver, posts
 }
 
-// callPayload returns the payload of a request.
-func callPayload(class, body string, at time.Time) []byte {
+// requestPayload returns the payload of a request.
+func requestPayload(class, body string, at time.Time) []byte {
 	p := payload{Type: requestEventType, Timestamp: at}
 	p.Data.Class = class
 	p.Data.Key = "7f3a9c21e0b4d655"
--- a/internal/webhook/http.go
+++ b/internal/webhook/http.go
@@ -115,17 +115,17 @@
 // parseFraming reads how long the body is (RFC 9112, section 6). Two lengths, or a length and chunks, are how one
 // request is passed off as two, so nothing is guessed.
 func (r *httpRequest) parseFraming() httpStatus {
-	if _, hosts := r.header("Host"); hosts != 1 {
+	if _, hostCount := r.header("Host"); hostCount != 1 {
 		return statusBadRequest
 	}
-	if _, codings := r.header("Transfer-Encoding"); codings > 0 {
+	if _, codingCount := r.header("Transfer-Encoding"); codingCount > 0 {
 		return statusBadRequest
 	}
-	length, lengths := r.header("Content-Length")
+	length, lengthCount := r.header("Content-Length")
 	switch {
-	case lengths > 1:
+	case lengthCount > 1:
 		return statusBadRequest
-	case lengths == 1:
+	case lengthCount == 1:
 		return r.parseBodyLength(length)
 	case string(r.method) == "POST":
 		return statusBadRequest
--- a/internal/webhook/order_test.go
+++ b/internal/webhook/order_test.go
@@ -32,18 +32,18 @@
 			transport := &testutil.Transport{}
 			config := testConfig(path)
 			config.Receiver.Ledger.MaxBytes = test.maxBytes
-			disk := &breakableDisk{}
+			disk := &faultyDisk{}
 			receiver, posts := newTestReceiverOn(t, core, config, wallAtNoon, disk)
 			defer receiver.Close()
 			if test.fails {
-				disk.fail()
+				disk.failPermanently()
 			}
 			for i := range 3 { // also those after it, before and after the disk was tried again
 				if i == 2 {
 					time.Sleep(2 * ledgerRetryDelay)
 				}
 				id := name[:4] + strconv.Itoa(i)
-				receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, id, noon, callPayload("repair-order", "x", noon)))
+				receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, id, noon, requestPayload("repair-order", "x", noon)))
 				(<-posts)()
 			}
 			if got := statuses(t, transport); fmt.Sprint(got) != "[503 503 503]" || len(core.accepted) > 0 {
@@ -58,7 +58,7 @@
 	transport := &testutil.Transport{}
 	receiver, _ := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
 	defer receiver.Close()
-	receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, "old", noon, callPayload("repair-order", "x", noon.Add(-72*time.Hour))))
+	receiver.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, "old", noon, requestPayload("repair-order", "x", noon.Add(-72*time.Hour))))
 	if got := statuses(t, transport); fmt.Sprint(got) != "[400]" || len(core.accepted) > 0 {
 		t.Errorf("an order older than the retention: responses %v, %d requests", got, len(core.accepted))
 	}
@@ -67,7 +67,7 @@
 // An order that was in flight at a crash may have run, so it is failed and not handed to the core again.
 func TestOrderInFlightAtCrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	delivery := signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))
+	delivery := signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	for round, want := range []struct {
 		requests  int
 		responses string
@@ -87,11 +87,11 @@
 }
 
 // Closing the receiver ends the ledger's goroutine, after all that was recorded is in the file.
-func TestCloseWritesTheQueueAndLeavesNoGoroutine(t *testing.T) {
+func TestCloseWritesQueuedEntriesAndStopsLedgerGoroutine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	requireLedgerWriters(t, 0) // of the tests before
+	requireLedgerWriterCount(t, 0) // of the tests before
 	receiver, _ := newTestReceiver(t, &fakeCore{}, path)
-	requireLedgerWriters(t, 1)
+	requireLedgerWriterCount(t, 1)
 	const orders = 20
 	for i := range orders {
 		order := ledger.Entry{ID: strconv.Itoa(i), EventTime: noon, State: ledger.Ended, Status: 200}
@@ -100,15 +100,15 @@
 	if err := receiver.Close(); err != nil {
 		t.Fatal(err)
 	}
-	requireLedgerWriters(t, 0)
+	requireLedgerWriterCount(t, 0)
 	content := testutil.ReadFile(t, path)
 	if lines := bytes.Count(content, []byte("\n")); lines != orders {
 		t.Errorf("the ledger has %d lines, want %d", lines, orders)
 	}
 }
 
-// requireLedgerWriters fails the test unless so many goroutines write ledgers, at once or soon.
-func requireLedgerWriters(t *testing.T, want int) {
+// requireLedgerWriterCount fails the test unless so many goroutines write ledgers, at once or soon.
+func requireLedgerWriterCount(t *testing.T, want int) {
 	t.Helper()
 	testutil.RequireGoroutines(t, want, 10*time.Second, func(stack string) bool {
 		return strings.Contains(stack, "ledger.(*writer).run(")
--- a/internal/webhook/outcome_test.go
+++ b/internal/webhook/outcome_test.go
@@ -16,7 +16,7 @@
 	core := &fakeCore{}
 	receiver, posts := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
 	defer receiver.Close()
-	delivery := signedDelivery(activeSecret, "m", noon, callPayload("repair-order", "x", noon))
+	delivery := signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	transports := []*testutil.Transport{{}, {}, {}}
 	first := receiver.serve(transports[0], netip.AddrPort{})
 	first.Data(delivery)
--- a/internal/webhook/recovery_test.go
+++ b/internal/webhook/recovery_test.go
@@ -13,19 +13,19 @@
 	"crankhold/internal/testutil"
 )
 
-// movingClock is a clock that the test moves.
-type movingClock struct{ now time.Duration }
+// manualClock is a clock that the test moves.
+type manualClock struct{ now time.Duration }
 
-func (c *movingClock) Now() time.Duration       { return c.now }
-func (c *movingClock) ArrivedAt() time.Duration { return c.now }
+func (c *manualClock) Now() time.Duration       { return c.now }
+func (c *manualClock) ArrivedAt() time.Duration { return c.now }
 
 // steppedReceiver is a receiver whose wall clock is stepped.
 type steppedReceiver struct {
 	*Receiver
-	disk  *breakableDisk // of the ledger
+	disk  *faultyDisk // of the ledger
 	t     *testing.T
 	core  *fakeCore
-	clock *movingClock
+	clock *manualClock
 	wall  time.Time
 	posts chan func()
 }
@@ -35,7 +35,7 @@
 // newSteppedReceiver returns a receiver whose clocks say noon, and whose ledger retains orders for testRetention.
 func newSteppedReceiver(t *testing.T, path string, wall time.Time) *steppedReceiver {
 	t.Helper()
-	s := &steppedReceiver{disk: &breakableDisk{}, t: t, core: &fakeCore{}, clock: &movingClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
+	s := &steppedReceiver{disk: &faultyDisk{}, t: t, core: &fakeCore{}, clock: &manualClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
 	config := testConfig(path)
 	config.Receiver.Ledger.Retention = testRetention
 	receiver, err := newReceiver(testOptions(config, s.core, s.clock, func() time.Time { return s.wall }, func(f func()) { s.posts <- f }), s.disk)
@@ -60,7 +60,7 @@
 	s.t.Helper()
 	transport := &testutil.Transport{}
 	accepted := len(s.core.accepted)
-	s.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, id, signed, callPayload("repair-order", "x", event)))
+	s.serve(transport, netip.AddrPort{}).Data(signedDelivery(activeSecret, id, signed, requestPayload("repair-order", "x", event)))
 	if transport.Written.Len() == 0 {
 		(<-s.posts)()
 	}
@@ -76,7 +76,7 @@
 
 // A step of the wall clock neither has an order forgotten within its window nor refuses a fresh delivery, whether the
 // sender's clock was stepped too or not. The windows are spans of real time and end.
-func TestStepOfTheWallClock(t *testing.T) {
+func TestWallClockStepDoesNotAffectDeduplication(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
 			s := newSteppedReceiver(t, filepath.Join(t.TempDir(), "ledger"), noon)
@@ -113,7 +113,7 @@
 
 // An order that was forgotten at the end of its window is not run again by a program that starts when the wall clock has
 // been stepped back into it.
-func TestRestartAcrossAStepBackForgetsNoOrder(t *testing.T) {
+func TestForgottenOrderIsRejectedAfterWallClockStepsBack(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	s := newSteppedReceiver(t, path, noon)
 	if got := s.deliver("first", noon, noon); got != 200 {
@@ -135,16 +135,16 @@
 	path := filepath.Join(t.TempDir(), "ledger")
 	s := newSteppedReceiver(t, path, noon)
 	served := &testutil.Transport{}
-	s.serve(served, netip.AddrPort{}).Data(signedDelivery(activeSecret, "served", noon, callPayload("repair-order", "x", noon)))
+	s.serve(served, netip.AddrPort{}).Data(signedDelivery(activeSecret, "served", noon, requestPayload("repair-order", "x", noon)))
 	(<-s.posts)()
-	s.disk.failOnce() // every write and sync fails from now on
+	s.disk.failOpenFile() // every write and sync fails from now on
 	s.core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done"), MayHaveRun: true})
 	rejected := 0
-	for begun := time.Now(); ; rejected++ {
+	for start := time.Now(); ; rejected++ {
 		if status := s.deliver("order-"+strconv.Itoa(rejected), noon, noon); status == 200 {
 			break
 		}
-		if time.Since(begun) > 10*time.Second {
+		if time.Since(start) > 10*time.Second {
 			t.Fatal("it records no orders ten seconds later")
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -21,38 +21,38 @@
 	ledger := filepath.Join(t.TempDir(), "ledger")
 	runs := map[string]int{}
 	rng := rand.New(rand.NewPCG(1, 2))
-	type sent struct {
+	type signedOrder struct {
 		bytes []byte
 		order string
 		want  int
 	}
-	var all []sent
+	var deliveries []signedOrder
 	for i := range orders {
 		order, id := fmt.Sprintf("order-%d", i), fmt.Sprintf("msg_%d", i)
-		body := callPayload("repair-order", order, noon)
+		body := requestPayload("repair-order", order, noon)
 		want := 200
 		if strings.HasSuffix(order, "7") {
 			want = 502
 		}
-		all = append(all, sent{signedDelivery(activeSecret, id, noon, body), order, want})
+		deliveries = append(deliveries, signedOrder{signedDelivery(activeSecret, id, noon, body), order, want})
 		for range 1 + rng.IntN(3) {
 			// Sent again as it was, or signed anew for a later attempt.
-			all = append(all, sent{signedDelivery(activeSecret, id, noon.Add(time.Duration(rng.IntN(100))*time.Second), body), order, want})
+			deliveries = append(deliveries, signedOrder{signedDelivery(activeSecret, id, noon.Add(time.Duration(rng.IntN(100))*time.Second), body), order, want})
 		}
 		tampered := bytes.Replace(signedDelivery(activeSecret, id, noon, body), []byte("webhook-id: msg_"), []byte("webhook-id: msg_x"), 1)
-		all = append(all, sent{tampered, order, 401}, sent{signedDelivery(retiredSecret, id+"r", noon, body), order, 401})
+		deliveries = append(deliveries, signedOrder{tampered, order, 401}, signedOrder{signedDelivery(retiredSecret, id+"r", noon, body), order, 401})
 	}
 	subscriber := startFakeSubscriber(t)
 	for round := range 2 { // the second after a restart
-		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		rng.Shuffle(len(deliveries), func(i, j int) { deliveries[i], deliveries[j] = deliveries[j], deliveries[i] })
 		server := startTestServer(t, ledger, subscriber.address, runs)
 		var group sync.WaitGroup
 		for client := range 4 {
 			group.Go(func() {
-				for i := client; i < len(all); i += 4 {
-					status, body := server.deliver(t, all[i].bytes)
-					if status != all[i].want || status == 200 && body != "done "+all[i].order {
-						t.Errorf("round %d, %s: %d %q, want %d", round, all[i].order, status, body, all[i].want)
+				for i := client; i < len(deliveries); i += 4 {
+					status, body := server.deliver(t, deliveries[i].bytes)
+					if status != deliveries[i].want || status == 200 && body != "done "+deliveries[i].order {
+						t.Errorf("round %d, %s: %d %q, want %d", round, deliveries[i].order, status, body, deliveries[i].want)
 					}
 				}
 			})
@@ -63,7 +63,7 @@
 				<-subscriber.accepted
 			}
 			for _, notice := range subscriber.notices { // properly signed, but no request
-				all = append(all, sent{notice, "notice", 400})
+				deliveries = append(deliveries, signedOrder{notice, "notice", 400})
 			}
 		}
 		server.stop(t)
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	b := signedDelivery(retiredSecret, "m", noon, callPayload("repair-order", "x", noon))
+	b := signedDelivery(retiredSecret, "m", noon, requestPayload("repair-order", "x", noon))
 	c.Write(bytes.Replace(b, []byte("Host:"), []byte("Connection: close\r\nHost:"), 1))
 	received, err := io.ReadAll(c)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
