--- a/internal/webhook/breakable_disk_test.go
+++ b/internal/webhook/breakable_disk_test.go
@@ -12,7 +12,7 @@
 type faultyDisk struct {
 	ledger.SystemDisk
 	mu        sync.Mutex
-	permanent bool        // no file can be written any more
+	openFails bool        // no file can be written any more
 	opened    ledger.File // for writing, last
 }
 
@@ -23,7 +23,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.permanent {
+	if d.openFails {
 		return nil, &os.PathError{Op: "open", Path: path, Err: syscall.ENOSPC}
 	}
 	file, err := d.SystemDisk.Open(path, flag, mode)
@@ -43,5 +43,5 @@
 	d.failOpenFile()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.permanent = true
+	d.openFails = true
 }
