--- a/internal/notice/attempt.go
+++ b/internal/notice/attempt.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// maxResponseHead is how much of a subscriber's response is read, in bytes.
+// maxResponseHead is the largest part of a subscriber's response that is read, in bytes.
 const maxResponseHead = 8 << 10
 
-// attempt is one attempt to deliver a notice, on a connection of its own. It is the connection's handler on the event
-// loop, and reports to the sender exactly once.
+// attempt is one attempt to deliver a notice, on its own connection. It is the connection's handler on the event loop,
+// and reports its result to the sender exactly once.
 type attempt struct {
 	sender    *Sender
 	notice    *notice
 	transport Transport
 	deadline  time.Duration
-	response  []byte // received so far
-	done      bool   // it has reported
+	response  []byte // the bytes received so far
+	done      bool   // the result was reported to the sender
 }
 
-// DialCompleted sends the notice, signed with the time of this attempt.
+// DialCompleted sends the notice if the dial succeeded. The signature covers the time of this attempt.
 func (a *attempt) DialCompleted(err error) {
 	if err != nil {
 		a.fail(err)
@@ -32,7 +32,7 @@
 	a.transport.Write(head, a.notice.body)
 }
 
-// Data reads the status line of the final response; nothing else of it matters.
+// Data reads the status line of the final response. The rest of the response is not read.
 func (a *attempt) Data(b []byte) {
 	if a.done {
 		return
@@ -53,7 +53,8 @@
 	a.complete(status, nil)
 }
 
-// skipInterimResponse reads what follows an interim response, once that is complete.
+// skipInterimResponse drops a complete interim response and handles the bytes after it. While the interim response is
+// incomplete, it does nothing.
 func (a *attempt) skipInterimResponse() {
 	end := bytes.Index(a.response, headEnd)
 	if end < 0 {
@@ -64,7 +65,7 @@
 	a.Data(rest)
 }
 
-// Closed ends the attempt: a connection that closes without a response is a failure.
+// Closed completes the attempt: if the connection closes without a response, the attempt has failed.
 func (a *attempt) Closed(err error) {
 	if err == nil {
 		err = errNoResponse
@@ -72,10 +73,10 @@
 	a.fail(err)
 }
 
-// fail ends an attempt that got no response.
+// fail completes an attempt that got no valid response.
 func (a *attempt) fail(err error) { a.complete(statusNone, err) }
 
-// complete ends the attempt, unless it has ended already.
+// complete closes the connection and reports the result to the sender, unless the attempt is already complete.
 func (a *attempt) complete(status statusCode, err error) {
 	if a.done {
 		return
--- a/internal/notice/config.go
+++ b/internal/notice/config.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Config configures the sender of notices.
+// Config configures the notice sender.
 type Config struct {
 	Enabled bool   `toml:"enabled"`
 	URL     string `toml:"url"`
-	// Connect is the address to connect to, where it is not the URL's host.
+	// Connect is the address to connect to. If it is empty, that is the URL's host.
 	Connect string `toml:"connect"`
 	Key     string `toml:"key"`
-	// Queue is how many notices may wait to be delivered.
+	// Queue limits how many notices may be queued or being delivered.
 	Queue int `toml:"queue"`
-	// Attempts is how often the delivery of a notice is attempted.
+	// Attempts is the maximum number of attempts to deliver a notice.
 	Attempts int           `toml:"attempts"`
 	Backoff  time.Duration `toml:"backoff"`
-	// Timeout is how long an attempt may take.
+	// Timeout limits the duration of an attempt.
 	Timeout time.Duration `toml:"timeout"`
 }
 
@@ -30,7 +30,7 @@
 	defaultQueue = 256
 )
 
-// DefaultConfig returns what holds for settings that the webhook file leaves out.
+// DefaultConfig returns the defaults of the settings.
 func DefaultConfig() Config {
 	return Config{
 		Queue:    defaultQueue,
@@ -40,14 +40,14 @@
 	}
 }
 
-// Check checks the settings of a sender that is enabled. Its errors are ConfigErrors.
+// Check checks the settings of a sender that is enabled. Its errors are of type *ConfigError.
 func (c *Config) Check() error {
 	target, err := url.Parse(c.URL)
 	switch {
 	case err != nil:
 		return &ConfigError{Setting: "sender.url", Err: fmt.Errorf("sender.url: %w", err)}
 	case target.Scheme != "http" || target.Host == "" || target.User != nil:
-		return newConfigError("sender.url", "sender.url must be http://HOST/PATH; TLS is a local proxy's work")
+		return newConfigError("sender.url", "sender.url must be http://HOST/PATH; for TLS, use a local proxy")
 	case c.Key == "":
 		return newConfigError("sender.key", "sender.key is missing")
 	case !c.isInRange():
@@ -56,23 +56,23 @@
 	return nil
 }
 
-// isInRange reports whether the numbers of the sender can be used.
+// isInRange reports whether the sender's numbers and durations are in their valid ranges.
 func (c *Config) isInRange() bool {
 	return c.Queue >= 1 && c.Queue <= maxQueue &&
 		c.Attempts >= 1 && c.Attempts <= maxAttempts &&
 		c.Backoff > 0 && c.Timeout > 0
 }
 
-// ConfigError is a setting of the sender that can't be used.
+// ConfigError is the error of an invalid setting of the sender.
 type ConfigError struct {
-	Setting string // as sender.url
-	Err     error  // what is wrong, with the setting's name
+	Setting string // such as sender.url
+	Err     error  // the cause; its text names the setting
 }
 
-// Error says what is wrong.
+// Error returns the text of the cause.
 func (e *ConfigError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
 func newConfigError(setting, text string) *ConfigError {
--- a/internal/notice/errors.go
+++ b/internal/notice/errors.go
@@ -2,9 +2,9 @@
 
 import "errors"
 
-// Why an attempt to deliver a notice failed.
+// The reasons why an attempt to deliver a notice failed.
 var (
-	errTimeout           = errors.New("no answer in time")
-	errMalformedResponse = errors.New("malformed answer")
-	errNoResponse        = errors.New("closed without an answer")
+	errTimeout           = errors.New("no response within the timeout")
+	errMalformedResponse = errors.New("malformed response")
+	errNoResponse        = errors.New("connection closed without a response")
 )
--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -20,17 +20,17 @@
 	activeSecret = bytes.Repeat([]byte("active"), 5)
 )
 
-// wallAtNoon is a wall clock that stands still.
+// wallAtNoon is a wall clock that always returns noon.
 func wallAtNoon() time.Time { return noon }
 
-// noticeCase is a notice that is sent, and the response to each attempt.
+// noticeCase is a notice to send, with the subscriber's response to each attempt.
 type noticeCase struct {
 	name, url, outcome string
 	request            router.Request
 	responses          []string
 }
 
-// run returns a transcript of all attempts.
+// run makes all attempts and returns a transcript of them.
 func (n noticeCase) run(t *testing.T) string {
 	t.Helper()
 	testutil.FixRandom(t)
@@ -43,7 +43,7 @@
 	var transport *testutil.Transport
 	var handler eventloop.DialHandler
 	transcript := ""
-	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
+	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // timestamps in notices must still be in UTC
 	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
 		transport, handler = &testutil.Transport{}, h
@@ -68,7 +68,8 @@
 	return transcript
 }
 
-// The bytes of each signed notice are fixed, and that a retry differs by its timestamp and signature alone.
+// Each signed notice matches its golden file byte for byte. The golden files also show that a retry differs from the
+// first attempt in its timestamp and signature only.
 func TestGoldenNotices(t *testing.T) {
 	const (
 		plainURL = "http://hooks.example.org/notices"
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	typePrefix = "repair-order." // of a notice's type; how the order ended follows
+	typePrefix = "repair-order." // start of a notice's type; the order's completion follows
 	idPrefix   = "msg_"
-	idBytes    = 16 // of a notice's random id, before base64
+	idBytes    = 16 // random bytes in a notice's id, before base64 encoding
 )
 
-// notice is a message that is delivered until the subscriber accepts it or its attempts are used up.
+// notice is a message to the subscriber. Its delivery is retried until the subscriber accepts it or its last attempt
+// fails.
 type notice struct {
 	id       string // the same in each attempt
 	body     []byte
-	attempts int           // that have ended
-	due      time.Duration // when the next attempt may begin
+	attempts int           // complete attempts
+	due      time.Duration // when the next attempt may start
 }
 
 // payload is the JSON of a notice.
@@ -32,11 +33,11 @@
 
 type payloadData struct {
 	ID        string `json:"id"`
-	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that the order came in
+	WebhookID string `json:"webhook_id,omitempty"` // of the delivery that contained the order
 	Key       string `json:"key"`
 }
 
-// newNotice returns a notice of an order that ended at a wall clock's time.
+// newNotice returns a notice about an order that completed at the given time of the wall clock.
 func newNotice(r *router.Request, completion router.Completion, endedAt time.Time) (*notice, error) {
 	body, err := json.Marshal(payload{
 		Type:      typePrefix + string(completion),
--- a/internal/notice/queue.go
+++ b/internal/notice/queue.go
@@ -9,8 +9,9 @@
 
 func (q *noticeQueue) len() int { return len(q.waiting) }
 
-// takeDue removes the notices that are due, limit at most. It returns when the next one is due; a notice that is only
-// held back by the limit does not count, since the end of an attempt calls for a Tick anyway.
+// takeDue removes and returns the notices that are due, at most limit of them. It also returns when the next notice is
+// due. Notices that only wait because of the limit do not affect that time, since Tick is called anyway when an attempt
+// completes.
 func (q *noticeQueue) takeDue(now time.Duration, limit int) (due []*notice, next time.Duration) {
 	next = now + idleTickInterval
 	waiting := q.waiting[:0]
--- a/internal/notice/queue_test.go
+++ b/internal/notice/queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Due notices are taken in their order up to the limit, and the time of the next one ignores those that the limit holds
-// back.
+// Due notices are taken in their order, at most as many as the limit. The time of the next notice ignores notices that
+// only wait because of the limit.
 func TestQueueTakesDueNoticesUpToTheLimit(t *testing.T) {
 	now := time.Hour
 	for _, test := range []struct {
@@ -18,7 +18,7 @@
 		nextTime time.Duration
 	}{
 		{"all", 4, "ac", 2, now + time.Second},
-		{"as many as are due", 2, "ac", 2, now + time.Minute}, // b is seen before the limit is reached
+		{"as many as are due", 2, "ac", 2, now + time.Minute}, // b is visited before the limit is reached
 		{"one", 1, "a", 3, now + idleTickInterval},
 		{"none", 0, "", 4, now + idleTickInterval},
 	} {
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if got := connectAddress(test.connect, target); got != test.want {
-			t.Errorf("%s by %q: %q, want %q", test.url, test.connect, got, test.want)
+			t.Errorf("URL %s with connect = %q: %q, want %q", test.url, test.connect, got, test.want)
 		}
 	}
 }
--- a/internal/notice/response.go
+++ b/internal/notice/response.go
@@ -14,16 +14,17 @@
 type statusCode int
 
 const (
-	statusNone statusCode = 0   // there was no response, or none that could be read
-	statusGone statusCode = 410 // the receiver wants the notice never again
+	statusNone statusCode = 0   // there was no response, or a malformed one
+	statusGone statusCode = 410 // the subscriber asks not to be sent the notice again
 )
 
-// isInformational reports whether it is the status of an interim response, which a final one follows.
+// isInformational reports whether s is the status of an interim response, which is followed by a final one.
 func (s statusCode) isInformational() bool { return s >= 100 && s < 200 }
 
 func (s statusCode) isSuccess() bool { return s >= 200 && s < 300 }
 
-// parseStatusLine reads the status code (RFC 9112, section 4). It returns statusNone for a line that has none.
+// parseStatusLine returns the status code in a status line (RFC 9112, section 4), or statusNone if the line is
+// malformed.
 func parseStatusLine(line []byte) statusCode {
 	words := bytes.SplitN(line, []byte{' '}, 3)
 	if len(words) < 2 || !bytes.HasPrefix(words[0], []byte("HTTP/1.")) || len(words[1]) != 3 {
--- a/internal/notice/sender.go
+++ b/internal/notice/sender.go
@@ -12,23 +12,23 @@
 const (
 	maxConcurrentAttempts = 4
 	maxBackoff            = 10 * time.Minute
-	maxBackoffSteps       = 10        // after them the delay grows no more, whatever the configured backoff
-	idleTickInterval      = time.Hour // when Tick asks to be called again although nothing is due
+	maxBackoffSteps       = 10        // the delay does not grow after so many steps, whatever the configured backoff
+	idleTickInterval      = time.Hour // the longest time after which Tick asks to be called again
 )
 
-// Dial begins to open a connection to an address, without blocking. The handler is notified later of how the dial
-// ended, never before Dial returns.
+// Dial starts to open a connection to an address, without blocking. The result is reported to the handler later, never
+// before Dial returns.
 type Dial func(addr string, timeout time.Duration, h eventloop.DialHandler) Transport
 
-// Transport is a connection to the subscriber; an eventloop.Conn is one.
+// Transport is a connection to the subscriber. *eventloop.Conn implements it.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
-// Sender sends a signed notice of what became of each order to one subscriber. It never delays a request: a notice that
-// its queue has no capacity for is dropped and counted. It belongs to the event loop's goroutine, and none of its
-// methods blocks.
+// Sender sends a signed notice about the result of each order to one subscriber. It never delays a request: if its
+// queue has no capacity for a notice, the notice is dropped and counted. A Sender must only be used on the event loop's
+// goroutine, and none of its methods blocks.
 type Sender struct {
 	config     Config
 	subscriber *subscriber
@@ -36,36 +36,36 @@
 	wallClock  func() time.Time
 	logger     *slog.Logger
 
-	now      time.Duration // the latest time that a call came with
+	now      time.Duration // the latest time that was passed to a method
 	queue    noticeQueue
-	inFlight int        // attempts that have not ended
-	attempts []*attempt // those in flight, and some that have ended since the last Tick
+	inFlight int        // attempts that are not complete
+	attempts []*attempt // those in flight, and those that have completed since the last Tick
 	counters Counters
 }
 
-// Options are the parts that a Sender works with.
+// Options holds the configuration and the dependencies of a Sender.
 type Options struct {
-	// Config is the sender's part of the webhook file, which Config.Check has checked.
+	// Config is the sender's part of a webhook file that Config.Check has checked.
 	Config Config
 	// Dial opens connections on the event loop.
 	Dial Dial
-	// WallClock is the system's; notices are dated and signed by it.
+	// WallClock returns the system's time, which is used for the timestamps and signatures of notices.
 	WallClock func() time.Time
-	// Logger logs failed attempts; nil: slog.Default().
+	// Logger logs failed attempts. If it is nil, slog.Default() is used.
 	Logger *slog.Logger
 }
 
-// Counters counts notices by what became of them, and the retries of their attempts.
+// Counters counts notices by their result, and the retries of their delivery.
 type Counters struct {
 	Queued    uint64
-	Dropped   uint64 // since the queue had no capacity
+	Dropped   uint64 // the queue had no capacity, or the notice could not be encoded
 	Delivered uint64 // accepted by the subscriber
 	Retried   uint64 // attempts that follow a failed one
-	Abandoned uint64 // after the last attempt, or since the subscriber wants the notice never again
+	Abandoned uint64 // the last attempt failed, or the subscriber asked not to be sent the notice again
 }
 
 // NewSender reads the key that the configuration names. It blocks on file I/O and must be called before the event loop
-// runs. Its errors are signature.KeyErrors.
+// runs. Its errors are of type *signature.KeyError.
 func NewSender(options Options) (*Sender, error) {
 	subscriber, err := newSubscriber(options.Config)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}, nil
 }
 
-// Notify queues a notice of how an order ended.
+// Notify queues a notice about how an order completed.
 func (s *Sender) Notify(now time.Duration, r *router.Request, completion router.Completion) {
 	s.now = max(s.now, now)
 	if s.Pending() >= s.config.Queue {
@@ -107,7 +107,8 @@
 // Counters returns the counters since the start.
 func (s *Sender) Counters() Counters { return s.counters }
 
-// Tick begins the attempts that are due and ends those that have timed out. It returns when it is to be called again.
+// Tick starts the attempts that are due and fails those that have timed out. It returns the time at which it must be
+// called again.
 func (s *Sender) Tick(now time.Duration) time.Duration {
 	s.now = max(s.now, now)
 	due, nextDue := s.queue.takeDue(now, maxConcurrentAttempts-s.inFlight)
@@ -118,7 +119,7 @@
 	return min(nextDue, nextDeadline)
 }
 
-// startAttempt begins an attempt to deliver a notice.
+// startAttempt starts an attempt to deliver a notice.
 func (s *Sender) startAttempt(n *notice, now time.Duration) {
 	attempt := &attempt{sender: s, notice: n, deadline: now + s.config.Timeout}
 	s.inFlight++
@@ -126,7 +127,7 @@
 	attempt.transport = s.dial(s.subscriber.address, s.config.Timeout, attempt)
 }
 
-// expireAttempts ends attempts that have timed out and forgets those that have ended. It returns the next deadline.
+// expireAttempts fails the attempts that have timed out and removes the complete ones. It returns the next deadline.
 func (s *Sender) expireAttempts(now time.Duration) (next time.Duration) {
 	next = now + idleTickInterval
 	inFlight := s.attempts[:0]
@@ -144,8 +145,8 @@
 	return next
 }
 
-// attemptCompleted counts a notice that the subscriber accepted. One that it did not accept is retried later, until its
-// attempts are used up or the subscriber has answered with 410. Status is statusNone where err is set.
+// attemptCompleted counts a notice that the subscriber accepted. Any other notice is retried later, unless this was its
+// last attempt or the subscriber responded with 410. Status is statusNone if err is set.
 func (s *Sender) attemptCompleted(n *notice, status statusCode, err error) {
 	s.inFlight--
 	n.attempts++
@@ -164,8 +165,9 @@
 	s.queue.add(n)
 }
 
-// retryDelay is the delay before the next attempt: the backoff, four times as long after each further failure, up to
-// maxBackoff. Half of it is random, so that notices that failed together are not retried together.
+// retryDelay returns the delay before the next attempt: the configured backoff, multiplied by four after each further
+// failure, up to maxBackoff. Half of the delay is random, so that notices that failed together are not retried
+// together.
 func retryDelay(backoff time.Duration, failures int) time.Duration {
 	steps := min(failures-1, maxBackoffSteps)
 	delay := min(backoff<<(2*steps), maxBackoff)
--- a/internal/notice/sender_test.go
+++ b/internal/notice/sender_test.go
@@ -16,8 +16,8 @@
 	"crankhold/internal/testutil"
 )
 
-// Notices are signed, keep their id over all attempts, are attempted a bounded number of times, and are dropped and
-// counted where the queue is full.
+// Notices are signed, keep their id over all attempts and are abandoned after the configured number of attempts. If the
+// queue is full, they are dropped and counted.
 func TestNoticesAreSignedRetriedAndBounded(t *testing.T) {
 	config := DefaultConfig()
 	config.URL = "http://hooks.example.org/n"
@@ -67,7 +67,7 @@
 			}
 			handler.Closed(nil)
 			if !transports[i].Closed {
-				t.Error("the connection was left open")
+				t.Error("the connection was not closed")
 			}
 		}
 		transports = nil
--- a/internal/notice/subscriber.go
+++ b/internal/notice/subscriber.go
@@ -11,7 +11,7 @@
 
 const defaultHTTPPort = ":80"
 
-// subscriber is the receiver of notices, and the key that it checks them with. It never changes.
+// subscriber is the receiver of notices, and the secret with which notices to it are signed. It is immutable.
 type subscriber struct {
 	url     *url.URL
 	address string // to connect to
@@ -30,7 +30,7 @@
 	return &subscriber{url: target, address: connectAddress(config.Connect, target), secret: secret}, nil
 }
 
-// connectAddress returns the address that notices are sent to: the configured one, else the URL's.
+// connectAddress returns the address that notices are sent to: the configured one if there is one, otherwise the URL's.
 func connectAddress(configured string, target *url.URL) string {
 	switch {
 	case configured != "":
@@ -41,8 +41,8 @@
 	return target.Host
 }
 
-// requestHead returns the request line and the headers of a notice that is sent at a wall clock's time. The signature
-// covers that time, so each attempt has another.
+// requestHead returns the request line and the headers of a notice that is sent at the given time of the wall clock.
+// The signature covers that time, so it differs between attempts.
 func (s *subscriber) requestHead(n *notice, sentAt time.Time) []byte {
 	timestamp := strconv.FormatInt(sentAt.Unix(), 10)
 	var head []byte
--- a/internal/signature/errors.go
+++ b/internal/signature/errors.go
@@ -6,13 +6,14 @@
 	"io/fs"
 )
 
-// KeyError is a key file that can't be read or used. Its text never holds any part of the key.
+// KeyError is the error of a key file that can't be read or has invalid content. Its text never contains any part of
+// the key.
 type KeyError struct {
 	File string
 	Err  error
 }
 
-// Error names the file.
+// Error returns a text that names the file.
 func (e *KeyError) Error() string {
 	if isReadError(e.Err) {
 		return "key: " + e.Err.Error()
@@ -20,10 +21,11 @@
 	return fmt.Sprintf("key %s: %v", e.File, e.Err)
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// isReadError reports whether err is the system's error for a file that can't be read; its text names the file.
+// isReadError reports whether err is the system's error for a file that can't be read. The text of such an error
+// already names the file.
 func isReadError(err error) bool {
 	var pathError *fs.PathError
 	return errors.As(err, &pathError)
--- a/internal/signature/errors_test.go
+++ b/internal/signature/errors_test.go
@@ -10,9 +10,9 @@
 func TestKeyErrorsCarryTheFileAndNoPartOfTheKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	for _, test := range []struct{ text, message string }{
-		{"MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", "key " + path + ": does not begin with whsec_"},
-		{"whsec_MfKQ9r8G!", "key " + path + ": not base64"},
-		{"whsec_MfKQ9r8G", "key " + path + ": 6 bytes; 24 to 64 are allowed"},
+		{"MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", "key " + path + ": secret does not start with whsec_"},
+		{"whsec_MfKQ9r8G!", "key " + path + ": secret is not valid base64"},
+		{"whsec_MfKQ9r8G", "key " + path + ": secret has 6 bytes; must have 24 to 64"},
 	} {
 		if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -26,6 +26,6 @@
 	missing := path + ".missing"
 	_, err := ReadSecret(missing)
 	if want := "key: open " + missing + ": no such file or directory"; err == nil || err.Error() != want {
-		t.Errorf("a missing file: %v, want %s", err, want)
+		t.Errorf("missing file: %v, want %s", err, want)
 	}
 }
--- a/internal/signature/headers_test.go
+++ b/internal/signature/headers_test.go
@@ -17,12 +17,12 @@
 		{"no id", "", "1614265330", many, false},
 		{"id with a dot", "msg.1", "1614265330", many, false},
 		{"longest id", strings.Repeat("x", maxDeliveryID), "1614265330", many, true},
-		{"long id", strings.Repeat("x", maxDeliveryID+1), "1614265330", many, false},
+		{"id too long", strings.Repeat("x", maxDeliveryID+1), "1614265330", many, false},
 		{"no timestamp", "msg_1", "", many, false},
-		{"timestamp with a zero in front", "msg_1", "01614265330", many, false},
+		{"timestamp with a leading zero", "msg_1", "01614265330", many, false},
 		{"negative timestamp", "msg_1", "-1", many, false},
-		{"timestamp beyond the calendar", "msg_1", "1099511627777", many, false},
-		{"many signatures", "msg_1", "1614265330", many + "v1,x", false},
+		{"timestamp above the maximum", "msg_1", "1099511627777", many, false},
+		{"too many signatures", "msg_1", "1614265330", many + "v1,x", false},
 	} {
 		headers, ok := ParseHeaders([]byte(test.id), []byte(test.timestamp), []byte(test.signatures))
 		if ok != test.ok {
@@ -34,7 +34,8 @@
 	}
 }
 
-// A signature counts by an active key and by no retired one, among others and in any place.
+// A signature is accepted if it was made with an active key, wherever it is in the list of signatures. Signatures of
+// retired keys, of other bodies and of other versions are not accepted.
 func TestIsSignedByAnyActiveKey(t *testing.T) {
 	now := time.Unix(1614265330, 0)
 	body := []byte("body")
--- a/internal/signature/key.go
+++ b/internal/signature/key.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The form of secrets, by the Standard Webhooks specification ("Signature scheme").
+// The format of secrets according to the Standard Webhooks specification ("Signature scheme").
 const (
 	secretPrefix   = "whsec_"
 	minSecretBytes = 24
@@ -19,16 +19,16 @@
 // Key verifies signatures until it is retired.
 type Key struct {
 	Secret []byte
-	Until  time.Time // retired from then on; zero: never
+	Until  time.Time // the time at which the key is retired; zero if it never is
 }
 
-// IsActive reports whether the key is not retired.
+// IsActive reports whether the key is not retired at the given time.
 func (k Key) IsActive(now time.Time) bool {
 	return k.Until.IsZero() || now.Before(k.Until)
 }
 
-// ReadSecret reads the secret in a key file: the prefix and the secret in base64. Its errors are KeyErrors. It blocks
-// on file I/O.
+// ReadSecret returns the secret in a key file, which holds a prefix and the secret in base64. Its errors are of type
+// *KeyError. It blocks on file I/O.
 func ReadSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -44,14 +44,14 @@
 func parseSecret(text string) ([]byte, error) {
 	encoded, found := strings.CutPrefix(strings.TrimSpace(text), secretPrefix)
 	if !found {
-		return nil, errors.New("does not begin with " + secretPrefix)
+		return nil, errors.New("secret does not start with " + secretPrefix)
 	}
 	secret, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
-		return nil, errors.New("not base64") // the decoder's error would show parts of the key
+		return nil, errors.New("secret is not valid base64") // the decoder's error would show parts of the key
 	}
 	if len(secret) < minSecretBytes || len(secret) > maxSecretBytes {
-		return nil, fmt.Errorf("%d bytes; %d to %d are allowed", len(secret), minSecretBytes, maxSecretBytes)
+		return nil, fmt.Errorf("secret has %d bytes; must have %d to %d", len(secret), minSecretBytes, maxSecretBytes)
 	}
 	return secret, nil
 }
--- a/internal/signature/signature.go
+++ b/internal/signature/signature.go
@@ -21,10 +21,10 @@
 const (
 	maxSignatures = 16      // in one header
 	maxDeliveryID = 128     // bytes of a webhook-id
-	maxUnixTime   = 1 << 40 // seconds; what is later can't be a delivery's time
+	maxUnixTime   = 1 << 40 // seconds; no delivery can have a later time
 )
 
-// mac returns the HMAC-SHA256 of id.timestamp.body.
+// mac returns the HMAC-SHA256 of the id, the timestamp and the body, joined by dots.
 func mac(secret []byte, id, timestamp string, body []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(id + "." + timestamp + "."))
@@ -32,23 +32,23 @@
 	return h.Sum(nil)
 }
 
-// Sign returns the value of webhook-signature.
+// Sign returns the value of the webhook-signature header.
 func Sign(secret []byte, id, timestamp string, body []byte) string {
 	return signatureVersion + base64.StdEncoding.EncodeToString(mac(secret, id, timestamp, body))
 }
 
-// Headers are the values of the headers by which a delivery is authenticated. Their form has been checked, and nothing
-// else.
+// Headers holds the parsed values of the headers that authenticate a delivery. Only their format has been checked; the
+// signatures have not been verified.
 type Headers struct {
 	ID         string
-	SentAt     time.Time // to the second
-	timestamp  string    // SentAt as it was signed
-	signatures [][]byte  // with their versions
+	SentAt     time.Time // in whole seconds
+	timestamp  string    // SentAt in the form that is signed
+	signatures [][]byte  // with their version prefixes
 }
 
-// ParseHeaders reads the values of the three headers. It reports whether each of them is well formed.
+// ParseHeaders parses the values of the three headers. It reports whether all of them are well formed.
 func ParseHeaders(id, timestamp, signatures []byte) (headers Headers, ok bool) {
-	// A dot in an id would let one signed text be read as two different deliveries.
+	// With a dot in an id, the same signed text could stand for two different deliveries.
 	if len(id) == 0 || len(id) > maxDeliveryID || bytes.IndexByte(id, '.') >= 0 {
 		return headers, false
 	}
@@ -65,7 +65,8 @@
 	return headers, len(headers.signatures) <= maxSignatures
 }
 
-// parseUnixTime reads whole seconds since 1970 in their one canonical form.
+// parseUnixTime parses whole seconds since 1970. It accepts only the canonical decimal form, without a sign or leading
+// zeros.
 func parseUnixTime(text string) (time.Time, bool) {
 	seconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || seconds < 0 || seconds > maxUnixTime || strconv.FormatInt(seconds, 10) != text {
@@ -74,8 +75,8 @@
 	return time.Unix(seconds, 0), true
 }
 
-// IsSignedByAny reports whether an active key made one of the signatures. Each signature is compared with each key's,
-// whatever was found before, so that the time taken reveals nothing about them.
+// IsSignedByAny reports whether one of the signatures was made with one of the keys while that key is active. All
+// signatures are compared with all active keys, also after a match, so that the duration reveals nothing about them.
 func (h *Headers) IsSignedByAny(keys []Key, body []byte, now time.Time) bool {
 	found := false
 	for _, key := range keys {
@@ -90,7 +91,8 @@
 	return found
 }
 
-// hasSignature compares all signatures with the expected one, also after one was found to be equal.
+// hasSignature reports whether one of the signatures equals the expected one. It compares all of them, also after a
+// match.
 func (h *Headers) hasSignature(expected []byte) bool {
 	found := false
 	for _, versioned := range h.signatures {
--- a/internal/signature/signature_test.go
+++ b/internal/signature/signature_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The example of the Standard Webhooks specification's libraries.
+// The key, the message and the signature are the example that the libraries of the Standard Webhooks specification use.
 func TestSignatureMatchesSpecification(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(path, []byte("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw\n"), 0o600); err != nil {
--- a/internal/webhook/authentication.go
+++ b/internal/webhook/authentication.go
@@ -12,26 +12,26 @@
 // The reasons, in the order in which they are checked.
 const (
 	Unsigned       AuthenticationReason = iota // a signature header is missing, repeated or malformed
-	NoMatchingKey                              // no active key made any of the signatures
-	StaleTimestamp                             // the timestamp is out of tolerance
+	NoMatchingKey                              // no signature matches an active key
+	StaleTimestamp                             // the timestamp differs from the current time by more than the tolerance
 )
 
 // String returns the reason as it is logged.
 func (r AuthenticationReason) String() string {
 	return [...]string{
-		Unsigned:       "unsigned or malformed signature headers",
-		NoMatchingKey:  "no active key made this signature",
+		Unsigned:       "signature headers are missing, repeated or malformed",
+		NoMatchingKey:  "no signature matches an active key",
 		StaleTimestamp: "timestamp is out of tolerance",
 	}[r]
 }
 
-// AuthenticationError is a delivery that was not authenticated; it is answered with 401.
+// AuthenticationError is the error of a delivery that was not authenticated. The response is 401.
 type AuthenticationError struct{ Reason AuthenticationReason }
 
 // Error returns the reason.
 func (e *AuthenticationError) Error() string { return e.Reason.String() }
 
-// readKeys reads the key files that the configuration names. Its errors are signature.KeyErrors.
+// readKeys reads the key files that the configuration names. Its errors are of type *signature.KeyError.
 func readKeys(configs []KeyConfig) ([]signature.Key, error) {
 	var keys []signature.Key
 	for _, config := range configs {
@@ -48,11 +48,11 @@
 type authenticator struct {
 	keys      []signature.Key
 	clock     *deliveryClock
-	tolerance time.Duration // that a delivery's timestamp may differ by from the present
+	tolerance time.Duration // the largest accepted difference between a delivery's timestamp and the current time
 }
 
-// authenticate returns the webhook-id of a delivery that an active key signed and whose timestamp is within the
-// tolerance of the present. Its errors are AuthenticationErrors.
+// authenticate returns the webhook-id of a delivery that is signed with an active key and whose timestamp is within the
+// tolerance of the current time. Its errors are of type *AuthenticationError.
 func (a *authenticator) authenticate(request *httpRequest, body []byte) (id string, err error) {
 	headers, ok := parseSignatureHeaders(request)
 	if !ok {
@@ -67,7 +67,8 @@
 	return headers.ID, nil
 }
 
-// parseSignatureHeaders reads the signature headers. It reports whether each of them is there once and well formed.
+// parseSignatureHeaders reads the signature headers. It reports whether each of them is present exactly once and well
+// formed.
 func parseSignatureHeaders(request *httpRequest) (headers signature.Headers, ok bool) {
 	id, idCount := request.header(signature.HeaderID)
 	timestamp, timestampCount := request.header(signature.HeaderTimestamp)
--- a/internal/webhook/breakable_disk_test.go
+++ b/internal/webhook/breakable_disk_test.go
@@ -8,12 +8,12 @@
 	"crankhold/internal/ledger"
 )
 
-// faultyDisk is the system's disk, until a test has it fail. It may be used by any goroutine.
+// faultyDisk is the system's disk with faults that a test can inject. It may be used on any goroutine.
 type faultyDisk struct {
 	ledger.SystemDisk
 	mu        sync.Mutex
-	openFails bool        // no file can be written any more
-	opened    ledger.File // for writing, last
+	openFails bool        // no file can be opened for writing
+	opened    ledger.File // the file that was last opened for writing
 }
 
 // Open implements ledger.Disk.
@@ -31,14 +31,14 @@
 	return file, err
 }
 
-// failOpenFile has every write and sync of the open file fail from now on. Another file can be opened.
+// failOpenFile makes every write and sync of the open file fail from now on, by closing it. Files can still be opened.
 func (d *faultyDisk) failOpenFile() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.opened.Close()
 }
 
-// failPermanently has every write and sync failPermanently from now on, and every attempt to open another file.
+// failPermanently makes every write and sync of the open file fail from now on, and opening another file for writing.
 func (d *faultyDisk) failPermanently() {
 	d.failOpenFile()
 	d.mu.Lock()
--- a/internal/webhook/class.go
+++ b/internal/webhook/class.go
@@ -2,15 +2,19 @@
 
 import "time"
 
-// Class is a class of requests as the receiver needs to know it.
+// Class holds the settings of a class of requests that the receiver uses.
 type Class struct {
-	Name                   string
-	NotIdempotent          bool          // its requests are orders: they must never run twice and go through the ledger
-	RequiresIdempotencyKey bool          // workers drop repeats by a key, which is derived from the webhook-id
-	MaxWait                time.Duration // the longest that a request may wait for its response
+	Name string
+	// NotIdempotent says that requests of the class are orders, which must never run twice and are recorded in the
+	// ledger.
+	NotIdempotent bool
+	// RequiresIdempotencyKey says that workers detect repeated requests by a key, which is derived from the webhook-id.
+	RequiresIdempotencyKey bool
+	// MaxWait is the longest time that a request may wait for its response.
+	MaxWait time.Duration
 }
 
-// classTable finds classes by name and by index. It never changes.
+// classTable finds classes by name and by index. It is immutable.
 type classTable struct {
 	classes     []Class
 	indexByName map[string]int
@@ -24,7 +28,8 @@
 	return table
 }
 
-// find returns the class of a name and its index, which is router.Request.Class. It reports whether there is one.
+// find returns the class with the given name and its index, which is the value of router.Request.Class. It reports
+// whether the class exists.
 func (t *classTable) find(name string) (class Class, index int, known bool) {
 	index, known = t.indexByName[name]
 	if known {
@@ -33,5 +38,5 @@
 	return class, index, known
 }
 
-// at returns the class of an index.
+// at returns the class with the given index.
 func (t *classTable) at(index int) Class { return t.classes[index] }
--- a/internal/webhook/config.go
+++ b/internal/webhook/config.go
@@ -13,32 +13,32 @@
 	"crankhold/internal/notice"
 )
 
-// Config is the webhook file: the receiver's settings and those of the sender of notices.
+// Config holds the settings in the webhook file: those of the receiver and those of the notice sender.
 type Config struct {
 	Receiver ReceiverConfig `toml:"receiver"`
 	Sender   notice.Config  `toml:"sender"`
 }
 
-// ReceiverConfig configures the front that takes requests from webhooks.
+// ReceiverConfig configures the front that accepts requests as webhooks.
 type ReceiverConfig struct {
 	Enabled bool        `toml:"enabled"`
 	Listen  string      `toml:"listen"`
 	Path    string      `toml:"path"`
 	Keys    []KeyConfig `toml:"keys"`
-	// Tolerance is how far a delivery's timestamp may be from the time at which it arrives.
+	// Tolerance is the largest accepted difference between a delivery's timestamp and the time at which it arrives.
 	Tolerance time.Duration `toml:"tolerance"`
-	// DedupeFor is how long the outcome of a request that is no order is kept.
+	// DedupeFor is how long the outcome of a request that is not an order is kept after its response.
 	DedupeFor time.Duration `toml:"dedupe_for"`
 	Ledger    ledger.Config `toml:"ledger"`
 }
 
-// KeyConfig names a key file and, where the key is being retired, until when it is active.
+// KeyConfig names a key file. If the key is being retired, Until is the time at which it stops being active.
 type KeyConfig struct {
 	File  string    `toml:"file"`
 	Until time.Time `toml:"until"`
 }
 
-// The limits of settings.
+// The lower limits of settings, and the default of receiver.ledger.max_bytes.
 const (
 	minTolerance           = time.Second
 	minDedupeTolerances    = 2
@@ -47,7 +47,7 @@
 	defaultLedgerBytes     = 64 << 20
 )
 
-// defaultConfig returns what holds for settings that the file leaves out.
+// defaultConfig returns the defaults of the settings.
 func defaultConfig() *Config {
 	return &Config{
 		Receiver: ReceiverConfig{
@@ -60,7 +60,7 @@
 	}
 }
 
-// ReadConfig reads and checks a webhook file. Its errors are ConfigErrors.
+// ReadConfig reads and checks a webhook file. Its errors are of type *ConfigError.
 func ReadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return config, nil
 }
 
-// check checks the parts that are enabled. The error does not name the file yet.
+// check checks the settings of the receiver and of the sender if they are enabled. The caller sets the error's File.
 func (c *Config) check() *ConfigError {
 	if c.Receiver.Enabled {
 		if invalid := c.Receiver.check(); invalid != nil {
@@ -105,7 +105,7 @@
 	}
 	switch {
 	case len(c.Path) == 0 || c.Path[0] != '/' || !isTarget([]byte(c.Path)):
-		return newConfigError("receiver.path", "receiver.path is no path")
+		return newConfigError("receiver.path", "receiver.path is not a valid path")
 	case len(c.Keys) == 0:
 		return newConfigError("receiver.keys", "receiver.keys is empty")
 	case c.Tolerance < minTolerance || c.DedupeFor < minDedupeTolerances*c.Tolerance:
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// isLedgerInRange reports whether the ledger is large enough, and retains orders for longer than deliveries may be
-// delayed.
+// isLedgerInRange reports whether the ledger's size limit is high enough, and whether the ledger retains orders for
+// longer than deliveries may be delayed.
 func (c *ReceiverConfig) isLedgerInRange() bool {
 	return c.Ledger.Retention >= minRetentionTolerances*c.Tolerance && c.Ledger.MaxBytes >= minLedgerBytes
 }
@@ -128,7 +128,7 @@
 	return &ConfigError{Setting: setting, Err: errors.New(text)}
 }
 
-// checkSender checks the settings of the sender of notices.
+// checkSender checks the settings of the notice sender.
 func checkSender(config *notice.Config) *ConfigError {
 	var invalid *notice.ConfigError
 	if errors.As(config.Check(), &invalid) {
--- a/internal/webhook/config_test.go
+++ b/internal/webhook/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What can't be used ends the start with a line that names the file.
+// Errors of invalid webhook files start with the file's name.
 func TestInvalidConfigErrorsNameTheFile(t *testing.T) {
 	for _, text := range []string{"receiver.enabled = 3", "[receiver]\nfoo = 1", "[receiver]\nenabled = true\nlisten = \"nowhere\"",
 		"[receiver]\nenabled = true\nlisten = \"127.0.0.1:1\"", "[sender]\nenabled = true\nurl = \"https://hooks.example.org\"\nkey = \"k\""} {
--- a/internal/webhook/connection.go
+++ b/internal/webhook/connection.go
@@ -2,41 +2,41 @@
 
 import "net/netip"
 
-// maxDrainedBytes is how much is read and dropped behind a malformed request before its connection is closed.
+// maxDrainedBytes is how many bytes after a malformed request are read and discarded before its connection is closed.
 const maxDrainedBytes = 256 << 10
 
-// clientConn is what a connection writes to; an eventloop.Conn is one.
+// clientConn is the transport of a connection. *eventloop.Conn implements it.
 type clientConn interface {
 	Write(bufs ...[]byte)
 	Close()
 	CloseAfterFlush()
 }
 
-// connection is a client's connection. It has one request in flight at a time; what follows it waits in buffer. It
-// belongs to the event loop's goroutine.
+// connection is a client's connection. It has at most one request in flight; bytes received after that request wait in
+// buffer. It must only be used on the event loop's goroutine.
 type connection struct {
 	receiver           *Receiver
 	transport          clientConn
 	peer               netip.AddrPort
-	buffer             []byte       // received and not handled yet
-	partialRequest     *httpRequest // a request whose head was received and whose body is not complete; nil: none
-	closed             bool         // nothing more is handled
-	responsePending    bool         // a request is in flight, to which no response was written yet
+	buffer             []byte       // bytes that were received and are not handled yet
+	partialRequest     *httpRequest // the request whose head was received and whose body is not complete; nil if none
+	closed             bool         // no more requests are handled
+	responsePending    bool         // a request is in flight: no response to it was written yet
 	closeAfterResponse bool
 	requestCount       int // complete requests received
-	drainedBytes       int // bytes read and dropped after closed
+	drainedBytes       int // bytes discarded since closed was set
 }
 
 // Busy reports whether a request is in flight.
 func (c *connection) Busy() bool { return c.responsePending }
 
-// Messages returns how many complete requests were received, and whether the beginning of another was. What a client
-// sends after the last response counts as the beginning of one.
+// Messages returns how many complete requests were received, and whether part of another one was. Anything that a
+// client sends after the last response on a connection counts as part of a request.
 func (c *connection) Messages() (complete int, partial bool) {
 	return c.requestCount, c.closed || c.partialRequest != nil || len(c.buffer) > 0
 }
 
-// Data handles received bytes. They may split requests anywhere.
+// Data handles received bytes. A request may be split over several calls at any byte.
 func (c *connection) Data(b []byte) {
 	if c.closed {
 		c.drain(len(b))
@@ -44,13 +44,13 @@
 	}
 	c.buffer = append(c.buffer, b...)
 	if c.responsePending && len(c.buffer) > maxHeadBytes+maxDeliveryBody {
-		c.close() // the client goes on sending and does not wait for its response
+		c.close() // the client keeps sending without waiting for its response
 		return
 	}
 	c.handleBuffered()
 }
 
-// drain counts bytes that are dropped, and closes the connection when there are too many.
+// drain counts bytes that are discarded, and closes the connection when they exceed maxDrainedBytes.
 func (c *connection) drain(size int) {
 	c.drainedBytes += size
 	if c.drainedBytes > maxDrainedBytes {
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleBuffered handles complete requests until one of them is in flight.
+// handleBuffered handles the complete requests in the buffer, until one of them waits for its response.
 func (c *connection) handleBuffered() {
 	for !c.responsePending && !c.closed && len(c.buffer) > 0 {
 		if c.partialRequest == nil && !c.readHead() {
@@ -75,13 +75,13 @@
 	}
 }
 
-// readHead reads a request's head from the buffer into partialRequest. It returns false where the head is not complete
-// or was rejected.
+// readHead reads a request's head from the buffer into partialRequest. It returns false if the head is not complete or
+// was rejected.
 func (c *connection) readHead() bool {
 	request, size, status := parseHead(c.buffer)
 	if status != statusNone {
 		c.receiver.counters.Malformed++
-		c.closeAfterResponse = true // where the request's body ends is unknown
+		c.closeAfterResponse = true // it is unknown where the request's body ends
 		c.respond(httpResponse{status: status})
 		return false
 	}
@@ -96,8 +96,8 @@
 	return true
 }
 
-// takeRequest removes the request whose head and body are complete from the buffer. What follows it is copied, so that
-// it does not keep the request's bytes in memory.
+// takeRequest removes the complete request at the front of the buffer and returns it. It copies the bytes that follow,
+// so that the buffer does not keep the request's bytes in memory.
 func (c *connection) takeRequest() (request *httpRequest, body []byte) {
 	request = c.partialRequest
 	length := request.bodyLength
@@ -107,17 +107,17 @@
 	return request, body
 }
 
-// Closed ends the handling of a connection that is closed. A request in flight goes on: its sender may fetch the
-// outcome with a redelivery.
+// Closed is called when the connection has closed. A request in flight continues, since its sender can get the outcome
+// with a redelivery.
 func (c *connection) Closed(error) { c.stop() }
 
-// close closes the connection at once, without a response to the request in flight.
+// close closes the connection immediately, without a response to the request in flight.
 func (c *connection) close() {
 	c.stop()
 	c.transport.Close()
 }
 
-// stop drops what is buffered, and all that is received from now on.
+// stop discards the buffered bytes and all bytes that are received from now on.
 func (c *connection) stop() {
 	c.closed = true
 	c.buffer = nil
@@ -144,6 +144,6 @@
 	if requestComplete {
 		c.transport.CloseAfterFlush()
 	}
-	// Else the client is still sending, and closing now would reset the connection and lose the response with it. It is
-	// closed by the client, beyond maxDrainedBytes, or when it has been idle for too long.
+	// Otherwise the client is still sending. Closing now would reset the connection, and the client could lose the
+	// response. The connection is closed by the client, after maxDrainedBytes, or when it has been idle for too long.
 }
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -12,8 +12,9 @@
 	"crankhold/internal/testutil"
 )
 
-// The model of a connection: deliveries reach the core however they are split, and each is answered once and in order,
-// with the status that its outcome maps to. A webhook-id runs once unless its request was rejected without having run.
+// A model-based test of a connection. Deliveries reach the core however their bytes are split. Each gets one response,
+// in order, with the status that its outcome maps to. The request of a webhook-id runs once, unless it was rejected
+// without having run.
 func TestConnectionRespondsToEachDeliveryOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := &fakeCore{}
@@ -21,7 +22,7 @@
 		receiver, _ := newTestReceiver(t, core, "")
 		client := receiver.serve(transport, netip.AddrPort{})
 		var want []int
-		completed := map[string]int{} // by id, the status that is replayed
+		completed := map[string]int{} // the status that is replayed, by webhook-id
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -8,14 +8,15 @@
 	"crankhold/internal/router"
 )
 
-// defaultRetryAfter is the Retry-After of deliveries that are rejected before the router has advised one.
+// defaultRetryAfter is the Retry-After of deliveries that are rejected before they reach the router, which chooses the
+// value otherwise.
 const defaultRetryAfter = time.Second
 
-// unavailable rejects a delivery whose request was not forwarded.
+// unavailable is the response that rejects a delivery whose request was not forwarded.
 var unavailable = httpResponse{status: statusServiceUnavailable, retryAfter: defaultRetryAfter}
 
-// handle responds to an HTTP request or forwards the request in its payload. Nothing has any effect before the delivery
-// is authenticated.
+// handle responds to an HTTP request or forwards the request in its payload. A delivery has no effect before it is
+// authenticated.
 func (r *Receiver) handle(c *connection, request *httpRequest, body []byte) {
 	if status := r.checkTarget(request); status != statusNone {
 		r.counters.Malformed++
@@ -38,7 +39,7 @@
 	r.handleFirstDelivery(c, id, body, bodyDigest)
 }
 
-// checkTarget returns the status that rejects an HTTP request that is no delivery; statusNone for a delivery.
+// checkTarget returns statusNone for a delivery, and the status to reject any other HTTP request with.
 func (r *Receiver) checkTarget(request *httpRequest) httpStatus {
 	if string(request.target) != r.config.Path {
 		return statusNotFound
@@ -49,10 +50,11 @@
 	return statusNone
 }
 
-// handleRedelivery responds with the first delivery's outcome, or joins the request that is in flight.
+// handleRedelivery responds with the outcome of the first delivery. While its request is in flight, the redelivery
+// waits for the same response.
 func (r *Receiver) handleRedelivery(c *connection, first *outcome, bodyDigest string) {
 	switch {
-	case first.bodyDigest != bodyDigest: // a sender may not give an id to another payload
+	case first.bodyDigest != bodyDigest: // a sender must not use an id for a second payload
 		r.counters.Malformed++
 		c.respond(httpResponse{status: statusBadRequest})
 	case first.completed:
@@ -66,7 +68,7 @@
 	}
 }
 
-// handleFirstDelivery forwards the request in a payload. An order is recorded in the ledger first.
+// handleFirstDelivery forwards the request in a payload. An order is first recorded in the ledger.
 func (r *Receiver) handleFirstDelivery(c *connection, id string, body []byte, bodyDigest string) {
 	request, eventTime, err := r.decodeRequest(body)
 	if err != nil {
@@ -104,15 +106,15 @@
 	r.forward(id, pending, request)
 }
 
-// recordOrder queues an order for the ledger. The order is forwarded when it is on the disk.
+// recordOrder queues an order for the ledger. The order is forwarded once it is on the disk.
 func (r *Receiver) recordOrder(id string, order *outcome, request router.Request) {
 	r.ledger.Begin(order.ledgerEntry(id), r.deliveryClock.steady(), func(err error) {
 		r.post(func() { r.orderRecorded(id, order, request, err) })
 	})
 }
 
-// orderRecorded forwards an order that is on the disk, and rejects one that could not be recorded. It runs on the event
-// loop, to which the ledger's writer has it posted.
+// orderRecorded forwards an order that is on the disk, and rejects one that could not be recorded. The ledger's writer
+// posts it to the event loop.
 func (r *Receiver) orderRecorded(id string, order *outcome, request router.Request, err error) {
 	if err != nil {
 		r.counters.LedgerRejected++
@@ -123,13 +125,13 @@
 	r.forward(id, order, request)
 }
 
-// forward hands a request to the router.
+// forward passes a request to the router.
 func (r *Receiver) forward(id string, pending *outcome, request router.Request) {
 	request.Responder = &outcomeResponder{receiver: r, id: id, outcome: pending}
 	r.core.Accept(r.clock.Now(), request)
 }
 
-// hexDigest returns the first half of the SHA-256 of b in hex digits.
+// hexDigest returns the first half of the SHA-256 hash of b in hex digits.
 func hexDigest(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:len(sum)/2])
--- a/internal/webhook/delivery_clock.go
+++ b/internal/webhook/delivery_clock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// deliveryClock returns the times that deliveries' Unix times are compared with. Wall clocks are stepped, by as much as
-// an hour, and the windows in which a delivery may be repeated are spans of real time. They count by the steady time:
-// the wall clock at the start, advanced by the monotonic clock. A wall clock that was wrong at the start is not
-// noticed. It belongs to the event loop's goroutine.
+// deliveryClock returns the times that the Unix times in deliveries are compared with. A wall clock may be stepped, by
+// as much as an hour, but the windows in which a delivery may be repeated are spans of real time. They are therefore
+// measured by the steady time: the wall clock's time at the start, advanced by the monotonic clock. A wall clock that
+// was wrong at the start is not detected. A deliveryClock must only be used on the event loop's goroutine.
 type deliveryClock struct {
 	monotonic      Clock
 	wallClock      func() time.Time
@@ -22,13 +22,13 @@
 	}
 }
 
-// steady returns the Unix time by which windows count. It never goes back and is never stepped.
+// steady returns the time by which windows are measured. It never decreases and is never stepped.
 func (c *deliveryClock) steady() time.Time {
 	return c.startWall.Add(c.monotonic.Now() - c.startMonotonic)
 }
 
-// latest returns the later of the steady time and the wall clock's. A sender whose clock was stepped forward with this
-// machine's is in the future by the steady time.
+// latest returns the steady time or the wall clock's time, whichever is later. If the sender's clock and this machine's
+// were both stepped forward, the sender's timestamps are ahead of the steady time.
 func (c *deliveryClock) latest() time.Time {
 	wall := c.wallClock().Round(0)
 	if steady := c.steady(); steady.After(wall) {
@@ -37,8 +37,8 @@
 	return wall
 }
 
-// isFresh reports whether a time is within a tolerance of the present, by the steady time or by the wall clock: the
-// sender's clock may have been stepped with this machine's, or not.
+// isFresh reports whether a time is within the tolerance of the steady time or of the wall clock's time. Either is
+// accepted, since the sender's clock may or may not have been stepped together with this machine's.
 func (c *deliveryClock) isFresh(sent time.Time, tolerance time.Duration) bool {
 	return c.steady().Sub(sent).Abs() <= tolerance || c.wallClock().Sub(sent).Abs() <= tolerance
 }
--- a/internal/webhook/delivery_test.go
+++ b/internal/webhook/delivery_test.go
@@ -13,7 +13,7 @@
 	"crankhold/internal/testutil"
 )
 
-// A delivery that is rejected gets one response and reaches nobody.
+// A rejected delivery gets one response, and its request does not reach the core.
 func TestRejectedDeliveriesHaveNoEffect(t *testing.T) {
 	body := requestPayload("dim-level", "x", noon)
 	valid := string(signedDelivery(activeSecret, "m", noon, body))
@@ -22,34 +22,34 @@
 		status int
 		bytes  []byte
 	}{
-		"retired key":              {401, signedDelivery(retiredSecret, "m", noon, body)},
-		"unknown key":              {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
-		"stale":                    {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
-		"from the future":          {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
-		"other id":                 {401, modified("webhook-id: m", "webhook-id: n")},
-		"other time":               {401, modified("webhook-timestamp: 1", "webhook-timestamp: 01")},
-		"other body":               {401, modified(`"dim-level"`, `"dim-levex"`)},
-		"dotted id":                {401, signedDelivery(activeSecret, "m.1", noon, body)},
-		"no signature":             {401, modified("webhook-signature", "x-signature")},
-		"two ids":                  {401, modified("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
-		"unknown class":            {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
-		"no JSON":                  {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
-		"long body of the request": {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBody+1), noon))},
-		"two lengths":              {400, modified("Content-Length", "Content-Length: 3\r\nContent-Length")},
-		"length and chunks":        {400, modified("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
-		"signed length":            {400, modified("Content-Length: ", "Content-Length: +")},
-		"no length":                {400, modified("Content-Length", "X-Length")},
-		"no host":                  {400, modified("Host", "X-Host")},
-		"bare line feed":           {400, modified("\r\n", "\n")},
-		"folded line":              {400, modified("webhook-id: m", "webhook-id: m\r\n x")},
-		"space before ':'":         {400, modified("Host:", "Host :")},
-		"old version":              {400, modified("HTTP/1.1", "HTTP/1.0")},
-		"other path":               {404, modified("/hooks", "/hook")},
-		"other method":             {405, modified("POST", "PUT")},
-		"long body":                {413, modified("Content-Length: ", "Content-Length: 99")},
-		"long head":                {431, modified("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
-		"many headers":             {431, modified("Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: ")},
-		"order, no ledger":         {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
+		"retired key":                  {401, signedDelivery(retiredSecret, "m", noon, body)},
+		"unknown key":                  {401, signedDelivery([]byte("somebody else's secret..."), "m", noon, body)},
+		"stale":                        {401, signedDelivery(activeSecret, "m", noon.Add(-6*time.Minute), body)},
+		"from the future":              {401, signedDelivery(activeSecret, "m", noon.Add(6*time.Minute), body)},
+		"other id":                     {401, modified("webhook-id: m", "webhook-id: n")},
+		"other time":                   {401, modified("webhook-timestamp: 1", "webhook-timestamp: 01")},
+		"other body":                   {401, modified(`"dim-level"`, `"dim-levex"`)},
+		"dotted id":                    {401, signedDelivery(activeSecret, "m.1", noon, body)},
+		"no signature":                 {401, modified("webhook-signature", "x-signature")},
+		"two ids":                      {401, modified("webhook-id: m", "webhook-id: m\r\nwebhook-id: m")},
+		"unknown class":                {400, signedDelivery(activeSecret, "m", noon, requestPayload("lift", "x", noon))},
+		"no JSON":                      {400, signedDelivery(activeSecret, "m", noon, []byte("{"))},
+		"body of the request too long": {400, signedDelivery(activeSecret, "m", noon, requestPayload("dim-level", strings.Repeat("x", maxRequestBody+1), noon))},
+		"two lengths":                  {400, modified("Content-Length", "Content-Length: 3\r\nContent-Length")},
+		"length and chunked encoding":  {400, modified("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")},
+		"length with a plus sign":      {400, modified("Content-Length: ", "Content-Length: +")},
+		"no length":                    {400, modified("Content-Length", "X-Length")},
+		"no host":                      {400, modified("Host", "X-Host")},
+		"bare line feed":               {400, modified("\r\n", "\n")},
+		"folded line":                  {400, modified("webhook-id: m", "webhook-id: m\r\n x")},
+		"space before ':'":             {400, modified("Host:", "Host :")},
+		"HTTP/1.0 version":             {400, modified("HTTP/1.1", "HTTP/1.0")},
+		"other path":                   {404, modified("/hooks", "/hook")},
+		"other method":                 {405, modified("POST", "PUT")},
+		"body too long":                {413, modified("Content-Length: ", "Content-Length: 99")},
+		"head too long":                {431, modified("Host: ", "Host: "+strings.Repeat("x", maxHeadBytes))},
+		"too many headers":             {431, modified("Host: ", strings.Repeat("A: b\r\n", maxHeaders)+"Host: ")},
+		"order, no ledger":             {503, signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))},
 	} {
 		core := &fakeCore{}
 		receiver, _ := newTestReceiver(t, core, "")
@@ -61,7 +61,7 @@
 	}
 }
 
-// The tenant comes from the signed body, and routes go by it; one that is too long is rejected.
+// The tenant, by which requests are routed, is taken from the signed body. A tenant that is too long is rejected.
 func TestTenantIsTakenFromSignedBody(t *testing.T) {
 	core := &fakeCore{}
 	receiver, _ := newTestReceiver(t, core, "")
@@ -80,8 +80,8 @@
 	}
 }
 
-// A request of a class that requires an idempotency key carries one key through all redeliveries, derived from the
-// webhook-id, so that workers drop repeats. Other requests carry none.
+// A request of a class that requires an idempotency key has the same key in all redeliveries, because the key is
+// derived from the webhook-id. Workers detect repeated requests by it. Requests of other classes have no key.
 func TestIdempotencyKeyIsDerivedFromDeliveryID(t *testing.T) {
 	keys := map[string]map[string]bool{}
 	for range 2 { // two receivers, as after a restart with a lost ledger
--- a/internal/webhook/errors.go
+++ b/internal/webhook/errors.go
@@ -6,14 +6,14 @@
 	"io/fs"
 )
 
-// ConfigError is a webhook file that can't be read or used.
+// ConfigError is the error of a webhook file that can't be read or has an invalid setting.
 type ConfigError struct {
 	File    string
-	Setting string // as receiver.listen; "" where the file as a whole can't be read
-	Err     error  // what is wrong, with the setting's name
+	Setting string // such as receiver.listen; "" if the file can't be read or decoded
+	Err     error  // the cause; its text names the setting
 }
 
-// Error names the file and the setting.
+// Error returns a text that names the file and the setting.
 func (e *ConfigError) Error() string {
 	if isReadError(e.Err) {
 		return "webhook file: " + e.Err.Error()
@@ -21,28 +21,29 @@
 	return fmt.Sprintf("webhook file %s: %v", e.File, e.Err)
 }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// isReadError reports whether err is the system's error for a file that can't be read; its text names the file.
+// isReadError reports whether err is the system's error for a file that can't be read. The text of such an error
+// already names the file.
 func isReadError(err error) bool {
 	var pathError *fs.PathError
 	return errors.As(err, &pathError)
 }
 
-// MalformedDeliveryError is an authenticated delivery whose payload can't be used; it is answered with 400.
+// MalformedDeliveryError is the error of an authenticated delivery whose payload is invalid. The response is 400.
 type MalformedDeliveryError struct {
-	Field string // the payload's field, as data.class; "" where the payload is not JSON
-	Err   error  // what is wrong with it
+	Field string // the payload's field, such as data.class; "" if the payload is not JSON
+	Err   error  // the cause
 }
 
-// Error says what is wrong.
+// Error returns the text of the cause.
 func (e *MalformedDeliveryError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the cause.
 func (e *MalformedDeliveryError) Unwrap() error { return e.Err }
 
-// malformedField returns the error of a field that can't be used.
+// malformedField returns the error of a payload with an invalid field.
 func malformedField(field, problem string) error {
 	return &MalformedDeliveryError{Field: field, Err: errors.New(problem)}
 }
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -12,7 +12,7 @@
 	"crankhold/internal/testutil"
 )
 
-// Errors carry what they concern as fields, and their texts are the ones that operators know.
+// Errors have the file and the setting as fields, and the exact texts that operators know.
 func TestConfigErrorsCarryTheSetting(t *testing.T) {
 	const (
 		receiver = "[receiver]\nenabled = true\nlisten = \"127.0.0.1:1\"\n"
@@ -22,11 +22,11 @@
 	for _, test := range []struct{ text, setting, message string }{
 		{"[receiver]\nfoo = 1", "receiver.foo", "webhook file f: unknown setting receiver.foo"},
 		{"[receiver]\nenabled = true\nlisten = \"nowhere\"", "receiver.listen", `webhook file f: receiver.listen: not an ip:port`},
-		{receiver + "path = \"hooks\"", "receiver.path", "webhook file f: receiver.path is no path"},
+		{receiver + "path = \"hooks\"", "receiver.path", "webhook file f: receiver.path is not a valid path"},
 		{receiver, "receiver.keys", "webhook file f: receiver.keys is empty"},
 		{receiver + keys + "tolerance = \"1ms\"", "receiver.tolerance", "webhook file f: receiver.tolerance must be a second or more, and dedupe_for twice as long or more"},
 		{receiver + keys + "ledger = { path = \"l\", max_bytes = 1 }", "receiver.ledger", "webhook file f: receiver.ledger: retention of at least 4 tolerances and 131072 bytes are needed"},
-		{"[sender]\nenabled = true\nurl = \"https://hooks.example.org\"", "sender.url", "webhook file f: sender.url must be http://HOST/PATH; TLS is a local proxy's work"},
+		{"[sender]\nenabled = true\nurl = \"https://hooks.example.org\"", "sender.url", "webhook file f: sender.url must be http://HOST/PATH; for TLS, use a local proxy"},
 		{sender, "sender.key", "webhook file f: sender.key is missing"},
 		{sender + "key = \"k\"\nqueue = 0", "sender", "webhook file f: sender: queue, attempts, backoff or timeout is out of range"},
 	} {
@@ -43,7 +43,7 @@
 	missing := filepath.Join(t.TempDir(), "missing")
 	_, err := ReadConfig(missing)
 	if want := "webhook file: open " + missing + ": no such file or directory"; err == nil || err.Error() != want || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v, want %s", err, want)
+		t.Errorf("missing file: %v, want %s", err, want)
 	}
 }
 
@@ -56,8 +56,8 @@
 		message string
 		bytes   []byte
 	}{
-		{Unsigned, "unsigned or malformed signature headers", signedDelivery(activeSecret, "m.1", noon, body)},
-		{NoMatchingKey, "no active key made this signature", signedDelivery(retiredSecret, "m", noon, body)},
+		{Unsigned, "signature headers are missing, repeated or malformed", signedDelivery(activeSecret, "m.1", noon, body)},
+		{NoMatchingKey, "no signature matches an active key", signedDelivery(retiredSecret, "m", noon, body)},
 		{StaleTimestamp, "timestamp is out of tolerance", signedDelivery(activeSecret, "m", noon.Add(-time.Hour), body)},
 	} {
 		request, size, _ := parseHead(test.bytes)
@@ -78,8 +78,8 @@
 		{requestEventType, "other", "type", "type is not call.requested"},
 		{"dim-level", "lift", "data.class", "unknown class"},
 		{`"tenant":""`, `"tenant":"` + strings.Repeat("x", maxTenantLength+1) + `"`, "data.tenant", "tenant is too long"},
-		{"7f3a9c21e0b4d655", "7F3A9C21E0B4D655", "data.key", "key is not 16 hex digits in lower case"},
-		{`"lanes":0`, `"lanes":-1`, "data.lanes", "a figure is out of range"},
+		{"7f3a9c21e0b4d655", "7F3A9C21E0B4D655", "data.key", "key is not 16 lowercase hex digits"},
+		{`"lanes":0`, `"lanes":-1`, "data.lanes", "the number is out of range"},
 		{"dim-level", "repair-order", "timestamp", "the order's timestamp is outside the ledger's retention"},
 	} {
 		body := strings.Replace(valid, test.old, test.new, 1)
--- a/internal/webhook/example_test.go
+++ b/internal/webhook/example_test.go
@@ -18,7 +18,8 @@
 	"crankhold/policy"
 )
 
-// upperCaseCore stands for the router and its workers: it serves each request at once.
+// upperCaseCore stands in for the router and its workers. It immediately responds to each request with the body in
+// upper case.
 type upperCaseCore struct{}
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
@@ -27,8 +28,8 @@
 	return 1
 }
 
-// A receiver takes a signed delivery, hands the request in it to the router, and responds with the result. The same
-// delivery sent again gets the same response, and nothing runs.
+// A receiver accepts a signed delivery, passes the request in it to the router, and responds with the result. If the
+// same delivery is sent again, it gets the same response without another run.
 func ExampleReceiver() {
 	// The secret is shared with the sender of the webhooks.
 	dir, err := os.MkdirTemp("", "webhook")
@@ -38,7 +39,7 @@
 	keyFile := filepath.Join(dir, "key")
 	check(os.WriteFile(keyFile, []byte("whsec_"+base64.StdEncoding.EncodeToString(secret)), 0o600))
 
-	// The webhook file names the key. Without a ledger only idempotent classes are served.
+	// The webhook file names the key file. Without a ledger, only requests of idempotent classes are served.
 	configFile := filepath.Join(dir, "webhook.toml")
 	check(os.WriteFile(configFile, fmt.Appendf(nil, `
 		[receiver]
@@ -49,7 +50,7 @@
 	config, err := webhook.ReadConfig(configFile)
 	check(err)
 
-	// The receiver runs on an event loop, here on any free port.
+	// The receiver runs on an event loop. Here it listens on any free port.
 	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 1024})
 	classes := []webhook.Class{{Name: "dim-level", MaxWait: 2 * time.Second}}
 	receiver, err := webhook.NewReceiver(webhook.Options{
@@ -71,7 +72,7 @@
 		loop.Close()
 	}()
 
-	// A sender signs the id, the time of the delivery, and the body.
+	// A sender signs the id, the timestamp of the delivery and the body.
 	const id = "msg_1"
 	timestamp := fmt.Sprint(time.Now().Unix())
 	body := fmt.Sprintf(`{"type": "call.requested", "timestamp": "2026-12-01T12:00:00Z",
--- a/internal/webhook/fake_subscriber_test.go
+++ b/internal/webhook/fake_subscriber_test.go
@@ -11,17 +11,18 @@
 	"crankhold/internal/signature"
 )
 
-// fakeSubscriber receives notices at hooks.example.org. It accepts each at the second attempt only, and keeps it.
+// fakeSubscriber receives notices as hooks.example.org. It rejects the first attempt of each notice, and accepts and
+// keeps the notice at the second one.
 type fakeSubscriber struct {
 	address  string
 	mu       sync.Mutex
-	attempts map[string]int    // by webhook-id
-	orderOf  map[string]string // the webhook-id of the order that a notice is of
-	notices  [][]byte
-	accepted chan struct{} // a value for each notice that was accepted
+	attempts map[string]int    // by the notice's webhook-id
+	orderOf  map[string]string // from the notice's webhook-id to that of its order
+	notices  [][]byte          // accepted notices, as deliveries to a receiver
+	accepted chan struct{}     // gets a value for each accepted notice
 }
 
-// startFakeSubscriber starts a subscriber that ends with the test.
+// startFakeSubscriber starts a subscriber that stops when the test ends.
 func startFakeSubscriber(t *testing.T) *fakeSubscriber {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +40,7 @@
 		}
 		if err != nil || json.Unmarshal(body, &p) != nil || r.Host != "hooks.example.org" ||
 			r.Header.Get("webhook-signature") != signature.Sign(activeSecret, id, timestamp, body) {
-			t.Errorf("a notice that is not as it should be: %v %s", r.Header, body)
+			t.Errorf("invalid notice: %v %s", r.Header, body)
 		}
 		subscriber.mu.Lock()
 		defer subscriber.mu.Unlock()
--- a/internal/webhook/golden_ledger_test.go
+++ b/internal/webhook/golden_ledger_test.go
@@ -13,13 +13,14 @@
 	"crankhold/internal/testutil"
 )
 
-// ledgerOrder is an order that is delivered once for each of its responses, or once and never responded to.
+// ledgerOrder is an order that is delivered once for each of its responses. If it has none, it is delivered once and
+// never responded to.
 type ledgerOrder struct {
 	id, class, timestamp string
 	responses            []router.Response
 }
 
-// delivery returns the order's bytes, signed at a time.
+// delivery returns the bytes of a delivery of the order, signed at the given time.
 func (o ledgerOrder) delivery(at time.Time) []byte {
 	payload := fmt.Sprintf(`{"type":"call.requested","timestamp":%q,"data":{"class":%q,"key":"7f3a9c21e0b4d655","body":%q}}`,
 		o.timestamp, o.class, base64.StdEncoding.EncodeToString([]byte("run "+o.id)))
@@ -27,14 +28,14 @@
 }
 
 const (
-	ledgerFile   = "testdata/ledger"           // as the steps of writeLedger leave it
-	compactFile  = "testdata/ledger.compacted" // as opening it at noon leaves it
-	reopenedFile = "testdata/ledger.reopened.txt"
-	tornBytes    = 20 // that the last line of the ledger lacks
+	ledgerFile   = "testdata/ledger"              // the ledger that writeLedger writes
+	compactFile  = "testdata/ledger.compacted"    // the ledger after it was opened at noon
+	reopenedFile = "testdata/ledger.reopened.txt" // the transcript of deliveries to a receiver that opened the ledger
+	tornBytes    = 20                             // bytes that are cut off the end of the ledger
 )
 
-// ledgerOrders bring about each state that an entry can have. The ledger is written two hours before noon and read
-// again at noon, with a retention of 72 hours.
+// ledgerOrders returns orders that produce entries in every possible state. The ledger is written two hours before noon
+// and read again at noon, with a retention of 72 hours.
 func ledgerOrders() []ledgerOrder {
 	const recent = "2026-12-01T10:00:00Z"
 	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
@@ -58,7 +59,7 @@
 	}
 }
 
-// writeLedger plays all orders and then cuts the last line short, as a crash may.
+// writeLedger delivers all orders and then truncates the last line, like a crash may.
 func writeLedger(t *testing.T, path string) {
 	t.Helper()
 	written := noon.Add(-2 * time.Hour)
@@ -82,15 +83,15 @@
 	}
 }
 
-// The bytes of the ledger are fixed: an earlier or later version has to be able to read it.
+// The ledger matches its golden file byte for byte, because earlier and later versions must be able to read it.
 func TestGoldenLedgerIsWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	writeLedger(t, path)
 	golden.Compare(t, ledgerFile, testutil.ReadFile(t, path))
 }
 
-// A ledger that an earlier version wrote is read as it was meant: which deliveries are answered with the first
-// outcome, which count as failed, and which are accepted anew.
+// A ledger that an earlier version wrote is read correctly: the transcript shows which deliveries get the response of
+// the first one, which get that of a failure, and which are accepted again.
 func TestGoldenLedgerIsRead(t *testing.T) {
 	testutil.FixRandom(t)
 	dir := t.TempDir()
@@ -104,8 +105,8 @@
 
 	orders := ledgerOrders()
 	orders = append(orders,
-		ledgerOrder{"served", "extend", "2026-12-01T12:00:00Z", nil},        // the id of another payload
-		ledgerOrder{"expired", "repair-order", "2026-12-01T12:00:00Z", nil}) // an id that was forgotten
+		ledgerOrder{"served", "extend", "2026-12-01T12:00:00Z", nil},        // an id that was used for another payload
+		ledgerOrder{"expired", "repair-order", "2026-12-01T12:00:00Z", nil}) // an id that was removed from the ledger
 	transcript := ""
 	for _, o := range orders {
 		transport := &testutil.Transport{}
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -15,8 +15,8 @@
 	"crankhold/internal/testutil"
 )
 
-// The golden files hold whole messages. Nothing in them is masked: the clocks are fixed, and testutil.FixRandom makes the
-// random ids repeatable.
+// The golden files hold complete messages without masked parts: the clocks are fixed, and testutil.FixRandom makes the
+// random ids deterministic.
 
 var clientAddress = netip.MustParseAddrPort("192.0.2.7:4000")
 
@@ -24,7 +24,7 @@
 	return bytes.Replace(request, []byte(old), []byte(new), 1)
 }
 
-// describeRequest formats what the router is handed. Workers are sent most of it.
+// describeRequest formats a request that the router received. Most of its fields are sent to workers.
 func describeRequest(r router.Request) string {
 	return fmt.Sprintf("call handed to the router:\n\tclass %d, id %s, key %s, function %016x, tenant %q, idempotency key %q\n"+
 		"\twebhook-id %q, client %s, memory %v MB, lanes %v, load time %v, deadline %v, body %q\n",
@@ -32,17 +32,17 @@
 		r.Client.Reference, r.Client.Address, r.Function.MemoryMB, r.Function.Lanes, r.Function.LoadTime, r.Deadline, r.Body)
 }
 
-// exchange is what a client sends on one connection, and what becomes of the requests in it.
+// exchange is the data that a client sends on one connection, and the router's responses to the requests in it.
 type exchange struct {
 	name      string
-	sent      [][]byte          // each part is sent when the one before has been handled
-	responses []router.Response // to the requests that reach the router, in turn
+	sent      [][]byte          // each part is sent after the previous one was handled
+	responses []router.Response // to the requests that reach the router, in their order
 	noLedger  bool
-	configure func(*Config) // changes the configuration; nil: not at all
-	prepare   func(*Receiver)
+	configure func(*Config)   // changes the configuration, if not nil
+	prepare   func(*Receiver) // changes the receiver before the exchange, if not nil
 }
 
-// run returns a transcript of the exchange.
+// run runs the exchange and returns a transcript of it.
 func (x exchange) run(t *testing.T) string {
 	t.Helper()
 	testutil.FixRandom(t)
@@ -68,7 +68,7 @@
 		transcript += golden.Quote("request", part)
 		client.Data(bytes.Clone(part))
 		for client.Busy() {
-			if len(core.accepted) == responded { // the ledger has to confirm the order first
+			if len(core.accepted) == responded { // the ledger must confirm the order first
 				(<-posts)()
 				continue
 			}
@@ -147,7 +147,7 @@
 	}
 }
 
-// The bytes of each response of the receiver are fixed, and those of the requests that bring it about.
+// The requests to the receiver and its responses match the golden files byte for byte.
 func TestGoldenReceiver(t *testing.T) {
 	for _, x := range exchanges() {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/webhook/helpers_test.go
+++ b/internal/webhook/helpers_test.go
@@ -27,10 +27,10 @@
 		{Name: "extend", NotIdempotent: true, RequiresIdempotencyKey: true, MaxWait: 3 * time.Second}}
 )
 
-// wallAtNoon is a wall clock that stands still.
+// wallAtNoon is a wall clock that always returns noon.
 func wallAtNoon() time.Time { return noon }
 
-// fakeCore keeps the requests that it is handed.
+// fakeCore records the requests that it receives. The test responds to them.
 type fakeCore struct{ accepted []router.Request }
 
 func (c *fakeCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
@@ -38,7 +38,7 @@
 	return policy.RequestID(len(c.accepted))
 }
 
-// testConfig returns the default configuration with a ledger; "" for none.
+// testConfig returns the default configuration with a ledger at the given path. If the path is empty, it has no ledger.
 func testConfig(ledgerPath string) *Config {
 	config, err := parseConfig("test", `receiver.path = "/hooks"`)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return config
 }
 
-// testOptions returns the options of a receiver of the tests' classes.
+// testOptions returns the options of a receiver for the tests' classes.
 func testOptions(config *Config, core Core, clock Clock, wallClock func() time.Time, post func(func())) Options {
 	return Options{
 		Config:          config.Receiver,
@@ -61,19 +61,20 @@
 	}
 }
 
-// newTestReceiver returns a receiver with an active and a retired key. What it posts arrives on the channel.
+// newTestReceiver returns a receiver with an active and a retired key. The functions that it posts to the event loop
+// are sent to the returned channel.
 func newTestReceiver(t rapid.TB, core Core, path string) (*Receiver, chan func()) {
 	t.Helper()
 	return newTestReceiverAt(t, core, path, wallAtNoon)
 }
 
-// newTestReceiverAt is newTestReceiver by another wall clock.
+// newTestReceiverAt is like newTestReceiver, with the given wall clock.
 func newTestReceiverAt(t rapid.TB, core Core, path string, wallClock func() time.Time) (*Receiver, chan func()) {
 	t.Helper()
 	return newTestReceiverOn(t, core, testConfig(path), wallClock, ledger.SystemDisk{})
 }
 
-// newTestReceiverOn is newTestReceiverAt with a configuration and a disk for the ledger.
+// newTestReceiverOn is like newTestReceiverAt, with the given configuration and disk for the ledger.
 func newTestReceiverOn(t rapid.TB, core Core, config *Config, wallClock func() time.Time, disk ledger.Disk) (*Receiver, chan func()) {
 	t.Helper()
 	posts := make(chan func(), 100)
@@ -87,7 +88,7 @@
 	return receiver, posts
 }
 
-// requestPayload returns the payload of a request.
+// requestPayload returns the payload of a delivery with a request of a class. Its event happened at the given time.
 func requestPayload(class, body string, at time.Time) []byte {
 	p := payload{Type: requestEventType, Timestamp: at}
 	p.Data.Class = class
@@ -100,7 +101,7 @@
 	return text
 }
 
-// signedDelivery returns the bytes of a delivery that is signed at a time.
+// signedDelivery returns the bytes of a delivery that is signed at the given time.
 func signedDelivery(secret []byte, id string, at time.Time, body []byte) []byte {
 	timestamp := strconv.FormatInt(at.Unix(), 10)
 	return append(fmt.Appendf(nil, "POST /hooks HTTP/1.1\r\nHost: hooks.example.org\r\nContent-Length: %d\r\nwebhook-id: %s\r\n"+
--- a/internal/webhook/http.go
+++ b/internal/webhook/http.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxHeadBytes    = 8 << 10  // request line and header lines
+	maxHeadBytes    = 8 << 10  // of the request line and the header lines
 	maxHeaders      = 64       // header lines
-	maxRequestBody  = 16 << 10 // the body of the request in a payload, once decoded
-	maxDeliveryBody = 24 << 10 // an HTTP request's body: a request's body in base64 and the fields around it
+	maxRequestBody  = 16 << 10 // bytes of the body of the request in a payload, decoded from base64
+	maxDeliveryBody = 24 << 10 // bytes of an HTTP request's body: a request's body in base64 and the other fields
 )
 
 var (
@@ -17,18 +17,18 @@
 	headEnd = []byte("\r\n\r\n")
 )
 
-// httpRequest is an HTTP request whose head has been read. Its parts point into the bytes read.
+// httpRequest is the parsed head of an HTTP request. Its slices point into the bytes that were received.
 type httpRequest struct {
 	method, target  []byte
 	headers         []header
 	bodyLength      int
-	closeRequested  bool // by "Connection: close"
+	closeRequested  bool // the head has "Connection: close"
 	expectsContinue bool // the client waits for "100 Continue" before it sends the body
 }
 
 type header struct{ name, value []byte }
 
-// header returns the value of the last header of a name, and how many there are of that name.
+// header returns the value of the last header with the given name, and how many headers have that name.
 func (r *httpRequest) header(name string) (value []byte, count int) {
 	for _, h := range r.headers {
 		if len(h.name) == len(name) && bytes.EqualFold(h.name, []byte(name)) {
@@ -39,14 +39,14 @@
 	return value, count
 }
 
-// hasHeaderValue reports whether a header's value is the given one, in any case.
+// hasHeaderValue reports whether the value of a header equals the given one, ignoring case.
 func (r *httpRequest) hasHeaderValue(name, want string) bool {
 	value, _ := r.header(name)
 	return bytes.EqualFold(value, []byte(want))
 }
 
-// parseHead reads the head at the front of b, in place. Size is how long the head is, 0 while it is not complete. A
-// status other than statusNone rejects the request as it stands: where its body would end is then unknown, so the
+// parseHead reads the head at the start of b, in place. Size is the length of the head, or 0 while it is not complete.
+// A status other than statusNone rejects the request. It is then unknown where the request's body ends, so the
 // connection can't be used any further.
 func parseHead(b []byte) (request *httpRequest, size int, status httpStatus) {
 	end := bytes.Index(b[:min(len(b), maxHeadBytes)], headEnd)
@@ -69,12 +69,14 @@
 	return request, end + len(headEnd), statusNone
 }
 
-// checkPartialHead rejects the beginning of a head that can't become a valid one.
+// checkPartialHead returns the status that rejects an incomplete head that can't become a valid one, or else
+// statusNone.
 func checkPartialHead(b []byte) httpStatus {
 	if len(b) >= maxHeadBytes {
 		return statusHeaderFieldsTooLarge
 	}
-	// A line end other than CRLF would have the receiver wait for an end that others have already seen.
+	// With a line end other than CRLF, this parser would wait for the end of a head that other HTTP implementations
+	// consider complete.
 	i := bytes.IndexByte(b, '\n')
 	if i == 0 || i > 0 && b[i-1] != '\r' {
 		return statusBadRequest
@@ -93,8 +95,8 @@
 	return statusNone
 }
 
-// parseHeaders reads header lines (RFC 9112, section 5), each with its line end. Folded lines and spaces before the
-// colon are rejected, as the RFC asks.
+// parseHeaders reads header lines (RFC 9112, section 5), each of which ends with a line end. It rejects folded lines
+// and spaces before the colon, as the RFC requires.
 func (r *httpRequest) parseHeaders(lines []byte) httpStatus {
 	for len(lines) > 0 {
 		var line []byte
@@ -112,8 +114,9 @@
 	return statusNone
 }
 
-// parseFraming reads how long the body is (RFC 9112, section 6). Two lengths, or a length and chunks, are how one
-// request is passed off as two, so nothing is guessed.
+// parseFraming reads the length of the body (RFC 9112, section 6). It rejects requests with two lengths or with chunked
+// encoding: ambiguous framing is the means of request smuggling, in which two HTTP implementations disagree on where a
+// request ends.
 func (r *httpRequest) parseFraming() httpStatus {
 	if _, hostCount := r.header("Host"); hostCount != 1 {
 		return statusBadRequest
@@ -133,7 +136,7 @@
 	return statusNone
 }
 
-// parseBodyLength reads a Content-Length: digits alone, neither a sign nor a list.
+// parseBodyLength reads a Content-Length, which must consist of digits only: a sign or a list is rejected.
 func (r *httpRequest) parseBodyLength(text []byte) httpStatus {
 	for _, digit := range text {
 		if digit < '0' || digit > '9' {
@@ -174,7 +177,7 @@
 	return len(b) > 0
 }
 
-// isText reports whether b has no control characters but tabs.
+// isText reports whether b has no control characters except tabs.
 func isText(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/webhook/order_test.go
+++ b/internal/webhook/order_test.go
@@ -14,10 +14,10 @@
 	"crankhold/internal/testutil"
 )
 
-// ledgerRetryDelay is the delay after which a ledger whose disk failed tries it again.
+// ledgerRetryDelay is the delay after which a ledger retries a failed disk.
 const ledgerRetryDelay = 50 * time.Millisecond
 
-// A ledger that is full, or whose disk fails and goes on failing, rejects the order at hand and all that follow.
+// If the ledger is full, or its disk fails permanently, the current order and all later ones are rejected.
 func TestOrdersAreRejectedWhenLedgerCannotWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	for name, test := range map[string]struct {
@@ -38,7 +38,7 @@
 			if test.fails {
 				disk.failPermanently()
 			}
-			for i := range 3 { // also those after it, before and after the disk was tried again
+			for i := range 3 { // the later orders are sent before and after the ledger retries the disk
 				if i == 2 {
 					time.Sleep(2 * ledgerRetryDelay)
 				}
@@ -64,7 +64,8 @@
 	}
 }
 
-// An order that was in flight at a crash may have run, so it is failed and not handed to the core again.
+// An order that was in flight at a crash may have run. It gets the response of a failure and does not reach the core
+// again.
 func TestOrderInFlightAtCrashIsNotRunAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	delivery := signedDelivery(activeSecret, "m", noon, requestPayload("repair-order", "x", noon))
@@ -77,7 +78,7 @@
 		receiver, posts := newTestReceiver(t, core, path)
 		receiver.serve(transport, netip.AddrPort{}).Data(delivery)
 		if round == 0 {
-			(<-posts)() // it is on the disk, and is handed to the core
+			(<-posts)() // the order is on the disk, and the core receives it
 		}
 		if got := statuses(t, transport); len(core.accepted) != want.requests || fmt.Sprint(got) != want.responses {
 			t.Errorf("round %d: %d requests, responses %v", round, len(core.accepted), got)
@@ -86,10 +87,10 @@
 	}
 }
 
-// Closing the receiver ends the ledger's goroutine, after all that was recorded is in the file.
+// Closing the receiver writes all queued entries to the file and then stops the ledger's goroutine.
 func TestCloseWritesQueuedEntriesAndStopsLedgerGoroutine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	requireLedgerWriterCount(t, 0) // of the tests before
+	requireLedgerWriterCount(t, 0) // the writers of earlier tests have stopped
 	receiver, _ := newTestReceiver(t, &fakeCore{}, path)
 	requireLedgerWriterCount(t, 1)
 	const orders = 20
@@ -107,7 +108,7 @@
 	}
 }
 
-// requireLedgerWriterCount fails the test unless so many goroutines write ledgers, at once or soon.
+// requireLedgerWriterCount fails the test unless the number of ledger goroutines is want, now or within ten seconds.
 func requireLedgerWriterCount(t *testing.T, want int) {
 	t.Helper()
 	testutil.RequireGoroutines(t, want, 10*time.Second, func(stack string) bool {
--- a/internal/webhook/outcome_responder.go
+++ b/internal/webhook/outcome_responder.go
@@ -5,15 +5,15 @@
 	"crankhold/internal/router"
 )
 
-// outcomeResponder takes the router's response to the request of an outcome. It implements router.Responder.
+// outcomeResponder receives the router's response to the request of an outcome. It implements router.Responder.
 type outcomeResponder struct {
 	receiver *Receiver
 	id       string
 	outcome  *outcome
 }
 
-// Respond completes the outcome, or releases the id of a request that is proven not to have run, and responds to all
-// deliveries that wait.
+// Respond completes the outcome and responds to all waiting deliveries. If the request is known not to have run, it
+// releases the id instead of completing the outcome.
 func (o *outcomeResponder) Respond(response router.Response) {
 	if response.Status == router.Rejected && !response.MayHaveRun {
 		o.release(response)
@@ -22,7 +22,7 @@
 	o.complete(response)
 }
 
-// release forgets the outcome: the id may be delivered again.
+// release removes the outcome, so that the id may be delivered again.
 func (o *outcomeResponder) release(response router.Response) {
 	o.receiver.outcomes.remove(o.id)
 	if o.outcome.inLedger {
@@ -37,7 +37,7 @@
 	o.outcome.respondToAll(httpResponse{status: statusServiceUnavailable, retryAfter: response.RetryAfter})
 }
 
-// complete keeps the outcome, so that redeliveries get the same response.
+// complete stores the response in the outcome, so that redeliveries get the same response.
 func (o *outcomeResponder) complete(response router.Response) {
 	status := completedStatus(response)
 	var body []byte
@@ -59,8 +59,8 @@
 	o.receiver.ledger.Update(entry, o.receiver.deliveryClock.steady())
 }
 
-// completedStatus returns the status for a request that may have run. It is that of a failure also where the router
-// rejected the request: another delivery with this id would not run it again.
+// completedStatus returns the status for a request that may have run. If the router rejected the request, the status is
+// that of a failure and not a 503, since another delivery with this id would not run the request again.
 func completedStatus(response router.Response) httpStatus {
 	switch {
 	case response.Status == router.Served:
--- a/internal/webhook/outcome_table.go
+++ b/internal/webhook/outcome_table.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// maxOutcomes is how many outcomes are kept; beyond it new deliveries are rejected.
+// maxOutcomes is how many outcomes are kept. When the limit is reached, new deliveries are rejected.
 const maxOutcomes = 20000
 
-// outcomeTable keeps outcomes by webhook-id. Its bytes are always those of the completed outcomes' bodies in it. It
-// belongs to the event loop's goroutine.
+// outcomeTable keeps outcomes by webhook-id. It must only be used on the event loop's goroutine.
 type outcomeTable struct {
 	byID     map[string]*outcome
-	bytes    int
-	maxBytes int // beyond it new deliveries are rejected
+	bytes    int // the total size of the bodies of the completed outcomes in byID
+	maxBytes int // while bytes is above it, new deliveries are rejected
 }
 
 func newOutcomeTable(maxBytes int) *outcomeTable {
 	return &outcomeTable{byID: map[string]*outcome{}, maxBytes: maxBytes}
 }
 
-// find returns the outcome of an id, or nil.
+// find returns the outcome of an id, or nil if there is none.
 func (t *outcomeTable) find(id string) *outcome { return t.byID[id] }
 
-// isFull reports whether a new outcome has to be rejected.
+// isFull reports whether the table has no capacity for a new outcome.
 func (t *outcomeTable) isFull() bool {
 	return len(t.byID) >= maxOutcomes || t.bytes > t.maxBytes
 }
@@ -37,7 +36,7 @@
 	}
 }
 
-// removeCompleted removes the completed outcomes for which a function returns true.
+// removeCompleted removes the completed outcomes for which isExpired returns true.
 func (t *outcomeTable) removeCompleted(isExpired func(*outcome) bool) {
 	for id, o := range t.byID {
 		if o.completed && isExpired(o) {
--- a/internal/webhook/outcome_table_test.go
+++ b/internal/webhook/outcome_table_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The bytes of a table are those of the bodies in it, through recovery, completion and removal.
+// The byte count of a table equals the total size of the bodies in it after outcomes are recovered, completed and
+// removed.
 func TestOutcomeTableCountsBytes(t *testing.T) {
 	table := newOutcomeTable(5)
 	recovered := &outcome{completed: true, body: []byte("four")}
--- a/internal/webhook/outcome_test.go
+++ b/internal/webhook/outcome_test.go
@@ -10,8 +10,8 @@
 	"crankhold/internal/testutil"
 )
 
-// A redelivery that arrives while the first is being recorded or run gets the same response, also when the first one's
-// client has left meanwhile.
+// A redelivery that arrives while the first delivery's request is being recorded or run gets the same response, even if
+// the first client has disconnected in the meantime.
 func TestRedeliveryJoinsRequestInFlight(t *testing.T) {
 	core := &fakeCore{}
 	receiver, posts := newTestReceiver(t, core, filepath.Join(t.TempDir(), "ledger"))
@@ -22,15 +22,15 @@
 	first.Data(delivery)
 	receiver.serve(transports[1], netip.AddrPort{}).Data(delivery) // before the order is in the ledger
 	(<-posts)()
-	receiver.serve(transports[2], netip.AddrPort{}).Data(delivery) // and after
+	receiver.serve(transports[2], netip.AddrPort{}).Data(delivery) // after the order is in the ledger
 	first.Closed(nil)
 	if len(core.accepted) != 1 || core.accepted[0].Client.Reference != "m" {
-		t.Fatalf("the core has %+v", core.accepted)
+		t.Fatalf("the core received %+v, want one request with reference m", core.accepted)
 	}
 	core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done")})
 	for i, want := range []string{"[]", "[200]", "[200]"} {
 		if got := statuses(t, transports[i]); fmt.Sprint(got) != want {
-			t.Errorf("client %d has responses %v, want %s", i, got, want)
+			t.Errorf("client %d got responses %v, want %s", i, got, want)
 		}
 	}
 }
--- a/internal/webhook/payload.go
+++ b/internal/webhook/payload.go
@@ -12,26 +12,28 @@
 	"crankhold/policy"
 )
 
-// requestEventType is the type of an event that asks for a request to be run.
+// requestEventType is the type of an event that contains a request.
 const requestEventType = "call.requested"
 
-// outsideRetention is what is wrong with an order that the ledger may have forgotten.
+// outsideRetention is the error text for an order that may already have been removed from the ledger.
 const outsideRetention = "the order's timestamp is outside the ledger's retention"
 
-// maxTenantLength is the longest name of a tenant, in bytes.
+// maxTenantLength is the maximum length of a tenant's name, in bytes.
 const maxTenantLength = 128
 
-// payload is the JSON of a delivery. It holds all that matters, since nothing else is signed.
+// payload is the JSON of a delivery. It contains the whole request, since the signature covers no other data than the
+// id, the timestamp and this body.
 type payload struct {
 	Type      string    `json:"type"`
 	Timestamp time.Time `json:"timestamp"` // of the event; the same in each redelivery
 
-	// The request. Its type has no name: encoding/json would name it in the errors that are logged.
+	// Data is the request. Its type is anonymous, because encoding/json would print a type name in the errors that are
+	// logged.
 	Data struct {
 		Class    string  `json:"class"`
 		Key      string  `json:"key"` // of the function, in 16 hex digits
 		Tenant   string  `json:"tenant"`
-		WaitMs   float64 `json:"wait_ms"` // how long it may wait for its response; 0: as long as its class allows
+		WaitMs   float64 `json:"wait_ms"` // how long it may wait for its response; 0 for the maximum of its class
 		MemoryMB float64 `json:"memory_mb"`
 		Lanes    float64 `json:"lanes"`
 		LoadMs   float64 `json:"load_ms"` // how long a worker takes to load the function
@@ -39,8 +41,7 @@
 	} `json:"data"`
 }
 
-// parsePayload reads the payload and checks what can be checked without the settings. Its errors are
-// MalformedDeliveryErrors.
+// parsePayload decodes the payload and checks its type. Its errors are of type *MalformedDeliveryError.
 func parsePayload(body []byte) (*payload, error) {
 	var p payload
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -57,7 +58,7 @@
 	return &p, nil
 }
 
-// checkSizes checks the fields whose length is bounded.
+// checkSizes checks the fields whose length is limited.
 func (p *payload) checkSizes() error {
 	switch {
 	case len(p.Data.Tenant) > maxTenantLength:
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// checkNumbers checks the fields that are numbers. The limits are the router's.
+// checkNumbers checks the numeric fields against the router's limits.
 func (p *payload) checkNumbers() error {
 	for _, number := range []struct {
 		field string
@@ -81,13 +82,14 @@
 		{"data.load_ms", p.Data.LoadMs, router.MaxLoadMs},
 	} {
 		if !router.InRange(number.value, number.max) {
-			return malformedField(number.field, "a figure is out of range")
+			return malformedField(number.field, "the number is out of range")
 		}
 	}
 	return nil
 }
 
-// wait returns how long the request may wait for its response: as long as its class allows, unless it says less.
+// wait returns how long the request may wait for its response: the class's maximum, unless the payload sets a shorter
+// time.
 func (p *payload) wait(class Class) time.Duration {
 	wait := milliseconds(p.Data.WaitMs)
 	if wait == 0 || wait > class.MaxWait {
@@ -96,8 +98,9 @@
 	return wait
 }
 
-// decodeRequest reads and checks the payload of an authenticated delivery. It returns the request in it, to which the
-// caller adds what is known of the delivery, and when the event happened. Its errors are MalformedDeliveryErrors.
+// decodeRequest reads and checks the payload of an authenticated delivery. It returns the request and the time of the
+// event. The caller sets the request's client, idempotency key and responder. Its errors are of type
+// *MalformedDeliveryError.
 func (r *Receiver) decodeRequest(body []byte) (request router.Request, eventTime time.Time, err error) {
 	p, err := parsePayload(body)
 	if err != nil {
@@ -112,7 +115,7 @@
 	}
 	function, ok := router.ParseFunctionKey(p.Data.Key)
 	if !ok {
-		return request, eventTime, malformedField("data.key", "key is not 16 hex digits in lower case")
+		return request, eventTime, malformedField("data.key", "key is not 16 lowercase hex digits")
 	}
 	if err := p.checkNumbers(); err != nil {
 		return request, eventTime, err
@@ -138,10 +141,10 @@
 	return request, p.Timestamp, nil
 }
 
-// milliseconds returns a JSON number of milliseconds as a duration, cut to whole nanoseconds.
+// milliseconds converts a JSON number of milliseconds to a duration, truncated to whole nanoseconds.
 func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
 
-// newRequestID returns a request id for the workers, which know nothing of webhook-ids.
+// newRequestID returns a random request id. Workers are sent this id and not the webhook-id.
 func newRequestID() string {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -11,31 +11,31 @@
 	"crankhold/policy"
 )
 
-// Core runs requests; a router.Core is one. Its method is called on the event loop's goroutine.
+// Core runs requests. *router.Core implements it. Its method is called on the event loop's goroutine.
 type Core interface {
-	// Accept takes a request, and responds to its Responder once, possibly before it returns.
+	// Accept accepts a request and calls the request's Responder exactly once, possibly before it returns.
 	Accept(now time.Duration, r router.Request) policy.RequestID
 }
 
-// Clock is a monotonic clock; an eventloop.Loop is one. Its methods are called on the event loop's goroutine.
+// Clock is a monotonic clock. *eventloop.Loop implements it. Its methods are called on the event loop's goroutine.
 type Clock interface {
-	// Now returns the present.
+	// Now returns the current time.
 	Now() time.Duration
-	// ArrivedAt returns when the delivery that is being handled was read.
+	// ArrivedAt returns the time at which the delivery that is being handled was read from its socket.
 	ArrivedAt() time.Duration
 }
 
-// Counters counts deliveries by what became of them.
+// Counters counts deliveries by their result.
 type Counters struct {
 	Deliveries     uint64 // HTTP requests to the configured path, authenticated or not
-	Unauthorized   uint64 // answered with 401
-	Malformed      uint64 // answered with another 4xx, HTTP requests that are no delivery included
-	Replayed       uint64 // answered with the response of an earlier delivery
-	Joined         uint64 // that wait for the response of an earlier delivery
-	LedgerRejected uint64 // of orders that could not be recorded, answered with 503
+	Unauthorized   uint64 // responded to with 401
+	Malformed      uint64 // responded to with another 4xx, including HTTP requests that are not deliveries
+	Replayed       uint64 // responded to with the response to an earlier delivery
+	Joined         uint64 // deliveries that waited for the response to an earlier one
+	LedgerRejected uint64 // orders that could not be recorded, responded to with 503
 }
 
-// Receiver takes requests from signed webhooks. It belongs to the event loop's goroutine.
+// Receiver accepts requests as signed webhooks. It must only be used on the event loop's goroutine.
 type Receiver struct {
 	config        ReceiverConfig
 	core          Core
@@ -44,41 +44,41 @@
 	deliveryClock *deliveryClock
 	post          func(func())
 	authenticator authenticator
-	ledger        *ledger.Ledger // nil: none is configured, and orders are rejected
+	ledger        *ledger.Ledger // nil if none is configured; orders are then rejected
 	retention     retentionWindow
 	outcomes      *outcomeTable
 	rejections    rejectionLog
 	counters      Counters
 }
 
-// Options are the parts that a Receiver works with.
+// Options holds the configuration and the dependencies of a Receiver.
 type Options struct {
-	// Config is the receiver's part of the webhook file, which ReadConfig has checked.
+	// Config is the receiver's part of a webhook file that ReadConfig has checked.
 	Config ReceiverConfig
-	// Core is handed the requests.
+	// Core runs the requests.
 	Core Core
-	// Classes are the classes of requests, in the order of router.Request.Class.
+	// Classes are the classes of requests. router.Request.Class is an index into them.
 	Classes []Class
-	// MaxOutcomeBytes limits the bytes of kept responses' bodies.
+	// MaxOutcomeBytes limits the total size of the kept response bodies.
 	MaxOutcomeBytes int
-	// Clock is the event loop's.
+	// Clock is the event loop's clock.
 	Clock Clock
-	// WallClock is the system's.
+	// WallClock returns the system's time.
 	WallClock func() time.Time
 	// Post runs a function on the event loop's goroutine. It may be called on any goroutine.
 	Post func(func())
-	// Logger logs rejections and the ledger's failures; nil: slog.Default().
+	// Logger logs rejections and the ledger's failures. If it is nil, slog.Default() is used.
 	Logger *slog.Logger
 }
 
 // NewReceiver reads the keys and the ledger that the configuration names, and starts the ledger's goroutine. It blocks
-// on file I/O and must be called before the event loop runs. Its errors are signature.KeyErrors, ledger.FileErrors and
-// ledger.InUseErrors.
+// on file I/O and must be called before the event loop runs. Its errors are of type *signature.KeyError,
+// *ledger.FileError or *ledger.InUseError.
 func NewReceiver(options Options) (*Receiver, error) {
 	return newReceiver(options, ledger.SystemDisk{})
 }
 
-// newReceiver is NewReceiver with the disk that the ledger is kept on.
+// newReceiver is like NewReceiver, with a given disk for the ledger.
 func newReceiver(options Options, disk ledger.Disk) (*Receiver, error) {
 	keys, err := readKeys(options.Config.Keys)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return r, nil
 }
 
-// openLedger opens the ledger and recovers the outcomes that it holds.
+// openLedger opens the ledger and recovers the outcomes in it.
 func (r *Receiver) openLedger(disk ledger.Disk) error {
 	orders, content, err := ledger.Open(ledger.Options{
 		Config: r.config.Ledger,
@@ -136,7 +136,7 @@
 // Counters returns the counters of deliveries since the start.
 func (r *Receiver) Counters() Counters { return r.counters }
 
-// LedgerCounters returns the counters of the ledger; zero where none is configured.
+// LedgerCounters returns the counters of the ledger, or zero counters if none is configured.
 func (r *Receiver) LedgerCounters() ledger.Counters {
 	if r.ledger == nil {
 		return ledger.Counters{}
@@ -144,7 +144,7 @@
 	return r.ledger.Counters()
 }
 
-// Close ends the ledger's goroutine when all entries are written. It blocks until then and must not be called on the
+// Close waits until all entries are written and stops the ledger's goroutine. It blocks and must not be called on the
 // event loop. No delivery may arrive after it.
 func (r *Receiver) Close() error {
 	if r.ledger == nil {
@@ -162,8 +162,8 @@
 	return &connection{receiver: r, transport: transport, peer: peer}
 }
 
-// Sweep forgets outcomes that are older than the configuration has them kept. The age of an order counts from its
-// event, as in the ledger, that of another request from its response.
+// Sweep removes outcomes that are older than the configured limits. The age of an order is measured from its event,
+// like in the ledger; the age of any other request is measured from its response.
 func (r *Receiver) Sweep(now time.Duration) {
 	steadyNow := r.deliveryClock.steady()
 	r.outcomes.removeCompleted(func(o *outcome) bool {
--- a/internal/webhook/recovery_test.go
+++ b/internal/webhook/recovery_test.go
@@ -13,13 +13,13 @@
 	"crankhold/internal/testutil"
 )
 
-// manualClock is a clock that the test moves.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Now() time.Duration       { return c.now }
 func (c *manualClock) ArrivedAt() time.Duration { return c.now }
 
-// steppedReceiver is a receiver whose wall clock is stepped.
+// steppedReceiver is a receiver with a wall clock that the test can step.
 type steppedReceiver struct {
 	*Receiver
 	disk  *faultyDisk // of the ledger
@@ -32,7 +32,8 @@
 
 const testRetention = 90 * time.Minute
 
-// newSteppedReceiver returns a receiver whose clocks say noon, and whose ledger retains orders for testRetention.
+// newSteppedReceiver returns a receiver whose wall clock starts at wall, and whose ledger retains orders for
+// testRetention.
 func newSteppedReceiver(t *testing.T, path string, wall time.Time) *steppedReceiver {
 	t.Helper()
 	s := &steppedReceiver{disk: &faultyDisk{}, t: t, core: &fakeCore{}, clock: &manualClock{time.Hour}, wall: wall, posts: make(chan func(), 100)}
@@ -47,15 +48,15 @@
 	return s
 }
 
-// advance has real time go by: both clocks move.
+// advance advances both clocks, like real time does, and removes expired outcomes.
 func (s *steppedReceiver) advance(span time.Duration) {
 	s.clock.now += span
 	s.wall = s.wall.Add(span)
 	s.Sweep(s.clock.now)
 }
 
-// deliver delivers an order that happened at a time and is signed at another. What reaches the core is served. It returns
-// the status of the response.
+// deliver delivers an order with the time of its event and the time of its signature. If the order reaches the core, it
+// is served. deliver returns the status of the response.
 func (s *steppedReceiver) deliver(id string, event, signed time.Time) int {
 	s.t.Helper()
 	transport := &testutil.Transport{}
@@ -74,8 +75,9 @@
 	return got[0]
 }
 
-// A step of the wall clock neither has an order forgotten within its window nor refuses a fresh delivery, whether the
-// sender's clock was stepped too or not. The windows are spans of real time and end.
+// After the wall clock was stepped, an order is still known within its retention, and a new delivery is accepted,
+// whether or not the sender's clock was stepped too. The retention is measured in real time: when it has passed, the
+// order is forgotten.
 func TestWallClockStepDoesNotAffectDeduplication(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		t.Run(fmt.Sprint(step), func(t *testing.T) {
@@ -90,30 +92,30 @@
 			steady := noon.Add(40 * time.Minute)
 			for name, signed := range map[string]time.Time{"not stepped": steady, "stepped": s.wall} {
 				if got := s.deliver("first", noon, signed); got != 200 || len(s.core.accepted) != 1 {
-					t.Errorf("a repeat by a sender that is %s: response %d, %d requests", name, got, len(s.core.accepted))
+					t.Errorf("redelivery, sender's clock %s: response %d, %d requests", name, got, len(s.core.accepted))
 				}
 			}
 			if got := s.deliver("not-stepped", steady, steady); got != 200 {
-				t.Errorf("a fresh order by a sender that is not stepped: response %d", got)
+				t.Errorf("new order, sender's clock not stepped: response %d", got)
 			}
 			if got := s.deliver("stepped", s.wall, s.wall); got != 200 {
-				t.Errorf("a fresh order by a sender that is stepped: response %d", got)
+				t.Errorf("new order, sender's clock stepped: response %d", got)
 			}
 			s.advance(testRetention)
 			if s.outcomes.find("first") != nil {
-				t.Error("an order is kept beyond its window")
+				t.Error("the order is still kept after its retention")
 			}
 			ran := len(s.core.accepted)
 			if got := s.deliver("first", noon, steady.Add(testRetention)); got != 400 || len(s.core.accepted) != ran {
-				t.Errorf("a repeat beyond the window: response %d, %d more requests", got, len(s.core.accepted)-ran)
+				t.Errorf("redelivery after the retention: response %d, %d more requests", got, len(s.core.accepted)-ran)
 			}
 		})
 	}
 }
 
-// An order that was forgotten at the end of its window is not run again by a program that starts when the wall clock has
-// been stepped back into it.
-func TestForgottenOrderIsRejectedAfterWallClockStepsBack(t *testing.T) {
+// An order that was removed from the ledger after its retention must not run again, even if the wall clock is then
+// stepped back into the retention and the program restarts.
+func TestForgottenOrderDoesNotRunAfterWallClockStepsBack(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	s := newSteppedReceiver(t, path, noon)
 	if got := s.deliver("first", noon, noon); got != 200 {
@@ -121,23 +123,23 @@
 	}
 	s.advance(testRetention + time.Minute)
 	s.Close()
-	newSteppedReceiver(t, path, s.wall).Close() // compacts, without the order
+	newSteppedReceiver(t, path, s.wall).Close() // compacts the ledger, which removes the order
 	stepped := newSteppedReceiver(t, path, s.wall.Add(-20*time.Minute))
 	defer stepped.Close()
 	if got := stepped.deliver("first", noon, stepped.wall); len(stepped.core.accepted) > 0 {
-		t.Errorf("it ran again: response %d", got)
+		t.Errorf("the order ran again: response %d", got)
 	}
 }
 
-// A ledger that failed to write records orders again once its disk works. Orders that were rejected meanwhile count as
-// not run, and the outcome of one that was served is recorded.
+// After a failed write, the ledger records orders again once its disk works. Orders that were rejected in the meantime
+// count as not run, and the outcome of an order that was served in the meantime is recorded.
 func TestLedgerRecoversAfterAFailedWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	s := newSteppedReceiver(t, path, noon)
 	served := &testutil.Transport{}
 	s.serve(served, netip.AddrPort{}).Data(signedDelivery(activeSecret, "served", noon, requestPayload("repair-order", "x", noon)))
 	(<-s.posts)()
-	s.disk.failOpenFile() // every write and sync fails from now on
+	s.disk.failOpenFile()
 	s.core.accepted[0].Responder.Respond(router.Response{Status: router.Served, Body: []byte("done"), MayHaveRun: true})
 	rejected := 0
 	for start := time.Now(); ; rejected++ {
@@ -145,7 +147,7 @@
 			break
 		}
 		if time.Since(start) > 10*time.Second {
-			t.Fatal("it records no orders ten seconds later")
+			t.Fatal("the ledger still records no orders after ten seconds")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/webhook/rejection_log.go
+++ b/internal/webhook/rejection_log.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// rejectionLogInterval is the least time between two log lines about rejected deliveries.
+// rejectionLogInterval is the minimum time between two log lines about rejected deliveries.
 const rejectionLogInterval = time.Second
 
-// rejectionLog logs why deliveries were rejected, at most once a rejectionLogInterval: whoever can connect could fill
-// the log otherwise. The receiver's counters count them all.
+// rejectionLog logs why deliveries were rejected, at most once per rejectionLogInterval. Otherwise any client that can
+// connect could fill the log. The receiver's counters include the rejections that are not logged.
 type rejectionLog struct {
 	logger *slog.Logger
-	next   time.Duration // when the next line may be logged
+	next   time.Duration // the earliest time at which the next line may be logged
 }
 
-// add logs a rejection, unless one was logged just before.
+// add logs a rejection, unless another one was logged within the last rejectionLogInterval.
 func (l *rejectionLog) add(now time.Duration, event string, err error) {
 	if now < l.next {
 		return
--- a/internal/webhook/rejection_log_test.go
+++ b/internal/webhook/rejection_log_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// One line is logged in each interval, by the receiver's own logger.
+// At most one line is logged in each interval, with the configured logger.
 func TestRejectionLogIsThrottled(t *testing.T) {
 	var text bytes.Buffer
 	log := rejectionLog{logger: slog.New(slog.NewTextHandler(&text, nil))}
--- a/internal/webhook/response.go
+++ b/internal/webhook/response.go
@@ -9,10 +9,10 @@
 // httpStatus is the status code of an HTTP response (RFC 9110, section 15; 431: RFC 6585).
 type httpStatus int
 
-// The status codes that the receiver sends. net/http has them too, but the program would then hold all of that package
-// for the sake of these numbers.
+// The status codes that the receiver sends. They are not taken from net/http, because that whole package would then be
+// linked into the program for these few numbers.
 const (
-	statusNone                 httpStatus = 0 // nothing is wrong so far
+	statusNone                 httpStatus = 0 // no status: the request was not rejected
 	statusOK                   httpStatus = 200
 	statusBadRequest           httpStatus = 400
 	statusUnauthorized         httpStatus = 401
@@ -28,7 +28,7 @@
 // continueResponse is the interim response to "Expect: 100-continue".
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// responseHeadCapacity is enough for the usual response head, in bytes.
+// responseHeadCapacity is the size of the buffer for a response head, in bytes. It is enough for most heads.
 const responseHeadCapacity = 192
 
 // reasonPhrases are the reason phrases of the statuses that the receiver sends (RFC 9110, section 15; 431: RFC 6585).
@@ -49,10 +49,10 @@
 type httpResponse struct {
 	status     httpStatus
 	body       []byte
-	retryAfter time.Duration // with 503 alone; rounded up to whole seconds, one at least
+	retryAfter time.Duration // sent with 503 only, rounded up to whole seconds and at least 1 s
 }
 
-// appendHead appends the response's head; the body follows it.
+// appendHead appends the head of the response to b. The caller writes the body after it.
 func (r httpResponse) appendHead(b []byte, disposition connectionDisposition) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.status), 10)
@@ -80,7 +80,7 @@
 	return max(1, int64((r.retryAfter+time.Second-1)/time.Second))
 }
 
-// connectionDisposition says what becomes of a connection after a response.
+// connectionDisposition says whether a connection is kept or closed after a response.
 type connectionDisposition uint8
 
 const (
--- a/internal/webhook/retention_test.go
+++ b/internal/webhook/retention_test.go
@@ -21,13 +21,13 @@
 		{-time.Minute, 24 * time.Hour, true},
 		{-time.Minute - 1, 24 * time.Hour, false}, // from the future
 		{58 * time.Minute, 24 * time.Hour, true},
-		{58*time.Minute + 1, 24 * time.Hour, false}, // two tolerances before the ledger drops it
-		{time.Minute, time.Minute, false},           // it may have been forgotten
+		{58*time.Minute + 1, 24 * time.Hour, false}, // two tolerances before the ledger removes it
+		{time.Minute, time.Minute, false},           // it may have been removed from the ledger
 		{time.Minute - 1, time.Minute, true},
 	} {
 		window.horizon = noon.Add(-test.horizonAge)
 		if got := window.contains(noon.Add(-test.age)); got != test.want {
-			t.Errorf("an order of %v, with a horizon of %v: %v", test.age, test.horizonAge, got)
+			t.Errorf("order of age %v, with a horizon %v before noon: %v", test.age, test.horizonAge, got)
 		}
 	}
 }
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// A sender at hooks.example.org replays, reorders and tampers with signed orders, and with the notices that it gets of
-// them, also over a restart. No order runs twice, and each has one notice.
+// A sender at hooks.example.org replays, reorders and tampers with signed orders, also after a restart, and sends the
+// notices about them back as deliveries. No order runs twice, and there is one notice about each.
 func TestOrdersRunOnceDespiteReplayAndRestart(t *testing.T) {
 	const orders = 30
 	ledger := filepath.Join(t.TempDir(), "ledger")
@@ -36,14 +36,14 @@
 		}
 		deliveries = append(deliveries, signedOrder{signedDelivery(activeSecret, id, noon, body), order, want})
 		for range 1 + rng.IntN(3) {
-			// Sent again as it was, or signed anew for a later attempt.
+			// A redelivery is either an exact copy or has a new signature for its later time.
 			deliveries = append(deliveries, signedOrder{signedDelivery(activeSecret, id, noon.Add(time.Duration(rng.IntN(100))*time.Second), body), order, want})
 		}
 		tampered := bytes.Replace(signedDelivery(activeSecret, id, noon, body), []byte("webhook-id: msg_"), []byte("webhook-id: msg_x"), 1)
 		deliveries = append(deliveries, signedOrder{tampered, order, 401}, signedOrder{signedDelivery(retiredSecret, id+"r", noon, body), order, 401})
 	}
 	subscriber := startFakeSubscriber(t)
-	for round := range 2 { // the second after a restart
+	for round := range 2 { // the second round is after a restart
 		rng.Shuffle(len(deliveries), func(i, j int) { deliveries[i], deliveries[j] = deliveries[j], deliveries[i] })
 		server := startTestServer(t, ledger, subscriber.address, runs)
 		var group sync.WaitGroup
@@ -62,7 +62,7 @@
 			for range orders {
 				<-subscriber.accepted
 			}
-			for _, notice := range subscriber.notices { // properly signed, but no request
+			for _, notice := range subscriber.notices { // a notice has a valid signature but contains no request
 				deliveries = append(deliveries, signedOrder{notice, "notice", 400})
 			}
 		}
@@ -84,7 +84,7 @@
 	}
 }
 
-// A payload signed with a retired key gets one final response, a rejection, and nothing after it.
+// A payload that is signed with a retired key gets exactly one response, which rejects it.
 func TestRetiredKeyGetsOneFinalResponse(t *testing.T) {
 	server := startTestServer(t, filepath.Join(t.TempDir(), "ledger"), "", map[string]int{})
 	defer server.stop(t)
--- a/internal/webhook/test_server_test.go
+++ b/internal/webhook/test_server_test.go
@@ -20,8 +20,8 @@
 	"crankhold/policy"
 )
 
-// testServer is all of a router but its workers: sockets, receiver, core and decisions. It takes the part of the workers
-// too: they end each run at once and count the runs by body.
+// testServer is a router with its sockets, receiver, core and decision module. It also stands in for the worker client
+// and the workers, which complete each request immediately and count the runs by request body.
 type testServer struct {
 	loop     *eventloop.Loop
 	core     *router.Core
@@ -56,7 +56,7 @@
 func (server *testServer) Unload(policy.WorkerID, policy.FunctionID) {}
 func (server *testServer) CloseIdle(policy.WorkerID)                 {}
 
-// startTestServer starts a server. Notices go to the given address; none are sent where it is empty.
+// startTestServer starts a server. Notices are sent to the given address, or not at all if it is empty.
 func startTestServer(t *testing.T, ledger, notices string, runs map[string]int) *testServer {
 	t.Helper()
 	decisions, err := policy.New(policy.Config{
@@ -119,7 +119,7 @@
 	return server
 }
 
-// stop ends the loop and the ledger.
+// stop stops the event loop and closes the receiver with its ledger.
 func (server *testServer) stop(t *testing.T) {
 	t.Helper()
 	server.loop.Post(server.loop.Stop)
@@ -129,7 +129,7 @@
 	}
 }
 
-// deliver sends one delivery on a connection of its own and returns its one response.
+// deliver sends one delivery on a new connection and returns its response.
 func (server *testServer) deliver(t *testing.T, b []byte) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", server.address)
