--- a/internal/notice/config.go
+++ b/internal/notice/config.go
@@ -11,7 +11,7 @@
 type Config struct {
 	Enabled bool   `toml:"enabled"`
 	URL     string `toml:"url"`
-	// Connect is the address to connect to. If it is empty, that is the URL's host.
+	// Connect is the address to connect to. If it is empty, the URL's host is used.
 	Connect string `toml:"connect"`
 	Key     string `toml:"key"`
 	// Queue limits how many notices may be queued or being delivered.
--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -75,19 +75,19 @@
 		plainURL = "http://hooks.example.org/notices"
 		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
 	)
-	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Client: router.Client{Reference: "msg_1"}, Function: router.Function{Key: "7f3a9c21e0b4d655"}}
-	byOther := router.Request{ID: "order-17", Function: router.Function{Key: "7f3a9c21e0b4d655"}}
+	fromWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Client: router.Client{Reference: "msg_1"}, Function: router.Function{Key: "7f3a9c21e0b4d655"}}
+	fromOther := router.Request{ID: "order-17", Function: router.Function{Key: "7f3a9c21e0b4d655"}}
 	for _, n := range []noticeCase{
-		{"served", plainURL, "served", byWebhook, []string{accepted}},
-		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
-		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
-		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
-		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
+		{"served", plainURL, "served", fromWebhook, []string{accepted}},
+		{"refused", plainURL, "refused", fromWebhook, []string{accepted}},
+		{"failed", plainURL, "failed", fromWebhook, []string{accepted}},
+		{"abandoned", plainURL, "abandoned", fromWebhook, []string{accepted}},
+		{"served-without-webhook-id", plainURL, "served", fromOther, []string{accepted}},
 		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, Client: router.Client{Reference: "msg_<&>"}, Function: router.Function{Key: "é"}}, []string{accepted}},
-		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
-		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
-		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
-		{"gone", plainURL, "served", byWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
+		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", fromWebhook, []string{accepted}},
+		{"served-url-without-path", "http://hooks.example.org", "served", fromWebhook, []string{accepted}},
+		{"served-at-the-third-try", plainURL, "served", fromWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
+		{"gone", plainURL, "served", fromWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
 	} {
 		t.Run(n.name, func(t *testing.T) {
 			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.run(t)))
--- a/internal/notice/sender.go
+++ b/internal/notice/sender.go
@@ -12,7 +12,7 @@
 const (
 	maxConcurrentAttempts = 4
 	maxBackoff            = 10 * time.Minute
-	maxBackoffSteps       = 10        // the delay does not grow after so many steps, whatever the configured backoff
+	maxBackoffSteps       = 10        // the delay stops growing after this many steps, whatever the configured backoff
 	idleTickInterval      = time.Hour // the longest time after which Tick asks to be called again
 )
 
--- a/internal/signature/key.go
+++ b/internal/signature/key.go
@@ -27,7 +27,7 @@
 	return k.Until.IsZero() || now.Before(k.Until)
 }
 
-// ReadSecret returns the secret in a key file, which holds a prefix and the secret in base64. Its errors are of type
+// ReadSecret returns the secret in a key file. The file holds secretPrefix and the secret in base64. Errors are of type
 // *KeyError. It blocks on file I/O.
 func ReadSecret(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
--- a/internal/webhook/authentication.go
+++ b/internal/webhook/authentication.go
@@ -11,17 +11,17 @@
 
 // The reasons, in the order in which they are checked.
 const (
-	Unsigned       AuthenticationReason = iota // a signature header is missing, repeated or malformed
-	NoMatchingKey                              // no signature matches an active key
-	StaleTimestamp                             // the timestamp differs from the current time by more than the tolerance
+	InvalidSignatureHeaders AuthenticationReason = iota // a signature header is missing, repeated or malformed
+	NoMatchingKey                                       // no signature matches an active key
+	StaleTimestamp                                      // the timestamp is not within the tolerance of the current time
 )
 
 // String returns the reason as it is logged.
 func (r AuthenticationReason) String() string {
 	return [...]string{
-		Unsigned:       "signature headers are missing, repeated or malformed",
-		NoMatchingKey:  "no signature matches an active key",
-		StaleTimestamp: "timestamp is out of tolerance",
+		InvalidSignatureHeaders: "signature headers are missing, repeated or malformed",
+		NoMatchingKey:           "no signature matches an active key",
+		StaleTimestamp:          "timestamp is out of tolerance",
 	}[r]
 }
 
@@ -56,7 +56,7 @@
 func (a *authenticator) authenticate(request *httpRequest, body []byte) (id string, err error) {
 	headers, ok := parseSignatureHeaders(request)
 	if !ok {
-		return "", &AuthenticationError{Reason: Unsigned}
+		return "", &AuthenticationError{Reason: InvalidSignatureHeaders}
 	}
 	if !headers.IsSignedByAny(a.keys, body, a.clock.steady()) {
 		return "", &AuthenticationError{Reason: NoMatchingKey}
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -44,7 +44,7 @@
 				response := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")),
 					MayHaveRun: rapid.Bool().Draw(t, "ran"), DeadlineExceeded: rapid.Bool().Draw(t, "overdue")}
 				status := map[router.ResponseStatus]int{router.Served: 200, router.Rejected: 502, router.Failed: 502}[response.Status]
-				if unrun := response.Status == router.Rejected && !response.MayHaveRun; unrun {
+				if notRun := response.Status == router.Rejected && !response.MayHaveRun; notRun {
 					status = 503
 				}
 				if response.DeadlineExceeded && response.Status != router.Served {
--- a/internal/webhook/delivery.go
+++ b/internal/webhook/delivery.go
@@ -13,7 +13,7 @@
 const defaultRetryAfter = time.Second
 
 // unavailable is the response that rejects a delivery whose request was not forwarded.
-var unavailable = httpResponse{status: statusServiceUnavailable, retryAfter: defaultRetryAfter}
+var unavailableResponse = httpResponse{status: statusServiceUnavailable, retryAfter: defaultRetryAfter}
 
 // handle responds to an HTTP request or forwards the request in its payload. A delivery has no effect before it is
 // authenticated.
@@ -61,7 +61,7 @@
 		r.counters.Replayed++
 		c.respond(first.response())
 	case len(first.joined) >= maxJoined:
-		c.respond(unavailable)
+		c.respond(unavailableResponse)
 	default:
 		r.counters.Joined++
 		first.joined = append(first.joined, c)
@@ -78,13 +78,13 @@
 		return
 	}
 	if r.outcomes.isFull() {
-		c.respond(unavailable)
+		c.respond(unavailableResponse)
 		return
 	}
 	class := r.classes.at(request.Class)
 	if class.NotIdempotent && r.ledger == nil {
 		r.counters.LedgerRejected++
-		c.respond(unavailable)
+		c.respond(unavailableResponse)
 		return
 	}
 	request.Client.Address = c.peer
@@ -119,7 +119,7 @@
 	if err != nil {
 		r.counters.LedgerRejected++
 		r.outcomes.remove(id)
-		order.respondToAll(unavailable)
+		order.respondToAll(unavailableResponse)
 		return
 	}
 	r.forward(id, order, request)
--- a/internal/webhook/errors_test.go
+++ b/internal/webhook/errors_test.go
@@ -56,7 +56,7 @@
 		message string
 		bytes   []byte
 	}{
-		{Unsigned, "signature headers are missing, repeated or malformed", signedDelivery(activeSecret, "m.1", noon, body)},
+		{InvalidSignatureHeaders, "signature headers are missing, repeated or malformed", signedDelivery(activeSecret, "m.1", noon, body)},
 		{NoMatchingKey, "no signature matches an active key", signedDelivery(retiredSecret, "m", noon, body)},
 		{StaleTimestamp, "timestamp is out of tolerance", signedDelivery(activeSecret, "m", noon.Add(-time.Hour), body)},
 	} {
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -140,7 +140,7 @@
 			responses: []router.Response{{Status: router.Rejected}, served}},
 		{name: "503-order-without-ledger", sent: single(deliver("repair-order")), noLedger: true},
 		{name: "503-ledger-full", sent: single(deliver("repair-order")), configure: func(c *Config) { c.Receiver.Ledger.MaxBytes = 1 }},
-		{name: "503-outcomes-full", sent: single(valid), prepare: func(v *Receiver) { v.outcomes.maxBytes = -1 }},
+		{name: "503-outcomes-full", sent: single(valid), prepare: func(v *Receiver) { v.outcomes.maxBodyBytes = -1 }},
 
 		{name: "504-overdue-before-it-ran", sent: single(valid), responses: respond(router.Response{Status: router.Rejected, DeadlineExceeded: true})},
 		{name: "504-overdue", sent: single(valid), responses: respond(router.Response{Status: router.Failed, DeadlineExceeded: true})},
--- a/internal/webhook/http.go
+++ b/internal/webhook/http.go
@@ -103,7 +103,7 @@
 		line, lines, _ = bytes.Cut(lines, lineEnd)
 		name, value, found := bytes.Cut(line, []byte{':'})
 		value = bytes.Trim(value, " \t")
-		if !found || !isToken(name) || !isText(value) {
+		if !found || !isToken(name) || !isFieldValue(value) {
 			return statusBadRequest
 		}
 		if len(r.headers) == maxHeaders {
@@ -114,8 +114,8 @@
 	return statusNone
 }
 
-// parseFraming reads the length of the body (RFC 9112, section 6). It rejects requests with two lengths or with chunked
-// encoding: ambiguous framing is the means of request smuggling, in which two HTTP implementations disagree on where a
+// parseFraming reads the length of the body (RFC 9112, section 6). It rejects requests with several lengths or with any
+// transfer coding, because ambiguous framing allows request smuggling: two HTTP implementations disagree on where a
 // request ends.
 func (r *httpRequest) parseFraming() httpStatus {
 	if _, hostCount := r.header("Host"); hostCount != 1 {
@@ -177,8 +177,8 @@
 	return len(b) > 0
 }
 
-// isText reports whether b has no control characters except tabs.
-func isText(b []byte) bool {
+// isFieldValue reports whether b has no control characters except tabs.
+func isFieldValue(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
--- a/internal/webhook/outcome_table.go
+++ b/internal/webhook/outcome_table.go
@@ -7,13 +7,13 @@
 
 // outcomeTable keeps outcomes by webhook-id. It must only be used on the event loop's goroutine.
 type outcomeTable struct {
-	byID     map[string]*outcome
-	bytes    int // the total size of the bodies of the completed outcomes in byID
-	maxBytes int // while bytes is above it, new deliveries are rejected
+	byID         map[string]*outcome
+	bodyBytes    int // the total size of the bodies of the completed outcomes in byID
+	maxBodyBytes int // while bodyBytes is above it, new deliveries are rejected
 }
 
 func newOutcomeTable(maxBytes int) *outcomeTable {
-	return &outcomeTable{byID: map[string]*outcome{}, maxBytes: maxBytes}
+	return &outcomeTable{byID: map[string]*outcome{}, maxBodyBytes: maxBytes}
 }
 
 // find returns the outcome of an id, or nil if there is none.
@@ -21,18 +21,18 @@
 
 // isFull reports whether the table has no capacity for a new outcome.
 func (t *outcomeTable) isFull() bool {
-	return len(t.byID) >= maxOutcomes || t.bytes > t.maxBytes
+	return len(t.byID) >= maxOutcomes || t.bodyBytes > t.maxBodyBytes
 }
 
 func (t *outcomeTable) add(id string, o *outcome) {
 	t.byID[id] = o
-	t.bytes += len(o.body)
+	t.bodyBytes += len(o.body)
 }
 
 func (t *outcomeTable) remove(id string) {
 	if o := t.byID[id]; o != nil {
 		delete(t.byID, id)
-		t.bytes -= len(o.body)
+		t.bodyBytes -= len(o.body)
 	}
 }
 
@@ -51,5 +51,5 @@
 	o.completedAt = now
 	o.status = status
 	o.body = body
-	t.bytes += len(body)
+	t.bodyBytes += len(body)
 }
--- a/internal/webhook/outcome_table_test.go
+++ b/internal/webhook/outcome_table_test.go
@@ -14,12 +14,12 @@
 		t.Error("full with 4 of 5 bytes")
 	}
 	table.complete(pending, statusOK, []byte("ok"), 0)
-	if !table.isFull() || table.bytes != 6 {
-		t.Errorf("%d bytes, full %v", table.bytes, table.isFull())
+	if !table.isFull() || table.bodyBytes != 6 {
+		t.Errorf("%d bytes, full %v", table.bodyBytes, table.isFull())
 	}
 	table.remove("unknown")
 	table.removeCompleted(func(o *outcome) bool { return o == recovered })
-	if table.find("recovered") != nil || table.find("pending") != pending || table.bytes != 2 {
-		t.Errorf("%d bytes after the removal, %v", table.bytes, table.byID)
+	if table.find("recovered") != nil || table.find("pending") != pending || table.bodyBytes != 2 {
+		t.Errorf("%d bytes after the removal, %v", table.bodyBytes, table.byID)
 	}
 }
--- a/internal/webhook/receiver.go
+++ b/internal/webhook/receiver.go
@@ -116,7 +116,7 @@
 
 // openLedger opens the ledger and recovers the outcomes in it.
 func (r *Receiver) openLedger(disk ledger.Disk) error {
-	orders, content, err := ledger.Open(ledger.Options{
+	orderLedger, content, err := ledger.Open(ledger.Options{
 		Config: r.config.Ledger,
 		Now:    r.deliveryClock.steady(),
 		Disk:   disk,
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	r.ledger = orders
+	r.ledger = orderLedger
 	r.retention.horizon = content.RetentionHorizon
 	for _, entry := range content.Entries {
 		r.outcomes.add(entry.ID, recoveredOutcome(entry))
--- a/internal/webhook/recovery_test.go
+++ b/internal/webhook/recovery_test.go
@@ -152,17 +152,17 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	s.Close()
-	again := newSteppedReceiver(t, path, noon)
-	defer again.Close()
-	if got := again.deliver("served", noon, noon); got != 200 || len(again.core.accepted) > 0 {
-		t.Errorf("the order that was served while the disk failed: response %d, %d requests", got, len(again.core.accepted))
+	restarted := newSteppedReceiver(t, path, noon)
+	defer restarted.Close()
+	if got := restarted.deliver("served", noon, noon); got != 200 || len(restarted.core.accepted) > 0 {
+		t.Errorf("the order that was served while the disk failed: response %d, %d requests", got, len(restarted.core.accepted))
 	}
 	for i := range rejected {
-		if got := again.deliver("order-"+strconv.Itoa(i), noon, noon); got != 200 {
+		if got := restarted.deliver("order-"+strconv.Itoa(i), noon, noon); got != 200 {
 			t.Errorf("order %d of %d that were rejected: response %d", i, rejected, got)
 		}
 	}
-	if ran := len(again.core.accepted); ran != rejected {
+	if ran := len(restarted.core.accepted); ran != rejected {
 		t.Errorf("%d of %d rejected orders ran", ran, rejected)
 	}
 }
--- a/internal/webhook/test_server_test.go
+++ b/internal/webhook/test_server_test.go
@@ -81,9 +81,9 @@
 	server.core = router.New(decisions, router.Config{
 		Limits:          router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second},
 		NewWorkerClient: func(*router.Core) router.WorkerClient { return server },
-		OnCompleted: func(now time.Duration, r *router.Request, end router.Completion) {
+		OnCompleted: func(now time.Duration, r *router.Request, completion router.Completion) {
 			if notices != "" {
-				server.sender.Notify(now, r, end)
+				server.sender.Notify(now, r, completion)
 			}
 		},
 	})
