--- a/internal/webhook/outcome_table.go
+++ b/internal/webhook/outcome_table.go
@@ -12,8 +12,8 @@
 	maxBodyBytes int // while bodyBytes is above it, new deliveries are rejected
 }
 
-func newOutcomeTable(maxBytes int) *outcomeTable {
-	return &outcomeTable{byID: map[string]*outcome{}, maxBodyBytes: maxBytes}
+func newOutcomeTable(maxBodyBytes int) *outcomeTable {
+	return &outcomeTable{byID: map[string]*outcome{}, maxBodyBytes: maxBodyBytes}
 }
 
 // find returns the outcome of an id, or nil if there is none.
