--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -20,18 +20,18 @@
 	activeSecret = bytes.Repeat([]byte("active"), 5)
 )
 
-// wallAtNoon is a wall clock that stands still.
+// wallAtNoon is a wall clock that always returns noon.
 func wallAtNoon() time.Time { return noon }
 
-// noticeCase is a notice that is sent, and the response to each attempt.
+// noticeCase is a notice to send, with the subscriber's response to each attempt.
 type noticeCase struct {
 	name, url, outcome string
 	request            router.Request
 	responses          []string
 }
 
-// play returns a transcript of all attempts.
-func (n noticeCase) play(t *testing.T) string {
+// run makes all attempts and returns a transcript of them.
+func (n noticeCase) run(t *testing.T) string {
 	t.Helper()
 	testutil.FixRandom(t)
 	config := DefaultConfig()
@@ -43,7 +43,7 @@
 	var transport *testutil.Transport
 	var handler eventloop.DialHandler
 	transcript := ""
-	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // notices are in UTC
+	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // timestamps in notices must still be in UTC
 	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
 		transport, handler = &testutil.Transport{}, h
@@ -68,28 +68,29 @@
 	return transcript
 }
 
-// The bytes of each signed notice are fixed, and that a retry differs by its timestamp and signature alone.
+// Each signed notice matches its golden file byte for byte. The golden files also show that a retry differs from the
+// first attempt in its timestamp and signature only.
 func TestGoldenNotices(t *testing.T) {
 	const (
 		plainURL = "http://hooks.example.org/notices"
 		accepted = "HTTP/1.1 204 No Content\r\n\r\n"
 	)
-	byWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Client: router.Client{Reference: "msg_1"}, Function: router.Function{Key: "7f3a9c21e0b4d655"}}
-	byOther := router.Request{ID: "order-17", Function: router.Function{Key: "7f3a9c21e0b4d655"}}
+	fromWebhook := router.Request{ID: "9b1f03aa5c7e2d41", Client: router.Client{Reference: "msg_1"}, Function: router.Function{Key: "7f3a9c21e0b4d655"}}
+	fromOther := router.Request{ID: "order-17", Function: router.Function{Key: "7f3a9c21e0b4d655"}}
 	for _, n := range []noticeCase{
-		{"served", plainURL, "served", byWebhook, []string{accepted}},
-		{"refused", plainURL, "refused", byWebhook, []string{accepted}},
-		{"failed", plainURL, "failed", byWebhook, []string{accepted}},
-		{"abandoned", plainURL, "abandoned", byWebhook, []string{accepted}},
-		{"served-without-webhook-id", plainURL, "served", byOther, []string{accepted}},
+		{"served", plainURL, "served", fromWebhook, []string{accepted}},
+		{"refused", plainURL, "refused", fromWebhook, []string{accepted}},
+		{"failed", plainURL, "failed", fromWebhook, []string{accepted}},
+		{"abandoned", plainURL, "abandoned", fromWebhook, []string{accepted}},
+		{"served-without-webhook-id", plainURL, "served", fromOther, []string{accepted}},
 		{"served-with-escapes", plainURL, "served", router.Request{ID: `a"b`, Client: router.Client{Reference: "msg_<&>"}, Function: router.Function{Key: "é"}}, []string{accepted}},
-		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", byWebhook, []string{accepted}},
-		{"served-url-without-path", "http://hooks.example.org", "served", byWebhook, []string{accepted}},
-		{"served-at-the-third-try", plainURL, "served", byWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
-		{"gone", plainURL, "served", byWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
+		{"served-url-with-port-and-query", "http://hooks.example.org:8080/n%20m?from=crankhold&x=1#part", "served", fromWebhook, []string{accepted}},
+		{"served-url-without-path", "http://hooks.example.org", "served", fromWebhook, []string{accepted}},
+		{"served-at-the-third-try", plainURL, "served", fromWebhook, []string{"HTTP/1.1 500 Sorry\r\n\r\n", "HTTP/1.1 302 Found\r\n\r\n", accepted}},
+		{"gone", plainURL, "served", fromWebhook, []string{"HTTP/1.1 410 Gone\r\n\r\n"}},
 	} {
 		t.Run(n.name, func(t *testing.T) {
-			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.play(t)))
+			golden.Compare(t, filepath.Join("testdata", "sender", n.name+".txt"), []byte(n.run(t)))
 		})
 	}
 }
--- a/internal/webhook/connection_test.go
+++ b/internal/webhook/connection_test.go
@@ -12,20 +12,21 @@
 	"crankhold/internal/testutil"
 )
 
-// The model of a connection: deliveries reach the core however they are split, and each is answered once and in order,
-// with the status that its outcome maps to. A webhook-id runs once unless its request was rejected without having run.
-func TestConnectionAnswersEachDeliveryOnceInOrder(t *testing.T) {
+// A model-based test of a connection. Deliveries reach the core however their bytes are split. Each gets one response,
+// in order, with the status that its outcome maps to. The request of a webhook-id runs once, unless it was rejected
+// without having run.
+func TestConnectionRespondsToEachDeliveryOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := &fakeCore{}
 		transport := &testutil.Transport{}
 		receiver, _ := newTestReceiver(t, core, "")
 		client := receiver.serve(transport, netip.AddrPort{})
 		var want []int
-		completed := map[string]int{} // by id, the status that is replayed
+		completed := map[string]int{} // the status that is replayed, by webhook-id
 		t.Repeat(map[string]func(*rapid.T){
 			"deliver": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
-				for b := signedDelivery(activeSecret, id, noon, callPayload("dim-level", id, noon)); len(b) > 0; {
+				for b := signedDelivery(activeSecret, id, noon, requestPayload("dim-level", id, noon)); len(b) > 0; {
 					n := rapid.IntRange(1, len(b)).Draw(t, "n")
 					client.Data(bytes.Clone(b[:n]))
 					b = b[n:]
@@ -43,7 +44,7 @@
 				response := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")),
 					MayHaveRun: rapid.Bool().Draw(t, "ran"), DeadlineExceeded: rapid.Bool().Draw(t, "overdue")}
 				status := map[router.ResponseStatus]int{router.Served: 200, router.Rejected: 502, router.Failed: 502}[response.Status]
-				if unrun := response.Status == router.Rejected && !response.MayHaveRun; unrun {
+				if notRun := response.Status == router.Rejected && !response.MayHaveRun; notRun {
 					status = 503
 				}
 				if response.DeadlineExceeded && response.Status != router.Served {
