--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -159,7 +159,7 @@
 	if s != c.sockets.current {
 		return
 	}
-	r, err := s.match(datagram)
+	r, err := s.matchResponse(datagram)
 	if err == nil {
 		err = c.handleResponse(r)
 	}
@@ -170,7 +170,7 @@
 
 // handleResponse applies a response. If that confirms the current list, it schedules the next poll.
 func (c *Client) handleResponse(r response) error {
-	if err := c.apply(r); err != nil {
+	if err := c.applyResponse(r); err != nil {
 		return err
 	}
 	c.failureLogged = false
@@ -182,12 +182,12 @@
 	return nil
 }
 
-// apply replaces the list by that of a response if it is newer, or if it completes the current one. A
+// applyResponse replaces the list by that of a response if it is newer, or if it completes the current one. A
 // MissingAddressError says that the list was applied, or stays in force, without some worker's new addresses.
-func (c *Client) apply(r response) error {
+func (c *Client) applyResponse(r response) error {
 	current := c.endpoints.serial
 	switch c.endpoints.compare(r.serial, c.now) {
-	case listStays:
+	case listIgnored:
 		return nil
 	case listRenumbered:
 		c.logger.Warn("discovery_serial_reset", slog.String("addr", c.sockets.addr),
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -17,8 +17,8 @@
 		t.Fatalf("list %v", d.list)
 	}
 	d.sockets.current.Data(responseTo(d.query(), 4, 0, 1))
-	want := []Worker{{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
-		{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
+	want := []Worker{{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
+		{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
 	if fmt.Sprint(d.list) != fmt.Sprint(want) {
 		t.Fatalf("list %v, want %v", d.list, want)
 	}
@@ -66,9 +66,9 @@
 
 // Queries are few, since all routers share one discovery server; they are spread over time; and three of them fall into the 2.5 s
 // after which nothing new may be sent to a worker that drains, however many are lost.
-func TestPollsAreFewAndJitteredAndThreeFollowAnEvent(t *testing.T) {
+func TestPollRateAndJitter(t *testing.T) {
 	run := func(seed uint64, until time.Duration, answered func(n int) (serial uint32, ok bool)) (at []time.Duration) {
-		d := newConfiguredTestClient(t, Config{Seed: seed})
+		d := newTestClientWithConfig(t, Config{Seed: seed})
 		start := d.now
 		for now := d.now; now < start+until; now += time.Millisecond {
 			l := d.transports[len(d.transports)-1]
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -39,7 +39,7 @@
 type comparison int
 
 const (
-	listStays      comparison = iota // the current list stays in force
+	listIgnored    comparison = iota // the current list stays in force
 	listNewer                        // the other list is newer
 	listCompletes                    // the other list has the same number, and the current one is incomplete
 	listRenumbered                   // the other list has a lower number, but the server numbers its lists anew
@@ -61,7 +61,7 @@
 	case serial == l.serial && l.incomplete:
 		return listCompletes
 	}
-	return listStays
+	return listIgnored
 }
 
 // compareLower decides on a response with a lower serial number. After serialResetAfter without any other response the
@@ -71,7 +71,7 @@
 		l.staleSince = now
 	}
 	if now-l.staleSince < serialResetAfter {
-		return listStays
+		return listIgnored
 	}
 	l.staleSince = 0
 	return listRenumbered
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -61,18 +61,18 @@
 		want       comparison
 	}{
 		{"newer", false, start, 51, listNewer},
-		{"same", false, start, 50, listStays},
+		{"same", false, start, 50, listIgnored},
 		{"same as an incomplete one", true, start, 50, listCompletes},
-		{"neither above nor below", false, start, 50 + 1<<31, listStays},
-		{"first lower one", false, 0, 49, listStays},
-		{"lower for a while", false, start - serialResetAfter + 1, 49, listStays},
+		{"neither above nor below", false, start, 50 + 1<<31, listIgnored},
+		{"first lower one", false, 0, 49, listIgnored},
+		{"lower for a while", false, start - serialResetAfter + 1, 49, listIgnored},
 		{"lower for long", false, start - serialResetAfter, 49, listRenumbered},
 	} {
 		list := endpointList{serial: 50, incomplete: test.incomplete, staleSince: test.staleSince}
 		if got := list.compare(test.serial, start); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
-		if stale := list.staleSince > 0; stale != (test.serial == 49 && test.want == listStays) {
+		if stale := list.staleSince > 0; stale != (test.serial == 49 && test.want == listIgnored) {
 			t.Errorf("%s: stale since %v", test.name, list.staleSince)
 		}
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -57,7 +57,7 @@
 	const target = "s-0.east.hosts"
 	noTexts := map[string][]string{}
 	service := serviceRecord{priority: 0, weight: 40, port: 10080, target: target}
-	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	plain := Worker{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	described := plain
 	described.Kind = "std"
 	described.Cell = 2
@@ -73,9 +73,9 @@
 		{Network: endpoint.TCP6, Addr: "[fd00::1]:10080"}}
 	withUnix := plain
 	withUnix.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.Unix, Addr: "/run/w.sock"}}
-	draining := Worker{Name: "s-1", Addrs: at("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
-	second := Worker{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
-	highest := Worker{Name: "s-0", Addrs: at("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
+	draining := Worker{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
+	second := Worker{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	highest := Worker{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
 	bothAddresses := addresses(target, "10.1.0.0")
 	bothAddresses["s-1.west.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.1")}
 	strangerAddresses := addresses(target, "10.1.0.0")
@@ -123,7 +123,7 @@
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
 			}
-			d := newConfiguredTestClient(t, Config{UnixInTXT: test.unixInTXT})
+			d := newTestClientWithConfig(t, Config{UnixInTXT: test.unixInTXT})
 			d.sockets.current.Data(withID(message, d.query()))
 			if !reflect.DeepEqual(d.list, test.workers) || d.endpoints.serial != test.want.serial || d.endpoints.incomplete != test.incomplete {
 				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.endpoints.serial, d.endpoints.incomplete, d.list, test.workers)
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -32,17 +32,17 @@
 const (
 	headerSize = 12
 
-	flagsOffset      = 2
-	codeOffset       = 3
-	questionsOffset  = 4
-	answersOffset    = 6
-	authorityOffset  = 8
-	additionalOffset = 10
+	flagsOffset        = 2
+	responseCodeOffset = 3
+	questionsOffset    = 4
+	answersOffset      = 6
+	authorityOffset    = 8
+	additionalOffset   = 10
 
 	flagResponse         = 0x80
 	flagTruncated        = 0x02
 	flagRecursionDesired = 0x01
-	codeMask             = 0x0f
+	responseCodeMask     = 0x0f
 )
 
 // The fixed parts of questions and records.
@@ -50,10 +50,10 @@
 	questionTrailerSize = 4  // type and class behind a question's name
 	recordTrailerSize   = 10 // type, class, time to live and length behind a record's name
 	recordLengthOffset  = 8  // of the data's length, in a record's trailer
-	serviceFixedSize    = 6  // priority, weight and port before a service record's target
-	serviceWeightOffset = 2
-	servicePortOffset   = 4
-	authorityFixedSize  = 20 // the numbers behind the names of an SOA record, of which the first is the serial number
+	srvFixedSize        = 6  // priority, weight and port before a service record's target
+	srvWeightOffset     = 2
+	srvPortOffset       = 4
+	soaFixedSize        = 20 // the numbers behind the names of an SOA record, of which the first is the serial number
 )
 
 // maxRecords bounds the records of a message.
--- a/internal/discovery/name.go
+++ b/internal/discovery/name.go
@@ -46,7 +46,7 @@
 		length := r.message[r.offset]
 		switch {
 		case length == 0:
-			r.endAt(r.offset + 1)
+			r.setNext(r.offset + 1)
 			return nil
 		case length&labelTypeMask == labelTypePointer:
 			err = r.followPointer()
@@ -59,9 +59,9 @@
 	}
 }
 
-// endAt sets the offset of what follows the name. Only the first call counts: a name that ends in a pointer ends behind
+// setNext sets the offset of what follows the name. Only the first call counts: a name that ends in a pointer ends behind
 // that pointer, wherever the labels that it leads to end.
-func (r *nameReader) endAt(offset int) {
+func (r *nameReader) setNext(offset int) {
 	if r.next == 0 {
 		r.next = offset
 	}
@@ -94,7 +94,7 @@
 	if target >= r.offset || r.pointers > maxPointers {
 		return r.malformed()
 	}
-	r.endAt(end)
+	r.setNext(end)
 	r.offset = target
 	return nil
 }
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -73,8 +73,8 @@
 	if flags&flagTruncated != 0 {
 		return &ParseError{Offset: flagsOffset, Err: errTruncated}
 	}
-	if code := p.message[codeOffset] & codeMask; code != 0 {
-		return &ParseError{Offset: codeOffset, Err: responseCodeError(code)}
+	if code := p.message[responseCodeOffset] & responseCodeMask; code != 0 {
+		return &ParseError{Offset: responseCodeOffset, Err: responseCodeError(code)}
 	}
 	return nil
 }
@@ -98,10 +98,10 @@
 
 // record is where one record's data stands.
 type record struct {
-	owner string
-	kind  uint16
-	start int // of its data
-	end   int
+	owner      string
+	recordType uint16
+	start      int // of its data
+	end        int
 }
 
 // size returns the length of the record's data in bytes.
@@ -113,15 +113,15 @@
 	if err != nil {
 		return err
 	}
-	switch rec.kind {
+	switch rec.recordType {
 	case typeSRV:
-		return p.parseService(rec)
+		return p.parseSRV(rec)
 	case typeA, typeAAAA:
 		p.parseAddress(rec)
 	case typeTXT:
-		return p.parseTexts(rec)
+		return p.parseTXT(rec)
 	case typeSOA:
-		return p.parseSerial(rec)
+		return p.parseSOA(rec)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 	if len(p.message) < next+recordTrailerSize {
 		return record{}, &ParseError{Offset: next, Err: errMalformed}
 	}
-	rec := record{owner: owner, kind: p.uint16At(next), start: next + recordTrailerSize}
+	rec := record{owner: owner, recordType: p.uint16At(next), start: next + recordTrailerSize}
 	rec.end = rec.start + int(p.uint16At(next+recordLengthOffset))
 	if len(p.message) < rec.end {
 		return record{}, &ParseError{Offset: rec.start, Err: errMalformed}
@@ -146,7 +146,7 @@
 
 // parseAddress parses an A or an AAAA record. One whose data has another size than its type's addresses is ignored.
 func (p *parser) parseAddress(rec record) {
-	if rec.size() != addressSizes[rec.kind] {
+	if rec.size() != addressSizes[rec.recordType] {
 		return
 	}
 	addr, ok := netip.AddrFromSlice(p.message[rec.start:rec.end])
@@ -155,26 +155,26 @@
 	}
 }
 
-// parseService parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
-func (p *parser) parseService(rec record) error {
-	if rec.owner != serviceName || rec.size() <= serviceFixedSize {
+// parseSRV parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
+func (p *parser) parseSRV(rec record) error {
+	if rec.owner != serviceName || rec.size() <= srvFixedSize {
 		return nil
 	}
-	target, _, err := readName(p.message, rec.start+serviceFixedSize)
+	target, _, err := readName(p.message, rec.start+srvFixedSize)
 	if err != nil {
 		return err
 	}
 	p.response.services = append(p.response.services, serviceRecord{
 		priority: p.uint16At(rec.start),
-		weight:   p.uint16At(rec.start + serviceWeightOffset),
-		port:     p.uint16At(rec.start + servicePortOffset),
+		weight:   p.uint16At(rec.start + srvWeightOffset),
+		port:     p.uint16At(rec.start + srvPortOffset),
 		target:   target,
 	})
 	return nil
 }
 
-// parseTexts parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
-func (p *parser) parseTexts(rec record) error {
+// parseTXT parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
+func (p *parser) parseTXT(rec record) error {
 	for at := rec.start; at < rec.end; {
 		end := at + 1 + int(p.message[at])
 		if rec.end < end {
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// parseSerial parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
-func (p *parser) parseSerial(rec record) error {
+// parseSOA parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
+func (p *parser) parseSOA(rec record) error {
 	at := rec.start
 	for range 2 {
 		_, next, err := readName(p.message, at)
@@ -196,7 +196,7 @@
 		}
 		at = next
 	}
-	if rec.end < at+authorityFixedSize {
+	if rec.end < at+soaFixedSize {
 		return &ParseError{Offset: at, Err: errMalformed}
 	}
 	p.response.serial = binary.BigEndian.Uint32(p.message[at:])
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -9,7 +9,7 @@
 )
 
 // Arbitrary bytes are parsed or rejected; pointer loops and names that are too long are rejected.
-func TestParserSurvivesAnyBytes(t *testing.T) {
+func TestParserAcceptsOrRejectsAnyBytes(t *testing.T) {
 	loops := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that points at itself
 	if _, _, err := parseResponse(loops); err == nil {
 		t.Error("a loop of pointers was read")
@@ -42,9 +42,9 @@
 		{"short header", valid()[:5], 5, errMalformed, "malformed DNS message"},
 		{"query", encodeQuery(1, serviceName), flagsOffset, errNotResponse, "not an answer"},
 		{"truncated", withByte(valid(), flagsOffset, flagResponse|flagTruncated), flagsOffset, errTruncated, "answer is truncated"},
-		{"failure", withByte(valid(), codeOffset, 2), codeOffset, responseCodeError(2), "answer has code 2"},
+		{"failure", withByte(valid(), responseCodeOffset, 2), responseCodeOffset, responseCodeError(2), "answer has code 2"},
 		{"other question", withByte(valid(), headerSize+1, 'x'), headerSize, errOtherQuestion, "answer to another question"},
-		{"no records", withByte(withByte(encodeQuery(1, serviceName), flagsOffset, flagResponse), codeOffset, 0), 37, errNoSerial, "answer has no serial"},
+		{"no records", withByte(withByte(encodeQuery(1, serviceName), flagsOffset, flagResponse), responseCodeOffset, 0), 37, errNoSerial, "answer has no serial"},
 		{"cut short", valid()[:40], 39, errMalformed, "malformed DNS message"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/discovery/poll_schedule.go
+++ b/internal/discovery/poll_schedule.go
@@ -35,11 +35,11 @@
 // pollSchedule decides when the client dials and sends queries. Times are on the event loop's monotonic clock. Each
 // method whose name begins with schedule, and pollAt, sets next; the latest call counts.
 type pollSchedule struct {
-	interval   time.Duration // between queries that are answered, at most
-	random     *rand.Rand    // source of the jitter
-	next       time.Duration // when the next dial or query is due
-	lastQuery  time.Duration // when the latest query was sent
-	unanswered int           // queries since the last one that was answered with the current list
+	interval    time.Duration // between queries that are answered, at most
+	random      *rand.Rand    // source of the jitter
+	next        time.Duration // when the next dial or query is due
+	lastQuery   time.Duration // when the latest query was sent
+	unconfirmed int           // queries since the last one that was answered with the current list
 }
 
 // newPollSchedule returns a schedule by which pollsPerEvent polls fall between an event and the end of the drain grace
@@ -69,20 +69,20 @@
 
 // querySent records that a query was sent.
 func (s *pollSchedule) querySent(now time.Duration) {
-	s.unanswered++
+	s.unconfirmed++
 	s.lastQuery = now
 }
 
 // listConfirmed records that a response has confirmed the current list. The next query is due one poll interval after
 // the last.
 func (s *pollSchedule) listConfirmed(now time.Duration) {
-	s.unanswered = 0
+	s.unconfirmed = 0
 	s.next = max(now, s.lastQuery+s.jitter(s.interval))
 }
 
 // backoff returns the time until the next query if the one that is sent now is not answered.
 func (s *pollSchedule) backoff() time.Duration {
-	return min(initialBackoff<<min(s.unanswered, maxBackoffShift), s.interval)
+	return min(initialBackoff<<min(s.unconfirmed, maxBackoffShift), s.interval)
 }
 
 // jitter returns a random time between four fifths of longest and longest.
--- a/internal/discovery/record_join_test.go
+++ b/internal/discovery/record_join_test.go
@@ -12,7 +12,7 @@
 // A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket where that extension is on.
 func TestWorkerHasAllItsAddresses(t *testing.T) {
 	for _, on := range []bool{false, true} {
-		d := newConfiguredTestClient(t, Config{UnixInTXT: on})
+		d := newTestClientWithConfig(t, Config{UnixInTXT: on})
 		b := responseTo(d.query(), 4, 0)
 		record := func(typ uint16, data []byte) {
 			binary.BigEndian.PutUint16(b[10:], binary.BigEndian.Uint16(b[10:])+1)
--- a/internal/discovery/setserver_test.go
+++ b/internal/discovery/setserver_test.go
@@ -23,8 +23,8 @@
 		}
 		d.SetServer(d.now+time.Millisecond, "new")
 		d.Tick(d.now + time.Millisecond)
-		if transport.Closed || d.dialled[len(d.dialled)-1] != "new" || d.sockets.current == old {
-			t.Fatalf("dialled %v, old closed %v", d.dialled, transport.Closed) // its descriptor may be the last
+		if transport.Closed || d.dialed[len(d.dialed)-1] != "new" || d.sockets.current == old {
+			t.Fatalf("dialled %v, old closed %v", d.dialed, transport.Closed) // its descriptor may be the last
 		}
 		fresh := d.sockets.current
 		old.DialCompleted(nil)
@@ -46,9 +46,9 @@
 		if fresh.Data(responseTo(d.query(), 4, 0, 0)); len(d.list) != 2 {
 			t.Errorf("list %v", d.list)
 		}
-		dials := len(d.dialled)
+		dials := len(d.dialed)
 		d.SetServer(d.now, "new") // a repeated signal changes nothing
-		if d.Tick(d.now); d.sockets.current != fresh || len(d.dialled) != dials {
+		if d.Tick(d.now); d.sockets.current != fresh || len(d.dialed) != dials {
 			t.Error("the same address was dialled again")
 		}
 	}
@@ -71,8 +71,8 @@
 	if !second.Closed || d.sockets.current != nil {
 		t.Fatal("a dial that failed kept the descriptor that it needs")
 	}
-	if d.Tick(d.now + redialDelay); d.dialled[len(d.dialled)-1] != "third" || d.sockets.current == nil {
-		t.Fatalf("dialled %v", d.dialled)
+	if d.Tick(d.now + redialDelay); d.dialed[len(d.dialed)-1] != "third" || d.sockets.current == nil {
+		t.Fatalf("dialled %v", d.dialed)
 	}
 	d.sockets.current.DialCompleted(nil)
 	if d.sockets.current.Data(responseTo(d.query(), 9, 0, 0)); len(d.list) != 2 {
--- a/internal/discovery/socket.go
+++ b/internal/discovery/socket.go
@@ -89,8 +89,8 @@
 	s.transport.Write(encodeQuery(id, serviceName))
 }
 
-// match parses a response and removes its query from those that are pending.
-func (s *socket) match(datagram []byte) (response, error) {
+// matchResponse parses a response and removes its query from those that are pending.
+func (s *socket) matchResponse(datagram []byte) (response, error) {
 	id, r, err := parseResponse(datagram)
 	if err != nil {
 		return r, err
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -50,16 +50,16 @@
 	*Client
 	t          rapid.TB
 	transports []*testutil.Transport
-	dialled    []string
+	dialed     []string
 	list       []Worker
 }
 
 // newTestClient returns a client with a snapshot of one worker under serial number 3 and a connected socket.
-func newTestClient(t rapid.TB) *testClient { return newConfiguredTestClient(t, Config{Seed: 1}) }
+func newTestClient(t rapid.TB) *testClient { return newTestClientWithConfig(t, Config{Seed: 1}) }
 
-// newConfiguredTestClient is newTestClient with a configuration, in which the server's address, the drain grace period
+// newTestClientWithConfig is newTestClient with a configuration, in which the server's address, the drain grace period
 // and functions are set.
-func newConfiguredTestClient(t rapid.TB, cfg Config) *testClient {
+func newTestClientWithConfig(t rapid.TB, cfg Config) *testClient {
 	t.Helper()
 	d := &testClient{t: t}
 	cfg.Addr = "old"
@@ -67,7 +67,7 @@
 	cfg.Dial = func(addr string, _ eventloop.DialHandler) Transport {
 		transport := &testutil.Transport{}
 		d.transports = append(d.transports, transport)
-		d.dialled = append(d.dialled, addr)
+		d.dialed = append(d.dialed, addr)
 		return transport
 	}
 	cfg.ListChanged = func(list []Worker) { d.list = list }
@@ -98,5 +98,7 @@
 	return binary.BigEndian.Uint16(b)
 }
 
-// at returns a list of one IPv4 address.
-func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
+// tcp4Addrs returns a list of one IPv4 address.
+func tcp4Addrs(addr string) []endpoint.Addr {
+	return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}}
+}
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -47,7 +47,7 @@
 
 	logger    *slog.Logger
 	socket    collectorSocket
-	messages  messageSequence
+	messages  messageBuilder
 	queue     []record // at most maxQueuedRecords
 	now       time.Duration
 	nextFlush time.Duration
@@ -58,7 +58,7 @@
 	exporter := &Exporter{
 		logger:   cfg.Logger,
 		socket:   collectorSocket{dial: cfg.Dial},
-		messages: messageSequence{domain: cfg.Domain, wallClock: cfg.WallClock},
+		messages: messageBuilder{domain: cfg.Domain, wallClock: cfg.WallClock},
 	}
 	if exporter.logger == nil {
 		exporter.logger = slog.Default()
@@ -131,5 +131,5 @@
 		err = errSocketClosed
 	}
 	e.logger.Warn("collector_connection_lost", slog.Any("err", err))
-	e.socket.closed(e.now)
+	e.socket.handleClose(e.now)
 }
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -31,8 +31,8 @@
 	domain     uint32
 }
 
-// messageSequence builds the messages of one observation domain, whose headers count the records before.
-type messageSequence struct {
+// messageBuilder builds the messages of one observation domain, whose headers count the records before.
+type messageBuilder struct {
 	domain        uint32
 	wallClock     func() time.Time
 	sequence      uint32        // the number of records in messages so far, modulo 2^32
@@ -41,23 +41,23 @@
 
 // next returns a message with as many of the records as fit, and how many those are. It begins with the templates if
 // they are due.
-func (s *messageSequence) next(now time.Duration, records []record) (message []byte, count int) {
-	message = beginMessage()
+func (s *messageBuilder) next(now time.Duration, records []record) (message []byte, count int) {
+	message = newMessage()
 	if s.nextTemplates <= now {
 		s.nextTemplates = now + templateInterval
 		message = appendTemplateSet(message)
 	}
 	message, count = appendRecords(message, records)
-	finishMessage(message, messageHeader{exportTime: s.wallClock(), sequence: s.sequence, domain: s.domain})
+	writeMessageHeader(message, messageHeader{exportTime: s.wallClock(), sequence: s.sequence, domain: s.domain})
 	s.sequence += uint32(count)
 	return message, count
 }
 
-// beginMessage returns a message with room for its header.
-func beginMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
+// newMessage returns a message with room for its header.
+func newMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
 
-// finishMessage writes the header of a message that is complete.
-func finishMessage(message []byte, header messageHeader) {
+// writeMessageHeader writes the header of a message that is complete.
+func writeMessageHeader(message []byte, header messageHeader) {
 	binary.BigEndian.PutUint16(message[versionOffset:], protocolVersion)
 	binary.BigEndian.PutUint16(message[lengthOffset:], uint16(len(message)))
 	binary.BigEndian.PutUint32(message[exportTimeOffset:], uint32(header.exportTime.Unix()))
@@ -80,7 +80,7 @@
 			message = appendSetHeader(message, r.template)
 		}
 		message = append(message, r.data...)
-		setSetLength(message, setStart)
+		writeSetLength(message, setStart)
 		count++
 	}
 	return message, count
@@ -92,7 +92,7 @@
 	return binary.BigEndian.AppendUint16(b, 0)
 }
 
-// setSetLength writes the length of the set that begins at start and ends where b does.
-func setSetLength(b []byte, start int) {
+// writeSetLength writes the length of the set that begins at start and ends where b does.
+func writeSetLength(b []byte, start int) {
 	binary.BigEndian.PutUint16(b[start+setLengthOffset:], uint16(len(b)-start))
 }
--- a/internal/ipfix/message_test.go
+++ b/internal/ipfix/message_test.go
@@ -7,8 +7,8 @@
 )
 
 // Each message counts the records before it, takes as many as fit, and has the templates when they are due.
-func TestMessageSequence(t *testing.T) {
-	messages := messageSequence{domain: 7, wallClock: func() time.Time { return noon }}
+func TestMessageBuilder(t *testing.T) {
+	messages := messageBuilder{domain: 7, wallClock: func() time.Time { return noon }}
 	records := make([]record, 40)
 	for i := range records {
 		records[i] = record{template: templateIPv4ID, data: make([]byte, 100)}
--- a/internal/ipfix/socket.go
+++ b/internal/ipfix/socket.go
@@ -29,8 +29,8 @@
 	s.transport = s.dial(handler)
 }
 
-// closed drops the socket and schedules the next dial.
-func (s *collectorSocket) closed(now time.Duration) {
+// handleClose drops the socket and schedules the next dial.
+func (s *collectorSocket) handleClose(now time.Duration) {
 	s.transport = nil
 	s.connected = false
 	s.nextDial = now + redialDelay
--- a/internal/ipfix/template.go
+++ b/internal/ipfix/template.go
@@ -71,6 +71,6 @@
 			b = binary.BigEndian.AppendUint16(b, field.length)
 		}
 	}
-	setSetLength(b, start)
+	writeSetLength(b, start)
 	return b
 }
--- a/internal/ledger/errors_test.go
+++ b/internal/ledger/errors_test.go
@@ -20,7 +20,7 @@
 		if err := os.WriteFile(path, []byte(test.content), fileMode); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := Open(Options{Config: testLedger(path), Now: noon})
+		_, _, err := Open(Options{Config: testConfig(path), Now: noon})
 		var damaged *FileError
 		if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 2 || err.Error() != test.message {
 			t.Errorf("%v, want %s", err, test.message)
@@ -29,12 +29,12 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	open, _, err := Open(Options{Config: testLedger(path), Now: noon})
+	open, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer open.Close()
-	_, _, err = Open(Options{Config: testLedger(path), Now: noon})
+	_, _, err = Open(Options{Config: testConfig(path), Now: noon})
 	var inUse *InUseError
 	if want := "ledger " + path + " is in use: resource temporarily unavailable"; !errors.As(err, &inUse) || inUse.Path != path || err.Error() != want {
 		t.Errorf("a ledger in use: %v, want %s", err, want)
--- a/internal/ledger/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -16,8 +16,8 @@
 	failed  int // operations
 }
 
-// fails reports whether the next operation fails, and how.
-func (d *faultyDisk) fails() error {
+// nextError reports whether the next operation nextError, and how.
+func (d *faultyDisk) nextError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.failing || d.random.IntN(3) == 0 {
@@ -35,7 +35,7 @@
 
 func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
 	if flag != os.O_RDONLY {
-		if err := d.fails(); err != nil {
+		if err := d.nextError(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: path, Err: err}
 		}
 	}
@@ -47,14 +47,14 @@
 }
 
 func (d *faultyDisk) Rename(from, to string) error {
-	if err := d.fails(); err != nil {
+	if err := d.nextError(); err != nil {
 		return err
 	}
 	return d.SystemDisk.Rename(from, to)
 }
 
 func (d *faultyDisk) SyncDir(dir string) error {
-	if err := d.fails(); err != nil {
+	if err := d.nextError(); err != nil {
 		return err
 	}
 	return d.SystemDisk.SyncDir(dir)
@@ -67,7 +67,7 @@
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		n, _ := f.File.Write(b[:len(b)*2/3])
 		return n, err
 	}
@@ -75,14 +75,14 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
 func (f *faultyFile) Truncate(size int64) error {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
@@ -91,17 +91,17 @@
 // unsyncedDisk is a disk on which a rename is made and the next syncs of its folder fail.
 type unsyncedDisk struct {
 	SystemDisk
-	mu    sync.Mutex
-	fails int // how many
-	syncs int // of folders, failed ones included
+	mu                sync.Mutex
+	remainingFailures int // how many
+	syncs             int // of folders, failed ones included
 }
 
 func (d *unsyncedDisk) SyncDir(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncs++
-	if d.fails > 0 {
-		d.fails--
+	if d.remainingFailures > 0 {
+		d.remainingFailures--
 		return syscall.EIO
 	}
 	return d.SystemDisk.SyncDir(dir)
--- a/internal/ledger/file.go
+++ b/internal/ledger/file.go
@@ -15,12 +15,12 @@
 )
 
 // wholeFile has logFile.read read a file to its end.
-const wholeFile = math.MaxInt64
+const noReadLimit = math.MaxInt64
 
-// logFile is the ledger's file on the disk. Its first size bytes are whole lines; what a failed write left behind them
+// ledgerFile is the ledger's file on the disk. Its first size bytes are whole lines; what a failed write left behind them
 // is torn and does not count. Its methods block on the disk, and their errors are FileErrors. It belongs to the
 // writer's goroutine.
-type logFile struct {
+type ledgerFile struct {
 	path     string
 	maxBytes int64
 	disk     Disk
@@ -28,12 +28,12 @@
 	size     int64
 }
 
-func newLogFile(config Config, disk Disk) *logFile {
-	return &logFile{path: config.Path, maxBytes: config.MaxBytes, disk: disk}
+func newLedgerFile(config Config, disk Disk) *ledgerFile {
+	return &ledgerFile{path: config.Path, maxBytes: config.MaxBytes, disk: disk}
 }
 
 // fileError returns the FileError of a failure; nil for none.
-func (f *logFile) fileError(err error) error {
+func (f *ledgerFile) fileError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -41,7 +41,7 @@
 }
 
 // read reads the whole lines up to a size. A file that does not exist yet is empty. It returns the size of these lines.
-func (f *logFile) read(limit int64) (content Content, size int64, err error) {
+func (f *ledgerFile) read(limit int64) (content Content, size int64, err error) {
 	file, err := f.disk.Open(f.path, os.O_RDONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
 		return content, 0, nil
@@ -54,12 +54,12 @@
 }
 
 // hasCapacity reports whether lines may be appended within the configured size.
-func (f *logFile) hasCapacity(lines []byte) bool {
+func (f *ledgerFile) hasCapacity(lines []byte) bool {
 	return f.size+int64(len(lines)) <= f.maxBytes
 }
 
 // append writes a line behind the others, without a sync.
-func (f *logFile) append(line []byte) error {
+func (f *ledgerFile) append(line []byte) error {
 	if err := f.write(line); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 }
 
 // write writes lines behind the others, without a sync. They do not count until size covers them.
-func (f *logFile) write(lines []byte) error {
+func (f *ledgerFile) write(lines []byte) error {
 	if len(lines) == 0 {
 		return nil
 	}
@@ -77,10 +77,10 @@
 }
 
 // sync returns when all that was written is on the disk.
-func (f *logFile) sync() error { return f.fileError(f.handle.Sync()) }
+func (f *ledgerFile) sync() error { return f.fileError(f.handle.Sync()) }
 
 // truncateTorn cuts off what follows the whole lines.
-func (f *logFile) truncateTorn() error {
+func (f *ledgerFile) truncateTorn() error {
 	if f.handle == nil {
 		return f.fileError(fs.ErrClosed)
 	}
@@ -90,7 +90,7 @@
 // replace writes lines to a new file, renames that to the ledger's path, and has further lines appended to it. Both the
 // file and the rename are on the disk when it returns without an error. After an error the file is the old one or,
 // where only the sync of the rename failed, the new one.
-func (f *logFile) replace(lines []byte) error {
+func (f *ledgerFile) replace(lines []byte) error {
 	path := f.path + replacementSuffix
 	replacement, err := f.disk.Open(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 	if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // install writes lines to a new file, syncs it and renames it to the ledger's path.
-func (f *logFile) install(file File, path string, lines []byte) error {
+func (f *ledgerFile) install(file File, path string, lines []byte) error {
 	if _, err := file.Write(lines); err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 }
 
 // close syncs the file and closes it. Its errors are the system's.
-func (f *logFile) close() error {
+func (f *ledgerFile) close() error {
 	if f.handle == nil {
 		return nil
 	}
--- a/internal/ledger/file_test.go
+++ b/internal/ledger/file_test.go
@@ -10,9 +10,9 @@
 )
 
 // What was written and not counted is cut off, and lines are appended behind what counts.
-func TestLogFileCutsOffTornLines(t *testing.T) {
+func TestLedgerFileTruncatesTornLines(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	file := newLogFile(Config{Path: path, MaxBytes: 8}, SystemDisk{})
+	file := newLedgerFile(Config{Path: path, MaxBytes: 8}, SystemDisk{})
 	if err := file.truncateTorn(); !errors.Is(err, fs.ErrClosed) {
 		t.Errorf("a file that is not open: %v", err)
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 		run++
 		path := filepath.Join(dir, strconv.Itoa(run))
 		open := func() (*Ledger, map[string]Entry) {
-			l, content, err := Open(Options{Config: testLedger(path), Now: noon})
+			l, content, err := Open(Options{Config: testConfig(path), Now: noon})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +55,7 @@
 			"crash": func(t *rapid.T) {
 				torn := encodeEntry(Entry{ID: "torn", EventTime: noon, State: Begun})
 				l.writer.file.handle.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
-				if _, _, err := Open(Options{Config: testLedger(path), Now: noon}); err == nil {
+				if _, _, err := Open(Options{Config: testConfig(path), Now: noon}); err == nil {
 					t.Fatal("a ledger in use was opened again")
 				}
 				l.Close()
@@ -81,7 +81,7 @@
 	if err := os.WriteFile(path, []byte("00000000 {}\n"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	_, _, err := Open(Options{Config: testLedger(path), Now: noon})
+	_, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	var damaged *FileError
 	if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 1 {
 		t.Errorf("a damaged ledger was opened, or its error does not name the line: %v", err)
@@ -89,10 +89,10 @@
 }
 
 // What became of an order is recorded, however many orders end at once.
-func TestNoOutcomeIsDroppedWhereManyEndAtOnce(t *testing.T) {
+func TestOutcomesAreRecordedWhenManyOrdersEndAtOnce(t *testing.T) {
 	const orders = 20 * maxQueuedBegins
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, _, err := Open(Options{Config: testLedger(path), Now: noon})
+	l, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -22,7 +22,7 @@
 // open opens the ledger, and returns the states of the orders that it holds.
 func (m *faultyDiskModel) open() map[string]State {
 	m.t.Helper()
-	l, content, err := Open(Options{Config: testLedger(m.path), Now: noon, Disk: m.disk})
+	l, content, err := Open(Options{Config: testConfig(m.path), Now: noon, Disk: m.disk})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 	return states
 }
 
-// order has an order recorded, and maybe its outcome. After a rejection the disk may work again.
-func (m *faultyDiskModel) order(id string) {
+// recordOrder has an recordOrder recorded, and maybe its outcome. After a rejection the disk may work again.
+func (m *faultyDiskModel) recordOrder(id string) {
 	m.t.Helper()
 	entry := Entry{ID: id, EventTime: noon}
-	if begin(m.ledger, entry) != nil {
+	if beginOrder(m.ledger, entry) != nil {
 		m.rejected[id] = true
 		if m.random.IntN(2) == 0 {
 			m.disk.setFailing(false)
@@ -95,7 +95,7 @@
 // Whatever a disk does for a while, and whether or not the program ends meanwhile: an order that was recorded is known
 // after a restart and never forgotten. Once the disk works what became of each order is in the file, an order that was
 // rejected being one that never ran.
-func TestLedgerOnADiskThatFailsForAWhile(t *testing.T) {
+func TestLedgerRecoversFromDiskFailures(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -110,7 +110,7 @@
 			m.open()
 			for n := range 40 {
 				m.disk.setFailing(m.random.IntN(2) == 0)
-				m.order(fmt.Sprint("order-", n))
+				m.recordOrder(fmt.Sprint("order-", n))
 				if m.random.IntN(10) == 0 {
 					m.restart()
 				}
@@ -127,7 +127,7 @@
 func awaitRecovery(t *testing.T, l *Ledger) {
 	t.Helper()
 	for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
-		if begin(l, Entry{ID: "probe", EventTime: noon}) == nil {
+		if beginOrder(l, Entry{ID: "probe", EventTime: noon}) == nil {
 			return
 		}
 	}
@@ -136,9 +136,9 @@
 
 // A rename whose folder can't be synced is made again before the ledger records an order, also where the file was
 // compacted to have capacity for the unwritten entries.
-func TestRenameThatIsNotSyncedIsMadeAgain(t *testing.T) {
+func TestUnsyncedRenameIsRepeated(t *testing.T) {
 	disk := &unsyncedDisk{}
-	config := testLedger(filepath.Join(t.TempDir(), "ledger"))
+	config := testConfig(filepath.Join(t.TempDir(), "ledger"))
 	l, _, err := Open(Options{Config: config, Now: noon, Disk: disk})
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 	w.file.size += int64(len(old))
 	w.file.maxBytes = w.file.size
 	w.unwritten = []Entry{unwritten}
-	disk.fails = 1
+	disk.remainingFailures = 1
 	before := disk.syncs
 	l.queue.mu.Unlock()
 	if err := w.appendUnwritten(); err == nil {
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -14,7 +14,7 @@
 // which run is; before that, and after stopped is closed, to the one that opens or closes the ledger.
 type writer struct {
 	queue     *jobQueue
-	file      *logFile
+	file      *ledgerFile
 	retention time.Duration // from an order's event
 	logger    *slog.Logger
 	counters  atomicCounters // read by any goroutine
@@ -37,7 +37,7 @@
 	}
 	return &writer{
 		queue:     queue,
-		file:      newLogFile(options.Config, disk),
+		file:      newLedgerFile(options.Config, disk),
 		retention: options.Config.Retention,
 		logger:    logger,
 		stopped:   make(chan struct{}),
@@ -47,7 +47,7 @@
 
 // open reads the file and replaces it by a compacted one. A file that can't be replaced is recovered later.
 func (w *writer) open() (Content, error) {
-	content, size, err := w.file.read(wholeFile)
+	content, size, err := w.file.read(noReadLimit)
 	if err != nil {
 		return Content{}, err
 	}
@@ -104,7 +104,7 @@
 		w.syncBatch(results)
 	}
 	for i, job := range batch {
-		w.finishJob(job, results[i])
+		w.completeJob(job, results[i])
 	}
 }
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// finishJob reports a job's result to the one who waits for it, and keeps what a failed job leaves to be written.
-func (w *writer) finishJob(job job, result error) {
+// completeJob reports a job's result to the one who waits for it, and keeps what a failed job leaves to be written.
+func (w *writer) completeJob(job job, result error) {
 	if result != nil {
 		w.logger.Error("ledger_write_failed", slog.String("id", job.entry.ID), slog.Any("err", result))
 		w.keepUnwritten(job, result)
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -62,7 +62,7 @@
 		return 0, nil
 	}
 	length := binary.BigEndian.Uint32(unread)
-	if length > maxFrame {
+	if length > maxFrameBytes {
 		return 0, errMalformedMessage
 	}
 	size = frameLengthBytes + int(length)
@@ -139,7 +139,7 @@
 		return err
 	}
 	// Sequence numbers increase. Under one that was used before, a reply could be taken for the other request's.
-	if sequence <= c.lastSequence || sequence > math.MaxInt32 || len(body) > maxBody {
+	if sequence <= c.lastSequence || sequence > math.MaxInt32 || len(body) > maxBodyBytes {
 		return errMalformedMessage
 	}
 	c.lastSequence = sequence
@@ -166,7 +166,7 @@
 	request.Body = bytes.Clone(body) // a slice of the read would keep the whole read in memory
 	c.open[sequence] = opened
 	id := front.core.Accept(front.clock.Now(), request)
-	if !opened.completed {
+	if !opened.responseSettled {
 		opened.id = id
 	}
 }
--- a/internal/thrift/connection_test.go
+++ b/internal/thrift/connection_test.go
@@ -13,7 +13,7 @@
 
 // The model of a connection: complete requests reach the core however they are split, each open one gets its one
 // response, and an interrupted one gets none.
-func TestConnectionAnswersEachRequestOnce(t *testing.T) {
+func TestConnectionRespondsToEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		client, core, transport := newTestConnection()
 		seq, open := uint32(0), map[uint32]int{}
@@ -69,7 +69,7 @@
 				}
 				b := appendMessageHeader(nil, messageOneway, "interrupt", 0)
 				b = binary.BigEndian.AppendUint32(appendField(b, wireI32, 1), s)
-				feed(finishFrame(append(b, wireStop), 0))
+				feed(writeFrameLength(append(b, wireStop), 0))
 				if len(core.canceled) == 0 || int(core.canceled[len(core.canceled)-1]) != open[s]+1 {
 					t.Fatalf("canceled %v", core.canceled)
 				}
@@ -86,7 +86,7 @@
 				}
 			},
 			"check": func(t *rapid.T) {
-				feed(finishFrame(append(appendMessageHeader(nil, messageCall, "check", 7), wireBool, 0, 1, 1, wireStop), 0))
+				feed(writeFrameLength(append(appendMessageHeader(nil, messageCall, "check", 7), wireBool, 0, 1, 1, wireStop), 0))
 				if got, field := readReply(t, transport); got != 7 || field != 0 {
 					t.Fatal("check was not answered")
 				}
@@ -115,7 +115,7 @@
 	})
 	for name, b := range map[string][]byte{
 		"a frame over the cap": {0, 0, 0x60, 0},
-		"a depth over the cap": finishFrame(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
+		"a depth over the cap": writeFrameLength(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
 	} {
 		if client, _, transport := newTestConnection(); true {
 			if client.Data(b); !transport.Closed {
@@ -168,7 +168,7 @@
 // came in.
 func TestReadBuffersAreNeitherRecopiedNorRetained(t *testing.T) {
 	client, core, _ := newTestConnection()
-	whole := executeFrame(1, string(make([]byte, maxBody)), validFields...)
+	whole := executeFrame(1, string(make([]byte, maxBodyBytes)), validFields...)
 	allocs := testing.AllocsPerRun(1, func() {
 		for i := range whole {
 			client.Data(whole[i : i+1])
@@ -177,7 +177,7 @@
 			t.Errorf("%d complete messages, another begun: %v", n, begun)
 		}
 	})
-	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBody {
+	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBodyBytes {
 		t.Errorf("%v allocations, %d accepted", allocs, len(core.accepted))
 	}
 	client, core, _ = newTestConnection()
--- a/internal/thrift/decoder.go
+++ b/internal/thrift/decoder.go
@@ -137,7 +137,7 @@
 	versionAndKind := d.uint32()
 	name := d.bytes()
 	sequence := d.uint32()
-	if d.malformed || versionAndKind&versionMask != strictVersion || len(name) > maxMethodName {
+	if d.malformed || versionAndKind&versionMask != strictVersion || len(name) > maxMethodNameBytes {
 		return messageHeader{}, errMalformedMessage
 	}
 	return messageHeader{kind: messageKind(versionAndKind), name: string(name), sequence: sequence}, nil
--- a/internal/thrift/encoder.go
+++ b/internal/thrift/encoder.go
@@ -37,8 +37,8 @@
 	return b
 }
 
-// finishFrame writes the length of the frame that b begins, of which more bytes follow b.
-func finishFrame(b []byte, more int) []byte {
+// writeFrameLength writes the length of the frame that b begins, of which more bytes follow b.
+func writeFrameLength(b []byte, more int) []byte {
 	binary.BigEndian.PutUint32(b, uint32(len(b)-frameLengthBytes+more))
 	return b
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -22,7 +22,7 @@
 	goldenReplies  = "testdata/replies.txt"
 	goldenErrors   = "testdata/error_replies.txt"
 
-	completeCall = "call with every optional field"
+	allFieldsLabel = "call with every optional field"
 )
 
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
@@ -78,7 +78,7 @@
 		{"call with props", withProps},
 		{"call with once", withOnce},
 		{"call with tenant", withTenant},
-		{completeCall, complete},
+		{allFieldsLabel, complete},
 		{"call with fractions in wait and props", fractions},
 		{"call without a body", withoutBody},
 		{"call with an empty body", emptyBody},
@@ -108,7 +108,7 @@
 func TestGoldenInterruptsCancelTheRequest(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
 		client, core, transport := newGoldenConnection()
-		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		client.Data(golden.FindMessage(t, goldenRequests, allFieldsLabel))
 		client.Data(golden.FindMessage(t, goldenRequests, label))
 		if len(core.canceled) != 1 || core.canceled[0] != 1 || client.Busy() || transport.Closed || transport.Written.Len() > 0 {
 			t.Errorf("%s: canceled %v, busy %v, closed %v, wrote %q", label, core.canceled, client.Busy(), transport.Closed, transport.Written.String())
@@ -134,7 +134,7 @@
 		{"failed when the time was over", router.Response{Status: router.Failed, DeadlineExceeded: true}},
 	} {
 		client, core, transport := newGoldenConnection()
-		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		client.Data(golden.FindMessage(t, goldenRequests, allFieldsLabel))
 		if len(core.accepted) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(core.accepted))
 		}
--- a/internal/thrift/protocol.go
+++ b/internal/thrift/protocol.go
@@ -80,12 +80,12 @@
 
 const (
 	frameLengthBytes   = 4
-	maxBody            = 16 << 10
-	maxFrame           = maxBody + 4<<10 // a body and its fields
-	maxMethodName      = 64              // bytes
-	maxMapEntries      = 64              // of the map of fields
-	maxNesting         = 8               // of values that are skipped
-	maxSkippedElements = 1024            // of a container that is skipped
+	maxBodyBytes       = 16 << 10
+	maxFrameBytes      = maxBodyBytes + 4<<10 // a body and its fields
+	maxMethodNameBytes = 64                   // bytes
+	maxMapEntries      = 64                   // of the map of fields
+	maxNesting         = 8                    // of values that are skipped
+	maxSkippedElements = 1024                 // of a container that is skipped
 )
 
 // errMalformedMessage is a message that breaks the protocol; its connection is closed.
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -31,7 +31,7 @@
 )
 
 // maxLoggedValue is how much of a field's value is kept for the log, in bytes.
-const maxLoggedValue = 64
+const maxLoggedValueBytes = 64
 
 // FieldError is a field of a request that can't be used.
 type FieldError struct {
@@ -66,10 +66,10 @@
 // text returns a field's value, "" if it is missing.
 func (m executeFieldMap) text(field string) string { return string(m[field]) }
 
-// unusable returns the error of a field.
-func (m executeFieldMap) unusable(field string) *FieldError {
+// fieldError returns the error of a field.
+func (m executeFieldMap) fieldError(field string) *FieldError {
 	value := m[field]
-	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValue)])}
+	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValueBytes)])}
 }
 
 // decodeRequest decodes the fields of an execute to a request without client, body and responder, which the caller
@@ -77,7 +77,7 @@
 func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
 	class, known := f.classIndex[fields.text(fieldClass)]
 	if !known {
-		return request, fields.unusable(fieldClass)
+		return request, fields.fieldError(fieldClass)
 	}
 	request = router.Request{
 		Front:          router.Thrift,
@@ -87,27 +87,27 @@
 		IdempotencyKey: fields.text(fieldIdempotencyKey),
 	}
 	if _, ok := router.ParseFunctionKey(request.ID); !ok {
-		return request, fields.unusable(fieldID)
+		return request, fields.fieldError(fieldID)
 	}
 	function, ok := router.ParseFunctionKey(request.Function.Key)
 	if !ok {
-		return request, fields.unusable(fieldFunction)
+		return request, fields.fieldError(fieldFunction)
 	}
 	request.Function.ID = policy.FunctionID(function)
 	if !f.classes[class].allowsIdempotencyKey(request.IdempotencyKey) {
-		return request, fields.unusable(fieldIdempotencyKey)
+		return request, fields.fieldError(fieldIdempotencyKey)
 	}
 	request.Tenant, ok = f.decodeTenant(fields)
 	if !ok {
-		return request, fields.unusable(fieldTenant)
+		return request, fields.fieldError(fieldTenant)
 	}
 	wait, ok := parseNumber(fields.text(fieldWait), router.MaxWaitMs)
 	if !ok {
-		return request, fields.unusable(fieldWait)
+		return request, fields.fieldError(fieldWait)
 	}
 	request.Deadline = f.clock.ArrivedAt() + milliseconds(wait) - router.ResponseMargin
 	if !decodeProperties(fields.text(fieldProperties), &request.Function) {
-		return request, fields.unusable(fieldProperties)
+		return request, fields.fieldError(fieldProperties)
 	}
 	return request, nil
 }
@@ -139,7 +139,7 @@
 		var property string
 		property, text, _ = strings.Cut(text, ";")
 		name, value, _ := strings.Cut(property, ":")
-		number, ok := parseNumber(value, maxProperty(name))
+		number, ok := parseNumber(value, maxPropertyValue(name))
 		if !ok {
 			return false
 		}
@@ -155,8 +155,8 @@
 	return true
 }
 
-// maxProperty returns the largest value that a property may have.
-func maxProperty(name string) float64 {
+// maxPropertyValue returns the largest value that a property may have.
+func maxPropertyValue(name string) float64 {
 	switch name {
 	case propertyMemory:
 		return router.MaxMemoryMB
--- a/internal/thrift/request_test.go
+++ b/internal/thrift/request_test.go
@@ -94,10 +94,10 @@
 // A field that can't be used is reported by name, with the beginning of its value.
 func TestFieldErrorsCarryTheFieldAndTheBeginningOfItsValue(t *testing.T) {
 	client, _, _ := newTestConnection()
-	long := strings.Repeat("x", 2*maxLoggedValue)
+	long := strings.Repeat("x", 2*maxLoggedValueBytes)
 	for _, test := range []struct{ field, value, wantValue string }{
 		{"class", "unheard-of", "unheard-of"},
-		{"id", long, long[:maxLoggedValue]},
+		{"id", long, long[:maxLoggedValueBytes]},
 		{"key", "", ""},
 		{"once", "5c0f,path=0", "5c0f,path=0"},
 		{"tenant", "north", "north"},
--- a/internal/thrift/response.go
+++ b/internal/thrift/response.go
@@ -9,7 +9,7 @@
 )
 
 // frameCapacity is room for the usual frame without its body, in bytes.
-const frameCapacity = 64
+const initialFrameCapacity = 64
 
 // encodeResponse returns the reply to an execute in parts that are written one after the other, so that the body is not
 // copied.
@@ -32,7 +32,7 @@
 
 // encodeAnswer returns the reply of a method as what precedes the answer's body and what follows it.
 func encodeAnswer(method string, sequence uint32, a answer) (head, tail []byte) {
-	head = appendMessageHeader(make([]byte, 0, frameCapacity), messageReply, method, sequence)
+	head = appendMessageHeader(make([]byte, 0, initialFrameCapacity), messageReply, method, sequence)
 	head = appendField(head, wireStruct, resultSuccess)
 	head = appendField(head, wireString, answerBody)
 	head = binary.BigEndian.AppendUint32(head, uint32(a.bodyLength))
@@ -41,7 +41,7 @@
 	tail = appendField(tail, wireBool, answerOK)
 	tail = appendBool(tail, a.ok)
 	tail = append(tail, wireStop, wireStop) // of the answer and of the result
-	return finishFrame(head, a.bodyLength+len(tail)), tail
+	return writeFrameLength(head, a.bodyLength+len(tail)), tail
 }
 
 // encodeBackoff returns the reply for a rejected request. Retry-After is rounded up to whole milliseconds.
@@ -57,12 +57,12 @@
 
 // encodeDeclaredException returns a reply of execute with one of the exceptions that it declares.
 func encodeDeclaredException(sequence uint32, resultField uint16, details ...string) []byte {
-	frame := appendMessageHeader(make([]byte, 0, frameCapacity), messageReply, methodExecute, sequence)
+	frame := appendMessageHeader(make([]byte, 0, initialFrameCapacity), messageReply, methodExecute, sequence)
 	frame = appendField(frame, wireStruct, resultField)
 	frame = appendField(frame, wireMap, exceptionDetails)
 	frame = appendStringMap(frame, details...)
 	frame = append(frame, wireStop, wireStop) // of the exception and of the result
-	return finishFrame(frame, 0)
+	return writeFrameLength(frame, 0)
 }
 
 // encodeUnknownMethod returns the application exception for a method that is not known.
@@ -73,5 +73,5 @@
 	frame = appendField(frame, wireI32, applicationExceptionType)
 	frame = binary.BigEndian.AppendUint32(frame, unknownMethodType)
 	frame = append(frame, wireStop)
-	return finishFrame(frame, 0)
+	return writeFrameLength(frame, 0)
 }
--- a/internal/thrift/testconnection_test.go
+++ b/internal/thrift/testconnection_test.go
@@ -44,7 +44,7 @@
 	b := appendMessageHeader(nil, messageCall, "execute", seq)
 	b = appendStringMap(appendField(b, wireMap, 1), fields...)
 	b = appendString(appendField(b, wireString, 2), body)
-	return finishFrame(append(b, wireStop), 0)
+	return writeFrameLength(append(b, wireStop), 0)
 }
 
 var validFields = []string{"class", "repair-order", "id", "9b1f03aa5c7e2d41", "wait", "1500", "key", "7f3a9c21e0b4d655",
