--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -26,9 +26,9 @@
 	d.sockets.current.Data(responseTo(d.query(), 3)) // outdated
 	id := d.query()
 	d.sockets.current.Data(responseTo(id+1, 9, 0)) // to no query of this client
-	answered := d.query()
-	d.sockets.current.Data(responseTo(answered, 4, 0, 1))
-	d.sockets.current.Data(responseTo(answered, 9, 0)) // to one that has been answered
+	completed := d.query()
+	d.sockets.current.Data(responseTo(completed, 4, 0, 1))
+	d.sockets.current.Data(responseTo(completed, 9, 0)) // to one that has been answered
 	for name, damage := range map[string]func(b []byte) []byte{
 		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
 		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
@@ -67,46 +67,46 @@
 // Queries are few, since all routers share one discovery server; they are spread over time; and three of them fall into the 2.5 s
 // after which nothing new may be sent to a worker that drains, however many are lost.
 func TestPollRateAndJitter(t *testing.T) {
-	run := func(seed uint64, until time.Duration, answered func(n int) (serial uint32, ok bool)) (at []time.Duration) {
+	run := func(seed uint64, until time.Duration, respond func(n int) (serial uint32, ok bool)) (sentAt []time.Duration) {
 		d := newTestClientWithConfig(t, Config{Seed: seed})
 		start := d.now
 		for now := d.now; now < start+until; now += time.Millisecond {
-			l := d.transports[len(d.transports)-1]
-			l.Written.Reset()
+			transport := d.transports[len(d.transports)-1]
+			transport.Written.Reset()
 			d.Tick(now)
-			if b := l.Written.Bytes(); len(b) > 0 {
-				at = append(at, now-start)
-				if serial, ok := answered(len(at)); ok {
+			if b := transport.Written.Bytes(); len(b) > 0 {
+				sentAt = append(sentAt, now-start)
+				if serial, ok := respond(len(sentAt)); ok {
 					d.sockets.current.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
 				}
 			}
 		}
-		return at
+		return sentAt
 	}
 	first := map[time.Duration]int{}
 	for seed := range uint64(40) {
-		well := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
-		if len(well) > 18 {
-			t.Fatalf("%d queries in 10 s though each was answered", len(well))
+		answered := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
+		if len(answered) > 18 {
+			t.Fatalf("%d queries in 10 s though each was answered", len(answered))
 		}
-		first[well[0]]++
-		if well[0] > initialBackoff {
-			t.Fatalf("the first query came after %v", well[0])
+		first[answered[0]]++
+		if answered[0] > initialBackoff {
+			t.Fatalf("the first query came after %v", answered[0])
 		}
-		for i := 3; i < len(well); i++ {
-			if gap := well[i] - well[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
+		for i := 3; i < len(answered); i++ {
+			if gap := answered[i] - answered[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
 				t.Fatalf("three queries took %v", gap)
 			}
 		}
 		// After a lost or an outdated response the query is repeated soon, and then with backoff.
 		for name, damage := range map[string]func(int) (uint32, bool){
 			"lost": func(int) (uint32, bool) { return 0, false }, "old": func(int) (uint32, bool) { return 2, true }} {
-			bad := run(seed, 10*time.Second, damage)
-			if gap := bad[1] - bad[0]; gap > initialBackoff {
+			faulty := run(seed, 10*time.Second, damage)
+			if gap := faulty[1] - faulty[0]; gap > initialBackoff {
 				t.Fatalf("%s: repeated after %v", name, gap)
 			}
-			if len(bad) > 20 {
-				t.Fatalf("%s: %d queries in 10 s", name, len(bad))
+			if len(faulty) > 20 {
+				t.Fatalf("%s: %d queries in 10 s", name, len(faulty))
 			}
 		}
 	}
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -17,16 +17,16 @@
 		d.SetServer(d.now, "new")
 		d.Tick(d.now)
 		d.sockets.current.DialCompleted(nil)
-		for begun := d.now; d.now < begun+serialResetAfter-time.Second; {
+		for start := d.now; d.now < start+serialResetAfter-time.Second; {
 			serial := uint32(2)
-			if d.now-begun > 8*time.Second && d.now-begun < 9*time.Second {
+			if d.now-start > 8*time.Second && d.now-start < 9*time.Second {
 				serial = tt.between
 			}
 			if d.sockets.current.Data(responseTo(d.query(), serial, 0, 0, 0)); len(d.list) != 2 || d.endpoints.serial != 50 {
-				t.Fatalf("%s: after %v the list is %v", name, d.now-begun, d.list)
+				t.Fatalf("%s: after %v the list is %v", name, d.now-start, d.list)
 			}
 		}
-		for begun := d.now; d.now < begun+3*time.Second; {
+		for start := d.now; d.now < start+3*time.Second; {
 			d.sockets.current.Data(responseTo(d.query(), 2, 0, 0, 0))
 		}
 		if applied := d.endpoints.serial == 2 && len(d.list) == 3; applied != tt.applied {
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -103,14 +103,14 @@
 
 // encodeQuery returns a query for the SRV records of a name.
 func encodeQuery(id uint16, name string) []byte {
-	b := binary.BigEndian.AppendUint16(nil, id)
-	b = append(b, flagRecursionDesired, 0) // flags and code
-	b = append(b, 0, 1, 0, 0, 0, 0, 0, 0)  // one question
+	query := binary.BigEndian.AppendUint16(nil, id)
+	query = append(query, flagRecursionDesired, 0) // flags and code
+	query = append(query, 0, 1, 0, 0, 0, 0, 0, 0)  // one question
 	for label := range strings.SplitSeq(strings.Trim(name, "."), ".") {
-		b = append(b, byte(len(label)))
-		b = append(b, label...)
+		query = append(query, byte(len(label)))
+		query = append(query, label...)
 	}
-	b = append(b, 0) // the root
-	b = binary.BigEndian.AppendUint16(b, typeSRV)
-	return binary.BigEndian.AppendUint16(b, classIN)
+	query = append(query, 0) // the root
+	query = binary.BigEndian.AppendUint16(query, typeSRV)
+	return binary.BigEndian.AppendUint16(query, classIN)
 }
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -175,31 +175,31 @@
 
 // parseTXT parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
 func (p *parser) parseTXT(rec record) error {
-	for at := rec.start; at < rec.end; {
-		end := at + 1 + int(p.message[at])
+	for offset := rec.start; offset < rec.end; {
+		end := offset + 1 + int(p.message[offset])
 		if rec.end < end {
-			return &ParseError{Offset: at, Err: errMalformed}
+			return &ParseError{Offset: offset, Err: errMalformed}
 		}
-		p.response.texts[rec.owner] = append(p.response.texts[rec.owner], string(p.message[at+1:end]))
-		at = end
+		p.response.texts[rec.owner] = append(p.response.texts[rec.owner], string(p.message[offset+1:end]))
+		offset = end
 	}
 	return nil
 }
 
 // parseSOA parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
 func (p *parser) parseSOA(rec record) error {
-	at := rec.start
+	offset := rec.start
 	for range 2 {
-		_, next, err := readName(p.message, at)
+		_, next, err := readName(p.message, offset)
 		if err != nil {
-			return &ParseError{Offset: at, Err: errMalformed}
+			return &ParseError{Offset: offset, Err: errMalformed}
 		}
-		at = next
+		offset = next
 	}
-	if rec.end < at+soaFixedSize {
-		return &ParseError{Offset: at, Err: errMalformed}
+	if rec.end < offset+soaFixedSize {
+		return &ParseError{Offset: offset, Err: errMalformed}
 	}
-	p.response.serial = binary.BigEndian.Uint32(p.message[at:])
+	p.response.serial = binary.BigEndian.Uint32(p.message[offset:])
 	p.hasSerial = true
 	return nil
 }
--- a/internal/discovery/record_join_test.go
+++ b/internal/discovery/record_join_test.go
@@ -11,13 +11,13 @@
 
 // A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket where that extension is on.
 func TestWorkerHasAllItsAddresses(t *testing.T) {
-	for _, on := range []bool{false, true} {
-		d := newTestClientWithConfig(t, Config{UnixInTXT: on})
+	for _, extensionOn := range []bool{false, true} {
+		d := newTestClientWithConfig(t, Config{UnixInTXT: extensionOn})
 		b := responseTo(d.query(), 4, 0)
 		record := func(typ uint16, data []byte) {
 			binary.BigEndian.PutUint16(b[10:], binary.BigEndian.Uint16(b[10:])+1)
-			for _, l := range []string{"s-0", "east", "hosts"} {
-				b = append(append(b, byte(len(l))), l...)
+			for _, label := range []string{"s-0", "east", "hosts"} {
+				b = append(append(b, byte(len(label))), label...)
 			}
 			b = append(binary.BigEndian.AppendUint16(append(b, 0), typ), 0, 1, 0, 0, 0, 1)
 			b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
@@ -28,11 +28,11 @@
 		record(typeTXT, append([]byte{byte(len("unix=/run/w.sock"))}, "unix=/run/w.sock"...))
 		d.sockets.current.Data(b)
 		want := "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080]"
-		if on {
+		if extensionOn {
 			want = "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080 unix:/run/w.sock]"
 		}
 		if len(d.list) != 1 || fmt.Sprint(d.list[0].Addrs) != want {
-			t.Errorf("extension %v: %v, want addresses %s", on, d.list, want)
+			t.Errorf("extension %v: %v, want addresses %s", extensionOn, d.list, want)
 		}
 	}
 }
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -72,12 +72,12 @@
 	}
 	cfg.ListChanged = func(list []Worker) { d.list = list }
 	d.Client = New(cfg)
-	var known Snapshot
-	known.Serial = 3
-	known.Changes = make([]event, 1)
-	known.Changes[0].List.Complete = true
-	known.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready", Weight: 4}}
-	if err := d.LoadSnapshot(known); err != nil {
+	var snapshot Snapshot
+	snapshot.Serial = 3
+	snapshot.Changes = make([]event, 1)
+	snapshot.Changes[0].List.Complete = true
+	snapshot.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready", Weight: 4}}
+	if err := d.LoadSnapshot(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(time.Hour)
@@ -88,10 +88,10 @@
 // query has the client send its next query, and returns the id.
 func (d *testClient) query() uint16 {
 	d.t.Helper()
-	l := d.transports[len(d.transports)-1]
-	l.Written.Reset()
+	transport := d.transports[len(d.transports)-1]
+	transport.Written.Reset()
 	d.Tick(d.schedule.next)
-	b := l.Written.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
 		d.t.Fatalf("queried %x", b)
 	}
--- a/internal/ledger/errors_test.go
+++ b/internal/ledger/errors_test.go
@@ -29,11 +29,11 @@
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	open, _, err := Open(Options{Config: testConfig(path), Now: noon})
+	opened, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	defer opened.Close()
 	_, _, err = Open(Options{Config: testConfig(path), Now: noon})
 	var inUse *InUseError
 	if want := "ledger " + path + " is in use: resource temporarily unavailable"; !errors.As(err, &inUse) || inUse.Path != path || err.Error() != want {
--- a/internal/ledger/file_test.go
+++ b/internal/ledger/file_test.go
@@ -16,11 +16,11 @@
 	if err := file.truncateTorn(); !errors.Is(err, fs.ErrClosed) {
 		t.Errorf("a file that is not open: %v", err)
 	}
-	for _, step := range []error{
+	for _, err := range []error{
 		file.replace([]byte("one\n")), file.write([]byte("tor")), file.truncateTorn(), file.append([]byte("two\n")), file.sync(),
 	} {
-		if step != nil {
-			t.Fatal(step)
+		if err != nil {
+			t.Fatal(err)
 		}
 	}
 	if got := string(testutil.ReadFile(t, path)); got != "one\ntwo\n" || file.size != 8 {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -35,7 +35,7 @@
 		}
 		l, _ := open()
 		want := map[string]Entry{}
-		enter := func(e Entry) {
+		record := func(e Entry) {
 			written := make(chan error, 1)
 			l.queue.push(job{entry: e, done: func(err error) { written <- err }})
 			if err := <-written; err != nil {
@@ -49,7 +49,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				enter(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
+				record(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
 					State: rapid.SampledFrom([]State{Begun, Ended, NotRun}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
 			},
 			"crash": func(t *rapid.T) {
--- a/internal/ledger/queue.go
+++ b/internal/ledger/queue.go
@@ -33,16 +33,16 @@
 
 // push queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. Updates
 // are always queued: there are no more of them than orders.
-func (q *jobQueue) push(j job) bool {
+func (q *jobQueue) push(queued job) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if j.done != nil {
+	if queued.done != nil {
 		if q.begins >= maxQueuedBegins {
 			return false
 		}
 		q.begins++
 	}
-	q.jobs = append(q.jobs, j)
+	q.jobs = append(q.jobs, queued)
 	q.signal()
 	return true
 }
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -126,7 +126,7 @@
 // awaitRecovery waits until a ledger records orders.
 func awaitRecovery(t *testing.T, l *Ledger) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
 		if beginOrder(l, Entry{ID: "probe", EventTime: noon}) == nil {
 			return
 		}
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -37,7 +37,9 @@
 func (c *connection) Busy() bool { return len(c.open) > 0 }
 
 // Messages returns how many complete messages were received, and whether the beginning of another was.
-func (c *connection) Messages() (whole int, begun bool) { return c.messageCount, c.partial.Len() > 0 }
+func (c *connection) Messages() (complete int, partial bool) {
+	return c.messageCount, c.partial.Len() > 0
+}
 
 // Data handles received bytes, in which frames may be split in any way.
 func (c *connection) Data(b []byte) {
--- a/internal/thrift/connection_test.go
+++ b/internal/thrift/connection_test.go
@@ -24,7 +24,7 @@
 				b = b[n:]
 			}
 		}
-		draw := func() (uint32, bool) {
+		drawOpen := func() (uint32, bool) {
 			if len(open) == 0 {
 				return 0, false
 			}
@@ -50,20 +50,20 @@
 				}
 			},
 			"answer": func(t *rapid.T) {
-				s, ok := draw()
+				s, ok := drawOpen()
 				if !ok {
 					return
 				}
-				a := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
-				core.accepted[open[s]].Responder.Respond(a)
-				core.accepted[open[s]].Responder.Respond(a) // a second one goes nowhere
+				response := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
+				core.accepted[open[s]].Responder.Respond(response)
+				core.accepted[open[s]].Responder.Respond(response) // a second one goes nowhere
 				delete(open, s)
-				if got, field := readReply(t, transport); got != s || field != uint16(a.Status) {
-					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, a.Status, s)
+				if got, field := readReply(t, transport); got != s || field != uint16(response.Status) {
+					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, response.Status, s)
 				}
 			},
 			"interrupt": func(t *rapid.T) {
-				s, ok := draw()
+				s, ok := drawOpen()
 				if !ok {
 					return
 				}
@@ -128,11 +128,11 @@
 // A sequence number that is used again closes the connection, whether its request is open or was answered: a reply
 // could be taken for the other request's.
 func TestSequenceNumbersMustIncrease(t *testing.T) {
-	for _, answered := range []bool{true, false} {
+	for _, responded := range []bool{true, false} {
 		for repeated := range uint32(3) {
 			client, core, transport := newTestConnection()
 			client.Data(executeFrame(2, "", validFields...))
-			if answered {
+			if responded {
 				core.accepted[0].Responder.Respond(router.Response{})
 			}
 			client.Data(executeFrame(repeated, "", validFields...))
@@ -168,13 +168,13 @@
 // came in.
 func TestReadBuffersAreNeitherRecopiedNorRetained(t *testing.T) {
 	client, core, _ := newTestConnection()
-	whole := executeFrame(1, string(make([]byte, maxBodyBytes)), validFields...)
+	frame := executeFrame(1, string(make([]byte, maxBodyBytes)), validFields...)
 	allocs := testing.AllocsPerRun(1, func() {
-		for i := range whole {
-			client.Data(whole[i : i+1])
+		for i := range frame {
+			client.Data(frame[i : i+1])
 		}
-		if n, begun := client.Messages(); n != 1 && begun {
-			t.Errorf("%d complete messages, another begun: %v", n, begun)
+		if n, partial := client.Messages(); n != 1 && partial {
+			t.Errorf("%d complete messages, another begun: %v", n, partial)
 		}
 	})
 	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBodyBytes {
--- a/internal/thrift/encoder.go
+++ b/internal/thrift/encoder.go
@@ -38,7 +38,7 @@
 }
 
 // writeFrameLength writes the length of the frame that b begins, of which more bytes follow b.
-func writeFrameLength(b []byte, more int) []byte {
-	binary.BigEndian.PutUint32(b, uint32(len(b)-frameLengthBytes+more))
+func writeFrameLength(b []byte, following int) []byte {
+	binary.BigEndian.PutUint32(b, uint32(len(b)-frameLengthBytes+following))
 	return b
 }
--- a/internal/thrift/response.go
+++ b/internal/thrift/response.go
@@ -31,17 +31,17 @@
 }
 
 // encodeAnswer returns the reply of a method as what precedes the answer's body and what follows it.
-func encodeAnswer(method string, sequence uint32, a answer) (head, tail []byte) {
+func encodeAnswer(method string, sequence uint32, value answer) (head, tail []byte) {
 	head = appendMessageHeader(make([]byte, 0, initialFrameCapacity), messageReply, method, sequence)
 	head = appendField(head, wireStruct, resultSuccess)
 	head = appendField(head, wireString, answerBody)
-	head = binary.BigEndian.AppendUint32(head, uint32(a.bodyLength))
+	head = binary.BigEndian.AppendUint32(head, uint32(value.bodyLength))
 
 	tail = appendStringMap(appendField(nil, wireMap, answerNotes))
 	tail = appendField(tail, wireBool, answerOK)
-	tail = appendBool(tail, a.ok)
+	tail = appendBool(tail, value.ok)
 	tail = append(tail, wireStop, wireStop) // of the answer and of the result
-	return writeFrameLength(head, a.bodyLength+len(tail)), tail
+	return writeFrameLength(head, value.bodyLength+len(tail)), tail
 }
 
 // encodeBackoff returns the reply for a rejected request. Retry-After is rounded up to whole milliseconds.
--- a/internal/thrift/testconnection_test.go
+++ b/internal/thrift/testconnection_test.go
@@ -58,15 +58,15 @@
 		t.Fatalf("wrote %x", b)
 	}
 	size := 4 + int(binary.BigEndian.Uint32(b))
-	r := decoder{remaining: b[4:size]}
-	m, err := r.messageHeader()
+	d := decoder{remaining: b[4:size]}
+	header, err := d.messageHeader()
 	field = 99
-	if err == nil && m.kind == messageReply {
-		err = r.structFields(func(typ byte, id uint16) bool { field = id; return false })
+	if err == nil && header.kind == messageReply {
+		err = d.structFields(func(typ byte, id uint16) bool { field = id; return false })
 	}
 	if err != nil {
 		t.Fatalf("wrote %x: %v", b, err)
 	}
 	transport.Written.Next(size)
-	return m.sequence, field
+	return header.sequence, field
 }
