--- a/internal/ledger/content.go
+++ b/internal/ledger/content.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Content is what a ledger holds.
+// Content is the decoded content of a ledger file.
 type Content struct {
-	// Entries are the last entries of all orders, in the order of the orders' first ones.
+	// Entries holds the last entry of each order. They are sorted by the positions of the orders' first entries.
 	Entries []Entry
-	// RetentionHorizon is the latest time of an order that was dropped for its age; orders up to it may have been
-	// forgotten. Zero: none was dropped.
+	// RetentionHorizon is the latest event time of an order that was dropped because of its age. Orders whose events
+	// are not after it may have been dropped, too. It is zero if none was dropped.
 	RetentionHorizon time.Time
 }
 
-// readContent reads a ledger, and returns the size of its whole lines too.
+// readContent reads a ledger file. It also returns the size of the file's complete lines in bytes.
 func readContent(path string, r io.Reader) (content Content, size int64, err error) {
 	indexByID := map[string]int{}
 	size, err = readEntries(path, r, func(entry Entry) {
@@ -36,8 +36,8 @@
 	return content, size, err
 }
 
-// readEntries calls visit for each entry and returns the size of their lines. A last line that was cut short was never
-// synced, so its order was never forwarded, and it is skipped. Damage anywhere else is a FileError.
+// readEntries calls visit for each entry and returns the size of the entries' lines in bytes. An incomplete last line
+// is skipped: it was never synced, so its order was never forwarded. Damage anywhere else is reported as a FileError.
 func readEntries(path string, r io.Reader, visit func(Entry)) (size int64, err error) {
 	in := bufio.NewReaderSize(r, maxLineBytes)
 	for number := 1; ; number++ {
@@ -57,9 +57,9 @@
 	}
 }
 
-// dropUnretained drops orders whose event is before oldest, and those that did not run. Where an order is dropped for
-// its age the retention horizon advances to its event, so that no wall clock that is stepped back makes the order
-// acceptable again.
+// dropUnretained drops orders whose event is before oldest, and orders that did not run. When an order is dropped
+// because of its age, the retention horizon advances to the time of its event. This keeps the order from being accepted
+// again after the wall clock is stepped back.
 func (c *Content) dropUnretained(oldest time.Time) {
 	c.Entries = slices.DeleteFunc(c.Entries, func(entry Entry) bool {
 		expired := entry.EventTime.Before(oldest)
@@ -70,7 +70,7 @@
 	})
 }
 
-// encode returns the content as lines.
+// encode returns the content as the lines of a ledger file.
 func (c *Content) encode() (lines []byte) {
 	if !c.RetentionHorizon.IsZero() {
 		lines = encodeEntry(Entry{EventTime: c.RetentionHorizon, State: retentionHorizon})
--- a/internal/ledger/content_test.go
+++ b/internal/ledger/content_test.go
@@ -7,12 +7,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Orders that expired move the retention horizon to the latest of them; orders that did not run are dropped without.
+// Expired orders advance the retention horizon to the latest of their event times, and an earlier time does not turn it
+// back. Orders that did not run are dropped without an effect on the horizon.
 func TestDropUnretainedAdvancesTheHorizon(t *testing.T) {
 	entry := func(id string, age time.Duration, state State) Entry {
 		return Entry{ID: id, EventTime: noon.Add(-age), State: state}
 	}
-	retained := entry("retained", time.Hour, Ended) // exactly as old as is retained
+	retained := entry("retained", time.Hour, Ended) // of the greatest age that is retained
 	content := Content{Entries: []Entry{
 		entry("expired", 3*time.Hour, Ended),
 		entry("expired later", 2*time.Hour, Begun),
@@ -27,6 +28,6 @@
 	}
 	content.dropUnretained(noon.Add(-2 * time.Hour))
 	if diff := cmp.Diff(want, content); diff != "" {
-		t.Errorf("an earlier time changed it (-want +got):\n%s", diff)
+		t.Errorf("an earlier time changed the content (-want +got):\n%s", diff)
 	}
 }
--- a/internal/ledger/counters.go
+++ b/internal/ledger/counters.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// Counters count what became of the ledger's file.
+// Counters counts failures and recoveries of the ledger file.
 type Counters struct {
 	Failures   uint64 // failed writes, syncs and compactions, and failed attempts to recover
-	Recoveries uint64 // how often the file was whole again after a failure
-	Unwritten  uint64 // entries that are kept in memory now, until the file has recovered
+	Recoveries uint64 // successful recoveries of the file after a failure
+	Unwritten  uint64 // entries that are kept in memory at present, until the file has recovered
 }
 
-// atomicCounters are counters that the writer's goroutine changes and any goroutine reads.
+// atomicCounters holds the counters that the writer's goroutine updates and any goroutine may read.
 type atomicCounters struct{ failures, recoveries, unwritten atomic.Uint64 }
 
 func (c *atomicCounters) load() Counters {
--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -5,32 +5,32 @@
 	"os"
 )
 
-// File is an open file of the ledger; an os.File is one.
+// File is an open file of the ledger. An os.File implements it.
 type File interface {
 	io.ReadWriteCloser
 	Sync() error
 	Truncate(size int64) error
 }
 
-// Disk is where a ledger is kept. Its methods block, and fail as the system's do. They are called on the goroutine that
-// calls Open, and then on the writer's.
+// Disk provides the file operations of the ledger. Its methods block and return the errors of the operating system.
+// They are called on the goroutine that calls Open and, once Open has returned, on the writer's goroutine.
 type Disk interface {
-	// Open is os.OpenFile.
+	// Open opens a file like os.OpenFile.
 	Open(path string, flag int, mode os.FileMode) (File, error)
-	// Rename is os.Rename.
+	// Rename renames a file like os.Rename.
 	Rename(from, to string) error
-	// SyncDir makes a rename in a directory durable.
+	// SyncDir syncs a directory, which makes earlier renames in it durable.
 	SyncDir(dir string) error
 }
 
-// SystemDisk is the disk of the system that the program runs on.
+// SystemDisk implements Disk by the file operations of the operating system.
 type SystemDisk struct{}
 
 // Open implements Disk.
 func (SystemDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
 	file, err := os.OpenFile(path, flag, mode)
 	if err != nil {
-		return nil, err // not a file that is nil
+		return nil, err // a nil *os.File would be a File other than nil
 	}
 	return file, nil
 }
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,24 +1,26 @@
-// Package ledger is the write-ahead log of orders, the requests that must never run twice. An order's first entry is on
-// the disk before the order is first forwarded, so an order without an entry has never been forwarded, and one that was
-// in flight when the process died is known at the next start.
+// Package ledger is the write-ahead log of orders, the requests that must never run twice. The first entry of an order
+// is synced to the disk before the order is forwarded. An order without an entry has therefore never been forwarded,
+// and an order that was in flight when the process exited is known after the next start.
 //
 // # Format
 //
-// The file holds one entry a line, as JSON behind a checksum. The last entry of an order counts. Lines are appended,
-// and entries that arrive while the file is being written are synced together. Compaction replaces the file by one with
-// the last entry of each order that is still retained, and with the retention horizon: the latest time of an order that
-// was dropped for its age. The form is fixed; testdata has files that an earlier version wrote.
+// Each line of the file holds one entry: a checksum followed by JSON. The last entry of an order states what is known
+// of it. Lines are appended, and entries that arrive during a write are synced together. Compaction replaces the file
+// by one that holds the last entry of each order that is still retained, and the retention horizon: the latest event
+// time of an order that was dropped because of its age. The format must not change; testdata has files that an earlier
+// version wrote.
 //
 // # Ownership
 //
-// A Ledger starts one goroutine, the writer, which does all file I/O after Open. Ledger.Begin and Ledger.Update queue
-// entries for it and do not block; they are meant for the event loop. Open and Ledger.Close block on the disk and must
-// not be called on the event loop. Ledger.Counters may be called by any goroutine.
+// Open starts one goroutine, the writer, which does all file I/O after Open has returned. Ledger.Begin and
+// Ledger.Update queue entries for the writer. They do not block and may be called on the event loop. Open and
+// Ledger.Close block on the disk and must not be called on the event loop. Ledger.Counters may be called by any
+// goroutine.
 //
 // # Failure behaviour
 //
-// After a failed write or sync no order is recorded until the file is whole again, which the writer tries with growing
-// delays; what became of orders meanwhile is kept in memory and written then. A ledger that is damaged anywhere but in
-// its last line is an error of Open, since it would leave open which orders ran. A last line that was cut short is
-// dropped: it was never synced, so its order was never forwarded.
+// After a failed write or sync, no order is recorded until the file has recovered. The writer retries the recovery with
+// increasing delays. Outcomes of orders that arrive in the meantime are kept in memory and written on recovery. Open
+// returns an error if the file is damaged anywhere but in its last line, because it would be unknown which orders ran.
+// An incomplete last line is dropped: it was never synced, so its order was never forwarded.
 package ledger
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -9,47 +9,49 @@
 	"time"
 )
 
-// A line of the ledger is the CRC-32 (IEEE) of the JSON in 8 hex digits, a space, the JSON of an entry, and a line
-// feed.
+// A line of the ledger consists of the CRC-32 (IEEE) of the JSON in 8 hex digits, a space, the JSON of an entry, and a
+// line feed.
 const (
 	checksumDigits = 2 * crc32.Size
 	minLineBytes   = checksumDigits + 2 // the checksum, the space and the line feed
 	maxLineBytes   = 64 << 10
 )
 
-// State is what an entry says of its order. Its values are on the disk and may not change.
+// State is the state of an order according to an entry. Its values are stored on disk and must not change.
 type State string
 
 // The states of an order.
 const (
-	Begun  State = "begun" // the order may run from now on
-	Ended  State = "ended" // it has the entry's outcome
-	NotRun State = "freed" // it is proven not to have run, and may be begun again
+	Begun  State = "begun" // the order is about to be forwarded and may have run
+	Ended  State = "ended" // the order has completed with the status of the entry
+	NotRun State = "freed" // the order is proven not to have run and may be forwarded again
 
-	// retentionHorizon is of an entry that belongs to no order: the retention horizon of Content is its time.
+	// retentionHorizon is the state of an entry that belongs to no order. Its time is Content.RetentionHorizon.
 	retentionHorizon State = "horizon"
 )
 
-// Entry is a line of the ledger. The last entry of an order counts. Its form is on the disk and may not change.
+// Entry is a decoded line of the ledger. The last entry of an order states what is known of it. The encoding is stored
+// on disk and must not change.
 type Entry struct {
 	ID         string    `json:"id"`
-	EventTime  time.Time `json:"at"`  // by which the order's retention counts
-	BodyDigest string    `json:"sum"` // of the payload
+	EventTime  time.Time `json:"at"`  // start of the order's retention period
+	BodyDigest string    `json:"sum"` // digest of the request's payload
 	State      State     `json:"state"`
-	Status     int       `json:"status,omitempty"` // of the response; with Ended alone
-	Body       []byte    `json:"body,omitempty"`   // of the response; with Ended alone
+	Status     int       `json:"status,omitempty"` // of the response; set only with state Ended
+	Body       []byte    `json:"body,omitempty"`   // of the response; set only with state Ended
 }
 
-// encodeEntry returns an entry's line.
+// encodeEntry returns the line of an entry, with its line feed.
 func encodeEntry(e Entry) []byte {
 	text, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // of strings, numbers and bytes: it can't fail
+		panic(err) // unreachable: strings, numbers and bytes can always be encoded
 	}
 	return fmt.Appendf(nil, "%08x %s\n", crc32.ChecksumIEEE(text), text)
 }
 
-// decodeEntry reads a line, with its line feed. Its errors are errDamagedLine, or say what is wrong with the text.
+// decodeEntry decodes a line, with its line feed. It returns errDamagedLine if the line is too short or the checksum
+// differs, and the decoder's error if the checksum or the JSON is malformed.
 func decodeEntry(line []byte) (e Entry, err error) {
 	if len(line) < minLineBytes {
 		return e, errDamagedLine
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// FileError is a ledger file that can't be read or written.
+// FileError reports that a ledger file can't be read or written.
 type FileError struct {
 	Path string
-	Line int // counted from 1; 0 where no line is to blame
+	Line int // counted from 1; 0 if the error concerns no single line
 	Err  error
 }
 
-// Error names the line, if there is one. The system's errors name the file.
+// Error names the line, if there is one. It does not add the path: errors of the operating system contain it already.
 func (e *FileError) Error() string {
 	if e.Line > 0 {
 		return fmt.Sprintf("line %d: %v", e.Line, e.Err)
@@ -23,7 +23,7 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// InUseError is a ledger that another process has open.
+// InUseError reports that another process has the ledger open.
 type InUseError struct {
 	Path string
 	Err  error
@@ -34,16 +34,16 @@
 	return fmt.Sprintf("ledger %s is in use: %v", e.Path, e.Err)
 }
 
-// Unwrap returns the system's error.
+// Unwrap returns the error of the operating system.
 func (e *InUseError) Unwrap() error { return e.Err }
 
-// Errors of orders that can't be recorded.
+// Errors for orders that can't be recorded.
 var (
-	// ErrFull is of an order for which the file or the queue has no capacity.
+	// ErrFull reports that the file or the queue has no capacity for the order.
 	ErrFull = errors.New("ledger is full")
-	// ErrUnavailable is of an order that arrives after a failure of the file, from which it has not recovered yet.
-	ErrUnavailable = errors.New("ledger is out of use until its file is whole again")
+	// ErrUnavailable reports that the file has failed and has not recovered yet.
+	ErrUnavailable = errors.New("ledger is unavailable until its file has recovered")
 )
 
-// errDamagedLine is of a line that is too short or has another checksum.
+// errDamagedLine reports a line that is too short or whose checksum differs.
 var errDamagedLine = errors.New("damaged")
--- a/internal/ledger/failure_test.go
+++ b/internal/ledger/failure_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// The delay of retries doubles up to its limit, and a failure never becomes a lesser one before the file has recovered.
+// The delay between retries doubles up to its limit. Once the content is unknown, it stays unknown until the file has
+// recovered, even if later failures leave it known.
 func TestFailureDelaysRetries(t *testing.T) {
 	var failure fileFailure
 	if failure.retryAfter() != nil || failure.retryDue() {
-		t.Error("a retry without a failure")
+		t.Error("a retry is scheduled without a failure")
 	}
 	failure.add(contentUnknown)
 	if !failure.pending || failure.retryDue() || failure.delay != firstRetryDelay {
--- a/internal/ledger/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -7,13 +7,13 @@
 	"syscall"
 )
 
-// faultyDisk is the system's disk. While it is failing, two of three operations fail at random.
+// faultyDisk is a SystemDisk with injected faults. While failing is set, two of three operations fail at random.
 type faultyDisk struct {
 	SystemDisk
 	mu      sync.Mutex
 	random  *rand.Rand
 	failing bool
-	failed  int // operations
+	failed  int // number of failed operations
 }
 
 // nextError reports whether the next operation nextError, and how.
@@ -60,7 +60,7 @@
 	return d.SystemDisk.SyncDir(dir)
 }
 
-// faultyFile is a file on a faulty disk. A write that fails leaves a part of its bytes.
+// faultyFile is a file on a faultyDisk. A write that fails still writes a part of its bytes.
 type faultyFile struct {
 	File
 	disk *faultyDisk
@@ -88,12 +88,12 @@
 	return f.File.Truncate(size)
 }
 
-// unsyncedDisk is a disk on which a rename is made and the next syncs of its folder fail.
+// unsyncedDisk is a SystemDisk on which renames succeed, but the next syncs of directories fail.
 type unsyncedDisk struct {
 	SystemDisk
 	mu                sync.Mutex
-	remainingFailures int // how many
-	syncs             int // of folders, failed ones included
+	remainingFailures int // how many further syncs of directories fail
+	syncs             int // syncs of directories, including failed ones
 }
 
 func (d *unsyncedDisk) SyncDir(dir string) error {
--- a/internal/ledger/file.go
+++ b/internal/ledger/file.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	replacementSuffix = ".new" // of the file that replaces the ledger's
+	replacementSuffix = ".new" // of the file that is written to replace the ledger file
 	fileMode          = 0o600
 )
 
-// wholeFile has logFile.read read a file to its end.
+// noReadLimit makes ledgerFile.read read a file to its end.
 const noReadLimit = math.MaxInt64
 
-// ledgerFile is the ledger's file on the disk. Its first size bytes are whole lines; what a failed write left behind them
-// is torn and does not count. Its methods block on the disk, and their errors are FileErrors. It belongs to the
+// ledgerFile is the ledger's file on the disk. Its first size bytes are complete lines. Bytes after them were left by a
+// failed write and are ignored. Its methods block on the disk, and their errors are FileErrors. It belongs to the
 // writer's goroutine.
 type ledgerFile struct {
 	path     string
 	maxBytes int64
 	disk     Disk
-	handle   File // open for appending; nil: none could be opened yet
+	handle   File // open for appending; nil until a file could be opened
 	size     int64
 }
 
@@ -32,7 +32,7 @@
 	return &ledgerFile{path: config.Path, maxBytes: config.MaxBytes, disk: disk}
 }
 
-// fileError returns the FileError of a failure; nil for none.
+// fileError wraps an error in a FileError. It returns nil for nil.
 func (f *ledgerFile) fileError(err error) error {
 	if err == nil {
 		return nil
@@ -40,7 +40,8 @@
 	return &FileError{Path: f.path, Err: err}
 }
 
-// read reads the whole lines up to a size. A file that does not exist yet is empty. It returns the size of these lines.
+// read reads the complete lines in the first limit bytes of the file, and also returns their size in bytes. A file that
+// does not exist yet counts as empty.
 func (f *ledgerFile) read(limit int64) (content Content, size int64, err error) {
 	file, err := f.disk.Open(f.path, os.O_RDONLY, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -53,12 +54,12 @@
 	return readContent(f.path, io.LimitReader(file, limit))
 }
 
-// hasCapacity reports whether lines may be appended within the configured size.
+// hasCapacity reports whether lines can be appended without exceeding maxBytes.
 func (f *ledgerFile) hasCapacity(lines []byte) bool {
 	return f.size+int64(len(lines)) <= f.maxBytes
 }
 
-// append writes a line behind the others, without a sync.
+// append writes a line to the end of the file and adds it to size. It does not sync the file.
 func (f *ledgerFile) append(line []byte) error {
 	if err := f.write(line); err != nil {
 		return err
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// write writes lines behind the others, without a sync. They do not count until size covers them.
+// write writes lines to the end of the file without a sync. It leaves size unchanged, so the lines do not count until
+// the caller adds their length to size.
 func (f *ledgerFile) write(lines []byte) error {
 	if len(lines) == 0 {
 		return nil
@@ -76,10 +78,10 @@
 	return f.fileError(err)
 }
 
-// sync returns when all that was written is on the disk.
+// sync returns when everything that was written is on the disk.
 func (f *ledgerFile) sync() error { return f.fileError(f.handle.Sync()) }
 
-// truncateTorn cuts off what follows the whole lines.
+// truncateTorn cuts off everything after the complete lines.
 func (f *ledgerFile) truncateTorn() error {
 	if f.handle == nil {
 		return f.fileError(fs.ErrClosed)
@@ -87,9 +89,9 @@
 	return f.fileError(f.handle.Truncate(f.size))
 }
 
-// replace writes lines to a new file, renames that to the ledger's path, and has further lines appended to it. Both the
-// file and the rename are on the disk when it returns without an error. After an error the file is the old one or,
-// where only the sync of the rename failed, the new one.
+// replace writes lines to a new file, renames that file to the ledger's path, and keeps it open for appending. When it
+// returns without an error, both the file and the rename are on the disk. After an error the ledger is still the old
+// file, except if only the sync of the rename failed: then it is the new file.
 func (f *ledgerFile) replace(lines []byte) error {
 	path := f.path + replacementSuffix
 	replacement, err := f.disk.Open(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
@@ -119,7 +121,7 @@
 	return f.disk.Rename(path, f.path)
 }
 
-// close syncs the file and closes it. Its errors are the system's.
+// close syncs the file and closes it. Its errors are those of the operating system, not FileErrors.
 func (f *ledgerFile) close() error {
 	if f.handle == nil {
 		return nil
--- a/internal/ledger/file_test.go
+++ b/internal/ledger/file_test.go
@@ -9,12 +9,13 @@
 	"crankhold/internal/testutil"
 )
 
-// What was written and not counted is cut off, and lines are appended behind what counts.
+// truncateTorn cuts off bytes that were written without being added to the size, and later lines follow the complete
+// ones.
 func TestLedgerFileTruncatesTornLines(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	file := newLedgerFile(Config{Path: path, MaxBytes: 8}, SystemDisk{})
 	if err := file.truncateTorn(); !errors.Is(err, fs.ErrClosed) {
-		t.Errorf("a file that is not open: %v", err)
+		t.Errorf("truncation of a file that is not open: %v", err)
 	}
 	for _, err := range []error{
 		file.replace([]byte("one\n")), file.write([]byte("tor")), file.truncateTorn(), file.append([]byte("two\n")), file.sync(),
@@ -27,7 +28,7 @@
 		t.Errorf("the file is %q, its size %d", got, file.size)
 	}
 	if file.hasCapacity([]byte("x")) || !file.hasCapacity(nil) {
-		t.Error("a full file has capacity, or none for nothing")
+		t.Error("a full file has capacity for a byte, or none for zero bytes")
 	}
 	if err := file.close(); err != nil {
 		t.Fatal(err)
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -13,21 +13,21 @@
 	"crankhold/internal/testutil"
 )
 
-// The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b wrote
-// them; ledgers of that form are on the routers' disks.
+// The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b
+// wrote them; ledgers of that form are on the routers' disks.
 const (
-	goldenFirstRun  = "testdata/first-run.ledger"  // entries appended to a new file
-	goldenSecondRun = "testdata/second-run.ledger" // compacted at the start, with a retention horizon, and appended to
-	goldenCompacted = "testdata/compacted.ledger"  // compacted once more, with a later horizon
+	goldenFirstRun  = "testdata/first-run.ledger"  // a new file with appended entries
+	goldenSecondRun = "testdata/second-run.ledger" // the first file compacted, with a horizon and appended entries
+	goldenCompacted = "testdata/compacted.ledger"  // the second file compacted, with a later horizon
 )
 
-// goldenEntry is an entry that is written by Begin or by Update.
+// goldenEntry is an entry that is written by Begin or Update.
 type goldenEntry struct {
 	entry Entry
-	begin bool
+	begin bool // written by Begin
 }
 
-// goldenOrder returns an entry of an order that is as old as age at noon.
+// goldenOrder returns an entry of an order whose event is older than noon by age.
 func goldenOrder(id string, age time.Duration, state State, status int, body string) goldenEntry {
 	entry := Entry{ID: id, EventTime: noon.Add(-age), BodyDigest: "9f86d081884c7d659a2feaa0c55ad015", State: state, Status: status}
 	if body != "" {
@@ -36,8 +36,8 @@
 	return goldenEntry{entry: entry, begin: state == Begun}
 }
 
-// goldenFirstEntries are written two hours before noon to a ledger of two hours' retention, goldenSecondEntries at noon,
-// when the first two orders have expired. They have each state and outcome that an entry can have.
+// goldenFirstEntries is written two hours before noon to a ledger with a retention of two hours. goldenSecondEntries is
+// written at noon, when the first two orders have expired. Together they cover every state and outcome of an entry.
 var goldenFirstEntries = []goldenEntry{
 	goldenOrder("expired", 150*time.Minute, Begun, 0, ""),
 	goldenOrder("expired", 150*time.Minute, Ended, 200, "done"),
@@ -66,7 +66,7 @@
 	goldenOrder("not-run-again", 0, NotRun, 0, ""),
 }
 
-// openGolden opens a ledger of 2 hours' retention.
+// openGolden opens a ledger with a retention of 2 hours.
 func openGolden(t *testing.T, path string, now time.Time) (*Ledger, Content) {
 	t.Helper()
 	l, content, err := Open(Options{Config: Config{Path: path, MaxBytes: 1 << 20, Retention: 2 * time.Hour}, Now: now})
@@ -108,7 +108,7 @@
 	golden.Compare(t, goldenCompacted, testutil.ReadFile(t, path))
 }
 
-// Each record of the files that the code of commit 90e713b wrote is read as it was meant.
+// Each entry of the files that the code of commit 90e713b wrote is decoded to the entry that was encoded.
 func TestLedgerReadsTheGoldenRecords(t *testing.T) {
 	horizon := goldenEntry{entry: Entry{EventTime: noon.Add(-125 * time.Minute), State: retentionHorizon}}
 	laterHorizon := goldenEntry{entry: Entry{EventTime: noon.Add(-90 * time.Minute), State: retentionHorizon}}
@@ -131,13 +131,13 @@
 				t.Errorf("%d of %d bytes were read: %v", size, len(content), err)
 			}
 			if diff := cmp.Diff(wantEntries, got); diff != "" {
-				t.Errorf("the records differ (-want +got):\n%s", diff)
+				t.Errorf("the entries differ (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A ledger that the code of commit 90e713b left behind opens with the last entry of each order that it retains.
+// Opening a ledger that the code of commit 90e713b wrote returns the last entry of each order that is still retained.
 func TestGoldenLedgerIsOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	if err := os.WriteFile(path, testutil.ReadFile(t, goldenSecondRun), fileMode); err != nil {
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -4,12 +4,12 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// testConfig returns the configuration of a ledger of 1 MiB that retains orders for an hour.
+// testConfig returns a configuration with a file size of at most 1 MiB and a retention of one hour.
 func testConfig(path string) Config {
 	return Config{Path: path, MaxBytes: 1 << 20, Retention: time.Hour}
 }
 
-// beginOrder has an order recorded, and returns what is reported of it.
+// beginOrder calls Begin for an order and returns the error that is passed to done.
 func beginOrder(l *Ledger, entry Entry) error {
 	recorded := make(chan error, 1)
 	l.Begin(entry, noon, func(err error) { recorded <- err })
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// Ledger is the part of the write-ahead log that its user calls. It queues entries; the writer's goroutine, which lives
-// from Open until Close, appends them to the file. The file's lock is held as long.
+// Ledger is the interface of the write-ahead log to the rest of the program. It queues entries, which the writer's
+// goroutine appends to the file. The goroutine runs and the file is locked from Open until Close.
 type Ledger struct {
 	queue  *jobQueue
 	writer *writer
 	lock   *os.File
 }
 
-// Options are the parts that a Ledger works with.
+// Options holds the parameters of Open.
 type Options struct {
 	Config Config
-	// Now is the time by which retention counts at the start. Later times come with the entries.
+	// Now is the present time, from which Open computes which orders are still retained. Later times are passed with
+	// the entries.
 	Now time.Time
-	// Disk is where the file is kept; nil: the system's.
+	// Disk provides the file operations; nil means SystemDisk.
 	Disk Disk
-	// Logger logs failures of the file and recoveries; nil: slog.Default().
+	// Logger logs failures and recoveries of the file; nil means slog.Default().
 	Logger *slog.Logger
 }
 
-// Open locks the ledger, reads what it holds, compacts it and starts the writer. It blocks on file I/O and must not be
-// called on the event loop. Where the disk fails to take the compacted file, the ledger opens all the same, and records
-// no order until it does. Its errors are InUseErrors and FileErrors.
+// Open locks the ledger, reads its content, compacts it and starts the writer. It blocks on file I/O and must not be
+// called on the event loop. If the compacted file can't be written, Open still succeeds, but no order is recorded until
+// the file has recovered. Its errors are InUseErrors and FileErrors.
 func Open(options Options) (*Ledger, Content, error) {
 	lock, err := lockFile(options.Config.Path)
 	if err != nil {
@@ -47,8 +48,8 @@
 	return &Ledger{queue: queue, writer: writer, lock: lock}, content, nil
 }
 
-// lockFile takes the lock that keeps two processes from using one ledger: they would not see each other's orders. It is
-// a file of its own, since compaction replaces the ledger's.
+// lockFile takes the lock that keeps two processes from using the same ledger: they would not see each other's orders.
+// The lock is on a separate file, because compaction replaces the ledger file.
 func lockFile(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -61,10 +62,11 @@
 	return lock, nil
 }
 
-// Begin records an order that is about to be forwarded, at the time now. It does not block. Done is called once, when
-// the entry is on the disk or with the error for which it is not: on the writer's goroutine, or before Begin returns
-// where maxQueuedBegins orders wait already. After an error (ErrFull, ErrUnavailable or a FileError) the order must not
-// be forwarded; where a part of its entry may be on the disk, the writer records that it did not run.
+// Begin records, at the time now, that an order is about to be forwarded. It does not block. It calls done exactly
+// once, with nil when the entry is on the disk, or with the error that prevented it. done is called on the writer's
+// goroutine or, if maxQueuedBegins orders are waiting already, before Begin returns. After an error (ErrFull,
+// ErrUnavailable or a FileError) the order must not be forwarded. If a part of its entry may be on the disk, the writer
+// records that the order did not run.
 func (l *Ledger) Begin(entry Entry, now time.Time, done func(error)) {
 	entry.State = Begun
 	if !l.queue.push(job{entry: entry, now: now, done: done}) {
@@ -72,16 +74,16 @@
 	}
 }
 
-// Update records what became of an order, as soon as the disk takes it. It does not block. Should the entry be lost
-// with the program, the order counts as one that may have run, and is never run again.
+// Update records, at the time now, a new state of an order. It does not block: the entry is written as soon as the disk
+// accepts it. If the process exits before that, the order counts as one that may have run, and is never run again.
 func (l *Ledger) Update(entry Entry, now time.Time) { l.queue.push(job{entry: entry, now: now}) }
 
-// Counters returns the counters since the ledger was opened.
+// Counters returns the counts since the ledger was opened.
 func (l *Ledger) Counters() Counters { return l.writer.counters.load() }
 
-// Close ends the writer's goroutine when all entries are written, and lets others open the ledger. It blocks on the
+// Close stops the writer's goroutine after it has written all entries, and releases the ledger's lock. It blocks on the
 // disk and must not be called on the event loop. Neither Begin nor Update may be called after it. Its error wraps
-// ErrUnavailable where entries could not be written and are lost.
+// ErrUnavailable if entries could not be written and are lost.
 func (l *Ledger) Close() error {
 	l.queue.close()
 	return errors.Join(l.writer.close(), l.lock.Close())
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,8 +14,8 @@
 	"crankhold/internal/testutil"
 )
 
-// The model of the ledger: each entry that was acknowledged as written is there after a crash, and a line that the crash
-// cut short does no harm.
+// Each entry that was acknowledged as written is found after a crash, and a last line that the crash left incomplete is
+// ignored. The test compares random steps with a model.
 func TestLedgerRecoversAcknowledgedEntries(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -75,7 +75,8 @@
 	})
 }
 
-// Damage anywhere but in the last line leaves open which orders ran, so the ledger is not opened.
+// A ledger that is damaged anywhere but in an incomplete last line is not opened, because it is unknown which orders
+// ran.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	if err := os.WriteFile(path, []byte("00000000 {}\n"), fileMode); err != nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// What became of an order is recorded, however many orders end at once.
+// The outcomes of all orders are recorded, however many orders end at once.
 func TestOutcomesAreRecordedWhenManyOrdersEndAtOnce(t *testing.T) {
 	const orders = 20 * maxQueuedBegins
 	path := filepath.Join(t.TempDir(), "ledger")
--- a/internal/ledger/queue.go
+++ b/internal/ledger/queue.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxQueuedBegins is how many orders may wait to be recorded; further ones are rejected.
+// maxQueuedBegins is how many calls of Begin may wait to be recorded. Further ones are rejected.
 const maxQueuedBegins = 256
 
-// job is an entry for the writer.
+// job is an entry that the writer has to append.
 type job struct {
 	entry Entry
-	now   time.Time // when the entry was made; advances the writer's clock
-	// done is called on the writer's goroutine when the entry is synced or can't be. Nil: nobody waits for the entry,
-	// and it needs no sync.
+	now   time.Time // when the entry was queued; advances the writer's clock
+	// done is called on the writer's goroutine when the entry has been synced or has failed. It is nil if nobody waits
+	// for the entry, which then needs no sync.
 	done func(error)
 }
 
-// jobQueue hands jobs to the writer. Its methods do not block and may be called by any goroutine.
+// jobQueue passes jobs to the writer. Its methods do not block and may be called by any goroutine.
 type jobQueue struct {
-	wake chan struct{} // holds one value where something is queued, or the queue is closed
+	wake chan struct{} // holds a value if jobs are queued or the queue was closed
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	jobs   []job
-	begins int // jobs that somebody waits for
+	begins int // queued jobs whose done is set
 	closed bool
 }
 
@@ -31,8 +31,8 @@
 	return &jobQueue{wake: make(chan struct{}, 1)}
 }
 
-// push queues a job, and reports whether it did: of orders that are about to be forwarded only so many wait. Updates
-// are always queued: there are no more of them than orders.
+// push queues a job. It reports false if the job comes from Begin and maxQueuedBegins such jobs are queued already.
+// Updates are always queued: there are no more of them than orders.
 func (q *jobQueue) push(queued job) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -47,7 +47,7 @@
 	return true
 }
 
-// takeAll empties the queue. It returns what was queued, and whether nothing more will be.
+// takeAll empties the queue. It returns the queued jobs and whether the queue is closed.
 func (q *jobQueue) takeAll() (jobs []job, closed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -57,7 +57,7 @@
 	return jobs, q.closed
 }
 
-// close wakes the writer for the last time. Nothing may be queued after it.
+// close closes the queue and wakes the writer for the last time. No job may be queued after it.
 func (q *jobQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/ledger/queue_test.go
+++ b/internal/ledger/queue_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Orders that are about to be forwarded are bounded, and what became of orders is not.
+// The number of queued calls of Begin is limited; the number of queued updates is not.
 func TestQueueBoundsBeginsAlone(t *testing.T) {
 	queue := newJobQueue()
 	begin := job{done: func(error) {}}
@@ -14,7 +14,7 @@
 		}
 	}
 	if queue.push(begin) {
-		t.Error("one begin too many was queued")
+		t.Error("a begin over the limit was queued")
 	}
 	if !queue.push(job{}) {
 		t.Error("an update was not queued")
@@ -27,6 +27,6 @@
 	}
 	queue.close()
 	if jobs, closed := queue.takeAll(); len(jobs) != 1 || !closed || len(queue.wake) != 1 {
-		t.Errorf("after the end: %d jobs, closed %v", len(jobs), closed)
+		t.Errorf("after close: %d jobs, closed %v", len(jobs), closed)
 	}
 }
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// recordFailure records a failure of the file, after which nothing is appended to it until it has recovered.
+// recordFailure records a failure of the file. Nothing is appended to the file until it has recovered.
 func (w *writer) recordFailure(err error, content contentState) {
 	if !w.failure.pending {
 		w.logger.Error("ledger_failed", slog.String("ledger", w.file.path), slog.Any("err", err))
@@ -11,7 +11,7 @@
 	w.failure.add(content)
 }
 
-// recoverIfDue makes the file whole where a retry is due.
+// recoverIfDue tries to recover the file if a retry is due.
 func (w *writer) recoverIfDue() {
 	if !w.failure.retryDue() {
 		return
@@ -27,8 +27,8 @@
 	w.unwritten = nil
 }
 
-// restoreFile cuts off what is torn, or writes the file anew, and then appends the unwritten entries. All of it is on
-// the disk when it returns without an error.
+// restoreFile truncates torn writes, or rewrites the whole file, and then appends the unwritten entries. When it
+// returns without an error, all of this is on the disk.
 func (w *writer) restoreFile() error {
 	if w.failure.content == contentUnknown || w.file.truncateTorn() != nil {
 		if err := w.rewriteFile(); err != nil {
@@ -38,8 +38,8 @@
 	return w.appendUnwritten()
 }
 
-// rewriteFile compacts the file. Where that fails, a rename may have been made that is not on the disk, so the next
-// attempt rewrites the file again.
+// rewriteFile compacts the file. If this fails, the file may have been renamed without the rename being on the disk, so
+// the next attempt rewrites the file again.
 func (w *writer) rewriteFile() error {
 	err := w.compact()
 	if err != nil {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// appendUnwritten appends the unwritten entries and syncs the file, which is compacted first where it lacks capacity.
+// appendUnwritten appends the unwritten entries and syncs the file. The file is compacted first if it lacks capacity.
 func (w *writer) appendUnwritten() error {
 	var lines []byte
 	for _, entry := range w.unwritten {
@@ -69,6 +69,6 @@
 		w.failure.content = contentUnknown
 		return err
 	}
-	w.file.size += int64(len(lines)) // only now: until they are synced they may have to be written again
+	w.file.size += int64(len(lines)) // after the sync, because until then the lines may have to be written again
 	return nil
 }
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// faultyDiskModel is a ledger on a faulty disk, and what it has to hold.
+// faultyDiskModel is a ledger on a faulty disk, with the content that it is expected to have.
 type faultyDiskModel struct {
 	t        *testing.T
 	random   *rand.Rand
 	disk     *faultyDisk
 	path     string
 	ledger   *Ledger
-	want     map[string]State // of each order that was recorded, as in its last entry
+	want     map[string]State // the expected state of each order that was recorded
 	rejected map[string]bool
 }
 
-// open opens the ledger, and returns the states of the orders that it holds.
+// open opens the ledger and returns the states of the orders that it contains.
 func (m *faultyDiskModel) open() map[string]State {
 	m.t.Helper()
 	l, content, err := Open(Options{Config: testConfig(m.path), Now: noon, Disk: m.disk})
@@ -54,7 +54,7 @@
 	}
 }
 
-// restart ends the program while the disk fails, and starts it again, maybe while it still fails.
+// restart closes the ledger while the disk fails and opens it again. The disk goes on failing at random.
 func (m *faultyDiskModel) restart() {
 	m.t.Helper()
 	m.disk.setFailing(true)
@@ -63,14 +63,14 @@
 	found := m.open()
 	for id := range m.want {
 		if found[id] == "" {
-			m.t.Fatalf("%s was recorded and is forgotten", id)
+			m.t.Fatalf("%s was recorded but is missing", id)
 		}
-		m.want[id] = found[id] // an outcome that was lost stays "begun": it may have run
+		m.want[id] = found[id] // an order whose outcome was lost stays "begun": it may have run
 	}
-	clear(m.rejected) // what the file has of them counts as begun
+	clear(m.rejected) // entries of rejected orders that are in the file count as begun
 }
 
-// check compares what the file holds with what it has to, once the disk works.
+// check repairs the disk and compares the content of the file with the expected one.
 func (m *faultyDiskModel) check() {
 	m.t.Helper()
 	m.disk.setFailing(false)
@@ -87,14 +87,13 @@
 	}
 	for id := range m.rejected {
 		if found[id] != "" {
-			m.t.Errorf("%s was rejected, and is %q", id, found[id])
+			m.t.Errorf("%s was rejected, but is %q", id, found[id])
 		}
 	}
 }
 
-// Whatever a disk does for a while, and whether or not the program ends meanwhile: an order that was recorded is known
-// after a restart and never forgotten. Once the disk works what became of each order is in the file, an order that was
-// rejected being one that never ran.
+// While the disk fails at random and the ledger is reopened at random, no recorded order is lost. Once the disk works
+// again, the file contains the outcome of each recorded order, and rejected orders count as not run.
 func TestLedgerRecoversFromDiskFailures(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -123,7 +122,7 @@
 	}
 }
 
-// awaitRecovery waits until a ledger records orders.
+// awaitRecovery waits until a ledger records orders again.
 func awaitRecovery(t *testing.T, l *Ledger) {
 	t.Helper()
 	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
@@ -134,8 +133,8 @@
 	t.Fatal("the ledger did not recover")
 }
 
-// A rename whose folder can't be synced is made again before the ledger records an order, also where the file was
-// compacted to have capacity for the unwritten entries.
+// If a rename succeeds but its directory can't be synced, the file is rewritten and renamed again before the ledger
+// records an order. This includes the compaction of a full file for the unwritten entries.
 func TestUnsyncedRenameIsRepeated(t *testing.T) {
 	disk := &unsyncedDisk{}
 	config := testConfig(filepath.Join(t.TempDir(), "ledger"))
@@ -147,7 +146,7 @@
 	unwritten := Entry{ID: "unwritten", EventTime: noon, State: Ended}
 	old := encodeEntry(Entry{ID: "an earlier order", EventTime: noon, State: NotRun})
 	w := l.writer
-	l.queue.mu.Lock() // the writer waits for jobs, so its file may be filled here
+	l.queue.mu.Lock() // the writer waits for jobs, so the test may fill its file
 	w.file.handle.Write(old)
 	w.file.size += int64(len(old))
 	w.file.maxBytes = w.file.size
@@ -156,12 +155,12 @@
 	before := disk.syncs
 	l.queue.mu.Unlock()
 	if err := w.appendUnwritten(); err == nil {
-		t.Fatal("a rename that is not synced counts")
+		t.Fatal("a rename that was not synced is reported as successful")
 	}
 	if err := w.restoreFile(); err != nil {
 		t.Fatal(err)
 	}
 	if disk.syncs-before != 2 {
-		t.Errorf("the folder was synced %d times", disk.syncs-before)
+		t.Errorf("the directory was synced %d times", disk.syncs-before)
 	}
 }
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// compactionInterval is the least time between two compactions of a full ledger: each writes the whole file.
+// compactionInterval is the minimum time between two compactions of a full ledger, because each writes the whole file.
 const compactionInterval = time.Minute
 
-// writer appends entries to the file, compacts it, and recovers it after failures. Its fields belong to its goroutine,
-// which run is; before that, and after stopped is closed, to the one that opens or closes the ledger.
+// writer appends entries to the file, compacts it, and recovers it after failures. Its fields belong to the goroutine
+// of run. Before that goroutine starts and after stopped is closed, they belong to the goroutine that opens or closes
+// the ledger.
 type writer struct {
 	queue     *jobQueue
 	file      *ledgerFile
-	retention time.Duration // from an order's event
+	retention time.Duration // counted from an order's event
 	logger    *slog.Logger
-	counters  atomicCounters // read by any goroutine
-	stopped   chan struct{}  // closed when the last entry is written
+	counters  atomicCounters // may be read by any goroutine
+	stopped   chan struct{}  // closed when run has returned
 
-	now         time.Time // of the latest job; retention and compactionInterval count by it
+	now         time.Time // the latest time of a job; the clock for retention and compactionInterval
 	compactedAt time.Time
 	failure     fileFailure
-	unwritten   []Entry // that the file lacks since it failed, in their order
+	unwritten   []Entry // entries that could not be written since the file failed, oldest first
 }
 
 func newWriter(options Options, queue *jobQueue) *writer {
@@ -45,7 +46,7 @@
 	}
 }
 
-// open reads the file and replaces it by a compacted one. A file that can't be replaced is recovered later.
+// open reads the file and replaces it by a compacted one. If the file can't be replaced, run recovers it later.
 func (w *writer) open() (Content, error) {
 	content, size, err := w.file.read(noReadLimit)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return content, nil
 }
 
-// run writes entries until the queue is closed, with one sync for all that are queued.
+// run writes queued entries until the queue is closed. Entries that are queued together share one sync.
 func (w *writer) run() {
 	defer close(w.stopped)
 	for {
@@ -82,15 +83,15 @@
 	}
 }
 
-// advanceClock sets the clock to a time, unless that is earlier.
+// advanceClock sets the writer's clock to now, unless that would turn it back.
 func (w *writer) advanceClock(now time.Time) {
 	if now.After(w.now) {
 		w.now = now
 	}
 }
 
-// writeBatch appends the entries of a batch, syncs them if somebody waits for one of them, and reports the result of
-// each.
+// writeBatch appends the entries of a batch, syncs the file if a job of the batch has a done function, and reports the
+// result of each job.
 func (w *writer) writeBatch(batch []job) {
 	results := make([]error, len(batch))
 	syncNeeded := false
@@ -108,7 +109,7 @@
 	}
 }
 
-// syncBatch syncs the file. If that fails, what is on the disk is unknown, and every entry of the batch has failed.
+// syncBatch syncs the file. If this fails, the content on the disk is unknown, so every entry of the batch fails.
 func (w *writer) syncBatch(results []error) {
 	err := w.file.sync()
 	if err == nil {
@@ -120,7 +121,8 @@
 	}
 }
 
-// completeJob reports a job's result to the one who waits for it, and keeps what a failed job leaves to be written.
+// completeJob passes the result of a job to its done function. If the job has failed, it keeps the entry that must
+// still be written.
 func (w *writer) completeJob(job job, result error) {
 	if result != nil {
 		w.logger.Error("ledger_write_failed", slog.String("id", job.entry.ID), slog.Any("err", result))
@@ -131,25 +133,25 @@
 	}
 }
 
-// keepUnwritten keeps the entry that has to be written in place of one that failed. An update is kept as it is. An
-// order that could not be recorded is rejected, and a part of its entry may be on the disk: it is kept as one that did
-// not run.
+// keepUnwritten keeps the entry that must be written after a job has failed. An update is kept unchanged. If the failed
+// job comes from Begin, the order is rejected while a part of its entry may be on the disk, so an entry is kept that
+// says that the order did not run.
 func (w *writer) keepUnwritten(job job, cause error) {
 	entry := job.entry
 	if job.done != nil {
 		if !w.failure.pending {
-			return // the ledger is full: nothing of the entry was written
+			return // the ledger is full: no part of the entry was written
 		}
 		entry.State = NotRun
 	}
 	w.unwritten = append(w.unwritten, entry)
 	w.counters.unwritten.Store(uint64(len(w.unwritten)))
 	if !w.failure.pending {
-		w.recordFailure(cause, contentKnown) // the ledger is full: the update waits for capacity too
+		w.recordFailure(cause, contentKnown) // the ledger is full: the update waits until it has capacity
 	}
 }
 
-// appendEntry appends an entry to the file, without a sync. A full ledger is compacted first.
+// appendEntry appends an entry to the file without a sync. A full file is compacted first.
 func (w *writer) appendEntry(entry Entry) error {
 	if w.failure.pending {
 		return ErrUnavailable
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// compactForCapacity compacts the file so that it has capacity for a line, at most once a compactionInterval.
+// compactForCapacity compacts the file to gain capacity for a line, at most once per compactionInterval.
 func (w *writer) compactForCapacity(line []byte) error {
 	if w.now.Sub(w.compactedAt) < compactionInterval {
 		return ErrFull
@@ -200,7 +202,7 @@
 	return nil
 }
 
-// close blocks until the goroutine has ended, and closes the file.
+// close waits until run has returned, and closes the file.
 func (w *writer) close() error {
 	<-w.stopped
 	var err error
