--- a/internal/ledger/file_test.go
+++ b/internal/ledger/file_test.go
@@ -17,11 +17,11 @@
 	if err := file.truncateTorn(); !errors.Is(err, fs.ErrClosed) {
 		t.Errorf("truncation of a file that is not open: %v", err)
 	}
-	for _, err := range []error{
+	for _, stepErr := range []error{
 		file.replace([]byte("one\n")), file.write([]byte("tor")), file.truncateTorn(), file.append([]byte("two\n")), file.sync(),
 	} {
-		if err != nil {
-			t.Fatal(err)
+		if stepErr != nil {
+			t.Fatal(stepErr)
 		}
 	}
 	if got := string(testutil.ReadFile(t, path)); got != "one\ntwo\n" || file.size != 8 {
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -37,7 +37,7 @@
 func (c *connection) Busy() bool { return len(c.open) > 0 }
 
 // Messages returns how many complete messages were received, and whether the beginning of another was.
-func (c *connection) Messages() (complete int, partial bool) {
+func (c *connection) Messages() (complete int, inProgress bool) {
 	return c.messageCount, c.partial.Len() > 0
 }
 
--- a/internal/thrift/connection_test.go
+++ b/internal/thrift/connection_test.go
@@ -173,8 +173,8 @@
 		for i := range frame {
 			client.Data(frame[i : i+1])
 		}
-		if n, partial := client.Messages(); n != 1 && partial {
-			t.Errorf("%d complete messages, another begun: %v", n, partial)
+		if n, inProgress := client.Messages(); n != 1 && inProgress {
+			t.Errorf("%d complete messages, another begun: %v", n, inProgress)
 		}
 	})
 	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBodyBytes {
