--- a/internal/ipfix/config_test.go
+++ b/internal/ipfix/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Errors of the export file name it, and carry the setting as a field.
+// An error in the export file names the file, and has the setting in a field of its own.
 func TestConfigErrorsCarryTheFileAndTheSetting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ipfix.toml")
 	for _, test := range []struct{ text, key, message string }{
@@ -30,7 +30,7 @@
 	}
 }
 
-// A collector is not checked while exporting is off.
+// The collector's address is not checked while the export is disabled.
 func TestCollectorIsCheckedOnlyIfEnabled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ipfix.toml")
 	if err := os.WriteFile(path, []byte("collector = \"nowhere\"\nobservation_domain = 7"), 0o600); err != nil {
--- a/internal/ipfix/example_test.go
+++ b/internal/ipfix/example_test.go
@@ -10,15 +10,15 @@
 	"crankhold/internal/ipfix"
 )
 
-// datagrams is a socket that keeps what is sent over it.
+// datagrams is a Transport that records the datagrams that are sent over it.
 type datagrams [][]byte
 
 func (d *datagrams) Write(bufs ...[]byte) { *d = append(*d, bufs...) }
 
 func (d *datagrams) Close() {}
 
-// An exporter queues the record of a flow and sends it at its next flush, after the templates that a collector needs to
-// read it.
+// An exporter queues the record of a flow and sends it on the next flush, after the templates that a collector needs to
+// decode it.
 func ExampleExporter() {
 	var sent datagrams
 	var handler eventloop.DialHandler
@@ -32,7 +32,7 @@
 		},
 	})
 
-	// The first tick opens the socket; the loop reports that it is open.
+	// The first tick dials the collector; the event loop reports that the dial has completed.
 	now := time.Hour
 	exporter.Tick(now)
 	handler.DialCompleted(nil)
@@ -47,7 +47,7 @@
 	})
 	exporter.Tick(now)
 
-	// A message begins with the version, its length, the time, a sequence number and the observation domain. Sets
+	// A message starts with the version, its length, the time, a sequence number and the observation domain. Sets
 	// follow, each with its id and its length.
 	message := sent[0]
 	fmt.Println("version", binary.BigEndian.Uint16(message), "domain", binary.BigEndian.Uint32(message[12:]))
--- a/internal/ipfix/exporter.go
+++ b/internal/ipfix/exporter.go
@@ -13,36 +13,37 @@
 	flushInterval    = time.Second
 )
 
-// errSocketClosed is the end of a socket for which the system gave no reason.
+// errSocketClosed is logged for a socket that was closed without an error.
 var errSocketClosed = errors.New("closed")
 
-// ExporterConfig is what an Exporter needs. Dial and WallClock are required.
+// ExporterConfig configures an Exporter. Dial and WallClock are required.
 type ExporterConfig struct {
-	// Domain is the observation domain, by which a collector tells exporters apart.
+	// Domain is the observation domain, by which a collector distinguishes exporters.
 	Domain uint32
 
-	// Dial opens a socket to the collector. Its events go to the handler, but only after Dial has returned.
+	// Dial opens a socket to the collector. The handler receives the socket's events, all of them after Dial has
+	// returned.
 	Dial func(handler eventloop.DialHandler) Transport
 
-	// WallClock returns the time of day for the messages' headers.
+	// WallClock returns the present time for the headers of messages.
 	WallClock func() time.Time
 
-	// Logger logs the failures of sockets; nil: slog.Default().
+	// Logger logs the failures of sockets; nil means slog.Default().
 	Logger *slog.Logger
 }
 
-// Counters counts records and messages by what became of them. A message that was sent may still be lost.
+// Counters counts records and messages. A message that was sent may still be lost.
 type Counters struct {
-	Records  uint64 // added
-	Sent     uint64 // records, in messages that were sent
-	Dropped  uint64 // records
-	Messages uint64 // sent
+	Records  uint64 // records that were added, including dropped ones
+	Sent     uint64 // records in messages that were sent
+	Dropped  uint64 // records that were dropped
+	Messages uint64 // messages that were sent
 }
 
-// Exporter queues records and sends them to a collector. It belongs to the event loop's goroutine, and is the
+// Exporter queues records and sends them to a collector. It belongs to the event loop's goroutine and is the
 // eventloop.DialHandler of its socket.
 type Exporter struct {
-	// Counters is read by the owner alone.
+	// Counters may be read only on the event loop's goroutine.
 	Counters Counters
 
 	logger    *slog.Logger
@@ -53,7 +54,7 @@
 	nextFlush time.Duration
 }
 
-// New returns an Exporter. It opens no socket: the first Tick does.
+// New returns an Exporter. The first call of Tick opens its socket.
 func New(cfg ExporterConfig) *Exporter {
 	exporter := &Exporter{
 		logger:   cfg.Logger,
@@ -81,8 +82,8 @@
 	e.queue = append(e.queue, encoded)
 }
 
-// Tick opens the socket if there is none, and sends what is queued once each flushInterval. It returns when it is to be
-// called again.
+// Tick opens a socket if there is none, and sends the queued records once per flushInterval. It returns the time at
+// which it must be called again.
 func (e *Exporter) Tick(now time.Duration) time.Duration {
 	e.now = now
 	if e.socket.transport == nil && now >= e.socket.nextDial {
@@ -101,7 +102,7 @@
 	return e.nextFlush
 }
 
-// sendMessage sends as many queued records as fit into one message.
+// sendMessage sends one message with as many queued records as fit into it.
 func (e *Exporter) sendMessage() {
 	message, count := e.messages.next(e.now, e.queue)
 	e.queue = append(e.queue[:0], e.queue[count:]...)
@@ -110,8 +111,8 @@
 	e.socket.transport.Write(message)
 }
 
-// DialCompleted is called when the dial has ended. Templates are sent first over a new socket: its collector may have
-// none.
+// DialCompleted is called when the dial has succeeded or failed. The templates are sent first on a new socket, because
+// the collector may not have them.
 func (e *Exporter) DialCompleted(err error) {
 	if err != nil {
 		e.Closed(err)
@@ -121,11 +122,11 @@
 	e.messages.nextTemplates = 0
 }
 
-// Data ignores what is received: IPFIX has no responses.
+// Data ignores received bytes: IPFIX has no responses.
 func (e *Exporter) Data([]byte) {}
 
-// Closed is called when the socket was closed, also because no collector listens at the address. The next socket is
-// opened after redialDelay.
+// Closed is called when the socket was closed, for example because no collector listens at the address. The next socket
+// is opened after redialDelay.
 func (e *Exporter) Closed(err error) {
 	if err == nil {
 		err = errSocketClosed
--- a/internal/ipfix/exporter_test.go
+++ b/internal/ipfix/exporter_test.go
@@ -18,7 +18,7 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// newTestExporter returns an exporter of domain 7 whose sockets are all the same.
+// newTestExporter returns an exporter of domain 7 that uses the same transport for all its sockets.
 func newTestExporter(transport Transport) *Exporter {
 	return New(ExporterConfig{
 		Domain:    7,
@@ -27,8 +27,8 @@
 	})
 }
 
-// An independent decoder reads what was added, in order, with the templates that it needs and sequence numbers that
-// count the records before.
+// An independent decoder reads all added records in order. This requires that templates precede the records that they
+// describe; the sequence number of each message must be the number of records before it.
 func TestCollectorDecodesAddedFlows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		transport := &testutil.Transport{}
@@ -55,7 +55,7 @@
 			},
 			"send": func(t *rapid.T) {
 				if len(want)-len(got) > maxQueuedRecords {
-					t.Skip("dropped some")
+					t.Skip("the queue has overflowed")
 				}
 				now += flushInterval
 				exporter.Tick(now)
@@ -98,7 +98,7 @@
 	})
 }
 
-// The queue for a collector that is not there is bounded, and what is dropped is counted.
+// The queue has a limit while no collector is connected, and dropped records are counted.
 func TestQueuedRecordsAreBounded(t *testing.T) {
 	exporter := newTestExporter(&testutil.Transport{})
 	for range maxQueuedRecords + 5 {
--- a/internal/ipfix/golden_test.go
+++ b/internal/ipfix/golden_test.go
@@ -13,7 +13,7 @@
 	"crankhold/internal/golden"
 )
 
-// datagramTransport keeps each write by itself: over UDP it is a message of its own.
+// datagramTransport records each write separately, because over UDP each write is a datagram.
 type datagramTransport struct{ sent [][]byte }
 
 func (t *datagramTransport) Write(bufs ...[]byte) {
@@ -26,7 +26,7 @@
 
 func (t *datagramTransport) Close() {}
 
-// fakeCollector drives an exporter and formats what it sends.
+// fakeCollector drives an exporter and formats the messages that it sends.
 type fakeCollector struct {
 	exporter   *Exporter
 	transport  *datagramTransport
@@ -34,7 +34,7 @@
 	transcript string
 }
 
-// newFakeCollector returns a collector whose exporter has no socket yet.
+// newFakeCollector returns a fakeCollector whose exporter has no socket yet.
 func newFakeCollector() *fakeCollector {
 	c := &fakeCollector{now: time.Hour}
 	c.exporter = New(ExporterConfig{
@@ -54,7 +54,7 @@
 	c.exporter.DialCompleted(nil)
 }
 
-// export adds the flows, lets some time pass, and appends the messages that are sent to the transcript.
+// export adds the flows, advances the clock, and appends the messages that are sent to the transcript.
 func (c *fakeCollector) export(label string, after time.Duration, flows ...Flow) {
 	for _, f := range flows {
 		c.exporter.Add(f)
@@ -70,13 +70,13 @@
 	}
 }
 
-// flow returns a flow of 1.5 s with a body of 16 KiB.
+// flow returns a flow of 1.5 s duration with a body of 16 KiB.
 func flow(client, server, class string) Flow {
 	return Flow{Client: netip.MustParseAddrPort(client), Server: netip.MustParseAddrPort(server),
 		Start: noon, End: noon.Add(1500 * time.Millisecond), Octets: 16384, Class: class}
 }
 
-// repeated returns so many equal flows.
+// repeated returns count copies of a flow.
 func repeated(f Flow, count int) []Flow {
 	var flows []Flow
 	for range count {
@@ -85,7 +85,8 @@
 	return flows
 }
 
-// The bytes of each message are fixed: header, templates, records of each kind, and where one message ends.
+// The bytes of each message equal those of the golden file: header, templates, records of each kind, and the split of
+// records into messages.
 func TestGoldenMessages(t *testing.T) {
 	const (
 		client4, server4 = "192.0.2.7:4000", "198.51.100.1:10080"
@@ -107,8 +108,8 @@
 	c.export("record of the largest number of octets", flushInterval, largest)
 	c.export("records of both kinds in turn", flushInterval, ipv4, ipv4, ipv6, ipv6, ipv4)
 	c.export("records of mixed or unknown addresses, dropped", flushInterval, flow(client4, server6, "dim-level"), Flow{Server: ipv4.Server})
-	// Records of 43 bytes fill a message as far as it goes. Of those of 46 bytes a message could hold one more, but
-	// each record is counted with a set header of its own.
+	// A message takes records of 43 bytes until no other fits. It could hold one more record of 46 bytes, but the check
+	// for capacity adds a set header for each record.
 	c.export("records of 43 bytes for two messages", flushInterval, repeated(flow(client4, server4, "load"), 33)...)
 	c.export("records of 46 bytes for two messages", flushInterval, repeated(flow(client4, server4, "inspect"), 31)...)
 	c.export("templates again after a minute", templateInterval, ipv6)
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -17,29 +17,30 @@
 	setHeaderBytes     = 4
 	setLengthOffset    = 2 // in a set's header
 
-	// maxMessageBytes is below what an Ethernet frame holds, so that no message is fragmented (section 10.3.3).
+	// maxMessageBytes is less than the payload of an Ethernet frame, so that no message is fragmented (section 10.3.3).
 	maxMessageBytes = 1400
 )
 
 // templateInterval is the time between two transmissions of the templates (section 8.4).
 const templateInterval = time.Minute
 
-// messageHeader is a message's header without its version and length (section 3.1).
+// messageHeader is the header of a message without its version and length (section 3.1).
 type messageHeader struct {
 	exportTime time.Time
-	sequence   uint32 // the number of records sent before
+	sequence   uint32 // the number of records in earlier messages
 	domain     uint32
 }
 
-// messageBuilder builds the messages of one observation domain, whose headers count the records before.
+// messageBuilder builds the messages of one observation domain. It counts the records for the sequence numbers and
+// schedules the templates.
 type messageBuilder struct {
 	domain        uint32
 	wallClock     func() time.Time
 	sequence      uint32        // the number of records in messages so far, modulo 2^32
-	nextTemplates time.Duration // when the templates are due again; 0: with the next message
+	nextTemplates time.Duration // when the templates are due; 0 for the next message
 }
 
-// next returns a message with as many of the records as fit, and how many those are. It begins with the templates if
+// next returns a message with as many of the records as fit, and their count. The message starts with the templates if
 // they are due.
 func (s *messageBuilder) next(now time.Duration, records []record) (message []byte, count int) {
 	message = newMessage()
@@ -53,10 +54,10 @@
 	return message, count
 }
 
-// newMessage returns a message with room for its header.
+// newMessage returns a message that consists of an empty header.
 func newMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
 
-// writeMessageHeader writes the header of a message that is complete.
+// writeMessageHeader writes the header of a message to whose end nothing is appended afterwards.
 func writeMessageHeader(message []byte, header messageHeader) {
 	binary.BigEndian.PutUint16(message[versionOffset:], protocolVersion)
 	binary.BigEndian.PutUint16(message[lengthOffset:], uint16(len(message)))
@@ -65,8 +66,8 @@
 	binary.BigEndian.PutUint32(message[domainOffset:], header.domain)
 }
 
-// appendRecords appends as many records as fit into a message, and returns how many those are. Records of one template
-// that follow each other share a set.
+// appendRecords appends as many records as fit into a message, and returns their count. Consecutive records of the same
+// template share a set.
 func appendRecords(message []byte, records []record) (extended []byte, count int) {
 	setStart := 0
 	var setTemplate uint16
@@ -86,13 +87,13 @@
 	return message, count
 }
 
-// appendSetHeader begins a set whose length is not known yet.
+// appendSetHeader appends the header of a set with length 0, which writeSetLength replaces later.
 func appendSetHeader(b []byte, id uint16) []byte {
 	b = binary.BigEndian.AppendUint16(b, id)
 	return binary.BigEndian.AppendUint16(b, 0)
 }
 
-// writeSetLength writes the length of the set that begins at start and ends where b does.
+// writeSetLength writes the length of the set that starts at start and ends at the end of b.
 func writeSetLength(b []byte, start int) {
 	binary.BigEndian.PutUint16(b[start+setLengthOffset:], uint16(len(b)-start))
 }
--- a/internal/ipfix/message_test.go
+++ b/internal/ipfix/message_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Each message counts the records before it, takes as many as fit, and has the templates when they are due.
+// The sequence number of each message is the number of records before it. A message contains as many records as fit,
+// and the templates if they are due.
 func TestMessageBuilder(t *testing.T) {
 	messages := messageBuilder{domain: 7, wallClock: func() time.Time { return noon }}
 	records := make([]record, 40)
@@ -29,7 +30,7 @@
 			t.Errorf("message %d: %d records, header %x", i, taken, message[:messageHeaderBytes])
 		}
 		if first := binary.BigEndian.Uint16(message[messageHeaderBytes:]); (first == templateSetID) != step.templates {
-			t.Errorf("message %d begins with set %d", i, first)
+			t.Errorf("message %d starts with set %d", i, first)
 		}
 	}
 }
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	protocolTCP       = 6 // protocolIdentifier
-	endOfFlowDetected = 3 // flowEndReason: the end was seen (RFC 5102, section 5.11.3)
+	protocolTCP       = 6 // value of protocolIdentifier
+	endOfFlowDetected = 3 // value of flowEndReason: end of flow detected (RFC 5102, section 5.11.3)
 
-	// maxClassBytes bounds the name of a class. Below 255 its length takes one byte (RFC 7011, section 7).
+	// maxClassBytes limits the name of a class. The length of a name below 255 bytes is encoded in one byte (RFC 7011,
+	// section 7).
 	maxClassBytes = 64
 )
 
-// Flow is one request, from its client to the router.
+// Flow describes one request from a client to the router.
 type Flow struct {
 	Client netip.AddrPort
 	Server netip.AddrPort // the router's own address
 	Start  time.Time
 	End    time.Time
 	Octets uint64 // of the request's body
-	Class  string // cut to maxClassBytes
+	Class  string // truncated to maxClassBytes
 }
 
 // record is an encoded flow.
 type record struct {
-	template uint16 // the id of its template
+	template uint16 // id of the template
 	data     []byte
 }
 
-// encodeRecord returns the record of a flow in the order of its template's fields. It reports false if the addresses
-// are unknown, or of two families: no template has one of each.
+// encodeRecord encodes a flow in the order of its template's fields. It reports false if the addresses are unknown or
+// of different families, because no template has an address of each family.
 func encodeRecord(f Flow) (encoded record, ok bool) {
 	client := f.Client.Addr().Unmap()
 	server := f.Server.Addr().Unmap()
--- a/internal/ipfix/socket.go
+++ b/internal/ipfix/socket.go
@@ -6,24 +6,24 @@
 	"crankhold/internal/eventloop"
 )
 
-// redialDelay is the time between a socket's failure, or the beginning of a dial, and the next dial.
+// redialDelay is the time from the failure of a socket, or the start of a dial, to the next dial.
 const redialDelay = 5 * time.Second
 
-// Transport is a socket to the collector; an eventloop.Conn is one.
+// Transport is a socket to the collector. An eventloop.Conn implements it.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
 }
 
-// collectorSocket is the socket to the collector, and when the next one is opened.
+// collectorSocket holds the socket to the collector and the time of the next dial.
 type collectorSocket struct {
 	dial      func(handler eventloop.DialHandler) Transport
-	transport Transport // nil: there is no socket
+	transport Transport // nil if there is no socket
 	connected bool
 	nextDial  time.Duration
 }
 
-// open begins a dial.
+// open starts a dial.
 func (s *collectorSocket) open(now time.Duration, handler eventloop.DialHandler) {
 	s.nextDial = now + redialDelay
 	s.transport = s.dial(handler)
--- a/internal/ipfix/socket_test.go
+++ b/internal/ipfix/socket_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/testutil"
 )
 
-// A socket whose dial fails, or that is closed, is opened again after the redial delay, and not twice before.
+// A socket that was closed, or whose dial has failed, is opened again after the redial delay, and only once.
 func TestSocketIsOpenedAgainAfterTheRedialDelay(t *testing.T) {
 	dials := 0
 	exporter := New(ExporterConfig{
@@ -27,7 +27,7 @@
 	}
 	now := time.Hour
 	tick(now, 1, now+redialDelay)
-	tick(now+redialDelay, 1, now+redialDelay) // the dial has not ended
+	tick(now+redialDelay, 1, now+redialDelay) // the dial has not completed
 	exporter.DialCompleted(errors.New("refused"))
 	now += redialDelay
 	tick(now, 1, now+redialDelay)
--- a/internal/ipfix/template.go
+++ b/internal/ipfix/template.go
@@ -2,15 +2,15 @@
 
 import "encoding/binary"
 
-// Ids of sets and templates (RFC 7011, sections 3.3.2 and 3.4.1): a set of templates has an id of its own, a set of
-// records that of its records' template.
+// Ids of sets and templates (RFC 7011, sections 3.3.2 and 3.4.1). The id of a set of templates is reserved; the id of a
+// set of records is the id of the records' template.
 const (
 	templateSetID  = 2
 	templateIPv4ID = 256 // the first id that a template may have
 	templateIPv6ID = 257
 )
 
-// Information elements of IANA's registry.
+// Ids of information elements in IANA's registry.
 const (
 	octetDeltaCount          = 1
 	protocolIdentifier       = 4
@@ -26,22 +26,22 @@
 	flowEndMilliseconds      = 153
 )
 
-// variableLength is the length of a field whose values carry their own (section 7).
+// variableLength is the length of a field whose values contain their own length (section 7).
 const variableLength = 65535
 
-// fieldSpecifier is the information element and the length of a field (section 3.2).
+// fieldSpecifier consists of the information element and the length of a field (section 3.2).
 type fieldSpecifier struct {
 	element uint16
-	length  uint16 // bytes, or variableLength
+	length  uint16 // in bytes, or variableLength
 }
 
-// template describes records (section 3.4.1).
+// template describes the fields of records (section 3.4.1).
 type template struct {
 	id     uint16
 	fields []fieldSpecifier
 }
 
-// commonFields are what follows the addresses in the records of both templates.
+// commonFields holds the fields that follow the addresses in both templates.
 var commonFields = []fieldSpecifier{
 	{flowStartMilliseconds, 8},
 	{flowEndMilliseconds, 8},
@@ -53,13 +53,13 @@
 	{applicationName, variableLength},
 }
 
-// templates are those of the exporter, in the order in which they are sent.
+// templates holds the exporter's templates in the order in which they are sent.
 var templates = []template{
 	{templateIPv4ID, append([]fieldSpecifier{{sourceIPv4Address, 4}, {destinationIPv4Address, 4}}, commonFields...)},
 	{templateIPv6ID, append([]fieldSpecifier{{sourceIPv6Address, 16}, {destinationIPv6Address, 16}}, commonFields...)},
 }
 
-// appendTemplateSet appends a set of all templates (section 3.4.1).
+// appendTemplateSet appends a set that contains all templates (section 3.4.1).
 func appendTemplateSet(b []byte) []byte {
 	start := len(b)
 	b = appendSetHeader(b, templateSetID)
--- a/internal/ledger/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -16,7 +16,7 @@
 	failed  int // number of failed operations
 }
 
-// nextError reports whether the next operation nextError, and how.
+// nextError returns the error of the next operation, or nil if it succeeds.
 func (d *faultyDisk) nextError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -34,7 +34,7 @@
 	return states
 }
 
-// recordOrder has an recordOrder recorded, and maybe its outcome. After a rejection the disk may work again.
+// recordOrder records an order and, at random, its outcome. After a rejection it repairs the disk at random.
 func (m *faultyDiskModel) recordOrder(id string) {
 	m.t.Helper()
 	entry := Entry{ID: id, EventTime: noon}
