--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -10,11 +10,12 @@
 	"crankhold/internal/router"
 )
 
-// maxOpenRequests is how many requests one connection may have open. Clients keep to 32, but may not have received
-// a response yet. More are rejected, so that a client that sends hundreds at once leaves capacity to others.
+// maxOpenRequests is the number of requests that may be open on one connection. Clients keep at most 32 open. The limit
+// is higher, because a client may not have received a response yet. Requests over the limit are rejected, so that a
+// client that sends hundreds at once leaves capacity to others.
 const maxOpenRequests = 64
 
-// Transport is a connection to a client; an eventloop.Conn is one.
+// Transport is a connection to a client. An eventloop.Conn implements it.
 type Transport interface {
 	Write(bufs ...[]byte)
 	Close()
@@ -26,22 +27,22 @@
 	front        *Front
 	transport    Transport
 	peer         netip.AddrPort
-	partial      framing.Buffer          // the beginning of an incomplete frame
+	partial      framing.Buffer          // the received part of an incomplete frame
 	open         map[uint32]*openRequest // by sequence number
-	lastSequence uint32                  // the highest sequence number of an execute
+	lastSequence uint32                  // the sequence number of the latest execute, the highest one
 	messageCount int                     // complete messages received
 	closed       bool
 }
 
-// Busy reports whether responses are owed.
+// Busy reports whether requests are open.
 func (c *connection) Busy() bool { return len(c.open) > 0 }
 
-// Messages returns how many complete messages were received, and whether the beginning of another was.
+// Messages returns how many complete messages were received, and whether a part of another one was received.
 func (c *connection) Messages() (complete int, inProgress bool) {
 	return c.messageCount, c.partial.Len() > 0
 }
 
-// Data handles received bytes, in which frames may be split in any way.
+// Data handles received bytes. A frame may be split over any number of calls.
 func (c *connection) Data(b []byte) {
 	if c.closed {
 		return
@@ -51,14 +52,14 @@
 	case err != nil:
 		c.closeMalformed(err)
 	case c.closed:
-		c.partial.Reset() // one of the frames closed the connection: what follows it is ignored
+		c.partial.Reset() // one of the frames closed the connection: the bytes after it are ignored
 	case frames > 0:
-		c.partial.Compact() // many clients may be connected: none keeps the memory of its largest frame
+		c.partial.Compact() // many clients may be connected, so none may retain a buffer of its largest frame's size
 	}
 }
 
-// handleFrame is the framing.Decoder of frames: it handles the first one of what was received and returns its size, or
-// 0 while the frame is incomplete. Nothing is handled on a connection that handling an earlier frame has closed.
+// handleFrame implements framing.Decoder: it handles the first frame of the unread bytes and returns its size, or 0 if
+// the frame is incomplete. It handles nothing if an earlier frame has closed the connection.
 func (c *connection) handleFrame(unread []byte) (size int, err error) {
 	if c.closed || len(unread) < frameLengthBytes {
 		return 0, nil
@@ -75,17 +76,17 @@
 	return size, c.handleMessage(unread[frameLengthBytes:size])
 }
 
-// closeMalformed closes the connection of a client that broke the protocol.
+// closeMalformed closes the connection because its client has violated the protocol.
 func (c *connection) closeMalformed(err error) {
 	c.front.logClosedConnection(err)
 	c.transport.Close()
 	c.cancelAll()
 }
 
-// Closed cancels all open requests: nobody waits for their responses.
+// Closed cancels all open requests, because nobody waits for their responses any longer.
 func (c *connection) Closed(error) { c.cancelAll() }
 
-// cancelAll cancels all open requests and ignores whatever is received from now on.
+// cancelAll cancels all open requests and makes the connection ignore all bytes that are received later.
 func (c *connection) cancelAll() {
 	c.closed = true
 	c.partial.Reset()
@@ -94,7 +95,7 @@
 	}
 }
 
-// handleMessage handles a message. An error says that the client broke the protocol.
+// handleMessage handles a message. It returns an error if the client has violated the protocol.
 func (c *connection) handleMessage(message []byte) error {
 	d := decoder{remaining: message}
 	header, err := d.messageHeader()
@@ -110,7 +111,7 @@
 	return errMalformedMessage
 }
 
-// handleCall handles a message that is answered, except for an interrupt, which has no reply.
+// handleCall handles a message of kind call. Each gets a reply, except for an interrupt.
 func (c *connection) handleCall(d *decoder, header messageHeader) error {
 	switch header.name {
 	case methodExecute:
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// handleOneway handles a message that has no reply. Methods other than interrupt are ignored, since their outcome could
-// not be reported.
+// handleOneway handles a message of kind oneway, which gets no reply. Methods other than interrupt are ignored, because
+// their results could not be returned.
 func (c *connection) handleOneway(d *decoder, header messageHeader) error {
 	if header.name == methodInterrupt {
 		return c.handleInterrupt(d)
@@ -133,14 +134,14 @@
 	return nil
 }
 
-// handleExecute hands a request to the core. A field that can't be used is answered with a failure; a message whose
-// form is wrong is an error.
+// handleExecute passes a request to the core. If a field of the request is invalid, the reply is a Lost exception. A
+// malformed message is an error.
 func (c *connection) handleExecute(d *decoder, sequence uint32) error {
 	fields, body, err := d.executeArguments()
 	if err != nil {
 		return err
 	}
-	// Sequence numbers increase. Under one that was used before, a reply could be taken for the other request's.
+	// Sequence numbers must increase. If one were used again, a reply could be taken for that of the earlier request.
 	if sequence <= c.lastSequence || sequence > math.MaxInt32 || len(body) > maxBodyBytes {
 		return errMalformedMessage
 	}
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// acceptRequest opens a request and hands it to the core, or has the core reject it where too many are open.
+// acceptRequest passes a request to the core, which rejects it if maxOpenRequests requests are open already.
 func (c *connection) acceptRequest(sequence uint32, request router.Request, body []byte) {
 	front := c.front
 	opened := &openRequest{connection: c, sequence: sequence}
@@ -165,7 +166,7 @@
 		front.core.RejectUnaccepted(front.clock.Now(), request)
 		return
 	}
-	request.Body = bytes.Clone(body) // a slice of the read would keep the whole read in memory
+	request.Body = bytes.Clone(body) // body is a slice of the read buffer, which it would keep in memory
 	c.open[sequence] = opened
 	id := front.core.Accept(front.clock.Now(), request)
 	if !opened.responseSettled {
@@ -173,7 +174,7 @@
 	}
 }
 
-// handleInterrupt cancels the request that the message names, if it is open.
+// handleInterrupt cancels the request whose sequence number the message contains, if it is open.
 func (c *connection) handleInterrupt(d *decoder) error {
 	var sequence uint32
 	err := d.structFields(func(wireType byte, id uint16) bool {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// handleCheck answers whether the router is ready. Arguments are ignored.
+// handleCheck replies whether the router is ready. Arguments are ignored.
 func (c *connection) handleCheck(d *decoder, sequence uint32) error {
 	skipField := func(byte, uint16) bool { return false }
 	if err := d.structFields(skipField); err != nil {
--- a/internal/thrift/connection_test.go
+++ b/internal/thrift/connection_test.go
@@ -11,8 +11,8 @@
 	"crankhold/internal/router"
 )
 
-// The model of a connection: complete requests reach the core however they are split, each open one gets its one
-// response, and an interrupted one gets none.
+// Complete requests reach the core however their bytes are split. Each open request gets exactly one reply, and an
+// interrupted request gets none. The test compares random steps with a model.
 func TestConnectionRespondsToEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		client, core, transport := newTestConnection()
@@ -56,10 +56,10 @@
 				}
 				response := router.Response{Status: router.ResponseStatus(rapid.IntRange(0, 2).Draw(t, "verdict")), Body: []byte("x"), RetryAfter: 1}
 				core.accepted[open[s]].Responder.Respond(response)
-				core.accepted[open[s]].Responder.Respond(response) // a second one goes nowhere
+				core.accepted[open[s]].Responder.Respond(response) // a second response is ignored
 				delete(open, s)
 				if got, field := readReply(t, transport); got != s || field != uint16(response.Status) {
-					t.Fatalf("answer to %d has field %d, want %d of %d", got, field, response.Status, s)
+					t.Fatalf("reply to %d has field %d, want %d of %d", got, field, response.Status, s)
 				}
 			},
 			"interrupt": func(t *rapid.T) {
@@ -76,19 +76,19 @@
 				core.accepted[open[s]].Responder.Respond(router.Response{})
 				delete(open, s)
 			},
-			"bad": func(t *rapid.T) { // wrong fields are answered, with a failure
+			"bad": func(t *rapid.T) { // the reply to an invalid field is the exception Lost
 				fields := append([]string(nil), validFields...)
 				fields[rapid.SampledFrom([]int{1, 3, 5, 7, 9}).Draw(t, "field")] = "nonsense"
 				seq++
 				feed(executeFrame(seq, "", fields...))
 				if got, field := readReply(t, transport); got != seq || field != 2 {
-					t.Fatalf("answer to %d has field %d", got, field)
+					t.Fatalf("reply to %d has field %d", got, field)
 				}
 			},
 			"check": func(t *rapid.T) {
 				feed(writeFrameLength(append(appendMessageHeader(nil, messageCall, "check", 7), wireBool, 0, 1, 1, wireStop), 0))
 				if got, field := readReply(t, transport); got != 7 || field != 0 {
-					t.Fatal("check was not answered")
+					t.Fatal("check has no reply")
 				}
 			},
 			"": func(t *rapid.T) {
@@ -100,7 +100,7 @@
 	})
 }
 
-// Whatever is received ends its own connection at most.
+// Malformed bytes have no effect other than closing the connection on which they are received.
 func TestMalformedBytesOnlyCloseTheirConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		client, core, transport := newTestConnection()
@@ -114,8 +114,8 @@
 		}
 	})
 	for name, b := range map[string][]byte{
-		"a frame over the cap": {0, 0, 0x60, 0},
-		"a depth over the cap": writeFrameLength(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
+		"a frame over the limit": {0, 0, 0x60, 0},
+		"a depth over the limit": writeFrameLength(append(appendMessageHeader(nil, messageCall, "execute", 1), append(bytes.Repeat([]byte{wireStruct, 0, 9}, 20), make([]byte, 21)...)...), 0),
 	} {
 		if client, _, transport := newTestConnection(); true {
 			if client.Data(b); !transport.Closed {
@@ -125,8 +125,8 @@
 	}
 }
 
-// A sequence number that is used again closes the connection, whether its request is open or was answered: a reply
-// could be taken for the other request's.
+// A sequence number that is used again closes the connection, whether its request is open or has completed. Otherwise a
+// reply could be taken for that of the earlier request.
 func TestSequenceNumbersMustIncrease(t *testing.T) {
 	for _, responded := range []bool{true, false} {
 		for repeated := range uint32(3) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// Requests beyond the limit on one connection are rejected, each with a response, and those within it go on.
+// Requests over the limit of a connection are rejected, each with a reply. Requests within the limit stay open.
 func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
 	client, core, transport := newTestConnection()
 	for i := range uint32(200) {
@@ -155,17 +155,17 @@
 	}
 	for i := range uint32(200 - maxOpenRequests) {
 		if seq, field := readReply(t, transport); seq != maxOpenRequests+1+i || field != 1 {
-			t.Fatalf("answer to %d has field %d", seq, field)
+			t.Fatalf("reply to %d has field %d", seq, field)
 		}
 	}
 	core.accepted[0].Responder.Respond(router.Response{})
 	if client.Data(executeFrame(201, "", validFields...)); len(core.accepted) != maxOpenRequests+1 {
-		t.Error("no room after an answer")
+		t.Error("no request was accepted after a response")
 	}
 }
 
-// The beginning of a frame is not copied anew for each byte, and one small body does not keep the whole read that it
-// came in.
+// An incomplete frame is not copied again for each received byte, and a small body does not keep the whole read buffer
+// in memory.
 func TestReadBuffersAreNeitherRecopiedNorRetained(t *testing.T) {
 	client, core, _ := newTestConnection()
 	frame := executeFrame(1, string(make([]byte, maxBodyBytes)), validFields...)
@@ -174,7 +174,7 @@
 			client.Data(frame[i : i+1])
 		}
 		if n, inProgress := client.Messages(); n != 1 && inProgress {
-			t.Errorf("%d complete messages, another begun: %v", n, inProgress)
+			t.Errorf("%d complete messages, another in progress: %v", n, inProgress)
 		}
 	})
 	if allocs > 80 || len(core.accepted) != 1 || len(core.accepted[0].Body) != maxBodyBytes {
@@ -185,6 +185,6 @@
 	client.Data(read)
 	clear(read)
 	if string(core.accepted[0].Body) != "small" {
-		t.Error("the body points into the read")
+		t.Error("the body is a slice of the read buffer")
 	}
 }
--- a/internal/thrift/decoder.go
+++ b/internal/thrift/decoder.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// decoder takes values off the front of a message, in place. The first value that is not there in full, or can't be
-// right, sets malformed, and all that is taken after it is zero.
+// decoder decodes values from the front of a message without copying them. The first value that is incomplete or
+// invalid sets malformed. All values that are decoded after it are zero.
 type decoder struct {
 	remaining []byte
 	malformed bool
 }
 
-// take takes n bytes, which are a slice of the message.
+// take consumes n bytes and returns them as a slice of the message.
 func (d *decoder) take(n int) []byte {
 	if n < 0 || n > len(d.remaining) {
 		d.malformed = true
@@ -45,10 +45,11 @@
 	return 0
 }
 
-// bytes takes a string. One that is longer than the rest of the message is malformed, before anything is allocated.
+// bytes decodes a string, which is a slice of the message. A string that is longer than the rest of the message is
+// malformed; nothing is allocated for it.
 func (d *decoder) bytes() []byte { return d.take(int(int32(d.uint32()))) }
 
-// fixedSizes are the lengths in bytes of the types whose values all have the same length. It is 0 for all other types.
+// fixedSizes holds the sizes in bytes of the types whose values all have the same size, and 0 for all other types.
 var fixedSizes = [math.MaxUint8 + 1]int{
 	wireBool:   1,
 	wireByte:   1,
@@ -58,8 +59,8 @@
 	wireDouble: 8,
 }
 
-// skip takes a value of any type. Depth is how many values contain it: a message that nests without end could exhaust
-// the stack.
+// skip consumes a value of any type. depth is the number of values that contain it. It is limited, because a message
+// with unlimited nesting could exhaust the stack.
 func (d *decoder) skip(wireType byte, depth int) {
 	if depth > maxNesting {
 		d.malformed = true
@@ -85,7 +86,7 @@
 	}
 }
 
-// skipStruct takes a struct: fields up to a stop.
+// skipStruct consumes a struct: fields up to a stop field.
 func (d *decoder) skipStruct(depth int) {
 	for !d.malformed {
 		fieldType := d.uint8()
@@ -97,7 +98,7 @@
 	}
 }
 
-// skipMap takes a map: the types of keys and values, their count, and as many pairs.
+// skipMap consumes a map: the types of its keys and values, the number of pairs, and the pairs.
 func (d *decoder) skipMap(depth int) {
 	keyType := d.uint8()
 	valueType := d.uint8()
@@ -107,7 +108,7 @@
 	}
 }
 
-// skipList takes a set or a list: the type of its elements, their count, and as many elements.
+// skipList consumes a set or a list: the type of its elements, their number, and the elements.
 func (d *decoder) skipList(depth int) {
 	elementType := d.uint8()
 	for range d.elementCount() {
@@ -115,7 +116,7 @@
 	}
 }
 
-// elementCount takes the number of elements of a container that is skipped.
+// elementCount decodes the number of elements of a container that is skipped.
 func (d *decoder) elementCount() int {
 	n := d.uint32()
 	if n > maxSkippedElements {
@@ -125,14 +126,14 @@
 	return int(n)
 }
 
-// messageHeader is what precedes a message's arguments.
+// messageHeader is the header of a message, which precedes the arguments.
 type messageHeader struct {
 	kind     messageKind
 	name     string // of the method
 	sequence uint32
 }
 
-// messageHeader takes a message's header; its arguments remain.
+// messageHeader decodes the header of a message. The arguments remain.
 func (d *decoder) messageHeader() (messageHeader, error) {
 	versionAndKind := d.uint32()
 	name := d.bytes()
@@ -143,8 +144,8 @@
 	return messageHeader{kind: messageKind(versionAndKind), name: string(name), sequence: sequence}, nil
 }
 
-// structFields takes a struct. It calls visit for each field, which takes the value, or returns false to have it
-// skipped.
+// structFields decodes a struct. It calls visit for each field. visit consumes the value and returns true, or returns
+// false to have the value skipped.
 func (d *decoder) structFields(visit func(wireType byte, id uint16) bool) error {
 	for !d.malformed {
 		wireType := d.uint8()
@@ -158,7 +159,7 @@
 	return errMalformedMessage
 }
 
-// stringMap takes a map of strings. The values point into the message.
+// stringMap decodes a map of strings. The values are slices of the message.
 func (d *decoder) stringMap() map[string][]byte {
 	keyType := d.uint8()
 	valueType := d.uint8()
--- a/internal/thrift/decoder_test.go
+++ b/internal/thrift/decoder_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A value of each type is skipped whole, and one that is cut short or of an unknown type is malformed.
+// A value of each type is skipped completely. A truncated value and a value of an unknown type are malformed.
 func TestSkip(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/thrift/encoder.go
+++ b/internal/thrift/encoder.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// appendMessageHeader begins a frame: room for its length, and the message's header.
+// appendMessageHeader appends the start of a frame: its length, which writeFrameLength sets later, and the header of
+// the message.
 func appendMessageHeader(b []byte, kind messageKind, name string, sequence uint32) []byte {
 	b = append(b, make([]byte, frameLengthBytes)...)
 	b = binary.BigEndian.AppendUint32(b, strictVersion|uint32(kind))
@@ -15,7 +16,7 @@
 	return append(b, s...)
 }
 
-// appendField appends a field's header; its value follows.
+// appendField appends the header of a field. The caller appends the value.
 func appendField(b []byte, wireType byte, id uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(b, wireType), id)
 }
@@ -27,7 +28,7 @@
 	return append(b, 0)
 }
 
-// appendStringMap appends a map of strings, given as keys and values in turn.
+// appendStringMap appends a map of strings. pairs holds keys and values in turn.
 func appendStringMap(b []byte, pairs ...string) []byte {
 	b = append(b, wireString, wireString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(pairs)/2))
@@ -37,7 +38,7 @@
 	return b
 }
 
-// writeFrameLength writes the length of the frame that b begins, of which more bytes follow b.
+// writeFrameLength writes the length of a frame that starts with b. following is the number of its bytes after b.
 func writeFrameLength(b []byte, following int) []byte {
 	binary.BigEndian.PutUint32(b, uint32(len(b)-frameLengthBytes+following))
 	return b
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -14,7 +14,7 @@
 	"crankhold/policy"
 )
 
-// upperCaseCore stands for the router and its workers: it serves each request at once.
+// upperCaseCore takes the place of the router and its workers. It serves each request at once.
 type upperCaseCore struct{}
 
 func (upperCaseCore) Accept(_ time.Duration, r router.Request) policy.RequestID {
@@ -29,9 +29,9 @@
 
 func (upperCaseCore) CancelRequest(time.Duration, policy.RequestID) {}
 
-// A client sends an execute and reads the reply. Both are written out here byte by byte, as the protocol has them.
+// A client sends an execute and reads the reply. Both are encoded and decoded byte by byte to show the protocol.
 func ExampleFront() {
-	// The front runs on an event loop, here on any free port.
+	// The front runs on an event loop, in this example on any free port.
 	loop := eventloop.New(eventloop.Config{MaxAccepted: 10, MaxDescriptors: 1024})
 	ready := func() bool { return true }
 	front := thrift.New(upperCaseCore{}, thrift.Config{Classes: []thrift.Class{{Name: "dim-level"}}}, loop, ready)
@@ -58,7 +58,7 @@
 	message = appendText(message, "hello")
 	message = append(message, 0)
 
-	// A frame is a length and a message.
+	// A frame consists of a length and a message.
 	client, err := net.Dial("tcp", loop.Addrs()[0])
 	check(err)
 	_, err = client.Write(appendText(nil, string(message)))
@@ -70,8 +70,8 @@
 	_, err = io.ReadFull(client, reply)
 	check(err)
 
-	// The reply repeats the method and the sequence number. The result's field 0 is an answer, whose field 1 is the
-	// body.
+	// The reply repeats the method and the sequence number. The result's field 0 is the struct Answer, whose field 1 is
+	// the body.
 	kind, reply := reply[3], reply[4:]
 	method, reply := cutText(reply)
 	sequence, reply := binary.BigEndian.Uint32(reply), reply[4:]
@@ -88,12 +88,12 @@
 	// kind 2, method execute, sequence 7, field 0, body HELLO
 }
 
-// appendText appends a string as Thrift has it: its length in four bytes, then its bytes.
+// appendText appends a string in Thrift's encoding: its length in four bytes, then its bytes.
 func appendText(b []byte, text string) []byte {
 	return append(binary.BigEndian.AppendUint32(b, uint32(len(text))), text...)
 }
 
-// cutText takes a string off the front of b.
+// cutText decodes a string at the start of b and returns it with the remaining bytes.
 func cutText(b []byte) (text string, rest []byte) {
 	length := binary.BigEndian.Uint32(b)
 	return string(b[4 : 4+length]), b[4+length:]
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -10,37 +10,37 @@
 	"crankhold/policy"
 )
 
-// Core is what the front hands requests to; a router.Core is one. Its methods may call the request's Responder before
-// they return.
+// Core receives the requests of the front. A router.Core implements it. Its methods may call the request's Responder
+// before they return.
 type Core interface {
-	// Accept begins a request.
+	// Accept starts a request and returns its id.
 	Accept(now time.Duration, r router.Request) policy.RequestID
 	// RejectUnaccepted rejects a request that was not accepted.
 	RejectUnaccepted(now time.Duration, r router.Request)
-	// CancelRequest ends a request whose client no longer waits for a response.
+	// CancelRequest cancels a request whose client no longer waits for a response.
 	CancelRequest(now time.Duration, id policy.RequestID)
 }
 
-// Clock is a monotonic clock; an eventloop.Loop is one.
+// Clock is a monotonic clock. An eventloop.Loop implements it.
 type Clock interface {
-	// Now returns the time at which the present turn of the event loop began.
+	// Now returns the time at which the present turn of the event loop started.
 	Now() time.Duration
-	// ArrivedAt returns when the message that is being handled was read.
+	// ArrivedAt returns the time at which the message that is being handled was read.
 	ArrivedAt() time.Duration
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name                   string
-	RequiresIdempotencyKey bool // each request carries an idempotency key, by which workers drop repeats
+	RequiresIdempotencyKey bool // requests must have an idempotency key, by which workers drop duplicates
 }
 
-// Config is what the front checks requests against, and where it logs.
+// Config configures a Front.
 type Config struct {
 	Classes []Class
-	Tenants []string // empty: tenants are not distinguished
+	Tenants []string // empty if the front ignores the tenants of requests
 
-	// Logger logs connections that were closed and requests that were rejected; nil: slog.Default().
+	// Logger logs connections that the front closes and requests that it rejects; nil means slog.Default().
 	Logger *slog.Logger
 }
 
@@ -53,11 +53,11 @@
 	classes           []Class
 	classIndex        map[string]int // by name, in classes
 	tenants           []string
-	closedConnections logLimiter // for breaking the protocol
-	rejectedRequests  logLimiter // for a field that can't be used
+	closedConnections logLimiter // connections that were closed because of a protocol violation
+	rejectedRequests  logLimiter // requests that were rejected because of an invalid field
 }
 
-// New returns a Front. Ready reports whether the router is ready, which is the answer to check.
+// New returns a Front. ready reports whether the router is ready, which is the result of the method check.
 func New(core Core, cfg Config, clock Clock, ready func() bool) *Front {
 	front := &Front{
 		core:       core,
@@ -86,7 +86,7 @@
 	return &connection{front: f, transport: transport, peer: peer, open: map[uint32]*openRequest{}}
 }
 
-// logClosedConnection logs that a connection was closed since its client broke the protocol.
+// logClosedConnection logs that a connection was closed because its client has violated the protocol.
 func (f *Front) logClosedConnection(err error) {
 	count := f.closedConnections.add(f.clock.Now())
 	if count == 0 {
@@ -96,7 +96,7 @@
 		slog.Any("err", err))
 }
 
-// logRejectedRequest logs a field that can't be used.
+// logRejectedRequest logs the invalid field of a rejected request.
 func (f *Front) logRejectedRequest(rejected *FieldError) {
 	count := f.rejectedRequests.add(f.clock.Now())
 	if count == 0 {
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -15,8 +15,8 @@
 	"crankhold/policy"
 )
 
-// The requests are written by hand from the protocol's definition, so that no code of this package builds what it
-// reads.
+// The requests in testdata were written by hand from the definition of the protocol, so that the decoder is not tested
+// with messages of this package's encoder.
 const (
 	goldenRequests = "testdata/requests.txt"
 	goldenReplies  = "testdata/replies.txt"
@@ -33,7 +33,7 @@
 	return client, core, transport
 }
 
-// Every form of an execute is decoded to a request that is compared whole.
+// Each form of an execute is decoded to the expected request, of which all fields are compared.
 func TestGoldenCallsAreDecoded(t *testing.T) {
 	minimal := router.Request{
 		Front:    router.Thrift,
@@ -104,7 +104,7 @@
 	}
 }
 
-// Both message kinds of interrupt cancel the open request, and neither is answered.
+// An interrupt cancels the open request, whether its message is a call or oneway, and gets no reply.
 func TestGoldenInterruptsCancelTheRequest(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
 		client, core, transport := newGoldenConnection()
@@ -116,7 +116,8 @@
 	}
 }
 
-// Replies to requests that the core accepted, and to requests beyond the limit, which it rejects.
+// The replies to requests that the core accepts, and to a request over the limit, which it rejects, equal the golden
+// file.
 func TestGoldenReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
@@ -142,15 +143,15 @@
 		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Written.Bytes()})
 	}
 	client, _, transport := newGoldenConnection()
-	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
+	for seq := range uint32(64 + 1) { // a literal, so that a change of maxOpenRequests fails the test
 		client.Data(executeFrame(seq+1, "", validFields...))
 	}
 	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: transport.Written.Bytes()})
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
-// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection
-// closes.
+// The replies that the front sends without the core equal the golden file. A malformed message gets no reply, and its
+// connection closes.
 func TestGoldenErrorReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
@@ -200,8 +201,8 @@
 	golden.CompareMessages(t, goldenErrors, replies)
 }
 
-// The limits hold to the byte: what is at the limit is accepted, and what is one over closes the connection. They stand
-// here as figures, so that a changed constant is noticed.
+// A message exactly at a limit is accepted, and a message one over the limit closes the connection. The limits are
+// literals, so that a changed constant fails the test.
 func TestGoldenLimits(t *testing.T) {
 	var pairs []string
 	for range 64 - len(validFields)/2 {
--- a/internal/thrift/log_limiter_test.go
+++ b/internal/thrift/log_limiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The first event is logged at once, and those within the interval are counted in the next line.
+// The first event is logged at once. Events within the interval are counted in the next log line.
 func TestLogLimiter(t *testing.T) {
 	var limiter logLimiter
 	for i, step := range []struct {
--- a/internal/thrift/open_request.go
+++ b/internal/thrift/open_request.go
@@ -5,15 +5,15 @@
 	"crankhold/policy"
 )
 
-// openRequest is a request whose response is owed.
+// openRequest is a request that has no response yet.
 type openRequest struct {
 	connection      *connection
 	sequence        uint32
-	id              policy.RequestID // once the core has accepted it
-	responseSettled bool             // the response was given, or is no longer owed
+	id              policy.RequestID // set when the core has accepted the request
+	responseSettled bool             // the response was written, or the request was canceled
 }
 
-// Respond writes the response. A client that has left, or has interrupted the request, is owed none.
+// Respond writes the response, unless the client has disconnected or canceled the request.
 func (r *openRequest) Respond(response router.Response) {
 	if r.responseSettled {
 		return
@@ -23,7 +23,7 @@
 	r.connection.transport.Write(encodeResponse(r.sequence, response)...)
 }
 
-// cancel notifies the core that nobody waits for the response.
+// cancel removes the request and notifies the core that its client no longer waits for the response.
 func (r *openRequest) cancel() {
 	delete(r.connection.open, r.sequence)
 	if r.responseSettled {
--- a/internal/thrift/protocol.go
+++ b/internal/thrift/protocol.go
@@ -48,30 +48,30 @@
 	interruptSequence = 1 // i32
 )
 
-// Ids of the fields of a result: its value, or an exception that the method declares.
+// Ids of the fields of a method's result: the value, or one of the exceptions that the method declares.
 const (
 	resultSuccess = 0
 	resultBackoff = 1
 	resultLost    = 2
 )
 
-// Ids of the fields of an Answer, the value of execute and check.
+// Ids of the fields of the struct Answer, the value that execute and check return.
 const (
 	answerBody  = 1 // binary
 	answerNotes = 2 // map<string, string>; always empty
 	answerOK    = 3 // bool
 )
 
-// exceptionDetails is the id of the one field of Backoff and Lost, a map<string, string>.
+// exceptionDetails is the id of the only field of Backoff and Lost, a map<string, string>.
 const exceptionDetails = 1
 
 // Keys of the details of exceptions.
 const (
-	detailRetryAfter = "after"  // of Backoff: milliseconds
-	detailReason     = "reason" // of Lost: the field of the request that can't be used
+	detailRetryAfter = "after"  // of Backoff: in milliseconds
+	detailReason     = "reason" // of Lost: the name of the request's invalid field
 )
 
-// Ids of the fields of an application exception, and its type for a method that is not known.
+// Ids of the fields of an application exception, and its type for an unknown method.
 const (
 	applicationExceptionMessage = 1 // string
 	applicationExceptionType    = 2 // i32
@@ -81,12 +81,12 @@
 const (
 	frameLengthBytes   = 4
 	maxBodyBytes       = 16 << 10
-	maxFrameBytes      = maxBodyBytes + 4<<10 // a body and its fields
-	maxMethodNameBytes = 64                   // bytes
-	maxMapEntries      = 64                   // of the map of fields
-	maxNesting         = 8                    // of values that are skipped
-	maxSkippedElements = 1024                 // of a container that is skipped
+	maxFrameBytes      = maxBodyBytes + 4<<10 // of the body and the other fields
+	maxMethodNameBytes = 64
+	maxMapEntries      = 64   // of the map of fields
+	maxNesting         = 8    // of values that are skipped
+	maxSkippedElements = 1024 // of a container that is skipped
 )
 
-// errMalformedMessage is a message that breaks the protocol; its connection is closed.
+// errMalformedMessage reports a message that violates the protocol. Its connection is closed.
 var errMalformedMessage = errors.New("malformed message")
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -12,39 +12,39 @@
 	"crankhold/policy"
 )
 
-// Keys of the map of fields of an execute. Keys that are not known are ignored.
+// Keys of the map of fields of an execute. Unknown keys are ignored.
 const (
 	fieldClass          = "class"
 	fieldID             = "id"
 	fieldFunction       = "key"
 	fieldIdempotencyKey = "once"
 	fieldTenant         = "tenant"
-	fieldWait           = "wait"  // milliseconds that the client waits for its reply
-	fieldProperties     = "props" // name:value pairs, with a semicolon between them
+	fieldWait           = "wait"  // how many milliseconds the client waits for the reply
+	fieldProperties     = "props" // name:value pairs, separated by semicolons
 )
 
-// Names of properties. Others are ignored if their values are numbers.
+// Names of properties. A property with another name is ignored if its value is a number, and invalid if it is not.
 const (
 	propertyMemory   = "memory_mb"
 	propertyLanes    = "lanes"
 	propertyLoadTime = "load_ms"
 )
 
-// maxLoggedValue is how much of a field's value is kept for the log, in bytes.
+// maxLoggedValueBytes limits the part of a field's value that is logged.
 const maxLoggedValueBytes = 64
 
-// FieldError is a field of a request that can't be used.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field string
-	Value string // the beginning of it; "" also where the field is missing
+	Value string // at most maxLoggedValueBytes of the value; "" also if the field is missing
 }
 
 // Error names the field and its value.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("field %s can't be used: %q", e.Field, e.Value)
+	return fmt.Sprintf("field %s is invalid: %q", e.Field, e.Value)
 }
 
-// executeArguments takes the arguments of execute.
+// executeArguments decodes the arguments of execute.
 func (d *decoder) executeArguments() (fields executeFieldMap, body []byte, err error) {
 	err = d.structFields(func(wireType byte, id uint16) bool {
 		switch {
@@ -60,20 +60,20 @@
 	return fields, body, err
 }
 
-// executeFieldMap is the map of fields of an execute.
+// executeFieldMap holds the fields of an execute by their keys.
 type executeFieldMap map[string][]byte
 
-// text returns a field's value, "" if it is missing.
+// text returns the value of a field, or "" if the field is missing.
 func (m executeFieldMap) text(field string) string { return string(m[field]) }
 
-// fieldError returns the error of a field.
+// fieldError returns the error for an invalid field.
 func (m executeFieldMap) fieldError(field string) *FieldError {
 	value := m[field]
 	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValueBytes)])}
 }
 
-// decodeRequest decodes the fields of an execute to a request without client, body and responder, which the caller
-// sets. A field that can't be used rejects the request, since it can't be forwarded unchanged.
+// decodeRequest decodes the fields of an execute to a request. The caller sets the request's client, body and
+// responder. An invalid field rejects the request, because the field could not be forwarded unchanged.
 func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
 	class, known := f.classIndex[fields.text(fieldClass)]
 	if !known {
@@ -112,8 +112,8 @@
 	return request, nil
 }
 
-// allowsIdempotencyKey reports whether a request of the class may carry a key, "" for none. Where the class requires
-// one, no worker could drop a repeat without it.
+// allowsIdempotencyKey reports whether a request of the class may have the given idempotency key, "" for none. If the
+// class requires a key, workers could not drop duplicates without it.
 func (c Class) allowsIdempotencyKey(key string) bool {
 	if key == "" {
 		return !c.RequiresIdempotencyKey
@@ -121,8 +121,8 @@
 	return router.ValidIdempotencyKey(key)
 }
 
-// decodeTenant returns the tenant that the fields name, "" for none. It reports false for one that the settings don't
-// have. If they have none at all, the field is ignored.
+// decodeTenant returns the tenant of a request, or "" if it has none. It reports false for a tenant that is not
+// configured. If no tenants are configured, the field is ignored.
 func (f *Front) decodeTenant(fields executeFieldMap) (tenant string, ok bool) {
 	name, named := fields[fieldTenant]
 	if !named || len(f.tenants) == 0 {
@@ -132,8 +132,8 @@
 	return tenant, slices.Contains(f.tenants, tenant)
 }
 
-// decodeProperties reads the properties of a request into its function. It reports false where one of them is not a
-// number in its range.
+// decodeProperties decodes the properties of a request and sets them in its function. It reports false if a value is
+// not a number in the range of its property.
 func decodeProperties(text string, function *router.Function) bool {
 	for text != "" {
 		var property string
@@ -168,11 +168,11 @@
 	return math.MaxFloat64
 }
 
-// parseNumber reads a number from 0 to max.
+// parseNumber parses a number in the range from 0 to max.
 func parseNumber(text string, max float64) (number float64, ok bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	return number, err == nil && router.InRange(number, max)
 }
 
-// milliseconds returns a number of milliseconds as a duration, cut to whole nanoseconds.
+// milliseconds returns n milliseconds as a duration, truncated to whole nanoseconds.
 func milliseconds(n float64) time.Duration { return time.Duration(n * 1e6) }
--- a/internal/thrift/request_test.go
+++ b/internal/thrift/request_test.go
@@ -10,7 +10,7 @@
 	"crankhold/internal/testutil"
 )
 
-// Fields that no worker could use, and numbers that are none, are answered with a failure and not forwarded.
+// A request with a malformed field or a number out of its range is not forwarded, and the reply is the exception Lost.
 func TestOutOfRangeFieldsAreNotForwarded(t *testing.T) {
 	for at, values := range map[int][]string{
 		1: {"", "nonsense", "repair-order\r\n"},
@@ -25,19 +25,19 @@
 			fields[at] = v
 			client.Data(executeFrame(1, "", fields...))
 			if _, field := readReply(t, transport); len(core.accepted) != 0 || field != 2 {
-				t.Errorf("%s %q: %d accepted, answer has field %d", validFields[at-1], v, len(core.accepted), field)
+				t.Errorf("%s %q: %d accepted, reply has field %d", validFields[at-1], v, len(core.accepted), field)
 			}
 		}
 	}
 }
 
-// The idempotency key and the tenant of a request reach the core as they were received. What can't be forwarded
-// unchanged is failed, never served as something else; what no class needs may be absent.
+// The idempotency key and the tenant of a request reach the core unchanged. A request whose key or tenant is invalid
+// fails and is not forwarded without it. Both may be absent if the class requires no key.
 func TestIdempotencyKeysAndTenantsAreForwardedOrFailed(t *testing.T) {
 	const once = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	for _, tt := range []struct {
 		class, once, tenant string // "-": absent
-		fails               string // by this field
+		fails               string // the invalid field that the reply names; "" if the request is accepted
 	}{
 		{"extend", once, "west", ""},
 		{"extend", "A", "east", ""},
@@ -64,14 +64,14 @@
 		client.Data(executeFrame(1, "body", fields...))
 		if tt.fails != "" {
 			if text := transport.Written.String(); len(core.accepted) != 0 || !strings.Contains(text, tt.fails) {
-				t.Errorf("%+v: %d accepted, answered %q", tt, len(core.accepted), text)
+				t.Errorf("%+v: %d accepted, replied %q", tt, len(core.accepted), text)
 			} else if _, field := readReply(t, transport); field != 2 {
-				t.Errorf("%+v: the answer has field %d", tt, field)
+				t.Errorf("%+v: the reply has field %d", tt, field)
 			}
 			continue
 		}
 		if len(core.accepted) != 1 {
-			t.Errorf("%+v: not accepted, answered %q", tt, transport.Written.String())
+			t.Errorf("%+v: not accepted, replied %q", tt, transport.Written.String())
 			continue
 		}
 		if r := core.accepted[0]; r.IdempotencyKey != strings.ReplaceAll(tt.once, "-", "") || r.Tenant != strings.ReplaceAll(tt.tenant, "-", "") {
@@ -80,18 +80,18 @@
 	}
 }
 
-// Without tenants in the settings a client that names one is served as any other.
+// If no tenants are configured, a request that names one is accepted without a tenant.
 func TestTenantsAreIgnoredWithoutTenantSettings(t *testing.T) {
 	core := &fakeCore{}
 	transport := &testutil.Transport{}
 	front := New(core, Config{Classes: []Class{{Name: "repair-order"}}}, testutil.Clock(time.Hour), func() bool { return true })
 	front.serve(transport, netip.AddrPort{}).Data(executeFrame(1, "", append([]string{"tenant", "anyone"}, validFields...)...))
 	if len(core.accepted) != 1 || core.accepted[0].Tenant != "" {
-		t.Errorf("accepted %+v, answered %q", core.accepted, transport.Written.String())
+		t.Errorf("accepted %+v, replied %q", core.accepted, transport.Written.String())
 	}
 }
 
-// A field that can't be used is reported by name, with the beginning of its value.
+// The error for an invalid field contains the field's name and the first bytes of its value.
 func TestFieldErrorsCarryTheFieldAndTheBeginningOfItsValue(t *testing.T) {
 	client, _, _ := newTestConnection()
 	long := strings.Repeat("x", 2*maxLoggedValueBytes)
--- a/internal/thrift/testconnection_test.go
+++ b/internal/thrift/testconnection_test.go
@@ -12,7 +12,7 @@
 	"crankhold/policy"
 )
 
-// fakeCore keeps what it is handed.
+// fakeCore records the requests that it receives.
 type fakeCore struct {
 	accepted []router.Request
 	canceled []policy.RequestID
@@ -31,7 +31,8 @@
 	c.canceled = append(c.canceled, id)
 }
 
-// newTestConnection returns a connection of a front with every kind of class and two tenants.
+// newTestConnection returns a connection of a front that has two tenants, and classes with and without a required
+// idempotency key.
 func newTestConnection() (*connection, *fakeCore, *testutil.Transport) {
 	core := &fakeCore{}
 	transport := &testutil.Transport{}
@@ -39,7 +40,7 @@
 	return front.serve(transport, netip.AddrPort{}), core, transport
 }
 
-// executeFrame returns the frame of an execute. Fields are keys and values in turn.
+// executeFrame returns the frame of an execute. fields holds keys and values in turn.
 func executeFrame(seq uint32, body string, fields ...string) []byte {
 	b := appendMessageHeader(nil, messageCall, "execute", seq)
 	b = appendStringMap(appendField(b, wireMap, 1), fields...)
@@ -50,7 +51,8 @@
 var validFields = []string{"class", "repair-order", "id", "9b1f03aa5c7e2d41", "wait", "1500", "key", "7f3a9c21e0b4d655",
 	"props", "memory_mb:512;lanes:2;load_ms:640"}
 
-// readReply reads the first frame of what was written: its sequence number and the result's field.
+// readReply removes the first frame from the written bytes. It returns the sequence number of the reply and the id of
+// the field in its result.
 func readReply(t rapid.TB, transport *testutil.Transport) (seq uint32, field uint16) {
 	t.Helper()
 	b := transport.Written.Bytes()
