--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -7,41 +7,41 @@
 	"crankhold/internal/eventloop"
 )
 
-// Config is what a Client needs. Addr, Dial and ListChanged are required.
+// Config configures a Client. Addr, Dial and ListChanged are required.
 type Config struct {
 	// Addr is the address of the discovery server, as ip:port.
 	Addr string
 
-	// Seed determines the jitter of the polls. Clients with different seeds spread their queries.
+	// Seed is the seed of the jitter. Clients with different seeds send their queries at different times.
 	Seed uint64
 
-	// DrainGracePeriod is how long after an event was announced new work may still be sent to its worker. The poll
-	// interval follows from it: each query is work for a server that all routers share, so there are no more than
-	// it takes to receive an event in time although responses are lost or outdated.
+	// DrainGracePeriod is how long new work may still be sent to a worker after the event of its drain was announced.
+	// The poll interval is derived from it. Each query costs a server that all routers share, so the client sends only
+	// as many as it needs to receive the event in time although some responses are lost or outdated.
 	DrainGracePeriod time.Duration
 
-	// UnixInTXT accepts the text unix=/path in a worker's TXT record as one more address. It is an extension of the
-	// protocol.
+	// UnixInTXT accepts the text unix=/path in a worker's TXT record as an additional address. This is an extension
+	// of the protocol.
 	UnixInTXT bool
 
 	// Dial opens a socket to the discovery server and reports its events to the handler, which it may call before
 	// it returns.
 	Dial func(addr string, handler eventloop.DialHandler) Transport
 
-	// ListChanged is called with each list that replaces the one before, in the order of the workers' names.
+	// ListChanged is called with each new list, sorted by the names of the workers.
 	ListChanged func([]Worker)
 
-	// ListConfirmed is called when a response has confirmed that the list is the current one; nil: not called.
+	// ListConfirmed is called when a response has confirmed that the list is the current one. It may be nil.
 	ListConfirmed func()
 
-	// Logger logs failures of the discovery server; nil: slog.Default().
+	// Logger logs failures of the discovery server; nil means slog.Default().
 	Logger *slog.Logger
 }
 
 // Counters counts queries and responses since the start.
 type Counters struct {
 	QueriesSent   uint64
-	ResponsesRead uint64 // the responses that could be used whole
+	ResponsesRead uint64 // responses without any error
 }
 
 // Client polls the discovery server and keeps the endpoint list. It belongs to the event loop's goroutine.
@@ -57,10 +57,10 @@
 	sockets       serverSockets
 	joiner        recordJoiner
 	endpoints     endpointList
-	failureLogged bool // a failure has been logged since the last good response
+	failureLogged bool // a failure has been logged since the last response without an error
 }
 
-// New returns a Client. It opens no socket: the first Tick does.
+// New returns a Client. The first call of Tick opens its socket.
 func New(cfg Config) *Client {
 	client := &Client{
 		logger:        cfg.Logger,
@@ -93,8 +93,8 @@
 // WorkerCount returns how many workers the list holds.
 func (c *Client) WorkerCount() int { return len(c.endpoints.workers) }
 
-// SetServer switches to the discovery server at addr, which is polled at once. The list and its serial number stay: the
-// new server continues them.
+// SetServer switches to the discovery server at addr, which is polled at once. The list and its serial number are kept,
+// because the new server continues the numbering.
 func (c *Client) SetServer(now time.Duration, addr string) {
 	if addr == c.sockets.addr {
 		return
@@ -105,7 +105,7 @@
 	c.sockets.switchTo(addr)
 }
 
-// Tick dials or sends a query where that is due, and returns when it wants to be called again.
+// Tick dials or sends a query if that is due. It returns the time at which it must be called again.
 func (c *Client) Tick(now time.Duration) time.Duration {
 	c.now = now
 	switch {
@@ -131,7 +131,8 @@
 	c.sockets.current.sendQuery()
 }
 
-// dialCompleted handles the end of a socket's dial. The socket to the former address has kept its descriptor until now.
+// dialCompleted handles the completion of a dial. The socket to the former address is closed only now, so that its
+// descriptor is not taken by a client before.
 func (c *Client) dialCompleted(s *socket, err error) {
 	if s != c.sockets.current {
 		return
@@ -144,7 +145,7 @@
 	c.schedule.scheduleFirstQuery(c.now)
 }
 
-// socketClosed schedules the dial of the next socket, unless SetServer has replaced the one that was closed.
+// socketClosed schedules the next dial, unless the closed socket was replaced by SetServer.
 func (c *Client) socketClosed(s *socket, err error) {
 	if s != c.sockets.current {
 		return
@@ -154,7 +155,7 @@
 	c.schedule.scheduleRedial(c.now)
 }
 
-// datagramReceived handles a datagram. Whatever is wrong with it is logged and has no other effect.
+// datagramReceived handles a datagram. An invalid one is logged and has no other effect.
 func (c *Client) datagramReceived(s *socket, datagram []byte) {
 	if s != c.sockets.current {
 		return
@@ -168,22 +169,22 @@
 	}
 }
 
-// handleResponse applies a response. If that confirms the current list, it schedules the next poll.
+// handleResponse applies a response. If the response confirms the current list, it schedules the next poll.
 func (c *Client) handleResponse(r response) error {
 	if err := c.applyResponse(r); err != nil {
 		return err
 	}
 	c.failureLogged = false
 	c.ResponsesRead++
-	if c.endpoints.confirmedBy(r.serial) { // an outdated response does not confirm the list, so polling goes on
+	if c.endpoints.confirmedBy(r.serial) { // after an outdated response the query is repeated with backoff
 		c.listConfirmed()
 		c.schedule.listConfirmed(c.now)
 	}
 	return nil
 }
 
-// applyResponse replaces the list by that of a response if it is newer, or if it completes the current one. A
-// MissingAddressError says that the list was applied, or stays in force, without some worker's new addresses.
+// applyResponse replaces the list by that of a response if the latter is newer or completes the current one. A
+// MissingAddressError reports that the resulting list lacks the new addresses of some worker.
 func (c *Client) applyResponse(r response) error {
 	current := c.endpoints.serial
 	switch c.endpoints.compare(r.serial, c.now) {
@@ -195,7 +196,7 @@
 	}
 	workers, err := c.joiner.workers(r, c.endpoints.workers)
 	incomplete := err != nil
-	if incomplete && r.serial == current { // no better than the current list of this number
+	if incomplete && r.serial == current { // the current list has the same number and is incomplete, too
 		return err
 	}
 	c.endpoints.replace(r.serial, workers, incomplete)
@@ -203,7 +204,8 @@
 	return err
 }
 
-// logFailure logs the first failure after a good response; what follows it says nothing new.
+// logFailure logs the first failure after a response without an error. Further failures are not logged, because they
+// add no information.
 func (c *Client) logFailure(event string, err error) {
 	if !c.failureLogged {
 		c.logger.Warn(event, slog.String("addr", c.sockets.addr), slog.Any("err", err))
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,7 +10,7 @@
 	"crankhold/policy"
 )
 
-// Newer lists replace the current one, and a response with whatever fault changes nothing.
+// A newer list replaces the current one, and an invalid or outdated response changes nothing.
 func TestNewerListsAreApplied(t *testing.T) {
 	d := newTestClient(t)
 	if len(d.list) != 1 {
@@ -22,13 +22,13 @@
 	if fmt.Sprint(d.list) != fmt.Sprint(want) {
 		t.Fatalf("list %v, want %v", d.list, want)
 	}
-	// A response with a fault changes nothing.
+	// An invalid or outdated response changes nothing.
 	d.sockets.current.Data(responseTo(d.query(), 3)) // outdated
 	id := d.query()
-	d.sockets.current.Data(responseTo(id+1, 9, 0)) // to no query of this client
+	d.sockets.current.Data(responseTo(id+1, 9, 0)) // matches no query of this client
 	completed := d.query()
 	d.sockets.current.Data(responseTo(completed, 4, 0, 1))
-	d.sockets.current.Data(responseTo(completed, 9, 0)) // to one that has been answered
+	d.sockets.current.Data(responseTo(completed, 9, 0)) // matches a query that has had its response
 	for name, damage := range map[string]func(b []byte) []byte{
 		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
 		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
@@ -48,14 +48,14 @@
 		}
 	}
 	late := d.query()
-	for range 3 { // a response counts although further queries were sent
+	for range 3 { // a response still counts after further queries
 		d.query()
 	}
 	if d.sockets.current.Data(responseTo(late, 5, 0)); len(d.list) != 1 {
 		t.Errorf("after a late response the list is %v", d.list)
 	}
 	if d.sockets.current.Closed(errors.New("refused")); d.sockets.current != nil || d.schedule.next > d.now+redialDelay {
-		t.Error("a lost socket isn't opened again at once")
+		t.Error("a lost socket isn't opened again after redialDelay")
 	}
 	d.Tick(d.schedule.next)
 	d.sockets.current.DialCompleted(nil)
@@ -64,8 +64,9 @@
 	}
 }
 
-// Queries are few, since all routers share one discovery server; they are spread over time; and three of them fall into the 2.5 s
-// after which nothing new may be sent to a worker that drains, however many are lost.
+// A client sends few queries, because all routers share one discovery server, and jitter spreads them over time. Three
+// queries are sent within the 2.5 s after which no new work may be sent to a draining worker, however many queries are
+// lost.
 func TestPollRateAndJitter(t *testing.T) {
 	run := func(seed uint64, until time.Duration, respond func(n int) (serial uint32, ok bool)) (sentAt []time.Duration) {
 		d := newTestClientWithConfig(t, Config{Seed: seed})
@@ -87,7 +88,7 @@
 	for seed := range uint64(40) {
 		answered := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
 		if len(answered) > 18 {
-			t.Fatalf("%d queries in 10 s though each was answered", len(answered))
+			t.Fatalf("%d queries in 10 s although each had a response", len(answered))
 		}
 		first[answered[0]]++
 		if answered[0] > initialBackoff {
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A server that numbers its lists anew is followed. Outdated lists have no effect for as long as a server that does not may be
-// late, however often they come.
+// The lists of a server that has restarted its numbering are applied. Until serialResetAfter has passed, outdated lists
+// have no effect, however many are received, because the server may only be late.
 func TestSerialResetIsFollowed(t *testing.T) {
 	for name, tt := range map[string]struct {
 		between uint32 // serial of a response in the middle
 		applied bool
-	}{"reset": {2, true}, "late, and current once in between": {50, false}} {
+	}{"reset": {2, true}, "late, with one current response in between": {50, false}} {
 		d := newTestClient(t)
 		d.sockets.current.Data(responseTo(d.query(), 50, 0, 1))
 		d.SetServer(d.now, "new")
@@ -35,13 +35,13 @@
 	}
 }
 
-// Serial numbers are compared by RFC 1982, so that they start again after the highest.
+// Serial numbers are compared by RFC 1982, so that 0 is newer than the highest number.
 func TestSerialNumbersWrapAround(t *testing.T) {
 	d := newTestClient(t)
 	for i, serial := range []uint32{1 << 30, 5 << 29, 1<<32 - 1, 0, 7} {
 		list := make([]uint16, i+1)
 		if d.sockets.current.Data(responseTo(d.query(), serial, list...)); d.endpoints.serial != serial || len(d.list) != i+1 {
-			t.Fatalf("serial %d is current after %d came, list %v", d.endpoints.serial, serial, d.list)
+			t.Fatalf("serial %d is current after a response with %d, list %v", d.endpoints.serial, serial, d.list)
 		}
 	}
 	if d.sockets.current.Data(responseTo(d.query(), 1<<32-2, 0)); d.endpoints.serial != 7 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// A list replaces the current one if it is newer or completes it, and a lower number only once no other has come for
-// serialResetAfter.
+// A list replaces the current one if it is newer or completes it. A list with a lower number replaces it only if all
+// responses have had lower numbers for serialResetAfter.
 func TestEndpointListComparesSerialNumbers(t *testing.T) {
 	const start = time.Hour
 	for _, test := range []struct {
--- a/internal/discovery/example_test.go
+++ b/internal/discovery/example_test.go
@@ -9,11 +9,11 @@
 	"crankhold/internal/testutil"
 )
 
-// A client reports the list of the configuration first, and then each newer list that the discovery server sends.
+// A client first reports the list of the configuration, and then each newer list that the discovery server sends.
 func Example() {
-	// In the program the transport is a UDP socket of the event loop; here it records what is sent.
+	// In the program the transport is a UDP socket of the event loop. Here it records the bytes that are sent.
 	transport := &testutil.Transport{}
-	var server eventloop.DialHandler // what the event loop calls back
+	var server eventloop.DialHandler // receives the events of the transport
 	dial := func(addr string, handler eventloop.DialHandler) Transport {
 		fmt.Println("dial", addr)
 		server = handler
@@ -40,7 +40,7 @@
 		fmt.Println(err)
 	}
 
-	// Each Tick does what is due. The first dials; once that is completed, the second queries.
+	// The first Tick dials. After the dial has completed, the second Tick sends a query.
 	now := time.Hour
 	client.Tick(now)
 	server.DialCompleted(nil)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,7 +12,8 @@
 	"crankhold/policy"
 )
 
-// The responses are written by hand from RFC 1035 and RFC 2782, so that no code of this package builds what it parses.
+// The responses in testdata were written by hand from RFC 1035 and RFC 2782, so that the parser is not tested with
+// messages of this package's encoder.
 const (
 	goldenResponses = "testdata/answers.txt"
 	goldenQueries   = "testdata/queries.txt"
@@ -20,14 +21,15 @@
 	goldenID = 0x1234 // of all golden messages
 )
 
-// withID returns a copy of a message under another id.
+// withID returns a copy of a message with another id.
 func withID(message []byte, id uint16) []byte {
 	out := bytes.Clone(message)
 	binary.BigEndian.PutUint16(out, id)
 	return out
 }
 
-// The query for the list of workers. A client draws its id at random, so only that is replaced before the comparison.
+// The query for the endpoint list equals the golden file. A client chooses the id at random, so the test replaces the
+// id before the comparison.
 func TestGoldenQueries(t *testing.T) {
 	d := newTestClient(t)
 	connection := d.transports[0]
@@ -52,7 +54,8 @@
 	return records
 }
 
-// Each form of a response is parsed to records and joined to workers, which are compared whole.
+// Each form of a response is parsed to the expected records and combined to the expected workers. All fields are
+// compared.
 func TestGoldenResponsesAreParsed(t *testing.T) {
 	const target = "s-0.east.hosts"
 	noTexts := map[string][]string{}
@@ -132,7 +135,7 @@
 	}
 }
 
-// A response that can't be used is an error and changes nothing.
+// An invalid response is an error and changes nothing.
 func TestGoldenResponsesThatAreRejected(t *testing.T) {
 	for _, label := range []string{
 		"query in place of an answer",
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// serviceName is the name whose SRV records are the endpoint list.
+// serviceName is the domain name whose SRV records form the endpoint list.
 const serviceName = "_back._tcp.pool.lan"
 
-// Types and classes of records: RFC 1035, section 3.2; RFC 2782 for SRV; RFC 3596, section 2.1 for AAAA.
+// Types and the class of records: RFC 1035, section 3.2; RFC 2782 for SRV; RFC 3596, section 2.1 for AAAA.
 const (
 	typeA    = 1
 	typeSOA  = 6
@@ -22,7 +22,7 @@
 	classIN  = 1
 )
 
-// addressSizes are the lengths of addresses in bytes by the types of their records.
+// addressSizes holds the sizes of addresses in bytes by the types of their records.
 var addressSizes = map[uint16]int{
 	typeA:    net.IPv4len,
 	typeAAAA: net.IPv6len,
@@ -47,42 +47,42 @@
 
 // The fixed parts of questions and records.
 const (
-	questionTrailerSize = 4  // type and class behind a question's name
-	recordTrailerSize   = 10 // type, class, time to live and length behind a record's name
-	recordLengthOffset  = 8  // of the data's length, in a record's trailer
-	srvFixedSize        = 6  // priority, weight and port before a service record's target
+	questionTrailerSize = 4  // type and class after the name of a question
+	recordTrailerSize   = 10 // type, class, time to live and data length after the name of a record
+	recordLengthOffset  = 8  // offset of the data length in a record's trailer
+	srvFixedSize        = 6  // priority, weight and port before the target of an SRV record
 	srvWeightOffset     = 2
 	srvPortOffset       = 4
-	soaFixedSize        = 20 // the numbers behind the names of an SOA record, of which the first is the serial number
+	soaFixedSize        = 20 // the numbers after the names of an SOA record; the first is the serial number
 )
 
-// maxRecords bounds the records of a message.
+// maxRecords limits the number of records in a message.
 const maxRecords = 1024
 
-// Reasons of a ParseError, beside a responseCodeError.
+// Causes of a ParseError, in addition to responseCodeError.
 var (
 	errMalformed     = errors.New("malformed DNS message")
-	errNotResponse   = errors.New("not an answer")
-	errTruncated     = errors.New("answer is truncated")
-	errOtherQuestion = errors.New("answer to another question")
-	errNoSerial      = errors.New("answer has no serial")
+	errNotResponse   = errors.New("not a DNS response")
+	errTruncated     = errors.New("response is truncated")
+	errOtherQuestion = errors.New("response to another question")
+	errNoSerial      = errors.New("response has no serial number")
 )
 
 // responseCodeError is a response code other than 0 (RFC 1035, section 4.1.1).
 type responseCodeError uint8
 
-func (e responseCodeError) Error() string { return fmt.Sprintf("answer has code %d", uint8(e)) }
+func (e responseCodeError) Error() string { return fmt.Sprintf("response has code %d", uint8(e)) }
 
-// ParseError says why a response could not be parsed, and where.
+// ParseError reports why a response could not be parsed, and where.
 type ParseError struct {
-	Offset int // in the message, of what could not be parsed
+	Offset int // position in the message of what could not be parsed
 	Err    error
 }
 
-// Error returns the reason alone.
+// Error returns the text of the cause, without the offset.
 func (e *ParseError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *ParseError) Unwrap() error { return e.Err }
 
 // response holds the records of a response that the client uses.
@@ -104,13 +104,13 @@
 // encodeQuery returns a query for the SRV records of a name.
 func encodeQuery(id uint16, name string) []byte {
 	query := binary.BigEndian.AppendUint16(nil, id)
-	query = append(query, flagRecursionDesired, 0) // flags and code
+	query = append(query, flagRecursionDesired, 0) // flags and response code
 	query = append(query, 0, 1, 0, 0, 0, 0, 0, 0)  // one question
 	for label := range strings.SplitSeq(strings.Trim(name, "."), ".") {
 		query = append(query, byte(len(label)))
 		query = append(query, label...)
 	}
-	query = append(query, 0) // the root
+	query = append(query, 0) // the root label
 	query = binary.BigEndian.AppendUint16(query, typeSRV)
 	return binary.BigEndian.AppendUint16(query, classIN)
 }
--- a/internal/discovery/name.go
+++ b/internal/discovery/name.go
@@ -11,13 +11,13 @@
 	maxPointers   = 16 // in one name
 	pointerSize   = 2  // bytes
 
-	labelTypeMask     = 0xc0 // bits of a length byte; 0 for a label
+	labelTypeMask     = 0xc0 // the bits of a length byte that hold the type; 0 for a label
 	labelTypePointer  = 0xc0
 	pointerOffsetMask = 0x3fff
 )
 
-// readName reads the name at an offset, compressed or not, and returns it in lower case with the offset of what follows
-// it. Its error is a ParseError.
+// readName reads the name at offset start, compressed or not. It returns the name in lower case and the offset of the
+// first byte after it. Its error is a ParseError.
 func readName(message []byte, start int) (name string, next int, err error) {
 	r := nameReader{message: message, offset: start}
 	if err := r.read(); err != nil {
@@ -26,14 +26,14 @@
 	return strings.ToLower(string(r.name)), r.next, nil
 }
 
-// nameReader reads one name. Its methods for labels and pointers are called with offset at the first byte of one, which
-// is in the message.
+// nameReader reads one name. readLabel and followPointer are called when offset is at the first byte of a label or a
+// pointer, and less than the length of the message.
 type nameReader struct {
 	message  []byte
 	offset   int    // of the next label or pointer
-	name     []byte // the labels so far, with dots between them
-	pointers int    // followed so far
-	next     int    // offset of what follows the name; 0 until the first pointer or the root was read
+	name     []byte // the labels that were read, separated by dots
+	pointers int    // how many pointers were followed
+	next     int    // offset of the first byte after the name; 0 until the first pointer or the root was read
 }
 
 // read reads labels and follows pointers until the root, a label of length 0.
@@ -59,15 +59,15 @@
 	}
 }
 
-// setNext sets the offset of what follows the name. Only the first call counts: a name that ends in a pointer ends behind
-// that pointer, wherever the labels that it leads to end.
+// setNext sets the offset of the first byte after the name. Only the first call has an effect: a name that contains a
+// pointer ends after its first pointer, wherever the labels that the pointer leads to end.
 func (r *nameReader) setNext(offset int) {
 	if r.next == 0 {
 		r.next = offset
 	}
 }
 
-// readLabel appends a label to the name, behind a dot unless it is the first.
+// readLabel appends a label to the name, with a dot before it unless it is the first.
 func (r *nameReader) readLabel() error {
 	length := int(r.message[r.offset])
 	end := r.offset + 1 + length
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// followPointer moves on to the offset that a compression pointer leads to. It must lead back, so that pointers can't
-// form a loop.
+// followPointer continues at the offset that a compression pointer contains. The offset must be lower than that of the
+// pointer, so that pointers can't form a loop.
 func (r *nameReader) followPointer() error {
 	end := r.offset + pointerSize
 	if end > len(r.message) {
@@ -99,5 +99,5 @@
 	return nil
 }
 
-// malformed returns the error of what stands at the offset.
+// malformed returns the error for malformed data at the current offset.
 func (r *nameReader) malformed() error { return &ParseError{Offset: r.offset, Err: errMalformed} }
--- a/internal/discovery/name_test.go
+++ b/internal/discovery/name_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A name ends behind its root or its first pointer. Pointers lead back, and not over and over.
+// A name ends after its root label or its first pointer. A pointer must lead to a lower offset.
 func TestReadName(t *testing.T) {
 	const suffix = "\x03Lan\x00" // at offset 0, in mixed case
 	for _, test := range []struct {
@@ -13,8 +13,8 @@
 		message string
 		start   int
 		name    string
-		next    int // of a valid name
-		fault   int // offset of the error, or -1
+		next    int // offset after a valid name
+		fault   int // offset of the error; -1 if the name is valid
 	}{
 		{"labels", suffix, 0, "lan", 5, -1},
 		{"root", suffix, 4, "", 5, -1},
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// parseResponse parses a response to one of the client's queries, and returns that query's id. Its error is a
+// parseResponse parses a response to one of the client's queries and returns the id of the query. Its error is a
 // ParseError.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	if len(message) < headerSize {
@@ -16,7 +16,7 @@
 	return binary.BigEndian.Uint16(message), p.response, err
 }
 
-// parser parses one response from front to back.
+// parser parses one response from start to end.
 type parser struct {
 	message   []byte
 	offset    int // of the next question or record
@@ -24,7 +24,7 @@
 	hasSerial bool
 }
 
-// newParser returns a parser of a message that has a whole header.
+// newParser returns a parser of a message, which must have a complete header.
 func newParser(message []byte) *parser {
 	return &parser{
 		message: message,
@@ -36,10 +36,11 @@
 	}
 }
 
-// uint16At returns the number at an offset, which the caller has checked.
+// uint16At returns the 16-bit number at an offset. The caller must check that the message is long enough.
 func (p *parser) uint16At(offset int) uint16 { return binary.BigEndian.Uint16(p.message[offset:]) }
 
-// parse parses the whole message: the header, the questions, and the records of all sections alike.
+// parse parses the whole message: the header, the questions, and the records. It does not distinguish the sections of
+// records.
 func (p *parser) parse() error {
 	if err := p.checkHeader(); err != nil {
 		return err
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// checkHeader checks that the message is a whole response without an error.
+// checkHeader checks that the message is a response, is not truncated and reports no error.
 func (p *parser) checkHeader() error {
 	flags := p.message[flagsOffset]
 	if flags&flagResponse == 0 {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// parseQuestion checks that a question is the client's own.
+// parseQuestion checks that the next question is the one that the client sends.
 func (p *parser) parseQuestion() error {
 	start := p.offset
 	name, next, err := readName(p.message, start)
@@ -96,18 +97,18 @@
 	return nil
 }
 
-// record is where one record's data stands.
+// record is the fixed part of a record and the position of its data.
 type record struct {
 	owner      string
 	recordType uint16
-	start      int // of its data
+	start      int // offset of the data
 	end        int
 }
 
 // size returns the length of the record's data in bytes.
 func (r record) size() int { return r.end - r.start }
 
-// parseRecord parses the next record. Records of other types, owners and sizes than the protocol's are ignored.
+// parseRecord parses the next record. It ignores records whose type, owner or size is not one of the protocol's.
 func (p *parser) parseRecord() error {
 	rec, err := p.nextRecord()
 	if err != nil {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// nextRecord reads the fixed part of the next record and moves on to the one after it.
+// nextRecord reads the fixed part of the next record and advances the offset to the record after it.
 func (p *parser) nextRecord() (record, error) {
 	owner, next, err := readName(p.message, p.offset)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return rec, nil
 }
 
-// parseAddress parses an A or an AAAA record. One whose data has another size than its type's addresses is ignored.
+// parseAddress parses an A or an AAAA record. A record whose data does not have the size of an address is ignored.
 func (p *parser) parseAddress(rec record) {
 	if rec.size() != addressSizes[rec.recordType] {
 		return
@@ -155,7 +156,7 @@
 	}
 }
 
-// parseSRV parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
+// parseSRV parses an SRV record (RFC 2782). Records of other services and records without a target are ignored.
 func (p *parser) parseSRV(rec record) error {
 	if rec.owner != serviceName || rec.size() <= srvFixedSize {
 		return nil
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// parseTXT parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
+// parseTXT parses a TXT record: texts of at most 255 bytes, each preceded by its length (RFC 1035, section 3.3.14).
 func (p *parser) parseTXT(rec record) error {
 	for offset := rec.start; offset < rec.end; {
 		end := offset + 1 + int(p.message[offset])
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// parseSOA parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
+// parseSOA parses the serial number of an SOA record, which follows two names (RFC 1035, section 3.3.13).
 func (p *parser) parseSOA(rec record) error {
 	offset := rec.start
 	for range 2 {
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -8,11 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// Arbitrary bytes are parsed or rejected; pointer loops and names that are too long are rejected.
+// Any bytes are parsed or rejected without a panic or an endless loop. Pointer loops and names that are too long are
+// rejected.
 func TestParserAcceptsOrRejectsAnyBytes(t *testing.T) {
-	loops := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that points at itself
+	loops := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that is a pointer to itself
 	if _, _, err := parseResponse(loops); err == nil {
-		t.Error("a loop of pointers was read")
+		t.Error("a name with a pointer loop was read")
 	}
 	if _, _, err := readName([]byte(strings.Repeat("\x3f"+strings.Repeat("x", 63), 5)+"\x00"), 0); err == nil {
 		t.Error("a name over 255 bytes was read")
@@ -29,7 +30,7 @@
 	})
 }
 
-// What is wrong with a response can be told apart, and where it stands is reported.
+// The error for each kind of invalid response has its own cause and the offset of the invalid data.
 func TestParseErrors(t *testing.T) {
 	valid := func() []byte { return responseTo(1, 9, 0) }
 	for _, test := range []struct {
@@ -40,11 +41,11 @@
 		text    string
 	}{
 		{"short header", valid()[:5], 5, errMalformed, "malformed DNS message"},
-		{"query", encodeQuery(1, serviceName), flagsOffset, errNotResponse, "not an answer"},
-		{"truncated", withByte(valid(), flagsOffset, flagResponse|flagTruncated), flagsOffset, errTruncated, "answer is truncated"},
-		{"failure", withByte(valid(), responseCodeOffset, 2), responseCodeOffset, responseCodeError(2), "answer has code 2"},
-		{"other question", withByte(valid(), headerSize+1, 'x'), headerSize, errOtherQuestion, "answer to another question"},
-		{"no records", withByte(withByte(encodeQuery(1, serviceName), flagsOffset, flagResponse), responseCodeOffset, 0), 37, errNoSerial, "answer has no serial"},
+		{"query", encodeQuery(1, serviceName), flagsOffset, errNotResponse, "not a DNS response"},
+		{"truncated", withByte(valid(), flagsOffset, flagResponse|flagTruncated), flagsOffset, errTruncated, "response is truncated"},
+		{"failure", withByte(valid(), responseCodeOffset, 2), responseCodeOffset, responseCodeError(2), "response has code 2"},
+		{"other question", withByte(valid(), headerSize+1, 'x'), headerSize, errOtherQuestion, "response to another question"},
+		{"no records", withByte(withByte(encodeQuery(1, serviceName), flagsOffset, flagResponse), responseCodeOffset, 0), 37, errNoSerial, "response has no serial number"},
 		{"cut short", valid()[:40], 39, errMalformed, "malformed DNS message"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/discovery/poll_schedule_test.go
+++ b/internal/discovery/poll_schedule_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Queries without a response are repeated with a backoff that doubles up to the poll interval, and a confirmed list
-// resets it. Jitter shortens each time by a fifth at most.
+// Queries without a response are repeated with a backoff that doubles up to the poll interval. A confirmed list resets
+// the backoff. Jitter shortens each delay by at most a fifth.
 func TestPollScheduleBacksOff(t *testing.T) {
 	const now = time.Hour
 	schedule := newPollSchedule(1, time.Second)
 	within := func(name string, longest time.Duration) {
 		t.Helper()
 		if delay := schedule.next - now; delay > longest || delay <= longest*4/5 {
-			t.Errorf("%s: next after %v, want up to %v", name, delay, longest)
+			t.Errorf("%s: next after %v, want at most %v", name, delay, longest)
 		}
 	}
 	for _, longest := range []time.Duration{initialBackoff, 2 * initialBackoff, schedule.interval, schedule.interval} {
--- a/internal/discovery/record_join.go
+++ b/internal/discovery/record_join.go
@@ -10,25 +10,25 @@
 	"crankhold/policy"
 )
 
-// weightScale is how many units of an SRV record's weight make a worker of weight 1.
+// weightScale is the weight in an SRV record that corresponds to weight 1 of a worker.
 const weightScale = 10
 
-// MissingAddressError says that a service record names a target without a usable address.
+// MissingAddressError reports that the target of an SRV record has no usable address.
 type MissingAddressError struct {
-	Target string // a domain name that begins with the worker's name
+	Target string // a domain name whose first label is the worker's name
 }
 
 // Error names the target.
 func (e *MissingAddressError) Error() string { return fmt.Sprintf("no address for %s", e.Target) }
 
-// recordJoiner joins the records of a response to workers.
+// recordJoiner combines the records of a response to workers.
 type recordJoiner struct {
-	unixInTXT bool // accepts the extension of Config.UnixInTXT
+	unixInTXT bool // see Config.UnixInTXT
 }
 
-// workers returns the workers of a response by name. A worker without a usable address keeps the addresses that it has
-// in the current list; one that has none there either is left out. If there were such workers, the error is a
-// MissingAddressError for the last of them.
+// workers returns the workers of a response by name. A worker without a usable address keeps its addresses from the
+// current list, or is left out if it has none there. If any worker has no usable address, the error is a
+// MissingAddressError for the last of these workers.
 func (j recordJoiner) workers(r response, current map[string]Worker) (map[string]Worker, error) {
 	var missing error
 	workers := map[string]Worker{}
@@ -47,7 +47,7 @@
 	return workers, missing
 }
 
-// worker joins the records of one worker. Its target is NAME.ZONE and further labels.
+// worker combines the records of one worker. The target of its SRV record starts with the labels NAME.ZONE.
 func (j recordJoiner) worker(service serviceRecord, r response) Worker {
 	name, domain, _ := strings.Cut(service.target, ".")
 	zone, _, _ := strings.Cut(domain, ".")
@@ -67,8 +67,8 @@
 	return worker
 }
 
-// usableAddresses returns the addresses that a connection can be made to. Others, such as multicast ones, are left out:
-// the same worker may have usable ones besides.
+// usableAddresses returns the addresses to which a connection can be made. Other addresses, such as multicast ones, are
+// left out, because the same worker may have usable addresses, too.
 func usableAddresses(hosts []netip.Addr, port uint16) []endpoint.Addr {
 	var usable []endpoint.Addr
 	for _, host := range hosts {
@@ -80,8 +80,8 @@
 	return usable
 }
 
-// applyText sets what a text NAME=VALUE of a TXT record says of a worker. Unknown names and malformed values are
-// ignored.
+// applyText sets the field of a worker that a text NAME=VALUE of a TXT record describes. Unknown names and malformed
+// values are ignored.
 func (j recordJoiner) applyText(worker *Worker, text string) {
 	name, value, _ := strings.Cut(text, "=")
 	switch name {
@@ -100,7 +100,7 @@
 	}
 }
 
-// addUnixAddress adds the path of a Unix domain socket, where the extension is on and the path is usable.
+// addUnixAddress adds the path of a Unix domain socket if the extension is enabled and the path is usable.
 func (j recordJoiner) addUnixAddress(worker *Worker, path string) {
 	if !j.unixInTXT {
 		return
--- a/internal/discovery/record_join_test.go
+++ b/internal/discovery/record_join_test.go
@@ -9,7 +9,8 @@
 	"crankhold/policy"
 )
 
-// A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket where that extension is on.
+// A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket if the extension is
+// enabled.
 func TestWorkerHasAllItsAddresses(t *testing.T) {
 	for _, extensionOn := range []bool{false, true} {
 		d := newTestClientWithConfig(t, Config{UnixInTXT: extensionOn})
@@ -47,12 +48,13 @@
 			return b
 		}
 	}
-	t.Fatal("the response has no such record")
+	t.Fatal("the response has no address record of the worker")
 	return nil
 }
 
-// A service record without an address does not invalidate the others: a drain in the same list is applied, the worker keeps the
-// address that it had, one that never had any is left out, and the list is applied again when it comes complete.
+// An SRV record without an address does not invalidate the others. A drain in the same list is applied, the worker
+// keeps its former address, and a worker that never had an address is left out. The complete list of the same serial
+// number is applied.
 func TestMissingAddressAffectsItsWorkerAlone(t *testing.T) {
 	d := newTestClient(t)
 	d.sockets.current.Data(responseTo(d.query(), 4, 0, 0))
@@ -70,7 +72,7 @@
 		t.Errorf("the same incomplete list: read %d, list %v", d.ResponsesRead-read, d.list)
 	}
 	if d.sockets.current.Data(responseTo(d.query(), 6, 0, 1, 0, 0)); len(d.list) != 4 {
-		t.Errorf("the same list, complete: %v", d.list)
+		t.Errorf("after the complete list of the same serial number: %v", d.list)
 	}
 	if d.sockets.current.Data(responseTo(d.query(), 6, 0)); len(d.list) != 4 {
 		t.Errorf("a complete list was applied again: %v", d.list)
--- a/internal/discovery/setserver_test.go
+++ b/internal/discovery/setserver_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// SetServer polls the new server at once and keeps the list and its serial number. Nothing that comes late on the
-// socket to the former address counts, in whatever order dials and closes end.
+// SetServer polls the new server at once and keeps the list and its serial number. Late events of the socket to the
+// former address have no effect, whether it was connected or still dialing.
 func TestSetServerSwitchesToTheNewAddress(t *testing.T) {
-	for _, connected := range []bool{true, false} { // the old socket is connected, or its dial has not ended
+	for _, connected := range []bool{true, false} { // the old socket is connected, or its dial has not completed
 		d := newTestClient(t)
 		if !connected {
 			d.sockets.current.Closed(errors.New("refused"))
@@ -24,7 +24,7 @@
 		d.SetServer(d.now+time.Millisecond, "new")
 		d.Tick(d.now + time.Millisecond)
 		if transport.Closed || d.dialed[len(d.dialed)-1] != "new" || d.sockets.current == old {
-			t.Fatalf("dialled %v, old closed %v", d.dialed, transport.Closed) // its descriptor may be the last
+			t.Fatalf("dialed %v, old closed %v", d.dialed, transport.Closed) // the old descriptor may be the last one
 		}
 		fresh := d.sockets.current
 		old.DialCompleted(nil)
@@ -34,14 +34,14 @@
 			t.Fatalf("the old socket changed the list to %v", d.list)
 		}
 		if fresh.DialCompleted(nil); !transport.Closed {
-			t.Error("the old socket stays open beside the new one")
+			t.Error("the old socket is still open after the new dial has completed")
 		}
 		if d.schedule.next > d.now+initialBackoff {
 			t.Error("the new server isn't polled soon")
 		}
 		fresh.Data(responseTo(d.query(), 2, 0, 0)) // outdated
 		if d.endpoints.serial != 3 {
-			t.Errorf("the serial number fell to %d", d.endpoints.serial)
+			t.Errorf("the serial number decreased to %d", d.endpoints.serial)
 		}
 		if fresh.Data(responseTo(d.query(), 4, 0, 0)); len(d.list) != 2 {
 			t.Errorf("list %v", d.list)
@@ -49,13 +49,13 @@
 		dials := len(d.dialed)
 		d.SetServer(d.now, "new") // a repeated signal changes nothing
 		if d.Tick(d.now); d.sockets.current != fresh || len(d.dialed) != dials {
-			t.Error("the same address was dialled again")
+			t.Error("the same address was dialed again")
 		}
 	}
 }
 
-// After SetServer the old socket keeps its descriptor until the dial to the new address has ended, and a further switch leaves no
-// socket behind.
+// After SetServer the old socket keeps its descriptor until the dial to the new address has completed. A second switch
+// leaves no socket open.
 func TestSetServerKeepsTheDescriptorUntilTheNextIsOpen(t *testing.T) {
 	d := newTestClient(t)
 	first := d.transports[0]
@@ -69,10 +69,10 @@
 	d.Tick(d.now)
 	d.sockets.current.DialCompleted(errors.New("no descriptor"))
 	if !second.Closed || d.sockets.current != nil {
-		t.Fatal("a dial that failed kept the descriptor that it needs")
+		t.Fatal("after a failed dial the former socket still has the descriptor that the next dial needs")
 	}
 	if d.Tick(d.now + redialDelay); d.dialed[len(d.dialed)-1] != "third" || d.sockets.current == nil {
-		t.Fatalf("dialled %v", d.dialed)
+		t.Fatalf("dialed %v", d.dialed)
 	}
 	d.sockets.current.DialCompleted(nil)
 	if d.sockets.current.Data(responseTo(d.query(), 9, 0, 0)); len(d.list) != 2 {
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -7,13 +7,13 @@
 	"crankhold/policy"
 )
 
-// Snapshot is the endpoint list in the platform's configuration: changes that are applied in their order.
+// Snapshot is the endpoint list in the platform's configuration. It consists of changes that are applied in order.
 type Snapshot struct {
-	Serial  uint32  `json:"offset"` // of the list after all changes
+	Serial  uint32  `json:"offset"` // serial number of the list after all changes
 	Changes []event `json:"batch"`
 }
 
-// event is a change of the list, or the whole list where it is complete.
+// event is a change of the list. If List.Complete is set, it replaces the whole list.
 type event struct {
 	Serial uint32 `json:"offset"`
 	List   struct {
@@ -34,32 +34,32 @@
 	Started int64   `json:"up_since_ms"` // in Unix milliseconds
 }
 
-// workerStates are the states of workers by the configuration's words for them.
+// workerStates holds the states of workers by their names in the configuration.
 var workerStates = map[string]policy.WorkerState{
 	"Ready":       policy.Ready,
 	"Terminating": policy.Draining,
 	"Gone":        policy.Gone,
 }
 
-// SnapshotError says why a worker of the configuration's endpoint list can't be used.
+// SnapshotError reports why a worker in the configuration's endpoint list is invalid.
 type SnapshotError struct {
-	Worker string // its id
-	Field  string // the JSON key of what is wrong
+	Worker string // the worker's id
+	Field  string // the JSON key of the invalid value
 	Err    error
 }
 
-// Error names the worker; the cause says which value is wrong.
+// Error names the worker; the cause describes the invalid value.
 func (e *SnapshotError) Error() string { return fmt.Sprintf("known: worker %q: %v", e.Worker, e.Err) }
 
 // Unwrap returns the cause.
 func (e *SnapshotError) Unwrap() error { return e.Err }
 
-// unknownPhaseError is a phase that the protocol does not have.
+// unknownPhaseError reports a phase that is no key of workerStates.
 type unknownPhaseError string
 
 func (e unknownPhaseError) Error() string { return fmt.Sprintf("unknown phase %q", string(e)) }
 
-// applySnapshot applies the lists and changes of a snapshot in their order. Its error is a SnapshotError.
+// applySnapshot applies the changes of a snapshot in order. Its error is a SnapshotError.
 func (l *endpointList) applySnapshot(snapshot Snapshot) error {
 	for _, change := range snapshot.Changes {
 		if change.List.Complete {
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A worker of the configuration that can't be used is reported with its id and the field.
+// The error for an invalid worker in the configuration contains the worker's id and the key of the invalid value.
 func TestSnapshotErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -12,7 +12,7 @@
 	"crankhold/internal/testutil"
 )
 
-// responseTo builds the response to a query, with a worker for each priority. Its names are compressed (RFC 1035,
+// responseTo builds the response to a query, with one worker for each priority. Its names are compressed (RFC 1035,
 // section 4.1.4).
 func responseTo(id uint16, serial uint32, priorities ...uint16) []byte {
 	b := encodeQuery(id, serviceName)
@@ -45,7 +45,7 @@
 	return b
 }
 
-// testClient is a Client whose sockets are fakes. It records what is dialled and the latest list.
+// testClient is a Client with fake sockets. It records the dialed addresses and the latest list.
 type testClient struct {
 	*Client
 	t          rapid.TB
@@ -54,11 +54,11 @@
 	list       []Worker
 }
 
-// newTestClient returns a client with a snapshot of one worker under serial number 3 and a connected socket.
+// newTestClient returns a client with a connected socket and a snapshot of one worker with serial number 3.
 func newTestClient(t rapid.TB) *testClient { return newTestClientWithConfig(t, Config{Seed: 1}) }
 
-// newTestClientWithConfig is newTestClient with a configuration, in which the server's address, the drain grace period
-// and functions are set.
+// newTestClientWithConfig is like newTestClient with a given configuration. It sets the server's address, the drain
+// grace period and the functions in it.
 func newTestClientWithConfig(t rapid.TB, cfg Config) *testClient {
 	t.Helper()
 	d := &testClient{t: t}
@@ -85,7 +85,7 @@
 	return d
 }
 
-// query has the client send its next query, and returns the id.
+// query makes the client send its next query and returns the query's id.
 func (d *testClient) query() uint16 {
 	d.t.Helper()
 	transport := d.transports[len(d.transports)-1]
@@ -93,7 +93,7 @@
 	d.Tick(d.schedule.next)
 	b := transport.Written.Bytes()
 	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
-		d.t.Fatalf("queried %x", b)
+		d.t.Fatalf("sent %x in place of a query", b)
 	}
 	return binary.BigEndian.Uint16(b)
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -121,8 +121,8 @@
 func TestGoldenReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
-		label  string
-		answer router.Response
+		label    string
+		response router.Response
 	}{
 		{"served", router.Response{Status: router.Served, Body: []byte("result")}},
 		{"served with an empty body", router.Response{Status: router.Served}},
@@ -139,7 +139,7 @@
 		if len(core.accepted) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(core.accepted))
 		}
-		core.accepted[0].Responder.Respond(test.answer)
+		core.accepted[0].Responder.Respond(test.response)
 		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Written.Bytes()})
 	}
 	client, _, transport := newGoldenConnection()
