--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -38,7 +38,7 @@
 	Logger *slog.Logger
 }
 
-// Counters counts queries and responses since the start.
+// Counters counts queries and responses since the Client was created.
 type Counters struct {
 	QueriesSent   uint64
 	ResponsesRead uint64 // responses without any error
@@ -52,7 +52,7 @@
 	listChanged   func([]Worker)
 	listConfirmed func()
 
-	now           time.Duration // of the latest Tick
+	now           time.Duration // time of the latest Tick
 	schedule      pollSchedule
 	sockets       serverSockets
 	joiner        recordJoiner
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// WorkerCount returns how many workers the list holds.
+// WorkerCount returns the number of workers in the list.
 func (c *Client) WorkerCount() int { return len(c.endpoints.workers) }
 
 // SetServer switches to the discovery server at addr, which is polled at once. The list and its serial number are kept,
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -9,7 +9,7 @@
 // have no effect, however many are received, because the server may only be late.
 func TestSerialResetIsFollowed(t *testing.T) {
 	for name, tt := range map[string]struct {
-		between uint32 // serial of a response in the middle
+		between uint32 // serial number of the responses between 8 and 9 seconds
 		applied bool
 	}{"reset": {2, true}, "late, with one current response in between": {50, false}} {
 		d := newTestClient(t)
--- a/internal/discovery/name.go
+++ b/internal/discovery/name.go
@@ -8,7 +8,7 @@
 // Domain names in messages: RFC 1035, sections 3.1 and 4.1.4.
 const (
 	maxNameLength = 255
-	maxPointers   = 16 // in one name
+	maxPointers   = 16 // limit of pointers in one name
 	pointerSize   = 2  // bytes
 
 	labelTypeMask     = 0xc0 // the bits of a length byte that hold the type; 0 for a label
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -22,7 +22,7 @@
 	} `json:"topology"`
 }
 
-// member is a worker in the configuration.
+// member describes a worker in the configuration.
 type member struct {
 	Name    string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// applyMember adds, replaces or removes a worker.
+// applyMember adds or replaces a worker, or removes it if its state is Gone.
 func (l *endpointList) applyMember(m member) error {
 	addr, err := endpoint.ParseHost(m.Addr)
 	if err != nil {
--- a/internal/ipfix/message.go
+++ b/internal/ipfix/message.go
@@ -15,7 +15,7 @@
 	domainOffset       = 12
 	messageHeaderBytes = 16
 	setHeaderBytes     = 4
-	setLengthOffset    = 2 // in a set's header
+	setLengthOffset    = 2 // offset of the length in a set's header
 
 	// maxMessageBytes is less than the payload of an Ethernet frame, so that no message is fragmented (section 10.3.3).
 	maxMessageBytes = 1400
@@ -36,7 +36,7 @@
 type messageBuilder struct {
 	domain        uint32
 	wallClock     func() time.Time
-	sequence      uint32        // the number of records in messages so far, modulo 2^32
+	sequence      uint32        // the number of records in earlier messages, modulo 2^32
 	nextTemplates time.Duration // when the templates are due; 0 for the next message
 }
 
@@ -57,7 +57,7 @@
 // newMessage returns a message that consists of an empty header.
 func newMessage() []byte { return make([]byte, messageHeaderBytes, maxMessageBytes) }
 
-// writeMessageHeader writes the header of a message to whose end nothing is appended afterwards.
+// writeMessageHeader writes the header of a complete message.
 func writeMessageHeader(message []byte, header messageHeader) {
 	binary.BigEndian.PutUint16(message[versionOffset:], protocolVersion)
 	binary.BigEndian.PutUint16(message[lengthOffset:], uint16(len(message)))
--- a/internal/ipfix/record.go
+++ b/internal/ipfix/record.go
@@ -21,7 +21,7 @@
 	Server netip.AddrPort // the router's own address
 	Start  time.Time
 	End    time.Time
-	Octets uint64 // of the request's body
+	Octets uint64 // size of the request's body in bytes
 	Class  string // truncated to maxClassBytes
 }
 
--- a/internal/ledger/file.go
+++ b/internal/ledger/file.go
@@ -110,7 +110,7 @@
 	return f.fileError(f.disk.SyncDir(filepath.Dir(f.path)))
 }
 
-// install writes lines to a new file, syncs it and renames it to the ledger's path.
+// install writes lines to the new file at path, syncs it and renames it to the ledger's path.
 func (f *ledgerFile) install(file File, path string, lines []byte) error {
 	if _, err := file.Write(lines); err != nil {
 		return err
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -13,8 +13,8 @@
 	"crankhold/internal/testutil"
 )
 
-// The golden files of the ledger's format, in the order in which goldenRuns writes them. The code of commit 90e713b
-// wrote them; ledgers of that form are on the routers' disks.
+// The golden files of the ledger's format, in the order in which TestLedgerWritesTheGoldenBytes writes them. The code
+// of commit 90e713b wrote them; ledgers of that form are on the routers' disks.
 const (
 	goldenFirstRun  = "testdata/first-run.ledger"  // a new file with appended entries
 	goldenSecondRun = "testdata/second-run.ledger" // the first file compacted, with a horizon and appended entries
@@ -96,8 +96,8 @@
 	}
 }
 
-// The same entries give the same bytes as with the code of commit 90e713b: appended, compacted, and with a retention
-// horizon.
+// Appending entries, compacting the file and dropping expired orders write the same bytes as the code of commit
+// 90e713b.
 func TestLedgerWritesTheGoldenBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	writeGolden(t, path, noon.Add(-2*time.Hour), goldenFirstEntries)
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -15,7 +15,7 @@
 type Core interface {
 	// Accept starts a request and returns its id.
 	Accept(now time.Duration, r router.Request) policy.RequestID
-	// RejectUnaccepted rejects a request that was not accepted.
+	// RejectUnaccepted responds to a request with a rejection, without accepting it first.
 	RejectUnaccepted(now time.Duration, r router.Request)
 	// CancelRequest cancels a request whose client no longer waits for a response.
 	CancelRequest(now time.Duration, id policy.RequestID)
@@ -29,7 +29,7 @@
 	ArrivedAt() time.Duration
 }
 
-// Class is a class of requests.
+// Class configures a class of requests.
 type Class struct {
 	Name                   string
 	RequiresIdempotencyKey bool // requests must have an idempotency key, by which workers drop duplicates
@@ -77,7 +77,7 @@
 	return front
 }
 
-// Accept serves a connection that the event loop has accepted.
+// Accept returns the handler of a connection that the event loop has accepted.
 func (f *Front) Accept(c *eventloop.Conn) eventloop.AcceptedHandler {
 	return f.serve(c, c.RemoteAddr())
 }
--- a/internal/thrift/log_limiter.go
+++ b/internal/thrift/log_limiter.go
@@ -8,7 +8,7 @@
 // logLimiter counts events of one kind, which are logged at most once per logInterval. Without the limit, any client
 // that can connect could fill the log. The zero value is ready to use.
 type logLimiter struct {
-	count    int           // since the last log line
+	count    int           // number of events since the last log line
 	loggedAt time.Duration // when the last line was logged; 0 if none was
 }
 
--- a/internal/thrift/protocol.go
+++ b/internal/thrift/protocol.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Types of values in the binary protocol.
+// Types of fields, elements, keys and values in the binary protocol.
 const (
 	wireStop   = 0
 	wireBool   = 2
@@ -18,7 +18,7 @@
 	wireList   = 15
 )
 
-// messageKind is the kind of a message.
+// messageKind is the type of a message in the binary protocol.
 type messageKind byte
 
 const (
