--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -9,8 +9,8 @@
 // have no effect, however many are received, because the server may only be late.
 func TestSerialResetIsFollowed(t *testing.T) {
 	for name, tt := range map[string]struct {
-		between uint32 // serial number of the responses between 8 and 9 seconds
-		applied bool
+		midSerial uint32 // serial number of the responses between 8 and 9 seconds
+		applied   bool
 	}{"reset": {2, true}, "late, with one current response in between": {50, false}} {
 		d := newTestClient(t)
 		d.sockets.current.Data(responseTo(d.query(), 50, 0, 1))
@@ -20,7 +20,7 @@
 		for start := d.now; d.now < start+serialResetAfter-time.Second; {
 			serial := uint32(2)
 			if d.now-start > 8*time.Second && d.now-start < 9*time.Second {
-				serial = tt.between
+				serial = tt.midSerial
 			}
 			if d.sockets.current.Data(responseTo(d.query(), serial, 0, 0, 0)); len(d.list) != 2 || d.endpoints.serial != 50 {
 				t.Fatalf("%s: after %v the list is %v", name, d.now-start, d.list)
--- a/internal/discovery/name_test.go
+++ b/internal/discovery/name_test.go
@@ -9,12 +9,12 @@
 func TestReadName(t *testing.T) {
 	const suffix = "\x03Lan\x00" // at offset 0, in mixed case
 	for _, test := range []struct {
-		label   string
-		message string
-		start   int
-		name    string
-		next    int // offset after a valid name
-		fault   int // offset of the error; -1 if the name is valid
+		label       string
+		message     string
+		start       int
+		name        string
+		next        int // offset after a valid name
+		errorOffset int // offset of the error; -1 if the name is valid
 	}{
 		{"labels", suffix, 0, "lan", 5, -1},
 		{"root", suffix, 4, "", 5, -1},
@@ -27,12 +27,12 @@
 		{"no root", "\x03Lan", 0, "", 0, 4},
 	} {
 		name, next, err := readName([]byte(test.message), test.start)
-		if name != test.name || next != test.next || (err != nil) != (test.fault >= 0) {
+		if name != test.name || next != test.next || (err != nil) != (test.errorOffset >= 0) {
 			t.Errorf("%s: %q, %d, %v", test.label, name, next, err)
 		}
 		var parseError *ParseError
-		if err != nil && (!errors.As(err, &parseError) || parseError.Offset != test.fault) {
-			t.Errorf("%s: error %#v, want offset %d", test.label, err, test.fault)
+		if err != nil && (!errors.As(err, &parseError) || parseError.Offset != test.errorOffset) {
+			t.Errorf("%s: error %#v, want offset %d", test.label, err, test.errorOffset)
 		}
 	}
 }
--- a/internal/discovery/record_join_test.go
+++ b/internal/discovery/record_join_test.go
@@ -15,12 +15,12 @@
 	for _, extensionOn := range []bool{false, true} {
 		d := newTestClientWithConfig(t, Config{UnixInTXT: extensionOn})
 		b := responseTo(d.query(), 4, 0)
-		record := func(typ uint16, data []byte) {
+		record := func(recordType uint16, data []byte) {
 			binary.BigEndian.PutUint16(b[10:], binary.BigEndian.Uint16(b[10:])+1)
 			for _, label := range []string{"s-0", "east", "hosts"} {
 				b = append(append(b, byte(len(label))), label...)
 			}
-			b = append(binary.BigEndian.AppendUint16(append(b, 0), typ), 0, 1, 0, 0, 0, 1)
+			b = append(binary.BigEndian.AppendUint16(append(b, 0), recordType), 0, 1, 0, 0, 0, 1)
 			b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
 		}
 		record(typeA, []byte{10, 1, 0, 77})
@@ -55,7 +55,7 @@
 // An SRV record without an address does not invalidate the others. A drain in the same list is applied, the worker
 // keeps its former address, and a worker that never had an address is left out. The complete list of the same serial
 // number is applied.
-func TestMissingAddressAffectsItsWorkerAlone(t *testing.T) {
+func TestMissingAddressAffectsOnlyItsWorker(t *testing.T) {
 	d := newTestClient(t)
 	d.sockets.current.Data(responseTo(d.query(), 4, 0, 0))
 	d.sockets.current.Data(withoutAddress(t, responseTo(d.query(), 5, 0, 1, 0), 0)) // s-0 has lost its address, s-1 drains, s-2 is new
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -17,10 +17,10 @@
 func responseTo(id uint16, serial uint32, priorities ...uint16) []byte {
 	b := encodeQuery(id, serviceName)
 	b[2] |= 0x80
-	record := func(section int, name []byte, typ uint16, data []byte) {
+	record := func(section int, name []byte, recordType uint16, data []byte) {
 		binary.BigEndian.PutUint16(b[section:], binary.BigEndian.Uint16(b[section:])+1)
 		b = append(b, name...)
-		b = binary.BigEndian.AppendUint16(b, typ)
+		b = binary.BigEndian.AppendUint16(b, recordType)
 		b = append(b, 0, classIN, 0, 0, 0, 0)
 		b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
 	}
--- a/internal/ledger/content_test.go
+++ b/internal/ledger/content_test.go
@@ -9,7 +9,7 @@
 
 // Expired orders advance the retention horizon to the latest of their event times, and an earlier time does not turn it
 // back. Orders that did not run are dropped without an effect on the horizon.
-func TestDropUnretainedAdvancesTheHorizon(t *testing.T) {
+func TestDropUnretainedAdvancesRetentionHorizon(t *testing.T) {
 	entry := func(id string, age time.Duration, state State) Entry {
 		return Entry{ID: id, EventTime: noon.Add(-age), State: state}
 	}
--- a/internal/ledger/queue_test.go
+++ b/internal/ledger/queue_test.go
@@ -5,7 +5,7 @@
 )
 
 // The number of queued calls of Begin is limited; the number of queued updates is not.
-func TestQueueBoundsBeginsAlone(t *testing.T) {
+func TestQueueLimitsOnlyBegins(t *testing.T) {
 	queue := newJobQueue()
 	begin := job{done: func(error) {}}
 	for i := range maxQueuedBegins {
