--- a/internal/discovery/poll_schedule.go
+++ b/internal/discovery/poll_schedule.go
@@ -24,7 +24,7 @@
 	maxBackoffShift = 8
 
 	// redialDelay is the time from the failure of a socket to the next dial. It is short, because no response can be
-	// received meanwhile.
+	// received in the meantime.
 	redialDelay = 200 * time.Millisecond
 
 	// jitterSeed is the second part of the seed. It makes the random numbers differ from those that other packages
@@ -35,7 +35,7 @@
 // pollSchedule decides when the client dials and sends queries. Times are those of the event loop's monotonic clock.
 // pollAt, listConfirmed and the methods whose names start with schedule set next; the latest call counts.
 type pollSchedule struct {
-	interval    time.Duration // the longest time between two queries
+	interval    time.Duration // the longest time between two queries on the same socket
 	random      *rand.Rand    // source of the jitter
 	next        time.Duration // when the next dial or query is due
 	lastQuery   time.Duration // when the latest query was sent
--- a/internal/ledger/content.go
+++ b/internal/ledger/content.go
@@ -37,7 +37,7 @@
 }
 
 // readEntries calls visit for each entry and returns the size of the entries' lines in bytes. An incomplete last line
-// is skipped: it was never synced, so its order was never forwarded. Damage anywhere else is reported as a FileError.
+// is skipped: it was never synced, so its order was never forwarded. Any other damage is reported as a FileError.
 func readEntries(path string, r io.Reader, visit func(Entry)) (size int64, err error) {
 	in := bufio.NewReaderSize(r, maxLineBytes)
 	for number := 1; ; number++ {
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -21,6 +21,6 @@
 //
 // After a failed write or sync, no order is recorded until the file has recovered. The writer retries the recovery with
 // increasing delays. Outcomes of orders that arrive in the meantime are kept in memory and written on recovery. Open
-// returns an error if the file is damaged anywhere but in its last line, because it would be unknown which orders ran.
+// returns an error if a complete line is damaged, because it would be unknown which orders ran.
 // An incomplete last line is dropped: it was never synced, so its order was never forwarded.
 package ledger
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -75,8 +75,7 @@
 	})
 }
 
-// A ledger that is damaged anywhere but in an incomplete last line is not opened, because it is unknown which orders
-// ran.
+// A ledger with a damaged complete line is not opened, because it is unknown which orders ran.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	if err := os.WriteFile(path, []byte("00000000 {}\n"), fileMode); err != nil {
