--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -10,25 +10,25 @@
 	"crankhold/policy"
 )
 
-// Newer lists replace the current one, and a response with whatever fault changes nothing.
+// A newer list replaces the current one, and an invalid or outdated response changes nothing.
 func TestNewerListsAreApplied(t *testing.T) {
 	d := newTestClient(t)
 	if len(d.list) != 1 {
 		t.Fatalf("list %v", d.list)
 	}
 	d.sockets.current.Data(responseTo(d.query(), 4, 0, 1))
-	want := []Worker{{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
-		{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
+	want := []Worker{{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:10080"), Zone: "east", Kind: "std", State: policy.Ready, Weight: 4, Cell: 2, Started: 5},
+		{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10080"), Zone: "east", Kind: "std", State: policy.Draining, Weight: 4, Cell: 2, Started: 5}}
 	if fmt.Sprint(d.list) != fmt.Sprint(want) {
 		t.Fatalf("list %v, want %v", d.list, want)
 	}
-	// A response with a fault changes nothing.
+	// An invalid or outdated response changes nothing.
 	d.sockets.current.Data(responseTo(d.query(), 3)) // outdated
 	id := d.query()
-	d.sockets.current.Data(responseTo(id+1, 9, 0)) // to no query of this client
-	answered := d.query()
-	d.sockets.current.Data(responseTo(answered, 4, 0, 1))
-	d.sockets.current.Data(responseTo(answered, 9, 0)) // to one that has been answered
+	d.sockets.current.Data(responseTo(id+1, 9, 0)) // matches no query of this client
+	completed := d.query()
+	d.sockets.current.Data(responseTo(completed, 4, 0, 1))
+	d.sockets.current.Data(responseTo(completed, 9, 0)) // matches a query that has had its response
 	for name, damage := range map[string]func(b []byte) []byte{
 		"truncated": func(b []byte) []byte { b[2] |= 2; return b },
 		"failed":    func(b []byte) []byte { b[3] |= 2; return b },
@@ -48,14 +48,14 @@
 		}
 	}
 	late := d.query()
-	for range 3 { // a response counts although further queries were sent
+	for range 3 { // a response still counts after further queries
 		d.query()
 	}
 	if d.sockets.current.Data(responseTo(late, 5, 0)); len(d.list) != 1 {
 		t.Errorf("after a late response the list is %v", d.list)
 	}
 	if d.sockets.current.Closed(errors.New("refused")); d.sockets.current != nil || d.schedule.next > d.now+redialDelay {
-		t.Error("a lost socket isn't opened again at once")
+		t.Error("a lost socket isn't opened again after redialDelay")
 	}
 	d.Tick(d.schedule.next)
 	d.sockets.current.DialCompleted(nil)
@@ -64,49 +64,50 @@
 	}
 }
 
-// Queries are few, since all routers share one discovery server; they are spread over time; and three of them fall into the 2.5 s
-// after which nothing new may be sent to a worker that drains, however many are lost.
-func TestPollsAreFewAndJitteredAndThreeFollowAnEvent(t *testing.T) {
-	run := func(seed uint64, until time.Duration, answered func(n int) (serial uint32, ok bool)) (at []time.Duration) {
-		d := newConfiguredTestClient(t, Config{Seed: seed})
+// A client sends few queries, because all routers share one discovery server, and jitter spreads them over time. Three
+// queries are sent within the 2.5 s after which no new work may be sent to a draining worker, however many queries are
+// lost.
+func TestPollRateAndJitter(t *testing.T) {
+	run := func(seed uint64, until time.Duration, respond func(n int) (serial uint32, ok bool)) (sentAt []time.Duration) {
+		d := newTestClientWithConfig(t, Config{Seed: seed})
 		start := d.now
 		for now := d.now; now < start+until; now += time.Millisecond {
-			l := d.transports[len(d.transports)-1]
-			l.Written.Reset()
+			transport := d.transports[len(d.transports)-1]
+			transport.Written.Reset()
 			d.Tick(now)
-			if b := l.Written.Bytes(); len(b) > 0 {
-				at = append(at, now-start)
-				if serial, ok := answered(len(at)); ok {
+			if b := transport.Written.Bytes(); len(b) > 0 {
+				sentAt = append(sentAt, now-start)
+				if serial, ok := respond(len(sentAt)); ok {
 					d.sockets.current.Data(responseTo(binary.BigEndian.Uint16(b), serial, 0))
 				}
 			}
 		}
-		return at
+		return sentAt
 	}
 	first := map[time.Duration]int{}
 	for seed := range uint64(40) {
-		well := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
-		if len(well) > 18 {
-			t.Fatalf("%d queries in 10 s though each was answered", len(well))
+		answered := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
+		if len(answered) > 18 {
+			t.Fatalf("%d queries in 10 s although each had a response", len(answered))
 		}
-		first[well[0]]++
-		if well[0] > initialBackoff {
-			t.Fatalf("the first query came after %v", well[0])
+		first[answered[0]]++
+		if answered[0] > initialBackoff {
+			t.Fatalf("the first query came after %v", answered[0])
 		}
-		for i := 3; i < len(well); i++ {
-			if gap := well[i] - well[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
+		for i := 3; i < len(answered); i++ {
+			if gap := answered[i] - answered[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
 				t.Fatalf("three queries took %v", gap)
 			}
 		}
 		// After a lost or an outdated response the query is repeated soon, and then with backoff.
 		for name, damage := range map[string]func(int) (uint32, bool){
 			"lost": func(int) (uint32, bool) { return 0, false }, "old": func(int) (uint32, bool) { return 2, true }} {
-			bad := run(seed, 10*time.Second, damage)
-			if gap := bad[1] - bad[0]; gap > initialBackoff {
+			faulty := run(seed, 10*time.Second, damage)
+			if gap := faulty[1] - faulty[0]; gap > initialBackoff {
 				t.Fatalf("%s: repeated after %v", name, gap)
 			}
-			if len(bad) > 20 {
-				t.Fatalf("%s: %d queries in 10 s", name, len(bad))
+			if len(faulty) > 20 {
+				t.Fatalf("%s: %d queries in 10 s", name, len(faulty))
 			}
 		}
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,7 +12,8 @@
 	"crankhold/policy"
 )
 
-// The responses are written by hand from RFC 1035 and RFC 2782, so that no code of this package builds what it parses.
+// The responses in testdata were written by hand from RFC 1035 and RFC 2782, so that the parser is not tested with
+// messages of this package's encoder.
 const (
 	goldenResponses = "testdata/answers.txt"
 	goldenQueries   = "testdata/queries.txt"
@@ -20,14 +21,15 @@
 	goldenID = 0x1234 // of all golden messages
 )
 
-// withID returns a copy of a message under another id.
+// withID returns a copy of a message with another id.
 func withID(message []byte, id uint16) []byte {
 	out := bytes.Clone(message)
 	binary.BigEndian.PutUint16(out, id)
 	return out
 }
 
-// The query for the list of workers. A client draws its id at random, so only that is replaced before the comparison.
+// The query for the endpoint list equals the golden file. A client chooses the id at random, so the test replaces the
+// id before the comparison.
 func TestGoldenQueries(t *testing.T) {
 	d := newTestClient(t)
 	connection := d.transports[0]
@@ -52,12 +54,13 @@
 	return records
 }
 
-// Each form of a response is parsed to records and joined to workers, which are compared whole.
+// Each form of a response is parsed to the expected records and combined to the expected workers. All fields are
+// compared.
 func TestGoldenResponsesAreParsed(t *testing.T) {
 	const target = "s-0.east.hosts"
 	noTexts := map[string][]string{}
 	service := serviceRecord{priority: 0, weight: 40, port: 10080, target: target}
-	plain := Worker{Name: "s-0", Addrs: at("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	plain := Worker{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:10080"), Zone: "east", State: policy.Ready, Weight: 4}
 	described := plain
 	described.Kind = "std"
 	described.Cell = 2
@@ -73,9 +76,9 @@
 		{Network: endpoint.TCP6, Addr: "[fd00::1]:10080"}}
 	withUnix := plain
 	withUnix.Addrs = []endpoint.Addr{{Network: endpoint.TCP4, Addr: "10.1.0.0:10080"}, {Network: endpoint.Unix, Addr: "/run/w.sock"}}
-	draining := Worker{Name: "s-1", Addrs: at("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
-	second := Worker{Name: "s-1", Addrs: at("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
-	highest := Worker{Name: "s-0", Addrs: at("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
+	draining := Worker{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10081"), Zone: "west", Kind: "big", State: policy.Draining, Weight: 0.5}
+	second := Worker{Name: "s-1", Addrs: tcp4Addrs("10.1.0.1:10080"), Zone: "east", State: policy.Ready, Weight: 4}
+	highest := Worker{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
 	bothAddresses := addresses(target, "10.1.0.0")
 	bothAddresses["s-1.west.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.1")}
 	strangerAddresses := addresses(target, "10.1.0.0")
@@ -123,7 +126,7 @@
 			if err != nil || id != goldenID || !reflect.DeepEqual(got, test.want) {
 				t.Errorf("decoded %x %+v, %v, want %+v", id, got, err, test.want)
 			}
-			d := newConfiguredTestClient(t, Config{UnixInTXT: test.unixInTXT})
+			d := newTestClientWithConfig(t, Config{UnixInTXT: test.unixInTXT})
 			d.sockets.current.Data(withID(message, d.query()))
 			if !reflect.DeepEqual(d.list, test.workers) || d.endpoints.serial != test.want.serial || d.endpoints.incomplete != test.incomplete {
 				t.Errorf("serial %d, incomplete %v, list %+v, want %+v", d.endpoints.serial, d.endpoints.incomplete, d.list, test.workers)
@@ -132,7 +135,7 @@
 	}
 }
 
-// A response that can't be used is an error and changes nothing.
+// An invalid response is an error and changes nothing.
 func TestGoldenResponsesThatAreRejected(t *testing.T) {
 	for _, label := range []string{
 		"query in place of an answer",
--- a/internal/discovery/parser.go
+++ b/internal/discovery/parser.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// parseResponse parses a response to one of the client's queries, and returns that query's id. Its error is a
+// parseResponse parses a response to one of the client's queries and returns the id of the query. Its error is a
 // ParseError.
 func parseResponse(message []byte) (id uint16, r response, err error) {
 	if len(message) < headerSize {
@@ -16,7 +16,7 @@
 	return binary.BigEndian.Uint16(message), p.response, err
 }
 
-// parser parses one response from front to back.
+// parser parses one response from start to end.
 type parser struct {
 	message   []byte
 	offset    int // of the next question or record
@@ -24,7 +24,7 @@
 	hasSerial bool
 }
 
-// newParser returns a parser of a message that has a whole header.
+// newParser returns a parser of a message, which must have a complete header.
 func newParser(message []byte) *parser {
 	return &parser{
 		message: message,
@@ -36,10 +36,11 @@
 	}
 }
 
-// uint16At returns the number at an offset, which the caller has checked.
+// uint16At returns the 16-bit number at an offset. The caller must check that the message is long enough.
 func (p *parser) uint16At(offset int) uint16 { return binary.BigEndian.Uint16(p.message[offset:]) }
 
-// parse parses the whole message: the header, the questions, and the records of all sections alike.
+// parse parses the whole message: the header, the questions, and the records. It does not distinguish the sections of
+// records.
 func (p *parser) parse() error {
 	if err := p.checkHeader(); err != nil {
 		return err
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// checkHeader checks that the message is a whole response without an error.
+// checkHeader checks that the message is a response, is not truncated and reports no error.
 func (p *parser) checkHeader() error {
 	flags := p.message[flagsOffset]
 	if flags&flagResponse == 0 {
@@ -73,13 +74,13 @@
 	if flags&flagTruncated != 0 {
 		return &ParseError{Offset: flagsOffset, Err: errTruncated}
 	}
-	if code := p.message[codeOffset] & codeMask; code != 0 {
-		return &ParseError{Offset: codeOffset, Err: responseCodeError(code)}
+	if code := p.message[responseCodeOffset] & responseCodeMask; code != 0 {
+		return &ParseError{Offset: responseCodeOffset, Err: responseCodeError(code)}
 	}
 	return nil
 }
 
-// parseQuestion checks that a question is the client's own.
+// parseQuestion checks that the next question is the one that the client sends.
 func (p *parser) parseQuestion() error {
 	start := p.offset
 	name, next, err := readName(p.message, start)
@@ -96,37 +97,37 @@
 	return nil
 }
 
-// record is where one record's data stands.
+// record is the fixed part of a record and the position of its data.
 type record struct {
-	owner string
-	kind  uint16
-	start int // of its data
-	end   int
+	owner      string
+	recordType uint16
+	start      int // offset of the data
+	end        int
 }
 
 // size returns the length of the record's data in bytes.
 func (r record) size() int { return r.end - r.start }
 
-// parseRecord parses the next record. Records of other types, owners and sizes than the protocol's are ignored.
+// parseRecord parses the next record. It ignores records whose type, owner or size is not one of the protocol's.
 func (p *parser) parseRecord() error {
 	rec, err := p.nextRecord()
 	if err != nil {
 		return err
 	}
-	switch rec.kind {
+	switch rec.recordType {
 	case typeSRV:
-		return p.parseService(rec)
+		return p.parseSRV(rec)
 	case typeA, typeAAAA:
 		p.parseAddress(rec)
 	case typeTXT:
-		return p.parseTexts(rec)
+		return p.parseTXT(rec)
 	case typeSOA:
-		return p.parseSerial(rec)
+		return p.parseSOA(rec)
 	}
 	return nil
 }
 
-// nextRecord reads the fixed part of the next record and moves on to the one after it.
+// nextRecord reads the fixed part of the next record and advances the offset to the record after it.
 func (p *parser) nextRecord() (record, error) {
 	owner, next, err := readName(p.message, p.offset)
 	if err != nil {
@@ -135,7 +136,7 @@
 	if len(p.message) < next+recordTrailerSize {
 		return record{}, &ParseError{Offset: next, Err: errMalformed}
 	}
-	rec := record{owner: owner, kind: p.uint16At(next), start: next + recordTrailerSize}
+	rec := record{owner: owner, recordType: p.uint16At(next), start: next + recordTrailerSize}
 	rec.end = rec.start + int(p.uint16At(next+recordLengthOffset))
 	if len(p.message) < rec.end {
 		return record{}, &ParseError{Offset: rec.start, Err: errMalformed}
@@ -144,9 +145,9 @@
 	return rec, nil
 }
 
-// parseAddress parses an A or an AAAA record. One whose data has another size than its type's addresses is ignored.
+// parseAddress parses an A or an AAAA record. A record whose data does not have the size of an address is ignored.
 func (p *parser) parseAddress(rec record) {
-	if rec.size() != addressSizes[rec.kind] {
+	if rec.size() != addressSizes[rec.recordType] {
 		return
 	}
 	addr, ok := netip.AddrFromSlice(p.message[rec.start:rec.end])
@@ -155,51 +156,51 @@
 	}
 }
 
-// parseService parses an SRV record (RFC 2782). Those of other services, and those without a target, are ignored.
-func (p *parser) parseService(rec record) error {
-	if rec.owner != serviceName || rec.size() <= serviceFixedSize {
+// parseSRV parses an SRV record (RFC 2782). Records of other services and records without a target are ignored.
+func (p *parser) parseSRV(rec record) error {
+	if rec.owner != serviceName || rec.size() <= srvFixedSize {
 		return nil
 	}
-	target, _, err := readName(p.message, rec.start+serviceFixedSize)
+	target, _, err := readName(p.message, rec.start+srvFixedSize)
 	if err != nil {
 		return err
 	}
 	p.response.services = append(p.response.services, serviceRecord{
 		priority: p.uint16At(rec.start),
-		weight:   p.uint16At(rec.start + serviceWeightOffset),
-		port:     p.uint16At(rec.start + servicePortOffset),
+		weight:   p.uint16At(rec.start + srvWeightOffset),
+		port:     p.uint16At(rec.start + srvPortOffset),
 		target:   target,
 	})
 	return nil
 }
 
-// parseTexts parses a TXT record: texts of up to 255 bytes, each behind its length (RFC 1035, section 3.3.14).
-func (p *parser) parseTexts(rec record) error {
-	for at := rec.start; at < rec.end; {
-		end := at + 1 + int(p.message[at])
+// parseTXT parses a TXT record: texts of at most 255 bytes, each preceded by its length (RFC 1035, section 3.3.14).
+func (p *parser) parseTXT(rec record) error {
+	for offset := rec.start; offset < rec.end; {
+		end := offset + 1 + int(p.message[offset])
 		if rec.end < end {
-			return &ParseError{Offset: at, Err: errMalformed}
+			return &ParseError{Offset: offset, Err: errMalformed}
 		}
-		p.response.texts[rec.owner] = append(p.response.texts[rec.owner], string(p.message[at+1:end]))
-		at = end
+		p.response.texts[rec.owner] = append(p.response.texts[rec.owner], string(p.message[offset+1:end]))
+		offset = end
 	}
 	return nil
 }
 
-// parseSerial parses the serial number of an SOA record, which stands behind two names (RFC 1035, section 3.3.13).
-func (p *parser) parseSerial(rec record) error {
-	at := rec.start
+// parseSOA parses the serial number of an SOA record, which follows two names (RFC 1035, section 3.3.13).
+func (p *parser) parseSOA(rec record) error {
+	offset := rec.start
 	for range 2 {
-		_, next, err := readName(p.message, at)
+		_, next, err := readName(p.message, offset)
 		if err != nil {
-			return &ParseError{Offset: at, Err: errMalformed}
+			return &ParseError{Offset: offset, Err: errMalformed}
 		}
-		at = next
+		offset = next
 	}
-	if rec.end < at+authorityFixedSize {
-		return &ParseError{Offset: at, Err: errMalformed}
+	if rec.end < offset+soaFixedSize {
+		return &ParseError{Offset: offset, Err: errMalformed}
 	}
-	p.response.serial = binary.BigEndian.Uint32(p.message[at:])
+	p.response.serial = binary.BigEndian.Uint32(p.message[offset:])
 	p.hasSerial = true
 	return nil
 }
--- a/internal/discovery/record_join_test.go
+++ b/internal/discovery/record_join_test.go
@@ -9,17 +9,18 @@
 	"crankhold/policy"
 )
 
-// A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket where that extension is on.
+// A worker has all usable addresses of its target: several A and AAAA records, and a Unix socket if the extension is
+// enabled.
 func TestWorkerHasAllItsAddresses(t *testing.T) {
-	for _, on := range []bool{false, true} {
-		d := newConfiguredTestClient(t, Config{UnixInTXT: on})
+	for _, extensionOn := range []bool{false, true} {
+		d := newTestClientWithConfig(t, Config{UnixInTXT: extensionOn})
 		b := responseTo(d.query(), 4, 0)
-		record := func(typ uint16, data []byte) {
+		record := func(recordType uint16, data []byte) {
 			binary.BigEndian.PutUint16(b[10:], binary.BigEndian.Uint16(b[10:])+1)
-			for _, l := range []string{"s-0", "east", "hosts"} {
-				b = append(append(b, byte(len(l))), l...)
+			for _, label := range []string{"s-0", "east", "hosts"} {
+				b = append(append(b, byte(len(label))), label...)
 			}
-			b = append(binary.BigEndian.AppendUint16(append(b, 0), typ), 0, 1, 0, 0, 0, 1)
+			b = append(binary.BigEndian.AppendUint16(append(b, 0), recordType), 0, 1, 0, 0, 0, 1)
 			b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
 		}
 		record(typeA, []byte{10, 1, 0, 77})
@@ -28,11 +29,11 @@
 		record(typeTXT, append([]byte{byte(len("unix=/run/w.sock"))}, "unix=/run/w.sock"...))
 		d.sockets.current.Data(b)
 		want := "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080]"
-		if on {
+		if extensionOn {
 			want = "[10.1.0.0:10080 10.1.0.77:10080 [fd00::1]:10080 unix:/run/w.sock]"
 		}
 		if len(d.list) != 1 || fmt.Sprint(d.list[0].Addrs) != want {
-			t.Errorf("extension %v: %v, want addresses %s", on, d.list, want)
+			t.Errorf("extension %v: %v, want addresses %s", extensionOn, d.list, want)
 		}
 	}
 }
@@ -47,13 +48,14 @@
 			return b
 		}
 	}
-	t.Fatal("the response has no such record")
+	t.Fatal("the response has no address record of the worker")
 	return nil
 }
 
-// A service record without an address does not invalidate the others: a drain in the same list is applied, the worker keeps the
-// address that it had, one that never had any is left out, and the list is applied again when it comes complete.
-func TestMissingAddressAffectsItsWorkerAlone(t *testing.T) {
+// An SRV record without an address does not invalidate the others. A drain in the same list is applied, the worker
+// keeps its former address, and a worker that never had an address is left out. The complete list of the same serial
+// number is applied.
+func TestMissingAddressAffectsOnlyItsWorker(t *testing.T) {
 	d := newTestClient(t)
 	d.sockets.current.Data(responseTo(d.query(), 4, 0, 0))
 	d.sockets.current.Data(withoutAddress(t, responseTo(d.query(), 5, 0, 1, 0), 0)) // s-0 has lost its address, s-1 drains, s-2 is new
@@ -70,7 +72,7 @@
 		t.Errorf("the same incomplete list: read %d, list %v", d.ResponsesRead-read, d.list)
 	}
 	if d.sockets.current.Data(responseTo(d.query(), 6, 0, 1, 0, 0)); len(d.list) != 4 {
-		t.Errorf("the same list, complete: %v", d.list)
+		t.Errorf("after the complete list of the same serial number: %v", d.list)
 	}
 	if d.sockets.current.Data(responseTo(d.query(), 6, 0)); len(d.list) != 4 {
 		t.Errorf("a complete list was applied again: %v", d.list)
--- a/internal/discovery/testclient_test.go
+++ b/internal/discovery/testclient_test.go
@@ -12,15 +12,15 @@
 	"crankhold/internal/testutil"
 )
 
-// responseTo builds the response to a query, with a worker for each priority. Its names are compressed (RFC 1035,
+// responseTo builds the response to a query, with one worker for each priority. Its names are compressed (RFC 1035,
 // section 4.1.4).
 func responseTo(id uint16, serial uint32, priorities ...uint16) []byte {
 	b := encodeQuery(id, serviceName)
 	b[2] |= 0x80
-	record := func(section int, name []byte, typ uint16, data []byte) {
+	record := func(section int, name []byte, recordType uint16, data []byte) {
 		binary.BigEndian.PutUint16(b[section:], binary.BigEndian.Uint16(b[section:])+1)
 		b = append(b, name...)
-		b = binary.BigEndian.AppendUint16(b, typ)
+		b = binary.BigEndian.AppendUint16(b, recordType)
 		b = append(b, 0, classIN, 0, 0, 0, 0)
 		b = append(binary.BigEndian.AppendUint16(b, uint16(len(data))), data...)
 	}
@@ -45,21 +45,21 @@
 	return b
 }
 
-// testClient is a Client whose sockets are fakes. It records what is dialled and the latest list.
+// testClient is a Client with fake sockets. It records the dialed addresses and the latest list.
 type testClient struct {
 	*Client
 	t          rapid.TB
 	transports []*testutil.Transport
-	dialled    []string
+	dialed     []string
 	list       []Worker
 }
 
-// newTestClient returns a client with a snapshot of one worker under serial number 3 and a connected socket.
-func newTestClient(t rapid.TB) *testClient { return newConfiguredTestClient(t, Config{Seed: 1}) }
+// newTestClient returns a client with a connected socket and a snapshot of one worker with serial number 3.
+func newTestClient(t rapid.TB) *testClient { return newTestClientWithConfig(t, Config{Seed: 1}) }
 
-// newConfiguredTestClient is newTestClient with a configuration, in which the server's address, the drain grace period
-// and functions are set.
-func newConfiguredTestClient(t rapid.TB, cfg Config) *testClient {
+// newTestClientWithConfig is like newTestClient with a given configuration. It sets the server's address, the drain
+// grace period and the functions in it.
+func newTestClientWithConfig(t rapid.TB, cfg Config) *testClient {
 	t.Helper()
 	d := &testClient{t: t}
 	cfg.Addr = "old"
@@ -67,17 +67,17 @@
 	cfg.Dial = func(addr string, _ eventloop.DialHandler) Transport {
 		transport := &testutil.Transport{}
 		d.transports = append(d.transports, transport)
-		d.dialled = append(d.dialled, addr)
+		d.dialed = append(d.dialed, addr)
 		return transport
 	}
 	cfg.ListChanged = func(list []Worker) { d.list = list }
 	d.Client = New(cfg)
-	var known Snapshot
-	known.Serial = 3
-	known.Changes = make([]event, 1)
-	known.Changes[0].List.Complete = true
-	known.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready", Weight: 4}}
-	if err := d.LoadSnapshot(known); err != nil {
+	var snapshot Snapshot
+	snapshot.Serial = 3
+	snapshot.Changes = make([]event, 1)
+	snapshot.Changes[0].List.Complete = true
+	snapshot.Changes[0].List.Members = []member{{Name: "s-9", Addr: "10.1.0.9:10080", State: "Ready", Weight: 4}}
+	if err := d.LoadSnapshot(snapshot); err != nil {
 		t.Fatal(err)
 	}
 	d.Tick(time.Hour)
@@ -85,18 +85,20 @@
 	return d
 }
 
-// query has the client send its next query, and returns the id.
+// query makes the client send its next query and returns the query's id.
 func (d *testClient) query() uint16 {
 	d.t.Helper()
-	l := d.transports[len(d.transports)-1]
-	l.Written.Reset()
+	transport := d.transports[len(d.transports)-1]
+	transport.Written.Reset()
 	d.Tick(d.schedule.next)
-	b := l.Written.Bytes()
+	b := transport.Written.Bytes()
 	if len(b) < 2 || string(b) != string(encodeQuery(binary.BigEndian.Uint16(b), serviceName)) {
-		d.t.Fatalf("queried %x", b)
+		d.t.Fatalf("sent %x in place of a query", b)
 	}
 	return binary.BigEndian.Uint16(b)
 }
 
-// at returns a list of one IPv4 address.
-func at(addr string) []endpoint.Addr { return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}} }
+// tcp4Addrs returns a list of one IPv4 address.
+func tcp4Addrs(addr string) []endpoint.Addr {
+	return []endpoint.Addr{{Network: endpoint.TCP4, Addr: addr}}
+}
--- a/internal/ledger/faulty_disk_test.go
+++ b/internal/ledger/faulty_disk_test.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// faultyDisk is the system's disk. While it is failing, two of three operations fail at random.
+// faultyDisk is a SystemDisk with injected faults. While failing is set, two of three operations fail at random.
 type faultyDisk struct {
 	SystemDisk
 	mu      sync.Mutex
 	random  *rand.Rand
 	failing bool
-	failed  int // operations
+	failed  int // number of failed operations
 }
 
-// fails reports whether the next operation fails, and how.
-func (d *faultyDisk) fails() error {
+// nextError returns the error of the next operation, or nil if it succeeds.
+func (d *faultyDisk) nextError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.failing || d.random.IntN(3) == 0 {
@@ -35,7 +35,7 @@
 
 func (d *faultyDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
 	if flag != os.O_RDONLY {
-		if err := d.fails(); err != nil {
+		if err := d.nextError(); err != nil {
 			return nil, &os.PathError{Op: "open", Path: path, Err: err}
 		}
 	}
@@ -47,27 +47,27 @@
 }
 
 func (d *faultyDisk) Rename(from, to string) error {
-	if err := d.fails(); err != nil {
+	if err := d.nextError(); err != nil {
 		return err
 	}
 	return d.SystemDisk.Rename(from, to)
 }
 
 func (d *faultyDisk) SyncDir(dir string) error {
-	if err := d.fails(); err != nil {
+	if err := d.nextError(); err != nil {
 		return err
 	}
 	return d.SystemDisk.SyncDir(dir)
 }
 
-// faultyFile is a file on a faulty disk. A write that fails leaves a part of its bytes.
+// faultyFile is a file on a faultyDisk. A write that fails still writes a part of its bytes.
 type faultyFile struct {
 	File
 	disk *faultyDisk
 }
 
 func (f *faultyFile) Write(b []byte) (int, error) {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		n, _ := f.File.Write(b[:len(b)*2/3])
 		return n, err
 	}
@@ -75,33 +75,33 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
 func (f *faultyFile) Truncate(size int64) error {
-	if err := f.disk.fails(); err != nil {
+	if err := f.disk.nextError(); err != nil {
 		return err
 	}
 	return f.File.Truncate(size)
 }
 
-// unsyncedDisk is a disk on which a rename is made and the next syncs of its folder fail.
+// unsyncedDisk is a SystemDisk on which renames succeed, but the next syncs of directories fail.
 type unsyncedDisk struct {
 	SystemDisk
-	mu    sync.Mutex
-	fails int // how many
-	syncs int // of folders, failed ones included
+	mu                sync.Mutex
+	remainingFailures int // how many further syncs of directories fail
+	syncs             int // syncs of directories, including failed ones
 }
 
 func (d *unsyncedDisk) SyncDir(dir string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncs++
-	if d.fails > 0 {
-		d.fails--
+	if d.remainingFailures > 0 {
+		d.remainingFailures--
 		return syscall.EIO
 	}
 	return d.SystemDisk.SyncDir(dir)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,8 +14,8 @@
 	"crankhold/internal/testutil"
 )
 
-// The model of the ledger: each entry that was acknowledged as written is there after a crash, and a line that the crash
-// cut short does no harm.
+// Each entry that was acknowledged as written is found after a crash, and a last line that the crash left incomplete is
+// ignored. The test compares random steps with a model.
 func TestLedgerRecoversAcknowledgedEntries(t *testing.T) {
 	dir := t.TempDir()
 	run := 0
@@ -23,7 +23,7 @@
 		run++
 		path := filepath.Join(dir, strconv.Itoa(run))
 		open := func() (*Ledger, map[string]Entry) {
-			l, content, err := Open(Options{Config: testLedger(path), Now: noon})
+			l, content, err := Open(Options{Config: testConfig(path), Now: noon})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -35,7 +35,7 @@
 		}
 		l, _ := open()
 		want := map[string]Entry{}
-		enter := func(e Entry) {
+		record := func(e Entry) {
 			written := make(chan error, 1)
 			l.queue.push(job{entry: e, done: func(err error) { written <- err }})
 			if err := <-written; err != nil {
@@ -49,13 +49,13 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"enter": func(t *rapid.T) {
-				enter(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
+				record(Entry{ID: rapid.StringN(1, 3, 9).Draw(t, "id"), EventTime: noon.Add(-time.Duration(rapid.IntRange(0, 90).Draw(t, "age")) * time.Minute),
 					State: rapid.SampledFrom([]State{Begun, Ended, NotRun}).Draw(t, "state"), Status: 200, Body: []byte("\n")})
 			},
 			"crash": func(t *rapid.T) {
 				torn := encodeEntry(Entry{ID: "torn", EventTime: noon, State: Begun})
 				l.writer.file.handle.Write(torn[:rapid.IntRange(0, len(torn)-1).Draw(t, "cut")])
-				if _, _, err := Open(Options{Config: testLedger(path), Now: noon}); err == nil {
+				if _, _, err := Open(Options{Config: testConfig(path), Now: noon}); err == nil {
 					t.Fatal("a ledger in use was opened again")
 				}
 				l.Close()
@@ -75,24 +75,24 @@
 	})
 }
 
-// Damage anywhere but in the last line leaves open which orders ran, so the ledger is not opened.
+// A ledger with a damaged complete line is not opened, because it is unknown which orders ran.
 func TestDamagedLedgerIsNotOpened(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	if err := os.WriteFile(path, []byte("00000000 {}\n"), fileMode); err != nil {
 		t.Fatal(err)
 	}
-	_, _, err := Open(Options{Config: testLedger(path), Now: noon})
+	_, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	var damaged *FileError
 	if !errors.As(err, &damaged) || damaged.Path != path || damaged.Line != 1 {
 		t.Errorf("a damaged ledger was opened, or its error does not name the line: %v", err)
 	}
 }
 
-// What became of an order is recorded, however many orders end at once.
-func TestNoOutcomeIsDroppedWhereManyEndAtOnce(t *testing.T) {
+// The outcomes of all orders are recorded, however many orders end at once.
+func TestOutcomesAreRecordedWhenManyOrdersEndAtOnce(t *testing.T) {
 	const orders = 20 * maxQueuedBegins
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, _, err := Open(Options{Config: testLedger(path), Now: noon})
+	l, _, err := Open(Options{Config: testConfig(path), Now: noon})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// faultyDiskModel is a ledger on a faulty disk, and what it has to hold.
+// faultyDiskModel is a ledger on a faulty disk, with the content that it is expected to have.
 type faultyDiskModel struct {
 	t        *testing.T
 	random   *rand.Rand
 	disk     *faultyDisk
 	path     string
 	ledger   *Ledger
-	want     map[string]State // of each order that was recorded, as in its last entry
+	want     map[string]State // the expected state of each order that was recorded
 	rejected map[string]bool
 }
 
-// open opens the ledger, and returns the states of the orders that it holds.
+// open opens the ledger and returns the states of the orders that it contains.
 func (m *faultyDiskModel) open() map[string]State {
 	m.t.Helper()
-	l, content, err := Open(Options{Config: testLedger(m.path), Now: noon, Disk: m.disk})
+	l, content, err := Open(Options{Config: testConfig(m.path), Now: noon, Disk: m.disk})
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -34,11 +34,11 @@
 	return states
 }
 
-// order has an order recorded, and maybe its outcome. After a rejection the disk may work again.
-func (m *faultyDiskModel) order(id string) {
+// recordOrder records an order and, at random, its outcome. After a rejection it repairs the disk at random.
+func (m *faultyDiskModel) recordOrder(id string) {
 	m.t.Helper()
 	entry := Entry{ID: id, EventTime: noon}
-	if begin(m.ledger, entry) != nil {
+	if beginOrder(m.ledger, entry) != nil {
 		m.rejected[id] = true
 		if m.random.IntN(2) == 0 {
 			m.disk.setFailing(false)
@@ -54,7 +54,7 @@
 	}
 }
 
-// restart ends the program while the disk fails, and starts it again, maybe while it still fails.
+// restart closes the ledger while the disk fails and opens it again. The disk goes on failing at random.
 func (m *faultyDiskModel) restart() {
 	m.t.Helper()
 	m.disk.setFailing(true)
@@ -63,14 +63,14 @@
 	found := m.open()
 	for id := range m.want {
 		if found[id] == "" {
-			m.t.Fatalf("%s was recorded and is forgotten", id)
+			m.t.Fatalf("%s was recorded but is missing", id)
 		}
-		m.want[id] = found[id] // an outcome that was lost stays "begun": it may have run
+		m.want[id] = found[id] // an order whose outcome was lost stays "begun": it may have run
 	}
-	clear(m.rejected) // what the file has of them counts as begun
+	clear(m.rejected) // entries of rejected orders that are in the file count as begun
 }
 
-// check compares what the file holds with what it has to, once the disk works.
+// check repairs the disk and compares the content of the file with the expected one.
 func (m *faultyDiskModel) check() {
 	m.t.Helper()
 	m.disk.setFailing(false)
@@ -87,15 +87,14 @@
 	}
 	for id := range m.rejected {
 		if found[id] != "" {
-			m.t.Errorf("%s was rejected, and is %q", id, found[id])
+			m.t.Errorf("%s was rejected, but is %q", id, found[id])
 		}
 	}
 }
 
-// Whatever a disk does for a while, and whether or not the program ends meanwhile: an order that was recorded is known
-// after a restart and never forgotten. Once the disk works what became of each order is in the file, an order that was
-// rejected being one that never ran.
-func TestLedgerOnADiskThatFailsForAWhile(t *testing.T) {
+// While the disk fails at random and the ledger is reopened at random, no recorded order is lost. Once the disk works
+// again, the file contains the outcome of each recorded order, and rejected orders count as not run.
+func TestLedgerRecoversFromDiskFailures(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -110,7 +109,7 @@
 			m.open()
 			for n := range 40 {
 				m.disk.setFailing(m.random.IntN(2) == 0)
-				m.order(fmt.Sprint("order-", n))
+				m.recordOrder(fmt.Sprint("order-", n))
 				if m.random.IntN(10) == 0 {
 					m.restart()
 				}
@@ -123,22 +122,22 @@
 	}
 }
 
-// awaitRecovery waits until a ledger records orders.
+// awaitRecovery waits until a ledger records orders again.
 func awaitRecovery(t *testing.T, l *Ledger) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
-		if begin(l, Entry{ID: "probe", EventTime: noon}) == nil {
+	for start := time.Now(); time.Since(start) < 20*time.Second; time.Sleep(5 * time.Millisecond) {
+		if beginOrder(l, Entry{ID: "probe", EventTime: noon}) == nil {
 			return
 		}
 	}
 	t.Fatal("the ledger did not recover")
 }
 
-// A rename whose folder can't be synced is made again before the ledger records an order, also where the file was
-// compacted to have capacity for the unwritten entries.
-func TestRenameThatIsNotSyncedIsMadeAgain(t *testing.T) {
+// If a rename succeeds but its directory can't be synced, the file is rewritten and renamed again before the ledger
+// records an order. This includes the compaction of a full file for the unwritten entries.
+func TestUnsyncedRenameIsRepeated(t *testing.T) {
 	disk := &unsyncedDisk{}
-	config := testLedger(filepath.Join(t.TempDir(), "ledger"))
+	config := testConfig(filepath.Join(t.TempDir(), "ledger"))
 	l, _, err := Open(Options{Config: config, Now: noon, Disk: disk})
 	if err != nil {
 		t.Fatal(err)
@@ -147,21 +146,21 @@
 	unwritten := Entry{ID: "unwritten", EventTime: noon, State: Ended}
 	old := encodeEntry(Entry{ID: "an earlier order", EventTime: noon, State: NotRun})
 	w := l.writer
-	l.queue.mu.Lock() // the writer waits for jobs, so its file may be filled here
+	l.queue.mu.Lock() // the writer waits for jobs, so the test may fill its file
 	w.file.handle.Write(old)
 	w.file.size += int64(len(old))
 	w.file.maxBytes = w.file.size
 	w.unwritten = []Entry{unwritten}
-	disk.fails = 1
+	disk.remainingFailures = 1
 	before := disk.syncs
 	l.queue.mu.Unlock()
 	if err := w.appendUnwritten(); err == nil {
-		t.Fatal("a rename that is not synced counts")
+		t.Fatal("a rename that was not synced is reported as successful")
 	}
 	if err := w.restoreFile(); err != nil {
 		t.Fatal(err)
 	}
 	if disk.syncs-before != 2 {
-		t.Errorf("the folder was synced %d times", disk.syncs-before)
+		t.Errorf("the directory was synced %d times", disk.syncs-before)
 	}
 }
--- a/internal/thrift/golden_test.go
+++ b/internal/thrift/golden_test.go
@@ -15,14 +15,14 @@
 	"crankhold/policy"
 )
 
-// The requests are written by hand from the protocol's definition, so that no code of this package builds what it
-// reads.
+// The requests in testdata were written by hand from the definition of the protocol, so that the decoder is not tested
+// with messages of this package's encoder.
 const (
 	goldenRequests = "testdata/requests.txt"
 	goldenReplies  = "testdata/replies.txt"
 	goldenErrors   = "testdata/error_replies.txt"
 
-	completeCall = "call with every optional field"
+	allFieldsLabel = "call with every optional field"
 )
 
 var goldenPeer = netip.MustParseAddrPort("192.0.2.7:4711")
@@ -33,7 +33,7 @@
 	return client, core, transport
 }
 
-// Every form of an execute is decoded to a request that is compared whole.
+// Each form of an execute is decoded to the expected request, of which all fields are compared.
 func TestGoldenCallsAreDecoded(t *testing.T) {
 	minimal := router.Request{
 		Front:    router.Thrift,
@@ -78,7 +78,7 @@
 		{"call with props", withProps},
 		{"call with once", withOnce},
 		{"call with tenant", withTenant},
-		{completeCall, complete},
+		{allFieldsLabel, complete},
 		{"call with fractions in wait and props", fractions},
 		{"call without a body", withoutBody},
 		{"call with an empty body", emptyBody},
@@ -104,11 +104,11 @@
 	}
 }
 
-// Both message kinds of interrupt cancel the open request, and neither is answered.
+// An interrupt cancels the open request, whether its message is a call or oneway, and gets no reply.
 func TestGoldenInterruptsCancelTheRequest(t *testing.T) {
 	for _, label := range []string{"interrupt as a oneway message", "interrupt as a call"} {
 		client, core, transport := newGoldenConnection()
-		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		client.Data(golden.FindMessage(t, goldenRequests, allFieldsLabel))
 		client.Data(golden.FindMessage(t, goldenRequests, label))
 		if len(core.canceled) != 1 || core.canceled[0] != 1 || client.Busy() || transport.Closed || transport.Written.Len() > 0 {
 			t.Errorf("%s: canceled %v, busy %v, closed %v, wrote %q", label, core.canceled, client.Busy(), transport.Closed, transport.Written.String())
@@ -116,12 +116,13 @@
 	}
 }
 
-// Replies to requests that the core accepted, and to requests beyond the limit, which it rejects.
+// The replies to requests that the core accepts, and to a request over the limit, which it rejects, equal the golden
+// file.
 func TestGoldenReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
-		label  string
-		answer router.Response
+		label    string
+		response router.Response
 	}{
 		{"served", router.Response{Status: router.Served, Body: []byte("result")}},
 		{"served with an empty body", router.Response{Status: router.Served}},
@@ -134,23 +135,23 @@
 		{"failed when the time was over", router.Response{Status: router.Failed, DeadlineExceeded: true}},
 	} {
 		client, core, transport := newGoldenConnection()
-		client.Data(golden.FindMessage(t, goldenRequests, completeCall))
+		client.Data(golden.FindMessage(t, goldenRequests, allFieldsLabel))
 		if len(core.accepted) != 1 {
 			t.Fatalf("%s: %d requests", test.label, len(core.accepted))
 		}
-		core.accepted[0].Responder.Respond(test.answer)
+		core.accepted[0].Responder.Respond(test.response)
 		replies = append(replies, golden.Message{Label: test.label, Bytes: transport.Written.Bytes()})
 	}
 	client, _, transport := newGoldenConnection()
-	for seq := range uint32(64 + 1) { // the limit as a figure, so that a changed constant is noticed
+	for seq := range uint32(64 + 1) { // a literal, so that a change of maxOpenRequests fails the test
 		client.Data(executeFrame(seq+1, "", validFields...))
 	}
 	replies = append(replies, golden.Message{Label: "turned away beyond the limit of open calls", Bytes: transport.Written.Bytes()})
 	golden.CompareMessages(t, goldenReplies, replies)
 }
 
-// Replies that the front gives by itself. Where the form of a message is wrong there is none, and the connection
-// closes.
+// The replies that the front sends without the core equal the golden file. A malformed message gets no reply, and its
+// connection closes.
 func TestGoldenErrorReplies(t *testing.T) {
 	var replies []golden.Message
 	for _, test := range []struct {
@@ -200,8 +201,8 @@
 	golden.CompareMessages(t, goldenErrors, replies)
 }
 
-// The limits hold to the byte: what is at the limit is accepted, and what is one over closes the connection. They stand
-// here as figures, so that a changed constant is noticed.
+// A message exactly at a limit is accepted, and a message one over the limit closes the connection. The limits are
+// literals, so that a changed constant fails the test.
 func TestGoldenLimits(t *testing.T) {
 	var pairs []string
 	for range 64 - len(validFields)/2 {
--- a/internal/thrift/testconnection_test.go
+++ b/internal/thrift/testconnection_test.go
@@ -12,7 +12,7 @@
 	"crankhold/policy"
 )
 
-// fakeCore keeps what it is handed.
+// fakeCore records the requests that it receives.
 type fakeCore struct {
 	accepted []router.Request
 	canceled []policy.RequestID
@@ -31,7 +31,8 @@
 	c.canceled = append(c.canceled, id)
 }
 
-// newTestConnection returns a connection of a front with every kind of class and two tenants.
+// newTestConnection returns a connection of a front that has two tenants, and classes with and without a required
+// idempotency key.
 func newTestConnection() (*connection, *fakeCore, *testutil.Transport) {
 	core := &fakeCore{}
 	transport := &testutil.Transport{}
@@ -39,18 +40,19 @@
 	return front.serve(transport, netip.AddrPort{}), core, transport
 }
 
-// executeFrame returns the frame of an execute. Fields are keys and values in turn.
+// executeFrame returns the frame of an execute. fields holds keys and values in turn.
 func executeFrame(seq uint32, body string, fields ...string) []byte {
 	b := appendMessageHeader(nil, messageCall, "execute", seq)
 	b = appendStringMap(appendField(b, wireMap, 1), fields...)
 	b = appendString(appendField(b, wireString, 2), body)
-	return finishFrame(append(b, wireStop), 0)
+	return writeFrameLength(append(b, wireStop), 0)
 }
 
 var validFields = []string{"class", "repair-order", "id", "9b1f03aa5c7e2d41", "wait", "1500", "key", "7f3a9c21e0b4d655",
 	"props", "memory_mb:512;lanes:2;load_ms:640"}
 
-// readReply reads the first frame of what was written: its sequence number and the result's field.
+// readReply removes the first frame from the written bytes. It returns the sequence number of the reply and the id of
+// the field in its result.
 func readReply(t rapid.TB, transport *testutil.Transport) (seq uint32, field uint16) {
 	t.Helper()
 	b := transport.Written.Bytes()
@@ -58,15 +60,15 @@
 		t.Fatalf("wrote %x", b)
 	}
 	size := 4 + int(binary.BigEndian.Uint32(b))
-	r := decoder{remaining: b[4:size]}
-	m, err := r.messageHeader()
+	d := decoder{remaining: b[4:size]}
+	header, err := d.messageHeader()
 	field = 99
-	if err == nil && m.kind == messageReply {
-		err = r.structFields(func(typ byte, id uint16) bool { field = id; return false })
+	if err == nil && header.kind == messageReply {
+		err = d.structFields(func(typ byte, id uint16) bool { field = id; return false })
 	}
 	if err != nil {
 		t.Fatalf("wrote %x: %v", b, err)
 	}
 	transport.Written.Next(size)
-	return m.sequence, field
+	return header.sequence, field
 }
