--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -142,7 +142,7 @@
 	if len(names) < 20 {
 		t.Errorf("%s names %d functions; it tells the way of a request by at least 20", architecturePage, len(names))
 	}
-	code := newNamesOfCode(t)
+	code := newDeclarationIndex(t)
 	for _, m := range names {
 		code.expect(t, architecturePage, strings.Trim(m[0], "`"))
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	code := newNamesOfCode(t)
+	code := newDeclarationIndex(t)
 	named := 0
 	for line := range strings.Lines(string(text)) {
 		cells := strings.Split(line, "|")
@@ -178,15 +178,15 @@
 	}
 }
 
-// namesOfCode finds what the module's packages declare.
-type namesOfCode struct {
+// declarationIndex finds what the module's packages declare.
+type declarationIndex struct {
 	folders  map[string]string          // by the package's name
 	declared map[string]map[string]bool // by the folder
 }
 
-func newNamesOfCode(t *testing.T) *namesOfCode {
+func newDeclarationIndex(t *testing.T) *declarationIndex {
 	t.Helper()
-	code := &namesOfCode{folders: map[string]string{}, declared: map[string]map[string]bool{}}
+	code := &declarationIndex{folders: map[string]string{}, declared: map[string]map[string]bool{}}
 	for dir := range moduleImports(t) {
 		code.folders[path.Base(dir)] = dir
 	}
@@ -194,7 +194,7 @@
 }
 
 // expect fails the test unless a page's name of a function, a type or a member is declared, as package.Type.member.
-func (n *namesOfCode) expect(t *testing.T, page, name string) {
+func (n *declarationIndex) expect(t *testing.T, page, name string) {
 	t.Helper()
 	packageName, declaration, _ := strings.Cut(name, ".")
 	folder, ok := n.folders[packageName]
--- a/internal/archtest/errors_test.go
+++ b/internal/archtest/errors_test.go
@@ -24,7 +24,7 @@
 	}
 	listed := 0
 	for dir := range moduleImports(t) {
-		if slices.Contains(packagesOutsideTheProgram, dir) {
+		if slices.Contains(developmentPackages, dir) {
 			continue
 		}
 		for name := range declarations(t, dir) {
@@ -44,7 +44,7 @@
 }
 
 // packagesOutsideTheProgram are tests' and measurements' own; their errors reach no operator.
-var packagesOutsideTheProgram = []string{
+var developmentPackages = []string{
 	"cmd/benchmark", "example/toy", "internal/benchmark", "internal/demo", "internal/fake", "internal/golden", "internal/modelcheck",
 	"internal/simulation", "internal/testutil",
 }
--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -66,7 +66,7 @@
 	f := &figures{}
 	fmt.Fprintf(out, "%-22s %8s %8s %8s %8s %8s %8s %10s %10s\n",
 		"run", "requests", "served", "rejected", "failed", "p99 ms", "faults", "cpu us", "resent")
-	calm, err := a.measure(out, "no faults", program, withoutFaults)
+	baseline, err := a.measure(out, "no faults", program, withoutFaults)
 	if err != nil {
 		return err
 	}
@@ -75,49 +75,49 @@
 		return err
 	}
 	if a.Before != "" {
-		if err := a.compareWithBefore(out, f, calm); err != nil {
+		if err := a.compareWithPreviousBuild(out, f, baseline); err != nil {
 			return err
 		}
 	}
-	reportAddresses(f, calm, faulty)
+	reportAddresses(f, baseline, faulty)
 	return f.print(out)
 }
 
-// compareWithBefore measures the build before and adds its figures to f.
-func (a Addresses) compareWithBefore(out io.Writer, f *figures, calm *addressRun) error {
-	calmBefore, err := a.measure(out, "no faults, before", a.Before, withoutFaults)
+// compareWithPreviousBuild measures the build before and adds its figures to f.
+func (a Addresses) compareWithPreviousBuild(out io.Writer, f *figures, baseline *addressRun) error {
+	previousBaseline, err := a.measure(out, "no faults, before", a.Before, withoutFaults)
 	if err != nil {
 		return err
 	}
-	f.add("cpu_us_per_call", calm.cpuPerRequest())
-	f.add("cpu_us_per_call_before", calmBefore.cpuPerRequest())
-	faultyBefore, err := a.measure(out, "faults, before", a.Before, withFaults)
+	f.add("cpu_us_per_call", baseline.cpuPerRequest())
+	f.add("cpu_us_per_call_before", previousBaseline.cpuPerRequest())
+	previousFaulty, err := a.measure(out, "faults, before", a.Before, withFaults)
 	if err != nil {
 		return err
 	}
-	f.add("served_before", faultyBefore.total.servedShare())
+	f.add("served_before", previousFaulty.total.servedShare())
 	return nil
 }
 
 // reportAddresses adds the figures of the run with faults, which are compared with those of the run without.
-func reportAddresses(f *figures, calm, faulty *addressRun) {
+func reportAddresses(f *figures, baseline, faulty *addressRun) {
 	v := faulty.violations(fake.RepairOrder.Name)
 	served := faulty.total.servedShare()
-	servedCalm := calm.total.servedShare()
+	baselineServed := baseline.total.servedShare()
 	f.add("requests", len(faulty.requests))
 	f.add("not_idempotent", v.notIdempotent)
-	f.mustBeZero("doubled", v.doubled)
-	f.mustBeZero("late_sends", faulty.lateSends)
-	f.mustBeZero("answers_missing", v.lost)
-	f.mustBeZero("answers_late", v.late)
-	f.mustBeZero("extra_answers", faulty.unmatchedResponses)
-	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
-	f.must("faults", faulty.faults, faulty.faults > 0)
-	f.must("drains", faulty.drains, faulty.drains > 0)
+	f.requireZero("doubled", v.ranTwice)
+	f.requireZero("late_sends", faulty.lateSends)
+	f.requireZero("answers_missing", v.lost)
+	f.requireZero("answers_late", v.late)
+	f.requireZero("extra_answers", faulty.unmatchedResponses)
+	f.requireZero("ration_breaches", v.loadBudgetBreaches)
+	f.require("faults", faulty.faults, faulty.faults > 0)
+	f.require("drains", faulty.drains, faulty.drains > 0)
 	f.add("recovery_dials", faulty.recoveryDials)
 	f.add("resent", faulty.resent)
-	f.add("served_no_faults", servedCalm)
-	f.must("served", served, served >= servedCalm-maxServedLoss)
+	f.add("served_no_faults", baselineServed)
+	f.require("served", served, served >= baselineServed-maxServedLoss)
 }
 
 // measure runs a load and prints its row.
@@ -151,11 +151,11 @@
 	}
 	defer closeClients(clients)
 
-	begun := time.Now()
+	startedAt := time.Now()
 	var faults sync.WaitGroup
 	if mode == withFaults {
-		faults.Go(func() { r.injectFaults(bed.Site, a.Seed, begun.Add(a.Length)) })
-		faults.Go(func() { r.drainWorkers(bed.Site, begun.Add(a.Length)) })
+		faults.Go(func() { r.injectFaults(bed.Site, a.Seed, startedAt.Add(a.Length)) })
+		faults.Go(func() { r.drainWorkers(bed.Site, startedAt.Add(a.Length)) })
 	}
 	newMixedLoad(mixedLoadConfig{
 		record:  r.record,
@@ -163,17 +163,17 @@
 		rate:    a.Rate,
 		length:  a.Length,
 		seed:    a.Seed,
-	}).run(begun)
+	}).run(startedAt)
 	faults.Wait()
 	r.unmatchedResponses = awaitResponses(clients)
 	router.stop()
-	r.summarize(router, begun)
+	r.summarize(router, startedAt)
 	return r, nil
 }
 
 // startAddressRouter starts a router that uses the workers' Unix sockets, with every third worker listed twice.
 func startAddressRouter(bed *fake.Testbed, program string) (*process, error) {
-	bed.Site.Discovery.Set(listTwice(bed.Site, noDrain))
+	bed.Site.Discovery.Set(endpointsWithAliases(bed.Site, noneDraining))
 	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
 	if err != nil {
 		return nil, err
@@ -208,12 +208,12 @@
 }
 
 // summarize computes the figures of a load that has ended.
-func (r *addressRun) summarize(router *process, begun time.Time) {
+func (r *addressRun) summarize(router *process, startedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.total = r.tally("", begun, time.Now())
+	r.total = r.tally("", startedAt, time.Now())
 	r.p99 = r.latencyPercentile(0.99)
-	r.cpu = router.cpuTimeAtEnd()
+	r.cpu = router.cpuTimeAfterExit()
 	r.recoveryDials = router.log.counter("dials", "recovery_dials")
 	r.resent = router.log.counter("dials", "resent")
 }
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -30,15 +30,15 @@
 	f := &figures{}
 	for _, n := range []int{10, 1000} {
 		ns, allocs := matchCost(n)
-		f.must(fmt.Sprintf("match_ns_%d", n), ns, ns < maxMatchNanoseconds)
-		f.must(fmt.Sprintf("match_allocs_%d", n), allocs, allocs == 0)
+		f.require(fmt.Sprintf("match_ns_%d", n), ns, ns < maxMatchNanoseconds)
+		f.require(fmt.Sprintf("match_allocs_%d", n), allocs, allocs == 0)
 	}
 	lines, ms, err := checkCost(10000)
 	if err != nil {
 		return err
 	}
 	f.add("check_lines", lines)
-	f.must("check_ms", ms, ms < maxCheckMilliseconds)
+	f.require("check_ms", ms, ms < maxCheckMilliseconds)
 	run, err := c.load()
 	if err != nil {
 		return err
@@ -79,8 +79,8 @@
 
 	length := c.loadLength()
 	run.schedule = newReloadSchedule(time.Now(), length)
-	disturbed := make(chan error, 1)
-	go func() { disturbed <- run.disturb() }()
+	scheduleDone := make(chan error, 1)
+	go func() { scheduleDone <- run.followSchedule() }()
 	newMixedLoad(mixedLoadConfig{
 		record:    run.record,
 		clients:   clients,
@@ -89,7 +89,7 @@
 		seed:      c.Seed,
 		burstSize: reloadBurstSize,
 	}).run(run.schedule.startedAt)
-	if err := <-disturbed; err != nil {
+	if err := <-scheduleDone; err != nil {
 		return nil, err
 	}
 	run.unmatchedResponses = awaitResponses(clients)
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -55,13 +55,13 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	begun := time.Now()
+	startedAt := time.Now()
 	fleet.run(requests)
-	took := time.Since(begun)
+	elapsed := time.Since(startedAt)
 	runtime.ReadMemStats(&after)
 	n := float64(requests)
 	return requestCost{
-		microseconds: float64(took.Nanoseconds()) / 1000 / n,
+		microseconds: float64(elapsed.Nanoseconds()) / 1000 / n,
 		allocations:  float64(after.Mallocs-before.Mallocs) / n,
 		bytes:        float64(after.TotalAlloc-before.TotalAlloc) / n,
 	}, nil
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -148,8 +148,8 @@
 	f.nextTurn = f.core.Process(f.now)
 }
 
-// after has a response reach the core once d has passed.
-func (f *coreFleet) after(d time.Duration, respond func()) { f.responses.Add(f.now+d, respond) }
+// respondAfter has a response reach the core once d has passed.
+func (f *coreFleet) respondAfter(d time.Duration, respond func()) { f.responses.Add(f.now+d, respond) }
 
 // StartAttempt implements router.WorkerClient.
 func (f *coreFleet) StartAttempt(
@@ -157,13 +157,13 @@
 ) {
 	id := replicaID{worker, request.Function.ID}
 	if f.replicas[id] < f.now {
-		f.after(coreRejectionTime, func() {
+		f.respondAfter(coreRejectionTime, func() {
 			f.core.AttemptCompleted(attempt, router.AttemptResult{Outcome: policy.NotLoaded})
 		})
 		return
 	}
 	f.replicas[id] = f.now + coreKeepAlive
-	f.after(coreServiceTime, func() {
+	f.respondAfter(coreServiceTime, func() {
 		f.core.AttemptCompleted(attempt, router.AttemptResult{
 			Outcome:    policy.Served,
 			LoadStatus: policy.AlreadyLoaded,
@@ -174,7 +174,7 @@
 
 // Load implements router.WorkerClient.
 func (f *coreFleet) Load(worker policy.WorkerID, function policy.FunctionID, _ int, tag uint64) {
-	f.after(coreLoadTime, func() {
+	f.respondAfter(coreLoadTime, func() {
 		f.replicas[replicaID{worker, function}] = f.now + coreKeepAlive
 		f.core.LoadCompleted(tag, policy.Served, 1)
 	})
@@ -182,7 +182,7 @@
 
 // CheckHealth implements router.WorkerClient.
 func (f *coreFleet) CheckHealth(_ policy.WorkerID, tag uint64) {
-	f.after(time.Millisecond, func() { f.core.HealthCheckCompleted(tag, policy.Served, []float64{1}) })
+	f.respondAfter(time.Millisecond, func() { f.core.HealthCheckCompleted(tag, policy.Served, []float64{1}) })
 }
 
 // CancelAttempt implements router.WorkerClient. The worker finishes what it has begun.
--- a/internal/benchmark/cputime.go
+++ b/internal/benchmark/cputime.go
@@ -33,8 +33,8 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// cpuTimeAtEnd returns the processor time that the program used, once it has ended.
-func (p *process) cpuTimeAtEnd() time.Duration {
+// cpuTimeAfterExit returns the processor time that the program used, once it has ended.
+func (p *process) cpuTimeAfterExit() time.Duration {
 	state := p.cmd.ProcessState
 	if state == nil {
 		return 0
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -7,11 +7,11 @@
 )
 
 // noDrain is given to listTwice where no worker drains.
-const noDrain = -1
+const noneDraining = -1
 
-// listTwice lists every third worker a second time, with the same addresses under another name. The worker of an index
+// endpointsWithAliases lists every third worker a second time, with the same addresses under another name. The worker of an index
 // drains under that second name.
-func listTwice(site *fake.Site, draining int) (list []fake.Endpoint) {
+func endpointsWithAliases(site *fake.Site, draining int) (list []fake.Endpoint) {
 	for i, endpoint := range site.Endpoints() {
 		list = append(list, endpoint)
 		if i%3 != 0 {
@@ -39,14 +39,14 @@
 	for n := 0; time.Now().Add(drainMargin).Before(until); n++ {
 		time.Sleep(drainPause)
 		index := n * 3 % len(site.Workers)
-		serial := site.Discovery.Set(listTwice(site, index))
+		serial := site.Discovery.Set(endpointsWithAliases(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
-		answeredAt := site.Discovery.FirstServedAt(serial)
+		servedAt := site.Discovery.FirstServedAt(serial)
 		end := time.Now()
-		site.Discovery.Set(listTwice(site, noDrain))
-		if !answeredAt.IsZero() {
-			r.lateSends += r.countArrivals(site.Workers[index], answeredAt.Add(drainGracePeriod), end)
+		site.Discovery.Set(endpointsWithAliases(site, noneDraining))
+		if !servedAt.IsZero() {
+			r.lateSends += r.countArrivals(site.Workers[index], servedAt.Add(drainGracePeriod), end)
 		}
 	}
 }
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -53,7 +53,7 @@
 			i.flapping.Set(flappingModes[n%len(flappingModes)])
 			i.count++
 		}
-		i.beginFault(now)
+		i.startFault(now)
 	}
 	i.endFaults(func(addressFault) bool { return true })
 	i.flapping.Set(fake.ModeHealthy)
@@ -72,14 +72,14 @@
 	i.faults = remaining
 }
 
-// beginFault draws an address, a mode and a duration. It does nothing if the address can't fail in that mode, fails
+// startFault draws an address, a mode and a duration. It does nothing if the address can't fail in that mode, fails
 // already, or is the worker's last healthy one.
-func (i *faultInjector) beginFault(now time.Time) {
+func (i *faultInjector) startFault(now time.Time) {
 	ports := i.workers[i.random.IntN(len(i.workers))].Ports()
 	port := ports[i.random.IntN(len(ports))]
 	mode := fake.Modes[1+i.random.IntN(len(fake.Modes)-1)]
-	span := (maxFaultDuration - minFaultDuration).Milliseconds()
-	duration := minFaultDuration + time.Duration(i.random.IntN(int(span)))*time.Millisecond
+	durationRange := (maxFaultDuration - minFaultDuration).Milliseconds()
+	duration := minFaultDuration + time.Duration(i.random.IntN(int(durationRange)))*time.Millisecond
 	possible := mode != fake.ModeStaleSocket || port.Network == fake.NetworkUnix
 	if !possible || port.Mode() != fake.ModeHealthy || countHealthy(ports) < 2 {
 		return
--- a/internal/benchmark/faults_test.go
+++ b/internal/benchmark/faults_test.go
@@ -15,7 +15,7 @@
 	defer bed.Close()
 	injector := newFaultInjector(bed.Site, 1)
 	for range 50 {
-		injector.beginFault(start)
+		injector.startFault(start)
 	}
 	for _, worker := range bed.Site.Workers {
 		if countHealthy(worker.Ports()) == 0 {
--- a/internal/benchmark/figures.go
+++ b/internal/benchmark/figures.go
@@ -21,16 +21,16 @@
 	f.pairs = append(f.pairs, fmt.Sprintf(format, name, value))
 }
 
-// must adds a figure that has to hold.
-func (f *figures) must(name string, value any, holds bool) {
+// require adds a figure that has to hold.
+func (f *figures) require(name string, value any, holds bool) {
 	f.add(name, value)
 	if !holds {
 		f.failed = append(f.failed, f.pairs[len(f.pairs)-1])
 	}
 }
 
-// mustBeZero adds a count of what must not happen.
-func (f *figures) mustBeZero(name string, count int) { f.must(name, count, count == 0) }
+// requireZero adds a count of what must not happen.
+func (f *figures) requireZero(name string, count int) { f.require(name, count, count == 0) }
 
 // print writes the figures as the last line. It returns an error that names those that do not hold.
 func (f *figures) print(out io.Writer) error {
--- a/internal/benchmark/knee.go
+++ b/internal/benchmark/knee.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	f := &figures{}
-	f.must("knee", knee, knee > 0)
+	f.require("knee", knee, knee > 0)
 	if knee == 0 {
 		return f.print(l.out)
 	}
@@ -49,7 +49,7 @@
 			return err
 		}
 		f.add(fmt.Sprintf("p999_ms_at_%d", percent), m.latencyPercentile(99.9))
-		f.must(fmt.Sprintf("lost_at_%d", percent), m.lost, m.lost == 0)
+		f.require(fmt.Sprintf("lost_at_%d", percent), m.lost, m.lost == 0)
 		if m.cores > 0 {
 			f.add(fmt.Sprintf("calls_per_core_at_%d", percent), float64(m.rate)/m.cores)
 		}
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -121,7 +121,7 @@
 		}
 		f.add(fmt.Sprintf("served_%d", rate), m.servedShare())
 		f.add(fmt.Sprintf("p999_ms_%d", rate), m.latencyPercentile(99.9))
-		f.must(fmt.Sprintf("lost_%d", rate), m.lost, m.lost == 0)
+		f.require(fmt.Sprintf("lost_%d", rate), m.lost, m.lost == 0)
 	}
 	return f.print(l.out)
 }
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -21,16 +21,16 @@
 // The tool is behind with a request that leaves this long after it was due. A measurement in which it is behind with
 // more than one request in maxBehindOneIn says nothing of the router.
 const (
-	behindAfter    = 10 * time.Millisecond
-	maxBehindOneIn = 20
+	lateAfter      = 10 * time.Millisecond
+	minSentPerLate = 20
 )
 
 // measurement is what came of one rate.
 type measurement struct {
-	rate   int
-	sent   int64
-	behind int64   // requests that left late
-	cores  float64 // that the router used
+	rate     int
+	sent     int64
+	sentLate int64   // requests that left late
+	cores    float64 // that the router used
 
 	mu        sync.Mutex // guards what follows, which responses change
 	served    int64
@@ -54,12 +54,12 @@
 
 // keepsUp reports whether the router kept up with the rate.
 func (m *measurement) keepsUp() bool {
-	sentInTime := m.behind*maxBehindOneIn < m.sent
-	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && sentInTime
+	onSchedule := m.sentLate*minSentPerLate < m.sent
+	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && onSchedule
 }
 
-// begin counts a request that leaves, unless too many are in flight.
-func (m *measurement) begin() error {
+// countSent counts a request that leaves, unless too many are in flight.
+func (m *measurement) countSent() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inFlight >= maxInFlight {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// complete counts a response.
-func (m *measurement) complete(status fake.ResponseStatus, latency time.Duration) {
+// countCompleted counts a response.
+func (m *measurement) countCompleted(status fake.ResponseStatus, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight--
@@ -99,14 +99,14 @@
 func (l *loadRun) measure(rate int) (*measurement, error) {
 	m := newMeasurement(rate)
 	cpuBefore := l.target.cpuTime()
-	begun := time.Now()
-	m.latencies.SetStartTimeMs(begun.UnixMilli())
-	if err := l.sendAll(m, begun); err != nil {
+	startedAt := time.Now()
+	m.latencies.SetStartTimeMs(startedAt.UnixMilli())
+	if err := l.sendAll(m, startedAt); err != nil {
 		return nil, err
 	}
-	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(begun).Seconds()
-	limit := time.Now().Add(l.Traffic.Timeout + time.Second)
-	for m.requestsInFlight() > 0 && time.Now().Before(limit) {
+	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(startedAt).Seconds()
+	deadline := time.Now().Add(l.Traffic.Timeout + time.Second)
+	for m.requestsInFlight() > 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	m.mu.Lock()
@@ -124,23 +124,23 @@
 }
 
 // sendAll sends each request when it is due. Latencies count from then. It blocks until the last one has left.
-func (l *loadRun) sendAll(m *measurement, begun time.Time) error {
+func (l *loadRun) sendAll(m *measurement, startedAt time.Time) error {
 	random := rand.New(rand.NewPCG(l.Seed, uint64(m.rate)))
 	interval := float64(time.Second) / float64(m.rate)
 	for n := 0; ; n++ {
-		due := begun.Add(time.Duration(float64(n) * interval))
-		if due.Sub(begun) >= l.Pace.Length {
+		due := startedAt.Add(time.Duration(float64(n) * interval))
+		if due.Sub(startedAt) >= l.Pace.Length {
 			return nil
 		}
 		time.Sleep(time.Until(due))
-		if time.Since(due) > behindAfter {
-			m.behind++
+		if time.Since(due) > lateAfter {
+			m.sentLate++
 		}
-		if err := m.begin(); err != nil {
+		if err := m.countSent(); err != nil {
 			return err
 		}
 		key := functionKey(random.IntN(l.Traffic.Functions))
 		id := fmt.Sprintf("%016x", random.Uint64())
-		l.target.send(key, id, func(status fake.ResponseStatus) { m.complete(status, time.Since(due)) })
+		l.target.send(key, id, func(status fake.ResponseStatus) { m.countCompleted(status, time.Since(due)) })
 	}
 }
--- a/internal/benchmark/mixedload.go
+++ b/internal/benchmark/mixedload.go
@@ -40,10 +40,10 @@
 }
 
 // run sends the load from a time on. It blocks until the load's length has passed.
-func (l *mixedLoad) run(begun time.Time) {
+func (l *mixedLoad) run(startedAt time.Time) {
 	interval := time.Second / time.Duration(l.rate)
-	for n := 0; time.Since(begun) < l.length; n++ {
-		time.Sleep(time.Until(begun.Add(time.Duration(n) * interval)))
+	for n := 0; time.Since(startedAt) < l.length; n++ {
+		time.Sleep(time.Until(startedAt.Add(time.Duration(n) * interval)))
 		class := fake.ClassMix[l.random.IntN(len(fake.ClassMix))]
 		if l.burstSize > 0 && n%l.rate == l.rate/2 {
 			l.sendBurst()
--- a/internal/benchmark/overflow.go
+++ b/internal/benchmark/overflow.go
@@ -29,16 +29,16 @@
 		overflowed = append(overflowed, at)
 	}
 	slices.SortFunc(overflowed, time.Time.Compare)
-	largest := 0.0
+	maxShare := 0.0
 	for i, end := range overflowed {
 		if i%overflowSampling > 0 && len(overflowed) > maxOverflowsInspected {
 			continue
 		}
 		if n := countSince(sent, end); n >= minRequestsInWindow {
-			largest = max(largest, float64(countSince(overflowed, end))/float64(n))
+			maxShare = max(maxShare, float64(countSince(overflowed, end))/float64(n))
 		}
 	}
-	return largest
+	return maxShare
 }
 
 // countSince returns how many of the times are in the overflow window that ends at a time, which it includes.
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -33,9 +33,9 @@
 
 // watchedFile is a routes file, with what the watch checks of it.
 type watchedFile struct {
-	text       string
-	cap        int    // of the pool "fast", in requests in flight
-	checksKind string // of workers for the class fault-check
+	text           string
+	cap            int    // of the pool "fast", in requests in flight
+	faultCheckKind string // of workers for the class fault-check
 }
 
 // watchedRoutes are the two files that replace each other.
@@ -52,20 +52,20 @@
 	case fake.DimLevel.Name:
 		return kind == kindLarge || kind == kindSpare
 	case fake.FaultCheck.Name:
-		return kind == watchedRoutes[file].checksKind
+		return kind == watchedRoutes[file].faultCheckKind
 	default:
 		return kind == kindLarge || kind == kindSmall
 	}
 }
 
-// reloadBegins records that a file replaces the other one.
-func (p *poolWatch) reloadBegins(file int) {
+// reloadStarted records that a file replaces the other one.
+func (p *poolWatch) reloadStarted(file int) {
 	p.file = file
 	p.reloaded = time.Time{}
 }
 
-// reloadEnds records that the file is in force.
-func (p *poolWatch) reloadEnds() { p.reloaded = time.Now() }
+// reloadCompleted records that the file is in force.
+func (p *poolWatch) reloadCompleted() { p.reloaded = time.Now() }
 
 // settledFor returns how long before a request the file in force was, less the time for messages on their way. It is
 // negative while a request may have been routed by the file before.
--- a/internal/benchmark/poolwatch_test.go
+++ b/internal/benchmark/poolwatch_test.go
@@ -40,14 +40,14 @@
 
 func TestRequestsOverTheCapAreCounted(t *testing.T) {
 	p := newPoolWatch()
-	p.reloadBegins(1)
+	p.reloadStarted(1)
 	p.reloaded = start
 	request := &recordedRequest{class: fake.DimLevel.Name, sentAt: start.Add(time.Second)}
 	for range routesBCap + 1 {
 		p.runAt(kindLarge, request)
 	}
 	expectEqual(t, p.overCap, 1)
-	p.reloadBegins(1) // while a reload is under way, the larger cap of both counts
+	p.reloadStarted(1) // while a reload is under way, the larger cap of both counts
 	p.runAt(kindLarge, request)
 	expectEqual(t, p.overCap, 1)
 	expectEqual(t, p.maxInFlight, routesBCap+2)
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -24,7 +24,7 @@
 	cmd    *exec.Cmd
 	listen string
 	log    *routerLog
-	ended  chan struct{} // closed once the program has ended and its log is complete
+	exited chan struct{} // closed once the program has ended and its log is complete
 }
 
 // findRouter returns the path of the program to measure: the given one, or the one beside this program.
@@ -44,7 +44,7 @@
 
 // launch starts the program with further environment variables. It does not wait until the program listens.
 func launch(path, listen string, env ...string) (*process, error) {
-	p := &process{cmd: exec.Command(path), listen: listen, log: newRouterLog(), ended: make(chan struct{})}
+	p := &process{cmd: exec.Command(path), listen: listen, log: newRouterLog(), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	output, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -53,13 +53,13 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go p.follow(output)
+	go p.readOutput(output)
 	return p, nil
 }
 
-// follow reads the log until the program ends.
-func (p *process) follow(output io.Reader) {
-	defer close(p.ended)
+// readOutput reads the log until the program ends.
+func (p *process) readOutput(output io.Reader) {
+	defer close(p.exited)
 	p.log.readFrom(output)
 	p.cmd.Wait()
 }
@@ -70,10 +70,10 @@
 	if err != nil {
 		return nil, err
 	}
-	for begun := time.Now(); time.Since(begun) < startTimeout; time.Sleep(20 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < startTimeout; time.Sleep(20 * time.Millisecond) {
 		select {
-		case <-p.ended:
-			return nil, fmt.Errorf("the router ended: %s", p.log.whole())
+		case <-p.exited:
+			return nil, fmt.Errorf("the router ended: %s", p.log.joined())
 		default:
 		}
 		if conn, err := net.Dial("tcp", listen); err == nil {
@@ -82,7 +82,7 @@
 		}
 	}
 	p.stop()
-	return nil, fmt.Errorf("the router does not listen: %s", p.log.whole())
+	return nil, fmt.Errorf("the router does not listen: %s", p.log.joined())
 }
 
 // reload sends SIGHUP and blocks until the router has replaced its routes.
@@ -97,7 +97,7 @@
 	select {
 	case <-reloaded:
 		return nil
-	case <-p.ended:
+	case <-p.exited:
 		return errors.New("the router ended at a reload")
 	case <-time.After(reloadTimeout):
 		return fmt.Errorf("the router did not complete a reload: %s", p.log.lastLines())
@@ -108,7 +108,7 @@
 func (p *process) stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(stopTimeout):
 		p.kill()
 	}
@@ -117,5 +117,5 @@
 // kill ends the program by force. It blocks until the program has ended.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	<-p.ended
+	<-p.exited
 }
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -12,7 +12,7 @@
 const statusLost fake.ResponseStatus = "lost"
 
 // responseSlack is how late a response may come on a loaded machine and still count, as on the platform.
-const responseSlack = 66 * time.Millisecond
+const responseTolerance = 66 * time.Millisecond
 
 // recordedRequest is a request as its client and the workers saw it.
 type recordedRequest struct {
@@ -34,15 +34,15 @@
 	byID     map[string]*recordedRequest
 	requests []*recordedRequest // in the order in which they were sent
 	events   []fake.Event
-	watch    eventWatch // may be nil
+	observer eventObserver // may be nil
 }
 
-// eventWatch is called for each event of a recorded request, with the record locked.
-type eventWatch func(e fake.Event, request *recordedRequest)
+// eventObserver is called for each event of a recorded request, with the record locked.
+type eventObserver func(e fake.Event, request *recordedRequest)
 
 // newRecord returns an empty record. watch may be nil.
-func newRecord(watch eventWatch) *record {
-	return &record{byID: map[string]*recordedRequest{}, watch: watch}
+func newRecord(watch eventObserver) *record {
+	return &record{byID: map[string]*recordedRequest{}, observer: watch}
 }
 
 // event records what a worker saw. It is called by fakes, from any goroutine.
@@ -57,8 +57,8 @@
 	if e.Kind == fake.EventStarted {
 		request.runs++
 	}
-	if r.watch != nil {
-		r.watch(e, request)
+	if r.observer != nil {
+		r.observer(e, request)
 	}
 }
 
@@ -77,7 +77,7 @@
 		if err != nil {
 			request.status = statusLost
 		}
-		request.late = request.latency > sent.Timeout+responseSlack
+		request.late = request.latency > sent.Timeout+responseTolerance
 	})
 }
 
@@ -116,7 +116,7 @@
 	lost               int // requests without a response
 	late               int // responses after the timeout
 	notIdempotent      int // requests that may not run twice
-	doubled            int // those that did
+	ranTwice           int // those that did
 	loadBudgetBreaches int // load commands beyond the budget
 }
 
@@ -135,7 +135,7 @@
 		}
 		v.notIdempotent++
 		if request.runs > 1 {
-			v.doubled++
+			v.ranTwice++
 		}
 	}
 	v.loadBudgetBreaches = loadBudgetBreaches(r.loadCommandTimes(), sentAt)
--- a/internal/benchmark/record_test.go
+++ b/internal/benchmark/record_test.go
@@ -34,7 +34,7 @@
 	r.add(2, recordedRequest{class: fake.DimLevel.Name})
 	r.add(3, recordedRequest{class: fake.RepairOrder.Name, status: statusLost, late: true})
 	r.add(4, recordedRequest{class: fake.RepairOrder.Name, status: fake.Failed, runs: 2})
-	expectEqual(t, r.violations(fake.RepairOrder.Name), violations{lost: 2, late: 1, notIdempotent: 2, doubled: 1})
+	expectEqual(t, r.violations(fake.RepairOrder.Name), violations{lost: 2, late: 1, notIdempotent: 2, ranTwice: 1})
 	expectEqual(t, r.tally(fake.DimLevel.Name, start, start.Add(2)), tally{sent: 2, served: 1, rejected: 1})
 	expectEqual(t, r.tally("", start, start.Add(time.Second)), tally{sent: 5, served: 1, rejected: 1, failed: 1})
 }
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
+// secondsUntilRecovered returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
 // a second, or -1.
-func (r *reloadRun) secondsUntilServed() int {
+func (r *reloadRun) secondsUntilRecovered() int {
 	for s := range 60 {
 		from := r.schedule.poolRestartedAt.Add(time.Duration(s) * time.Second)
 		t := r.tally(fake.DimLevel.Name, from, from.Add(time.Second))
@@ -51,24 +51,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.violations(fake.RepairOrder.Name)
-	returned := r.secondsUntilServed()
-	f.must("seconds_until_95_in_100", returned, returned >= 0)
+	returned := r.secondsUntilRecovered()
+	f.require("seconds_until_95_in_100", returned, returned >= 0)
 	f.add("requests", len(r.requests))
-	f.must("reloads", r.reloads, r.reloads > 0)
-	f.mustBeZero("lost", v.lost)
-	f.mustBeZero("late", v.late)
-	f.mustBeZero("extra_answers", r.unmatchedResponses)
+	f.require("reloads", r.reloads, r.reloads > 0)
+	f.requireZero("lost", v.lost)
+	f.requireZero("late", v.late)
+	f.requireZero("extra_answers", r.unmatchedResponses)
 	f.add("not_idempotent", v.notIdempotent)
-	f.mustBeZero("doubled", v.doubled)
-	f.mustBeZero("outside_pool", r.pools.outsidePool)
-	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
-	f.mustBeZero("over_cap", r.pools.overCap)
+	f.requireZero("doubled", v.ranTwice)
+	f.requireZero("outside_pool", r.pools.outsidePool)
+	f.requireZero("ration_breaches", v.loadBudgetBreaches)
+	f.requireZero("over_cap", r.pools.overCap)
 	peak := r.pools.maxInFlight
-	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
+	f.require("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
 	overflows := len(r.pools.overflowed)
 	share := r.pools.maxOverflowShare(r.record)
-	f.must("overflows", overflows, overflows > 0)
-	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
+	f.require("overflows", overflows, overflows > 0)
+	f.require("spill_share_max", share, share <= overflowLimit*overflowTolerance)
 	restarted := r.schedule.poolRestartedAt
 	f.add("loads_in_10s_after_return", r.loadCommandsBetween(restarted, restarted.Add(10*time.Second)))
 	f.add("p99_ms", r.latencyPercentile(0.99))
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -58,7 +58,7 @@
 		bed.Close()
 		return nil, err
 	}
-	pools.reloadEnds()
+	pools.reloadCompleted()
 	return r, nil
 }
 
@@ -89,9 +89,9 @@
 	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
 
-// disturb reloads the other routes file each second, and kills the large workers for a time. It blocks until the end of
+// followSchedule reloads the other routes file each second, and kills the large workers for a time. It blocks until the end of
 // the schedule.
-func (r *reloadRun) disturb() error {
+func (r *reloadRun) followSchedule() error {
 	down := false
 	for n := 1; ; n++ {
 		next := r.schedule.startedAt.Add(time.Duration(n) * time.Second)
@@ -115,8 +115,8 @@
 	}
 }
 
-// poolWorkers returns the workers of the pool that is killed.
-func (r *reloadRun) poolWorkers() (list []*fake.Worker) {
+// largeWorkers returns the workers of the pool that is killed.
+func (r *reloadRun) largeWorkers() (list []*fake.Worker) {
 	for _, w := range r.bed.Site.Workers {
 		if w.Kind == kindLarge {
 			list = append(list, w)
@@ -126,13 +126,13 @@
 }
 
 func (r *reloadRun) killPool() {
-	for _, w := range r.poolWorkers() {
+	for _, w := range r.largeWorkers() {
 		w.Kill()
 	}
 }
 
 func (r *reloadRun) restartPool() error {
-	for _, w := range r.poolWorkers() {
+	for _, w := range r.largeWorkers() {
 		if err := w.Start(); err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 // reload replaces the routes file and has the router follow.
 func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
-	r.pools.reloadBegins(file)
+	r.pools.reloadStarted(file)
 	r.mu.Unlock()
 	if _, err := r.writeRoutes(file); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	r.reloads++
 	r.mu.Lock()
-	r.pools.reloadEnds()
+	r.pools.reloadCompleted()
 	r.mu.Unlock()
 	return nil
 }
--- a/internal/benchmark/routerlog.go
+++ b/internal/benchmark/routerlog.go
@@ -58,8 +58,8 @@
 	return events
 }
 
-// whole returns the log on one line.
-func (l *routerLog) whole() string { return l.tail(math.MaxInt, "; ") }
+// joined returns the log on one line.
+func (l *routerLog) joined() string { return l.tail(math.MaxInt, "; ") }
 
 // lastLines returns the end of the log, for errors.
 func (l *routerLog) lastLines() string { return l.tail(5, "\n") }
--- a/internal/benchmark/routerlog_test.go
+++ b/internal/benchmark/routerlog_test.go
@@ -15,5 +15,5 @@
 	expectEqual(t, l.counter("dials", "resent"), "4")
 	expectEqual(t, l.counter("dials", "absent"), "")
 	expectEqual(t, l.tail(1, "; "), "level=INFO event=counters_reported loads=5")
-	expectEqual(t, strings.Count(l.whole(), "; "), 3)
+	expectEqual(t, strings.Count(l.joined(), "; "), 3)
 }
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -145,13 +145,13 @@
 func checkCost(lines int) (n int, ms float64, err error) {
 	text := routesWithLines(lines)
 	for i := range 3 {
-		begun := time.Now()
+		startedAt := time.Now()
 		if _, err := checkRoutes(text); err != nil {
 			return 0, 0, err
 		}
-		took := float64(time.Since(begun).Microseconds()) / 1000
-		if i == 0 || took < ms {
-			ms = took
+		elapsedMs := float64(time.Since(startedAt).Microseconds()) / 1000
+		if i == 0 || elapsedMs < ms {
+			ms = elapsedMs
 		}
 	}
 	return strings.Count(text, "\n"), ms, nil
--- a/internal/benchmark/starts.go
+++ b/internal/benchmark/starts.go
@@ -40,10 +40,10 @@
 		}
 		slices.Sort(times)
 		median := times[len(times)/2]
-		ninth := times[len(times)*9/10]
+		p90 := times[len(times)*9/10]
 		slowest := times[len(times)-1]
 		fmt.Fprintf(out, "%6d %10d %10d %10d\n",
-			n+1, median.Milliseconds(), ninth.Milliseconds(), slowest.Milliseconds())
+			n+1, median.Milliseconds(), p90.Milliseconds(), slowest.Milliseconds())
 		all = append(all, times...)
 	}
 	return s.report(out, all)
@@ -58,7 +58,7 @@
 	}
 	f := &figures{}
 	f.add("starts", len(all))
-	f.must("ready_in_time", inTime, inTime*10 >= len(all)*9)
+	f.require("ready_in_time", inTime, inTime*10 >= len(all)*9)
 	f.add("slowest_ms", slices.Max(all).Milliseconds())
 	return f.print(out)
 }
@@ -77,19 +77,19 @@
 			p.kill()
 		}
 	}()
-	begun := time.Now()
+	startedAt := time.Now()
 	for n := range s.Routers {
-		p, err := launchStart(bed, program, n)
+		p, err := launchRouter(bed, program, n)
 		if err != nil {
 			return nil, err
 		}
 		routers = append(routers, p)
 	}
-	return awaitReady(routers, begun)
+	return awaitReady(routers, startedAt)
 }
 
-// launchStart launches the n-th router. Every second one knows no worker.
-func launchStart(bed *fake.Testbed, program string, n int) (*process, error) {
+// launchRouter launches the n-th router. Every second one knows no worker.
+func launchRouter(bed *fake.Testbed, program string, n int) (*process, error) {
 	listen, err := fake.FreeAddr()
 	if err != nil {
 		return nil, err
@@ -106,13 +106,13 @@
 }
 
 // awaitReady asks all routers at once and returns how long after the beginning each was ready, or the first error.
-func awaitReady(routers []*process, begun time.Time) ([]time.Duration, error) {
+func awaitReady(routers []*process, startedAt time.Time) ([]time.Duration, error) {
 	times := make([]time.Duration, len(routers))
 	errs := make(chan error, len(routers))
 	for i, p := range routers {
 		go func() {
-			err := p.awaitReady(begun.Add(readyTimeout))
-			times[i] = time.Since(begun)
+			err := p.awaitReady(startedAt.Add(readyTimeout))
+			times[i] = time.Since(startedAt)
 			errs <- err
 		}()
 	}
@@ -126,13 +126,13 @@
 }
 
 // awaitReady asks a router until it responds that it accepts requests.
-func (p *process) awaitReady(limit time.Time) error {
-	for time.Now().Before(limit) {
+func (p *process) awaitReady(deadline time.Time) error {
+	for time.Now().Before(deadline) {
 		if p.isReady() {
 			return nil
 		}
 		select {
-		case <-p.ended:
+		case <-p.exited:
 			return fmt.Errorf("a router ended: %s", p.log.lastLines())
 		case <-time.After(10 * time.Millisecond):
 		}
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -62,13 +62,13 @@
 
 // awaitResponses waits until clients have their last responses, up to a limit each, and returns how many came to no
 // request in flight.
-func awaitResponses(clients []*fake.Client) (extra int) {
+func awaitResponses(clients []*fake.Client) (unmatched int) {
 	for _, c := range clients {
-		limit := time.Now().Add(responseWait)
-		for c.RequestsInFlight() > 0 && time.Now().Before(limit) {
+		deadline := time.Now().Add(responseWait)
+		for c.RequestsInFlight() > 0 && time.Now().Before(deadline) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		extra += c.UnmatchedResponses()
+		unmatched += c.UnmatchedResponses()
 	}
-	return extra
+	return unmatched
 }
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -56,9 +56,9 @@
 	c.responses[countedResponse{class, status}]++
 }
 
-// line returns the line for what was counted and resets the counts. It leaves out statuses that were not counted,
+// takeLine returns the takeLine for what was counted and resets the counts. It leaves out statuses that were not counted,
 // except served.
-func (c *counts) line(elapsed time.Duration, workers []*fake.Worker) string {
+func (c *counts) takeLine(elapsed time.Duration, workers []*fake.Worker) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var b strings.Builder
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -44,8 +44,8 @@
 	}
 	fmt.Fprintf(out, "router on %s; workers %s; routes in %s\n", listen, describe(bed.Site.Workers), routes)
 
-	stopShow := newShow(out, bed.Site, listen, counts).start()
-	defer stopShow()
+	stopDriver := newDriver(out, bed.Site, listen, counts).start()
+	defer stopDriver()
 	return server.Serve(cfg, server.Options{Routes: routes, Stop: stop}, read)
 }
 
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -20,47 +20,47 @@
 // requestedFunctions is how many functions are requested.
 const requestedFunctions = 6
 
-// show sends requests, kills workers for a time, and writes what happens. A goroutine of its own owns it.
-type show struct {
+// driver sends requests, kills workers for a time, and writes what happens. A goroutine of its own owns it.
+type driver struct {
 	out    io.Writer
 	site   *fake.Site
 	listen string
 	counts *counts
 
-	begun  time.Time
-	random *rand.Rand
-	client *fake.Client // nil until the router accepts connections
-	lines  int
-	kills  int
-	killed *fake.Worker // nil while all workers are up
+	startedAt time.Time
+	random    *rand.Rand
+	client    *fake.Client // nil until the router accepts connections
+	lines     int
+	kills     int
+	killed    *fake.Worker // nil while all workers are up
 }
 
-func newShow(out io.Writer, site *fake.Site, listen string, counts *counts) *show {
-	return &show{
-		out:    out,
-		site:   site,
-		listen: listen,
-		counts: counts,
-		begun:  time.Now(),
-		random: rand.New(rand.NewPCG(1, 2)),
+func newDriver(out io.Writer, site *fake.Site, listen string, counts *counts) *driver {
+	return &driver{
+		out:       out,
+		site:      site,
+		listen:    listen,
+		counts:    counts,
+		startedAt: time.Now(),
+		random:    rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
 // start runs the show on a goroutine of its own. stop ends it, and blocks until it has ended.
-func (s *show) start() (stop func()) {
+func (s *driver) start() (stop func()) {
 	stopping := make(chan struct{})
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		s.run(stopping)
 	}()
 	return func() {
 		close(stopping)
-		<-ended
+		<-stopped
 	}
 }
 
-func (s *show) run(stopping <-chan struct{}) {
+func (s *driver) run(stopping <-chan struct{}) {
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	defer func() {
@@ -73,13 +73,13 @@
 		case <-stopping:
 			return
 		case <-ticker.C:
-			s.tick(time.Since(s.begun))
+			s.tick(time.Since(s.startedAt))
 		}
 	}
 }
 
 // tick does what is due once some time has passed since the beginning.
-func (s *show) tick(elapsed time.Duration) {
+func (s *driver) tick(elapsed time.Duration) {
 	if s.client == nil {
 		client, err := fake.Dial(s.listen)
 		if err != nil {
@@ -91,13 +91,13 @@
 	s.sendRequest()
 	if elapsed >= time.Duration(s.lines+1)*lineInterval {
 		s.lines++
-		fmt.Fprintln(s.out, s.counts.line(elapsed, s.site.Workers))
+		fmt.Fprintln(s.out, s.counts.takeLine(elapsed, s.site.Workers))
 	}
-	s.disturb(elapsed)
+	s.killOrRestartWorker(elapsed)
 }
 
 // sendRequest sends a request of a random class for a random function.
-func (s *show) sendRequest() {
+func (s *driver) sendRequest() {
 	class := fake.ClassMix[s.random.IntN(len(fake.ClassMix))]
 	request := fake.Request{
 		Class:       class.Name,
@@ -114,8 +114,8 @@
 	})
 }
 
-// disturb kills the next worker, or starts the killed one, when that is due.
-func (s *show) disturb(elapsed time.Duration) {
+// killOrRestartWorker kills the next worker, or starts the killed one, when that is due.
+func (s *driver) killOrRestartWorker(elapsed time.Duration) {
 	if s.killed == nil && elapsed > time.Duration(s.kills+1)*killInterval {
 		s.killed = s.site.Workers[s.kills%len(s.site.Workers)]
 		s.kills++
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -10,16 +10,16 @@
 // path is how a state is reached from the start: the index of each step.
 type path []uint8
 
-// then returns the path with one step more. It shares no memory with other continuations.
-func (p path) then(step int) path {
+// extend returns the path with one step more. It shares no memory with other continuations.
+func (p path) extend(step int) path {
 	return append(p[:len(p):len(p)], uint8(step))
 }
 
 // stateKey is a hash of System.Key.
 type stateKey [16]byte
 
-// keyOf returns the key of a system's state.
-func keyOf(s System) (key stateKey) {
+// hashKey returns the key of a system's state.
+func hashKey(s System) (key stateKey) {
 	sum := sha256.Sum256([]byte(s.Key()))
 	copy(key[:], sum[:])
 	return key
@@ -44,7 +44,7 @@
 		result:     Result{States: 1, Whole: true},
 	}
 	for level := []path{nil}; len(level) > 0; s.result.Depth++ {
-		next, done := s.collect(s.follow(level))
+		next, done := s.collect(s.expand(level))
 		if done {
 			break
 		}
@@ -62,14 +62,14 @@
 	result     Result
 }
 
-// follow takes every step from the end of each path. The transitions are in the order of the paths.
-func (s *search) follow(level []path) [][]transition {
+// expand takes every step from the end of each path. The transitions are in the order of the paths.
+func (s *search) expand(level []path) [][]transition {
 	transitions := make([][]transition, len(level))
 	var wait sync.WaitGroup
 	for first := range s.goroutines {
 		wait.Go(func() {
 			for i := first; i < len(level); i += s.goroutines {
-				transitions[i] = followPath(s.start, level[i])
+				transitions[i] = expandPath(s.start, level[i])
 			}
 		})
 	}
@@ -101,8 +101,8 @@
 	return next, false
 }
 
-// followPath takes every step from the end of a path, or ends the run where there is none.
-func followPath(start func() System, p path) []transition {
+// expandPath takes every step from the end of a path, or ends the run where there is none.
+func expandPath(start func() System, p path) []transition {
 	s, trace, err := replay(start, p)
 	if err != nil {
 		return []transition{{err: err, trace: trace}}
@@ -113,7 +113,7 @@
 	}
 	transitions := make([]transition, len(steps))
 	for step := range steps {
-		transitions[step] = runPath(start, p.then(step))
+		transitions[step] = runPath(start, p.extend(step))
 	}
 	return transitions
 }
@@ -124,7 +124,7 @@
 	if err != nil {
 		return transition{path: p, err: err, trace: trace}
 	}
-	return transition{path: p, key: keyOf(s)}
+	return transition{path: p, key: hashKey(s)}
 }
 
 // replay runs a path from the start. It checks the properties after the last step only: they were checked after earlier
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -21,7 +21,7 @@
 }
 
 // nowhere is forbidden where no values are.
-var nowhere = [2]int{-1, -1}
+var neverForbidden = [2]int{-1, -1}
 
 // Steps implements System.
 func (c *counters) Steps() (steps []string) {
@@ -69,7 +69,7 @@
 }
 
 func TestSearchSeesTheWholeScope(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere}, 1000, 1)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden}, 1000, 1)
 	if r.States != 25 || !r.Whole || r.Err != nil {
 		t.Error(r)
 	}
@@ -88,21 +88,21 @@
 }
 
 func TestSearchReportsWhatIsMissingAtTheEnd(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere, missing: errors.New("ended")}, 1000, 2)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden, missing: errors.New("ended")}, 1000, 2)
 	if r.Err == nil || r.Trace[len(r.Trace)-1] != endOfTrace {
 		t.Error(r)
 	}
 }
 
 func TestSearchReportsAPanic(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere, panicAt: 2}, 1000, 2)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden, panicAt: 2}, 1000, 2)
 	if r.Err == nil || r.Err.Error() != "panic: too high" || len(r.Trace) != 2 {
 		t.Error(r)
 	}
 }
 
 func TestSearchStopsWhereTheScopeIsTooLarge(t *testing.T) {
-	r := searchCounters(counters{limit: 40, forbidden: nowhere}, 100, 2)
+	r := searchCounters(counters{limit: 40, forbidden: neverForbidden}, 100, 2)
 	if r.Whole || r.States != 100 {
 		t.Error(r)
 	}
