--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -9,7 +9,8 @@
 	"crankhold/internal/fake"
 )
 
-// Addresses measures workers with several addresses, of which each keeps one while the others fail at random.
+// Addresses measures a router whose workers have several addresses each. The addresses fail at random, but every worker
+// always keeps a healthy one.
 type Addresses struct {
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
@@ -19,39 +20,40 @@
 	Seed   uint64        `help:"Of the load and the faults." default:"1"`
 }
 
-// maxServedLoss is by how much faults may lower the share of served requests.
+// maxServedLoss is the most by which faults may lower the share of served requests.
 const maxServedLoss = 0.02
 
-// addressRun is one load and what came of it. The fields beside the record are complete once load has returned.
+// addressRun holds the results of one load. The fields beside the record are set when load returns.
 type addressRun struct {
 	*record
 	total              tally
-	p99                float64       // milliseconds
-	cpu                time.Duration // processor time of the router
-	unmatchedResponses int           // responses to no request
+	p99                float64       // latency, in milliseconds
+	cpu                time.Duration // CPU time of the router
+	unmatchedResponses int           // responses that match no request in flight
 	faults             int
 	drains             int
-	lateSends          int // messages to a worker after its drain
-	// The router's own counters, as its log has them.
+	lateSends          int // messages to a worker after its drain grace period
+	// Counters from the router's log.
 	recoveryDials string
-	resent        string // requests that went over another connection, for they had not left
+	resent        string // requests sent again over another connection because they had not left
 }
 
-// cpuPerRequest returns the router's processor time for a request, in microseconds.
+// cpuPerRequest returns the router's CPU time per request, in microseconds.
 func (r *addressRun) cpuPerRequest() float64 {
 	return float64(r.cpu.Microseconds()) / float64(r.total.sent)
 }
 
-// faultMode says whether a load has faults.
+// faultMode says whether faults are injected during a load.
 type faultMode int
 
-// Modes of a load.
+// Values of faultMode.
 const (
 	withoutFaults faultMode = iota
 	withFaults
 )
 
-// Run loads the router without faults and with them, and the build before alike. It blocks until the loads have ended.
+// Run loads the router without faults and then with faults. It does the same with the build named by Before, if one is
+// given. It blocks until all loads have ended.
 func (a Addresses) Run(out io.Writer) error {
 	program, err := findRouter(a.Router)
 	if err != nil {
@@ -83,7 +85,7 @@
 	return f.print(out)
 }
 
-// compareWithPreviousBuild measures the build before and adds its figures to f.
+// compareWithPreviousBuild measures the build named by Before and adds its figures to f.
 func (a Addresses) compareWithPreviousBuild(out io.Writer, f *figures, baseline *addressRun) error {
 	previousBaseline, err := a.measure(out, "no faults, before", a.Before, withoutFaults)
 	if err != nil {
@@ -99,7 +101,8 @@
 	return nil
 }
 
-// reportAddresses adds the figures of the run with faults, which are compared with those of the run without.
+// reportAddresses adds the figures of the run with faults to f. The share of served requests is compared with that of
+// the run without faults.
 func reportAddresses(f *figures, baseline, faulty *addressRun) {
 	v := faulty.violations(fake.RepairOrder.Name)
 	served := faulty.total.servedShare()
@@ -120,7 +123,7 @@
 	f.require("served", served, served >= baselineServed-maxServedLoss)
 }
 
-// measure runs a load and prints its row.
+// measure runs a load and prints a row of its results.
 func (a Addresses) measure(out io.Writer, name, program string, mode faultMode) (*addressRun, error) {
 	r, err := a.load(program, mode)
 	if err != nil {
@@ -132,7 +135,8 @@
 	return r, nil
 }
 
-// load starts a router and twelve workers of three addresses each, and loads it. It blocks until the load has ended.
+// load starts twelve workers with three addresses each, and a router, and sends requests to it. It blocks until the
+// load has ended.
 func (a Addresses) load(program string, mode faultMode) (*addressRun, error) {
 	r := &addressRun{record: newRecord(nil)}
 	bed, err := startTestbed(addressWorkers(), r.event)
@@ -171,7 +175,7 @@
 	return r, nil
 }
 
-// startAddressRouter starts a router that uses the workers' Unix sockets, with every third worker listed twice.
+// startAddressRouter starts a router that uses the workers' Unix sockets. Every third worker is listed twice.
 func startAddressRouter(bed *fake.Testbed, program string) (*process, error) {
 	bed.Site.Discovery.Set(endpointsWithAliases(bed.Site, noneDraining))
 	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
@@ -181,14 +185,15 @@
 	return startRouterOn(bed, program, "CRANKHOLD_ADDRESSES="+addresses)
 }
 
-// injectFaults has addresses fail until a time, and blocks until then.
+// injectFaults makes addresses fail at random until the given time. It blocks until then.
 func (r *addressRun) injectFaults(site *fake.Site, seed uint64, until time.Time) {
 	injector := newFaultInjector(site, seed)
 	injector.run(until)
 	r.faults = injector.count
 }
 
-// addressWorkers describes twelve workers that listen on IPv4, on IPv6 where there is one, and on a Unix socket.
+// addressWorkers returns the configurations of twelve workers. Each listens on IPv4, on IPv6 if the machine has it, and
+// on a Unix socket.
 func addressWorkers() []fake.WorkerConfig {
 	workers := workerConfigs(12, "s-%02d", fake.WorkerConfig{
 		Kind:        "std",
@@ -207,7 +212,7 @@
 	return workers
 }
 
-// summarize computes the figures of a load that has ended.
+// summarize computes the results of a load that has ended.
 func (r *addressRun) summarize(router *process, startedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/benchmark/config.go
+++ b/internal/benchmark/config.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Config measures the routes language and the routing that it describes.
+// Config measures the cost of checking routes files and of matching routes, and how the router behaves when routes are
+// reloaded under load.
 type Config struct {
 	Short  bool          `help:"Take under a minute."`
 	Router string        `help:"The program to measure; the one beside this one unless given." type:"path"`
@@ -15,17 +16,18 @@
 	Seed   uint64        `help:"Of the load." default:"1"`
 }
 
-// What must hold of the costs.
+// Upper limits on the cost of one match, and on the cost of checking 10000 lines.
 const (
 	maxMatchNanoseconds  = 1000
 	maxCheckMilliseconds = 200
 )
 
-// reloadBurstSize is how many requests are sent at once, once a second: more than the cap of the pool that they go to.
+// reloadBurstSize is the number of requests in the burst that is sent each second. It exceeds the cap of the pool that
+// the requests are routed to.
 const reloadBurstSize = 60
 
-// Run measures look-ups and checks, and then a load with a reload each second and the death of a pool. It blocks until
-// the load has ended.
+// Run measures route matching and checks of routes files. It then runs a load during which the routes are reloaded each
+// second and the workers of one pool are killed and restarted. It blocks until the load has ended.
 func (c Config) Run(out io.Writer) error {
 	f := &figures{}
 	for _, n := range []int{10, 1000} {
@@ -48,7 +50,7 @@
 	return f.print(out)
 }
 
-// loadLength returns how long the load lasts.
+// loadLength returns the duration of the load.
 func (c Config) loadLength() time.Duration {
 	switch {
 	case c.Length > 0:
@@ -60,7 +62,8 @@
 	}
 }
 
-// load starts a router before workers of three kinds, and loads it.
+// load starts a router and workers of three kinds, and sends requests to the router. It blocks until the load has
+// ended.
 func (c Config) load() (*reloadRun, error) {
 	program, err := findRouter(c.Router)
 	if err != nil {
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Core measures what a request costs the core and the module by the size of the fleet, in virtual time: no sockets, one
-// goroutine, the code that serves.
+// Core measures the cost of a request in the router's core and the decision module, by the number of workers. It runs
+// the production code in virtual time on one goroutine, without sockets.
 type Core struct {
 	Short bool  `help:"Fewer requests."`
 	Sizes []int `help:"Workers." default:"12,100,1000,5000"`
 	Calls int   `help:"Requests measured at each size, after as many to warm up." default:"40000"`
 }
 
-// requestsPerWorker is the rate of the load, per second.
+// requestsPerWorker is the rate of the load for each worker, in requests per second.
 const requestsPerWorker = 15
 
-// requestCost is what a request costs, by measurement.
+// requestCost is the measured mean cost of a request.
 type requestCost struct {
 	microseconds float64
 	allocations  float64
-	bytes        float64 // allocated
+	bytes        float64 // allocated on the heap
 }
 
-// Run prints a row for each size.
+// Run measures each number of workers and prints a row for it.
 func (c Core) Run(out io.Writer) error {
 	if c.Short {
 		c.Calls /= 4
@@ -45,7 +45,8 @@
 	return f.print(out)
 }
 
-// measureCore measures requests once replicas are loaded: after as many to warm up, and a second of load at least.
+// measureCore measures the given number of requests. To have replicas loaded, it first sends as many requests to warm
+// up, or one second of load if that is more.
 func measureCore(workers, requests int) (requestCost, error) {
 	fleet, err := newCoreFleet(workers)
 	if err != nil {
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -10,35 +10,35 @@
 	"crankhold/policy"
 )
 
-// How long the workers in virtual time take, and how long they keep an idle replica.
+// Times of the simulated workers and clients, in virtual time.
 const (
 	coreServiceTime   = 80 * time.Millisecond
 	coreRejectionTime = time.Millisecond
 	coreLoadTime      = 300 * time.Millisecond
-	coreKeepAlive     = 10 * time.Second
-	coreTimeout       = 2 * time.Second // of a request
+	coreKeepAlive     = 10 * time.Second // after which an idle replica is unloaded
+	coreTimeout       = 2 * time.Second  // of a request
 )
 
-// functionsPerWorker is how many functions are requested for each worker.
+// functionsPerWorker times the number of workers is the number of functions that are requested.
 const functionsPerWorker = 3
 
-// replicaID names a function at a worker.
+// replicaID identifies the replica of a function at a worker.
 type replicaID struct {
 	worker   policy.WorkerID
 	function policy.FunctionID
 }
 
-// coreFleet is a router's core with the workers and clients around it, in virtual time. It implements
-// router.WorkerClient for the workers and router.Responder for the clients.
+// coreFleet runs a router's core together with simulated workers and clients, in virtual time. It implements
+// router.WorkerClient in place of the workers and router.Responder in place of the clients.
 type coreFleet struct {
 	core      *router.Core
 	workers   int
 	now       time.Duration
-	responses timerheap.Heap[func()]      // of workers, under way
-	replicas  map[replicaID]time.Duration // when they are unloaded
+	responses timerheap.Heap[func()]      // responses of workers that have not reached the core yet
+	replicas  map[replicaID]time.Duration // when each replica is unloaded
 	random    *rand.Rand
-	nextTurn  time.Duration // when the core wants to be called again
-	responded int
+	nextTurn  time.Duration // when the core is to be called again, as it asked
+	responded int           // requests that have a response
 }
 
 func newCoreFleet(workers int) (*coreFleet, error) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// run sends requests at a constant rate.
+// run sends the given number of requests at a constant rate.
 func (f *coreFleet) run(requests int) {
 	interval := time.Second / time.Duration(requestsPerWorker*f.workers)
 	for n := range requests {
@@ -111,7 +111,8 @@
 	}
 }
 
-// advance lets virtual time pass: responses reach the core, and it is called when it wants to be.
+// advance moves virtual time forward. It delivers responses that are due, and calls the core at the times that the core
+// asked for.
 func (f *coreFleet) advance(to time.Duration) {
 	for {
 		due := f.nextTurn
@@ -135,7 +136,7 @@
 	f.now = to
 }
 
-// send sends a request for a function, of which those with low numbers are requested more often.
+// send sends the n-th request for a random function. Functions with low numbers are requested more often.
 func (f *coreFleet) send(n int) {
 	functions := float64(functionsPerWorker * f.workers)
 	function := 1 + int(functions*f.random.Float64()*f.random.Float64())
@@ -148,7 +149,7 @@
 	f.nextTurn = f.core.Process(f.now)
 }
 
-// respondAfter has a response reach the core once d has passed.
+// respondAfter schedules a response that reaches the core after d.
 func (f *coreFleet) respondAfter(d time.Duration, respond func()) { f.responses.Add(f.now+d, respond) }
 
 // StartAttempt implements router.WorkerClient.
@@ -185,19 +186,19 @@
 	f.respondAfter(time.Millisecond, func() { f.core.HealthCheckCompleted(tag, policy.Served, []float64{1}) })
 }
 
-// CancelAttempt implements router.WorkerClient. The worker finishes what it has begun.
+// CancelAttempt implements router.WorkerClient. The worker completes what it has started.
 func (f *coreFleet) CancelAttempt(policy.WorkerID, router.Attempt) {}
 
-// WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw, for messages leave at once.
+// WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw because messages leave at once.
 func (f *coreFleet) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
 
-// AbandonCommand implements router.WorkerClient. Nothing is kept of a command.
+// AbandonCommand implements router.WorkerClient. It does nothing because no state is kept for a command.
 func (f *coreFleet) AbandonCommand(policy.WorkerID, uint64) {}
 
-// Unload implements router.WorkerClient. Replicas stay for their time.
+// Unload implements router.WorkerClient. It does nothing: replicas stay loaded until their time is over.
 func (f *coreFleet) Unload(policy.WorkerID, policy.FunctionID) {}
 
-// CloseIdle implements router.WorkerClient. There are no connections.
+// CloseIdle implements router.WorkerClient. It does nothing because there are no connections.
 func (f *coreFleet) CloseIdle(policy.WorkerID) {}
 
 // Respond implements router.Responder.
--- a/internal/benchmark/cputime.go
+++ b/internal/benchmark/cputime.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// clockTick is the unit of the times in /proc, of which Linux has a hundred a second.
+// clockTick is the unit of times in /proc: Linux has a hundred clock ticks per second.
 const clockTick = 10 * time.Millisecond
 
-// Places of the processor times in /proc/PID/stat, counted from the field after the program's name.
+// Indices of the CPU times in /proc/PID/stat, counted from the field after the program's name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-// cpuTime returns the processor time that the running program has used, or 0 where it can't be read (proc(5), stat).
+// cpuTime returns the CPU time that the running program has used, or 0 if it can't be read. See proc(5), stat.
 func (p *process) cpuTime() time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -33,7 +33,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// cpuTimeAfterExit returns the processor time that the program used, once it has ended.
+// cpuTimeAfterExit returns the CPU time that the program used until its exit, or 0 if it has not exited.
 func (p *process) cpuTimeAfterExit() time.Duration {
 	state := p.cmd.ProcessState
 	if state == nil {
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -6,11 +6,11 @@
 	"crankhold/internal/fake"
 )
 
-// noDrain is given to listTwice where no worker drains.
+// noneDraining is passed to endpointsWithAliases if no worker drains.
 const noneDraining = -1
 
-// endpointsWithAliases lists every third worker a second time, with the same addresses under another name. The worker of an index
-// drains under that second name.
+// endpointsWithAliases returns the endpoint list of a site, with every third worker listed a second time: the same
+// addresses under an alias. The alias of the worker with index draining is listed as draining.
 func endpointsWithAliases(site *fake.Site, draining int) (list []fake.Endpoint) {
 	for i, endpoint := range site.Endpoints() {
 		list = append(list, endpoint)
@@ -24,17 +24,18 @@
 	return list
 }
 
-// Times of a drain, and how long after it a router may still send.
+// Times of a drain. After the grace period, the router may send nothing more to the worker.
 const (
 	drainPause       = 1500 * time.Millisecond
 	drainDuration    = 3 * time.Second
 	drainGracePeriod = time.Second
-	// drainMargin is how long before the end the last drain begins.
+	// drainMargin is the least time between the start of the last drain and the end of the load.
 	drainMargin = 5 * time.Second
 )
 
-// drainWorkers has workers that are listed twice drain under their second name, one after the other until a time. It
-// counts what was sent to any address of theirs after the grace period, and blocks until the last drain is over.
+// drainWorkers drains the workers that are listed twice under their aliases, one after the other, until the given time.
+// It counts the messages sent to any address of a worker after its drain grace period. It blocks until the last drain
+// has ended.
 func (r *addressRun) drainWorkers(site *fake.Site, until time.Time) {
 	for n := 0; time.Now().Add(drainMargin).Before(until); n++ {
 		time.Sleep(drainPause)
@@ -51,7 +52,7 @@
 	}
 }
 
-// countArrivals counts the requests and load commands that came to a worker between two times.
+// countArrivals counts the requests and load commands that reached a worker between two times.
 func (r *record) countArrivals(worker *fake.Worker, after, before time.Time) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -7,32 +7,33 @@
 	"crankhold/internal/fake"
 )
 
-// How often addresses are made to fail, and for how long.
+// How often a fault is injected, and how long it lasts.
 const (
 	faultInterval    = 100 * time.Millisecond
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3300 * time.Millisecond
-	// flappingTicks is how many intervals the flapping address flaps, and then stays healthy, in turn.
+	// flappingTicks is the length of a phase, in fault intervals. The flapping address changes its mode at each
+	// interval of every second phase, and keeps its mode in the other phases.
 	flappingTicks = 100
 )
 
-// flappingModes are the modes of the flapping address, one after the other.
+// flappingModes are the modes that the flapping address cycles through.
 var flappingModes = []fake.PortMode{fake.ModeHealthy, fake.ModeRefuse, fake.ModeHealthy, fake.ModeReset}
 
-// addressFault is an address that fails until a time.
+// addressFault is a fault of one address that is in progress.
 type addressFault struct {
 	port *fake.Port
 	end  time.Time
 }
 
-// faultInjector has addresses fail at random. Each worker keeps a healthy one. One address of the first worker flaps;
-// its other addresses never fail. It is used by one goroutine.
+// faultInjector makes addresses fail at random. Each worker keeps at least one healthy address. One address of the
+// first worker flaps; its other addresses never fail. A faultInjector is not safe for concurrent use.
 type faultInjector struct {
-	workers  []*fake.Worker // that fail at random
+	workers  []*fake.Worker // workers whose addresses fail at random
 	flapping *fake.Port
 	random   *rand.Rand
 	faults   []addressFault // in progress
-	count    int            // faults begun, and changes of the flapping address
+	count    int            // faults started, and mode changes of the flapping address
 }
 
 func newFaultInjector(site *fake.Site, seed uint64) *faultInjector {
@@ -43,7 +44,7 @@
 	}
 }
 
-// run injects faults until a time, and blocks until then. Afterwards all addresses are healthy.
+// run injects faults until the given time and blocks until then. When it returns, all addresses are healthy.
 func (i *faultInjector) run(until time.Time) {
 	for n := 0; time.Now().Before(until); n++ {
 		time.Sleep(faultInterval)
@@ -59,7 +60,7 @@
 	i.flapping.Set(fake.ModeHealthy)
 }
 
-// endFaults has the addresses of the selected faults be healthy again.
+// endFaults ends the selected faults, so that their addresses are healthy again.
 func (i *faultInjector) endFaults(selected func(addressFault) bool) {
 	var remaining []addressFault
 	for _, fault := range i.faults {
@@ -72,8 +73,8 @@
 	i.faults = remaining
 }
 
-// startFault draws an address, a mode and a duration. It does nothing if the address can't fail in that mode, fails
-// already, or is the worker's last healthy one.
+// startFault makes a random address fail, in a random mode and for a random duration. It does nothing if the address
+// can't fail in that mode, is failing already, or is the worker's last healthy one.
 func (i *faultInjector) startFault(now time.Time) {
 	ports := i.workers[i.random.IntN(len(i.workers))].Ports()
 	port := ports[i.random.IntN(len(ports))]
--- a/internal/benchmark/figures.go
+++ b/internal/benchmark/figures.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// figures collects what an experiment found, in the order in which it is printed.
+// figures collects the results of an experiment as key=value pairs, in the order in which they are printed.
 type figures struct {
 	pairs  []string
-	failed []string // pairs of figures that had to hold and did not
+	failed []string // the pairs that did not meet their requirement
 }
 
 // add adds a figure.
@@ -21,7 +21,7 @@
 	f.pairs = append(f.pairs, fmt.Sprintf(format, name, value))
 }
 
-// require adds a figure that has to hold.
+// require adds a figure with a requirement. holds says whether the figure meets it.
 func (f *figures) require(name string, value any, holds bool) {
 	f.add(name, value)
 	if !holds {
@@ -29,14 +29,14 @@
 	}
 }
 
-// requireZero adds a count of what must not happen.
+// requireZero adds a count that is required to be zero.
 func (f *figures) requireZero(name string, count int) { f.require(name, count, count == 0) }
 
-// print writes the figures as the last line. It returns an error that names those that do not hold.
+// print writes all figures on one line. It returns an error that lists the figures that did not meet their requirement.
 func (f *figures) print(out io.Writer) error {
 	fmt.Fprintln(out, strings.Join(f.pairs, " "))
 	if len(f.failed) > 0 {
-		return fmt.Errorf("does not hold: %s", strings.Join(f.failed, " "))
+		return fmt.Errorf("requirement not met: %s", strings.Join(f.failed, " "))
 	}
 	return nil
 }
--- a/internal/benchmark/knee.go
+++ b/internal/benchmark/knee.go
@@ -5,13 +5,14 @@
 	"io"
 )
 
-// kneeHalvings is how often the gap between a rate that the router keeps up with and one that it does not is halved.
+// kneeHalvings is how many times the gap is halved between a rate that the router keeps up with and one that it does
+// not.
 const kneeHalvings = 3
 
-// bracket holds the rates between which the knee is. A rate of 0 is not known yet.
+// bracket holds the two rates between which the knee is. A rate of 0 is not known yet.
 type bracket struct {
-	sustained   int // the router kept up with it
-	unsustained int // it did not
+	sustained   int // the highest measured rate that the router kept up with
+	unsustained int // the lowest measured rate that it did not keep up with
 }
 
 // narrow moves one end of the bracket to the rate of a measurement.
@@ -29,7 +30,7 @@
 	return rate, b.unsustained != 0 && rate != b.sustained
 }
 
-// knee finds the highest rate that the router keeps up with, and measures below it.
+// knee finds the highest rate that the router keeps up with, and then measures at 50 and 80% of it.
 func (l *loadRun) knee() error {
 	if err := l.warmUp(); err != nil {
 		return err
@@ -57,7 +58,7 @@
 	return f.print(l.out)
 }
 
-// warmUp loads the router at the first rate, so that replicas are loaded and connections made. It leaves no row.
+// warmUp sends a load at the first rate, so that replicas are loaded and connections are open. It prints no row.
 func (l *loadRun) warmUp() error {
 	warm := *l
 	warm.out = io.Discard
@@ -66,8 +67,8 @@
 	return err
 }
 
-// findKnee doubles the rate until the router no longer keeps up, and then halves the gap. It returns 0 if the router
-// does not keep up with the first rate.
+// findKnee doubles the rate until the router no longer keeps up, and then halves the gap several times. It returns the
+// highest rate that the router kept up with. It returns 0 if the router kept up with none.
 func (l *loadRun) findKnee() (rate int, err error) {
 	var b bracket
 	for rate := l.Pace.Rate; b.unsustained == 0 && rate <= maxRate; rate *= 2 {
--- a/internal/benchmark/load.go
+++ b/internal/benchmark/load.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds on what the load tool sends, whatever it is asked for.
+// Bounds on what the load tool sends, whatever the flags ask for.
 const (
 	maxRate        = 100_000 // requests per second
 	maxLength      = time.Hour
@@ -18,8 +18,9 @@
 	maxInFlight    = 50_000 // requests
 )
 
-// Load is an open-loop load: requests leave when they are due, whether earlier ones were answered or not, and latencies
-// count from when each was due, so that a router that stalls can't hide it (coordinated omission).
+// Load sends an open-loop load. Each request is sent when it is due, whether earlier requests have a response or not.
+// Its latency counts from the time when it was due, so that a stall of the router can't be hidden (coordinated
+// omission).
 type Load struct {
 	Target  TargetFlags  `embed:""`
 	Pace    PaceFlags    `embed:""`
@@ -30,7 +31,7 @@
 	Seed    uint64       `help:"Of the requests." default:"1"`
 }
 
-// TargetFlags name the router to load: one that runs already, or the program to start.
+// TargetFlags name the router to load: one that is running already, or the program to start.
 type TargetFlags struct {
 	Addr    string `help:"The router's loopback address for Thrift. Without it, a router and fake workers are started."`
 	HookURL string `name:"hook" help:"Send signed webhooks to this URL, on loopback, in place of Thrift."`
@@ -38,7 +39,7 @@
 	Router  string `help:"The program to start; the one beside this one unless given." type:"path"`
 }
 
-// PaceFlags say how many requests are sent, and when.
+// PaceFlags set the rate and the duration of the load.
 type PaceFlags struct {
 	Rate      int           `help:"Requests per second; where a ramp begins." default:"500"`
 	FinalRate int           `name:"to" help:"Ramp up to this rate." default:"0"`
@@ -46,7 +47,7 @@
 	Length    time.Duration `help:"How long each step lasts." default:"5s"`
 }
 
-// TrafficFlags say what requests are sent, and over how many connections.
+// TrafficFlags describe the requests that are sent, and the number of connections.
 type TrafficFlags struct {
 	Class       string        `help:"Of all requests." default:"dim-level"`
 	Timeout     time.Duration `name:"wait" help:"How long a client waits." default:"2s"`
@@ -54,11 +55,11 @@
 	Connections int           `name:"conns" help:"Connections." default:"8"`
 }
 
-// errOutOfBounds is returned for a load that may exceed what the tool is allowed to send.
-var errOutOfBounds = fmt.Errorf("out of bounds: 1 to %d requests/s, up to %v in all, 1 to %d connections",
+// errOutOfBounds is returned for a load that exceeds what the tool is allowed to send.
+var errOutOfBounds = fmt.Errorf("load out of bounds: need 1 to %d requests/s, at most %v in total, 1 to %d connections",
 	maxRate, maxLength, maxConnections)
 
-// validate checks the bounds.
+// validate returns errOutOfBounds unless the load is within all bounds.
 func (l Load) validate() error {
 	totalLength := l.Pace.Length * time.Duration(max(l.Pace.Steps, 1))
 	inBounds := l.Pace.Rate >= 1 && max(l.Pace.Rate, l.Pace.FinalRate) <= maxRate &&
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// Run loads the router and prints a row for each rate. It blocks until the load has ended.
+// Run sends the load to the router and prints a row for each rate. It blocks until the load has ended.
 func (l Load) Run(out io.Writer) error {
 	if err := l.validate(); err != nil {
 		return err
@@ -103,15 +104,15 @@
 	return run.ramp()
 }
 
-// loadRun is a load that is under way.
+// loadRun is a load in progress.
 type loadRun struct {
 	Load
 	target *loadTarget
-	out    io.Writer                        // for the rows
-	log    *hdrhistogram.HistogramLogWriter // nil for none
+	out    io.Writer                        // receives the rows
+	log    *hdrhistogram.HistogramLogWriter // nil if no log is written
 }
 
-// ramp measures at each rate of the ramp, or at one rate if there is none.
+// ramp measures at each rate of the ramp, or at a single rate if there is no ramp.
 func (l *loadRun) ramp() error {
 	f := &figures{}
 	for _, rate := range l.Pace.rates() {
--- a/internal/benchmark/loadbudget.go
+++ b/internal/benchmark/loadbudget.go
@@ -7,8 +7,8 @@
 	"crankhold/internal/fake"
 )
 
-// The load budget of the fake site's configuration, and what the platform adds to it for load commands in flight on
-// sockets: a share and one load command.
+// The load budget in the fake site's configuration. For load commands in flight on sockets, the platform tolerates
+// loadBudgetSlack times the budget, and one load command more.
 const (
 	loadBudgetWindow  = 10 * time.Second
 	loadBudgetMinimum = 4
@@ -16,7 +16,7 @@
 	loadBudgetSlack   = 1.15
 )
 
-// loadCommandTimes returns when load commands came to workers.
+// loadCommandTimes returns the times at which load commands reached workers.
 func (r *record) loadCommandTimes() (times []time.Time) {
 	for _, e := range r.events {
 		if e.Kind == fake.EventLoadCommand {
@@ -26,8 +26,8 @@
 	return times
 }
 
-// loadBudgetBreaches counts the load commands that exceed the budget, as the platform counts them. Both lists are in
-// ascending order.
+// loadBudgetBreaches counts the load commands that exceed the load budget, with the platform's tolerance. Both lists
+// are in ascending order.
 func loadBudgetBreaches(commands, requests []time.Time) (breaches int) {
 	for _, at := range commands {
 		budget := loadBudgetMinimum + loadBudgetRatio*float64(countInWindow(requests, at))
@@ -38,8 +38,8 @@
 	return breaches
 }
 
-// countInWindow returns how many of the times, which are in ascending order, are in the load budget's window that ends
-// at a time, which it includes.
+// countInWindow returns how many of the times are in the load budget's window that ends at end. The window includes
+// end. The times are in ascending order.
 func countInWindow(times []time.Time, end time.Time) int {
 	first, _ := slices.BinarySearchFunc(times, end.Add(-loadBudgetWindow), time.Time.Compare)
 	beyond, _ := slices.BinarySearchFunc(times, end, func(t, end time.Time) int {
@@ -51,7 +51,7 @@
 	return beyond - first
 }
 
-// loadCommandsBetween counts the load commands of a time.
+// loadCommandsBetween counts the load commands that reached workers from one time on and before another.
 func (r *record) loadCommandsBetween(from, to time.Time) (n int) {
 	for _, at := range r.loadCommandTimes() {
 		if !at.Before(from) && at.Before(to) {
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -12,27 +12,27 @@
 	"crankhold/internal/fake"
 )
 
-// When a router keeps up with a rate.
+// Conditions under which a router counts as keeping up with a rate.
 const (
 	minServedShare = 0.99
 	maxLatencyP99  = 400.0 // milliseconds
 )
 
-// The tool is behind with a request that leaves this long after it was due. A measurement in which it is behind with
-// more than one request in maxBehindOneIn says nothing of the router.
+// A request is sent late if it leaves more than lateAfter after it was due. If the tool sends more than one request in
+// minSentPerLate late, the measurement says nothing about the router.
 const (
 	lateAfter      = 10 * time.Millisecond
 	minSentPerLate = 20
 )
 
-// measurement is what came of one rate.
+// measurement holds the results of a load at one rate.
 type measurement struct {
 	rate     int
 	sent     int64
-	sentLate int64   // requests that left late
-	cores    float64 // that the router used
+	sentLate int64   // requests that were sent late
+	cores    float64 // CPU cores that the router used, on average
 
-	mu        sync.Mutex // guards what follows, which responses change
+	mu        sync.Mutex // guards the fields below, which responses change
 	served    int64
 	rejected  int64
 	failed    int64
@@ -47,7 +47,7 @@
 
 func (m *measurement) servedShare() float64 { return float64(m.served) / float64(max(m.sent, 1)) }
 
-// latencyPercentile returns a percentile, from 0 to 100, in milliseconds.
+// latencyPercentile returns the latency at a percentile, from 0 to 100, in milliseconds.
 func (m *measurement) latencyPercentile(p float64) float64 {
 	return float64(m.latencies.ValueAtPercentile(p)) / 1000
 }
@@ -58,19 +58,19 @@
 	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && onSchedule
 }
 
-// countSent counts a request that leaves, unless too many are in flight.
+// countSent counts a request that is about to be sent. It returns an error if too many requests are in flight.
 func (m *measurement) countSent() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inFlight >= maxInFlight {
-		return fmt.Errorf("%d requests are in flight: the router responds to none", maxInFlight)
+		return fmt.Errorf("%d requests are in flight: the router does not respond", maxInFlight)
 	}
 	m.inFlight++
 	m.sent++
 	return nil
 }
 
-// countCompleted counts a response.
+// countCompleted counts a request that has completed.
 func (m *measurement) countCompleted(status fake.ResponseStatus, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,8 +94,8 @@
 	return m.inFlight
 }
 
-// measure loads the router at one rate, prints the row, and writes it to the log if there is one. It blocks until all
-// responses have come or timed out.
+// measure sends a load at one rate, prints a row of its results, and writes its latencies to the log if there is one.
+// It blocks until all requests have completed or timed out.
 func (l *loadRun) measure(rate int) (*measurement, error) {
 	m := newMeasurement(rate)
 	cpuBefore := l.target.cpuTime()
@@ -123,7 +123,8 @@
 	return m, l.log.OutputIntervalHistogram(m.latencies)
 }
 
-// sendAll sends each request when it is due. Latencies count from then. It blocks until the last one has left.
+// sendAll sends each request when it is due, and measures its latency from then. It blocks until the last request has
+// been sent.
 func (l *loadRun) sendAll(m *measurement, startedAt time.Time) error {
 	random := rand.New(rand.NewPCG(l.Seed, uint64(m.rate)))
 	interval := float64(time.Second) / float64(m.rate)
--- a/internal/benchmark/mixedload.go
+++ b/internal/benchmark/mixedload.go
@@ -8,13 +8,13 @@
 	"crankhold/internal/fake"
 )
 
-// How many functions are requested, and connections used, by a mixed load.
+// The numbers of functions that a mixed load requests, and of clients that it uses.
 const (
 	mixedLoadFunctions = 12
 	mixedLoadClients   = 8
 )
 
-// functionKey returns the key of a function by its number, from 0.
+// functionKey returns the key of function n, counted from 0.
 func functionKey(n int) string { return fake.FunctionKey(1 + n) }
 
 // mixedLoadConfig describes a mixedLoad.
@@ -24,8 +24,8 @@
 	rate    int // requests per second
 	length  time.Duration
 	seed    uint64
-	// burstSize is how many requests of the class dim-level are sent at once, once a second, in place of a single
-	// request; 0 for no bursts.
+	// burstSize is the number of requests of class dim-level in a burst. Once a second, a burst is sent in place of a
+	// single request. 0 disables bursts.
 	burstSize int
 }
 
@@ -39,7 +39,7 @@
 	return &mixedLoad{mixedLoadConfig: cfg, random: rand.New(rand.NewPCG(cfg.seed, 7))}
 }
 
-// run sends the load from a time on. It blocks until the load's length has passed.
+// run sends the load, which starts at the given time. It blocks until the load's length has passed.
 func (l *mixedLoad) run(startedAt time.Time) {
 	interval := time.Second / time.Duration(l.rate)
 	for n := 0; time.Since(startedAt) < l.length; n++ {
--- a/internal/benchmark/overflow.go
+++ b/internal/benchmark/overflow.go
@@ -7,16 +7,16 @@
 	"crankhold/internal/fake"
 )
 
-// Windows in which the share of overflowed requests is computed.
+// How the share of overflowed requests is computed.
 const (
 	overflowWindow        = 10 * time.Second
 	minRequestsInWindow   = 100
-	maxOverflowsInspected = 2000 // with more of them, a sample is inspected
-	overflowSampling      = 7
+	maxOverflowsInspected = 2000 // if there are more overflows, only a sample of them is inspected
+	overflowSampling      = 7    // the sample is every seventh overflow
 )
 
-// maxOverflowShare returns the largest share, of all windows, that overflowed requests were of the requests of their
-// class. Windows with few requests are left out.
+// maxOverflowShare computes the share of the requests of class dim-level that overflowed, in each window that ends at
+// an overflow, and returns the largest one. Windows with fewer than minRequestsInWindow requests are left out.
 func (p *poolWatch) maxOverflowShare(r *record) float64 {
 	var sent []time.Time
 	for _, request := range r.requests {
@@ -41,7 +41,7 @@
 	return maxShare
 }
 
-// countSince returns how many of the times are in the overflow window that ends at a time, which it includes.
+// countSince returns how many of the times are in the overflow window that ends at end. The window includes end.
 func countSince(times []time.Time, end time.Time) (n int) {
 	for _, at := range times {
 		if !at.After(end) && at.After(end.Add(-overflowWindow)) {
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -6,39 +6,39 @@
 	"crankhold/internal/fake"
 )
 
-// Kinds of workers in the routing experiment.
+// Kinds of workers in the experiment with reloads.
 const (
 	kindLarge = "large"
 	kindSmall = "small"
 	kindSpare = "spare"
 )
 
-// reloadSettleTime is how long after a reload a message that was sent before it may still arrive.
+// reloadSettleTime is how long after a reload a message that was sent before the reload may still arrive.
 const reloadSettleTime = 50 * time.Millisecond
 
-// poolWatch checks where requests run against the routes in force, and counts those in flight in the pool that has a
-// cap. Its record's lock guards it.
+// poolWatch checks that requests run at the workers that the routes in force allow, and that the pool with a cap stays
+// within its cap. It is guarded by the lock of its record.
 type poolWatch struct {
-	file int // in force: the index of routesA or routesB
-	// reloaded is when the reload to the file was confirmed; zero while the reload is in progress.
+	file int // index in watchedRoutes of the file in force
+	// reloaded is when the router confirmed the reload of the file. It is zero while the reload is in progress.
 	reloaded time.Time
 
-	inFlight    int // in the pool with a cap
+	inFlight    int // requests in flight in the pool with a cap
 	maxInFlight int
 	overCap     int // requests beyond the cap
 	outsidePool int // requests that ran at workers outside their pools
-	// overflowed maps requests to when they first reached the pool for overflow.
+	// overflowed holds, by request ID, when a request first reached the pool for overflow.
 	overflowed map[string]time.Time
 }
 
-// watchedFile is a routes file, with what the watch checks of it.
+// watchedFile is a routes file, with the properties of it that poolWatch checks.
 type watchedFile struct {
 	text           string
-	cap            int    // of the pool "fast", in requests in flight
-	faultCheckKind string // of workers for the class fault-check
+	cap            int    // cap of the pool "fast", in requests in flight
+	faultCheckKind string // kind of the workers that class fault-check is routed to
 }
 
-// watchedRoutes are the two files that replace each other.
+// watchedRoutes are routesA and routesB, which replace each other.
 var watchedRoutes = [2]watchedFile{
 	{routesA, routesACap, kindSmall},
 	{routesB, routesBCap, kindSpare},
@@ -46,7 +46,7 @@
 
 func newPoolWatch() *poolWatch { return &poolWatch{overflowed: map[string]time.Time{}} }
 
-// allows reports whether a routes file lets a class run at a kind of workers.
+// allows reports whether a routes file allows requests of a class to run at workers of a kind.
 func allows(file int, class, kind string) bool {
 	switch class {
 	case fake.DimLevel.Name:
@@ -58,17 +58,17 @@
 	}
 }
 
-// reloadStarted records that a file replaces the other one.
+// reloadStarted records that a reload of the file with the given index starts.
 func (p *poolWatch) reloadStarted(file int) {
 	p.file = file
 	p.reloaded = time.Time{}
 }
 
-// reloadCompleted records that the file is in force.
+// reloadCompleted records that the router has confirmed the reload.
 func (p *poolWatch) reloadCompleted() { p.reloaded = time.Now() }
 
-// settledFor returns how long before a request the file in force was, less the time for messages on their way. It is
-// negative while a request may have been routed by the file before.
+// settledFor returns how long the routes in force had settled when the request was sent: the time since the reload,
+// less reloadSettleTime. A negative result means that the previous file may still have routed the request.
 func (p *poolWatch) settledFor(request *recordedRequest) time.Duration {
 	if p.reloaded.IsZero() {
 		return -1
@@ -76,7 +76,7 @@
 	return request.sentAt.Sub(p.reloaded) - reloadSettleTime
 }
 
-// event checks an event of a request at a worker. It implements eventWatch.
+// event checks an event of a request at a worker. It is an eventObserver.
 func (p *poolWatch) event(e fake.Event, request *recordedRequest) {
 	kind := e.Worker.Kind
 	if request.class == fake.DimLevel.Name && kind == kindLarge {
@@ -84,7 +84,7 @@
 	}
 	if request.class == fake.DimLevel.Name && kind == kindSpare {
 		if _, known := p.overflowed[e.ID]; !known {
-			p.overflowed[e.ID] = e.At // its first event there, whether it ran or not
+			p.overflowed[e.ID] = e.At // the first event there counts, whether the request ran or not
 		}
 	}
 	if e.Kind == fake.EventStarted && !p.mayRun(request, kind) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// countInFlight counts the requests in flight in the pool that has a cap.
+// countInFlight counts the requests in flight in the pool with a cap, and those that exceed the cap.
 func (p *poolWatch) countInFlight(e fake.Event, request *recordedRequest) {
 	switch e.Kind {
 	case fake.EventStarted:
@@ -100,7 +100,7 @@
 		p.maxInFlight = max(p.maxInFlight, p.inFlight)
 		limit := watchedRoutes[p.file].cap
 		if p.settledFor(request) < 0 {
-			limit = max(routesACap, routesBCap) // it may count by the file before
+			limit = max(routesACap, routesBCap) // the cap of the previous file may still apply
 		}
 		if p.inFlight > limit {
 			p.overCap++
@@ -110,8 +110,8 @@
 	}
 }
 
-// mayRun reports whether a request may run at a kind of workers by the file in force, or by the other one while that
-// may still count.
+// mayRun reports whether a request may run at workers of a kind. The file in force decides, or the other file too while
+// that may still have routed the request.
 func (p *poolWatch) mayRun(request *recordedRequest, kind string) bool {
 	if allows(p.file, request.class, kind) {
 		return true
--- a/internal/benchmark/process.go
+++ b/internal/benchmark/process.go
@@ -19,12 +19,12 @@
 	stopTimeout   = 10 * time.Second
 )
 
-// process is the built program, started as the platform would.
+// process is a running router: the built program, started as the platform would start it.
 type process struct {
 	cmd    *exec.Cmd
 	listen string
 	log    *routerLog
-	exited chan struct{} // closed once the program has ended and its log is complete
+	exited chan struct{} // closed once the program has exited and its log is complete
 }
 
 // findRouter returns the path of the program to measure: the given one, or the one beside this program.
@@ -37,12 +37,12 @@
 		path = filepath.Join(filepath.Dir(self), "crankhold")
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the router is not built: %w", err)
+		return "", fmt.Errorf("router program not found: %w", err)
 	}
 	return path, nil
 }
 
-// launch starts the program with further environment variables. It does not wait until the program listens.
+// launch starts the program with additional environment variables. It does not wait until the program listens.
 func launch(path, listen string, env ...string) (*process, error) {
 	p := &process{cmd: exec.Command(path), listen: listen, log: newRouterLog(), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
@@ -57,7 +57,7 @@
 	return p, nil
 }
 
-// readOutput reads the log until the program ends.
+// readOutput reads the program's log until the program has exited.
 func (p *process) readOutput(output io.Reader) {
 	defer close(p.exited)
 	p.log.readFrom(output)
@@ -73,7 +73,7 @@
 	for startedAt := time.Now(); time.Since(startedAt) < startTimeout; time.Sleep(20 * time.Millisecond) {
 		select {
 		case <-p.exited:
-			return nil, fmt.Errorf("the router ended: %s", p.log.joined())
+			return nil, fmt.Errorf("the router exited: %s", p.log.joined())
 		default:
 		}
 		if conn, err := net.Dial("tcp", listen); err == nil {
@@ -85,7 +85,7 @@
 	return nil, fmt.Errorf("the router does not listen: %s", p.log.joined())
 }
 
-// reload sends SIGHUP and blocks until the router has replaced its routes.
+// reload sends SIGHUP to the router and blocks until the router has replaced its routes.
 func (p *process) reload() error {
 	reloaded := p.log.event(eventRoutesReloaded)
 	for len(reloaded) > 0 {
@@ -98,13 +98,13 @@
 	case <-reloaded:
 		return nil
 	case <-p.exited:
-		return errors.New("the router ended at a reload")
+		return errors.New("the router exited during a reload")
 	case <-time.After(reloadTimeout):
 		return fmt.Errorf("the router did not complete a reload: %s", p.log.lastLines())
 	}
 }
 
-// stop ends the program gracefully, or by force after stopTimeout. It blocks until the program has ended.
+// stop shuts the program down gracefully, or kills it after stopTimeout. It blocks until the program has exited.
 func (p *process) stop() {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -114,7 +114,7 @@
 	}
 }
 
-// kill ends the program by force. It blocks until the program has ended.
+// kill kills the program. It blocks until the program has exited.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.exited
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// secondsUntilRecovered returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
-// a second, or -1.
+// secondsUntilRecovered returns how many seconds after the pool's return 95 in 100 of its class's requests were served
+// in a second, or -1.
 func (r *reloadRun) secondsUntilRecovered() int {
 	for s := range 60 {
 		from := r.schedule.poolRestartedAt.Add(time.Duration(s) * time.Second)
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -89,8 +89,8 @@
 	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
 
-// followSchedule reloads the other routes file each second, and kills the large workers for a time. It blocks until the end of
-// the schedule.
+// followSchedule reloads the other routes file each second, and kills the large workers for a time. It blocks until the
+// end of the schedule.
 func (r *reloadRun) followSchedule() error {
 	down := false
 	for n := 1; ; n++ {
