--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,7 @@
-// Command toy is what a function router talks to, so that a newcomer can try one on a single machine: a discovery
-// server, two workers that respond at once, and a client.
+// Command toy runs the other side of a function router, so that a newcomer can try a router on a single machine: a
+// discovery server, two workers that respond at once, and a client.
 //
-//	toy           serve as the discovery server and the workers
+//	toy           run the discovery server and the workers
 //	toy call      send one request by Thrift and print the response
 //	toy hook ID   send one repair-order as a signed webhook with that webhook-id
 package main
@@ -29,10 +29,10 @@
 	keyFile       = "example/hook.key"
 )
 
-// functionKey is the function that is requested.
+// functionKey is the key of the function that is requested.
 const functionKey = "7f3a9c21e0b4d655"
 
-// workerAddrs are the workers of example/config.json.
+// workerAddrs are the addresses of the workers in example/config.json.
 var workerAddrs = []string{"127.0.0.1:10181", "127.0.0.1:10182"}
 
 func main() {
@@ -55,8 +55,8 @@
 	}
 }
 
-// serve starts the discovery server and the workers, and blocks until the process is interrupted. Every function counts
-// as loaded.
+// serve starts the discovery server and the workers, and blocks until the process is interrupted. The workers have all
+// functions loaded.
 func serve() error {
 	var workers []fake.WorkerConfig
 	for i, addr := range workerAddrs {
@@ -77,7 +77,7 @@
 		return err
 	}
 	defer site.Close()
-	log.Printf("directory on %s, workers on %s", discoveryAddr, strings.Join(workerAddrs, " and "))
+	log.Printf("discovery server on %s, workers on %s", discoveryAddr, strings.Join(workerAddrs, " and "))
 	select {}
 }
 
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// encodeRepairOrder returns the body of a webhook. Its time stays the same over redeliveries: here it is the start of
-// the hour.
+// encodeRepairOrder returns the body of a webhook. Its timestamp must stay the same when the webhook is delivered
+// again, so it is the start of the current hour.
 func encodeRepairOrder() ([]byte, error) {
 	return fake.EncodeWebhook(time.Now().Truncate(time.Hour), fake.WebhookRequest{
 		Class:       fake.RepairOrder.Name,
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -8,27 +8,28 @@
 	"crankhold/internal/fake"
 )
 
-// statusLost is the status of a request whose connection ended before its response.
+// statusLost is the status of a request whose connection was closed before its response arrived.
 const statusLost fake.ResponseStatus = "lost"
 
-// responseSlack is how late a response may come on a loaded machine and still count, as on the platform.
+// responseTolerance is how long after its timeout a response still counts as in time, because machines may be busy. The
+// platform allows the same.
 const responseTolerance = 66 * time.Millisecond
 
-// recordedRequest is a request as its client and the workers saw it.
+// recordedRequest is a request as seen by its client and by the workers.
 type recordedRequest struct {
 	class   string
 	sentAt  time.Time
-	status  fake.ResponseStatus // empty until its response
+	status  fake.ResponseStatus // empty until the response arrives
 	latency time.Duration
-	late    bool // its response came after its timeout
-	runs    int  // at workers
+	late    bool // the response arrived after the timeout
+	runs    int  // how often workers ran the request
 }
 
 // isLost reports whether the request has no response.
 func (r *recordedRequest) isLost() bool { return r.status == "" || r.status == statusLost }
 
-// record is what happened in an experiment: what clients sent and were answered, and what workers saw. Fakes add to it
-// from their own goroutines; mu guards all of it.
+// record holds what happened in an experiment: the requests that clients sent, their responses, and the events at
+// workers. Fakes add to it from their own goroutines. mu guards all fields.
 type record struct {
 	mu       sync.Mutex
 	byID     map[string]*recordedRequest
@@ -40,12 +41,12 @@
 // eventObserver is called for each event of a recorded request, with the record locked.
 type eventObserver func(e fake.Event, request *recordedRequest)
 
-// newRecord returns an empty record. watch may be nil.
+// newRecord returns an empty record. observer may be nil.
 func newRecord(observer eventObserver) *record {
 	return &record{byID: map[string]*recordedRequest{}, observer: observer}
 }
 
-// event records what a worker saw. It is called by fakes, from any goroutine.
+// event records an event at a worker. Fakes call it from any goroutine.
 func (r *record) event(e fake.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +82,7 @@
 	})
 }
 
-// tally counts requests by what became of them.
+// tally counts requests by the status of their responses.
 type tally struct {
 	sent     int
 	served   int
@@ -92,7 +93,8 @@
 // servedShare returns the share, from 0 to 1, of the requests that were served.
 func (t tally) servedShare() float64 { return float64(t.served) / float64(t.sent) }
 
-// tally counts the requests of a class, or of all classes if it is empty, that were sent in a time.
+// tally counts the requests that were sent from one time on and before another. It counts those of one class, or of all
+// classes if class is empty.
 func (r *record) tally(class string, from, to time.Time) (t tally) {
 	for _, request := range r.requests {
 		if class != "" && request.class != class || request.sentAt.Before(from) || !request.sentAt.Before(to) {
@@ -111,16 +113,16 @@
 	return t
 }
 
-// violations counts what no router may do.
+// violations counts the breaches of rules that every router has to keep.
 type violations struct {
 	lost               int // requests without a response
 	late               int // responses after the timeout
-	notIdempotent      int // requests that may not run twice
-	ranTwice           int // those that did
-	loadBudgetBreaches int // load commands beyond the budget
+	notIdempotent      int // requests that may not run twice; these are not violations
+	ranTwice           int // requests that may not run twice and did
+	loadBudgetBreaches int // load commands beyond the load budget
 }
 
-// violations checks all that was recorded. Requests of the class given may not run twice.
+// violations checks everything recorded. Requests of the class notIdempotent may not run twice.
 func (r *record) violations(notIdempotent string) (v violations) {
 	sentAt := make([]time.Time, 0, len(r.requests))
 	for _, request := range r.requests {
@@ -142,7 +144,8 @@
 	return v
 }
 
-// latencyPercentile returns a percentile, from 0 to 1, of the served requests' latencies in milliseconds.
+// latencyPercentile returns the latency of served requests at a percentile, from 0 to 1, in milliseconds. It returns 0
+// if no request was served.
 func (r *record) latencyPercentile(p float64) float64 {
 	var latencies []time.Duration
 	for _, request := range r.requests {
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -8,7 +8,8 @@
 	"crankhold/internal/fake"
 )
 
-// printPhases prints a row for each class before, during and after the death of the pool.
+// printPhases prints a row for each class and phase: before the pool's workers are killed, while they are down, and
+// after they are restarted.
 func (r *reloadRun) printPhases(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +44,8 @@
 	return -1
 }
 
-// overflowTolerance is what the platform allows for requests that are in flight.
+// overflowTolerance is the factor by which the overflow limit may be exceeded. The platform allows it for requests that
+// are in flight.
 const overflowTolerance = 1.02
 
 // report adds the figures of the load to f.
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -6,7 +6,7 @@
 	"crankhold/internal/fake"
 )
 
-// reloadRun is one load with reloads and the death of a pool, and what came of it.
+// reloadRun is a load with reloads during which the workers of one pool are killed and restarted, and its results.
 type reloadRun struct {
 	*record
 	pools              *poolWatch // guarded by the record's lock
@@ -14,10 +14,10 @@
 	router             *process
 	schedule           reloadSchedule
 	reloads            int
-	unmatchedResponses int // responses to no request
+	unmatchedResponses int // responses that match no request in flight
 }
 
-// reloadSchedule says when the large workers, which are the pool of the class dim-level, are killed.
+// reloadSchedule says when the large workers are killed and restarted. They are the pool of class dim-level.
 type reloadSchedule struct {
 	startedAt       time.Time
 	poolKilledAt    time.Time
@@ -34,12 +34,12 @@
 	}
 }
 
-// poolIsDown reports whether the large workers are to be down at a time.
+// poolIsDown reports whether the large workers are scheduled to be down at a time.
 func (s reloadSchedule) poolIsDown(at time.Time) bool {
 	return at.After(s.poolKilledAt) && at.Before(s.poolRestartedAt)
 }
 
-// startReloadRun starts the fakes and the router, which routes by routesA.
+// startReloadRun starts the fakes, and a router with the routes of routesA.
 func startReloadRun(program string) (*reloadRun, error) {
 	pools := newPoolWatch()
 	r := &reloadRun{record: newRecord(pools.event), pools: pools}
@@ -62,13 +62,13 @@
 	return r, nil
 }
 
-// close ends the router and the fakes. It blocks until they have ended.
+// close stops the router and the fakes. It blocks until they have stopped.
 func (r *reloadRun) close() {
 	r.router.stop()
 	r.bed.Close()
 }
 
-// reloadWorkers describes twelve workers of three kinds.
+// reloadWorkers returns the configurations of twelve workers of three kinds.
 func reloadWorkers() []fake.WorkerConfig {
 	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
 		ServiceTime: 20 * time.Millisecond,
@@ -84,7 +84,7 @@
 	return workers
 }
 
-// writeRoutes replaces the routes file and returns its path.
+// writeRoutes writes the routes file with the given index in watchedRoutes and returns its path.
 func (r *reloadRun) writeRoutes(file int) (path string, err error) {
 	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
@@ -115,7 +115,7 @@
 	}
 }
 
-// largeWorkers returns the workers of the pool that is killed.
+// largeWorkers returns the large workers, which are killed and restarted.
 func (r *reloadRun) largeWorkers() (list []*fake.Worker) {
 	for _, w := range r.bed.Site.Workers {
 		if w.Kind == kindLarge {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// reload replaces the routes file and has the router follow.
+// reload replaces the routes file and makes the router reload it.
 func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
 	r.pools.reloadStarted(file)
--- a/internal/benchmark/routerlog.go
+++ b/internal/benchmark/routerlog.go
@@ -8,22 +8,22 @@
 	"sync"
 )
 
-// eventRoutesReloaded is the log event by which a router reports that it has replaced its routes.
+// eventRoutesReloaded is the log event with which a router reports that it has replaced its routes.
 const eventRoutesReloaded = "routes_reloaded"
 
-// maxUnreadEvents bounds how many events of a name wait to be read; further ones are dropped.
+// maxUnreadEvents is how many unread events of one name are kept. Further ones are dropped.
 const maxUnreadEvents = 1000
 
-// routerLog is what a router has logged so far. A goroutine of the router's process adds lines; any goroutine reads.
+// routerLog holds what a router has logged so far. One goroutine adds lines; any goroutine may read.
 type routerLog struct {
 	mu     sync.Mutex
 	lines  []string
-	events map[string]chan struct{} // by the event's name, one value per line
+	events map[string]chan struct{} // by event name; receives one value for each line
 }
 
 func newRouterLog() *routerLog { return &routerLog{events: map[string]chan struct{}{}} }
 
-// readFrom adds all lines of a router's output. It blocks until the output ends.
+// readFrom adds all lines of the router's output. It blocks until the output ends.
 func (l *routerLog) readFrom(output io.Reader) {
 	in := bufio.NewScanner(output)
 	for in.Scan() {
@@ -31,7 +31,7 @@
 	}
 }
 
-// add keeps a line and notifies whoever waits for its event.
+// add keeps a line and notifies the goroutine that waits for its event.
 func (l *routerLog) add(line string) {
 	l.mu.Lock()
 	l.lines = append(l.lines, line)
@@ -46,7 +46,7 @@
 	}
 }
 
-// event returns the channel that has a value for each line with an event.
+// event returns a channel that receives a value for each line with the named event.
 func (l *routerLog) event(name string) chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,17 +61,18 @@
 // joined returns the log on one line.
 func (l *routerLog) joined() string { return l.tail(math.MaxInt, "; ") }
 
-// lastLines returns the end of the log, for errors.
+// lastLines returns the last lines of the log, for error messages.
 func (l *routerLog) lastLines() string { return l.tail(5, "\n") }
 
-// tail returns the last n lines.
+// tail returns the last n lines, joined by a separator.
 func (l *routerLog) tail(n int, separator string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Join(l.lines[len(l.lines)-min(n, len(l.lines)):], separator)
 }
 
-// counter returns an attribute of the last line that has it and another attribute, or an empty string.
+// counter returns the value of attribute name in the last line that has both this attribute and lineWith. It returns an
+// empty string if there is no such line.
 func (l *routerLog) counter(lineWith, name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +87,7 @@
 	return ""
 }
 
-// logAttribute returns the value of an attribute, without blanks, in a line of the log.
+// logAttribute returns the value of an attribute in a line of the log. The value must not contain blanks.
 func logAttribute(line, name string) (value string, ok bool) {
 	_, rest, ok := strings.Cut(line, " "+name+"=")
 	if !ok {
--- a/internal/benchmark/routes.go
+++ b/internal/benchmark/routes.go
@@ -11,8 +11,9 @@
 	"crankhold/internal/route"
 )
 
-// The two files that take each other's place every second. Both send dim-level to the large workers, with
-// different caps, and repair-order to the large and small ones; fault-check changes sides. Names and order differ.
+// The two routes files that replace each other every second. Both route dim-level to the large workers, with different
+// caps, and repair-order to the large and small ones. They route fault-check to different kinds of workers. The names
+// and the order of pools and routes differ too.
 const (
 	routesA = `pool "fast" {
 	workers { kind = "large" }
@@ -68,14 +69,14 @@
 `
 )
 
-// Figures of routesA and routesB.
+// Limits in routesA and routesB.
 const (
-	routesACap    = 24 // requests in flight of the pool "fast"
-	routesBCap    = 16
-	overflowLimit = 0.20 // of the class's requests, that may overflow to the pool "spare"
+	routesACap    = 24   // cap of the pool "fast" in routesA, in requests in flight
+	routesBCap    = 16   // the same in routesB
+	overflowLimit = 0.20 // share of the requests of dim-level that may overflow to the pool "spare"
 )
 
-// routesHeader begins a file of routesWithLines, with routesHeaderLines lines.
+// routesHeader is the start of a file of routesWithLines. It has routesHeaderLines lines.
 const routesHeader = `pool "p" {}
 policy "k" {
 	attempts = 2
@@ -87,8 +88,8 @@
 
 const routesHeaderLines = 7
 
-// routeFormat formats a route of routesWithLines, which has linesPerRoute lines. Its arguments are the route's number
-// twice, a function's key and a tenant's number.
+// routeFormat formats one route of routesWithLines. A route has linesPerRoute lines. The arguments are the route's
+// number twice, a function key and a tenant's number.
 const routeFormat = `route "r%d" {
 	function = "%04x*", "%016x"
 	tenant = "t%d"
@@ -99,7 +100,7 @@
 
 const linesPerRoute = 6
 
-// routesWithLines returns a file of about so many lines, and as many routes as fit.
+// routesWithLines returns a routes file of at most the given number of lines, with as many routes as fit.
 func routesWithLines(lines int) string {
 	var b strings.Builder
 	b.WriteString(routesHeader)
@@ -109,10 +110,10 @@
 	return b.String()
 }
 
-// scatter spreads small numbers over all function keys.
+// scatter spreads small numbers over the range of all function keys.
 func scatter(n uint64) uint64 { return n * 0x9e3779b97f4a7c15 }
 
-// checkRoutes checks a routes file's text.
+// checkRoutes checks the text of a routes file. It returns an error if the text has faults.
 func checkRoutes(text string) (*lang.Result, error) {
 	files := fstest.MapFS{"main.crank": {Data: []byte(text), Mode: 0o644}}
 	result, err := lang.Check(files, "main.crank", "", nil)
@@ -122,7 +123,8 @@
 	return result, result.Err()
 }
 
-// matchCost measures a look-up among routes: nanoseconds and allocations, or -1 if the routes can't be used.
+// matchCost measures the nanoseconds and the allocations that it takes to match a request against the given number of
+// routes. Both are -1 if the routes can't be compiled.
 func matchCost(routes int) (ns float64, allocs int64) {
 	result, err := checkRoutes(routesWithLines(linesPerRoute*routes + 1))
 	if err != nil {
@@ -141,7 +143,8 @@
 	return float64(measured.T.Nanoseconds()) / float64(measured.N), measured.AllocsPerOp()
 }
 
-// checkCost measures the check of a long file: its lines, and milliseconds, the best of three.
+// checkCost measures the check of a long routes file. It returns the number of lines of the file, and the time of the
+// fastest of three checks in milliseconds.
 func checkCost(lines int) (n int, ms float64, err error) {
 	text := routesWithLines(lines)
 	for i := range 3 {
--- a/internal/benchmark/starts.go
+++ b/internal/benchmark/starts.go
@@ -9,8 +9,8 @@
 	"crankhold/internal/fake"
 )
 
-// Starts measures how long many routers take to be ready that are started at once, on one machine, while discovery is
-// down: half of them know a worker, half begin with an empty list.
+// Starts measures how long routers take to become ready if many are started at once on one machine while discovery is
+// down. Half of them know a worker from their configuration; the other half start with an empty endpoint list.
 type Starts struct {
 	Short   bool          `help:"Start once in place of three times."`
 	Router  string        `help:"The program to measure; the one beside this one unless given." type:"path"`
@@ -18,10 +18,10 @@
 	Within  time.Duration `help:"The time in which nine in ten must be ready." default:"10s"`
 }
 
-// readyTimeout is when the experiment gives up on a router.
+// readyTimeout is the time after which the experiment fails if a router is not ready.
 const readyTimeout = 30 * time.Second
 
-// Run starts the routers and asks each whether it is ready until it is.
+// Run starts the routers in several rounds, and prints a row for each round and the share that was ready in time.
 func (s Starts) Run(out io.Writer) error {
 	program, err := findRouter(s.Router)
 	if err != nil {
@@ -63,14 +63,14 @@
 	return f.print(out)
 }
 
-// round starts all routers at once and returns how long each took to be ready.
+// round starts all routers at once and returns how long each took to become ready.
 func (s Starts) round(program string) ([]time.Duration, error) {
 	bed, err := startTestbed(workerConfigs(1, "s-%d", fake.WorkerConfig{Kind: "std", Warm: true}), nil)
 	if err != nil {
 		return nil, err
 	}
 	defer bed.Close()
-	bed.Site.Discovery.Close() // queries are refused
+	bed.Site.Discovery.Close() // queries now fail with ECONNREFUSED
 	var routers []*process
 	defer func() {
 		for _, p := range routers {
@@ -88,7 +88,7 @@
 	return awaitReady(routers, startedAt)
 }
 
-// launchRouter launches the n-th router. Every second one knows no worker.
+// launchRouter launches the n-th router. Every second router knows no worker.
 func launchRouter(bed *fake.Testbed, program string, n int) (*process, error) {
 	listen, err := fake.FreeAddr()
 	if err != nil {
@@ -105,7 +105,8 @@
 	return launch(program, listen, "EDGE_CONFIG="+path)
 }
 
-// awaitReady asks all routers at once and returns how long after the beginning each was ready, or the first error.
+// awaitReady waits for all routers at once. It returns how long after startedAt each router was ready, and the first
+// error if there is one.
 func awaitReady(routers []*process, startedAt time.Time) ([]time.Duration, error) {
 	times := make([]time.Duration, len(routers))
 	errs := make(chan error, len(routers))
@@ -125,7 +126,7 @@
 	return times, first
 }
 
-// awaitReady asks a router until it responds that it accepts requests.
+// awaitReady asks a router repeatedly until it responds that it accepts requests.
 func (p *process) awaitReady(deadline time.Time) error {
 	for time.Now().Before(deadline) {
 		if p.isReady() {
@@ -133,14 +134,14 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("a router ended: %s", p.log.lastLines())
+			return fmt.Errorf("a router exited: %s", p.log.lastLines())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 	return fmt.Errorf("a router is not ready: %s", p.log.lastLines())
 }
 
-// isReady asks a router once.
+// isReady asks a router once whether it accepts requests.
 func (p *process) isReady() bool {
 	client, err := fake.Dial(p.listen)
 	if err != nil {
--- a/internal/benchmark/target.go
+++ b/internal/benchmark/target.go
@@ -10,12 +10,12 @@
 	"crankhold/internal/fake"
 )
 
-// minOwnConnections is the least number of connections to a router that the tool started itself.
+// minOwnConnections is the least number of connections that are opened to a router that the tool started itself.
 const minOwnConnections = 64
 
 // sender sends requests to a router.
 type sender interface {
-	// send sends a request for a function. done is called once, from any goroutine, with its status.
+	// send sends a request for a function. done is called once, from any goroutine, with the status of the response.
 	send(key, id string, done func(fake.ResponseStatus))
 	// close closes all connections.
 	close()
@@ -24,11 +24,11 @@
 // loadTarget is the router that is loaded.
 type loadTarget struct {
 	sender
-	router *process      // nil if it ran before
-	bed    *fake.Testbed // nil if the router ran before
+	router *process      // nil if the tool did not start the router
+	bed    *fake.Testbed // nil if the tool did not start the router
 }
 
-// cpuTime returns the processor time that the router has used, or 0 if it ran before.
+// cpuTime returns the CPU time that the router has used, or 0 if the tool did not start the router.
 func (t *loadTarget) cpuTime() time.Duration {
 	if t.router == nil {
 		return 0
@@ -36,7 +36,7 @@
 	return t.router.cpuTime()
 }
 
-// close closes the connections and ends what was started.
+// close closes the connections, and stops the router and the testbed if the tool started them.
 func (t *loadTarget) close() {
 	if t.sender != nil {
 		t.sender.close()
@@ -49,7 +49,7 @@
 	}
 }
 
-// connect connects to the router that the flags name, or to one that it starts.
+// connect connects to the router that the flags name. If they name none, it starts a router and connects to that.
 func (l Load) connect() (*loadTarget, error) {
 	if l.Target.HookURL != "" {
 		webhooks, err := newWebhookSender(l)
@@ -76,7 +76,7 @@
 	return target, nil
 }
 
-// start starts a router and workers that respond in a millisecond.
+// start starts a router and workers with a service time of one millisecond.
 func (t *loadTarget) start(path string) error {
 	program, err := findRouter(path)
 	if err != nil {
@@ -101,10 +101,10 @@
 // Errors of addresses that the load tool does not send to.
 var (
 	errNoAddress   = errors.New("no address with a port")
-	errNotLoopback = errors.New("no loopback address: the load tool sends nowhere else")
+	errNotLoopback = errors.New("not a loopback address: the load tool sends to loopback addresses only")
 )
 
-// checkLoopback rejects every address that is not on this machine's loopback.
+// checkLoopback returns an error for every address that is not a loopback IP address with a port.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -154,7 +154,8 @@
 	})
 }
 
-// pick returns the connection with fewer requests in flight of two, for a connection takes 64 at most.
+// pick compares two connections and returns the one with fewer requests in flight, because a connection takes at most
+// 64 requests.
 func (s *thriftSender) pick() *fake.Client {
 	s.next++
 	first := s.clients[s.next%len(s.clients)]
--- a/internal/benchmark/testbed.go
+++ b/internal/benchmark/testbed.go
@@ -7,16 +7,16 @@
 	"crankhold/internal/fake"
 )
 
-// testbedPrefix begins the names of the experiments' temporary folders.
+// testbedPrefix is the prefix of the names of the experiments' temporary folders.
 const testbedPrefix = "crankhold-benchmark-"
 
-// startTestbed starts the fakes around a router. The router is started by startRouterOn.
+// startTestbed starts the fakes that a router needs. startRouterOn starts the router.
 func startTestbed(workers []fake.WorkerConfig, record func(fake.Event)) (*fake.Testbed, error) {
 	return fake.StartTestbed(fake.TestbedConfig{Prefix: testbedPrefix, Workers: workers, Record: record})
 }
 
-// startRouterOn starts a program as the router of a testbed, with further environment variables, and blocks until it
-// accepts connections.
+// startRouterOn starts a program as the router of a testbed, with additional environment variables. It blocks until the
+// router accepts connections.
 func startRouterOn(bed *fake.Testbed, program string, env ...string) (*process, error) {
 	listen, configPath, err := bed.WriteConfig("config.json")
 	if err != nil {
@@ -25,7 +25,8 @@
 	return startRouter(program, listen, append([]string{"EDGE_CONFIG=" + configPath}, env...)...)
 }
 
-// workerConfigs returns configurations that are alike but for the name, which is made from the number by a format.
+// workerConfigs returns n worker configurations that differ in the name only. The name is formatted from the worker's
+// number, counted from 1.
 func workerConfigs(n int, nameFormat string, cfg fake.WorkerConfig) []fake.WorkerConfig {
 	list := make([]fake.WorkerConfig, n)
 	for i := range list {
@@ -37,7 +38,7 @@
 	return list
 }
 
-// dialClients connects clients to a router.
+// dialClients opens n client connections to a router.
 func dialClients(addr string, n int) ([]*fake.Client, error) {
 	var clients []*fake.Client
 	for range n {
@@ -57,11 +58,11 @@
 	}
 }
 
-// responseWait is how long clients wait for their last responses: longer than any request's timeout.
+// responseWait is how long each client waits for its last responses. It is longer than any request's timeout.
 const responseWait = 4 * time.Second
 
-// awaitResponses waits until clients have their last responses, up to a limit each, and returns how many came to no
-// request in flight.
+// awaitResponses waits until each client has its last response, for at most responseWait per client. It returns how
+// many responses matched no request in flight.
 func awaitResponses(clients []*fake.Client) (unmatched int) {
 	for _, c := range clients {
 		deadline := time.Now().Add(responseWait)
--- a/internal/benchmark/webhooksender.go
+++ b/internal/benchmark/webhooksender.go
@@ -32,7 +32,7 @@
 	}
 	key, err := fake.ReadWebhookKey(l.Target.KeyFile)
 	if err != nil {
-		return nil, fmt.Errorf("the webhooks' key: %w", err)
+		return nil, fmt.Errorf("webhook key file: %w", err)
 	}
 	return &webhookSender{
 		url:     l.Target.HookURL,
@@ -49,8 +49,8 @@
 	}, nil
 }
 
-// send sends a webhook from a goroutine of its own, which ends with the client's timeout at the latest. The webhook's
-// id is random and not the request's, so that no two runs share one.
+// send sends a webhook from a new goroutine, which stops at the client's timeout at the latest. The webhook-id is
+// random and not the request's ID, because the IDs repeat with the seed and no two runs may share a webhook-id.
 func (s *webhookSender) send(key, _ string, done func(fake.ResponseStatus)) {
 	go func() {
 		status, err := s.deliver(key)
@@ -61,7 +61,7 @@
 	}()
 }
 
-// deliver sends a webhook and waits for its response.
+// deliver sends a webhook and blocks until its response.
 func (s *webhookSender) deliver(key string) (fake.ResponseStatus, error) {
 	request, err := s.request(key)
 	if err != nil {
@@ -72,7 +72,7 @@
 		return "", err
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, response.Body) // so that the connection is used again
+	io.Copy(io.Discard, response.Body) // the connection is reused only if the body was read
 	return responseStatusOf(response.StatusCode), nil
 }
 
@@ -100,10 +100,11 @@
 	return request, nil
 }
 
-// close closes idle connections. Requests in flight end by themselves.
+// close closes idle connections. Requests in flight complete or time out.
 func (s *webhookSender) close() { s.client.CloseIdleConnections() }
 
-// responseStatusOf returns what a router says by an HTTP status, or lost for one that it does not send.
+// responseStatusOf returns the response status that a router reports with an HTTP status. It returns statusLost for an
+// HTTP status that routers do not send.
 func responseStatusOf(status int) fake.ResponseStatus {
 	switch status {
 	case http.StatusOK:
--- a/internal/demo/counts.go
+++ b/internal/demo/counts.go
@@ -9,22 +9,23 @@
 	"crankhold/internal/fake"
 )
 
-// statuses are those that a line shows of each class.
+// statuses are the response statuses that a line shows for each class.
 var statuses = []fake.ResponseStatus{fake.Served, fake.Rejected, fake.Failed}
 
-// countedResponse is a kind of response that the client counts.
+// countedResponse is the key under which responses are counted.
 type countedResponse struct {
 	class  string
 	status fake.ResponseStatus
 }
 
-// workerCounts are the events at a worker.
+// workerCounts counts the events at a worker.
 type workerCounts struct {
-	runs  int
-	loads int
+	runs  int // requests started
+	loads int // load commands
 }
 
-// counts is what happened since the last line. The client and the fakes add to it from their own goroutines.
+// counts holds the events and responses since the last line. The client and the fakes add to it from their own
+// goroutines.
 type counts struct {
 	mu        sync.Mutex
 	responses map[countedResponse]int
@@ -49,15 +50,14 @@
 	c.workers[e.Worker] = worker
 }
 
-// response counts a response at the client.
+// response counts a response that the client received.
 func (c *counts) response(class string, status fake.ResponseStatus) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responses[countedResponse{class, status}]++
 }
 
-// takeLine returns the takeLine for what was counted and resets the counts. It leaves out statuses that were not counted,
-// except served.
+// takeLine formats the counts as one line and resets them. It leaves out statuses with a count of 0, except served.
 func (c *counts) takeLine(elapsed time.Duration, workers []*fake.Worker) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -17,7 +17,7 @@
 //go:embed routes.crank
 var Routes []byte
 
-// Run runs the demo and writes a line a second to out. It blocks until stop is closed or a signal comes.
+// Run runs the demo and writes one line per second to out. It blocks until stop is closed or a signal arrives.
 func Run(out io.Writer, stop <-chan struct{}) error {
 	counts := newCounts()
 	bed, err := fake.StartTestbed(fake.TestbedConfig{
@@ -49,7 +49,8 @@
 	return server.Serve(cfg, server.Options{Routes: routes, Stop: stop}, read)
 }
 
-// workerConfigs describes the demo's workers, of which the first two are large and each is slower than the one before.
+// workerConfigs returns the configurations of the demo's workers. The first two are large, and each worker is slower
+// than the one before it.
 func workerConfigs() []fake.WorkerConfig {
 	kinds := []string{"large-worker", "large-worker", "small-worker"}
 	list := make([]fake.WorkerConfig, len(kinds))
@@ -70,7 +71,7 @@
 	return list
 }
 
-// readConfig reads the configuration from a path, whatever the environment holds.
+// readConfig reads the configuration from a path and ignores the environment.
 func readConfig(path string) (*config.Config, error) {
 	return config.Read(func(name string) string {
 		if name == "EDGE_CONFIG" {
@@ -80,6 +81,7 @@
 	})
 }
 
+// describe lists the workers with their kinds.
 func describe(workers []*fake.Worker) string {
 	names := make([]string, len(workers))
 	for i, w := range workers {
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -13,14 +13,15 @@
 const (
 	requestInterval = 25 * time.Millisecond
 	lineInterval    = time.Second
-	killInterval    = 15 * time.Second // between kills of workers
-	downtime        = 5 * time.Second
+	killInterval    = 15 * time.Second
+	downtime        = 5 * time.Second // of a killed worker
 )
 
-// requestedFunctions is how many functions are requested.
+// requestedFunctions is the number of different functions that are requested.
 const requestedFunctions = 6
 
-// driver sends requests, kills workers for a time, and writes what happens. A goroutine of its own owns it.
+// driver sends requests, kills and restarts workers, and writes a line per second. Its fields belong to the goroutine
+// that start starts.
 type driver struct {
 	out    io.Writer
 	site   *fake.Site
@@ -30,8 +31,8 @@
 	startedAt time.Time
 	random    *rand.Rand
 	client    *fake.Client // nil until the router accepts connections
-	lines     int
-	kills     int
+	lines     int // written so far
+	kills     int // so far
 	killed    *fake.Worker // nil while all workers are up
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// start runs the show on a goroutine of its own. stop ends it, and blocks until it has ended.
+// start runs the driver on a new goroutine. The returned function stops the goroutine and blocks until it has stopped.
 func (s *driver) start() (stop func()) {
 	stopping := make(chan struct{})
 	stopped := make(chan struct{})
@@ -78,7 +79,8 @@
 	}
 }
 
-// tick does what is due once some time has passed since the beginning.
+// tick does what is due when the given time has passed since the start. It dials the router if there is no connection
+// yet. Otherwise it sends a request, and writes a line and kills or restarts a worker when that is due.
 func (s *driver) tick(elapsed time.Duration) {
 	if s.client == nil {
 		client, err := fake.Dial(s.listen)
@@ -114,18 +116,18 @@
 	})
 }
 
-// killOrRestartWorker kills the next worker, or starts the killed one, when that is due.
+// killOrRestartWorker kills the next worker, or restarts the killed one, if that is due.
 func (s *driver) killOrRestartWorker(elapsed time.Duration) {
 	if s.killed == nil && elapsed > time.Duration(s.kills+1)*killInterval {
 		s.killed = s.site.Workers[s.kills%len(s.site.Workers)]
 		s.kills++
-		fmt.Fprintf(s.out, "       %s dies\n", s.killed.Name)
+		fmt.Fprintf(s.out, "       %s is killed\n", s.killed.Name)
 		s.killed.Kill()
 		return
 	}
 	if s.killed != nil && elapsed > time.Duration(s.kills)*killInterval+downtime {
 		if s.killed.Start() == nil {
-			fmt.Fprintf(s.out, "       %s is back\n", s.killed.Name)
+			fmt.Fprintf(s.out, "       %s is restarted\n", s.killed.Name)
 		}
 		s.killed = nil
 	}
--- a/internal/modelcheck/doc.go
+++ b/internal/modelcheck/doc.go
@@ -1,10 +1,10 @@
-// Package modelcheck is a small explicit-state model checker. It runs real code over every interleaving of what may
-// happen to it within a small scope, and stops at the first state that breaks a property, with the shortest trace to
-// it.
+// Package modelcheck is a small explicit-state model checker. It runs production code through every interleaving of the
+// steps that are possible within a small scope. It stops at the first state that breaks a property, and reports the
+// shortest trace to that state.
 //
-// A test describes the code and the world around it as a [System] and gives [Search] a function that returns a new one.
-// Real code can't be copied half way, so a state is reached by running its steps again from the start. States with
-// equal keys are followed up once.
+// A test describes the code and its environment as a [System], and passes to [Search] a function that returns a new
+// System. The state of running code can't be copied, so a state is reached by replaying its steps from the start.
+// States with equal keys are expanded only once.
 //
-// The package imports the standard library alone; tests use it.
+// The package imports only the standard library. Only tests use it.
 package modelcheck
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// path is how a state is reached from the start: the index of each step.
+// path is the way from the start to a state: the index of each step.
 type path []uint8
 
-// extend returns the path with one step more. It shares no memory with other continuations.
+// extend returns the path with one more step. The new path shares no memory with other extensions of the path.
 func (p path) extend(step int) path {
 	return append(p[:len(p):len(p)], uint8(step))
 }
@@ -18,23 +18,23 @@
 // stateKey is a hash of System.Key.
 type stateKey [16]byte
 
-// hashKey returns the key of a system's state.
+// hashKey returns the hash of the key of a system's state.
 func hashKey(s System) (key stateKey) {
 	sum := sha256.Sum256([]byte(s.Key()))
 	copy(key[:], sum[:])
 	return key
 }
 
-// transition is what one step led to.
+// transition is the result of one step.
 type transition struct {
-	path  path // nil at the end of a run
+	path  path // to the new state; nil at the end of a run
 	key   stateKey
-	err   error    // a broken property
-	trace []string // to it
+	err   error    // the broken property, or nil
+	trace []string // to the broken property
 }
 
-// Search follows all steps, breadth first, until a property is broken or it has seen maxStates states. It blocks until
-// then. It works on several goroutines; the result does not depend on how many.
+// Search explores all states, breadth first, until a property is broken, no state is left, or it has seen maxStates
+// states. It blocks until then. The result does not depend on the number of goroutines.
 func Search(start func() System, maxStates, goroutines int) Result {
 	s := &search{
 		start:      start,
@@ -53,7 +53,8 @@
 	return s.result
 }
 
-// search is a search in progress. The goroutine of Search owns it; others read start and goroutines alone.
+// search is a search in progress. It belongs to the goroutine that calls Search; other goroutines only read start and
+// goroutines.
 type search struct {
 	start      func() System
 	maxStates  int
@@ -62,7 +63,7 @@
 	result     Result
 }
 
-// expand takes every step from the end of each path. The transitions are in the order of the paths.
+// expand takes every possible step from the end of each path. The transitions are in the order of the paths.
 func (s *search) expand(level []path) [][]transition {
 	transitions := make([][]transition, len(level))
 	var wait sync.WaitGroup
@@ -77,8 +78,8 @@
 	return transitions
 }
 
-// collect adds a level's transitions to the result and returns the paths to its new states. It reports the search as
-// done if a property is broken or there are too many states.
+// collect adds a level's transitions to the result and returns the paths to new states. done is true if a property is
+// broken or there are too many states.
 func (s *search) collect(level [][]transition) (next []path, done bool) {
 	for _, t := range slices.Concat(level...) {
 		s.result.Transitions++
@@ -101,7 +102,7 @@
 	return next, false
 }
 
-// expandPath takes every step from the end of a path, or ends the run where there is none.
+// expandPath takes every possible step from the end of a path. If there is none, it ends the run.
 func expandPath(start func() System, p path) []transition {
 	s, trace, err := replay(start, p)
 	if err != nil {
@@ -118,7 +119,7 @@
 	return transitions
 }
 
-// runPath runs a path to its end and returns its last transition.
+// runPath replays a path and returns its last transition.
 func runPath(start func() System, p path) transition {
 	s, trace, err := replay(start, p)
 	if err != nil {
@@ -127,8 +128,8 @@
 	return transition{path: p, key: hashKey(s)}
 }
 
-// replay runs a path from the start. It checks the properties after the last step only: they were checked after earlier
-// steps when their own paths were run.
+// replay runs a path from the start and returns the system and the names of the steps. It checks the properties only
+// after the last step, because they were checked after earlier steps when the shorter paths were run.
 func replay(start func() System, p path) (s System, trace []string, err error) {
 	s = start()
 	for n, step := range p {
@@ -146,7 +147,7 @@
 	return s, trace, nil
 }
 
-// takeStep does a step, and returns a panic of it as an error.
+// takeStep takes a step, and returns a panic as an error.
 func takeStep(s System, step int) error {
 	return catchPanic(func() error {
 		s.Do(step)
@@ -154,7 +155,7 @@
 	})
 }
 
-// catchPanic returns a panic of f as an error: it counts as a broken property.
+// catchPanic calls f and returns a panic as an error, because a panic counts as a broken property.
 func catchPanic(f func() error) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/internal/modelcheck/system.go
+++ b/internal/modelcheck/system.go
@@ -5,34 +5,35 @@
 	"strings"
 )
 
-// System is a run of the code under test with the world around it. The same steps must always lead to the same state.
+// System is the code under test together with its environment. The same steps must always lead to the same state.
 type System interface {
-	// Steps names what may happen next, always in the same order.
+	// Steps returns the names of the possible next steps, always in the same order.
 	Steps() []string
-	// Do makes one of the steps happen, by its index in Steps.
+	// Do takes the step with the given index in Steps.
 	Do(step int)
-	// Check returns the property that does not hold now, if any.
+	// Check returns an error if a property is broken in the current state.
 	Check() error
-	// End is called where no step is left. It returns what should have happened and has not, if anything.
+	// End is called when no step is left. It returns an error if something that should have happened has not.
 	End() error
-	// Key is equal for states from which the same can follow.
+	// Key returns a text that identifies the state. States with equal keys must allow the same further steps, with the
+	// same results.
 	Key() string
 }
 
-// endOfTrace is the last entry of a trace to a property that End found broken.
+// endOfTrace is the last entry of a trace if End returned the error.
 const endOfTrace = "(the end)"
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
 	States      int // with different keys
 	Transitions int
 	Depth       int      // steps of the longest trace
-	Whole       bool     // all states within the scope were seen
+	Whole       bool     // whether all states within the scope were seen
 	Trace       []string // the shortest trace to a broken property
 	Err         error    // the broken property, or nil
 }
 
-// String returns the figures on one line, and the trace to a broken property if there is one.
+// String returns the counts on one line, followed by the trace to the broken property if there is one.
 func (r Result) String() string {
 	s := fmt.Sprintf("states=%d transitions=%d depth=%d whole=%v", r.States, r.Transitions, r.Depth, r.Whole)
 	if r.Err != nil {
