--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -13,19 +13,20 @@
 
 const module = "crankhold/"
 
-// decisionPackages decide and do no I/O. They may import each other, and of the standard library what purePackages lists.
+// decisionPackages make decisions and do no I/O. They may import each other and the packages of the standard library in
+// purePackages.
 var decisionPackages = map[string]bool{"policy": true, "internal/route": true, "internal/lang/syntax": true, "internal/endpoint": true, "internal/timerheap": true, "internal/stats": true}
 
-// purePackages are those of the standard library that do no I/O and read no clock by themselves. Package time is among
-// them for its types; its functions that read the clock are looked for by name.
+// purePackages are the packages of the standard library that decisionPackages may import: they do no I/O and read no
+// clock. Package time is among them because of its types; impureCalls lists its functions that read the clock.
 var purePackages = []string{"bytes", "cmp", "container/heap", "encoding/binary", "errors", "fmt", "iter", "maps", "math", "math/bits",
 	"math/rand/v2", "slices", "sort", "strconv", "strings", "time", "unicode", "unicode/utf8", "net/netip"}
 
-// transportPackages know sockets, files or the platform; the core and the decisions may not import them.
+// transportPackages handle sockets, files or the platform. The core and decisionPackages may not import them.
 var transportPackages = []string{"internal/eventloop", "internal/thrift", "internal/webhook", "internal/ledger", "internal/signature", "internal/notice", "internal/workerclient", "internal/discovery", "internal/ipfix",
 	"internal/simulator", "internal/server", "internal/config", "internal/command"}
 
-// inspectPackage returns what the non-test files of a package import, and the impure calls that they make.
+// inspectPackage returns the imports of a package's non-test files, and the impure calls in them.
 func inspectPackage(t *testing.T, dir string) (imports, impure []string) {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
@@ -53,14 +54,14 @@
 	return imports, impure
 }
 
-// impureCalls read a clock, wait, print, or draw from the shared random source.
+// impureCalls are functions that read a clock, wait, print, read input, or use the shared random source.
 var impureCalls = []string{
 	"time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc", "time.Tick", "time.NewTimer", "time.NewTicker",
 	"fmt.Print", "fmt.Println", "fmt.Printf", "fmt.Scan", "fmt.Scanln", "fmt.Scanf",
 	"rand.Int", "rand.IntN", "rand.Float64", "rand.Uint64", "rand.Shuffle", "rand.Perm", "rand.N",
 }
 
-// findImpureCalls returns where a file makes one of impureCalls.
+// findImpureCalls returns the positions and names of the uses of impureCalls in a file.
 func findImpureCalls(files *token.FileSet, file *ast.File) (found []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		selector, ok := node.(*ast.SelectorExpr)
@@ -75,12 +76,13 @@
 	return found
 }
 
-// Equal events must lead to equal decisions: no I/O, no clock, no shared random numbers, no transport, by whatever package.
+// Equal events must lead to equal decisions. The decision packages must therefore do no I/O, read no clock, use no shared
+// random source and import no transport.
 func TestDecisionsArePure(t *testing.T) {
 	for dir := range decisionPackages {
 		imports, impure := inspectPackage(t, dir)
 		if len(impure) > 0 {
-			t.Errorf("%s reads a clock, prints, or draws from the shared random source: %v", dir, impure)
+			t.Errorf("%s reads a clock, prints, or uses the shared random source: %v", dir, impure)
 		}
 		for _, path := range imports {
 			if modulePath, ok := strings.CutPrefix(path, module); ok && decisionPackages[modulePath] || slices.Contains(purePackages, path) {
@@ -91,12 +93,12 @@
 	}
 }
 
-// The core and the routes know decisions, and neither transports nor what runs them.
+// The core and the routes must not depend on transports or on the code that runs them.
 func TestCoreImportsNoTransport(t *testing.T) {
 	for _, dir := range []string{"internal/router", "internal/lang", "internal/route", "policy"} {
 		imports, impure := inspectPackage(t, dir)
 		if len(impure) > 0 {
-			t.Errorf("%s reads a clock: %v", dir, impure)
+			t.Errorf("%s makes impure calls: %v", dir, impure)
 		}
 		for _, path := range imports {
 			if modulePath, ok := strings.CutPrefix(path, module); ok && slices.Contains(transportPackages, modulePath) {
@@ -109,7 +111,7 @@
 	}
 }
 
-// The program itself only starts the command line.
+// The main package does nothing but start the command line: it imports only os and internal/command.
 func TestProgramOnlyStartsTheCommandLine(t *testing.T) {
 	imports, _ := inspectPackage(t, "cmd/crankhold")
 	for _, path := range imports {
--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// architecturePage is the page whose drawings and function names are checked.
+// architecturePage is the page whose import graphs and function names are checked.
 const architecturePage = "docs/architecture.md"
 
 var (
 	drawnNode = regexp.MustCompile(`^\s*(\w+)\["([^"]+)"\]$`)
 	drawnEdge = regexp.MustCompile(`^\s*(\w+) --> (.+)$`)
-	// pageName is a function or type of a package, as the page writes it: `router.Core.Process`.
+	// pageName matches a function or type in the page's notation: `router.Core.Process`.
 	pageName = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*)(?:\\.(\\w+))?`")
 )
 
@@ -36,8 +36,8 @@
 	return string(text)
 }
 
-// flowchartLines returns the lines of the page's flowcharts, which draw imports. Drawings of other kinds, such as a
-// state diagram, have arrows that are none.
+// flowchartLines returns the lines of the page's flowcharts, whose arrows are imports. Diagrams of other kinds, such as
+// state diagrams, have arrows that are not imports.
 func flowchartLines(page string) []string {
 	var lines []string
 	drawing, inFlowchart := false, false
@@ -57,7 +57,7 @@
 	return lines
 }
 
-// drawnImports returns the packages that the page draws, each with the packages that its arrows lead to.
+// drawnImports returns the packages in the page's flowcharts, each with the packages that its arrows lead to.
 func drawnImports(t *testing.T, page string) map[string][]string {
 	t.Helper()
 	packages := map[string]string{}
@@ -77,7 +77,7 @@
 		from := packages[m[1]]
 		for _, id := range strings.Split(m[2], " & ") {
 			if packages[id] == "" || from == "" {
-				t.Errorf("%s: an arrow from %q to %q names no package", architecturePage, m[1], id)
+				t.Errorf("%s: one end of the arrow from %q to %q is not a package", architecturePage, m[1], id)
 			}
 			imports[from] = append(imports[from], packages[id])
 		}
@@ -88,7 +88,7 @@
 	return imports
 }
 
-// moduleImports returns the module's packages, each with those of the module that its non-test files import.
+// moduleImports returns the module's packages, each with the packages of the module that its non-test files import.
 func moduleImports(t *testing.T) map[string][]string {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -129,18 +129,20 @@
 	return found
 }
 
-// The drawings show every package and exactly the imports that there are: a newcomer can rely on a missing arrow.
+// The flowcharts show every package and exactly the imports in the code. A reader can conclude from a missing arrow that
+// there is no import.
 func TestDrawingsShowTheImports(t *testing.T) {
 	if diff := cmp.Diff(moduleImports(t), drawnImports(t, readPage(t))); diff != "" {
-		t.Errorf("%s and the packages' imports differ (-imports +drawing):\n%s", architecturePage, diff)
+		t.Errorf("%s and the packages' imports differ (-imports +flowcharts):\n%s", architecturePage, diff)
 	}
 }
 
-// The functions and types that the page names exist, so that its step-by-step descriptions can be followed in the code.
+// The functions and types that the page names are declared, so that a reader can follow its step-by-step descriptions in
+// the code.
 func TestNamesOnThePageExist(t *testing.T) {
 	names := pageName.FindAllStringSubmatch(readPage(t), -1)
 	if len(names) < 20 {
-		t.Errorf("%s names %d functions; it tells the way of a request by at least 20", architecturePage, len(names))
+		t.Errorf("%s names %d functions; it describes the path of a request with at least 20", architecturePage, len(names))
 	}
 	declared := newDeclarationIndex(t)
 	for _, m := range names {
@@ -148,13 +150,13 @@
 	}
 }
 
-// auditPage says for each clause of the operators' pages where the code keeps it.
+// auditPage lists each clause of the operators' pages with the code that implements it.
 const auditPage = "docs/terms-audit.md"
 
-// auditName is a name of code in the column of auditPage that says where a clause is kept.
+// auditName matches a declared name in the column of auditPage that names the code for a clause.
 var auditName = regexp.MustCompile("`([a-z]+\\.\\w+(?:\\.\\w+)?)`")
 
-// The code that the audit names exists, so that whoever changes it finds the clauses that rest on it.
+// The code that the audit names is declared, so that an engineer who changes it finds the clauses that depend on it.
 func TestCodeNamedByTheAuditExists(t *testing.T) {
 	const keptIn = 5 // column, counted from 1
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(auditPage)))
@@ -174,14 +176,14 @@
 		}
 	}
 	if named < 50 {
-		t.Errorf("%s names code %d times; the check does not see it", auditPage, named)
+		t.Errorf("%s names code only %d times; the check does not find the names", auditPage, named)
 	}
 }
 
-// declarationIndex finds what the module's packages declare.
+// declarationIndex holds the names that the module's packages declare. Folders are parsed when they are first needed.
 type declarationIndex struct {
-	folders  map[string]string          // by the package's name
-	declared map[string]map[string]bool // by the folder
+	folders  map[string]string          // by package name
+	declared map[string]map[string]bool // declared names, by folder
 }
 
 func newDeclarationIndex(t *testing.T) *declarationIndex {
@@ -193,13 +195,13 @@
 	return index
 }
 
-// expect fails the test unless a page's name of a function, a type or a member is declared, as package.Type.member.
+// expect reports an error unless a name on a page is declared. Names are in the form package.Type.member.
 func (x *declarationIndex) expect(t *testing.T, page, name string) {
 	t.Helper()
 	packageName, declaration, _ := strings.Cut(name, ".")
 	folder, ok := x.folders[packageName]
 	if !ok {
-		t.Errorf("%s: %s names no package", page, name)
+		t.Errorf("%s: %s does not start with the name of a package", page, name)
 		return
 	}
 	if x.declared[folder] == nil {
@@ -210,8 +212,8 @@
 	}
 }
 
-// declarations returns the names that a package's non-test files declare: functions, types, variables and
-// constants, and methods and fields behind the name of their type.
+// declarations returns the names that a package's non-test files declare: functions, types, variables and constants, and
+// methods and fields in the form Type.member.
 func declarations(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -234,7 +236,7 @@
 	return names
 }
 
-// declare adds what one declaration declares.
+// declare adds the names of one declaration.
 func declare(names map[string]bool, declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -272,7 +274,7 @@
 	}
 }
 
-// receiver is the name of a method's type and a dot, or empty for a function.
+// receiver returns the name of a method's receiver type and a dot, or an empty string for a function.
 func receiver(d *ast.FuncDecl) string {
 	if d.Recv == nil || len(d.Recv.List) == 0 {
 		return ""
@@ -291,10 +293,10 @@
 	return name.Name + "."
 }
 
-// testName is a test that a page names.
+// testName matches the name of a test on a page.
 var testName = regexp.MustCompile("`(Test[A-Z]\\w+)")
 
-// Pages say which test forces what they promise. A test that was renamed or dropped must not stay on them.
+// The pages name the tests that check their promises. A test that was renamed or deleted must not be named any more.
 func TestTestsNamedOnPagesExist(t *testing.T) {
 	root := filepath.Join("..", "..")
 	var pages []string
@@ -315,12 +317,12 @@
 		for _, m := range testName.FindAllStringSubmatch(string(text), -1) {
 			named++
 			if !tests[m[1]] {
-				t.Errorf("%s names %s, which is no test", filepath.Base(page), m[1])
+				t.Errorf("%s names %s, which is not a test", filepath.Base(page), m[1])
 			}
 		}
 	}
 	if named < 20 {
-		t.Errorf("%d tests named on the pages; the check does not see them", named)
+		t.Errorf("only %d tests are named on the pages; the check does not find the names", named)
 	}
 }
 
--- a/internal/archtest/binary_test.go
+++ b/internal/archtest/binary_test.go
@@ -12,8 +12,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The platform needs run to end in one process by exec, and that program to be linked dynamically against the C library:
-// a program that is linked by Go alone serves on other machines and fails there.
+// The platform requires that the setting run replaces its shell with the program by exec, and that the program is linked
+// dynamically against the C library. A statically linked Go program works on other machines and fails on the platform.
 func TestDeployedProgramIsLinkedAgainstTheCLibrary(t *testing.T) {
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	if err != nil {
@@ -25,9 +25,9 @@
 	}
 	words := strings.Fields(deploy.Run)
 	if len(words) < 2 || words[0] != "exec" || strings.ContainsAny(deploy.Run, ";&|`$") {
-		t.Fatalf("run = %q does not end in one process by exec", deploy.Run)
+		t.Fatalf("run = %q is not a single command that starts with exec", deploy.Run)
 	}
-	// Into a folder of its own: what stands in bin may be running.
+	// Build into a temporary folder because the program in bin may be running.
 	dir := t.TempDir()
 	build := strings.NewReplacer("-p bin", "-p "+dir, "-o bin/", "-o "+dir+"/").Replace(deploy.Build)
 	if build == deploy.Build {
@@ -44,13 +44,13 @@
 	}
 	defer f.Close()
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program names no interpreter: it is linked statically")
+		t.Error("the program has no ELF interpreter: it is linked statically")
 	}
 	libs, err := f.ImportedLibraries()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !slices.ContainsFunc(libs, func(s string) bool { return strings.HasPrefix(s, "libc.") }) {
-		t.Errorf("the program does not need the C library, only %v", libs)
+		t.Errorf("the program is not linked against the C library, only against %v", libs)
 	}
 }
--- a/internal/archtest/doc.go
+++ b/internal/archtest/doc.go
@@ -1,2 +1,3 @@
-// Package archtest has no code of its own: its test holds the import graph to the design.
+// Package archtest contains only tests. They check that the code keeps the architecture's rules on imports, and that the
+// documentation pages agree with the code.
 package archtest
--- a/internal/archtest/errors_test.go
+++ b/internal/archtest/errors_test.go
@@ -13,10 +13,11 @@
 // errorsPage lists the errors that can reach a log or a terminal.
 const errorsPage = "docs/operate/errors.md"
 
-// errorValue is the name of an exported error value.
+// errorValue matches the name of an exported error value.
 var errorValue = regexp.MustCompile(`^Err[A-Z]\w*$`)
 
-// Whoever is on call finds each error on one page: every error type and every exported error value of the program.
+// The page lists every error type and every exported error value of the program, so that an engineer on call finds each
+// error on one page.
 func TestErrorsPageListsEveryErrorType(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(errorsPage)))
 	if err != nil {
@@ -39,11 +40,11 @@
 		}
 	}
 	if errorCount < 10 {
-		t.Errorf("%d error types found; the check does not see them", errorCount)
+		t.Errorf("only %d error types found; the check does not find them", errorCount)
 	}
 }
 
-// packagesOutsideTheProgram are tests' and measurements' own; their errors reach no operator.
+// developmentPackages are used by tests and measurements only, so their errors never reach an operator.
 var developmentPackages = []string{
 	"cmd/benchmark", "example/toy", "internal/benchmark", "internal/demo", "internal/fake", "internal/golden", "internal/modelcheck",
 	"internal/simulation", "internal/testutil",
--- a/internal/archtest/known_failures_test.go
+++ b/internal/archtest/known_failures_test.go
@@ -8,36 +8,36 @@
 	"testing"
 )
 
-// knownFailuresFile lists what fails for a known fault.
+// knownFailuresFile lists the tests and bench runs that fail because of a known fault.
 const knownFailuresFile = "KNOWN-RED.txt"
 
-// benchEntry stands in place of a test's name where a play of the bench fails.
+// benchEntry replaces the test's name in an entry for a failing run of the bench.
 const benchEntry = "bench"
 
-// issueField is the issue under which a fault is open.
+// issueField matches the field of an entry that names the open issue of the fault.
 var issueField = regexp.MustCompile(`^issue \d+$`)
 
-// checkKnownFailure returns what is wrong with an entry, or an empty string.
+// checkKnownFailure returns what is wrong with an entry, or an empty string if it is valid.
 func checkKnownFailure(entry string, tests map[string]bool) string {
 	fields := strings.Split(entry, " | ")
 	if len(fields) != 4 {
-		return "it has not four fields"
+		return "it does not have four fields"
 	}
 	name, command, seen, issue := fields[0], fields[1], fields[2], fields[3]
 	switch {
 	case name != benchEntry && !tests[name]:
-		return "it names no test"
+		return "it names no test that exists"
 	case !strings.Contains(command, "seed"):
 		return "its command has no seed"
 	case strings.TrimSpace(seen) == "":
-		return "it does not say what was seen"
+		return "it does not describe the failure"
 	case !issueField.MatchString(issue):
-		return "it names no issue"
+		return "it names no issue number"
 	}
 	return ""
 }
 
-// The list of known failures says of each entry how to see it fail, and names tests that exist.
+// Each known failure has a command that reproduces it, a description and an issue, and names a test that exists.
 func TestKnownFailuresAreComplete(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, knownFailuresFile))
@@ -56,7 +56,7 @@
 	}
 }
 
-// Entries that lack a field, or name a test that is gone, are found.
+// Entries that lack a field or name a test that does not exist are reported.
 func TestIncompleteKnownFailuresAreFound(t *testing.T) {
 	tests := map[string]bool{"TestSoak": true}
 	for entry, complete := range map[string]bool{
--- a/internal/archtest/logs_test.go
+++ b/internal/archtest/logs_test.go
@@ -17,17 +17,19 @@
 const logsPage = "docs/operate/logs.md"
 
 var (
-	// loggedEvent is a call that logs an event at a level, by a logger or the default one; the two helpers log at warn.
+	// loggedEvent matches a call that logs an event: by a logger, by the default logger, or by one of the two helper
+	// functions, which log at warn.
 	loggedEvent = regexp.MustCompile(`(?:\b(?:slog|[a-z]*[lL]ogger)\.(Info|Warn|Error)\(|slog\.Level(Info|Warn|Error), |logFailure\(|logRejection\()"([a-z_]+)"`)
-	// listedEvent is the beginning of a row of logsPage: an event and its level.
+	// listedEvent matches the start of a row of logsPage: an event and its level.
 	listedEvent = regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\| (info|warn|error) \\|")
-	// loggedKey is the key of an attribute that is logged.
+	// loggedKey matches a call that adds an attribute to a log line, and captures the key.
 	loggedKey = regexp.MustCompile(`slog\.(?:String|Int|Int64|Uint64|Float64|Bool|Duration|Any)\("([a-z_]+)"`)
-	// listedKey is a key in a table of logsPage.
+	// listedKey matches a key in a table of logsPage.
 	listedKey = regexp.MustCompile("`([a-z_]+)`")
 )
 
-// Whoever is on call finds each event of the log on one page, with its level, and no event that there is not.
+// The page lists each log event with its level, and no event that is never logged, so that an engineer on call finds all
+// events on one page.
 func TestLogsPageListsEveryEvent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(logsPage)))
 	if err != nil {
@@ -40,7 +42,7 @@
 	}
 	logged := loggedEvents(t)
 	if len(logged) < 20 {
-		t.Errorf("%d events found; the check does not see them", len(logged))
+		t.Errorf("only %d events found; the check does not find them", len(logged))
 	}
 	for event, level := range logged {
 		if listed[event] != level {
@@ -49,7 +51,7 @@
 	}
 	for event := range listed {
 		if logged[event] == "" {
-			t.Errorf("%s lists %s, which nothing logs", logsPage, event)
+			t.Errorf("%s lists %s, which is never logged", logsPage, event)
 		}
 	}
 }
@@ -90,7 +92,7 @@
 	}
 }
 
-// Alerts rest on keys: the page lists each key that is logged, and none that is not.
+// The page lists each key that is logged, and no other key, because alerts depend on the keys.
 func TestLogsPageListsEveryKey(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(logsPage)))
 	if err != nil {
@@ -103,14 +105,14 @@
 	addListedKeys(listed, counters, 2)
 	logged := loggedKeys(t)
 	if len(logged) < 60 {
-		t.Errorf("%d keys found; the check does not see them", len(logged))
+		t.Errorf("only %d keys found; the check does not find them", len(logged))
 	}
 	if diff := cmp.Diff(logged, listed); diff != "" {
 		t.Errorf("%s and the keys that the code logs differ (-code +page):\n%s", logsPage, diff)
 	}
 }
 
-// addListedKeys adds the keys that a column of a table lists.
+// addListedKeys adds the keys in one column of a table to listed.
 func addListedKeys(listed map[string]bool, table string, column int) {
 	for line := range strings.Lines(table) {
 		cells := strings.Split(line, "|")
@@ -123,7 +125,8 @@
 	}
 }
 
-// loggedKeys returns the keys of attributes that the program's non-test files log, the names of outcomes included.
+// loggedKeys returns the keys of the attributes that the program's non-test files log. They include the names of
+// outcomes, which are logged as keys.
 func loggedKeys(t *testing.T) map[string]bool {
 	t.Helper()
 	keys := map[string]bool{}
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-// Times of a drain. After the grace period, the router may send nothing more to the worker.
+// Times of a drain. The router may send nothing more to the worker once the grace period has passed.
 const (
 	drainPause       = 1500 * time.Millisecond
 	drainDuration    = 3 * time.Second
--- a/internal/benchmark/faults_test.go
+++ b/internal/benchmark/faults_test.go
@@ -23,16 +23,16 @@
 		}
 	}
 	if len(injector.faults) == 0 || injector.count != len(injector.faults) {
-		t.Errorf("%d faults, %d counted", len(injector.faults), injector.count)
+		t.Errorf("%d faults are in progress, %d were counted", len(injector.faults), injector.count)
 	}
 	if first := bed.Site.Workers[0].Ports(); countHealthy(first) != len(first) {
-		t.Error("the worker of the flapping address failed at random")
+		t.Error("an address of the worker with the flapping address failed at random")
 	}
 	injector.run(time.Time{})
 	for _, worker := range bed.Site.Workers {
 		for _, port := range worker.Ports() {
 			if port.Mode() != fake.ModeHealthy {
-				t.Errorf("%s %s stays in mode %s", worker.Name, port.Addr, port.Mode())
+				t.Errorf("%s: address %s is still in mode %s", worker.Name, port.Addr, port.Mode())
 			}
 		}
 	}
--- a/internal/benchmark/knee_test.go
+++ b/internal/benchmark/knee_test.go
@@ -16,17 +16,17 @@
 		b.narrow(measured(rate))
 	}
 	if _, ok := b.middle(); ok {
-		t.Error("a knee without a rate that the router does not keep up with")
+		t.Error("the bracket can be narrowed although no rate is known that the router does not keep up with")
 	}
 	b.narrow(measured(1000))
 	for range kneeHalvings {
 		rate, ok := b.middle()
 		if !ok {
-			t.Fatal("it can't be narrowed")
+			t.Fatal("the bracket can't be narrowed")
 		}
 		b.narrow(measured(rate))
 	}
 	if b.sustained != 687 || b.unsustained != 750 {
-		t.Errorf("between %d and %d", b.sustained, b.unsustained)
+		t.Errorf("the knee is between %d and %d, want 687 and 750", b.sustained, b.unsustained)
 	}
 }
--- a/internal/benchmark/load_test.go
+++ b/internal/benchmark/load_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// Guards the world from the load tool: it sends to loopback addresses alone, and within bounds.
+// The load tool must do no harm to other machines: it sends to loopback addresses only, and only within its bounds.
 func TestLoadIsRejectedOutOfBounds(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
--- a/internal/benchmark/measurement_test.go
+++ b/internal/benchmark/measurement_test.go
@@ -8,9 +8,9 @@
 	"crankhold/internal/fake"
 )
 
-// cappedSender serves some of each hundred requests at once, and rejects the others.
+// cappedSender serves some of each hundred requests immediately, and rejects the others.
 type cappedSender struct {
-	serve int // of each hundred requests
+	serve int // how many of each hundred requests are served
 	sent  int
 }
 
--- a/internal/benchmark/poolwatch_test.go
+++ b/internal/benchmark/poolwatch_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/fake"
 )
 
-// runAt has the watch see a request run at a worker of a kind.
+// runAt passes the event to p that a request was started at a worker of a kind.
 func (p *poolWatch) runAt(kind string, request *recordedRequest) {
 	worker := &fake.Worker{WorkerConfig: fake.WorkerConfig{Kind: kind}}
 	p.event(fake.Event{At: request.sentAt, Worker: worker, Kind: fake.EventStarted, ID: "1"}, request)
@@ -23,8 +23,8 @@
 		want  int
 	}{
 		{"in the pool", fake.FaultCheck.Name, kindSmall, settled, 0},
-		{"in the pool of the file before", fake.FaultCheck.Name, kindSpare, settled, 1},
-		{"in the pool of the file before, just after a reload", fake.FaultCheck.Name, kindSpare, 0, 0},
+		{"in the pool of the previous file", fake.FaultCheck.Name, kindSpare, settled, 1},
+		{"in the pool of the previous file, just after a reload", fake.FaultCheck.Name, kindSpare, 0, 0},
 		{"in no pool, just after a reload", fake.FaultCheck.Name, kindLarge, 0, 1},
 		{"at a spare worker", fake.DimLevel.Name, kindSpare, settled, 0},
 		{"an order at a spare worker", fake.RepairOrder.Name, kindSpare, settled, 1},
@@ -47,7 +47,7 @@
 		p.runAt(kindLarge, request)
 	}
 	expectEqual(t, p.overCap, 1)
-	p.reloadStarted(1) // while a reload is under way, the larger cap of both counts
+	p.reloadStarted(1) // the larger of the two caps applies while a reload is in progress
 	p.runAt(kindLarge, request)
 	expectEqual(t, p.overCap, 1)
 	expectEqual(t, p.maxInFlight, routesBCap+2)
--- a/internal/benchmark/record_test.go
+++ b/internal/benchmark/record_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/fake"
 )
 
-// start is when the recorded requests of these tests begin.
+// start is the time from which the times in these tests count.
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
 func expectEqual(t *testing.T, got, want any) {
@@ -19,7 +19,7 @@
 	}
 }
 
-// add records a request that was sent some time after the start.
+// add records a request that was sent the given time after start.
 func (r *record) add(after time.Duration, request recordedRequest) *recordedRequest {
 	request.sentAt = start.Add(after)
 	r.requests = append(r.requests, &request)
--- a/internal/benchmark/target_test.go
+++ b/internal/benchmark/target_test.go
@@ -50,7 +50,7 @@
 		}
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("a connection stays: %v", err)
+			t.Errorf("a connection is not closed: %v", err)
 		}
 	}
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -13,7 +13,7 @@
 	"crankhold/internal/lang"
 )
 
-// stopWhenServed is the demo's output. It closes stop at the first line that tells of a served request of each class.
+// stopWhenServed receives the demo's output. It closes stop at the first line in which each class has a served request.
 type stopWhenServed struct {
 	stop chan struct{}
 
@@ -34,7 +34,7 @@
 	return len(b), nil
 }
 
-// The demo serves requests of all classes and ends when it is told to.
+// The demo serves requests of all classes and returns when stop is closed.
 func TestDemoServes(t *testing.T) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	out := &stopWhenServed{stop: make(chan struct{})}
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	if !out.stopped {
-		t.Errorf("it ended by itself:\n%s", out.text.String())
+		t.Errorf("Run returned before a request of each class was served:\n%s", out.text.String())
 	}
 }
 
-// The demo's routes are a good example: no error, no warning, in canonical form.
+// The demo's routes file serves as an example: it has no faults and no notes.
 func TestDemoRoutesAreValid(t *testing.T) {
 	files := fstest.MapFS{"routes.crank": {Data: Routes, Mode: 0o644}}
 	result, err := lang.Check(files, "routes.crank", "", nil)
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -31,8 +31,8 @@
 	startedAt time.Time
 	random    *rand.Rand
 	client    *fake.Client // nil until the router accepts connections
-	lines     int // written so far
-	kills     int // so far
+	lines     int          // written so far
+	kills     int          // so far
 	killed    *fake.Worker // nil while all workers are up
 }
 
--- a/internal/modelcheck/example_test.go
+++ b/internal/modelcheck/example_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/modelcheck"
 )
 
-// increment is what a process has yet to do to add one to a shared counter without a lock.
+// increment is the next step of a process that increments a shared counter without a lock.
 type increment int
 
 const (
@@ -20,7 +20,7 @@
 type lostUpdate struct {
 	counter int
 	next    [2]increment
-	read    [2]int // what each process read
+	read    [2]int // the value that each process read
 }
 
 // Steps implements modelcheck.System.
@@ -70,7 +70,7 @@
 // Key implements modelcheck.System.
 func (s *lostUpdate) Key() string { return fmt.Sprint(*s) }
 
-// Two processes that read and write without a lock may lose an update.
+// Two processes that increment a counter without a lock may lose an update.
 func Example() {
 	result := modelcheck.Search(func() modelcheck.System { return &lostUpdate{} }, 1000, 4)
 	fmt.Println(result.Err)
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// counters is a system of two counters, each of which goes up to a limit.
+// counters is a system of two counters, which are incremented in steps up to a limit.
 type counters struct {
 	a     int
 	b     int
 	limit int
-	// forbidden are the values that the counters may not have together.
+	// forbidden is the pair of values that the counters may not have at the same time.
 	forbidden [2]int
-	// missing is what End returns.
+	// missing is the error that End returns.
 	missing error
-	// panicAt is the value of the first counter at which Do panics, if it is not 0.
+	// panicAt is the value of counter a at which Do panics. 0 means never.
 	panicAt int
 }
 
-// nowhere is forbidden where no values are.
+// neverForbidden is a pair of values that the counters never have, for tests without forbidden values.
 var neverForbidden = [2]int{-1, -1}
 
 // Steps implements System.
@@ -60,7 +60,7 @@
 // Key implements System.
 func (c *counters) Key() string { return fmt.Sprint(c.a, c.b) }
 
-// searchCounters searches copies of a system.
+// searchCounters runs Search with copies of c.
 func searchCounters(c counters, maxStates, goroutines int) Result {
 	return Search(func() System {
 		fresh := c
