--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -76,8 +76,8 @@
 	return found
 }
 
-// Equal events must lead to equal decisions. The decision packages must therefore do no I/O, read no clock, use no shared
-// random source and import no transport.
+// Equal events must lead to equal decisions. The decision packages must therefore do no I/O, read no clock, use no
+// shared random source and import no transport.
 func TestDecisionsArePure(t *testing.T) {
 	for dir := range decisionPackages {
 		imports, impure := inspectPackage(t, dir)
--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -129,16 +129,16 @@
 	return found
 }
 
-// The flowcharts show every package and exactly the imports in the code. A reader can conclude from a missing arrow that
-// there is no import.
+// The flowcharts show every package and exactly the imports in the code. A reader can conclude from a missing arrow
+// that there is no import.
 func TestDrawingsShowTheImports(t *testing.T) {
 	if diff := cmp.Diff(moduleImports(t), drawnImports(t, readPage(t))); diff != "" {
 		t.Errorf("%s and the packages' imports differ (-imports +flowcharts):\n%s", architecturePage, diff)
 	}
 }
 
-// The functions and types that the page names are declared, so that a reader can follow its step-by-step descriptions in
-// the code.
+// The functions and types that the page names are declared, so that a reader can follow its step-by-step descriptions
+// in the code.
 func TestNamesOnThePageExist(t *testing.T) {
 	names := pageName.FindAllStringSubmatch(readPage(t), -1)
 	if len(names) < 20 {
@@ -212,8 +212,8 @@
 	}
 }
 
-// declarations returns the names that a package's non-test files declare: functions, types, variables and constants, and
-// methods and fields in the form Type.member.
+// declarations returns the names that a package's non-test files declare: functions, types, variables and constants,
+// and methods and fields in the form Type.member.
 func declarations(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/internal/archtest/binary_test.go
+++ b/internal/archtest/binary_test.go
@@ -12,8 +12,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// The platform requires that the setting run replaces its shell with the program by exec, and that the program is linked
-// dynamically against the C library. A statically linked Go program works on other machines and fails on the platform.
+// The platform requires that the setting run replaces its shell with the program by exec, and that the program is
+// linked dynamically against the C library. A statically linked Go program works on other machines and fails on the
+// platform.
 func TestDeployedProgramIsLinkedAgainstTheCLibrary(t *testing.T) {
 	root, err := filepath.Abs(filepath.Join("..", ".."))
 	if err != nil {
--- a/internal/archtest/logs_test.go
+++ b/internal/archtest/logs_test.go
@@ -28,8 +28,8 @@
 	listedKey = regexp.MustCompile("`([a-z_]+)`")
 )
 
-// The page lists each log event with its level, and no event that is never logged, so that an engineer on call finds all
-// events on one page.
+// The page lists each log event with its level, and no event that is never logged, so that an engineer on call finds
+// all events on one page.
 func TestLogsPageListsEveryEvent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(logsPage)))
 	if err != nil {
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -195,7 +195,7 @@
 // AbandonCommand implements router.WorkerClient. It does nothing because no state is kept for a command.
 func (f *coreFleet) AbandonCommand(policy.WorkerID, uint64) {}
 
-// Unload implements router.WorkerClient. It does nothing: replicas stay loaded until their time is over.
+// Unload implements router.WorkerClient. It does nothing: replicas stay loaded until they were idle for coreKeepAlive.
 func (f *coreFleet) Unload(policy.WorkerID, policy.FunctionID) {}
 
 // CloseIdle implements router.WorkerClient. It does nothing because there are no connections.
--- a/internal/benchmark/loadbudget_test.go
+++ b/internal/benchmark/loadbudget_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Without requests, the load budget is four load commands. The tolerance for load commands in flight is 15% and one load
-// command more. The sixth load command is therefore a breach, unless it comes after the window or there are enough
-// requests.
+// Without requests, the load budget is four load commands. The tolerance for load commands in flight is 15 in 100 and
+// one load command more. The sixth load command is therefore a breach, unless it comes after the window or there are
+// enough requests.
 func TestLoadCommandsBeyondTheBudgetAreBreaches(t *testing.T) {
 	commands := func(n int, interval time.Duration) (times []time.Time) {
 		for i := range n {
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -19,9 +19,9 @@
 		from time.Time
 		to   time.Time
 	}{
-		{"before the pool dies", r.schedule.startedAt, r.schedule.poolKilledAt},
-		{"while it is dead", r.schedule.poolKilledAt.Add(time.Second), r.schedule.poolRestartedAt},
-		{"after its return", r.schedule.poolRestartedAt.Add(time.Second), r.schedule.endsAt},
+		{"before the kill", r.schedule.startedAt, r.schedule.poolKilledAt},
+		{"while it is down", r.schedule.poolKilledAt.Add(time.Second), r.schedule.poolRestartedAt},
+		{"after the restart", r.schedule.poolRestartedAt.Add(time.Second), r.schedule.endsAt},
 	} {
 		for _, class := range fake.Classes {
 			t := r.tally(class.Name, phase.from, phase.to)
