--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("%s reads a clock, prints, or uses the shared random source: %v", dir, impure)
 		}
 		for _, path := range imports {
-			if modulePath, ok := strings.CutPrefix(path, module); ok && decisionPackages[modulePath] || slices.Contains(purePackages, path) {
+			if packageDir, ok := strings.CutPrefix(path, module); ok && decisionPackages[packageDir] || slices.Contains(purePackages, path) {
 				continue
 			}
 			t.Errorf("%s imports %s", dir, path)
@@ -101,7 +101,7 @@
 			t.Errorf("%s makes impure calls: %v", dir, impure)
 		}
 		for _, path := range imports {
-			if modulePath, ok := strings.CutPrefix(path, module); ok && slices.Contains(transportPackages, modulePath) {
+			if packageDir, ok := strings.CutPrefix(path, module); ok && slices.Contains(transportPackages, packageDir) {
 				t.Errorf("%s imports %s", dir, path)
 			}
 			if path == "net" || path == "os" || path == "net/http" || strings.Contains(path, "nbio") {
--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -113,9 +113,9 @@
 			return err
 		}
 		for _, spec := range file.Imports {
-			modulePath, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
-			if ok && !slices.Contains(found[dir], modulePath) {
-				found[dir] = append(found[dir], modulePath)
+			packageDir, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module)
+			if ok && !slices.Contains(found[dir], packageDir) {
+				found[dir] = append(found[dir], packageDir)
 			}
 		}
 		return nil
@@ -158,7 +158,7 @@
 
 // The code that the audit names is declared, so that an engineer who changes it finds the clauses that depend on it.
 func TestCodeNamedByTheAuditExists(t *testing.T) {
-	const keptIn = 5 // column, counted from 1
+	const codeColumn = 5 // column, counted from 1
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(auditPage)))
 	if err != nil {
 		t.Fatal(err)
@@ -167,10 +167,10 @@
 	named := 0
 	for line := range strings.Lines(string(text)) {
 		cells := strings.Split(line, "|")
-		if len(cells) <= keptIn {
+		if len(cells) <= codeColumn {
 			continue
 		}
-		for _, m := range auditName.FindAllStringSubmatch(cells[keptIn], -1) {
+		for _, m := range auditName.FindAllStringSubmatch(cells[codeColumn], -1) {
 			named++
 			declared.expect(t, auditPage, m[1])
 		}
@@ -196,18 +196,18 @@
 }
 
 // expect reports an error unless a name on a page is declared. Names are in the form package.Type.member.
-func (x *declarationIndex) expect(t *testing.T, page, name string) {
+func (idx *declarationIndex) expect(t *testing.T, page, name string) {
 	t.Helper()
 	packageName, declaration, _ := strings.Cut(name, ".")
-	folder, ok := x.folders[packageName]
+	folder, ok := idx.folders[packageName]
 	if !ok {
 		t.Errorf("%s: %s does not start with the name of a package", page, name)
 		return
 	}
-	if x.declared[folder] == nil {
-		x.declared[folder] = declarations(t, folder)
+	if idx.declared[folder] == nil {
+		idx.declared[folder] = declarations(t, folder)
 	}
-	if !x.declared[folder][declaration] {
+	if !idx.declared[folder][declaration] {
 		t.Errorf("%s: %s is not declared in %s", page, name, folder)
 	}
 }
--- a/internal/archtest/known_failures_test.go
+++ b/internal/archtest/known_failures_test.go
@@ -23,13 +23,13 @@
 	if len(fields) != 4 {
 		return "it does not have four fields"
 	}
-	name, command, seen, issue := fields[0], fields[1], fields[2], fields[3]
+	name, command, failure, issue := fields[0], fields[1], fields[2], fields[3]
 	switch {
 	case name != benchEntry && !tests[name]:
 		return "it names no test that exists"
 	case !strings.Contains(command, "seed"):
 		return "its command has no seed"
-	case strings.TrimSpace(seen) == "":
+	case strings.TrimSpace(failure) == "":
 		return "it does not describe the failure"
 	case !issueField.MatchString(issue):
 		return "it names no issue number"
@@ -50,8 +50,8 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		if fault := checkKnownFailure(line, tests); fault != "" {
-			t.Errorf("%s: %s", line, fault)
+		if problem := checkKnownFailure(line, tests); problem != "" {
+			t.Errorf("%s: %s", line, problem)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 		"TestSoak | go test -run TestSoak, seed 7 | no response | later":                      false,
 		"TestSoak: no response (46)":                                                          false,
 	} {
-		if fault := checkKnownFailure(entry, tests); (fault == "") != complete {
-			t.Errorf("%s: %q", entry, fault)
+		if problem := checkKnownFailure(entry, tests); (problem == "") != complete {
+			t.Errorf("%s: %q", entry, problem)
 		}
 	}
 }
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -21,7 +21,7 @@
 type poolWatch struct {
 	file int // index in watchedRoutes of the file in force
 	// reloaded is when the router confirmed the reload of the file. It is zero while the reload is in progress.
-	reloaded time.Time
+	reloadedAt time.Time
 
 	inFlight    int // requests in flight in the pool with a cap
 	maxInFlight int
@@ -61,19 +61,19 @@
 // reloadStarted records that a reload of the file with the given index starts.
 func (p *poolWatch) reloadStarted(file int) {
 	p.file = file
-	p.reloaded = time.Time{}
+	p.reloadedAt = time.Time{}
 }
 
 // reloadCompleted records that the router has confirmed the reload.
-func (p *poolWatch) reloadCompleted() { p.reloaded = time.Now() }
+func (p *poolWatch) reloadCompleted() { p.reloadedAt = time.Now() }
 
 // settledFor returns how long the routes in force had settled when the request was sent: the time since the reload,
 // less reloadSettleTime. A negative result means that the previous file may still have routed the request.
 func (p *poolWatch) settledFor(request *recordedRequest) time.Duration {
-	if p.reloaded.IsZero() {
+	if p.reloadedAt.IsZero() {
 		return -1
 	}
-	return request.sentAt.Sub(p.reloaded) - reloadSettleTime
+	return request.sentAt.Sub(p.reloadedAt) - reloadSettleTime
 }
 
 // event checks an event of a request at a worker. It is an eventObserver.
--- a/internal/benchmark/poolwatch_test.go
+++ b/internal/benchmark/poolwatch_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newPoolWatch()
-			p.reloaded = start
+			p.reloadedAt = start
 			p.runAt(tt.kind, &recordedRequest{class: tt.class, sentAt: start.Add(tt.after)})
 			expectEqual(t, p.outsidePool, tt.want)
 		})
@@ -41,7 +41,7 @@
 func TestRequestsOverTheCapAreCounted(t *testing.T) {
 	p := newPoolWatch()
 	p.reloadStarted(1)
-	p.reloaded = start
+	p.reloadedAt = start
 	request := &recordedRequest{class: fake.DimLevel.Name, sentAt: start.Add(time.Second)}
 	for range routesBCap + 1 {
 		p.runAt(kindLarge, request)
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// secondsUntilRecovered returns how many seconds after the pool's return 95 in 100 of its class's requests were served
-// in a second, or -1.
+// secondsUntilRecovered returns how many seconds after the restart of the pool's workers at least 95 in 100 of the
+// requests of class dim-level were served within one second. It returns -1 if that did not happen within a minute.
 func (r *reloadRun) secondsUntilRecovered() int {
 	for s := range 60 {
 		from := r.schedule.poolRestartedAt.Add(time.Duration(s) * time.Second)
@@ -62,13 +62,13 @@
 	f.requireZero("extra_answers", r.unmatchedResponses)
 	f.add("not_idempotent", v.notIdempotent)
 	f.requireZero("doubled", v.ranTwice)
-	f.requireZero("outside_pool", r.pools.outsidePool)
+	f.requireZero("outside_pool", r.poolWatch.outsidePool)
 	f.requireZero("ration_breaches", v.loadBudgetBreaches)
-	f.requireZero("over_cap", r.pools.overCap)
-	peak := r.pools.maxInFlight
+	f.requireZero("over_cap", r.poolWatch.overCap)
+	peak := r.poolWatch.maxInFlight
 	f.require("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
-	overflows := len(r.pools.overflowed)
-	share := r.pools.maxOverflowShare(r.record)
+	overflows := len(r.poolWatch.overflowed)
+	share := r.poolWatch.maxOverflowShare(r.record)
 	f.require("overflows", overflows, overflows > 0)
 	f.require("spill_share_max", share, share <= overflowLimit*overflowTolerance)
 	restarted := r.schedule.poolRestartedAt
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -9,7 +9,7 @@
 // reloadRun is a load with reloads during which the workers of one pool are killed and restarted, and its results.
 type reloadRun struct {
 	*record
-	pools              *poolWatch // guarded by the record's lock
+	poolWatch          *poolWatch // guarded by the record's lock
 	bed                *fake.Testbed
 	router             *process
 	schedule           reloadSchedule
@@ -41,8 +41,8 @@
 
 // startReloadRun starts the fakes, and a router with the routes of routesA.
 func startReloadRun(program string) (*reloadRun, error) {
-	pools := newPoolWatch()
-	r := &reloadRun{record: newRecord(pools.event), pools: pools}
+	watch := newPoolWatch()
+	r := &reloadRun{record: newRecord(watch.event), poolWatch: watch}
 	bed, err := startTestbed(reloadWorkers(), r.event)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 		bed.Close()
 		return nil, err
 	}
-	pools.reloadCompleted()
+	watch.reloadCompleted()
 	return r, nil
 }
 
@@ -89,8 +89,8 @@
 	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
 
-// followSchedule reloads the other routes file each second, and kills the large workers for a time. It blocks until the
-// end of the schedule.
+// followSchedule makes the router reload the other routes file each second, and kills and restarts the large workers as
+// scheduled. It blocks until the end of the schedule.
 func (r *reloadRun) followSchedule() error {
 	down := false
 	for n := 1; ; n++ {
@@ -143,7 +143,7 @@
 // reload replaces the routes file and makes the router reload it.
 func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
-	r.pools.reloadStarted(file)
+	r.poolWatch.reloadStarted(file)
 	r.mu.Unlock()
 	if _, err := r.writeRoutes(file); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	r.reloads++
 	r.mu.Lock()
-	r.pools.reloadCompleted()
+	r.poolWatch.reloadCompleted()
 	r.mu.Unlock()
 	return nil
 }
