--- a/internal/benchmark/overflow.go
+++ b/internal/benchmark/overflow.go
@@ -41,7 +41,8 @@
 	return maxShare
 }
 
-// countSince returns how many of the times are in the window of overflowWindow that ends at end. The window includes end.
+// countSince returns how many of the times are in the window of overflowWindow that ends at end. The window includes
+// end.
 func countSince(times []time.Time, end time.Time) (n int) {
 	for _, at := range times {
 		if !at.After(end) && at.After(end.Add(-overflowWindow)) {
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -62,13 +62,13 @@
 	f.requireZero("extra_answers", r.unmatchedResponses)
 	f.add("not_idempotent", v.notIdempotent)
 	f.requireZero("doubled", v.ranTwice)
-	f.requireZero("outside_pool", r.poolWatch.outsidePool)
+	f.requireZero("outside_pool", r.watch.outsidePool)
 	f.requireZero("ration_breaches", v.loadBudgetBreaches)
-	f.requireZero("over_cap", r.poolWatch.overCap)
-	peak := r.poolWatch.maxInFlight
+	f.requireZero("over_cap", r.watch.overCap)
+	peak := r.watch.maxInFlight
 	f.require("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
-	overflows := len(r.poolWatch.overflowed)
-	share := r.poolWatch.maxOverflowShare(r.record)
+	overflows := len(r.watch.overflowed)
+	share := r.watch.maxOverflowShare(r.record)
 	f.require("overflows", overflows, overflows > 0)
 	f.require("spill_share_max", share, share <= overflowLimit*overflowTolerance)
 	restarted := r.schedule.poolRestartedAt
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -9,7 +9,7 @@
 // reloadRun is a load with reloads during which the workers of one pool are killed and restarted, and its results.
 type reloadRun struct {
 	*record
-	poolWatch          *poolWatch // guarded by the record's lock
+	watch              *poolWatch // guarded by the record's lock
 	bed                *fake.Testbed
 	router             *process
 	schedule           reloadSchedule
@@ -42,7 +42,7 @@
 // startReloadRun starts the fakes, and a router with the routes of routesA.
 func startReloadRun(program string) (*reloadRun, error) {
 	watch := newPoolWatch()
-	r := &reloadRun{record: newRecord(watch.event), poolWatch: watch}
+	r := &reloadRun{record: newRecord(watch.event), watch: watch}
 	bed, err := startTestbed(reloadWorkers(), r.event)
 	if err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 // reload replaces the routes file and makes the router reload it.
 func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
-	r.poolWatch.reloadStarted(file)
+	r.watch.reloadStarted(file)
 	r.mu.Unlock()
 	if _, err := r.writeRoutes(file); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	r.reloads++
 	r.mu.Lock()
-	r.poolWatch.reloadCompleted()
+	r.watch.reloadCompleted()
 	r.mu.Unlock()
 	return nil
 }
