--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -29,7 +29,8 @@
 	drainPause       = 1500 * time.Millisecond
 	drainDuration    = 3 * time.Second
 	drainGracePeriod = time.Second
-	// drainMargin is the least time between the start of the last drain and the end of the load.
+	// drainMargin is the time before the end of the load in which no further drain is scheduled. It is longer than
+	// drainPause and drainDuration together.
 	drainMargin = 5 * time.Second
 )
 
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -48,12 +48,12 @@
 }
 
 // start runs the driver on a new goroutine. The returned function stops the goroutine and blocks until it has stopped.
-func (s *driver) start() (stop func()) {
+func (d *driver) start() (stop func()) {
 	stopping := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		s.run(stopping)
+		d.run(stopping)
 	}()
 	return func() {
 		close(stopping)
@@ -61,12 +61,12 @@
 	}
 }
 
-func (s *driver) run(stopping <-chan struct{}) {
+func (d *driver) run(stopping <-chan struct{}) {
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	defer func() {
-		if s.client != nil {
-			s.client.Close()
+		if d.client != nil {
+			d.client.Close()
 		}
 	}()
 	for {
@@ -74,61 +74,61 @@
 		case <-stopping:
 			return
 		case <-ticker.C:
-			s.tick(time.Since(s.startedAt))
+			d.tick(time.Since(d.startedAt))
 		}
 	}
 }
 
 // tick does what is due when the given time has passed since the start. It dials the router if there is no connection
 // yet. Otherwise it sends a request, and writes a line and kills or restarts a worker when that is due.
-func (s *driver) tick(elapsed time.Duration) {
-	if s.client == nil {
-		client, err := fake.Dial(s.listen)
+func (d *driver) tick(elapsed time.Duration) {
+	if d.client == nil {
+		client, err := fake.Dial(d.listen)
 		if err != nil {
 			return // the router does not listen yet
 		}
-		s.client = client
+		d.client = client
 		return
 	}
-	s.sendRequest()
-	if elapsed >= time.Duration(s.lines+1)*lineInterval {
-		s.lines++
-		fmt.Fprintln(s.out, s.counts.takeLine(elapsed, s.site.Workers))
+	d.sendRequest()
+	if elapsed >= time.Duration(d.lines+1)*lineInterval {
+		d.lines++
+		fmt.Fprintln(d.out, d.counts.takeLine(elapsed, d.site.Workers))
 	}
-	s.killOrRestartWorker(elapsed)
+	d.killOrRestartWorker(elapsed)
 }
 
 // sendRequest sends a request of a random class for a random function.
-func (s *driver) sendRequest() {
-	class := fake.ClassMix[s.random.IntN(len(fake.ClassMix))]
+func (d *driver) sendRequest() {
+	class := fake.ClassMix[d.random.IntN(len(fake.ClassMix))]
 	request := fake.Request{
 		Class:       class.Name,
-		ID:          fmt.Sprintf("%016x", s.random.Uint64()),
-		FunctionKey: fake.FunctionKey(s.random.IntN(requestedFunctions)),
+		ID:          fmt.Sprintf("%016x", d.random.Uint64()),
+		FunctionKey: fake.FunctionKey(d.random.IntN(requestedFunctions)),
 		Timeout:     class.Timeout,
 		Properties:  "memory_mb:512;lanes:2;load_ms:600",
 		Body:        []byte("lamp 17"),
 	}
-	s.client.Go(request, func(response fake.Response, err error) {
+	d.client.Go(request, func(response fake.Response, err error) {
 		if err == nil {
-			s.counts.response(class.Name, response.Status)
+			d.counts.response(class.Name, response.Status)
 		}
 	})
 }
 
 // killOrRestartWorker kills the next worker, or restarts the killed one, if that is due.
-func (s *driver) killOrRestartWorker(elapsed time.Duration) {
-	if s.killed == nil && elapsed > time.Duration(s.kills+1)*killInterval {
-		s.killed = s.site.Workers[s.kills%len(s.site.Workers)]
-		s.kills++
-		fmt.Fprintf(s.out, "       %s is killed\n", s.killed.Name)
-		s.killed.Kill()
+func (d *driver) killOrRestartWorker(elapsed time.Duration) {
+	if d.killed == nil && elapsed > time.Duration(d.kills+1)*killInterval {
+		d.killed = d.site.Workers[d.kills%len(d.site.Workers)]
+		d.kills++
+		fmt.Fprintf(d.out, "       %s is killed\n", d.killed.Name)
+		d.killed.Kill()
 		return
 	}
-	if s.killed != nil && elapsed > time.Duration(s.kills)*killInterval+downtime {
-		if s.killed.Start() == nil {
-			fmt.Fprintf(s.out, "       %s is restarted\n", s.killed.Name)
+	if d.killed != nil && elapsed > time.Duration(d.kills)*killInterval+downtime {
+		if d.killed.Start() == nil {
+			fmt.Fprintf(d.out, "       %s is restarted\n", d.killed.Name)
 		}
-		s.killed = nil
+		d.killed = nil
 	}
 }
