--- a/internal/archtest/errors_test.go
+++ b/internal/archtest/errors_test.go
@@ -13,18 +13,19 @@
 // errorsPage lists the errors that can reach a log or a terminal.
 const errorsPage = "docs/operate/errors.md"
 
-// errorValue is the name of an exported error value.
+// errorValue matches the name of an exported error value.
 var errorValue = regexp.MustCompile(`^Err[A-Z]\w*$`)
 
-// Whoever is on call finds each error on one page: every error type and every exported error value of the program.
+// The page lists every error type and every exported error value of the program, so that an engineer on call finds each
+// error on one page.
 func TestErrorsPageListsEveryErrorType(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(errorsPage)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed := 0
+	errorCount := 0
 	for dir := range moduleImports(t) {
-		if slices.Contains(packagesOutsideTheProgram, dir) {
+		if slices.Contains(developmentPackages, dir) {
 			continue
 		}
 		for name := range declarations(t, dir) {
@@ -32,19 +33,19 @@
 			if !isError && !errorValue.MatchString(name) {
 				continue
 			}
-			listed++
+			errorCount++
 			if entry := "`" + path.Base(dir) + "." + name + "`"; !strings.Contains(string(text), entry) {
 				t.Errorf("%s does not list %s", errorsPage, entry)
 			}
 		}
 	}
-	if listed < 10 {
-		t.Errorf("%d error types found; the check does not see them", listed)
+	if errorCount < 10 {
+		t.Errorf("only %d error types found; the check does not find them", errorCount)
 	}
 }
 
-// packagesOutsideTheProgram are tests' and measurements' own; their errors reach no operator.
-var packagesOutsideTheProgram = []string{
+// developmentPackages are used by tests and measurements only, so their errors never reach an operator.
+var developmentPackages = []string{
 	"cmd/benchmark", "example/toy", "internal/benchmark", "internal/demo", "internal/fake", "internal/golden", "internal/modelcheck",
 	"internal/simulation", "internal/testutil",
 }
--- a/internal/benchmark/measurement.go
+++ b/internal/benchmark/measurement.go
@@ -12,27 +12,27 @@
 	"crankhold/internal/fake"
 )
 
-// When a router keeps up with a rate.
+// Conditions under which a router counts as keeping up with a rate.
 const (
 	minServedShare = 0.99
 	maxLatencyP99  = 400.0 // milliseconds
 )
 
-// The tool is behind with a request that leaves this long after it was due. A measurement in which it is behind with
-// more than one request in maxBehindOneIn says nothing of the router.
+// A request is sent late if it leaves more than lateAfter after it was due. If the tool sends more than one request in
+// minSentPerLate late, the measurement says nothing about the router.
 const (
-	behindAfter    = 10 * time.Millisecond
-	maxBehindOneIn = 20
+	lateAfter      = 10 * time.Millisecond
+	minSentPerLate = 20
 )
 
-// measurement is what came of one rate.
+// measurement holds the results of a load at one rate.
 type measurement struct {
-	rate   int
-	sent   int64
-	behind int64   // requests that left late
-	cores  float64 // that the router used
+	rate     int
+	sent     int64
+	sentLate int64   // requests that were sent late
+	cores    float64 // CPU cores that the router used, on average
 
-	mu        sync.Mutex // guards what follows, which responses change
+	mu        sync.Mutex // guards the fields below, which responses change
 	served    int64
 	rejected  int64
 	failed    int64
@@ -47,31 +47,31 @@
 
 func (m *measurement) servedShare() float64 { return float64(m.served) / float64(max(m.sent, 1)) }
 
-// latencyPercentile returns a percentile, from 0 to 100, in milliseconds.
+// latencyPercentile returns the latency at a percentile, from 0 to 100, in milliseconds.
 func (m *measurement) latencyPercentile(p float64) float64 {
 	return float64(m.latencies.ValueAtPercentile(p)) / 1000
 }
 
 // keepsUp reports whether the router kept up with the rate.
 func (m *measurement) keepsUp() bool {
-	sentInTime := m.behind*maxBehindOneIn < m.sent
-	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && sentInTime
+	onSchedule := m.sentLate*minSentPerLate < m.sent
+	return m.servedShare() >= minServedShare && m.latencyPercentile(99) <= maxLatencyP99 && onSchedule
 }
 
-// begin counts a request that leaves, unless too many are in flight.
-func (m *measurement) begin() error {
+// countSent counts a request that is about to be sent. It returns an error if too many requests are in flight.
+func (m *measurement) countSent() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inFlight >= maxInFlight {
-		return fmt.Errorf("%d requests are in flight: the router responds to none", maxInFlight)
+		return fmt.Errorf("%d requests are in flight: the router does not respond", maxInFlight)
 	}
 	m.inFlight++
 	m.sent++
 	return nil
 }
 
-// complete counts a response.
-func (m *measurement) complete(status fake.ResponseStatus, latency time.Duration) {
+// countCompleted counts a request that has completed.
+func (m *measurement) countCompleted(status fake.ResponseStatus, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight--
@@ -94,19 +94,19 @@
 	return m.inFlight
 }
 
-// measure loads the router at one rate, prints the row, and writes it to the log if there is one. It blocks until all
-// responses have come or timed out.
+// measure sends a load at one rate, prints a row of its results, and writes its latencies to the log if there is one.
+// It blocks until all requests have completed or timed out.
 func (l *loadRun) measure(rate int) (*measurement, error) {
 	m := newMeasurement(rate)
 	cpuBefore := l.target.cpuTime()
-	begun := time.Now()
-	m.latencies.SetStartTimeMs(begun.UnixMilli())
-	if err := l.sendAll(m, begun); err != nil {
+	startedAt := time.Now()
+	m.latencies.SetStartTimeMs(startedAt.UnixMilli())
+	if err := l.sendAll(m, startedAt); err != nil {
 		return nil, err
 	}
-	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(begun).Seconds()
-	limit := time.Now().Add(l.Traffic.Timeout + time.Second)
-	for m.requestsInFlight() > 0 && time.Now().Before(limit) {
+	m.cores = (l.target.cpuTime() - cpuBefore).Seconds() / time.Since(startedAt).Seconds()
+	deadline := time.Now().Add(l.Traffic.Timeout + time.Second)
+	for m.requestsInFlight() > 0 && time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	m.mu.Lock()
@@ -123,24 +123,25 @@
 	return m, l.log.OutputIntervalHistogram(m.latencies)
 }
 
-// sendAll sends each request when it is due. Latencies count from then. It blocks until the last one has left.
-func (l *loadRun) sendAll(m *measurement, begun time.Time) error {
+// sendAll sends each request when it is due, and measures its latency from then. It blocks until the last request has
+// been sent.
+func (l *loadRun) sendAll(m *measurement, startedAt time.Time) error {
 	random := rand.New(rand.NewPCG(l.Seed, uint64(m.rate)))
 	interval := float64(time.Second) / float64(m.rate)
 	for n := 0; ; n++ {
-		due := begun.Add(time.Duration(float64(n) * interval))
-		if due.Sub(begun) >= l.Pace.Length {
+		due := startedAt.Add(time.Duration(float64(n) * interval))
+		if due.Sub(startedAt) >= l.Pace.Length {
 			return nil
 		}
 		time.Sleep(time.Until(due))
-		if time.Since(due) > behindAfter {
-			m.behind++
+		if time.Since(due) > lateAfter {
+			m.sentLate++
 		}
-		if err := m.begin(); err != nil {
+		if err := m.countSent(); err != nil {
 			return err
 		}
 		key := functionKey(random.IntN(l.Traffic.Functions))
 		id := fmt.Sprintf("%016x", random.Uint64())
-		l.target.send(key, id, func(status fake.ResponseStatus) { m.complete(status, time.Since(due)) })
+		l.target.send(key, id, func(status fake.ResponseStatus) { m.countCompleted(status, time.Since(due)) })
 	}
 }
--- a/internal/benchmark/reloadreport.go
+++ b/internal/benchmark/reloadreport.go
@@ -8,7 +8,8 @@
 	"crankhold/internal/fake"
 )
 
-// printPhases prints a row for each class before, during and after the death of the pool.
+// printPhases prints a row for each class and phase: before the pool's workers are killed, while they are down, and
+// after they are restarted.
 func (r *reloadRun) printPhases(out io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,9 +19,9 @@
 		from time.Time
 		to   time.Time
 	}{
-		{"before the pool dies", r.schedule.startedAt, r.schedule.poolKilledAt},
-		{"while it is dead", r.schedule.poolKilledAt.Add(time.Second), r.schedule.poolRestartedAt},
-		{"after its return", r.schedule.poolRestartedAt.Add(time.Second), r.schedule.endsAt},
+		{"before the kill", r.schedule.startedAt, r.schedule.poolKilledAt},
+		{"while it is down", r.schedule.poolKilledAt.Add(time.Second), r.schedule.poolRestartedAt},
+		{"after the restart", r.schedule.poolRestartedAt.Add(time.Second), r.schedule.endsAt},
 	} {
 		for _, class := range fake.Classes {
 			t := r.tally(class.Name, phase.from, phase.to)
@@ -30,9 +31,9 @@
 	}
 }
 
-// secondsUntilServed returns how many seconds after the pool's return 95 in 100 of its class's requests were served in
-// a second, or -1.
-func (r *reloadRun) secondsUntilServed() int {
+// secondsUntilRecovered returns how many seconds after the restart of the pool's workers at least 95 in 100 of the
+// requests of class dim-level were served within one second. It returns -1 if that did not happen within a minute.
+func (r *reloadRun) secondsUntilRecovered() int {
 	for s := range 60 {
 		from := r.schedule.poolRestartedAt.Add(time.Duration(s) * time.Second)
 		t := r.tally(fake.DimLevel.Name, from, from.Add(time.Second))
@@ -43,7 +44,8 @@
 	return -1
 }
 
-// overflowTolerance is what the platform allows for requests that are in flight.
+// overflowTolerance is the factor by which the overflow limit may be exceeded. The platform allows it for requests that
+// are in flight.
 const overflowTolerance = 1.02
 
 // report adds the figures of the load to f.
@@ -51,24 +53,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.violations(fake.RepairOrder.Name)
-	returned := r.secondsUntilServed()
-	f.must("seconds_until_95_in_100", returned, returned >= 0)
+	recoverySeconds := r.secondsUntilRecovered()
+	f.require("seconds_until_95_in_100", recoverySeconds, recoverySeconds >= 0)
 	f.add("requests", len(r.requests))
-	f.must("reloads", r.reloads, r.reloads > 0)
-	f.mustBeZero("lost", v.lost)
-	f.mustBeZero("late", v.late)
-	f.mustBeZero("extra_answers", r.unmatchedResponses)
+	f.require("reloads", r.reloads, r.reloads > 0)
+	f.requireZero("lost", v.lost)
+	f.requireZero("late", v.late)
+	f.requireZero("extra_answers", r.unmatchedResponses)
 	f.add("not_idempotent", v.notIdempotent)
-	f.mustBeZero("doubled", v.doubled)
-	f.mustBeZero("outside_pool", r.pools.outsidePool)
-	f.mustBeZero("ration_breaches", v.loadBudgetBreaches)
-	f.mustBeZero("over_cap", r.pools.overCap)
-	peak := r.pools.maxInFlight
-	f.must("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
-	overflows := len(r.pools.overflowed)
-	share := r.pools.maxOverflowShare(r.record)
-	f.must("overflows", overflows, overflows > 0)
-	f.must("spill_share_max", share, share <= overflowLimit*overflowTolerance)
+	f.requireZero("doubled", v.ranTwice)
+	f.requireZero("outside_pool", r.watch.outsidePool)
+	f.requireZero("ration_breaches", v.loadBudgetBreaches)
+	f.requireZero("over_cap", r.watch.overCap)
+	peak := r.watch.maxInFlight
+	f.require("peak_of_cap", fmt.Sprintf("%d/%d", peak, routesACap), peak <= routesACap && peak >= routesBCap)
+	overflows := len(r.watch.overflowed)
+	share := r.watch.maxOverflowShare(r.record)
+	f.require("overflows", overflows, overflows > 0)
+	f.require("spill_share_max", share, share <= overflowLimit*overflowTolerance)
 	restarted := r.schedule.poolRestartedAt
 	f.add("loads_in_10s_after_return", r.loadCommandsBetween(restarted, restarted.Add(10*time.Second)))
 	f.add("p99_ms", r.latencyPercentile(0.99))
--- a/internal/benchmark/reloadrun.go
+++ b/internal/benchmark/reloadrun.go
@@ -6,18 +6,18 @@
 	"crankhold/internal/fake"
 )
 
-// reloadRun is one load with reloads and the death of a pool, and what came of it.
+// reloadRun is a load with reloads during which the workers of one pool are killed and restarted, and its results.
 type reloadRun struct {
 	*record
-	pools              *poolWatch // guarded by the record's lock
+	watch              *poolWatch // guarded by the record's lock
 	bed                *fake.Testbed
 	router             *process
 	schedule           reloadSchedule
 	reloads            int
-	unmatchedResponses int // responses to no request
+	unmatchedResponses int // responses that match no request in flight
 }
 
-// reloadSchedule says when the large workers, which are the pool of the class dim-level, are killed.
+// reloadSchedule says when the large workers are killed and restarted. They are the pool of class dim-level.
 type reloadSchedule struct {
 	startedAt       time.Time
 	poolKilledAt    time.Time
@@ -34,15 +34,15 @@
 	}
 }
 
-// poolIsDown reports whether the large workers are to be down at a time.
+// poolIsDown reports whether the large workers are scheduled to be down at a time.
 func (s reloadSchedule) poolIsDown(at time.Time) bool {
 	return at.After(s.poolKilledAt) && at.Before(s.poolRestartedAt)
 }
 
-// startReloadRun starts the fakes and the router, which routes by routesA.
+// startReloadRun starts the fakes, and a router with the routes of routesA.
 func startReloadRun(program string) (*reloadRun, error) {
-	pools := newPoolWatch()
-	r := &reloadRun{record: newRecord(pools.event), pools: pools}
+	watch := newPoolWatch()
+	r := &reloadRun{record: newRecord(watch.event), watch: watch}
 	bed, err := startTestbed(reloadWorkers(), r.event)
 	if err != nil {
 		return nil, err
@@ -58,17 +58,17 @@
 		bed.Close()
 		return nil, err
 	}
-	pools.reloadEnds()
+	watch.reloadCompleted()
 	return r, nil
 }
 
-// close ends the router and the fakes. It blocks until they have ended.
+// close stops the router and the fakes. It blocks until they have stopped.
 func (r *reloadRun) close() {
 	r.router.stop()
 	r.bed.Close()
 }
 
-// reloadWorkers describes twelve workers of three kinds.
+// reloadWorkers returns the configurations of twelve workers of three kinds.
 func reloadWorkers() []fake.WorkerConfig {
 	workers := workerConfigs(12, "s-%d", fake.WorkerConfig{
 		ServiceTime: 20 * time.Millisecond,
@@ -84,14 +84,14 @@
 	return workers
 }
 
-// writeRoutes replaces the routes file and returns its path.
+// writeRoutes writes the routes file with the given index in watchedRoutes and returns its path.
 func (r *reloadRun) writeRoutes(file int) (path string, err error) {
 	return r.bed.WriteFile("routes.crank", []byte(watchedRoutes[file].text))
 }
 
-// disturb reloads the other routes file each second, and kills the large workers for a time. It blocks until the end of
-// the schedule.
-func (r *reloadRun) disturb() error {
+// followSchedule makes the router reload the other routes file each second, and kills and restarts the large workers as
+// scheduled. It blocks until the end of the schedule.
+func (r *reloadRun) followSchedule() error {
 	down := false
 	for n := 1; ; n++ {
 		next := r.schedule.startedAt.Add(time.Duration(n) * time.Second)
@@ -115,8 +115,8 @@
 	}
 }
 
-// poolWorkers returns the workers of the pool that is killed.
-func (r *reloadRun) poolWorkers() (list []*fake.Worker) {
+// largeWorkers returns the large workers, which are killed and restarted.
+func (r *reloadRun) largeWorkers() (list []*fake.Worker) {
 	for _, w := range r.bed.Site.Workers {
 		if w.Kind == kindLarge {
 			list = append(list, w)
@@ -126,13 +126,13 @@
 }
 
 func (r *reloadRun) killPool() {
-	for _, w := range r.poolWorkers() {
+	for _, w := range r.largeWorkers() {
 		w.Kill()
 	}
 }
 
 func (r *reloadRun) restartPool() error {
-	for _, w := range r.poolWorkers() {
+	for _, w := range r.largeWorkers() {
 		if err := w.Start(); err != nil {
 			return err
 		}
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// reload replaces the routes file and has the router follow.
+// reload replaces the routes file and makes the router reload it.
 func (r *reloadRun) reload(file int) error {
 	r.mu.Lock()
-	r.pools.reloadBegins(file)
+	r.watch.reloadStarted(file)
 	r.mu.Unlock()
 	if _, err := r.writeRoutes(file); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	}
 	r.reloads++
 	r.mu.Lock()
-	r.pools.reloadEnds()
+	r.watch.reloadCompleted()
 	r.mu.Unlock()
 	return nil
 }
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -13,59 +13,60 @@
 const (
 	requestInterval = 25 * time.Millisecond
 	lineInterval    = time.Second
-	killInterval    = 15 * time.Second // between kills of workers
-	downtime        = 5 * time.Second
+	killInterval    = 15 * time.Second
+	downtime        = 5 * time.Second // of a killed worker
 )
 
-// requestedFunctions is how many functions are requested.
+// requestedFunctions is the number of different functions that are requested.
 const requestedFunctions = 6
 
-// show sends requests, kills workers for a time, and writes what happens. A goroutine of its own owns it.
-type show struct {
+// driver sends requests, kills and restarts workers, and writes a line per second. Its fields belong to the goroutine
+// that start starts.
+type driver struct {
 	out    io.Writer
 	site   *fake.Site
 	listen string
 	counts *counts
 
-	begun  time.Time
-	random *rand.Rand
-	client *fake.Client // nil until the router accepts connections
-	lines  int
-	kills  int
-	killed *fake.Worker // nil while all workers are up
+	startedAt time.Time
+	random    *rand.Rand
+	client    *fake.Client // nil until the router accepts connections
+	lines     int          // written so far
+	kills     int          // so far
+	killed    *fake.Worker // nil while all workers are up
 }
 
-func newShow(out io.Writer, site *fake.Site, listen string, counts *counts) *show {
-	return &show{
-		out:    out,
-		site:   site,
-		listen: listen,
-		counts: counts,
-		begun:  time.Now(),
-		random: rand.New(rand.NewPCG(1, 2)),
+func newDriver(out io.Writer, site *fake.Site, listen string, counts *counts) *driver {
+	return &driver{
+		out:       out,
+		site:      site,
+		listen:    listen,
+		counts:    counts,
+		startedAt: time.Now(),
+		random:    rand.New(rand.NewPCG(1, 2)),
 	}
 }
 
-// start runs the show on a goroutine of its own. stop ends it, and blocks until it has ended.
-func (s *show) start() (stop func()) {
+// start runs the driver on a new goroutine. The returned function stops the goroutine and blocks until it has stopped.
+func (d *driver) start() (stop func()) {
 	stopping := make(chan struct{})
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
-		s.run(stopping)
+		defer close(stopped)
+		d.run(stopping)
 	}()
 	return func() {
 		close(stopping)
-		<-ended
+		<-stopped
 	}
 }
 
-func (s *show) run(stopping <-chan struct{}) {
+func (d *driver) run(stopping <-chan struct{}) {
 	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
 	defer func() {
-		if s.client != nil {
-			s.client.Close()
+		if d.client != nil {
+			d.client.Close()
 		}
 	}()
 	for {
@@ -73,60 +74,61 @@
 		case <-stopping:
 			return
 		case <-ticker.C:
-			s.tick(time.Since(s.begun))
+			d.tick(time.Since(d.startedAt))
 		}
 	}
 }
 
-// tick does what is due once some time has passed since the beginning.
-func (s *show) tick(elapsed time.Duration) {
-	if s.client == nil {
-		client, err := fake.Dial(s.listen)
+// tick does what is due when the given time has passed since the start. It dials the router if there is no connection
+// yet. Otherwise it sends a request, and writes a line and kills or restarts a worker when that is due.
+func (d *driver) tick(elapsed time.Duration) {
+	if d.client == nil {
+		client, err := fake.Dial(d.listen)
 		if err != nil {
 			return // the router does not listen yet
 		}
-		s.client = client
+		d.client = client
 		return
 	}
-	s.sendRequest()
-	if elapsed >= time.Duration(s.lines+1)*lineInterval {
-		s.lines++
-		fmt.Fprintln(s.out, s.counts.line(elapsed, s.site.Workers))
+	d.sendRequest()
+	if elapsed >= time.Duration(d.lines+1)*lineInterval {
+		d.lines++
+		fmt.Fprintln(d.out, d.counts.takeLine(elapsed, d.site.Workers))
 	}
-	s.disturb(elapsed)
+	d.killOrRestartWorker(elapsed)
 }
 
 // sendRequest sends a request of a random class for a random function.
-func (s *show) sendRequest() {
-	class := fake.ClassMix[s.random.IntN(len(fake.ClassMix))]
+func (d *driver) sendRequest() {
+	class := fake.ClassMix[d.random.IntN(len(fake.ClassMix))]
 	request := fake.Request{
 		Class:       class.Name,
-		ID:          fmt.Sprintf("%016x", s.random.Uint64()),
-		FunctionKey: fake.FunctionKey(s.random.IntN(requestedFunctions)),
+		ID:          fmt.Sprintf("%016x", d.random.Uint64()),
+		FunctionKey: fake.FunctionKey(d.random.IntN(requestedFunctions)),
 		Timeout:     class.Timeout,
 		Properties:  "memory_mb:512;lanes:2;load_ms:600",
 		Body:        []byte("lamp 17"),
 	}
-	s.client.Go(request, func(response fake.Response, err error) {
+	d.client.Go(request, func(response fake.Response, err error) {
 		if err == nil {
-			s.counts.response(class.Name, response.Status)
+			d.counts.response(class.Name, response.Status)
 		}
 	})
 }
 
-// disturb kills the next worker, or starts the killed one, when that is due.
-func (s *show) disturb(elapsed time.Duration) {
-	if s.killed == nil && elapsed > time.Duration(s.kills+1)*killInterval {
-		s.killed = s.site.Workers[s.kills%len(s.site.Workers)]
-		s.kills++
-		fmt.Fprintf(s.out, "       %s dies\n", s.killed.Name)
-		s.killed.Kill()
+// killOrRestartWorker kills the next worker, or restarts the killed one, if that is due.
+func (d *driver) killOrRestartWorker(elapsed time.Duration) {
+	if d.killed == nil && elapsed > time.Duration(d.kills+1)*killInterval {
+		d.killed = d.site.Workers[d.kills%len(d.site.Workers)]
+		d.kills++
+		fmt.Fprintf(d.out, "       %s is killed\n", d.killed.Name)
+		d.killed.Kill()
 		return
 	}
-	if s.killed != nil && elapsed > time.Duration(s.kills)*killInterval+downtime {
-		if s.killed.Start() == nil {
-			fmt.Fprintf(s.out, "       %s is back\n", s.killed.Name)
+	if d.killed != nil && elapsed > time.Duration(d.kills)*killInterval+downtime {
+		if d.killed.Start() == nil {
+			fmt.Fprintf(d.out, "       %s is restarted\n", d.killed.Name)
 		}
-		s.killed = nil
+		d.killed = nil
 	}
 }
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -7,34 +7,34 @@
 	"sync"
 )
 
-// path is how a state is reached from the start: the index of each step.
+// path is the way from the start to a state: the index of each step.
 type path []uint8
 
-// then returns the path with one step more. It shares no memory with other continuations.
-func (p path) then(step int) path {
+// extend returns the path with one more step. The new path shares no memory with other extensions of the path.
+func (p path) extend(step int) path {
 	return append(p[:len(p):len(p)], uint8(step))
 }
 
 // stateKey is a hash of System.Key.
 type stateKey [16]byte
 
-// keyOf returns the key of a system's state.
-func keyOf(s System) (key stateKey) {
+// hashKey returns the hash of the key of a system's state.
+func hashKey(s System) (key stateKey) {
 	sum := sha256.Sum256([]byte(s.Key()))
 	copy(key[:], sum[:])
 	return key
 }
 
-// transition is what one step led to.
+// transition is the result of one step.
 type transition struct {
-	path  path // nil at the end of a run
+	path  path // to the new state; nil at the end of a run
 	key   stateKey
-	err   error    // a broken property
-	trace []string // to it
+	err   error    // the broken property, or nil
+	trace []string // to the broken property
 }
 
-// Search follows all steps, breadth first, until a property is broken or it has seen maxStates states. It blocks until
-// then. It works on several goroutines; the result does not depend on how many.
+// Search explores all states, breadth first, until a property is broken, no state is left, or it has seen maxStates
+// states. It blocks until then. The result does not depend on the number of goroutines.
 func Search(start func() System, maxStates, goroutines int) Result {
 	s := &search{
 		start:      start,
@@ -44,7 +44,7 @@
 		result:     Result{States: 1, Whole: true},
 	}
 	for level := []path{nil}; len(level) > 0; s.result.Depth++ {
-		next, done := s.collect(s.follow(level))
+		next, done := s.collect(s.expand(level))
 		if done {
 			break
 		}
@@ -53,7 +53,8 @@
 	return s.result
 }
 
-// search is a search in progress. The goroutine of Search owns it; others read start and goroutines alone.
+// search is a search in progress. It belongs to the goroutine that calls Search; other goroutines only read start and
+// goroutines.
 type search struct {
 	start      func() System
 	maxStates  int
@@ -62,14 +63,14 @@
 	result     Result
 }
 
-// follow takes every step from the end of each path. The transitions are in the order of the paths.
-func (s *search) follow(level []path) [][]transition {
+// expand takes every possible step from the end of each path. The transitions are in the order of the paths.
+func (s *search) expand(level []path) [][]transition {
 	transitions := make([][]transition, len(level))
 	var wait sync.WaitGroup
 	for first := range s.goroutines {
 		wait.Go(func() {
 			for i := first; i < len(level); i += s.goroutines {
-				transitions[i] = followPath(s.start, level[i])
+				transitions[i] = expandPath(s.start, level[i])
 			}
 		})
 	}
@@ -77,8 +78,8 @@
 	return transitions
 }
 
-// collect adds a level's transitions to the result and returns the paths to its new states. It reports the search as
-// done if a property is broken or there are too many states.
+// collect adds a level's transitions to the result and returns the paths to new states. done is true if a property is
+// broken or there are too many states.
 func (s *search) collect(level [][]transition) (next []path, done bool) {
 	for _, t := range slices.Concat(level...) {
 		s.result.Transitions++
@@ -101,8 +102,8 @@
 	return next, false
 }
 
-// followPath takes every step from the end of a path, or ends the run where there is none.
-func followPath(start func() System, p path) []transition {
+// expandPath takes every possible step from the end of a path. If there is none, it ends the run.
+func expandPath(start func() System, p path) []transition {
 	s, trace, err := replay(start, p)
 	if err != nil {
 		return []transition{{err: err, trace: trace}}
@@ -113,22 +114,22 @@
 	}
 	transitions := make([]transition, len(steps))
 	for step := range steps {
-		transitions[step] = runPath(start, p.then(step))
+		transitions[step] = runPath(start, p.extend(step))
 	}
 	return transitions
 }
 
-// runPath runs a path to its end and returns its last transition.
+// runPath replays a path and returns its last transition.
 func runPath(start func() System, p path) transition {
 	s, trace, err := replay(start, p)
 	if err != nil {
 		return transition{path: p, err: err, trace: trace}
 	}
-	return transition{path: p, key: keyOf(s)}
+	return transition{path: p, key: hashKey(s)}
 }
 
-// replay runs a path from the start. It checks the properties after the last step only: they were checked after earlier
-// steps when their own paths were run.
+// replay runs a path from the start and returns the system and the names of the steps. It checks the properties only
+// after the last step, because they were checked after earlier steps when the shorter paths were run.
 func replay(start func() System, p path) (s System, trace []string, err error) {
 	s = start()
 	for n, step := range p {
@@ -146,7 +147,7 @@
 	return s, trace, nil
 }
 
-// takeStep does a step, and returns a panic of it as an error.
+// takeStep takes a step, and returns a panic as an error.
 func takeStep(s System, step int) error {
 	return catchPanic(func() error {
 		s.Do(step)
@@ -154,7 +155,7 @@
 	})
 }
 
-// catchPanic returns a panic of f as an error: it counts as a broken property.
+// catchPanic calls f and returns a panic as an error, because a panic counts as a broken property.
 func catchPanic(f func() error) (err error) {
 	defer func() {
 		if value := recover(); value != nil {
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// counters is a system of two counters, each of which goes up to a limit.
+// counters is a system of two counters, which are incremented in steps up to a limit.
 type counters struct {
 	a     int
 	b     int
 	limit int
-	// forbidden are the values that the counters may not have together.
+	// forbidden is the pair of values that the counters may not have at the same time.
 	forbidden [2]int
-	// missing is what End returns.
+	// missing is the error that End returns.
 	missing error
-	// panicAt is the value of the first counter at which Do panics, if it is not 0.
+	// panicAt is the value of counter a at which Do panics. 0 means never.
 	panicAt int
 }
 
-// nowhere is forbidden where no values are.
-var nowhere = [2]int{-1, -1}
+// neverForbidden is a pair of values that the counters never have, for tests without forbidden values.
+var neverForbidden = [2]int{-1, -1}
 
 // Steps implements System.
 func (c *counters) Steps() (steps []string) {
@@ -60,7 +60,7 @@
 // Key implements System.
 func (c *counters) Key() string { return fmt.Sprint(c.a, c.b) }
 
-// searchCounters searches copies of a system.
+// searchCounters runs Search with copies of c.
 func searchCounters(c counters, maxStates, goroutines int) Result {
 	return Search(func() System {
 		fresh := c
@@ -69,7 +69,7 @@
 }
 
 func TestSearchSeesTheWholeScope(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere}, 1000, 1)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden}, 1000, 1)
 	if r.States != 25 || !r.Whole || r.Err != nil {
 		t.Error(r)
 	}
@@ -88,21 +88,21 @@
 }
 
 func TestSearchReportsWhatIsMissingAtTheEnd(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere, missing: errors.New("ended")}, 1000, 2)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden, missing: errors.New("ended")}, 1000, 2)
 	if r.Err == nil || r.Trace[len(r.Trace)-1] != endOfTrace {
 		t.Error(r)
 	}
 }
 
 func TestSearchReportsAPanic(t *testing.T) {
-	r := searchCounters(counters{limit: 4, forbidden: nowhere, panicAt: 2}, 1000, 2)
+	r := searchCounters(counters{limit: 4, forbidden: neverForbidden, panicAt: 2}, 1000, 2)
 	if r.Err == nil || r.Err.Error() != "panic: too high" || len(r.Trace) != 2 {
 		t.Error(r)
 	}
 }
 
 func TestSearchStopsWhereTheScopeIsTooLarge(t *testing.T) {
-	r := searchCounters(counters{limit: 40, forbidden: nowhere}, 100, 2)
+	r := searchCounters(counters{limit: 40, forbidden: neverForbidden}, 100, 2)
 	if r.Whole || r.States != 100 {
 		t.Error(r)
 	}
