--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -15,7 +15,7 @@
 	lastSeq   uint32
 	inFlight  map[uint32]func(Response, error)
 	unmatched int   // responses to no request in flight
-	broken    error // what ended the connection
+	connErr   error // what ended the connection
 }
 
 // Dial connects to a router.
@@ -87,7 +87,7 @@
 // may be sent in between. It calls done as Go does.
 func (c *Client) GoInHalves(request Request, done func(Response, error)) (rest func()) {
 	var message []byte
-	c.sendBy(func(whole []byte) error {
+	c.sendWith(func(whole []byte) error {
 		message = whole
 		_, err := c.conn.Write(whole[:len(whole)/2])
 		return err
@@ -97,16 +97,16 @@
 
 // send writes a message with its arguments under the next sequence number.
 func (c *Client) send(method string, arguments []byte, done func(Response, error)) {
-	c.sendBy(func(message []byte) error {
+	c.sendWith(func(message []byte) error {
 		_, err := c.conn.Write(message)
 		return err
 	}, method, arguments, done)
 }
 
-// sendBy has write send a message with its arguments under the next sequence number.
-func (c *Client) sendBy(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
+// sendWith has write send a message with its arguments under the next sequence number.
+func (c *Client) sendWith(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
 	c.mu.Lock()
-	if err := c.broken; err != nil {
+	if err := c.connErr; err != nil {
 		c.mu.Unlock()
 		done(Response{}, err)
 		return
@@ -151,7 +151,7 @@
 	c.mu.Lock()
 	inFlight := c.inFlight
 	c.inFlight = map[uint32]func(Response, error){}
-	c.broken = err
+	c.connErr = err
 	c.mu.Unlock()
 	for _, done := range inFlight {
 		done(Response{}, err)
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -49,7 +49,7 @@
 	port   *Port
 	conn   net.Conn
 
-	writing  sync.Mutex
+	writeMu  sync.Mutex
 	inFlight map[string]*execution // by id, guarded by the worker's lock
 }
 
@@ -69,11 +69,11 @@
 
 func (c *connection) close() {
 	c.conn.Close()
-	c.port.forget(c.conn)
+	c.port.removeConn(c.conn)
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
 	for _, e := range c.inFlight {
-		c.end(e, EventConnectionLost)
+		c.markDone(e, EventConnectionLost)
 	}
 }
 
@@ -134,7 +134,7 @@
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
 	if e := c.inFlight[id]; e != nil {
-		c.end(e, EventCanceled)
+		c.markDone(e, EventCanceled)
 	}
 }
 
@@ -185,8 +185,8 @@
 	if c.port.Mode() == ModeUnresponsive {
 		return
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	writeArray(c.conn, tag, string(word), fields, body)
 }
 
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -41,8 +41,8 @@
 // DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list,
 // on a goroutine of its own.
 type DiscoveryServer struct {
-	conn  net.PacketConn
-	ended chan struct{}
+	conn    net.PacketConn
+	stopped chan struct{}
 
 	mu            sync.Mutex // guards what follows
 	serial        uint32
@@ -58,7 +58,7 @@
 	}
 	d := &DiscoveryServer{
 		conn:          conn,
-		ended:         make(chan struct{}),
+		stopped:       make(chan struct{}),
 		serial:        1,
 		list:          list,
 		firstServedAt: map[uint32]time.Time{},
@@ -89,12 +89,12 @@
 // Close ends the server. It blocks until the server has ended. It may be called again.
 func (d *DiscoveryServer) Close() {
 	d.conn.Close()
-	<-d.ended
+	<-d.stopped
 }
 
 // serve answers queries until the socket is closed.
 func (d *DiscoveryServer) serve() {
-	defer close(d.ended)
+	defer close(d.stopped)
 	query := make([]byte, maxQuerySize)
 	for {
 		n, from, err := d.conn.ReadFrom(query)
--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -19,7 +19,7 @@
 	functionKey   string
 	body          string
 	waitedForLoad bool
-	over          bool // responded to, canceled, or its connection was lost
+	done          bool // responded to, canceled, or its connection was lost
 }
 
 // complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
@@ -29,10 +29,10 @@
 	w.mu.Lock()
 	r.busy--
 	r.lastUsed = time.Now()
-	failed := w.fails != nil && w.fails(e.id)
-	silent := w.hanging || e.over
+	failed := w.shouldFail != nil && w.shouldFail(e.id)
+	silent := w.hanging || e.done
 	if !w.hanging {
-		c.end(e, EventCompleted)
+		c.markDone(e, EventCompleted)
 	}
 	inFlight := w.inFlight
 	w.startWaiting(r)
@@ -50,12 +50,12 @@
 	}
 }
 
-// end records that a request is over, once. The worker must be locked.
-func (c *connection) end(e *execution, kind EventKind) {
-	if e.over {
+// markDone records that a request is over, once. The worker must be locked.
+func (c *connection) markDone(e *execution, kind EventKind) {
+	if e.done {
 		return
 	}
-	e.over = true
+	e.done = true
 	delete(c.inFlight, e.id)
 	c.worker.inFlight--
 	e.recordEvent(kind)
--- a/internal/fake/platformconfig.go
+++ b/internal/fake/platformconfig.go
@@ -159,8 +159,8 @@
 	kinds := []string{}
 	zones := []string{}
 	for _, w := range s.Workers {
-		kinds = appendNew(kinds, w.Kind)
-		zones = appendNew(zones, w.Zone)
+		kinds = appendUnique(kinds, w.Kind)
+		zones = appendUnique(zones, w.Zone)
 	}
 	return serviceSettings{
 		Classes:        classes,
@@ -224,7 +224,7 @@
 	LoadStatusReported:    true,
 }
 
-func appendNew(list []string, value string) []string {
+func appendUnique(list []string, value string) []string {
 	if slices.Contains(list, value) {
 		return list
 	}
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// forget drops a connection that has ended.
-func (p *Port) forget(conn net.Conn) {
+// removeConn drops a connection that has ended.
+func (p *Port) removeConn(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, conn)
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -56,7 +56,7 @@
 	for r.ready && len(r.waiting) > 0 && r.busy < max(w.Lanes, 1) {
 		e := r.waiting[0]
 		r.waiting = r.waiting[1:]
-		if e.over {
+		if e.done {
 			continue
 		}
 		r.busy++
--- a/internal/fake/resp.go
+++ b/internal/fake/resp.go
@@ -10,8 +10,8 @@
 
 // Limits of the arrays that a worker reads.
 const (
-	maxArrayLength = 16
-	maxTextLength  = 1 << 20
+	maxArrayLength      = 16
+	maxBulkStringLength = 1 << 20
 )
 
 // readArray reads a RESP array of bulk strings.
@@ -22,7 +22,7 @@
 	}
 	texts := make([]string, 0, length)
 	for range length {
-		text, err := readText(in)
+		text, err := readBulkString(in)
 		if err != nil {
 			return nil, err
 		}
@@ -31,9 +31,9 @@
 	return texts, nil
 }
 
-// readText reads a RESP bulk string.
-func readText(in *bufio.Reader) (string, error) {
-	size, err := readLength(in, '$', maxTextLength)
+// readBulkString reads a RESP bulk string.
+func readBulkString(in *bufio.Reader) (string, error) {
+	size, err := readLength(in, '$', maxBulkStringLength)
 	if err != nil {
 		return "", err
 	}
--- a/internal/fake/testbed.go
+++ b/internal/fake/testbed.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	site, err := NewSite("127.0.0.1:0", placeSockets(cfg.Workers, dir), cfg.Record)
+	site, err := NewSite("127.0.0.1:0", resolveSocketPaths(cfg.Workers, dir), cfg.Record)
 	if err != nil {
 		os.RemoveAll(dir)
 		return nil, err
@@ -33,8 +33,8 @@
 	return &Testbed{Dir: dir, Site: site}, nil
 }
 
-// placeSockets returns the workers with relative paths of Unix sockets placed in a folder.
-func placeSockets(workers []WorkerConfig, dir string) []WorkerConfig {
+// resolveSocketPaths returns the workers with relative paths of Unix sockets placed in a folder.
+func resolveSocketPaths(workers []WorkerConfig, dir string) []WorkerConfig {
 	placed := slices.Clone(workers)
 	for i := range placed {
 		placed[i].MoreAddrs = slices.Clone(placed[i].MoreAddrs)
--- a/internal/fake/thrift_test.go
+++ b/internal/fake/thrift_test.go
@@ -23,19 +23,19 @@
 	want := "" +
 		"00000067" + "80010001" + "00000007" + hex.EncodeToString([]byte("execute")) + "00000007" +
 		"0d0001" + "0b0b" + "00000005" +
-		text("class") + text("c") +
-		text("id") + text("1") +
-		text("wait") + text("1500") +
-		text("key") + text("2") +
-		text("once") + text("k") +
-		"0b0002" + text("x") + "00"
+		encodedString("class") + encodedString("c") +
+		encodedString("id") + encodedString("1") +
+		encodedString("wait") + encodedString("1500") +
+		encodedString("key") + encodedString("2") +
+		encodedString("once") + encodedString("k") +
+		"0b0002" + encodedString("x") + "00"
 	if hex.EncodeToString(got) != want {
 		t.Errorf("got  %x\nwant %s", got, want)
 	}
 }
 
-// text returns the encoding of a short text in hex.
-func text(s string) string { return hex.EncodeToString(appendText(nil, s)) }
+// encodedString returns the encoding of a short encodedString in hex.
+func encodedString(s string) string { return hex.EncodeToString(appendString(nil, s)) }
 
 func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
@@ -55,12 +55,12 @@
 	}{
 		{
 			"served",
-			reply + "0c0000" + "0b0001" + text("done") + "00" + "00",
+			reply + "0c0000" + "0b0001" + encodedString("done") + "00" + "00",
 			Response{Status: Served, Body: []byte("done")},
 		},
 		{
 			"rejected",
-			reply + "0c0001" + "0d0001" + "0b0b" + "00000001" + text("after") + text("250") + "00" + "00",
+			reply + "0c0001" + "0d0001" + "0b0b" + "00000001" + encodedString("after") + encodedString("250") + "00" + "00",
 			Response{Status: Rejected, RetryAfter: 250 * time.Millisecond},
 		},
 		{"failed", reply + "0c0002" + "00" + "00", Response{Status: Failed}},
--- a/internal/fake/thriftdecoder.go
+++ b/internal/fake/thriftdecoder.go
@@ -37,9 +37,9 @@
 
 // parseResponse decodes a reply or an exception. An exception counts as a failed request.
 func parseResponse(frame []byte) (seq uint32, response Response, err error) {
-	d := &decoder{rest: frame}
+	d := &decoder{unread: frame}
 	messageType := d.uint32() & 0xff
-	d.text() // the method
+	d.string() // the method
 	seq = d.uint32()
 	if messageType == messageException {
 		return seq, Response{Status: Failed}, d.err
@@ -80,12 +80,12 @@
 	case typeBool:
 		r.Healthy = d.byte() == 1
 	case typeString:
-		r.Body = []byte(d.text())
+		r.Body = []byte(d.string())
 	case typeMap:
 		d.uint16() // the types of keys and values
 		for range min(d.uint32(), maxMapLength) {
-			name := d.text()
-			value := d.text()
+			name := d.string()
+			value := d.string()
 			if milliseconds, err := strconv.Atoi(value); name == "after" && err == nil {
 				r.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 			}
@@ -97,20 +97,20 @@
 
 // decoder reads values of Thrift's binary protocol. After an error it reads zero values.
 type decoder struct {
-	rest []byte
-	err  error
+	unread []byte
+	err    error
 }
 
 // take returns the next n bytes, or nil after an error.
 func (d *decoder) take(n int) []byte {
-	if d.err == nil && n > len(d.rest) {
+	if d.err == nil && n > len(d.unread) {
 		d.err = errMalformedResponse
 	}
 	if d.err != nil {
 		return nil
 	}
-	taken := d.rest[:n]
-	d.rest = d.rest[n:]
+	taken := d.unread[:n]
+	d.unread = d.unread[n:]
 	return taken
 }
 
@@ -138,7 +138,7 @@
 	return binary.BigEndian.Uint32(b)
 }
 
-func (d *decoder) text() string {
+func (d *decoder) string() string {
 	size := d.uint32()
 	return string(d.take(int(size)))
 }
--- a/internal/fake/thriftencoder.go
+++ b/internal/fake/thriftencoder.go
@@ -22,8 +22,8 @@
 	typeMap    = 13
 )
 
-// appendText appends a string with its length.
-func appendText(b []byte, text string) []byte {
+// appendString appends a string with its length.
+func appendString(b []byte, text string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
 }
@@ -36,7 +36,7 @@
 // encodeMessage returns a framed message.
 func encodeMessage(messageType byte, method string, seq uint32, arguments []byte) []byte {
 	message := binary.BigEndian.AppendUint32(nil, thriftVersion<<16|uint32(messageType))
-	message = appendText(message, method)
+	message = appendString(message, method)
 	message = binary.BigEndian.AppendUint32(message, seq)
 	message = append(message, arguments...)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
@@ -53,11 +53,11 @@
 	b = append(b, typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, field := range fields {
-		b = appendText(b, field.Name)
-		b = appendText(b, field.Value)
+		b = appendString(b, field.Name)
+		b = appendString(b, field.Value)
 	}
 	b = appendFieldHeader(b, typeString, 2)
-	b = appendText(b, string(request.Body))
+	b = appendString(b, string(request.Body))
 	return append(b, typeStop)
 }
 
--- a/internal/fake/timers.go
+++ b/internal/fake/timers.go
@@ -8,10 +8,10 @@
 // timers are the calls that a worker makes later, each from a goroutine of its own. They have a lock of their own, so
 // that a worker may use them while it is locked.
 type timers struct {
-	mu      sync.Mutex
-	closed  bool
-	pending map[*time.Timer]struct{}
-	running sync.WaitGroup // calls that are pending or being made
+	mu          sync.Mutex
+	closed      bool
+	pending     map[*time.Timer]struct{}
+	outstanding sync.WaitGroup // calls that are pending or being made
 }
 
 func newTimers() *timers { return &timers{pending: map[*time.Timer]struct{}{}} }
@@ -23,10 +23,10 @@
 	if t.closed {
 		return
 	}
-	t.running.Add(1)
+	t.outstanding.Add(1)
 	var timer *time.Timer
 	timer = time.AfterFunc(d, func() {
-		defer t.running.Done()
+		defer t.outstanding.Done()
 		t.mu.Lock() // until the timer is assigned
 		delete(t.pending, timer)
 		closed := t.closed
@@ -44,10 +44,10 @@
 	t.closed = true
 	for timer := range t.pending {
 		if timer.Stop() {
-			t.running.Done()
+			t.outstanding.Done()
 		}
 	}
 	clear(t.pending)
 	t.mu.Unlock()
-	t.running.Wait()
+	t.outstanding.Wait()
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -31,11 +31,11 @@
 	record func(Event)
 	timers *timers // of the work on requests and of loads
 
-	mu       sync.Mutex          // guards what follows, and the state of replicas, connections and executions
-	replicas map[string]*replica // by function key
-	inFlight int                 // requests that were accepted and are not over
-	hanging  bool
-	fails    func(id string) bool // selects the requests that fail; nil for none
+	mu         sync.Mutex          // guards what follows, and the state of replicas, connections and executions
+	replicas   map[string]*replica // by function key
+	inFlight   int                 // requests that were accepted and are not over
+	hanging    bool
+	shouldFail func(id string) bool // selects the requests that fail; nil for none
 }
 
 // NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with the worker
@@ -128,7 +128,7 @@
 func (w *Worker) FailRequests(fails func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.fails = fails
+	w.shouldFail = fails
 }
 
 // Close ends the worker for good. It blocks until all its goroutines have ended.
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -61,7 +61,7 @@
 	router.expect("5", "NONE", "-", "")
 }
 
-func TestRequestIsRejectedWhereTheQueueIsFull(t *testing.T) {
+func TestRequestIsRejectedWhenTheQueueIsFull(t *testing.T) {
 	site := newSite(t, WorkerConfig{ServiceTime: time.Hour, Lanes: 1, Queue: 1, Warm: true}, nil)
 	router := newRouterConn(t, site.Workers[0].Addr)
 	router.send("RUN", "1", requestFields, "")
@@ -110,7 +110,7 @@
 	return err == nil && slices.Equal(got, []string{"1", "PONG", "use=inflight:0", ""})
 }
 
-func TestOnlyAPortThatIsWellResponds(t *testing.T) {
+func TestOnlyHealthyPortsRespond(t *testing.T) {
 	cfg := WorkerConfig{Warm: true, MoreAddrs: []Address{{NetworkUnix, t.TempDir() + "/w.sock"}}}
 	site := newSite(t, cfg, nil)
 	for _, port := range site.Workers[0].Ports() {
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPortKeepsItsModeWhereTheNewOneIsUnknown(t *testing.T) {
+func TestPortKeepsItsModeIfTheNewOneIsUnknown(t *testing.T) {
 	site := newSite(t, WorkerConfig{Warm: true}, nil)
 	port := site.Workers[0].Ports()[0]
 	if err := port.Set("well"); !errors.Is(err, errUnknownMode) || port.Mode() != ModeHealthy {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -10,7 +10,7 @@
 
 // capacity is the number of signals that wait in a channel. A further one is dropped: it would have no effect beyond
 // that of the first.
-const capacity = 1
+const channelCapacity = 1
 
 // Signals holds the signals that were caught and not received yet. Any goroutine may receive from its channels.
 type Signals struct {
@@ -26,9 +26,9 @@
 // Notify begins to catch signals. The caller ends that by Close or Release.
 func Notify() *Signals {
 	s := &Signals{
-		Stop:   make(chan os.Signal, capacity),
-		Report: make(chan os.Signal, capacity),
-		Reload: make(chan os.Signal, capacity),
+		Stop:   make(chan os.Signal, channelCapacity),
+		Report: make(chan os.Signal, channelCapacity),
+		Reload: make(chan os.Signal, channelCapacity),
 	}
 	signal.Notify(s.Stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.Report, syscall.SIGUSR1)
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -22,7 +22,7 @@
 }
 
 // Guards the stories' checks: each reports the fault that is planted where it looks.
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	t.Run("a drain that routers do not follow", func(t *testing.T) {
 		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
 		if err := s.when(2, func() {
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -10,8 +10,8 @@
 type idleReplicas bool
 
 const (
-	idleMakesRoom idleReplicas = false
-	idleStays     idleReplicas = true
+	idleUnloaded idleReplicas = false
+	idleKept     idleReplicas = true
 )
 
 // runRelease runs a fleet at little load whose workers' memory is full. From the fourth second on, a new version is
@@ -46,7 +46,7 @@
 func TestNewVersionsAreServedSoonAfterRelease(t *testing.T) {
 	for _, routers := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
-			s := runRelease(t, routers, idleMakesRoom)
+			s := runRelease(t, routers, idleUnloaded)
 			percent, n := s.newVersionsServed()
 			t.Logf("%d in 100 of %d early requests for new versions were served in time", percent, n)
 			if percent < 70 || n < 100 {
@@ -67,7 +67,7 @@
 
 // Guards the check: where idle replicas do not make room, new versions are not served.
 func TestNewVersionsWithoutCapacityAreNotServed(t *testing.T) {
-	s := runRelease(t, 30, idleStays)
+	s := runRelease(t, 30, idleKept)
 	if percent, n := s.newVersionsServed(); percent >= 70 {
 		t.Errorf("%d in 100 of %d early requests were served where no replica made room", percent, n)
 	}
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -100,16 +100,16 @@
 	r.fleet.After(gracePeriod, func() {
 		r.rejectsNew = true
 		r.core.RejectNew()
-		r.endWhenDrained()
+		r.exitWhenDrained()
 	})
 }
 
-func (r *Router) endWhenDrained() {
+func (r *Router) exitWhenDrained() {
 	if r.OpenRequests() == 0 {
 		r.Down = true
 		return
 	}
-	r.fleet.After(drainPollInterval, r.endWhenDrained)
+	r.fleet.After(drainPollInterval, r.exitWhenDrained)
 }
 
 // OpenRequests returns how many responses the router owes.
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -80,14 +80,14 @@
 func (s *story) replaceWorkers(listed func(policy.Endpoint) policy.Endpoint) {
 	for i := range 10 {
 		step := time.Duration(i) * time.Second
-		s.fleet.After(2*time.Second+step, func() { s.startListed(listed) })
+		s.fleet.After(2*time.Second+step, func() { s.startAndNotify(listed) })
 		s.fleet.After(4*time.Second+step, func() {
 			s.fleet.Notify(1500*ms, policy.Endpoint{Worker: policy.WorkerID(i + 1), State: policy.Draining})
 		})
 	}
 }
 
-func (s *story) startListed(listed func(policy.Endpoint) policy.Endpoint) {
+func (s *story) startAndNotify(listed func(policy.Endpoint) policy.Endpoint) {
 	w := s.fleet.StartWorker()
 	started := policy.Endpoint{Worker: w.ID, State: policy.Ready, Weight: 1, Started: s.fleet.Now()}
 	s.fleet.Notify(1500*ms, listed(started))
@@ -118,7 +118,7 @@
 func (s *story) burstAfterLull(lull time.Duration, listed func(policy.Endpoint) policy.Endpoint) {
 	f := s.fleet
 	f.After(28*time.Second, func() {
-		s.startListed(listed)
+		s.startAndNotify(listed)
 		f.Traffic("", 0, 1000, 4*time.Second)
 	})
 	f.After(32*time.Second+lull, func() {
@@ -166,12 +166,12 @@
 	return s
 }
 
-// asStarted leaves what discovery says of a started worker as it is.
-func asStarted(e policy.Endpoint) policy.Endpoint { return e }
+// unchanged leaves what discovery says of a started worker as it is.
+func unchanged(e policy.Endpoint) policy.Endpoint { return e }
 
 // A worker in slow start is not overloaded by the sum of what all routers send it, however many they are: it receives
 // no more than its budget and what is put down to chance.
-func TestWorkersInSlowStartAreNotOverloadedByTheSum(t *testing.T) {
+func TestRoutersTogetherDoNotOverloadWorkersInSlowStart(t *testing.T) {
 	for _, run := range []slowStartRun{
 		{name: "replaced"},
 		{name: "lost", lost: []time.Duration{9 * time.Second}},
@@ -181,7 +181,7 @@
 			t.Run(fmt.Sprintf("%s, %d routers", run.name, routers), func(t *testing.T) {
 				t.Parallel()
 				for seed := uint64(1); seed <= 2; seed++ {
-					s := runSlowStart(t, routers, seed, run, asStarted)
+					s := runSlowStart(t, routers, seed, run, unchanged)
 					units, over := s.excess()
 					received := s.receivedByStarted()
 					t.Logf("%d routers, seed %d: largest excess %.1f roots of N; %d requests at started workers",
@@ -199,7 +199,7 @@
 }
 
 // Guards the check: routers that are not notified of the start overload the worker.
-func TestSumAtStartedWorkersFindsAnUnlistedStart(t *testing.T) {
+func TestSlowStartCheckDetectsUnreportedStart(t *testing.T) {
 	unlisted := func(e policy.Endpoint) policy.Endpoint {
 		e.Started = 0
 		return e
--- a/internal/simulation/stories_test.go
+++ b/internal/simulation/stories_test.go
@@ -24,7 +24,7 @@
 	c.Step(`^in no second does it receive more requests than its capacity allows$`, s.thenNotOverloaded)
 	c.Step(`^it receives some requests$`, s.thenReceivesSome)
 	c.Step(`^what comes to a router past its grace period is rejected$`, s.thenLateRequestsAreRejected)
-	c.Step(`^the terminated routers have ended$`, s.thenTerminatedHaveEnded)
+	c.Step(`^the terminated routers have ended$`, s.thenTerminatedHaveExited)
 }
 
 func TestStories(t *testing.T) {
--- a/internal/simulation/storychecks_test.go
+++ b/internal/simulation/storychecks_test.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func (s *story) thenTerminatedHaveEnded() error {
+func (s *story) thenTerminatedHaveExited() error {
 	for _, r := range s.terminated {
 		if !r.Down || r.OpenRequests() > 0 {
 			return fmt.Errorf("down %v with %d open", r.Down, r.OpenRequests())
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -57,13 +57,13 @@
 	case loadedAt > now:
 		status = policy.WaitedForLoad
 	}
-	after = w.begin(function, max(loadedAt-now, 0))
+	after = w.startRequest(function, max(loadedAt-now, 0))
 	return router.AttemptResult{Outcome: policy.Served, LoadStatus: status, Body: []byte("done")}, after
 }
 
-// begin counts a request as in flight until the load that it waits for and its work are done, and returns how long
+// startRequest counts a request as in flight until the load that it waits for and its work are done, and returns how long
 // that takes. The work is slower by one service time for each time that all slots are taken.
-func (w *Worker) begin(function policy.FunctionID, loadWait time.Duration) (took time.Duration) {
+func (w *Worker) startRequest(function policy.FunctionID, loadWait time.Duration) (took time.Duration) {
 	w.inFlight++
 	w.functionInFlight[function]++
 	w.lastUsed[function] = w.fleet.now
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -52,8 +52,8 @@
 func (d *decoder) function() policy.FunctionID { return policy.FunctionID(d.uint64()) }
 
 // duration decodes milliseconds in double precision, shortDuration in single precision.
-func (d *decoder) duration() time.Duration      { return millis(d.float64()) }
-func (d *decoder) shortDuration() time.Duration { return millis(d.float32()) }
+func (d *decoder) duration() time.Duration      { return fromMillis(d.float64()) }
+func (d *decoder) shortDuration() time.Duration { return fromMillis(d.float32()) }
 
 // worker decodes a worker's address and port as one id.
 func (d *decoder) worker() policy.WorkerID {
--- a/internal/simulator/encoder.go
+++ b/internal/simulator/encoder.go
@@ -40,7 +40,7 @@
 func (e *encoder) function(id policy.FunctionID) { e.uint64(uint64(id)) }
 
 // duration encodes milliseconds in double precision.
-func (e *encoder) duration(v time.Duration) { e.uint64(math.Float64bits(inMillis(v))) }
+func (e *encoder) duration(v time.Duration) { e.uint64(math.Float64bits(toMillis(v))) }
 
 // worker encodes a worker's id as its address and port.
 func (e *encoder) worker(id policy.WorkerID) {
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -19,7 +19,7 @@
 )
 
 // maxFrame bounds a batch, in bytes after its header.
-const maxFrame = 1 << 30
+const maxBodyBytes = 1 << 30
 
 // Init is the start of an instance.
 type Init struct {
@@ -51,18 +51,18 @@
 	clock    float64 // milliseconds
 }
 
-// malformed returns the error of what stands at an offset in the frame, of no record of its own.
-func (h header) malformed(offset int, reason string) *FrameError {
+// frameError returns the error of what stands at an offset in the frame, of no record of its own.
+func (h header) frameError(offset int, reason string) *FrameError {
 	return &FrameError{Batch: int64(h.sequence), Record: NoRecord, Offset: offset, Reason: reason}
 }
 
-// check checks the header's numbers.
-func (h header) check() error {
+// validate checks the header's numbers.
+func (h header) validate() error {
 	if math.IsNaN(h.clock) || h.clock < 0 || h.clock > maxMillis {
-		return h.malformed(clockOffset, "bad clock")
+		return h.frameError(clockOffset, "bad clock")
 	}
-	if h.size > maxFrame {
-		return h.malformed(sizeOffset, fmt.Sprintf("length %d is too large", h.size))
+	if h.size > maxBodyBytes {
+		return h.frameError(sizeOffset, fmt.Sprintf("length %d is too large", h.size))
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	if err := head.check(); err != nil {
+	if err := head.validate(); err != nil {
 		return Batch{}, err
 	}
 	body, err := readBody(r, head)
@@ -112,32 +112,32 @@
 func readBody(r io.Reader, head header) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, int64(head.size)))
 	if err != nil {
-		failure := head.malformed(headerBytes+len(body), "")
+		failure := head.frameError(headerBytes+len(body), "")
 		failure.Err = err
 		return nil, failure
 	}
 	if len(body) < int(head.size) {
 		reason := fmt.Sprintf("truncated at byte %d of %d", len(body), head.size)
-		return nil, head.malformed(headerBytes+len(body), reason)
+		return nil, head.frameError(headerBytes+len(body), reason)
 	}
 	return body, nil
 }
 
 // decodeBatch decodes the records of a batch.
 func decodeBatch(head header, body []byte) (Batch, error) {
-	batch := Batch{Sequence: head.sequence, Now: millis(head.clock)}
+	batch := Batch{Sequence: head.sequence, Now: fromMillis(head.clock)}
 	d := newRecordDecoder(body)
 	for i := range int(head.records) {
 		record, err := d.record()
 		if err != nil {
-			failure := head.malformed(headerBytes+len(body)-len(d.unread), err.Error())
+			failure := head.frameError(headerBytes+len(body)-len(d.unread), err.Error())
 			failure.Record = i
 			return Batch{}, failure
 		}
 		batch.Records = append(batch.Records, record)
 	}
 	if left := len(d.unread); left > 0 {
-		return Batch{}, head.malformed(headerBytes+len(body)-left, fmt.Sprintf("%d bytes left over", left))
+		return Batch{}, head.frameError(headerBytes+len(body)-left, fmt.Sprintf("%d bytes left over", left))
 	}
 	return batch, nil
 }
--- a/internal/simulator/milliseconds.go
+++ b/internal/simulator/milliseconds.go
@@ -8,14 +8,14 @@
 // maxMillis is the longest time that counts as a time, in milliseconds. It fits into a Duration.
 const maxMillis = 1e12
 
-// millis returns a number of milliseconds as a Duration, rounded to nanoseconds. What is no number, or is out of range,
+// fromMillis returns a number of milliseconds as a Duration, rounded to nanoseconds. What is no number, or is out of range,
 // becomes 0.
-func millis(ms float64) time.Duration {
+func fromMillis(ms float64) time.Duration {
 	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
 		return 0
 	}
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-// inMillis returns a Duration in milliseconds.
-func inMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// toMillis returns a Duration in milliseconds.
+func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -98,7 +98,7 @@
 		Routers:            s.Routers,
 		Zone:               s.Zone,
 		WeightByWork:       s.WeightUnit == "work",
-		Tick:               millis(s.TickMs),
+		Tick:               fromMillis(s.TickMs),
 		EndpointsByPolling: s.EndpointListMode == "subscribe",
 		LoadReportFields:   s.Report.Fields,
 		InlineLoadReports:  s.Report.How == "inline",
@@ -121,17 +121,17 @@
 	c.GossipSupported = s.Limits.GossipSupported
 	c.HedgingAllowed = s.Limits.HedgingAllowed
 	c.RetryAfterSupported = s.Limits.RetryAfterSupported
-	c.MaxRetryAfter = millis(s.Limits.MaxRetryAfterMs)
+	c.MaxRetryAfter = fromMillis(s.Limits.MaxRetryAfterMs)
 }
 
 // applyRules sets the figures of the section "rules", for workers that start or drain.
 func (s *settings) applyRules(c *policy.Config) {
-	c.PollInterval = millis(s.Rules.PollIntervalMs)
+	c.PollInterval = fromMillis(s.Rules.PollIntervalMs)
 	c.SlowStartInitialCapacity = s.Rules.SlowStartInitialCapacity
-	c.SlowStartDuration = millis(s.Rules.SlowStartMs)
+	c.SlowStartDuration = fromMillis(s.Rules.SlowStartMs)
 	c.OverloadMultiple = s.Rules.OverloadMultiple
-	c.OverloadWindow = millis(s.Rules.OverloadWindowMs)
-	c.DrainGracePeriod = millis(s.Rules.DrainGracePeriodMs)
+	c.OverloadWindow = fromMillis(s.Rules.OverloadWindowMs)
+	c.DrainGracePeriod = fromMillis(s.Rules.DrainGracePeriodMs)
 }
 
 // applySpecifics sets what the section "specifics" says of functions and their replicas.
@@ -140,9 +140,9 @@
 	c.LoadCommandsSupported = s.Specifics.LoadCommandsSupported
 	c.LoadStatusReported = s.Specifics.LoadStatusReported
 	c.ConcurrencyReported = s.Specifics.ConcurrencyReported
-	c.KeepAlive = millis(s.Specifics.KeepAliveMs)
-	c.LoadTimeout = millis(s.Specifics.LoadTimeoutMs)
-	c.LoadBudgetWindow = millis(s.Specifics.LoadBudgetWindowMs)
+	c.KeepAlive = fromMillis(s.Specifics.KeepAliveMs)
+	c.LoadTimeout = fromMillis(s.Specifics.LoadTimeoutMs)
+	c.LoadBudgetWindow = fromMillis(s.Specifics.LoadBudgetWindowMs)
 	c.LoadBudgetMinimum = s.Specifics.LoadBudgetMinimum
 	c.LoadBudgetRatio = s.Specifics.LoadBudgetRatio
 	c.MemoryPrice = s.Specifics.MemoryPrice
@@ -155,9 +155,9 @@
 // a SettingsError.
 func (k *class) policyClass(index int) (policy.Class, error) {
 	c := policy.Class{
-		LatencyObjective:    millis(k.LatencyObjectiveMs),
-		Deadline:            millis(k.DeadlineMs),
-		DeduplicationWindow: millis(k.DeduplicationWindowMs),
+		LatencyObjective:    fromMillis(k.LatencyObjectiveMs),
+		Deadline:            fromMillis(k.DeadlineMs),
+		DeduplicationWindow: fromMillis(k.DeduplicationWindowMs),
 		Streamed:            k.Streamed,
 		PriorityWeight:      k.PriorityWeight,
 		LatePriorityWeight:  k.LatePriorityWeight,
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("%s: %v, want %q", bad, err, want.text)
 		}
 	}
-	if millis(math.NaN()) != 0 || millis(math.Inf(1)) != 0 {
+	if fromMillis(math.NaN()) != 0 || fromMillis(math.Inf(1)) != 0 {
 		t.Error("no number must count as absent")
 	}
 }
