--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,6 +1,6 @@
 // Command simulator-adapter hosts the decision module for the operators' simulator. It reads batches of events from
-// standard input and writes one reply with actions for each to standard output. Each instance of the simulator has a
-// policy.Policy of its own. The program ends with its input, and with status 1 at the first error.
+// standard input and writes one reply with actions for each batch to standard output. Each instance of the simulator
+// has its own policy.Policy. The program exits when its input ends, or with status 1 at the first error.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"crankhold/policy"
 )
 
-// bufferSize is the size of each of the buffers on input and output, in bytes.
+// bufferSize is the size in bytes of the input buffer and of the output buffer.
 const bufferSize = 1 << 16
 
 func main() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// run answers each batch of in with one reply on out, until in ends. It blocks while there is nothing to read.
+// run reads batches from in and writes one reply to each to out, until in ends. It blocks while it waits for input.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
@@ -50,16 +50,16 @@
 	}
 }
 
-// host holds the running instances, and gathers the reply to the present batch.
+// host holds the running instances and collects the reply to the current batch.
 type host struct {
-	instances map[uint16]*policy.Policy // by the simulator's number
+	instances map[uint16]*policy.Policy // by the simulator's instance number
 	reply     simulator.Reply
-	actions   []policy.Action // of one event; its memory is reused by the next
+	actions   []policy.Action // actions on the current event; the memory is reused for the next event
 }
 
 func newHost() *host { return &host{instances: map[uint16]*policy.Policy{}} }
 
-// handle hands the records of a batch to their instances.
+// handle passes the records of a batch to their instances.
 func (h *host) handle(batch simulator.Batch) error {
 	for _, record := range batch.Records {
 		switch event := record.Event.(type) {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// handleEvent adds an instance's actions on an event to the reply. An event for an instance that does not run is
-// ignored.
+// handleEvent passes an event to its instance and adds the resulting actions to the reply. An event for an instance
+// that is not running is ignored.
 func (h *host) handleEvent(now time.Duration, instance uint16, event policy.Event) {
 	module := h.instances[instance]
 	if module == nil {
@@ -87,7 +87,7 @@
 	h.reply.Add(instance, h.actions)
 }
 
-// start starts an instance. One that runs under the same number is replaced.
+// start starts an instance. It replaces a running instance with the same number.
 func (h *host) start(instance uint16, init simulator.Init) error {
 	cfg, err := simulator.ParseSettings(init.Settings)
 	if err != nil {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/simulator"
 )
 
-// unhex returns the bytes of a hexadecimal text.
+// unhex decodes a hexadecimal text.
 func unhex(t *testing.T, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(text)
@@ -19,7 +19,7 @@
 	return b
 }
 
-// A batch without records is answered all the same, since the simulator waits for a reply.
+// A batch without records also gets a reply, because the simulator waits for one.
 func TestEmptyBatchGetsAnEmptyReply(t *testing.T) {
 	in := unhex(t, "00000001"+"00000000"+"00000000"+"40c06e2000000000")
 	var out bytes.Buffer
@@ -28,12 +28,12 @@
 	}
 }
 
-// A frame that can't be used ends the program with an error. Nothing of a reply is written.
+// A malformed frame or an unusable Init is an error, and no part of a reply is written.
 func TestMalformedFrameEndsWithoutAReply(t *testing.T) {
 	for _, text := range []string{
-		"0000000100000000", // cut short
-		"000000010000000100000001" + "40c06e2000000000" + "63",                                      // unknown record
-		"000000010000001100000001" + "40c06e2000000000" + "09000300000000000000090000000" + "27b7d", // settings with no classes
+		"0000000100000000", // truncated header
+		"000000010000000100000001" + "40c06e2000000000" + "63",                                      // unknown record code
+		"000000010000001100000001" + "40c06e2000000000" + "09000300000000000000090000000" + "27b7d", // settings without classes
 	} {
 		var out bytes.Buffer
 		if err := run(bytes.NewReader(unhex(t, text)), &out); err == nil || out.Len() > 0 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Events go to the instance that they are for. Events for an instance that was never started, or was killed, are ignored.
+// Events are passed to their instance. Events for an instance that was never started, or was killed, are ignored.
 func TestEventsReachTheirInstance(t *testing.T) {
 	const (
 		settings = `{"classes":[{"semantics":"safe","deadlineMs":3000,"goalTimeMs":500,"worth":1}]}`
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -12,10 +12,10 @@
 )
 
 var update = flag.Bool("update", false,
-	"write the golden files instead of comparing with them; read the difference before it is committed")
+	"write the golden files instead of comparing with them; review the difference before committing it")
 
-// Compare fails the test unless the file at path holds exactly the bytes of got. A missing file is a failure, so that
-// a golden file can't be lost unnoticed. With -update it writes the file instead.
+// Compare fails the test unless the file at path contains exactly the bytes of got. A missing file is a failure, so
+// that the loss of a golden file is noticed. With -update it writes the file instead.
 func Compare(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if *update {
@@ -33,8 +33,8 @@
 	t.Errorf("%s: line %d differs\n got: %q\nwant: %q", path, first.line, first.got, first.want)
 }
 
-// Quote formats a message for a golden text file: a label, then each line of the message as a quoted Go string, which
-// shows its line ends and control characters.
+// Quote formats a message for a golden text file: a label, then each line of the message as a quoted Go string, in
+// which line ends and control characters are visible.
 func Quote(label string, message []byte) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s:\n", label)
@@ -49,7 +49,7 @@
 	return text.String()
 }
 
-// write replaces a golden file, in a folder that need not exist yet.
+// write replaces a golden file and creates its folder if it does not exist.
 func write(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -60,15 +60,15 @@
 	}
 }
 
-// difference is a line that two texts don't have in common.
+// difference is a line that differs between two texts.
 type difference struct {
-	line int // its number, from 1
+	line int // line number, starting at 1
 	got  string
 	want string
 }
 
-// firstDifference returns the first line that differs between two texts. A text that ends earlier differs from one that
-// goes on with an empty line.
+// firstDifference returns the first line that differs between two texts. A text that ends with a line break differs from
+// the same text without one.
 func firstDifference(got, want string) difference {
 	for line := 1; ; line++ {
 		gotLine, gotRest, gotMore := strings.Cut(got, "\n")
--- a/internal/golden/messages.go
+++ b/internal/golden/messages.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Message is one complete message of a wire protocol, with a label that says what it is.
+// Message is one complete message of a wire protocol, with a label that describes it.
 type Message struct {
 	Label string
 	Bytes []byte
--- a/internal/signals/example_test.go
+++ b/internal/signals/example_test.go
@@ -8,12 +8,12 @@
 	"crankhold/internal/signals"
 )
 
-// A program catches signals first, and reacts to them when it is ready to.
+// A program catches signals first, and handles them when it is ready.
 func Example() {
 	caught := signals.Notify()
 	defer caught.Close()
 
-	// A signal that comes while the program starts waits.
+	// A signal that arrives while the program starts is queued.
 	if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 		log.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 	case <-caught.Reload:
 		fmt.Println("read the configuration again")
 	case received := <-caught.Stop:
-		fmt.Println("stop for", received)
+		fmt.Println("stop on", received)
 	}
 	// Output: read the configuration again
 }
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals catches the signals that a router reacts to, from the program's first moment on. Until a program
-// catches SIGHUP the signal ends it, so a router that is asked to reload while it starts would die.
+// Package signals catches the signals that a router handles, from the start of the program. SIGHUP terminates a program
+// that does not catch it, so a router that received a reload request during its start would otherwise exit.
 package signals
 
 import (
@@ -8,22 +8,22 @@
 	"syscall"
 )
 
-// capacity is the number of signals that wait in a channel. A further one is dropped: it would have no effect beyond
-// that of the first.
+// channelCapacity is the number of signals that are queued in a channel. Further signals are dropped, because they would
+// have no effect in addition to that of the first.
 const channelCapacity = 1
 
-// Signals holds the signals that were caught and not received yet. Any goroutine may receive from its channels.
+// Signals queues the signals that were caught until they are received. Any goroutine may receive from its channels.
 type Signals struct {
-	// Stop delivers the signals that end the program (SIGTERM, SIGINT). The others have channels of their own, so that
-	// repeated ones can't displace a SIGTERM.
+	// Stop delivers the signals that stop the program (SIGTERM, SIGINT). The other signals have separate channels, so
+	// that repeated ones can't displace a SIGTERM.
 	Stop chan os.Signal
-	// Report delivers SIGUSR1, which requests the counters.
+	// Report delivers SIGUSR1, which requests a report of the counters.
 	Report chan os.Signal
-	// Reload delivers SIGHUP, which requests that the configuration is read again.
+	// Reload delivers SIGHUP, which requests that the configuration be read again.
 	Reload chan os.Signal
 }
 
-// Notify begins to catch signals. The caller ends that by Close or Release.
+// Notify starts to catch signals. The caller must call Close or Release to stop it.
 func Notify() *Signals {
 	s := &Signals{
 		Stop:   make(chan os.Signal, channelCapacity),
@@ -36,15 +36,15 @@
 	return s
 }
 
-// Close stops catching signals. Those that wait are dropped, since what they were sent to has ended.
+// Close stops catching signals. Queued signals are dropped, because the work that they were meant for has completed.
 func (s *Signals) Close() {
 	signal.Stop(s.Stop)
 	signal.Stop(s.Report)
 	signal.Stop(s.Reload)
 }
 
-// Release stops catching signals and raises those that wait again, so that they take their default action on the
-// program. It is for commands that don't react to signals themselves.
+// Release stops catching signals and raises the queued ones again, so that their default action is taken. It is for
+// commands that don't handle signals themselves.
 func (s *Signals) Release() {
 	s.Close()
 	for {
@@ -61,7 +61,7 @@
 	}
 }
 
-// raise sends a signal to this process. Its error is ignored: a process may always signal itself.
+// raise sends a signal to this process. The error is ignored, because a process may always signal itself.
 func raise(caught os.Signal) {
 	if number, ok := caught.(syscall.Signal); ok {
 		syscall.Kill(syscall.Getpid(), number)
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Caught signals wait until they are received, SIGHUP apart from those that end the program, and none of them ends it.
+// Caught signals do not terminate the program and are queued until they are received. SIGHUP has a separate queue from
+// the signals that stop the program.
 func TestCaughtSignalsWait(t *testing.T) {
 	caught := Notify()
 	defer caught.Close()
@@ -24,8 +25,8 @@
 	}
 }
 
-// A program ends by a caught signal that it releases, and does not end by one that it drops. The test runs itself as that
-// program.
+// A caught signal terminates the program when it is released, but not when it is dropped by Close. The test runs its
+// own binary as that program.
 func TestReleasedSignalsTakeTheirDefaultAction(t *testing.T) {
 	if action := os.Getenv("CRANKHOLD_SIGNAL"); action != "" {
 		caught := Notify()
@@ -35,7 +36,7 @@
 		}
 		if action == "release" {
 			caught.Release()
-			time.Sleep(10 * time.Second) // it has ended long before
+			time.Sleep(10 * time.Second) // the released signal terminates the process before this returns
 		}
 		caught.Close()
 		return
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -6,16 +6,16 @@
 	"crankhold/policy"
 )
 
-// Violations counts messages that a router sent and should not have.
+// Violations counts messages that a router was not allowed to send.
 type Violations struct {
-	// SentAfterDrain counts requests and load commands that left for a worker after the drain grace period, which
-	// begins when this router is notified that the worker drains.
+	// SentAfterDrain counts requests and load commands that were sent to a worker after the drain grace period, which
+	// starts when this router is notified that the worker is draining.
 	SentAfterDrain int
-	// LoadsOverBudget counts load commands beyond the load budget.
+	// LoadsOverBudget counts load commands that exceeded the load budget.
 	LoadsOverBudget int
 }
 
-// checkDrain counts a message that leaves now for a worker.
+// checkDrain counts a violation if a message sent now to a worker is after its drain grace period.
 func (r *Router) checkDrain(id policy.WorkerID) {
 	notified, draining := r.drainNotified[id]
 	if draining && r.fleet.now > notified+r.fleet.cfg.Settings.DrainGracePeriod {
@@ -23,7 +23,8 @@
 	}
 }
 
-// loadBudget counts what one incarnation of a router accepted and commanded, independently of the decision module.
+// loadBudget records when one incarnation of a router accepted requests and sent load commands. It is independent of
+// the decision module, so that it can check the module's own load budget.
 type loadBudget struct {
 	accepted  []time.Duration
 	commanded []time.Duration
@@ -33,7 +34,7 @@
 	b.accepted = append(b.accepted, now)
 }
 
-// checkLoadBudget counts a load command that leaves now.
+// checkLoadBudget records a load command that is sent now, and counts a violation if it exceeds the load budget.
 func (r *Router) checkLoadBudget() {
 	settings := r.fleet.cfg.Settings
 	r.budget.commanded = append(r.budget.commanded, r.fleet.now)
@@ -45,7 +46,7 @@
 	}
 }
 
-// countAfter returns how many of the times, which are in ascending order, are after a time.
+// countAfter returns how many of the times are later than after. The times must be in ascending order.
 func countAfter(times []time.Duration, after time.Duration) (n int) {
 	for i := len(times) - 1; i >= 0 && times[i] > after; i-- {
 		n++
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -10,27 +10,27 @@
 // Config describes a fleet.
 type Config struct {
 	Routers   int
-	Workers   int // at the start, all of them past their slow start
+	Workers   int // when the run starts; all of them have completed their slow start
 	Functions int
-	// Settings are those of each router's decision module; New sets Settings.Routers.
+	// Settings configure the decision module of each router. New sets Settings.Routers.
 	Settings policy.Config
 	Tenants  []string
-	// Routes compiles the routing table of one router; nil for none.
+	// Routes compiles the routing table of one router. If it is nil, routers have no routing table.
 	Routes func() *route.Table
 
-	// ServiceTime is how long a worker works on a request while it has a slot free.
+	// ServiceTime is how long a worker takes to execute a request while it has a free slot.
 	ServiceTime time.Duration
-	// Slots is how many requests a worker works on at a time. It queues as many again and rejects the rest.
+	// Slots is how many requests a worker executes at a time. It queues the same number and rejects any others.
 	Slots int
-	// LoadTime is how long loading a replica takes.
+	// LoadTime is how long a worker takes to load a replica.
 	LoadTime time.Duration
-	// ReplicasPerWorker is how many replicas fit into a worker's memory; 0 for any number.
+	// ReplicasPerWorker is how many replicas fit into a worker's memory; 0 means no limit.
 	ReplicasPerWorker int
-	// KeepIdleReplicas has idle replicas stay in memory. Otherwise they are unloaded when others need the memory.
+	// KeepIdleReplicas keeps idle replicas in memory. Otherwise they are unloaded when other replicas need the memory.
 	KeepIdleReplicas bool
-	// UnevenTraffic has some routers receive several times the mean of the requests.
+	// UnevenTraffic makes some routers receive several times the mean number of requests.
 	UnevenTraffic bool
 
-	// Seed is that of all random choices. Equal configurations give equal runs.
+	// Seed seeds all random choices. Equal configurations give identical runs.
 	Seed uint64
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -10,10 +10,10 @@
 	"crankhold/policy"
 )
 
-// networkDelay is how long a message takes from a router to a worker, or back.
+// networkDelay is how long a message takes from a router to a worker, or from a worker to a router.
 const networkDelay = time.Millisecond / 2
 
-// Fleet is a set of routers and workers with the virtual clock that they share.
+// Fleet is a set of routers and workers that share a virtual clock.
 type Fleet struct {
 	Routers  []*Router
 	Workers  map[policy.WorkerID]*Worker
@@ -23,13 +23,13 @@
 	now    time.Duration
 	events timerheap.Heap[func()]
 	random *rand.Rand
-	// endpoints is what discovery lists in place of, or beside, the workers of the start.
+	// endpoints holds the endpoints of discovery that were changed or added since the start of the run.
 	endpoints map[policy.WorkerID]policy.Endpoint
-	// versions maps a function to the version of it that is requested since Release.
+	// versions maps a function to the new version that clients request after Release.
 	versions map[policy.FunctionID]policy.FunctionID
 }
 
-// New returns a fleet whose clock stands at one hour, so that all its workers are past their slow start.
+// New returns a fleet. Its clock starts at one hour, so that all its workers have completed their slow start.
 func New(cfg Config) (*Fleet, error) {
 	cfg.Settings.Routers = cfg.Routers
 	f := &Fleet{
@@ -70,12 +70,13 @@
 // Now returns the virtual time.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// After calls do once d of virtual time has passed. Calls for the same time are made in the order of After.
+// After calls do after d of virtual time. Calls that are due at the same time are made in the order in which they were
+// scheduled.
 func (f *Fleet) After(d time.Duration, do func()) {
 	f.events.Add(f.now+max(d, 0), do)
 }
 
-// Run lets d of virtual time pass and makes every call that is due in it.
+// Run advances virtual time by d and makes every call that becomes due.
 func (f *Fleet) Run(d time.Duration) {
 	end := f.now + d
 	for {
@@ -89,7 +90,7 @@
 	}
 }
 
-// Notify changes an endpoint in discovery. Each router is notified of it at a random time within the given span.
+// Notify changes an endpoint in discovery. Each router is notified of the change after a random delay of at most within.
 func (f *Fleet) Notify(within time.Duration, endpoint policy.Endpoint) {
 	f.endpoints[endpoint.Worker] = endpoint
 	for _, r := range f.Routers {
@@ -98,18 +99,18 @@
 	}
 }
 
-// StartWorker adds a worker that has just started and has no replicas. Routers learn of it by Notify.
+// StartWorker adds a worker that has just started and has no replicas. Routers are notified of it only by Notify.
 func (f *Fleet) StartWorker() *Worker {
 	w := f.addWorker()
 	w.Started = f.now
 	return w
 }
 
-// firstNewVersion is added to a function's id for the new version that Release makes of it.
+// firstNewVersion is added to a function's id to get the id of its new version after Release.
 const firstNewVersion = 1 << 20
 
-// Release has clients request a new version, of which no replica exists, of the given number in every ten functions.
-// Replicas of the old versions stay loaded.
+// Release makes clients request a new version of the given number of every ten functions. The new versions have no
+// replicas, and replicas of the old versions stay loaded.
 func (f *Fleet) Release(inTen int) {
 	for function := 1; function <= f.cfg.Functions; function++ {
 		if function%10 < inTen {
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -8,7 +8,7 @@
 	"crankhold/policy"
 )
 
-// newStory returns a story with traffic, before its fleet is built.
+// newStory returns a story with scheduled traffic, whose fleet is not built yet.
 func newStory(t *testing.T, routers, workers int, notLoaded string, rate, seconds int) *story {
 	t.Helper()
 	s := &story{}
@@ -21,9 +21,9 @@
 	return s
 }
 
-// Guards the stories' checks: each reports the fault that is planted where it looks.
+// Verifies the checks of the stories: each check must report the fault that this test injects.
 func TestInjectedFaultsAreDetected(t *testing.T) {
-	t.Run("a drain that routers do not follow", func(t *testing.T) {
+	t.Run("messages to a worker after its drain grace period", func(t *testing.T) {
 		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
 		if err := s.when(2, func() {
 			for _, r := range s.fleet.Routers {
@@ -36,7 +36,7 @@
 			t.Error("not found")
 		}
 	})
-	t.Run("a start that counts as long ago", func(t *testing.T) {
+	t.Run("a started worker without a start time", func(t *testing.T) {
 		s := newStory(t, 80, 4, loadOnDemand, 1500, 6)
 		if err := s.when(2, func() {
 			s.started = s.fleet.StartWorker()
@@ -67,19 +67,19 @@
 			}
 		})
 	}
-	t.Run("a router that serves requests past its grace period", func(t *testing.T) {
+	t.Run("a router that serves requests after its grace period", func(t *testing.T) {
 		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
 		if err := s.whenRoutersAreTerminated(2); err != nil {
 			t.Fatal(err)
 		}
-		s.fleet.Requests[500].SentWhileDraining = true // it was served
+		s.fleet.Requests[500].SentWhileDraining = true // although it was served
 		if s.thenLateRequestsAreRejected() == nil {
 			t.Error("not found")
 		}
 	})
 }
 
-// Equal seeds give equal runs, to the response.
+// Runs with equal seeds have the same number of served requests and the same total latency.
 func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	run := func() (served int, latencies time.Duration) {
 		s := newStory(t, 40, 12, loadOnDemand, 1000, 3)
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// idleReplicas says what becomes of replicas that no request uses.
+// idleReplicas is whether idle replicas are unloaded when others need the memory, or kept.
 type idleReplicas bool
 
 const (
@@ -14,8 +14,8 @@
 	idleKept     idleReplicas = true
 )
 
-// runRelease runs a fleet at little load whose workers' memory is full. From the fourth second on, a new version is
-// requested of four in ten functions.
+// runRelease runs a fleet under low load whose workers' memory is full. After four seconds, clients request a new
+// version of four in ten functions.
 func runRelease(t *testing.T, routers int, idle idleReplicas) *story {
 	t.Helper()
 	s := &story{}
@@ -34,15 +34,15 @@
 	return s
 }
 
-// newVersionsServed returns how many in a hundred requests for new versions were served in time, of those in their
-// first four seconds.
+// newVersionsServed returns the percentage of requests for new versions that were served in time, among those sent in
+// the first four seconds after the release, and the number of those requests.
 func (s *story) newVersionsServed() (percent, n int) {
 	early := func(r *Request) bool { return r.NewVersion && r.SentAt < time.Hour+8*time.Second }
 	return percentOf(s.fleet.Requests, early, servedWithin(time.Second))
 }
 
-// New versions are served soon after their release: idle replicas of old ones make room, and the load commands that it
-// takes stay within each router's load budget, counted anew here.
+// New versions are served soon after their release: idle replicas of old versions are unloaded to free memory, and the
+// load commands stay within each router's load budget, which the fleet counts independently of the decision module.
 func TestNewVersionsAreServedSoonAfterRelease(t *testing.T) {
 	for _, routers := range []int{2, 30, 300} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -65,10 +65,10 @@
 	}
 }
 
-// Guards the check: where idle replicas do not make room, new versions are not served.
+// Verifies the check above: if idle replicas are not unloaded, new versions are not served.
 func TestNewVersionsWithoutCapacityAreNotServed(t *testing.T) {
 	s := runRelease(t, 30, idleKept)
 	if percent, n := s.newVersionsServed(); percent >= 70 {
-		t.Errorf("%d in 100 of %d early requests were served where no replica made room", percent, n)
+		t.Errorf("%d in 100 of %d early requests were served although no replica was unloaded", percent, n)
 	}
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -10,21 +10,22 @@
 	"crankhold/policy"
 )
 
-// Limits of each simulated router that no scenario varies.
+// Limits of each simulated router. They are the same in all scenarios.
 const (
 	maxConcurrentRequests = 2000
 	maxRequestBytes       = 1 << 20
 	healthCheckTimeout    = 250 * time.Millisecond
 )
 
-// drainPollInterval is how often a draining router looks whether it has sent all its responses.
+// drainPollInterval is how often a draining router checks whether it has sent all its responses.
 const drainPollInterval = 10 * time.Millisecond
 
-// Router is one router of the fleet: a core, and the worker client that carries its messages to the simulated workers.
+// Router is one router of the fleet. It holds a core and is itself the worker client that delivers the core's messages
+// to the simulated workers.
 type Router struct {
-	// Down reports whether the router's process has ended.
+	// Down reports whether the router's process has exited.
 	Down bool
-	// Violations counts what the router sent against the rules.
+	// Violations counts the messages that the router was not allowed to send.
 	Violations Violations
 
 	fleet         *Fleet
@@ -33,18 +34,19 @@
 	core          *router.Core
 	rejectsNew    bool // this incarnation drains and rejects new requests
 
-	// incarnation changes whenever the process ends or starts, so that responses to an earlier one are dropped.
+	// incarnation changes whenever the process exits or starts, so that responses to an earlier one are dropped.
 	incarnation uint64
-	// nextTurn is when the core takes its next turn. Events set for an earlier plan are stale.
+	// nextTurn is when the core takes its next turn. Events that were scheduled for any other time are stale.
 	nextTurn time.Duration
-	// endpoints are the changes that this incarnation was notified of or found at its start.
+	// endpoints holds the changed endpoints that discovery listed when this incarnation started or that it was
+	// notified of since then.
 	endpoints map[policy.WorkerID]policy.Endpoint
-	// drainNotified is when this incarnation was notified that a worker drains or is gone.
+	// drainNotified maps a worker to when this incarnation was notified that the worker is draining or gone.
 	drainNotified map[policy.WorkerID]time.Duration
 	budget        loadBudget
 }
 
-// start begins an incarnation of the router. It knows the endpoint list of discovery and nothing else.
+// start starts a new incarnation of the router. It has the endpoint list of discovery and no other state.
 func (r *Router) start() error {
 	f := r.fleet
 	r.incarnation++
@@ -77,8 +79,8 @@
 	return nil
 }
 
-// Kill ends the router's process at once; after a time it starts again and knows nothing of before. The responses
-// that it owed are lost.
+// Kill makes the router's process exit immediately and start again, without its earlier state, after the downtime.
+// Responses that it had not sent are lost.
 func (r *Router) Kill(downtime time.Duration) {
 	r.Down = true
 	r.incarnation++
@@ -89,13 +91,13 @@
 	}
 	r.fleet.After(downtime, func() {
 		if err := r.start(); err != nil {
-			panic(fmt.Sprintf("simulation: a router that has started before does not start: %v", err))
+			panic(fmt.Sprintf("simulation: a killed router failed to restart: %v", err))
 		}
 	})
 }
 
-// Terminate has the router shut down gracefully, as on SIGTERM: it accepts requests for a grace period, then rejects
-// them, and ends once it has sent all its responses.
+// Terminate starts a graceful shutdown of the router, like SIGTERM: the router accepts requests for a grace period,
+// then rejects them, and exits after it has sent all its responses.
 func (r *Router) Terminate(gracePeriod time.Duration) {
 	r.fleet.After(gracePeriod, func() {
 		r.rejectsNew = true
@@ -112,7 +114,7 @@
 	r.fleet.After(drainPollInterval, r.exitWhenDrained)
 }
 
-// OpenRequests returns how many responses the router owes.
+// OpenRequests returns the number of requests that the router has accepted and not yet responded to.
 func (r *Router) OpenRequests() int { return r.core.OpenRequests() }
 
 // endpointChanged notifies the router of a changed endpoint.
@@ -129,7 +131,7 @@
 	r.requestTurn()
 }
 
-// applyEndpoints hands the core the whole endpoint list as this incarnation knows it.
+// applyEndpoints passes the complete endpoint list that this incarnation has to the core.
 func (r *Router) applyEndpoints() {
 	list := policy.EndpointList{Kind: policy.EndpointSnapshot}
 	labels := []route.Worker{}
@@ -145,7 +147,8 @@
 	r.core.SetRouteWorkers(labels)
 }
 
-// endpoint returns what the router knows of a worker: the zero Endpoint, which is gone, where it knows nothing.
+// endpoint returns the endpoint of a worker as this incarnation has it. For an unknown worker it returns the zero
+// Endpoint, whose state is Gone.
 func (r *Router) endpoint(id policy.WorkerID) policy.Endpoint {
 	endpoint, known := r.endpoints[id]
 	if !known && int(id) <= r.fleet.cfg.Workers {
@@ -154,17 +157,17 @@
 	return endpoint
 }
 
-// accept hands a client's request to the core.
+// accept passes a client's request to the core.
 func (r *Router) accept(request router.Request) {
 	r.budget.requestAccepted(r.fleet.now)
 	r.core.Accept(r.fleet.now, request)
 	r.requestTurn()
 }
 
-// requestTurn has the core take a turn now, after everything else that is already due.
+// requestTurn schedules a turn of the core for now, after all other events that are already due.
 func (r *Router) requestTurn() { r.scheduleTurn(r.fleet.now) }
 
-// scheduleTurn has the core take a turn at a time, unless it takes an earlier one, which will schedule the next.
+// scheduleTurn schedules a turn of the core, unless an earlier turn is scheduled, which will then schedule the next.
 func (r *Router) scheduleTurn(due time.Duration) {
 	if r.nextTurn > r.fleet.now && r.nextTurn <= due {
 		return
@@ -173,21 +176,22 @@
 	r.fleet.After(due-r.fleet.now, r.takeTurn)
 }
 
-// takeTurn has the core do what is due. The core is not called more than once a microsecond on its own account.
+// takeTurn makes the core process what is due. The turns that the core itself requests are at least a microsecond
+// apart.
 func (r *Router) takeTurn() {
 	if r.nextTurn != r.fleet.now {
 		return
 	}
 	r.nextTurn = 0
-	if r.Down { // a router that was killed schedules its own turn once it starts again
+	if r.Down { // a killed router schedules a turn when it starts again
 		return
 	}
 	next := r.core.Process(r.fleet.now)
 	r.scheduleTurn(max(next, r.fleet.now+time.Microsecond))
 }
 
-// receive has a worker's response reach the router: deliver is called after a time and the way back, unless the
-// process that sent the request has ended by then.
+// receive delivers a worker's response to the router: it calls deliver after the given time plus the network delay,
+// unless the process that sent the request has exited by then.
 func (r *Router) receive(after time.Duration, deliver func()) {
 	incarnation := r.incarnation
 	r.fleet.After(after+networkDelay, func() {
@@ -200,7 +204,7 @@
 	})
 }
 
-// StartAttempt implements router.WorkerClient: it carries a request to its worker.
+// StartAttempt implements router.WorkerClient: it delivers a request to its worker.
 func (r *Router) StartAttempt(id policy.WorkerID, attempt router.Attempt, request *router.Request, _ time.Duration) {
 	r.checkDrain(id)
 	worker := r.fleet.Workers[id]
@@ -211,7 +215,7 @@
 	})
 }
 
-// Load implements router.WorkerClient: it carries a load command.
+// Load implements router.WorkerClient: it delivers a load command to a worker.
 func (r *Router) Load(id policy.WorkerID, function policy.FunctionID, count int, tag uint64) {
 	r.checkDrain(id)
 	if count > 0 {
@@ -224,7 +228,7 @@
 	})
 }
 
-// Unload implements router.WorkerClient: a worker drops a loaded replica.
+// Unload implements router.WorkerClient: it makes a worker unload a loaded replica.
 func (r *Router) Unload(id policy.WorkerID, function policy.FunctionID) {
 	r.fleet.Workers[id].unload(function)
 }
@@ -234,14 +238,14 @@
 	r.receive(networkDelay, func() { r.core.HealthCheckCompleted(tag, policy.Served, nil) })
 }
 
-// CancelAttempt implements router.WorkerClient. The worker finishes what it has begun.
+// CancelAttempt implements router.WorkerClient. It does nothing: the worker completes the request all the same.
 func (r *Router) CancelAttempt(policy.WorkerID, router.Attempt) {}
 
-// WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw, for messages leave at once.
+// WithdrawUnsent implements router.WorkerClient. It returns false, because every message is sent immediately.
 func (r *Router) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
 
-// AbandonCommand implements router.WorkerClient. Nothing is kept of a command.
+// AbandonCommand implements router.WorkerClient. It does nothing, because no state of a command is kept.
 func (r *Router) AbandonCommand(policy.WorkerID, uint64) {}
 
-// CloseIdle implements router.WorkerClient. There are no connections.
+// CloseIdle implements router.WorkerClient. It does nothing, because there are no connections.
 func (r *Router) CloseIdle(policy.WorkerID) {}
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -11,16 +11,17 @@
 	"crankhold/policy"
 )
 
-// slowStartBudget is how many requests of mean work a worker in slow start may receive in the overload window that
-// begins at an age.
+// slowStartBudget returns how many requests of mean work a worker in slow start may receive in the overload window that
+// starts when the worker has the given age.
 func (s *story) slowStartBudget(age time.Duration) float64 {
 	c := s.cfg.Settings
 	capacity := c.SlowStartInitialCapacity + (1-c.SlowStartInitialCapacity)*min(1, float64(age)/float64(c.SlowStartDuration))
 	return c.OverloadMultiple * capacity * float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds() * c.OverloadWindow.Seconds()
 }
 
-// excess is by how much the sum of all routers exceeded the budget N of a worker in slow start, at the worst: in units
-// of the root of N, and beyond what is put down to chance, N + 2 root N + 2. Loads count like requests.
+// excess returns the largest amount by which all routers together exceeded the budget N of a worker in slow start: units
+// is the excess over N in multiples of sqrt(N), and over is the excess over N + 2 sqrt(N) + 2, the limit that allows for
+// random variation. Loads count like requests.
 func (s *story) excess() (units, over float64) {
 	units = math.Inf(-1)
 	over = math.Inf(-1)
@@ -47,7 +48,7 @@
 	return units, over
 }
 
-// receivedByStarted is how many requests the workers that started in the run received.
+// receivedByStarted returns how many requests were received by workers that started during the run.
 func (s *story) receivedByStarted() (n int) {
 	for _, w := range s.fleet.Workers {
 		if w.Started > 0 {
@@ -57,14 +58,14 @@
 	return n
 }
 
-// slowStartRun is what happens beside the replacement of workers.
+// slowStartRun describes what happens in addition to the replacement of workers.
 type slowStartRun struct {
 	name string
-	lost []time.Duration // when five workers are gone together
-	lull time.Duration   // without requests, before many come at once
+	lost []time.Duration // when five workers leave at the same time
+	lull time.Duration   // how long there are no requests before a burst
 }
 
-// hedgingRoutes has every request hedged.
+// hedgingRoutes returns a routing table that hedges every request.
 func hedgingRoutes() *route.Table {
 	table, err := route.Compile(&route.Spec{
 		Pools:    []route.PoolSpec{{Name: "all", MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset}},
@@ -76,7 +77,8 @@
 	return table
 }
 
-// replaceWorkers starts ten workers in steps, and drains ten others. listed maps what discovery says of a start.
+// replaceWorkers starts ten workers, one per second, and drains ten others. listed returns the endpoint that discovery
+// reports for a started worker.
 func (s *story) replaceWorkers(listed func(policy.Endpoint) policy.Endpoint) {
 	for i := range 10 {
 		step := time.Duration(i) * time.Second
@@ -93,7 +95,7 @@
 	s.fleet.Notify(1500*ms, listed(started))
 }
 
-// restartRouters kills all routers, a tenth at a time; they come back knowing nothing. One router alone stays.
+// restartRouters kills all routers, a tenth at a time, and they start again without state. A single router is not killed.
 func (s *story) restartRouters() {
 	for part := range 10 {
 		s.fleet.After(3*time.Second+time.Duration(part)*1500*ms, func() {
@@ -106,15 +108,15 @@
 	}
 }
 
-// loseWorkers has five workers be gone at once, so that the others get what they served.
+// loseWorkers removes five workers at the same time, so that the others receive their requests.
 func (s *story) loseWorkers(first policy.WorkerID, within time.Duration) {
 	for id := first; id < first+5; id++ {
 		s.fleet.Notify(within, policy.Endpoint{Worker: id, State: policy.Gone})
 	}
 }
 
-// burstAfterLull starts a worker before a time without requests, in which all routers may save up budget, and then
-// sends many at once.
+// burstAfterLull starts a worker, then sends no requests for a time in which all routers can accumulate budget, and then
+// sends many requests at once.
 func (s *story) burstAfterLull(lull time.Duration, listed func(policy.Endpoint) policy.Endpoint) {
 	f := s.fleet
 	f.After(28*time.Second, func() {
@@ -128,8 +130,8 @@
 	f.Run(12 * time.Second)
 }
 
-// runSlowStart runs a fleet of small workers, each of which serves 90 requests a second, with little and uneven
-// traffic, while workers and routers are replaced.
+// runSlowStart runs a fleet of small workers, each of which serves 90 requests per second, with low and uneven
+// traffic, while workers are replaced and routers are restarted.
 func runSlowStart(t *testing.T, routers int, seed uint64, run slowStartRun, listed func(policy.Endpoint) policy.Endpoint) *story {
 	t.Helper()
 	s := &story{}
@@ -155,7 +157,7 @@
 	f.Traffic("", 0, 1000, 24*time.Second)
 	s.replaceWorkers(listed)
 	s.restartRouters()
-	f.After(11*time.Second, func() { f.Traffic("", 0, 500, 6*time.Second) }) // half as much again
+	f.After(11*time.Second, func() { f.Traffic("", 0, 500, 6*time.Second) }) // 50% more traffic
 	for _, at := range run.lost {
 		f.After(at, func() { s.loseWorkers(11, 400*ms) })
 	}
@@ -166,11 +168,11 @@
 	return s
 }
 
-// unchanged leaves what discovery says of a started worker as it is.
+// unchanged returns the endpoint of a started worker as discovery reports it.
 func unchanged(e policy.Endpoint) policy.Endpoint { return e }
 
-// A worker in slow start is not overloaded by the sum of what all routers send it, however many they are: it receives
-// no more than its budget and what is put down to chance.
+// The routers together do not overload a worker in slow start, whatever their number: the requests that it receives
+// exceed its budget by no more than random variation explains.
 func TestRoutersTogetherDoNotOverloadWorkersInSlowStart(t *testing.T) {
 	for _, run := range []slowStartRun{
 		{name: "replaced"},
@@ -184,10 +186,10 @@
 					s := runSlowStart(t, routers, seed, run, unchanged)
 					units, over := s.excess()
 					received := s.receivedByStarted()
-					t.Logf("%d routers, seed %d: largest excess %.1f roots of N; %d requests at started workers",
+					t.Logf("%d routers, seed %d: largest excess %.1f sqrt(N); %d requests at started workers",
 						routers, seed, units, received)
 					if over > 0 {
-						t.Errorf("seed %d: %.0f requests beyond N + 2 root N + 2", seed, over)
+						t.Errorf("seed %d: %.0f requests more than N + 2 sqrt(N) + 2", seed, over)
 					}
 					if received < 600 {
 						t.Errorf("seed %d: started workers received %d requests in all", seed, received)
@@ -198,7 +200,7 @@
 	}
 }
 
-// Guards the check: routers that are not notified of the start overload the worker.
+// Verifies the check above: routers that are not told when a worker started overload it.
 func TestSlowStartCheckDetectsUnreportedStart(t *testing.T) {
 	unlisted := func(e policy.Endpoint) policy.Endpoint {
 		e.Started = 0
--- a/internal/simulation/story_test.go
+++ b/internal/simulation/story_test.go
@@ -9,26 +9,26 @@
 
 const ms = time.Millisecond
 
-// gracePeriod is that of the service, from the platform's page: connections come for 0.4 s, requests on open ones for
-// 0.2 s more.
+// gracePeriod is how long a terminated router accepts requests. According to the platform's page, new connections arrive
+// for 0.4 s, and requests on open connections for another 0.2 s.
 const gracePeriod = 750 * ms
 
-// What workers do with a request for a function that is not loaded.
+// How workers handle a request for a function that is not loaded.
 const (
 	rejectNotLoaded = "reject functions that are not loaded"
 	loadOnDemand    = "load functions on demand"
 )
 
-// story holds what the steps of one scenario share.
+// story holds the state that the steps of one scenario share.
 type story struct {
 	cfg        Config
 	fleet      *Fleet
-	traffic    []func() // planned once the fleet is built
+	traffic    []func() // schedule the traffic when the fleet is built
 	started    *Worker
 	terminated []*Router
 }
 
-// build makes the fleet once all that is given of it is known.
+// build creates the fleet and schedules its traffic. It is called after all Given steps; later calls do nothing.
 func (s *story) build() error {
 	if s.fleet != nil {
 		return nil
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// storyConfig is the fleet of all stories.
+// storyConfig returns the configuration that all stories start from.
 func storyConfig(routers, workers int, notLoaded string) Config {
 	return Config{
 		Routers:     routers,
@@ -85,7 +85,7 @@
 
 func (s *story) givenFleet(routers, workers int, notLoaded string) error {
 	if notLoaded != rejectNotLoaded && notLoaded != loadOnDemand {
-		return fmt.Errorf("workers can't %q", notLoaded)
+		return fmt.Errorf("unknown behavior of workers: %q", notLoaded)
 	}
 	s.cfg = storyConfig(routers, workers, notLoaded)
 	return nil
@@ -108,7 +108,7 @@
 	return s.givenTenantTraffic(rate, "", seconds)
 }
 
-// whenTimePasses runs for a time, and then until every request has had its timeout.
+// whenTimePasses runs the fleet for a time, and then for 4 s more, so that the timeout of every request has passed.
 func (s *story) whenTimePasses(seconds int) error {
 	if err := s.build(); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// when does something after a time, and runs the six seconds of a story to their end.
+// when schedules do after a time, and runs the six seconds of a story.
 func (s *story) when(seconds int, do func()) error {
 	if err := s.build(); err != nil {
 		return err
--- a/internal/simulation/storychecks_test.go
+++ b/internal/simulation/storychecks_test.go
@@ -15,7 +15,7 @@
 		late += r.Violations.SentAfterDrain
 	}
 	if received := len(s.fleet.Workers[policy.WorkerID(worker)].Received); late > 0 || received == 0 {
-		return fmt.Errorf("%d sent too late; the worker received %d in all", late, received)
+		return fmt.Errorf("%d messages sent too late; the worker received %d requests in total", late, received)
 	}
 	return nil
 }
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// percentOf returns how many in a hundred of the selected requests match, and how many are selected.
+// percentOf returns the percentage of the selected requests that match, and the number of selected requests.
 func percentOf(requests []*Request, selected, match func(*Request) bool) (percent, n int) {
 	matching := 0
 	for _, r := range requests {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// thenNotOverloaded counts what the started worker received in each second. At its start it can do a fifth of what a
-// warm one can, and falls over beyond a multiple of that.
+// thenNotOverloaded counts the requests that the started worker received in each overload window. When a worker starts,
+// its capacity is a fifth of that of a warm worker, and it becomes overloaded above a multiple of that.
 func (s *story) thenNotOverloaded() error {
 	warm := float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds()
 	allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warm
@@ -100,7 +100,7 @@
 	late := func(r *Request) bool { return r.SentWhileDraining }
 	rejectedAtOnce := func(r *Request) bool { return r.Responses[0].Status == router.Rejected && r.Latency == 0 }
 	if percent, n := percentOf(s.fleet.Requests, late, rejectedAtOnce); percent != 100 && n > 0 {
-		return fmt.Errorf("%d in 100 of %d requests past the grace period were rejected at once", percent, n)
+		return fmt.Errorf("%d in 100 of %d requests after the grace period were rejected immediately", percent, n)
 	}
 	return nil
 }
@@ -108,11 +108,11 @@
 func (s *story) thenTerminatedHaveExited() error {
 	for _, r := range s.terminated {
 		if !r.Down || r.OpenRequests() > 0 {
-			return fmt.Errorf("down %v with %d open", r.Down, r.OpenRequests())
+			return fmt.Errorf("a terminated router: down %v, %d open requests", r.Down, r.OpenRequests())
 		}
 	}
 	if len(s.terminated) == 0 {
-		return errors.New("none was terminated")
+		return errors.New("no router was terminated")
 	}
 	return nil
 }
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -8,24 +8,24 @@
 	"crankhold/policy"
 )
 
-// Resources that every request asks for.
+// Resources that every request requires.
 const (
 	requestLanes    = 4
 	requestMemoryMB = 100
 )
 
-// Request is a client's request and what became of it.
+// Request is a client's request with the responses to it.
 type Request struct {
 	Tenant     string
-	NewVersion bool          // a new version of the function was released during the run
+	NewVersion bool          // whether it is for a version of the function that was released during the run
 	SentAt     time.Duration // virtual time
 	Timeout    time.Duration // after SentAt
 	Responses  []router.Response
 	Latency    time.Duration // until the last response
-	// SentWhileDraining reports whether the request came after the router's grace period, so that the router had to
+	// SentWhileDraining reports whether the request arrived after the router's grace period, so that the router had to
 	// reject it.
 	SentWhileDraining bool
-	// RouterKilled reports whether the router was killed while it owed the response.
+	// RouterKilled reports whether the router was killed before it responded.
 	RouterKilled bool
 
 	router *Router
@@ -38,8 +38,8 @@
 	r.Latency = r.fleet.now - r.SentAt
 }
 
-// Traffic plans requests of a tenant at random times, with the given mean rate per second over all routers, from now
-// until d has passed.
+// Traffic schedules requests of a tenant at random times over the next d. The rate is the mean number of requests per
+// second over all routers.
 func (f *Fleet) Traffic(tenant string, class int, rate float64, d time.Duration) {
 	for at := time.Duration(0); at < d; {
 		f.After(at, func() { f.send(f.pickRouter(), tenant, class) })
@@ -47,7 +47,7 @@
 	}
 }
 
-// pickRouter draws a router that is up, by the routers' traffic weights.
+// pickRouter picks a random router that is not down, weighted by the routers' traffic weights.
 func (f *Fleet) pickRouter() *Router {
 	sum := 0.0
 	for _, r := range f.Routers {
@@ -68,7 +68,7 @@
 	return f.Routers[0]
 }
 
-// send has a client of a router request a random function.
+// send sends a client's request for a random function to a router.
 func (f *Fleet) send(r *Router, tenant string, class int) {
 	timeout := f.cfg.Settings.Classes[class].Deadline
 	request := &Request{
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -10,18 +10,18 @@
 // Worker is a simulated worker.
 type Worker struct {
 	ID policy.WorkerID
-	// Started is when the worker started; 0 for long before the run.
+	// Started is when the worker started; 0 means long before the run.
 	Started time.Duration
-	// Received are the times at which requests arrived, also those that were rejected.
+	// Received lists when requests arrived, including those that were rejected.
 	Received []time.Duration
-	// Loads are the times at which load commands began to load a replica.
+	// Loads lists when load commands started to load a replica.
 	Loads []time.Duration
 
 	fleet    *Fleet
-	inFlight int // requests that it works on or queues
-	// replicas maps a function to when its replica is, or will be, loaded.
+	inFlight int // requests that are being executed or are queued
+	// replicas maps a function to the time from which its replica is loaded.
 	replicas map[policy.FunctionID]time.Duration
-	// functionInFlight and lastUsed outlive a function's replica, for its requests are finished after an unload.
+	// functionInFlight and lastUsed outlive a function's replica, because its requests still complete after an unload.
 	functionInFlight map[policy.FunctionID]int
 	lastUsed         map[policy.FunctionID]time.Duration
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// execute takes a request that has arrived. It returns the result and after how long the worker responds with it.
+// execute handles a request that has arrived. It returns the result and the time until the worker responds with it.
 func (w *Worker) execute(function policy.FunctionID) (result router.AttemptResult, after time.Duration) {
 	now := w.fleet.now
 	w.Received = append(w.Received, now)
@@ -61,8 +61,8 @@
 	return router.AttemptResult{Outcome: policy.Served, LoadStatus: status, Body: []byte("done")}, after
 }
 
-// startRequest counts a request as in flight until the load that it waits for and its work are done, and returns how long
-// that takes. The work is slower by one service time for each time that all slots are taken.
+// startRequest counts a request as in flight until the load that it waits for and its execution are complete, and
+// returns how long that takes. The execution takes one more service time for every Slots requests in flight.
 func (w *Worker) startRequest(function policy.FunctionID, loadWait time.Duration) (took time.Duration) {
 	w.inFlight++
 	w.functionInFlight[function]++
@@ -76,8 +76,8 @@
 	return took
 }
 
-// load handles a load command that has arrived. A command for no replicas asks whether there is one. It returns the
-// outcome with the number of replicas, and after how long the worker responds with them.
+// load handles a load command that has arrived. A command with a count of 0 only queries the number of replicas. load
+// returns the outcome, the number of replicas, and the time until the worker responds with them.
 func (w *Worker) load(
 	function policy.FunctionID, count int,
 ) (outcome policy.Outcome, replicas int, after time.Duration) {
@@ -92,15 +92,15 @@
 	return policy.Served, 1, max(w.replicas[function]-now, 0)
 }
 
-// unload drops a function's replica unless it is still being loaded.
+// unload unloads a function's replica unless it is still being loaded.
 func (w *Worker) unload(function policy.FunctionID) {
 	if w.replicas[function] <= w.fleet.now {
 		delete(w.replicas, function)
 	}
 }
 
-// ensureCapacity reports whether there is memory for another replica. Where there is none, it unloads the least
-// recently used idle replica if it may.
+// ensureCapacity reports whether there is memory for another replica. If there is none and idle replicas may be
+// unloaded, it first unloads the least recently used idle one.
 func (w *Worker) ensureCapacity() bool {
 	limit := w.fleet.cfg.ReplicasPerWorker
 	if limit == 0 || len(w.replicas) < limit {
@@ -116,7 +116,8 @@
 	return found
 }
 
-// leastRecentlyUsed returns the idle function whose last request is the oldest, the one with the lowest id of several.
+// leastRecentlyUsed returns the idle function whose last request is the oldest. Among several it returns the one with
+// the lowest id.
 func (w *Worker) leastRecentlyUsed() (victim policy.FunctionID, found bool) {
 	for function, loadedAt := range w.replicas {
 		idle := w.functionInFlight[function] == 0 && loadedAt <= w.fleet.now
--- a/internal/simulator/codes.go
+++ b/internal/simulator/codes.go
@@ -2,7 +2,7 @@
 
 import "crankhold/policy"
 
-// eventCode is the code of an event record. The comments have the simulator's names.
+// eventCode is the code of an event record. The comment beside each code is the simulator's name for the event.
 type eventCode uint8
 
 const (
@@ -19,7 +19,7 @@
 	codeLoadCompleted        eventCode = 11 // READY_THERE
 )
 
-// actionCode is the code of an action record. The comments have the simulator's names.
+// actionCode is the code of an action record. The comment beside each code is the simulator's name for the action.
 type actionCode uint8
 
 const (
@@ -38,7 +38,7 @@
 	codeReject               actionCode = 78 // DECLINE
 )
 
-// outcomes are the outcomes by their codes.
+// outcomes maps each outcome's code, as its index, to the outcome.
 var outcomes = [...]policy.Outcome{
 	policy.Served,
 	policy.Failed,
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -10,27 +10,27 @@
 	"crankhold/policy"
 )
 
-// float32Bytes is the length of a floating-point number of single precision.
+// float32Bytes is the size of a single-precision floating-point number.
 const float32Bytes = 4
 
-var errRecordTruncated = errors.New("record is cut short")
+var errRecordTruncated = errors.New("truncated record")
 
-// decoder takes fields off the front of unread. A field that is missing or malformed is recorded in truncated and err,
-// once for a record, so that a record's fields can be read one after the other without a check of each.
+// decoder decodes fields from the front of unread. A missing or invalid field is recorded in truncated or err, which
+// are checked once per record, so that a record's fields can be decoded without a check after each one.
 type decoder struct {
 	unread    []byte
-	truncated bool  // the record goes on beyond unread
-	err       error // a field has a value that is not known
+	truncated bool  // the record needs more bytes than unread had
+	err       error // a field has an unknown value
 }
 
-// invalid records a value that is not known; only the first one is kept.
+// invalid records an unknown value of a field. Only the first one is kept.
 func (d *decoder) invalid(field string, value uint8) {
 	if d.err == nil {
 		d.err = fmt.Errorf("unknown %s %d", field, value)
 	}
 }
 
-// take returns the next n bytes, which are a slice of the frame, or zeros if there are fewer.
+// take returns the next n bytes as a slice of the frame, or n zero bytes if fewer are left.
 func (d *decoder) take(n int) []byte {
 	if n > len(d.unread) {
 		d.truncated = true
@@ -51,11 +51,11 @@
 func (d *decoder) request() policy.RequestID   { return policy.RequestID(d.uint32()) }
 func (d *decoder) function() policy.FunctionID { return policy.FunctionID(d.uint64()) }
 
-// duration decodes milliseconds in double precision, shortDuration in single precision.
+// duration decodes milliseconds in double precision; shortDuration decodes them in single precision.
 func (d *decoder) duration() time.Duration      { return fromMillis(d.float64()) }
 func (d *decoder) shortDuration() time.Duration { return fromMillis(d.float32()) }
 
-// worker decodes a worker's address and port as one id.
+// worker decodes a worker's address and port into one id.
 func (d *decoder) worker() policy.WorkerID {
 	high := policy.WorkerID(d.uint32())
 	return high<<16 | policy.WorkerID(d.uint16())
@@ -71,7 +71,7 @@
 	return outcomes[code]
 }
 
-// loadReport decodes a worker's figures of its own load.
+// loadReport decodes the values of a worker's load report.
 func (d *decoder) loadReport() []float64 {
 	count := int(d.uint8())
 	if count*float32Bytes > len(d.unread) {
@@ -85,7 +85,7 @@
 	return report
 }
 
-// bytes returns a copy of the next n bytes, or nil if there are fewer.
+// bytes returns a copy of the next n bytes, or nil if fewer are left.
 func (d *decoder) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(d.unread)) {
 		d.truncated = true
--- a/internal/simulator/encoder.go
+++ b/internal/simulator/encoder.go
@@ -8,25 +8,25 @@
 	"crankhold/policy"
 )
 
-// allRouters is the receiver of gossip that goes to all routers.
+// allRouters is the receiver number of gossip that is sent to all routers.
 const allRouters = math.MaxUint32
 
 // encoder appends fields to records.
 type encoder struct{ records []byte }
 
-// beginRecord begins an instance's record; its fields follow.
+// beginRecord appends the code and the instance that every record begins with. The record's fields must follow.
 func (e *encoder) beginRecord(code actionCode, instance uint16) {
 	e.uint8(uint8(code))
 	e.uint16(instance)
 }
 
-// beginRequestRecord begins the record of an action for a request.
+// beginRequestRecord appends the first fields of the record of an action for a request.
 func (e *encoder) beginRequestRecord(code actionCode, instance uint16, id policy.RequestID) {
 	e.beginRecord(code, instance)
 	e.uint32(uint32(id))
 }
 
-// beginWorkerRecord begins the record of an action for a worker.
+// beginWorkerRecord appends the first fields of the record of an action for a worker.
 func (e *encoder) beginWorkerRecord(code actionCode, instance uint16, id policy.WorkerID) {
 	e.beginRecord(code, instance)
 	e.worker(id)
@@ -48,7 +48,7 @@
 	e.uint16(uint16(id))
 }
 
-// receiver encodes the number of a router; one below 0 stands for all routers.
+// receiver encodes the number of a router. A negative number stands for all routers.
 func (e *encoder) receiver(router int) {
 	if router < 0 {
 		e.uint32(allRouters)
@@ -65,7 +65,7 @@
 	e.uint8(0)
 }
 
-// bytes encodes bytes behind their number.
+// bytes encodes the length of b and then b itself.
 func (e *encoder) bytes(b []byte) {
 	e.uint16(uint16(len(b)))
 	e.records = append(e.records, b...)
--- a/internal/simulator/errors.go
+++ b/internal/simulator/errors.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// What a FrameError holds where it is about no batch or no record of its own.
+// Values of FrameError.Batch and FrameError.Record for an error that concerns no batch or no single record.
 const (
 	NoBatch  = -1
 	NoRecord = -1
 )
 
-// FrameError is returned by ReadBatch for a malformed frame. The input can't be read any further.
+// FrameError is returned by ReadBatch for a malformed frame. The rest of the input can't be decoded.
 type FrameError struct {
-	Batch  int64  // sequence number of the batch; NoBatch where its header is cut short
+	Batch  int64  // sequence number of the batch, or NoBatch if its header is truncated
 	Record int    // index of the record in the batch, or NoRecord
-	Offset int    // bytes of the frame, header included, before what is malformed
-	Reason string // what is malformed; empty where reading failed
+	Offset int    // offset of the malformed part from the start of the frame, including the header
+	Reason string // what is malformed; empty if reading the input failed
 	Err    error  // the cause, or nil
 }
 
@@ -39,14 +39,14 @@
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// NoClass is the Class of a SettingsError that is about the settings as a whole.
+// NoClass is the Class of a SettingsError that concerns the settings as a whole.
 const NoClass = -1
 
-// SettingsError is returned by ParseSettings for settings that it can't read.
+// SettingsError is returned by ParseSettings for invalid settings.
 type SettingsError struct {
-	Class     int    // index of the class, or NoClass where the text is no JSON of the expected form
-	Semantics string // the word that the class has for its semantics, where that is unknown
-	Err       error  // why the text can't be read, or nil
+	Class     int    // index of the class, or NoClass if the text is not JSON of the expected form
+	Semantics string // the unknown value of the class's key "semantics"
+	Err       error  // why the text can't be decoded, or nil
 }
 
 // Error implements error.
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -6,19 +6,19 @@
 	"crankhold/policy"
 )
 
-// endpointBytes is the length of an endpoint in a list.
+// endpointBytes is the size of an encoded endpoint in a list.
 const endpointBytes = 24
 
-// An attempt's load status and concurrency share a byte.
+// The load status and the concurrency of an attempt share a byte.
 const (
 	loadStatusMask   = 7
 	concurrencyShift = 3
 )
 
-// recordDecoder decodes records, of which its decoder takes the fields.
+// recordDecoder decodes records. Its embedded decoder decodes their fields.
 type recordDecoder struct{ decoder }
 
-// newRecordDecoder returns a decoder of the records of a batch.
+// newRecordDecoder returns a decoder for the records of a batch.
 func newRecordDecoder(records []byte) recordDecoder {
 	return recordDecoder{decoder: decoder{unread: records}}
 }
@@ -37,8 +37,9 @@
 	return record, d.err
 }
 
-// requestEvent decodes the fields of an event of a request, and of any other event by the functions below. It returns
-// nil for an unknown code. These are switches, since a table of functions would have the decoder escape to the heap.
+// requestEvent decodes the fields of an event that concerns a request, and calls workerEvent for all other events. It
+// returns nil for an unknown code. The functions use switches because a table of functions would make the decoder
+// escape to the heap.
 func (d *recordDecoder) requestEvent(code eventCode) any {
 	switch code {
 	case codeRequestArrived:
@@ -53,7 +54,7 @@
 	return d.workerEvent(code)
 }
 
-// workerEvent decodes the fields of an event of workers, or of an instance.
+// workerEvent decodes the fields of an event that concerns workers, and calls instanceEvent for all other events.
 func (d *recordDecoder) workerEvent(code eventCode) any {
 	switch code {
 	case codeEndpointList:
@@ -66,7 +67,7 @@
 	return d.instanceEvent(code)
 }
 
-// instanceEvent decodes the fields of an event that is about neither requests nor workers.
+// instanceEvent decodes the fields of an event that concerns neither requests nor workers.
 func (d *recordDecoder) instanceEvent(code eventCode) any {
 	switch code {
 	case codeInit:
@@ -112,8 +113,8 @@
 func (d *recordDecoder) responseStarted() policy.ResponseStarted {
 	e := policy.ResponseStarted{Request: d.request()}
 	e.Attempt = int(d.uint16())
-	d.worker()  // is known from the attempt's start
-	d.float64() // the time since then, in milliseconds
+	d.worker()  // not needed: the worker is known from the start of the attempt
+	d.float64() // not needed: milliseconds since the start of the attempt
 	return e
 }
 
@@ -129,7 +130,7 @@
 	return e
 }
 
-// loadStatus splits a byte into the load status and the number of requests that the worker held.
+// loadStatus splits a byte into the load status and the number of requests that the worker had in flight.
 func loadStatus(info uint8) (policy.LoadStatus, int) {
 	status := policy.LoadStatus(info & loadStatusMask)
 	if status > policy.LoadFailed {
@@ -169,7 +170,7 @@
 		d.invalid("list mode", kind)
 		return policy.EndpointList{}
 	}
-	// Checked before the entries are read, so that a count that is wrong allocates nothing.
+	// The count is checked before the entries are decoded, so that an invalid count causes no allocation.
 	if uint64(count)*endpointBytes > uint64(len(d.unread)) {
 		d.truncated = true
 		return policy.EndpointList{}
@@ -185,8 +186,8 @@
 	return list
 }
 
-// endpoint decodes one entry of a list. It reports false, and leaves the rest of the entry unread, if the worker's
-// state is not known.
+// endpoint decodes one entry of a list. If the worker's state is unknown, it returns false and leaves the rest of the
+// entry unread.
 func (d *recordDecoder) endpoint() (entry policy.Endpoint, ok bool) {
 	entry.Worker = d.worker()
 	entry.Zone = int(d.uint16())
--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -8,7 +8,7 @@
 	"crankhold/policy"
 )
 
-// Each kind of record that the sample does not have is decoded whole.
+// Each kind of record that the sample batch does not contain is decoded completely.
 func TestOtherRecords(t *testing.T) {
 	const w = policy.WorkerID(0x0a9011f22354)
 	for text, want := range map[string]any{
--- a/internal/simulator/example_test.go
+++ b/internal/simulator/example_test.go
@@ -10,7 +10,7 @@
 	"crankhold/policy"
 )
 
-// A program reads batches until the input ends, and answers each with the actions of its records.
+// A program reads batches until the input ends, and responds to each with the actions of its records.
 func Example() {
 	const batch = "0000000c" + "0000000b" + "00000001" + "40c06e2000000000" + // batch 12, 11 bytes, 1 record, 8412.25 ms
 		"07" + "0003" + "000000000000004d" // a timer of instance 3 fired, with token 77
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The header of a batch.
+// Offsets of the fields in the header of a batch, and the size of the header.
 const (
 	sequenceOffset = 0
 	sizeOffset     = 4
@@ -18,16 +18,16 @@
 	headerBytes    = 20
 )
 
-// maxFrame bounds a batch, in bytes after its header.
+// maxBodyBytes is the largest accepted size of a batch, without its header.
 const maxBodyBytes = 1 << 30
 
-// Init is the start of an instance.
+// Init starts an instance.
 type Init struct {
 	Seed     uint64
 	Settings []byte // JSON for ParseSettings
 }
 
-// Kill is the end of an instance, which gets no further events.
+// Kill ends an instance. It receives no further events.
 type Kill struct{}
 
 // Record is one decoded record: Event holds a policy.Event, an Init or a Kill.
@@ -43,23 +43,23 @@
 	Records  []Record
 }
 
-// header is the beginning of a batch.
+// header is the decoded header of a batch.
 type header struct {
 	sequence uint32
-	size     uint32  // of what follows, in bytes
-	records  uint32  // how many follow
-	clock    float64 // milliseconds
+	size     uint32  // size of the records in bytes
+	records  uint32  // number of records
+	clock    float64 // virtual time in milliseconds
 }
 
-// frameError returns the error of what stands at an offset in the frame, of no record of its own.
+// frameError returns an error about the given offset in the frame that concerns no single record.
 func (h header) frameError(offset int, reason string) *FrameError {
 	return &FrameError{Batch: int64(h.sequence), Record: NoRecord, Offset: offset, Reason: reason}
 }
 
-// validate checks the header's numbers.
+// validate checks the header's clock and size.
 func (h header) validate() error {
 	if math.IsNaN(h.clock) || h.clock < 0 || h.clock > maxMillis {
-		return h.frameError(clockOffset, "bad clock")
+		return h.frameError(clockOffset, "invalid clock")
 	}
 	if h.size > maxBodyBytes {
 		return h.frameError(sizeOffset, fmt.Sprintf("length %d is too large", h.size))
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// ReadBatch reads one batch. At a clean end of input it returns io.EOF, and a *FrameError for a malformed frame. It
-// blocks until a whole batch was read.
+// ReadBatch reads one batch and blocks until it is complete. It returns io.EOF if the input ends before a batch starts,
+// and a *FrameError for a malformed frame.
 func ReadBatch(r io.Reader) (Batch, error) {
 	head, err := readHeader(r)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return decodeBatch(head, body)
 }
 
-// readHeader reads the header of a batch. It returns io.EOF where the input ends before one.
+// readHeader reads the header of a batch. It returns io.EOF if the input ends before the header starts.
 func readHeader(r io.Reader) (header, error) {
 	var encoded [headerBytes]byte
 	n, err := io.ReadFull(r, encoded[:])
@@ -108,7 +108,8 @@
 	}, nil
 }
 
-// readBody reads what follows a header. It allocates no more than the input has, whatever size the header claims.
+// readBody reads the records that follow a header. Its allocations are bounded by the size of the input, whatever size
+// the header declares.
 func readBody(r io.Reader, head header) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, int64(head.size)))
 	if err != nil {
@@ -137,7 +138,7 @@
 		batch.Records = append(batch.Records, record)
 	}
 	if left := len(d.unread); left > 0 {
-		return Batch{}, head.frameError(headerBytes+len(body)-left, fmt.Sprintf("%d bytes left over", left))
+		return Batch{}, head.frameError(headerBytes+len(body)-left, fmt.Sprintf("%d trailing bytes", left))
 	}
 	return batch, nil
 }
--- a/internal/simulator/frame_test.go
+++ b/internal/simulator/frame_test.go
@@ -13,7 +13,7 @@
 	"crankhold/policy"
 )
 
-// unhex returns the bytes of a hexadecimal text, in which white space is ignored.
+// unhex decodes a hexadecimal text and ignores white space in it.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -29,7 +29,7 @@
 	07 0003 000000000000004d
 	03 0005 0e6f2b19`
 
-// The records of a batch are decoded in their order, with times as durations.
+// The records of a batch are decoded in order, and times are decoded as durations.
 func TestSampleBatch(t *testing.T) {
 	b, err := ReadBatch(bytes.NewReader(unhex(t, sample)))
 	if err != nil {
@@ -46,12 +46,12 @@
 	}
 }
 
-// A frame that is cut short at any byte, or has a wrong figure, is an error, and never a clean end of input.
+// A frame that is truncated at any byte, or has an invalid field, is an error and not a regular end of input.
 func TestMalformedFrames(t *testing.T) {
 	whole := unhex(t, sample)
 	for n := 1; n < len(whole); n++ {
 		if _, err := ReadBatch(bytes.NewReader(whole[:n])); err == nil || err == io.EOF {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("truncated at %d: %v", n, err)
 		}
 	}
 	for name, at := range map[string]struct {
@@ -61,12 +61,12 @@
 		bad := bytes.Clone(whole)
 		bad[at.i] = at.b
 		if _, err := ReadBatch(bytes.NewReader(bad)); err == nil {
-			t.Errorf("bad %s: no error", name)
+			t.Errorf("invalid %s: no error", name)
 		}
 	}
 }
 
-// A FrameError says where a frame is malformed.
+// A FrameError contains the batch, the record and the offset at which a frame is malformed.
 func TestFrameErrors(t *testing.T) {
 	whole := unhex(t, sample)
 	change := func(at int, to byte) []byte {
@@ -81,13 +81,13 @@
 	}{
 		"header": {whole[:5], FrameError{NoBatch, NoRecord, 5, "truncated batch header", io.ErrUnexpectedEOF},
 			"truncated batch header: unexpected EOF"},
-		"clock":  {change(12, 0xff), FrameError{12, NoRecord, 12, "bad clock", nil}, "batch 12: bad clock"},
+		"clock":  {change(12, 0xff), FrameError{12, NoRecord, 12, "invalid clock", nil}, "batch 12: invalid clock"},
 		"length": {change(4, 0x41), FrameError{12, NoRecord, 4, "length 1090519106 is too large", nil}, "batch 12: length 1090519106 is too large"},
 		"body":   {whole[:50], FrameError{12, NoRecord, 50, "truncated at byte 30 of 66", nil}, "batch 12: truncated at byte 30 of 66"},
 		"code":   {change(20, 99), FrameError{12, 0, 23, "unknown record code 99", nil}, "batch 12, record 0: unknown record code 99"},
 		"count":  {change(11, 4), FrameError{12, 3, 86, "unknown record code 0", nil}, "batch 12, record 3: unknown record code 0"},
-		"record": {change(7, 0x41)[:85], FrameError{12, 2, 85, "record is cut short", nil}, "batch 12, record 2: record is cut short"},
-		"rest":   {change(11, 2), FrameError{12, NoRecord, 79, "7 bytes left over", nil}, "batch 12: 7 bytes left over"},
+		"record": {change(7, 0x41)[:85], FrameError{12, 2, 85, "truncated record", nil}, "batch 12, record 2: truncated record"},
+		"rest":   {change(11, 2), FrameError{12, NoRecord, 79, "7 trailing bytes", nil}, "batch 12: 7 trailing bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadBatch(bytes.NewReader(c.frame))
@@ -102,7 +102,7 @@
 	}
 }
 
-// Arbitrary input is decoded or rejected.
+// Arbitrary input is decoded or is an error; the clock of a decoded batch is not negative.
 func FuzzReadBatch(f *testing.F) {
 	f.Add(unhex(f, sample))
 	f.Add(unhex(f, "00000001 00000000 00000000 40c06e2000000000"))
--- a/internal/simulator/milliseconds.go
+++ b/internal/simulator/milliseconds.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxMillis is the longest time that counts as a time, in milliseconds. It fits into a Duration.
+// maxMillis is the longest accepted time in milliseconds. It fits into a Duration.
 const maxMillis = 1e12
 
-// fromMillis returns a number of milliseconds as a Duration, rounded to nanoseconds. What is no number, or is out of range,
-// becomes 0.
+// fromMillis returns a number of milliseconds as a Duration, rounded to nanoseconds. It returns 0 for NaN and for values
+// that are out of range.
 func fromMillis(ms float64) time.Duration {
 	if math.IsNaN(ms) || math.Abs(ms) > maxMillis {
 		return 0
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -7,7 +7,7 @@
 	"crankhold/policy"
 )
 
-// Reply gathers the actions that answer one batch. The zero Reply is empty and ready to use.
+// Reply collects the actions that respond to one batch. The zero Reply is empty and ready to use.
 type Reply struct{ encoder encoder }
 
 // Add appends an instance's actions.
@@ -38,7 +38,7 @@
 	}
 }
 
-// addWorkerAction appends the record of an action that is for no request.
+// addWorkerAction appends the record of an action that concerns no request.
 func (r *Reply) addWorkerAction(instance uint16, action policy.Action) {
 	e := &r.encoder
 	switch a := action.(type) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// addRouterAction appends the record of an action that is for neither a request nor a worker.
+// addRouterAction appends the record of an action that concerns neither a request nor a worker.
 func (r *Reply) addRouterAction(instance uint16, action policy.Action) {
 	e := &r.encoder
 	switch a := action.(type) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Flush writes the reply to the batch of that sequence number as one frame, and empties the reply.
+// Flush writes the reply to the batch with the given sequence number as one frame, and then empties the reply.
 func (r *Reply) Flush(w io.Writer, sequence uint32) error {
 	records := r.encoder.records
 	frame := binary.BigEndian.AppendUint32(nil, sequence)
--- a/internal/simulator/reply_test.go
+++ b/internal/simulator/reply_test.go
@@ -8,7 +8,7 @@
 	"crankhold/policy"
 )
 
-// A reply is a frame with the actions of all instances in their order.
+// A reply is a frame with the actions of all instances in the order in which they were added.
 func TestSampleReply(t *testing.T) {
 	var r Reply
 	r.Add(3, []policy.Action{policy.StartAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Limit: 80 * time.Millisecond},
@@ -22,7 +22,7 @@
 	}
 }
 
-// Each kind of action has its code and its fields in their order.
+// Each kind of action is written as its code, the instance and its fields in order.
 func TestEveryActionIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		action policy.Action
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -6,8 +6,8 @@
 	"crankhold/policy"
 )
 
-// settings mirrors the keys of the JSON that are read; all others are ignored. Its sections have no types of their own,
-// since errors of encoding/json would contain their names.
+// settings contains the keys of the JSON that are used; all other keys are ignored. Its sections are anonymous structs,
+// because errors of encoding/json would contain the names of their types.
 type settings struct {
 	Routers          int      `json:"peersTotal"`
 	Zone             int      `json:"zone"`
@@ -71,8 +71,8 @@
 	RequestsPerSecond float64 `json:"allowancePerS"`
 }
 
-// ParseSettings returns the policy's configuration by the settings of an Init, or of a router's configuration. It
-// returns a *SettingsError for what it can't read.
+// ParseSettings returns the policy's configuration for the settings of an Init or of a router's configuration. It
+// returns a *SettingsError if the settings are invalid.
 func ParseSettings(text []byte) (policy.Config, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -92,7 +92,7 @@
 	return c, nil
 }
 
-// config returns the Config without classes and tenants.
+// config returns the policy's configuration without classes and tenants.
 func (s *settings) config() policy.Config {
 	c := policy.Config{
 		Routers:            s.Routers,
@@ -113,7 +113,7 @@
 	return c
 }
 
-// applyLimits sets what the section "limits" allows the router to do.
+// applyLimits sets the fields that come from the section "limits": what the router is allowed to do.
 func (s *settings) applyLimits(c *policy.Config) {
 	c.MaxAttempts = s.Limits.MaxAttempts
 	c.CancelSupported = s.Limits.CancelSupported
@@ -124,7 +124,7 @@
 	c.MaxRetryAfter = fromMillis(s.Limits.MaxRetryAfterMs)
 }
 
-// applyRules sets the figures of the section "rules", for workers that start or drain.
+// applyRules sets the fields that come from the section "rules": parameters for workers that start or drain.
 func (s *settings) applyRules(c *policy.Config) {
 	c.PollInterval = fromMillis(s.Rules.PollIntervalMs)
 	c.SlowStartInitialCapacity = s.Rules.SlowStartInitialCapacity
@@ -134,7 +134,7 @@
 	c.DrainGracePeriod = fromMillis(s.Rules.DrainGracePeriodMs)
 }
 
-// applySpecifics sets what the section "specifics" says of functions and their replicas.
+// applySpecifics sets the fields that come from the section "specifics": parameters of functions and their replicas.
 func (s *settings) applySpecifics(c *policy.Config) {
 	c.MissWhenNotLoaded = s.Specifics.WhenNotLoaded == "miss"
 	c.LoadCommandsSupported = s.Specifics.LoadCommandsSupported
@@ -151,8 +151,8 @@
 	}
 }
 
-// policyClass returns the class for package policy. Index is that of the class in the settings, for its error, which is
-// a SettingsError.
+// policyClass returns the class in the form of package policy. Its error is a *SettingsError, which contains the given
+// index of the class in the settings.
 func (k *class) policyClass(index int) (policy.Class, error) {
 	c := policy.Class{
 		LatencyObjective:    fromMillis(k.LatencyObjectiveMs),
@@ -178,7 +178,7 @@
 		c.DeduplicationScope = policy.DeduplicatedEverywhere
 	case "zone":
 		c.DeduplicationScope = policy.DeduplicatedInZone
-	default: // cell, or absent: the narrowest promise
+	default: // cell or absent: the narrowest scope
 		c.DeduplicationScope = policy.DeduplicatedInCell
 	}
 	return c, nil
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -9,7 +9,7 @@
 	"crankhold/policy"
 )
 
-// Settings that are read reach the policy, unknown keys are ignored, and an error names the class that it is about.
+// Settings are passed to the policy, unknown keys are ignored, and an error contains the index of the class it concerns.
 func TestSettings(t *testing.T) {
 	c, err := ParseSettings([]byte(`{"unknown": [1], "peersTotal": 3, "classes": [{"deadlineMs": 4000, "goalTimeMs": 400,
 		"group": "all", "semantics": "keyed", "windowMs": 2500, "worth": 9}], "membershipMode": "subscribe",
@@ -34,6 +34,6 @@
 		}
 	}
 	if fromMillis(math.NaN()) != 0 || fromMillis(math.Inf(1)) != 0 {
-		t.Error("no number must count as absent")
+		t.Error("NaN and infinity must count as absent")
 	}
 }
--- a/internal/testutil/doc.go
+++ b/internal/testutil/doc.go
@@ -1,4 +1,4 @@
-// Package testutil is what the tests of several packages share: a fake connection, a clock that stands still, a test
-// main with a fixed seed, and checks of goroutines and files. Only tests use it. Comparisons with golden files are in
-// package golden.
+// Package testutil contains helpers for the tests of several packages: a fake connection, a fixed clock, a TestMain
+// helper with a fixed seed, a fixed source of random bytes, and helpers for goroutines and files. Only tests use it.
+// Comparisons with golden files are in package golden.
 package testutil
--- a/internal/testutil/goroutines.go
+++ b/internal/testutil/goroutines.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxStacksSize is how many bytes of stacks are read.
+// maxStacksSize is the maximum total size of the stacks in bytes. Longer output is truncated.
 const maxStacksSize = 1 << 20
 
-// GoroutineStacks returns the stack of each goroutine that matches.
+// GoroutineStacks returns the stacks of the goroutines for which matches returns true.
 func GoroutineStacks(matches func(stack string) bool) (stacks []string) {
 	buffer := make([]byte, maxStacksSize)
 	buffer = buffer[:runtime.Stack(buffer, true)]
@@ -22,8 +22,8 @@
 	return stacks
 }
 
-// RequireGoroutines fails the test unless so many goroutines match, at once or within a limit: one that is between its
-// last statement and its end is still listed.
+// RequireGoroutines fails the test unless the number of matching goroutines equals want within the time limit. It polls,
+// because a goroutine that has executed its last statement may still be listed for a short time.
 func RequireGoroutines(t testing.TB, want int, limit time.Duration, matches func(stack string) bool) {
 	t.Helper()
 	deadline := time.Now().Add(limit)
--- a/internal/testutil/main.go
+++ b/internal/testutil/main.go
@@ -10,15 +10,15 @@
 // exitUsage is the exit status for flags that can't be set.
 const exitUsage = 2
 
-// rapidFlags are rapid's settings for all packages: the same seed in each run, so that each run of unchanged code has
-// the same result, and no files about failures.
+// rapidFlags are the settings of rapid for all packages: a fixed seed, so that runs of unchanged code have the same
+// result, and no files that record failures.
 var rapidFlags = []struct{ name, value string }{
 	{"rapid.seed", "20261201"},
 	{"rapid.nofailfile", "true"},
 }
 
-// Main runs a package's tests with a fixed seed for rapid, and exits. A package whose tests use rapid calls it from
-// TestMain.
+// Main runs a package's tests with a fixed seed for rapid, and exits the process. Packages whose tests use rapid call it
+// from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	for _, setting := range rapidFlags {
--- a/internal/testutil/random.go
+++ b/internal/testutil/random.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// countingReader yields the bytes 255, 254, 253 and so on: in base64 they have characters that its variants differ in.
+// countingReader returns the bytes 255, 254, 253 and so on. Their base64 encoding contains characters in which the
+// standard and the URL-safe alphabet differ.
 type countingReader struct{ last byte }
 
 func (r *countingReader) Read(b []byte) (int, error) {
@@ -16,7 +17,7 @@
 	return len(b), nil
 }
 
-// FixRandom replaces the source of crypto/rand by one that always yields the same bytes, until the end of the test.
+// FixRandom replaces the source of crypto/rand with one that always returns the same bytes, until the test ends.
 func FixRandom(t *testing.T) {
 	t.Helper()
 	system := rand.Reader
