--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -30,7 +30,7 @@
 	r.busy--
 	r.lastUsed = time.Now()
 	failed := w.shouldFail != nil && w.shouldFail(e.id)
-	silent := w.hanging || e.done
+	noResponse := w.hanging || e.done
 	if !w.hanging {
 		c.markDone(e, EventCompleted)
 	}
@@ -38,7 +38,7 @@
 	w.startWaiting(r)
 	w.mu.Unlock()
 	switch {
-	case silent:
+	case noResponse:
 	case failed:
 		c.respond(e.id, responseFault, noFields, "")
 	default:
--- a/internal/fake/resp.go
+++ b/internal/fake/resp.go
@@ -45,13 +45,13 @@
 }
 
 // readLength reads a line of a RESP type's mark and a length.
-func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
-	if err != nil || line[0] != mark || n < 0 || n > limit {
+	if err != nil || line[0] != typeByte || n < 0 || n > limit {
 		return 0, fmt.Errorf("malformed line %.20q", line)
 	}
 	return n, nil
--- a/internal/fake/thriftdecoder.go
+++ b/internal/fake/thriftdecoder.go
@@ -39,7 +39,7 @@
 func parseResponse(frame []byte) (seq uint32, response Response, err error) {
 	d := &decoder{unread: frame}
 	messageType := d.uint32() & 0xff
-	d.string() // the method
+	d.readString() // the method
 	seq = d.uint32()
 	if messageType == messageException {
 		return seq, Response{Status: Failed}, d.err
@@ -80,12 +80,12 @@
 	case typeBool:
 		r.Healthy = d.byte() == 1
 	case typeString:
-		r.Body = []byte(d.string())
+		r.Body = []byte(d.readString())
 	case typeMap:
 		d.uint16() // the types of keys and values
 		for range min(d.uint32(), maxMapLength) {
-			name := d.string()
-			value := d.string()
+			name := d.readString()
+			value := d.readString()
 			if milliseconds, err := strconv.Atoi(value); name == "after" && err == nil {
 				r.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 			}
@@ -138,7 +138,7 @@
 	return binary.BigEndian.Uint32(b)
 }
 
-func (d *decoder) string() string {
+func (d *decoder) readString() string {
 	size := d.uint32()
 	return string(d.take(int(size)))
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -125,10 +125,10 @@
 
 // FailRequests has the worker respond with an error to the requests whose ids fails selects. If fails is nil, no
 // request fails any more.
-func (w *Worker) FailRequests(fails func(id string) bool) {
+func (w *Worker) FailRequests(shouldFail func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shouldFail = fails
+	w.shouldFail = shouldFail
 }
 
 // Close ends the worker for good. It blocks until all its goroutines have ended.
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -202,11 +202,11 @@
 
 // Verifies the check above: routers that are not told when a worker started overload it.
 func TestSlowStartCheckDetectsUnreportedStart(t *testing.T) {
-	unlisted := func(e policy.Endpoint) policy.Endpoint {
+	withoutStart := func(e policy.Endpoint) policy.Endpoint {
 		e.Started = 0
 		return e
 	}
-	s := runSlowStart(t, 30, 1, slowStartRun{}, unlisted)
+	s := runSlowStart(t, 30, 1, slowStartRun{}, withoutStart)
 	if _, over := s.excess(); over <= 0 {
 		t.Error("not found")
 	}
--- a/internal/simulation/storychecks_test.go
+++ b/internal/simulation/storychecks_test.go
@@ -53,17 +53,17 @@
 	}
 }
 
-func (s *story) thenServed(least int) error {
-	beforeEnd := func(r *Request) bool { return !r.SentWhileDraining }
-	if percent, n := percentOf(s.fleet.Requests, beforeEnd, servedWithin(time.Hour)); percent < least {
+func (s *story) thenServed(minPercent int) error {
+	sentBeforeDrain := func(r *Request) bool { return !r.SentWhileDraining }
+	if percent, n := percentOf(s.fleet.Requests, sentBeforeDrain, servedWithin(time.Hour)); percent < minPercent {
 		return fmt.Errorf("%d in 100 of %d requests were served", percent, n)
 	}
 	return nil
 }
 
-func (s *story) thenTenantServed(least int, tenant string) error {
+func (s *story) thenTenantServed(minPercent int, tenant string) error {
 	ofTenant := func(r *Request) bool { return r.Tenant == tenant }
-	if percent, n := percentOf(s.fleet.Requests, ofTenant, servedWithin(time.Second)); percent < least || n == 0 {
+	if percent, n := percentOf(s.fleet.Requests, ofTenant, servedWithin(time.Second)); percent < minPercent || n == 0 {
 		return fmt.Errorf("%d in 100 of %d requests were served in time", percent, n)
 	}
 	return nil
@@ -72,8 +72,8 @@
 // thenNotOverloaded counts the requests that the started worker received in each overload window. When a worker starts,
 // its capacity is a fifth of that of a warm worker, and it becomes overloaded above a multiple of that.
 func (s *story) thenNotOverloaded() error {
-	warm := float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds()
-	allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warm
+	warmCapacity := float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds()
+	allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warmCapacity
 	received := s.started.Received
 	for i, from := range received {
 		n := 0
