--- a/internal/fake/address.go
+++ b/internal/fake/address.go
@@ -1,14 +1,14 @@
 package fake
 
-// Networks of a worker's addresses.
+// Values of Address.Network.
 const (
 	NetworkTCP4 = "tcp4"
 	NetworkTCP6 = "tcp6"
 	NetworkUnix = "unix"
 )
 
-// Address is where a worker listens.
+// Address is an address that a worker listens on.
 type Address struct {
 	Network string
-	Addr    string // the host and port, or the path of a Unix socket
+	Addr    string // host and port, or the path of a Unix socket
 }
--- a/internal/fake/class.go
+++ b/internal/fake/class.go
@@ -11,10 +11,10 @@
 	LatencyObjective time.Duration
 	Timeout          time.Duration // how long clients wait for a response
 	PriorityWeight   float64
-	Idempotent       bool // a request of the class may run more than once
+	Idempotent       bool // whether a request of the class may be executed more than once
 }
 
-// Classes of a site's configuration.
+// The classes of a site's configuration.
 var (
 	DimLevel = Class{
 		Name:             "dim-level",
@@ -38,14 +38,14 @@
 	}
 )
 
-// Classes are all classes, in the order of the configuration.
+// Classes lists all classes in the order of the configuration.
 var Classes = []Class{DimLevel, FaultCheck, RepairOrder}
 
-// ClassMix is what the class of a random request is drawn from.
+// ClassMix lists the classes from which the class of a random request is chosen, all entries with equal probability.
 var ClassMix = []Class{DimLevel, DimLevel, FaultCheck, RepairOrder}
 
-// functionKeyStep spreads the keys of FunctionKey over all keys.
+// functionKeyStep is the difference between consecutive keys of FunctionKey. It spreads them over the range of keys.
 const functionKeyStep = 0x1111111111111111
 
-// FunctionKey returns the key, of 16 hex digits, of a function by its number, from 0.
+// FunctionKey returns the key of the function with number n, as 16 hex digits. Numbers start at 0.
 func FunctionKey(n int) string { return fmt.Sprintf("%016x", uint64(n)*functionKeyStep) }
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// Client is a fake client: one connection by Thrift, with many requests in flight. Its methods may be called from any
-// goroutine; a goroutine of its own reads responses and calls back.
+// Client is a fake client: one Thrift connection with any number of requests in flight. Its methods may be called from
+// any goroutine. The client has its own goroutine, which reads responses and calls the callbacks.
 type Client struct {
 	conn net.Conn
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	lastSeq   uint32
-	inFlight  map[uint32]func(Response, error)
-	unmatched int   // responses to no request in flight
-	connErr   error // what ended the connection
+	inFlight  map[uint32]func(Response, error) // callbacks by sequence number
+	unmatched int                              // number of responses that match no request in flight
+	connErr   error                            // why the connection was closed, or nil
 }
 
 // Dial connects to a router.
@@ -29,41 +29,41 @@
 	return c, nil
 }
 
-// Close closes the connection. Requests in flight end with an error.
+// Close closes the connection. Requests in flight complete with an error.
 func (c *Client) Close() { c.conn.Close() }
 
-// UnmatchedResponses returns how many responses came to no request in flight.
+// UnmatchedResponses returns the number of responses that matched no request in flight.
 func (c *Client) UnmatchedResponses() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unmatched
 }
 
-// RequestsInFlight returns how many requests are in flight.
+// RequestsInFlight returns the number of requests in flight.
 func (c *Client) RequestsInFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.inFlight)
 }
 
-// Go sends a request. done is called once, with the response or with what ended the connection. It must not block: no
-// other response is read meanwhile.
+// Go sends a request. It calls done once, with the response or with the error that closed the connection. done must not
+// block, because no other response is read until it returns.
 func (c *Client) Go(request Request, done func(Response, error)) {
 	c.send("execute", executeArguments(&request), done)
 }
 
-// Do sends a request and blocks until its response.
+// Do sends a request and blocks until the response arrives.
 func (c *Client) Do(request Request) (Response, error) {
 	return wait(func(done func(Response, error)) { c.Go(request, done) })
 }
 
-// CheckHealth asks whether the router accepts requests. It blocks until the response.
+// CheckHealth asks whether the router accepts requests. It blocks until the response arrives.
 func (c *Client) CheckHealth() (healthy bool, err error) {
 	response, err := wait(func(done func(Response, error)) { c.send("check", noArguments(), done) })
 	return response.Healthy, err
 }
 
-// wait blocks until send's callback is called, and returns what it is called with.
+// wait calls send, blocks until the callback is called, and returns the callback's arguments.
 func wait(send func(done func(Response, error))) (response Response, err error) {
 	ended := make(chan struct{})
 	send(func(r Response, e error) {
@@ -75,7 +75,8 @@
 	return response, err
 }
 
-// Interrupt cancels a request by its sequence number, the first of a client being 1. No response follows.
+// Interrupt cancels the request with the given sequence number. The first request of a client has number 1. There is no
+// response to the canceled request.
 func (c *Client) Interrupt(seq uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,8 +84,8 @@
 	c.conn.Write(encodeMessage(messageOneway, "interrupt", 0, interruptArguments(seq)))
 }
 
-// GoInHalves sends the first half of a request, and the rest when the function that it returns is called. Nothing else
-// may be sent in between. It calls done as Go does.
+// GoInHalves sends the first half of a request. The function that it returns sends the rest. Nothing else may be sent
+// in between. It calls done like Go.
 func (c *Client) GoInHalves(request Request, done func(Response, error)) (rest func()) {
 	var message []byte
 	c.sendWith(func(whole []byte) error {
@@ -95,7 +96,7 @@
 	return func() { c.conn.Write(message[len(message)/2:]) }
 }
 
-// send writes a message with its arguments under the next sequence number.
+// send writes a message with the next sequence number.
 func (c *Client) send(method string, arguments []byte, done func(Response, error)) {
 	c.sendWith(func(message []byte) error {
 		_, err := c.conn.Write(message)
@@ -103,7 +104,7 @@
 	}, method, arguments, done)
 }
 
-// sendWith has write send a message with its arguments under the next sequence number.
+// sendWith encodes a message with the next sequence number and calls write to send it.
 func (c *Client) sendWith(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
 	c.mu.Lock()
 	if err := c.connErr; err != nil {
@@ -116,11 +117,11 @@
 	err := write(encodeMessage(messageCall, method, c.lastSeq, arguments))
 	c.mu.Unlock()
 	if err != nil {
-		c.conn.Close() // read ends all requests in flight
+		c.conn.Close() // read then fails all requests in flight
 	}
 }
 
-// read delivers responses until the connection ends, and then an error to all requests in flight.
+// read delivers responses until reading fails, and then delivers the error to all requests in flight.
 func (c *Client) read() {
 	in := bufio.NewReader(c.conn)
 	for {
--- a/internal/fake/client_test.go
+++ b/internal/fake/client_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Requests in flight end with their connection, and so do later ones.
+// Requests in flight complete with an error when their connection is closed, and so do later requests.
 func TestRequestsEndWithTheirConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,6 +32,6 @@
 		t.Error("a request without a response has no error")
 	}
 	if _, err := client.Do(Request{}); err == nil || client.RequestsInFlight() != 0 {
-		t.Errorf("after the connection's end: %v, %d in flight", err, client.RequestsInFlight())
+		t.Errorf("after the connection was closed: %v, %d in flight", err, client.RequestsInFlight())
 	}
 }
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -39,21 +39,21 @@
 	fieldCount    = "count"
 )
 
-// noFields is sent where a response has no fields.
+// noFields is sent in place of the fields if a response has none.
 const noFields = "-"
 
-// connection is a router's connection to a worker, with the requests that are in flight on it. A goroutine of its own
-// carries out commands; responses are written by timers of the worker too.
+// connection is a router's connection to a worker, with the requests that are in flight on it. Each connection has a
+// goroutine that executes its commands. Responses are written by that goroutine and by the worker's timers.
 type connection struct {
 	worker *Worker
 	port   *Port
 	conn   net.Conn
 
 	writeMu  sync.Mutex
-	inFlight map[string]*execution // by id, guarded by the worker's lock
+	inFlight map[string]*execution // by request id; guarded by the worker's lock
 }
 
-// serveConnection carries out the commands of a connection. It blocks until the connection ends.
+// serveConnection executes the commands of a connection. It blocks until the connection is closed.
 func (w *Worker) serveConnection(port *Port, conn net.Conn) {
 	c := &connection{worker: w, port: port, conn: conn, inFlight: map[string]*execution{}}
 	defer c.close()
@@ -77,7 +77,8 @@
 	}
 }
 
-// handle carries out a command, of which the first argument is a request's id, a function or a tag for the response.
+// handle executes a command. The first argument is a request id, a function key or a tag for the response. Commands
+// that are unknown or have the wrong number of arguments are ignored.
 func (c *connection) handle(command string, args []string) {
 	switch {
 	case command == commandRun && len(args) == 3:
@@ -109,7 +110,7 @@
 	}
 }
 
-// accept begins or queues a request, or returns the response that rejects it. The worker must be locked.
+// accept starts or queues a request, or returns the response that rejects it. The worker must be locked.
 func (c *connection) accept(e *execution) (rejection responseWord, accepted bool) {
 	w := c.worker
 	r := w.replica(e.functionKey)
@@ -138,12 +139,12 @@
 	}
 }
 
-// load carries out a load command, and responds to its tag once a replica is loaded. A command for no replicas asks
-// whether one is.
+// load executes a load command and responds with its tag after a replica is loaded. A command with a count of 0 only
+// asks whether a replica is loaded.
 func (c *connection) load(tag, fields string) {
 	w := c.worker
 	function := fieldValue(fields, fieldFunction)
-	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // 0 for a count that is no number
+	count, _ := strconv.Atoi(fieldValue(fields, fieldCount)) // 0 for an invalid count
 	respond := func(replicas int) { c.respond(tag, responseServed, fmt.Sprintf("count=%d", replicas), "") }
 
 	w.mu.Lock()
@@ -180,7 +181,8 @@
 	}
 }
 
-// respond writes a response, unless the address is unresponsive. After a failed write the connection's next read fails.
+// respond writes a response, unless the address is unresponsive. Write errors are ignored, because the next read from
+// the connection then fails too.
 func (c *connection) respond(tag string, word responseWord, fields, body string) {
 	if c.port.Mode() == ModeUnresponsive {
 		return
@@ -190,7 +192,7 @@
 	writeArray(c.conn, tag, string(word), fields, body)
 }
 
-// fieldValue returns the value of a name in a list of name=value.
+// fieldValue returns the value of a name in a comma-separated list of name=value, or an empty string.
 func fieldValue(list, name string) string {
 	for field := range strings.SplitSeq(list, ",") {
 		if n, value, ok := strings.Cut(field, "="); ok && n == name {
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -13,14 +13,14 @@
 	serviceName = "_back._tcp.pool.lan"
 )
 
-// Priorities of SRV records, which show whether a worker drains, and the weight that all of them have.
+// The priority of an SRV record shows whether the worker is draining. All records have the same weight.
 const (
 	priorityReady    = 0
 	priorityDraining = 1
 	endpointWeight   = 10
 )
 
-// maxQuerySize is the size of the largest query that is read (RFC 1035, section 4.2.1).
+// maxQuerySize is the maximum size of a query (RFC 1035, section 4.2.1).
 const maxQuerySize = 512
 
 // Endpoint is an endpoint in the discovery server's list.
@@ -38,19 +38,19 @@
 // host returns the endpoint's host name.
 func (e Endpoint) host() string { return e.Name + "." + e.Zone + ".hosts" }
 
-// DiscoveryServer is a fake discovery server: it answers queries by DNS over UDP with its endpoint list,
-// on a goroutine of its own.
+// DiscoveryServer is a fake discovery server. It responds to DNS queries over UDP with its endpoint list, on its own
+// goroutine.
 type DiscoveryServer struct {
 	conn    net.PacketConn
 	stopped chan struct{}
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	serial        uint32
 	list          []Endpoint
-	firstServedAt map[uint32]time.Time // by serial, when a query was first answered with it
+	firstServedAt map[uint32]time.Time // by serial; when it was first sent in a response
 }
 
-// NewDiscoveryServer starts a discovery server with a list of serial 1.
+// NewDiscoveryServer starts a discovery server. Its first list has serial 1.
 func NewDiscoveryServer(addr string, list []Endpoint) (*DiscoveryServer, error) {
 	conn, err := net.ListenPacket("udp", addr)
 	if err != nil {
@@ -70,7 +70,7 @@
 // Addr returns the address that the server listens on.
 func (d *DiscoveryServer) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set replaces the list and returns the new one's serial.
+// Set replaces the list and returns the serial of the new list.
 func (d *DiscoveryServer) Set(list []Endpoint) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,20 +79,21 @@
 	return d.serial
 }
 
-// FirstServedAt returns when a query was first answered with the list of a serial, or the zero time if none was.
+// FirstServedAt returns when the list with the given serial was first sent in a response, or the zero time if it was
+// not sent.
 func (d *DiscoveryServer) FirstServedAt(serial uint32) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.firstServedAt[serial]
 }
 
-// Close ends the server. It blocks until the server has ended. It may be called again.
+// Close stops the server and blocks until it has stopped. It may be called more than once.
 func (d *DiscoveryServer) Close() {
 	d.conn.Close()
 	<-d.stopped
 }
 
-// serve answers queries until the socket is closed.
+// serve responds to queries until the socket is closed.
 func (d *DiscoveryServer) serve() {
 	defer close(d.stopped)
 	query := make([]byte, maxQuerySize)
@@ -107,8 +108,8 @@
 	}
 }
 
-// respondTo returns the response to a query, which is the whole list whatever the question: SRV records, the zone's
-// serial, and each host's addresses and labels.
+// respondTo returns the response to a query. Whatever the question is, the response contains the complete list: SRV
+// records, the zone's serial, and the addresses and labels of each host.
 func (d *DiscoveryServer) respondTo(query []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +127,7 @@
 	return response.message
 }
 
-// addService adds an endpoint's SRV record. An address that can't be read is left out.
+// addService adds an endpoint's SRV record. It adds nothing if the endpoint's address is invalid.
 func (r *dnsResponse) addService(endpoint Endpoint) {
 	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 	if err != nil {
@@ -140,7 +141,8 @@
 	r.add(sectionAnswer, serviceName, recordSRV, data)
 }
 
-// addHost adds the addresses and labels of an endpoint's host. IPv6 has records of its own; a Unix socket is a label.
+// addHost adds the addresses and labels of an endpoint's host. An IPv6 address becomes an AAAA record; the path of a
+// Unix socket becomes a label.
 func (r *dnsResponse) addHost(endpoint Endpoint) {
 	addr, err := net.ResolveTCPAddr("tcp", endpoint.Addr)
 	if err != nil {
--- a/internal/fake/dns.go
+++ b/internal/fake/dns.go
@@ -18,7 +18,7 @@
 // dnsHeaderSize is the size of a message's header (RFC 1035, section 4.1.1).
 const dnsHeaderSize = 12
 
-// dnsSection is the offset, in the header, of the number of a section's records.
+// dnsSection identifies a section by the offset of its record count in the header.
 type dnsSection int
 
 // Sections of a response.
@@ -41,14 +41,14 @@
 	message []byte
 }
 
-// newDNSResponse begins a response with the query that it answers.
+// newDNSResponse returns a response without records, which starts with a copy of the query.
 func newDNSResponse(query []byte) *dnsResponse {
 	message := bytes.Clone(query)
 	message[2] |= responseFlag
 	return &dnsResponse{message: message}
 }
 
-// add appends a record. Sections must be added to in their order in the message.
+// add appends a record to a section. Records must be added in the order of the sections in the message.
 func (r *dnsResponse) add(section dnsSection, name string, recordType uint16, data []byte) {
 	count := r.message[section : section+2]
 	binary.BigEndian.PutUint16(count, binary.BigEndian.Uint16(count)+1)
@@ -68,7 +68,7 @@
 	return append(b, domainName(target)...)
 }
 
-// soaData encodes the data of an SOA record whose intervals are all zero.
+// soaData encodes the data of an SOA record. Its intervals are all zero.
 func soaData(name string, serial uint32) []byte {
 	b := append(domainName(name), domainName(name)...)
 	b = binary.BigEndian.AppendUint32(b, serial)
@@ -84,7 +84,7 @@
 	return b
 }
 
-// domainName encodes a name as labels, without compression.
+// domainName encodes a domain name as labels, without compression.
 func domainName(name string) (b []byte) {
 	for label := range strings.SplitSeq(name, ".") {
 		b = append(b, byte(len(label)))
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,11 +1,11 @@
-// Package fake provides what a function router talks to, on loopback sockets and in real time: workers, a discovery
-// server, and clients, written from the platform's protocols. The fakes record what really happened, so that claims
-// about the router can be checked against it.
+// Package fake provides the systems that a function router communicates with, on loopback sockets and in real time:
+// workers, a discovery server, and clients. They implement the platform's protocols. Workers report every event, so
+// that the behavior of the router can be checked against what the workers received.
 //
-// A [Site] is a discovery server with its workers; a [Testbed] adds the folder, address and configuration file by which
-// a router is started in front of them. Addresses of a worker are made to fail with [Port.Set], whole workers with
-// [Worker.Kill].
+// A [Site] is a discovery server with its workers. A [Testbed] adds the folder, the address and the configuration file
+// that are needed to start a router in front of them. [Port.Set] makes a single address of a worker fail, and
+// [Worker.Kill] a whole worker.
 //
-// The package imports the standard library alone and nothing of the router. The demo, the benchmarks, the example and
-// tests use it; the router never does.
+// The package imports only the standard library and nothing of the router. The demo, the benchmarks, the example and
+// tests use it; the router does not.
 package fake
--- a/internal/fake/example_test.go
+++ b/internal/fake/example_test.go
@@ -6,8 +6,8 @@
 	"crankhold/internal/fake"
 )
 
-// A testbed holds everything that a router needs to be started: workers, a discovery server, and a configuration that
-// names them.
+// A testbed contains everything that is needed to start a router: workers, a discovery server, and a configuration that
+// refers to them.
 func Example() {
 	bed, err := fake.StartTestbed(fake.TestbedConfig{
 		Prefix: "crankhold-example-",
@@ -27,8 +27,8 @@
 		fmt.Println(err)
 		return
 	}
-	_ = configPath // the router is started with EDGE_CONFIG=configPath
-	_ = listen     // and then fake.Dial(listen) connects a client to it
+	_ = configPath // start the router with EDGE_CONFIG=configPath
+	_ = listen     // then connect a client to it with fake.Dial(listen)
 
 	for _, endpoint := range bed.Site.Endpoints() {
 		fmt.Println(endpoint.Name, "is listed as a worker of kind", endpoint.Kind)
--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// What a response says of the replica.
+// Values of the field "detail" in a response: whether the replica was loaded, or the request waited for the load.
 const (
 	loadStatusLoaded = "hot"
 	loadStatusWaited = "waited"
 )
 
-// execution is a request that a worker has accepted. Its worker's lock guards it.
+// execution is a request that a worker has accepted. It is guarded by the worker's lock.
 type execution struct {
 	connection    *connection
 	id            string
@@ -19,10 +19,11 @@
 	functionKey   string
 	body          string
 	waitedForLoad bool
-	done          bool // responded to, canceled, or its connection was lost
+	done          bool // completed or canceled, or its connection was lost
 }
 
-// complete ends the work on a request and responds to it, unless its worker hangs or nobody waits for it.
+// complete is called when the service time of a request has passed. It sends the response, unless the worker hangs or
+// the request is already done.
 func (e *execution) complete(r *replica) {
 	c := e.connection
 	w := c.worker
@@ -50,7 +51,7 @@
 	}
 }
 
-// markDone records that a request is over, once. The worker must be locked.
+// markDone records how a request ended. It does nothing if the request is already done. The worker must be locked.
 func (c *connection) markDone(e *execution, kind EventKind) {
 	if e.done {
 		return
--- a/internal/fake/platformconfig.go
+++ b/internal/fake/platformconfig.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// platformConfig is the configuration that the platform gives a router, with the values of the example. Keys are the
-// platform's; fields are in their alphabetical order.
+// platformConfig is the configuration that the platform provides to a router. The platform defines the keys; fields are
+// in the alphabetical order of their keys.
 type platformConfig struct {
 	Known     knownEndpoints  `json:"known"`
 	Limits    processLimits   `json:"limits"`
@@ -18,7 +18,7 @@
 	Settings  serviceSettings `json:"settings"`
 }
 
-// knownEndpoints is the endpoint list with which a router begins.
+// knownEndpoints is the endpoint list that a router has when it starts.
 type knownEndpoints struct {
 	Batch  []endpointChange `json:"batch"`
 	Offset int              `json:"offset"`
@@ -46,14 +46,14 @@
 	StartedAt int64  `json:"up_since_ms"` // Unix milliseconds, or 0
 }
 
-// processLimits are those of the router's process.
+// processLimits are the resource limits of the router's process.
 type processLimits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// serviceSettings are the same for all routers of a service.
+// serviceSettings are the settings that all routers of a service share.
 type serviceSettings struct {
 	Classes        []classSettings    `json:"classes"`
 	FailureDomains []string           `json:"failureDomains"`
@@ -94,7 +94,7 @@
 	How    string   `json:"how"`
 }
 
-// workerRules say how a worker's slow start and drain go.
+// workerRules are the settings for the slow start, overload and drain of workers.
 type workerRules struct {
 	SlowStartInitialCapacity float64 `json:"coldFrom"`
 	SlowStartMs              int     `json:"coldMs"`
@@ -103,7 +103,7 @@
 	OverloadMultiple         int     `json:"fallMultiple"`
 }
 
-// replicaSettings say how replicas are loaded and kept.
+// replicaSettings are the settings for loading and keeping replicas.
 type replicaSettings struct {
 	WhenNotLoaded         string  `json:"ifCold"`
 	KeepAliveMs           int     `json:"lingerIdleMs"`
@@ -115,8 +115,8 @@
 	LoadStatusReported    bool    `json:"warmNotes"`
 }
 
-// Config returns the platform's configuration, as JSON, for a router that listens at an address: the example's classes
-// and limits with this site's workers.
+// Config returns the platform's configuration, as JSON, for a router that listens on the given address. It has the
+// classes and limits of the example and lists this site's workers.
 func (s *Site) Config(listen string) []byte {
 	members := make([]listedEndpoint, 0, len(s.Workers))
 	for _, w := range s.Workers {
@@ -127,8 +127,7 @@
 	return s.encodeConfig(listen, endpointList{Revision: 1, Complete: true, Members: members})
 }
 
-// ConfigWithoutWorkers returns the same as Config, but with an empty endpoint list to begin with, which has no
-// revision.
+// ConfigWithoutWorkers returns the same configuration as Config, but its endpoint list is empty and has no revision.
 func (s *Site) ConfigWithoutWorkers(listen string) []byte {
 	return s.encodeConfig(listen, endpointList{Complete: true, Members: []listedEndpoint{}})
 }
@@ -144,13 +143,13 @@
 		Settings:  s.settings(),
 	}, "", "  ")
 	if err != nil {
-		// The configuration holds nothing but texts and numbers.
-		panic(fmt.Sprintf("fake: the configuration can't be encoded: %v", err))
+		// All values of the configuration can be encoded as JSON.
+		panic(fmt.Sprintf("fake: encoding the configuration failed: %v", err))
 	}
 	return text
 }
 
-// settings returns the settings of a service with this site's kinds of workers and failure domains.
+// settings returns the settings of a service that has this site's kinds of workers and failure domains.
 func (s *Site) settings() serviceSettings {
 	classes := make([]classSettings, 0, len(Classes))
 	for _, class := range Classes {
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -18,23 +18,24 @@
 const (
 	ModeHealthy      PortMode = "healthy"
 	ModeRefuse       PortMode = "refuse"       // nothing listens
-	ModeStaleSocket  PortMode = "stale socket" // a Unix socket's file exists and nothing listens
-	ModeUnresponsive PortMode = "unresponsive" // requests are accepted and worked on, and never responded to
-	ModeReset        PortMode = "reset"        // connections are reset, new ones as soon as they are accepted
-	ModeBacklogFull  PortMode = "backlog full" // the backlog is full, so that dials hang
+	ModeStaleSocket  PortMode = "stale socket" // a Unix socket's file exists, but nothing listens
+	ModeUnresponsive PortMode = "unresponsive" // requests are accepted and executed, but no response is sent
+	ModeReset        PortMode = "reset"        // connections are reset; new ones are reset when they are accepted
+	ModeBacklogFull  PortMode = "backlog full" // the listen backlog is full, so that dials hang
 )
 
-// Modes are all modes of an address, ModeHealthy first.
+// Modes lists all modes of an address, with ModeHealthy first.
 var Modes = []PortMode{ModeHealthy, ModeRefuse, ModeStaleSocket, ModeUnresponsive, ModeReset, ModeBacklogFull}
 
-// How often, and after what pause, a port tries to listen while connections of its last mode end.
+// The number of attempts to listen on an address, and the delay between them. Listening can fail until the connections
+// of the previous mode are closed.
 const (
 	listenAttempts   = 50
 	listenRetryDelay = 10 * time.Millisecond
 )
 
 // errUnknownMode is returned for a mode that is not one of Modes.
-var errUnknownMode = errors.New("no mode of an address")
+var errUnknownMode = errors.New("unknown address mode")
 
 // Port is one address of a fake worker, which can be made to fail. Its methods may be called from any goroutine.
 type Port struct {
@@ -44,14 +45,14 @@
 	accepting sync.WaitGroup // goroutines that accept connections
 	serving   sync.WaitGroup // goroutines that serve them
 
-	mu       sync.Mutex // guards what follows, and Addr while Set changes it
+	mu       sync.Mutex // guards the fields below, and Addr while Set changes it
 	mode     PortMode
 	listener net.Listener
 	conns    map[net.Conn]struct{}
-	backlog  []net.Conn // of ModeBacklogFull: what fills the listener's backlog
+	backlog  []net.Conn // connections that fill the listener's backlog in ModeBacklogFull
 }
 
-// openPort begins to listen for a worker.
+// openPort starts to listen on an address of a worker.
 func openPort(worker *Worker, address Address) (*Port, error) {
 	p := &Port{Address: address, worker: worker, conns: map[net.Conn]struct{}{}}
 	return p, p.Set(ModeHealthy)
@@ -64,11 +65,11 @@
 	return p.mode
 }
 
-// Set changes how the address behaves. Open connections stay, except in ModeReset. If the address can't be listened on,
-// it is left in ModeRefuse. A mode that is not one of Modes is an error.
+// Set changes how the address behaves. Open connections stay open, except in ModeReset. If listening on the address
+// fails, the address is left in ModeRefuse. A mode that is not one of Modes is an error.
 func (p *Port) Set(mode PortMode) error {
 	if !slices.Contains(Modes, mode) {
-		return fmt.Errorf("%q is %w", mode, errUnknownMode)
+		return fmt.Errorf("mode %q: %w", mode, errUnknownMode)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// stopListening ends the last mode's listener. The port must be locked.
+// stopListening closes the listener of the previous mode. The port must be locked.
 func (p *Port) stopListening(next PortMode) {
 	if p.listener != nil {
 		if unix, ok := p.listener.(*net.UnixListener); ok {
@@ -111,10 +112,11 @@
 	p.backlog = nil
 }
 
-// listen opens the listener, once connections of the last mode leave the address. The port must be locked.
+// listen opens the listener. It retries while connections of the previous mode still use the address. The port must be
+// locked.
 func (p *Port) listen() (err error) {
 	if p.Network == NetworkUnix {
-		os.Remove(p.Addr) // a stale socket's file
+		os.Remove(p.Addr) // the file of a stale socket
 	}
 	for range listenAttempts {
 		p.listener, err = net.Listen(p.Network, p.Addr)
@@ -128,7 +130,8 @@
 	return err
 }
 
-// acceptWith passes accepted connections to handle until the listener is closed. The port must be locked.
+// acceptWith starts a goroutine that passes accepted connections to handle until the listener is closed. The port must
+// be locked.
 func (p *Port) acceptWith(handle func(net.Conn)) {
 	listener := p.listener
 	p.accepting.Add(1)
@@ -144,7 +147,7 @@
 	}()
 }
 
-// startServing has the worker serve a connection.
+// startServing starts a goroutine in which the worker serves a connection.
 func (p *Port) startServing(conn net.Conn) {
 	p.mu.Lock()
 	p.conns[conn] = struct{}{}
@@ -156,7 +159,8 @@
 	}()
 }
 
-// fillBacklog gives the listener the shortest backlog there is (listen(2)) and fills it. The port must be locked.
+// fillBacklog sets the listener's backlog to the shortest possible length (listen(2)) and fills it. The port must be
+// locked.
 func (p *Port) fillBacklog() {
 	if s, ok := p.listener.(syscall.Conn); ok {
 		if raw, err := s.SyscallConn(); err == nil {
@@ -172,9 +176,10 @@
 	}
 }
 
-// shutDown refuses new connections and resets all that are open. It blocks until the last one accepted is known.
+// shutDown refuses new connections and resets all open ones. It waits for the accepting goroutine, so that a connection
+// that was just accepted is reset too.
 func (p *Port) shutDown() {
-	p.Set(ModeRefuse) // which cannot fail
+	p.Set(ModeRefuse) // never fails
 	p.accepting.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,14 +193,14 @@
 	}
 }
 
-// removeConn drops a connection that has ended.
+// removeConn removes a closed connection from the open ones.
 func (p *Port) removeConn(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, conn)
 }
 
-// reset ends a connection as a process that dies would.
+// reset closes a connection as if its process had been killed: a TCP connection is reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// replica is a function that is loaded, or being loaded, at a worker. Its worker's lock guards it.
+// replica is a function that is loaded, or being loaded, at a worker. It is guarded by the worker's lock.
 type replica struct {
 	ready    bool
 	lastUsed time.Time
 	busy     int          // lanes in use
-	waiting  []*execution // for a lane, or for the load
-	onLoaded []func()     // responses to load commands that came during the load
+	waiting  []*execution // requests that wait for a lane or for the load
+	onLoaded []func()     // respond to load commands that arrived during the load
 }
 
-// replica returns a function's replica, or nil if there is none or it was idle for too long. The worker must be locked.
+// replica returns a function's replica. It returns nil if there is none, or unloads the replica and returns nil if it
+// was idle for too long. A warm worker loads a replica at once instead. The worker must be locked.
 func (w *Worker) replica(function string) *replica {
 	r := w.replicas[function]
 	if r != nil && w.expired(r) {
@@ -29,7 +30,7 @@
 	return r.ready && r.busy == 0 && w.KeepAlive > 0 && time.Since(r.lastUsed) > w.KeepAlive
 }
 
-// startLoad begins to load a replica. The worker must be locked.
+// startLoad starts to load a replica. The worker must be locked.
 func (w *Worker) startLoad(function string) *replica {
 	r := &replica{}
 	w.replicas[function] = r
@@ -37,7 +38,7 @@
 	return r
 }
 
-// loaded ends the load of a replica: waiting requests begin, and load commands are responded to.
+// loaded completes the load of a replica: it starts waiting requests and responds to load commands.
 func (w *Worker) loaded(r *replica) {
 	w.mu.Lock()
 	r.ready = true
@@ -51,7 +52,7 @@
 	}
 }
 
-// startWaiting begins requests that wait while lanes are free. The worker must be locked.
+// startWaiting starts waiting requests while lanes are free. The worker must be locked.
 func (w *Worker) startWaiting(r *replica) {
 	for r.ready && len(r.waiting) > 0 && r.busy < max(w.Lanes, 1) {
 		e := r.waiting[0]
@@ -64,7 +65,7 @@
 	}
 }
 
-// unload drops a function's replica if it is idle.
+// unload unloads a function's replica if it is idle.
 func (w *Worker) unload(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/request.go
+++ b/internal/fake/request.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Request is a request by a client.
+// Request is a request that a client sends.
 type Request struct {
 	Class       string
 	ID          string // 16 hex digits
 	FunctionKey string // 16 hex digits
 	Timeout     time.Duration
-	Properties  string // of the function, as name:value;name:value
+	Properties  string // properties of the function, as name:value;name:value
 	Body        []byte
 
-	Tenant         string  // left out if empty
-	IdempotencyKey string  // left out if empty
-	ExtraFields    []Field // sent after all others
+	Tenant         string  // omitted if empty
+	IdempotencyKey string  // omitted if empty
+	ExtraFields    []Field // sent after all other fields
 }
 
-// Field is a field of a request, as it is sent.
+// Field is a field of a request in the form in which it is sent.
 type Field struct {
 	Name  string
 	Value string
@@ -44,17 +44,17 @@
 // ResponseStatus is the outcome of a request in a router's response.
 type ResponseStatus string
 
-// Statuses of responses, in the words of the platform.
+// Statuses of responses. The platform defines their values.
 const (
 	Served   ResponseStatus = "served"
-	Rejected ResponseStatus = "refused" // it never ran: a retry is harmless
-	Failed   ResponseStatus = "failed"  // it may have run
+	Rejected ResponseStatus = "refused" // the request was not executed, so a retry is safe
+	Failed   ResponseStatus = "failed"  // the request may have been executed
 )
 
 // Response is a router's response.
 type Response struct {
 	Status     ResponseStatus
 	Body       []byte
-	RetryAfter time.Duration // of a rejected request: how long to stay away
-	Healthy    bool          // in response to a health check
+	RetryAfter time.Duration // after a rejection: how long to wait before a retry
+	Healthy    bool          // only set in the response to a health check
 }
--- a/internal/fake/resp.go
+++ b/internal/fake/resp.go
@@ -44,7 +44,7 @@
 	return string(text[:size]), nil
 }
 
-// readLength reads a line of a RESP type's mark and a length.
+// readLength reads a line that consists of the first byte of a RESP type and a length.
 func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -11,7 +11,7 @@
 	Discovery *DiscoveryServer
 }
 
-// NewSite starts workers, and a discovery server at an address. It calls record as NewWorker does.
+// NewSite starts workers, and a discovery server that listens on the given address. It passes record to NewWorker.
 func NewSite(discoveryAddr string, workers []WorkerConfig, record func(Event)) (*Site, error) {
 	s := &Site{}
 	for _, cfg := range workers {
@@ -31,7 +31,7 @@
 	return s, nil
 }
 
-// Endpoints returns the endpoint list in which all workers are ready.
+// Endpoints returns an endpoint list of all workers, in which none of them is draining.
 func (s *Site) Endpoints() []Endpoint {
 	list := make([]Endpoint, 0, len(s.Workers))
 	for _, w := range s.Workers {
@@ -44,7 +44,7 @@
 	return list
 }
 
-// Close ends the workers and the discovery server, and blocks until all their goroutines have ended.
+// Close stops the workers and the discovery server, and blocks until all their goroutines have stopped.
 func (s *Site) Close() {
 	for _, w := range s.Workers {
 		w.Close()
@@ -54,12 +54,12 @@
 	}
 }
 
-// WriteConfig writes the configuration to a file.
+// WriteConfig writes the configuration of a router that listens on the given address to a file.
 func (s *Site) WriteConfig(path, listen string) error {
 	return os.WriteFile(path, s.Config(listen), 0o644)
 }
 
-// FreeAddr returns a loopback address that nothing listens on now.
+// FreeAddr returns a loopback address that nothing listens on when it returns.
 func FreeAddr() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/fake/site_test.go
+++ b/internal/fake/site_test.go
@@ -21,7 +21,7 @@
 	return site
 }
 
-// Work in progress, loads and connections end with their worker.
+// Close stops the goroutines of a worker that has requests, loads and connections in progress.
 func TestGoroutinesEndWithClose(t *testing.T) {
 	before := runtime.NumGoroutine()
 	started := make(chan Event, 16)
@@ -34,7 +34,7 @@
 	}
 	site.Close()
 	if e := <-started; e.Kind != EventConnectionLost {
-		t.Errorf("after the worker's end: %s", e.Kind)
+		t.Errorf("after the worker was closed: %s", e.Kind)
 	}
 	for limit := time.Now().Add(5 * time.Second); runtime.NumGoroutine() > before; time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
--- a/internal/fake/testbed.go
+++ b/internal/fake/testbed.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Testbed is what it takes to start a router on this machine: a site, and a temporary folder for its configuration.
+// Testbed contains what is needed to start a router on this machine: a site, and a temporary folder for the router's
+// configuration.
 type Testbed struct {
 	Dir  string
 	Site *Site
@@ -14,12 +15,12 @@
 
 // TestbedConfig describes a testbed.
 type TestbedConfig struct {
-	Prefix  string         // begins the name of the temporary folder
-	Workers []WorkerConfig // the relative path of a Unix socket is in the temporary folder
-	Record  func(Event)    // called as by NewWorker; may be nil
+	Prefix  string         // prefix of the temporary folder's name
+	Workers []WorkerConfig // relative paths of Unix sockets are relative to the temporary folder
+	Record  func(Event)    // passed to NewWorker; may be nil
 }
 
-// StartTestbed makes the temporary folder, and starts workers and a discovery server on a free port.
+// StartTestbed creates the temporary folder, and starts the workers and a discovery server on a free port.
 func StartTestbed(cfg TestbedConfig) (*Testbed, error) {
 	dir, err := os.MkdirTemp("", cfg.Prefix)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return &Testbed{Dir: dir, Site: site}, nil
 }
 
-// resolveSocketPaths returns the workers with relative paths of Unix sockets placed in a folder.
+// resolveSocketPaths returns copies of the workers in which relative paths of Unix sockets are joined to a folder.
 func resolveSocketPaths(workers []WorkerConfig, dir string) []WorkerConfig {
 	placed := slices.Clone(workers)
 	for i := range placed {
@@ -48,10 +49,11 @@
 	return placed
 }
 
-// Path returns the path of a file in the folder.
+// Path returns the path of a file in the temporary folder.
 func (t *Testbed) Path(name string) string { return filepath.Join(t.Dir, name) }
 
-// WriteFile writes a file of the folder and returns its path. The file takes its name once it is complete.
+// WriteFile writes a file in the temporary folder and returns its path. The file gets its name by a rename after it is
+// complete.
 func (t *Testbed) WriteFile(name string, content []byte) (path string, err error) {
 	path = t.Path(name)
 	if err := os.WriteFile(path+".new", content, 0o644); err != nil {
@@ -60,8 +62,8 @@
 	return path, os.Rename(path+".new", path)
 }
 
-// WriteConfig writes the configuration of a router that listens on a free address, and returns that address and the
-// file's path.
+// WriteConfig writes the configuration of a router that listens on a free address. It returns that address and the path
+// of the file.
 func (t *Testbed) WriteConfig(name string) (listen, path string, err error) {
 	listen, err = FreeAddr()
 	if err != nil {
@@ -71,7 +73,7 @@
 	return listen, path, err
 }
 
-// Close ends the site and removes the folder. It blocks until all goroutines of the site have ended.
+// Close closes the site and removes the temporary folder. It blocks until all goroutines of the site have stopped.
 func (t *Testbed) Close() {
 	t.Site.Close()
 	os.RemoveAll(t.Dir)
--- a/internal/fake/testbed_test.go
+++ b/internal/fake/testbed_test.go
@@ -24,6 +24,6 @@
 	}
 	bed.Close()
 	if _, err := os.Stat(bed.Dir); !os.IsNotExist(err) {
-		t.Errorf("the folder is left: %v", err)
+		t.Errorf("the folder was not removed: %v", err)
 	}
 }
--- a/internal/fake/thrift_test.go
+++ b/internal/fake/thrift_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A request's bytes follow the platform's protocol: a framed call message of Thrift's strict binary protocol.
+// A request is encoded as the platform's protocol requires: a framed call message of Thrift's strict binary protocol.
 func TestRequestEncoding(t *testing.T) {
 	request := Request{
 		Class:          "c",
@@ -34,7 +34,7 @@
 	}
 }
 
-// encodedString returns the encoding of a short encodedString in hex.
+// encodedString returns the encoding of a string in hex.
 func encodedString(s string) string { return hex.EncodeToString(appendString(nil, s)) }
 
 func decodeHex(t *testing.T, s string) []byte {
@@ -79,13 +79,13 @@
 func TestMalformedResponsesAreErrors(t *testing.T) {
 	const reply = "80010002" + "00000000" + "00000009"
 	for name, frame := range map[string]string{
-		"empty":             "",
-		"a cut header":      "80010002",
-		"no struct":         reply + "0b0000",
-		"an unknown type":   reply + "0c0000" + "030001",
-		"a cut text":        reply + "0c0000" + "0b0001" + "00000010" + "00",
-		"a text beyond all": reply + "0c0000" + "0b0001" + "ffffffff",
-		"no end":            reply + "0c0000",
+		"empty":              "",
+		"a truncated header": "80010002",
+		"no struct":          reply + "0b0000",
+		"an unknown type":    reply + "0c0000" + "030001",
+		"a truncated string": reply + "0c0000" + "0b0001" + "00000010" + "00",
+		"a too long string":  reply + "0c0000" + "0b0001" + "ffffffff",
+		"no stop field":      reply + "0c0000",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, got, err := parseResponse(decodeHex(t, frame)); !errors.Is(err, errMalformedResponse) {
@@ -94,6 +94,6 @@
 		})
 	}
 	if _, _, err := readResponse(bytes.NewReader(decodeHex(t, "7fffffff"))); err == nil {
-		t.Error("a frame beyond the limit is read")
+		t.Error("a frame larger than the limit is accepted")
 	}
 }
--- a/internal/fake/thriftdecoder.go
+++ b/internal/fake/thriftdecoder.go
@@ -15,8 +15,8 @@
 	maxMapLength = 64
 )
 
-// errMalformedAnswer is returned for a response that can't be read.
-var errMalformedResponse = errors.New("a response that cannot be read")
+// errMalformedResponse is returned for a response that can't be decoded.
+var errMalformedResponse = errors.New("malformed response")
 
 // readResponse reads a framed response.
 func readResponse(in io.Reader) (seq uint32, response Response, err error) {
@@ -26,7 +26,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameSize {
-		return 0, Response{}, fmt.Errorf("a response of %d bytes", size)
+		return 0, Response{}, fmt.Errorf("response of %d bytes is too large", size)
 	}
 	frame := make([]byte, size)
 	if _, err := io.ReadFull(in, frame); err != nil {
@@ -39,7 +39,7 @@
 func parseResponse(frame []byte) (seq uint32, response Response, err error) {
 	d := &decoder{unread: frame}
 	messageType := d.uint32() & 0xff
-	d.readString() // the method
+	d.readString() // the method name is not needed
 	seq = d.uint32()
 	if messageType == messageException {
 		return seq, Response{Status: Failed}, d.err
@@ -55,13 +55,13 @@
 		if fieldType == typeStop {
 			break
 		}
-		d.uint16() // the field's id: types tell the fields apart
+		d.uint16() // the field's id is not needed, because each field has a different type
 		response.decodeField(d, fieldType)
 	}
 	return seq, response, d.err
 }
 
-// statusOf returns what the field of a reply's union stands for.
+// statusOf returns the status that the field id of a reply's union represents.
 func statusOf(field uint16) ResponseStatus {
 	switch field {
 	case 0:
@@ -95,7 +95,7 @@
 	}
 }
 
-// decoder reads values of Thrift's binary protocol. After an error it reads zero values.
+// decoder decodes values of Thrift's binary protocol. After an error it returns zero values.
 type decoder struct {
 	unread []byte
 	err    error
--- a/internal/fake/thriftencoder.go
+++ b/internal/fake/thriftencoder.go
@@ -9,7 +9,7 @@
 	messageOneway    = 4
 )
 
-// thriftVersion is the first half of a message's header in the strict binary protocol.
+// thriftVersion is the upper half of the first 32 bits of a message in the strict binary protocol.
 const thriftVersion = 0x8001
 
 // Field types of Thrift's binary protocol.
@@ -28,12 +28,12 @@
 	return append(b, text...)
 }
 
-// appendFieldHeader appends what begins a field of a struct.
+// appendFieldHeader appends the type and the id of a field of a struct.
 func appendFieldHeader(b []byte, fieldType byte, id uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(b, fieldType), id)
 }
 
-// encodeMessage returns a framed message.
+// encodeMessage encodes a message with its frame.
 func encodeMessage(messageType byte, method string, seq uint32, arguments []byte) []byte {
 	message := binary.BigEndian.AppendUint32(nil, thriftVersion<<16|uint32(messageType))
 	message = appendString(message, method)
@@ -46,7 +46,7 @@
 // noArguments encodes a struct without fields.
 func noArguments() []byte { return []byte{typeStop} }
 
-// executeArguments encodes a request: its fields as a map, and its body.
+// executeArguments encodes a request: a map of its fields, and its body.
 func executeArguments(request *Request) []byte {
 	fields := request.fields()
 	b := appendFieldHeader(nil, typeMap, 1)
--- a/internal/fake/timers.go
+++ b/internal/fake/timers.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// timers are the calls that a worker makes later, each from a goroutine of its own. They have a lock of their own, so
-// that a worker may use them while it is locked.
+// timers schedules the delayed calls of a worker. Each call is made on its own goroutine. timers has its own lock, so
+// that it can be used while the worker is locked.
 type timers struct {
 	mu          sync.Mutex
 	closed      bool
 	pending     map[*time.Timer]struct{}
-	outstanding sync.WaitGroup // calls that are pending or being made
+	outstanding sync.WaitGroup // calls that are pending or in progress
 }
 
 func newTimers() *timers { return &timers{pending: map[*time.Timer]struct{}{}} }
 
-// after calls do once d has passed, unless the timers are closed by then.
+// after calls do after d has passed, unless the timers are closed by then.
 func (t *timers) after(d time.Duration, do func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,7 +27,7 @@
 	var timer *time.Timer
 	timer = time.AfterFunc(d, func() {
 		defer t.outstanding.Done()
-		t.mu.Lock() // until the timer is assigned
+		t.mu.Lock() // waits until timer is assigned
 		delete(t.pending, timer)
 		closed := t.closed
 		t.mu.Unlock()
@@ -38,7 +38,7 @@
 	t.pending[timer] = struct{}{}
 }
 
-// close drops all pending calls. It blocks until those that are being made have returned.
+// close drops all pending calls. It blocks until the calls in progress have returned.
 func (t *timers) close() {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/fake/webhook.go
+++ b/internal/fake/webhook.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// webhookKeyPrefix begins a key file's text.
+// webhookKeyPrefix is the prefix of the text in a key file.
 const webhookKeyPrefix = "whsec_"
 
-// WebhookKey is the secret by which webhooks are signed.
+// WebhookKey is the secret key that signs webhooks.
 type WebhookKey []byte
 
-// ReadWebhookKey reads a key file: the prefix "whsec_" and the key in base64.
+// ReadWebhookKey reads a key file, which contains the prefix "whsec_" and the key in base64.
 func ReadWebhookKey(path string) (WebhookKey, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +29,8 @@
 	return base64.StdEncoding.DecodeString(encoded)
 }
 
-// Sign sets a webhook's id, time and signature by Standard Webhooks: an HMAC-SHA256 over the id, the time and the body.
+// Sign sets the headers for a webhook's id, time and signature as Standard Webhooks specifies. The signature is an
+// HMAC-SHA256 of the id, the time and the body.
 func (k WebhookKey) Sign(header http.Header, id string, at time.Time, body []byte) {
 	timestamp := strconv.FormatInt(at.Unix(), 10)
 	mac := hmac.New(sha256.New, k)
@@ -40,7 +41,7 @@
 	header.Set("webhook-signature", "v1,"+base64.StdEncoding.EncodeToString(mac.Sum(nil)))
 }
 
-// webhookType is the type of the events that make requests.
+// webhookType is the type of the events that request a function call.
 const webhookType = "call.requested"
 
 // webhookEvent is the body of a webhook.
@@ -50,7 +51,7 @@
 	Data      WebhookRequest `json:"data"`
 }
 
-// WebhookRequest is the request that a webhook makes, with the platform's keys.
+// WebhookRequest is the request in a webhook. The platform defines its keys.
 type WebhookRequest struct {
 	Class       string `json:"class"`
 	FunctionKey string `json:"key"` // 16 hex digits
@@ -61,7 +62,7 @@
 	Body        []byte `json:"body"`
 }
 
-// EncodeWebhook returns the body of a webhook whose event happened at a time.
+// EncodeWebhook returns the body of a webhook whose event occurred at the given time.
 func EncodeWebhook(at time.Time, request WebhookRequest) ([]byte, error) {
 	return json.Marshal(webhookEvent{Type: webhookType, Timestamp: at.UTC().Format(time.RFC3339), Data: request})
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -9,37 +9,37 @@
 // WorkerConfig describes a fake worker.
 type WorkerConfig struct {
 	Name      string
-	Addr      string    // to listen on, by IPv4; port 0 takes a free one
-	MoreAddrs []Address // further addresses; one by NetworkTCP6 is a host without a port and takes the port of Addr
+	Addr      string    // IPv4 address to listen on; port 0 selects a free port
+	MoreAddrs []Address // further addresses; one of NetworkTCP6 is a host without a port and uses the port of Addr
 	Kind      string
 	Zone      string
 	Cell      int
 
-	ServiceTime time.Duration // how long the work on a request takes
+	ServiceTime time.Duration // how long the execution of a request takes
 	LoadTime    time.Duration // how long loading a replica takes
-	KeepAlive   time.Duration // after which an idle replica is unloaded; 0 for never
-	Lanes       int           // requests at a time of a replica
-	Queue       int           // requests that wait for a lane; further ones are rejected
+	KeepAlive   time.Duration // idle time after which a replica is unloaded; 0 means never
+	Lanes       int           // how many requests a replica executes at a time
+	Queue       int           // how many requests may wait for a lane; further ones are rejected
 	Warm        bool          // every function counts as loaded
 }
 
-// Worker is a fake worker: its ports accept connections, and a goroutine for each of them carries out commands. All
-// methods may be called from any goroutine.
+// Worker is a fake worker: its ports accept connections, and each connection has a goroutine that executes its
+// commands. All methods may be called from any goroutine.
 type Worker struct {
 	WorkerConfig
 	ports  []*Port
 	record func(Event)
-	timers *timers // of the work on requests and of loads
+	timers *timers // complete requests and loads
 
-	mu         sync.Mutex          // guards what follows, and the state of replicas, connections and executions
+	mu         sync.Mutex          // guards the fields below, and the state of replicas, connections and executions
 	replicas   map[string]*replica // by function key
-	inFlight   int                 // requests that were accepted and are not over
+	inFlight   int                 // number of accepted requests that are not done
 	hanging    bool
-	shouldFail func(id string) bool // selects the requests that fail; nil for none
+	shouldFail func(id string) bool // selects the requests that fail; nil if none do
 }
 
-// NewWorker starts a worker. It calls record, which may be nil, for every event, from any goroutine and with the worker
-// locked: record must not call the worker.
+// NewWorker starts a worker. The worker calls record for every event, on any goroutine and while it is locked, so
+// record must not call the worker's methods. record may be nil.
 func NewWorker(cfg WorkerConfig, record func(Event)) (*Worker, error) {
 	if record == nil {
 		record = func(Event) {}
@@ -65,7 +65,7 @@
 	return w, nil
 }
 
-// listen adds a further address. IPv6 is left out where this machine has none or the port is taken there.
+// listen adds a further address. An IPv6 address is omitted if this machine has no IPv6 or the port is in use.
 func (w *Worker) listen(address Address) error {
 	if address.Network == NetworkTCP6 {
 		_, port, err := net.SplitHostPort(w.Addr)
@@ -85,21 +85,21 @@
 	return nil
 }
 
-// Ports returns the worker's addresses, the one of IPv4 first.
+// Ports returns the worker's addresses, with the IPv4 address first.
 func (w *Worker) Ports() []*Port { return w.ports }
 
-// Kill ends the process that the worker simulates: its connections are reset, new ones refused, and its replicas
-// are lost. It does nothing at one that is down.
+// Kill simulates the exit of the worker's process: its connections are reset, new ones are refused, and its replicas
+// are lost. It does nothing if the worker is already down.
 func (w *Worker) Kill() {
 	for _, p := range w.ports {
 		p.shutDown()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.replicas = map[string]*replica{} // requests in flight end with their connections
+	w.replicas = map[string]*replica{} // requests in flight end when their connections are closed
 }
 
-// Start brings the worker back after Kill, without replicas, at the same addresses.
+// Start starts the worker again after Kill, without replicas and on the same addresses.
 func (w *Worker) Start() error {
 	for _, p := range w.ports {
 		if err := p.Set(ModeHealthy); err != nil {
@@ -109,29 +109,29 @@
 	return nil
 }
 
-// Hang has the worker accept requests and respond to none, until Resume.
+// Hang makes the worker accept requests without responding to them, until Resume is called.
 func (w *Worker) Hang() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hanging = true
 }
 
-// Resume ends Hang. Requests whose work ended meanwhile never have a response.
+// Resume reverts Hang. Requests whose service time ended in between get no response.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.hanging = false
 }
 
-// FailRequests has the worker respond with an error to the requests whose ids fails selects. If fails is nil, no
-// request fails any more.
+// FailRequests makes the worker respond with an error to the requests for whose ids shouldFail returns true. If
+// shouldFail is nil, no more requests fail.
 func (w *Worker) FailRequests(shouldFail func(id string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.shouldFail = shouldFail
 }
 
-// Close ends the worker for good. It blocks until all its goroutines have ended.
+// Close stops the worker permanently. It blocks until all its goroutines have stopped.
 func (w *Worker) Close() {
 	w.Kill()
 	w.timers.close()
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// expect reads a response.
+// expect reads a response and compares it.
 func (r *routerConn) expect(want ...string) {
 	r.t.Helper()
 	got, err := readArray(r.in)
@@ -95,7 +95,7 @@
 	}
 }
 
-// responds reports whether a health check over a new connection has a response soon.
+// responds reports whether a health check on a new connection gets a response within 200 ms.
 func responds(port *Port) bool {
 	conn, err := net.DialTimeout(port.Network, port.Addr, 200*time.Millisecond)
 	if err != nil {
@@ -128,7 +128,7 @@
 			})
 		}
 		if err := port.Set(ModeHealthy); err != nil || !responds(port) {
-			t.Errorf("%s does not come back: %v", port.Network, err)
+			t.Errorf("%s does not respond in the healthy mode: %v", port.Network, err)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	router.expect("1", "HIT", "count=1", "")
 	worker.Kill()
 	if _, err := readArray(router.in); err == nil {
-		t.Error("the connection outlives its worker")
+		t.Error("the connection is still open after the worker was killed")
 	}
 	if err := worker.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -67,8 +67,8 @@
 	want string
 }
 
-// firstDifference returns the first line that differs between two texts. A text that ends with a line break differs from
-// the same text without one.
+// firstDifference returns the first line that differs between two texts. A text that ends with a line break differs
+// from the same text without one.
 func firstDifference(got, want string) difference {
 	for line := 1; ; line++ {
 		gotLine, gotRest, gotMore := strings.Cut(got, "\n")
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -13,9 +13,9 @@
 		diff difference
 	}{
 		{"a line differs", "a\nb\nc", "a\nx\nc", difference{2, "b", "x"}},
-		{"got goes on", "a\nb", "a", difference{1, "a", "a"}},
-		{"want goes on", "a", "a\nb", difference{1, "a", "a"}},
-		{"line end at the end", "a\n", "a", difference{1, "a", "a"}},
+		{"got is longer", "a\nb", "a", difference{1, "a", "a"}},
+		{"want is longer", "a", "a\nb", difference{1, "a", "a"}},
+		{"trailing line end", "a\n", "a", difference{1, "a", "a"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if found := firstDifference(test.got, test.want); found != test.diff {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// channelCapacity is the number of signals that are queued in a channel. Further signals are dropped, because they would
-// have no effect in addition to that of the first.
+// channelCapacity is the number of signals that are queued in a channel. Further signals are dropped, because they
+// would have no effect in addition to that of the first.
 const channelCapacity = 1
 
 // Signals queues the signals that were caught until they are received. Any goroutine may receive from its channels.
--- a/internal/simulation/config.go
+++ b/internal/simulation/config.go
@@ -10,7 +10,7 @@
 // Config describes a fleet.
 type Config struct {
 	Routers   int
-	Workers   int // when the run starts; all of them have completed their slow start
+	Workers   int // number of workers at the start of the run; all of them have completed their slow start
 	Functions int
 	// Settings configure the decision module of each router. New sets Settings.Routers.
 	Settings policy.Config
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// Notify changes an endpoint in discovery. Each router is notified of the change after a random delay of at most within.
+// Notify changes an endpoint in discovery. Each router is notified of the change after a random delay of at most
+// within.
 func (f *Fleet) Notify(within time.Duration, endpoint policy.Endpoint) {
 	f.endpoints[endpoint.Worker] = endpoint
 	for _, r := range f.Routers {
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -19,9 +19,9 @@
 	return c.OverloadMultiple * capacity * float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds() * c.OverloadWindow.Seconds()
 }
 
-// excess returns the largest amount by which all routers together exceeded the budget N of a worker in slow start: units
-// is the excess over N in multiples of sqrt(N), and over is the excess over N + 2 sqrt(N) + 2, the limit that allows for
-// random variation. Loads count like requests.
+// excess returns the largest amount by which all routers together exceeded the budget N of a worker in slow start:
+// units is the excess over N in multiples of sqrt(N), and over is the excess over N + 2 sqrt(N) + 2, the limit that
+// allows for random variation. Loads count like requests.
 func (s *story) excess() (units, over float64) {
 	units = math.Inf(-1)
 	over = math.Inf(-1)
@@ -95,7 +95,8 @@
 	s.fleet.Notify(1500*ms, listed(started))
 }
 
-// restartRouters kills all routers, a tenth at a time, and they start again without state. A single router is not killed.
+// restartRouters kills all routers, a tenth at a time, and they start again without state. A single router is not
+// killed.
 func (s *story) restartRouters() {
 	for part := range 10 {
 		s.fleet.After(3*time.Second+time.Duration(part)*1500*ms, func() {
@@ -115,8 +116,8 @@
 	}
 }
 
-// burstAfterLull starts a worker, then sends no requests for a time in which all routers can accumulate budget, and then
-// sends many requests at once.
+// burstAfterLull starts a worker, then sends no requests for a time in which all routers can accumulate budget, and
+// then sends many requests at once.
 func (s *story) burstAfterLull(lull time.Duration, listed func(policy.Endpoint) policy.Endpoint) {
 	f := s.fleet
 	f.After(28*time.Second, func() {
@@ -192,7 +193,7 @@
 						t.Errorf("seed %d: %.0f requests more than N + 2 sqrt(N) + 2", seed, over)
 					}
 					if received < 600 {
-						t.Errorf("seed %d: started workers received %d requests in all", seed, received)
+						t.Errorf("seed %d: started workers received %d requests in total", seed, received)
 					}
 				}
 			})
--- a/internal/simulation/story_test.go
+++ b/internal/simulation/story_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// gracePeriod is how long a terminated router accepts requests. According to the platform's page, new connections arrive
-// for 0.4 s, and requests on open connections for another 0.2 s.
+// gracePeriod is how long a terminated router accepts requests. According to the platform's page, new connections
+// arrive for 0.4 s, and requests on open connections for another 0.2 s.
 const gracePeriod = 750 * ms
 
 // How workers handle a request for a function that is not loaded.
--- a/internal/simulation/storychecks_test.go
+++ b/internal/simulation/storychecks_test.go
@@ -91,7 +91,7 @@
 
 func (s *story) thenReceivesSome() error {
 	if len(s.started.Received) < 10 {
-		return fmt.Errorf("it received %d requests", len(s.started.Received))
+		return fmt.Errorf("the started worker received %d requests", len(s.started.Received))
 	}
 	return nil
 }
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -19,9 +19,9 @@
 	Tenant     string
 	NewVersion bool          // whether it is for a version of the function that was released during the run
 	SentAt     time.Duration // virtual time
-	Timeout    time.Duration // after SentAt
+	Timeout    time.Duration // measured from SentAt
 	Responses  []router.Response
-	Latency    time.Duration // until the last response
+	Latency    time.Duration // time from SentAt to the last response
 	// SentWhileDraining reports whether the request arrived after the router's grace period, so that the router had to
 	// reject it.
 	SentWhileDraining bool
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -19,7 +19,7 @@
 
 	fleet    *Fleet
 	inFlight int // requests that are being executed or are queued
-	// replicas maps a function to the time from which its replica is loaded.
+	// replicas maps a function to the time at which the load of its replica completes.
 	replicas map[policy.FunctionID]time.Duration
 	// functionInFlight and lastUsed outlive a function's replica, because its requests still complete after an unload.
 	functionInFlight map[policy.FunctionID]int
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -6,6 +6,6 @@
 // big-endian; times are milliseconds as IEEE 754 floating-point numbers, most of them of 8 bytes.
 //
 // ReadBatch decodes a batch (frame.go, events.go), Reply encodes the response to it (reply.go), and ParseSettings
-// decodes the settings of an instance. Package config also uses ParseSettings, because a router's configuration contains
-// the same settings. Values of this package may be used by one goroutine at a time.
+// decodes the settings of an instance. Package config also uses ParseSettings, because a router's configuration
+// contains the same settings. Values of this package may be used by one goroutine at a time.
 package simulator
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -9,7 +9,8 @@
 	"crankhold/policy"
 )
 
-// Settings are passed to the policy, unknown keys are ignored, and an error contains the index of the class it concerns.
+// Settings are passed to the policy, unknown keys are ignored, and an error contains the index of the class it
+// concerns.
 func TestSettings(t *testing.T) {
 	c, err := ParseSettings([]byte(`{"unknown": [1], "peersTotal": 3, "classes": [{"deadlineMs": 4000, "goalTimeMs": 400,
 		"group": "all", "semantics": "keyed", "windowMs": 2500, "worth": 9}], "membershipMode": "subscribe",
--- a/internal/testutil/goroutines.go
+++ b/internal/testutil/goroutines.go
@@ -22,8 +22,8 @@
 	return stacks
 }
 
-// RequireGoroutines fails the test unless the number of matching goroutines equals want within the time limit. It polls,
-// because a goroutine that has executed its last statement may still be listed for a short time.
+// RequireGoroutines fails the test unless the number of matching goroutines equals want within the time limit. It
+// polls, because a goroutine that has executed its last statement may still be listed for a short time.
 func RequireGoroutines(t testing.TB, want int, limit time.Duration, matches func(stack string) bool) {
 	t.Helper()
 	deadline := time.Now().Add(limit)
--- a/internal/testutil/main.go
+++ b/internal/testutil/main.go
@@ -17,8 +17,8 @@
 	{"rapid.nofailfile", "true"},
 }
 
-// Main runs a package's tests with a fixed seed for rapid, and exits the process. Packages whose tests use rapid call it
-// from TestMain.
+// Main runs a package's tests with a fixed seed for rapid, and exits the process. Packages whose tests use rapid call
+// it from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	for _, setting := range rapidFlags {
