--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -88,7 +88,7 @@
 // in between. It calls done like Go.
 func (c *Client) GoInHalves(request Request, done func(Response, error)) (rest func()) {
 	var message []byte
-	c.sendWith(func(whole []byte) error {
+	c.sendVia(func(whole []byte) error {
 		message = whole
 		_, err := c.conn.Write(whole[:len(whole)/2])
 		return err
@@ -98,14 +98,14 @@
 
 // send writes a message with the next sequence number.
 func (c *Client) send(method string, arguments []byte, done func(Response, error)) {
-	c.sendWith(func(message []byte) error {
+	c.sendVia(func(message []byte) error {
 		_, err := c.conn.Write(message)
 		return err
 	}, method, arguments, done)
 }
 
-// sendWith encodes a message with the next sequence number and calls write to send it.
-func (c *Client) sendWith(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
+// sendVia encodes a message with the next sequence number and calls write to send it.
+func (c *Client) sendVia(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
 	c.mu.Lock()
 	if err := c.connErr; err != nil {
 		c.mu.Unlock()
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -48,7 +48,7 @@
 	sequence uint32
 	size     uint32  // size of the records in bytes
 	records  uint32  // number of records
-	clock    float64 // virtual time in milliseconds
+	clock    float64 // time of the batch in milliseconds
 }
 
 // frameError returns an error about the given offset in the frame that concerns no single record.
