--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -97,15 +97,15 @@
 }
 
 // send writes a message with the next sequence number.
-func (c *Client) send(method string, arguments []byte, done func(Response, error)) {
+func (c *Client) send(method string, args []byte, done func(Response, error)) {
 	c.sendVia(func(message []byte) error {
 		_, err := c.conn.Write(message)
 		return err
-	}, method, arguments, done)
+	}, method, args, done)
 }
 
 // sendVia encodes a message with the next sequence number and calls write to send it.
-func (c *Client) sendVia(write func(message []byte) error, method string, arguments []byte, done func(Response, error)) {
+func (c *Client) sendVia(write func(message []byte) error, method string, args []byte, done func(Response, error)) {
 	c.mu.Lock()
 	if err := c.connErr; err != nil {
 		c.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 	c.lastSeq++
 	c.inFlight[c.lastSeq] = done
-	err := write(encodeMessage(messageCall, method, c.lastSeq, arguments))
+	err := write(encodeMessage(messageCall, method, c.lastSeq, args))
 	c.mu.Unlock()
 	if err != nil {
 		c.conn.Close() // read then fails all requests in flight
