--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -54,17 +54,17 @@
 
 // Do sends a request and blocks until the response arrives.
 func (c *Client) Do(request Request) (Response, error) {
-	return wait(func(done func(Response, error)) { c.Go(request, done) })
+	return waitForResponse(func(done func(Response, error)) { c.Go(request, done) })
 }
 
 // CheckHealth asks whether the router accepts requests. It blocks until the response arrives.
 func (c *Client) CheckHealth() (healthy bool, err error) {
-	response, err := wait(func(done func(Response, error)) { c.send("check", noArguments(), done) })
+	response, err := waitForResponse(func(done func(Response, error)) { c.send("check", noArguments(), done) })
 	return response.Healthy, err
 }
 
-// wait calls send, blocks until the callback is called, and returns the callback's arguments.
-func wait(send func(done func(Response, error))) (response Response, err error) {
+// waitForResponse calls send, blocks until the callback is called, and returns the callback's arguments.
+func waitForResponse(send func(done func(Response, error))) (response Response, err error) {
 	ended := make(chan struct{})
 	send(func(r Response, e error) {
 		response = r
@@ -127,7 +127,7 @@
 	for {
 		seq, response, err := readResponse(in)
 		if err != nil {
-			c.fail(err)
+			c.failAll(err)
 			return
 		}
 		c.deliver(seq, response)
@@ -147,7 +147,7 @@
 	}
 }
 
-func (c *Client) fail(err error) {
+func (c *Client) failAll(err error) {
 	c.conn.Close()
 	c.mu.Lock()
 	inFlight := c.inFlight
--- a/internal/fake/connection.go
+++ b/internal/fake/connection.go
@@ -127,7 +127,7 @@
 	e.recordEvent(EventStarted)
 	e.waitedForLoad = !r.ready
 	r.waiting = append(r.waiting, e)
-	w.startWaiting(r)
+	w.startWaitingRequests(r)
 	return "", true
 }
 
--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -36,7 +36,7 @@
 		c.markDone(e, EventCompleted)
 	}
 	inFlight := w.inFlight
-	w.startWaiting(r)
+	w.startWaitingRequests(r)
 	w.mu.Unlock()
 	switch {
 	case noResponse:
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -90,7 +90,7 @@
 		p.fillBacklog()
 	case ModeReset:
 		p.resetConns()
-		p.acceptWith(reset)
+		p.acceptWith(resetConn)
 	default:
 		p.acceptWith(p.startServing)
 	}
@@ -189,7 +189,7 @@
 // resetConns resets all open connections. The port must be locked.
 func (p *Port) resetConns() {
 	for conn := range p.conns {
-		reset(conn)
+		resetConn(conn)
 	}
 }
 
@@ -200,8 +200,8 @@
 	delete(p.conns, conn)
 }
 
-// reset closes a connection as if its process had been killed: a TCP connection is reset.
-func reset(conn net.Conn) {
+// resetConn closes a connection as if its process had been killed: a TCP connection is reset.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -34,26 +34,26 @@
 func (w *Worker) startLoad(function string) *replica {
 	r := &replica{}
 	w.replicas[function] = r
-	w.timers.after(w.LoadTime, func() { w.loaded(r) })
+	w.timers.after(w.LoadTime, func() { w.completeLoad(r) })
 	return r
 }
 
-// loaded completes the load of a replica: it starts waiting requests and responds to load commands.
-func (w *Worker) loaded(r *replica) {
+// completeLoad completes the load of a replica: it starts waiting requests and responds to load commands.
+func (w *Worker) completeLoad(r *replica) {
 	w.mu.Lock()
 	r.ready = true
 	r.lastUsed = time.Now()
 	respond := r.onLoaded
 	r.onLoaded = nil
-	w.startWaiting(r)
+	w.startWaitingRequests(r)
 	w.mu.Unlock()
 	for _, f := range respond {
 		f()
 	}
 }
 
-// startWaiting starts waiting requests while lanes are free. The worker must be locked.
-func (w *Worker) startWaiting(r *replica) {
+// startWaitingRequests starts waiting requests while lanes are free. The worker must be locked.
+func (w *Worker) startWaitingRequests(r *replica) {
 	for r.ready && len(r.waiting) > 0 && r.busy < max(w.Lanes, 1) {
 		e := r.waiting[0]
 		r.waiting = r.waiting[1:]
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -19,7 +19,7 @@
 func Compare(t testing.TB, path string, got []byte) {
 	t.Helper()
 	if *update {
-		write(t, path, got)
+		writeFile(t, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
@@ -49,8 +49,8 @@
 	return text.String()
 }
 
-// write replaces a golden file and creates its folder if it does not exist.
-func write(t testing.TB, path string, content []byte) {
+// writeFile replaces a golden file and creates its folder if it does not exist.
+func writeFile(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		t.Fatal(err)
--- a/internal/golden/messages.go
+++ b/internal/golden/messages.go
@@ -74,7 +74,7 @@
 	for _, message := range messages {
 		text.WriteString(message.line() + "\n")
 	}
-	write(t, path, text.Bytes())
+	writeFile(t, path, text.Bytes())
 }
 
 // line returns the message as a line of a golden file, without the line end.
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -25,7 +25,7 @@
 func TestInjectedFaultsAreDetected(t *testing.T) {
 	t.Run("messages to a worker after its drain grace period", func(t *testing.T) {
 		s := newStory(t, 80, 36, rejectNotLoaded, 1500, 6)
-		if err := s.when(2, func() {
+		if err := s.scheduleAndRun(2, func() {
 			for _, r := range s.fleet.Routers {
 				r.drainNotified[5] = s.fleet.now
 			}
@@ -38,7 +38,7 @@
 	})
 	t.Run("a started worker without a start time", func(t *testing.T) {
 		s := newStory(t, 80, 4, loadOnDemand, 1500, 6)
-		if err := s.when(2, func() {
+		if err := s.scheduleAndRun(2, func() {
 			s.started = s.fleet.StartWorker()
 			s.fleet.Notify(0, policy.Endpoint{Worker: s.started.ID, State: policy.Ready, Weight: 1})
 		}); err != nil {
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -75,7 +75,7 @@
 		r.core.SetRoutes(f.cfg.Routes())
 	}
 	r.applyEndpoints()
-	r.requestTurn()
+	r.scheduleTurnNow()
 	return nil
 }
 
@@ -128,7 +128,7 @@
 	r.endpoints[endpoint.Worker] = endpoint
 	r.core.SetNow(r.fleet.now)
 	r.applyEndpoints()
-	r.requestTurn()
+	r.scheduleTurnNow()
 }
 
 // applyEndpoints passes the complete endpoint list that this incarnation has to the core.
@@ -161,11 +161,11 @@
 func (r *Router) accept(request router.Request) {
 	r.budget.requestAccepted(r.fleet.now)
 	r.core.Accept(r.fleet.now, request)
-	r.requestTurn()
+	r.scheduleTurnNow()
 }
 
-// requestTurn schedules a turn of the core for now, after all other events that are already due.
-func (r *Router) requestTurn() { r.scheduleTurn(r.fleet.now) }
+// scheduleTurnNow schedules a turn of the core for now, after all other events that are already due.
+func (r *Router) scheduleTurnNow() { r.scheduleTurn(r.fleet.now) }
 
 // scheduleTurn schedules a turn of the core, unless an earlier turn is scheduled, which will then schedule the next.
 func (r *Router) scheduleTurn(due time.Duration) {
@@ -190,9 +190,9 @@
 	r.scheduleTurn(max(next, r.fleet.now+time.Microsecond))
 }
 
-// receive delivers a worker's response to the router: it calls deliver after the given time plus the network delay,
-// unless the process that sent the request has exited by then.
-func (r *Router) receive(after time.Duration, deliver func()) {
+// scheduleResponse schedules the delivery of a worker's response to the router: it calls deliver after the given time
+// plus the network delay, unless the process that sent the request has exited by then.
+func (r *Router) scheduleResponse(after time.Duration, deliver func()) {
 	incarnation := r.incarnation
 	r.fleet.After(after+networkDelay, func() {
 		if r.incarnation != incarnation {
@@ -200,7 +200,7 @@
 		}
 		r.core.SetNow(r.fleet.now)
 		deliver()
-		r.requestTurn()
+		r.scheduleTurnNow()
 	})
 }
 
@@ -211,7 +211,7 @@
 	function := request.Function.ID
 	r.fleet.After(networkDelay, func() {
 		result, after := worker.execute(function)
-		r.receive(after, func() { r.core.AttemptCompleted(attempt, result) })
+		r.scheduleResponse(after, func() { r.core.AttemptCompleted(attempt, result) })
 	})
 }
 
@@ -224,7 +224,7 @@
 	worker := r.fleet.Workers[id]
 	r.fleet.After(networkDelay, func() {
 		outcome, replicas, after := worker.load(function, count)
-		r.receive(after, func() { r.core.LoadCompleted(tag, outcome, replicas) })
+		r.scheduleResponse(after, func() { r.core.LoadCompleted(tag, outcome, replicas) })
 	})
 }
 
@@ -235,7 +235,7 @@
 
 // CheckHealth implements router.WorkerClient: every worker responds.
 func (r *Router) CheckHealth(_ policy.WorkerID, tag uint64) {
-	r.receive(networkDelay, func() { r.core.HealthCheckCompleted(tag, policy.Served, nil) })
+	r.scheduleResponse(networkDelay, func() { r.core.HealthCheckCompleted(tag, policy.Served, nil) })
 }
 
 // CancelAttempt implements router.WorkerClient. It does nothing: the worker completes the request all the same.
--- a/internal/simulation/story_test.go
+++ b/internal/simulation/story_test.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// when schedules do after a time, and runs the six seconds of a story.
-func (s *story) when(seconds int, do func()) error {
+// scheduleAndRun schedules do after a time, and runs the six seconds of a story.
+func (s *story) scheduleAndRun(seconds int, do func()) error {
 	if err := s.build(); err != nil {
 		return err
 	}
@@ -129,11 +129,11 @@
 func (s *story) whenWorkerLeaves(after, worker int, state string, within int) error {
 	states := map[string]policy.WorkerState{"draining": policy.Draining, "gone": policy.Gone}
 	endpoint := policy.Endpoint{Worker: policy.WorkerID(worker), Weight: 1, State: states[state]}
-	return s.when(after, func() { s.fleet.Notify(time.Duration(within)*ms, endpoint) })
+	return s.scheduleAndRun(after, func() { s.fleet.Notify(time.Duration(within)*ms, endpoint) })
 }
 
 func (s *story) whenWorkerStarts(after, within int) error {
-	return s.when(after, func() {
+	return s.scheduleAndRun(after, func() {
 		s.started = s.fleet.StartWorker()
 		s.fleet.Notify(time.Duration(within)*ms, policy.Endpoint{
 			Worker:  s.started.ID,
@@ -145,7 +145,7 @@
 }
 
 func (s *story) whenRoutersAreTerminated(after int) error {
-	return s.when(after, func() {
+	return s.scheduleAndRun(after, func() {
 		for i, r := range s.fleet.Routers {
 			if i%10 == 0 {
 				s.terminated = append(s.terminated, r)
--- a/internal/simulation/traffic.go
+++ b/internal/simulation/traffic.go
@@ -42,7 +42,7 @@
 // second over all routers.
 func (f *Fleet) Traffic(tenant string, class int, rate float64, d time.Duration) {
 	for at := time.Duration(0); at < d; {
-		f.After(at, func() { f.send(f.pickRouter(), tenant, class) })
+		f.After(at, func() { f.sendRequest(f.pickRouter(), tenant, class) })
 		at += time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
 	}
 }
@@ -68,8 +68,8 @@
 	return f.Routers[0]
 }
 
-// send sends a client's request for a random function to a router.
-func (f *Fleet) send(r *Router, tenant string, class int) {
+// sendRequest sends a client's request for a random function to a router.
+func (f *Fleet) sendRequest(r *Router, tenant string, class int) {
 	timeout := f.cfg.Settings.Classes[class].Deadline
 	request := &Request{
 		Tenant:            tenant,
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -23,8 +23,8 @@
 	err       error // a field has an unknown value
 }
 
-// invalid records an unknown value of a field. Only the first one is kept.
-func (d *decoder) invalid(field string, value uint8) {
+// recordUnknown records an unknown value of a field. Only the first one is kept.
+func (d *decoder) recordUnknown(field string, value uint8) {
 	if d.err == nil {
 		d.err = fmt.Errorf("unknown %s %d", field, value)
 	}
@@ -65,7 +65,7 @@
 func (d *decoder) outcome() policy.Outcome {
 	code := d.uint8()
 	if int(code) >= len(outcomes) {
-		d.invalid("outcome", code)
+		d.recordUnknown("outcome", code)
 		return 0
 	}
 	return outcomes[code]
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -167,7 +167,7 @@
 	d.uint32() // the list's version, which the policy does not use
 	count := d.uint32()
 	if kind > uint8(policy.EndpointListFailed) {
-		d.invalid("list mode", kind)
+		d.recordUnknown("list mode", kind)
 		return policy.EndpointList{}
 	}
 	// The count is checked before the entries are decoded, so that an invalid count causes no allocation.
@@ -193,7 +193,7 @@
 	entry.Zone = int(d.uint16())
 	state := d.uint8()
 	if state > uint8(policy.Draining) {
-		d.invalid("worker state", state)
+		d.recordUnknown("worker state", state)
 		return entry, false
 	}
 	entry.State = policy.WorkerState(state)
--- a/internal/simulator/frame_test.go
+++ b/internal/simulator/frame_test.go
@@ -58,9 +58,9 @@
 		i int
 		b byte
 	}{"record code": {20, 99}, "record count": {11, 9}, "length": {7, 0x41}, "clock": {12, 0xff}} {
-		bad := bytes.Clone(whole)
-		bad[at.i] = at.b
-		if _, err := ReadBatch(bytes.NewReader(bad)); err == nil {
+		malformed := bytes.Clone(whole)
+		malformed[at.i] = at.b
+		if _, err := ReadBatch(bytes.NewReader(malformed)); err == nil {
 			t.Errorf("invalid %s: no error", name)
 		}
 	}
