--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -22,16 +22,16 @@
 		c.Classes[0].Idempotency != policy.IdempotentWithKey || c.Classes[0].DeduplicationWindow != 2500*time.Millisecond || c.OverQuotaWeight != 1 {
 		t.Errorf("got %+v", c)
 	}
-	for text, want := range map[string]struct {
+	for input, want := range map[string]struct {
 		class int
 		text  string
 	}{
 		`{`:                                     {NoClass, "settings: unexpected end of JSON input"},
 		`{"classes": [{"semantics": "maybe"}]}`: {0, `settings: class 0: unknown semantics "maybe"`},
 	} {
-		_, err := ParseSettings([]byte(text))
+		_, err := ParseSettings([]byte(input))
 		if got := (*SettingsError)(nil); !errors.As(err, &got) || got.Class != want.class || err.Error() != want.text {
-			t.Errorf("%s: %v, want %q", text, err, want.text)
+			t.Errorf("%s: %v, want %q", input, err, want.text)
 		}
 	}
 	if fromMillis(math.NaN()) != 0 || fromMillis(math.Inf(1)) != 0 {
