--- a/internal/fake/resp.go
+++ b/internal/fake/resp.go
@@ -10,8 +10,8 @@
 
 // Limits of the arrays that a worker reads.
 const (
-	maxArrayLength = 16
-	maxTextLength  = 1 << 20
+	maxArrayLength      = 16
+	maxBulkStringLength = 1 << 20
 )
 
 // readArray reads a RESP array of bulk strings.
@@ -22,7 +22,7 @@
 	}
 	texts := make([]string, 0, length)
 	for range length {
-		text, err := readText(in)
+		text, err := readBulkString(in)
 		if err != nil {
 			return nil, err
 		}
@@ -31,9 +31,9 @@
 	return texts, nil
 }
 
-// readText reads a RESP bulk string.
-func readText(in *bufio.Reader) (string, error) {
-	size, err := readLength(in, '$', maxTextLength)
+// readBulkString reads a RESP bulk string.
+func readBulkString(in *bufio.Reader) (string, error) {
+	size, err := readLength(in, '$', maxBulkStringLength)
 	if err != nil {
 		return "", err
 	}
@@ -44,14 +44,14 @@
 	return string(text[:size]), nil
 }
 
-// readLength reads a line of a RESP type's mark and a length.
-func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+// readLength reads a line that consists of the first byte of a RESP type and a length.
+func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(line[1:]))
-	if err != nil || line[0] != mark || n < 0 || n > limit {
+	if err != nil || line[0] != typeByte || n < 0 || n > limit {
 		return 0, fmt.Errorf("malformed line %.20q", line)
 	}
 	return n, nil
--- a/internal/fake/thriftdecoder.go
+++ b/internal/fake/thriftdecoder.go
@@ -15,8 +15,8 @@
 	maxMapLength = 64
 )
 
-// errMalformedAnswer is returned for a response that can't be read.
-var errMalformedResponse = errors.New("a response that cannot be read")
+// errMalformedResponse is returned for a response that can't be decoded.
+var errMalformedResponse = errors.New("malformed response")
 
 // readResponse reads a framed response.
 func readResponse(in io.Reader) (seq uint32, response Response, err error) {
@@ -26,7 +26,7 @@
 	}
 	size := binary.BigEndian.Uint32(header[:])
 	if size > maxFrameSize {
-		return 0, Response{}, fmt.Errorf("a response of %d bytes", size)
+		return 0, Response{}, fmt.Errorf("response of %d bytes is too large", size)
 	}
 	frame := make([]byte, size)
 	if _, err := io.ReadFull(in, frame); err != nil {
@@ -37,9 +37,9 @@
 
 // parseResponse decodes a reply or an exception. An exception counts as a failed request.
 func parseResponse(frame []byte) (seq uint32, response Response, err error) {
-	d := &decoder{rest: frame}
+	d := &decoder{unread: frame}
 	messageType := d.uint32() & 0xff
-	d.text() // the method
+	d.readString() // the method name is not needed
 	seq = d.uint32()
 	if messageType == messageException {
 		return seq, Response{Status: Failed}, d.err
@@ -55,13 +55,13 @@
 		if fieldType == typeStop {
 			break
 		}
-		d.uint16() // the field's id: types tell the fields apart
+		d.uint16() // the field's id is not needed, because each field has a different type
 		response.decodeField(d, fieldType)
 	}
 	return seq, response, d.err
 }
 
-// statusOf returns what the field of a reply's union stands for.
+// statusOf returns the status that the field id of a reply's union represents.
 func statusOf(field uint16) ResponseStatus {
 	switch field {
 	case 0:
@@ -80,12 +80,12 @@
 	case typeBool:
 		r.Healthy = d.byte() == 1
 	case typeString:
-		r.Body = []byte(d.text())
+		r.Body = []byte(d.readString())
 	case typeMap:
 		d.uint16() // the types of keys and values
 		for range min(d.uint32(), maxMapLength) {
-			name := d.text()
-			value := d.text()
+			name := d.readString()
+			value := d.readString()
 			if milliseconds, err := strconv.Atoi(value); name == "after" && err == nil {
 				r.RetryAfter = time.Duration(milliseconds) * time.Millisecond
 			}
@@ -95,22 +95,22 @@
 	}
 }
 
-// decoder reads values of Thrift's binary protocol. After an error it reads zero values.
+// decoder decodes values of Thrift's binary protocol. After an error it returns zero values.
 type decoder struct {
-	rest []byte
-	err  error
+	unread []byte
+	err    error
 }
 
 // take returns the next n bytes, or nil after an error.
 func (d *decoder) take(n int) []byte {
-	if d.err == nil && n > len(d.rest) {
+	if d.err == nil && n > len(d.unread) {
 		d.err = errMalformedResponse
 	}
 	if d.err != nil {
 		return nil
 	}
-	taken := d.rest[:n]
-	d.rest = d.rest[n:]
+	taken := d.unread[:n]
+	d.unread = d.unread[n:]
 	return taken
 }
 
@@ -138,7 +138,7 @@
 	return binary.BigEndian.Uint32(b)
 }
 
-func (d *decoder) text() string {
+func (d *decoder) readString() string {
 	size := d.uint32()
 	return string(d.take(int(size)))
 }
--- a/internal/fake/thriftencoder.go
+++ b/internal/fake/thriftencoder.go
@@ -9,7 +9,7 @@
 	messageOneway    = 4
 )
 
-// thriftVersion is the first half of a message's header in the strict binary protocol.
+// thriftVersion is the upper half of the first 32 bits of a message in the strict binary protocol.
 const thriftVersion = 0x8001
 
 // Field types of Thrift's binary protocol.
@@ -22,21 +22,21 @@
 	typeMap    = 13
 )
 
-// appendText appends a string with its length.
-func appendText(b []byte, text string) []byte {
+// appendString appends a string with its length.
+func appendString(b []byte, text string) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
 }
 
-// appendFieldHeader appends what begins a field of a struct.
+// appendFieldHeader appends the type and the id of a field of a struct.
 func appendFieldHeader(b []byte, fieldType byte, id uint16) []byte {
 	return binary.BigEndian.AppendUint16(append(b, fieldType), id)
 }
 
-// encodeMessage returns a framed message.
+// encodeMessage encodes a message with its frame.
 func encodeMessage(messageType byte, method string, seq uint32, arguments []byte) []byte {
 	message := binary.BigEndian.AppendUint32(nil, thriftVersion<<16|uint32(messageType))
-	message = appendText(message, method)
+	message = appendString(message, method)
 	message = binary.BigEndian.AppendUint32(message, seq)
 	message = append(message, arguments...)
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
@@ -46,18 +46,18 @@
 // noArguments encodes a struct without fields.
 func noArguments() []byte { return []byte{typeStop} }
 
-// executeArguments encodes a request: its fields as a map, and its body.
+// executeArguments encodes a request: a map of its fields, and its body.
 func executeArguments(request *Request) []byte {
 	fields := request.fields()
 	b := appendFieldHeader(nil, typeMap, 1)
 	b = append(b, typeString, typeString)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(fields)))
 	for _, field := range fields {
-		b = appendText(b, field.Name)
-		b = appendText(b, field.Value)
+		b = appendString(b, field.Name)
+		b = appendString(b, field.Value)
 	}
 	b = appendFieldHeader(b, typeString, 2)
-	b = appendText(b, string(request.Body))
+	b = appendString(b, string(request.Body))
 	return append(b, typeStop)
 }
 
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// expect reads a response.
+// expect reads a response and compares it.
 func (r *routerConn) expect(want ...string) {
 	r.t.Helper()
 	got, err := readArray(r.in)
@@ -61,7 +61,7 @@
 	router.expect("5", "NONE", "-", "")
 }
 
-func TestRequestIsRejectedWhereTheQueueIsFull(t *testing.T) {
+func TestRequestIsRejectedWhenTheQueueIsFull(t *testing.T) {
 	site := newSite(t, WorkerConfig{ServiceTime: time.Hour, Lanes: 1, Queue: 1, Warm: true}, nil)
 	router := newRouterConn(t, site.Workers[0].Addr)
 	router.send("RUN", "1", requestFields, "")
@@ -95,7 +95,7 @@
 	}
 }
 
-// responds reports whether a health check over a new connection has a response soon.
+// responds reports whether a health check on a new connection gets a response within 200 ms.
 func responds(port *Port) bool {
 	conn, err := net.DialTimeout(port.Network, port.Addr, 200*time.Millisecond)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return err == nil && slices.Equal(got, []string{"1", "PONG", "use=inflight:0", ""})
 }
 
-func TestOnlyAPortThatIsWellResponds(t *testing.T) {
+func TestOnlyHealthyPortsRespond(t *testing.T) {
 	cfg := WorkerConfig{Warm: true, MoreAddrs: []Address{{NetworkUnix, t.TempDir() + "/w.sock"}}}
 	site := newSite(t, cfg, nil)
 	for _, port := range site.Workers[0].Ports() {
@@ -128,12 +128,12 @@
 			})
 		}
 		if err := port.Set(ModeHealthy); err != nil || !responds(port) {
-			t.Errorf("%s does not come back: %v", port.Network, err)
+			t.Errorf("%s does not respond in the healthy mode: %v", port.Network, err)
 		}
 	}
 }
 
-func TestPortKeepsItsModeWhereTheNewOneIsUnknown(t *testing.T) {
+func TestPortKeepsItsModeIfTheNewOneIsUnknown(t *testing.T) {
 	site := newSite(t, WorkerConfig{Warm: true}, nil)
 	port := site.Workers[0].Ports()[0]
 	if err := port.Set("well"); !errors.Is(err, errUnknownMode) || port.Mode() != ModeHealthy {
@@ -149,7 +149,7 @@
 	router.expect("1", "HIT", "count=1", "")
 	worker.Kill()
 	if _, err := readArray(router.in); err == nil {
-		t.Error("the connection outlives its worker")
+		t.Error("the connection is still open after the worker was killed")
 	}
 	if err := worker.Start(); err != nil {
 		t.Fatal(err)
