--- a/cmd/crankhold/main.go
+++ b/cmd/crankhold/main.go
@@ -8,4 +8,4 @@
 	"crankhold/internal/command"
 )
 
-func main() { os.Exit(command.Run(os.Args[1:], command.System())) }
+func main() { os.Exit(command.Run(os.Args[1:], command.ProcessEnv())) }
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -16,8 +16,8 @@
 
 // Run checks a file.
 func (c checkCommand) Run(env Env) error {
-	file := shownPath(c.File)
-	r, err := c.check(file)
+	file := displayPath(c.File)
+	r, err := c.checkRoutes(file)
 	if err != nil {
 		return err
 	}
@@ -47,11 +47,11 @@
 }
 
 func newCheckReport(r *lang.Result) checkReport {
-	return checkReport{Files: r.Files, Faults: orEmpty(r.Faults), Notes: orEmpty(r.Notes)}
+	return checkReport{Files: r.Files, Faults: nonNil(r.Faults), Notes: nonNil(r.Notes)}
 }
 
-// orEmpty returns the list, as an empty one in place of nil, which JSON would show as null.
-func orEmpty(faults syntax.Faults) syntax.Faults {
+// nonNil returns the list, as an empty one in place of nil, which JSON would show as null.
+func nonNil(faults syntax.Faults) syntax.Faults {
 	if faults == nil {
 		return syntax.Faults{}
 	}
--- a/internal/command/check_test.go
+++ b/internal/command/check_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	var stdout, stderr bytes.Buffer
-	status := Run([]string{"check", "a.crank"}, Env{Out: &stdout, Err: &stderr, Getenv: noVariables})
+	status := Run([]string{"check", "a.crank"}, Env{Out: &stdout, Err: &stderr, Getenv: emptyEnvironment})
 	wantStderr := "a.crank:2:1: note: no route takes calls for function * (but not 7f*); they are refused " +
 		"(--front=thrift --class=repair-order --function=0000000000000000)\n\troute \"lamps\" {\n\t^\n"
 	wantStdout := "a.crank: no faults in 1 file; 1 route, 1 pool, 1 note\n"
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -17,8 +17,8 @@
 	Signals *signals.Signals // caught since the process started; nil: none are caught yet
 }
 
-// System returns the process's own environment. It begins to catch signals.
-func System() Env {
+// ProcessEnv returns the process's own environment. It begins to catch signals.
+func ProcessEnv() Env {
 	return Env{Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Signals: signals.Notify()}
 }
 
@@ -54,19 +54,19 @@
 			panic(r)
 		}
 	}()
-	return int(report(env.Err, run(args, env)))
+	return int(reportError(env.Err, run(args, env)))
 }
 
 // run parses a command line and runs its command.
 func run(args []string, env Env) error {
-	var line commandLine
-	parser, err := kong.New(&line,
+	var cli commandLine
+	parser, err := kong.New(&cli,
 		kong.Name("crankhold"),
 		kong.Description("A function router for small sites. docs/operate/ has a page for each task."),
 		kong.Writers(env.Out, env.Err),
 		kong.Exit(func(code int) { panic(kongExit(code)) }),
 		kong.Bind(env),
-		variables,
+		helpVariables,
 		kong.UsageOnError())
 	if err != nil {
 		return &exitError{exitUsage, err}
@@ -78,5 +78,5 @@
 	if err != nil {
 		return &exitError{exitUsage, err}
 	}
-	return command.Run(&line)
+	return command.Run(&cli)
 }
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -17,14 +17,14 @@
 }
 
 // Run shows the demo.
-func (d demoCommand) Run(line *commandLine, env Env) error {
-	levelName := line.LogLevel
+func (d demoCommand) Run(cli *commandLine, env Env) error {
+	levelName := cli.LogLevel
 	if levelName == defaultLogLevel {
 		levelName = demoLogLevel
 	}
 	level, err := logging.ParseLevel(levelName)
 	if err != nil {
-		return unreadable(err)
+		return inputError(err)
 	}
 	slog.SetDefault(logging.New(env.Err, level))
 	stop := make(chan struct{})
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -18,11 +18,11 @@
 
 // Run prints what changes.
 func (c diffCommand) Run(env Env) error {
-	old, err := c.loadRoutes(shownPath(c.Old), env)
+	old, err := c.loadRoutes(displayPath(c.Old), env)
 	if err != nil {
 		return err
 	}
-	updated, err := c.loadRoutes(shownPath(c.New), env)
+	updated, err := c.loadRoutes(displayPath(c.New), env)
 	if err != nil {
 		return err
 	}
@@ -56,22 +56,22 @@
 
 // changeReport is a change in the JSON output of diff.
 type changeReport struct {
-	Of      string   `json:"of"`
-	Example string   `json:"example,omitempty"`
-	Before  string   `json:"before"`
-	After   string   `json:"after"`
-	Lines   []string `json:"lines"` // of the old and the new file; "" for none
+	Subject   string   `json:"of"`
+	Example   string   `json:"example,omitempty"`
+	Before    string   `json:"before"`
+	After     string   `json:"after"`
+	Positions []string `json:"lines"` // of the old and the new file; "" for none
 }
 
 func changeReports(changes []route.Change) []changeReport {
 	reports := []changeReport{}
 	for _, change := range changes {
 		reports = append(reports, changeReport{
-			Of:      change.Subject(),
-			Example: exampleOf(change),
-			Before:  change.Before,
-			After:   change.After,
-			Lines:   []string{change.BeforeAt, change.AfterAt},
+			Subject:   change.Subject(),
+			Example:   exampleOf(change),
+			Before:    change.Before,
+			After:     change.After,
+			Positions: []string{change.BeforeAt, change.AfterAt},
 		})
 	}
 	return reports
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -41,11 +41,11 @@
 	return &exitError{exitUsage, fmt.Errorf(format, args...)}
 }
 
-// unreadable ends a command that can't read what it needs.
-func unreadable(err error) error { return &exitError{exitUsage, err} }
+// inputError ends a command that can't read what it needs.
+func inputError(err error) error { return &exitError{exitUsage, err} }
 
-// report prints an error that ends the program and returns the exit status.
-func report(w io.Writer, err error) exitStatus {
+// reportError prints an error that ends the program and returns the exit status.
+func reportError(w io.Writer, err error) exitStatus {
 	if err == nil {
 		return exitSuccess
 	}
--- a/internal/command/exit_test.go
+++ b/internal/command/exit_test.go
@@ -18,18 +18,18 @@
 		{"success", nil, exitSuccess, ""},
 		{"a finding that is printed", errFinding, exitFinding, ""},
 		{"usage", usageError("takes %d", 1), exitUsage, "crankhold: takes 1\n"},
-		{"an unreadable file", unreadable(fs.ErrNotExist), exitUsage, "crankhold: file does not exist\n"},
+		{"an unreadable file", inputError(fs.ErrNotExist), exitUsage, "crankhold: file does not exist\n"},
 		{"a wrapped error", fmt.Errorf("within: %w", usageError("takes 1")), exitUsage, "crankhold: takes 1\n"},
 		{"any other error", errors.New("broken"), exitFinding, "crankhold: broken\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var stderr bytes.Buffer
-			if got := report(&stderr, c.err); got != c.status || stderr.String() != c.text {
+			if got := reportError(&stderr, c.err); got != c.status || stderr.String() != c.text {
 				t.Errorf("status %d, %q; want %d, %q", got, stderr.String(), c.status, c.text)
 			}
 		})
 	}
-	if !errors.Is(unreadable(fs.ErrNotExist), fs.ErrNotExist) {
+	if !errors.Is(inputError(fs.ErrNotExist), fs.ErrNotExist) {
 		t.Error("the error within is lost")
 	}
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.loadRoutes(shownPath(c.File), env)
+	r, err := c.loadRoutes(displayPath(c.File), env)
 	if err != nil {
 		return err
 	}
@@ -86,17 +86,17 @@
 
 // explanation says what one block does with a request. It is an element of the JSON output of explain.
 type explanation struct {
-	What  string   `json:"what"` // a route, a pool or a policy
-	Name  string   `json:"name,omitempty"`
-	Means string   `json:"means"`
-	Lines []string `json:"lines,omitempty"` // that define the block
+	Kind    string   `json:"what"` // a route, a pool or a policy
+	Name    string   `json:"name,omitempty"`
+	Meaning string   `json:"means"`
+	Lines   []string `json:"lines,omitempty"` // that define the block
 }
 
 // explain says which route, pool and policy a request of a class gets; matched is its route, or nil.
 func explain(r *lang.Result, matched *route.Route, class string) []explanation {
 	switch {
 	case matched == nil:
-		return []explanation{{What: string(route.RouteBlock), Means: "none matches: refused at once"}}
+		return []explanation{{Kind: string(route.RouteBlock), Meaning: "none matches: refused at once"}}
 	case matched.Pool == nil:
 		return []explanation{explainBlock(r, route.RouteBlock, matched.Spec.Name, "refused at once")}
 	}
@@ -115,7 +115,7 @@
 // explainBlock returns the explanation of a block with the lines that define it. A request may have no policy; then
 // the name is "" and there are no lines.
 func explainBlock(r *lang.Result, kind route.BlockKind, name, meaning string) explanation {
-	e := explanation{What: string(kind), Name: name, Means: meaning}
+	e := explanation{Kind: string(kind), Name: name, Meaning: meaning}
 	for _, line := range r.Lines(kind, name) {
 		e.Lines = append(e.Lines, line.Pos.String()+": "+line.Line)
 	}
@@ -128,7 +128,7 @@
 		if name == "" {
 			name = "-"
 		}
-		fmt.Fprintf(w, "%s %s: %s\n", e.What, name, e.Means)
+		fmt.Fprintf(w, "%s %s: %s\n", e.Kind, name, e.Meaning)
 		for _, line := range e.Lines {
 			fmt.Fprintf(w, "    %s\n", line)
 		}
--- a/internal/command/format.go
+++ b/internal/command/format.go
@@ -42,9 +42,9 @@
 func (c formatCommand) formatFile(path string, env Env) (exitStatus, error) {
 	text, err := readFile(path)
 	if err != nil {
-		return exitUsage, unreadable(err)
+		return exitUsage, inputError(err)
 	}
-	file, _, faults := syntax.Parse(shownPath(path), text)
+	file, _, faults := syntax.Parse(displayPath(path), text)
 	if len(faults) > 0 {
 		printFaults(env.Err, faults)
 		return exitUsage, nil
@@ -61,7 +61,7 @@
 		return exitFinding, nil
 	}
 	if err := replaceFile(path, formatted); err != nil {
-		return exitUsage, unreadable(err)
+		return exitUsage, inputError(err)
 	}
 	return exitSuccess, nil
 }
@@ -94,20 +94,20 @@
 	if err != nil {
 		return err
 	}
-	temporary, err := os.CreateTemp(filepath.Dir(path), ".crank-*")
+	tempFile, err := os.CreateTemp(filepath.Dir(path), ".crank-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(temporary.Name())
-	err = writeSynced(temporary, text, info.Mode().Perm())
-	closeErr := temporary.Close()
+	defer os.Remove(tempFile.Name())
+	err = writeSynced(tempFile, text, info.Mode().Perm())
+	closeErr := tempFile.Close()
 	if err == nil {
 		err = closeErr
 	}
 	if err != nil {
 		return fmt.Errorf("%s is unchanged: %w", path, err)
 	}
-	return os.Rename(temporary.Name(), path)
+	return os.Rename(tempFile.Name(), path)
 }
 
 // writeSynced writes a file's text and mode through to the disk.
--- a/internal/command/helptext.go
+++ b/internal/command/helptext.go
@@ -4,7 +4,7 @@
 
 // variables are what the tags of commands and flags refer to as ${name}: texts that are too long for a tag, and
 // defaults that the code needs too.
-var variables = kong.Vars{
+var helpVariables = kong.Vars{
 	"default_log_level": defaultLogLevel,
 
 	"log_level_help": "Lowest level of log lines: debug, info, warn or error.",
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -31,9 +31,9 @@
 }
 
 // plural returns a number of things, with an s but for one.
-func plural(n int, thing string) string {
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + thing
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, thing)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -15,8 +15,8 @@
 	Platform string `help:"${platform_help}" placeholder:"CONFIG.json"`
 }
 
-// read reads the settings that the flag names. It returns nil where the flag is not given.
-func (f platformFlag) read() (*lang.Platform, error) {
+// readPlatform reads the settings that the flag names. It returns nil where the flag is not given.
+func (f platformFlag) readPlatform() (*lang.Platform, error) {
 	if f.Platform == "" {
 		return nil, nil
 	}
@@ -27,20 +27,20 @@
 		return ""
 	})
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, inputError(err)
 	}
 	return c.RoutingPlatform(), nil
 }
 
-// check checks a routes file. The error is of a file that can't be read at all.
-func (f platformFlag) check(file string) (*lang.Result, error) {
-	platform, err := f.read()
+// checkRoutes checks a routes file. The error is of a file that can't be read at all.
+func (f platformFlag) checkRoutes(file string) (*lang.Result, error) {
+	platform, err := f.readPlatform()
 	if err != nil {
 		return nil, err
 	}
 	r, err := server.CheckRoutesFile(file, platform)
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, inputError(err)
 	}
 	return r, nil
 }
@@ -48,7 +48,7 @@
 // loadRoutes checks a routes file that a command can only use without faults. If there are any, it prints them and
 // returns an error.
 func (f platformFlag) loadRoutes(file string, env Env) (*lang.Result, error) {
-	r, err := f.check(file)
+	r, err := f.checkRoutes(file)
 	if err != nil {
 		return nil, err
 	}
@@ -59,8 +59,8 @@
 	return r, nil
 }
 
-// shownPath returns a path as messages show it: relative to the working directory, if it is below that.
-func shownPath(path string) string {
+// displayPath returns a path as messages show it: relative to the working directory, if it is below that.
+func displayPath(path string) string {
 	workingDirectory, err := os.Getwd()
 	if err != nil {
 		return path
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// noVariables is an environment without variables.
-func noVariables(string) string { return "" }
+// emptyEnvironment is an environment without variables.
+func emptyEnvironment(string) string { return "" }
 
 // runScript runs a script in a folder of its own.
 func runScript(t *testing.T, text string) {
@@ -115,7 +115,7 @@
 	s.stdout.Reset()
 	s.stderr.Reset()
 	s.command = command
-	s.status = Run(args, Env{Out: &s.stdout, Err: &s.stderr, Getenv: noVariables})
+	s.status = Run(args, Env{Out: &s.stdout, Err: &s.stderr, Getenv: emptyEnvironment})
 }
 
 // output returns what was written to standard output or standard error.
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -12,7 +12,7 @@
 )
 
 // operatorFile is a file of the operators that is used where it exists, or that a variable names.
-type operatorFile struct{ variable, path string }
+type operatorFile struct{ variable, defaultPath string }
 
 // The operators' files.
 var (
@@ -27,20 +27,20 @@
 	if path := env.Getenv(f.variable); path != "" {
 		return path
 	}
-	if _, err := os.Stat(f.path); errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(f.defaultPath); errors.Is(err, fs.ErrNotExist) {
 		return ""
 	}
-	return f.path
+	return f.defaultPath
 }
 
 // serveCommand is the command serve.
 type serveCommand struct{}
 
 // Run serves until a signal ends it.
-func (serveCommand) Run(line *commandLine, env Env) error {
-	level, err := logging.ParseLevel(line.LogLevel)
+func (serveCommand) Run(cli *commandLine, env Env) error {
+	level, err := logging.ParseLevel(cli.LogLevel)
 	if err != nil {
-		return unreadable(err)
+		return inputError(err)
 	}
 	slog.SetDefault(logging.New(env.Err, level))
 	readConfig := func() (*config.Config, error) { return config.Read(env.Getenv) }
@@ -56,7 +56,7 @@
 		Routes:    env.Getenv(routesFile.variable),
 	}
 	if options.Routes == "" {
-		options.Routes = routesFile.path // looked for at each reload: it may come and go while the program runs
+		options.Routes = routesFile.defaultPath // looked for at each reload: it may come and go while the program runs
 		options.RoutesOptional = true
 	}
 	return server.Serve(c, options, readConfig)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -103,7 +103,7 @@
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, &FileError{File: file, Err: err}
 	}
-	c.override(getenv)
+	c.applyOverrides(getenv)
 	if err := c.checkAddresses(file); err != nil {
 		return nil, err
 	}
@@ -120,8 +120,8 @@
 	return c, nil
 }
 
-// override applies the environment variables that take precedence over the file.
-func (c *Config) override(getenv func(string) string) {
+// applyOverrides applies the environment variables that take precedence over the file.
+func (c *Config) applyOverrides(getenv func(string) string) {
 	if name := getenv(nameVariable); name != "" {
 		c.Name = name
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,28 +11,28 @@
 	"time"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+const validConfig = `{"name":"n3","listen":"127.0.0.1:10080","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
-// readText reads a configuration from a file at path.
-func readText(path, text string) (*Config, error) {
+// writeAndRead reads a configuration from a file at path.
+func writeAndRead(path, text string) (*Config, error) {
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	return Read(environment(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n4"}))
+	return Read(getenvFrom(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n4"}))
 }
 
-// environment returns a getenv of these variables.
-func environment(variables map[string]string) func(string) string {
+// getenvFrom returns a getenv of these variables.
+func getenvFrom(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
 // A good file is read with the environment's overrides and the defaults; a fault is an error of one line.
 func TestReadChecksTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	read := func(text string) (*Config, error) { return readText(path, text) }
-	c, err := read(goodConfig)
+	read := func(text string) (*Config, error) { return writeAndRead(path, text) }
+	c, err := read(validConfig)
 	if err != nil || c.Name != "n4" || c.SeedValue != 0x8c1f30d27a5be964 || c.Snapshot.Serial != 3 ||
 		c.Network.Classes[0].Name != "repair-order" || c.Network.Limits.MaxRequestsPerConnection != 32 {
 		t.Errorf("read %+v, %v", c, err)
@@ -46,11 +46,11 @@
 		`"sockets":1024`:             `"sockets":3`,
 		`{"name":"n3"`:               `{"name":3`,
 	} {
-		if _, err := read(strings.Replace(goodConfig, old, new, 1)); err == nil || strings.Contains(err.Error(), "\n") {
+		if _, err := read(strings.Replace(validConfig, old, new, 1)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", new, err)
 		}
 	}
-	if _, err := Read(environment(nil)); err == nil {
+	if _, err := Read(getenvFrom(nil)); err == nil {
 		t.Error("no file, no error")
 	}
 }
@@ -58,7 +58,7 @@
 // NeedsRestart names the keys that a reload does not apply.
 func TestNeedsRestartNamesChangedKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	c, err := readText(path, goodConfig)
+	c, err := writeAndRead(path, validConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,11 +69,11 @@
 		{`"sockets":1024`, `"sockets":512`, "[limits]"},
 		{`"deadlineMs":3000`, `"deadlineMs":2000`, "[settings]"},
 	} {
-		fresh, err := readText(path, strings.Replace(goodConfig, test.old, test.new, 1))
+		reloaded, err := writeAndRead(path, strings.Replace(validConfig, test.old, test.new, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(c.NeedsRestart(fresh)); got != test.want {
+		if got := fmt.Sprint(c.NeedsRestart(reloaded)); got != test.want {
 			t.Errorf("%s needs a restart for %s, want %s", test.new, got, test.want)
 		}
 	}
@@ -82,17 +82,17 @@
 // What may be held for peers stays within the limits on memory and descriptors, however low they are.
 func TestBoundsFollowTheLimits(t *testing.T) {
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
-		for _, sockets := range []int{64, 256, 1024} {
+		for _, descriptors := range []int{64, 256, 1024} {
 			var c Config
 			c.Limits.MemoryMB = memory
-			c.Limits.MaxDescriptors = sockets
+			c.Limits.MaxDescriptors = descriptors
 			c.Network.Limits.MaxOpenRequests = 20000
-			held := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
-			if held > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
-				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, held, c.MaxConcurrentRequests())
+			total := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
+			if total > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
+				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, total, c.MaxConcurrentRequests())
 			}
-			if own := sockets - c.MaxClientConnections() - c.MaxWorkerConnections(); c.MaxClientConnections()*3 > sockets || own < 16 || c.MaxWorkerConnections() < 20 {
-				t.Errorf("%d descriptors: %d for clients, %d for workers", sockets, c.MaxClientConnections(), c.MaxWorkerConnections())
+			if own := descriptors - c.MaxClientConnections() - c.MaxWorkerConnections(); c.MaxClientConnections()*3 > descriptors || own < 16 || c.MaxWorkerConnections() < 20 {
+				t.Errorf("%d descriptors: %d for clients, %d for workers", descriptors, c.MaxClientConnections(), c.MaxWorkerConnections())
 			}
 		}
 	}
@@ -118,10 +118,10 @@
 		{"class without a name", `"name":"repair-order",`, ``, "", "class 0 has no name"},
 		{"account without a name", `"settings":{`, `"settings":{"accounts":[{"name":"a"},{}],`, "", "account 1 has no name"},
 		{"unknown semantics", `"unsafe"`, `"maybe"`, "", `settings: class 0: unknown semantics "maybe"`},
-		{"malformed", goodConfig, `{`, "", "unexpected end of JSON input"},
+		{"malformed", validConfig, `{`, "", "unexpected end of JSON input"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := readText(path, strings.Replace(goodConfig, test.old, test.new, 1))
+			_, err := writeAndRead(path, strings.Replace(validConfig, test.old, test.new, 1))
 			if err == nil || err.Error() != "config "+path+": "+test.text {
 				t.Fatalf("error %v, want %s", err, test.text)
 			}
@@ -143,11 +143,11 @@
 // A file that can't be read is named once, and the cause can be told: a reload retries when no descriptor was left.
 func TestReadErrorsKeepTheirCause(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.json")
-	_, err := Read(environment(map[string]string{"EDGE_CONFIG": missing}))
+	_, err := Read(getenvFrom(map[string]string{"EDGE_CONFIG": missing}))
 	if !errors.Is(err, fs.ErrNotExist) || err.Error() != "config: open "+missing+": no such file or directory" {
 		t.Errorf("error %v", err)
 	}
-	if _, err := Read(environment(nil)); !errors.Is(err, ErrNoFile) {
+	if _, err := Read(getenvFrom(nil)); !errors.Is(err, ErrNoFile) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -21,7 +21,7 @@
 	requestsPerMB = 32
 
 	// longestRejectionRetryAfter bounds the Retry-After of requests that are rejected for lack of capacity.
-	longestRejectionRetryAfter = time.Second
+	maxRejectionRetryAfter = time.Second
 )
 
 // MaxClientConnections returns how many accepted connections there may be.
@@ -51,5 +51,5 @@
 	if !c.Policy.RetryAfterSupported {
 		return 0
 	}
-	return min(longestRejectionRetryAfter, c.Policy.MaxRetryAfter)
+	return min(maxRejectionRetryAfter, c.Policy.MaxRetryAfter)
 }
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -4,18 +4,18 @@
 
 // NeedsRestart returns the JSON keys whose values differ in fresh and that a reload does not apply. A change of the
 // seed or of the endpoint list is not reported, since both have an effect at the start alone.
-func (c *Config) NeedsRestart(fresh *Config) []string {
+func (c *Config) NeedsRestart(reloaded *Config) []string {
 	var changed []string
-	if c.Name != fresh.Name {
+	if c.Name != reloaded.Name {
 		changed = append(changed, "name")
 	}
-	if c.Listen != fresh.Listen {
+	if c.Listen != reloaded.Listen {
 		changed = append(changed, "listen")
 	}
-	if c.Limits != fresh.Limits {
+	if c.Limits != reloaded.Limits {
 		changed = append(changed, "limits")
 	}
-	if !reflect.DeepEqual(c.Policy, fresh.Policy) || !reflect.DeepEqual(c.Network, fresh.Network) {
+	if !reflect.DeepEqual(c.Policy, reloaded.Policy) || !reflect.DeepEqual(c.Network, reloaded.Network) {
 		changed = append(changed, "settings")
 	}
 	return changed
