--- a/cmd/crankhold/main.go
+++ b/cmd/crankhold/main.go
@@ -1,5 +1,5 @@
-// Command crankhold is the function router: the decision module of package policy on real sockets, and the
-// tools for its configuration. Without arguments it serves.
+// Command crankhold is a function router: it applies the decision module of package policy to real connections. Further
+// commands check, format, compare and explain its routes files. Without a command it serves requests.
 package main
 
 import (
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -7,14 +7,14 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// checkCommand is the command check.
+// checkCommand implements the command check.
 type checkCommand struct {
 	File string `arg:"" help:"The first file; what it includes is checked with it." type:"path"`
 	platformFlag
 	JSON bool `help:"Print JSON on standard output." name:"json"`
 }
 
-// Run checks a file.
+// Run checks a routes file and the files that it includes, and prints all faults and notes.
 func (c checkCommand) Run(env Env) error {
 	file := displayPath(c.File)
 	r, err := c.checkRoutes(file)
@@ -50,7 +50,7 @@
 	return checkReport{Files: r.Files, Faults: nonNil(r.Faults), Notes: nonNil(r.Notes)}
 }
 
-// nonNil returns the list, as an empty one in place of nil, which JSON would show as null.
+// nonNil returns an empty list for nil, which would be null in JSON, and any other list unchanged.
 func nonNil(faults syntax.Faults) syntax.Faults {
 	if faults == nil {
 		return syntax.Faults{}
--- a/internal/command/check_test.go
+++ b/internal/command/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Notes are printed in the form of faults, marked as notes, and are no finding.
+// Notes are printed like faults, with the prefix "note: ", and the exit status stays 0.
 func TestCheckPrintsNotes(t *testing.T) {
 	t.Chdir(t.TempDir())
 	text := "pool \"all\" {}\nroute \"lamps\" {\n\tfunction = \"7f*\"\n\tpool = \"all\"\n}\n"
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -9,21 +9,21 @@
 	"crankhold/internal/signals"
 )
 
-// Env is what a command uses of the system.
+// Env holds what a command uses of the process's environment.
 type Env struct {
 	Out     io.Writer // standard output
 	Err     io.Writer // standard error
 	Getenv  func(string) string
-	Signals *signals.Signals // caught since the process started; nil: none are caught yet
+	Signals *signals.Signals // signals caught since the process started; nil if no signals are caught yet
 }
 
-// ProcessEnv returns the process's own environment. It begins to catch signals.
+// ProcessEnv returns the environment of the current process, and starts to catch signals.
 func ProcessEnv() Env {
 	return Env{Out: os.Stdout, Err: os.Stderr, Getenv: os.Getenv, Signals: signals.Notify()}
 }
 
-// commandLine is the grammar of the command line. The names of its fields, and of those of the commands without a
-// name of their own, are the commands' and flags' names. Tags refer to texts in variables.
+// commandLine defines the command line for kong. Commands and flags take their names from the fields of this struct and
+// of the command structs, unless a tag sets a name. Tags refer to entries of helpVariables as ${name}.
 type commandLine struct {
 	LogLevel string `help:"${log_level_help}" default:"${default_log_level}" env:"CRANKHOLD_LOG_LEVEL" name:"log-level"`
 
@@ -36,14 +36,15 @@
 	Version versionCommand `cmd:"" help:"${version_help}"`
 }
 
-// defaultLogLevel is the default of commandLine.LogLevel.
+// defaultLogLevel is the default value of the flag --log-level.
 const defaultLogLevel = "info"
 
-// kongExit is the panic by which kong ends a command line such as --help; Run recovers it. Its value is the exit
+// kongExit is an exit status that kong asks for. kong expects its exit function not to return, for example after it has
+// printed the text of --help, so that function panics with a kongExit, and Run recovers the panic and returns the
 // status.
 type kongExit int
 
-// Run runs a command line and returns the exit status. It blocks until the command ends.
+// Run runs a command line and returns the exit status. It blocks until the command completes.
 func Run(args []string, env Env) (status int) {
 	defer func() {
 		switch r := recover().(type) {
@@ -57,7 +58,7 @@
 	return int(reportError(env.Err, run(args, env)))
 }
 
-// run parses a command line and runs its command.
+// run parses a command line and runs the command that it names.
 func run(args []string, env Env) error {
 	var cli commandLine
 	parser, err := kong.New(&cli,
@@ -73,7 +74,7 @@
 	}
 	command, err := parser.Parse(args)
 	if env.Signals != nil && (err != nil || command.Command() != "serve") {
-		env.Signals.Release() // only a service handles them
+		env.Signals.Release() // only the command serve handles the signals caught so far
 	}
 	if err != nil {
 		return &exitError{exitUsage, err}
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -8,15 +8,15 @@
 	"crankhold/internal/logging"
 )
 
-// demoLogLevel is the lowest level of the demo's log lines, unless another one than the default is asked for.
+// demoLogLevel is the lowest level that the demo logs if --log-level has its default value.
 const demoLogLevel = "warn"
 
-// demoCommand is the command demo.
+// demoCommand implements the command demo.
 type demoCommand struct {
 	For time.Duration `help:"Stop after this time; 0 goes on until interrupted." default:"0s"`
 }
 
-// Run shows the demo.
+// Run runs the demo until the time limit has passed or a signal stops it.
 func (d demoCommand) Run(cli *commandLine, env Env) error {
 	levelName := cli.LogLevel
 	if levelName == defaultLogLevel {
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -8,7 +8,7 @@
 	"crankhold/internal/route"
 )
 
-// diffCommand is the command diff.
+// diffCommand implements the command diff.
 type diffCommand struct {
 	Old string `arg:"" help:"The file in force." type:"path"`
 	New string `arg:"" help:"The file that is to replace it." type:"path"`
@@ -16,7 +16,7 @@
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run prints what changes.
+// Run prints how the behavior of the new file differs from that of the old one.
 func (c diffCommand) Run(env Env) error {
 	old, err := c.loadRoutes(displayPath(c.Old), env)
 	if err != nil {
@@ -54,13 +54,13 @@
 	}
 }
 
-// changeReport is a change in the JSON output of diff.
+// changeReport is one change in the JSON output of diff.
 type changeReport struct {
 	Subject   string   `json:"of"`
 	Example   string   `json:"example,omitempty"`
 	Before    string   `json:"before"`
 	After     string   `json:"after"`
-	Positions []string `json:"lines"` // of the old and the new file; "" for none
+	Positions []string `json:"lines"` // in the old and the new file; "" if there is none
 }
 
 func changeReports(changes []route.Change) []changeReport {
@@ -77,7 +77,8 @@
 	return reports
 }
 
-// exampleOf returns a request that a change concerns, as arguments of explain, or "" for a change of a pool.
+// exampleOf returns an example of a request that a change affects, as arguments of the command explain. It returns ""
+// for a change of a pool.
 func exampleOf(change route.Change) string {
 	if len(change.Regions) == 0 {
 		return ""
@@ -85,7 +86,7 @@
 	return change.Regions[0].Example.String()
 }
 
-// inParentheses returns a position with spaces before it, or "" where there is none.
+// inParentheses returns a position in parentheses after two spaces, or "" if the position is empty.
 func inParentheses(position string) string {
 	if position == "" {
 		return ""
--- a/internal/command/example_test.go
+++ b/internal/command/example_test.go
@@ -12,7 +12,7 @@
 
 func emptyEnvironment(string) string { return "" }
 
-// A routes file is formatted to standard output, and a call without its arguments ends with status 2.
+// fmt prints a formatted routes file on standard output. explain without a required flag exits with status 2.
 func ExampleRun() {
 	dir, err := os.MkdirTemp("", "crankhold")
 	if err != nil {
@@ -40,7 +40,8 @@
 	// status 2
 }
 
-// The example's routes, to which the README refers, have no faults, are in canonical form, and fit its configuration.
+// The example routes that the README refers to have no faults, are in canonical form, and match the example
+// configuration.
 func TestExampleRoutesAreGood(t *testing.T) {
 	const routes = "../../example/routes.crank"
 	for _, args := range [][]string{
--- a/internal/command/exit_test.go
+++ b/internal/command/exit_test.go
@@ -16,7 +16,7 @@
 		text   string
 	}{
 		{"success", nil, exitSuccess, ""},
-		{"a finding that is printed", errFinding, exitFinding, ""},
+		{"an already printed finding", errFinding, exitFinding, ""},
 		{"usage", usageError("takes %d", 1), exitUsage, "crankhold: takes 1\n"},
 		{"an unreadable file", inputError(fs.ErrNotExist), exitUsage, "crankhold: file does not exist\n"},
 		{"a wrapped error", fmt.Errorf("within: %w", usageError("takes 1")), exitUsage, "crankhold: takes 1\n"},
@@ -30,6 +30,6 @@
 		})
 	}
 	if !errors.Is(inputError(fs.ErrNotExist), fs.ErrNotExist) {
-		t.Error("the error within is lost")
+		t.Error("inputError does not wrap its cause")
 	}
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -10,7 +10,7 @@
 	"crankhold/internal/route"
 )
 
-// explainCommand is the command explain.
+// explainCommand implements the command explain.
 type explainCommand struct {
 	File     string `arg:"" help:"The routes file." type:"path"`
 	Front    string `help:"The front that the call comes by." enum:"thrift,webhook" default:"thrift"`
@@ -21,7 +21,7 @@
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run explains what becomes of a request.
+// Run prints how the routes handle the request that the flags describe.
 func (c explainCommand) Run(env Env) error {
 	function, err := c.function()
 	if err != nil {
@@ -54,23 +54,24 @@
 	return nil
 }
 
-// function returns the function that the flag names.
+// function parses the flag --function, which does not accept a pattern of functions.
 func (c explainCommand) function() (uint64, error) {
 	pattern, err := route.ParsePattern(c.Function)
 	if err != nil || strings.HasSuffix(c.Function, "*") {
-		return 0, usageError("--function: %q is no function: 16 hex digits", c.Function)
+		return 0, usageError("--function: %q is no function of 16 hex digits", c.Function)
 	}
 	return pattern.Prefix, nil
 }
 
-// request returns the request that the flags describe.
+// request returns the request that the flags describe. If neither the platform's settings nor
+// the routes files list the classes, a class that no route names gets an index beyond those of the named ones.
 func (c explainCommand) request(r *lang.Result, function uint64) (route.Request, error) {
 	request := route.Request{Front: route.Thrift, Function: function, Tenant: c.Tenant}
 	if c.Front == route.Webhook.String() {
 		request.Front = route.Webhook
 	}
 	if request.Front == route.Thrift && c.Tenant != "" {
-		return request, usageError("only webhooks name a tenant: --tenant goes with --front=webhook")
+		return request, usageError("only webhooks name a tenant: --tenant requires --front=webhook")
 	}
 	classes := r.Classes()
 	request.Class = slices.Index(classes, c.Class)
@@ -78,21 +79,23 @@
 		return request, nil
 	}
 	if r.ClassesComplete() {
-		return request, usageError("--class: no class %q, but %s", c.Class, strings.Join(classes, ", "))
+		return request, usageError("--class: %q is not one of %s", c.Class, strings.Join(classes, ", "))
 	}
 	request.Class = len(classes)
 	return request, nil
 }
 
-// explanation says what one block does with a request. It is an element of the JSON output of explain.
+// explanation describes what one block of a routes file does with a request. The JSON output of explain is a list of
+// them.
 type explanation struct {
-	Kind    string   `json:"what"` // a route, a pool or a policy
+	Kind    string   `json:"what"` // route, pool or policy
 	Name    string   `json:"name,omitempty"`
 	Meaning string   `json:"means"`
-	Lines   []string `json:"lines,omitempty"` // that define the block
+	Lines   []string `json:"lines,omitempty"` // the lines that define the block, each after its position
 }
 
-// explain says which route, pool and policy a request of a class gets; matched is its route, or nil.
+// explain returns the explanations of the route, the pool and the policy that apply to a request of a class. matched is
+// its route, or nil if no route matches.
 func explain(r *lang.Result, matched *route.Route, class string) []explanation {
 	switch {
 	case matched == nil:
@@ -112,8 +115,8 @@
 	}
 }
 
-// explainBlock returns the explanation of a block with the lines that define it. A request may have no policy; then
-// the name is "" and there are no lines.
+// explainBlock returns the explanation of a block, with the lines that define it. The name is "" and there are no lines
+// if a route has no policy.
 func explainBlock(r *lang.Result, kind route.BlockKind, name, meaning string) explanation {
 	e := explanation{Kind: string(kind), Name: name, Meaning: meaning}
 	for _, line := range r.Lines(kind, name) {
--- a/internal/command/format.go
+++ b/internal/command/format.go
@@ -11,7 +11,7 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// formatCommand is the command fmt.
+// formatCommand implements the command fmt.
 type formatCommand struct {
 	Files []string `arg:"" help:"The files; what they include is not touched." type:"path"`
 	Write bool     `short:"w" help:"Write each file back in place of printing it."`
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// formatFile formats one file. The status says whether it has faults or, with --check, is not in canonical form. An
-// error ends the command.
+// formatFile formats one file. It returns exitUsage if the file has faults, and exitFinding if --check finds that it is
+// not in canonical form. After an error, the command formats no further file.
 func (c formatCommand) formatFile(path string, env Env) (exitStatus, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return exitSuccess, nil
 }
 
-// printFormatted prints a formatted file.
+// printFormatted prints the text of a formatted file.
 func printFormatted(w io.Writer, formatted []byte) (exitStatus, error) {
 	if _, err := w.Write(formatted); err != nil {
 		return exitFinding, err
@@ -74,7 +74,7 @@
 	return exitSuccess, nil
 }
 
-// readFile reads a file, up to one byte more than a file may have.
+// readFile reads at most one byte more than a routes file may have, so that the parser reports a file that is too long.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -84,7 +84,8 @@
 	return io.ReadAll(io.LimitReader(f, syntax.MaxBytes+1))
 }
 
-// replaceFile replaces a file's text, as a whole or not at all: it renames a new file over it. Links are followed.
+// replaceFile replaces the text of a file atomically: it writes a temporary file and renames it over the old one. It
+// follows symbolic links, and keeps the permissions.
 func replaceFile(path string, text []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return os.Rename(tempFile.Name(), path)
 }
 
-// writeSynced writes a file's text and mode through to the disk.
+// writeSynced writes the text of a file, sets its permissions and syncs it to disk.
 func writeSynced(f *os.File, text []byte, mode fs.FileMode) error {
 	if _, err := f.Write(text); err != nil {
 		return err
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -8,21 +8,21 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// printJSON writes a value for a program to read.
+// printJSON writes a value as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
 }
 
-// printFaults writes each fault with its line and a mark under the column.
+// printFaults writes each fault with the line that it concerns and a mark under the column.
 func printFaults(w io.Writer, faults syntax.Faults) {
 	for _, f := range faults {
 		fmt.Fprintln(w, f.Quoted())
 	}
 }
 
-// printNotes writes notes in the form of faults.
+// printNotes writes notes like faults, with the prefix "note: ".
 func printNotes(w io.Writer, notes syntax.Faults) {
 	for _, n := range notes {
 		n.Msg = "note: " + n.Msg
@@ -30,7 +30,7 @@
 	}
 }
 
-// plural returns a number of things, with an s but for one.
+// plural returns a number followed by a noun, with an s unless the number is 1.
 func plural(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -10,12 +10,12 @@
 	"crankhold/internal/server"
 )
 
-// platformFlag is the flag by which routes files are checked against the platform's settings too.
+// platformFlag is the flag --platform. With it, routes files are checked against the platform's settings too.
 type platformFlag struct {
 	Platform string `help:"${platform_help}" placeholder:"CONFIG.json"`
 }
 
-// readPlatform reads the settings that the flag names. It returns nil where the flag is not given.
+// readPlatform reads the settings from the file that the flag names. It returns nil if the flag is not given.
 func (f platformFlag) readPlatform() (*lang.Platform, error) {
 	if f.Platform == "" {
 		return nil, nil
@@ -32,7 +32,8 @@
 	return c.RoutingPlatform(), nil
 }
 
-// checkRoutes checks a routes file. The error is of a file that can't be read at all.
+// checkRoutes checks a routes file and returns its faults and notes in the result. It returns an error only if the
+// routes file can't be read or the platform's configuration can't be used.
 func (f platformFlag) checkRoutes(file string) (*lang.Result, error) {
 	platform, err := f.readPlatform()
 	if err != nil {
@@ -45,7 +46,7 @@
 	return r, nil
 }
 
-// loadRoutes checks a routes file that a command can only use without faults. If there are any, it prints them and
+// loadRoutes checks a routes file for a command that needs one without faults. If there are faults, it prints them and
 // returns an error.
 func (f platformFlag) loadRoutes(file string, env Env) (*lang.Result, error) {
 	r, err := f.checkRoutes(file)
@@ -59,7 +60,7 @@
 	return r, nil
 }
 
-// displayPath returns a path as messages show it: relative to the working directory, if it is below that.
+// displayPath returns a path in the form that messages show: relative to the working directory if the file is below it.
 func displayPath(path string) string {
 	workingDirectory, err := os.Getwd()
 	if err != nil {
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-// TestScripts runs the scripts of testdata, on the model of cmd/go's: lines of commands, then files.
+// TestScripts runs the scripts in testdata. Like the scripts of cmd/go's tests, each has lines of commands, and then
+// the files that they use.
 //
-//	crankhold ARGS      runs the command line in a folder with the files
+//	crankhold ARGS      run the command line in a folder that holds the files
 //	status N            the exit status must be N
-//	stdout TEXT         the line must be within standard output; stderr likewise
-//	! stdout TEXT       it must not
-//	empty stdout        nothing was printed there
-//	cmp NAME WANT       two files must hold the same
+//	stdout TEXT         standard output must contain TEXT; stderr TEXT: standard error likewise
+//	! stdout TEXT       standard output must not contain TEXT
+//	empty stdout        standard output must be empty
+//	cmp NAME WANT       two files must have the same content
 func TestScripts(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(scripts) == 0 {
@@ -31,10 +32,10 @@
 	}
 }
 
-// emptyEnvironment is an environment without variables.
+// emptyEnvironment looks up variables in an environment that has none.
 func emptyEnvironment(string) string { return "" }
 
-// runScript runs a script in a folder of its own.
+// runScript runs a script in a temporary folder of its own.
 func runScript(t *testing.T, text string) {
 	t.Helper()
 	commands, files, _ := strings.Cut("\n"+text, "\n-- ")
@@ -51,8 +52,8 @@
 	}
 }
 
-// writeScriptFiles writes the files of a script, each after a line "-- NAME --", and returns their folder. The text
-// begins after the dashes before the first name.
+// writeScriptFiles writes the files of a script into a temporary folder and returns its path. In the text, each file
+// follows a line "-- NAME --", of which the first is given without its leading dashes.
 func writeScriptFiles(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,14 +73,14 @@
 	return dir
 }
 
-// scriptRun is what the last command line of a script did.
+// scriptRun holds the result of the last command line of a script.
 type scriptRun struct {
 	command        string
 	status         int
 	stdout, stderr bytes.Buffer
 }
 
-// runLine runs one line of a script and returns what is wrong, or "".
+// runLine runs one line of a script. It returns "", or a description of the failure.
 func (s *scriptRun) runLine(line string, words []string) string {
 	negated := words[0] == "!"
 	verb, argument, _ := strings.Cut(strings.TrimSpace(strings.TrimPrefix(line, "!")), " ")
@@ -88,24 +89,24 @@
 		s.run(line, strings.Fields(argument))
 	case "status":
 		if argument != strconv.Itoa(s.status) {
-			return "another status"
+			return "the exit status differs"
 		}
 	case "stdout", "stderr":
 		if strings.Contains(s.output(verb).String(), argument) == negated {
-			return "not so"
+			return "the output does not match"
 		}
 	case "empty":
 		if s.output(argument).Len() > 0 {
-			return "something is printed"
+			return "the output is not empty"
 		}
 	case "cmp":
 		got, err := os.ReadFile(words[1])
 		want, wantErr := os.ReadFile(words[2])
 		if err != nil || wantErr != nil || !bytes.Equal(got, want) {
-			return "they differ:\n" + string(got)
+			return "the files differ:\n" + string(got)
 		}
 	default:
-		return "no such command"
+		return "unknown script command"
 	}
 	return ""
 }
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -11,10 +11,11 @@
 	"crankhold/internal/server"
 )
 
-// operatorFile is a file of the operators that is used where it exists, or that a variable names.
+// operatorFile is an optional file with settings of the operators. An environment variable may name it; otherwise the
+// file at the default path is used, if there is one.
 type operatorFile struct{ variable, defaultPath string }
 
-// The operators' files.
+// The operators' files that serve reads.
 var (
 	webhookFile   = operatorFile{"CRANKHOLD_WEBHOOK", "deploy/webhook.toml"}
 	exportFile    = operatorFile{"CRANKHOLD_IPFIX", "deploy/ipfix.toml"}
@@ -22,7 +23,8 @@
 	routesFile    = operatorFile{"CRANKHOLD_ROUTES", "deploy/routes.crank"}
 )
 
-// find returns the path of the file to read, or "" where there is no such file and the variable names none.
+// find returns the path that the variable names, or else the default path. It returns "" if the variable is empty and
+// no file exists at the default path.
 func (f operatorFile) find(env Env) string {
 	if path := env.Getenv(f.variable); path != "" {
 		return path
@@ -33,10 +35,10 @@
 	return f.defaultPath
 }
 
-// serveCommand is the command serve.
+// serveCommand implements the command serve.
 type serveCommand struct{}
 
-// Run serves until a signal ends it.
+// Run serves requests until a signal stops the server.
 func (serveCommand) Run(cli *commandLine, env Env) error {
 	level, err := logging.ParseLevel(cli.LogLevel)
 	if err != nil {
@@ -56,7 +58,9 @@
 		Routes:    env.Getenv(routesFile.variable),
 	}
 	if options.Routes == "" {
-		options.Routes = routesFile.defaultPath // looked for at each reload: it may come and go while the program runs
+		// Unlike the other files, this one is looked for at each reload too, because it may be created or removed while
+		// the program runs.
+		options.Routes = routesFile.defaultPath
 		options.RoutesOptional = true
 	}
 	return server.Serve(c, options, readConfig)
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// versionCommand is the command version.
+// versionCommand implements the command version.
 type versionCommand struct {
 	JSON bool `help:"Print JSON." name:"json"`
 }
@@ -14,12 +14,12 @@
 // versionReport is the JSON output of version.
 type versionReport struct {
 	Version  string `json:"version"`
-	Revision string `json:"revision,omitempty"` // of the version control system; "": not known
+	Revision string `json:"revision,omitempty"` // of the source code; "" if unknown
 	Go       string `json:"go"`
 	Platform string `json:"platform"` // operating system and architecture
 }
 
-// Run prints what was built, and of what.
+// Run prints the version and revision of the program, the version of Go, and the platform.
 func (v versionCommand) Run(env Env) error {
 	r := versionReport{
 		Version:  "unreleased",
@@ -38,7 +38,8 @@
 	return err
 }
 
-// buildRevision returns the revision that the program was built of, or "" where the build does not say.
+// buildRevision returns the version control revision that the program was built from, or "" if the build information
+// does not contain it.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,14 +12,14 @@
 	"crankhold/policy"
 )
 
-// Environment variables that Read uses. Those of name and address override what the file says.
+// Environment variables that Read uses. The name and the listen address override the values in the file.
 const (
 	fileVariable   = "EDGE_CONFIG"
 	nameVariable   = "EDGE_NAME"
 	listenVariable = "EDGE_LISTEN"
 )
 
-// Values that replace those which are absent or not above 0.
+// Default values for keys that are absent or not above 0.
 const (
 	defaultDialTimeoutMs            = 250
 	defaultKeepAliveMs              = 30000
@@ -29,41 +29,42 @@
 	defaultMaxDescriptors           = 1024
 )
 
-// The lowest limits that a router can serve with.
+// The lowest limits with which a router can serve requests.
 const (
 	minMemoryMB    = 32
 	minDescriptors = 64
 )
 
-// Config is the platform's configuration of a function router. Read returns it checked and complete, and nothing
+// Config is the platform's configuration of a function router. Read checks it and fills in the defaults; nothing
 // changes it afterwards.
 type Config struct {
 	Name          string             `json:"name"`
-	Listen        string             `json:"listen"` // the address of the Thrift front
+	Listen        string             `json:"listen"` // address of the Thrift front
 	Seed          string             `json:"seed"`   // hexadecimal
 	Limits        Limits             `json:"limits"`
 	DiscoveryAddr string             `json:"names"`
-	Snapshot      discovery.Snapshot `json:"known"` // the endpoint list at the start
+	Snapshot      discovery.Snapshot `json:"known"` // endpoint list at the start
 	Settings      json.RawMessage    `json:"settings"`
 
-	// What Read derives from the file:
+	// Read derives the fields below from the file.
 
-	// SeedValue is Seed as a number.
+	// SeedValue is the number that Seed represents.
 	SeedValue uint64
-	// Policy is the part of the settings that configures the policy.
+	// Policy holds the part of the settings that configures the policy.
 	Policy policy.Config
-	// Network is the part of the settings that configures connections.
+	// Network holds the part of the settings that the router uses outside of the policy.
 	Network Network
 }
 
-// Limits is what the process may use. It is an alias, since errors of encoding/json would contain the name of a defined
-// type.
+// Limits holds the limits on the resources of the process. It is an alias because errors of encoding/json would contain
+// the name of a defined type.
 type Limits = struct {
 	MemoryMB       int `json:"memory_mb"`
 	MaxDescriptors int `json:"sockets"` // descriptors
 }
 
-// Network is the part of the settings that the policy does not read: names, and limits on connections.
+// Network is the part of the settings that the router uses outside of the policy: the names of zones, kinds, classes
+// and tenants, the memory of each kind, and limits on connections and requests.
 type Network struct {
 	Zones     []string     `json:"failureDomains"`
 	Kinds     []string     `json:"kinds"`
@@ -80,16 +81,17 @@
 	} `json:"limits"`
 }
 
-// NamedEntry is a class or a tenant of the settings. It is an alias for the reason given at Limits.
+// NamedEntry is a class or a tenant in the settings. It is an alias for the same reason as Limits.
 type NamedEntry = struct {
 	Name string `json:"name"`
 }
 
-// Millis converts milliseconds, the unit of durations in the settings.
+// Millis converts a number of milliseconds, the unit of durations in the settings, to a Duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Read reads and checks the file that the environment variable EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override
-// the file. Its error is ErrNoFile, a FileError or a FieldError. It blocks and must not be called on the event loop.
+// values in the file. The error is ErrNoFile, a FileError or a FieldError. Read blocks on file I/O and must not be
+// called on the event loop.
 func Read(getenv func(string) string) (*Config, error) {
 	file := getenv(fileVariable)
 	if file == "" {
@@ -130,7 +132,7 @@
 	}
 }
 
-// checkAddresses checks the addresses to listen on and of the discovery server.
+// checkAddresses checks the listen address and the address of the discovery server.
 func (c *Config) checkAddresses(file string) error {
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return &FieldError{File: file, Field: "listen", Err: err}
@@ -141,12 +143,11 @@
 	return nil
 }
 
-// readSettings reads the settings twice: once for the policy, whose reader the simulator shares, and once for the
-// connections.
+// readSettings decodes the settings twice: into Policy, with the parser that the simulator uses too, and into Network.
 func (c *Config) readSettings(file string) error {
 	var err error
 	if c.Policy, err = simulator.ParseSettings(c.Settings); err != nil {
-		return &FileError{File: file, Err: err} // the cause names the settings itself
+		return &FileError{File: file, Err: err} // the text of err already starts with "settings"
 	}
 	if err := json.Unmarshal(c.Settings, &c.Network); err != nil {
 		return &FieldError{File: file, Field: "settings", Err: err}
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// checkNames checks that each entry has a name. Its error is a MissingNameError.
+// checkNames checks that each entry of a list has a name. The error is a MissingNameError.
 func checkNames(kind string, list []NamedEntry) error {
 	for i, entry := range list {
 		if entry.Name == "" {
@@ -170,7 +171,8 @@
 	return nil
 }
 
-// checkLimits checks that the limits, defaults included, leave the router enough to serve with.
+// checkLimits checks that the limits, including their defaults, are not below the lowest ones that a router can serve
+// with.
 func (c *Config) checkLimits(file string) error {
 	if c.Limits.MemoryMB < minMemoryMB || c.Limits.MaxDescriptors < minDescriptors {
 		return &FieldError{File: file, Field: "limits", Err: errLimitsTooLow}
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// setDefaults replaces values that are absent or not above 0.
+// setDefaults sets the defaults of values that are absent or not above 0.
 func (c *Config) setDefaults() {
 	limits := &c.Network.Limits
 	setDefault(&limits.DialTimeoutMs, defaultDialTimeoutMs)
@@ -189,7 +191,7 @@
 	setDefault(&c.Limits.MaxDescriptors, defaultMaxDescriptors)
 }
 
-// setDefault replaces a value that is absent or not above 0.
+// setDefault sets a value to its default if it is absent or not above 0.
 func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value <= 0 {
 		*value = defaultValue
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
  "names":"127.0.0.1:1053","known":{"offset":3,"batch":[{"offset":3,"topology":{"complete":true,"members":[]}}]},
  "settings":{"classes":[{"name":"repair-order","deadlineMs":3000,"goalTimeMs":1200,"semantics":"unsafe","group":"all"}]}}`
 
-// writeAndRead reads a configuration from a file at path.
+// writeAndRead writes a configuration to path and reads it, with EDGE_NAME set to n4.
 func writeAndRead(path, text string) (*Config, error) {
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
@@ -23,12 +23,13 @@
 	return Read(getenvFrom(map[string]string{"EDGE_CONFIG": path, "EDGE_NAME": "n4"}))
 }
 
-// getenvFrom returns a getenv of these variables.
+// getenvFrom returns a function that looks up environment variables in a map.
 func getenvFrom(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// A good file is read with the environment's overrides and the defaults; a fault is an error of one line.
+// A valid file is read with the overrides from the environment and the defaults. The error for an invalid file has one
+// line.
 func TestReadChecksTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	read := func(text string) (*Config, error) { return writeAndRead(path, text) }
@@ -51,11 +52,11 @@
 		}
 	}
 	if _, err := Read(getenvFrom(nil)); err == nil {
-		t.Error("no file, no error")
+		t.Error("no error without a configuration file")
 	}
 }
 
-// NeedsRestart names the keys that a reload does not apply.
+// NeedsRestart returns the changed keys that a reload does not apply, and only those.
 func TestNeedsRestartNamesChangedKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	c, err := writeAndRead(path, validConfig)
@@ -79,7 +80,8 @@
 	}
 }
 
-// What may be held for peers stays within the limits on memory and descriptors, however low they are.
+// The bounds on buffers, requests and connections stay within the limits on memory and descriptors, even if these are
+// low, and stay large enough to serve requests.
 func TestBoundsFollowTheLimits(t *testing.T) {
 	for _, memory := range []int{32, 48, 64, 192, 2048} {
 		for _, descriptors := range []int{64, 256, 1024} {
@@ -89,7 +91,7 @@
 			c.Network.Limits.MaxOpenRequests = 20000
 			total := c.ScaleToMemory(8<<20) + c.ScaleToMemory(32<<20) + c.ScaleToMemory(24<<20) + c.ScaleToMemory(16<<20) + c.MaxConcurrentRequests()*2048
 			if total > memory<<20/2 || c.ScaleToMemory(24<<20) < 1<<20 || c.MaxConcurrentRequests() < 1000 {
-				t.Errorf("%d MB: %d bytes may be held, %d requests open", memory, total, c.MaxConcurrentRequests())
+				t.Errorf("%d MB: bounds of %d bytes and %d open requests", memory, total, c.MaxConcurrentRequests())
 			}
 			if own := descriptors - c.MaxClientConnections() - c.MaxWorkerConnections(); c.MaxClientConnections()*3 > descriptors || own < 16 || c.MaxWorkerConnections() < 20 {
 				t.Errorf("%d descriptors: %d for clients, %d for workers", descriptors, c.MaxClientConnections(), c.MaxWorkerConnections())
@@ -98,7 +100,7 @@
 	}
 	var c Config
 	if c.RejectionRetryAfter() != 0 {
-		t.Error("Retry-After where the settings allow none")
+		t.Error("Retry-After although the settings allow none")
 	}
 	c.Policy.RetryAfterSupported = true
 	c.Policy.MaxRetryAfter = 300 * time.Millisecond
@@ -107,7 +109,7 @@
 	}
 }
 
-// Errors name the file, and the field where there is one, for errors.As.
+// Errors that Read returns hold the name of the file, and of the invalid field if there is one, for use with errors.As.
 func TestReadErrorsAreTyped(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	for _, test := range []struct{ name, old, new, field, text string }{
@@ -140,7 +142,8 @@
 	}
 }
 
-// A file that can't be read is named once, and the cause can be told: a reload retries when no descriptor was left.
+// The error for an unreadable file names the file once and wraps the cause. A reload needs the cause, because it
+// retries if no descriptor was left.
 func TestReadErrorsKeepTheirCause(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "none.json")
 	_, err := Read(getenvFrom(map[string]string{"EDGE_CONFIG": missing}))
--- a/internal/config/example_test.go
+++ b/internal/config/example_test.go
@@ -11,7 +11,7 @@
 	"crankhold/internal/config"
 )
 
-// What the platform hands a router, without the settings that have defaults.
+// document is a configuration as the platform gives it to a router, without the settings that have defaults.
 const document = `{
 	"name": "router-1", "listen": "127.0.0.1:10080", "seed": "8c1f30d27a5be964", "names": "127.0.0.1:1053",
 	"limits": {"memory_mb": 96, "sockets": 384},
@@ -42,7 +42,7 @@
 	fmt.Println("connections:", cfg.MaxClientConnections(), "of clients,", cfg.MaxWorkerConnections(), "to workers")
 	fmt.Println("open requests:", cfg.MaxConcurrentRequests())
 
-	// An error says which field of which file it concerns.
+	// The error for an invalid field holds the names of the file and the field.
 	write(file, strings.Replace(document, "127.0.0.1:10080", "nowhere", 1))
 	_, err = config.Read(getenv)
 	var fieldError *config.FieldError
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -3,50 +3,52 @@
 import "time"
 
 const (
-	// reservedDescriptors are kept for what is neither a client nor a worker: pollers, listeners, the socket to the
-	// discovery server, notices, files, and an accepted connection beyond the limit that is yet to be closed.
+	// reservedDescriptors is the number of descriptors kept for everything other than connections of clients and to
+	// workers: pollers, listeners, the socket to the discovery server, notices, files, and an accepted connection above
+	// the limit that is not closed yet.
 	reservedDescriptors = 32
 
-	// clientConnectionDivisor sets how many accepted connections there may be: a third of the descriptors.
+	// clientConnectionDivisor limits accepted connections to a third of the descriptors.
 	clientConnectionDivisor = 3
 
-	// maxReservedDivisor bounds reservedDescriptors by a quarter of all descriptors.
+	// maxReservedDivisor limits the reserve to a quarter of the descriptors, if that is below reservedDescriptors.
 	maxReservedDivisor = 4
 
-	// referenceMemoryMB is the memory limit at which ScaleToMemory returns bounds unchanged.
+	// referenceMemoryMB is the lowest memory limit at which ScaleToMemory returns bounds unchanged.
 	referenceMemoryMB = 192
 
-	// requestsPerMB is how many requests may be open for each MB: at 2 KiB for each, bodies aside, a sixteenth of the
-	// memory.
+	// requestsPerMB is the number of requests that may be open for each MB of the memory limit. At 2 KiB for each
+	// request, without its body, they take a sixteenth of the memory.
 	requestsPerMB = 32
 
-	// longestRejectionRetryAfter bounds the Retry-After of requests that are rejected for lack of capacity.
+	// maxRejectionRetryAfter limits the Retry-After of requests that are rejected for lack of capacity.
 	maxRejectionRetryAfter = time.Second
 )
 
-// MaxClientConnections returns how many accepted connections there may be.
+// MaxClientConnections returns the limit on accepted connections.
 func (c *Config) MaxClientConnections() int { return c.Limits.MaxDescriptors / clientConnectionDivisor }
 
-// MaxWorkerConnections returns how many connections to workers there may be: what accepted connections and the reserve
-// leave.
+// MaxWorkerConnections returns the limit on connections to workers: the descriptors that remain after accepted
+// connections and the reserve.
 func (c *Config) MaxWorkerConnections() int {
 	reserved := min(reservedDescriptors, c.Limits.MaxDescriptors/maxReservedDivisor)
 	return c.Limits.MaxDescriptors - c.MaxClientConnections() - reserved
 }
 
-// ScaleToMemory scales a bound in bytes that is right for referenceMemoryMB to the memory limit. The bounds on what is
-// held for peers come to 80 MiB of those 192 MB, and keep that proportion at any lower limit.
+// ScaleToMemory scales a bound in bytes, which is meant for a memory limit of referenceMemoryMB, down to a lower limit.
+// The bounds on the data buffered for clients and workers add up to 80 MiB of those 192 MB, and keep that proportion at
+// any lower limit.
 func (c *Config) ScaleToMemory(bytes int) int {
 	return bytes * min(c.Limits.MemoryMB, referenceMemoryMB) / referenceMemoryMB
 }
 
-// MaxConcurrentRequests returns how many requests may be open at once.
+// MaxConcurrentRequests returns the limit on requests that are open at the same time.
 func (c *Config) MaxConcurrentRequests() int {
 	return min(c.Network.Limits.MaxOpenRequests, c.Limits.MemoryMB*requestsPerMB)
 }
 
-// RejectionRetryAfter returns the Retry-After of requests that are rejected for lack of capacity, or 0 where the
-// settings allow none.
+// RejectionRetryAfter returns the Retry-After of requests that are rejected for lack of capacity, or 0 if the settings
+// allow none.
 func (c *Config) RejectionRetryAfter() time.Duration {
 	if !c.Policy.RetryAfterSupported {
 		return 0
--- a/internal/config/names.go
+++ b/internal/config/names.go
@@ -6,10 +6,10 @@
 	"crankhold/policy"
 )
 
-// ClassNames returns the names of the classes, in the order in which requests refer to them by index.
+// ClassNames returns the names of the classes in the order of the indices by which requests refer to them.
 func (c *Config) ClassNames() []string { return namesOf(c.Network.Classes) }
 
-// TenantNames returns the names of the tenants, in the order in which requests refer to them by index.
+// TenantNames returns the names of the tenants in the order of the indices by which requests refer to them.
 func (c *Config) TenantNames() []string { return namesOf(c.Network.Tenants) }
 
 func namesOf(list []NamedEntry) []string {
@@ -20,7 +20,7 @@
 	return names
 }
 
-// NotIdempotent returns for each class whether its requests must never run twice.
+// NotIdempotent reports for each class, in the order of ClassNames, whether its requests must never run twice.
 func (c *Config) NotIdempotent() []bool {
 	var list []bool
 	for _, class := range c.Policy.Classes {
@@ -29,7 +29,7 @@
 	return list
 }
 
-// KindMemoryMB returns the memory of a kind of workers in MB, or 0 where the settings have none for it.
+// KindMemoryMB returns the memory of workers of a kind in MB, or 0 if the settings don't give it.
 func (c *Config) KindMemoryMB(kind string) float64 {
 	memory := c.Network.Specifics.MemoryMBByKind
 	i := slices.Index(c.Network.Kinds, kind)
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// NeedsRestart returns the JSON keys whose values differ in fresh and that a reload does not apply. A change of the
-// seed or of the endpoint list is not reported, since both have an effect at the start alone.
+// NeedsRestart returns the JSON keys whose values differ in the reloaded configuration and that a reload does not
+// apply. It does not report a change of the seed or of the endpoint list, because both are used only at the start.
 func (c *Config) NeedsRestart(reloaded *Config) []string {
 	var changed []string
 	if c.Name != reloaded.Name {
--- a/internal/config/routing.go
+++ b/internal/config/routing.go
@@ -2,7 +2,7 @@
 
 import "crankhold/internal/lang"
 
-// RoutingPlatform returns the settings that routes may not contradict.
+// RoutingPlatform returns the platform's settings that routes may not contradict.
 func (c *Config) RoutingPlatform() *lang.Platform {
 	platform := &lang.Platform{
 		MaxAttempts:    c.Policy.MaxAttempts,
--- a/internal/logging/example_test.go
+++ b/internal/logging/example_test.go
@@ -9,7 +9,7 @@
 	"crankhold/internal/logging"
 )
 
-// dropTime writes lines without their first key, the time, so that the example's output is the same each time.
+// dropTime removes the first key of each line, the time, because it would make the example's output differ in each run.
 type dropTime struct{ out *os.File }
 
 func (d dropTime) Write(line []byte) (int, error) {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging sets the form of the program's log lines: the text handler of log/slog, with the time of day to the
-// microsecond and the message under the key event. It imports only the standard library. Other packages log
-// through log/slog.
+// Package logging sets the format of the program's log lines: that of the text handler of log/slog, with the time of
+// day to the microsecond, and the message under the key "event". It imports only the standard library. Other packages
+// log through log/slog.
 package logging
 
 import (
@@ -14,12 +14,13 @@
 	timeLayout = "15:04:05.000000"
 )
 
-// New returns a logger that writes lines of at least a level to w, one write a line. It is safe for concurrent use.
+// New returns a logger that writes log lines of the given level and above to w, with one write for each line. It is
+// safe for concurrent use.
 func New(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level, ReplaceAttr: replaceAttribute}))
 }
 
-// replaceAttribute formats the time and renames the key of the message. It leaves the attributes of groups alone.
+// replaceAttribute formats the time and changes the key of the message. It leaves attributes within groups unchanged.
 func replaceAttribute(groups []string, attribute slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return attribute
@@ -33,18 +34,18 @@
 	return attribute
 }
 
-// LevelError is returned for a text that names no level.
+// LevelError reports a text that names no log level.
 type LevelError struct {
-	Level string // the text
+	Level string // the invalid text
 }
 
-// Error lists the levels that exist.
+// Error returns a text that lists the valid levels.
 func (e *LevelError) Error() string {
 	return fmt.Sprintf("log level %q is none of debug, info, warn and error", e.Level)
 }
 
-// ParseLevel returns the level that a text names: debug, info, warn or error, in either case, with an offset such as
-// info+2 if need be. Its error is a LevelError.
+// ParseLevel returns the level that a text names: debug, info, warn or error, in upper or lower case, optionally with
+// an offset, such as info+2. The error is a LevelError.
 func ParseLevel(text string) (slog.Level, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(text)); err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Programs read the log: a line has time, level and event, then key=value, with quotes where they are needed.
+// Other programs parse the log, so its format is fixed: each line has the time, the level and the event, and then
+// key=value pairs, with values quoted if necessary.
 func TestLineFormat(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, slog.LevelInfo)
@@ -20,7 +21,7 @@
 	}
 }
 
-// An unknown level is an error that names it.
+// The error for an unknown level contains the text that was given.
 func TestParseLevel(t *testing.T) {
 	var levelError *LevelError
 	if _, err := ParseLevel("loud"); !errors.As(err, &levelError) || levelError.Level != "loud" {
