--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -14,7 +14,7 @@
 	Out     io.Writer // standard output
 	Err     io.Writer // standard error
 	Getenv  func(string) string
-	Signals *signals.Signals // signals caught since the process started; nil if no signals are caught yet
+	Signals *signals.Signals // signals caught since the process started; nil if the process does not catch them yet
 }
 
 // ProcessEnv returns the environment of the current process, and starts to catch signals.
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -56,7 +56,7 @@
 
 // changeReport is one change in the JSON output of diff.
 type changeReport struct {
-	Subject   string   `json:"of"`
+	Affects   string   `json:"of"`
 	Example   string   `json:"example,omitempty"`
 	Before    string   `json:"before"`
 	After     string   `json:"after"`
@@ -67,7 +67,7 @@
 	reports := []changeReport{}
 	for _, change := range changes {
 		reports = append(reports, changeReport{
-			Subject:   change.Subject(),
+			Affects:   change.Subject(),
 			Example:   exampleOf(change),
 			Before:    change.Before,
 			After:     change.After,
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -47,13 +47,13 @@
 			continue
 		}
 		if problem := s.runLine(line, words); problem != "" {
-			t.Errorf("line %d: %s: %s\nof %s: status %d\n%s%s", i, line, problem, s.command, s.status, &s.stdout, &s.stderr)
+			t.Errorf("line %d: %s: %s\nafter %s: status %d\n%s%s", i, line, problem, s.command, s.status, &s.stdout, &s.stderr)
 		}
 	}
 }
 
 // writeScriptFiles writes the files of a script into a temporary folder and returns its path. In the text, each file
-// follows a line "-- NAME --", of which the first is given without its leading dashes.
+// follows a line "-- NAME --". The first of these lines lacks its leading dashes.
 func writeScriptFiles(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -11,9 +11,9 @@
 	"crankhold/internal/server"
 )
 
-// operatorFile is an optional file with settings of the operators. An environment variable may name it; otherwise the
-// file at the default path is used, if there is one.
-type operatorFile struct{ variable, defaultPath string }
+// operatorFile is an optional file with settings of the operators. The environment variable may name it; otherwise the
+// file at path is used, if there is one.
+type operatorFile struct{ variable, path string }
 
 // The operators' files that serve reads.
 var (
@@ -23,16 +23,16 @@
 	routesFile    = operatorFile{"CRANKHOLD_ROUTES", "deploy/routes.crank"}
 )
 
-// find returns the path that the variable names, or else the default path. It returns "" if the variable is empty and
-// no file exists at the default path.
+// find returns the path that the variable names, or else the default path f.path. It returns "" if the variable is
+// empty and no file exists at the default path.
 func (f operatorFile) find(env Env) string {
 	if path := env.Getenv(f.variable); path != "" {
 		return path
 	}
-	if _, err := os.Stat(f.defaultPath); errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(f.path); errors.Is(err, fs.ErrNotExist) {
 		return ""
 	}
-	return f.defaultPath
+	return f.path
 }
 
 // serveCommand implements the command serve.
@@ -60,7 +60,7 @@
 	if options.Routes == "" {
 		// Unlike the other files, this one is looked for at each reload too, because it may be created or removed while
 		// the program runs.
-		options.Routes = routesFile.defaultPath
+		options.Routes = routesFile.path
 		options.RoutesOptional = true
 	}
 	return server.Serve(c, options, readConfig)
