--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -7,17 +7,17 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// checkCommand is the command check.
+// checkCommand implements the command check.
 type checkCommand struct {
 	File string `arg:"" help:"The first file; what it includes is checked with it." type:"path"`
 	platformFlag
 	JSON bool `help:"Print JSON on standard output." name:"json"`
 }
 
-// Run checks a file.
+// Run checks a routes file and the files that it includes, and prints all faults and notes.
 func (c checkCommand) Run(env Env) error {
-	file := shownPath(c.File)
-	r, err := c.check(file)
+	file := displayPath(c.File)
+	r, err := c.checkRoutes(file)
 	if err != nil {
 		return err
 	}
@@ -47,11 +47,11 @@
 }
 
 func newCheckReport(r *lang.Result) checkReport {
-	return checkReport{Files: r.Files, Faults: orEmpty(r.Faults), Notes: orEmpty(r.Notes)}
+	return checkReport{Files: r.Files, Faults: nonNil(r.Faults), Notes: nonNil(r.Notes)}
 }
 
-// orEmpty returns the list, as an empty one in place of nil, which JSON would show as null.
-func orEmpty(faults syntax.Faults) syntax.Faults {
+// nonNil returns an empty list for nil, which would be null in JSON, and any other list unchanged.
+func nonNil(faults syntax.Faults) syntax.Faults {
 	if faults == nil {
 		return syntax.Faults{}
 	}
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -10,13 +10,13 @@
 	"crankhold/internal/server"
 )
 
-// platformFlag is the flag by which routes files are checked against the platform's settings too.
+// platformFlag is the flag --platform. With it, routes files are checked against the platform's settings too.
 type platformFlag struct {
 	Platform string `help:"${platform_help}" placeholder:"CONFIG.json"`
 }
 
-// read reads the settings that the flag names. It returns nil where the flag is not given.
-func (f platformFlag) read() (*lang.Platform, error) {
+// readPlatform reads the settings from the file that the flag names. It returns nil if the flag is not given.
+func (f platformFlag) readPlatform() (*lang.Platform, error) {
 	if f.Platform == "" {
 		return nil, nil
 	}
@@ -27,28 +27,29 @@
 		return ""
 	})
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, inputError(err)
 	}
 	return c.RoutingPlatform(), nil
 }
 
-// check checks a routes file. The error is of a file that can't be read at all.
-func (f platformFlag) check(file string) (*lang.Result, error) {
-	platform, err := f.read()
+// checkRoutes checks a routes file and returns its faults and notes in the result. It returns an error only if the
+// routes file can't be read or the platform's configuration can't be used.
+func (f platformFlag) checkRoutes(file string) (*lang.Result, error) {
+	platform, err := f.readPlatform()
 	if err != nil {
 		return nil, err
 	}
 	r, err := server.CheckRoutesFile(file, platform)
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, inputError(err)
 	}
 	return r, nil
 }
 
-// loadRoutes checks a routes file that a command can only use without faults. If there are any, it prints them and
+// loadRoutes checks a routes file for a command that needs one without faults. If there are faults, it prints them and
 // returns an error.
 func (f platformFlag) loadRoutes(file string, env Env) (*lang.Result, error) {
-	r, err := f.check(file)
+	r, err := f.checkRoutes(file)
 	if err != nil {
 		return nil, err
 	}
@@ -59,8 +60,8 @@
 	return r, nil
 }
 
-// shownPath returns a path as messages show it: relative to the working directory, if it is below that.
-func shownPath(path string) string {
+// displayPath returns a path in the form that messages show: relative to the working directory if the file is below it.
+func displayPath(path string) string {
 	workingDirectory, err := os.Getwd()
 	if err != nil {
 		return path
