--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -177,7 +177,7 @@
 
 // startAddressRouter starts a router that uses the workers' Unix sockets. Every third worker is listed twice.
 func startAddressRouter(bed *fake.Testbed, program string) (*process, error) {
-	bed.Site.Discovery.Set(endpointsWithAliases(bed.Site, noneDraining))
+	bed.Site.Discovery.SetEndpoints(endpointsWithAliases(bed.Site, noneDraining))
 	addresses, err := bed.WriteFile("addresses.toml", []byte("unix_in_txt = true\n"))
 	if err != nil {
 		return nil, err
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -116,7 +116,7 @@
 func (f *coreFleet) advance(to time.Duration) {
 	for {
 		due := f.nextTurn
-		if response, ok := f.responses.Next(); ok {
+		if response, ok := f.responses.NextDue(); ok {
 			due = min(due, response)
 		}
 		if due > to {
@@ -192,8 +192,8 @@
 // WithdrawUnsent implements router.WorkerClient. There is never anything to withdraw because messages leave at once.
 func (f *coreFleet) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
 
-// AbandonCommand implements router.WorkerClient. It does nothing because no state is kept for a command.
-func (f *coreFleet) AbandonCommand(policy.WorkerID, uint64) {}
+// CancelCommand implements router.WorkerClient. It does nothing because no state is kept for a command.
+func (f *coreFleet) CancelCommand(policy.WorkerID, uint64) {}
 
 // Unload implements router.WorkerClient. It does nothing: replicas stay loaded until they were idle for coreKeepAlive.
 func (f *coreFleet) Unload(policy.WorkerID, policy.FunctionID) {}
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -41,12 +41,12 @@
 	for n := 0; time.Now().Add(drainMargin).Before(until); n++ {
 		time.Sleep(drainPause)
 		index := n * 3 % len(site.Workers)
-		serial := site.Discovery.Set(endpointsWithAliases(site, index))
+		serial := site.Discovery.SetEndpoints(endpointsWithAliases(site, index))
 		r.drains++
 		time.Sleep(drainDuration)
 		servedAt := site.Discovery.FirstServedAt(serial)
 		end := time.Now()
-		site.Discovery.Set(endpointsWithAliases(site, noneDraining))
+		site.Discovery.SetEndpoints(endpointsWithAliases(site, noneDraining))
 		if !servedAt.IsZero() {
 			r.lateSends += r.countArrivals(site.Workers[index], servedAt.Add(drainGracePeriod), end)
 		}
--- a/internal/benchmark/faults.go
+++ b/internal/benchmark/faults.go
@@ -51,13 +51,13 @@
 		now := time.Now()
 		i.endFaults(func(fault addressFault) bool { return !now.Before(fault.end) })
 		if n/flappingTicks%2 == 1 {
-			i.flapping.Set(flappingModes[n%len(flappingModes)])
+			i.flapping.SetMode(flappingModes[n%len(flappingModes)])
 			i.count++
 		}
 		i.startFault(now)
 	}
 	i.endFaults(func(addressFault) bool { return true })
-	i.flapping.Set(fake.ModeHealthy)
+	i.flapping.SetMode(fake.ModeHealthy)
 }
 
 // endFaults ends the selected faults, so that their addresses are healthy again.
@@ -68,7 +68,7 @@
 			remaining = append(remaining, fault)
 			continue
 		}
-		fault.port.Set(fake.ModeHealthy)
+		fault.port.SetMode(fake.ModeHealthy)
 	}
 	i.faults = remaining
 }
@@ -85,7 +85,7 @@
 	if !possible || port.Mode() != fake.ModeHealthy || countHealthy(ports) < 2 {
 		return
 	}
-	port.Set(mode)
+	port.SetMode(mode)
 	i.faults = append(i.faults, addressFault{port: port, end: now.Add(duration)})
 	i.count++
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -119,7 +119,7 @@
 // if a route has no policy.
 func explainBlock(r *lang.Result, kind route.BlockKind, name, meaning string) explanation {
 	e := explanation{Kind: string(kind), Name: name, Meaning: meaning}
-	for _, line := range r.Lines(kind, name) {
+	for _, line := range r.DefinitionLines(kind, name) {
 		e.Lines = append(e.Lines, line.Pos.String()+": "+line.Line)
 	}
 	return e
--- a/internal/command/format.go
+++ b/internal/command/format.go
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, syntax.MaxBytes+1))
+	return io.ReadAll(io.LimitReader(f, syntax.MaxFileBytes+1))
 }
 
 // replaceFile replaces the text of a file atomically: it writes a temporary file and renames it over the old one. It
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -51,16 +51,16 @@
 		return err
 	}
 	options := server.Options{
-		Signals:   env.Signals,
-		Webhook:   webhookFile.find(env),
-		Export:    exportFile.find(env),
-		Addresses: addressesFile.find(env),
-		Routes:    env.Getenv(routesFile.variable),
+		Signals:       env.Signals,
+		WebhookFile:   webhookFile.find(env),
+		ExportFile:    exportFile.find(env),
+		AddressesFile: addressesFile.find(env),
+		RoutesFile:    env.Getenv(routesFile.variable),
 	}
-	if options.Routes == "" {
+	if options.RoutesFile == "" {
 		// Unlike the other files, this one is looked for at each reload too, because it may be created or removed while
 		// the program runs.
-		options.Routes = routesFile.path
+		options.RoutesFile = routesFile.path
 		options.RoutesOptional = true
 	}
 	return server.Serve(c, options, readConfig)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// NeedsRestart returns the changed keys that a reload does not apply, and only those.
+// KeysNeedingRestart returns the changed keys that a reload does not apply, and only those.
 func TestNeedsRestartNamesChangedKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	c, err := writeAndRead(path, validConfig)
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(c.NeedsRestart(reloaded)); got != test.want {
+		if got := fmt.Sprint(c.KeysNeedingRestart(reloaded)); got != test.want {
 			t.Errorf("%s needs a restart for %s, want %s", test.new, got, test.want)
 		}
 	}
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -2,9 +2,9 @@
 
 import "reflect"
 
-// NeedsRestart returns the JSON keys whose values differ in the reloaded configuration and that a reload does not
+// KeysNeedingRestart returns the JSON keys whose values differ in the reloaded configuration and that a reload does not
 // apply. It does not report a change of the seed or of the endpoint list, because both are used only at the start.
-func (c *Config) NeedsRestart(reloaded *Config) []string {
+func (c *Config) KeysNeedingRestart(reloaded *Config) []string {
 	var changed []string
 	if c.Name != reloaded.Name {
 		changed = append(changed, "name")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -46,7 +46,7 @@
 
 	stopDriver := newDriver(out, bed.Site, listen, counts).start()
 	defer stopDriver()
-	return server.Serve(cfg, server.Options{Routes: routes, Stop: stop}, read)
+	return server.Serve(cfg, server.Options{RoutesFile: routes, Stop: stop}, read)
 }
 
 // workerConfigs returns the configurations of the demo's workers. The first two are large, and each worker is slower
--- a/internal/endpoint/alias.go
+++ b/internal/endpoint/alias.go
@@ -8,9 +8,9 @@
 
 // Entry is one entry of an endpoint list.
 type Entry struct {
-	Name   string
-	Addrs  []Addr
-	SameAs string // name of an entry that the configuration declares to be the same worker; "": none
+	Name    string
+	Addrs   []Addr
+	AliasOf string // name of an entry that the configuration declares to be the same worker; "": none
 }
 
 // GroupAliases groups the entries that are aliases of one worker: those that have an address in common, and those that
@@ -61,15 +61,15 @@
 	}
 }
 
-// joinByName merges the set of each entry with that of its Entry.SameAs.
+// joinByName merges the set of each entry with that of its Entry.AliasOf.
 func joinByName(sets disjointSets, list []Entry) {
 	byName := map[string]int{}
 	for i, entry := range list {
 		byName[entry.Name] = i
 	}
 	for i, entry := range list {
-		same, listed := byName[entry.SameAs]
-		if listed && entry.SameAs != "" {
+		same, listed := byName[entry.AliasOf]
+		if listed && entry.AliasOf != "" {
 			sets.join(i, same)
 		}
 	}
--- a/internal/endpoint/availability.go
+++ b/internal/endpoint/availability.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Failed records that a dial to an address failed, or that a connection to it was of no use, because it closed before
-// its first response or stopped responding. The address is unavailable until a dial succeeds. The backoff before the
-// recovery dial grows with each failure. Failures during the backoff are not counted, so dials and connections that
+// RecordFailure records that a dial to an address failed, or that a connection to it was of no use, because it closed
+// before its first response or stopped responding. The address is unavailable until a dial succeeds. The backoff before
+// the recovery dial grows with each failure. Failures during the backoff are not counted, so dials and connections that
 // fail together count as one failure.
-func (s *AddressSet) Failed(now time.Duration, addr Addr) {
+func (s *AddressSet) RecordFailure(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && !state.inBackoff(now) {
 		state.markUnavailable(now, s.seed)
 	}
 }
 
-// Succeeded records that a connection to an address was established.
-func (s *AddressSet) Succeeded(now time.Duration, addr Addr) {
+// RecordSuccess records that a connection to an address was established.
+func (s *AddressSet) RecordSuccess(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.unavailable {
 		state.markAvailable(now)
 	}
 }
 
-// Suspect records that a connection to an address is silent although responses are due on it.
-func (s *AddressSet) Suspect(now time.Duration, addr Addr) {
+// RecordSilence records that a connection to an address is silent although responses are due on it.
+func (s *AddressSet) RecordSilence(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.suspectSince == 0 {
 		state.suspectSince = now
 	}
 }
 
-// Responded records that a complete response arrived from an address, which is therefore no longer suspected.
-func (s *AddressSet) Responded(addr Addr) {
+// RecordResponse records that a complete response arrived from an address, which is therefore no longer suspected.
+func (s *AddressSet) RecordResponse(addr Addr) {
 	state := s.find(addr)
 	if state != nil {
 		state.suspectSince = 0
@@ -38,8 +38,9 @@
 }
 
 // NextRecoveryDial returns an unavailable address for a recovery dial, whose connection carries no requests. It returns
-// false if no recovery dial is due. The caller reports the result by Succeeded, Failed or RecoveryInconclusive. An
-// address that is the only one of a worker gets no recovery dials, because requests are still attempted over it.
+// false if no recovery dial is due. The caller reports the result by RecordSuccess, RecordFailure or
+// RecordInconclusiveRecovery. An address that is the only one of a worker gets no recovery dials, because requests are
+// still attempted over it.
 func (s *AddressSet) NextRecoveryDial(now time.Duration) (Addr, bool) {
 	if len(s.states) <= 1 {
 		return Addr{}, false
@@ -53,9 +54,9 @@
 	return Addr{}, false
 }
 
-// RecoveryInconclusive records that a recovery dial ended without showing whether its address works, for example
+// RecordInconclusiveRecovery records that a recovery dial ended without showing whether its address works, for example
 // because no descriptor was available.
-func (s *AddressSet) RecoveryInconclusive(now time.Duration, addr Addr) {
+func (s *AddressSet) RecordInconclusiveRecovery(now time.Duration, addr Addr) {
 	state := s.find(addr)
 	if state != nil && state.recovering {
 		state.recovering = false
--- a/internal/endpoint/availability_test.go
+++ b/internal/endpoint/availability_test.go
@@ -10,7 +10,7 @@
 func TestFailedAddressRecoversAfterARecoveryDial(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
-	s.Failed(0, unixSocket)
+	s.RecordFailure(0, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
 		t.Fatalf("candidates %v after a failed dial", got)
 	}
@@ -26,18 +26,18 @@
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4}) {
 		t.Fatalf("candidates %v during a recovery dial", got)
 	}
-	s.Succeeded(720*ms, unixSocket)
-	if got := s.Candidates(); !slices.Equal(got, []Addr{unixSocket, ipv4}) || s.Unavailable() != 0 {
+	s.RecordSuccess(720*ms, unixSocket)
+	if got := s.Candidates(); !slices.Equal(got, []Addr{unixSocket, ipv4}) || s.UnavailableCount() != 0 {
 		t.Fatalf("candidates %v after a successful recovery dial", got)
 	}
-	s.Failed(time.Second, ipv4)
-	s.Failed(2*time.Second, unixSocket)
+	s.RecordFailure(time.Second, ipv4)
+	s.RecordFailure(2*time.Second, unixSocket)
 	if got := s.Candidates(); !slices.Equal(got, []Addr{ipv4, unixSocket}) {
 		t.Errorf("all addresses are unavailable: candidates %v, want first the one whose backoff ends first", got)
 	}
 	one := NewAddressSet(1)
 	one.Update(0, []Addr{ipv4})
-	one.Failed(0, ipv4)
+	one.RecordFailure(0, ipv4)
 	if _, ok := one.NextRecoveryDial(time.Hour); ok || len(one.Candidates()) != 1 {
 		t.Error("the only address of a worker gets a recovery dial, or is not a candidate")
 	}
@@ -53,7 +53,7 @@
 	spread := map[time.Duration]bool{}
 	for i := range 9 {
 		for range 5 {
-			s.Failed(now, unixSocket)
+			s.RecordFailure(now, unixSocket)
 		}
 		wait := min(firstBackoff<<i, maxBackoff)
 		if _, ok := s.NextRecoveryDial(now + wait*3/4 - ms); ok {
@@ -64,17 +64,17 @@
 		}
 		spread[s.find(unixSocket).retryAt-now-wait] = true
 		now += wait * 5 / 4
-		s.Succeeded(now, unixSocket)
+		s.RecordSuccess(now, unixSocket)
 	}
 	if len(spread) < 6 {
 		t.Errorf("%d different jitters of 9", len(spread))
 	}
 	now += failureResetPeriod + time.Second
-	s.Failed(now, unixSocket)
+	s.RecordFailure(now, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second); !ok {
 		t.Error("earlier failures still count")
 	}
-	s.RecoveryInconclusive(now+time.Second, unixSocket)
+	s.RecordInconclusiveRecovery(now+time.Second, unixSocket)
 	if _, ok := s.NextRecoveryDial(now + time.Second + firstBackoff); !ok {
 		t.Error("an inconclusive recovery dial is not repeated")
 	}
--- a/internal/endpoint/example_test.go
+++ b/internal/endpoint/example_test.go
@@ -24,7 +24,7 @@
 	fmt.Println(now, "dial", local)
 
 	now = 10 * time.Millisecond
-	addresses.Failed(now, local)
+	addresses.RecordFailure(now, local)
 	fmt.Println(now, local, "failed, race lost:", race.DialFailed())
 	ipv6, _ := race.Next(now, true)
 	fmt.Println(now, "dial", ipv6)
@@ -38,7 +38,7 @@
 	fmt.Println(now, "dial", ipv4, "beside", ipv6)
 
 	now = 300 * time.Millisecond
-	addresses.Succeeded(now, ipv4)
+	addresses.RecordSuccess(now, ipv4)
 	fmt.Println(now, ipv4, "is first:", race.DialSucceeded())
 	fmt.Println("candidates of the next race:", addresses.Candidates())
 	// Output:
--- a/internal/endpoint/set.go
+++ b/internal/endpoint/set.go
@@ -18,12 +18,12 @@
 // the default order. seed determines the jitter of backoffs.
 func NewAddressSet(seed uint64, prefer ...Network) *AddressSet {
 	s := &AddressSet{seed: seed}
-	s.Prefer(prefer...)
+	s.SetPreference(prefer...)
 	return s
 }
 
-// Prefer replaces the order of networks.
-func (s *AddressSet) Prefer(prefer ...Network) {
+// SetPreference replaces the order of networks.
+func (s *AddressSet) SetPreference(prefer ...Network) {
 	s.preference = nil
 	for _, n := range prefer {
 		s.appendPreference(n)
@@ -46,7 +46,7 @@
 	old := s.states
 	s.states = nil
 	for _, addr := range list {
-		if len(s.states) >= MaxAddresses || s.Has(addr) {
+		if len(s.states) >= MaxAddresses || s.Contains(addr) {
 			continue
 		}
 		state := find(old, addr)
@@ -110,8 +110,8 @@
 
 func (s *AddressSet) find(addr Addr) *addressState { return find(s.states, addr) }
 
-// Has reports whether an address is in the set.
-func (s *AddressSet) Has(addr Addr) bool { return s.find(addr) != nil }
+// Contains reports whether an address is in the set.
+func (s *AddressSet) Contains(addr Addr) bool { return s.find(addr) != nil }
 
 // Len returns how many addresses there are.
 func (s *AddressSet) Len() int { return len(s.states) }
@@ -157,8 +157,8 @@
 	return true
 }
 
-// Unavailable returns how many addresses are unavailable.
-func (s *AddressSet) Unavailable() (count int) {
+// UnavailableCount returns how many addresses are unavailable.
+func (s *AddressSet) UnavailableCount() (count int) {
 	for _, state := range s.states {
 		if state.unavailable {
 			count++
--- a/internal/endpoint/set_test.go
+++ b/internal/endpoint/set_test.go
@@ -44,9 +44,9 @@
 	now := time.Hour
 	for range 200 { // the address fails every 100 ms
 		now += 100 * ms
-		s.Failed(now, unixSocket)
+		s.RecordFailure(now, unixSocket)
 		if a, ok := s.NextRecoveryDial(now + 50*ms); ok {
-			s.Succeeded(now+50*ms, a)
+			s.RecordSuccess(now+50*ms, a)
 		}
 		if s.HasBetter(now+60*ms, ipv4) {
 			t.Fatal("requests return to a flapping address")
@@ -55,15 +55,15 @@
 	if s.find(unixSocket).failures < 4 {
 		t.Errorf("%d failures counted in 20 s of flapping", s.find(unixSocket).failures)
 	}
-	s.Succeeded(now, unixSocket)
+	s.RecordSuccess(now, unixSocket)
 	if s.HasBetter(now+4*time.Second, ipv4) || !s.HasBetter(now+6*time.Second, ipv4) {
 		t.Error("requests don't return after the address has been available for 5 s")
 	}
-	s.Suspect(now+6*time.Second, unixSocket)
+	s.RecordSilence(now+6*time.Second, unixSocket)
 	if s.HasBetter(now+7*time.Second, ipv4) || s.Candidates()[0] != ipv4 {
 		t.Error("an address with a silent connection is better or comes first")
 	}
-	if s.Responded(unixSocket); s.Candidates()[0] != unixSocket {
+	if s.RecordResponse(unixSocket); s.Candidates()[0] != unixSocket {
 		t.Error("an address that has responded is still suspect")
 	}
 	s.Update(now, []Addr{unixSocket})
@@ -77,14 +77,14 @@
 func TestStateBelongsToTheAddress(t *testing.T) {
 	s := NewAddressSet(1)
 	s.Update(0, []Addr{unixSocket, ipv4})
-	s.Failed(0, unixSocket)
+	s.RecordFailure(0, unixSocket)
 	s.Update(0, []Addr{ipv4, unixSocket, ipv6})
-	if s.Unavailable() != 1 {
+	if s.UnavailableCount() != 1 {
 		t.Error("an update of the list clears a failure")
 	}
 	s.Update(0, []Addr{ipv4})
 	s.Update(0, []Addr{ipv4, unixSocket})
-	if s.Unavailable() != 0 {
+	if s.UnavailableCount() != 0 {
 		t.Error("an address that is listed again still has its failure")
 	}
 }
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -59,7 +59,7 @@
 		t.Error("a client's connection is still open")
 	}
 	l.Post(func() { t.Error("a posted function ran after the loop was closed") })
-	if l.CloseIdleClients() {
+	if l.CloseIdleClient() {
 		t.Error("a closed loop closed a client")
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -28,7 +28,7 @@
 	closingAfterFlush bool // the sweep closes it once the peer has read all responses
 	closed            bool // nothing more is written to it or passed to its handler's Data
 	closeReported     bool // the poller has reported that the connection is closed
-	cause             EndCause
+	cause             CloseCause
 }
 
 // newAcceptedConn returns a connection that a listener has accepted. accept is nil if no listener has its address. It
@@ -81,7 +81,7 @@
 func (c *Conn) Close() { c.closeFor(ClosedByHandler) }
 
 // closeFor closes the connection and records the cause, unless it is closed already.
-func (c *Conn) closeFor(cause EndCause) {
+func (c *Conn) closeFor(cause CloseCause) {
 	if !c.state.closed {
 		c.state.cause = cause
 		c.closeWithError(nil)
@@ -218,7 +218,7 @@
 
 // closeIfIdle closes an accepted connection and records the cause, if no response is due on it and no unhandled data
 // has arrived. It reports whether it closed the connection.
-func (c *Conn) closeIfIdle(cause EndCause) bool {
+func (c *Conn) closeIfIdle(cause CloseCause) bool {
 	if c.state.closed || c.owesResponse() {
 		return false
 	}
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// EndCause is the reason why an accepted connection was closed.
-type EndCause uint8
+// CloseCause is the reason why an accepted connection was closed.
+type CloseCause uint8
 
 // Reasons why accepted connections are closed.
 const (
-	ClosedByPeer       EndCause = iota // the peer closed or reset it
-	ClosedByHandler                    // its handler closed it, usually because of an invalid message
-	ClosedForCapacity                  // it was idle, and its connection slot was needed
-	ClosedForTimeout                   // it was idle for too long, or its peer read or wrote too slowly
-	ClosedForShutdown                  // it was idle after CloseClients
-	ClosedAfterFailure                 // a write failed, or all peers together left too many bytes unread
+	ClosedByPeer       CloseCause = iota // the peer closed or reset it
+	ClosedByHandler                      // its handler closed it, usually because of an invalid message
+	ClosedForCapacity                    // it was idle, and its connection slot was needed
+	ClosedForTimeout                     // it was idle for too long, or its peer read or wrote too slowly
+	ClosedForShutdown                    // it was idle after CloseClients
+	ClosedAfterFailure                   // a write failed, or all peers together left too many bytes unread
 	closeCauses
 )
 
 // String returns the cause as it is logged.
-func (e EndCause) String() string {
+func (e CloseCause) String() string {
 	names := [closeCauses]string{"peer", "handler", "room", "timeout", "shutdown", "failure"}
 	if e >= closeCauses {
 		return "unknown"
@@ -37,7 +37,7 @@
 	Turns       uint64
 	LongestTurn time.Duration // since the last call of Loop.Counters
 	PollerCalls uint64        // calls of the poller for a readable socket
-	Ends        [closeCauses]CloseCount
+	Closes      [closeCauses]CloseCount
 }
 
 // countTurn counts a turn and its duration.
@@ -48,7 +48,7 @@
 
 // connectionClosed counts an accepted connection that was closed.
 func (c *Counters) connectionClosed(conn *Conn) {
-	count := &c.Ends[conn.state.cause]
+	count := &c.Closes[conn.state.cause]
 	count.Connections++
 	if conn.handler != nil && conn.isBusy() || conn.UnsentBytes() > 0 {
 		count.ResponseDue++
--- a/internal/eventloop/counters_test.go
+++ b/internal/eventloop/counters_test.go
@@ -7,12 +7,12 @@
 )
 
 // awaitCloseCount waits until a loop has closed connections for a cause, and returns their count.
-func awaitCloseCount(t *testing.T, l *Loop, cause EndCause) CloseCount {
+func awaitCloseCount(t *testing.T, l *Loop, cause CloseCause) CloseCount {
 	t.Helper()
 	for range 2000 {
 		counted := make(chan Counters)
 		l.Post(func() { counted <- l.Counters() })
-		if count := (<-counted).Ends[cause]; count.Connections > 0 {
+		if count := (<-counted).Closes[cause]; count.Connections > 0 {
 			return count
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -25,7 +25,7 @@
 func TestClosesAreCountedByCause(t *testing.T) {
 	closeClient := func(_ *Loop, _ *Conn, client io.Closer) { client.Close() }
 	for _, test := range []struct {
-		cause     EndCause
+		cause     CloseCause
 		busy      bool
 		closeConn func(l *Loop, c *Conn, client io.Closer)
 		want      CloseCount
@@ -33,7 +33,7 @@
 		{ClosedByPeer, false, closeClient, CloseCount{Connections: 1}},
 		{ClosedByPeer, true, closeClient, CloseCount{Connections: 1, ResponseDue: 1}},
 		{ClosedByHandler, true, func(l *Loop, c *Conn, _ io.Closer) { l.Post(c.Close) }, CloseCount{Connections: 1, ResponseDue: 1}},
-		{ClosedForCapacity, false, func(l *Loop, _ *Conn, _ io.Closer) { l.CloseIdleClients() }, CloseCount{Connections: 1}},
+		{ClosedForCapacity, false, func(l *Loop, _ *Conn, _ io.Closer) { l.CloseIdleClient() }, CloseCount{Connections: 1}},
 		{ClosedForShutdown, false, func(l *Loop, _ *Conn, _ io.Closer) { l.Post(l.CloseClients) }, CloseCount{Connections: 1}},
 	} {
 		t.Run(test.cause.String(), func(t *testing.T) {
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	for backoff := initialDialBackoff; ; backoff = min(2*backoff, maxDialBackoff) {
 		socket, err := d.connect(ctx, network, addr, timeout)
-		if !IsLocalFault(err) {
+		if !IsLocalError(err) {
 			return socket, err
 		}
 		if IsDescriptorExhausted(err) && d.idleCloser.closeOne() {
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -77,7 +77,7 @@
 		}
 		l.Dial("tcp", l.Addrs()[0], 50*time.Millisecond, d)
 	})
-	if err := <-d.opened; !IsLocalFault(err) {
+	if err := <-d.opened; !IsLocalError(err) {
 		t.Errorf("dial returned %v, want a local error", err)
 	}
 }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -17,7 +17,7 @@
 //
 // All methods of handlers run on the loop's goroutine, and all methods of [Conn] must be called on it. While a [Loop]
 // runs, any goroutine may call [Loop.Post], [Loop.AcceptedCount] and [Loop.Addrs]; Post is how other goroutines reach
-// the state. Any goroutine except the loop's may call [Loop.CloseIdleClients], which blocks. A handler may keep the
+// the state. Any goroutine except the loop's may call [Loop.CloseIdleClient], which blocks. A handler may keep the
 // bytes that it receives. Buffers that are written belong to the connection until the end of the turn.
 //
 // The state is divided by concern, and each type names its owner:
--- a/internal/eventloop/errors.go
+++ b/internal/eventloop/errors.go
@@ -52,8 +52,8 @@
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// IsLocalFault reports whether an error is caused by this machine and therefore says nothing about the peer.
-func IsLocalFault(err error) bool {
+// IsLocalError reports whether an error is caused by this machine and therefore says nothing about the peer.
+func IsLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -158,10 +158,10 @@
 	l.listeners.closeAll()
 }
 
-// CloseIdleClients closes one idle client to free its descriptor, and reports whether there was one. Clients may use up
+// CloseIdleClient closes one idle client to free its descriptor, and reports whether there was one. Clients may use up
 // all descriptors, but this program must still be able to connect to discovery and the workers. It blocks and must not
 // be called on the event loop.
-func (l *Loop) CloseIdleClients() bool { return l.idleCloser.closeOne() }
+func (l *Loop) CloseIdleClient() bool { return l.idleCloser.closeOne() }
 
 // AcceptedCount returns the number of open accepted connections. Any goroutine may call it.
 func (l *Loop) AcceptedCount() int { return int(l.admission.count.Load()) }
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -70,8 +70,8 @@
 // Addr returns the address that the server listens on.
 func (d *DiscoveryServer) Addr() string { return d.conn.LocalAddr().String() }
 
-// Set replaces the list and returns the serial of the new list.
-func (d *DiscoveryServer) Set(list []Endpoint) uint32 {
+// SetEndpoints replaces the list and returns the serial of the new list.
+func (d *DiscoveryServer) SetEndpoints(list []Endpoint) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.serial++
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -55,7 +55,7 @@
 // openPort starts to listen on an address of a worker.
 func openPort(worker *Worker, address Address) (*Port, error) {
 	p := &Port{Address: address, worker: worker, conns: map[net.Conn]struct{}{}}
-	return p, p.Set(ModeHealthy)
+	return p, p.SetMode(ModeHealthy)
 }
 
 // Mode returns how the address behaves.
@@ -65,9 +65,9 @@
 	return p.mode
 }
 
-// Set changes how the address behaves. Open connections stay open, except in ModeReset. If listening on the address
+// SetMode changes how the address behaves. Open connections stay open, except in ModeReset. If listening on the address
 // fails, the address is left in ModeRefuse. A mode that is not one of Modes is an error.
-func (p *Port) Set(mode PortMode) error {
+func (p *Port) SetMode(mode PortMode) error {
 	if !slices.Contains(Modes, mode) {
 		return fmt.Errorf("mode %q: %w", mode, errUnknownMode)
 	}
@@ -179,7 +179,7 @@
 // shutDown refuses new connections and resets all open ones. It waits for the accepting goroutine, so that a connection
 // that was just accepted is reset too.
 func (p *Port) shutDown() {
-	p.Set(ModeRefuse) // never fails
+	p.SetMode(ModeRefuse) // never fails
 	p.accepting.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -102,7 +102,7 @@
 // Start starts the worker again after Kill, without replicas and on the same addresses.
 func (w *Worker) Start() error {
 	for _, p := range w.ports {
-		if err := p.Set(ModeHealthy); err != nil {
+		if err := p.SetMode(ModeHealthy); err != nil {
 			return err
 		}
 	}
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -119,7 +119,7 @@
 				continue
 			}
 			t.Run(port.Network+" "+string(mode), func(t *testing.T) {
-				if err := port.Set(mode); err != nil {
+				if err := port.SetMode(mode); err != nil {
 					t.Fatal(err)
 				}
 				if got, want := responds(port), mode == ModeHealthy; got != want || port.Mode() != mode {
@@ -127,7 +127,7 @@
 				}
 			})
 		}
-		if err := port.Set(ModeHealthy); err != nil || !responds(port) {
+		if err := port.SetMode(ModeHealthy); err != nil || !responds(port) {
 			t.Errorf("%s does not respond in the healthy mode: %v", port.Network, err)
 		}
 	}
@@ -136,7 +136,7 @@
 func TestPortKeepsItsModeIfTheNewOneIsUnknown(t *testing.T) {
 	site := newSite(t, WorkerConfig{Warm: true}, nil)
 	port := site.Workers[0].Ports()[0]
-	if err := port.Set("well"); !errors.Is(err, errUnknownMode) || port.Mode() != ModeHealthy {
+	if err := port.SetMode("well"); !errors.Is(err, errUnknownMode) || port.Mode() != ModeHealthy {
 		t.Errorf("%v, in mode %s", err, port.Mode())
 	}
 }
--- a/internal/lang/check_test.go
+++ b/internal/lang/check_test.go
@@ -109,7 +109,7 @@
 		t.Fatalf("pools %+v", r.Spec.Pools)
 	}
 	p := r.Spec.Pools[fast]
-	if p.MaxInFlight != 40 || p.LoadShare != 0.3 || p.OverflowRate != 2 || len(p.Workers) != 2 || p.Workers[1].MemoryMB != 8*1073.741824 {
+	if p.MaxInFlight != 40 || p.LoadShare != 0.3 || p.OverflowRate != 2 || len(p.Selectors) != 2 || p.Selectors[1].MemoryMB != 8*1073.741824 {
 		t.Errorf("pool %+v", p)
 	}
 }
--- a/internal/lang/definingline.go
+++ b/internal/lang/definingline.go
@@ -8,8 +8,8 @@
 	"crankhold/internal/lang/syntax"
 )
 
-// definitionLines maps each named block to the lines that define it, in the form that Result.Lines returns: each line
-// is a fault without a message.
+// definitionLines maps each named block to the lines that define it, in the form that Result.DefinitionLines returns:
+// each line is a fault without a message.
 type definitionLines map[blockID][]syntax.Fault
 
 // addBlock adds the first line of a block and the lines of its settings, sorted by setting name.
--- a/internal/lang/load.go
+++ b/internal/lang/load.go
@@ -74,8 +74,8 @@
 // errNotRegularFile is the error for anything but a regular file. Reading a pipe, for example, could block forever.
 var errNotRegularFile = errors.New("it is no regular file")
 
-// readFile reads a file, but at most syntax.MaxBytes and one byte more, which is enough for syntax.Parse to reject a
-// file that is too large.
+// readFile reads a file, but at most syntax.MaxFileBytes and one byte more, which is enough for syntax.Parse to reject
+// a file that is too large.
 func readFile(fsys fs.FS, name string) ([]byte, error) {
 	info, err := fs.Stat(fsys, name)
 	if err != nil {
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, syntax.MaxBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, syntax.MaxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("reading %s: %w", name, err)
 	}
--- a/internal/lang/pool.go
+++ b/internal/lang/pool.go
@@ -55,7 +55,7 @@
 		setOverflow(&spec, b.value(overflowSetting))
 	}
 	for _, selectorBlock := range b.nested {
-		spec.Workers = append(spec.Workers, p.buildSelector(selectorBlock))
+		spec.Selectors = append(spec.Selectors, p.buildSelector(selectorBlock))
 	}
 	p.pools = append(p.pools, builtPool{b, spec})
 }
@@ -126,7 +126,7 @@
 func (p *poolBuilder) checkSelectors(pool builtPool) {
 	checker := selectorChecker{platform: p.platform, workers: p.workers.workers}
 	for i, b := range pool.block.nested {
-		if reason := checker.unsatisfiableReason(pool.spec.Workers[i]); reason != "" {
+		if reason := checker.unsatisfiableReason(pool.spec.Selectors[i]); reason != "" {
 			p.report.fault(b, b.pos, "no worker can be in pool %q by this: %s", pool.spec.Name, reason)
 		}
 	}
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -33,8 +33,9 @@
 	return notIdempotent
 }
 
-// Lines returns the lines that define a block, including inherited settings. Each line is a fault without a message.
-func (r *Result) Lines(kind route.BlockKind, name string) []syntax.Fault {
+// DefinitionLines returns the lines that define a block, including inherited settings. Each line is a fault without a
+// message.
+func (r *Result) DefinitionLines(kind route.BlockKind, name string) []syntax.Fault {
 	return r.linesByBlock[blockID{string(kind), name}]
 }
 
--- a/internal/lang/result_test.go
+++ b/internal/lang/result_test.go
@@ -14,7 +14,7 @@
 func TestLinesIncludeInheritedSettings(t *testing.T) {
 	r := mustCheck(t, testFiles, "deploy", nil)
 	var lines []string
-	for _, f := range r.Lines(route.PolicyBlock, "quick") {
+	for _, f := range r.DefinitionLines(route.PolicyBlock, "quick") {
 		lines = append(lines, f.Pos.String()+" "+f.Line)
 	}
 	want := []string{
--- a/internal/lang/syntax/parser.go
+++ b/internal/lang/syntax/parser.go
@@ -5,7 +5,7 @@
 // Parse parses a file; name is the file's name in positions. It always returns a tree of what could be parsed, the
 // source that callers need to report further faults, and all syntax faults in the file.
 func Parse(name string, text []byte) (*File, *Source, Faults) {
-	if len(text) > MaxBytes {
+	if len(text) > MaxFileBytes {
 		fault := Fault{Pos: Pos{name, 1, 1}, Msg: "the file is larger than 4 MiB"}
 		return &File{Name: name}, NewSource(name, nil), Faults{fault}
 	}
--- a/internal/lang/syntax/source.go
+++ b/internal/lang/syntax/source.go
@@ -8,7 +8,7 @@
 
 // Limits on one file. A file that exceeds a limit gets one fault, which states the limit.
 const (
-	MaxBytes     = 4 << 20 // length of a file in bytes
+	MaxFileBytes = 4 << 20 // length of a file in bytes
 	MaxLineBytes = 4 << 10 // length of a line in bytes
 	MaxDepth     = 8       // levels of nested blocks
 	MaxFaults    = 100     // reported faults per file
@@ -20,9 +20,9 @@
 	lines []string
 }
 
-// NewSource splits text into lines. It ignores what exceeds MaxBytes.
+// NewSource splits text into lines. It ignores what exceeds MaxFileBytes.
 func NewSource(name string, text []byte) *Source {
-	text = text[:min(len(text), MaxBytes)]
+	text = text[:min(len(text), MaxFileBytes)]
 	return &Source{name, strings.Split(withoutByteOrderMark(text), "\n")}
 }
 
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -71,7 +71,7 @@
 		Zone:     b.value(zoneSetting).text,
 		Cell:     route.UnknownCell,
 		MemoryMB: b.value(memorySetting).number,
-		Same:     b.value(sameAsSetting).text,
+		AliasOf:  b.value(sameAsSetting).text,
 		At:       fileLine(b.pos),
 	}
 	if b.hasValue(cellSetting) {
--- a/internal/modelcheck/search.go
+++ b/internal/modelcheck/search.go
@@ -41,7 +41,7 @@
 		maxStates:  maxStates,
 		goroutines: goroutines,
 		seen:       map[stateKey]bool{},
-		result:     Result{States: 1, Whole: true},
+		result:     Result{States: 1, Complete: true},
 	}
 	for level := []path{nil}; len(level) > 0; s.result.Depth++ {
 		next, done := s.collect(s.expand(level))
@@ -92,7 +92,7 @@
 			continue
 		}
 		if s.result.States >= s.maxStates {
-			s.result.Whole = false
+			s.result.Complete = false
 			return nil, true
 		}
 		s.seen[t.key] = true
--- a/internal/modelcheck/search_test.go
+++ b/internal/modelcheck/search_test.go
@@ -70,7 +70,7 @@
 
 func TestSearchSeesTheWholeScope(t *testing.T) {
 	r := searchCounters(counters{limit: 4, forbidden: neverForbidden}, 1000, 1)
-	if r.States != 25 || !r.Whole || r.Err != nil {
+	if r.States != 25 || !r.Complete || r.Err != nil {
 		t.Error(r)
 	}
 }
@@ -103,7 +103,7 @@
 
 func TestSearchStopsWhereTheScopeIsTooLarge(t *testing.T) {
 	r := searchCounters(counters{limit: 40, forbidden: neverForbidden}, 100, 2)
-	if r.Whole || r.States != 100 {
+	if r.Complete || r.States != 100 {
 		t.Error(r)
 	}
 }
--- a/internal/modelcheck/system.go
+++ b/internal/modelcheck/system.go
@@ -28,14 +28,14 @@
 	States      int // with different keys
 	Transitions int
 	Depth       int      // steps of the longest trace
-	Whole       bool     // whether all states within the scope were seen
+	Complete    bool     // whether all states within the scope were seen
 	Trace       []string // the shortest trace to a broken property
 	Err         error    // the broken property, or nil
 }
 
 // String returns the counts on one line, followed by the trace to the broken property if there is one.
 func (r Result) String() string {
-	s := fmt.Sprintf("states=%d transitions=%d depth=%d whole=%v", r.States, r.Transitions, r.Depth, r.Whole)
+	s := fmt.Sprintf("states=%d transitions=%d depth=%d whole=%v", r.States, r.Transitions, r.Depth, r.Complete)
 	if r.Err != nil {
 		s += fmt.Sprintf("\n%v after\n  %s", r.Err, strings.Join(r.Trace, "\n  "))
 	}
--- a/internal/route/describe.go
+++ b/internal/route/describe.go
@@ -28,13 +28,13 @@
 // selects reports whether a worker belongs to the pool.
 func (s PoolSpec) selects(w Worker) bool {
 	matches := func(selector Selector) bool { return selector.Matches(w) }
-	return len(s.Workers) == 0 || slices.ContainsFunc(s.Workers, matches)
+	return len(s.Selectors) == 0 || slices.ContainsFunc(s.Selectors, matches)
 }
 
 // description describes the workers and the limits in canonical order, without the names of pools.
 func (s PoolSpec) description() string {
 	var selectors []string
-	for _, selector := range s.Workers {
+	for _, selector := range s.Selectors {
 		selectors = append(selectors, selector.String())
 	}
 	return fmt.Sprintf("workers %s, %s", strings.Join(sortedUnique(selectors), " or "), s.limits())
--- a/internal/route/example_test.go
+++ b/internal/route/example_test.go
@@ -16,7 +16,7 @@
 	}
 	spec := &route.Spec{
 		Pools: []route.PoolSpec{
-			{Name: "large", Workers: []route.Selector{{Kinds: []string{"large-worker"}}},
+			{Name: "large", Selectors: []route.Selector{{Kinds: []string{"large-worker"}}},
 				MaxInFlight: 40, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset},
 			{Name: "all", MaxInFlight: route.Unset, LoadShare: route.Unset, OverflowShare: route.Unset, OverflowRate: route.Unset},
 		},
--- a/internal/route/overflow.go
+++ b/internal/route/overflow.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	if float64(p.recentOverflows.upperBound(now)+1) > p.maxOverflows(now) {
-		p.CapacityExceeded++
+		p.OverflowsDenied++
 		return nil
 	}
 	p.Overflows++
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -22,15 +22,15 @@
 
 // poolCounters holds the counters of a pool. Table.CarryOver passes them to the pool of a new table.
 type poolCounters struct {
-	inFlight         int // attempts in flight
-	peak             int // highest inFlight
-	recentRequests   *slidingWindow
-	recentOverflows  *slidingWindow
-	ownLoads         *slidingWindow
-	Requests         uint64 // routed here, or overflowed from another pool
-	Overflows        uint64 // requests that went to the fallback
-	Loads            uint64 // load commands
-	CapacityExceeded uint64 // requests that could not overflow because the overflow limit was reached
+	inFlight        int // attempts in flight
+	peak            int // highest inFlight
+	recentRequests  *slidingWindow
+	recentOverflows *slidingWindow
+	ownLoads        *slidingWindow
+	Requests        uint64 // routed here, or overflowed from another pool
+	Overflows       uint64 // requests that went to the fallback
+	Loads           uint64 // load commands
+	OverflowsDenied uint64 // requests that could not overflow because the overflow limit was reached
 }
 
 func newPoolCounters(loadWindow time.Duration) *poolCounters {
@@ -70,5 +70,5 @@
 	p.peak = max(p.peak, p.inFlight)
 }
 
-// AttemptFinished counts an attempt as no longer in flight. It is called once for each AttemptStarted.
-func (p *Pool) AttemptFinished() { p.inFlight-- }
+// AttemptCompleted counts an attempt as no longer in flight. It is called once for each AttemptStarted.
+func (p *Pool) AttemptCompleted() { p.inFlight-- }
--- a/internal/route/pool_test.go
+++ b/internal/route/pool_test.go
@@ -75,7 +75,7 @@
 			overflowed++
 		}
 	}
-	if overflowed < 480 || p.Overflows != uint64(overflowed) || p.CapacityExceeded != uint64(1000-overflowed) {
+	if overflowed < 480 || p.Overflows != uint64(overflowed) || p.OverflowsDenied != uint64(1000-overflowed) {
 		t.Errorf("%d of 1000 requests overflowed, want nearly 500", overflowed)
 	}
 }
@@ -128,7 +128,7 @@
 		}
 	}
 	for range 4 {
-		old.pool("a").AttemptFinished() // these attempts started under the old table
+		old.pool("a").AttemptCompleted() // these attempts started under the old table
 		if next.pool("a").HasCapacity() && next.pool("a").InFlight() >= 2 {
 			t.Error("the pool has capacity beyond the lowered limit")
 		}
@@ -160,7 +160,7 @@
 	}
 	for _, c := range cases {
 		p := unlimitedPool(c.name)
-		p.Workers = []Selector{c.selector}
+		p.Selectors = []Selector{c.selector}
 		s.Pools = append(s.Pools, p)
 	}
 	table := mustCompile(t, s)
--- a/internal/route/spec.go
+++ b/internal/route/spec.go
@@ -37,7 +37,7 @@
 // PoolSpec defines which workers belong to a pool, and the pool's limits.
 type PoolSpec struct {
 	Name        string
-	Workers     []Selector // a worker belongs if any of them matches; none: all workers
+	Selectors   []Selector // a worker belongs if any of them matches; none: all workers
 	MaxInFlight int        // attempts in flight; Unset: no limit
 	LoadShare   float64    // fraction of the load budget; Unset: what the others leave, shared by all such pools
 	Fallback    string     // pool that takes the requests that this one can't; "": none
--- a/internal/route/worker.go
+++ b/internal/route/worker.go
@@ -20,7 +20,7 @@
 	Labels   map[string]string
 	Addrs    []endpoint.Addr    // addresses in addition to those of the endpoint list
 	Prefer   []endpoint.Network // networks in order of preference
-	Same     string             // name of the worker that this one is an alias of
+	AliasOf  string             // name of the worker that this one is an alias of
 	At       string             // file:line
 }
 
--- a/internal/router/accept.go
+++ b/internal/router/accept.go
@@ -30,7 +30,7 @@
 // about to exit. The decision module does not see the request.
 func (t *requestTracker) rejectAtCapacity(r Request) {
 	t.counters.Accepted[r.Front]++
-	t.counters.RejectedUnaccepted[r.Front]++
+	t.counters.RejectedAtCapacity[r.Front]++
 	t.reject(r)
 }
 
--- a/internal/router/accept_test.go
+++ b/internal/router/accept_test.go
@@ -13,7 +13,7 @@
 func TestDrainingCoreRejectsNewRequests(t *testing.T) {
 	core, workers := newTestCore(t, 1)
 	core.SetEndpoints(readyWorkers(1))
-	core.RejectNew()
+	core.RejectNewRequests()
 	responder := &recordingResponder{}
 	core.Accept(start, Request{Responder: responder, Class: 1, Function: Function{ID: 7}, Deadline: start + 3*time.Second})
 	core.Process(start)
@@ -156,7 +156,7 @@
 	}
 	small, responder := send("small", 1)
 	wantResponses(t, responder, 1)
-	if small != 0 || responder.responses[0].Status != Rejected || core.Counters.RejectedUnaccepted[Thrift] != 1 {
+	if small != 0 || responder.responses[0].Status != Rejected || core.Counters.RejectedAtCapacity[Thrift] != 1 {
 		t.Fatalf("one byte more: request %d, response %+v", small, responder.responses[0])
 	}
 	core.CancelRequest(start, large)
@@ -221,7 +221,7 @@
 			for _, attempt := range workers.started[id] {
 				core.AttemptCompleted(attempt, AttemptResult{Outcome: policy.Failed})
 			}
-			core.RejectUnaccepted(start, Request{Responder: &recordingResponder{}, ID: "b"})
+			core.RejectAtCapacity(start, Request{Responder: &recordingResponder{}, ID: "b"})
 			want := []string{"a failed", "a " + test.want, "b refused"}
 			if !slices.Equal(completions, want) {
 				t.Errorf("completions %q, want %q", completions, want)
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -12,14 +12,14 @@
 	now := t.timers.now
 	attempt := tracked.addAttempt(action.Worker, now)
 	budget := tracked.request.Deadline - now
-	if action.Limit > 0 {
-		budget = min(budget, action.Limit)
+	if action.Timeout > 0 {
+		budget = min(budget, action.Timeout)
 	}
 	if budget <= 0 || !t.mayStart(tracked, attempt) {
 		t.attemptCompleted(attempt, AttemptResult{Outcome: policy.NotSent})
 		return
 	}
-	if budget == action.Limit { // otherwise the request's deadline is earlier
+	if budget == action.Timeout { // otherwise the request's deadline is earlier
 		tracked.attempts[attempt.Number].timeout = t.timers.addAttemptTimeout(attempt, budget)
 	}
 	tracked.request.SendBy = 0
@@ -52,15 +52,15 @@
 		t.respondServed(tracked, result.Body)
 	}
 	t.events.add(policy.AttemptCompleted{
-		Request:     a.Request,
-		Attempt:     a.Number,
-		Worker:      attempt.worker,
-		Outcome:     result.Outcome,
-		LoadStatus:  result.LoadStatus,
-		Concurrency: result.Concurrency,
-		Closed:      tracked.completed,
-		Took:        t.timers.now - attempt.startedAt,
-		Report:      result.LoadReport,
+		Request:       a.Request,
+		Attempt:       a.Number,
+		Worker:        attempt.worker,
+		Outcome:       result.Outcome,
+		LoadStatus:    result.LoadStatus,
+		Concurrency:   result.Concurrency,
+		RequestClosed: tracked.completed,
+		Took:          t.timers.now - attempt.startedAt,
+		Report:        result.LoadReport,
 	})
 	if served {
 		t.withdrawUnsentAttempts(tracked)
--- a/internal/router/attempts_test.go
+++ b/internal/router/attempts_test.go
@@ -231,7 +231,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			core, workers := newTestCore(t, 1)
 			id, _ := sendTestRequest(t, core, workers)
-			core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: test.limit})
+			core.execute(policy.StartAttempt{Request: id, Worker: 2, Timeout: test.limit})
 			core.SetNow(start + 100*ms)
 			core.fireDueTimers()
 			if timedOut := core.Counters.AttemptsByOutcome[policy.TimedOut]; timedOut != test.wantTimedOut {
@@ -249,7 +249,7 @@
 	core, workers := newTestCore(t, 1)
 	id, _ := sendTestRequest(t, core, workers)
 	timers := core.timers.heap.Len()
-	core.execute(policy.StartAttempt{Request: id, Worker: 2, Limit: 100 * ms})
+	core.execute(policy.StartAttempt{Request: id, Worker: 2, Timeout: 100 * ms})
 	if core.timers.heap.Len() != timers+1 {
 		t.Fatalf("%d timers, want %d", core.timers.heap.Len(), timers+1)
 	}
--- a/internal/router/commands.go
+++ b/internal/router/commands.go
@@ -134,7 +134,7 @@
 	if command == nil {
 		return
 	}
-	t.workers.AbandonCommand(command.worker, id)
+	t.workers.CancelCommand(command.worker, id)
 	switch command.kind {
 	case loadCommand:
 		t.loadCompleted(id, policy.TimedOut, 0)
--- a/internal/router/core.go
+++ b/internal/router/core.go
@@ -88,8 +88,8 @@
 	return c.requests.accept(r)
 }
 
-// RejectUnaccepted rejects a request because a front has no capacity for it. The decision module does not see it.
-func (c *Core) RejectUnaccepted(now time.Duration, r Request) {
+// RejectAtCapacity rejects a request because a front has no capacity for it. The decision module does not see it.
+func (c *Core) RejectAtCapacity(now time.Duration, r Request) {
 	c.SetNow(now)
 	c.requests.rejectAtCapacity(r)
 }
@@ -100,13 +100,13 @@
 	c.requests.cancel(id)
 }
 
-// RejectNew makes the core reject all further requests. It is called before the process exits, because the process
-// cannot exit while clients keep sending requests.
-func (c *Core) RejectNew() { c.requests.rejectNew = true }
+// RejectNewRequests makes the core reject all further requests. It is called before the process exits, because the
+// process cannot exit while clients keep sending requests.
+func (c *Core) RejectNewRequests() { c.requests.rejectNew = true }
 
-// EndOpenRequests completes each open request now, with the response that it would get at its deadline. It is called
-// before the process exits.
-func (c *Core) EndOpenRequests() { c.requests.completeOpenRequests() }
+// CompleteOpenRequests completes each open request now, with the response that it would get at its deadline. It is
+// called before the process exits.
+func (c *Core) CompleteOpenRequests() { c.requests.completeOpenRequests() }
 
 // OpenRequests returns the number of requests without a final response.
 func (c *Core) OpenRequests() int { return c.requests.table.openCount }
@@ -124,7 +124,7 @@
 
 // MaySendLoad reports whether a load command that waited for a connection may be sent now.
 func (c *Core) MaySendLoad(commandID uint64) bool {
-	return c.commands.isPendingLoad(commandID) && c.policy.MayStillLoad(c.timers.now)
+	return c.commands.isPendingLoad(commandID) && c.policy.AllowsQueuedLoad(c.timers.now)
 }
 
 // HealthCheckCompleted reports the outcome of a health check, and the worker's load report in the order of
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -12,7 +12,7 @@
 	Rejected           [frontCount]uint64 // rejected for other reasons than the two below
 	Failed             [frontCount]uint64 // completed with status Failed
 	Canceled           [frontCount]uint64 // canceled by their clients
-	RejectedUnaccepted [frontCount]uint64 // rejected because the core or the front had no capacity
+	RejectedAtCapacity [frontCount]uint64 // rejected because the core or the front had no capacity
 	RejectedUnrouted   [frontCount]uint64 // rejected because no route matched, or one without a pool
 
 	AttemptsStarted uint64 // attempts passed to the worker client
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -27,7 +27,7 @@
 func (c *printingWorkerClient) CancelAttempt(policy.WorkerID, router.Attempt)             {}
 func (c *printingWorkerClient) WithdrawUnsent(policy.WorkerID, router.Attempt) bool       { return false }
 func (c *printingWorkerClient) Load(policy.WorkerID, policy.FunctionID, int, uint64)      {}
-func (c *printingWorkerClient) AbandonCommand(policy.WorkerID, uint64)                    {}
+func (c *printingWorkerClient) CancelCommand(policy.WorkerID, uint64)                     {}
 func (c *printingWorkerClient) Unload(worker policy.WorkerID, function policy.FunctionID) {}
 func (c *printingWorkerClient) CheckHealth(worker policy.WorkerID, commandID uint64)      {}
 func (c *printingWorkerClient) CloseIdle(worker policy.WorkerID)                          {}
--- a/internal/router/fakes_test.go
+++ b/internal/router/fakes_test.go
@@ -71,8 +71,8 @@
 	f.healthChecks[commandID] = true
 }
 
-// AbandonCommand implements WorkerClient.
-func (f *fakeWorkerClient) AbandonCommand(_ policy.WorkerID, commandID uint64) {
+// CancelCommand implements WorkerClient.
+func (f *fakeWorkerClient) CancelCommand(_ policy.WorkerID, commandID uint64) {
 	delete(f.loads, commandID)
 	delete(f.healthChecks, commandID)
 }
--- a/internal/router/routes_test.go
+++ b/internal/router/routes_test.go
@@ -16,7 +16,7 @@
 	pool := func(name, worker string, maxInFlight int) route.PoolSpec {
 		return route.PoolSpec{
 			Name:          name,
-			Workers:       []route.Selector{{IDs: []string{worker}}},
+			Selectors:     []route.Selector{{IDs: []string{worker}}},
 			MaxInFlight:   maxInFlight,
 			LoadShare:     route.Unset,
 			OverflowShare: route.Unset,
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -49,7 +49,7 @@
 func (q *timerQueue) popDue() (*timerEntry, bool) { return q.heap.PopDue(q.now) }
 
 // next returns the time at which the first timer is due. It returns false if no timer is set.
-func (q *timerQueue) next() (due time.Duration, ok bool) { return q.heap.Next() }
+func (q *timerQueue) next() (due time.Duration, ok bool) { return q.heap.NextDue() }
 
 // remove removes a timer before it fires. It does nothing for nil and for a timer that has fired.
 func (q *timerQueue) remove(entry *timerEntry) { q.heap.Remove(entry) }
--- a/internal/router/workerclient.go
+++ b/internal/router/workerclient.go
@@ -20,9 +20,9 @@
 	// Load sends a command to have count replicas of a function at a worker. If count is 0, the command only asks how
 	// many replicas there are.
 	Load(worker policy.WorkerID, function policy.FunctionID, count int, commandID uint64)
-	// AbandonCommand cancels a load command or health check that has timed out. The client does not report its
+	// CancelCommand cancels a load command or health check that has timed out. The client does not report its
 	// completion.
-	AbandonCommand(worker policy.WorkerID, commandID uint64)
+	CancelCommand(worker policy.WorkerID, commandID uint64)
 	// Unload sends a command to unload the idle replicas of a function at a worker. The worker does not respond to it.
 	Unload(worker policy.WorkerID, function policy.FunctionID)
 	// CheckHealth sends a health check to a worker, which responds with its load report.
--- a/internal/server/build.go
+++ b/internal/server/build.go
@@ -41,7 +41,7 @@
 	s.loop = newEventLoop(cfg, s.logger)
 	s.core = s.newCore(scheduler)
 	membership := newMembership(s.loop, s.core, s.workers, cfg, s.logger)
-	addresses, err := readAddresses(options.Addresses)
+	addresses, err := readAddresses(options.AddressesFile)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/server/client_gone_test.go
+++ b/internal/server/client_gone_test.go
@@ -35,7 +35,7 @@
 			limits := document["settings"].(map[string]any)["limits"].(map[string]any)
 			limits["cancel"], limits["dialTimeoutMs"] = tt.cancel, 20000
 			port := site.Workers[0].Ports()[0]
-			if err := port.Set(fake.ModeBacklogFull); err != nil {
+			if err := port.SetMode(fake.ModeBacklogFull); err != nil {
 				t.Fatal(err)
 			}
 			server := startServer(t, document, Options{})
@@ -57,7 +57,7 @@
 			responses := make(chan fake.Response, 1)
 			staying.Go(kept, func(response fake.Response, _ error) { responses <- response })
 			checkHealth(staying)
-			if err := port.Set(fake.ModeHealthy); err != nil {
+			if err := port.SetMode(fake.ModeHealthy); err != nil {
 				t.Fatal(err)
 			}
 			if response := <-responses; response.Status != "served" {
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -41,7 +41,7 @@
 			slog.Uint64("rejected", counters.Rejected[front]),
 			slog.Uint64("failed", counters.Failed[front]),
 			slog.Uint64("canceled", counters.Canceled[front]),
-			slog.Uint64("rejected_at_capacity", counters.RejectedUnaccepted[front]),
+			slog.Uint64("rejected_at_capacity", counters.RejectedAtCapacity[front]),
 			slog.Uint64("rejected_unrouted", counters.RejectedUnrouted[front]))
 	}
 }
@@ -78,12 +78,12 @@
 		slog.Uint64("turns", counters.Turns),
 		slog.Int64("longest_turn_us", counters.LongestTurn.Microseconds()),
 		slog.Uint64("poller_calls", counters.PollerCalls))
-	for cause, count := range counters.Ends {
+	for cause, count := range counters.Closes {
 		if count.Connections == 0 {
 			continue
 		}
 		logCounterLine(s.logger,
-			slog.String("ended_by", eventloop.EndCause(cause).String()),
+			slog.String("ended_by", eventloop.CloseCause(cause).String()),
 			slog.Uint64("connections", count.Connections),
 			slog.Uint64("response_due", count.ResponseDue))
 	}
@@ -103,7 +103,7 @@
 			slog.Int("in_flight", pool.InFlight()),
 			slog.Int("peak", pool.Peak()),
 			slog.Uint64("overflows", pool.Overflows),
-			slog.Uint64("overflows_denied", pool.CapacityExceeded),
+			slog.Uint64("overflows_denied", pool.OverflowsDenied),
 			slog.Uint64("loads_sent", pool.Loads))
 	}
 }
--- a/internal/server/goroutines_test.go
+++ b/internal/server/goroutines_test.go
@@ -83,7 +83,7 @@
 	writeText(t, filepath.Join(dir, "hook.key"), "whsec_"+strings.Repeat("aaaa", 16)+"\n")
 	writeText(t, webhookFile, fmt.Sprintf("[receiver]\nenabled = true\nlisten = \"127.0.0.1:0\"\nkeys = [{ file = %q }]\n[receiver.ledger]\npath = %q\n",
 		filepath.Join(dir, "hook.key"), filepath.Join(dir, "orders.ledger")))
-	if err := Serve(cfg, Options{Webhook: webhookFile}, nil); !errors.Is(err, syscall.EADDRNOTAVAIL) {
+	if err := Serve(cfg, Options{WebhookFile: webhookFile}, nil); !errors.Is(err, syscall.EADDRNOTAVAIL) {
 		t.Fatalf("listening on an address of another machine: %v", err)
 	}
 	waitForNoOwnGoroutines(t)
--- a/internal/server/integrations.go
+++ b/internal/server/integrations.go
@@ -41,10 +41,10 @@
 // addWebhooks creates the webhook receiver and the sender of notices that the webhook file enables. Without a file name
 // it does nothing.
 func (n *integrations) addWebhooks(options Options, cfg *config.Config, loop *eventloop.Loop, core *router.Core) error {
-	if options.Webhook == "" {
+	if options.WebhookFile == "" {
 		return nil
 	}
-	webhookConfig, err := webhook.ReadConfig(options.Webhook)
+	webhookConfig, err := webhook.ReadConfig(options.WebhookFile)
 	if err != nil {
 		return err
 	}
@@ -61,10 +61,10 @@
 
 // addExport creates the export of flow records if the export file enables it. Without a file name it does nothing.
 func (n *integrations) addExport(options Options, cfg *config.Config, loop *eventloop.Loop) error {
-	if options.Export == "" {
+	if options.ExportFile == "" {
 		return nil
 	}
-	exportConfig, err := ipfix.ReadConfig(options.Export)
+	exportConfig, err := ipfix.ReadConfig(options.ExportFile)
 	if err != nil || !exportConfig.Enabled {
 		return err
 	}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -142,9 +142,9 @@
 	entries := make([]endpoint.Entry, len(m.list))
 	for i, worker := range m.list {
 		entries[i] = endpoint.Entry{
-			Name:   worker.Name,
-			Addrs:  slices.Concat(worker.Addrs, static[i].Addrs),
-			SameAs: static[i].Same,
+			Name:    worker.Name,
+			Addrs:   slices.Concat(worker.Addrs, static[i].Addrs),
+			AliasOf: static[i].AliasOf,
 		}
 	}
 	var merged []mergedWorker
--- a/internal/server/options.go
+++ b/internal/server/options.go
@@ -9,15 +9,16 @@
 // Options holds the files that a server reads in addition to the platform's configuration, and the channels that stop
 // it. An empty file name disables what the file configures.
 type Options struct {
-	// Webhook names the file that configures the webhook receiver and the sender of notices.
-	Webhook string
-	// Export names the file that configures the export of flow records.
-	Export string
-	// Routes names the routes file.
-	Routes string
-	// Addresses names the file that configures how workers' addresses are found.
-	Addresses string
-	// RoutesOptional makes a routes file that does not exist equal to an empty Routes, at the start and at a reload.
+	// WebhookFile names the file that configures the webhook receiver and the sender of notices.
+	WebhookFile string
+	// ExportFile names the file that configures the export of flow records.
+	ExportFile string
+	// RoutesFile names the routes file.
+	RoutesFile string
+	// AddressesFile names the file that configures how workers' addresses are found.
+	AddressesFile string
+	// RoutesOptional makes a routes file that does not exist equal to an empty RoutesFile, at the start and at a
+	// reload.
 	RoutesOptional bool
 	// Stop starts a graceful shutdown when it is closed, like SIGTERM. It may be nil.
 	Stop <-chan struct{}
--- a/internal/server/process_test.go
+++ b/internal/server/process_test.go
@@ -101,7 +101,7 @@
 	if err != nil || response.Status != "served" {
 		t.Fatalf("with idle clients: %+v, %v", response, err)
 	}
-	site.Discovery.Set(site.Endpoints())
+	site.Discovery.SetEndpoints(site.Endpoints())
 	config["names"] = newAddr
 	writeConfig(t, p.config, config)
 	openIdle()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -68,7 +68,7 @@
 func (r *reloader) rereadConfig() (*config.Config, error) {
 	newConfig, err := r.reread()
 	for range maxRereadRetries {
-		if !eventloop.IsDescriptorExhausted(err) || !r.loop.CloseIdleClients() {
+		if !eventloop.IsDescriptorExhausted(err) || !r.loop.CloseIdleClient() {
 			break
 		}
 		newConfig, err = r.reread()
@@ -86,7 +86,7 @@
 	newConfig := result.config
 	r.logger.Info("config_reloaded", slog.String("names", newConfig.DiscoveryAddr))
 	r.discovery.SetServer(r.loop.Now(), newConfig.DiscoveryAddr)
-	if changed := r.config.NeedsRestart(newConfig); len(changed) > 0 {
+	if changed := r.config.KeysNeedingRestart(newConfig); len(changed) > 0 {
 		r.logger.Warn("config_restart_required", slog.Any("settings", changed))
 	}
 	if result.routesErr != nil {
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -31,10 +31,10 @@
 // readRoutes reads and compiles the routes file, and logs the checker's notes. It returns a nil table if there is no
 // routes file. It blocks while it reads.
 func (r *reloader) readRoutes() (*route.Table, error) {
-	if r.options.Routes == "" {
+	if r.options.RoutesFile == "" {
 		return nil, nil
 	}
-	result, err := CheckRoutesFile(r.options.Routes, r.config.RoutingPlatform())
+	result, err := CheckRoutesFile(r.options.RoutesFile, r.config.RoutingPlatform())
 	if r.options.RoutesOptional && errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -43,7 +43,7 @@
 			"route \"dims\" {\n\tclass = \"dim-level\"\n\tpool = %q\n}\nroute \"checks\" {\n\tclass = \"fault-check\"\n\tpool = %q\n}\n", dimPool, checkPool)
 	}
 	writeText(t, routes, text("large", "small"))
-	server := startServerWithFile(t, configPath, Options{Routes: routes})
+	server := startServerWithFile(t, configPath, Options{RoutesFile: routes})
 	client := server.dial()
 	n := 0
 	send := func(class string) (status, worker string) {
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -44,14 +44,14 @@
 	for s.lifecycle.advance(now, s.drained()) {
 		switch s.lifecycle.state {
 		case closing:
-			s.core.EndOpenRequests()
+			s.core.CompleteOpenRequests()
 			s.loop.CloseClients()
 		case stopped:
 			s.stop()
 		}
 	}
 	if s.lifecycle.rejectsNewRequests(now) {
-		s.core.RejectNew()
+		s.core.RejectNewRequests()
 	}
 	return now + drainCheckInterval
 }
--- a/internal/server/soak_test.go
+++ b/internal/server/soak_test.go
@@ -106,9 +106,9 @@
 			s.t.Log(err)
 		}
 	case 4:
-		port.Set(fake.Modes[s.random.IntN(len(fake.Modes))])
+		port.SetMode(fake.Modes[s.random.IntN(len(fake.Modes))])
 	case 5:
-		port.Set(fake.ModeHealthy)
+		port.SetMode(fake.ModeHealthy)
 	case 6:
 		fails := s.random.IntN(2) == 0
 		worker.FailRequests(func(string) bool { return fails })
@@ -131,7 +131,7 @@
 	for i := range entries {
 		entries[i].Draining = entries[i].Name == worker.Name
 	}
-	s.site.Discovery.Set(entries)
+	s.site.Discovery.SetEndpoints(entries)
 	const announceDelay, gracePeriod = 1500 * time.Millisecond, time.Second
 	s.drainDeadlines[worker.Name] = time.Now().Add(announceDelay + gracePeriod + busyMachineSlack)
 }
--- a/internal/simulation/router.go
+++ b/internal/simulation/router.go
@@ -101,7 +101,7 @@
 func (r *Router) Terminate(gracePeriod time.Duration) {
 	r.fleet.After(gracePeriod, func() {
 		r.rejectsNew = true
-		r.core.RejectNew()
+		r.core.RejectNewRequests()
 		r.exitWhenDrained()
 	})
 }
@@ -244,8 +244,8 @@
 // WithdrawUnsent implements router.WorkerClient. It returns false, because every message is sent immediately.
 func (r *Router) WithdrawUnsent(policy.WorkerID, router.Attempt) bool { return false }
 
-// AbandonCommand implements router.WorkerClient. It does nothing, because no state of a command is kept.
-func (r *Router) AbandonCommand(policy.WorkerID, uint64) {}
+// CancelCommand implements router.WorkerClient. It does nothing, because no state of a command is kept.
+func (r *Router) CancelCommand(policy.WorkerID, uint64) {}
 
 // CloseIdle implements router.WorkerClient. It does nothing, because there are no connections.
 func (r *Router) CloseIdle(policy.WorkerID) {}
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -122,7 +122,7 @@
 	e := policy.AttemptCompleted{Request: d.request()}
 	e.Worker = d.worker()
 	e.LoadStatus, e.Concurrency = loadStatus(d.uint8())
-	e.Closed = d.uint8() != 0
+	e.RequestClosed = d.uint8() != 0
 	e.Outcome = d.outcome()
 	e.Attempt = int(d.uint16())
 	e.Took = d.duration()
--- a/internal/simulator/events_test.go
+++ b/internal/simulator/events_test.go
@@ -13,7 +13,7 @@
 	const w = policy.WorkerID(0x0a9011f22354)
 	for text, want := range map[string]any{
 		"02 0003 5d3a91c4 0a9011f22354 0b 01 00 0002 4032800000000000 01 40000000": policy.AttemptCompleted{
-			Request: 0x5d3a91c4, Attempt: 2, Worker: w, LoadStatus: policy.WaitedForLoad, Concurrency: 1, Closed: true,
+			Request: 0x5d3a91c4, Attempt: 2, Worker: w, LoadStatus: policy.WaitedForLoad, Concurrency: 1, RequestClosed: true,
 			Took: 18500 * time.Microsecond, Report: []float64{2}},
 		"0b 0003 0a9011f22354 0000007c55d20a01 00 4084000000000000 01": policy.LoadCompleted{
 			Worker: w, Function: 0x7c55d20a01, Took: 640 * time.Millisecond, Count: 1},
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -24,7 +24,7 @@
 	case policy.StartAttempt:
 		e.beginRequestRecord(codeStartAttempt, instance, a.Request)
 		e.worker(a.Worker)
-		e.duration(a.Limit)
+		e.duration(a.Timeout)
 	case policy.CancelAttempt:
 		e.beginRequestRecord(codeCancelAttempt, instance, a.Request)
 		e.uint16(uint16(a.Attempt))
--- a/internal/simulator/reply_test.go
+++ b/internal/simulator/reply_test.go
@@ -11,7 +11,7 @@
 // A reply is a frame with the actions of all instances in the order in which they were added.
 func TestSampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, []policy.Action{policy.StartAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Limit: 80 * time.Millisecond},
+	r.Add(3, []policy.Action{policy.StartAttempt{Request: 0x5d3a91c4, Worker: 0x0a124a07232b, Timeout: 80 * time.Millisecond},
 		policy.SetTimer{After: 500 * time.Millisecond, Token: 77}})
 	r.Add(5, []policy.Action{policy.Log{Text: "two servers known"}})
 	want := unhex(t, `0000000c 0000003e 45 0003 5d3a91c4 0a124a07 232b 4054000000000000
--- a/internal/stats/mean.go
+++ b/internal/stats/mean.go
@@ -8,8 +8,8 @@
 // DecayingMean is an exponentially decaying mean: observations lose weight with time. One additional observation of
 // zero does not decay, so that the mean returns to zero without recent observations.
 type DecayingMean struct {
-	// Span is the time in which an observation's weight falls to 1/e.
-	Span time.Duration
+	// TimeConstant is the time in which an observation's weight falls to 1/e.
+	TimeConstant time.Duration
 	// MinCount is more than 0. If the weight of all observations is less than MinCount, they decay more slowly, in
 	// proportion to that weight.
 	MinCount float64
@@ -44,7 +44,7 @@
 
 // retained returns the fraction of the weight at the last observation that remains now.
 func (m *DecayingMean) retained(now time.Duration) float64 {
-	return math.Exp(-float64(now-m.updated) / float64(m.Span) * min(1, max(1, m.weight)/m.MinCount))
+	return math.Exp(-float64(now-m.updated) / float64(m.TimeConstant) * min(1, max(1, m.weight)/m.MinCount))
 }
 
 // RunningMean is the mean of all observations until their number reaches a limit. From then on each new observation has
@@ -60,13 +60,13 @@
 	m.Mean += (value - m.Mean) / m.Count
 }
 
-// SkewedMean is a moving mean with different weights for higher and lower observations, so that it tends to a quantile.
-// It rises by 1/upward of the difference to a higher observation, and falls by 1/downward of the difference to a lower
-// one.
-type SkewedMean struct{ Mean float64 }
+// AsymmetricMean is a moving mean with different weights for higher and lower observations, so that it tends to a
+// quantile. It rises by 1/upward of the difference to a higher observation, and falls by 1/downward of the difference
+// to a lower one.
+type AsymmetricMean struct{ Mean float64 }
 
 // Observe adds a value; upward and downward are at least 1.
-func (m *SkewedMean) Observe(value, upward, downward float64) {
+func (m *AsymmetricMean) Observe(value, upward, downward float64) {
 	divisor := upward
 	if value < m.Mean {
 		divisor = downward
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -16,7 +16,7 @@
 	fmt.Printf("3 in flight: %.0f ms\n", delay.Predict(3, 1))
 
 	// The share of requests that fail. Long after the last failure, the mean is near zero again.
-	failures := DecayingMean{Span: 3 * time.Second, MinCount: 1}
+	failures := DecayingMean{TimeConstant: 3 * time.Second, MinCount: 1}
 	failures.Observe(0, 1)
 	fmt.Printf("failing: %.2f, a minute later: %.2f\n", failures.Mean(0), failures.Mean(time.Minute))
 
@@ -47,7 +47,7 @@
 }
 
 func TestDecayingMean(t *testing.T) {
-	mean := DecayingMean{Span: time.Second, MinCount: 2}
+	mean := DecayingMean{TimeConstant: time.Second, MinCount: 2}
 	wantNear(t, "the mean of nothing", mean.Mean(time.Hour), 0)
 	mean.Observe(0, 6)
 	wantNear(t, "the mean of 6 and the zero", mean.Mean(0), 3)
@@ -75,7 +75,7 @@
 }
 
 func TestSkewedMean(t *testing.T) {
-	mean := SkewedMean{Mean: 100}
+	mean := AsymmetricMean{Mean: 100}
 	mean.Observe(120, 20, 4)
 	wantNear(t, "the mean after a higher value", mean.Mean, 101)
 	mean.Observe(81, 20, 4)
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -163,7 +163,7 @@
 	opened := &openRequest{connection: c, sequence: sequence}
 	request.Responder = opened
 	if len(c.open) >= maxOpenRequests {
-		front.core.RejectUnaccepted(front.clock.Now(), request)
+		front.core.RejectAtCapacity(front.clock.Now(), request)
 		return
 	}
 	request.Body = bytes.Clone(body) // body is a slice of the read buffer, which it would keep in memory
--- a/internal/thrift/example_test.go
+++ b/internal/thrift/example_test.go
@@ -23,7 +23,7 @@
 	return 1
 }
 
-func (upperCaseCore) RejectUnaccepted(_ time.Duration, r router.Request) {
+func (upperCaseCore) RejectAtCapacity(_ time.Duration, r router.Request) {
 	r.Responder.Respond(router.Response{Status: router.Rejected})
 }
 
--- a/internal/thrift/front.go
+++ b/internal/thrift/front.go
@@ -15,8 +15,8 @@
 type Core interface {
 	// Accept starts a request and returns its id.
 	Accept(now time.Duration, r router.Request) policy.RequestID
-	// RejectUnaccepted responds to a request with a rejection, without accepting it first.
-	RejectUnaccepted(now time.Duration, r router.Request)
+	// RejectAtCapacity responds to a request with a rejection, without accepting it first.
+	RejectAtCapacity(now time.Duration, r router.Request)
 	// CancelRequest cancels a request whose client no longer waits for a response.
 	CancelRequest(now time.Duration, id policy.RequestID)
 }
--- a/internal/thrift/testconnection_test.go
+++ b/internal/thrift/testconnection_test.go
@@ -23,7 +23,7 @@
 	c.accepted = append(c.accepted, r)
 	return policy.RequestID(len(c.accepted))
 }
-func (c *fakeCore) RejectUnaccepted(_ time.Duration, r router.Request) {
+func (c *fakeCore) RejectAtCapacity(_ time.Duration, r router.Request) {
 	c.rejected++
 	r.Responder.Respond(router.Response{Status: router.Rejected})
 }
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -49,8 +49,8 @@
 	return heap.Pop(&h.entries).(*Entry[T]), true
 }
 
-// Next returns the time at which the first value is due. It returns false if the heap is empty.
-func (h *Heap[T]) Next() (due time.Duration, ok bool) {
+// NextDue returns the time at which the first value is due. It returns false if the heap is empty.
+func (h *Heap[T]) NextDue() (due time.Duration, ok bool) {
 	if len(h.entries) == 0 {
 		return 0, false
 	}
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -49,7 +49,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
 	}
-	if due, ok := timers.Next(); timers.Len() != 20 || !ok || due != 3 {
+	if due, ok := timers.NextDue(); timers.Len() != 20 || !ok || due != 3 {
 		t.Errorf("%d values remain, the next is due at %v, %v; want 20, 3, true", timers.Len(), due, ok)
 	}
 }
--- a/internal/webhook/test_server_test.go
+++ b/internal/webhook/test_server_test.go
@@ -52,7 +52,7 @@
 func (server *testServer) CheckHealth(_ policy.WorkerID, tag uint64) {
 	server.core.HealthCheckCompleted(tag, policy.Served, nil)
 }
-func (server *testServer) AbandonCommand(policy.WorkerID, uint64)    {}
+func (server *testServer) CancelCommand(policy.WorkerID, uint64)     {}
 func (server *testServer) Unload(policy.WorkerID, policy.FunctionID) {}
 func (server *testServer) CloseIdle(policy.WorkerID)                 {}
 
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -178,7 +178,7 @@
 // Closed handles the end of the connection. Commands that were sent whole may have run.
 func (c *connection) Closed(error) {
 	if c.liveness.lastResponse == 0 && c.state != closing {
-		c.worker.addresses.Failed(c.pool.now, c.addr) // it was established but no response ever arrived
+		c.worker.addresses.RecordFailure(c.pool.now, c.addr) // it was established but no response ever arrived
 	}
 	c.terminate(policy.ConnectionReset)
 }
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -79,9 +79,9 @@
 	c.pool.Counters.DialsFailed++
 	c.pool.logger.Warn("worker_dial_failed", slog.String("addr", attempt.addr.String()), slog.Any("err", err))
 	outcome := policy.NotSent
-	if !eventloop.IsLocalFault(err) {
+	if !eventloop.IsLocalError(err) {
 		outcome = policy.Unreachable
-		c.worker.addresses.Failed(c.pool.now, attempt.addr)
+		c.worker.addresses.RecordFailure(c.pool.now, attempt.addr)
 	}
 	if d.race.DialFailed() {
 		c.terminate(outcome)
@@ -93,7 +93,7 @@
 // dialSucceeded uses the first dial that succeeds for the connection, and closes any other.
 func (d *dialer) dialSucceeded(attempt *dial) {
 	c := d.connection
-	c.worker.addresses.Succeeded(c.pool.now, attempt.addr)
+	c.worker.addresses.RecordSuccess(c.pool.now, attempt.addr)
 	if !d.race.DialSucceeded() {
 		attempt.transport.Close()
 		return
--- a/internal/workerclient/dialer_test.go
+++ b/internal/workerclient/dialer_test.go
@@ -72,8 +72,8 @@
 	p.StartAttempt(7, attempt, newRequest(requestID), time.Second)
 	p.transports[0].handler.DialCompleted(syscall.EMFILE)
 	p.transports[1].handler.DialCompleted(syscall.EMFILE)
-	if p.workers[7].addresses.Unavailable() != 0 || !slices.Equal(p.recorder.outcomes[attempt], []policy.Outcome{policy.NotSent}) {
-		t.Errorf("%d addresses are unavailable, outcomes %v", p.workers[7].addresses.Unavailable(), p.recorder.outcomes[attempt])
+	if p.workers[7].addresses.UnavailableCount() != 0 || !slices.Equal(p.recorder.outcomes[attempt], []policy.Outcome{policy.NotSent}) {
+		t.Errorf("%d addresses are unavailable, outcomes %v", p.workers[7].addresses.UnavailableCount(), p.recorder.outcomes[attempt])
 	}
 }
 
@@ -83,7 +83,7 @@
 		p := newTestPool()
 		p.StartAttempt(1, router.Attempt{Request: 1}, newRequest("0123456789abcdef"), time.Second)
 		p.transports[0].handler.DialCompleted(err)
-		if unavailable := p.workers[1].addresses.Unavailable(); (unavailable == 0) != eventloop.IsDescriptorExhausted(err) {
+		if unavailable := p.workers[1].addresses.UnavailableCount(); (unavailable == 0) != eventloop.IsDescriptorExhausted(err) {
 			t.Errorf("%v: %d addresses are unavailable", err, unavailable)
 		}
 	}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -243,10 +243,10 @@
 	}
 	connection := openRecoveryDial(t)
 	worker := connection.handler.(*recoveryDial).worker
-	unavailable := worker.addresses.Unavailable()
+	unavailable := worker.addresses.UnavailableCount()
 	connection.handler.Data(golden.FindMessage(t, goldenResponses, "NOOP of a trial answered by PONG"))
-	if unavailable != 1 || worker.addresses.Unavailable() != 0 || !connection.Closed {
-		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", unavailable, worker.addresses.Unavailable(), connection.Closed)
+	if unavailable != 1 || worker.addresses.UnavailableCount() != 0 || !connection.Closed {
+		t.Errorf("recovery dial: %d addresses unavailable before, %d after, closed %v", unavailable, worker.addresses.UnavailableCount(), connection.Closed)
 	}
 }
 
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -83,7 +83,7 @@
 		c.ping()
 	case pingUnanswered:
 		if c.worker.respondedToCommandSince(c.liveness.pingedAt) {
-			c.worker.addresses.Failed(now, c.addr)
+			c.worker.addresses.RecordFailure(now, c.addr)
 			c.closeWithError(ErrConnectionSilent)
 		}
 	}
@@ -94,7 +94,7 @@
 func (c *connection) ping() {
 	p := c.pool
 	c.liveness.pingedAt = p.now
-	c.worker.addresses.Suspect(p.now, c.addr)
+	c.worker.addresses.RecordSilence(p.now, c.addr)
 	if !p.cfg.HealthChecksAllowed {
 		return
 	}
@@ -115,7 +115,7 @@
 		c.liveness.lastRequestResponse = now
 	}
 	c.liveness.recordResponse(now)
-	c.worker.addresses.Responded(c.addr)
+	c.worker.addresses.RecordResponse(c.addr)
 }
 
 // silenceDuration returns how long a response to a request has been due while none has arrived since lastResponseAt.
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -102,8 +102,8 @@
 	p.StartAttempt(7, router.Attempt{Request: 3}, newRequest("00000000000000fe"), 2*time.Second)
 	p.SetNow(time.Hour + 300*time.Millisecond)
 	p.transports[1].handler.Data(encodeResponse("00000000000000fe", "HIT", ""))
-	if p.Maintain(time.Hour + 500*time.Millisecond); !p.transports[0].Closed || p.workers[7].addresses.Unavailable() != 1 {
-		t.Errorf("the silent connection is closed: %v, %d addresses are unavailable", p.transports[0].Closed, p.workers[7].addresses.Unavailable())
+	if p.Maintain(time.Hour + 500*time.Millisecond); !p.transports[0].Closed || p.workers[7].addresses.UnavailableCount() != 1 {
+		t.Errorf("the silent connection is closed: %v, %d addresses are unavailable", p.transports[0].Closed, p.workers[7].addresses.UnavailableCount())
 	}
 }
 
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -28,7 +28,7 @@
 		s := scopes[name]
 		r := modelcheck.Search(func() modelcheck.System { return newModel(s) }, s.maxStates, runtime.GOMAXPROCS(0))
 		t.Logf("%s: %v", name, r)
-		if r.Err != nil || !r.Whole || r.States < 1000 {
+		if r.Err != nil || !r.Complete || r.States < 1000 {
 			t.Errorf("%s: %v", name, r)
 		}
 	}
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -115,7 +115,7 @@
 		}
 		w = p.addWorker(id)
 	}
-	w.addresses.Prefer(prefer...)
+	w.addresses.SetPreference(prefer...)
 	w.setAddresses(addrs)
 	w.setState(state)
 }
--- a/internal/workerclient/recovery.go
+++ b/internal/workerclient/recovery.go
@@ -53,7 +53,7 @@
 func (w *worker) cancelRecoveryDial() {
 	r := w.recoveryDial
 	if r != nil {
-		w.addresses.RecoveryInconclusive(w.pool.now, r.addr)
+		w.addresses.RecordInconclusiveRecovery(w.pool.now, r.addr)
 		r.close()
 	}
 }
@@ -74,12 +74,12 @@
 	addresses := r.worker.addresses
 	switch {
 	case err == nil:
-		addresses.Succeeded(now, r.addr)
-	case eventloop.IsLocalFault(err):
-		addresses.RecoveryInconclusive(now, r.addr)
+		addresses.RecordSuccess(now, r.addr)
+	case eventloop.IsLocalError(err):
+		addresses.RecordInconclusiveRecovery(now, r.addr)
 	default:
 		r.pool.Counters.RecoveryDialsFailed++
-		addresses.Failed(now, r.addr)
+		addresses.RecordFailure(now, r.addr)
 	}
 	r.close()
 }
--- a/internal/workerclient/recovery_test.go
+++ b/internal/workerclient/recovery_test.go
@@ -23,8 +23,8 @@
 			}
 		}
 	}
-	if p.Counters.RecoveryDials == 0 || p.workers[7].addresses.Unavailable() > 0 {
-		t.Errorf("%d recovery dials, %d addresses are unavailable", p.Counters.RecoveryDials, p.workers[7].addresses.Unavailable())
+	if p.Counters.RecoveryDials == 0 || p.workers[7].addresses.UnavailableCount() > 0 {
+		t.Errorf("%d recovery dials, %d addresses are unavailable", p.Counters.RecoveryDials, p.workers[7].addresses.UnavailableCount())
 	}
 	for i, transport := range p.transports {
 		if strings.Contains(transport.Written.String(), "NOOP") {
@@ -58,12 +58,12 @@
 		t.Fatalf("wrote %q", got)
 	}
 	waitForDials(4) // the recovery dial got no response
-	if !unresponsive.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.Unavailable() != 1 {
+	if !unresponsive.Closed || p.Counters.RecoveryDialsFailed != 1 || p.workers[7].addresses.UnavailableCount() != 1 {
 		t.Fatalf("counters %+v, closed %v", p.Counters, unresponsive.Closed)
 	}
 	p.transports[3].handler.DialCompleted(nil)
 	p.transports[3].handler.Data([]byte("*4\r\n$1\r\nt\r\n$4\r\nPONG\r\n$1\r\n-\r\n$0\r\n\r\n"))
-	if p.workers[7].addresses.Unavailable() != 0 || !p.transports[3].Closed || p.dialsInProgress != 0 {
+	if p.workers[7].addresses.UnavailableCount() != 0 || !p.transports[3].Closed || p.dialsInProgress != 0 {
 		t.Error("the recovery dial succeeded and the address is still unavailable")
 	}
 	// After a time, requests go back to the better address. The old connection is closed once its request is complete.
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -35,7 +35,7 @@
 		switch {
 		case !c.state.established():
 			c.dialer.restart()
-		case !w.addresses.Has(c.addr):
+		case !w.addresses.Contains(c.addr):
 			c.drain()
 		}
 	}
--- a/internal/workerclient/worker_commands.go
+++ b/internal/workerclient/worker_commands.go
@@ -22,8 +22,8 @@
 	p.send(p.workers[id], &command{id: healthCheckID(commandID), kind: check})
 }
 
-// AbandonCommand cancels a load or a health check; no result follows. Nothing is sent to the worker.
-func (p *Pool) AbandonCommand(id policy.WorkerID, commandID uint64) {
+// CancelCommand cancels a load or a health check; no result follows. Nothing is sent to the worker.
+func (p *Pool) CancelCommand(id policy.WorkerID, commandID uint64) {
 	w := p.workers[id]
 	if w == nil {
 		return
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -40,7 +40,7 @@
 		} else {
 			p.CancelAttempt(w, a)
 		}
-		p.AbandonCommand(w, uint64(generation))
+		p.CancelCommand(w, uint64(generation))
 		p.RetainWorkers(nil)
 		for range 3 {
 			now += MaintenanceInterval
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -10,8 +10,8 @@
 type StartAttempt struct {
 	Request RequestID
 	Worker  WorkerID
-	Limit   time.Duration // timeout of the attempt; 0: the request's deadline
-	// SendWithin is the longest time that the attempt may wait before it is sent; 0: as long as Limit allows.
+	Timeout time.Duration // timeout of the attempt; 0: the request's deadline
+	// SendWithin is the longest time that the attempt may wait before it is sent; 0: as long as Timeout allows.
 	// It is set for a retry that workers deduplicate, because they do so for a limited time only.
 	SendWithin time.Duration
 }
--- a/policy/attempt_starter.go
+++ b/policy/attempt_starter.go
@@ -43,7 +43,7 @@
 // action returns the action that sends a request to a worker. A retry that workers deduplicate must be sent
 // while they still do.
 func (s *attemptStarter) action(r *request, w *worker) StartAttempt {
-	start := StartAttempt{Request: r.Request, Worker: w.Worker, Limit: r.Policy.AttemptTimeout}
+	start := StartAttempt{Request: r.Request, Worker: w.Worker, Timeout: r.Policy.AttemptTimeout}
 	if r.firstPossibleRun != nil && r.class.Idempotency == IdempotentWithKey {
 		start.SendWithin = s.retries.deduplicatedUntil(r) - s.turn.now
 	}
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -49,7 +49,7 @@
 	if actions := h.handle(TimerFired{Token: deadlineToken + uint64(dueID)}); !has[FailRequest](actions) {
 		t.Errorf("a request that may have run and is not idempotent does not fail at its deadline: %v", actions)
 	}
-	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
+	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 100 * ms})
 	for _, w := range h.p.workers.fleet {
 		if w.health.checking {
 			h.handle(HealthCheckCompleted{Worker: w.Worker, Took: 2 * ms})
--- a/policy/estimation_test.go
+++ b/policy/estimation_test.go
@@ -27,10 +27,10 @@
 			lost++
 			h.advance(4 * time.Second)
 			h.handle(TimerFired{Token: deadlineToken + uint64(id)})
-			h.handle(AttemptCompleted{Request: id, Worker: slow, Outcome: Canceled, Closed: true, Took: 4 * time.Second})
+			h.handle(AttemptCompleted{Request: id, Worker: slow, Outcome: Canceled, RequestClosed: true, Took: 4 * time.Second})
 		default:
 			h.advance(100 * ms)
-			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 100 * ms})
+			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 100 * ms})
 		}
 	}
 	if lost < 1 || lost > 3 {
@@ -80,7 +80,7 @@
 			took, queue = 400*ms, 10
 		}
 		h.now += took
-		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took,
+		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: took,
 			Report: []float64{queue + 3, queue}})
 	}
 	h.now += time.Minute
@@ -157,7 +157,7 @@
 	h := newHarness(t, config(), 3)
 	h.handle(RequestArrived{Request: 99, Function: 7, LoadTime: time.Second, Work: ms, Remaining: 4 * time.Second})
 	r := h.p.requests.byID[99]
-	h.handle(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 150 * ms})
+	h.handle(AttemptCompleted{Request: 99, Worker: r.attempts[0].worker.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 150 * ms})
 	if got := h.p.scheduler.estimator.runTime(&request{RequestArrived: RequestArrived{Work: 100 * ms}, class: r.class, function: r.function}); got > nanoseconds(200*ms) {
 		t.Errorf("a hint of 100 ms counts as %v", time.Duration(got))
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -171,15 +171,15 @@
 
 // AttemptCompleted reports the result of an attempt.
 type AttemptCompleted struct {
-	Request     RequestID
-	Attempt     int
-	Worker      WorkerID
-	Outcome     Outcome
-	LoadStatus  LoadStatus
-	Concurrency int  // with ConcurrencyReported: the worker's requests of the function in flight
-	Closed      bool // the request has its final response
-	Took        time.Duration
-	Report      []float64 // load report, in the order of Config.LoadReportFields; empty: none was received
+	Request       RequestID
+	Attempt       int
+	Worker        WorkerID
+	Outcome       Outcome
+	LoadStatus    LoadStatus
+	Concurrency   int  // with ConcurrencyReported: the worker's requests of the function in flight
+	RequestClosed bool // the request has its final response
+	Took          time.Duration
+	Report        []float64 // load report, in the order of Config.LoadReportFields; empty: none was received
 }
 
 func (EndpointList) event()         {}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -60,11 +60,11 @@
 	// The worker responds, and the router passes the response to the client.
 	now = 1200 * time.Millisecond
 	router(policy.AttemptCompleted{
-		Request: 1,
-		Worker:  7,
-		Outcome: policy.Served,
-		Closed:  true,
-		Took:    1200 * time.Millisecond,
+		Request:       1,
+		Worker:        7,
+		Outcome:       policy.Served,
+		RequestClosed: true,
+		Took:          1200 * time.Millisecond,
 	})
 
 	// The worker drains. A request that arrives now is sent to no worker.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -67,7 +67,7 @@
 		h.t.Fatalf("request not sent: %v", actions)
 	}
 	h.now += took
-	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: status, Closed: true, Took: took})
+	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: status, RequestClosed: true, Took: took})
 	return s.Worker
 }
 
@@ -76,7 +76,7 @@
 	id, actions := h.arrive(0, f)
 	s, _ := first[StartAttempt](actions)
 	h.advance(took)
-	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
+	h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: took})
 }
 
 // advance advances the clock and runs the housekeeping that is due meanwhile.
--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -67,7 +67,7 @@
 
 // processStarted discards the estimates for a worker's former process.
 func (e *latencyEstimator) processStarted(w *worker) {
-	delay := stats.DecayingMean{Span: queueSpan, MinCount: fewResponses}
+	delay := stats.DecayingMean{TimeConstant: queueSpan, MinCount: fewResponses}
 	w.latency = workerLatency{
 		queueDelay:   delay,
 		failureRates: slices.Repeat([]stats.DecayingMean{delay}, len(e.classes)),
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -34,7 +34,7 @@
 	rng     *rand.Rand
 	classes []classState
 
-	standingDelay stats.SkewedMean // in nanoseconds; three of four responses of loaded replicas exceed it
+	standingDelay stats.AsymmetricMean // in nanoseconds; three of four responses of loaded replicas exceed it
 }
 
 // sheddingDecision tells whether a request is shed.
--- a/policy/loads_test.go
+++ b/policy/loads_test.go
@@ -145,10 +145,10 @@
 	}
 	// A budget of 1 plus 0.3 of 11 to 15 requests allows each of the five load commands when it is decided
 	// on. 0.3 of 5 requests would not.
-	if commands < 4 || !h.p.MayStillLoad(h.now) {
-		t.Fatalf("%d load commands, the last may be sent: %v", commands, h.p.MayStillLoad(h.now))
+	if commands < 4 || !h.p.AllowsQueuedLoad(h.now) {
+		t.Fatalf("%d load commands, the last may be sent: %v", commands, h.p.AllowsQueuedLoad(h.now))
 	}
-	if h.p.MayStillLoad(h.now + 2*time.Second) {
+	if h.p.AllowsQueuedLoad(h.now + 2*time.Second) {
 		t.Error("load commands may be sent after the requests that allowed them have left the window")
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -18,7 +18,7 @@
 			id, actions := h.arrive(0, f)
 			if has[StartAttempt](actions) {
 				n++
-				h.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Canceled, Closed: true})
+				h.handle(AttemptCompleted{Request: id, Worker: w.Worker, Outcome: Canceled, RequestClosed: true})
 			}
 		}
 		return n
@@ -53,7 +53,7 @@
 				n++
 			}
 			if r != nil && len(r.attempts) > 0 {
-				h.handle(AttemptCompleted{Request: h.id, Worker: r.attempts[0].worker.Worker, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+				h.handle(AttemptCompleted{Request: h.id, Worker: r.attempts[0].worker.Worker, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 50 * ms})
 			}
 		}
 		return n
@@ -81,7 +81,7 @@
 		id, actions := h.arrive(2, f)
 		if s, ok := first[StartAttempt](actions); ok {
 			sent[min(f, 8)]++
-			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 900 * ms})
+			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, RequestClosed: true, Took: 900 * ms})
 		}
 	}
 	if sent[7] < sent[8]+15 {
@@ -98,7 +98,7 @@
 			id, actions := h.arrive(class, 7)
 			if s, ok := first[StartAttempt](actions); ok {
 				sent++
-				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, Closed: true, Took: 10 * ms})
+				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: StartedLoad, RequestClosed: true, Took: 10 * ms})
 			}
 		}
 		return sent
@@ -111,7 +111,7 @@
 	for range 200 {
 		id, actions := h.arrive(2, 7)
 		if s, ok := first[StartAttempt](actions); ok {
-			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+			h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 50 * ms})
 		}
 	}
 	if got := count(0); got < 95 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -146,6 +146,8 @@
 	}
 }
 
-// MayStillLoad reports whether a load command that was decided on earlier may be sent at the time now. The
-// budget is checked again because workers count the command when it arrives.
-func (p *Policy) MayStillLoad(now time.Duration) bool { return p.loads.budget.allowsQueuedCommand(now) }
+// AllowsQueuedLoad reports whether a load command that was decided on earlier may be sent at the time now.
+// The budget is checked again because workers count the command when it arrives.
+func (p *Policy) AllowsQueuedLoad(now time.Duration) bool {
+	return p.loads.budget.allowsQueuedCommand(now)
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -153,7 +153,7 @@
 	id := RequestID(99)
 	h.handle(RequestArrived{Request: id, Function: 7, Lanes: math.NaN(), MemoryMB: math.Inf(1), LoadTime: -time.Hour,
 		Work: math.MaxInt64, Remaining: time.Second})
-	h.handle(AttemptCompleted{Request: id, Worker: 1, Outcome: Served, Took: -time.Hour, Report: []float64{math.NaN()}, Closed: true})
+	h.handle(AttemptCompleted{Request: id, Worker: 1, Outcome: Served, Took: -time.Hour, Report: []float64{math.NaN()}, RequestClosed: true})
 	h.handle(LoadCompleted{Worker: 77, Function: 5})
 	h.handle(HealthCheckCompleted{Worker: 77})
 	h.handle(AttemptCompleted{Request: 5000, Attempt: -3})
--- a/policy/request_policy.go
+++ b/policy/request_policy.go
@@ -20,7 +20,7 @@
 	Contains(w WorkerID) bool
 	HasCapacity() bool // reports whether a further attempt may start
 	AttemptStarted()   // counts an attempt as in flight
-	AttemptFinished()  // counts it as no longer in flight
+	AttemptCompleted() // counts it as no longer in flight
 	// MayLoad reports whether a further load command is within the pool's share of the load budget.
 	// LoadStarted counts a load command.
 	MayLoad(now time.Duration, budget float64) bool
@@ -49,8 +49,8 @@
 // AttemptStarted implements Pool.
 func (allWorkers) AttemptStarted() {}
 
-// AttemptFinished implements Pool.
-func (allWorkers) AttemptFinished() {}
+// AttemptCompleted implements Pool.
+func (allWorkers) AttemptCompleted() {}
 
 // MayLoad implements Pool.
 func (allWorkers) MayLoad(time.Duration, float64) bool { return true }
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -22,7 +22,7 @@
 func (p *fakePool) Contains(w WorkerID) bool            { return p.members[w] }
 func (p *fakePool) HasCapacity() bool                   { return p.inFlight < p.capacity }
 func (p *fakePool) AttemptStarted()                     { p.inFlight++; p.maxInFlight = max(p.maxInFlight, p.inFlight) }
-func (p *fakePool) AttemptFinished()                    { p.inFlight--; p.completed++ }
+func (p *fakePool) AttemptCompleted()                   { p.inFlight--; p.completed++ }
 func (p *fakePool) MayLoad(time.Duration, float64) bool { return p.loads < p.maxLoads }
 func (p *fakePool) LoadStarted(time.Duration)           { p.loads++ }
 func (p *fakePool) Overflow(time.Duration) Pool {
@@ -82,7 +82,7 @@
 	if len(h.p.requests.deferred) > 0 {
 		t.Error("a request beyond the capacity is deferred")
 	}
-	h.handle(AttemptCompleted{Request: firstID, Worker: s.Worker, Outcome: Served, Closed: true, Took: ms})
+	h.handle(AttemptCompleted{Request: firstID, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: ms})
 	if _, actions := h.arriveWithPolicy(0, unlimitedPolicy(p)); !has[StartAttempt](actions) || p.maxInFlight != 2 {
 		t.Errorf("with capacity again: %v, at most %d in flight", actions, p.maxInFlight)
 	}
@@ -186,7 +186,7 @@
 	if actions := h.handle(TimerFired{Token: token}); has[StartAttempt](actions) {
 		t.Error("a third attempt starts")
 	}
-	actions = h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: hedge.Worker, Outcome: Served, Closed: true, Took: 50 * ms})
+	actions = h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: hedge.Worker, Outcome: Served, RequestClosed: true, Took: 50 * ms})
 	if c, ok := first[CancelAttempt](actions); !ok || c.Attempt != 0 {
 		t.Errorf("the hedged attempt is served: %v, want the first canceled", actions)
 	}
@@ -215,7 +215,7 @@
 		h.id++
 		actions := h.handle(RequestArrived{Request: h.id, Function: 20 + f, Lanes: 1, LoadTime: time.Second, Remaining: 4 * time.Second, Policy: &policy})
 		s, ok := first[StartAttempt](actions)
-		if !ok || s.Limit != policy.AttemptTimeout {
+		if !ok || s.Timeout != policy.AttemptTimeout {
 			t.Fatalf("%v, want a limit of %v", actions, policy.AttemptTimeout)
 		}
 		if has[Load](h.handle(AttemptCompleted{Request: h.id, Worker: s.Worker, Outcome: NotLoaded})) {
@@ -264,7 +264,7 @@
 			x := sentAttempts[i]
 			sentAttempts = append(sentAttempts[:i], sentAttempts[i+1:]...)
 			apply(h.handle(AttemptCompleted{Request: x.id, Attempt: x.number, Worker: x.w, Outcome: o, Took: 10 * ms,
-				Closed: o == Served}))
+				RequestClosed: o == Served}))
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			h.now += time.Duration(rapid.IntRange(0, 200).Draw(rt, "passes")) * ms
@@ -334,7 +334,7 @@
 				s := inFlight[0]
 				inFlight = inFlight[1:]
 				o := rapid.SampledFrom([]Outcome{Served, Served, Failed, Overloaded, ConnectionReset, TimedOut, NotLoaded, Unreachable}).Draw(rt, "end")
-				both(AttemptCompleted{Request: s.Request, Attempt: number[s.Request], Worker: s.Worker, Outcome: o, LoadStatus: AlreadyLoaded, Closed: o == Served, Took: 80 * ms})
+				both(AttemptCompleted{Request: s.Request, Attempt: number[s.Request], Worker: s.Worker, Outcome: o, LoadStatus: AlreadyLoaded, RequestClosed: o == Served, Took: 80 * ms})
 				number[s.Request]++
 			default:
 				both(TimerFired{Token: housekeepingToken})
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -90,7 +90,7 @@
 	p.endAttempt(a, entry, e.Outcome)
 	e.Took = min(max(e.Took, 0), maxAttemptTime)
 	p.outcomes.record(a, entry, e)
-	if e.Closed {
+	if e.RequestClosed {
 		p.closeRequest(r)
 	}
 	switch {
@@ -108,7 +108,7 @@
 	a.ended = true
 	r.inFlight--
 	entry.inFlight--
-	a.pool.AttemptFinished()
+	a.pool.AttemptCompleted()
 	w.inFlight = slices.DeleteFunc(w.inFlight, func(other *attempt) bool { return other == a })
 	if !outcome.NeverRan() && r.firstPossibleRun == nil {
 		r.firstPossibleRun = a
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -200,7 +200,7 @@
 				}
 				closed := r.complete || o == Served
 				r.complete = closed
-				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, Closed: closed, Took: now - r.sentAt[n]})
+				handle(AttemptCompleted{Request: id, Attempt: n, Worker: r.workers[n], Outcome: o, RequestClosed: closed, Took: now - r.sentAt[n]})
 				break
 			}
 		}
@@ -256,7 +256,7 @@
 					Remaining: time.Duration(int64(a)-9) * 40 * ms}
 			case 2:
 				ev = AttemptCompleted{Request: id, Attempt: int(a%6) - 1, Worker: w, Outcome: Outcome(c % 9), LoadStatus: LoadStatus(a % 5),
-					Closed: c%9 == 0, Took: time.Duration(int64(a)-9) * time.Second}
+					RequestClosed: c%9 == 0, Took: time.Duration(int64(a)-9) * time.Second}
 			case 3:
 				ev = LoadCompleted{Worker: w, Function: fn, Outcome: Outcome(b % 9), Took: -time.Second, Count: int(c) - 9}
 			case 4:
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -38,7 +38,7 @@
 	}
 	served := func(h *harness, id RequestID, w WorkerID, status LoadStatus) {
 		h.now += 80 * ms
-		h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Served, LoadStatus: status, Closed: true, Took: 80 * ms})
+		h.handle(AttemptCompleted{Request: id, Worker: w, Outcome: Served, LoadStatus: status, RequestClosed: true, Took: 80 * ms})
 	}
 	h := newHarness(t, config(), 2)
 	for _, w := range []WorkerID{1, 2} { // both have a replica; the queueing delay at 2 is a little longer
@@ -124,7 +124,7 @@
 			if !ok {
 				t.Fatal("not sent")
 			}
-			p.Handle(now, AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 50 * ms}, nil)
+			p.Handle(now, AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: 50 * ms}, nil)
 			if at, known := preferred[f]; known && at != s.Worker {
 				t.Fatalf("function %d has the preferred workers %x and %x", f, at, s.Worker)
 			}
@@ -162,7 +162,7 @@
 					took = time.Duration(float64(took) / faster)
 				}
 				h.advance(100 * ms)
-				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
+				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: took})
 			}
 			functions := map[float64]float64{}
 			for f := range FunctionID(3000) {
@@ -255,7 +255,7 @@
 						continue
 					}
 					h.now += 60 * ms
-					h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, Closed: true, Took: 60 * ms})
+					h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: 60 * ms})
 					break
 				}
 			}
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -69,7 +69,7 @@
 			h.handle(AttemptCompleted{Request: id, Worker: worker, Outcome: outcome})
 			return
 		}
-		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, Closed: true, Took: 100 * ms})
+		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: 100 * ms})
 	}
 }
 
@@ -86,7 +86,7 @@
 		if s.Worker == worker {
 			sent++
 		}
-		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 95 * ms})
+		h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 95 * ms})
 	}
 	return sent
 }
--- a/policy/stream_test.go
+++ b/policy/stream_test.go
@@ -64,7 +64,7 @@
 		if completed[key] {
 			return
 		}
-		addEvent(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: status, Closed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
+		addEvent(took, AttemptCompleted{Request: r, Attempt: n, Worker: w, Outcome: o, LoadStatus: status, RequestClosed: o == Served, Took: took, Report: []float64{float64(busy[w])}})
 	}
 	for {
 		next, ok := upcoming.PopDue(math.MaxInt64)
@@ -153,7 +153,7 @@
 	t.Helper()
 	switch a := a.(type) {
 	case StartAttempt:
-		fmt.Fprintf(w, "policy.Send{Request:%d Worker:%d Limit:%v}", a.Request, a.Worker, a.Limit)
+		fmt.Fprintf(w, "policy.Send{Request:%d Worker:%d Limit:%v}", a.Request, a.Worker, a.Timeout)
 	case CancelAttempt:
 		fmt.Fprintf(w, "policy.Cancel{Request:%d Attempt:%d}", a.Request, a.Attempt)
 	case Reject:
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -27,7 +27,7 @@
 			t.Fatalf("not sent: %v", actions)
 		}
 		h.advance(20 * ms)
-		h.handle(AttemptCompleted{Request: h.id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+		h.handle(AttemptCompleted{Request: h.id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 20 * ms})
 		h.advance(time.Second/time.Duration(n) - 20*ms)
 	}
 	for end := h.now; h.now < end+c.KeepAlive; {
@@ -81,7 +81,7 @@
 			h.id++
 			h.handle(RequestArrived{Request: h.id, Function: 7, Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
 			if h.id < 200 || reason == "draining" {
-				h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+				h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 20 * ms})
 			}
 		}
 		if reason == "draining" {
@@ -104,7 +104,7 @@
 		for i := range 400 {
 			h.id++
 			h.handle(RequestArrived{Request: h.id, Function: FunctionID(i%20 + 1), Lanes: 400, MemoryMB: 9000, LoadTime: 500 * ms, Remaining: time.Hour})
-			h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 20 * ms})
+			h.handle(AttemptCompleted{Request: h.id, Worker: 1, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 20 * ms})
 		}
 		for range 200 {
 			h.now += housekeepingInterval
@@ -140,7 +140,7 @@
 			id, actions := h.arrive(0, FunctionID(i%4+1))
 			if s, ok := first[StartAttempt](actions); ok {
 				h.now += took
-				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: took})
+				h.handle(AttemptCompleted{Request: id, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: took})
 			}
 		}
 		for i := 0; i < 200; {
@@ -154,7 +154,7 @@
 			if has[Reject](actions) {
 				n++
 			} else if s, ok = first[StartAttempt](actions); ok {
-				h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, Closed: true, Took: 50 * ms})
+				h.handle(AttemptCompleted{Request: id, Attempt: 1, Worker: s.Worker, Outcome: Served, LoadStatus: AlreadyLoaded, RequestClosed: true, Took: 50 * ms})
 			}
 			h.now += 10 * ms
 		}
