--- a/internal/endpoint/addr.go
+++ b/internal/endpoint/addr.go
@@ -99,7 +99,7 @@
 	return Addr{n, addrPort.String()}, nil
 }
 
-// unusableReason returns why an address can't be dialled over network n, or "" if it can.
+// unusableReason returns why an address can't be dialed over network n, or "" if it can.
 func unusableReason(n Network, text string, addrPort netip.AddrPort) string {
 	ip := addrPort.Addr()
 	switch {
@@ -108,7 +108,7 @@
 	case ip.Is4() != (n == TCP4):
 		return fmt.Sprintf("%s is no address of %v", text, n)
 	case addrPort.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast():
-		return fmt.Sprintf("%s can't be dialled: its port is 0, or its host is unspecified or multicast", text)
+		return fmt.Sprintf("%s can't be dialed: its port is 0, or its host is unspecified or multicast", text)
 	case !zoneAllowed(ip):
 		return fmt.Sprintf("%s has a zone: only a link-local address has one, of up to %d bytes", text, maxZoneLength)
 	}
--- a/internal/endpoint/example_test.go
+++ b/internal/endpoint/example_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/endpoint"
 )
 
-// A worker has three addresses, which are dialled in turn to establish a connection. The next address is dialled when a
+// A worker has three addresses, which are dialed in turn to establish a connection. The next address is dialed when a
 // dial has been in progress for 250 ms, or at once when a dial fails.
 func ExampleDialRace() {
 	addresses := endpoint.NewAddressSet(1)
--- a/internal/endpoint/race.go
+++ b/internal/endpoint/race.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// ConnectionAttemptDelay is how long a dial is in progress before the next address is dialled concurrently (RFC
+	// ConnectionAttemptDelay is how long a dial is in progress before the next address is dialed concurrently (RFC
 	// 8305, section 5). The delay is shorter if the dial timeout or the request's budget is short.
 	ConnectionAttemptDelay = 250 * time.Millisecond
 	// MaxDialsPerRace is how many dials of one race may be in progress at once.
@@ -15,11 +15,11 @@
 	minDialDelay = time.Millisecond
 )
 
-// DialRace establishes one connection by dialling addresses in turn. The next address is dialled when a dial fails, or
+// DialRace establishes one connection by dialing addresses in turn. The next address is dialed when a dial fails, or
 // concurrently when a dial takes long. The first dial that succeeds wins. DialRace makes no dials itself: its caller
 // dials the address that Next returns, and reports the result of each dial once.
 type DialRace struct {
-	remaining  []Addr // not dialled yet
+	remaining  []Addr // not dialed yet
 	inProgress int
 	lastDialAt time.Duration
 	delay      time.Duration // between the starts of concurrent dials
@@ -27,7 +27,7 @@
 }
 
 // NewDialRace returns a race over candidates. One dial may take at most dialTimeout. budget is the time left for the
-// request that needs the connection, or 0 if there is none. Dials start early enough that all candidates are dialled
+// request that needs the connection, or 0 if there is none. Dials start early enough that all candidates are dialed
 // within the budget.
 func NewDialRace(candidates []Addr, dialTimeout, budget time.Duration) *DialRace {
 	delay := min(ConnectionAttemptDelay, dialTimeout)
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Random schedules keep the rules of a race: at most MaxDialsPerRace dials are in progress, each address is dialled at
+// Random schedules keep the rules of a race: at most MaxDialsPerRace dials are in progress, each address is dialed at
 // most once, a dial is due at once if none is in progress, there is one winner, and the race is reported as lost at most
 // once, only when no address and no dial in progress is left.
 func TestDialRaceModel(t *testing.T) {
--- a/internal/route/carryover.go
+++ b/internal/route/carryover.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// matchPools returns, for each new pool, the old pool that it replaces: one with the same behaviour, preferably with
+// matchPools returns, for each new pool, the old pool that it replaces: one with the same behavior, preferably with
 // the same name too, or else one with the same name. A pool that is only renamed is therefore still the same pool.
 func matchPools(old, updated []*Pool) map[*Pool]*Pool {
 	sameName := func(o, n *Pool) bool { return o.Spec.Name == n.Spec.Name }
--- a/internal/route/compilepools.go
+++ b/internal/route/compilepools.go
@@ -23,8 +23,8 @@
 	return pools, nil
 }
 
-// distributeLoadBudget sets each pool's share of the load budget. The pools without a configured share have what the
-// others leave in common, and count their loads in one shared window.
+// distributeLoadBudget sets each pool's share of the load budget. The pools without a configured share together use
+// what the others leave, and count their loads in one shared window.
 func distributeLoadBudget(specs []PoolSpec, pools map[string]*Pool, loadWindow time.Duration) error {
 	remaining := 1.0
 	for _, spec := range specs {
--- a/internal/route/diff.go
+++ b/internal/route/diff.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Change is one difference in behaviour between two tables.
+// Change is one difference in behavior between two tables.
 type Change struct {
 	Regions  []Region // the requests that change; empty if a pool changes
 	Before   string   // what the old table does
@@ -46,7 +46,7 @@
 }
 
 // requestEffects describes what the old and the new table do with a request. The texts are equal if and only if the
-// behaviour is equal.
+// behavior is equal.
 type requestEffects struct {
 	before string
 	after  string
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,12 +1,12 @@
 // Package route decides which route a request takes, which pool of workers serves it, and which request policy applies.
 // Compile turns a Spec into a Table. Table.Match finds the route of a request without allocating. A Pool counts its
-// attempts in flight, overflows and loads. Diff reports how the behaviour of two tables differs.
+// attempts in flight, overflows and loads. Diff reports how the behavior of two tables differs.
 //
 // The package does no I/O, reads no clock and knows no wire format; within the module it imports only packages policy
-// and endpoint. The decision module, package policy, chooses the worker, retries and rejects. It asks the Pool of a
-// request which workers are eligible. The router's core matches requests, and package lang builds Specs from files. A
-// Table in use belongs to the event loop because its pools count. A table that is only compared or explained belongs to
-// the code that compiled it.
+// and endpoint. The decision module, package policy, chooses the worker and decides on retries and rejections. It asks
+// the Pool of a request which workers are eligible. The router's core matches requests, and package lang builds Specs
+// from files. A Table in use belongs to the event loop, because its pools hold counters. A table that is only compared
+// or explained belongs to the code that compiled it.
 //
 // # Precedence
 //
--- a/internal/route/precedence.go
+++ b/internal/route/precedence.go
@@ -85,7 +85,8 @@
 	return previous
 }
 
-// resolve computes the closest route for each class, and for classes that the table does not list, by each front.
+// resolve computes the closest route for each front and each class. The classes that the table does not list share one
+// entry per front.
 func (c *classFrontRoutes) resolve() {
 	c.resolved = make([]routeIndex, (c.classCount+1)*int(frontCount))
 	for class := range c.classCount + 1 {
--- a/internal/route/reachable.go
+++ b/internal/route/reachable.go
@@ -21,7 +21,7 @@
 	return reached
 }
 
-// markReached marks the classes for which a request for the function fits the rule and takes the rule's route.
+// markReached marks the classes for which a request for the function matches the rule and takes the rule's route.
 func (t *Table) markReached(reached []bool, rule matchRule, function uint64) {
 	for front := range frontCount {
 		if !rule.acceptsFront(front) {
--- a/internal/route/shellquote.go
+++ b/internal/route/shellquote.go
@@ -5,7 +5,7 @@
 // plainShellCharacters are the characters that need no quotes in a shell.
 const plainShellCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_."
 
-// ShellQuote returns a word as a shell reads it, in quotes if it needs them.
+// ShellQuote quotes a word for a shell, if it contains characters that need quotes.
 func ShellQuote(word string) string {
 	if strings.Trim(word, plainShellCharacters) == "" {
 		return word
--- a/internal/route/space.go
+++ b/internal/route/space.go
@@ -15,7 +15,8 @@
 	axisCount
 )
 
-// requestPoint represents all requests that the tables of a requestSpace can't tell apart, by its index on each axis.
+// requestPoint has an index on each axis. It represents all requests with these indexes, which the tables of a
+// requestSpace can't tell apart.
 type requestPoint [axisCount]int
 
 // requestSpace has one point for each set of requests that its tables can't tell apart. All requests of a point take
@@ -96,7 +97,7 @@
 	return points
 }
 
-// requestGroup is the set of requests that a function maps to the same key.
+// requestGroup is the set of requests to which groupRequests assigns the same key.
 type requestGroup[K comparable] struct {
 	key     K
 	regions []Region
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -20,7 +20,7 @@
 }
 
 // Table holds the routes and the pools of a configuration, and finds the route of a request. Its routes never change.
-// Its pools count, and the event loop owns them.
+// The pools hold counters, so the event loop owns them.
 type Table struct {
 	classes       []string          // indexed by Request.Class
 	notIdempotent []bool            // by class
--- a/internal/route/worker.go
+++ b/internal/route/worker.go
@@ -25,7 +25,7 @@
 }
 
 // withStatic returns w with the properties of its static entry, which take precedence. Labels come only from static
-// entries. If there is no static entry, its name is empty.
+// entries. If the worker has no static entry, static is the zero Worker.
 func (w Worker) withStatic(static Worker) Worker {
 	if static.Name == "" {
 		return w
--- a/internal/router/counters.go
+++ b/internal/router/counters.go
@@ -13,7 +13,7 @@
 	Failed             [frontCount]uint64 // completed with status Failed
 	Canceled           [frontCount]uint64 // canceled by their clients
 	RejectedAtCapacity [frontCount]uint64 // rejected because the core or the front had no capacity
-	RejectedUnrouted   [frontCount]uint64 // rejected because no route matched, or one without a pool
+	RejectedUnrouted   [frontCount]uint64 // rejected because no route matched, or the matching route has no pool
 
 	AttemptsStarted uint64 // attempts passed to the worker client
 	LoadsSent       uint64
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -6,8 +6,8 @@
 	"crankhold/policy"
 )
 
-// deadlineTolerance is the time before a request's deadline from which on its response is marked DeadlineExceeded. The
-// module completes requests two of its ticks before their deadlines, which is 8 ms with this deployment's settings.
+// deadlineTolerance is how long before a request's deadline a response is already marked DeadlineExceeded. The module
+// completes requests two of its ticks before their deadlines, which is 8 ms with this deployment's settings.
 const deadlineTolerance = 10 * time.Millisecond
 
 // respondServed completes a request with the response of its worker.
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -13,9 +13,9 @@
 // The kinds of timers.
 const (
 	policyTimer     timerKind = iota // set by the decision module
-	attemptTimeout                   // ends the time of an attempt that has a limit of its own
-	commandTimeout                   // ends the time of a load command or health check
-	requestDeadline                  // ends the time of a request
+	attemptTimeout                   // limits an attempt that has a time limit of its own
+	commandTimeout                   // limits the time of a load command or health check
+	requestDeadline                  // completes a request at its deadline
 )
 
 // timer is a timer of the core or of the decision module.
--- a/policy/actions.go
+++ b/policy/actions.go
@@ -11,8 +11,8 @@
 	Request RequestID
 	Worker  WorkerID
 	Timeout time.Duration // timeout of the attempt; 0: the request's deadline
-	// SendWithin is the longest time that the attempt may wait before it is sent; 0: as long as Timeout allows.
-	// It is set for a retry that workers deduplicate, because they do so for a limited time only.
+	// SendWithin is the longest time that the attempt may wait before it is sent; 0: as long as Timeout
+	// allows. It is set for a retry that workers deduplicate, because they do so for a limited time only.
 	SendWithin time.Duration
 }
 
@@ -32,8 +32,8 @@
 // retry may not be safe.
 type FailRequest struct{ Request RequestID }
 
-// Load is a load command: the worker is to have Count replicas of a function loaded. With Count 0 it only
-// queries how many are loaded.
+// Load is a load command: it asks a worker to have Count replicas of a function loaded. If Count is 0, it
+// only queries how many are loaded.
 type Load struct {
 	Worker   WorkerID
 	Function FunctionID
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -7,7 +7,7 @@
 // # Files
 //
 // The types of the interface are in config.go, request_policy.go, events.go, actions.go and errors.go. All
-// other files make decisions; the key policy of deploy/balancer.toml names them. Each type owns its state: no
+// other files make decisions; the key policy of deploy/balancer.toml lists them. Each type owns its state: no
 // other type changes it.
 //
 // Events and requests:
@@ -53,7 +53,7 @@
 //
 // # Estimation
 //
-// The queueing delay at a worker is modelled as a line over this router's attempts in flight. The slope is a
+// The queueing delay at a worker is modeled as a line over this router's attempts in flight. The slope is a
 // regression through the origin, with the slope over all workers as a prior. The intercept is a decaying mean
 // of the delay that requests of other routers add. A load report counts as one response with the delay that a
 // queue of that length caused before. An attempt that was canceled or timed out counts as at least that late,
@@ -77,7 +77,7 @@
 // of the latency objective, a growing part of the requests that never ran is rejected: first those beyond
 // their tenant's quota and those that would be late, then those of classes of lower priority, then all. The
 // delay is compared with the shortest objective among the classes that have priority. A rejected request does
-// not count towards the quota, because the client's retries are the same request.
+// not count toward the quota, because the client's retries are the same request.
 //
 // # Loads
 //
@@ -85,9 +85,9 @@
 // the request again. While loads fail, the store that all workers load from may be down: a circuit breaker
 // lets loads start one at a time, with delays that double to at most 1.6 s, until one succeeds. Meanwhile
 // requests that need a load are deferred. If memory has a price and workers load functions by themselves, an
-// idle replica is unloaded once its memory has cost what a request loses that finds no replica. A router that
-// is one of several sees only its own requests, so it keeps replicas for longer than the price alone would
-// justify.
+// idle replica is unloaded once its memory has cost as much as the loss of a request that finds no replica. A
+// router that is one of several sees only its own requests, so it keeps replicas for longer than the price
+// alone would justify.
 //
 // # Health
 //
--- a/policy/events.go
+++ b/policy/events.go
@@ -26,7 +26,7 @@
 	Unreachable             // no connection could be made
 	ConnectionReset         // the connection broke
 	Canceled                // canceled by the router or its client
-	NotSent                 // the time for sending it was over
+	NotSent                 // not sent, or too late for the worker to run it
 	NotLoaded               // the worker has no replica of the function
 )
 
--- a/policy/housekeeping.go
+++ b/policy/housekeeping.go
@@ -49,7 +49,7 @@
 }
 
 // sweepReplica removes the entry of an idle replica whose keep-alive is over. A replica that has been idle
-// for longer than it is worth its memory is unloaded before that.
+// for longer than its function's idleLimit is unloaded earlier.
 func (p *Policy) sweepReplica(w *worker, id FunctionID) {
 	entry := w.replicas[id]
 	if entry.inFlight > 0 || entry.loadPending || p.now <= entry.loadDue {
--- a/policy/latency_estimator.go
+++ b/policy/latency_estimator.go
@@ -20,10 +20,10 @@
 	initialRunRatio     = 0.25            // initial run time, as a part of the latency objective
 	extraLaneLoadRatio  = 0.3             // cost of a request beyond the lanes, as a part of a load
 
-	minLoadTimeRatio = 0.2 // bounds on the ratio that one load counts as
+	minLoadTimeRatio = 0.2 // bounds on the ratio of measured to announced time of one load
 	maxLoadTimeRatio = 10
 
-	maxReportedQueue = 1000 // requests; a load report of more counts as this many
+	maxReportedQueue = 1000 // a load report of more queued requests counts as this many
 	maxWorkHint      = time.Hour
 
 	// queueReportField is the name of the load report field that holds the number of queued requests.
--- a/policy/latency_observations.go
+++ b/policy/latency_observations.go
@@ -113,9 +113,9 @@
 	delay.Observe(now, max(atLeast, delay.Mean(now)))
 }
 
-// observeNoResponse records an attempt that completed without a response after a time. A response would have
-// taken longer still. The attempt is ignored if the worker has responded to later attempts, because these
-// show the delay better.
+// observeNoResponse records an attempt that completed without a response after the time took. A response
+// would have taken even longer. The attempt is ignored if the worker has responded to later attempts, because
+// those responses show the delay better.
 func (e *latencyEstimator) observeNoResponse(now time.Duration, a *attempt, took time.Duration) {
 	delay := &a.worker.latency.queueDelay
 	beyondRun := float64(nanoseconds(took) - e.runTime(a.request))
--- a/policy/load_shedder.go
+++ b/policy/load_shedder.go
@@ -55,8 +55,8 @@
 	s.standingDelay.Observe(counted, standingDelayUpward, standingDelayDownward)
 }
 
-// decide decides whether to shed a request whose response from the best worker is expected after a time. Each
-// call uses one random number.
+// decide decides whether to shed a request. The parameter expected is the time until the response of the best
+// worker. Each call uses one random number.
 func (s *loadShedder) decide(
 	now time.Duration, r *request, best *worker, expected nanoseconds,
 ) sheddingDecision {
--- a/policy/loader.go
+++ b/policy/loader.go
@@ -6,7 +6,7 @@
 )
 
 // minLoadTimeDivisor sets the least time that a load must take to be measured: the announced load time
-// divided by this. If it took less, the replica was already loaded, or almost.
+// divided by this. If it took less, the replica was already loaded, or its load was almost complete.
 const minLoadTimeDivisor = 5
 
 // loader sends load commands within the load budget, and decides how long an idle replica is kept.
@@ -78,8 +78,8 @@
 	}
 }
 
-// idleLimit returns how long an idle replica of a request's function is worth its memory. This is the time in
-// which the memory costs as much as a request loses that finds no replica.
+// idleLimit returns how long an idle replica of a request's function is worth its memory: until the memory
+// has cost as much as the loss of a request that finds no replica.
 func (l *loader) idleLimit(r *request) time.Duration {
 	memoryCost := l.budget.recentRequests(l.turn.now) * l.cfg.MemoryPrice * r.MemoryMB
 	if l.cfg.MissWhenNotLoaded || l.cfg.WorkerMemoryMB <= 0 || !(memoryCost > 0) { // NaN counts as no cost
--- a/policy/rendezvous.go
+++ b/policy/rendezvous.go
@@ -34,7 +34,7 @@
 	tables    *tables
 	estimator *latencyEstimator
 	slowStart *slowStart
-	router    WorkerID // this router's identifier; slots are ranked for it by the same hash
+	router    WorkerID // this router's identifier; the same hash chooses its slot
 }
 
 // preferred returns the candidate that ranks first among those at which a request would start a load.
@@ -55,7 +55,7 @@
 			highestUnloaded = score
 		}
 	}
-	// A single router knows of all replicas except those whose keep-alive is over by its count.
+	// A single router knows of all replicas, except those that are still loaded after loadedUntil.
 	probability := min(likelyProbability, probabilityPerRouter*float64(ranking.cfg.Routers+1))
 	if preferred != nil && highestUnloaded == highest {
 		probability = max(probability, ranking.loadedByOthersProbability(f, slots))
--- a/policy/request_policy_test.go
+++ b/policy/request_policy_test.go
@@ -296,8 +296,8 @@
 	})
 }
 
-// Checks that routers without a routes file behave as before: on the same events, a request with a policy
-// that adds no limits, in a pool of all workers, gets the same actions as a request without a policy.
+// A policy that adds no limits, in a pool of all workers, must change no decision: on the same events, its
+// requests get the same actions as requests without a policy, which is how routers without a routes file work.
 func TestUnlimitedPolicyChangesNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := config()
@@ -344,7 +344,7 @@
 }
 
 // If all workers of a pool are ejected, no other worker can take its requests. The pool's workers must then
-// be checked every half second, and not only after ejections that have become longer.
+// be checked within half a second, and not only at the end of their ejections, which may last 8 s.
 func TestPoolOfEjectedWorkersIsCheckedSooner(t *testing.T) {
 	h := newHarness(t, config(), 2)
 	p := newFakePool(100, 1)
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -46,7 +46,7 @@
 	return timerToken{kind: deadlineTimer, request: r.Request}.encode()
 }
 
-// requestCanceled closes a request that its client canceled. It no longer counts towards the load budget.
+// requestCanceled completes a request that its client canceled, and removes it from the load budget's count.
 func (p *Policy) requestCanceled(e RequestCanceled) {
 	r := p.requests.get(e.Request)
 	if r == nil || r.complete {
@@ -101,7 +101,8 @@
 	}
 }
 
-// endAttempt records that an attempt is no longer in flight, and whether its worker may be used again.
+// endAttempt records that an attempt is no longer in flight, and whether its request may be sent to the same
+// worker again.
 func (p *Policy) endAttempt(a *attempt, entry *replica, outcome Outcome) {
 	r := a.request
 	w := a.worker
@@ -120,8 +121,8 @@
 	}
 }
 
-// continueRequest decides how a request continues whose last attempt completed without a response for the
-// client. It sends a load command, rejects the request or schedules it again.
+// continueRequest sends a load command for a request, rejects it or schedules it again, after its last
+// attempt completed without a response for the client.
 func (p *Policy) continueRequest(r *request, entry *replica, outcome Outcome) {
 	if outcome == NotLoaded && p.loads.command(r, entry) {
 		return
@@ -135,7 +136,7 @@
 }
 
 // reject gives a request its final response: a rejection if a retry by the client is safe, otherwise a
-// failure. A rejected client is advised to retry after about the time wait.
+// failure. A rejected client is advised to retry after roughly wait.
 func (p *Policy) reject(r *request, wait nanoseconds) {
 	rejection := Reject{Request: r.Request, RetryAfter: p.shedder.retryAfter(wait)}
 	if r.complete {
@@ -157,8 +158,8 @@
 	p.requests.removeIfComplete(r)
 }
 
-// startHedge starts the hedged attempt of a request whose first attempt is still in flight. The second worker
-// must need no load.
+// startHedge starts the hedged attempt of a request whose first attempt is still in flight, at a second
+// worker that needs no load.
 func (p *Policy) startHedge(r *request) {
 	if r == nil || r.inFlight != 1 || !p.cfg.HedgingAllowed || r.class.Idempotency != Idempotent {
 		return
--- a/policy/retry_rules.go
+++ b/policy/retry_rules.go
@@ -22,7 +22,7 @@
 }
 
 // mayRetry reports whether the class, the policy and the attempts so far allow a request to be sent to a
-// worker. If w is nil, it reports whether a worker that is listed later might be allowed.
+// worker. If w is nil, it reports whether they allow any worker, including one that is listed later.
 func (rules retryRules) mayRetry(now time.Duration, r *request, w *worker) bool {
 	if rules.attemptsUsedUp(r) {
 		return false
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -35,18 +35,19 @@
 	likelyLoaded bool          // another router likely keeps a replica there although none is known
 }
 
-// scoredWorker is a worker with its score: the predicted latency minus the load time that is likely saved.
+// scoredWorker is a worker with its score: the predicted latency minus the load time that is likely saved
+// because other routers keep a replica there.
 type scoredWorker struct {
 	worker *worker
 	score  nanoseconds
 }
 
-// scheduler chooses the worker for a request: the candidate with the lowest predicted latency, including the
-// request itself. If no candidate can respond in time, the request is rejected. If no worker may take it now,
-// it may be deferred.
+// scheduler chooses the worker for a request: the candidate with the lowest score; see scoredWorker. If no
+// candidate can respond in time, the request is rejected. If no worker may take it now, it may be deferred.
 //
-// Scheduling changes only the time of the last trial request and the scratch buffers. If a request has no
-// candidate, it also has ejected workers checked sooner.
+// Scheduling changes only the time of the last trial request, the scratch buffers, and the pool of a request
+// that overflows. If a request has no candidate, scheduling also expedites the health checks of the ejected
+// workers of its pool.
 type scheduler struct {
 	cfg       *Config
 	rng       *rand.Rand
@@ -148,8 +149,8 @@
 	return scoredWorker{worker: candidates[s.pickTied(lowest+tick)], score: lowest}
 }
 
-// pickTied returns the index of a random score among those that do not exceed a limit, all with the same
-// probability.
+// pickTied returns the index of a score that does not exceed the limit. All such scores are picked with the
+// same probability.
 func (s *scheduler) pickTied(limit nanoseconds) int {
 	picked := 0
 	tied := 0
--- a/policy/unload_test.go
+++ b/policy/unload_test.go
@@ -42,8 +42,8 @@
 	return 0
 }
 
-// An idle replica is unloaded when its memory has cost as much as a request loses that finds no replica. This
-// is sooner if memory is more expensive, the replica is larger or requests are more frequent. It never
+// An idle replica is unloaded when its memory has cost as much as the loss of a request that finds no replica.
+// This is sooner if memory is more expensive, the replica is larger or requests are more frequent. It never
 // happens if memory has no price or replicas can't be unloaded.
 func TestIdleReplicasAreUnloadedWhenMemoryCostsMoreThanALoad(t *testing.T) {
 	base := idleTimeBeforeUnload(t, memoryPriceConfig(), 20, 8000)
