--- a/internal/endpoint/doc.go
+++ b/internal/endpoint/doc.go
@@ -6,8 +6,8 @@
 // [GroupAliases] finds the entries of an endpoint list that are aliases of one worker.
 //
 // The package does no I/O, reads no clock and imports only the standard library. Its callers report what happened, and
-// it returns what to do next. Package workerclient makes the dials. Its model check tests both packages with all
-// interleavings of events up to a small bound.
+// it returns what to do next. Package workerclient makes the dials. The model check of workerclient tests both packages
+// with all interleavings of events up to a small bound.
 //
 // Times are on the caller's monotonic clock. The types are not safe for concurrent use; the event loop's goroutine owns
 // them. No function blocks.
--- a/internal/endpoint/race_test.go
+++ b/internal/endpoint/race_test.go
@@ -20,19 +20,19 @@
 		}
 		dialTimeout, budget := 250*ms, time.Duration(rapid.IntRange(0, 3000).Draw(t, "left"))*ms
 		r, now := NewDialRace(list, dialTimeout, budget), time.Duration(0)
-		var dialled []Addr
+		var dialed []Addr
 		inProgress, succeeded, lost, lastDialAt := 0, 0, false, time.Duration(0)
 		for range 200 {
 			mayOverlap := rapid.Bool().Draw(t, "mayOverlap")
 			if a, ok := r.Next(now, mayOverlap); ok {
-				if lost || succeeded > 0 || slices.Contains(dialled, a) || inProgress > 0 && (!mayOverlap || now-lastDialAt < ms) {
-					t.Fatalf("dials %v: lost %v, %d succeeded, dialled %v, %d in progress, may overlap %v", a, lost, succeeded, dialled, inProgress, mayOverlap)
+				if lost || succeeded > 0 || slices.Contains(dialed, a) || inProgress > 0 && (!mayOverlap || now-lastDialAt < ms) {
+					t.Fatalf("dials %v: lost %v, %d succeeded, dialed %v, %d in progress, may overlap %v", a, lost, succeeded, dialed, inProgress, mayOverlap)
 				}
-				dialled = append(dialled, a)
+				dialed = append(dialed, a)
 				inProgress++
 				lastDialAt = now
-			} else if inProgress == 0 && succeeded == 0 && len(dialled) < len(list) {
-				t.Fatal("no dial is in progress, addresses are left, and none is dialled")
+			} else if inProgress == 0 && succeeded == 0 && len(dialed) < len(list) {
+				t.Fatal("no dial is in progress, addresses are left, and none is dialed")
 			}
 			if inProgress > MaxDialsPerRace || r.InProgress() != inProgress {
 				t.Fatalf("%d dials in progress, %d counted", inProgress, r.InProgress())
@@ -42,7 +42,7 @@
 				if inProgress > 0 {
 					inProgress--
 					if r.DialFailed() {
-						if lost || succeeded > 0 || len(dialled) < len(list) || inProgress > 0 {
+						if lost || succeeded > 0 || len(dialed) < len(list) || inProgress > 0 {
 							t.Fatal("the race is reported as lost while it is not")
 						}
 						lost = true
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -63,7 +63,7 @@
 // Merging along the front leaves two boxes, and so two regions: "calls of class audit for function * (but not 7f*)" and
 // "calls by thrift of class audit for function 7f*". ExampleDiff_regions shows them.
 //
-// Reachable needs no regions. For each rule of a route, it tries one function for each longest pattern within the
+// Reachable needs no regions. For each rule of a route, it tests one function for each longest pattern within the
 // rule's pattern, with each class and front that the rule accepts.
 //
 // # Files
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -95,8 +95,8 @@
 		if attempt.completed || !t.workers.WithdrawUnsent(attempt.worker, a) {
 			continue
 		}
-		// The outcome is not policy.NotSent, because the module learns from the time of a canceled attempt how long its
-		// worker delays requests.
+		// The outcome is policy.Canceled and not policy.NotSent, because the module uses the duration of a canceled
+		// attempt to estimate the delay at its worker.
 		t.attemptCompleted(a, AttemptResult{Outcome: policy.Canceled})
 	}
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -56,10 +56,10 @@
 // The queueing delay at a worker is modeled as a line over this router's attempts in flight. The slope is a
 // regression through the origin, with the slope over all workers as a prior. The intercept is a decaying mean
 // of the delay that requests of other routers add. A load report counts as one response with the delay that a
-// queue of that length caused before. An attempt that was canceled or timed out counts as at least that late,
-// unless later attempts were served. A response counts as at most three times its estimate, so that one
-// outlier does no harm. The run time of a function is a mean that is weighted with that of its class while
-// there are few responses.
+// queue of that length caused before. An attempt that was canceled or timed out counts as a response that
+// took at least as long, unless later attempts were served. A response counts as at most three times its
+// estimate, so that one outlier does no harm. The run time of a function is a mean that is weighted with that
+// of its class while there are few responses.
 //
 // # Slow start
 //
--- a/policy/endpoint_tracker.go
+++ b/policy/endpoint_tracker.go
@@ -3,8 +3,8 @@
 // subscribeRetryDivisor sets when a failed subscription is retried: after the poll interval divided by this.
 const subscribeRetryDivisor = 8
 
-// endpointTracker applies endpoint lists. When a worker's process has restarted, it has the other components
-// discard what they learned about the former process.
+// endpointTracker applies endpoint lists. When a worker's process has restarted, it makes the other
+// components discard what they learned about the former process.
 type endpointTracker struct {
 	cfg       *Config
 	turn      *turn
--- a/policy/gossiper.go
+++ b/policy/gossiper.go
@@ -37,8 +37,8 @@
 
 // replicaLoaded queues an entry for a replica that is known to be loaded, unless one was queued recently.
 func (g *gossiper) replicaLoaded(now time.Duration, loaded *replica, f *function) {
-	gossips := g.cfg.GossipSupported && g.cfg.Routers > 1
-	if !gossips || now-loaded.gossipedAt <= g.cfg.KeepAlive/gossipsPerKeepAlive {
+	gossipEnabled := g.cfg.GossipSupported && g.cfg.Routers > 1
+	if !gossipEnabled || now-loaded.gossipedAt <= g.cfg.KeepAlive/gossipsPerKeepAlive {
 		return
 	}
 	loaded.gossipedAt = now
--- a/policy/load_breaker.go
+++ b/policy/load_breaker.go
@@ -5,8 +5,8 @@
 // maxBreakerDoublings limits the delay between loads while they fail: 50 ms doubled five times is 1.6 s.
 const maxBreakerDoublings = 5
 
-// loadBreaker is a circuit breaker for loads. All workers load from one store, which may be down while loads
-// fail.
+// loadBreaker is a circuit breaker for loads. All workers load from one store, so if loads fail, the store
+// may be down.
 //
 // Invariant: while loads fail, at most one load starts in each delay, and the delay doubles with each further
 // failure.
--- a/policy/outcome_recorder.go
+++ b/policy/outcome_recorder.go
@@ -52,7 +52,7 @@
 }
 
 // updateStandingDelay updates the standing delay by a response of a replica that was known to be loaded.
-// Other responses are not used, because what looks like the time of a load may be queueing.
+// Other responses are not used, because their load time can't be told apart from queueing.
 func (o *outcomeRecorder) updateStandingDelay(a *attempt, e AttemptCompleted, response servedResponse) {
 	if !a.expectsLoad && e.LoadStatus <= AlreadyLoaded {
 		o.shedder.observe(response.took, a.request.class.LatencyObjective)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -27,12 +27,12 @@
 	for range 10 {
 		busy.latency.queueDelay.Observe(h.now, float64(250*ms))
 	}
-	if at, off := sent(busy, 7), sent(idle, 8); at > 60 || off < 95 {
-		t.Errorf("%d of 100 sent to the worker with the queue, %d to the idle worker", at, off)
+	if toBusy, toIdle := sent(busy, 7), sent(idle, 8); toBusy > 60 || toIdle < 95 {
+		t.Errorf("%d of 100 sent to the worker with the queue, %d to the idle worker", toBusy, toIdle)
 	}
 	h.now += 30 * time.Second
-	if at := sent(busy, 7); at < 95 {
-		t.Errorf("%d of 100 sent after the queue is gone", at)
+	if toBusy := sent(busy, 7); toBusy < 95 {
+		t.Errorf("%d of 100 sent after the queue is gone", toBusy)
 	}
 }
 
--- a/policy/request_table.go
+++ b/policy/request_table.go
@@ -13,7 +13,7 @@
 	attempts                []*attempt
 	inFlight                int       // attempts that have not completed
 	firstPossibleRun        *attempt  // the first attempt that may have run
-	retriesAfterPossibleRun int       // attempts after that one
+	retriesAfterPossibleRun int       // attempts that started after firstPossibleRun completed
 	excluded                []*worker // workers that rejected or failed it
 
 	overQuota bool // it was beyond its tenant's quota when it arrived
@@ -35,7 +35,7 @@
 
 	// likelyLoaded means that another router likely keeps a replica at the worker although none was known.
 	likelyLoaded bool
-	ended        bool
+	completed    bool
 	canceled     bool
 }
 
@@ -74,7 +74,7 @@
 // findAttempt returns an attempt in flight, or nil if there is none with this number.
 func (t *requestTable) findAttempt(id RequestID, number int) *attempt {
 	r := t.byID[id]
-	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].ended {
+	if r == nil || number < 0 || number >= len(r.attempts) || r.attempts[number].completed {
 		return nil
 	}
 	return r.attempts[number]
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -53,7 +53,7 @@
 		return
 	}
 	p.loads.budget.withdrawArrival(r.deadline - r.Remaining)
-	p.closeRequest(r)
+	p.completeRequest(r)
 }
 
 // responseStarted records that a streamed response has started. After that the request gets no other attempt.
@@ -87,11 +87,11 @@
 	}
 	r := a.request
 	entry := p.replicas.get(a.worker, r.function.id)
-	p.endAttempt(a, entry, e.Outcome)
+	p.completeAttempt(a, entry, e.Outcome)
 	e.Took = min(max(e.Took, 0), maxAttemptTime)
 	p.outcomes.record(a, entry, e)
 	if e.RequestClosed {
-		p.closeRequest(r)
+		p.completeRequest(r)
 	}
 	switch {
 	case r.complete:
@@ -101,12 +101,12 @@
 	}
 }
 
-// endAttempt records that an attempt is no longer in flight, and whether its request may be sent to the same
-// worker again.
-func (p *Policy) endAttempt(a *attempt, entry *replica, outcome Outcome) {
+// completeAttempt records that an attempt is no longer in flight, and whether its request may be sent to the
+// same worker again.
+func (p *Policy) completeAttempt(a *attempt, entry *replica, outcome Outcome) {
 	r := a.request
 	w := a.worker
-	a.ended = true
+	a.completed = true
 	r.inFlight--
 	entry.inFlight--
 	a.pool.AttemptCompleted()
@@ -145,11 +145,11 @@
 	if !p.emit(rejection) {
 		p.emit(FailRequest{Request: r.Request})
 	}
-	p.closeRequest(r)
+	p.completeRequest(r)
 }
 
-// closeRequest completes a request that has its final response or needs none, and cancels its attempts.
-func (p *Policy) closeRequest(r *request) {
+// completeRequest completes a request that has its final response or needs none, and cancels its attempts.
+func (p *Policy) completeRequest(r *request) {
 	r.complete = true
 	p.emit(ClearTimer{Token: deadlineTokenOf(r)})
 	for _, a := range r.attempts {
@@ -164,7 +164,7 @@
 	if r == nil || r.inFlight != 1 || !p.cfg.HedgingAllowed || r.class.Idempotency != Idempotent {
 		return
 	}
-	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.ended })].worker
+	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.completed })].worker
 	r.hedging = true
 	if second := p.scheduler.chooseHedge(p.now, r, first); second.worker != nil {
 		p.attempts.start(r, second)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	list := func() {
+	changeEndpoints := func() {
 		l := EndpointList{Kind: EndpointSnapshot}
 		for w := WorkerID(1); w <= 6; w++ {
 			e := Endpoint{Worker: w, State: WorkerState(1 + rng.IntN(5)/4), Zone: int(w) % 2}
@@ -142,7 +142,7 @@
 		}
 		handle(l)
 	}
-	list()
+	changeEndpoints()
 	for range steps {
 		now += time.Duration(rng.IntN(9)) * ms
 		for i := 0; i < len(timers); i++ {
@@ -154,7 +154,7 @@
 		}
 		switch k := rng.IntN(20); {
 		case k == 0 && rng.IntN(5) == 0:
-			list()
+			changeEndpoints()
 		case k < 8:
 			lastID++
 			remaining := time.Duration(rng.IntN(3000)) * ms
@@ -290,8 +290,8 @@
 				case CheckHealth:
 					to = act.Worker
 				}
-				if arr, ok := ev.(RequestArrived); ok {
-					open[arr.Request] = true
+				if arrival, ok := ev.(RequestArrived); ok {
+					open[arrival.Request] = true
 				}
 				if req != 0 && (!open[req] || closed[req]) {
 					t.Fatalf("%T for request %d, which is completed or unknown", act, req)
--- a/policy/scheduler.go
+++ b/policy/scheduler.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// trialInterval is the least time between trial requests, which are sent although the estimates say
-// otherwise.
+// trialInterval is the least time between trial requests, which are sent although the estimates call for a
+// rejection.
 const trialInterval = time.Second
 
 // decisionKind tells how a request is scheduled.
--- a/policy/scheduling_test.go
+++ b/policy/scheduling_test.go
@@ -99,7 +99,7 @@
 
 func rendezvousBySize(t *testing.T, fleetRouters int) (six, four float64) {
 	t.Helper()
-	const routers, calls = 100, 40
+	const routers, requestsPerRouter = 100, 40
 	cfg := config()
 	cfg.Routers, cfg.MissWhenNotLoaded, cfg.LoadCommandsSupported = fleetRouters, true, true
 	sizes := []float64{6, 6, 6, 6, 4, 4, 4, 4}
@@ -116,7 +116,7 @@
 		}
 		rng := rand.New(rand.NewPCG(seed, 7))
 		p.Handle(time.Hour, list, nil)
-		for n := range calls {
+		for n := range requestsPerRouter {
 			f := FunctionID(1 + rng.IntN(2000))
 			now := time.Hour + time.Duration(n)*time.Minute // the time between requests exceeds every retention
 			id := RequestID(n + 1)
@@ -237,12 +237,12 @@
 				h.now += 500 * ms // a round takes 12 s: the function is requested too rarely for its replica to be known
 				h.handle(TimerFired{Token: housekeepingToken})
 				id, actions := h.arrive(0, f)
-				for try := 0; try < 3; try++ {
+				for number := 0; number < 3; number++ {
 					s, ok := first[StartAttempt](actions)
 					if !ok {
 						break
 					}
-					if f == 7 && try == 0 {
+					if f == 7 && number == 0 {
 						sent++
 						count[s.Worker]++
 						if s.Worker == preferred {
@@ -251,11 +251,11 @@
 					}
 					if f == 7 && full && s.Worker == preferred {
 						h.now += 5 * ms
-						actions = h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Overloaded, Took: 5 * ms})
+						actions = h.handle(AttemptCompleted{Request: id, Attempt: number, Worker: s.Worker, Outcome: Overloaded, Took: 5 * ms})
 						continue
 					}
 					h.now += 60 * ms
-					h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: 60 * ms})
+					h.handle(AttemptCompleted{Request: id, Attempt: number, Worker: s.Worker, Outcome: Served, RequestClosed: true, Took: 60 * ms})
 					break
 				}
 			}
--- a/policy/slow_start_fleet_test.go
+++ b/policy/slow_start_fleet_test.go
@@ -117,9 +117,9 @@
 }
 
 // attemptsInSlowStart returns the number of attempts that a router sends to worker 1 after it and other
-// workers have restarted. Before that, the router serves 3 requests per second for longer than 10 s,
-// rateSpan; if several workers restart, they are gone meanwhile. Afterwards, twenty requests per second
-// arrive for functions that are loaded nowhere.
+// workers have restarted. Before that, the router serves 3 requests per second for longer than rateSpan, which
+// is 10 s. If several workers restart, they are gone during this time. After the restart, twenty requests per
+// second arrive for functions that are loaded nowhere.
 func attemptsInSlowStart(t *testing.T, seed uint64, started int) int {
 	cfg := config()
 	cfg.Routers = 100
@@ -145,8 +145,8 @@
 		h.advance(50 * ms)
 		id, actions := h.arrive(0, f)
 		s, ok := first[StartAttempt](actions)
-		for try := 0; ok; try++ {
-			s, ok = first[StartAttempt](h.handle(AttemptCompleted{Request: id, Attempt: try, Worker: s.Worker, Outcome: Failed}))
+		for number := 0; ok; number++ {
+			s, ok = first[StartAttempt](h.handle(AttemptCompleted{Request: id, Attempt: number, Worker: s.Worker, Outcome: Failed}))
 		}
 	}
 	return h.attemptsAtWorker1 - before
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -57,7 +57,7 @@
 
 func TestRequestsLeaveTheTableWhenCompleteAndNothingIsInFlight(t *testing.T) {
 	table := requestTable{byID: map[RequestID]*request{}}
-	r := &request{RequestArrived: RequestArrived{Request: 5}, attempts: []*attempt{{ended: true}, {}}, inFlight: 1}
+	r := &request{RequestArrived: RequestArrived{Request: 5}, attempts: []*attempt{{completed: true}, {}}, inFlight: 1}
 	table.add(r)
 	if table.findAttempt(5, 0) != nil || table.findAttempt(5, 1) != r.attempts[1] || table.findAttempt(5, 2) != nil {
 		t.Error("a completed attempt is found, or one in flight is not")
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -28,7 +28,7 @@
 
 // cancel cancels an attempt in flight if the settings allow it.
 func (t *turn) cancel(a *attempt) {
-	if !a.ended && !a.canceled {
+	if !a.completed && !a.canceled {
 		a.canceled = t.emit(CancelAttempt{Request: a.request.Request, Attempt: a.number})
 	}
 }
