--- a/policy/requests.go
+++ b/policy/requests.go
@@ -46,14 +46,14 @@
 	return timerToken{kind: deadlineTimer, request: r.Request}.encode()
 }
 
-// requestCanceled closes a request that its client canceled. It no longer counts towards the load budget.
+// requestCanceled completes a request that its client canceled, and removes it from the load budget's count.
 func (p *Policy) requestCanceled(e RequestCanceled) {
 	r := p.requests.get(e.Request)
 	if r == nil || r.complete {
 		return
 	}
 	p.loads.budget.withdrawArrival(r.deadline - r.Remaining)
-	p.closeRequest(r)
+	p.completeRequest(r)
 }
 
 // responseStarted records that a streamed response has started. After that the request gets no other attempt.
@@ -87,11 +87,11 @@
 	}
 	r := a.request
 	entry := p.replicas.get(a.worker, r.function.id)
-	p.endAttempt(a, entry, e.Outcome)
+	p.completeAttempt(a, entry, e.Outcome)
 	e.Took = min(max(e.Took, 0), maxAttemptTime)
 	p.outcomes.record(a, entry, e)
 	if e.RequestClosed {
-		p.closeRequest(r)
+		p.completeRequest(r)
 	}
 	switch {
 	case r.complete:
@@ -101,11 +101,12 @@
 	}
 }
 
-// endAttempt records that an attempt is no longer in flight, and whether its worker may be used again.
-func (p *Policy) endAttempt(a *attempt, entry *replica, outcome Outcome) {
+// completeAttempt records that an attempt is no longer in flight, and whether its request may be sent to the
+// same worker again.
+func (p *Policy) completeAttempt(a *attempt, entry *replica, outcome Outcome) {
 	r := a.request
 	w := a.worker
-	a.ended = true
+	a.completed = true
 	r.inFlight--
 	entry.inFlight--
 	a.pool.AttemptCompleted()
@@ -120,8 +121,8 @@
 	}
 }
 
-// continueRequest decides how a request continues whose last attempt completed without a response for the
-// client. It sends a load command, rejects the request or schedules it again.
+// continueRequest sends a load command for a request, rejects it or schedules it again, after its last
+// attempt completed without a response for the client.
 func (p *Policy) continueRequest(r *request, entry *replica, outcome Outcome) {
 	if outcome == NotLoaded && p.loads.command(r, entry) {
 		return
@@ -135,7 +136,7 @@
 }
 
 // reject gives a request its final response: a rejection if a retry by the client is safe, otherwise a
-// failure. A rejected client is advised to retry after about the time wait.
+// failure. A rejected client is advised to retry after roughly wait.
 func (p *Policy) reject(r *request, wait nanoseconds) {
 	rejection := Reject{Request: r.Request, RetryAfter: p.shedder.retryAfter(wait)}
 	if r.complete {
@@ -144,11 +145,11 @@
 	if !p.emit(rejection) {
 		p.emit(FailRequest{Request: r.Request})
 	}
-	p.closeRequest(r)
+	p.completeRequest(r)
 }
 
-// closeRequest completes a request that has its final response or needs none, and cancels its attempts.
-func (p *Policy) closeRequest(r *request) {
+// completeRequest completes a request that has its final response or needs none, and cancels its attempts.
+func (p *Policy) completeRequest(r *request) {
 	r.complete = true
 	p.emit(ClearTimer{Token: deadlineTokenOf(r)})
 	for _, a := range r.attempts {
@@ -157,13 +158,13 @@
 	p.requests.removeIfComplete(r)
 }
 
-// startHedge starts the hedged attempt of a request whose first attempt is still in flight. The second worker
-// must need no load.
+// startHedge starts the hedged attempt of a request whose first attempt is still in flight, at a second
+// worker that needs no load.
 func (p *Policy) startHedge(r *request) {
 	if r == nil || r.inFlight != 1 || !p.cfg.HedgingAllowed || r.class.Idempotency != Idempotent {
 		return
 	}
-	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.ended })].worker
+	first := r.attempts[slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.completed })].worker
 	r.hedging = true
 	if second := p.scheduler.chooseHedge(p.now, r, first); second.worker != nil {
 		p.attempts.start(r, second)
