--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -15,9 +15,9 @@
 	// Seed is the seed of the jitter. Clients with different seeds send their queries at different times.
 	Seed uint64
 
-	// DrainGracePeriod is how long new work may still be sent to a worker after the event of its drain was announced.
-	// The poll interval is derived from it. Each query costs a server that all routers share, so the client sends only
-	// as many as it needs to receive the event in time although some responses are lost or outdated.
+	// DrainGracePeriod is how long new work may still be sent to a worker after its drain was announced. The poll
+	// interval is derived from it. Because all routers share the server, the client sends only as many queries as it
+	// needs to receive the event in time even if some responses are lost or outdated.
 	DrainGracePeriod time.Duration
 
 	// UnixInTXT accepts the text unix=/path in a worker's TXT record as an additional address. This is an extension
@@ -131,8 +131,8 @@
 	c.sockets.current.sendQuery()
 }
 
-// dialCompleted handles the completion of a dial. The socket to the former address is closed only now, so that its
-// descriptor is not taken by a client before.
+// dialCompleted handles the completion of a dial. The socket to the former address is closed only now. If it were
+// closed earlier, a client's connection could take its descriptor.
 func (c *Client) dialCompleted(s *socket, err error) {
 	if s != c.sockets.current {
 		return
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -17,8 +17,8 @@
 //
 // Client connects the other parts. pollSchedule decides when to dial and to query. serverSockets holds the sockets, and
 // each socket matches responses to its queries. parser parses a response, endpointList compares its serial number with
-// that of the current list, and recordJoiner combines its records to workers. Package server calls Tick in each turn of
-// the event loop and is notified of each list.
+// that of the current list, and recordJoiner combines its records into workers. Package server calls Tick in each turn
+// of the event loop and is notified of each list.
 //
 // # Polling
 //
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -33,7 +33,7 @@
 	workers    map[string]Worker // by name
 	serial     uint32
 	incomplete bool          // an SRV record of the list had no usable address
-	staleSince time.Duration // since when all responses have had lower serial numbers; 0 if the last one had not
+	staleSince time.Duration // since when all responses have had lower serial numbers; 0 if the latest had not
 }
 
 // comparison is the result of comparing the serial number of a response with that of the current list.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -54,8 +54,8 @@
 	return records
 }
 
-// Each form of a response is parsed to the expected records and combined to the expected workers. All fields are
-// compared.
+// Each form of a response is parsed, and its records are combined into workers. All fields of the records and the
+// workers are compared with the expected ones.
 func TestGoldenResponsesAreParsed(t *testing.T) {
 	const target = "s-0.east.hosts"
 	noTexts := map[string][]string{}
--- a/internal/discovery/record_join.go
+++ b/internal/discovery/record_join.go
@@ -21,7 +21,7 @@
 // Error names the target.
 func (e *MissingAddressError) Error() string { return fmt.Sprintf("no address for %s", e.Target) }
 
-// recordJoiner combines the records of a response to workers.
+// recordJoiner combines the records of a response into workers.
 type recordJoiner struct {
 	unixInTXT bool // see Config.UnixInTXT
 }
--- a/internal/ipfix/doc.go
+++ b/internal/ipfix/doc.go
@@ -17,14 +17,14 @@
 // # Ownership
 //
 // An Exporter belongs to the event loop's goroutine, is not safe for concurrent use and starts no goroutine. It opens
-// its socket by the dial function that is passed to New, and opens it again after a failure.
+// its socket with the dial function that is passed to New, and opens it again after a failure.
 //
 // # Limits
 //
 // A message has at most 1,400 bytes, so that no datagram is fragmented. The queue is flushed once a second and holds at
 // most 1,024 records. The name of a class is truncated to 64 bytes.
 //
-// # Failure behaviour
+// # Failure behavior
 //
 // The export never delays a request. Records are dropped and counted if the queue is full, or if their addresses are
 // unknown or of different families. The failure of a socket is logged, and a new socket is opened 5 s later; records
--- a/internal/lang/include.go
+++ b/internal/lang/include.go
@@ -13,7 +13,7 @@
 type includeStatement struct {
 	*syntax.Include
 	source *syntax.Source
-	chain  []string // files that include each other, ending with the file that contains the statement
+	chain  []string // files from the first one to the one with the statement; each includes the next
 }
 
 // chainTo returns the chain of includes to a file that the statement includes, formatted for messages.
--- a/internal/lang/result.go
+++ b/internal/lang/result.go
@@ -42,7 +42,7 @@
 // Err returns the faults as an error, or nil if there are none.
 func (r *Result) Err() error { return r.Faults.Err() }
 
-// Diff returns how the behaviour of the updated configuration differs from that of the old one. Both must have no
+// Diff returns how the behavior of the updated configuration differs from that of the old one. Both must have no
 // faults.
 func Diff(old, updated *Result) ([]route.Change, error) {
 	classes := old.Classes()
--- a/internal/lang/result_test.go
+++ b/internal/lang/result_test.go
@@ -42,7 +42,7 @@
 	}
 	original := mustCheck(t, testFiles, "", nil)
 	if changes, err := Diff(original, mustCheck(t, formatted, "", nil)); err != nil || len(changes) > 0 {
-		t.Errorf("formatting changes the behaviour: %+v, %v", changes, err)
+		t.Errorf("formatting changes the behavior: %+v, %v", changes, err)
 	}
 	formatted["main.crank"] = textFile(strings.Replace(string(formatted["main.crank"].Data), "300ms", "200ms", 1))
 	changes, err := Diff(original, mustCheck(t, formatted, "", nil))
--- a/internal/lang/selectorcheck.go
+++ b/internal/lang/selectorcheck.go
@@ -35,8 +35,8 @@
 	return ""
 }
 
-// platformMismatch returns why the platform has no worker of the selector's kinds or zones, or "" if it has or its
-// kinds and zones are unknown.
+// platformMismatch returns why the platform has no worker of the selector's kinds or zones. It returns "" if the
+// platform has these kinds and zones, or if those of the platform are unknown.
 func (c selectorChecker) platformMismatch(s route.Selector) string {
 	if c.platform == nil {
 		return ""
--- a/internal/lang/symbols.go
+++ b/internal/lang/symbols.go
@@ -11,7 +11,7 @@
 // symbolTable contains the named blocks of all files. A name is unique among the blocks of a keyword: the first block
 // with the name defines it.
 type symbolTable struct {
-	complete bool                         // all files were read without a fault, so undefined names do not exist
+	complete bool                         // all files were read without a fault, so any other name is undefined
 	blocks   map[string]map[string]*block // by keyword and name
 }
 
--- a/internal/lang/syntax/doc.go
+++ b/internal/lang/syntax/doc.go
@@ -1,5 +1,5 @@
 // Package syntax reads and writes the text of configuration files: scanner, parser, syntax tree and formatter,
-// modelled on go/scanner, go/parser and go/printer. It handles the syntax of blocks and settings; package lang, which
+// modeled on go/scanner, go/parser and go/printer. It handles the syntax of blocks and settings; package lang, which
 // calls it, handles their meaning.
 //
 // Parse returns a tree of what could be parsed, and all syntax faults in a file, each with its position. Format writes
--- a/internal/ledger/content_test.go
+++ b/internal/ledger/content_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Expired orders advance the retention horizon to the latest of their event times, and an earlier time does not turn it
+// Expired orders advance the retention horizon to the latest of their event times, and an earlier time does not move it
 // back. Orders that did not run are dropped without an effect on the horizon.
 func TestDropUnretainedAdvancesRetentionHorizon(t *testing.T) {
 	entry := func(id string, age time.Duration, state State) Entry {
--- a/internal/ledger/disk.go
+++ b/internal/ledger/disk.go
@@ -30,7 +30,7 @@
 func (SystemDisk) Open(path string, flag int, mode os.FileMode) (File, error) {
 	file, err := os.OpenFile(path, flag, mode)
 	if err != nil {
-		return nil, err // a nil *os.File would be a File other than nil
+		return nil, err // a nil *os.File in a File does not equal nil
 	}
 	return file, nil
 }
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -17,7 +17,7 @@
 // Ledger.Close block on the disk and must not be called on the event loop. Ledger.Counters may be called by any
 // goroutine.
 //
-// # Failure behaviour
+// # Failure behavior
 //
 // After a failed write or sync, no order is recorded until the file has recovered. The writer retries the recovery with
 // increasing delays. Outcomes of orders that arrive in the meantime are kept in memory and written on recovery. Open
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// advanceClock sets the writer's clock to now, unless that would turn it back.
+// advanceClock sets the writer's clock to now, unless that would move it back.
 func (w *writer) advanceClock(now time.Time) {
 	if now.After(w.now) {
 		w.now = now
--- a/internal/thrift/connection.go
+++ b/internal/thrift/connection.go
@@ -12,7 +12,7 @@
 
 // maxOpenRequests is the number of requests that may be open on one connection. Clients keep at most 32 open. The limit
 // is higher, because a client may not have received a response yet. Requests over the limit are rejected, so that a
-// client that sends hundreds at once leaves capacity to others.
+// client that sends hundreds at once leaves capacity for others.
 const maxOpenRequests = 64
 
 // Transport is a connection to a client. An eventloop.Conn implements it.
--- a/internal/thrift/doc.go
+++ b/internal/thrift/doc.go
@@ -30,12 +30,12 @@
 //
 // # Limits
 //
-// A frame may have 20 KiB, a body 16 KiB, and the map of fields 64 entries. Values may be nested 8 levels deep. One
-// connection may have 64 requests open; further ones are rejected with Backoff. Sequence numbers must increase from one
-// execute to the next, up to the largest positive 32-bit integer. If a number were used again, a reply could be taken
-// for that of the earlier request.
+// A frame has at most 20 KiB, a body at most 16 KiB, and the map of fields at most 64 entries. Values are nested at
+// most 8 levels deep. One connection may have at most 64 requests open; further ones are rejected with Backoff.
+// Sequence numbers must increase from one execute to the next, up to the largest positive 32-bit integer. If a number
+// were used again, a reply could be taken for that of the earlier request.
 //
-// # Failure behaviour
+// # Failure behavior
 //
 // A malformed message closes its connection. If a field of a request is invalid, the request is not forwarded, and the
 // reply is a Lost exception that names the field. Both are logged at most once a second, with their count. When a
--- a/internal/thrift/request.go
+++ b/internal/thrift/request.go
@@ -36,7 +36,7 @@
 // FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field string
-	Value string // at most maxLoggedValueBytes of the value; "" also if the field is missing
+	Value string // at most maxLoggedValueBytes of the value; "" if the field is empty or missing
 }
 
 // Error names the field and its value.
@@ -72,8 +72,8 @@
 	return &FieldError{Field: field, Value: string(value[:min(len(value), maxLoggedValueBytes)])}
 }
 
-// decodeRequest decodes the fields of an execute to a request. The caller sets the request's client, body and
-// responder. An invalid field rejects the request, because the field could not be forwarded unchanged.
+// decodeRequest decodes the fields of an execute into a request. The caller sets the request's client, body and
+// responder. A request with an invalid field is rejected, because the field could not be forwarded unchanged.
 func (f *Front) decodeRequest(fields executeFieldMap) (request router.Request, rejected *FieldError) {
 	class, known := f.classIndex[fields.text(fieldClass)]
 	if !known {
--- a/internal/webhook/doc.go
+++ b/internal/webhook/doc.go
@@ -7,8 +7,8 @@
 // Deliveries follow the Standard Webhooks specification (https://www.standardwebhooks.com): HTTP/1.1 POST requests with
 // the headers webhook-id, webhook-timestamp and webhook-signature. The last one holds HMAC-SHA256 signatures in base64.
 // HTTP messages (RFC 9112) are parsed in place, and a request with ambiguous framing is rejected. The payload is a JSON
-// event, which the README describes under "Signed webhooks". Only signed data is used: neither the path's query nor any
-// other header changes the meaning of a delivery.
+// event, which the README describes under "Signed webhooks". Only signed data is used: neither a query in the URL nor
+// any other header changes the meaning of a delivery.
 //
 // # One outcome for each webhook-id
 //
@@ -16,8 +16,8 @@
 // it waits for the same response. A redelivery that arrives later gets a copy of that response. If a request was
 // rejected without having run, its id is released and may be delivered again. The outcomes of orders are also kept in
 // the ledger (package ledger). An order's entry is on the disk before the order is first forwarded, so an order that
-// was in flight when the process died is known at the next start. It may have run, so the response to its redeliveries
-// is 502 from then on.
+// was in flight when the process exited is known at the next start. It may have run, so the response to its
+// redeliveries is 502 from then on.
 //
 // # Ownership
 //
@@ -32,7 +32,7 @@
 // most 16 deliveries wait for one response. Options.MaxOutcomeBytes limits the total size of the kept response bodies.
 // The size of the ledger and its retention are set in the configuration.
 //
-// # Failure behaviour
+// # Failure behavior
 //
 // The response to a delivery that fails authentication is 401; the delivery has no other effect. The response to a
 // malformed delivery is another 4xx status. Both are counted, and logged at most once a second. The response is 503 if
--- a/internal/webhook/retention.go
+++ b/internal/webhook/retention.go
@@ -13,7 +13,7 @@
 }
 
 // contains reports whether an order with the given event time may be accepted. An older order may have run and may have
-// been removed from the ledger since. Orders are rejected from two tolerances before the ledger removes them.
+// been removed from the ledger since. The maximum age is two tolerances less than the ledger's retention.
 func (w *retentionWindow) contains(eventTime time.Time) bool {
 	maxAge := w.retention - 2*w.tolerance
 	latest := w.clock.latest().Add(w.tolerance)
