--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -86,16 +86,16 @@
 	}
 	first := map[time.Duration]int{}
 	for seed := range uint64(40) {
-		answered := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
-		if len(answered) > 18 {
-			t.Fatalf("%d queries in 10 s although each had a response", len(answered))
+		queryTimes := run(seed, 10*time.Second, func(int) (uint32, bool) { return 3, true })
+		if len(queryTimes) > 18 {
+			t.Fatalf("%d queries in 10 s although each had a response", len(queryTimes))
 		}
-		first[answered[0]]++
-		if answered[0] > initialBackoff {
-			t.Fatalf("the first query came after %v", answered[0])
+		first[queryTimes[0]]++
+		if queryTimes[0] > initialBackoff {
+			t.Fatalf("the first query came after %v", queryTimes[0])
 		}
-		for i := 3; i < len(answered); i++ {
-			if gap := answered[i] - answered[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
+		for i := 3; i < len(queryTimes); i++ {
+			if gap := queryTimes[i] - queryTimes[i-3]; gap > 2*time.Second+500*time.Millisecond-roundTripAllowance {
 				t.Fatalf("three queries took %v", gap)
 			}
 		}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -81,8 +81,8 @@
 	highest := Worker{Name: "s-0", Addrs: tcp4Addrs("10.1.0.0:65535"), Zone: "east", State: policy.Draining, Weight: 6553.5}
 	bothAddresses := addresses(target, "10.1.0.0")
 	bothAddresses["s-1.west.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.1")}
-	strangerAddresses := addresses(target, "10.1.0.0")
-	strangerAddresses["s-7.east.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.7")}
+	unknownOwnerAddresses := addresses(target, "10.1.0.0")
+	unknownOwnerAddresses["s-7.east.hosts"] = []netip.Addr{netip.MustParseAddr("10.1.0.7")}
 	unixTexts := map[string][]string{target: {"unix=/run/w.sock"}}
 
 	for _, test := range []struct {
@@ -111,7 +111,7 @@
 		{"several TXT records with unknown and malformed texts", false, response{serial: 4, services: []serviceRecord{service},
 			addresses: addresses(target, "10.1.0.0"), texts: map[string][]string{target: {"kind=std", "color=red", "", "cell=two", "started=-5",
 				"cell=7", "kind=a=b"}}}, []Worker{severalTexts}, false},
-		{"records of unknown types and owners", false, response{serial: 4, services: []serviceRecord{service}, addresses: strangerAddresses, texts: noTexts},
+		{"records of unknown types and owners", false, response{serial: 4, services: []serviceRecord{service}, addresses: unknownOwnerAddresses, texts: noTexts},
 			[]Worker{plain}, false},
 		{"worker without an address", false, response{serial: 4, services: []serviceRecord{service, {0, 40, 10080, "s-1.east.hosts"}},
 			addresses: addresses("s-1.east.hosts", "10.1.0.1"), texts: noTexts}, []Worker{second}, true},
--- a/internal/discovery/parser_test.go
+++ b/internal/discovery/parser_test.go
@@ -11,8 +11,8 @@
 // Any bytes are parsed or rejected without a panic or an endless loop. Pointer loops and names that are too long are
 // rejected.
 func TestParserAcceptsOrRejectsAnyBytes(t *testing.T) {
-	loops := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that is a pointer to itself
-	if _, _, err := parseResponse(loops); err == nil {
+	pointerLoop := append(responseTo(1, 9)[:12], 0xc0, 12, 0, 1, 0, 1) // a name that is a pointer to itself
+	if _, _, err := parseResponse(pointerLoop); err == nil {
 		t.Error("a name with a pointer loop was read")
 	}
 	if _, _, err := readName([]byte(strings.Repeat("\x3f"+strings.Repeat("x", 63), 5)+"\x00"), 0); err == nil {
--- a/internal/lang/worker.go
+++ b/internal/lang/worker.go
@@ -133,7 +133,7 @@
 
 // check reports workers that are declared to be aliases of themselves, and addresses that two workers share.
 func (w *workerBuilder) check() {
-	claims := duplicateAddressChecker{report: w.report, symbols: w.symbols, lastUses: map[endpoint.Addr]addressUse{}}
+	addresses := duplicateAddressChecker{report: w.report, symbols: w.symbols, lastUses: map[endpoint.Addr]addressUse{}}
 	for _, b := range w.blocks {
 		if !w.symbols.isDefinition(b) {
 			continue // duplicate name, already reported
@@ -141,6 +141,6 @@
 		if b.value(sameAsSetting).text == b.name {
 			w.report.faultAtSetting(b, sameAsSetting, "worker %q is the same as itself", b.name)
 		}
-		claims.add(b)
+		addresses.add(b)
 	}
 }
--- a/internal/notice/golden_test.go
+++ b/internal/notice/golden_test.go
@@ -43,27 +43,27 @@
 	var transport *testutil.Transport
 	var handler eventloop.DialHandler
 	transcript := ""
-	date := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // timestamps in notices must still be in UTC
+	wallTime := noon.Add(123456789 * time.Nanosecond).In(time.FixedZone("elsewhere", 3600)) // timestamps in notices must still be in UTC
 	dial := func(address string, timeout time.Duration, h eventloop.DialHandler) Transport {
 		transcript += fmt.Sprintf("dial %s, timeout %v\n", address, timeout)
 		transport, handler = &testutil.Transport{}, h
 		return transport
 	}
-	sender, err := NewSender(Options{Config: config, WallClock: func() time.Time { return date }, Dial: dial})
+	sender, err := NewSender(Options{Config: config, WallClock: func() time.Time { return wallTime }, Dial: dial})
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
 	sender.Notify(now, &n.request, router.Completion(n.outcome))
-	for _, reply := range n.responses {
+	for _, response := range n.responses {
 		sender.Tick(now)
 		handler.DialCompleted(nil)
 		transcript += golden.Quote("request", transport.Written.Bytes())
-		transcript += golden.Quote("reply", []byte(reply))
-		handler.Data([]byte(reply))
+		transcript += golden.Quote("reply", []byte(response))
+		handler.Data([]byte(response))
 		transcript += fmt.Sprintf("connection closed: %v, notices left: %d\n", transport.Closed, sender.Pending())
 		now += maxBackoff
-		date = date.Add(90 * time.Second)
+		wallTime = wallTime.Add(90 * time.Second)
 	}
 	return transcript
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -38,10 +38,10 @@
 }
 
 // newNotice returns a notice about an order that completed at the given time of the wall clock.
-func newNotice(r *router.Request, completion router.Completion, endedAt time.Time) (*notice, error) {
+func newNotice(r *router.Request, completion router.Completion, completedAt time.Time) (*notice, error) {
 	body, err := json.Marshal(payload{
 		Type:      typePrefix + string(completion),
-		Timestamp: endedAt.UTC(),
+		Timestamp: completedAt.UTC(),
 		Data:      payloadData{ID: r.ID, WebhookID: r.Client.Reference, Key: r.Function.Key},
 	})
 	if err != nil {
--- a/internal/notice/sender_test.go
+++ b/internal/notice/sender_test.go
@@ -16,7 +16,7 @@
 	"crankhold/internal/testutil"
 )
 
-// Notices are signed, keep their id over all attempts and are abandoned after the configured number of attempts. If the
+// Notices are signed, keep their id in all attempts and are abandoned after the configured number of attempts. If the
 // queue is full, they are dropped and counted.
 func TestNoticesAreSignedRetriedAndBounded(t *testing.T) {
 	config := DefaultConfig()
--- a/internal/webhook/golden_test.go
+++ b/internal/webhook/golden_test.go
@@ -100,7 +100,7 @@
 	head = append(bytes.Clone(head), "\r\n\r\n"...)
 	served := router.Response{Status: router.Served, Body: []byte("done \x00\xff\r\n")}
 	single := func(b []byte) [][]byte { return [][]byte{b} }
-	respond := func(a router.Response) []router.Response { return []router.Response{a} }
+	respond := func(response router.Response) []router.Response { return []router.Response{response} }
 	return []exchange{
 		{name: "200-served", sent: single(valid), responses: respond(served)},
 		{name: "200-empty-body", sent: single(valid), responses: respond(router.Response{Status: router.Served})},
--- a/internal/webhook/server_test.go
+++ b/internal/webhook/server_test.go
@@ -18,7 +18,7 @@
 // notices about them back as deliveries. No order runs twice, and there is one notice about each.
 func TestOrdersRunOnceDespiteReplayAndRestart(t *testing.T) {
 	const orders = 30
-	ledger := filepath.Join(t.TempDir(), "ledger")
+	ledgerPath := filepath.Join(t.TempDir(), "ledger")
 	runs := map[string]int{}
 	rng := rand.New(rand.NewPCG(1, 2))
 	type signedOrder struct {
@@ -45,7 +45,7 @@
 	subscriber := startFakeSubscriber(t)
 	for round := range 2 { // the second round is after a restart
 		rng.Shuffle(len(deliveries), func(i, j int) { deliveries[i], deliveries[j] = deliveries[j], deliveries[i] })
-		server := startTestServer(t, ledger, subscriber.address, runs)
+		server := startTestServer(t, ledgerPath, subscriber.address, runs)
 		var group sync.WaitGroup
 		for client := range 4 {
 			group.Go(func() {
--- a/internal/webhook/test_server_test.go
+++ b/internal/webhook/test_server_test.go
@@ -56,8 +56,8 @@
 func (server *testServer) Unload(policy.WorkerID, policy.FunctionID) {}
 func (server *testServer) CloseIdle(policy.WorkerID)                 {}
 
-// startTestServer starts a server. Notices are sent to the given address, or not at all if it is empty.
-func startTestServer(t *testing.T, ledger, notices string, runs map[string]int) *testServer {
+// startTestServer starts a server. Notices are sent to subscriberAddress, or not at all if it is empty.
+func startTestServer(t *testing.T, ledgerPath, subscriberAddress string, runs map[string]int) *testServer {
 	t.Helper()
 	decisions, err := policy.New(policy.Config{
 		Routers:              1,
@@ -82,19 +82,19 @@
 		Limits:          router.Limits{MaxConcurrentRequests: 100, MaxBytes: 1 << 20, MaxAttempts: 3, HealthCheckTimeout: time.Second},
 		NewWorkerClient: func(*router.Core) router.WorkerClient { return server },
 		OnCompleted: func(now time.Duration, r *router.Request, completion router.Completion) {
-			if notices != "" {
+			if subscriberAddress != "" {
 				server.sender.Notify(now, r, completion)
 			}
 		},
 	})
 	server.core.SetEndpoints(policy.EndpointList{Kind: policy.EndpointSnapshot, Workers: []policy.Endpoint{{Worker: 1, State: policy.Ready}, {Worker: 2, State: policy.Ready}}})
-	if server.receiver, err = NewReceiver(testOptions(testConfig(ledger), server.core, server.loop, wallAtNoon, server.loop.Post)); err != nil {
+	if server.receiver, err = NewReceiver(testOptions(testConfig(ledgerPath), server.core, server.loop, wallAtNoon, server.loop.Post)); err != nil {
 		t.Fatal(err)
 	}
 	server.receiver.authenticator.keys = []signature.Key{{Secret: activeSecret}, {Secret: retiredSecret, Until: noon}}
 	config := testConfig("")
 	config.Sender.URL = "http://hooks.example.org/notices"
-	config.Sender.Connect = notices
+	config.Sender.Connect = subscriberAddress
 	config.Sender.Backoff = time.Millisecond
 	config.Sender.Key = filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(config.Sender.Key, []byte("whsec_"+base64.StdEncoding.EncodeToString(activeSecret)), 0o600); err != nil {
