--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A malformed frame or an unusable Init is an error, and no part of a reply is written.
+// A malformed frame, or an Init with invalid settings, is an error, and no part of a reply is written.
 func TestMalformedFrameEndsWithoutAReply(t *testing.T) {
 	for _, text := range []string{
 		"0000000100000000", // truncated header
--- a/internal/archtest/architecture_page_test.go
+++ b/internal/archtest/architecture_page_test.go
@@ -20,6 +20,7 @@
 const architecturePage = "docs/architecture.md"
 
 var (
+	// drawnNode matches a package in a flowchart, and drawnEdge the arrows from a package to others.
 	drawnNode = regexp.MustCompile(`^\s*(\w+)\["([^"]+)"\]$`)
 	drawnEdge = regexp.MustCompile(`^\s*(\w+) --> (.+)$`)
 	// pageName matches a function or type in the page's notation: `router.Core.Process`.
@@ -142,7 +143,7 @@
 func TestNamesOnThePageExist(t *testing.T) {
 	names := pageName.FindAllStringSubmatch(readPage(t), -1)
 	if len(names) < 20 {
-		t.Errorf("%s names %d functions; it describes the path of a request with at least 20", architecturePage, len(names))
+		t.Errorf("%s names only %d functions; the path of a request alone has at least 20", architecturePage, len(names))
 	}
 	declared := newDeclarationIndex(t)
 	for _, m := range names {
--- a/internal/benchmark/addresses.go
+++ b/internal/benchmark/addresses.go
@@ -32,10 +32,10 @@
 	unmatchedResponses int           // responses that match no request in flight
 	faults             int
 	drains             int
-	lateSends          int // messages to a worker after its drain grace period
+	lateMessages       int // messages to a worker after its drain grace period
 	// Counters from the router's log.
 	recoveryDials string
-	resent        string // requests sent again over another connection because they had not left
+	resent        string // requests resent over another connection because they had not left on the first one
 }
 
 // cpuPerRequest returns the router's CPU time per request, in microseconds.
@@ -110,7 +110,7 @@
 	f.add("requests", len(faulty.requests))
 	f.add("not_idempotent", v.notIdempotent)
 	f.requireZero("doubled", v.ranTwice)
-	f.requireZero("late_sends", faulty.lateSends)
+	f.requireZero("late_sends", faulty.lateMessages)
 	f.requireZero("answers_missing", v.lost)
 	f.requireZero("answers_late", v.late)
 	f.requireZero("extra_answers", faulty.unmatchedResponses)
--- a/internal/benchmark/core.go
+++ b/internal/benchmark/core.go
@@ -25,7 +25,7 @@
 	bytes        float64 // allocated on the heap
 }
 
-// Run measures each number of workers and prints a row for it.
+// Run measures the cost for each number of workers and prints a row for it.
 func (c Core) Run(out io.Writer) error {
 	if c.Short {
 		c.Calls /= 4
--- a/internal/benchmark/corefleet.go
+++ b/internal/benchmark/corefleet.go
@@ -37,7 +37,7 @@
 	responses timerheap.Heap[func()]      // responses of workers that have not reached the core yet
 	replicas  map[replicaID]time.Duration // when each replica is unloaded
 	random    *rand.Rand
-	nextTurn  time.Duration // when the core is to be called again, as it asked
+	nextTurn  time.Duration // when the core asked to be called again
 	responded int           // requests that have a response
 }
 
--- a/internal/benchmark/drains.go
+++ b/internal/benchmark/drains.go
@@ -24,7 +24,7 @@
 	return list
 }
 
-// Times of a drain. The router may send nothing more to the worker once the grace period has passed.
+// Times of a drain. The router may send nothing more to the worker after the grace period.
 const (
 	drainPause       = 1500 * time.Millisecond
 	drainDuration    = 3 * time.Second
@@ -48,7 +48,7 @@
 		end := time.Now()
 		site.Discovery.SetEndpoints(endpointsWithAliases(site, noneDraining))
 		if !servedAt.IsZero() {
-			r.lateSends += r.countArrivals(site.Workers[index], servedAt.Add(drainGracePeriod), end)
+			r.lateMessages += r.countArrivals(site.Workers[index], servedAt.Add(drainGracePeriod), end)
 		}
 	}
 }
--- a/internal/benchmark/loadbudget.go
+++ b/internal/benchmark/loadbudget.go
@@ -51,7 +51,7 @@
 	return beyond - first
 }
 
-// loadCommandsBetween counts the load commands that reached workers from one time on and before another.
+// loadCommandsBetween counts the load commands that reached workers between from (inclusive) and to (exclusive).
 func (r *record) loadCommandsBetween(from, to time.Time) (n int) {
 	for _, at := range r.loadCommandTimes() {
 		if !at.Before(from) && at.Before(to) {
--- a/internal/benchmark/overflow.go
+++ b/internal/benchmark/overflow.go
@@ -34,16 +34,16 @@
 		if i%overflowSampling > 0 && len(overflowed) > maxOverflowsInspected {
 			continue
 		}
-		if n := countSince(sent, end); n >= minRequestsInWindow {
-			maxShare = max(maxShare, float64(countSince(overflowed, end))/float64(n))
+		if n := countInOverflowWindow(sent, end); n >= minRequestsInWindow {
+			maxShare = max(maxShare, float64(countInOverflowWindow(overflowed, end))/float64(n))
 		}
 	}
 	return maxShare
 }
 
-// countSince returns how many of the times are in the window of overflowWindow that ends at end. The window includes
-// end.
-func countSince(times []time.Time, end time.Time) (n int) {
+// countInOverflowWindow returns how many of the times are in the window of length overflowWindow that ends at end. The
+// window includes end.
+func countInOverflowWindow(times []time.Time, end time.Time) (n int) {
 	for _, at := range times {
 		if !at.After(end) && at.After(end.Add(-overflowWindow)) {
 			n++
--- a/internal/benchmark/poolwatch.go
+++ b/internal/benchmark/poolwatch.go
@@ -20,7 +20,7 @@
 // within its cap. It is guarded by the lock of its record.
 type poolWatch struct {
 	file int // index in watchedRoutes of the file in force
-	// reloaded is when the router confirmed the reload of the file. It is zero while the reload is in progress.
+	// reloadedAt is when the router confirmed the reload of the file. It is zero while the reload is in progress.
 	reloadedAt time.Time
 
 	inFlight    int // requests in flight in the pool with a cap
@@ -67,8 +67,8 @@
 // reloadCompleted records that the router has confirmed the reload.
 func (p *poolWatch) reloadCompleted() { p.reloadedAt = time.Now() }
 
-// settledFor returns how long the routes in force had settled when the request was sent: the time since the reload,
-// less reloadSettleTime. A negative result means that the previous file may still have routed the request.
+// settledFor returns the time from the reload to the sending of a request, less reloadSettleTime. A negative result
+// means that the previous file may still have routed the request; it is -1 while a reload is in progress.
 func (p *poolWatch) settledFor(request *recordedRequest) time.Duration {
 	if p.reloadedAt.IsZero() {
 		return -1
@@ -110,8 +110,8 @@
 	}
 }
 
-// mayRun reports whether a request may run at workers of a kind. The file in force decides, or the other file too while
-// that may still have routed the request.
+// mayRun reports whether a request may run at workers of a kind: whether the file in force allows it, or the previous
+// file, if that may still have routed the request.
 func (p *poolWatch) mayRun(request *recordedRequest, kind string) bool {
 	if allows(p.file, request.class, kind) {
 		return true
--- a/internal/benchmark/poolwatch_test.go
+++ b/internal/benchmark/poolwatch_test.go
@@ -7,7 +7,7 @@
 	"crankhold/internal/fake"
 )
 
-// runAt passes the event to p that a request was started at a worker of a kind.
+// runAt passes to p the event of a request that starts at a worker of a kind.
 func (p *poolWatch) runAt(kind string, request *recordedRequest) {
 	worker := &fake.Worker{WorkerConfig: fake.WorkerConfig{Kind: kind}}
 	p.event(fake.Event{At: request.sentAt, Worker: worker, Kind: fake.EventStarted, ID: "1"}, request)
--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -93,8 +93,8 @@
 // servedShare returns the share, from 0 to 1, of the requests that were served.
 func (t tally) servedShare() float64 { return float64(t.served) / float64(t.sent) }
 
-// tally counts the requests that were sent from one time on and before another. It counts those of one class, or of all
-// classes if class is empty.
+// tally counts the requests that were sent between from (inclusive) and to (exclusive). It counts those of one class,
+// or of all classes if class is empty.
 func (r *record) tally(class string, from, to time.Time) (t tally) {
 	for _, request := range r.requests {
 		if class != "" && request.class != class || request.sentAt.Before(from) || !request.sentAt.Before(to) {
--- a/internal/benchmark/target.go
+++ b/internal/benchmark/target.go
@@ -98,7 +98,7 @@
 	return err
 }
 
-// Errors of addresses that the load tool does not send to.
+// Errors for addresses that the load tool does not send to.
 var (
 	errNoAddress   = errors.New("no address with a port")
 	errNotLoopback = errors.New("not a loopback address: the load tool sends to loopback addresses only")
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -39,9 +39,9 @@
 // defaultLogLevel is the default value of the flag --log-level.
 const defaultLogLevel = "info"
 
-// kongExit is an exit status that kong asks for. kong expects its exit function not to return, for example after it has
-// printed the text of --help, so that function panics with a kongExit, and Run recovers the panic and returns the
-// status.
+// kongExit is the exit status that kong passes to its exit function, for example after it has printed the text of
+// --help. kong expects that function not to return. The function therefore panics with a kongExit, which Run recovers
+// and returns as the status.
 type kongExit int
 
 // Run runs a command line and returns the exit status. It blocks until the command completes.
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -63,8 +63,8 @@
 	return pattern.Prefix, nil
 }
 
-// request returns the request that the flags describe. If neither the platform's settings nor
-// the routes files list the classes, a class that no route names gets an index beyond those of the named ones.
+// request returns the request that the flags describe. If neither the platform's settings nor the routes files list the
+// classes, a class that no route names gets an index beyond those of the named ones.
 func (c explainCommand) request(r *lang.Result, function uint64) (route.Request, error) {
 	request := route.Request{Front: route.Thrift, Function: function, Tenant: c.Tenant}
 	if c.Front == route.Webhook.String() {
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -53,7 +53,8 @@
 }
 
 // writeScriptFiles writes the files of a script into a temporary folder and returns its path. In the text, each file
-// follows a line "-- NAME --". The first of these lines lacks its leading dashes.
+// follows a line "-- NAME --". The first of these lines lacks its leading dashes, because runScript cuts the script
+// there.
 func writeScriptFiles(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/demo/show.go
+++ b/internal/demo/show.go
@@ -20,8 +20,8 @@
 // requestedFunctions is the number of different functions that are requested.
 const requestedFunctions = 6
 
-// driver sends requests, kills and restarts workers, and writes a line per second. Its fields belong to the goroutine
-// that start starts.
+// driver sends requests, kills and restarts workers, and writes a line per second. After start, only the goroutine that
+// start creates uses the fields.
 type driver struct {
 	out    io.Writer
 	site   *fake.Site
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -65,13 +65,13 @@
 
 // waitForResponse calls send, blocks until the callback is called, and returns the callback's arguments.
 func waitForResponse(send func(done func(Response, error))) (response Response, err error) {
-	ended := make(chan struct{})
+	completed := make(chan struct{})
 	send(func(r Response, e error) {
 		response = r
 		err = e
-		close(ended)
+		close(completed)
 	})
-	<-ended
+	<-completed
 	return response, err
 }
 
@@ -85,7 +85,7 @@
 }
 
 // GoInHalves sends the first half of a request. The function that it returns sends the rest. Nothing else may be sent
-// in between. It calls done like Go.
+// in between. Like Go, GoInHalves calls done once.
 func (c *Client) GoInHalves(request Request, done func(Response, error)) (rest func()) {
 	var message []byte
 	c.sendVia(func(whole []byte) error {
--- a/internal/fake/client_test.go
+++ b/internal/fake/client_test.go
@@ -22,13 +22,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	client.Go(Request{}, func(_ Response, err error) { ended <- err })
+	completed := make(chan error, 1)
+	client.Go(Request{}, func(_ Response, err error) { completed <- err })
 	if _, err := bufio.NewReader(router).ReadByte(); err != nil || client.RequestsInFlight() != 1 {
 		t.Fatalf("%d in flight, %v", client.RequestsInFlight(), err)
 	}
 	router.Close()
-	if err := <-ended; err == nil {
+	if err := <-completed; err == nil {
 		t.Error("a request without a response has no error")
 	}
 	if _, err := client.Do(Request{}); err == nil || client.RequestsInFlight() != 0 {
--- a/internal/fake/discoveryserver.go
+++ b/internal/fake/discoveryserver.go
@@ -47,7 +47,7 @@
 	mu            sync.Mutex // guards the fields below
 	serial        uint32
 	list          []Endpoint
-	firstServedAt map[uint32]time.Time // by serial; when it was first sent in a response
+	firstServedAt map[uint32]time.Time // by serial; when that list was first sent in a response
 }
 
 // NewDiscoveryServer starts a discovery server. Its first list has serial 1.
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -3,7 +3,7 @@
 // that the behavior of the router can be checked against what the workers received.
 //
 // A [Site] is a discovery server with its workers. A [Testbed] adds the folder, the address and the configuration file
-// that are needed to start a router in front of them. [Port.Set] makes a single address of a worker fail, and
+// that are needed to start a router in front of them. [Port.SetMode] makes a single address of a worker fail, and
 // [Worker.Kill] a whole worker.
 //
 // The package imports only the standard library and nothing of the router. The demo, the benchmarks, the example and
--- a/internal/fake/execution.go
+++ b/internal/fake/execution.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// markDone records how a request ended. It does nothing if the request is already done. The worker must be locked.
+// markDone removes a request from those in flight and records an event of the given kind. It does nothing if the
+// request is already done. The worker must be locked.
 func (c *connection) markDone(e *execution, kind EventKind) {
 	if e.done {
 		return
--- a/internal/fake/platformconfig.go
+++ b/internal/fake/platformconfig.go
@@ -116,7 +116,7 @@
 }
 
 // Config returns the platform's configuration, as JSON, for a router that listens on the given address. It has the
-// classes and limits of the example and lists this site's workers.
+// classes and limits of the example configuration and lists this site's workers.
 func (s *Site) Config(listen string) []byte {
 	members := make([]listedEndpoint, 0, len(s.Workers))
 	for _, w := range s.Workers {
--- a/internal/fake/port.go
+++ b/internal/fake/port.go
@@ -45,7 +45,7 @@
 	accepting sync.WaitGroup // goroutines that accept connections
 	serving   sync.WaitGroup // goroutines that serve them
 
-	mu       sync.Mutex // guards the fields below, and Addr while Set changes it
+	mu       sync.Mutex // guards the fields below, and Addr while SetMode changes it
 	mode     PortMode
 	listener net.Listener
 	conns    map[net.Conn]struct{}
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// stopListening closes the listener of the previous mode. The port must be locked.
+// stopListening closes the listener of the previous mode. The file of a Unix socket stays if the next mode is
+// ModeStaleSocket. The port must be locked.
 func (p *Port) stopListening(next PortMode) {
 	if p.listener != nil {
 		if unix, ok := p.listener.(*net.UnixListener); ok {
--- a/internal/fake/replica.go
+++ b/internal/fake/replica.go
@@ -11,8 +11,8 @@
 	onLoaded []func()     // respond to load commands that arrived during the load
 }
 
-// replica returns a function's replica. It returns nil if there is none, or unloads the replica and returns nil if it
-// was idle for too long. A warm worker loads a replica at once instead. The worker must be locked.
+// replica returns a function's replica, or nil if there is none. It first unloads a replica that was idle for too long.
+// On a warm worker the result is never nil, because a missing replica is loaded at once. The worker must be locked.
 func (w *Worker) replica(function string) *replica {
 	r := w.replicas[function]
 	if r != nil && w.expired(r) {
--- a/internal/fake/testbed.go
+++ b/internal/fake/testbed.go
@@ -36,17 +36,17 @@
 
 // resolveSocketPaths returns copies of the workers in which relative paths of Unix sockets are joined to a folder.
 func resolveSocketPaths(workers []WorkerConfig, dir string) []WorkerConfig {
-	placed := slices.Clone(workers)
-	for i := range placed {
-		placed[i].MoreAddrs = slices.Clone(placed[i].MoreAddrs)
-		for j := range placed[i].MoreAddrs {
-			address := &placed[i].MoreAddrs[j]
+	resolved := slices.Clone(workers)
+	for i := range resolved {
+		resolved[i].MoreAddrs = slices.Clone(resolved[i].MoreAddrs)
+		for j := range resolved[i].MoreAddrs {
+			address := &resolved[i].MoreAddrs[j]
 			if address.Network == NetworkUnix && !filepath.IsAbs(address.Addr) {
 				address.Addr = filepath.Join(dir, address.Addr)
 			}
 		}
 	}
-	return placed
+	return resolved
 }
 
 // Path returns the path of a file in the temporary folder.
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -96,7 +96,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.replicas = map[string]*replica{} // requests in flight end when their connections are closed
+	w.replicas = map[string]*replica{} // requests in flight are marked done when their connections are closed
 }
 
 // Start starts the worker again after Kill, without replicas and on the same addresses.
@@ -116,7 +116,7 @@
 	w.hanging = true
 }
 
-// Resume reverts Hang. Requests whose service time ended in between get no response.
+// Resume reverts Hang. Requests whose service time ended while the worker hung get no response.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -15,7 +15,8 @@
 	LoadsOverBudget int
 }
 
-// checkDrain counts a violation if a message sent now to a worker is after its drain grace period.
+// checkDrain is called for each message that is sent to a worker. It counts a violation if the worker's drain grace
+// period has passed.
 func (r *Router) checkDrain(id policy.WorkerID) {
 	notified, draining := r.drainNotified[id]
 	if draining && r.fleet.now > notified+r.fleet.cfg.Settings.DrainGracePeriod {
@@ -26,8 +27,8 @@
 // loadBudget records when one incarnation of a router accepted requests and sent load commands. It is independent of
 // the decision module, so that it can check the module's own load budget.
 type loadBudget struct {
-	accepted  []time.Duration
-	commanded []time.Duration
+	accepted     []time.Duration
+	loadCommands []time.Duration
 }
 
 func (b *loadBudget) requestAccepted(now time.Duration) {
@@ -37,11 +38,11 @@
 // checkLoadBudget records a load command that is sent now, and counts a violation if it exceeds the load budget.
 func (r *Router) checkLoadBudget() {
 	settings := r.fleet.cfg.Settings
-	r.budget.commanded = append(r.budget.commanded, r.fleet.now)
+	r.budget.loadCommands = append(r.budget.loadCommands, r.fleet.now)
 	since := r.fleet.now - settings.LoadBudgetWindow
-	commanded := float64(countAfter(r.budget.commanded, since))
+	loadCommands := float64(countAfter(r.budget.loadCommands, since))
 	accepted := float64(countAfter(r.budget.accepted, since))
-	if commanded > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
+	if loadCommands > settings.LoadBudgetMinimum+settings.LoadBudgetRatio*accepted {
 		r.Violations.LoadsOverBudget++
 	}
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -107,15 +107,15 @@
 	return w
 }
 
-// firstNewVersion is added to a function's id to get the id of its new version after Release.
-const firstNewVersion = 1 << 20
+// newVersionOffset is added to a function's id to get the id of its new version after Release.
+const newVersionOffset = 1 << 20
 
 // Release makes clients request a new version of the given number of every ten functions. The new versions have no
 // replicas, and replicas of the old versions stay loaded.
 func (f *Fleet) Release(inTen int) {
 	for function := 1; function <= f.cfg.Functions; function++ {
 		if function%10 < inTen {
-			f.versions[policy.FunctionID(function)] = policy.FunctionID(function + firstNewVersion)
+			f.versions[policy.FunctionID(function)] = policy.FunctionID(function + newVersionOffset)
 		}
 	}
 }
--- a/internal/simulation/planted_test.go
+++ b/internal/simulation/planted_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if s.thenDrainIsFollowed(5) == nil {
-			t.Error("not found")
+			t.Error("the check did not report the fault")
 		}
 	})
 	t.Run("a started worker without a start time", func(t *testing.T) {
@@ -45,10 +45,10 @@
 			t.Fatal(err)
 		}
 		if s.thenNotOverloaded() == nil {
-			t.Error("not found")
+			t.Error("the check did not report the fault")
 		}
 	})
-	for name, plant := range map[string]func(*Request){
+	for name, inject := range map[string]func(*Request){
 		"a second response": func(r *Request) { r.Respond(router.Response{}) },
 		"a late response":   func(r *Request) { r.Latency = r.Timeout + time.Millisecond },
 		"no response":       func(r *Request) { r.Responses = nil },
@@ -61,9 +61,9 @@
 			if err := s.thenEachRequestHasOneResponse(); err != nil {
 				t.Fatal(err)
 			}
-			plant(s.fleet.Requests[500])
+			inject(s.fleet.Requests[500])
 			if s.thenEachRequestHasOneResponse() == nil {
-				t.Error("not found")
+				t.Error("the check did not report the fault")
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 		}
 		s.fleet.Requests[500].SentWhileDraining = true // although it was served
 		if s.thenLateRequestsAreRejected() == nil {
-			t.Error("not found")
+			t.Error("the check did not report the fault")
 		}
 	})
 }
--- a/internal/simulation/release_test.go
+++ b/internal/simulation/release_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// idleReplicas is whether idle replicas are unloaded when others need the memory, or kept.
+// idleReplicas says whether idle replicas are kept, or unloaded when other replicas need the memory.
 type idleReplicas bool
 
 const (
@@ -53,7 +53,7 @@
 				t.Errorf("%d in 100 of %d early requests for new versions were served in time", percent, n)
 			}
 			for i, r := range s.fleet.Routers {
-				commands := len(r.budget.commanded)
+				commands := len(r.budget.loadCommands)
 				if r.Violations.LoadsOverBudget > 0 || commands == 0 && routers < 100 {
 					t.Errorf("router %d sent %d load commands, %d over its budget", i, commands, r.Violations.LoadsOverBudget)
 				}
--- a/internal/simulation/slowstart_test.go
+++ b/internal/simulation/slowstart_test.go
@@ -20,11 +20,11 @@
 }
 
 // excess returns the largest amount by which all routers together exceeded the budget N of a worker in slow start:
-// units is the excess over N in multiples of sqrt(N), and over is the excess over N + 2 sqrt(N) + 2, the limit that
-// allows for random variation. Loads count like requests.
-func (s *story) excess() (units, over float64) {
-	units = math.Inf(-1)
-	over = math.Inf(-1)
+// deviations is the excess over N in multiples of sqrt(N), the standard deviation of random arrivals, and overLimit is
+// the excess over N + 2 sqrt(N) + 2, the limit that allows for random variation. Loads count like requests.
+func (s *story) excess() (deviations, overLimit float64) {
+	deviations = math.Inf(-1)
+	overLimit = math.Inf(-1)
 	settings := s.cfg.Settings
 	for _, w := range s.fleet.Workers {
 		if w.Started == 0 {
@@ -41,11 +41,11 @@
 				n++
 			}
 			budget := s.slowStartBudget(from - w.Started)
-			units = max(units, (float64(n)-budget)/math.Sqrt(budget))
-			over = max(over, float64(n)-budget-2*math.Sqrt(budget)-2)
+			deviations = max(deviations, (float64(n)-budget)/math.Sqrt(budget))
+			overLimit = max(overLimit, float64(n)-budget-2*math.Sqrt(budget)-2)
 		}
 	}
-	return units, over
+	return deviations, overLimit
 }
 
 // receivedByStarted returns how many requests were received by workers that started during the run.
@@ -185,12 +185,12 @@
 				t.Parallel()
 				for seed := uint64(1); seed <= 2; seed++ {
 					s := runSlowStart(t, routers, seed, run, unchanged)
-					units, over := s.excess()
+					deviations, overLimit := s.excess()
 					received := s.receivedByStarted()
 					t.Logf("%d routers, seed %d: largest excess %.1f sqrt(N); %d requests at started workers",
-						routers, seed, units, received)
-					if over > 0 {
-						t.Errorf("seed %d: %.0f requests more than N + 2 sqrt(N) + 2", seed, over)
+						routers, seed, deviations, received)
+					if overLimit > 0 {
+						t.Errorf("seed %d: %.0f requests more than N + 2 sqrt(N) + 2", seed, overLimit)
 					}
 					if received < 600 {
 						t.Errorf("seed %d: started workers received %d requests in total", seed, received)
@@ -208,7 +208,7 @@
 		return e
 	}
 	s := runSlowStart(t, 30, 1, slowStartRun{}, withoutStart)
-	if _, over := s.excess(); over <= 0 {
-		t.Error("not found")
+	if _, overLimit := s.excess(); overLimit <= 0 {
+		t.Error("the check did not report the fault")
 	}
 }
--- a/internal/simulation/storychecks_test.go
+++ b/internal/simulation/storychecks_test.go
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// thenNotOverloaded counts the requests that the started worker received in each overload window. When a worker starts,
-// its capacity is a fifth of that of a warm worker, and it becomes overloaded above a multiple of that.
+// thenNotOverloaded checks the number of requests that the started worker received in each overload window. A worker
+// starts with a fifth of the capacity of a warm worker, and more than a multiple of its capacity overloads it.
 func (s *story) thenNotOverloaded() error {
 	warmCapacity := float64(s.cfg.Slots) / s.cfg.ServiceTime.Seconds()
 	allowed := s.cfg.Settings.OverloadMultiple * s.cfg.Settings.SlowStartInitialCapacity * warmCapacity
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -199,7 +199,7 @@
 	entry.State = policy.WorkerState(state)
 	entry.Weight = d.float32()
 	entry.Cell = int(d.uint16())
-	d.uint8() // the kind of machine, which the policy does not use
+	d.uint8() // the worker's kind, which the policy does not use
 	entry.Started = d.duration()
 	return entry, true
 }
--- a/internal/simulator/frame.go
+++ b/internal/simulator/frame.go
@@ -27,7 +27,7 @@
 	Settings []byte // JSON for ParseSettings
 }
 
-// Kill ends an instance. It receives no further events.
+// Kill ends an instance, which receives no further events.
 type Kill struct{}
 
 // Record is one decoded record: Event holds a policy.Event, an Init or a Kill.
