--- a/internal/eventloop/activity.go
+++ b/internal/eventloop/activity.go
@@ -17,7 +17,7 @@
 // All times are those of turns.
 type clientActivity struct {
 	messages     int           // complete messages that have arrived
-	activeAt     time.Duration // last arrival of a message or write of a response; initially when it was accepted
+	activeAt     time.Duration // last arrival of a message or write of a response; initially the time of the accept
 	partialSince time.Duration // when the incomplete message started to arrive; 0 if there is none
 }
 
--- a/internal/eventloop/clients.go
+++ b/internal/eventloop/clients.go
@@ -17,7 +17,7 @@
 // needs no lock.
 type acceptedClients struct {
 	conns      map[*Conn]struct{}
-	readBuffer []byte        // for the read that precedes the closing of a connection
+	readBuffer []byte        // for the read before an idle connection is closed
 	isClosing  bool          // closeAll was called: each connection is closed once it is idle
 	sweptAt    time.Duration // time of the last sweep
 	rejections rejectionLog
@@ -88,7 +88,7 @@
 	return first
 }
 
-// closeAll has endTurn close each connection as soon as it is idle.
+// closeAll makes endTurn close each connection as soon as it is idle.
 func (a *acceptedClients) closeAll() { a.isClosing = true }
 
 // endTurn closes idle connections if closeAll was called, and runs a sweep if one is due.
--- a/internal/eventloop/clients_test.go
+++ b/internal/eventloop/clients_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// The poller has read a request on a connection that is to be closed in the same turn, to free its slot. The request is
-// handled first.
+// The poller has read a request when its connection is chosen to be closed in the same turn, to free its slot. The
+// request is handled first.
 func TestReadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := start(t, 1, acceptInto(accepted, false))
@@ -93,8 +93,8 @@
 	}
 }
 
-// A request is in the kernel's buffer when its idle connection is to be closed to free its slot. It is read and handled
-// first.
+// A request is still unread in the kernel's buffer when its connection is chosen to be closed, to free its slot. The
+// request is read and handled first.
 func TestUnreadRequestIsHandledBeforeConnectionIsClosedForCapacity(t *testing.T) {
 	accepted := make(chan *echoHandler, 10)
 	l := startWith(t, oneByteQueue(2), acceptInto(accepted, false))
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 	}
-	awaitQueuedBytes(l, 2) // the third byte finds the queue full, and the poller waits with it
+	awaitQueuedBytes(l, 2) // the poller blocks on the third byte, because the queue is full
 	release()
 	<-done
 	requireNoLoopGoroutines(t)
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -17,12 +17,12 @@
 )
 
 // String returns the cause as it is logged.
-func (e CloseCause) String() string {
+func (c CloseCause) String() string {
 	names := [closeCauses]string{"peer", "handler", "room", "timeout", "shutdown", "failure"}
-	if e >= closeCauses {
+	if c >= closeCauses {
 		return "unknown"
 	}
-	return names[e]
+	return names[c]
 }
 
 // CloseCount counts the accepted connections that were closed for one cause.
--- a/internal/eventloop/descriptors.go
+++ b/internal/eventloop/descriptors.go
@@ -10,11 +10,11 @@
 
 // descriptorGuard delays the polling of a new connection while the polling goroutine may still hold an event of an
 // earlier connection with the same descriptor. nbio looks up the connection of an event by its descriptor only when it
-// handles the event. It would close the new connection because the old one was closed.
+// handles the event. Without the guard, it would close the new connection because the old one was closed.
 //
-// The polling goroutine itself closes a descriptor only while it handles the one event that it holds for it. So only
-// descriptors that other goroutines close matter. All their calls of nbio that may close a descriptor go through the
-// guard.
+// The polling goroutine itself closes a descriptor only while it handles the only event that it holds for that
+// descriptor. Therefore, only descriptors that other goroutines close matter. All their calls of nbio that may close a
+// descriptor go through the guard.
 type descriptorGuard struct {
 	loopClosed context.Context // done once the loop is closed; ends all waits
 	barrier    *pollerBarrier  // nil until the poller starts, and on systems without Unix sockets: then nothing waits
--- a/internal/eventloop/descriptors_test.go
+++ b/internal/eventloop/descriptors_test.go
@@ -48,8 +48,8 @@
 	return e
 }
 
-// freeDescriptor closes the connection on the loop's goroutine, and occupies all free descriptors below its own. So the
-// next descriptor that is opened is that of the connection.
+// freeDescriptor closes the connection on the loop's goroutine, and occupies all free descriptors below that of the
+// connection. The next descriptor that is opened is then that of the closed connection.
 func (e *pendingEvent) freeDescriptor() {
 	closed := make(chan struct{})
 	e.loop.Post(func() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// hookedListener runs a function that it is sent before it returns a connection.
+// hookedListener accepts a connection and, before it returns it, runs the function that was sent to hook, if any.
 type hookedListener struct {
 	net.Listener
 	hook <-chan func()
--- a/internal/eventloop/poller_test.go
+++ b/internal/eventloop/poller_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a poller that leaves the byte of a signal unread. It would be called again and again until the waiting
-// goroutine gets a processor.
+// Guards against a poller that leaves the byte of a signal unread. The poller would be called again and again until the
+// waiting goroutine gets a processor.
 func TestBarrierWaitTakesTwoPollerCalls(t *testing.T) {
 	l := start(t, 8, acceptEcho)
 	for range 3 {
--- a/internal/eventloop/poller_turns.go
+++ b/internal/eventloop/poller_turns.go
@@ -15,7 +15,7 @@
 // a batch ends, so pollerBarrier finds out by means of a socket of its own. The kernel reports a socket at most once in
 // a batch. Between two calls of handle, the polling goroutine has therefore handled a whole batch and taken the next
 // one. A waiter is released by the second call after it was added, because the first may belong to a batch that was
-// taken before.
+// taken before the waiter was added.
 type pollerBarrier struct {
 	socket *nbio.Conn // polled by the polling goroutine
 	peer   *os.File   // the other end: writing a byte to it makes the polling goroutine call handle
@@ -37,7 +37,7 @@
 }
 
 // await returns once the polling goroutine has handled the events that it holds at the time of the call. It returns
-// ctx's error if ctx is done before. It blocks, and must not be called on the event loop or the polling goroutine.
+// ctx's error if ctx is done first. It blocks, and must not be called on the event loop or the polling goroutine.
 func (p *pollerBarrier) await(ctx context.Context) error {
 	handled := make(chan struct{})
 	if p.addWaiter(handled) {
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -109,7 +109,7 @@
 
 // take returns the queued events and wakes the goroutines that wait. The queue stores the next events in spare, which
 // must be empty. take also returns the current time, which becomes the time of the turn. No data in the batch was read
-// after it.
+// after that time.
 func (q *queue) take(spare []event) (batch []event, now time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/reader.go
+++ b/internal/eventloop/reader.go
@@ -22,7 +22,7 @@
 	// it again at once.
 	readRetryDelay = time.Millisecond
 
-	// maxMemoryFailures is how often reads of a connection may fail this way. After that many failures, a connection
+	// maxMemoryFailures is how often reads of a connection may fail for lack of memory. After that, a connection
 	// that its peer has closed is closed on this side too, and the data that was not read is lost.
 	maxMemoryFailures = 100
 )
@@ -107,9 +107,9 @@
 func (r *connReader) recordHandled() { r.queuedReads.Add(-1) }
 
 // stopIfDrained stops reading and calls closeSocket if no data has arrived that the loop has not handled. It reports
-// whether it did. It reads once more while it holds mu, which keeps the poller from reading. So all data that was read
-// has been handled, and data that arrives later finds the connection closed. The loop's goroutine calls it. It does not
-// wait for mu.
+// whether it did. It reads once more while it holds mu, which keeps the poller from reading. Therefore, all data that
+// was read has been handled, and data that arrives later finds the connection closed. The loop's goroutine calls it. If
+// the poller holds mu, stopIfDrained does not wait and returns false.
 func (r *connReader) stopIfDrained(socket *nbio.Conn, buffer []byte, closeSocket func()) bool {
 	if !r.mu.TryLock() {
 		return false
--- a/internal/eventloop/reader_test.go
+++ b/internal/eventloop/reader_test.go
@@ -73,7 +73,7 @@
 	c, peer := dialPeer(t, l, "tcp", "127.0.0.1:0", r, r.opened)
 	peer.(*net.TCPConn).SetWriteBuffer(1 << 20)
 	release := blockLoop(l, func() { c.socket.SetReadBuffer(1 << 20) }) // as large as the kernel lets it grow on a busy connection
-	for range 3 {                                                       // the third byte finds the queue full, and the poller waits with it
+	for range 3 {                                                       // the poller blocks on the third byte, because the queue is full
 		dial(t, l).Write([]byte("x"))
 	}
 	awaitQueuedBytes(l, 2)
--- a/internal/eventloop/writer.go
+++ b/internal/eventloop/writer.go
@@ -61,8 +61,8 @@
 // pendingBytes returns the number of bytes that the kernel has not accepted yet.
 func (w *connWriter) pendingBytes() int { return int(w.unreadBytes.Load()) + totalSize(w.queued) }
 
-// unsent returns the number of bytes that the kernel had not accepted when the connection was closed, and of those that
-// were queued later.
+// unsent returns the number of bytes that the kernel had not accepted when the connection was closed, plus the number
+// of bytes that were queued later.
 func (w *connWriter) unsent() int { return w.unsentBytes + totalSize(w.queued) }
 
 // connectionClosed counts the bytes that nbio buffered as unsent, because the peer can't read them any more.
--- a/internal/server/broken_connections_test.go
+++ b/internal/server/broken_connections_test.go
@@ -74,7 +74,7 @@
 }
 
 // waitForClose waits until the router has closed its end of a connection that the worker closed after a complete
-// response. An order that the router sends earlier may cross the close, and then fails because it may have run.
+// response. An order that the router sends before that may cross the close, and then fails because it may have run.
 func (w *faultyWorker) waitForClose(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
--- a/internal/server/deployments_test.go
+++ b/internal/server/deployments_test.go
@@ -79,7 +79,7 @@
 	runs     []receivedRun
 	inFlight map[string]int // number of attempts in flight, by request id
 	overlaps int            // how often a request had more than one attempt in flight
-	script   func(n int) (word, fields string)
+	script   func(n int) (status, fields string)
 }
 
 // receivedRun is a RUN command that a worker read.
@@ -135,10 +135,10 @@
 			if p.inFlight[r.ID]++; p.inFlight[r.ID] > 1 {
 				p.overlaps++
 			}
-			word, fields := p.script(len(p.runs))
+			status, fields := p.script(len(p.runs))
 			p.inFlight[r.ID]--
 			p.mu.Unlock()
-			respond(r.ID, word, fields, "done "+r.Body)
+			respond(r.ID, status, fields, "done "+r.Body)
 		case words[0] == "HOLD":
 			respond(words[1], "HIT", "count=1", "")
 		case words[0] == "INFO" || words[0] == "NOOP":
@@ -148,7 +148,7 @@
 }
 
 // send sends a request, and returns its response and the RUN commands that workers read.
-func (p *scriptedDeployment) send(t *testing.T, request fake.Request, script func(n int) (word, fields string)) (fake.Response, []receivedRun) {
+func (p *scriptedDeployment) send(t *testing.T, request fake.Request, script func(n int) (status, fields string)) (fake.Response, []receivedRun) {
 	t.Helper()
 	p.mu.Lock()
 	p.runs, p.script = nil, script
@@ -220,13 +220,13 @@
 					t.Errorf("class %d: %s", class, diff)
 				}
 				for _, tt := range []struct {
-					word    string
-					retried bool
+					workerStatus string
+					retried      bool
 				}{{"SHED", true}, {"FAULT", k.Idempotency != policy.NotIdempotent}} {
 					request := requestOfClass(class)
 					response, runs := p.send(t, request, func(n int) (string, string) {
 						if n == 1 {
-							return tt.word, "-"
+							return tt.workerStatus, "-"
 						}
 						return hitResponse(n)
 					})
@@ -235,12 +235,12 @@
 						status, attempts = "served", 2
 					}
 					if string(response.Status) != status || len(runs) != attempts {
-						t.Errorf("class %d after %s: %s after %d runs", class, tt.word, response.Status, len(runs))
+						t.Errorf("class %d after %s: %s after %d runs", class, tt.workerStatus, response.Status, len(runs))
 						continue
 					}
 					for _, r := range runs {
 						if r.ID != request.ID || r.Fields["uniq"] != request.IdempotencyKey || r.Body != "lamp" {
-							t.Errorf("class %d after %s: retried as %+v", class, tt.word, r)
+							t.Errorf("class %d after %s: retried as %+v", class, tt.workerStatus, r)
 						}
 					}
 				}
--- a/internal/server/keyed_window_test.go
+++ b/internal/server/keyed_window_test.go
@@ -11,7 +11,7 @@
 	"crankhold/internal/fake"
 )
 
-// backlogListener is a listener whose backlog a test can fill. A dial then hangs until the kernel tries again, a second
+// backlogListener is a listener whose backlog a test can fill. A dial then hangs until the kernel retries it a second
 // later.
 type backlogListener struct {
 	*net.TCPListener
--- a/internal/server/lifecycle.go
+++ b/internal/server/lifecycle.go
@@ -77,7 +77,7 @@
 }
 
 // advance makes one transition if the drain schedule has reached it, and reports whether it did. More than one
-// transition may be due at the same time. drained says that no work is left and nothing has to be waited for.
+// transition may be due at the same time. drained is true if no work is left that the drain has to wait for.
 func (l *lifecycle) advance(now time.Duration, drained bool) bool {
 	next := l.nextState(now, drained)
 	if next == l.state {
--- a/internal/server/options.go
+++ b/internal/server/options.go
@@ -17,7 +17,7 @@
 	RoutesFile string
 	// AddressesFile names the file that configures how workers' addresses are found.
 	AddressesFile string
-	// RoutesOptional makes a routes file that does not exist equal to an empty RoutesFile, at the start and at a
+	// RoutesOptional makes a routes file that does not exist count as an empty RoutesFile, at the start and at a
 	// reload.
 	RoutesOptional bool
 	// Stop starts a graceful shutdown when it is closed, like SIGTERM. It may be nil.
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -11,8 +11,8 @@
 	"crankhold/internal/router"
 )
 
-// maxRereadRetries is how many idle client connections are closed, one after the other, if the configuration file can't
-// be opened because no descriptor is left.
+// maxRereadRetries is how often reading the configuration file is retried if no descriptor is left for it. An idle
+// client connection is closed before each retry.
 const maxRereadRetries = 4
 
 // reloader reads the configuration and the routes file again and applies what may change while the server runs: the
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -119,14 +119,14 @@
 func (s *Server) Run() {
 	go s.reloader.watch(s.options.Signals.Reload, s.closed)
 	go s.watchStopSignals()
-	s.loop.Run(s.beginTurn, s.endTurn)
+	s.loop.Run(s.startTurn, s.endTurn)
 	s.integrations.close()
 	s.logCounters()
 	s.logger.Info("server_stopped")
 }
 
-// beginTurn sets the time of the core and of the worker client before the handlers of a turn are called.
-func (s *Server) beginTurn(now time.Duration) {
+// startTurn sets the time of the core and of the worker client before the handlers of a turn are called.
+func (s *Server) startTurn(now time.Duration) {
 	s.core.SetNow(now)
 	s.workers.SetNow(now)
 }
--- a/internal/server/soak_clients_test.go
+++ b/internal/server/soak_clients_test.go
@@ -41,7 +41,7 @@
 // response.
 func (s *soak) exchange(client *fake.Client, request fake.Request, r *soakRequest) bool {
 	ended := make(chan bool, 1)
-	s.send(client, request, r, func(broken bool) { ended <- broken })
+	s.send(client, request, r, func(connectionLost bool) { ended <- connectionLost })
 	return <-ended
 }
 
@@ -112,8 +112,8 @@
 	return true
 }
 
-// openAndClose is a client that opens and closes connections, and sends one request on some of them. So the router
-// closes connections that their clients close at the same time.
+// openAndClose is a client that opens and closes connections, and sends one request on some of them. As a result, the
+// router sometimes closes a connection at the same time as its client.
 func (s *soak) openAndClose(random *rand.Rand) {
 	for s.mayConnect() {
 		client, err := fake.Dial(s.drawRouter(random).listen)
--- a/internal/server/stall_test.go
+++ b/internal/server/stall_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestBudgetCountsAStopWithinATurn sends requests at the moment of the stop. The process may be stopped within a turn,
-// after the turn has read the clock, which it does once, and before it writes.
+// between the turn's only reading of the clock and its writes.
 func TestBudgetCountsAStopWithinATurn(t *testing.T) {
 	checkBudgetsAcrossStops(t, 60, func(*program) {})
 }
--- a/internal/server/start_times.go
+++ b/internal/server/start_times.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxListLag is how far a list of discovery may lag behind, at worst: the list lags by seconds for half a minute at
-	// a time.
+	// maxListLag is the most by which a list of discovery may lag behind: lists lag by seconds, for half a minute at a
+	// time.
 	maxListLag = 45 * time.Second
 
 	// maxClockDrift is how far the wall clock may move relative to the monotonic clock before it counts as stepped.
--- a/internal/workerclient/capacity.go
+++ b/internal/workerclient/capacity.go
@@ -6,7 +6,7 @@
 )
 
 // ensureCapacity reports whether one more connection may be opened. At the limit it closes the connection that has been
-// idle for longest, so that workers that were added late get connections as well.
+// idle for longest, so that workers that were added later get connections as well.
 func (p *Pool) ensureCapacity() bool {
 	if p.connectionsInUse() < p.cfg.MaxConnections {
 		return true
--- a/internal/workerclient/command.go
+++ b/internal/workerclient/command.go
@@ -18,9 +18,9 @@
 
 // sendState records how far a command has been sent to its worker.
 type sendState struct {
-	connection *connection   // the latest; nil before the first
-	waited     bool          // for a connection, at least once
-	written    bool          // to connection
+	connection *connection   // the latest one that the command was given to; nil before the first
+	waited     bool          // the command has waited for a connection at least once
+	written    bool          // the command was written to connection
 	sentAt     time.Duration // when it was written
 	endOffset  int           // bytes written to connection up to the end of the command
 	canceled   bool          // nobody waits for its result, so it is not sent again
@@ -65,9 +65,9 @@
 	return max(request.deadline-now, 0)
 }
 
-// neverArrived reports whether the worker certainly did not receive the whole command, if no more than the first
-// bytesSent bytes of its connection can have arrived. A worker acts only on a command that arrived whole. Health
-// queries are excluded because they may be sent twice.
+// neverArrived reports whether the worker certainly did not receive the whole command, given that at most the first
+// bytesSent bytes written to its connection can have arrived. A worker acts only on a command that has arrived whole.
+// Health queries are excluded because they may be sent twice.
 func (cmd *command) neverArrived(bytesSent int) bool {
 	return !cmd.kind.isHealthQuery() && cmd.sendState.written && cmd.sendState.endOffset > bytesSent
 }
--- a/internal/workerclient/command_encoding.go
+++ b/internal/workerclient/command_encoding.go
@@ -12,7 +12,7 @@
 const (
 	nameRun  = "RUN"  // runs a function: id, fields, body
 	nameStop = "STOP" // cancels a RUN whose response is no longer awaited: id
-	nameHold = "HOLD" // loads replicas of a function, or asks how many there are: id, fields
+	nameHold = "HOLD" // loads replicas of a function, or asks how many are loaded: id, fields
 	nameFree = "FREE" // unloads the idle replicas of a function, and has no response: function key
 	nameInfo = "INFO" // checks health and asks for a load report: id
 	nameNoop = "NOOP" // asks for a response only, to check that the connection works: id
--- a/internal/workerclient/command_queue.go
+++ b/internal/workerclient/command_queue.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// remove takes a command out of those in flight, if it is still one of them. The id of a request that was written is
+// remove removes a command from those in flight, if it is among them. The id of a request that was written is
 // remembered, because it must not be used on this connection again.
 func (q *commandQueue) remove(cmd *command) {
 	if q.inFlight[cmd.id] != cmd {
@@ -79,8 +79,8 @@
 	return q.requestCount < limit && !q.recentIDs.has(id) && !q.recentIDs.full()
 }
 
-// oldestRequest returns when the request was written that has awaited its response for longest. found is false if no
-// request awaits a response.
+// oldestRequest returns the time at which the request that has awaited its response for longest was written. found is
+// false if no request awaits a response.
 func (q *commandQueue) oldestRequest() (sentAt time.Duration, found bool) {
 	for _, cmd := range q.inFlight {
 		if cmd.request() == nil || !cmd.sendState.written {
--- a/internal/workerclient/connection_choice.go
+++ b/internal/workerclient/connection_choice.go
@@ -17,8 +17,9 @@
 	immediate // the command is written at once
 )
 
-// pickConnection returns the connection for a command: one that is up if possible, otherwise one that is being dialed,
-// otherwise a new one. It returns a silent connection only if no more may be opened, and nil if there is none.
+// pickConnection returns the connection for a command: an established one if possible, otherwise one that is being
+// dialed, otherwise a new one. It returns a silent or stalled connection only if no new one may be opened, and nil if
+// there is none.
 func (p *Pool) pickConnection(w *worker, cmd *command) *connection {
 	var best *connection
 	highest := unusable
@@ -52,7 +53,7 @@
 		return unusable
 	}
 	switch {
-	case c.liveness.awaitsPing() || c.stalled():
+	case c.liveness.awaitsPingResponse() || c.stalled():
 		return lastResort
 	case c.state == connecting:
 		return queues
--- a/internal/workerclient/dialer.go
+++ b/internal/workerclient/dialer.go
@@ -24,7 +24,7 @@
 	dialer    *dialer
 	addr      endpoint.Addr
 	transport Transport
-	finished  bool
+	finished  bool // or canceled
 }
 
 // start dials the addresses of the race that are due.
@@ -72,8 +72,8 @@
 }
 
 // dialFailed goes on to the next address. A dial that was refused or timed out proves that nothing ran. The worker is
-// unreachable only when the last dial has failed. If that was due to an error of this machine, such as too few
-// descriptors, nothing is known about the worker.
+// unreachable only when the last dial has failed. If that dial failed because of an error of this machine, such as too
+// few descriptors, nothing is known about the worker.
 func (d *dialer) dialFailed(attempt *dial, err error) {
 	c := d.connection
 	c.pool.Counters.DialsFailed++
@@ -102,7 +102,7 @@
 	c.establish(attempt)
 }
 
-// finish removes the dial from those in progress.
+// finish removes the dial from those in progress. It is called for canceled dials too.
 func (d *dial) finish() {
 	d.finished = true
 	d.dialer.connection.pool.dialsInProgress--
--- a/internal/workerclient/dispatch.go
+++ b/internal/workerclient/dispatch.go
@@ -25,8 +25,8 @@
 	cmd.kind.fail(p.results, outcome)
 }
 
-// handleInterrupted resends or fails a command whose connection ended with outcome. bytesSent is how many bytes of the
-// connection may have reached the worker.
+// handleInterrupted resends or fails a command whose connection ended with outcome. bytesSent is how many of the bytes
+// that were written to the connection may have reached the worker.
 func (p *Pool) handleInterrupted(w *worker, cmd *command, outcome policy.Outcome, bytesSent int) {
 	neverArrived := cmd.neverArrived(bytesSent)
 	wasReset := outcome == policy.ConnectionReset
@@ -44,7 +44,7 @@
 	}
 }
 
-// resend sends a command whose connection ended over another one.
+// resend sends a command over another connection, after the connection that it was given to has ended.
 func (p *Pool) resend(w *worker, cmd *command) {
 	cmd.sendState.written = false
 	cmd.sendState.waited = true
--- a/internal/workerclient/health_command_test.go
+++ b/internal/workerclient/health_command_test.go
@@ -8,7 +8,7 @@
 )
 
 // A connection that is reset during a health check must not make a healthy worker count as failed: the check is sent
-// again over another connection. Only a worker that refuses the connection, or resets each one, has failed the check.
+// again over another connection. Only a worker that refuses the connection, or resets every one, has failed the check.
 func TestHealthCheckOutlivesItsConnection(t *testing.T) {
 	for name, test := range map[string]struct {
 		resets int
--- a/internal/workerclient/ignored_field_log.go
+++ b/internal/workerclient/ignored_field_log.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// ignoredFieldLogInterval is the time after an event in which nothing more is logged.
+	// ignoredFieldLogInterval is the minimum time between two log events.
 	ignoredFieldLogInterval = time.Second
 	// maxLoggedValue is the maximum length of a field's value in the log, in bytes.
 	maxLoggedValue = 32
 )
 
-// ignoredFieldLog logs response fields with invalid values, at most one event a second, because a worker could
-// otherwise flood the log.
+// ignoredFieldLog logs response fields with invalid values, at most one event a second. Otherwise a worker could
+// flood the log.
 type ignoredFieldLog struct {
 	logger   *slog.Logger
 	count    int           // fields since the last event
--- a/internal/workerclient/liveness.go
+++ b/internal/workerclient/liveness.go
@@ -4,37 +4,37 @@
 
 const (
 	// minSilenceBeforePing is the shortest silence, on a connection on which responses are due, after which a keepalive
-	// ping is sent. Until the connection has responded, it is used for new commands only if no other can be had.
+	// ping is sent. Until the connection has responded, it is used for new commands only if no other is available.
 	minSilenceBeforePing = 150 * time.Millisecond
-	// pingTimeout is how long the connection may then stay silent if the worker responds, on another connection, to
-	// commands that were sent after the ping.
+	// pingTimeout is how long the connection may stay silent after the keepalive ping, if the worker responds on
+	// another connection to commands that were sent after the ping.
 	pingTimeout = 250 * time.Millisecond
 	// partialResponseTimeout is how long to wait for the rest of a response that has started to arrive.
 	partialResponseTimeout = 600 * time.Millisecond
 )
 
-// livenessMonitor tracks, by the responses on one connection, whether the connection still works. A connection that is
-// cut off stays open but silent, while other connections to the same worker may work: then there is no reason to use
-// another worker. Only complete responses count as signs of life, because a part of one proves nothing.
+// livenessMonitor uses the responses on one connection to track whether the connection still works. A connection that
+// is cut off stays open but silent. Other connections to the same worker may still work, and then there is no reason to
+// use another worker. Only complete responses show that a connection works, because a part of one proves nothing.
 type livenessMonitor struct {
-	lastResponse          time.Duration // when the latest response arrived; 0: none has
+	lastResponse          time.Duration // when the latest response arrived; 0: no response has arrived
 	lastRequestResponse   time.Duration // when the latest response to a request arrived
-	latestRespondedSentAt time.Duration // latest send time of the commands that have had a response
-	pingedAt              time.Duration // when the keepalive ping was sent that still awaits a response; 0: none does
+	latestRespondedSentAt time.Duration // latest send time among the commands that have received a response
+	pingedAt              time.Duration // when the keepalive ping that awaits a response was sent; 0: none does
 }
 
 // livenessState is the result of checking how long a connection has been silent.
 type livenessState uint8
 
 const (
-	connectionAlive livenessState = iota
-	pingDue                       // silent for longer than expected
-	pingUnanswered                // silent since a keepalive ping
+	connectionAlive     livenessState = iota
+	pingDue                           // silent for longer than expected
+	pingWithoutResponse               // silent since a keepalive ping
 )
 
 // String returns the state's name.
 func (s livenessState) String() string {
-	return [...]string{"alive", "ping due", "ping unanswered"}[s]
+	return [...]string{"alive", "ping due", "ping without response"}[s]
 }
 
 // check evaluates a silence on a connection on which responses are due. A silence of expectedSilence is not unusual.
@@ -45,24 +45,24 @@
 	case m.pingedAt == 0:
 		return pingDue
 	case now-m.pingedAt > pingTimeout:
-		return pingUnanswered
+		return pingWithoutResponse
 	}
 	return connectionAlive
 }
 
-// recordResponse records that a response arrived, after which no keepalive ping awaits one.
+// recordResponse records that a response arrived. Any response counts as the response to a keepalive ping.
 func (m *livenessMonitor) recordResponse(now time.Duration) {
 	m.lastResponse = now
 	m.pingedAt = 0
 }
 
-// recordResponseTo records that a command that was sent at sentAt has had its response.
+// recordResponseTo records that a command that was sent at sentAt has received its response.
 func (m *livenessMonitor) recordResponseTo(sentAt time.Duration) {
 	m.latestRespondedSentAt = max(m.latestRespondedSentAt, sentAt)
 }
 
-// awaitsPing reports whether a keepalive ping has had no response yet.
-func (m *livenessMonitor) awaitsPing() bool { return m.pingedAt > 0 }
+// awaitsPingResponse reports whether a keepalive ping was sent and no response has arrived since.
+func (m *livenessMonitor) awaitsPingResponse() bool { return m.pingedAt > 0 }
 
 // checkLiveness closes a connection on which a response has stalled, or which stays silent after a keepalive ping while
 // its worker responds on another connection. It sends a ping if the connection has been silent for longer than
@@ -81,7 +81,7 @@
 	case connectionAlive:
 	case pingDue:
 		c.ping()
-	case pingUnanswered:
+	case pingWithoutResponse:
 		if c.worker.respondedToCommandSince(c.liveness.pingedAt) {
 			c.worker.addresses.RecordFailure(now, c.addr)
 			c.closeWithError(ErrConnectionSilent)
@@ -118,8 +118,9 @@
 	c.worker.addresses.RecordResponse(c.addr)
 }
 
-// silenceDuration returns how long a response to a request has been due while none has arrived since lastResponseAt.
-// due is false if no request awaits a response.
+// silenceDuration returns how long a response to a request has been due without any response: the time since
+// lastResponseAt or since the oldest request in flight was sent, whichever is later. due is false if no request awaits
+// a response.
 func (c *connection) silenceDuration(lastResponseAt time.Duration) (silence time.Duration, due bool) {
 	oldest, due := c.commands.oldestRequest()
 	return c.pool.now - max(oldest, lastResponseAt), due
--- a/internal/workerclient/liveness_test.go
+++ b/internal/workerclient/liveness_test.go
@@ -120,14 +120,14 @@
 		{"long", minSilenceBeforePing + 1, 0, 0, pingDue},
 		{"long but expected", time.Second, time.Second, 0, connectionAlive},
 		{"pinged a moment ago", time.Second, 0, now - pingTimeout, connectionAlive},
-		{"pinged long ago", time.Second, 0, now - pingTimeout - 1, pingUnanswered},
+		{"pinged long ago", time.Second, 0, now - pingTimeout - 1, pingWithoutResponse},
 	} {
 		monitor := livenessMonitor{pingedAt: test.pingedAt}
 		if got := monitor.check(now, test.silence, test.expected); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 		monitor.recordResponse(now)
-		if monitor.awaitsPing() || monitor.lastResponse != now {
+		if monitor.awaitsPingResponse() || monitor.lastResponse != now {
 			t.Errorf("%s: %+v after a response", test.name, monitor)
 		}
 	}
--- a/internal/workerclient/load_command.go
+++ b/internal/workerclient/load_command.go
@@ -6,11 +6,11 @@
 	"crankhold/policy"
 )
 
-// loadCommand is a HOLD: it makes a worker load replicas of a function, or asks how many there are.
+// loadCommand is a HOLD: it makes a worker load replicas of a function, or asks how many are loaded.
 type loadCommand struct {
 	commandID uint64 // chosen by the decision module
 	function  policy.FunctionID
-	replicas  int // to load; 0 only asks
+	replicas  int // to load; 0 asks how many are loaded
 }
 
 // checkBeforeWrite rejects a load that waited for a connection if the load budget was used up in the meantime. A load
--- a/internal/workerclient/model_search_test.go
+++ b/internal/workerclient/model_search_test.go
@@ -116,8 +116,8 @@
 	for _, f := range plantedFaults {
 		t.Run(strings.ReplaceAll(f.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			whole := filepath.Join(root, f.file)
-			text, err := os.ReadFile(whole)
+			sourceFile := filepath.Join(root, f.file)
+			text, err := os.ReadFile(sourceFile)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -129,7 +129,7 @@
 			if err := os.WriteFile(mutant, []byte(strings.Replace(string(text), f.old, f.new, 1)), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace": {%q: %q}}`, whole, mutant), 0o644); err != nil {
+			if err := os.WriteFile(overlay, fmt.Appendf(nil, `{"Replace": {%q: %q}}`, sourceFile, mutant), 0o644); err != nil {
 				t.Fatal(err)
 			}
 			cmd := exec.Command("go", "test", "-overlay", overlay, "-vet=off", "-count=1", "-run", "TestEveryInterleaving", ".")
--- a/internal/workerclient/model_steps_test.go
+++ b/internal/workerclient/model_steps_test.go
@@ -162,7 +162,8 @@
 	}
 }
 
-// lastMessageMayBeCut reports whether the last message may not have been sent whole, which is so if it has no response.
+// lastMessageMayBeCut reports whether the last message may not have been sent whole. That is possible if it has no
+// response.
 func (t *modelTransport) lastMessageMayBeCut() bool {
 	count := len(t.messages)
 	return count > 0 && !t.messages[count-1].responded
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -59,7 +59,7 @@
 	DialsFailed         uint64
 	RecoveryDials       uint64 // started
 	RecoveryDialsFailed uint64
-	RequestsResent      uint64 // commands that were not sent whole over one connection and were sent again over another
+	RequestsResent      uint64 // resends of commands that an earlier connection had not sent whole
 	Pings               uint64 // keepalive pings that were sent
 }
 
--- a/internal/workerclient/response_reader.go
+++ b/internal/workerclient/response_reader.go
@@ -9,7 +9,7 @@
 // responseReader reassembles the responses of one connection from reads that may end anywhere within one.
 type responseReader struct {
 	partial      framing.Buffer // the start of an incomplete response
-	partialSince time.Duration  // when the first bytes of that arrived
+	partialSince time.Duration  // when the first bytes of partial arrived
 }
 
 // feed passes data that arrived at now to decode, response by response, and buffers the rest. It stops at an error of
--- a/internal/workerclient/response_reader_test.go
+++ b/internal/workerclient/response_reader_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A response may stop short on an open connection, with no more bytes or a few now and then that never complete it. The
+// A response may remain incomplete on an open connection, whether no more bytes arrive or only a few at a time. The
 // connection is closed after partialResponseTimeout.
 func TestTruncatedResponseIsNotWaitedFor(t *testing.T) {
 	p := newTestPool()
--- a/internal/workerclient/silence.go
+++ b/internal/workerclient/silence.go
@@ -7,9 +7,9 @@
 const silenceDecay = 64
 
 // silenceEstimate estimates how long a connection on which responses are due may be silent before that is unusual. If
-// many requests share a connection, that is a few milliseconds. If few do, it is as long as requests take: a keepalive
-// ping after a fixed time would be sent for each request that takes longer than others, at a cost that adds up over a
-// fleet of routers.
+// many requests share a connection, the estimate is a few milliseconds. If few do, it is as long as requests take. A
+// keepalive ping after a fixed time would be sent for each request that takes longer than that time, at a cost that
+// adds up over a fleet of routers.
 //
 // The estimate is therefore the longest recent silence. It decays with each further silence that ends with the response
 // to a request that ran. A mean with its deviation, as TCP keeps of its round trips, would be exceeded often, because
--- a/internal/workerclient/silence_test.go
+++ b/internal/workerclient/silence_test.go
@@ -11,9 +11,9 @@
 	"crankhold/policy"
 )
 
-// Each of many routers sends a worker a request now and then, with durations that vary as those of real requests do,
-// over connections that rarely carry more than one at a time. With a fixed limit of 150 ms, a keepalive ping was sent
-// for each request that took longer. Pings cost as much as health checks and add up over the fleet.
+// Each of many routers occasionally sends a worker a request, over connections that rarely carry more than one at a
+// time. The durations vary like those of real requests. With a fixed limit of 150 ms, a keepalive ping was sent for
+// each request that took longer. Pings cost as much as health checks and add up over the fleet.
 func TestLightTrafficNeedsFewKeepalivePings(t *testing.T) {
 	const routers = 20
 	const requests = 300
--- a/internal/workerclient/worker.go
+++ b/internal/workerclient/worker.go
@@ -24,7 +24,7 @@
 func (w *worker) ready() bool { return w.state == policy.Ready }
 
 // setAddresses replaces the addresses with the listed ones if they have changed. The worker may have restarted
-// elsewhere, or have fewer addresses, and another worker may listen at an old one.
+// elsewhere, or have fewer addresses, and another worker may listen at one of its old addresses.
 func (w *worker) setAddresses(listedAddresses []endpoint.Addr) {
 	if len(listedAddresses) == 0 || slices.Equal(listedAddresses, w.listedAddresses) {
 		return
@@ -43,8 +43,8 @@
 }
 
 // setState sets the worker's state. If the worker no longer accepts new commands, those that are queued behind a dial
-// complete without being sent, because the dial may succeed only after the time in which the worker may still be sent
-// requests.
+// complete without being sent, because the dial may succeed too late: a draining worker may be sent requests only for a
+// limited time.
 func (w *worker) setState(state policy.WorkerState) {
 	w.state = state
 	if !w.ready() {
--- a/internal/workerclient/worker_commands.go
+++ b/internal/workerclient/worker_commands.go
@@ -2,8 +2,8 @@
 
 import "crankhold/policy"
 
-// Load makes a worker load count replicas of a function. A count of 0 only asks how many there are, and then the worker
-// need not be ready. The result may be reported before Load returns.
+// Load makes a worker load count replicas of a function. A count of 0 only asks how many are loaded, and then the
+// worker need not be ready. The result may be reported before Load returns.
 func (p *Pool) Load(id policy.WorkerID, f policy.FunctionID, count int, commandID uint64) {
 	load := &loadCommand{commandID: commandID, function: f, replicas: count}
 	cmd := &command{id: loadID(commandID), kind: load}
--- a/internal/workerclient/worker_test.go
+++ b/internal/workerclient/worker_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// State must not pile up over a long time: generations of workers come and go, some of them at an address that another
-// one had, and nothing about the gone ones is kept.
+// State must not accumulate over a long time: generations of workers are added and removed, some of them at the address
+// of an earlier worker, and no state of removed workers is kept.
 func TestGoneWorkersLeaveNoState(t *testing.T) {
 	p := newTestPool()
 	now := time.Duration(0)
