--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -74,7 +74,7 @@
 	wantNear(t, "the count", mean.Count, 3)
 }
 
-func TestSkewedMean(t *testing.T) {
+func TestAsymmetricMean(t *testing.T) {
 	mean := AsymmetricMean{Mean: 100}
 	mean.Observe(120, 20, 4)
 	wantNear(t, "the mean after a higher value", mean.Mean, 101)
