--- a/internal/benchmark/record.go
+++ b/internal/benchmark/record.go
@@ -41,8 +41,8 @@
 type eventObserver func(e fake.Event, request *recordedRequest)
 
 // newRecord returns an empty record. watch may be nil.
-func newRecord(watch eventObserver) *record {
-	return &record{byID: map[string]*recordedRequest{}, observer: watch}
+func newRecord(observer eventObserver) *record {
+	return &record{byID: map[string]*recordedRequest{}, observer: observer}
 }
 
 // event records what a worker saw. It is called by fakes, from any goroutine.
